--- a/src/main/java/cresschute/cli/BenchlinkCommand.java
+++ b/src/main/java/cresschute/cli/BenchlinkCommand.java
@@ -11,7 +11,7 @@
 
     @Override
     public Integer call() {
-        cresschute.benchlink.Main.main(new String[]{"benchlink"});
+        cresschute.simulator.Main.main(new String[]{"benchlink"});
         return ExitCodes.DONE;
     }
 }
--- a/src/main/java/cresschute/cli/CapacityCommand.java
+++ b/src/main/java/cresschute/cli/CapacityCommand.java
@@ -1,13 +1,13 @@
 package cresschute.cli;
 
-import cresschute.lab.capacity.CapacityExperiment;
-import cresschute.lab.capacity.CapacityPlan;
-import cresschute.lab.capacity.CapacityResult;
-import cresschute.lab.capacity.MachineLimitException;
-import cresschute.lab.capacity.MeasurementFile;
-import cresschute.lab.capacity.NeedChart;
-import cresschute.lab.capacity.Sweep;
-import cresschute.lab.capacity.UnusablePlanException;
+import cresschute.testbed.capacity.CapacityExperiment;
+import cresschute.testbed.capacity.CapacityPlan;
+import cresschute.testbed.capacity.CapacityResult;
+import cresschute.testbed.capacity.MachineLimitException;
+import cresschute.testbed.capacity.MeasurementFile;
+import cresschute.testbed.capacity.NeedChart;
+import cresschute.testbed.capacity.Sweep;
+import cresschute.testbed.capacity.UnusablePlanException;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.charset.StandardCharsets;
--- a/src/main/java/cresschute/cli/CapacityModelCommand.java
+++ b/src/main/java/cresschute/cli/CapacityModelCommand.java
@@ -1,7 +1,7 @@
 package cresschute.cli;
 
-import cresschute.lab.model.CapacityCsv;
-import cresschute.lab.model.FleetCapacity;
+import cresschute.testbed.model.CapacityCsv;
+import cresschute.testbed.model.FleetCapacity;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.charset.StandardCharsets;
--- a/src/main/java/cresschute/cli/DemoCommand.java
+++ b/src/main/java/cresschute/cli/DemoCommand.java
@@ -1,9 +1,9 @@
 package cresschute.cli;
 
-import cresschute.lab.Durations;
-import cresschute.lab.Fleet;
-import cresschute.lab.FleetReport;
-import cresschute.lab.Trouble;
+import cresschute.testbed.Durations;
+import cresschute.testbed.Fleet;
+import cresschute.testbed.FleetReport;
+import cresschute.testbed.Trouble;
 import cresschute.logs.LogFinder;
 import cresschute.logs.structured.StructuredLog;
 import java.io.PrintWriter;
--- a/src/main/java/cresschute/cli/LabCommand.java
+++ b/src/main/java/cresschute/cli/LabCommand.java
@@ -1,6 +1,6 @@
 package cresschute.cli;
 
-import cresschute.lab.bodies.BodiesTrial;
+import cresschute.testbed.bodies.BodiesTrial;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Files;
--- a/src/main/java/cresschute/cli/Main.java
+++ b/src/main/java/cresschute/cli/Main.java
@@ -20,7 +20,7 @@
         if (args.length == 1 && args[0].equals("serve")) {
             serveOnPlatform();
         } else if (args.length == 1 && args[0].equals("benchlink")) {
-            cresschute.benchlink.Main.main(args);
+            cresschute.simulator.Main.main(args);
         } else {
             try {
                 final int code = Commands.execute(args);
--- a/src/main/java/cresschute/control/Drains.java
+++ b/src/main/java/cresschute/control/Drains.java
@@ -1,8 +1,8 @@
 package cresschute.control;
 
-import cresschute.DispatchApi.Placement;
-import cresschute.DispatchApi.Worker;
-import cresschute.DispatchApi.WorkerState;
+import cresschute.dispatch.Placement;
+import cresschute.dispatch.Worker;
+import cresschute.dispatch.WorkerState;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
--- a/src/main/java/cresschute/Attempt.java
+++ b/src/main/java/cresschute/dispatch/Attempt.java
@@ -1,4 +1,4 @@
-package cresschute;
+package cresschute.dispatch;
 
 /** One send that has not ended. */
 final class Attempt {
--- a/src/main/java/cresschute/Cell.java
+++ b/src/main/java/cresschute/dispatch/Cell.java
@@ -1,4 +1,4 @@
-package cresschute;
+package cresschute.dispatch;
 
 /** Requests of one class, size and side of the tenant's share: the unit of the fill. */
 final class Cell {
--- a/src/main/java/cresschute/Cells.java
+++ b/src/main/java/cresschute/dispatch/Cells.java
@@ -1,4 +1,4 @@
-package cresschute;
+package cresschute.dispatch;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/cresschute/ClassState.java
+++ b/src/main/java/cresschute/dispatch/ClassState.java
@@ -1,6 +1,5 @@
-package cresschute;
+package cresschute.dispatch;
 
-import cresschute.DispatchApi.RequestClass;
 import java.util.List;
 
 /** What is known of a class. */
--- a/src/main/java/cresschute/Fleet.java
+++ b/src/main/java/cresschute/dispatch/Fleet.java
@@ -1,8 +1,5 @@
-package cresschute;
+package cresschute.dispatch;
 
-import cresschute.DispatchApi.Placement;
-import cresschute.DispatchApi.RequestClass;
-import cresschute.DispatchApi.Worker;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
--- a/src/main/java/cresschute/Kind.java
+++ b/src/main/java/cresschute/dispatch/Kind.java
@@ -1,6 +1,5 @@
-package cresschute;
+package cresschute.dispatch;
 
-import cresschute.DispatchApi.LoadReport;
 
 /** What the workers of one kind have in common. */
 final class Kind {
--- a/src/main/java/cresschute/Logic.java
+++ b/src/main/java/cresschute/dispatch/Logic.java
@@ -1,19 +1,5 @@
-// The interface of this module (settings, events, actions) is DispatchApi.java, beside this file.
-package cresschute;
-
-import cresschute.DispatchApi.Actions;
-import cresschute.DispatchApi.ColdStart;
-import cresschute.DispatchApi.Effect;
-import cresschute.DispatchApi.Events;
-import cresschute.DispatchApi.Job;
-import cresschute.DispatchApi.ListForm;
-import cresschute.DispatchApi.LoadReport;
-import cresschute.DispatchApi.Outcome;
-import cresschute.DispatchApi.RequestClass;
-import cresschute.DispatchApi.Settings;
-import cresschute.DispatchApi.WeightSource;
-import cresschute.DispatchApi.Worker;
-import cresschute.DispatchApi.WorkerState;
+package cresschute.dispatch;
+
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Comparator;
--- a/src/main/java/cresschute/Node.java
+++ b/src/main/java/cresschute/dispatch/Node.java
@@ -1,6 +1,5 @@
-package cresschute;
+package cresschute.dispatch;
 
-import cresschute.DispatchApi.Worker;
 import java.util.ArrayDeque;
 import java.util.Arrays;
 import java.util.List;
--- /dev/null
+++ b/src/main/java/cresschute/dispatch/Placement.java
@@ -0,0 +1,43 @@
+package cresschute.dispatch;
+
+import java.util.List;
+
+/**
+ * Where a class may be sent, at every attempt. A list that is null sets no bound.
+ *
+ * @param zones the only zones open to it
+ * @param kinds the only kinds of worker open to it
+ */
+public record Placement(List<Integer> zones, List<Integer> kinds) {
+
+    /** No bound. */
+    public static final Placement ANYWHERE = new Placement(null, null);
+
+    public Placement {
+        Preconditions.require(zones == null || !zones.isEmpty(), "placement zones");
+        Preconditions.require(kinds == null || !kinds.isEmpty(), "placement kinds");
+        zones = sorted(zones);
+        kinds = sorted(kinds);
+    }
+
+    /** Whether the bounds leave this worker open. */
+    public boolean allows(Worker worker) {
+        return (zones == null || zones.contains(worker.zone()))
+            && (kinds == null || kinds.contains(worker.kind()));
+    }
+
+    /** Whether all that the other leaves open is open here too. */
+    public boolean contains(Placement other) {
+        return (zones == null || other.zones != null && zones.containsAll(other.zones))
+            && (kinds == null || other.kinds != null && kinds.containsAll(other.kinds));
+    }
+
+    private static List<Integer> sorted(List<Integer> bound) {
+        return bound == null ? null : bound.stream().sorted().distinct().toList();
+    }
+
+    boolean isWithin(int zoneCount, int kindCount) {
+        return (zones == null || zones.get(0) >= 0 && zones.get(zones.size() - 1) < zoneCount)
+            && (kinds == null || kinds.get(0) >= 0 && kinds.get(kinds.size() - 1) < kindCount);
+    }
+}
--- a/src/main/java/cresschute/Request.java
+++ b/src/main/java/cresschute/dispatch/Request.java
@@ -1,6 +1,5 @@
-package cresschute;
+package cresschute.dispatch;
 
-import cresschute.DispatchApi.Limits;
 import java.util.ArrayList;
 import java.util.List;
 
--- a/src/main/java/cresschute/ShareMeter.java
+++ b/src/main/java/cresschute/dispatch/ShareMeter.java
@@ -1,4 +1,4 @@
-package cresschute;
+package cresschute.dispatch;
 
 /** Tells what of a tenant's traffic is within its share, by this dispatcher's even part of it. */
 final class ShareMeter {
--- a/src/main/java/cresschute/health/HealthBook.java
+++ b/src/main/java/cresschute/health/HealthBook.java
@@ -1,8 +1,8 @@
 package cresschute.health;
 
-import cresschute.DispatchApi.LoadReport;
-import cresschute.DispatchApi.Outcome;
-import cresschute.DispatchApi.WorkerState;
+import cresschute.dispatch.LoadReport;
+import cresschute.dispatch.Outcome;
+import cresschute.dispatch.WorkerState;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
--- a/src/main/java/cresschute/node/Backends.java
+++ b/src/main/java/cresschute/node/Backends.java
@@ -1,7 +1,7 @@
 package cresschute.node;
 
-import cresschute.DispatchApi.LoadReport;
-import cresschute.DispatchApi.Outcome;
+import cresschute.dispatch.LoadReport;
+import cresschute.dispatch.Outcome;
 import java.net.InetSocketAddress;
 
 /** The way to the backends. All calls and all callbacks are on the loop. */
--- a/src/main/java/cresschute/node/ClassTable.java
+++ b/src/main/java/cresschute/node/ClassTable.java
@@ -1,7 +1,7 @@
 package cresschute.node;
 
-import cresschute.DispatchApi.RequestClass;
-import cresschute.DispatchApi.Settings;
+import cresschute.dispatch.RequestClass;
+import cresschute.dispatch.Settings;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/src/main/java/cresschute/node/ControlDesk.java
+++ b/src/main/java/cresschute/node/ControlDesk.java
@@ -2,10 +2,10 @@
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
-import cresschute.DispatchApi.LoadReport;
-import cresschute.DispatchApi.RequestClass;
-import cresschute.DispatchApi.Worker;
-import cresschute.DispatchApi.WorkerState;
+import cresschute.dispatch.LoadReport;
+import cresschute.dispatch.RequestClass;
+import cresschute.dispatch.Worker;
+import cresschute.dispatch.WorkerState;
 import cresschute.control.Board;
 import cresschute.control.ControlRequest;
 import cresschute.control.Drains;
@@ -291,7 +291,7 @@
             }
 
             @Override
-            public void ended(long atUs, cresschute.DispatchApi.Outcome outcome, LoadReport report) {
+            public void ended(long atUs, cresschute.dispatch.Outcome outcome, LoadReport report) {
                 job.ended(atUs, outcome, report);
                 changed.add(backend);
             }
--- a/src/main/java/cresschute/node/CoreWatcher.java
+++ b/src/main/java/cresschute/node/CoreWatcher.java
@@ -1,9 +1,9 @@
 package cresschute.node;
 
-import cresschute.DispatchApi.LoadReport;
-import cresschute.DispatchApi.Outcome;
-import cresschute.DispatchApi.Worker;
-import cresschute.DispatchApi.WorkerState;
+import cresschute.dispatch.LoadReport;
+import cresschute.dispatch.Outcome;
+import cresschute.dispatch.Worker;
+import cresschute.dispatch.WorkerState;
 import java.util.List;
 
 /**
--- a/src/main/java/cresschute/node/DirectorList.java
+++ b/src/main/java/cresschute/node/DirectorList.java
@@ -3,7 +3,7 @@
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParseException;
-import cresschute.DispatchApi.WorkerState;
+import cresschute.dispatch.WorkerState;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/cresschute/node/Fetch.java
+++ b/src/main/java/cresschute/node/Fetch.java
@@ -1,6 +1,6 @@
 package cresschute.node;
 
-import cresschute.DispatchApi.Worker;
+import cresschute.dispatch.Worker;
 import java.net.InetSocketAddress;
 import java.util.concurrent.Future;
 
--- a/src/main/java/cresschute/node/LoadKnowledge.java
+++ b/src/main/java/cresschute/node/LoadKnowledge.java
@@ -1,6 +1,6 @@
 package cresschute.node;
 
-import cresschute.DispatchApi.LoadReport;
+import cresschute.dispatch.LoadReport;
 import java.util.OptionalInt;
 
 /**
--- a/src/main/java/cresschute/node/NodeServer.java
+++ b/src/main/java/cresschute/node/NodeServer.java
@@ -1,9 +1,9 @@
 package cresschute.node;
 
-import cresschute.DispatchApi.Actions;
-import cresschute.DispatchApi.Events;
-import cresschute.DispatchApi.Settings;
-import cresschute.Logic;
+import cresschute.dispatch.Actions;
+import cresschute.dispatch.Events;
+import cresschute.dispatch.Settings;
+import cresschute.dispatch.Logic;
 import cresschute.logs.LogEvent;
 import cresschute.node.http.BackendConnections;
 import cresschute.node.http.ClientFront;
--- a/src/main/java/cresschute/node/OperatorsDesk.java
+++ b/src/main/java/cresschute/node/OperatorsDesk.java
@@ -1,6 +1,6 @@
 package cresschute.node;
 
-import cresschute.DispatchApi.WorkerState;
+import cresschute.dispatch.WorkerState;
 import cresschute.control.ManagementCall;
 import cresschute.control.OperatorsState;
 import cresschute.control.files.SharedState;
--- a/src/main/java/cresschute/node/PeerLoads.java
+++ b/src/main/java/cresschute/node/PeerLoads.java
@@ -1,6 +1,6 @@
 package cresschute.node;
 
-import cresschute.DispatchApi.LoadReport;
+import cresschute.dispatch.LoadReport;
 import cresschute.peers.ExchangeSettings;
 import cresschute.peers.LoadExchange;
 import cresschute.peers.LoadMessageCodec;
--- a/src/main/java/cresschute/node/Roster.java
+++ b/src/main/java/cresschute/node/Roster.java
@@ -1,7 +1,7 @@
 package cresschute.node;
 
-import cresschute.DispatchApi.Worker;
-import cresschute.DispatchApi.WorkerState;
+import cresschute.dispatch.Worker;
+import cresschute.dispatch.WorkerState;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.Collections;
--- a/src/main/java/cresschute/node/http/ClientFront.java
+++ b/src/main/java/cresschute/node/http/ClientFront.java
@@ -1,7 +1,7 @@
 package cresschute.node.http;
 
-import cresschute.DispatchApi.RequestClass;
-import cresschute.DispatchApi.Tenant;
+import cresschute.dispatch.RequestClass;
+import cresschute.dispatch.Tenant;
 import cresschute.node.Core;
 import cresschute.node.Door;
 import cresschute.node.NodeConfig;
--- a/src/main/java/cresschute/node/http/HttpFetch.java
+++ b/src/main/java/cresschute/node/http/HttpFetch.java
@@ -1,8 +1,8 @@
 package cresschute.node.http;
 
 import com.google.gson.JsonParseException;
-import cresschute.DispatchApi.LoadReport;
-import cresschute.DispatchApi.Outcome;
+import cresschute.dispatch.LoadReport;
+import cresschute.dispatch.Outcome;
 import cresschute.node.Backends.Call;
 import cresschute.node.Backends.FetchListener;
 import cresschute.node.RateLimitedLog;
--- a/src/main/java/cresschute/node/http/JobLine.java
+++ b/src/main/java/cresschute/node/http/JobLine.java
@@ -2,8 +2,8 @@
 
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParseException;
-import cresschute.DispatchApi.LoadReport;
-import cresschute.DispatchApi.Outcome;
+import cresschute.dispatch.LoadReport;
+import cresschute.dispatch.Outcome;
 import cresschute.node.Json;
 
 /**
--- a/src/main/java/cresschute/node/http/Loads.java
+++ b/src/main/java/cresschute/node/http/Loads.java
@@ -2,7 +2,7 @@
 
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParseException;
-import cresschute.DispatchApi.LoadReport;
+import cresschute.dispatch.LoadReport;
 import cresschute.node.Json;
 
 /** Load reports in their two forms: a header's name=value list and a JSON object. */
--- a/src/main/java/cresschute/node/http/ReqHead.java
+++ b/src/main/java/cresschute/node/http/ReqHead.java
@@ -1,9 +1,9 @@
 package cresschute.node.http;
 
-import cresschute.DispatchApi.Effect;
-import cresschute.DispatchApi.Job;
-import cresschute.DispatchApi.RequestClass;
-import cresschute.DispatchApi.Tenant;
+import cresschute.dispatch.Effect;
+import cresschute.dispatch.Job;
+import cresschute.dispatch.RequestClass;
+import cresschute.dispatch.Tenant;
 import cresschute.node.FlatSettings;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaders;
--- a/src/main/java/cresschute/settings/ApplianceSettings.java
+++ b/src/main/java/cresschute/settings/ApplianceSettings.java
@@ -1,6 +1,6 @@
 package cresschute.settings;
 
-import cresschute.DispatchApi.Settings;
+import cresschute.dispatch.Settings;
 import java.net.InetSocketAddress;
 import java.util.List;
 
--- a/src/main/java/cresschute/settings/SettingsChecks.java
+++ b/src/main/java/cresschute/settings/SettingsChecks.java
@@ -1,14 +1,14 @@
 package cresschute.settings;
 
-import cresschute.DispatchApi.ColdStart;
-import cresschute.DispatchApi.Effect;
-import cresschute.DispatchApi.Goal;
-import cresschute.DispatchApi.Limits;
-import cresschute.DispatchApi.Placement;
-import cresschute.DispatchApi.RepeatScope;
-import cresschute.DispatchApi.RequestClass;
-import cresschute.DispatchApi.Settings;
-import cresschute.DispatchApi.WeightSource;
+import cresschute.dispatch.ColdStart;
+import cresschute.dispatch.Effect;
+import cresschute.dispatch.Goal;
+import cresschute.dispatch.Limits;
+import cresschute.dispatch.Placement;
+import cresschute.dispatch.RepeatScope;
+import cresschute.dispatch.RequestClass;
+import cresschute.dispatch.Settings;
+import cresschute.dispatch.WeightSource;
 import cresschute.settings.ApplianceSettings.Bodies;
 import cresschute.settings.ApplianceSettings.ClassBodies;
 import cresschute.settings.ApplianceSettings.Peers;
--- a/src/main/java/cresschute/benchlink/FrameReader.java
+++ b/src/main/java/cresschute/simulator/FrameReader.java
@@ -1,4 +1,4 @@
-package cresschute.benchlink;
+package cresschute.simulator;
 
 import java.io.IOException;
 import java.io.InputStream;
--- a/src/main/java/cresschute/benchlink/InstanceHost.java
+++ b/src/main/java/cresschute/simulator/InstanceHost.java
@@ -1,14 +1,14 @@
-package cresschute.benchlink;
+package cresschute.simulator;
 
-import cresschute.DispatchApi.Actions;
-import cresschute.DispatchApi.Events;
-import cresschute.DispatchApi.Job;
-import cresschute.DispatchApi.ListForm;
-import cresschute.DispatchApi.LoadReport;
-import cresschute.DispatchApi.Outcome;
-import cresschute.DispatchApi.Worker;
-import cresschute.DispatchApi.WorkerState;
-import cresschute.Logic;
+import cresschute.dispatch.Actions;
+import cresschute.dispatch.Events;
+import cresschute.dispatch.Job;
+import cresschute.dispatch.ListForm;
+import cresschute.dispatch.LoadReport;
+import cresschute.dispatch.Outcome;
+import cresschute.dispatch.Worker;
+import cresschute.dispatch.WorkerState;
+import cresschute.dispatch.Logic;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
--- a/src/main/java/cresschute/benchlink/Main.java
+++ b/src/main/java/cresschute/simulator/Main.java
@@ -1,4 +1,4 @@
-package cresschute.benchlink;
+package cresschute.simulator;
 
 import java.io.FileInputStream;
 import java.io.FileDescriptor;
--- a/src/main/java/cresschute/benchlink/MalformedInputException.java
+++ b/src/main/java/cresschute/simulator/MalformedInputException.java
@@ -1,4 +1,4 @@
-package cresschute.benchlink;
+package cresschute.simulator;
 
 /** Input that does not follow the wire; the message is one plain line. */
 final class MalformedInputException extends RuntimeException {
--- a/src/main/java/cresschute/benchlink/ReportLayout.java
+++ b/src/main/java/cresschute/simulator/ReportLayout.java
@@ -1,6 +1,6 @@
-package cresschute.benchlink;
+package cresschute.simulator;
 
-import cresschute.DispatchApi.LoadReport;
+import cresschute.dispatch.LoadReport;
 
 /** Where the known values stand in an instance's load reports; -1 where they do not. */
 record ReportLayout(int freeSlotsAt, int outstandingAt, int waitingAt) {
--- a/src/main/java/cresschute/benchlink/SettingsParser.java
+++ b/src/main/java/cresschute/simulator/SettingsParser.java
@@ -1,15 +1,15 @@
-package cresschute.benchlink;
-
-import cresschute.DispatchApi.ColdStart;
-import cresschute.DispatchApi.Effect;
-import cresschute.DispatchApi.Goal;
-import cresschute.DispatchApi.Limits;
-import cresschute.DispatchApi.Placement;
-import cresschute.DispatchApi.RepeatScope;
-import cresschute.DispatchApi.RequestClass;
-import cresschute.DispatchApi.Settings;
-import cresschute.DispatchApi.Tenant;
-import cresschute.DispatchApi.WeightSource;
+package cresschute.simulator;
+
+import cresschute.dispatch.ColdStart;
+import cresschute.dispatch.Effect;
+import cresschute.dispatch.Goal;
+import cresschute.dispatch.Limits;
+import cresschute.dispatch.Placement;
+import cresschute.dispatch.RepeatScope;
+import cresschute.dispatch.RequestClass;
+import cresschute.dispatch.Settings;
+import cresschute.dispatch.Tenant;
+import cresschute.dispatch.WeightSource;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/src/main/java/cresschute/benchlink/WireCodes.java
+++ b/src/main/java/cresschute/simulator/WireCodes.java
@@ -1,4 +1,4 @@
-package cresschute.benchlink;
+package cresschute.simulator;
 
 /** Record codes of the wire: events first, then actions. */
 final class WireCodes {
--- a/src/main/java/cresschute/lab/DirectorStandIn.java
+++ b/src/main/java/cresschute/testbed/DirectorStandIn.java
@@ -1,8 +1,8 @@
-package cresschute.lab;
+package cresschute.testbed;
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
-import cresschute.lab.Observation.WorkerTold;
+import cresschute.testbed.Observation.WorkerTold;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelHandler;
 import io.netty.channel.EventLoop;
--- a/src/main/java/cresschute/lab/Durations.java
+++ b/src/main/java/cresschute/testbed/Durations.java
@@ -1,4 +1,4 @@
-package cresschute.lab;
+package cresschute.testbed;
 
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
--- a/src/main/java/cresschute/lab/Fleet.java
+++ b/src/main/java/cresschute/testbed/Fleet.java
@@ -1,9 +1,9 @@
-package cresschute.lab;
+package cresschute.testbed;
 
-import cresschute.DispatchApi.ColdStart;
-import cresschute.lab.JobClass.Demand;
-import cresschute.lab.Observation.OperatorDrained;
-import cresschute.lab.Observation.SendCame;
+import cresschute.dispatch.ColdStart;
+import cresschute.testbed.JobClass.Demand;
+import cresschute.testbed.Observation.OperatorDrained;
+import cresschute.testbed.Observation.SendCame;
 import cresschute.node.NodeConfig;
 import cresschute.node.NodeServer;
 import cresschute.settings.ApplianceSettings;
--- a/src/main/java/cresschute/lab/FleetReport.java
+++ b/src/main/java/cresschute/testbed/FleetReport.java
@@ -1,11 +1,11 @@
-package cresschute.lab;
+package cresschute.testbed;
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
-import cresschute.lab.Outcomes.End;
-import cresschute.lab.Outcomes.OfClass;
-import cresschute.lab.RuleChecker.Breach;
-import cresschute.lab.RuleChecker.Rule;
+import cresschute.testbed.Outcomes.End;
+import cresschute.testbed.Outcomes.OfClass;
+import cresschute.testbed.RuleChecker.Breach;
+import cresschute.testbed.RuleChecker.Rule;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
--- a/src/main/java/cresschute/lab/JobClass.java
+++ b/src/main/java/cresschute/testbed/JobClass.java
@@ -1,8 +1,8 @@
-package cresschute.lab;
+package cresschute.testbed;
 
-import cresschute.DispatchApi.Effect;
-import cresschute.DispatchApi.RepeatScope;
-import cresschute.DispatchApi.RequestClass;
+import cresschute.dispatch.Effect;
+import cresschute.dispatch.RepeatScope;
+import cresschute.dispatch.RequestClass;
 import cresschute.settings.ApplianceSettings;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/cresschute/lab/LoadClients.java
+++ b/src/main/java/cresschute/testbed/LoadClients.java
@@ -1,13 +1,13 @@
-package cresschute.lab;
+package cresschute.testbed;
 
 import com.google.gson.JsonObject;
-import cresschute.DispatchApi.Effect;
-import cresschute.lab.Observation.AnswerTooMany;
-import cresschute.lab.Observation.ReqAnswered;
-import cresschute.lab.Observation.ReqLost;
-import cresschute.lab.Observation.ReqSent;
-import cresschute.lab.Observation.ReqUnanswered;
-import cresschute.lab.Observation.ReqUnfinished;
+import cresschute.dispatch.Effect;
+import cresschute.testbed.Observation.AnswerTooMany;
+import cresschute.testbed.Observation.ReqAnswered;
+import cresschute.testbed.Observation.ReqLost;
+import cresschute.testbed.Observation.ReqSent;
+import cresschute.testbed.Observation.ReqUnanswered;
+import cresschute.testbed.Observation.ReqUnfinished;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
--- a/src/main/java/cresschute/lab/LoopbackServer.java
+++ b/src/main/java/cresschute/testbed/LoopbackServer.java
@@ -1,4 +1,4 @@
-package cresschute.lab;
+package cresschute.testbed;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
--- a/src/main/java/cresschute/lab/NodeProcess.java
+++ b/src/main/java/cresschute/testbed/NodeProcess.java
@@ -1,4 +1,4 @@
-package cresschute.lab;
+package cresschute.testbed;
 
 import com.sun.management.ThreadMXBean;
 import com.sun.tools.attach.AttachNotSupportedException;
--- a/src/main/java/cresschute/lab/Observation.java
+++ b/src/main/java/cresschute/testbed/Observation.java
@@ -1,4 +1,4 @@
-package cresschute.lab;
+package cresschute.testbed;
 
 /**
  * Something that the client side, the worker side or the director of a fleet saw. Times are microseconds of
--- a/src/main/java/cresschute/lab/Outcomes.java
+++ b/src/main/java/cresschute/testbed/Outcomes.java
@@ -1,10 +1,10 @@
-package cresschute.lab;
+package cresschute.testbed;
 
-import cresschute.lab.Observation.ReqAnswered;
-import cresschute.lab.Observation.ReqLost;
-import cresschute.lab.Observation.ReqSent;
-import cresschute.lab.Observation.ReqUnanswered;
-import cresschute.lab.Observation.ReqUnfinished;
+import cresschute.testbed.Observation.ReqAnswered;
+import cresschute.testbed.Observation.ReqLost;
+import cresschute.testbed.Observation.ReqSent;
+import cresschute.testbed.Observation.ReqUnanswered;
+import cresschute.testbed.Observation.ReqUnfinished;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
--- a/src/main/java/cresschute/lab/Recorder.java
+++ b/src/main/java/cresschute/testbed/Recorder.java
@@ -1,4 +1,4 @@
-package cresschute.lab;
+package cresschute.testbed;
 
 import cresschute.node.Clock;
 import java.util.ArrayList;
--- a/src/main/java/cresschute/lab/Trouble.java
+++ b/src/main/java/cresschute/testbed/Trouble.java
@@ -1,4 +1,4 @@
-package cresschute.lab;
+package cresschute.testbed;
 
 import java.util.ArrayList;
 import java.util.Arrays;
--- a/src/main/java/cresschute/lab/WorkerStandIn.java
+++ b/src/main/java/cresschute/testbed/WorkerStandIn.java
@@ -1,15 +1,15 @@
-package cresschute.lab;
+package cresschute.testbed;
 
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParseException;
-import cresschute.DispatchApi.ColdStart;
-import cresschute.lab.Observation.EffectMade;
-import cresschute.lab.Observation.RunDone;
-import cresschute.lab.Observation.RunStarted;
-import cresschute.lab.Observation.SendCame;
-import cresschute.lab.Observation.SendTurnedAway;
-import cresschute.lab.Observation.WorkerBooted;
-import cresschute.lab.Observation.WorkerFell;
+import cresschute.dispatch.ColdStart;
+import cresschute.testbed.Observation.EffectMade;
+import cresschute.testbed.Observation.RunDone;
+import cresschute.testbed.Observation.RunStarted;
+import cresschute.testbed.Observation.SendCame;
+import cresschute.testbed.Observation.SendTurnedAway;
+import cresschute.testbed.Observation.WorkerBooted;
+import cresschute.testbed.Observation.WorkerFell;
 import cresschute.node.Json;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
--- a/src/main/java/cresschute/lab/bodies/BodiesTrial.java
+++ b/src/main/java/cresschute/testbed/bodies/BodiesTrial.java
@@ -1,7 +1,7 @@
-package cresschute.lab.bodies;
+package cresschute.testbed.bodies;
 
-import cresschute.lab.NodeProcess;
-import cresschute.lab.SmallReqs;
+import cresschute.testbed.NodeProcess;
+import cresschute.testbed.SmallReqs;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.net.InetSocketAddress;
--- a/src/main/java/cresschute/lab/bodies/BodyWorker.java
+++ b/src/main/java/cresschute/testbed/bodies/BodyWorker.java
@@ -1,4 +1,4 @@
-package cresschute.lab.bodies;
+package cresschute.testbed.bodies;
 
 import java.io.IOException;
 import java.net.InetAddress;
--- a/src/main/java/cresschute/lab/bodies/LineSpeed.java
+++ b/src/main/java/cresschute/testbed/bodies/LineSpeed.java
@@ -1,4 +1,4 @@
-package cresschute.lab.bodies;
+package cresschute.testbed.bodies;
 
 /**
  * How one direction of a peer behaves.
--- a/src/main/java/cresschute/lab/bodies/MemoryLine.java
+++ b/src/main/java/cresschute/testbed/bodies/MemoryLine.java
@@ -1,6 +1,6 @@
-package cresschute.lab.bodies;
+package cresschute.testbed.bodies;
 
-import cresschute.lab.NodeProcess;
+import cresschute.testbed.NodeProcess;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
--- a/src/main/java/cresschute/lab/bodies/PacedSocket.java
+++ b/src/main/java/cresschute/testbed/bodies/PacedSocket.java
@@ -1,4 +1,4 @@
-package cresschute.lab.bodies;
+package cresschute.testbed.bodies;
 
 import java.io.BufferedInputStream;
 import java.io.Closeable;
--- a/src/main/java/cresschute/lab/bodies/SeededBytes.java
+++ b/src/main/java/cresschute/testbed/bodies/SeededBytes.java
@@ -1,4 +1,4 @@
-package cresschute.lab.bodies;
+package cresschute.testbed.bodies;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
--- a/src/main/java/cresschute/lab/bodies/TokenBucket.java
+++ b/src/main/java/cresschute/testbed/bodies/TokenBucket.java
@@ -1,4 +1,4 @@
-package cresschute.lab.bodies;
+package cresschute.testbed.bodies;
 
 /**
  * A line's speed: bytes come free at an even rate, and no more than a burst of them waits unused. Pure, times
--- a/src/main/java/cresschute/lab/capacity/ByteCounter.java
+++ b/src/main/java/cresschute/testbed/capacity/ByteCounter.java
@@ -1,4 +1,4 @@
-package cresschute.lab.capacity;
+package cresschute.testbed.capacity;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelDuplexHandler;
--- a/src/main/java/cresschute/lab/capacity/CapacityExperiment.java
+++ b/src/main/java/cresschute/testbed/capacity/CapacityExperiment.java
@@ -1,7 +1,7 @@
-package cresschute.lab.capacity;
+package cresschute.testbed.capacity;
 
 import com.google.gson.JsonObject;
-import cresschute.lab.Observation;
+import cresschute.testbed.Observation;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
--- a/src/main/java/cresschute/lab/capacity/CapacityPlan.java
+++ b/src/main/java/cresschute/testbed/capacity/CapacityPlan.java
@@ -1,4 +1,4 @@
-package cresschute.lab.capacity;
+package cresschute.testbed.capacity;
 
 /**
  * The size of one experiment.
--- a/src/main/java/cresschute/lab/capacity/DispatcherProcess.java
+++ b/src/main/java/cresschute/testbed/capacity/DispatcherProcess.java
@@ -1,4 +1,4 @@
-package cresschute.lab.capacity;
+package cresschute.testbed.capacity;
 
 import com.google.gson.JsonObject;
 import java.io.IOException;
--- a/src/main/java/cresschute/lab/capacity/Evaluation.java
+++ b/src/main/java/cresschute/testbed/capacity/Evaluation.java
@@ -1,8 +1,8 @@
-package cresschute.lab.capacity;
+package cresschute.testbed.capacity;
 
-import cresschute.DispatchApi.ColdStart;
-import cresschute.lab.Observation;
-import cresschute.lab.RuleChecker;
+import cresschute.dispatch.ColdStart;
+import cresschute.testbed.Observation;
+import cresschute.testbed.RuleChecker;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.ToDoubleFunction;
--- a/src/main/java/cresschute/lab/capacity/HollowClients.java
+++ b/src/main/java/cresschute/testbed/capacity/HollowClients.java
@@ -1,9 +1,9 @@
-package cresschute.lab.capacity;
+package cresschute.testbed.capacity;
 
 import com.google.gson.JsonObject;
-import cresschute.lab.JobClass;
-import cresschute.lab.LoadClients;
-import cresschute.lab.Recorder;
+import cresschute.testbed.JobClass;
+import cresschute.testbed.LoadClients;
+import cresschute.testbed.Recorder;
 import io.netty.channel.EventLoop;
 import java.net.SocketAddress;
 import java.util.List;
--- a/src/main/java/cresschute/lab/capacity/HollowDiscovery.java
+++ b/src/main/java/cresschute/testbed/capacity/HollowDiscovery.java
@@ -1,9 +1,9 @@
-package cresschute.lab.capacity;
+package cresschute.testbed.capacity;
 
 import com.google.gson.JsonObject;
-import cresschute.lab.DirectorStandIn;
-import cresschute.lab.Recorder;
-import cresschute.lab.WorkerStandIn.Make;
+import cresschute.testbed.DirectorStandIn;
+import cresschute.testbed.Recorder;
+import cresschute.testbed.WorkerStandIn.Make;
 import io.netty.channel.EventLoop;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
--- a/src/main/java/cresschute/lab/capacity/HollowWorkers.java
+++ b/src/main/java/cresschute/testbed/capacity/HollowWorkers.java
@@ -1,15 +1,15 @@
-package cresschute.lab.capacity;
+package cresschute.testbed.capacity;
 
 import com.google.gson.JsonObject;
-import cresschute.lab.CellKeys;
-import cresschute.lab.LoopbackServer;
-import cresschute.lab.Observation.EffectMade;
-import cresschute.lab.Observation.RunDone;
-import cresschute.lab.Observation.RunStarted;
-import cresschute.lab.Observation.SendCame;
-import cresschute.lab.Observation.SendTurnedAway;
-import cresschute.lab.Recorder;
-import cresschute.lab.WorkerStandIn.Make;
+import cresschute.testbed.CellKeys;
+import cresschute.testbed.LoopbackServer;
+import cresschute.testbed.Observation.EffectMade;
+import cresschute.testbed.Observation.RunDone;
+import cresschute.testbed.Observation.RunStarted;
+import cresschute.testbed.Observation.SendCame;
+import cresschute.testbed.Observation.SendTurnedAway;
+import cresschute.testbed.Recorder;
+import cresschute.testbed.WorkerStandIn.Make;
 import cresschute.node.Json;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
--- a/src/main/java/cresschute/lab/capacity/MachineLimitException.java
+++ b/src/main/java/cresschute/testbed/capacity/MachineLimitException.java
@@ -1,4 +1,4 @@
-package cresschute.lab.capacity;
+package cresschute.testbed.capacity;
 
 /** The machine lacks what an experiment needs; the message names the limit. */
 public final class MachineLimitException extends RuntimeException {
--- a/src/main/java/cresschute/lab/capacity/ObservationFile.java
+++ b/src/main/java/cresschute/testbed/capacity/ObservationFile.java
@@ -1,10 +1,10 @@
-package cresschute.lab.capacity;
+package cresschute.testbed.capacity;
 
 import com.google.gson.Gson;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParseException;
 import com.google.gson.JsonParser;
-import cresschute.lab.Observation;
+import cresschute.testbed.Observation;
 import java.io.BufferedWriter;
 import java.io.IOException;
 import java.io.UncheckedIOException;
--- a/src/main/java/cresschute/lab/capacity/PeerMain.java
+++ b/src/main/java/cresschute/testbed/capacity/PeerMain.java
@@ -1,12 +1,12 @@
-package cresschute.lab.capacity;
+package cresschute.testbed.capacity;
 
 import com.google.gson.Gson;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
-import cresschute.lab.Recorder;
-import cresschute.lab.WorkerStandIn.Make;
+import cresschute.testbed.Recorder;
+import cresschute.testbed.WorkerStandIn.Make;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
--- a/src/main/java/cresschute/lab/capacity/ProcessUse.java
+++ b/src/main/java/cresschute/testbed/capacity/ProcessUse.java
@@ -1,4 +1,4 @@
-package cresschute.lab.capacity;
+package cresschute.testbed.capacity;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
--- a/src/main/java/cresschute/lab/capacity/RequestOutcomes.java
+++ b/src/main/java/cresschute/testbed/capacity/RequestOutcomes.java
@@ -1,12 +1,12 @@
-package cresschute.lab.capacity;
-
-import cresschute.lab.LoadClients;
-import cresschute.lab.Observation;
-import cresschute.lab.Observation.ReqAnswered;
-import cresschute.lab.Observation.ReqLost;
-import cresschute.lab.Observation.ReqSent;
-import cresschute.lab.Observation.ReqUnanswered;
-import cresschute.lab.Observation.RunStarted;
+package cresschute.testbed.capacity;
+
+import cresschute.testbed.LoadClients;
+import cresschute.testbed.Observation;
+import cresschute.testbed.Observation.ReqAnswered;
+import cresschute.testbed.Observation.ReqLost;
+import cresschute.testbed.Observation.ReqSent;
+import cresschute.testbed.Observation.ReqUnanswered;
+import cresschute.testbed.Observation.RunStarted;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
--- a/src/main/java/cresschute/lab/capacity/Site.java
+++ b/src/main/java/cresschute/testbed/capacity/Site.java
@@ -1,11 +1,11 @@
-package cresschute.lab.capacity;
+package cresschute.testbed.capacity;
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
-import cresschute.DispatchApi.Effect;
-import cresschute.DispatchApi.RepeatScope;
-import cresschute.lab.JobClass;
-import cresschute.lab.WorkerStandIn;
+import cresschute.dispatch.Effect;
+import cresschute.dispatch.RepeatScope;
+import cresschute.testbed.JobClass;
+import cresschute.testbed.WorkerStandIn;
 import java.util.ArrayList;
 import java.util.List;
 
--- a/src/main/java/cresschute/lab/capacity/TrafficKind.java
+++ b/src/main/java/cresschute/testbed/capacity/TrafficKind.java
@@ -1,4 +1,4 @@
-package cresschute.lab.capacity;
+package cresschute.testbed.capacity;
 
 /** What bytes and messages are counted as, at the stand-ins. */
 public enum TrafficKind {
--- a/src/main/java/cresschute/lab/capacity/UnusablePlanException.java
+++ b/src/main/java/cresschute/testbed/capacity/UnusablePlanException.java
@@ -1,4 +1,4 @@
-package cresschute.lab.capacity;
+package cresschute.testbed.capacity;
 
 /** A size that no experiment can have; the message names the option. */
 public final class UnusablePlanException extends RuntimeException {
--- a/src/main/java/cresschute/lab/model/CapacityCsv.java
+++ b/src/main/java/cresschute/testbed/model/CapacityCsv.java
@@ -1,6 +1,6 @@
-package cresschute.lab.model;
+package cresschute.testbed.model;
 
-import cresschute.lab.model.FleetCapacity.Point;
+import cresschute.testbed.model.FleetCapacity.Point;
 import java.io.PrintWriter;
 import java.util.Locale;
 import java.util.Map;
--- a/src/main/java/cresschute/lab/model/DispatcherMeter.java
+++ b/src/main/java/cresschute/testbed/model/DispatcherMeter.java
@@ -1,7 +1,7 @@
-package cresschute.lab.model;
+package cresschute.testbed.model;
 
-import cresschute.DispatchApi.LoadReport;
-import cresschute.DispatchApi.Outcome;
+import cresschute.dispatch.LoadReport;
+import cresschute.dispatch.Outcome;
 import java.util.Arrays;
 import java.util.EnumMap;
 import java.util.HashMap;
--- a/src/main/java/cresschute/lab/model/ExchangingModules.java
+++ b/src/main/java/cresschute/testbed/model/ExchangingModules.java
@@ -1,14 +1,14 @@
-package cresschute.lab.model;
-
-import cresschute.DispatchApi.Actions;
-import cresschute.DispatchApi.Events;
-import cresschute.DispatchApi.Job;
-import cresschute.DispatchApi.ListForm;
-import cresschute.DispatchApi.LoadReport;
-import cresschute.DispatchApi.Outcome;
-import cresschute.DispatchApi.Settings;
-import cresschute.DispatchApi.Worker;
-import cresschute.lab.model.FleetModel.ModuleMaker;
+package cresschute.testbed.model;
+
+import cresschute.dispatch.Actions;
+import cresschute.dispatch.Events;
+import cresschute.dispatch.Job;
+import cresschute.dispatch.ListForm;
+import cresschute.dispatch.LoadReport;
+import cresschute.dispatch.Outcome;
+import cresschute.dispatch.Settings;
+import cresschute.dispatch.Worker;
+import cresschute.testbed.model.FleetModel.ModuleMaker;
 import cresschute.peers.ExchangeSettings;
 import cresschute.peers.LoadAnnouncer;
 import cresschute.peers.LoadExchange;
--- a/src/main/java/cresschute/lab/model/FleetModel.java
+++ b/src/main/java/cresschute/testbed/model/FleetModel.java
@@ -1,12 +1,12 @@
-package cresschute.lab.model;
-
-import cresschute.DispatchApi.Actions;
-import cresschute.DispatchApi.Events;
-import cresschute.DispatchApi.ListForm;
-import cresschute.DispatchApi.RequestClass;
-import cresschute.DispatchApi.Settings;
-import cresschute.DispatchApi.Worker;
-import cresschute.DispatchApi.WorkerState;
+package cresschute.testbed.model;
+
+import cresschute.dispatch.Actions;
+import cresschute.dispatch.Events;
+import cresschute.dispatch.ListForm;
+import cresschute.dispatch.RequestClass;
+import cresschute.dispatch.Settings;
+import cresschute.dispatch.Worker;
+import cresschute.dispatch.WorkerState;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Collection;
--- a/src/main/java/cresschute/lab/model/Gang.java
+++ b/src/main/java/cresschute/testbed/model/Gang.java
@@ -1,4 +1,4 @@
-package cresschute.lab.model;
+package cresschute.testbed.model;
 
 import java.util.List;
 
--- a/src/main/java/cresschute/lab/model/ModelWorker.java
+++ b/src/main/java/cresschute/testbed/model/ModelWorker.java
@@ -1,10 +1,10 @@
-package cresschute.lab.model;
+package cresschute.testbed.model;
 
-import cresschute.DispatchApi.ColdStart;
-import cresschute.DispatchApi.LoadReport;
-import cresschute.DispatchApi.Outcome;
-import cresschute.DispatchApi.Worker;
-import cresschute.DispatchApi.WorkerState;
+import cresschute.dispatch.ColdStart;
+import cresschute.dispatch.LoadReport;
+import cresschute.dispatch.Outcome;
+import cresschute.dispatch.Worker;
+import cresschute.dispatch.WorkerState;
 import java.util.ArrayDeque;
 
 /**
--- a/src/test/java/cresschute/LayoutTest.java
+++ b/src/test/java/cresschute/LayoutTest.java
@@ -33,30 +33,30 @@
 
     @Test
     void moduleUsesTheJdkAlone() {
-        noClasses().that().resideInAPackage("cresschute").should().dependOnClassesThat()
-            .resideOutsideOfPackages("cresschute", "java..").check(CLASSES);
+        noClasses().that().resideInAPackage("cresschute.dispatch").should().dependOnClassesThat()
+            .resideOutsideOfPackages("cresschute.dispatch", "java..").check(CLASSES);
     }
 
     @Test
     void everyPackageUsesOnlyWhatItMay() {
-        mayUse(of("cresschute.benchlink.."), "cresschute");
+        mayUse(of("cresschute.simulator.."), "cresschute.dispatch");
         mayUse(of("cresschute.logs"));
         mayUse(of("cresschute.logs.structured.."), "cresschute.logs");
         mayUse(of("cresschute.settings.script.."));
-        mayUse(of("cresschute.settings"), "cresschute", "cresschute.settings.script");
-        mayUse(of("cresschute.node", "cresschute.node.http"), "cresschute", "cresschute.benchlink",
+        mayUse(of("cresschute.settings"), "cresschute.dispatch", "cresschute.settings.script");
+        mayUse(of("cresschute.node", "cresschute.node.http"), "cresschute.dispatch", "cresschute.simulator",
             "cresschute.settings", "cresschute.logs", "cresschute.health", "cresschute.control..",
             "cresschute.flow", "cresschute.peers..");
         mayUse(of("cresschute.peers"));
         mayUse(of("cresschute.peers.socket"), "cresschute.peers", "cresschute.logs");
-        mayUse(of("cresschute.health"), "cresschute");
+        mayUse(of("cresschute.health"), "cresschute.dispatch");
         mayUse(of("cresschute.flow"));
         mayUse(of("cresschute.capacity"));
-        mayUse(of("cresschute.control"), "cresschute");
+        mayUse(of("cresschute.control"), "cresschute.dispatch");
         mayUse(of("cresschute.control.socket", "cresschute.control.files"), "cresschute.control",
             "cresschute.logs");
         mayUse(of("cresschute.console"), "cresschute.control");
-        mayUse(of("cresschute.lab.."), "cresschute", "cresschute.node", "cresschute.settings",
+        mayUse(of("cresschute.testbed.."), "cresschute.dispatch", "cresschute.node", "cresschute.settings",
             "cresschute.logs", "cresschute.peers");
     }
 
@@ -77,8 +77,8 @@
 
     @Test
     void onlyTheCommandLineKnowsTheLab() {
-        noClasses().that().resideOutsideOfPackages("cresschute.lab..", "cresschute.cli..").should()
-            .dependOnClassesThat().resideInAPackage("cresschute.lab..").check(CLASSES);
+        noClasses().that().resideOutsideOfPackages("cresschute.testbed..", "cresschute.cli..").should()
+            .dependOnClassesThat().resideInAPackage("cresschute.testbed..").check(CLASSES);
     }
 
     /**
--- a/src/test/java/cresschute/cli/CapacityProgramTest.java
+++ b/src/test/java/cresschute/cli/CapacityProgramTest.java
@@ -8,7 +8,7 @@
 
 import com.google.gson.JsonObject;
 import cresschute.ProgramProcess;
-import cresschute.lab.capacity.MeasurementFile;
+import cresschute.testbed.capacity.MeasurementFile;
 import cresschute.node.Json;
 import java.io.BufferedReader;
 import java.nio.file.Files;
--- a/src/test/java/cresschute/control/DrainsTest.java
+++ b/src/test/java/cresschute/control/DrainsTest.java
@@ -3,9 +3,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import cresschute.DispatchApi.Placement;
-import cresschute.DispatchApi.Worker;
-import cresschute.DispatchApi.WorkerState;
+import cresschute.dispatch.Placement;
+import cresschute.dispatch.Worker;
+import cresschute.dispatch.WorkerState;
 import cresschute.control.Drains.ClassBound;
 import cresschute.control.Drains.Kind;
 import cresschute.control.Drains.Listed;
--- a/src/test/java/cresschute/FillTest.java
+++ b/src/test/java/cresschute/dispatch/FillTest.java
@@ -1,12 +1,8 @@
-package cresschute;
+package cresschute.dispatch;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.within;
 
-import cresschute.DispatchApi.Effect;
-import cresschute.DispatchApi.Placement;
-import cresschute.DispatchApi.RepeatScope;
-import cresschute.DispatchApi.RequestClass;
 import java.util.List;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
--- a/src/test/java/cresschute/LogicTest.java
+++ b/src/test/java/cresschute/dispatch/LogicTest.java
@@ -1,25 +1,13 @@
-package cresschute;
+package cresschute.dispatch;
 
-import static cresschute.Recorder.SECOND;
-import static cresschute.Recorder.in;
-import static cresschute.Recorder.job;
-import static cresschute.Recorder.settings;
-import static cresschute.Recorder.worker;
+import static cresschute.dispatch.Recorder.SECOND;
+import static cresschute.dispatch.Recorder.in;
+import static cresschute.dispatch.Recorder.job;
+import static cresschute.dispatch.Recorder.settings;
+import static cresschute.dispatch.Recorder.worker;
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import cresschute.DispatchApi.Effect;
-import cresschute.DispatchApi.Job;
-import cresschute.DispatchApi.ListForm;
-import cresschute.DispatchApi.LoadReport;
-import cresschute.DispatchApi.Outcome;
-import cresschute.DispatchApi.Placement;
-import cresschute.DispatchApi.RepeatScope;
-import cresschute.DispatchApi.RequestClass;
-import cresschute.DispatchApi.Settings;
-import cresschute.DispatchApi.Tenant;
-import cresschute.DispatchApi.Worker;
-import cresschute.DispatchApi.WorkerState;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
--- a/src/test/java/cresschute/ModuleSizeTest.java
+++ b/src/test/java/cresschute/dispatch/ModuleSizeTest.java
@@ -1,4 +1,4 @@
-package cresschute;
+package cresschute.dispatch;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -10,7 +10,7 @@
 
 class ModuleSizeTest {
 
-    private static final Path MODULE = Path.of("src/main/java/cresschute/Logic.java");
+    private static final Path MODULE = Path.of("src/main/java/cresschute/dispatch/Logic.java");
 
     @Test
     void moduleStaysWithinItsPagesAndColumns() throws IOException {
--- a/src/test/java/cresschute/Recorder.java
+++ b/src/test/java/cresschute/dispatch/Recorder.java
@@ -1,22 +1,5 @@
-package cresschute;
-
-import cresschute.DispatchApi.Actions;
-import cresschute.DispatchApi.ColdStart;
-import cresschute.DispatchApi.Effect;
-import cresschute.DispatchApi.Goal;
-import cresschute.DispatchApi.Limits;
-import cresschute.DispatchApi.Job;
-import cresschute.DispatchApi.ListForm;
-import cresschute.DispatchApi.LoadReport;
-import cresschute.DispatchApi.Outcome;
-import cresschute.DispatchApi.Placement;
-import cresschute.DispatchApi.RepeatScope;
-import cresschute.DispatchApi.RequestClass;
-import cresschute.DispatchApi.Settings;
-import cresschute.DispatchApi.Tenant;
-import cresschute.DispatchApi.WeightSource;
-import cresschute.DispatchApi.Worker;
-import cresschute.DispatchApi.WorkerState;
+package cresschute.dispatch;
+
 import java.util.ArrayList;
 import java.util.List;
 
--- a/src/test/java/cresschute/RetunedTest.java
+++ b/src/test/java/cresschute/dispatch/RetunedTest.java
@@ -1,22 +1,12 @@
-package cresschute;
+package cresschute.dispatch;
 
-import static cresschute.Recorder.SECOND;
-import static cresschute.Recorder.bound;
-import static cresschute.Recorder.job;
-import static cresschute.Recorder.settings;
+import static cresschute.dispatch.Recorder.SECOND;
+import static cresschute.dispatch.Recorder.bound;
+import static cresschute.dispatch.Recorder.job;
+import static cresschute.dispatch.Recorder.settings;
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import cresschute.DispatchApi.Effect;
-import cresschute.DispatchApi.Limits;
-import cresschute.DispatchApi.ListForm;
-import cresschute.DispatchApi.Outcome;
-import cresschute.DispatchApi.Placement;
-import cresschute.DispatchApi.RepeatScope;
-import cresschute.DispatchApi.RequestClass;
-import cresschute.DispatchApi.Settings;
-import cresschute.DispatchApi.Worker;
-import cresschute.DispatchApi.WorkerState;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/cresschute/RulesPropertyTest.java
+++ b/src/test/java/cresschute/dispatch/RulesPropertyTest.java
@@ -1,23 +1,7 @@
-package cresschute;
+package cresschute.dispatch;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cresschute.DispatchApi.Actions;
-import cresschute.DispatchApi.ColdStart;
-import cresschute.DispatchApi.Effect;
-import cresschute.DispatchApi.Goal;
-import cresschute.DispatchApi.Job;
-import cresschute.DispatchApi.Limits;
-import cresschute.DispatchApi.ListForm;
-import cresschute.DispatchApi.LoadReport;
-import cresschute.DispatchApi.Outcome;
-import cresschute.DispatchApi.Placement;
-import cresschute.DispatchApi.RepeatScope;
-import cresschute.DispatchApi.RequestClass;
-import cresschute.DispatchApi.Settings;
-import cresschute.DispatchApi.WeightSource;
-import cresschute.DispatchApi.Worker;
-import cresschute.DispatchApi.WorkerState;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
--- a/src/test/java/cresschute/WorkerVisits.java
+++ b/src/test/java/cresschute/dispatch/WorkerVisits.java
@@ -1,6 +1,5 @@
-package cresschute;
+package cresschute.dispatch;
 
-import cresschute.DispatchApi.Placement;
 import java.lang.reflect.Field;
 import java.util.AbstractCollection;
 import java.util.AbstractList;
--- a/src/test/java/cresschute/health/HealthBookTest.java
+++ b/src/test/java/cresschute/health/HealthBookTest.java
@@ -2,9 +2,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cresschute.DispatchApi.LoadReport;
-import cresschute.DispatchApi.Outcome;
-import cresschute.DispatchApi.WorkerState;
+import cresschute.dispatch.LoadReport;
+import cresschute.dispatch.Outcome;
+import cresschute.dispatch.WorkerState;
 import cresschute.health.HealthBook.Aim;
 import cresschute.health.HealthBook.Answer;
 import cresschute.health.HealthBook.Change;
--- a/src/test/java/cresschute/node/ClassTableTest.java
+++ b/src/test/java/cresschute/node/ClassTableTest.java
@@ -3,10 +3,10 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import cresschute.DispatchApi.Effect;
-import cresschute.DispatchApi.Placement;
-import cresschute.DispatchApi.RepeatScope;
-import cresschute.DispatchApi.RequestClass;
+import cresschute.dispatch.Effect;
+import cresschute.dispatch.Placement;
+import cresschute.dispatch.RepeatScope;
+import cresschute.dispatch.RequestClass;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
--- a/src/test/java/cresschute/node/ControlDeskTest.java
+++ b/src/test/java/cresschute/node/ControlDeskTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cresschute.DispatchApi.Events;
+import cresschute.dispatch.Events;
 import io.netty.channel.embedded.EmbeddedChannel;
 import java.lang.reflect.Proxy;
 import java.net.ServerSocket;
--- a/src/test/java/cresschute/node/CoreTest.java
+++ b/src/test/java/cresschute/node/CoreTest.java
@@ -3,11 +3,11 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import cresschute.DispatchApi.Actions;
-import cresschute.DispatchApi.Events;
-import cresschute.DispatchApi.Job;
-import cresschute.DispatchApi.LoadReport;
-import cresschute.DispatchApi.Outcome;
+import cresschute.dispatch.Actions;
+import cresschute.dispatch.Events;
+import cresschute.dispatch.Job;
+import cresschute.dispatch.LoadReport;
+import cresschute.dispatch.Outcome;
 import io.netty.channel.embedded.EmbeddedChannel;
 import java.lang.reflect.Proxy;
 import java.net.InetSocketAddress;
--- a/src/test/java/cresschute/node/CrossingRulesTest.java
+++ b/src/test/java/cresschute/node/CrossingRulesTest.java
@@ -6,7 +6,7 @@
 import static cresschute.node.TestNode.req;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cresschute.DispatchApi.Actions;
+import cresschute.dispatch.Actions;
 import cresschute.settings.ApplianceSettings.Bodies;
 import cresschute.settings.ApplianceSettings.ClassBodies;
 import java.io.IOException;
--- a/src/test/java/cresschute/node/NodeConfigTest.java
+++ b/src/test/java/cresschute/node/NodeConfigTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import cresschute.DispatchApi.Effect;
+import cresschute.dispatch.Effect;
 import java.net.ServerSocket;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/cresschute/node/TestNode.java
+++ b/src/test/java/cresschute/node/TestNode.java
@@ -2,14 +2,14 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cresschute.DispatchApi.Actions;
-import cresschute.DispatchApi.Events;
-import cresschute.DispatchApi.Job;
-import cresschute.DispatchApi.ListForm;
-import cresschute.DispatchApi.LoadReport;
-import cresschute.DispatchApi.Outcome;
-import cresschute.DispatchApi.Settings;
-import cresschute.DispatchApi.Worker;
+import cresschute.dispatch.Actions;
+import cresschute.dispatch.Events;
+import cresschute.dispatch.Job;
+import cresschute.dispatch.ListForm;
+import cresschute.dispatch.LoadReport;
+import cresschute.dispatch.Outcome;
+import cresschute.dispatch.Settings;
+import cresschute.dispatch.Worker;
 import cresschute.settings.ApplianceSettings.Bodies;
 import java.io.IOException;
 import java.net.ServerSocket;
--- a/src/test/java/cresschute/node/http/HttpFetchTest.java
+++ b/src/test/java/cresschute/node/http/HttpFetchTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cresschute.DispatchApi.Outcome;
+import cresschute.dispatch.Outcome;
 import cresschute.node.RateLimitedLog;
 import cresschute.node.ReqContent;
 import org.junit.jupiter.params.ParameterizedTest;
--- a/src/test/java/cresschute/node/http/NotedEnds.java
+++ b/src/test/java/cresschute/node/http/NotedEnds.java
@@ -1,7 +1,7 @@
 package cresschute.node.http;
 
-import cresschute.DispatchApi.LoadReport;
-import cresschute.DispatchApi.Outcome;
+import cresschute.dispatch.LoadReport;
+import cresschute.dispatch.Outcome;
 import cresschute.node.Backends.FetchListener;
 import cresschute.node.ResultStream;
 import java.util.ArrayList;
--- a/src/test/java/cresschute/node/http/ParsersTest.java
+++ b/src/test/java/cresschute/node/http/ParsersTest.java
@@ -4,7 +4,7 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import com.google.gson.JsonParseException;
-import cresschute.DispatchApi.LoadReport;
+import cresschute.dispatch.LoadReport;
 import io.netty.buffer.Unpooled;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
--- a/src/test/java/cresschute/scale/AnswerCount.java
+++ b/src/test/java/cresschute/scale/AnswerCount.java
@@ -1,9 +1,9 @@
 package cresschute.scale;
 
-import cresschute.DispatchApi.Actions;
-import cresschute.DispatchApi.Events;
-import cresschute.DispatchApi.Outcome;
-import cresschute.lab.model.FleetModel.ModuleMaker;
+import cresschute.dispatch.Actions;
+import cresschute.dispatch.Events;
+import cresschute.dispatch.Outcome;
+import cresschute.testbed.model.FleetModel.ModuleMaker;
 import java.lang.reflect.InvocationTargetException;
 import java.lang.reflect.Proxy;
 import java.util.ArrayList;
--- a/src/test/java/cresschute/scale/CoreScaleTest.java
+++ b/src/test/java/cresschute/scale/CoreScaleTest.java
@@ -2,13 +2,13 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cresschute.DispatchApi.Job;
-import cresschute.DispatchApi.LoadReport;
-import cresschute.DispatchApi.Outcome;
-import cresschute.DispatchApi.Settings;
-import cresschute.DispatchApi.Worker;
-import cresschute.DispatchApi.WorkerState;
-import cresschute.Logic;
+import cresschute.dispatch.Job;
+import cresschute.dispatch.LoadReport;
+import cresschute.dispatch.Outcome;
+import cresschute.dispatch.Settings;
+import cresschute.dispatch.Worker;
+import cresschute.dispatch.WorkerState;
+import cresschute.dispatch.Logic;
 import cresschute.node.Backends;
 import cresschute.node.Core;
 import cresschute.node.DirectorList;
--- a/src/test/java/cresschute/scale/DecisionCostScaleTest.java
+++ b/src/test/java/cresschute/scale/DecisionCostScaleTest.java
@@ -2,10 +2,10 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cresschute.DispatchApi.ListForm;
-import cresschute.DispatchApi.Outcome;
-import cresschute.DispatchApi.WorkerState;
-import cresschute.WorkerVisits;
+import cresschute.dispatch.ListForm;
+import cresschute.dispatch.Outcome;
+import cresschute.dispatch.WorkerState;
+import cresschute.dispatch.WorkerVisits;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/cresschute/scale/ExchangeScaleTest.java
+++ b/src/test/java/cresschute/scale/ExchangeScaleTest.java
@@ -2,14 +2,14 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cresschute.Logic;
-import cresschute.lab.model.DispatcherMeter;
-import cresschute.lab.model.ExchangingModules;
-import cresschute.lab.model.FleetModel;
-import cresschute.lab.model.FleetModel.Demand;
-import cresschute.lab.model.FleetModel.Kind;
-import cresschute.lab.model.FleetModel.ModuleMaker;
-import cresschute.lab.model.FleetModel.Plan;
+import cresschute.dispatch.Logic;
+import cresschute.testbed.model.DispatcherMeter;
+import cresschute.testbed.model.ExchangingModules;
+import cresschute.testbed.model.FleetModel;
+import cresschute.testbed.model.FleetModel.Demand;
+import cresschute.testbed.model.FleetModel.Kind;
+import cresschute.testbed.model.FleetModel.ModuleMaker;
+import cresschute.testbed.model.FleetModel.Plan;
 import cresschute.peers.ExchangeSettings;
 import java.util.List;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/cresschute/scale/FleetCapacityTest.java
+++ b/src/test/java/cresschute/scale/FleetCapacityTest.java
@@ -2,9 +2,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cresschute.lab.model.CapacityCsv;
-import cresschute.lab.model.FleetCapacity;
-import cresschute.lab.model.FleetCapacity.Point;
+import cresschute.testbed.model.CapacityCsv;
+import cresschute.testbed.model.FleetCapacity;
+import cresschute.testbed.model.FleetCapacity.Point;
 import java.io.PrintWriter;
 import java.io.StringWriter;
 import java.util.List;
--- a/src/test/java/cresschute/scale/FleetScaleTest.java
+++ b/src/test/java/cresschute/scale/FleetScaleTest.java
@@ -2,15 +2,15 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cresschute.DispatchApi.RequestClass;
-import cresschute.Logic;
-import cresschute.lab.model.DispatcherMeter;
-import cresschute.lab.model.FleetModel;
-import cresschute.lab.model.FleetModel.Demand;
-import cresschute.lab.model.FleetModel.Kind;
-import cresschute.lab.model.FleetModel.ModuleMaker;
-import cresschute.lab.model.FleetModel.Plan;
-import cresschute.lab.model.Gang;
+import cresschute.dispatch.RequestClass;
+import cresschute.dispatch.Logic;
+import cresschute.testbed.model.DispatcherMeter;
+import cresschute.testbed.model.FleetModel;
+import cresschute.testbed.model.FleetModel.Demand;
+import cresschute.testbed.model.FleetModel.Kind;
+import cresschute.testbed.model.FleetModel.ModuleMaker;
+import cresschute.testbed.model.FleetModel.Plan;
+import cresschute.testbed.model.Gang;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.ToLongFunction;
--- a/src/test/java/cresschute/scale/ModuleMemoryScaleTest.java
+++ b/src/test/java/cresschute/scale/ModuleMemoryScaleTest.java
@@ -3,9 +3,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.within;
 
-import cresschute.DispatchApi.ListForm;
-import cresschute.DispatchApi.Outcome;
-import cresschute.DispatchApi.WorkerState;
+import cresschute.dispatch.ListForm;
+import cresschute.dispatch.Outcome;
+import cresschute.dispatch.WorkerState;
 import java.util.List;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/cresschute/scale/RestartScaleTest.java
+++ b/src/test/java/cresschute/scale/RestartScaleTest.java
@@ -2,10 +2,10 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cresschute.DispatchApi.ListForm;
-import cresschute.DispatchApi.Outcome;
-import cresschute.DispatchApi.Worker;
-import cresschute.DispatchApi.WorkerState;
+import cresschute.dispatch.ListForm;
+import cresschute.dispatch.Outcome;
+import cresschute.dispatch.Worker;
+import cresschute.dispatch.WorkerState;
 import java.util.List;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/cresschute/scale/ScriptedHost.java
+++ b/src/test/java/cresschute/scale/ScriptedHost.java
@@ -1,13 +1,13 @@
 package cresschute.scale;
 
-import cresschute.DispatchApi.Actions;
-import cresschute.DispatchApi.Job;
-import cresschute.DispatchApi.ListForm;
-import cresschute.DispatchApi.LoadReport;
-import cresschute.DispatchApi.Outcome;
-import cresschute.DispatchApi.Settings;
-import cresschute.DispatchApi.Worker;
-import cresschute.Logic;
+import cresschute.dispatch.Actions;
+import cresschute.dispatch.Job;
+import cresschute.dispatch.ListForm;
+import cresschute.dispatch.LoadReport;
+import cresschute.dispatch.Outcome;
+import cresschute.dispatch.Settings;
+import cresschute.dispatch.Worker;
+import cresschute.dispatch.Logic;
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.HashMap;
--- a/src/test/java/cresschute/settings/SettingsFileTest.java
+++ b/src/test/java/cresschute/settings/SettingsFileTest.java
@@ -2,8 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cresschute.DispatchApi.Effect;
-import cresschute.DispatchApi.RepeatScope;
+import cresschute.dispatch.Effect;
+import cresschute.dispatch.RepeatScope;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
--- a/src/test/java/cresschute/benchlink/FrameTest.java
+++ b/src/test/java/cresschute/simulator/FrameTest.java
@@ -1,4 +1,4 @@
-package cresschute.benchlink;
+package cresschute.simulator;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
--- a/src/test/java/cresschute/benchlink/SettingsParserTest.java
+++ b/src/test/java/cresschute/simulator/SettingsParserTest.java
@@ -1,13 +1,13 @@
-package cresschute.benchlink;
+package cresschute.simulator;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import cresschute.DispatchApi.Effect;
-import cresschute.DispatchApi.Placement;
-import cresschute.DispatchApi.RepeatScope;
-import cresschute.DispatchApi.Settings;
-import cresschute.DispatchApi.WeightSource;
+import cresschute.dispatch.Effect;
+import cresschute.dispatch.Placement;
+import cresschute.dispatch.RepeatScope;
+import cresschute.dispatch.Settings;
+import cresschute.dispatch.WeightSource;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/cresschute/lab/ControlledFleetTest.java
+++ b/src/test/java/cresschute/testbed/ControlledFleetTest.java
@@ -1,4 +1,4 @@
-package cresschute.lab;
+package cresschute.testbed;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -6,9 +6,9 @@
 import com.google.gson.JsonObject;
 import cresschute.ControlPeer;
 import cresschute.control.socket.ControlServer;
-import cresschute.lab.Observation.ReqAnswered;
-import cresschute.lab.Observation.ReqSent;
-import cresschute.lab.Observation.SendCame;
+import cresschute.testbed.Observation.ReqAnswered;
+import cresschute.testbed.Observation.ReqSent;
+import cresschute.testbed.Observation.SendCame;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/test/java/cresschute/lab/FleetTest.java
+++ b/src/test/java/cresschute/testbed/FleetTest.java
@@ -1,16 +1,16 @@
-package cresschute.lab;
+package cresschute.testbed;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import cresschute.lab.Observation.ReqAnswered;
-import cresschute.lab.Observation.ReqSent;
-import cresschute.lab.Observation.RunDone;
-import cresschute.lab.Observation.RunStarted;
-import cresschute.lab.Observation.SendCame;
-import cresschute.lab.Observation.WorkerBooted;
-import cresschute.lab.Observation.WorkerTold;
-import cresschute.lab.Outcomes.End;
+import cresschute.testbed.Observation.ReqAnswered;
+import cresschute.testbed.Observation.ReqSent;
+import cresschute.testbed.Observation.RunDone;
+import cresschute.testbed.Observation.RunStarted;
+import cresschute.testbed.Observation.SendCame;
+import cresschute.testbed.Observation.WorkerBooted;
+import cresschute.testbed.Observation.WorkerTold;
+import cresschute.testbed.Outcomes.End;
 import java.time.Duration;
 import java.util.HashSet;
 import java.util.List;
--- a/src/test/java/cresschute/lab/StandInsTest.java
+++ b/src/test/java/cresschute/testbed/StandInsTest.java
@@ -1,15 +1,15 @@
-package cresschute.lab;
+package cresschute.testbed;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.google.gson.JsonObject;
-import cresschute.DispatchApi.ColdStart;
-import cresschute.lab.Observation.EffectMade;
-import cresschute.lab.Observation.RunDone;
-import cresschute.lab.Observation.RunStarted;
-import cresschute.lab.Observation.SendTurnedAway;
-import cresschute.lab.Observation.WorkerFell;
-import cresschute.lab.Observation.WorkerTold;
+import cresschute.dispatch.ColdStart;
+import cresschute.testbed.Observation.EffectMade;
+import cresschute.testbed.Observation.RunDone;
+import cresschute.testbed.Observation.RunStarted;
+import cresschute.testbed.Observation.SendTurnedAway;
+import cresschute.testbed.Observation.WorkerFell;
+import cresschute.testbed.Observation.WorkerTold;
 import cresschute.node.Json;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
--- a/src/test/java/cresschute/lab/WideSiteTest.java
+++ b/src/test/java/cresschute/testbed/WideSiteTest.java
@@ -1,4 +1,4 @@
-package cresschute.lab;
+package cresschute.testbed;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/src/test/java/cresschute/lab/bodies/BodyPeersTest.java
+++ b/src/test/java/cresschute/testbed/bodies/BodyPeersTest.java
@@ -1,4 +1,4 @@
-package cresschute.lab.bodies;
+package cresschute.testbed.bodies;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/src/test/java/cresschute/lab/capacity/CapacityPlanTest.java
+++ b/src/test/java/cresschute/testbed/capacity/CapacityPlanTest.java
@@ -1,10 +1,10 @@
-package cresschute.lab.capacity;
+package cresschute.testbed.capacity;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import cresschute.lab.JobClass;
-import cresschute.lab.WorkerStandIn.Make;
+import cresschute.testbed.JobClass;
+import cresschute.testbed.WorkerStandIn.Make;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.HashSet;
--- a/src/test/java/cresschute/lab/capacity/RequestOutcomesTest.java
+++ b/src/test/java/cresschute/testbed/capacity/RequestOutcomesTest.java
@@ -1,14 +1,14 @@
-package cresschute.lab.capacity;
+package cresschute.testbed.capacity;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.within;
 
-import cresschute.lab.Observation;
-import cresschute.lab.Observation.ReqAnswered;
-import cresschute.lab.Observation.ReqLost;
-import cresschute.lab.Observation.ReqSent;
-import cresschute.lab.Observation.RunStarted;
-import cresschute.lab.Observation.SendCame;
+import cresschute.testbed.Observation;
+import cresschute.testbed.Observation.ReqAnswered;
+import cresschute.testbed.Observation.ReqLost;
+import cresschute.testbed.Observation.ReqSent;
+import cresschute.testbed.Observation.RunStarted;
+import cresschute.testbed.Observation.SendCame;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
--- a/src/test/java/cresschute/lab/model/FleetModelTest.java
+++ b/src/test/java/cresschute/testbed/model/FleetModelTest.java
@@ -1,22 +1,22 @@
-package cresschute.lab.model;
+package cresschute.testbed.model;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cresschute.DispatchApi.ColdStart;
-import cresschute.DispatchApi.Effect;
-import cresschute.DispatchApi.Goal;
-import cresschute.DispatchApi.Limits;
-import cresschute.DispatchApi.Placement;
-import cresschute.DispatchApi.RepeatScope;
-import cresschute.DispatchApi.RequestClass;
-import cresschute.DispatchApi.Settings;
-import cresschute.DispatchApi.WeightSource;
-import cresschute.Logic;
-import cresschute.lab.model.FleetModel.ColdTally;
-import cresschute.lab.model.FleetModel.Demand;
-import cresschute.lab.model.FleetModel.Kind;
-import cresschute.lab.model.FleetModel.Plan;
-import cresschute.lab.model.FleetModel.Tally;
+import cresschute.dispatch.ColdStart;
+import cresschute.dispatch.Effect;
+import cresschute.dispatch.Goal;
+import cresschute.dispatch.Limits;
+import cresschute.dispatch.Placement;
+import cresschute.dispatch.RepeatScope;
+import cresschute.dispatch.RequestClass;
+import cresschute.dispatch.Settings;
+import cresschute.dispatch.WeightSource;
+import cresschute.dispatch.Logic;
+import cresschute.testbed.model.FleetModel.ColdTally;
+import cresschute.testbed.model.FleetModel.Demand;
+import cresschute.testbed.model.FleetModel.Kind;
+import cresschute.testbed.model.FleetModel.Plan;
+import cresschute.testbed.model.FleetModel.Tally;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
--- a/src/test/java/cresschute/lab/model/ModelWorkerTest.java
+++ b/src/test/java/cresschute/testbed/model/ModelWorkerTest.java
@@ -1,10 +1,10 @@
-package cresschute.lab.model;
+package cresschute.testbed.model;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.within;
 
-import cresschute.DispatchApi.ColdStart;
-import cresschute.DispatchApi.Outcome;
+import cresschute.dispatch.ColdStart;
+import cresschute.dispatch.Outcome;
 import org.junit.jupiter.api.Test;
 
 /** What the model counts at a cold worker, against the rule's own figures. */
