--- /dev/null
+++ b/src/test/java/cresschute/control/socket/ControlProtocolFormatTest.java
@@ -0,0 +1,199 @@
+package cresschute.control.socket;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import com.google.gson.JsonObject;
+import com.google.gson.JsonParser;
+import cresschute.ControlPeer;
+import cresschute.console.ControlLink;
+import cresschute.control.Board;
+import cresschute.control.ControlRequest;
+import cresschute.control.ControlRequest.What;
+import cresschute.control.Drains;
+import cresschute.control.Drains.Operation;
+import cresschute.control.EventRing;
+import io.netty.channel.EventLoop;
+import io.netty.channel.EventLoopGroup;
+import io.netty.channel.MultiThreadIoEventLoopGroup;
+import io.netty.channel.nio.NioIoHandler;
+import java.nio.file.Path;
+import java.util.LinkedHashMap;
+import java.util.Map;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.io.TempDir;
+
+/**
+ * The lines of the control socket as an earlier version wrote them, both ways: consoles and nodes of
+ * different versions understand each other. The literals are never adapted to a renaming in the code.
+ */
+@Timeout(30)
+class ControlProtocolFormatTest {
+
+    private static final String WORKERS = "{\"v\":1,\"id\":\"1\",\"do\":\"workers\"}";
+    private static final String SUBSCRIBE =
+        "{\"v\":1,\"id\":\"rows\",\"do\":\"subscribe\",\"from\":17,\"boot\":\"run-1\"}";
+    private static final String EVENTS =
+        "{\"v\":1,\"id\":\"events\",\"do\":\"events\",\"after\":2,\"boot\":\"run-1\"}";
+    private static final String DRAIN = "{\"v\":1,\"id\":\"o1\",\"do\":\"drain\",\"op\":\"op-1\","
+        + "\"worker\":\"w1\",\"who\":\"ann\",\"reason\":\"new disk\",\"force\":true,\"for_ms\":7200000}";
+    private static final String UNDRAIN = "{\"v\":1,\"id\":\"o2\",\"do\":\"undrain\",\"op\":\"op-2\","
+        + "\"worker\":\"w1\",\"who\":\"ann\"}";
+
+    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final EventLoop loop = group.next();
+    private final Board board = new Board();
+    private final EventRing events = new EventRing();
+    private Operation carriedOut;
+    private ControlServer server;
+    private Path socket;
+
+    @TempDir
+    private Path folder;
+
+    private final class KnownDesk implements Desk {
+
+        @Override
+        public String boot() {
+            return "run-1";
+        }
+
+        @Override
+        public Board board() {
+            return board;
+        }
+
+        @Override
+        public EventRing events() {
+            return events;
+        }
+
+        @Override
+        public void look() {
+            // What is shown does not change by itself.
+        }
+
+        @Override
+        public void carryOut(Operation operation, Consumer<JsonObject> answer) {
+            carriedOut = operation;
+            answer.accept(JsonParser.parseString("{\"ok\":true,\"outcome\":\"done\"}").getAsJsonObject());
+        }
+
+        @Override
+        public void audit(long session, ControlRequest request) {
+            // Nobody reads the log.
+        }
+    }
+
+    @BeforeEach
+    void listen() throws Exception {
+        socket = folder.resolve("s");
+        board.put("w/w1", "{\"id\":\"w1\"}");
+        board.put("w/w2", "{\"id\":\"w2\"}");
+        board.remove("w/w2");
+        events.add(1_700_000_000_123_456L, "drained", "w1", "w1 drained by ann");
+        events.add(1_700_000_001_000_000L, "node_stopping", null, "the node is stopping");
+        server = new ControlServer(loop, socket, new KnownDesk());
+        server.listen();
+    }
+
+    @AfterEach
+    void close() {
+        loop.submit(server::close).syncUninterruptibly();
+        group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
+    }
+
+    private String answer(String request) throws Exception {
+        try (ControlPeer peer = new ControlPeer(socket)) {
+            return peer.write(request + "\n").read().toString();
+        }
+    }
+
+    // ---- What consoles write ----
+
+    @Test
+    void consolesWriteTheRequestsOfAnEarlierVersion() {
+        assertThat(ControlLink.request("1", "workers")).hasToString(WORKERS);
+        final Map<String, Object> drain = new LinkedHashMap<>();
+        drain.put("op", "op-1");
+        drain.put("worker", "w1");
+        drain.put("who", "ann");
+        drain.put("reason", "new disk");
+        drain.put("force", true);
+        drain.put("for_ms", 7_200_000L);
+        assertThat(ControlLink.request("o1", "drain", drain)).hasToString(DRAIN);
+    }
+
+    @Test
+    void requestsOfAnEarlierConsoleAreUnderstood() throws Exception {
+        assertThat(ControlRequest.parse(WORKERS))
+            .isEqualTo(new ControlRequest("1", What.WORKERS, 0, "", 0, null));
+        assertThat(ControlRequest.parse(SUBSCRIBE))
+            .isEqualTo(new ControlRequest("rows", What.SUBSCRIBE, 17, "run-1", 0, null));
+        assertThat(ControlRequest.parse(EVENTS))
+            .isEqualTo(new ControlRequest("events", What.EVENTS, 0, "run-1", 2, null));
+        assertThat(ControlRequest.parse(DRAIN)).isEqualTo(new ControlRequest("o1", What.DRAIN, 0, "", 0,
+            new Operation("op-1", true, "w1", 7_200_000_000L, "ann", "new disk", true)));
+        assertThat(ControlRequest.parse(UNDRAIN)).isEqualTo(new ControlRequest("o2", What.UNDRAIN, 0, "", 0,
+            new Operation("op-2", false, "w1", Drains.FOREVER, "ann", "", false)));
+    }
+
+    // ---- What nodes answer ----
+
+    @Test
+    void rowsAreAnsweredAsByAnEarlierNode() throws Exception {
+        assertThat(answer(WORKERS)).isEqualTo("{\"re\":\"1\",\"ok\":true,\"boot\":\"run-1\",\"number\":3,"
+            + "\"whole\":true,\"rows\":{\"w/w1\":{\"id\":\"w1\"}},\"gone\":[]}");
+        assertThat(answer("{\"v\":1,\"id\":\"s\",\"do\":\"subscribe\",\"from\":2,\"boot\":\"run-1\"}"))
+            .isEqualTo("{\"re\":\"s\",\"ok\":true,\"boot\":\"run-1\",\"number\":3,\"whole\":false,"
+                + "\"rows\":{},\"gone\":[\"w/w2\"]}");
+    }
+
+    @Test
+    void eventsAreAnsweredAsByAnEarlierNode() throws Exception {
+        assertThat(answer("{\"v\":1,\"id\":\"e\",\"do\":\"events\",\"after\":0,\"boot\":\"run-1\"}"))
+            .isEqualTo("{\"re\":\"e\",\"ok\":true,\"boot\":\"run-1\",\"missed\":0,\"events\":["
+                + "{\"n\":1,\"at_ms\":1700000000123,\"kind\":\"drained\",\"worker\":\"w1\","
+                + "\"text\":\"w1 drained by ann\"},"
+                + "{\"n\":2,\"at_ms\":1700000001000,\"kind\":\"node_stopping\","
+                + "\"text\":\"the node is stopping\"}]}");
+    }
+
+    /** News carry no {@code re}; the rest is as in an answer. */
+    @Test
+    void newsAreToldAsByAnEarlierNode() throws Exception {
+        try (ControlPeer peer = new ControlPeer(socket)) {
+            peer.ask("\"do\":\"subscribe\"");
+            peer.ask("\"do\":\"events\"");
+            loop.submit(() -> {
+                board.put("w/w1", "{\"id\":\"w1\",\"n\":2}");
+                events.add(1_700_000_002_000_000L, "undrained", "w1", "w1 no longer drained by ann");
+                server.tell(1);
+            }).syncUninterruptibly();
+            assertThat(peer.read()).hasToString("{\"boot\":\"run-1\",\"number\":4,\"whole\":false,"
+                + "\"rows\":{\"w/w1\":{\"id\":\"w1\",\"n\":2}},\"gone\":[],\"missed\":0,\"events\":["
+                + "{\"n\":3,\"at_ms\":1700000002000,\"kind\":\"undrained\",\"worker\":\"w1\","
+                + "\"text\":\"w1 no longer drained by ann\"}]}");
+        }
+    }
+
+    @Test
+    void operationsAreAnsweredAsByAnEarlierNode() throws Exception {
+        assertThat(answer(DRAIN)).isEqualTo("{\"re\":\"o1\",\"ok\":true,\"outcome\":\"done\"}");
+        assertThat(carriedOut)
+            .isEqualTo(new Operation("op-1", true, "w1", 7_200_000_000L, "ann", "new disk", true));
+        assertThat(answer(UNDRAIN)).isEqualTo("{\"re\":\"o2\",\"ok\":true,\"outcome\":\"done\"}");
+    }
+
+    @Test
+    void refusalsAreAnsweredAsByAnEarlierNode() throws Exception {
+        assertThat(answer("{\"v\":1,\"id\":\"x\",\"do\":\"fly\"}")).isEqualTo("{\"re\":\"x\",\"ok\":false,"
+            + "\"error\":\"do is 'fly'; there are workers, subscribe, events, drain, undrain\"}");
+        assertThat(answer("{\"v\":1,\"do\":\"workers\"}"))
+            .isEqualTo("{\"ok\":false,\"error\":\"id is missing: the answer would carry it\"}");
+    }
+}
