--- a/src/main/java/cresschute/control/Drains.java
+++ b/src/main/java/cresschute/control/Drains.java
@@ -1,5 +1,6 @@
 package cresschute.control;
 
+import com.google.gson.annotations.SerializedName;
 import cresschute.DispatchApi.Placement;
 import cresschute.DispatchApi.Worker;
 import cresschute.DispatchApi.WorkerState;
@@ -30,7 +31,9 @@
      * @param untilUs when it ends by itself, or {@link #FOREVER}
      * @param who who asked for it, in the words of their console
      */
-    public record Drain(String worker, long sinceUs, long untilUs, String who, String reason) {}
+    public record Drain(@SerializedName("worker") String worker, @SerializedName("sinceUs") long sinceUs,
+        @SerializedName("untilUs") long untilUs, @SerializedName("who") String who,
+        @SerializedName("reason") String reason) {}
 
     /**
      * What an operator asks for.
@@ -40,8 +43,10 @@
      * @param forUs how long, from when it is first heard; {@link #FOREVER} where it has no end
      * @param forced whether to drain although work would have nowhere to go
      */
-    public record Operation(String id, boolean start, String worker, long forUs, String who, String reason,
-        boolean forced) {
+    public record Operation(@SerializedName("id") String id, @SerializedName("start") boolean start,
+        @SerializedName("worker") String worker, @SerializedName("forUs") long forUs,
+        @SerializedName("who") String who, @SerializedName("reason") String reason,
+        @SerializedName("forced") boolean forced) {
         public Operation {
             Objects.requireNonNull(id);
             Objects.requireNonNull(worker);
@@ -53,11 +58,27 @@
 
     /** How an operation ended: it changed something, found it so already, or was refused. */
     public enum Kind {
-        DONE, ALREADY, REFUSED
+        @SerializedName("DONE")
+        DONE("done"),
+        @SerializedName("ALREADY")
+        ALREADY("already"),
+        @SerializedName("REFUSED")
+        REFUSED("refused");
+
+        private final String wireName;
+
+        Kind(String wireName) {
+            this.wireName = wireName;
+        }
+
+        /** The word in an answer to a console; a snapshot's word is the one that Gson is told. */
+        public String wireName() {
+            return wireName;
+        }
     }
 
     /** The outcome of an operation, with its reason where it is not done. */
-    public record Outcome(Kind kind, String why) {
+    public record Outcome(@SerializedName("kind") Kind kind, @SerializedName("why") String why) {
 
         private static final Outcome DONE = new Outcome(Kind.DONE, "");
 
@@ -85,7 +106,8 @@
     public record Site(List<Listed> workers, List<ClassBound> classes, Set<Integer> boundCells) {}
 
     /** An operation that was carried out, and how it ended: what makes it harmless to send it again. */
-    public record Remembered(Operation operation, Outcome outcome) {}
+    public record Remembered(@SerializedName("operation") Operation operation,
+        @SerializedName("outcome") Outcome outcome) {}
 
     private final Map<String, Drain> drains = new LinkedHashMap<>();
     private final Map<String, Remembered> remembered = new LinkedHashMap<>();
--- a/src/main/java/cresschute/control/OperatorsState.java
+++ b/src/main/java/cresschute/control/OperatorsState.java
@@ -1,5 +1,6 @@
 package cresschute.control;
 
+import com.google.gson.annotations.SerializedName;
 import com.google.gson.Gson;
 import com.google.gson.JsonParseException;
 import cresschute.control.Framed.Damaged;
@@ -29,7 +30,8 @@
     private static final String KIND = "cresschute-operators 1";
     private static final Gson GSON = new Gson();
 
-    private record Body(List<String> banned, boolean drained) {}
+    private record Body(@SerializedName("banned") List<String> banned,
+        @SerializedName("drained") boolean drained) {}
 
     public OperatorsState {
         banned = Collections.unmodifiableSortedSet(new TreeSet<>(banned));
--- a/src/main/java/cresschute/control/Snapshot.java
+++ b/src/main/java/cresschute/control/Snapshot.java
@@ -1,5 +1,6 @@
 package cresschute.control;
 
+import com.google.gson.annotations.SerializedName;
 import com.google.gson.Gson;
 import com.google.gson.JsonParseException;
 import cresschute.control.Drains.Drain;
@@ -20,7 +21,8 @@
     private static final String KIND = "cresschute-drains 1";
     private static final Gson GSON = new Gson();
 
-    private record Body(List<Drain> drains, List<Remembered> operations) {}
+    private record Body(@SerializedName("drains") List<Drain> drains,
+        @SerializedName("operations") List<Remembered> operations) {}
 
     /** The bytes of a file. */
     public byte[] encode() {
--- a/src/main/java/cresschute/lab/capacity/CapacityPlan.java
+++ b/src/main/java/cresschute/lab/capacity/CapacityPlan.java
@@ -1,5 +1,7 @@
 package cresschute.lab.capacity;
 
+import com.google.gson.annotations.SerializedName;
+
 /**
  * The size of one experiment.
  *
@@ -16,9 +18,15 @@
  * @param seconds measured, after the number of running jobs is reached
  * @param memoryMb memory of a dispatcher, or 0 for the bounds of the platform's run line
  */
-public record CapacityPlan(int workers, int accelerators, int running, double startsPerSecond, int tenants,
-    int dispatchers, int zones, int regions, int gang, double changesADay, double listChangesPerSecond,
-    double seconds, long seed, int memoryMb) {
+public record CapacityPlan(@SerializedName("workers") int workers,
+    @SerializedName("accelerators") int accelerators, @SerializedName("running") int running,
+    @SerializedName("startsPerSecond") double startsPerSecond, @SerializedName("tenants") int tenants,
+    @SerializedName("dispatchers") int dispatchers, @SerializedName("zones") int zones,
+    @SerializedName("regions") int regions, @SerializedName("gang") int gang,
+    @SerializedName("changesADay") double changesADay,
+    @SerializedName("listChangesPerSecond") double listChangesPerSecond,
+    @SerializedName("seconds") double seconds, @SerializedName("seed") long seed,
+    @SerializedName("memoryMb") int memoryMb) {
 
     /** Requests that one tenant may begin in one instant at the most. */
     public static final int MAX_GANG = 1_024;
--- a/src/main/java/cresschute/lab/capacity/ObservationFile.java
+++ b/src/main/java/cresschute/lab/capacity/ObservationFile.java
@@ -11,19 +11,36 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.Comparator;
-import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
+import java.util.stream.Collectors;
 
 /** What a process of the experiment observes, one JSON object a line, kept even if the process dies. */
 final class ObservationFile implements Consumer<Observation>, AutoCloseable {
 
     private static final Gson GSON = new Gson();
     private static final String TYPE = "type";
-    private static final Map<String, Class<?>> TYPES = types();
+    /** Each type of observation under the name that lines carry. */
+    private static final Map<String, Class<? extends Observation>> TYPES = Map.ofEntries(
+        Map.entry("ReqSent", Observation.ReqSent.class),
+        Map.entry("ReqAnswered", Observation.ReqAnswered.class),
+        Map.entry("ReqLost", Observation.ReqLost.class),
+        Map.entry("ReqUnanswered", Observation.ReqUnanswered.class),
+        Map.entry("AnswerTooMany", Observation.AnswerTooMany.class),
+        Map.entry("ReqUnfinished", Observation.ReqUnfinished.class),
+        Map.entry("SendCame", Observation.SendCame.class),
+        Map.entry("SendTurnedAway", Observation.SendTurnedAway.class),
+        Map.entry("RunStarted", Observation.RunStarted.class),
+        Map.entry("RunDone", Observation.RunDone.class),
+        Map.entry("EffectMade", Observation.EffectMade.class),
+        Map.entry("WorkerBooted", Observation.WorkerBooted.class),
+        Map.entry("WorkerFell", Observation.WorkerFell.class),
+        Map.entry("WorkerTold", Observation.WorkerTold.class),
+        Map.entry("OperatorDrained", Observation.OperatorDrained.class));
+    private static final Map<Class<? extends Observation>, String> TYPE_NAMES = TYPES.entrySet().stream()
+        .collect(Collectors.toUnmodifiableMap(Map.Entry::getValue, Map.Entry::getKey));
 
     private final BufferedWriter out;
 
@@ -31,17 +48,10 @@
         out = Files.newBufferedWriter(file);
     }
 
-    private static Map<String, Class<?>> types() {
-        final Map<String, Class<?>> types = new HashMap<>();
-        Arrays.stream(Observation.class.getPermittedSubclasses())
-            .forEach(each -> types.put(each.getSimpleName(), each));
-        return types;
-    }
-
     @Override
     public synchronized void accept(Observation observation) {
         final JsonObject json = GSON.toJsonTree(observation).getAsJsonObject();
-        json.addProperty(TYPE, observation.getClass().getSimpleName());
+        json.addProperty(TYPE, TYPE_NAMES.get(observation.getClass()));
         try {
             out.write(json.toString());
             out.write('\n');
@@ -80,7 +90,7 @@
     private static Observation parse(String line) {
         try {
             final JsonObject json = JsonParser.parseString(line).getAsJsonObject();
-            return (Observation) GSON.fromJson(json, TYPES.get(json.get(TYPE).getAsString()));
+            return GSON.fromJson(json, TYPES.get(json.get(TYPE).getAsString()));
         } catch (JsonParseException | IllegalStateException e) {
             return null;
         }
--- a/src/main/java/cresschute/lab/capacity/SharedClock.java
+++ b/src/main/java/cresschute/lab/capacity/SharedClock.java
@@ -1,5 +1,6 @@
 package cresschute.lab.capacity;
 
+import com.google.gson.annotations.SerializedName;
 import cresschute.node.Clock;
 
 /**
@@ -9,7 +10,9 @@
  * @param startUs Unix time at the start, us
  * @param startNs the monotonic clock at the start, ns
  */
-record SharedClock(long startUs, long startNs) implements Clock {
+record SharedClock(@SerializedName("startUs") long startUs, @SerializedName("startNs") long startNs)
+    implements
+        Clock {
 
     private static final long NS_A_US = 1_000;
 
