--- a/src/main/java/cresschute/DispatchApi.java
+++ b/src/main/java/cresschute/DispatchApi.java
@@ -24,11 +24,45 @@
 
     /** How an attempt ended; {@code UNUSABLE}: no fault of the worker, the request is none it can use. */
     public enum Outcome {
-        SERVED, ERROR, FULL, TIMED_OUT, CONNECT_FAILED, BROKEN, CANCELLED, NOT_SENT, UNUSABLE
+        SERVED("served"),
+        ERROR("error"),
+        FULL("full"),
+        TIMED_OUT("timed_out"),
+        CONNECT_FAILED("connect_failed"),
+        BROKEN("broken"),
+        CANCELLED("cancelled"),
+        NOT_SENT("not_sent"),
+        UNUSABLE("unusable");
+
+        private final String wireName;
+
+        Outcome(String wireName) {
+            this.wireName = wireName;
+        }
+
+        /** The word in the log. */
+        public String wireName() {
+            return wireName;
+        }
     }
 
     /** What the list says of a worker. */
-    public enum WorkerState { READY, DRAINING, GONE }
+    public enum WorkerState {
+        READY("ready"),
+        DRAINING("draining"),
+        GONE("gone");
+
+        private final String wireName;
+
+        WorkerState(String wireName) {
+            this.wireName = wireName;
+        }
+
+        /** The word in a row that consoles are shown. */
+        public String wireName() {
+            return wireName;
+        }
+    }
 
     /** What a piece of list news holds; {@code FAILED} means a watch or fetch failed and the list stands. */
     public enum ListForm {
--- a/src/main/java/cresschute/control/ControlRequest.java
+++ b/src/main/java/cresschute/control/ControlRequest.java
@@ -31,7 +31,24 @@
     private static final long MOST_FOR_MS = 100L * 366 * 24 * 3_600_000;
 
     /** What may be asked for. */
-    public enum What { WORKERS, SUBSCRIBE, EVENTS, DRAIN, UNDRAIN }
+    public enum What {
+        WORKERS("workers"),
+        SUBSCRIBE("subscribe"),
+        EVENTS("events"),
+        DRAIN("drain"),
+        UNDRAIN("undrain");
+
+        private final String wireName;
+
+        What(String wireName) {
+            this.wireName = wireName;
+        }
+
+        /** The word of a request and of the log. */
+        public String wireName() {
+            return wireName;
+        }
+    }
 
     /** A line that asks for nothing that there is; its message is for whoever wrote it. */
     public static final class Unusable extends Exception {
--- a/src/main/java/cresschute/lab/FleetReport.java
+++ b/src/main/java/cresschute/lab/FleetReport.java
@@ -43,7 +43,7 @@
         final JsonArray broken = new JsonArray();
         for (final Breach breach : breaches) {
             final JsonObject each = new JsonObject();
-            each.addProperty("rule", word(breach.rule()));
+            each.addProperty("rule", breach.rule().wireName());
             each.addProperty("what", breach.what());
             broken.add(each);
         }
@@ -72,10 +72,6 @@
         return Math.round(value * parts) / (double) parts;
     }
 
-    private static String word(Rule rule) {
-        return rule.name().toLowerCase(Locale.ROOT);
-    }
-
     /** The table, no line of it wider than so many columns as long as these are 40 or more. */
     public List<String> table(int columns) {
         final List<String> lines = new ArrayList<>();
@@ -106,7 +102,7 @@
         lines.add(String.format(Locale.ROOT, "worth kept: %.3f of 1", outcomes.worthKept()));
         for (final Rule rule : Rule.values()) {
             final List<Breach> of = breaches.stream().filter(each -> each.rule() == rule).toList();
-            lines.add(String.format(Locale.ROOT, "%-18s %s", word(rule).replace('_', ' '),
+            lines.add(String.format(Locale.ROOT, "%-18s %s", rule.wireName().replace('_', ' '),
                 of.isEmpty() ? "kept" : "BROKEN " + of.size() + " times"));
             of.stream().limit(MOST_BREACHES_SHOWN).forEach(each -> wrap("  " + each.what(), columns, lines));
         }
--- a/src/main/java/cresschute/lab/RuleChecker.java
+++ b/src/main/java/cresschute/lab/RuleChecker.java
@@ -37,7 +37,23 @@
     static final double COLD_SLACK = 1.1;
 
     /** A rule. */
-    public enum Rule { ONE_ANSWER, NO_EFFECT_TWICE, DRAINS_KEPT, COLD_STARTS_KEPT }
+    public enum Rule {
+        ONE_ANSWER("one_answer"),
+        NO_EFFECT_TWICE("no_effect_twice"),
+        DRAINS_KEPT("drains_kept"),
+        COLD_STARTS_KEPT("cold_starts_kept");
+
+        private final String wireName;
+
+        Rule(String wireName) {
+            this.wireName = wireName;
+        }
+
+        /** The word in a report. */
+        public String wireName() {
+            return wireName;
+        }
+    }
 
     /** A rule that was broken, and how. */
     public record Breach(Rule rule, long us, String what) {}
--- a/src/main/java/cresschute/lab/model/BaselineModule.java
+++ b/src/main/java/cresschute/lab/model/BaselineModule.java
@@ -25,11 +25,27 @@
     /** How a worker is chosen. */
     enum Policy {
         /** Any ready worker. */
-        RANDOM,
+        RANDOM("random"),
         /** The one of two with fewer jobs as last reported to this dispatcher. */
-        POWER_OF_TWO_STALE,
+        POWER_OF_TWO_STALE("power_of_two_stale"),
         /** The one of all with the least load as it truly is: the bound, which no dispatcher can reach. */
-        LEAST_OUTSTANDING_TRUE
+        LEAST_OUTSTANDING_TRUE("least_outstanding_true");
+
+        private final String wireName;
+
+        Policy(String wireName) {
+            this.wireName = wireName;
+        }
+
+        /** The policy that tables and commands write as this word. */
+        static Policy of(String wireName) {
+            for (final Policy each : values()) {
+                if (each.wireName.equals(wireName)) {
+                    return each;
+                }
+            }
+            throw new IllegalArgumentException("there is no policy '" + wireName + "'");
+        }
     }
 
     private final Policy policy;
--- a/src/main/java/cresschute/lab/model/FleetCapacity.java
+++ b/src/main/java/cresschute/lab/model/FleetCapacity.java
@@ -18,7 +18,6 @@
 import cresschute.lab.model.FleetModel.Tally;
 import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import java.util.stream.IntStream;
 import java.util.stream.LongStream;
@@ -77,7 +76,7 @@
         final FleetModel[] built = new FleetModel[1];
         final ModuleMaker maker = point.policy().equals(MODULE) ? Logic::new
             : (settings, seed, actions) -> new BaselineModule(
-                BaselineModule.Policy.valueOf(point.policy().toUpperCase(Locale.ROOT)), seed,
+                BaselineModule.Policy.of(point.policy()), seed,
                 actions, worker -> built[0].trueLoad(worker));
         built[0] = new FleetModel(new Plan(settings(point), DEMANDS, KINDS, point.workers(), WORKERS_A_CELL,
             LOAD, SKEW, point.seed()), maker);
--- a/src/main/java/cresschute/node/ControlDesk.java
+++ b/src/main/java/cresschute/node/ControlDesk.java
@@ -36,7 +36,6 @@
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
 import java.util.UUID;
@@ -164,7 +163,7 @@
     private JsonObject answer(Operation operation, Outcome outcome) {
         final JsonObject json = new JsonObject();
         json.addProperty("ok", true);
-        json.addProperty("outcome", outcome.kind().name().toLowerCase(Locale.ROOT));
+        json.addProperty("outcome", outcome.kind().wireName());
         json.addProperty("why", outcome.why());
         json.addProperty("worker", operation.worker());
         final int number = core.roster().number(operation.worker());
@@ -276,10 +275,19 @@
     @Override
     public void answered(long nowUs, int requestClass, Answer answer, int fetches, long waitedUs,
         long ranUs) {
-        health.answered(nowUs, requestClass, HealthBook.Answer.valueOf(answer.name()), fetches, waitedUs,
+        health.answered(nowUs, requestClass, healthAnswer(answer), fetches, waitedUs,
             ranUs);
     }
 
+    private static HealthBook.Answer healthAnswer(Answer answer) {
+        return switch (answer) {
+            case SERVED -> HealthBook.Answer.SERVED;
+            case REFUSED -> HealthBook.Answer.REFUSED;
+            case FAILED -> HealthBook.Answer.FAILED;
+            case LEFT -> HealthBook.Answer.LEFT;
+        };
+    }
+
     @Override
     public FetchWatch sent(long nowUs, int backend, int requestClass) {
         final HealthBook.Job job = health.sent(nowUs, backend, requestClass);
@@ -382,7 +390,7 @@
         row.addProperty("kind", core.roster().kind(listed.kind()));
         row.addProperty("cell", listed.cell());
         row.addProperty("listed", listed.state() == WorkerState.READY ? "serving"
-            : listed.state().name().toLowerCase(Locale.ROOT));
+            : listed.state().wireName());
         final Drain drain = drains.of(core.roster().name(worker));
         if (drain != null) {
             final JsonObject shown = new JsonObject();
@@ -473,9 +481,9 @@
     @Override
     public void audit(long session, ControlRequest request) {
         final LogEvent event = LogEvent.of("console_asked", "console " + session + " asks: "
-            + request.what().name().toLowerCase(Locale.ROOT) + (request.operation() == null ? ""
+            + request.what().wireName() + (request.operation() == null ? ""
                 : " " + request.operation().worker() + " by " + request.operation().who()))
-            .with("session", session).with("what", request.what().name().toLowerCase(Locale.ROOT));
+            .with("session", session).with("what", request.what().wireName());
         if (request.operation() != null) {
             final Operation asked = request.operation();
             event.with("worker", asked.worker()).with("operation", asked.id()).with("who", asked.who())
--- a/src/main/java/cresschute/node/Core.java
+++ b/src/main/java/cresschute/node/Core.java
@@ -23,7 +23,6 @@
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import java.util.OptionalInt;
 import java.util.Set;
@@ -216,7 +215,7 @@
         }
         watched(req, outcome, ranUs);
         if (LOG.isLoggable(Level.DEBUG)) {
-            final String word = outcome.name().toLowerCase(Locale.ROOT);
+            final String word = outcome.wireName();
             LogEvent.of("req_answered", "req " + req.content.requestId() + " answered: " + word)
                 .with("req", req.content.requestId()).with("class", req.className).with("outcome", word)
                 .with("fetches", req.fetchesStarted).with("ms", (clock.nowUs() - req.takenUs) / US_A_MS)
@@ -428,7 +427,7 @@
                 + outcome)
                 .with("req", req.content.requestId()).with("class", req.className)
                 .with("backend", roster.name(fetch.backend)).with("fetch", fetch.number)
-                .with("outcome", word(outcome)).with("ms", (clock.nowUs() - fetch.sentUs) / US_A_MS)
+                .with("outcome", outcome.wireName()).with("ms", (clock.nowUs() - fetch.sentUs) / US_A_MS)
                 .log(LOG, Level.DEBUG);
         }
         final long endedUs = clock.nowUs();
@@ -525,10 +524,6 @@
         }
     }
 
-    private static String word(Outcome outcome) {
-        return outcome.name().toLowerCase(Locale.ROOT);
-    }
-
     /** The load of these workers is known anew: the module learns it without having asked. */
     void loadsRefreshed(Collection<String> workers) {
         workers.stream().map(roster::number).filter(number -> number >= 0
--- a/src/main/java/cresschute/node/CoreWatcher.java
+++ b/src/main/java/cresschute/node/CoreWatcher.java
@@ -16,7 +16,23 @@
     CoreWatcher NONE = new CoreWatcher() {};
 
     /** How a req was answered. */
-    enum Answer { SERVED, REFUSED, FAILED, LEFT }
+    enum Answer {
+        SERVED("served"),
+        REFUSED("refused"),
+        FAILED("failed"),
+        LEFT("left");
+
+        private final String wireName;
+
+        Answer(String wireName) {
+            this.wireName = wireName;
+        }
+
+        /** The word in the log. */
+        public String wireName() {
+            return wireName;
+        }
+    }
 
     /** What becomes of one fetch. */
     interface FetchWatch {
--- a/src/main/java/cresschute/settings/SettingsChecks.java
+++ b/src/main/java/cresschute/settings/SettingsChecks.java
@@ -22,7 +22,6 @@
 import java.util.HashSet;
 import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
 import java.util.function.UnaryOperator;
@@ -279,8 +278,8 @@
         for (final Statement each : all(Schema.JOB_CLASS)) {
             classes.add(new RequestClass(each.get(Schema.WORTH), each.get(Schema.AIM),
                 each.get(Schema.STRETCH),
-                each.get(Schema.DEADLINE), Effect.valueOf(upper(each.get(Schema.EFFECT))),
-                RepeatScope.valueOf(upper(each.get(Schema.REPEAT_SCOPE))), each.get(Schema.REPEAT_WINDOW),
+                each.get(Schema.DEADLINE), effect(each.get(Schema.EFFECT)),
+                repeatScope(each.get(Schema.REPEAT_SCOPE)), each.get(Schema.REPEAT_WINDOW),
                 new Placement(numbers(each.get(Schema.CLASS_ZONES), zones),
                     numbers(each.get(Schema.CLASS_KINDS), kinds)),
                 (int) attempts(each)));
@@ -305,8 +304,22 @@
         return Math.min(jobClass.get(Schema.CLASS_ATTEMPTS), one(Schema.LIMITS).get(Schema.ATTEMPTS));
     }
 
-    private static String upper(String word) {
-        return word.toUpperCase(Locale.ROOT);
+    private static Effect effect(String word) {
+        return switch (word) {
+            case "safe" -> Effect.SAFE;
+            case "keyed" -> Effect.KEYED;
+            case "unsafe" -> Effect.UNSAFE;
+            default -> throw new IllegalArgumentException("there is no effect '" + word + "'");
+        };
+    }
+
+    private static RepeatScope repeatScope(String word) {
+        return switch (word) {
+            case "all" -> RepeatScope.ALL;
+            case "zone" -> RepeatScope.ZONE;
+            case "cell" -> RepeatScope.CELL;
+            default -> throw new IllegalArgumentException("there is no repeat scope '" + word + "'");
+        };
     }
 
     private static List<Integer> numbers(List<String> names, List<String> all) {
