--- a/src/main/java/cresschute/dispatch/Outcome.java
+++ b/src/main/java/cresschute/dispatch/Outcome.java
@@ -1,6 +1,26 @@
 package cresschute.dispatch;
 
-/** How an attempt ended; {@code UNUSABLE}: no fault of the worker, the request is none it can use. */
+/** How an attempt ended. */
 public enum Outcome {
-    SERVED, ERROR, FULL, TIMED_OUT, CONNECT_FAILED, BROKEN, CANCELLED, NOT_SENT, UNUSABLE
+    SERVED("served"),
+    ERROR("error"),
+    FULL("full"),
+    TIMED_OUT("timed_out"),
+    CONNECT_FAILED("connect_failed"),
+    BROKEN("broken"),
+    CANCELLED("cancelled"),
+    NOT_SENT("not_sent"),
+    /** The request is invalid for any worker; it does not count against this one. */
+    UNUSABLE("unusable");
+
+    private final String wireName;
+
+    Outcome(String wireName) {
+        this.wireName = wireName;
+    }
+
+    /** The word in the log. */
+    public String wireName() {
+        return wireName;
+    }
 }
--- a/src/main/java/cresschute/dispatch/WorkerState.java
+++ b/src/main/java/cresschute/dispatch/WorkerState.java
@@ -1,4 +1,19 @@
 package cresschute.dispatch;
 
-/** What the list says of a worker. */
-public enum WorkerState { READY, DRAINING, GONE }
+/** The state of a worker in the endpoint list. */
+public enum WorkerState {
+    READY("ready"),
+    DRAINING("draining"),
+    GONE("gone");
+
+    private final String wireName;
+
+    WorkerState(String wireName) {
+        this.wireName = wireName;
+    }
+
+    /** The word in a row that consoles are shown. */
+    public String wireName() {
+        return wireName;
+    }
+}
