--- a/src/main/java/cresschute/capacity/MessagesTable.java
+++ b/src/main/java/cresschute/capacity/MessagesTable.java
@@ -16,24 +16,24 @@
     static String text(CapacityModel model) {
         final MessagesTable messages = new MessagesTable(model);
         messages.row(Role.CLIENT, "requests", "ClientFront", "requests_per_second", null);
-        messages.row(Role.DISPATCHER, "probes", "HttpProbe", "probes_per_second", "probe_bytes_per_second");
-        messages.row(Role.DISPATCHER, "handshakes", "BackendConnections", "handshake_per_second", null);
+        messages.row(Role.DISPATCHER, "probes", "HttpLoadQuery", "probes_per_second", "probe_bytes_per_second");
+        messages.row(Role.DISPATCHER, "handshakes", "WorkerConnectionPool", "handshake_per_second", null);
         messages.row(Role.DISPATCHER, "the list", "DiscoveryClient", null, "list_bytes_per_second");
-        messages.row(Role.DISPATCHER, "load reports", "Loads", null, "report_bytes_per_second");
+        messages.row(Role.DISPATCHER, "load reports", "LoadReportParser", null, "report_bytes_per_second");
         messages.row(Role.DISPATCHER, "all control", "NodeServer", null, "control_bytes_per_second");
-        messages.row(Role.DISPATCHER, "attempts: requests to workers", "BackendConnections",
+        messages.row(Role.DISPATCHER, "attempts: requests to workers", "WorkerConnectionPool",
             "attempts_per_second", "request_bytes_per_second");
-        messages.row(Role.DISPATCHER, "starts told by workers", "JobLine", null,
+        messages.row(Role.DISPATCHER, "starts told by workers", "ProgressLine", null,
             "start_line_bytes_per_second");
-        messages.row(Role.DISPATCHER, "progress told by workers", "JobLine", null,
+        messages.row(Role.DISPATCHER, "progress told by workers", "ProgressLine", null,
             "progress_line_bytes_per_second");
-        messages.row(Role.DISPATCHER, "results", "JobLine", null, "result_line_bytes_per_second");
-        messages.row(Role.WORKER, "probes", "HttpProbe", "probes_per_second", null);
-        messages.row(Role.WORKER, "handshakes", "BackendConnections", "handshakes_per_second", null);
-        messages.row(Role.WORKER, "all control", "BackendConnections", null, "control_bytes_per_second");
+        messages.row(Role.DISPATCHER, "results", "ProgressLine", null, "result_line_bytes_per_second");
+        messages.row(Role.WORKER, "probes", "HttpLoadQuery", "probes_per_second", null);
+        messages.row(Role.WORKER, "handshakes", "WorkerConnectionPool", "handshakes_per_second", null);
+        messages.row(Role.WORKER, "all control", "WorkerConnectionPool", null, "control_bytes_per_second");
         messages.row(Role.DISCOVERY, "calls and answers", "DiscoveryClient", "calls_per_second",
             "bytes_per_second");
-        messages.row(Role.CONSOLE, "rows and events", "Board", null, "bytes_per_second");
+        messages.row(Role.CONSOLE, "rows and events", "VersionedTable", null, "bytes_per_second");
         return messages.table.textOr("");
     }
 
--- a/src/main/java/cresschute/capacity/StateTable.java
+++ b/src/main/java/cresschute/capacity/StateTable.java
@@ -20,14 +20,14 @@
         final StateTable state = new StateTable(model);
         final PlannedSize size = PlannedSize.OPERATORS;
         state.none("client", "nothing of the project's", Mechanism.MISSING, "clients are the operators' own");
-        state.dispatcher("worker list and what is learned of each worker", "Fleet", Axis.WORKERS,
+        state.dispatcher("worker list and what is learned of each worker", "WorkerIndex", Axis.WORKERS,
             size.workers());
         state.dispatcher("open requests and their attempts; one dispatcher's part, the slope is of all",
-            "Core", Axis.RUNNING, size.running());
-        state.dispatcher("tenants' share meters", "ShareMeter", Axis.TENANTS, size.tenants());
+            "RequestLifecycle", Axis.RUNNING, size.running());
+        state.dispatcher("tenants' share meters", "QuotaMeter", Axis.TENANTS, size.tenants());
         state.none("worker", "load report, running tasks", Mechanism.MISSING, "stand-ins");
         state.none("discovery", "the list and its versions", Mechanism.MISSING, "a stand-in");
-        state.none("console", "rows and health of each worker, events", "HealthBook",
+        state.none("console", "rows and health of each worker, events", "HealthTracker",
             "not in the sweep; see the console above");
         return state.table.textOr("");
     }
--- a/src/main/java/cresschute/capacity/StatedBound.java
+++ b/src/main/java/cresschute/capacity/StatedBound.java
@@ -11,7 +11,7 @@
 
     /** Requests of a gang that count as within the quota of their tenant, at one dispatcher. */
     GANG_WITHIN_QUOTA("requests of a gang within its tenant's quota, all at one dispatcher",
-        PlannedSize::gangSize, 3, "ShareMeter",
+        PlannedSize::gangSize, 3, "QuotaMeter",
         "a burst of 2 s of 1.5 times an even part, at least 3; quotas taken as even, the peak in all"),
     /** Numbers of classes over all settings reloads. */
     CLASS_NUMBERS("class numbers used in a day, if every change of configuration changes one class",
@@ -22,7 +22,7 @@
         "45 % of 1,024 descriptors less 48, no management listener; `limits.sockets`: up to 1,000,000"),
     /** How much more than its quota a tenant may take. */
     QUOTA_SLACK("traffic of a tenant that counts as within its quota, in quotas", size -> 1.5, 1,
-        "ShareMeter",
+        "QuotaMeter",
         "an even part for each dispatcher, times 1.5"),
     /** A gang on one client connection. */
     GANG_ON_A_CONNECTION("requests of a gang on one client connection", PlannedSize::gangSize, 120,
@@ -37,7 +37,7 @@
         "4 MiB, about 10,000 workers"),
     /** A drain or ban at one dispatcher. */
     DRAIN("ms until a drain or ban is in force at the dispatcher that was called", size -> 400,
-        PlannedSize.OPERATORS.configurationDelayMs(), "Drains", "the rule of the list's drains: 0.4 s"),
+        PlannedSize.OPERATORS.configurationDelayMs(), "DrainRegistry", "the rule of the list's drains: 0.4 s"),
     /** Operators' drains and bans at a time. */
     BANS("bans at a time, if every change of a day is one that stays",
         PlannedSize::configurationChangesPerDay, 10_000, "OperatorsState", "10,000; more are refused"),
--- a/src/main/java/cresschute/capacity/TrackedMeasure.java
+++ b/src/main/java/cresschute/capacity/TrackedMeasure.java
@@ -8,15 +8,15 @@
     /** Requests that clients send. */
     CLIENT_REQUESTS(Role.CLIENT, "requests_per_second", Kind.MESSAGES, "a second", null, "ClientFront"),
     /** Requests refused. */
-    CLIENT_REFUSED(Role.CLIENT, "refused_share", Kind.SERVICE, "share", null, "Logic"),
+    CLIENT_REFUSED(Role.CLIENT, "refused_share", Kind.SERVICE, "share", null, "Dispatcher"),
     /** Requests without any answer. */
-    CLIENT_UNANSWERED(Role.CLIENT, "unanswered", Kind.SERVICE, "requests", Limits.NONE_MAY, "Core"),
+    CLIENT_UNANSWERED(Role.CLIENT, "unanswered", Kind.SERVICE, "requests", Limits.NONE_MAY, "RequestLifecycle"),
     /** Median start of urgent requests. */
-    CLIENT_URGENT_P50(Role.CLIENT, "urgent_start_p50_ms", Kind.SERVICE, "ms", Limits.URGENT, "Logic"),
+    CLIENT_URGENT_P50(Role.CLIENT, "urgent_start_p50_ms", Kind.SERVICE, "ms", Limits.URGENT, "Dispatcher"),
     /** Start of urgent requests, 99th percentile. */
-    CLIENT_URGENT_P99(Role.CLIENT, "urgent_start_p99_ms", Kind.SERVICE, "ms", Limits.URGENT, "Logic"),
+    CLIENT_URGENT_P99(Role.CLIENT, "urgent_start_p99_ms", Kind.SERVICE, "ms", Limits.URGENT, "Dispatcher"),
     /** Start of urgent requests, 99.9th percentile. */
-    CLIENT_URGENT_P999(Role.CLIENT, "urgent_start_p999_ms", Kind.SERVICE, "ms", Limits.URGENT, "Logic"),
+    CLIENT_URGENT_P999(Role.CLIENT, "urgent_start_p999_ms", Kind.SERVICE, "ms", Limits.URGENT, "Dispatcher"),
     /** Gangs of which all requests were admitted. */
     CLIENT_GANGS_WHOLE(Role.CLIENT, "gangs_whole", Kind.SERVICE, "gangs", null, Mechanism.MISSING),
     /** Gangs of which some requests were admitted, which are of no use. */
@@ -37,55 +37,55 @@
     DISPATCHER_CPU_MAX(Role.DISPATCHER, "cpu_percent_max", Kind.PROCESSOR, "% of a core", Limits.ONE_CORE,
         "NodeServer"),
     /** Heap in use. */
-    DISPATCHER_HEAP(Role.DISPATCHER, "heap_mb", Kind.MEMORY, "MB", Limits.HEAP, "Core"),
+    DISPATCHER_HEAP(Role.DISPATCHER, "heap_mb", Kind.MEMORY, "MB", Limits.HEAP, "RequestLifecycle"),
     /** Resident memory of the process. */
     DISPATCHER_RSS(Role.DISPATCHER, "rss_mb", Kind.MEMORY, "MB", Limits.CONTROL_MEMORY, "NodeServer"),
     /** Resident memory of the dispatcher that takes most. */
     DISPATCHER_RSS_MAX(Role.DISPATCHER, "rss_mb_max", Kind.MEMORY, "MB", Limits.CONTROL_MEMORY, "NodeServer"),
     /** Open descriptors. */
     DISPATCHER_DESCRIPTORS(Role.DISPATCHER, "descriptors", Kind.MEMORY, "descriptors", Limits.DESCRIPTORS,
-        "BackendConnections"),
+        "WorkerConnectionPool"),
     /** Bytes of everything but requests, their answers and what belongs to these. */
     DISPATCHER_CONTROL_BYTES(Role.DISPATCHER, "control_bytes_per_second", Kind.MESSAGES, "bytes a second",
-        Limits.CONTROL_BYTES, "BackendConnections"),
+        Limits.CONTROL_BYTES, "WorkerConnectionPool"),
     /** Bytes of probes and their answers. */
     DISPATCHER_PROBE_BYTES(Role.DISPATCHER, "probe_bytes_per_second", Kind.MESSAGES, "bytes a second", null,
-        "HttpProbe"),
+        "HttpLoadQuery"),
     /** Probes sent. */
-    DISPATCHER_PROBES(Role.DISPATCHER, "probes_per_second", Kind.MESSAGES, "a second", null, "HttpProbe"),
+    DISPATCHER_PROBES(Role.DISPATCHER, "probes_per_second", Kind.MESSAGES, "a second", null, "HttpLoadQuery"),
     /** Connections opened. */
     DISPATCHER_HANDSHAKES(Role.DISPATCHER, "handshake_per_second", Kind.MESSAGES, "a second", null,
-        "BackendConnections"),
+        "WorkerConnectionPool"),
     /** Bytes of the worker list. */
     DISPATCHER_LIST_BYTES(Role.DISPATCHER, "list_bytes_per_second", Kind.MESSAGES, "bytes a second", null,
         "DiscoveryClient"),
     /** Bytes of load reports. */
     DISPATCHER_REPORT_BYTES(Role.DISPATCHER, "report_bytes_per_second", Kind.MESSAGES, "bytes a second", null,
-        "Loads"),
+        "LoadReportParser"),
     /** Attempts sent to workers. */
     DISPATCHER_ATTEMPTS(Role.DISPATCHER, "attempts_per_second", Kind.MESSAGES, "a second", null,
-        "BackendConnections"),
+        "WorkerConnectionPool"),
     /** Bytes of requests to workers, head and body, and of the heads of their answers. */
     DISPATCHER_REQUEST_BYTES(Role.DISPATCHER, "request_bytes_per_second", Kind.MESSAGES, "bytes a second",
-        null, "BackendConnections"),
+        null, "WorkerConnectionPool"),
     /** Bytes of lines that tell of a start. */
     DISPATCHER_START_BYTES(Role.DISPATCHER, "start_line_bytes_per_second", Kind.MESSAGES, "bytes a second",
-        null, "JobLine"),
+        null, "ProgressLine"),
     /** Bytes of lines that tell of progress. */
     DISPATCHER_PROGRESS_BYTES(Role.DISPATCHER, "progress_line_bytes_per_second", Kind.MESSAGES,
-        "bytes a second", null, "JobLine"),
+        "bytes a second", null, "ProgressLine"),
     /** Bytes of lines with a result. */
     DISPATCHER_RESULT_BYTES(Role.DISPATCHER, "result_line_bytes_per_second", Kind.MESSAGES, "bytes a second",
-        null, "JobLine"),
+        null, "ProgressLine"),
 
     /** Probes that a worker answers. */
-    WORKER_PROBES(Role.WORKER, "probes_per_second", Kind.MESSAGES, "a second", null, "HttpProbe"),
+    WORKER_PROBES(Role.WORKER, "probes_per_second", Kind.MESSAGES, "a second", null, "HttpLoadQuery"),
     /** Connections that a worker accepts. */
     WORKER_HANDSHAKES(Role.WORKER, "handshakes_per_second", Kind.MESSAGES, "a second", null,
-        "BackendConnections"),
+        "WorkerConnectionPool"),
     /** Bytes at a worker of probes, request heads, handshakes and reports, of all dispatchers. */
     WORKER_CONTROL_BYTES(Role.WORKER, "control_bytes_per_second", Kind.MESSAGES, "bytes a second",
-        Limits.CONTROL_BYTES, "BackendConnections"),
+        Limits.CONTROL_BYTES, "WorkerConnectionPool"),
     /** Processor time of the worker's side. */
     WORKER_CPU(Role.WORKER, "cpu_percent", Kind.PROCESSOR, "% of a core", Limits.CONTROL_CPU,
         Mechanism.MISSING),
@@ -107,10 +107,10 @@
     CONSOLE_CPU(Role.CONSOLE, "cpu_percent", Kind.PROCESSOR, "% of a core", Limits.CONTROL_CPU,
         "ControlServer"),
     /** Memory that a console costs a dispatcher. */
-    CONSOLE_MEMORY(Role.CONSOLE, "heap_mb", Kind.MEMORY, "MB", Limits.CONTROL_MEMORY, "HealthBook"),
+    CONSOLE_MEMORY(Role.CONSOLE, "heap_mb", Kind.MEMORY, "MB", Limits.CONTROL_MEMORY, "HealthTracker"),
     /** Bytes that a console is sent. */
     CONSOLE_BYTES(Role.CONSOLE, "bytes_per_second", Kind.MESSAGES, "bytes a second", Limits.CONTROL_BYTES,
-        "Board");
+        "VersionedTable");
 
     /** What kind of need a measure tells of. */
     public enum Kind {
--- a/src/main/java/cresschute/cli/DemoCommand.java
+++ b/src/main/java/cresschute/cli/DemoCommand.java
@@ -3,7 +3,7 @@
 import cresschute.testbed.Durations;
 import cresschute.testbed.Fleet;
 import cresschute.testbed.FleetReport;
-import cresschute.testbed.Trouble;
+import cresschute.testbed.InjectedFault;
 import cresschute.logs.LogFinder;
 import cresschute.logs.structured.StructuredLog;
 import java.io.PrintWriter;
@@ -81,7 +81,7 @@
     public Integer call() throws InterruptedException {
         final PrintWriter out = spec.commandLine().getOut();
         if (listTroubles) {
-            Arrays.stream(Trouble.Kind.values()).forEach(kind -> out.println(String.format("%-9s %s", kind
+            Arrays.stream(InjectedFault.Kind.values()).forEach(kind -> out.println(String.format("%-9s %s", kind
                 .word(), kind.meaning())));
             out.flush();
             return ExitCodes.DONE;
@@ -145,7 +145,7 @@
                 + (int) MOST_RATE);
         }
         try {
-            return new Fleet(new Fleet.Plan(workers, rate, seed, Trouble.parse(trouble),
+            return new Fleet(new Fleet.Plan(workers, rate, seed, InjectedFault.parse(trouble),
                 socket == null ? null : socket.toAbsolutePath().toString(), null));
         } catch (IllegalArgumentException e) {
             throw unusable("--trouble: " + e.getMessage());
--- a/src/main/java/cresschute/cli/TrialCommand.java
+++ b/src/main/java/cresschute/cli/TrialCommand.java
@@ -7,8 +7,8 @@
 import cresschute.testbed.Fleet;
 import cresschute.testbed.FleetReport;
 import cresschute.testbed.NodeProcess;
-import cresschute.testbed.SmallReqs;
-import cresschute.testbed.WideSite;
+import cresschute.testbed.SmallRequests;
+import cresschute.testbed.LargeFleet;
 import cresschute.logs.LogFinder;
 import cresschute.logs.structured.StructuredLog;
 import java.io.IOException;
@@ -142,7 +142,7 @@
         out.println("| until the node had kept and confirmed it | " + figures(confirmed) + " |");
         out.println("| until the first byte of the last new work at the worker | " + figures(stopped) + " |");
         out.println("\nDrains after which any new work came: " + more + ". Reqs: " + report.outcomes().asked()
-            + ", worth kept " + String.format(Locale.ROOT, "%.3f", report.outcomes().worthKept())
+            + ", worth kept " + String.format(Locale.ROOT, "%.3f", report.outcomes().weightedServedFraction())
             + ", rules broken: " + report.breaches().size() + ", invariants broken: "
             + report.invariantBreaches() + ".");
         out.println("\n| worker | sends a second while none is drained | while another one is | ratio |\n"
@@ -210,7 +210,7 @@
             consoles(out, "8 workers, " + (int) RATE + " jobs a second", one, fleet::nodeCpuNs);
         }
         final Path two = folder.resolve("wide");
-        try (WideSite site = new WideSite(WIDE, seed, two)) {
+        try (LargeFleet site = new LargeFleet(WIDE, seed, two)) {
             site.churn(CHURN);
             consoles(out, WIDE + " workers, " + CHURN + " changes a second", two, site::nodeCpuNs);
         }
@@ -297,7 +297,7 @@
         final Path collections = folder.resolve("gc.log");
         final List<String> options = new ArrayList<>(PLATFORM);
         options.add("-Xlog:gc:file=" + collections);
-        try (SmallReqs load = new SmallReqs()) {
+        try (SmallRequests load = new SmallRequests()) {
             Files.writeString(script, smallSite(load.startWorkers(WORKERS)));
             try (NodeProcess node = new NodeProcess(script, options)) {
                 load.connect(node.address(), CLIENTS);
@@ -356,7 +356,7 @@
             + "| --- | --- | --- | --- | --- | --- |");
         Used least = null;
         for (final int listed : LISTED) {
-            try (SmallReqs load = new SmallReqs()) {
+            try (SmallRequests load = new SmallRequests()) {
                 final Path script = folder.resolve("listed" + listed + ".star");
                 Files.writeString(script, smallSite(load.startWorkers(listed)));
                 final List<Double> us = new ArrayList<>();
--- a/src/main/java/cresschute/console/Keys.java
+++ b/src/main/java/cresschute/console/Keys.java
@@ -15,7 +15,7 @@
 
     enum Kind { CHAR, UP, DOWN, PAGE_UP, PAGE_DOWN, HOME, END, ENTER, ESCAPE, BACKSPACE, QUIT, UNKNOWN }
 
-    /** One key; {@code character} is there for {@link Kind#CHAR}. */
+    /** One key; {@code character} is there for {@link FieldType#CHAR}. */
     record Key(Kind kind, char character) {
 
         static Key of(Kind kind) {
--- a/src/main/java/cresschute/control/Framed.java
+++ b/src/main/java/cresschute/control/ChecksummedFile.java
@@ -14,17 +14,17 @@
  * @param generation counts up with every write, over restarts and processes too
  * @param body the content after the first line
  */
-public record Framed(long generation, byte[] body) {
+public record ChecksummedFile(long generation, byte[] body) {
 
     private static final Pattern HEAD = Pattern.compile(
         "([a-z-]{1,40} [0-9]{1,3}) generation=([0-9]{1,18}) bytes=([0-9]{1,9}) crc32c=([0-9a-f]{8})");
 
     /** A file that is not what was written; its message says in which way. */
-    public static final class Damaged extends Exception {
+    public static final class DamagedFileException extends Exception {
 
         private static final long serialVersionUID = 1L;
 
-        Damaged(String message) {
+        DamagedFileException(String message) {
             super(message, null, false, false);
         }
     }
@@ -39,25 +39,25 @@
     }
 
     /** Reads a file of this kind whole. */
-    static Framed decode(String kind, byte[] bytes) throws Damaged {
+    static ChecksummedFile decode(String kind, byte[] bytes) throws DamagedFileException {
         int end = 0;
         while (end < bytes.length && bytes[end] != '\n') {
             end++;
         }
         final Matcher head = HEAD.matcher(new String(bytes, 0, end, StandardCharsets.ISO_8859_1));
         if (end == bytes.length || !head.matches() || !head.group(1).equals(kind)) {
-            throw new Damaged("its first line is not that of a file of " + kind);
+            throw new DamagedFileException("its first line is not that of a file of " + kind);
         }
         final int length = Integer.parseInt(head.group(3));
         if (bytes.length - end - 1 != length) {
-            throw new Damaged("it holds " + (bytes.length - end - 1) + " bytes of " + length);
+            throw new DamagedFileException("it holds " + (bytes.length - end - 1) + " bytes of " + length);
         }
         final byte[] body = Arrays.copyOfRange(bytes, end + 1, bytes.length);
         final long generation = Long.parseLong(head.group(2));
         if (!checksum(generation, body).equals(head.group(4))) {
-            throw new Damaged("its checksum is not that of its content");
+            throw new DamagedFileException("its checksum is not that of its content");
         }
-        return new Framed(generation, body);
+        return new ChecksummedFile(generation, body);
     }
 
     /** Over the generation too: an old file under a new number would undo what came after it. */
--- a/src/main/java/cresschute/control/ControlRequest.java
+++ b/src/main/java/cresschute/control/ControlRequest.java
@@ -5,7 +5,7 @@
 import com.google.gson.JsonParseException;
 import com.google.gson.JsonParser;
 import com.google.gson.JsonPrimitive;
-import cresschute.control.Drains.Operation;
+import cresschute.control.DrainRegistry.Operation;
 import java.util.Set;
 
 /**
@@ -22,13 +22,13 @@
     /** The version of the protocol that this node speaks. */
     public static final int VERSION = 1;
     /** Characters of a line from a console, its end aside. */
-    public static final int MOST_LINE = 16 * 1024;
-    private static final int MOST_TEXT = 200;
+    public static final int MAX_LINE = 16 * 1024;
+    private static final int MAX_TEXT = 200;
     private static final Set<String> KNOWN = Set.of("v", "id", "do", "from", "boot", "after", "op", "worker",
         "for_ms", "who", "reason", "force");
     private static final long US_A_MS = 1_000;
     /** A hundred years: whoever drains for longer means for good. */
-    private static final long MOST_FOR_MS = 100L * 366 * 24 * 3_600_000;
+    private static final long MAX_FOR_MS = 100L * 366 * 24 * 3_600_000;
 
     /** What may be asked for. */
     public enum What {
@@ -51,12 +51,12 @@
     }
 
     /** A line that asks for nothing that there is; its message is for whoever wrote it. */
-    public static final class Unusable extends Exception {
+    public static final class InvalidRequestException extends Exception {
 
         private static final long serialVersionUID = 1L;
         private final String id;
 
-        Unusable(String id, String message) {
+        InvalidRequestException(String id, String message) {
             super(message, null, false, false);
             this.id = id;
         }
@@ -68,29 +68,29 @@
     }
 
     /** Reads a line. */
-    public static ControlRequest parse(String line) throws Unusable {
+    public static ControlRequest parse(String line) throws InvalidRequestException {
         final JsonObject json;
         try {
             final JsonElement element = JsonParser.parseString(line);
             if (!element.isJsonObject()) {
-                throw new Unusable(null, "a request is one JSON object a line");
+                throw new InvalidRequestException(null, "a request is one JSON object a line");
             }
             json = element.getAsJsonObject();
         } catch (JsonParseException | StackOverflowError e) {
-            throw new Unusable(null, "a request is one JSON object a line; this is no JSON");
+            throw new InvalidRequestException(null, "a request is one JSON object a line; this is no JSON");
         }
         final String id = text(json, "id", null, null);
         if (id == null) {
-            throw new Unusable(null, "id is missing: the answer would carry it");
+            throw new InvalidRequestException(null, "id is missing: the answer would carry it");
         }
         final long version = number(json, id, "v", -1);
         if (version != VERSION) {
-            throw new Unusable(id, version == -1 ? "v is missing; this node speaks version " + VERSION
+            throw new InvalidRequestException(id, version == -1 ? "v is missing; this node speaks version " + VERSION
                 : "version " + version + " is not spoken here; this node speaks version " + VERSION);
         }
         for (final String field : json.keySet()) {
             if (!KNOWN.contains(field)) {
-                throw new Unusable(id, "there is no field '" + field + "'");
+                throw new InvalidRequestException(id, "there is no field '" + field + "'");
             }
         }
         final String word = text(json, "do", id, "");
@@ -100,7 +100,7 @@
             case "events" -> What.EVENTS;
             case "drain" -> What.DRAIN;
             case "undrain" -> What.UNDRAIN;
-            default -> throw new Unusable(id, "do is '" + word
+            default -> throw new InvalidRequestException(id, "do is '" + word
                 + "'; there are workers, subscribe, events, drain, undrain");
         };
         final boolean drains = what == What.DRAIN || what == What.UNDRAIN;
@@ -108,42 +108,42 @@
             number(json, id, "after", 0), drains ? operation(json, id, what) : null);
     }
 
-    private static Operation operation(JsonObject json, String id, What what) throws Unusable {
+    private static Operation operation(JsonObject json, String id, What what) throws InvalidRequestException {
         final String op = text(json, "op", id, "");
         final String worker = text(json, "worker", id, "");
         if (op.isEmpty() || worker.isEmpty()) {
-            throw new Unusable(id, (op.isEmpty() ? "op" : "worker") + " is missing");
+            throw new InvalidRequestException(id, (op.isEmpty() ? "op" : "worker") + " is missing");
         }
         final long forMs = number(json, id, "for_ms", Long.MAX_VALUE);
-        if (forMs != Long.MAX_VALUE && (forMs < 1 || forMs > MOST_FOR_MS)) {
-            throw new Unusable(id, "for_ms is " + forMs + "; allowed: 1 to " + MOST_FOR_MS);
+        if (forMs != Long.MAX_VALUE && (forMs < 1 || forMs > MAX_FOR_MS)) {
+            throw new InvalidRequestException(id, "for_ms is " + forMs + "; allowed: 1 to " + MAX_FOR_MS);
         }
         final JsonElement force = json.get("force");
         if (force != null && !(force instanceof JsonPrimitive truth && truth.isBoolean())) {
-            throw new Unusable(id, "force is neither true nor false");
+            throw new InvalidRequestException(id, "force is neither true nor false");
         }
         return new Operation(op, what == What.DRAIN, worker,
-            forMs == Long.MAX_VALUE ? Drains.FOREVER : forMs * US_A_MS, text(json, "who", id, "somebody"),
+            forMs == Long.MAX_VALUE ? DrainRegistry.FOREVER : forMs * US_A_MS, text(json, "who", id, "somebody"),
             text(json, "reason", id, ""), force != null && force.getAsBoolean());
     }
 
-    private static String text(JsonObject json, String field, String id, String otherwise) throws Unusable {
+    private static String text(JsonObject json, String field, String id, String otherwise) throws InvalidRequestException {
         final JsonElement value = json.get(field);
         if (value == null) {
             return otherwise;
         }
         if (!(value instanceof JsonPrimitive primitive && primitive.isString())) {
-            throw new Unusable(id, field + " is no text");
+            throw new InvalidRequestException(id, field + " is no text");
         }
         final String text = value.getAsString();
-        if (text.length() > MOST_TEXT || text.chars().anyMatch(Character::isISOControl)) {
+        if (text.length() > MAX_TEXT || text.chars().anyMatch(Character::isISOControl)) {
             // Guards the log and the screens of others: a reason must not move their cursor.
-            throw new Unusable(id, field + " has control characters, or more than " + MOST_TEXT);
+            throw new InvalidRequestException(id, field + " has control characters, or more than " + MAX_TEXT);
         }
         return text;
     }
 
-    private static long number(JsonObject json, String id, String field, long otherwise) throws Unusable {
+    private static long number(JsonObject json, String id, String field, long otherwise) throws InvalidRequestException {
         final JsonElement value = json.get(field);
         if (value == null) {
             return otherwise;
@@ -153,8 +153,8 @@
                 return value.getAsBigDecimal().longValueExact();
             }
         } catch (ArithmeticException | NumberFormatException e) {
-            throw new Unusable(id, field + " is no whole number that fits");
+            throw new InvalidRequestException(id, field + " is no whole number that fits");
         }
-        throw new Unusable(id, field + " is no whole number");
+        throw new InvalidRequestException(id, field + " is no whole number");
     }
 }
--- a/src/main/java/cresschute/control/Drains.java
+++ b/src/main/java/cresschute/control/DrainRegistry.java
@@ -16,12 +16,12 @@
  * or written. Operations carry ids, so that one that is sent again after a cut has no second effect. Not safe
  * for several threads: its owner is the loop.
  */
-public final class Drains {
+public final class DrainRegistry {
 
     /** Operations whose outcome is remembered; an older one that is sent again counts as new. */
-    static final int MOST_REMEMBERED = 1_024;
+    static final int MAX_REMEMBERED = 1_024;
     /** Drains at a time; a site has fewer workers. */
-    static final int MOST_DRAINS = 10_000;
+    static final int MAX_DRAINS = 10_000;
     /** A drain without an end of its own. */
     public static final long FOREVER = Long.MAX_VALUE;
 
@@ -94,14 +94,14 @@
     /** A worker as the list has it, under its name. */
     public record Listed(String name, Worker worker) {}
 
-    /** A class, and where its reqs may be sent. */
+    /** A class, and where its requests may be sent. */
     public record ClassBound(String name, Placement placement) {}
 
     /**
      * What a drain is judged by.
      *
      * @param workers the list without any overlay
-     * @param boundCells cells that keyed reqs may only be repeated in, as their first sends are out there
+     * @param boundCells cells that keyed requests may only be repeated in, as their first sends are out there
      */
     public record Site(List<Listed> workers, List<ClassBound> classes, Set<Integer> boundCells) {}
 
@@ -121,7 +121,7 @@
         }
         final Outcome outcome = operation.start() ? start(operation, site, nowUs) : cancel(operation);
         remembered.put(operation.id(), new Remembered(operation, outcome));
-        if (remembered.size() > MOST_REMEMBERED) {
+        if (remembered.size() > MAX_REMEMBERED) {
             remembered.remove(remembered.keySet().iterator().next());
         }
         return outcome;
@@ -138,8 +138,8 @@
             return Outcome.already("drained by " + inForce.who() + (inForce.reason().isEmpty() ? ""
                 : ": " + inForce.reason()));
         }
-        if (drains.size() >= MOST_DRAINS) {
-            return Outcome.refused(MOST_DRAINS + " drains are in force; undo one first");
+        if (drains.size() >= MAX_DRAINS) {
+            return Outcome.refused(MAX_DRAINS + " drains are in force; undo one first");
         }
         final String harm = operation.forced() ? null : harm(operation.worker(), site);
         if (harm != null) {
--- a/src/main/java/cresschute/control/EventRing.java
+++ b/src/main/java/cresschute/control/EventRing.java
@@ -11,7 +11,7 @@
 public final class EventRing {
 
     /** Happenings that are kept. */
-    public static final int MOST = 1_000;
+    public static final int MAX = 1_000;
 
     /**
      * Something that happened.
@@ -32,7 +32,7 @@
     /** Adds a happening under the next number. */
     public void add(long atUs, String kind, String worker, String text) {
         kept.addLast(new Happening(++last, atUs, kind, worker, text));
-        if (kept.size() > MOST) {
+        if (kept.size() > MAX) {
             kept.pollFirst();
         }
     }
--- a/src/main/java/cresschute/control/ManagementCall.java
+++ b/src/main/java/cresschute/control/ManagementCall.java
@@ -13,9 +13,9 @@
 public record ManagementCall(Verb verb, String worker) {
 
     /** Characters of a call, its end of line aside; a list's ids are far shorter. */
-    public static final int MOST_LINE = 512;
+    public static final int MAX_LINE = 512;
     /** Characters of a worker's id. */
-    static final int MOST_ID = 200;
+    static final int MAX_ID = 200;
 
     /** What may be asked, each under the word that operators write. */
     public enum Verb {
@@ -54,11 +54,11 @@
     }
 
     /** A line that asks for nothing that there is; its message says why, for whoever wrote it. */
-    public static final class Unusable extends Exception {
+    public static final class InvalidCallException extends Exception {
 
         private static final long serialVersionUID = 1L;
 
-        Unusable(String message) {
+        InvalidCallException(String message) {
             super(message, null, false, false);
         }
     }
@@ -67,32 +67,32 @@
      * Reads a call: words apart by spaces or tabs, an end of CR LF or LF already taken off. The verb is as
      * {@link Verb} writes it, in any case.
      *
-     * @throws Unusable for an empty line, an unknown verb, a missing or extra word, or an id that no list
+     * @throws InvalidCallException for an empty line, an unknown verb, a missing or extra word, or an id that no list
      *     could hold: control characters, or more than {@value #MOST_ID} characters
      */
-    public static ManagementCall parse(String line) throws Unusable {
-        if (line.length() > MOST_LINE) {
-            throw new Unusable("a call has " + MOST_LINE + " characters at most");
+    public static ManagementCall parse(String line) throws InvalidCallException {
+        if (line.length() > MAX_LINE) {
+            throw new InvalidCallException("a call has " + MAX_LINE + " characters at most");
         }
         final String[] words = line.strip().split("[ \t]+");
         if (words.length == 0 || words[0].isEmpty()) {
-            throw new Unusable("an empty call; calls are: " + known());
+            throw new InvalidCallException("an empty call; calls are: " + known());
         }
         final Verb verb = Verb.of(words[0].toLowerCase(Locale.ROOT));
         if (verb == null) {
-            throw new Unusable("no call is named " + printable(words[0]) + "; calls are: " + known());
+            throw new InvalidCallException("no call is named " + printable(words[0]) + "; calls are: " + known());
         }
         final int wanted = verb.needsWorker ? 2 : 1;
         if (words.length != wanted) {
-            throw new Unusable(verb.word + (verb.needsWorker ? " takes one worker id"
+            throw new InvalidCallException(verb.word + (verb.needsWorker ? " takes one worker id"
                 : " takes nothing more"));
         }
         if (!verb.needsWorker) {
             return new ManagementCall(verb, null);
         }
         final String worker = words[1];
-        if (worker.length() > MOST_ID || !worker.chars().allMatch(c -> c > ' ' && c < 0x7f)) {
-            throw new Unusable("no list names a worker " + printable(worker));
+        if (worker.length() > MAX_ID || !worker.chars().allMatch(c -> c > ' ' && c < 0x7f)) {
+            throw new InvalidCallException("no list names a worker " + printable(worker));
         }
         return new ManagementCall(verb, worker);
     }
--- a/src/main/java/cresschute/control/OperatorsState.java
+++ b/src/main/java/cresschute/control/OperatorsState.java
@@ -3,7 +3,7 @@
 import com.google.gson.annotations.SerializedName;
 import com.google.gson.Gson;
 import com.google.gson.JsonParseException;
-import cresschute.control.Framed.Damaged;
+import cresschute.control.ChecksummedFile.DamagedFileException;
 import java.nio.charset.StandardCharsets;
 import java.util.Collections;
 import java.util.List;
@@ -23,7 +23,7 @@
 public record OperatorsState(long generation, SortedSet<String> banned, boolean drained) {
 
     /** Workers that can be out at a time; a site has far fewer. */
-    public static final int MOST_BANNED = 10_000;
+    public static final int MAX_BANNED = 10_000;
     /** Nothing asked. */
     public static final OperatorsState NONE = new OperatorsState(0, new TreeSet<>(), false);
 
@@ -48,8 +48,8 @@
         boolean drain = drained;
         switch (call.verb()) {
             case DISABLE_SERVER -> {
-                if (!next.contains(call.worker()) && next.size() >= MOST_BANNED) {
-                    throw new IllegalStateException(MOST_BANNED + " workers are out; enable one first");
+                if (!next.contains(call.worker()) && next.size() >= MAX_BANNED) {
+                    throw new IllegalStateException(MAX_BANNED + " workers are out; enable one first");
                 }
                 next.add(call.worker());
             }
@@ -71,21 +71,21 @@
 
     /** The bytes of a file. */
     public byte[] encode() {
-        return Framed.encode(KIND, generation,
+        return ChecksummedFile.encode(KIND, generation,
             GSON.toJson(new Body(List.copyOf(banned), drained)).getBytes(StandardCharsets.UTF_8));
     }
 
     /** Reads a file's bytes whole; anything torn, flipped or foreign in them is an error. */
-    public static OperatorsState decode(byte[] bytes) throws Damaged {
-        final Framed framed = Framed.decode(KIND, bytes);
+    public static OperatorsState decode(byte[] bytes) throws DamagedFileException {
+        final ChecksummedFile framed = ChecksummedFile.decode(KIND, bytes);
         try {
             final Body read = GSON.fromJson(new String(framed.body(), StandardCharsets.UTF_8), Body.class);
-            if (read.banned().size() > MOST_BANNED || read.banned().stream().anyMatch(id -> id == null)) {
-                throw new Damaged("it names no usable workers");
+            if (read.banned().size() > MAX_BANNED || read.banned().stream().anyMatch(id -> id == null)) {
+                throw new DamagedFileException("it names no usable workers");
             }
             return new OperatorsState(framed.generation(), new TreeSet<>(read.banned()), read.drained());
         } catch (JsonParseException | NullPointerException e) {
-            throw new Damaged("its content is not that of operators' state: " + e.getMessage());
+            throw new DamagedFileException("its content is not that of operators' state: " + e.getMessage());
         }
     }
 
--- a/src/main/java/cresschute/control/Snapshot.java
+++ b/src/main/java/cresschute/control/Snapshot.java
@@ -3,9 +3,9 @@
 import com.google.gson.annotations.SerializedName;
 import com.google.gson.Gson;
 import com.google.gson.JsonParseException;
-import cresschute.control.Drains.Drain;
-import cresschute.control.Drains.Remembered;
-import cresschute.control.Framed.Damaged;
+import cresschute.control.DrainRegistry.Drain;
+import cresschute.control.DrainRegistry.Remembered;
+import cresschute.control.ChecksummedFile.DamagedFileException;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
@@ -26,19 +26,19 @@
 
     /** The bytes of a file. */
     public byte[] encode() {
-        return Framed.encode(KIND, generation,
+        return ChecksummedFile.encode(KIND, generation,
             GSON.toJson(new Body(drains, operations)).getBytes(StandardCharsets.UTF_8));
     }
 
     /** Reads a file's bytes whole; anything torn, flipped or foreign in them is an error. */
-    public static Snapshot decode(byte[] bytes) throws Damaged {
-        final Framed framed = Framed.decode(KIND, bytes);
+    public static Snapshot decode(byte[] bytes) throws DamagedFileException {
+        final ChecksummedFile framed = ChecksummedFile.decode(KIND, bytes);
         try {
             final Body read = GSON.fromJson(new String(framed.body(), StandardCharsets.UTF_8), Body.class);
             return new Snapshot(framed.generation(), List.copyOf(read.drains()),
                 List.copyOf(read.operations()));
         } catch (JsonParseException | NullPointerException | IllegalArgumentException e) {
-            throw new Damaged("its content is not that of a snapshot: " + e.getMessage());
+            throw new DamagedFileException("its content is not that of a snapshot: " + e.getMessage());
         }
     }
 }
--- a/src/main/java/cresschute/control/Board.java
+++ b/src/main/java/cresschute/control/VersionedTable.java
@@ -13,10 +13,10 @@
  * changes. Rows that went away are remembered for a while; a console from before that starts anew.
  * Pure; its owner is the loop.
  */
-public final class Board {
+public final class VersionedTable {
 
     /** Rows that went away and are remembered; a console from before the oldest needs a whole picture. */
-    static final int MOST_GONE = 4_096;
+    static final int MAX_GONE = 4_096;
 
     private record Row(String text, long number) {}
 
@@ -30,7 +30,7 @@
      * @param rows rows that are new or other, by key
      * @param gone keys of rows that went away
      */
-    public record News(boolean whole, long number, Map<String, String> rows, List<String> gone) {}
+    public record Delta(boolean whole, long number, Map<String, String> rows, List<String> gone) {}
 
     private final Map<String, Row> rows = new LinkedHashMap<>();
     private final Deque<Gone> gone = new ArrayDeque<>();
@@ -49,7 +49,7 @@
     public void remove(String key) {
         if (rows.remove(key) != null) {
             gone.addLast(new Gone(key, ++number));
-            if (gone.size() > MOST_GONE) {
+            if (gone.size() > MAX_GONE) {
                 forgottenUpTo = gone.pollFirst().number();
             }
         }
@@ -61,7 +61,7 @@
     }
 
     /** All that is newer than a number, whole where that can't be told any more. */
-    public News since(long from) {
+    public Delta since(long from) {
         final boolean whole = from <= 0 || from < forgottenUpTo || from > number;
         final Map<String, String> newer = new LinkedHashMap<>();
         rows.forEach((key, row) -> {
@@ -71,6 +71,6 @@
         });
         final List<String> left = whole ? List.of() : gone.stream()
             .filter(each -> each.number() > from && !rows.containsKey(each.key())).map(Gone::key).toList();
-        return new News(whole, number, newer, left);
+        return new Delta(whole, number, newer, left);
     }
 }
--- a/src/main/java/cresschute/control/files/SharedState.java
+++ b/src/main/java/cresschute/control/files/SharedOperatorState.java
@@ -1,6 +1,6 @@
 package cresschute.control.files;
 
-import cresschute.control.Framed.Damaged;
+import cresschute.control.ChecksummedFile.DamagedFileException;
 import cresschute.control.OperatorsState;
 import cresschute.logs.LogEvent;
 import java.io.IOException;
@@ -32,7 +32,7 @@
  *
  * <p>A file that is damaged counts as no state and is put aside, so that the next change starts anew.
  */
-public final class SharedState implements AutoCloseable {
+public final class SharedOperatorState implements AutoCloseable {
 
     /** How often the file is looked at for another process's change, ms: well within the 400 ms of a ban. */
     static final long LOOK_MS = 100;
@@ -55,7 +55,7 @@
     private long seenSize = -1;
     private long seenGeneration = -1;
 
-    private SharedState(Path folder, Executor back, Consumer<OperatorsState> heard) {
+    private SharedOperatorState(Path folder, Executor back, Consumer<OperatorsState> heard) {
         this.folder = folder;
         this.back = back;
         this.heard = heard;
@@ -71,7 +71,7 @@
      */
     public static Opened open(Path folder, Executor back, Consumer<OperatorsState> heard) throws IOException {
         Files.createDirectories(folder);
-        final SharedState shared = new SharedState(folder, back, heard);
+        final SharedOperatorState shared = new SharedOperatorState(folder, back, heard);
         final OperatorsState found;
         try {
             found = shared.files.submit(shared::readIfChanged).get();
@@ -88,7 +88,7 @@
     }
 
     /** A shared state and what it held at the start. */
-    public record Opened(SharedState shared, OperatorsState found) {}
+    public record Opened(SharedOperatorState shared, OperatorsState found) {}
 
     /**
      * Changes the state in the file, under the lock, from what it holds then. {@code done} hears the state as
@@ -189,7 +189,7 @@
             return OperatorsState.decode(Files.readAllBytes(file));
         } catch (NoSuchFileException e) {
             return null;
-        } catch (Damaged e) {
+        } catch (DamagedFileException e) {
             final Path aside = file.resolveSibling(FILE + ".refused");
             Files.move(file, aside, StandardCopyOption.REPLACE_EXISTING);
             LogEvent.of("operators_state_refused", "the operators' state " + file
--- a/src/main/java/cresschute/control/files/StateFolder.java
+++ b/src/main/java/cresschute/control/files/StateFolder.java
@@ -1,7 +1,7 @@
 package cresschute.control.files;
 
 import cresschute.control.Snapshot;
-import cresschute.control.Framed.Damaged;
+import cresschute.control.ChecksummedFile.DamagedFileException;
 import cresschute.logs.LogEvent;
 import java.io.IOException;
 import java.lang.System.Logger;
@@ -84,7 +84,7 @@
             return Snapshot.decode(Files.readAllBytes(file));
         } catch (NoSuchFileException e) {
             return null;
-        } catch (Damaged e) {
+        } catch (DamagedFileException e) {
             // Put aside and not lost: the next snapshot would be written over it.
             final Path aside = file.resolveSibling(file.getFileName() + ".refused");
             Files.move(file, aside, StandardCopyOption.REPLACE_EXISTING);
--- a/src/main/java/cresschute/control/socket/ControlServer.java
+++ b/src/main/java/cresschute/control/socket/ControlServer.java
@@ -35,9 +35,9 @@
 public final class ControlServer {
 
     /** Sessions at a time. */
-    public static final int MOST_SESSIONS = 16;
+    public static final int MAX_SESSIONS = 16;
     /** Bytes that may wait for a console before it is told nothing more until it has read them. */
-    static final int MOST_WAITING = 512 * 1024;
+    static final int MAX_WAITING = 512 * 1024;
     private static final int LESS_WAITING = 64 * 1024;
     private static final Set<PosixFilePermission> OTHERS = EnumSet.of(PosixFilePermission.GROUP_READ,
         PosixFilePermission.GROUP_WRITE, PosixFilePermission.GROUP_EXECUTE, PosixFilePermission.OTHERS_READ,
@@ -46,16 +46,16 @@
 
     private final EventLoop loop;
     private final Path file;
-    private final Desk desk;
+    private final ControlHandler handler;
     private final Set<ControlSession> sessions = new LinkedHashSet<>();
     private Channel server;
     private long lastSession;
 
     /** A server that does not listen yet. */
-    public ControlServer(EventLoop loop, Path file, Desk desk) {
+    public ControlServer(EventLoop loop, Path file, ControlHandler handler) {
         this.loop = loop;
         this.file = file;
-        this.desk = desk;
+        this.handler = handler;
     }
 
     /** Listens; the error of one that cannot says why. Blocks, so not on the loop. */
@@ -72,7 +72,7 @@
         final ChannelFuture bound = new ServerBootstrap().group(loop)
             .channel(NioServerDomainSocketChannel.class)
             .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK,
-                new WriteBufferWaterMark(LESS_WAITING, MOST_WAITING))
+                new WriteBufferWaterMark(LESS_WAITING, MAX_WAITING))
             .childHandler(new ChannelInitializer<Channel>() {
                 @Override
                 protected void initChannel(Channel channel) {
@@ -115,16 +115,16 @@
     }
 
     private void open(Channel channel) {
-        final ControlSession session = new ControlSession(++lastSession, channel, desk);
-        if (sessions.size() >= MOST_SESSIONS) {
-            session.refuse("there are " + MOST_SESSIONS + " consoles already; close one first");
+        final ControlSession session = new ControlSession(++lastSession, channel, handler);
+        if (sessions.size() >= MAX_SESSIONS) {
+            session.refuse("there are " + MAX_SESSIONS + " consoles already; close one first");
             return;
         }
         sessions.add(session);
         channel.closeFuture().addListener(closed -> sessions.remove(session));
         // The flow control guards the heap: one read brings many short requests, and without it each of them
         // would be answered in full, however little of that is taken.
-        channel.pipeline().addLast(new LineBasedFrameDecoder(ControlRequest.MOST_LINE),
+        channel.pipeline().addLast(new LineBasedFrameDecoder(ControlRequest.MAX_LINE),
             new FlowControlHandler(), session);
     }
 
--- a/src/main/java/cresschute/control/socket/ControlSession.java
+++ b/src/main/java/cresschute/control/socket/ControlSession.java
@@ -3,9 +3,9 @@
 import com.google.gson.Gson;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
-import cresschute.control.Board;
+import cresschute.control.VersionedTable;
 import cresschute.control.ControlRequest;
-import cresschute.control.ControlRequest.Unusable;
+import cresschute.control.ControlRequest.InvalidRequestException;
 import cresschute.control.EventRing;
 import cresschute.control.EventRing.Happening;
 import io.netty.buffer.ByteBuf;
@@ -32,18 +32,18 @@
 
     private final long number;
     private final Channel channel;
-    private final Desk desk;
+    private final ControlHandler handler;
     private boolean rows;
     private boolean events;
     private long toldRows;
     private long toldEvents;
     private long stalledSinceUs;
-    private long toldAtUs;
+    private long startReportedAtUs;
 
-    ControlSession(long number, Channel channel, Desk desk) {
+    ControlSession(long number, Channel channel, ControlHandler handler) {
         this.number = number;
         this.channel = channel;
-        this.desk = desk;
+        this.handler = handler;
     }
 
     boolean followsRows() {
@@ -75,9 +75,9 @@
     protected void channelRead0(ChannelHandlerContext ctx, ByteBuf bytes) {
         try {
             final ControlRequest request = ControlRequest.parse(bytes.toString(StandardCharsets.UTF_8));
-            desk.audit(number, request);
+            handler.audit(number, request);
             answer(request);
-        } catch (Unusable e) {
+        } catch (InvalidRequestException e) {
             write(error(e.id(), e.getMessage()));
         }
     }
@@ -85,13 +85,13 @@
     private void answer(ControlRequest request) {
         switch (request.what()) {
             case WORKERS -> {
-                desk.look();
-                write(news(request.id(), desk.board().since(0), null));
+                handler.look();
+                write(news(request.id(), handler.board().since(0), null));
             }
             case SUBSCRIBE -> {
-                desk.look();
+                handler.look();
                 // A number of another run of the node means nothing here.
-                final Board.News news = desk.board().since(request.boot().equals(desk.boot())
+                final VersionedTable.Delta news = handler.board().since(request.boot().equals(handler.boot())
                     ? request.from() : 0);
                 rows = true;
                 toldRows = news.number();
@@ -99,13 +99,13 @@
             }
             case EVENTS -> {
                 // Nor does one of another run's events; a script that names no run means this one.
-                final EventRing.Read read = desk.events().after(request.boot().isEmpty()
-                    || request.boot().equals(desk.boot()) ? request.after() : 0);
+                final EventRing.Read read = handler.events().after(request.boot().isEmpty()
+                    || request.boot().equals(handler.boot()) ? request.after() : 0);
                 events = true;
-                toldEvents = desk.events().last();
+                toldEvents = handler.events().last();
                 write(news(request.id(), null, read));
             }
-            case DRAIN, UNDRAIN -> desk.carryOut(request.operation(), fields -> {
+            case DRAIN, UNDRAIN -> handler.carryOut(request.operation(), fields -> {
                 final JsonObject answer = new JsonObject();
                 answer.addProperty("re", request.id());
                 fields.entrySet().forEach(each -> answer.add(each.getKey(), each.getValue()));
@@ -126,25 +126,25 @@
             return;
         }
         stalledSinceUs = 0;
-        final Board.News news = rows && desk.board().number() != toldRows ? desk.board().since(toldRows)
+        final VersionedTable.Delta news = rows && handler.board().number() != toldRows ? handler.board().since(toldRows)
             : null;
-        final EventRing.Read read = events && desk.events().last() != toldEvents
-            ? desk.events().after(toldEvents) : null;
-        if (news != null || read != null || rows && nowUs - toldAtUs >= BEAT_US) {
-            toldAtUs = nowUs;
+        final EventRing.Read read = events && handler.events().last() != toldEvents
+            ? handler.events().after(toldEvents) : null;
+        if (news != null || read != null || rows && nowUs - startReportedAtUs >= BEAT_US) {
+            startReportedAtUs = nowUs;
             toldRows = news == null ? toldRows : news.number();
-            toldEvents = desk.events().last();
+            toldEvents = handler.events().last();
             write(news(null, news, read));
         }
     }
 
     /** Rows are text already: they are put in as they are. */
-    private String news(String re, Board.News news, EventRing.Read read) {
+    private String news(String re, VersionedTable.Delta news, EventRing.Read read) {
         final StringBuilder out = new StringBuilder("{");
         if (re != null) {
             out.append("\"re\":").append(GSON.toJson(re)).append(",\"ok\":true,");
         }
-        out.append("\"boot\":").append(GSON.toJson(desk.boot()));
+        out.append("\"boot\":").append(GSON.toJson(handler.boot()));
         if (news != null) {
             out.append(",\"number\":").append(news.number()).append(",\"whole\":").append(news.whole())
                 .append(",\"rows\":{");
@@ -202,7 +202,7 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (cause instanceof TooLongFrameException) {
-            refuse("a line is longer than " + ControlRequest.MOST_LINE + " bytes");
+            refuse("a line is longer than " + ControlRequest.MAX_LINE + " bytes");
         } else {
             ctx.close();
         }
--- a/src/main/java/cresschute/control/socket/ManagementServer.java
+++ b/src/main/java/cresschute/control/socket/ManagementServer.java
@@ -44,7 +44,7 @@
     private static final Logger LOG = System.getLogger("cresschute.management");
 
     /** The node's side of it; all calls are on the loop. */
-    public interface Desk {
+    public interface ManagementHandler {
 
         /** Carries a call out and answers it once, with a line that begins with 200 or 400. */
         void call(ManagementCall call, Consumer<String> answer);
@@ -53,7 +53,7 @@
     private final EventLoop loop;
     private final InetSocketAddress address;
     private final int maxCallers;
-    private final Desk desk;
+    private final ManagementHandler handler;
     private final Set<Channel> callers = new LinkedHashSet<>();
     private Channel server;
 
@@ -62,11 +62,11 @@
      *
      * @param maxCallers connections held at a time; the next ones are told so and closed
      */
-    public ManagementServer(EventLoop loop, InetSocketAddress address, int maxCallers, Desk desk) {
+    public ManagementServer(EventLoop loop, InetSocketAddress address, int maxCallers, ManagementHandler handler) {
         this.loop = loop;
         this.address = address;
         this.maxCallers = maxCallers;
-        this.desk = desk;
+        this.handler = handler;
     }
 
     /** Binds; the future fails where nothing can listen there. */
@@ -91,7 +91,7 @@
                             caller.begun();
                             ctx.fireChannelRead(message);
                         }
-                    }, new LineBasedFrameDecoder(ManagementCall.MOST_LINE + 2, true, true), caller);
+                    }, new LineBasedFrameDecoder(ManagementCall.MAX_LINE + 2, true, true), caller);
                 }
             }).bind(address);
         server = bound.channel();
@@ -156,7 +156,7 @@
                 final ManagementCall call;
                 try {
                     call = ManagementCall.parse(text);
-                } catch (ManagementCall.Unusable e) {
+                } catch (ManagementCall.InvalidCallException e) {
                     answer(ctx, "400 " + e.getMessage());
                     return;
                 }
@@ -164,7 +164,7 @@
                 LogEvent.of("operators_called", "operators call: " + text.strip())
                     .with("call", call.verb().word()).with("worker", String.valueOf(call.worker()))
                     .log(LOG, Level.INFO);
-                desk.call(call, answer -> write(ctx, answer));
+                handler.call(call, answer -> write(ctx, answer));
             } finally {
                 frame.release();
             }
@@ -178,7 +178,7 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (cause instanceof TooLongFrameException) {
-                answer(ctx, "400 a call has " + ManagementCall.MOST_LINE + " characters at most");
+                answer(ctx, "400 a call has " + ManagementCall.MAX_LINE + " characters at most");
             } else {
                 answered = true;
                 ctx.close();
--- a/src/main/java/cresschute/dispatch/Attempt.java
+++ b/src/main/java/cresschute/dispatch/Attempt.java
@@ -3,29 +3,29 @@
 /** One send that has not ended. */
 final class Attempt {
     final int number;
-    final Node node;
+    final WorkerInstance node;
     final long sentUs;
-    long toldAtUs;
-    double toldShare;
-    long heardAtUs;
+    long startReportedAtUs;
+    double fractionDoneAtStartReport;
+    long lastProgressUs;
     boolean late;
     boolean silent;
     boolean still;
 
     /** Notes a word of its progress: it is heard, and the first tells when it began and how far it got. */
-    void heard(long nowUs, double shareDone) {
-        heardAtUs = nowUs;
+    void heard(long nowUs, double fractionDone) {
+        lastProgressUs = nowUs;
         still = false;
-        if (toldAtUs == 0) {
-            toldAtUs = nowUs;
-            toldShare = shareDone;
+        if (startReportedAtUs == 0) {
+            startReportedAtUs = nowUs;
+            fractionDoneAtStartReport = fractionDone;
         }
     }
 
-    Attempt(int number, Node node, long sentUs) {
+    Attempt(int number, WorkerInstance node, long sentUs) {
         this.number = number;
         this.node = node;
         this.sentUs = sentUs;
-        this.heardAtUs = sentUs;
+        this.lastProgressUs = sentUs;
     }
 }
--- a/src/main/java/cresschute/dispatch/ClassState.java
+++ b/src/main/java/cresschute/dispatch/ClassState.java
@@ -6,20 +6,20 @@
 final class ClassState {
     final int index;
     final RequestClass stated;
-    final List<Pool> budgets;
-    final Pool allowed;
-    final Pool near;
+    final List<WorkerGroup> budgets;
+    final WorkerGroup allowed;
+    final WorkerGroup near;
     double runUs;
     long longestTryUs;
     int samples;
 
-    ClassState(int index, RequestClass stated, Fleet fleet, int zone) {
+    ClassState(int index, RequestClass stated, WorkerIndex fleet, int zone) {
         this.index = index;
         this.stated = stated;
         this.budgets = fleet.budgets(stated.placement());
-        this.allowed = fleet.pool(stated.placement(), Pool.ALL, 0);
-        this.near = fleet.pool(stated.placement(), Pool.ZONE, zone);
-        this.runUs = 2.0 * stated.aimUs();
+        this.allowed = fleet.pool(stated.placement(), WorkerGroup.ALL, 0);
+        this.near = fleet.pool(stated.placement(), WorkerGroup.ZONE, zone);
+        this.runUs = 2.0 * stated.latencyObjectiveUs();
     }
 
     /** Learns a running time; the first samples count in full. */
@@ -30,7 +30,7 @@
 
     /** The latest time since arrival at which an answer still counts, for this running time. */
     double inTimeUs(double us) {
-        return stated.aimUs() + stated.aimStretch() * us;
+        return stated.latencyObjectiveUs() + stated.latencyObjectiveStretch() * us;
     }
 
     /** Time that a job may spend waiting and still be in time. */
--- a/src/main/java/cresschute/dispatch/RepeatScope.java
+++ b/src/main/java/cresschute/dispatch/DeduplicationScope.java
@@ -1,6 +1,6 @@
 package cresschute.dispatch;
 
 /** The workers among which a repeat of a keyed request is dropped. */
-public enum RepeatScope {
+public enum DeduplicationScope {
     ALL, ZONE, CELL
 }
--- a/src/main/java/cresschute/dispatch/Cell.java
+++ b/src/main/java/cresschute/dispatch/DemandBucket.java
@@ -1,10 +1,10 @@
 package cresschute.dispatch;
 
 /** Requests of one class, size and side of the tenant's share: the unit of the fill. */
-final class Cell {
+final class DemandBucket {
     final ClassState owner;
     final double share;
-    double worth;
+    double priorityWeight;
     double arrivals;
     double rate;
     final double slots;
@@ -12,11 +12,11 @@
     double admit = 1;
     double credit = 0.5;
 
-    Cell(ClassState owner, int size, double shareWorth) {
+    DemandBucket(ClassState owner, int size, double quotaWeightFactor) {
         this.slots = 1 << size;
         this.owner = owner;
-        this.share = shareWorth;
-        this.worth = owner.stated.worth() * shareWorth;
+        this.share = quotaWeightFactor;
+        this.priorityWeight = owner.stated.priorityWeight() * quotaWeightFactor;
     }
 
     /** Admits a further part of the cell and takes its work from the budgets. */
--- a/src/main/java/cresschute/dispatch/Events.java
+++ b/src/main/java/cresschute/dispatch/DispatcherEvents.java
@@ -3,32 +3,32 @@
 import java.util.List;
 
 /** What the host tells the module. Each call carries the clock of the moment. */
-public interface Events {
+public interface DispatcherEvents {
 
     /** The list or a change to it; the first call after the start has form {@code CACHED}. */
-    void listed(long nowUs, ListForm form, List<Worker> entries);
+    void endpointListChanged(long nowUs, EndpointListForm form, List<Worker> entries);
 
-    /** A client's request, to be answered once by {@code giveUpUs}. */
-    void requested(long nowUs, int requestId, Job job, long giveUpUs);
+    /** A client's request, to be answered once by {@code deadlineUs}. */
+    void requestArrived(long nowUs, int requestId, Job job, long deadlineUs);
 
     /** The client left or was answered otherwise: nothing is owed any more. */
     void clientLeft(long nowUs, int requestId);
 
     /** A job has started to run (share 0), or how much of it is done. */
-    void jobProgressed(long nowUs, int requestId, int attempt, int workerId, double shareDone);
+    void jobProgressed(long nowUs, int requestId, int attempt, int workerId, double fractionDone);
 
     /** An attempt ended, once for each send. {@code requestClosed}: no answer is owed any more. */
-    void ended(long nowUs, int requestId, int attempt, int workerId, Outcome outcome, long elapsedUs,
+    void attemptEnded(long nowUs, int requestId, int attempt, int workerId, Outcome outcome, long elapsedUs,
         boolean requestClosed, LoadReport report);
 
     /** A probe ended, one call for each, or a load is known unasked; {@code SERVED} where known. */
-    void probed(long nowUs, int workerId, Outcome outcome, LoadReport report);
+    void loadReported(long nowUs, int workerId, Outcome outcome, LoadReport report);
 
     /** Another dispatcher says that jobs of a class do not start at a worker. */
-    void toldSilent(long nowUs, int workerId, int requestClass);
+    void workerReportedUnresponsive(long nowUs, int workerId, int requestClass);
 
-    /** A timer asked for by {@link Actions#wakeAfter} is due. */
-    void woken(long nowUs, long token);
+    /** A timer asked for by {@link DispatcherActions#startTimer} is due. */
+    void timerFired(long nowUs, long token);
 
     /**
      * The settings change while the module runs, as an operator changed them. The classes told before
@@ -39,5 +39,5 @@
      *
      * @throws IllegalArgumentException where the classes told before, the zones or the kinds differ
      */
-    void retuned(long nowUs, Settings settings);
+    void settingsChanged(long nowUs, DispatchSettings settings);
 }
--- a/src/main/java/cresschute/dispatch/Effect.java
+++ b/src/main/java/cresschute/dispatch/Idempotency.java
@@ -1,4 +1,4 @@
 package cresschute.dispatch;
 
 /** What a repeat of a request may do. */
-public enum Effect { SAFE, KEYED, UNSAFE }
+public enum Idempotency { SAFE, KEYED, UNSAFE }
--- a/src/main/java/cresschute/dispatch/Job.java
+++ b/src/main/java/cresschute/dispatch/Job.java
@@ -5,9 +5,9 @@
  *
  * @param tenant ignored where there are none
  * @param slots slots that it takes while it runs
- * @param runHintUs expected running time at speed 1, or 0 where nothing tells
+ * @param runningTimeHintUs expected running time at speed 1, or 0 where nothing tells
  * @param dataKey what it concerns; jobs of one key need the same data at their worker. 0: nothing
- * @param repeated set where clients mark their retries
+ * @param clientRetry set where clients mark their retries
  */
-public record Job(int requestClass, int tenant, double slots, long runHintUs, long dataKey,
-    boolean repeated) {}
+public record Job(int requestClass, int tenant, double slots, long runningTimeHintUs, long dataKey,
+    boolean clientRetry) {}
--- a/src/main/java/cresschute/dispatch/Request.java
+++ b/src/main/java/cresschute/dispatch/PendingRequest.java
@@ -4,46 +4,46 @@
 import java.util.List;
 
 /** A request that is owed an answer or has attempts out. */
-final class Request {
+final class PendingRequest {
     final int id;
     final ClassState owner;
-    final double worth;
+    final double priorityWeight;
     final double slots;
     final double hintUs;
     final long dataKey;
     final long arrivedUs;
-    final long giveUpUs;
+    final long deadlineUs;
     /** Attempts that the settings allowed at its arrival. */
-    final int mostSends;
-    /** Whether they allowed a second copy. */
-    final boolean mayCopy;
+    final int maxAttempts;
+    /** Whether they allowed a hedged request. */
+    final boolean mayHedge;
     final List<Attempt> out = new ArrayList<>(1);
     int sent;
-    Node last;
-    Node home;
-    final List<Node> asked = new ArrayList<>(2);
+    WorkerInstance last;
+    WorkerInstance home;
+    final List<WorkerInstance> asked = new ArrayList<>(2);
     /** The best of those that answered a probe, and how often some were asked, since the last send. */
-    Node answered;
+    WorkerInstance answered;
     int rounds;
     /** When workers may be asked anew whether one has room for a copy. */
-    long askCopyUs;
+    long nextHedgeQueryUs;
     boolean closed;
     boolean mayHaveRun;
     long repeatUntilUs;
-    Pool bound;
+    WorkerGroup bound;
 
-    Request(int id, ClassState owner, double worth, double slots, double hintUs, long dataKey,
-        long arrivedUs, long giveUpUs, Limits limits) {
+    PendingRequest(int id, ClassState owner, double priorityWeight, double slots, double hintUs, long dataKey,
+        long arrivedUs, long deadlineUs, AttemptLimits limits) {
         this.id = id;
         this.owner = owner;
-        this.worth = worth;
+        this.priorityWeight = priorityWeight;
         this.slots = slots;
         this.hintUs = hintUs;
         this.dataKey = dataKey;
         this.arrivedUs = arrivedUs;
-        this.giveUpUs = giveUpUs;
-        this.mostSends = Math.min(limits.maxAttempts(), owner.stated.maxAttempts());
-        this.mayCopy = limits.secondCopies();
+        this.deadlineUs = deadlineUs;
+        this.maxAttempts = Math.min(limits.maxAttempts(), owner.stated.maxAttempts());
+        this.mayHedge = limits.allowsHedging();
     }
 
     /** Expected running time at the usual pace: what the host was told, or that of its class. */
@@ -66,7 +66,7 @@
     }
 
     /** Starts to wait for the answers of these to a probe, and for no others; the best so far is kept. */
-    void ask(List<Node> nodes) {
+    void ask(List<WorkerInstance> nodes) {
         rounds++;
         asked.clear();
         asked.addAll(nodes);
--- a/src/main/java/cresschute/dispatch/ShareMeter.java
+++ b/src/main/java/cresschute/dispatch/QuotaMeter.java
@@ -1,7 +1,7 @@
 package cresschute.dispatch;
 
 /** Tells what of a tenant's traffic is within its share, by this dispatcher's even part of it. */
-final class ShareMeter {
+final class QuotaMeter {
     /** A saved share, us, and the least of it, requests: covers chance bunching of arrivals. */
     private static final double BURST_US = 2_000_000;
     private static final double BURST = 3;
@@ -10,14 +10,14 @@
     double saved;
     long seenUs;
 
-    ShareMeter(double quotaPerUs) {
+    QuotaMeter(double quotaPerUs) {
         this.quotaPerUs = quotaPerUs;
     }
 
     /** Takes so many requests' worth of the share; false where not one is left. */
     boolean take(long nowUs, int requests) {
-        final double most = Math.max(BURST, quotaPerUs * BURST_US);
-        saved = Math.min(most, saved + (nowUs - seenUs) * quotaPerUs);
+        final double max = Math.max(BURST, quotaPerUs * BURST_US);
+        saved = Math.min(max, saved + (nowUs - seenUs) * quotaPerUs);
         seenUs = nowUs;
         final boolean within = saved >= 1;
         saved -= within ? requests : 0;
--- a/src/main/java/cresschute/dispatch/Pool.java
+++ b/src/main/java/cresschute/dispatch/WorkerGroup.java
@@ -6,7 +6,7 @@
 import java.util.TreeMap;
 
 /** Ready workers of one placement that share something; all of it together carry a budget of slot-us a us. */
-final class Pool {
+final class WorkerGroup {
     static final int ALL = 0;
     static final int ZONE = 1;
     static final int CELL = 2;
@@ -20,12 +20,12 @@
     private static final double BACKLOG_WEIGHT = 0.2;
 
     /** An empty fleet must not lift a floor without bound. */
-    private static final double LEAST_BUSY = 0.1;
+    private static final double MIN_BUSY = 0.1;
 
     private final int slot;
     /** Only where jobs need data: 16 points of each of 1,024 members in each pool would be megabytes. */
-    private TreeMap<Long, Node> ring;
-    final List<Node> members = new ArrayList<>();
+    private TreeMap<Long, WorkerInstance> ring;
+    final List<WorkerInstance> members = new ArrayList<>();
     double budget = Double.POSITIVE_INFINITY;
     double offered;
     double left;
@@ -40,13 +40,13 @@
     private double reportedSlots;
     double finishedRate;
 
-    Pool(int slot) {
+    WorkerGroup(int slot) {
         this.slot = slot;
     }
 
-    void end(double worth, double bad) {
-        endings += worth;
-        badEndings += worth * bad;
+    void end(double priorityWeight, double bad) {
+        endings += priorityWeight;
+        badEndings += priorityWeight * bad;
     }
 
     /** Takes in what finished since the last time; tells how much longer than usual it is remembered. */
@@ -72,14 +72,14 @@
 
     /** Part of its slots in use as reported lately; all of them where nothing tells. */
     double busyShare() {
-        return reportedSlots == 0 ? 1 : Math.max(LEAST_BUSY, reportedInUse / reportedSlots);
+        return reportedSlots == 0 ? 1 : Math.max(MIN_BUSY, reportedInUse / reportedSlots);
     }
 
     boolean hasBudget() {
         return slot % TYPES == ALL;
     }
 
-    void add(Node node) {
+    void add(WorkerInstance node) {
         node.place[slot] = members.size();
         members.add(node);
         if (ring != null) {
@@ -87,14 +87,14 @@
         }
     }
 
-    private void putOnRing(Node node) {
+    private void putOnRing(WorkerInstance node) {
         for (int i = 0; i < POINTS; i++) {
             ring.put(mix((long) node.listed.id() * POINTS + i), node);
         }
     }
 
-    void remove(Node node) {
-        final Node last = members.remove(members.size() - 1);
+    void remove(WorkerInstance node) {
+        final WorkerInstance last = members.remove(members.size() - 1);
         if (last != node) {
             members.set(node.place[slot], last);
             last.place[slot] = node.place[slot];
@@ -105,12 +105,12 @@
     }
 
     /** The member's point that follows on a ring which all dispatchers with the same members share. */
-    Map.Entry<Long, Node> next(long point) {
+    Map.Entry<Long, WorkerInstance> next(long point) {
         if (ring == null) {
             ring = new TreeMap<>();
             members.forEach(this::putOnRing);
         }
-        final Map.Entry<Long, Node> next = ring.ceilingEntry(point);
+        final Map.Entry<Long, WorkerInstance> next = ring.ceilingEntry(point);
         return next == null ? ring.firstEntry() : next;
     }
 
--- a/src/main/java/cresschute/dispatch/Fleet.java
+++ b/src/main/java/cresschute/dispatch/WorkerIndex.java
@@ -11,15 +11,15 @@
  * The workers that may be sent to, indexed for each placement by what they share. It keeps the index; it
  * decides nothing.
  */
-final class Fleet {
+final class WorkerIndex {
 
-    final Map<Integer, Node> nodes = new LinkedHashMap<>();
+    final Map<Integer, WorkerInstance> nodes = new LinkedHashMap<>();
     private int classes;
     private final List<Placement> placements;
-    private final Map<Long, Pool> pools = new LinkedHashMap<>();
-    private final Map<Integer, Kind> kinds = new LinkedHashMap<>();
+    private final Map<Long, WorkerGroup> pools = new LinkedHashMap<>();
+    private final Map<Integer, WorkerKind> kinds = new LinkedHashMap<>();
 
-    Fleet(List<Placement> stated) {
+    WorkerIndex(List<Placement> stated) {
         classes = stated.size();
         placements = new ArrayList<>(Stream.concat(Stream.of(Placement.ANYWHERE), stated.stream()).distinct()
             .toList());
@@ -27,49 +27,49 @@
     }
 
     /** The ready workers of one group that a placement leaves open. */
-    Pool pool(Placement placement, int type, int group) {
-        final int slot = placements.indexOf(placement) * Pool.TYPES + type;
-        return pools.computeIfAbsent((long) slot << 32 | group & 0xffffffffL, key -> new Pool(slot));
+    WorkerGroup pool(Placement placement, int type, int group) {
+        final int slot = placements.indexOf(placement) * WorkerGroup.TYPES + type;
+        return pools.computeIfAbsent((long) slot << 32 | group & 0xffffffffL, key -> new WorkerGroup(slot));
     }
 
     /** The group of this worker, within a placement. */
-    Pool poolOf(Placement placement, int type, Worker worker) {
+    WorkerGroup poolOf(Placement placement, int type, Worker worker) {
         return pool(placement, type, switch (type) {
-            case Pool.ZONE -> worker.zone();
-            case Pool.CELL -> worker.cell();
+            case WorkerGroup.ZONE -> worker.zone();
+            case WorkerGroup.CELL -> worker.cell();
             default -> 0;
         });
     }
 
     /** Those open to a keyed class that drop a repeat of what this worker may have run; null: all do. */
-    Pool groupOf(RequestClass stated, Worker worker) {
-        return switch (stated.scope()) {
+    WorkerGroup groupOf(RequestClass stated, Worker worker) {
+        return switch (stated.deduplicationScope()) {
             case ALL -> null;
-            case ZONE -> poolOf(stated.placement(), Pool.ZONE, worker);
-            case CELL -> poolOf(stated.placement(), Pool.CELL, worker);
+            case ZONE -> poolOf(stated.placement(), WorkerGroup.ZONE, worker);
+            case CELL -> poolOf(stated.placement(), WorkerGroup.CELL, worker);
         };
     }
 
     /** The pools whose budgets govern work of a placement: its own and all wider ones. */
-    List<Pool> budgets(Placement placement) {
+    List<WorkerGroup> budgets(Placement placement) {
         return placements.stream().filter(wider -> wider.contains(placement))
-            .map(wider -> pool(wider, Pool.ALL, 0)).toList();
+            .map(wider -> pool(wider, WorkerGroup.ALL, 0)).toList();
     }
 
     /** All pools that carry a budget. */
-    List<Pool> budgets() {
-        return pools.values().stream().filter(Pool::hasBudget).toList();
+    List<WorkerGroup> budgets() {
+        return pools.values().stream().filter(WorkerGroup::hasBudget).toList();
     }
 
     /** One run of a worker process, not joined yet. */
-    Node node(Worker entry) {
-        return new Node(entry, kinds.computeIfAbsent(entry.kind(), k -> new Kind()), memberships(entry),
-            placements.size() * Pool.TYPES, classes);
+    WorkerInstance node(Worker entry) {
+        return new WorkerInstance(entry, kinds.computeIfAbsent(entry.kind(), k -> new WorkerKind()), memberships(entry),
+            placements.size() * WorkerGroup.TYPES, classes);
     }
 
-    private List<Pool> memberships(Worker entry) {
+    private List<WorkerGroup> memberships(Worker entry) {
         return placements.stream().filter(placement -> placement.allows(entry))
-            .flatMap(placement -> IntStream.range(0, Pool.TYPES)
+            .flatMap(placement -> IntStream.range(0, WorkerGroup.TYPES)
                 .mapToObj(type -> poolOf(placement, type, entry))).toList();
     }
 
@@ -81,24 +81,24 @@
         classes = stated.size();
         stated.stream().filter(placement -> !placements.contains(placement)).distinct()
             .forEach(placements::add);
-        for (final Node node : nodes.values()) {
+        for (final WorkerInstance node : nodes.values()) {
             final boolean pooled = node.pooled;
             leave(node);
-            node.regroup(memberships(node.listed), placements.size() * Pool.TYPES, classes);
+            node.regroup(memberships(node.listed), placements.size() * WorkerGroup.TYPES, classes);
             if (pooled) {
                 join(node);
             }
         }
     }
 
-    void join(Node node) {
+    void join(WorkerInstance node) {
         if (!node.pooled) {
             node.pools.forEach(pool -> pool.add(node));
             node.pooled = true;
         }
     }
 
-    void leave(Node node) {
+    void leave(WorkerInstance node) {
         if (node.pooled) {
             node.pools.forEach(pool -> pool.remove(node));
             node.pooled = false;
--- a/src/main/java/cresschute/dispatch/Node.java
+++ b/src/main/java/cresschute/dispatch/WorkerInstance.java
@@ -5,13 +5,13 @@
 import java.util.List;
 
 /** One run of a worker process. */
-final class Node {
+final class WorkerInstance {
     /** Weight of one running time in the slowness of a worker. */
     private static final double SLOWNESS_WEIGHT = 0.15;
 
-    final Kind kind;
-    List<Pool> pools;
-    List<Pool> budgets;
+    final WorkerKind kind;
+    List<WorkerGroup> pools;
+    List<WorkerGroup> budgets;
     int[] place;
     Worker listed;
     boolean pooled;
@@ -22,29 +22,29 @@
     long othersAtUs;
     double slowness = 1;
     int failures;
-    long[] silentUntilUs;
-    long restUntilUs;
-    long stillUntilUs;
-    long heardAtUs;
+    long[] unresponsiveUntilUs;
+    long ejectedUntilUs;
+    long stalledUntilUs;
+    long lastProgressUs;
     double coldTokens;
     long coldSinceUs;
-    final ArrayDeque<Request> askers = new ArrayDeque<>();
+    final ArrayDeque<PendingRequest> askers = new ArrayDeque<>();
 
-    Node(Worker listed, Kind kind, List<Pool> pools, int slots, int classes) {
+    WorkerInstance(Worker listed, WorkerKind kind, List<WorkerGroup> pools, int slots, int classes) {
         this.listed = listed;
         this.kind = kind;
         this.pools = pools;
-        this.budgets = pools.stream().filter(Pool::hasBudget).toList();
+        this.budgets = pools.stream().filter(WorkerGroup::hasBudget).toList();
         this.place = new int[slots];
-        this.silentUntilUs = new long[classes];
+        this.unresponsiveUntilUs = new long[classes];
     }
 
     /** Where it belongs once there are more placements or classes; only while it is in no pool. */
-    void regroup(List<Pool> memberships, int slots, int classes) {
+    void regroup(List<WorkerGroup> memberships, int slots, int classes) {
         pools = memberships;
-        budgets = memberships.stream().filter(Pool::hasBudget).toList();
+        budgets = memberships.stream().filter(WorkerGroup::hasBudget).toList();
         place = Arrays.copyOf(place, slots);
-        silentUntilUs = Arrays.copyOf(silentUntilUs, classes);
+        unresponsiveUntilUs = Arrays.copyOf(unresponsiveUntilUs, classes);
     }
 
     /** Whether an entry tells of this run of this machine, whatever its state. */
@@ -55,8 +55,8 @@
 
     /** It told something of a job: it does not stand still. */
     void heard(long nowUs) {
-        heardAtUs = nowUs;
-        stillUntilUs = 0;
+        lastProgressUs = nowUs;
+        stalledUntilUs = 0;
     }
 
     /** Takes in a running time over its class's usual one, of a job whose start was told. */
--- a/src/main/java/cresschute/dispatch/Kind.java
+++ b/src/main/java/cresschute/dispatch/WorkerKind.java
@@ -2,10 +2,10 @@
 
 
 /** What the workers of one kind have in common. */
-final class Kind {
+final class WorkerKind {
     /** Requests for each core under which a live weight tells nothing of the cores, and the most believed. */
-    private static final double LEAST_HELD = 0.05;
-    private static final int MOST_CORES = 64;
+    private static final double MIN_HELD = 0.05;
+    private static final int MAX_CORES = 64;
     /** Weight of one worker's news in what is usual of its kind; the first running times count in full. */
     private static final double WEIGHT = 0.02;
     /** Running times that the usual one counts for at first: a single job says little. */
@@ -40,8 +40,8 @@
     double heldAt(double weight) {
         idleWeight = Math.max(idleWeight, weight);
         final double heldPerCore = idleWeight / weight - 1;
-        if (heldPerCore > LEAST_HELD) {
-            cores = Math.max(cores, Math.min(MOST_CORES, Math.round(1 / heldPerCore)));
+        if (heldPerCore > MIN_HELD) {
+            cores = Math.max(cores, Math.min(MAX_CORES, Math.round(1 / heldPerCore)));
         }
         return heldPerCore * cores;
     }
--- a/src/main/java/cresschute/flow/Body.java
+++ b/src/main/java/cresschute/flow/Body.java
@@ -11,7 +11,7 @@
  * than there is room for.
  *
  * <p>While no more than a bound has been read, all of it is kept from byte 0 on, and any number of senders
- * may go over it, each for itself: that is what a further fetch or a second copy needs. Once more has been
+ * may go over it, each for itself: that is what a further attempt or a hedged request needs. Once more has been
  * read, the sender that is furthest goes on alone, the others are cut off, and what was sent is let go.
  *
  * <p>Pure: pieces are of any kind and counted by what they cost; {@code release} is called once for each when
@@ -63,7 +63,7 @@
         }
         takeRoom(wanted);
         if (room < wanted && spooling && isStuck()) {
-            // Nothing can come free but what is kept for a further fetch: going on is worth more.
+            // Nothing can come free but what is kept for a further attempt: going on is worth more.
             stopSpooling();
             takeRoom(wanted);
         }
--- a/src/main/java/cresschute/flow/Budget.java
+++ b/src/main/java/cresschute/flow/Budget.java
@@ -21,9 +21,9 @@
 
     private final long total;
     private final long window;
-    private final long mostLent;
+    private final long maxLent;
     private final long lendShare;
-    private final long mostOfAClient;
+    private final long maxPerClient;
     private final Map<String, Long> windowsOfClients = new HashMap<>();
     private final Deque<Account> waiting = new ArrayDeque<>();
     private long inWindows;
@@ -34,19 +34,19 @@
      *
      * @param total bytes at a time, all bodies together
      * @param window bytes that a body owns while it is open
-     * @param mostLent bytes that one body may hold beyond its window
+     * @param maxLent bytes that one body may hold beyond its window
      * @param lendShare it is lent no more than what is free over this, 1 or above
-     * @param mostOfAClient bytes of windows of one client's bodies together
+     * @param maxPerClient bytes of windows of one client's bodies together
      */
-    public Budget(long total, long window, long mostLent, long lendShare, long mostOfAClient) {
-        if (window <= 0 || total < window || mostLent < 0 || lendShare < 1 || mostOfAClient < window) {
+    public Budget(long total, long window, long maxLent, long lendShare, long maxPerClient) {
+        if (window <= 0 || total < window || maxLent < 0 || lendShare < 1 || maxPerClient < window) {
             throw new IllegalArgumentException("a budget has room for one window at least");
         }
         this.total = total;
         this.window = window;
-        this.mostLent = mostLent;
+        this.maxLent = maxLent;
         this.lendShare = lendShare;
-        this.mostOfAClient = mostOfAClient;
+        this.maxPerClient = maxPerClient;
     }
 
     /** Why a body is not admitted. */
@@ -62,7 +62,7 @@
      */
     public Admission open(String client, Runnable granted) {
         final long held = windowsOfClients.getOrDefault(client, 0L);
-        if (held + window > mostOfAClient) {
+        if (held + window > maxPerClient) {
             return new Admission(null, Refusal.CLIENT_FULL);
         }
         // Lent bytes are somebody's and come back by themselves; a window must be there from the start.
@@ -85,7 +85,7 @@
     }
 
     private long lendable() {
-        return Math.min(mostLent, (total - inUse()) / lendShare);
+        return Math.min(maxLent, (total - inUse()) / lendShare);
     }
 
     private void lendToWaiting() {
@@ -134,7 +134,7 @@
             held += taken;
             lent += borrowed;
             // Bytes of its own that it gives back wake it by itself; only lent ones are worth queueing for.
-            if (taken == 0 && lentHere() < mostLent && !queued) {
+            if (taken == 0 && lentHere() < maxLent && !queued) {
                 queued = true;
                 waiting.addLast(this);
             }
--- a/src/main/java/cresschute/flow/Pace.java
+++ b/src/main/java/cresschute/flow/Pace.java
@@ -11,7 +11,7 @@
 
     private static final double US_A_S = 1e6;
 
-    private final double leastBytesAUs;
+    private final double minBytesAUs;
     private final long stallUs;
     private boolean mine;
     private long seenUs;
@@ -20,8 +20,8 @@
     private long bytes;
 
     /** A side whose turn it is not yet. */
-    public Pace(long leastBytesAS, long stallUs, long nowUs) {
-        this.leastBytesAUs = leastBytesAS / US_A_S;
+    public Pace(long minBytesAs, long stallUs, long nowUs) {
+        this.minBytesAUs = minBytesAs / US_A_S;
         this.stallUs = stallUs;
         this.seenUs = nowUs;
     }
@@ -50,7 +50,7 @@
         if (ownUs < stallUs) {
             return false;
         }
-        final boolean slow = bytes < leastBytesAUs * ownUs;
+        final boolean slow = bytes < minBytesAUs * ownUs;
         ownUs = 0;
         bytes = 0;
         return slow;
--- a/src/main/java/cresschute/health/HealthBook.java
+++ b/src/main/java/cresschute/health/HealthTracker.java
@@ -15,16 +15,16 @@
  *
  * <p>Pure: the clock is passed in, and its owner, the loop, is the only one to call it. Times are
  * microseconds of a clock that never goes back. Memory is bounded by the workers that are listed, or went
- * less than ten minutes ago: about 16 kB for each, as measured by {@code HealthBookTest}.
+ * less than ten minutes ago: about 16 kB for each, as measured by {@code HealthTrackerTest}.
  */
-public final class HealthBook {
+public final class HealthTracker {
 
     /** How long a worker that is gone is still shown. */
     static final long GONE_SHOWN_US = 600_000_000L;
     private static final long MINUTE_US = 60_000_000L;
     private static final long S = 1_000_000L;
     private static final int SPARKS = 12;
-    private static final int LEAST_SAMPLES = 5;
+    private static final int MIN_SAMPLES = 5;
     private static final double WEIGHT_OF_NEW = 0.2;
     /** A running job this many times older than the class's median counts as held up. */
     private static final double HELD_UP = 3;
@@ -40,11 +40,11 @@
      * How a worker is.
      *
      * @param why in words for people; empty where there is nothing to explain
-     * @param inFlight fetches that are out at it
+     * @param inFlight attempts that are out at it
      * @param inFlightByClass the same for each class
-     * @param ratePerS fetches served in a second, over the last minute
-     * @param failed fetches that ended otherwise in the last minute
-     * @param sparks fetches served in each five seconds of the last minute, the oldest first
+     * @param ratePerS attempts served in a second, over the last minute
+     * @param failed attempts that ended otherwise in the last minute
+     * @param sparks attempts served in each five seconds of the last minute, the oldest first
      * @param queue jobs that waited there as last reported, or -1
      * @param free free slots as last reported, or -1
      * @param reportUs when that report came, or 0
@@ -56,26 +56,26 @@
     /**
      * How a class is served, over the last minute.
      *
-     * @param admitted reqs that were not turned away at once, or failed, before any fetch
-     * @param inTime reqs answered within their aim, as far as it can be told from here
+     * @param admitted requests that were not rejected at once, or failed, before any attempt
+     * @param inTime requests answered within their latency objective, as far as it can be told from here
      */
     public record ClassView(int asked, int admitted, int served, int refused, int failed, int inTime,
         int inFlight, Times minute, Times tenMinutes) {}
 
     /** What counts as in time in a class, and what that is worth. */
-    public record Aim(double worth, long aimUs, double stretch) {}
+    public record LatencyObjective(double priorityWeight, long latencyObjectiveUs, double stretch) {}
 
-    /** How a req was answered. */
+    /** How a request was answered. */
     public enum Answer { SERVED, REFUSED, FAILED, LEFT }
 
-    /** A fetch that is out. */
+    /** An attempt that is out. */
     public final class Job {
-        private final Seen worker;
+        private final WorkerHealth worker;
         private final int requestClass;
         private final long sentUs;
         private long startedUs;
 
-        private Job(Seen worker, int requestClass, long sentUs) {
+        private Job(WorkerHealth worker, int requestClass, long sentUs) {
             this.worker = worker;
             this.requestClass = requestClass;
             this.sentUs = sentUs;
@@ -111,11 +111,11 @@
             worker.minute.add(nowUs, nowUs - sentUs);
             worker.tenMinutes.add(nowUs, nowUs - sentUs);
             final long ranUs = ranUs(nowUs);
-            final ClassSeen seen = classes.get(requestClass);
+            final ClassHealth seen = classes.get(requestClass);
             if (seen.medianUs > 0) {
                 // Of logarithms: times of jobs spread by factors, and one heavy job is not to weigh for many.
                 worker.slowness += (Math.log(Math.max(1, ranUs) / (double) seen.medianUs) - worker.slowness)
-                    * (worker.samples < LEAST_SAMPLES ? 1.0 / (worker.samples + 1) : WEIGHT_OF_NEW);
+                    * (worker.samples < MIN_SAMPLES ? 1.0 / (worker.samples + 1) : WEIGHT_OF_NEW);
                 worker.samples++;
             }
             seen.runs.add(nowUs, ranUs);
@@ -127,7 +127,7 @@
         }
     }
 
-    private final class Seen {
+    private final class WorkerHealth {
         private final List<Job> jobs = new ArrayList<>();
         private final int[] inFlight = new int[classes.size()];
         private final Counts served = new Counts(5 * S, SPARKS);
@@ -162,8 +162,8 @@
         }
     }
 
-    private final class ClassSeen {
-        private final Aim aim;
+    private final class ClassHealth {
+        private final LatencyObjective latencyObjective;
         private final Counts asked = minuteCounts();
         private final Counts admitted = minuteCounts();
         private final Counts served = minuteCounts();
@@ -176,8 +176,8 @@
         private int inFlight;
         private long medianUs;
 
-        private ClassSeen(Aim aim) {
-            this.aim = aim;
+        private ClassHealth(LatencyObjective latencyObjective) {
+            this.latencyObjective = latencyObjective;
         }
     }
 
@@ -186,24 +186,24 @@
     }
 
     private final Thresholds thresholds;
-    private final List<ClassSeen> classes = new ArrayList<>();
-    private final Map<Integer, Seen> workers = new LinkedHashMap<>();
+    private final List<ClassHealth> classes = new ArrayList<>();
+    private final Map<Integer, WorkerHealth> workers = new LinkedHashMap<>();
     private final IntCountsHistogram scratch = new IntCountsHistogram(1);
 
     /** A book in which nobody is known yet; classes are numbered as they are given. */
-    public HealthBook(Thresholds thresholds, List<Aim> aims) {
+    public HealthTracker(Thresholds thresholds, List<LatencyObjective> aims) {
         this.thresholds = thresholds;
-        aims.forEach(aim -> classes.add(new ClassSeen(aim)));
+        aims.forEach(latencyObjective -> classes.add(new ClassHealth(latencyObjective)));
     }
 
     // ---- What passes ----
 
     /** What the list says of a worker, and whether it is an operator who drains it. */
     public void listed(long nowUs, int worker, WorkerState state, boolean byOperator, long startedUs) {
-        final Seen seen = workers.get(worker);
+        final WorkerHealth seen = workers.get(worker);
         if (seen == null) {
             if (state != WorkerState.GONE) {
-                final Seen fresh = new Seen();
+                final WorkerHealth fresh = new WorkerHealth();
                 fresh.startedUs = startedUs;
                 fresh.listed = state;
                 fresh.byOperator = byOperator;
@@ -223,9 +223,9 @@
         seen.byOperator = byOperator;
     }
 
-    /** A fetch goes out to a worker; the job that is returned hears the rest of it. */
+    /** An attempt goes out to a worker; the job that is returned hears the rest of it. */
     public Job sent(long nowUs, int worker, int requestClass) {
-        final Seen seen = workers.computeIfAbsent(worker, unlisted -> new Seen());
+        final WorkerHealth seen = workers.computeIfAbsent(worker, unlisted -> new WorkerHealth());
         seen.listed = seen.listed == null ? WorkerState.READY : seen.listed;
         final Job job = new Job(seen, requestClass, nowUs);
         if (seen.jobs.isEmpty()) {
@@ -240,34 +240,34 @@
 
     /** A probe's answer. */
     public void probed(long nowUs, int worker, LoadReport report) {
-        final Seen seen = workers.get(worker);
+        final WorkerHealth seen = workers.get(worker);
         if (seen != null) {
             seen.reported(nowUs, report);
         }
     }
 
-    /** A req came. */
+    /** A request came. */
     public void asked(long nowUs, int requestClass) {
         classes.get(requestClass).asked.add(nowUs, 1);
     }
 
     /**
-     * A req was answered, or its client left.
+     * A request was answered, or its client left.
      *
-     * @param fetches how many were sent for it
+     * @param attempts how many were sent for it
      * @param waitedUs since it came
      * @param ranUs how long the job ran that served it
      */
-    public void answered(long nowUs, int requestClass, Answer answer, int fetches, long waitedUs,
+    public void answered(long nowUs, int requestClass, Answer answer, int attempts, long waitedUs,
         long ranUs) {
-        final ClassSeen seen = classes.get(requestClass);
-        seen.admitted.add(nowUs, fetches > 0 ? 1 : 0);
+        final ClassHealth seen = classes.get(requestClass);
+        seen.admitted.add(nowUs, attempts > 0 ? 1 : 0);
         switch (answer) {
             case SERVED -> {
                 seen.served.add(nowUs, 1);
                 seen.minute.add(nowUs, waitedUs);
                 seen.tenMinutes.add(nowUs, waitedUs);
-                if (waitedUs <= seen.aim.aimUs() + seen.aim.stretch() * ranUs) {
+                if (waitedUs <= seen.latencyObjective.latencyObjectiveUs() + seen.latencyObjective.stretch() * ranUs) {
                     seen.inTime.add(nowUs, 1);
                 }
             }
@@ -284,10 +284,10 @@
 
     /** Looks at all workers anew; to be called a few times a second. Returns what has changed. */
     public List<Change> look(long nowUs) {
-        for (final ClassSeen seen : classes) {
+        for (final ClassHealth seen : classes) {
             scratch.reset();
             seen.runs.addTo(scratch, nowUs);
-            seen.medianUs = scratch.getTotalCount() < LEAST_SAMPLES ? 0
+            seen.medianUs = scratch.getTotalCount() < MIN_SAMPLES ? 0
                 : scratch.getValueAtPercentile(50) * 1_000;
         }
         final List<Change> changes = new ArrayList<>();
@@ -303,7 +303,7 @@
         return changes;
     }
 
-    private void settle(Seen seen, long nowUs) {
+    private void settle(WorkerHealth seen, long nowUs) {
         final StringBuilder why = new StringBuilder();
         final Condition now = judge(seen, nowUs, why);
         if (now == seen.condition) {
@@ -331,7 +331,7 @@
         return condition == Condition.GONE || condition == Condition.DRAINING;
     }
 
-    private Condition judge(Seen seen, long nowUs, StringBuilder why) {
+    private Condition judge(WorkerHealth seen, long nowUs, StringBuilder why) {
         if (seen.listed == WorkerState.GONE) {
             why.append("not on the list").append(seen.jobs.isEmpty() ? ""
                 : "; " + seen.jobs.size() + " still out");
@@ -364,7 +364,7 @@
         return Condition.TAKING;
     }
 
-    private boolean isSilent(Seen seen, long nowUs, StringBuilder why) {
+    private boolean isSilent(WorkerHealth seen, long nowUs, StringBuilder why) {
         if (seen.connectFailures >= thresholds.connectFailures()
             && nowUs - seen.connectFailedUs < UNTRIED_US) {
             why.append(seen.connectFailures).append(" connections in a row failed");
@@ -391,7 +391,7 @@
         return false;
     }
 
-    private boolean isSlow(Seen seen, long nowUs, StringBuilder why) {
+    private boolean isSlow(WorkerHealth seen, long nowUs, StringBuilder why) {
         int started = 0;
         int heldUp = 0;
         for (final Job job : seen.jobs) {
@@ -408,7 +408,7 @@
         }
         final double bound = seen.condition == Condition.SLOWING ? thresholds.slowUntil()
             : thresholds.slowFrom();
-        if (seen.samples >= LEAST_SAMPLES && Math.exp(seen.slowness) >= bound) {
+        if (seen.samples >= MIN_SAMPLES && Math.exp(seen.slowness) >= bound) {
             why.append("jobs run ").append(Math.round(Math.exp(seen.slowness) * 10) / 10.0)
                 .append(" times as long as elsewhere");
             return true;
@@ -423,15 +423,15 @@
         return List.copyOf(workers.keySet());
     }
 
-    /** Fetches that are out at a worker. */
+    /** Attempts that are out at a worker. */
     public int inFlight(int worker) {
-        final Seen seen = workers.get(worker);
+        final WorkerHealth seen = workers.get(worker);
         return seen == null ? 0 : seen.jobs.size();
     }
 
     /** How a worker is, or null where it is not known. Its condition is that of the last look. */
     public View view(long nowUs, int worker) {
-        final Seen seen = workers.get(worker);
+        final WorkerHealth seen = workers.get(worker);
         if (seen == null) {
             return null;
         }
@@ -443,7 +443,7 @@
 
     /** How a class is served. */
     public ClassView classView(long nowUs, int requestClass) {
-        final ClassSeen seen = classes.get(requestClass);
+        final ClassHealth seen = classes.get(requestClass);
         return new ClassView((int) seen.asked.sum(nowUs), (int) seen.admitted.sum(nowUs),
             (int) seen.served.sum(nowUs), (int) seen.refused.sum(nowUs), (int) seen.failed.sum(nowUs),
             (int) seen.inTime.sum(nowUs), seen.inFlight, times(seen.minute, nowUs),
@@ -451,12 +451,12 @@
     }
 
     /** Worth of what was answered in time over that of all that was answered in the last minute, or -1. */
-    public double worthKept(long nowUs) {
+    public double weightedServedFraction(long nowUs) {
         double kept = 0;
         double all = 0;
-        for (final ClassSeen seen : classes) {
-            kept += seen.aim.worth() * seen.inTime.sum(nowUs);
-            all += seen.aim.worth() * (seen.served.sum(nowUs) + seen.refused.sum(nowUs)
+        for (final ClassHealth seen : classes) {
+            kept += seen.latencyObjective.priorityWeight() * seen.inTime.sum(nowUs);
+            all += seen.latencyObjective.priorityWeight() * (seen.served.sum(nowUs) + seen.refused.sum(nowUs)
                 + seen.failed.sum(nowUs));
         }
         return all <= 0 ? -1 : kept / all;
--- a/src/main/java/cresschute/health/Rolling.java
+++ b/src/main/java/cresschute/health/Rolling.java
@@ -10,7 +10,7 @@
  */
 final class Rolling {
 
-    private static final long MOST_MS = 3_600_000;
+    private static final long MAX_MS = 3_600_000;
     private static final long US_A_MS = 1_000;
 
     private final long sliceUs;
@@ -33,7 +33,7 @@
             slices[at].reset();
         }
         of[at] = slice;
-        slices[at].recordValue(Math.min(MOST_MS, Math.max(0, elapsedUs / US_A_MS)));
+        slices[at].recordValue(Math.min(MAX_MS, Math.max(0, elapsedUs / US_A_MS)));
     }
 
     /** Adds all that is not too old to a histogram, which is the caller's. */
--- a/src/main/java/cresschute/node/Fetch.java
+++ b/src/main/java/cresschute/node/Attempt.java
@@ -4,28 +4,28 @@
 import java.net.InetSocketAddress;
 import java.util.concurrent.Future;
 
-/** One attempt of a req at a backend. */
-final class Fetch {
-    final Req req;
+/** One attempt of a request at a worker. */
+final class Attempt {
+    final ClientRequest request;
     final int number;
-    final int backend;
+    final int worker;
     final long sentUs;
     /** When its time is up, us. */
     final long deadlineUs;
     /** Where it goes, and the process that was listed there when it was sent. */
     final InetSocketAddress addr;
     final long processStartedUs;
-    CoreWatcher.FetchWatch watch;
-    Backends.Call call;
+    RequestListener.AttemptObserver watch;
+    WorkerClient.AttemptCall call;
     Future<?> giveUp;
     boolean ended;
 
-    Fetch(Req req, int number, Worker backend, InetSocketAddress addr, long sentUs, long deadlineUs) {
-        this.req = req;
+    Attempt(ClientRequest request, int number, Worker worker, InetSocketAddress addr, long sentUs, long deadlineUs) {
+        this.request = request;
         this.number = number;
-        this.backend = backend.id();
+        this.worker = worker.id();
         this.addr = addr;
-        this.processStartedUs = backend.startedAtUs();
+        this.processStartedUs = worker.startedAtUs();
         this.sentUs = sentUs;
         this.deadlineUs = deadlineUs;
     }
--- a/src/main/java/cresschute/node/ClassTable.java
+++ b/src/main/java/cresschute/node/ClassTable.java
@@ -1,7 +1,7 @@
 package cresschute.node;
 
 import cresschute.dispatch.RequestClass;
-import cresschute.dispatch.Settings;
+import cresschute.dispatch.DispatchSettings;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -10,13 +10,13 @@
 /**
  * The classes of a node since its start, under the numbers by which the module knows them. A class keeps its
  * number for good. One that a new configuration no longer names, or names with another meaning, is retired:
- * reqs under way keep it, and no new req is taken for it. A changed one comes back under a new number, so
+ * requests under way keep it, and no new request is taken for it. A changed one comes back under a new number, so
  * that nothing under way changes its meaning. Pure and immutable.
  */
 final class ClassTable {
 
     /** Numbers that a node may give out since its start; each change of a class takes one. */
-    static final int MOST = 64;
+    static final int MAX = 64;
 
     /** A class under its number. */
     record Entry(String name, RequestClass stated, boolean live) {}
@@ -73,8 +73,8 @@
                 next.add(new Entry(names.get(i), classes.get(i), true));
             }
         }
-        if (next.size() > MOST) {
-            throw new IllegalArgumentException("more than " + MOST + " classes since the start; a restart "
+        if (next.size() > MAX) {
+            throw new IllegalArgumentException("more than " + MAX + " classes since the start; a restart "
                 + "takes this configuration");
         }
         return new ClassTable(next);
@@ -84,12 +84,12 @@
      * What the module is told: the new settings with these classes, and the zones and kinds of before, which
      * only a start changes.
      */
-    Settings told(Settings next, Settings before) {
-        return new Settings(next.dispatchers(), before.zone(), before.zones(), before.kinds(), classes(),
-            next.tenants(), next.overShareWorth(), next.worthByWork(), next.limits(), next.coldStart(),
-            next.goal(), next.listMustBeAsked(), next.askWithinUs(), next.weightSource(), next.reportsLoad(),
-            next.tellsStart(), next.progressUs(), next.crossZonePrice(), next.probing(), next.peerMessages(),
-            next.fetchPrice(), next.fullMayHaveRun(), next.closeOnDrainWithinUs());
+    DispatchSettings told(DispatchSettings next, DispatchSettings before) {
+        return new DispatchSettings(next.dispatchers(), before.zone(), before.zones(), before.kinds(), classes(),
+            next.tenants(), next.overQuotaWeightFactor(), next.priorityWeightPerWork(), next.limits(), next.slowStart(),
+            next.objectiveWeights(), next.endpointListIsPolled(), next.pollWithinUs(), next.weightSource(), next.reportsLoad(),
+            next.reportsJobStart(), next.progressUs(), next.crossZonePrice(), next.allowsLoadQueries(), next.allowsPeerMessages(),
+            next.dataTransferPrice(), next.fullMayHaveRun(), next.closeOnDrainWithinUs());
     }
 
     /** Every class by its number, retired ones too: what the module is told. */
@@ -97,12 +97,12 @@
         return entries.stream().map(Entry::stated).toList();
     }
 
-    /** Every class's name by its number, retired ones too: for what the log says of reqs under way. */
+    /** Every class's name by its number, retired ones too: for what the log says of requests under way. */
     List<String> names() {
         return entries.stream().map(Entry::name).toList();
     }
 
-    /** The numbers of the classes that new reqs may be of, by name. */
+    /** The numbers of the classes that new requests may be of, by name. */
     Map<String, Integer> live() {
         return live;
     }
--- a/src/main/java/cresschute/node/Clock.java
+++ b/src/main/java/cresschute/node/Clock.java
@@ -7,7 +7,7 @@
     /** Time now, us. */
     long nowUs();
 
-    /** A clock that starts at the system's Unix time, so that the director's times need no shift. */
+    /** A clock that starts at the system's Unix time, so that discovery's times need no shift. */
     static Clock system() {
         final long startUs = System.currentTimeMillis() * 1000;
         final long startNs = System.nanoTime();
--- a/src/main/java/cresschute/node/ConfigShape.java
+++ b/src/main/java/cresschute/node/ConfigFingerprint.java
@@ -18,19 +18,19 @@
  * @param classes the keys of each class, in the order of the file
  * @param names each class's name, in the same order, or an empty one
  */
-record ConfigShape(Set<String> keys, List<Set<String>> classes, List<String> names) {
+record ConfigFingerprint(Set<String> keys, List<Set<String>> classes, List<String> names) {
 
     /** Of what is not read from a platform's file: nothing is asked of a file read again. */
-    static final ConfigShape NONE = new ConfigShape(Set.of(), List.of(), List.of());
+    static final ConfigFingerprint NONE = new ConfigFingerprint(Set.of(), List.of(), List.of());
 
-    ConfigShape {
+    ConfigFingerprint {
         keys = Set.copyOf(keys);
         classes = classes.stream().map(Set::copyOf).toList();
         names = List.copyOf(names);
     }
 
     /** The shape of a whole file. */
-    static ConfigShape of(JsonObject file) {
+    static ConfigFingerprint of(JsonObject file) {
         final Set<String> keys = new HashSet<>();
         walk("", file, keys);
         final List<Set<String>> classes = new ArrayList<>();
@@ -46,7 +46,7 @@
                 names.add(name != null && name.isJsonPrimitive() ? name.getAsString() : "");
             }
         }
-        return new ConfigShape(keys, classes, names);
+        return new ConfigFingerprint(keys, classes, names);
     }
 
     private static void walk(String prefix, JsonObject object, Set<String> keys) {
@@ -64,7 +64,7 @@
      * those that it has here; and of a new class those that every class here has. Each class's by its
      * number in the later file. Empty where it is whole.
      */
-    List<String> missingIn(ConfigShape later) {
+    List<String> missingIn(ConfigFingerprint later) {
         final List<String> missing = new ArrayList<>(new TreeSet<>(keys).stream()
             .filter(key -> !later.keys.contains(key)).toList());
         final Set<String> common = new TreeSet<>(classes.isEmpty() ? Set.of() : classes.get(0));
--- a/src/main/java/cresschute/node/ControlDesk.java
+++ b/src/main/java/cresschute/node/ControlService.java
@@ -6,22 +6,22 @@
 import cresschute.dispatch.RequestClass;
 import cresschute.dispatch.Worker;
 import cresschute.dispatch.WorkerState;
-import cresschute.control.Board;
+import cresschute.control.VersionedTable;
 import cresschute.control.ControlRequest;
-import cresschute.control.Drains;
-import cresschute.control.Drains.ClassBound;
-import cresschute.control.Drains.Drain;
-import cresschute.control.Drains.Listed;
-import cresschute.control.Drains.Operation;
-import cresschute.control.Drains.Outcome;
-import cresschute.control.Drains.Site;
+import cresschute.control.DrainRegistry;
+import cresschute.control.DrainRegistry.ClassBound;
+import cresschute.control.DrainRegistry.Drain;
+import cresschute.control.DrainRegistry.Listed;
+import cresschute.control.DrainRegistry.Operation;
+import cresschute.control.DrainRegistry.Outcome;
+import cresschute.control.DrainRegistry.Site;
 import cresschute.control.EventRing;
 import cresschute.control.Snapshot;
 import cresschute.control.files.StateFolder;
 import cresschute.control.socket.ControlServer;
-import cresschute.control.socket.Desk;
+import cresschute.control.socket.ControlHandler;
 import cresschute.health.Condition;
-import cresschute.health.HealthBook;
+import cresschute.health.HealthTracker;
 import cresschute.health.Thresholds;
 import cresschute.logs.LogEvent;
 import io.netty.channel.EventLoop;
@@ -44,11 +44,11 @@
 
 /**
  * The operator's place in a node: lays drains over the list, keeps them, notes who is well, and shows all of
- * it to consoles. It chooses no worker and answers no req. All of it is on the loop, save {@link #open} and
+ * it to consoles. It chooses no worker and answers no request. All of it is on the loop, save {@link #open} and
  * {@link #close}, which wait for files. A node that names neither a control socket nor a state folder has
  * none.
  */
-final class ControlDesk implements CoreWatcher, Desk {
+final class ControlService implements RequestListener, ControlHandler {
 
     /** How often conditions are looked at and consoles are told, ms. */
     private static final long LOOK_MS = 250;
@@ -60,15 +60,15 @@
     private final NodeConfig config;
     private final EventLoop loop;
     private final Clock clock;
-    private final Drains drains = new Drains();
-    private final HealthBook health;
-    private final Board board = new Board();
+    private final DrainRegistry drains = new DrainRegistry();
+    private final HealthTracker health;
+    private final VersionedTable board = new VersionedTable();
     private final EventRing events = new EventRing();
     private final String boot = UUID.randomUUID().toString();
     private final Set<Integer> changed = new HashSet<>();
     private final Map<String, WorkerState> listedBefore = new HashMap<>();
     private final Deque<Waiting> waiting = new ArrayDeque<>();
-    private Core core;
+    private RequestLifecycle core;
     private StateFolder state;
     private ControlServer server;
     private long generation;
@@ -82,22 +82,22 @@
     /** An answer that waits until a snapshot is kept. */
     private record Waiting(long generation, Runnable answer) {}
 
-    ControlDesk(NodeConfig config, EventLoop loop, Clock clock) {
+    ControlService(NodeConfig config, EventLoop loop, Clock clock) {
         this.config = config;
         this.loop = loop;
         this.clock = clock;
-        final List<HealthBook.Aim> aims = new ArrayList<>();
+        final List<HealthTracker.LatencyObjective> aims = new ArrayList<>();
         for (final RequestClass each : config.settings().classes()) {
-            aims.add(new HealthBook.Aim(each.worth(), each.aimUs(), each.aimStretch()));
+            aims.add(new HealthTracker.LatencyObjective(each.priorityWeight(), each.latencyObjectiveUs(), each.latencyObjectiveStretch()));
         }
-        health = new HealthBook(Thresholds.usual(config.settings().progressUs(),
-            config.settings().coldStart().warmWithinUs()), aims);
+        health = new HealthTracker(Thresholds.usual(config.settings().progressUs(),
+            config.settings().slowStart().warmUpDurationUs()), aims);
     }
 
     // ---- Start and stop ----
 
     /** Takes up the drains that were kept, before the first list is told. Reads files, so not on the loop. */
-    void open(Core watched) throws IOException {
+    void open(RequestLifecycle watched) throws IOException {
         core = watched;
         if (config.stateFolder() != null) {
             state = StateFolder.open(Path.of(config.stateFolder()));
@@ -124,7 +124,7 @@
     /** The node stops: consoles are told. On the loop. */
     void stopping() {
         stopping = true;
-        note("node_stopping", null, "the node is stopping; " + core.owed() + " reqs are owed an answer");
+        note("node_stopping", null, "the node is stopping; " + core.unanswered() + " reqs are owed an answer");
     }
 
     /** Ends the sessions. On the loop. */
@@ -149,7 +149,7 @@
         // One that was carried out before is only answered again: nothing is told or kept a second time.
         final boolean again = drains.isRemembered(operation.id());
         final Outcome outcome = drains.apply(operation, site(), clock.nowUs());
-        if (outcome.kind() == Drains.Kind.DONE && !again) {
+        if (outcome.kind() == DrainRegistry.Kind.DONE && !again) {
             note(operation.start() ? "drained" : "undrained", operation.worker(), operation.worker()
                 + (operation.start() ? " drained" : " no longer drained") + " by " + operation.who()
                 + (operation.reason().isEmpty() ? "" : ": " + operation.reason()));
@@ -166,7 +166,7 @@
         json.addProperty("outcome", outcome.kind().wireName());
         json.addProperty("why", outcome.why());
         json.addProperty("worker", operation.worker());
-        final int number = core.roster().number(operation.worker());
+        final int number = core.registry().number(operation.worker());
         json.addProperty("in_flight", number < 0 ? 0 : health.inFlight(number));
         if (state != null) {
             json.addProperty("kept", keepFailed == null);
@@ -179,8 +179,8 @@
     }
 
     private Site site() {
-        final List<Listed> workers = core.roster().listed().stream()
-            .map(each -> new Listed(core.roster().name(each.id()), each)).toList();
+        final List<Listed> workers = core.registry().listed().stream()
+            .map(each -> new Listed(core.registry().name(each.id()), each)).toList();
         final List<ClassBound> classes = new ArrayList<>();
         for (int i = 0; i < config.classes().size(); i++) {
             classes.add(new ClassBound(config.classes().get(i),
@@ -190,12 +190,12 @@
     }
 
     private void overlayChanged(List<String> workers) {
-        core.relist(workers);
+        core.republish(workers);
         final long nowUs = clock.nowUs();
         for (final String worker : workers) {
-            final int number = core.roster().number(worker);
+            final int number = core.registry().number(worker);
             if (number >= 0) {
-                heard(nowUs, core.roster().listed().get(number));
+                heard(nowUs, core.registry().listed().get(number));
             }
         }
         lookAtConditions();
@@ -241,15 +241,15 @@
     // ---- What passes ----
 
     @Override
-    public WorkerState over(String backend, WorkerState listed) {
-        return drains.over(backend, listed);
+    public WorkerState over(String worker, WorkerState listed) {
+        return drains.over(worker, listed);
     }
 
     @Override
     public void listed(long nowUs, List<Worker> told) {
         for (final Worker each : told) {
             heard(nowUs, each);
-            final String name = core.roster().name(each.id());
+            final String name = core.registry().name(each.id());
             final WorkerState before = listedBefore.put(name, each.state());
             if (before != null && before != each.state()) {
                 note("listed", name, "the list says " + name + " is " + switch (each.state()) {
@@ -263,7 +263,7 @@
 
     private void heard(long nowUs, Worker worker) {
         health.listed(nowUs, worker.id(), worker.state(),
-            drains.of(core.roster().name(worker.id())) != null, worker.startedAtUs());
+            drains.of(core.registry().name(worker.id())) != null, worker.startedAtUs());
         changed.add(worker.id());
     }
 
@@ -273,26 +273,26 @@
     }
 
     @Override
-    public void answered(long nowUs, int requestClass, Answer answer, int fetches, long waitedUs,
+    public void answered(long nowUs, int requestClass, Answer answer, int attempts, long waitedUs,
         long ranUs) {
-        health.answered(nowUs, requestClass, healthAnswer(answer), fetches, waitedUs,
+        health.answered(nowUs, requestClass, healthAnswer(answer), attempts, waitedUs,
             ranUs);
     }
 
-    private static HealthBook.Answer healthAnswer(Answer answer) {
+    private static HealthTracker.Answer healthAnswer(Answer answer) {
         return switch (answer) {
-            case SERVED -> HealthBook.Answer.SERVED;
-            case REFUSED -> HealthBook.Answer.REFUSED;
-            case FAILED -> HealthBook.Answer.FAILED;
-            case LEFT -> HealthBook.Answer.LEFT;
+            case SERVED -> HealthTracker.Answer.SERVED;
+            case REFUSED -> HealthTracker.Answer.REFUSED;
+            case FAILED -> HealthTracker.Answer.FAILED;
+            case LEFT -> HealthTracker.Answer.LEFT;
         };
     }
 
     @Override
-    public FetchWatch sent(long nowUs, int backend, int requestClass) {
-        final HealthBook.Job job = health.sent(nowUs, backend, requestClass);
-        changed.add(backend);
-        return new FetchWatch() {
+    public AttemptObserver sent(long nowUs, int worker, int requestClass) {
+        final HealthTracker.Job job = health.sent(nowUs, worker, requestClass);
+        changed.add(worker);
+        return new AttemptObserver() {
             @Override
             public void told(long atUs) {
                 job.told(atUs);
@@ -301,7 +301,7 @@
             @Override
             public void ended(long atUs, cresschute.dispatch.Outcome outcome, LoadReport report) {
                 job.ended(atUs, outcome, report);
-                changed.add(backend);
+                changed.add(worker);
             }
 
             @Override
@@ -312,9 +312,9 @@
     }
 
     @Override
-    public void probed(long nowUs, int backend, LoadReport report) {
-        health.probed(nowUs, backend, report);
-        changed.add(backend);
+    public void probed(long nowUs, int worker, LoadReport report) {
+        health.probed(nowUs, worker, report);
+        changed.add(worker);
     }
 
     // ---- What is shown ----
@@ -331,17 +331,17 @@
     }
 
     private void lookAtConditions() {
-        for (final HealthBook.Change each : health.look(clock.nowUs())) {
+        for (final HealthTracker.Change each : health.look(clock.nowUs())) {
             changed.add(each.worker());
             if (isNews(each)) {
-                note("condition", core.roster().name(each.worker()), core.roster().name(each.worker())
+                note("condition", core.registry().name(each.worker()), core.registry().name(each.worker())
                     + " is " + each.to().word() + (each.why().isEmpty() ? "" : ": " + each.why()));
             }
         }
     }
 
     /** What the list says is noted as it is heard, and a worker that fills up and empties is at work. */
-    private static boolean isNews(HealthBook.Change change) {
+    private static boolean isNews(HealthTracker.Change change) {
         return change.from() != null && change.to() != Condition.GONE && change.to() != Condition.DRAINING
             && !(change.from().compareTo(Condition.FULL) <= 0 && change.to().compareTo(Condition.FULL) <= 0);
     }
@@ -364,13 +364,13 @@
         final Set<Integer> known = new HashSet<>(health.workers());
         for (final int worker : known) {
             if (all || changed.contains(worker) || worker % LOOKS_A_FIGURE == looks % LOOKS_A_FIGURE) {
-                board.put("w/" + core.roster().name(worker), row(nowUs, worker));
+                board.put("w/" + core.registry().name(worker), row(nowUs, worker));
             }
         }
         changed.clear();
         // Guards against rows that stay for good: a worker that is forgotten has no change of its own.
         shown.stream().filter(worker -> !known.contains(worker))
-            .forEach(worker -> board.remove("w/" + core.roster().name(worker)));
+            .forEach(worker -> board.remove("w/" + core.registry().name(worker)));
         shown = known;
         for (int i = 0; i < config.classes().size(); i++) {
             board.put("c/" + config.classes().get(i), classRow(nowUs, i));
@@ -379,25 +379,25 @@
     }
 
     private String row(long nowUs, int worker) {
-        final HealthBook.View view = health.view(nowUs, worker);
-        final Worker listed = core.roster().listed().get(worker);
+        final HealthTracker.View view = health.view(nowUs, worker);
+        final Worker listed = core.registry().listed().get(worker);
         final JsonObject row = new JsonObject();
-        row.addProperty("id", core.roster().name(worker));
+        row.addProperty("id", core.registry().name(worker));
         row.addProperty("state", view.condition().word());
         row.addProperty("why", view.why());
         row.addProperty("since_ms", view.sinceUs() / US_A_MS);
-        row.addProperty("address", NetUtil.toSocketAddressString(core.roster().address(worker)));
-        row.addProperty("kind", core.roster().kind(listed.kind()));
+        row.addProperty("address", NetUtil.toSocketAddressString(core.registry().address(worker)));
+        row.addProperty("kind", core.registry().kind(listed.kind()));
         row.addProperty("cell", listed.cell());
         row.addProperty("listed", listed.state() == WorkerState.READY ? "serving"
             : listed.state().wireName());
-        final Drain drain = drains.of(core.roster().name(worker));
+        final Drain drain = drains.of(core.registry().name(worker));
         if (drain != null) {
             final JsonObject shown = new JsonObject();
             shown.addProperty("who", drain.who());
             shown.addProperty("reason", drain.reason());
             shown.addProperty("since_ms", drain.sinceUs() / US_A_MS);
-            if (drain.untilUs() != Drains.FOREVER) {
+            if (drain.untilUs() != DrainRegistry.FOREVER) {
                 shown.addProperty("until_ms", drain.untilUs() / US_A_MS);
             }
             row.add("drain", shown);
@@ -424,7 +424,7 @@
         return row.toString();
     }
 
-    private static void times(JsonObject row, HealthBook.Times minute, HealthBook.Times tenMinutes) {
+    private static void times(JsonObject row, HealthTracker.Times minute, HealthTracker.Times tenMinutes) {
         row.addProperty("p50_ms", minute.p50Ms());
         row.addProperty("p99_ms", minute.p99Ms());
         row.addProperty("p50_ms_10m", tenMinutes.p50Ms());
@@ -432,7 +432,7 @@
     }
 
     private String classRow(long nowUs, int number) {
-        final HealthBook.ClassView view = health.classView(nowUs, number);
+        final HealthTracker.ClassView view = health.classView(nowUs, number);
         final JsonObject row = new JsonObject();
         row.addProperty("id", config.classes().get(number));
         row.addProperty("asked", view.asked());
@@ -452,10 +452,10 @@
         final JsonObject row = new JsonObject();
         row.addProperty("name", config.name());
         row.addProperty("list_version", core.listVersion());
-        row.addProperty("list_ms", config.director() == null ? 0 : core.listHeardUs() / US_A_MS);
-        row.addProperty("fixed_list", config.director() == null);
-        row.addProperty("open", core.owed());
-        final double kept = health.worthKept(nowUs);
+        row.addProperty("list_ms", config.discovery() == null ? 0 : core.listUpdatedAtUs() / US_A_MS);
+        row.addProperty("fixed_list", config.discovery() == null);
+        row.addProperty("open", core.unanswered());
+        final double kept = health.weightedServedFraction(nowUs);
         row.addProperty("worth_kept", kept < 0 ? -1 : Math.round(kept * 1000) / 1000.0);
         row.addProperty("stopping", stopping);
         row.addProperty("consoles", server == null ? 0 : server.sessions());
@@ -469,7 +469,7 @@
     }
 
     @Override
-    public Board board() {
+    public VersionedTable board() {
         return board;
     }
 
--- a/src/main/java/cresschute/node/FlatSettings.java
+++ b/src/main/java/cresschute/node/DeploymentSettingsParser.java
@@ -7,14 +7,14 @@
 import java.util.StringJoiner;
 
 /** Flattens nested settings to the path=value lines that the settings parser reads. */
-public final class FlatSettings {
+public final class DeploymentSettingsParser {
 
     private final StringBuilder lines = new StringBuilder();
 
-    private FlatSettings() {}
+    private DeploymentSettingsParser() {}
 
     static String of(JsonObject settings) {
-        final FlatSettings flat = new FlatSettings();
+        final DeploymentSettingsParser flat = new DeploymentSettingsParser();
         flat.object("", settings);
         return flat.lines.toString();
     }
--- a/src/main/java/cresschute/node/DirectorList.java
+++ b/src/main/java/cresschute/node/EndpointList.java
@@ -9,19 +9,19 @@
 import java.util.List;
 
 /**
- * One answer of the director: the whole list or changes to it.
+ * One answer of discovery: the whole list or changes to it.
  *
  * @param full whether it holds the whole list
  */
-public record DirectorList(long version, boolean full, List<Entry> entries) {
+public record EndpointList(long version, boolean full, List<Endpoint> entries) {
 
-    /** One backend as listed; {@code startedMs} is Unix time, or 0 for long ago. */
-    public record Entry(String id, InetSocketAddress addr, String zone, String kind, int cell,
+    /** One worker as listed; {@code startedMs} is Unix time, or 0 for long ago. */
+    public record Endpoint(String id, InetSocketAddress addr, String zone, String kind, int cell,
         WorkerState state, double weight, long startedMs) {}
 
     /** Reads an answer whole; any flaw in it is a {@link JsonParseException}. */
-    public static DirectorList parse(JsonObject json) {
-        final List<Entry> entries = new ArrayList<>();
+    public static EndpointList parse(JsonObject json) {
+        final List<Endpoint> entries = new ArrayList<>();
         for (final JsonElement element : Json.array(json, "servers")) {
             if (!element.isJsonObject()) {
                 throw new JsonParseException("an entry of the list is no object");
@@ -36,10 +36,10 @@
         if (version < 0) {
             throw new JsonParseException("version is missing or negative");
         }
-        return new DirectorList((long) version, full.getAsBoolean(), List.copyOf(entries));
+        return new EndpointList((long) version, full.getAsBoolean(), List.copyOf(entries));
     }
 
-    private static Entry entry(JsonObject json) {
+    private static Endpoint entry(JsonObject json) {
         final String addr = Json.string(json, "addr");
         final InetSocketAddress parsed;
         try {
@@ -54,7 +54,7 @@
             case "DELETED" -> WorkerState.GONE;
             default -> throw new JsonParseException("unknown state " + word);
         };
-        return new Entry(Json.string(json, "id"), parsed, Json.string(json, "zone"),
+        return new Endpoint(Json.string(json, "id"), parsed, Json.string(json, "zone"),
             Json.string(json, "kind"), (int) Json.number(json, "cell", 0), state,
             Json.number(json, "weight", 1), (long) Json.number(json, "started_ms", 0));
     }
--- a/src/main/java/cresschute/node/OperatorsDesk.java
+++ b/src/main/java/cresschute/node/ManagementService.java
@@ -3,7 +3,7 @@
 import cresschute.dispatch.WorkerState;
 import cresschute.control.ManagementCall;
 import cresschute.control.OperatorsState;
-import cresschute.control.files.SharedState;
+import cresschute.control.files.SharedOperatorState;
 import cresschute.control.socket.ManagementServer;
 import cresschute.logs.LogEvent;
 import io.netty.channel.ChannelFuture;
@@ -28,7 +28,7 @@
  * <p>What is in force is the last state read or written, with the calls of this process laid over it that
  * are not yet written: a look that comes between a call and its write undoes nothing.
  */
-final class OperatorsDesk implements CoreWatcher, ManagementServer.Desk {
+final class ManagementService implements RequestListener, ManagementServer.ManagementHandler {
 
     /** A call whose change is not yet written is answered all the same by then, ms; it is in force. */
     static final long ANSWER_WITHIN_MS = 500;
@@ -38,9 +38,9 @@
     private final EventLoop loop;
     private final int maxCallers;
     private final List<ManagementCall> pending = new ArrayList<>();
-    private Core core;
-    private Door door;
-    private SharedState shared;
+    private RequestLifecycle core;
+    private ReadinessSwitch readiness;
+    private SharedOperatorState shared;
     private ManagementServer server;
     /** The last state read or written. */
     private OperatorsState kept = OperatorsState.NONE;
@@ -48,18 +48,18 @@
     private OperatorsState inForce = OperatorsState.NONE;
 
     /** Nobody can call yet; {@code maxCallers} is how many may at a time. */
-    OperatorsDesk(NodeConfig config, EventLoop loop, int maxCallers) {
+    ManagementService(NodeConfig config, EventLoop loop, int maxCallers) {
         this.config = config;
         this.loop = loop;
         this.maxCallers = maxCallers;
     }
 
     /** Takes up what operators asked before this process began. Reads files, so not on the loop. */
-    void open(Core watched, Door nodeDoor) throws IOException {
+    void open(RequestLifecycle watched, ReadinessSwitch readinessSwitch) throws IOException {
         core = watched;
-        door = nodeDoor;
+        readiness = readinessSwitch;
         if (config.operators().shared() != null) {
-            final SharedState.Opened opened = SharedState.open(Path.of(config.operators().shared()), loop,
+            final SharedOperatorState.Opened opened = SharedOperatorState.open(Path.of(config.operators().shared()), loop,
                 this::heard);
             shared = opened.shared();
             kept = opened.found();
@@ -76,7 +76,7 @@
     ChannelFuture listen() {
         server = new ManagementServer(loop, config.operators().management(), maxCallers, this);
         if (inForce.drained()) {
-            door.drain();
+            readiness.drain();
         }
         return server.listen();
     }
@@ -105,8 +105,8 @@
     @Override
     public void call(ManagementCall call, Consumer<String> answer) {
         switch (call.verb()) {
-            case READY -> answer.accept(door.isReady() ? "200 ready"
-                : "400 not ready: " + door.whyNotReady());
+            case READY -> answer.accept(readiness.isReady() ? "200 ready"
+                : "400 not ready: " + readiness.whyNotReady());
             case DISABLE_SERVER, ENABLE_SERVER -> {
                 if (!isKnown(call.worker())) {
                     answer.accept("400 no list has named a worker " + call.worker());
@@ -120,7 +120,7 @@
     }
 
     private boolean isKnown(String worker) {
-        return core.roster().number(worker) >= 0 || inForce.isBanned(worker);
+        return core.registry().number(worker) >= 0 || inForce.isBanned(worker);
     }
 
     private void change(ManagementCall call, Consumer<String> answer) {
@@ -201,15 +201,15 @@
         inForce = next;
         final Set<String> changed = next.bannedChangedFrom(before);
         if (!changed.isEmpty()) {
-            core.relist(changed);
+            core.republish(changed);
         }
         if (next.drained() && !before.drained()) {
             LogEvent.of("node_draining", "drained by an operator: not ready, connections are let go; "
-                + core.owed() + " reqs are owed an answer").with("count", core.owed()).log(LOG, Level.INFO);
-            door.drain();
+                + core.unanswered() + " reqs are owed an answer").with("count", core.unanswered()).log(LOG, Level.INFO);
+            readiness.drain();
         } else if (!next.drained() && before.drained()) {
             LogEvent.of("node_resumed", "resumed by an operator: ready again").log(LOG, Level.INFO);
-            door.resume();
+            readiness.resume();
         }
     }
 
@@ -221,8 +221,8 @@
     // ---- What passes ----
 
     @Override
-    public WorkerState over(String backend, WorkerState listed) {
-        return listed == WorkerState.READY && inForce.isBanned(backend) ? WorkerState.DRAINING : listed;
+    public WorkerState over(String worker, WorkerState listed) {
+        return listed == WorkerState.READY && inForce.isBanned(worker) ? WorkerState.DRAINING : listed;
     }
 
     /** Workers out now, for the log. */
--- a/src/main/java/cresschute/node/NodeConfig.java
+++ b/src/main/java/cresschute/node/NodeConfig.java
@@ -3,7 +3,7 @@
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParseException;
-import cresschute.dispatch.Settings;
+import cresschute.dispatch.DispatchSettings;
 import cresschute.dispatch.WorkerState;
 import cresschute.simulator.SettingsParser;
 import cresschute.settings.ApplianceSettings;
@@ -27,10 +27,10 @@
  * @param classes the classes' names, in the order of the settings
  * @param zones zone names, in the order of the settings
  * @param kinds names of the machine kinds, in the order of the settings
- * @param connectTimeoutUs the longest that a connection to a backend may take to come up
- * @param connIdleUs when a backend closes an idle connection
+ * @param connectTimeoutUs the longest that a connection to a worker may take to come up
+ * @param connIdleUs when a worker closes an idle connection
  * @param sockets file descriptors that the process may hold
- * @param director where the director listens, or null where the known list is fixed
+ * @param discovery where discovery listens, or null where the known list is fixed
  * @param known the list as this node last had it; it may be old
  * @param controlSocket the file of the socket for consoles, or null
  * @param stateFolder the folder for what outlives the process, or null
@@ -39,11 +39,11 @@
  * @param shape the keys of the platform's file, which a file read again must have too
  * @param peers the other dispatchers to exchange counts with, or null where this node talks to none
  */
-public record NodeConfig(String name, InetSocketAddress listen, InetSocketAddress director, long seed,
-    Settings settings, List<String> classes, List<String> zones, List<String> kinds,
-    long connectTimeoutUs, long connIdleUs, int sockets, DirectorList known,
+public record NodeConfig(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed,
+    DispatchSettings settings, List<String> classes, List<String> zones, List<String> kinds,
+    long connectTimeoutUs, long connIdleUs, int sockets, EndpointList known,
     String controlSocket, String stateFolder, Bodies bodies, Operators operators,
-    ConfigShape shape, Peers peers) {
+    ConfigFingerprint shape, Peers peers) {
 
     /**
      * What the platform's operators are given: a management listener, the clients' listener held by the
@@ -62,30 +62,30 @@
     }
 
     /** A node that exchanges nothing with other dispatchers. */
-    public NodeConfig(String name, InetSocketAddress listen, InetSocketAddress director, long seed,
-        Settings settings, List<String> classes, List<String> zones, List<String> kinds,
-        long connectTimeoutUs, long connIdleUs, int sockets, DirectorList known,
-        String controlSocket, String stateFolder, Bodies bodies, Operators operators, ConfigShape shape) {
-        this(name, listen, director, seed, settings, classes, zones, kinds, connectTimeoutUs, connIdleUs,
+    public NodeConfig(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed,
+        DispatchSettings settings, List<String> classes, List<String> zones, List<String> kinds,
+        long connectTimeoutUs, long connIdleUs, int sockets, EndpointList known,
+        String controlSocket, String stateFolder, Bodies bodies, Operators operators, ConfigFingerprint shape) {
+        this(name, listen, discovery, seed, settings, classes, zones, kinds, connectTimeoutUs, connIdleUs,
             sockets, known, controlSocket, stateFolder, bodies, operators, shape, null);
     }
 
     /** A node without the platform's operators. */
-    public NodeConfig(String name, InetSocketAddress listen, InetSocketAddress director, long seed,
-        Settings settings, List<String> classes, List<String> zones, List<String> kinds,
-        long connectTimeoutUs, long connIdleUs, int sockets, DirectorList known,
+    public NodeConfig(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed,
+        DispatchSettings settings, List<String> classes, List<String> zones, List<String> kinds,
+        long connectTimeoutUs, long connIdleUs, int sockets, EndpointList known,
         String controlSocket, String stateFolder, Bodies bodies) {
-        this(name, listen, director, seed, settings, classes, zones, kinds, connectTimeoutUs, connIdleUs,
-            sockets, known, controlSocket, stateFolder, bodies, Operators.NONE, ConfigShape.NONE);
+        this(name, listen, discovery, seed, settings, classes, zones, kinds, connectTimeoutUs, connIdleUs,
+            sockets, known, controlSocket, stateFolder, bodies, Operators.NONE, ConfigFingerprint.NONE);
     }
 
     /** A node with the platform's operators, of a file whose keys are not looked at again. */
-    public NodeConfig(String name, InetSocketAddress listen, InetSocketAddress director, long seed,
-        Settings settings, List<String> classes, List<String> zones, List<String> kinds,
-        long connectTimeoutUs, long connIdleUs, int sockets, DirectorList known,
+    public NodeConfig(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed,
+        DispatchSettings settings, List<String> classes, List<String> zones, List<String> kinds,
+        long connectTimeoutUs, long connIdleUs, int sockets, EndpointList known,
         String controlSocket, String stateFolder, Bodies bodies, Operators operators) {
-        this(name, listen, director, seed, settings, classes, zones, kinds, connectTimeoutUs, connIdleUs,
-            sockets, known, controlSocket, stateFolder, bodies, operators, ConfigShape.NONE);
+        this(name, listen, discovery, seed, settings, classes, zones, kinds, connectTimeoutUs, connIdleUs,
+            sockets, known, controlSocket, stateFolder, bodies, operators, ConfigFingerprint.NONE);
     }
 
     /** The keys of this node's first file that a file read again lacks; empty where it is whole. */
@@ -103,16 +103,16 @@
 
     /** What a settings script states, with the seed to use. */
     public static NodeConfig of(ApplianceSettings settings, long seed) {
-        final List<DirectorList.Entry> workers = settings.workers().stream().map(
-            each -> new DirectorList.Entry(each.id(), each.address(), each.zone(), each.kind(), each.cell(),
+        final List<EndpointList.Endpoint> workers = settings.workers().stream().map(
+            each -> new EndpointList.Endpoint(each.id(), each.address(), each.zone(), each.kind(), each.cell(),
                 WorkerState.READY, each.weight(), 0)).toList();
-        // Before the first answer of a director no version is held, so that it is asked for its whole list.
+        // Before the first answer of a discovery service no version is held, so that it is asked for its whole list.
         return new NodeConfig(settings.name(), settings.listen(), settings.director(), seed,
             settings.module(),
             settings.classes(), settings.zones(), settings.kinds(), settings.connectTimeoutUs(),
-            settings.idleTimeoutUs(), settings.sockets(), new DirectorList(-1, true, workers),
+            settings.idleTimeoutUs(), settings.sockets(), new EndpointList(-1, true, workers),
             settings.controlSocket(), settings.stateFolder(), settings.bodies(), Operators.NONE,
-            ConfigShape.NONE, settings.peers());
+            ConfigFingerprint.NONE, settings.peers());
     }
 
     /** Reads the environment and the file that it names. */
@@ -127,7 +127,7 @@
         return parse(text, environment);
     }
 
-    /** Reads it all anew: the file has changed since the environment was set, so its director counts. */
+    /** Reads it all anew: the file has changed since the environment was set, so its discovery counts. */
     public static NodeConfig reload(Map<String, String> environment) throws ConfigException {
         final Map<String, String> kept = new HashMap<>(environment);
         kept.remove(DISCOVERY);
@@ -141,21 +141,21 @@
             final JsonObject settings = Json.child(json, "settings");
             final JsonObject limits = optional(settings, "limits");
             final JsonObject machine = optional(json, "limits");
-            final DirectorList known = json.has("known") ? DirectorList.parse(Json.child(json, "known"))
-                : new DirectorList(-1, true, List.of());
+            final EndpointList known = json.has("known") ? EndpointList.parse(Json.child(json, "known"))
+                : new EndpointList(-1, true, List.of());
             return new NodeConfig(
                 setting(environment, "BALANCER_NAME", json, "name"),
                 Addresses.parse(setting(environment, "BALANCER_LISTEN", json, "listen")),
                 Addresses.parse(setting(environment, DISCOVERY, json, "discovery")),
                 Long.parseUnsignedLong(Json.string(json, "seed"), 16),
-                SettingsParser.parse(FlatSettings.of(settings)),
+                SettingsParser.parse(DeploymentSettingsParser.of(settings)),
                 classNames(settings),
                 names(settings, "zones"),
                 names(settings, "hostTypes"),
                 (long) Json.number(limits, "connectTimeoutUs", DEFAULT_CONNECT_TIMEOUT_US),
                 (long) Json.number(limits, "connIdleUs", DEFAULT_CONN_IDLE_US),
                 (int) Json.number(machine, "sockets", DEFAULT_SOCKETS),
-                known, null, null, null, operators(environment, json), ConfigShape.of(json));
+                known, null, null, null, operators(environment, json), ConfigFingerprint.of(json));
         } catch (JsonParseException | IllegalArgumentException e) {
             throw new ConfigException("configuration: " + String.valueOf(e.getMessage()).lines().findFirst()
                 .orElse("unusable"));
@@ -177,11 +177,11 @@
 
     /** Whether the platform runs this node, and ends it by its protocol; an appliance has no time to end. */
     boolean isOfThePlatform() {
-        return shape != ConfigShape.NONE;
+        return shape != ConfigFingerprint.NONE;
     }
 
     /** Whether there is anything for an operator: without it, none of that is so much as loaded. */
-    boolean hasDesk() {
+    boolean hasControlService() {
         return controlSocket != null || stateFolder != null;
     }
 
@@ -191,10 +191,10 @@
         note(changed, "name", name.equals(next.name));
         note(changed, "listen", listen.equals(next.listen));
         // Classes and the module's settings are taken by a running node, where it can; it says so itself. How
-        // long backends' connections may come up and be idle holds for the next ones.
+        // long workers' connections may come up and be idle holds for the next ones.
         note(changed, "limits", sockets == next.sockets);
-        note(changed, "workers", (director == null) == (next.director == null)
-            && (director != null || known.entries().equals(next.known.entries())));
+        note(changed, "workers", (discovery == null) == (next.discovery == null)
+            && (discovery != null || known.entries().equals(next.known.entries())));
         note(changed, "control", Objects.equals(controlSocket, next.controlSocket));
         note(changed, "bodies", Objects.equals(bodies, next.bodies));
         note(changed, "state", Objects.equals(stateFolder, next.stateFolder));
--- a/src/main/java/cresschute/node/NodeServer.java
+++ b/src/main/java/cresschute/node/NodeServer.java
@@ -1,11 +1,11 @@
 package cresschute.node;
 
-import cresschute.dispatch.Actions;
-import cresschute.dispatch.Events;
-import cresschute.dispatch.Settings;
-import cresschute.dispatch.Logic;
+import cresschute.dispatch.DispatcherActions;
+import cresschute.dispatch.DispatcherEvents;
+import cresschute.dispatch.DispatchSettings;
+import cresschute.dispatch.Dispatcher;
 import cresschute.logs.LogEvent;
-import cresschute.node.http.BackendConnections;
+import cresschute.node.http.WorkerConnectionPool;
 import cresschute.node.http.ClientFront;
 import cresschute.node.http.DiscoveryClient;
 import io.netty.channel.ChannelFuture;
@@ -33,16 +33,16 @@
 public final class NodeServer {
 
     /** How long after a stop is asked for clients may still come and send, ms. */
-    private static final long STILL_ACCEPTING_MS = 550;
+    private static final long ACCEPT_GRACE_MS = 550;
     /**
      * When a stopping node may be killed: after its longest deadline, of which so much counts at the most,
      * and so much more, us ("The figures" of the platform's protocol). All is answered so long before that.
      */
-    private static final long MOST_DEADLINE_US = 3_000_000;
+    private static final long MAX_DEADLINE_US = 3_000_000;
     private static final long TO_END_US = 700_000;
     private static final long BEFORE_END_US = 250_000;
     /** How often a stopping node tells what is still owed, ms. */
-    private static final long STILL_OWED_MS = 500;
+    private static final long SHUTDOWN_ANSWER_MS = 500;
     /** How often the state is looked at for the log, s. */
     private static final long STATUS_S = 10;
     private static final Logger LOG = System.getLogger("cresschute.node");
@@ -51,24 +51,24 @@
     private final EventLoop loop = group.next();
     private final CompletableFuture<Void> stopped = new CompletableFuture<>();
     private final NodeConfig config;
-    private final Core core;
+    private final RequestLifecycle core;
     private final ClientFront front;
-    private final BackendConnections backends;
-    private final DiscoveryClient director;
+    private final WorkerConnectionPool workerClient;
+    private final DiscoveryClient discovery;
     /** The operator's place, or null where nobody can connect. */
-    private final ControlDesk desk;
+    private final ControlService controlService;
     /** The platform operators' place, or null where they do not call. */
-    private final OperatorsDesk operators;
+    private final ManagementService operators;
     /** Workers' load as peers announce it, or null where the settings name no peers. */
     private final PeerLoads peers;
     /** The platform's listener, or null. */
     private final ServerSocketChannel passed;
     private boolean stopping;
     private long breachesLogged;
-    private long stillOwedAtMs;
+    private long unansweredAtMs;
     /** The classes since the start, and the settings that the module was told last. */
     private ClassTable classTable;
-    private Settings told;
+    private DispatchSettings told;
 
     /** A node that does not listen yet. */
     public NodeServer(NodeConfig config) {
@@ -81,33 +81,33 @@
      * @param passed the clients' listener as the platform passed it on, or null where the node binds its own
      */
     public NodeServer(NodeConfig config, ServerSocketChannel passed) {
-        this(config, passed, actions -> new Logic(config.settings(), config.seed(), actions));
+        this(config, passed, actions -> new Dispatcher(config.settings(), config.seed(), actions));
     }
 
-    NodeServer(NodeConfig config, Function<Actions, Events> module) {
+    NodeServer(NodeConfig config, Function<DispatcherActions, DispatcherEvents> module) {
         this(config, (ServerSocketChannel) null, module);
     }
 
-    NodeServer(NodeConfig config, ServerSocketChannel passed, Function<Actions, Events> module) {
+    NodeServer(NodeConfig config, ServerSocketChannel passed, Function<DispatcherActions, DispatcherEvents> module) {
         this.config = config;
         this.passed = passed;
         this.classTable = ClassTable.of(config.classes(), config.settings().classes());
         this.told = config.settings();
         final Clock clock = Clock.system();
-        final RateLimitedLog troubles = new RateLimitedLog(System.getLogger("cresschute.trouble"), clock);
-        desk = config.hasDesk() ? new ControlDesk(config, loop, clock) : null;
-        final boolean hasManagement = desk == null && config.operators().management() != null;
+        final RateLimitedLog faults = new RateLimitedLog(System.getLogger("cresschute.trouble"), clock);
+        controlService = config.hasControlService() ? new ControlService(config, loop, clock) : null;
+        final boolean hasManagement = controlService == null && config.operators().management() != null;
         final DescriptorShares shares = DescriptorShares.of(config.sockets(), hasManagement);
-        operators = hasManagement ? new OperatorsDesk(config, loop, shares.callers()) : null;
+        operators = hasManagement ? new ManagementService(config, loop, shares.callers()) : null;
         peers = config.peers() == null ? null : connectPeers(clock);
-        core = new Core(config, loop, clock, troubles,
-            desk != null ? desk : operators != null ? operators : CoreWatcher.NONE,
+        core = new RequestLifecycle(config, loop, clock, faults,
+            controlService != null ? controlService : operators != null ? operators : RequestListener.NONE,
             peers != null ? peers : LoadKnowledge.NONE, module);
         front = new ClientFront(loop, core, config, shares.clients());
-        backends = new BackendConnections(loop, troubles, config.connectTimeoutUs(), config.connIdleUs(),
+        workerClient = new WorkerConnectionPool(loop, faults, config.connectTimeoutUs(), config.connIdleUs(),
             shares.workers(), config.bodies() != null);
-        director = config.director() == null ? null
-            : new DiscoveryClient(loop, config.director(), core, troubles,
+        discovery = config.discovery() == null ? null
+            : new DiscoveryClient(loop, config.discovery(), core, faults,
                 new SplittableRandom(config.seed()));
     }
 
@@ -125,7 +125,7 @@
         final ChannelFuture bound = peers.listen(config.peers().listen()).awaitUninterruptibly();
         if (!bound.isSuccess()) {
             halt();
-            closeDesk();
+            closeControlService();
             throw new IllegalStateException("cannot listen for peers on " + text(config.peers().listen())
                 + ": " + bound.cause().getMessage(), bound.cause());
         }
@@ -133,25 +133,25 @@
 
     /** Starts all of it; returns, with the address, once clients can connect. */
     public SocketAddress start() {
-        openDesk();
+        openControlService();
         if (peers != null) {
             peers.onRefresh(core::loadsRefreshed);
             listenToPeers();
         }
-        loop.execute(() -> core.start(backends, director == null ? () -> {} : director, config.known()));
+        loop.execute(() -> core.start(workerClient, discovery == null ? () -> {} : discovery, config.known()));
         final ChannelFuture bound = front.listen(group, config.listen(), passed).awaitUninterruptibly();
         if (!bound.isSuccess()) {
             halt();
-            closeDesk();
+            closeControlService();
             throw new IllegalStateException("cannot listen on " + text(config.listen()) + ": "
                 + bound.cause().getMessage(), bound.cause());
         }
-        if (desk != null) {
+        if (controlService != null) {
             try {
-                desk.listen();
+                controlService.listen();
             } catch (IOException e) {
                 halt();
-                closeDesk();
+                closeControlService();
                 throw new IllegalStateException(e.getMessage(), e);
             }
         }
@@ -159,7 +159,7 @@
             final ChannelFuture called = operators.listen().awaitUninterruptibly();
             if (!called.isSuccess()) {
                 halt();
-                closeDesk();
+                closeControlService();
                 throw new IllegalStateException("cannot listen for operators on "
                     + text(config.operators().management()) + ": " + called.cause().getMessage(),
                     called.cause());
@@ -175,7 +175,7 @@
     }
 
     /** Before the first list is told: no worker that an operator drained gets work at a start. */
-    private void openDesk() {
+    private void openControlService() {
         if (operators != null) {
             try {
                 operators.open(core, front);
@@ -185,22 +185,22 @@
                     + " cannot be used: " + e.getMessage(), e);
             }
         }
-        if (desk == null) {
+        if (controlService == null) {
             return;
         }
         try {
-            desk.open(core);
+            controlService.open(core);
         } catch (IOException e) {
             halt();
-            closeDesk();
+            closeControlService();
             throw new IllegalStateException("the state folder " + config.stateFolder()
                 + " cannot be used: " + e.getMessage(), e);
         }
     }
 
-    private void closeDesk() {
-        if (desk != null) {
-            desk.close();
+    private void closeControlService() {
+        if (controlService != null) {
+            controlService.close();
         }
         if (operators != null) {
             operators.close();
@@ -208,7 +208,7 @@
     }
 
     /**
-     * Reads a configuration anew and follows its director; one that cannot be used changes nothing. The
+     * Reads a configuration anew and follows its discovery; one that cannot be used changes nothing. The
      * reading is done on the caller's thread, for it may take a while; the loop is handed what was read.
      */
     public synchronized void reload(Callable<NodeConfig> source) {
@@ -228,14 +228,14 @@
     }
 
     private void follow(NodeConfig next) {
-        if (director != null && next.director() != null) {
-            director.moveTo(next.director());
+        if (discovery != null && next.discovery() != null) {
+            discovery.moveTo(next.discovery());
         }
-        final String where = director == null ? "the list of workers is fixed"
-            : "the director is at " + text(next.director() == null ? config.director() : next.director());
+        final String where = discovery == null ? "the list of workers is fixed"
+            : "the director is at " + text(next.discovery() == null ? config.discovery() : next.discovery());
         // Told so that nobody takes a change for made that only the next start makes.
         final List<String> held = new ArrayList<>(config.changedFor(next));
-        final String retuned = retune(next, held);
+        final String retuned = applySettings(next, held);
         LogEvent.of("reloaded", "reloaded: " + where + retuned + (held.isEmpty() ? ""
             : "; changed, but in force from the next start only: " + String.join(", ", held)))
             .with("held", String.join(",", held))
@@ -244,14 +244,14 @@
     }
 
     /**
-     * Takes the classes and the module's settings of a new configuration, where a running node can: reqs
+     * Takes the classes and the module's settings of a new configuration, where a running node can: requests
      * under way keep their class, and new ones are read by the new classes from this turn on. What cannot be
      * taken is added to {@code held}. Says what changed, for the log.
      */
-    private String retune(NodeConfig next, List<String> held) {
-        backends.retune(next.connectTimeoutUs(), next.connIdleUs());
-        final Settings now = told;
-        final Settings wanted = next.settings();
+    private String applySettings(NodeConfig next, List<String> held) {
+        workerClient.applySettings(next.connectTimeoutUs(), next.connIdleUs());
+        final DispatchSettings now = told;
+        final DispatchSettings wanted = next.settings();
         if (wanted.zone() != now.zone() || wanted.zones() != now.zones() || wanted.kinds() != now.kinds()
             || !next.zones().equals(config.zones()) || !next.kinds().equals(config.kinds())) {
             held.add("zones and kinds");
@@ -265,20 +265,20 @@
             return "";
         }
         final boolean classesChange = !table.isSameAs(classTable);
-        if (classesChange && (desk != null || config.bodies() != null)) {
+        if (classesChange && (controlService != null || config.bodies() != null)) {
             // A console's figures and the room for long bodies are counted by the classes of the start.
             held.add("classes");
             return "";
         }
-        final Settings retold = table.told(wanted, now);
-        if (!classesChange && retold.equals(now) || !retold.mayFollow(now)) {
+        final DispatchSettings retold = table.told(wanted, now);
+        if (!classesChange && retold.equals(now) || !retold.canReplace(now)) {
             return "";
         }
         final String changes = table.changesFrom(classTable);
         classTable = table;
         told = retold;
-        core.retune(table.names(), retold);
-        front.retune(table.live(), table.classes(), retold.tenants());
+        core.applySettings(table.names(), retold);
+        front.applySettings(table.live(), table.classes(), retold.tenants());
         return "; settings in force" + (changes.isEmpty() ? "" : ", classes " + changes)
             + (retold.limits().equals(now.limits()) ? ""
                 : ", attempts at most " + retold.limits().maxAttempts());
@@ -299,20 +299,20 @@
         loop.execute(() -> {
             if (!stopping) {
                 stopping = true;
-                LogEvent.of("stopping", "stopping: " + core.owed() + " reqs are owed an answer")
-                    .with("count", core.owed()).log(LOG, Level.INFO);
+                LogEvent.of("stopping", "stopping: " + core.unanswered() + " reqs are owed an answer")
+                    .with("count", core.unanswered()).log(LOG, Level.INFO);
                 front.stopReady();
-                if (desk != null) {
-                    desk.stopping();
+                if (controlService != null) {
+                    controlService.stopping();
                 }
                 if (front.isPassed()) {
                     // The other process of an upgrade accepts on the same listener: it has said that it is
                     // ready, or nobody would stop this one. What is open here is still used for a while.
                     front.stopAcceptingOnly();
                 }
-                loop.schedule(this::stopAccepting, STILL_ACCEPTING_MS, TimeUnit.MILLISECONDS);
+                loop.schedule(this::stopAccepting, ACCEPT_GRACE_MS, TimeUnit.MILLISECONDS);
                 if (config.isOfThePlatform()) {
-                    core.answerAllAfter(Math.min(core.longestDeadlineUs(), MOST_DEADLINE_US) + TO_END_US
+                    core.answerAllAfter(Math.min(core.longestDeadlineUs(), MAX_DEADLINE_US) + TO_END_US
                         - BEFORE_END_US);
                 }
             }
@@ -322,37 +322,37 @@
 
     private void stopAccepting() {
         front.stopAccepting();
-        LogEvent.of("not_accepting", "no longer accepting: " + core.owed() + " reqs are owed an answer")
-            .with("count", core.owed()).log(LOG, Level.INFO);
+        LogEvent.of("not_accepting", "no longer accepting: " + core.unanswered() + " reqs are owed an answer")
+            .with("count", core.unanswered()).log(LOG, Level.INFO);
         loop.scheduleWithFixedDelay(this::exitIfDone, 0, 20, TimeUnit.MILLISECONDS);
     }
 
     /** Done once no client has a connection: each is closed when its last answer is written. */
     private void exitIfDone() {
         final long nowMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
-        if (front.open() > 0 && nowMs >= stillOwedAtMs) {
+        if (front.open() > 0 && nowMs >= unansweredAtMs) {
             // What a kill would cut off, told while there is time: the last such line is what it cut.
-            stillOwedAtMs = nowMs + STILL_OWED_MS;
-            LogEvent.of("still_owed", "stopping: " + core.owed() + " reqs are still owed an answer, "
-                + front.open() + " client connections open").with("count", core.owed())
+            unansweredAtMs = nowMs + SHUTDOWN_ANSWER_MS;
+            LogEvent.of("still_owed", "stopping: " + core.unanswered() + " reqs are still owed an answer, "
+                + front.open() + " client connections open").with("count", core.unanswered())
                 .with("client_connections", front.open()).log(LOG, Level.INFO);
         }
         if (front.open() == 0 && !stopped.isDone() && (peers == null || peers.leave())) {
             logStatus();
             LogEvent.of("stopped", "stopped: everything taken is answered").log(LOG, Level.INFO);
-            if (desk != null) {
-                desk.closeSocket();
+            if (controlService != null) {
+                controlService.closeSocket();
             }
             if (operators != null) {
                 operators.closeServer();
             }
             halt();
-            if (desk == null && operators == null) {
+            if (controlService == null && operators == null) {
                 stopped.complete(null);
             } else {
                 // What is still being written is waited for elsewhere than on the loop.
                 group.terminationFuture().addListener(ended -> {
-                    closeDesk();
+                    closeControlService();
                     stopped.complete(null);
                 });
             }
@@ -380,7 +380,7 @@
         return front.bodyBytes();
     }
 
-    Core core() {
+    RequestLifecycle core() {
         return core;
     }
 
@@ -403,11 +403,11 @@
     }
 
     private void logStatus() {
-        LogEvent.of("status", "status: " + core.owed() + " reqs open, " + front.open() + " client and "
-            + backends.opened() + " backend connections, " + front.bodyBytes()
+        LogEvent.of("status", "status: " + core.unanswered() + " reqs open, " + front.open() + " client and "
+            + workerClient.opened() + " backend connections, " + front.bodyBytes()
             + " bytes of long bodies, list version " + core.listVersion())
-            .with("reqs", core.owed()).with("client_connections", front.open())
-            .with("backend_connections", backends.opened()).with("body_bytes", front.bodyBytes())
+            .with("reqs", core.unanswered()).with("client_connections", front.open())
+            .with("backend_connections", workerClient.opened()).with("body_bytes", front.bodyBytes())
             .with("list_version", core.listVersion())
             .log(LOG, Level.INFO);
         if (core.invariant().total() > breachesLogged) {
--- a/src/main/java/cresschute/node/Trouble.java
+++ b/src/main/java/cresschute/node/PeerFault.java
@@ -2,14 +2,14 @@
 
 import java.util.Locale;
 
-/** Troubles with peers, which come in numbers: each kind is counted, and logged once in a while. */
-public enum Trouble {
+/** Faults with peers, which come in numbers: each kind is counted, and logged once in a while. */
+public enum PeerFault {
 
-    /** A call to the director brought no list. */
+    /** A call to discovery brought no list. */
     DIRECTOR_CALL_FAILED("director call failed"),
-    /** A backend answered something that cannot be used. */
+    /** A worker answered something that cannot be used. */
     BAD_BACKEND_ANSWER("bad backend answer"),
-    /** A connection to a backend failed otherwise than by breaking. */
+    /** A connection to a worker failed otherwise than by breaking. */
     BACKEND_CONNECTION("backend connection"),
     /** A connection from a client did. */
     CLIENT_CONNECTION("client connection"),
@@ -17,12 +17,12 @@
     NO_ROOM_FOR_BODY("no room for a long body"),
     /** One side of a long body moved too little. */
     BODY_TOO_SLOW("a long body was too slow"),
-    /** All connections to backends are in use. */
+    /** All connections to workers are in use. */
     NO_CONNECTION_LEFT("no connection left");
 
     private final String text;
 
-    Trouble(String text) {
+    PeerFault(String text) {
         this.text = text;
     }
 
--- a/src/main/java/cresschute/node/RateLimitedLog.java
+++ b/src/main/java/cresschute/node/RateLimitedLog.java
@@ -6,14 +6,14 @@
 import java.util.EnumMap;
 import java.util.Map;
 
-/** Counts troubles by kind and logs the first of each kind in an interval, with the count so far. */
+/** Counts faults by kind and logs the first of each kind in an interval, with the count so far. */
 public final class RateLimitedLog {
 
     private static final long INTERVAL_US = 5_000_000;
 
     private final Logger log;
     private final Clock clock;
-    private final Map<Trouble, Kind> kinds = new EnumMap<>(Trouble.class);
+    private final Map<PeerFault, Kind> kinds = new EnumMap<>(PeerFault.class);
 
     /** Writes to this logger. */
     public RateLimitedLog(Logger log, Clock clock) {
@@ -22,11 +22,11 @@
     }
 
     /**
-     * Counts one trouble; its detail is logged unless its kind was logged a short while ago. On the loop.
+     * Counts one fault; its detail is logged unless its kind was logged a short while ago. On the loop.
      *
      * @param peer the address of the other side, or null where there is none
      */
-    public void trouble(Trouble kind, String peer, String detail) {
+    public void fault(PeerFault kind, String peer, String detail) {
         final Kind counted = kinds.computeIfAbsent(kind, unseen -> new Kind());
         counted.count++;
         final long nowUs = clock.nowUs();
--- a/src/main/java/cresschute/node/Door.java
+++ b/src/main/java/cresschute/node/ReadinessSwitch.java
@@ -4,7 +4,7 @@
  * A front as operators see it: whether it says that it is ready, and their drain of it. All calls are on the
  * loop.
  */
-public interface Door {
+public interface ReadinessSwitch {
 
     /** Whether the process serves: started, a worker known, not stopping and not drained. */
     boolean isReady();
--- a/src/main/java/cresschute/node/CoreWatcher.java
+++ b/src/main/java/cresschute/node/RequestListener.java
@@ -10,12 +10,12 @@
  * Hears what passes through the core, and may lay drains over the list before the module hears it. It never
  * chooses, answers or sends. All calls are on the loop, at the loop's clock in microseconds.
  */
-interface CoreWatcher {
+interface RequestListener {
 
     /** Nobody: what a node has that no console can connect to. */
-    CoreWatcher NONE = new CoreWatcher() {};
+    RequestListener NONE = new RequestListener() {};
 
-    /** How a req was answered. */
+    /** How a request was answered. */
     enum Answer {
         SERVED("served"),
         REFUSED("refused"),
@@ -34,11 +34,11 @@
         }
     }
 
-    /** What becomes of one fetch. */
-    interface FetchWatch {
+    /** What becomes of one attempt. */
+    interface AttemptObserver {
 
         /** Of no interest. */
-        FetchWatch NONE = new FetchWatch() {};
+        AttemptObserver NONE = new AttemptObserver() {};
 
         /** Its start or its progress was told. */
         default void told(long nowUs) {}
@@ -52,30 +52,30 @@
         }
     }
 
-    /** The state that the module is to hear of a backend; never a better one than the list's. */
-    default WorkerState over(String backend, WorkerState listed) {
+    /** The state that the module is to hear of a worker; never a better one than the list's. */
+    default WorkerState over(String worker, WorkerState listed) {
         return listed;
     }
 
     /** The roster has taken in a list or a change, perhaps an empty one; these have been told anew by it. */
     default void listed(long nowUs, List<Worker> told) {}
 
-    /** A req was taken. */
+    /** A request was taken. */
     default void asked(long nowUs, int requestClass) {}
 
     /**
-     * A req was answered or left, once.
+     * A request was answered or left, once.
      *
      * @param ranUs how long the job ran that served it, or 0
      */
-    default void answered(long nowUs, int requestClass, Answer answer, int fetches, long waitedUs,
+    default void answered(long nowUs, int requestClass, Answer answer, int attempts, long waitedUs,
         long ranUs) {}
 
-    /** A fetch goes out. */
-    default FetchWatch sent(long nowUs, int backend, int requestClass) {
-        return FetchWatch.NONE;
+    /** An attempt goes out. */
+    default AttemptObserver sent(long nowUs, int worker, int requestClass) {
+        return AttemptObserver.NONE;
     }
 
     /** A probe came back. */
-    default void probed(long nowUs, int backend, LoadReport report) {}
+    default void probed(long nowUs, int worker, LoadReport report) {}
 }
--- a/src/main/java/cresschute/node/ReqClient.java
+++ b/src/main/java/cresschute/node/ResponseListener.java
@@ -1,7 +1,7 @@
 package cresschute.node;
 
-/** The client's side of a req, kept by the front that took it: exactly one of these is called, once. */
-public interface ReqClient {
+/** The client's side of a request, kept by the front that took it: exactly one of these is called, once. */
+public interface ResponseListener {
 
     /**
      * Whether its connection has ended, also where that is yet to be read or told: nobody waits any more.
@@ -20,20 +20,20 @@
         return 0;
     }
 
-    /** Served with the result that a backend made for it. */
+    /** Served with the result that a worker made for it. */
     void served(String result);
 
     /**
-     * Its answer begins: a result that a backend goes on making. One of the others follows only where it
+     * Its answer begins: a result that a worker goes on making. One of the others follows only where it
      * breaks, as {@link #failed}. Null where no long result is expected.
      *
-     * @param type what the backend calls its content, or null
+     * @param type what the worker calls its content, or null
      * @param length its bytes, or -1 where that is not known
      */
     ResultStream streams(String type, long length);
 
-    /** A synthetic answer: refused, a retry does no harm. Advice of 0 is none. */
-    void syntheticAnswer(long retryAfterUs);
+    /** A local reply: refused, a retry does no harm. Advice of 0 is none. */
+    void localReply(long retryAfterUs);
 
     /** Failed: it may or may not have run. */
     void failed();
--- a/src/main/java/cresschute/node/ResultStream.java
+++ b/src/main/java/cresschute/node/ResultStream.java
@@ -1,6 +1,6 @@
 package cresschute.node;
 
-/** A long result on its way to the client of its req. On the loop. */
+/** A long result on its way to the client of its request. On the loop. */
 @FunctionalInterface
 public interface ResultStream {
 
--- a/src/main/java/cresschute/node/Backends.java
+++ b/src/main/java/cresschute/node/WorkerClient.java
@@ -4,22 +4,22 @@
 import cresschute.dispatch.Outcome;
 import java.net.InetSocketAddress;
 
-/** The way to the backends. All calls and all callbacks are on the loop. */
-public interface Backends {
+/** The way to the workers. All calls and all callbacks are on the loop. */
+public interface WorkerClient {
 
-    /** Starts a fetch, which reports to its listener and ends there once. */
-    Call fetch(InetSocketAddress addr, ReqContent content, FetchListener listener);
+    /** Starts an attempt, which reports to its listener and ends there once. */
+    AttemptCall attempt(InetSocketAddress addr, RequestContent content, AttemptListener listener);
 
     /** Asks for a sign of life and a load report; told once. */
-    void probe(InetSocketAddress addr, ProbeListener listener);
+    void probe(InetSocketAddress addr, LoadQueryListener listener);
 
     /** Closes the connections there that nothing is using. */
     void closeIdle(InetSocketAddress addr);
 
-    /** A fetch that is out. */
-    interface Call {
+    /** An attempt that is out. */
+    interface AttemptCall {
 
-        /** Stops waiting and closes the connection; tells how the fetch ended by that, and reports no end. */
+        /** Stops waiting and closes the connection; tells how the attempt ended by that, and reports no end. */
         Outcome giveUp();
 
         /** Whether a byte of it may be on the wire; before that, giving it up takes nothing back. */
@@ -28,8 +28,8 @@
         }
     }
 
-    /** Who hears of a fetch. */
-    interface FetchListener {
+    /** Who hears of an attempt. */
+    interface AttemptListener {
 
         /**
          * Whether its first byte may go out now that a new connection is up; it has ended where not. Not to
@@ -46,10 +46,10 @@
         long remainingUs();
 
         /** The job has started (share 0), or how much of it is done. */
-        void progressed(double shareDone);
+        void progressed(double fractionDone);
 
         /**
-         * The job makes a long result, and the end of the fetch is told by this: what follows is its result
+         * The job makes a long result, and the end of the attempt is told by this: what follows is its result
          * alone. {@link ResultStream#NOWHERE} where nobody wants it any more, null where none is expected.
          */
         ResultStream resultBegins(String type, long length, LoadReport report);
@@ -63,7 +63,7 @@
 
     /** Who hears of a probe. */
     @FunctionalInterface
-    interface ProbeListener {
+    interface LoadQueryListener {
 
         /** The end of it. */
         void probed(Outcome outcome, LoadReport report);
--- a/src/main/java/cresschute/node/Roster.java
+++ b/src/main/java/cresschute/node/WorkerRegistry.java
@@ -9,8 +9,8 @@
 import java.util.List;
 import java.util.Map;
 
-/** The backends that the director has named so far, under numbers that hold for the life of the process. */
-final class Roster {
+/** The workers that discovery has named so far, under numbers that hold for the life of the process. */
+final class WorkerRegistry {
 
     private final Map<String, Integer> idNumbers = new HashMap<>();
     private final List<InetSocketAddress> addresses = new ArrayList<>();
@@ -21,20 +21,20 @@
     private final Map<String, Integer> kinds = new HashMap<>();
     private long version = -1;
 
-    Roster(List<String> zones, List<String> kinds) {
+    WorkerRegistry(List<String> zones, List<String> kinds) {
         zones.forEach(zone -> number(this.zones, zone));
         kinds.forEach(kind -> number(this.kinds, kind));
     }
 
     /** Takes in an answer and tells it in the module's terms; a changed address holds from now on. */
-    List<Worker> take(DirectorList list) {
+    List<Worker> take(EndpointList list) {
         version = list.version();
         if (list.full()) {
             listed.replaceAll(each -> new Worker(each.id(), each.zone(), each.kind(), each.cell(),
                 WorkerState.GONE, each.weight(), each.startedAtUs()));
         }
         final List<Worker> workers = new ArrayList<>();
-        for (final DirectorList.Entry entry : list.entries()) {
+        for (final EndpointList.Endpoint entry : list.entries()) {
             final int id = number(idNumbers, entry.id());
             if (id == addresses.size()) {
                 addresses.add(entry.addr());
@@ -59,12 +59,12 @@
         return numbers.computeIfAbsent(name, unseen -> numbers.size());
     }
 
-    /** Every backend that was ever named, as last listed; its number is its place. */
+    /** Every worker that was ever named, as last listed; its number is its place. */
     List<Worker> listed() {
         return Collections.unmodifiableList(listed);
     }
 
-    /** The number of a backend, or -1 where no list has named it. */
+    /** The number of a worker, or -1 where no list has named it. */
     int number(String id) {
         return idNumbers.getOrDefault(id, -1);
     }
@@ -75,12 +75,12 @@
             .findFirst().orElse("");
     }
 
-    /** Where a backend listens, or null for a number that no list has named. */
+    /** Where a worker listens, or null for a number that no list has named. */
     InetSocketAddress address(int id) {
         return id >= 0 && id < addresses.size() ? addresses.get(id) : null;
     }
 
-    /** The director's name of a backend, or its number where no list has named it. */
+    /** Discovery's name of a worker, or its number where no list has named it. */
     String name(int id) {
         return id >= 0 && id < ids.size() ? ids.get(id) : Integer.toString(id);
     }
--- a/src/main/java/cresschute/node/http/BodyPump.java
+++ b/src/main/java/cresschute/node/http/BodyPump.java
@@ -15,7 +15,7 @@
 final class BodyPump {
 
     /** How it goes on and ends; of the ends at most one is called, once. */
-    interface Ends {
+    interface BodyEndpoints {
 
         /**
          * It flows, or waits for whoever sends it: called with the first piece that is written, and again
@@ -36,7 +36,7 @@
     private static final long TELL_US = 1_000_000;
 
     private final LongStream body;
-    private final Ends ends;
+    private final BodyEndpoints ends;
     private final Body<ByteBuf>.Sender sender;
     private final Pace peer;
     private Channel channel;
@@ -46,7 +46,7 @@
     private boolean pumping;
     private boolean over;
 
-    BodyPump(LongStream body, Ends ends) {
+    BodyPump(LongStream body, BodyEndpoints ends) {
         this.body = body;
         this.ends = ends;
         this.peer = body.newPace();
@@ -64,7 +64,7 @@
             return;
         }
         if (isLost()) {
-            // Later: the news may come out of the end of another fetch of the same req.
+            // Later: the news may come out of the end of another attempt of the same request.
             channel.eventLoop().execute(this::pump);
         } else {
             pump();
--- a/src/main/java/cresschute/node/http/ClientConnection.java
+++ b/src/main/java/cresschute/node/http/ClientConnection.java
@@ -1,10 +1,10 @@
 package cresschute.node.http;
 
-import cresschute.node.Req;
-import cresschute.node.ReqClient;
-import cresschute.node.ReqContent;
+import cresschute.node.ClientRequest;
+import cresschute.node.ResponseListener;
+import cresschute.node.RequestContent;
 import cresschute.node.ResultStream;
-import cresschute.node.Trouble;
+import cresschute.node.PeerFault;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelFuture;
@@ -34,17 +34,17 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** A client's connection: reads reqs, hands them to the core and writes the answers in the reqs' order. */
+/** A client's connection: reads requests, hands them to the core and writes the answers in the requests' order. */
 final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> {
 
-    static final int MOST_BODY_BYTES = 64 * 1024;
+    static final int MAX_BODY_BYTES = 64 * 1024;
     /**
-     * Reqs taken ahead of their answers. What a client sends beyond that is read and waits here untaken, for
+     * Requests taken ahead of their answers. What a client sends beyond that is read and waits here untaken, for
      * with reading paused nobody would see that the client has left.
      */
-    private static final int MOST_AHEAD = 16;
-    /** Reqs without an answer that a connection may hold, below the codec's bound; one more closes it. */
-    private static final int MOST_UNANSWERED = 120;
+    private static final int MAX_AHEAD = 16;
+    /** Requests without an answer that a connection may hold, below the codec's bound; one more closes it. */
+    private static final int MAX_UNANSWERED = 120;
     /** How long a client that was told of the end may take to end its side too, ms. */
     private static final long ENDING_MS = 400;
     /** How long an unwanted body's rest is read away, ms: an early reset could eat the answer. */
@@ -55,14 +55,14 @@
 
     private final ClientFront front;
     private final Deque<Answer> answers = new ArrayDeque<>();
-    /** Reqs that wait to be taken until fewer are ahead of them; their answers are the last ones. */
+    /** Requests that wait to be taken until fewer are ahead of them; their answers are the last ones. */
     private final Deque<Waiting> waiting = new ArrayDeque<>();
     private ChannelHandlerContext context;
     private Answer reading;
-    private ReqHead head;
-    /** What the head of the req that is being read was read from, and by which settings. */
+    private RequestHead head;
+    /** What the head of the request that is being read was read from, and by which settings. */
     private HttpRequest request;
-    private ReqHead.Parser parsedBy;
+    private RequestHead.RequestHeadParser parsedBy;
     private byte[] body = NO_BODY;
     private int bodyBytes;
     /** The body that is being read where it is long, and whether a read of it is asked for. */
@@ -75,7 +75,7 @@
     private boolean ending;
     private boolean flushing;
     private boolean proven;
-    /** When it became the client's turn; bytes that make no whole req do not count. */
+    /** When it became the client's turn; bytes that make no whole request do not count. */
     private long turnNs = System.nanoTime();
 
     ClientConnection(ClientFront front) {
@@ -132,7 +132,7 @@
         }
     }
 
-    /** Guards against a wait for reqs before it: what cannot be read ends the connection now. */
+    /** Guards against a wait for requests before it: what cannot be read ends the connection now. */
     private void malformed() {
         if (reading == null) {
             reading = new Answer(false, false);
@@ -142,15 +142,15 @@
             deaf = true;
             close();
         } else {
-            // Guards a req that was taken with its body still coming: nothing is owed for it any more.
+            // Guards a request that was taken with its body still coming: nothing is owed for it any more.
             reading.clientLeft();
             deafWith(HttpResponseStatus.BAD_REQUEST, "malformed HTTP");
         }
     }
 
     private void begin(HttpRequest next) {
-        if (answers.size() >= MOST_UNANSWERED) {
-            front.core().troubles().trouble(Trouble.CLIENT_CONNECTION, null, MOST_UNANSWERED
+        if (answers.size() >= MAX_UNANSWERED) {
+            front.core().faults().fault(PeerFault.CLIENT_CONNECTION, null, MAX_UNANSWERED
                 + " reqs on one connection wait for their answers");
             deaf = true;
             close();
@@ -171,7 +171,7 @@
             deafWith(HttpResponseStatus.HTTP_VERSION_NOT_SUPPORTED, "HTTP/1.1 and HTTP/1.0 alone");
             return;
         }
-        // Guards against a second req hidden in a body: where its length is told twice, or by a coding that
+        // Guards against a second request hidden in a body: where its length is told twice, or by a coding that
         // nobody here knows, servers may differ about its end. The codec lets some of these through.
         final String coding = String.join(",", request.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING));
         if (!coding.isEmpty() && (request.headers().contains(HttpHeaderNames.CONTENT_LENGTH)
@@ -200,24 +200,24 @@
                 tooLarge(front.longestBody(head.job().requestClass()));
                 return;
             }
-            if (length > MOST_BODY_BYTES && !openLong(length)) {
+            if (length > MAX_BODY_BYTES && !openLong(length)) {
                 return;
             }
             if (HttpUtil.is100ContinueExpected(request)) {
                 context.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
                     HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
             }
-        } catch (ReqHead.UnusableHead e) {
+        } catch (RequestHead.InvalidHeadException e) {
             reading.complete(e.status(), e.getMessage() + "\n", 0);
         }
     }
 
     private void collect(ByteBuf content) {
         final int count = content.readableBytes();
-        if (longBody == null && bodyBytes + count > MOST_BODY_BYTES) {
-            final long longest = head == null || reading.isComplete() ? MOST_BODY_BYTES
+        if (longBody == null && bodyBytes + count > MAX_BODY_BYTES) {
+            final long longest = head == null || reading.isComplete() ? MAX_BODY_BYTES
                 : front.longestBody(head.job().requestClass());
-            if (longest <= MOST_BODY_BYTES) {
+            if (longest <= MAX_BODY_BYTES) {
                 tooLarge(longest);
                 return;
             }
@@ -238,7 +238,7 @@
         }
         if (bodyBytes + count > body.length) {
             final int wanted = Math.max(bodyBytes + count, body.length * 2);
-            body = Arrays.copyOf(body, Math.min(MOST_BODY_BYTES, wanted));
+            body = Arrays.copyOf(body, Math.min(MAX_BODY_BYTES, wanted));
         }
         content.readBytes(body, bodyBytes, count);
         bodyBytes += count;
@@ -254,7 +254,7 @@
 
     // ---- Long bodies ----
 
-    /** Opens the body of the req that is being read; false where it was answered instead. */
+    /** Opens the body of the request that is being read; false where it was answered instead. */
     private boolean openLong(long length) {
         longBody = front.bodies().open(clientHost(), head.job().requestClass(), length, this::roomForBody);
         if (longBody == null) {
@@ -301,19 +301,19 @@
             context.read();
         } else {
             readPausedSinceNs = readPausedSinceNs == 0 ? System.nanoTime() : readPausedSinceNs;
-            // Guards against a wait without end: without a fetch no room comes free.
+            // Guards against a wait without end: without an attempt no room comes free.
             takeLong();
         }
     }
 
-    /** The req is taken: all of its body is here, or as much as is kept. */
+    /** The request is taken: all of its body is here, or as much as is kept. */
     private void takeLong() {
-        if (reading.req == null && !reading.isComplete()) {
+        if (reading.request == null && !reading.isComplete()) {
             take(reading, NO_BODY);
         }
     }
 
-    /** A long body that is given up for its client's fault, whether its req was taken or not. */
+    /** A long body that is given up for its client's fault, whether its request was taken or not. */
     private void abandon(HttpResponseStatus status, String why) {
         final boolean begun = reading.pump != null;
         reading.clientLeft();
@@ -336,9 +336,9 @@
         return longBody != null;
     }
 
-    /** Whether the req whose body is being read was taken, and is owed its answer. */
+    /** Whether the request whose body is being read was taken, and is owed its answer. */
     boolean hasTakenWhatItReads() {
-        return reading != null && reading.req != null;
+        return reading != null && reading.request != null;
     }
 
     /** Gives up the long body that is being read where its client sends too little; told by the sweep. */
@@ -351,7 +351,7 @@
 
     // ---- Taking ----
 
-    /** The req's last byte is here: from now on it is owed an answer. */
+    /** The request's last byte is here: from now on it is owed an answer. */
     private void finish() {
         if (longBody != null) {
             longBody.whole(context.alloc());
@@ -368,7 +368,7 @@
             final byte[] whole = body.length == bodyBytes ? body : Arrays.copyOf(body, bodyBytes);
             // Guards the heap: a connection that waits keeps no body.
             body = NO_BODY;
-            if (waiting.isEmpty() && answers.size() <= MOST_AHEAD) {
+            if (waiting.isEmpty() && answers.size() <= MAX_AHEAD) {
                 take(answer, whole);
             } else {
                 await(new Waiting(answer, head, whole, System.nanoTime()));
@@ -377,12 +377,12 @@
         request = null;
     }
 
-    /** Guards against a req that is taken now by the settings that were in force at its first byte. */
+    /** Guards against a request that is taken now by the settings that were in force at its first byte. */
     private boolean isStillUsable(Answer answer) {
         if (front.parser() != parsedBy) {
             try {
                 head = front.parser().parse(request);
-            } catch (ReqHead.UnusableHead e) {
+            } catch (RequestHead.InvalidHeadException e) {
                 answer.complete(e.status(), e.getMessage() + "\n", 0);
                 return false;
             }
@@ -390,8 +390,8 @@
         return true;
     }
 
-    /** A req that is read and not yet taken. */
-    private record Waiting(Answer answer, ReqHead head, byte[] body, long sinceNs) {
+    /** A request that is read and not yet taken. */
+    private record Waiting(Answer answer, RequestHead head, byte[] body, long sinceNs) {
 
         /** What holding it takes, bytes. */
         int cost() {
@@ -399,9 +399,9 @@
         }
 
         /** Its head now that it has waited: so much less of its time is left. */
-        ReqHead headNow() {
+        RequestHead headNow() {
             final long waitedUs = TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - sinceNs);
-            return new ReqHead(head.requestId(), head.target(), head.idempotencyKey(), head.job(),
+            return new RequestHead(head.requestId(), head.target(), head.idempotencyKey(), head.job(),
                 Math.max(0, head.waitUs() - waitedUs));
         }
     }
@@ -415,14 +415,14 @@
         }
     }
 
-    /** Takes the next req that waits where there is place for it; false where there is none. */
+    /** Takes the next request that waits where there is place for it; false where there is none. */
     private boolean takeWaiting() {
-        if (waiting.isEmpty() || answers.size() - waiting.size() >= MOST_AHEAD) {
+        if (waiting.isEmpty() || answers.size() - waiting.size() >= MAX_AHEAD) {
             return false;
         }
         final Waiting next = waiting.poll();
         front.letGo(next.cost());
-        final ReqHead beingRead = head;
+        final RequestHead beingRead = head;
         head = next.headNow();
         take(next.answer(), next.body());
         head = beingRead;
@@ -430,7 +430,7 @@
     }
 
     private void take(Answer answer, byte[] whole) {
-        // Guards against a second req under an open one's id: backends would turn both its fetches and
+        // Guards against a second request under an open one's id: workers would turn both its attempts and
         // those of the first away, and their health would be judged by it.
         if (front.core().isOpen(head.requestId())) {
             turnAway(answer, HttpResponseStatus.CONFLICT, "X-Request-Id is in use", 0);
@@ -438,12 +438,12 @@
             turnAway(answer, HttpResponseStatus.SERVICE_UNAVAILABLE, "refused", front.core().retryAfterUs());
         } else {
             proven = true;
-            answer.req = front.core().take(new ReqContent(head.requestId(), head.target(),
+            answer.request = front.core().take(new RequestContent(head.requestId(), head.target(),
                 head.idempotencyKey(), whole, longBody), head.job(), head.waitUs(), answer);
         }
     }
 
-    /** Answers a req that is not taken; a long body that is still coming ends the connection with it. */
+    /** Answers a request that is not taken; a long body that is still coming ends the connection with it. */
     private void turnAway(Answer answer, HttpResponseStatus status, String why, long retryAfterUs) {
         if (longBody != null) {
             deafWith(status, why, retryAfterUs);
@@ -464,7 +464,7 @@
         linger();
     }
 
-    /** Closes after a while; reqs read before what went wrong are answered first. */
+    /** Closes after a while; requests read before what went wrong are answered first. */
     private void linger() {
         context.executor().schedule(() -> {
             if (answers.isEmpty()) {
@@ -497,7 +497,7 @@
     private void writeComplete() {
         while (!answers.isEmpty() && answers.peek().isComplete()) {
             final Answer answer = answers.poll();
-            // Guards against losing reqs read ahead: at a stop, only the last answer closes the connection.
+            // Guards against losing requests read ahead: at a stop, only the last answer closes the connection.
             final boolean isLast = front.isClosing() && answers.isEmpty() && reading == null;
             final boolean keepAlive = answer.keepAlive && !isLast;
             if (!keepAlive) {
@@ -536,7 +536,7 @@
             && context.channel().unsafe().outboundBuffer().isEmpty();
     }
 
-    /** A req has begun here and is not whole. */
+    /** A request has begun here and is not whole. */
     boolean isReading() {
         return reading != null && answers.size() == 1;
     }
@@ -549,16 +549,16 @@
     /** Reads what has come until now, unless a long body has no room. Not from within its own reading. */
     void readNow() {
         if (longBody == null || awaiting) {
-            Reading.now(context.channel());
+            ReadNow.now(context.channel());
         }
     }
 
-    /** A req that could be used has come here before. */
+    /** A request that could be used has come here before. */
     boolean isProven() {
         return proven;
     }
 
-    /** Waiting for the client alone: for the rest of a req, for the next one, or to take its answer. */
+    /** Waiting for the client alone: for the rest of a request, for the next one, or to take its answer. */
     boolean isWaitingForClient() {
         return answers.isEmpty() || reading != null;
     }
@@ -572,7 +572,7 @@
     }
 
     /**
-     * Ends this connection where it still is idle once all that has come is read: a req that is here already
+     * Ends this connection where it still is idle once all that has come is read: a request that is here already
      * is taken, and closes it with its answer.
      */
     void endIfIdle() {
@@ -607,8 +607,8 @@
             ctx.close();
             return;
         }
-        front.core().troubles().trouble(Trouble.CLIENT_CONNECTION, null, cause.toString());
-        // Guards against an error of our own that leaves reqs of this connection without an answer.
+        front.core().faults().fault(PeerFault.CLIENT_CONNECTION, null, cause.toString());
+        // Guards against an error of our own that leaves requests of this connection without an answer.
         deaf = true;
         waiting.forEach(each -> front.letGo(each.cost()));
         waiting.clear();
@@ -622,13 +622,13 @@
         linger();
     }
 
-    /** The answer to one req, in its place among those of this connection. */
-    private final class Answer implements ReqClient, BodyPump.Ends {
+    /** The answer to one request, in its place among those of this connection. */
+    private final class Answer implements ResponseListener, BodyPump.BodyEndpoints {
 
         private final boolean isOld;
         private boolean keepAlive;
-        private Req req;
-        /** The req's body where it is long. */
+        private ClientRequest request;
+        /** The request's body where it is long. */
         private LongBody body;
         /** Room for its result where that may be long, whether that has begun, and what writes it. */
         private LongResult result;
@@ -661,8 +661,8 @@
         }
 
         void clientLeft() {
-            if (req != null) {
-                front.core().clientLeft(req);
+            if (request != null) {
+                front.core().clientLeft(request);
             }
             letGo();
         }
@@ -770,7 +770,7 @@
         }
 
         @Override
-        public void syntheticAnswer(long retryAfterUs) {
+        public void localReply(long retryAfterUs) {
             complete(HttpResponseStatus.SERVICE_UNAVAILABLE, "refused\n", retryAfterUs);
         }
 
