--- a/src/main/java/cresschute/node/http/ClientFront.java
+++ b/src/main/java/cresschute/node/http/ClientFront.java
@@ -2,8 +2,8 @@
 
 import cresschute.dispatch.RequestClass;
 import cresschute.dispatch.Tenant;
-import cresschute.node.Core;
-import cresschute.node.Door;
+import cresschute.node.RequestLifecycle;
+import cresschute.node.ReadinessSwitch;
 import cresschute.node.NodeConfig;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
@@ -24,16 +24,16 @@
 import java.util.concurrent.TimeUnit;
 
 /** The clients' way in over HTTP/1.1: accepts connections and keeps those that are open. */
-public final class ClientFront implements Door {
+public final class ClientFront implements ReadinessSwitch {
 
     private static final int BACKLOG = 1024;
     /** How many connections Netty accepts in one reading of a listener. */
     private static final int ACCEPTED_AT_ONCE = 16;
-    /** What reqs that wait behind others of their connections may take, all together, bytes. */
-    private static final int MOST_HELD_BYTES = 2 << 20;
+    /** What requests that wait behind others of their connections may take, all together, bytes. */
+    private static final int MAX_HELD_BYTES = 2 << 20;
     private static final long SWEEP_MS = 250;
     /**
-     * A connection that waits so long for a whole req is closed, unless it has brought one before. Usual
+     * A connection that waits so long for a whole request is closed, unless it has brought one before. Usual
      * clients send as soon as they are connected; one that does not is owed an end within 3 s.
      */
     private static final long UNPROVEN_MS = 2_000;
@@ -50,9 +50,9 @@
     static final long LET_GO_MS = 500;
 
     private final EventLoop loop;
-    private final Core core;
-    private ReqHead.Parser parser;
-    private final int most;
+    private final RequestLifecycle core;
+    private RequestHead.RequestHeadParser parser;
+    private final int max;
     /** Null where bodies are short. */
     private final LongBodies bodies;
     private final Set<ClientConnection> connections = new LinkedHashSet<>();
@@ -71,23 +71,23 @@
     /**
      * A front that does not listen yet.
      *
-     * @param most connections that it holds at a time
+     * @param max connections that it holds at a time
      */
-    public ClientFront(EventLoop loop, Core core, NodeConfig config, int most) {
+    public ClientFront(EventLoop loop, RequestLifecycle core, NodeConfig config, int max) {
         this.loop = loop;
         this.core = core;
-        this.parser = new ReqHead.Parser(config.classes(), config.settings().classes(),
+        this.parser = new RequestHead.RequestHeadParser(config.classes(), config.settings().classes(),
             config.settings().tenants());
-        this.most = most;
+        this.max = max;
         this.bodies = config.bodies() == null ? null : new LongBodies(config.bodies(), core);
     }
 
     /**
-     * Reads reqs of these classes from now on, on the loop: {@code live} gives the number of each class that
-     * new reqs may be of, {@code classes} all of them by number, {@code tenants} the customers.
+     * Reads requests of these classes from now on, on the loop: {@code live} gives the number of each class that
+     * new requests may be of, {@code classes} all of them by number, {@code tenants} the customers.
      */
-    public void retune(Map<String, Integer> live, List<RequestClass> classes, List<Tenant> tenants) {
-        parser = new ReqHead.Parser(live, classes, tenants);
+    public void applySettings(Map<String, Integer> live, List<RequestClass> classes, List<Tenant> tenants) {
+        parser = new RequestHead.RequestHeadParser(live, classes, tenants);
     }
 
     /** Listens on this address only. */
@@ -105,7 +105,7 @@
         this.passed = passed != null;
         final ServerBootstrap bootstrap = new ServerBootstrap();
         bootstrap.childOption(ChannelOption.RECVBUF_ALLOCATOR, bodies != null ? LongStream.reads()
-            : Reading.toTheEnd());
+            : ReadNow.toTheEnd());
         bootstrap.group(group);
         if (passed == null) {
             bootstrap.channel(NioServerSocketChannel.class).option(ChannelOption.SO_BACKLOG, BACKLOG);
@@ -159,11 +159,11 @@
     private void acceptAll() {
         // Each reading of a listener accepts some; over the backlog's size, all that came are in.
         for (int i = 0; i < BACKLOG && !server.eventLoop().isShuttingDown(); i += ACCEPTED_AT_ONCE) {
-            Reading.now(server);
+            ReadNow.now(server);
         }
     }
 
-    /** Closes the connections that wait for their client's next req. */
+    /** Closes the connections that wait for their client's next request. */
     public void closeIdle() {
         List.copyOf(connections).forEach(ClientConnection::endIfIdle);
     }
@@ -217,11 +217,11 @@
         return closing || lettingGo;
     }
 
-    Core core() {
+    RequestLifecycle core() {
         return core;
     }
 
-    ReqHead.Parser parser() {
+    RequestHead.RequestHeadParser parser() {
         return parser;
     }
 
@@ -232,21 +232,21 @@
 
     /** Bytes of the longest body that any class allows. */
     long longestBody() {
-        return bodies == null ? ClientConnection.MOST_BODY_BYTES : bodies.longest();
+        return bodies == null ? ClientConnection.MAX_BODY_BYTES : bodies.longest();
     }
 
     /** Bytes of the longest body that a class allows. */
     long longestBody(int requestClass) {
-        return bodies == null ? ClientConnection.MOST_BODY_BYTES : bodies.of(requestClass).longest();
+        return bodies == null ? ClientConnection.MAX_BODY_BYTES : bodies.of(requestClass).longest();
     }
 
     boolean hasLongResults(int requestClass) {
         return bodies != null && bodies.of(requestClass).longResults();
     }
 
-    /** Takes room for a req that waits behind others of its connection; false where there is none. */
+    /** Takes room for a request that waits behind others of its connection; false where there is none. */
     boolean hold(int bytes) {
-        if (heldBytes + bytes > MOST_HELD_BYTES) {
+        if (heldBytes + bytes > MAX_HELD_BYTES) {
             return false;
         }
         heldBytes += bytes;
@@ -264,7 +264,7 @@
             // Accepted as the listener was closed: what it has sent is taken, and it is not waited for.
             loop.execute(connection::endIfIdle);
         }
-        if (connections.size() >= most && !makeRoom(connection)) {
+        if (connections.size() >= max && !makeRoom(connection)) {
             server.config().setAutoRead(false);
         }
     }
@@ -306,12 +306,12 @@
     }
 
     private boolean isFull() {
-        return connections.size() >= most && !server.config().isAutoRead();
+        return connections.size() >= max && !server.config().isAutoRead();
     }
 
     void closed(ClientConnection connection) {
         connections.remove(connection);
-        if (connections.size() < most && server.isOpen() && !closing) {
+        if (connections.size() < max && server.isOpen() && !closing) {
             server.config().setAutoRead(true);
         }
     }
--- a/src/main/java/cresschute/node/http/Deadline.java
+++ b/src/main/java/cresschute/node/http/Deadline.java
@@ -7,7 +7,7 @@
 final class Deadline {
 
     private static final Pattern FORM = Pattern.compile("([0-9]{1,12})(?:\\.([0-9]{1,9}))?([mu])");
-    private static final long MOST_US = 3_600_000_000L;
+    private static final long MAX_US = 3_600_000_000L;
 
     private Deadline() {}
 
@@ -19,7 +19,7 @@
         }
         final String fraction = matcher.group(2) == null ? "0" : matcher.group(2);
         final double value = Double.parseDouble(matcher.group(1) + "." + fraction);
-        return (long) Math.min(MOST_US, matcher.group(3).equals("m") ? value * 1000 : value);
+        return (long) Math.min(MAX_US, matcher.group(3).equals("m") ? value * 1000 : value);
     }
 
     /** The header's form of a time. */
--- a/src/main/java/cresschute/node/http/DiscoveryClient.java
+++ b/src/main/java/cresschute/node/http/DiscoveryClient.java
@@ -1,12 +1,12 @@
 package cresschute.node.http;
 
 import com.google.gson.JsonParseException;
-import cresschute.node.Core;
-import cresschute.node.Director;
-import cresschute.node.DirectorList;
+import cresschute.node.RequestLifecycle;
+import cresschute.node.Discovery;
+import cresschute.node.EndpointList;
 import cresschute.node.Json;
 import cresschute.node.RateLimitedLog;
-import cresschute.node.Trouble;
+import cresschute.node.PeerFault;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -37,7 +37,7 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Watches the director's list by one call after the other on one connection, until a call fails.
+ * Watches discovery's list by one call after the other on one connection, until a call fails.
  *
  * <p>There is one call at a time, and one connection: what comes on an older one is not heard. A call that
  * falls silent, whose answer never ends or whose connection never comes up is repeated on a new connection
@@ -45,18 +45,18 @@
  * only when the repeats are used up is the module told, as of any other failure. It asks again 0.5 to 1.5 s
  * later.
  *
- * <p>A list that is older than the one held is taken only from a director at a new address, or where the
- * director says the same again when asked anew for its whole list: a stale answer must not bring a drained
- * backend back, and a director that counts anew must not be disbelieved for good.
+ * <p>A list that is older than the one held is taken only from a discovery service at a new address, or where the
+ * discovery says the same again when asked anew for its whole list: a stale answer must not bring a drained
+ * worker back, and a discovery service that counts anew must not be disbelieved for good.
  */
-public final class DiscoveryClient implements Director {
+public final class DiscoveryClient implements Discovery {
 
     private static final int CONNECT_MS = 1_000;
-    private static final int MOST_BYTES = 4 << 20;
+    private static final int MAX_BYTES = 4 << 20;
 
     private final EventLoop loop;
-    private final Core core;
-    private final RateLimitedLog troubles;
+    private final RequestLifecycle core;
+    private final RateLimitedLog faults;
     private final Bootstrap bootstrap;
     private final DiscoveryCallSchedule schedule;
     private Channel channel;
@@ -70,20 +70,20 @@
     private boolean doubted;
 
     /** Does nothing until it is asked to watch; {@code random} spreads the repeats of many dispatchers. */
-    public DiscoveryClient(EventLoop loop, InetSocketAddress addr, Core core, RateLimitedLog troubles,
+    public DiscoveryClient(EventLoop loop, InetSocketAddress addr, RequestLifecycle core, RateLimitedLog faults,
         RandomGenerator random) {
         this.loop = loop;
         this.schedule = new DiscoveryCallSchedule(random);
         this.addr = addr;
         this.core = core;
-        this.troubles = troubles;
+        this.faults = faults;
         this.bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class)
             .option(ChannelOption.TCP_NODELAY, true)
             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
             .handler(new ChannelInitializer<Channel>() {
                 @Override
                 protected void initChannel(Channel opened) {
-                    opened.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(MOST_BYTES),
+                    opened.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(MAX_BYTES),
                         new Answers());
                 }
             });
@@ -98,7 +98,7 @@
         }
     }
 
-    /** Turns to the director at another address; a list that was asked for is asked for there at once. */
+    /** Turns to discovery at another address; a list that was asked for is asked for there at once. */
     public void moveTo(InetSocketAddress next) {
         if (next.equals(addr)) {
             return;
@@ -114,7 +114,7 @@
     }
 
     private void call() {
-        // Guards against a director that says nothing, not even a reset.
+        // Guards against a discovery service that says nothing, not even a reset.
         timer = loop.schedule(() -> fellSilent("no answer in time"), schedule.limitMs(asksForAll()),
             TimeUnit.MILLISECONDS);
         if (channel != null && channel.isActive()) {
@@ -147,7 +147,7 @@
             fail(why);
             return;
         }
-        troubles.trouble(Trouble.DIRECTOR_CALL_FAILED, null, why + "; asked again at once");
+        faults.fault(PeerFault.DIRECTOR_CALL_FAILED, null, why + "; asked again at once");
         dropConnection();
         if (pauseMs.getAsLong() == 0) {
             call();
@@ -157,7 +157,7 @@
     }
 
     private void send() {
-        // Guards against missing a change between two directors: the new one is asked for its whole list.
+        // Guards against missing a change between two discovery services: the new one is asked for its whole list.
         final String path = "/registry/instances" + (asksForAll() ? "" : "?since=" + core.listVersion()
             + "&timeout_ms=" + schedule.waitMs());
         final FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path,
@@ -171,9 +171,9 @@
             fail("answered " + response.status());
             return;
         }
-        final DirectorList list;
+        final EndpointList list;
         try {
-            list = DirectorList.parse(Json.object(response.content().toString(StandardCharsets.UTF_8)));
+            list = EndpointList.parse(Json.object(response.content().toString(StandardCharsets.UTF_8)));
         } catch (JsonParseException e) {
             fail("bad list: " + e.getMessage());
             return;
@@ -192,7 +192,7 @@
         doubted = false;
         schedule.restart();
         // Before this call is over: should anything fail on the list, its deadline still opens a new watch.
-        core.directorTold(list);
+        core.endpointListReceived(list);
         timer.cancel(false);
         if (!HttpUtil.isKeepAlive(response)) {
             final Channel last = channel;
@@ -208,8 +208,8 @@
             return;
         }
         hangUp();
-        troubles.trouble(Trouble.DIRECTOR_CALL_FAILED, null, why);
-        core.directorFailed();
+        faults.fault(PeerFault.DIRECTOR_CALL_FAILED, null, why);
+        core.discoveryFailed();
     }
 
     private void hangUp() {
--- a/src/main/java/cresschute/node/http/HttpFetch.java
+++ b/src/main/java/cresschute/node/http/HttpAttempt.java
@@ -3,12 +3,12 @@
 import com.google.gson.JsonParseException;
 import cresschute.dispatch.LoadReport;
 import cresschute.dispatch.Outcome;
-import cresschute.node.Backends.Call;
-import cresschute.node.Backends.FetchListener;
+import cresschute.node.WorkerClient.AttemptCall;
+import cresschute.node.WorkerClient.AttemptListener;
 import cresschute.node.RateLimitedLog;
-import cresschute.node.ReqContent;
+import cresschute.node.RequestContent;
 import cresschute.node.ResultStream;
-import cresschute.node.Trouble;
+import cresschute.node.PeerFault;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
@@ -22,33 +22,33 @@
 import io.netty.handler.codec.http.HttpStatusClass;
 import io.netty.handler.codec.http.HttpVersion;
 
-/** A fetch: the req as the client sent it, and an answer that comes in lines. */
-final class HttpFetch extends Exchange implements Call, BodyPump.Ends, LongResult.Source {
+/** An attempt: the request as the client sent it, and an answer that comes in lines. */
+final class HttpAttempt extends HttpExchange implements AttemptCall, BodyPump.BodyEndpoints, LongResult.Source {
 
     private static final int OK = 200;
     private static final int UNAVAILABLE = 503;
     private static final int GATEWAY_TIMEOUT = 504;
 
     private final String host;
-    private final ReqContent content;
-    private final FetchListener listener;
-    private final RateLimitedLog troubles;
-    private JobLines lines = new JobLines();
+    private final RequestContent content;
+    private final AttemptListener listener;
+    private final RateLimitedLog faults;
+    private ProgressLineReader lines = new ProgressLineReader();
     /** What carries a long body, or null. */
     private final BodyPump pump;
     /** A long result from its first byte on, or null. */
     private LongResult result;
     private boolean awaiting;
     private Outcome unstreamed;
-    /** Whether a line of this answer named another req, where the answer before may have come twice. */
+    /** Whether a line of this answer named another request, where the answer before may have come twice. */
     private boolean anothers;
     private LoadReport load = LoadReport.NONE;
 
-    HttpFetch(String host, ReqContent content, FetchListener listener, RateLimitedLog troubles) {
+    HttpAttempt(String host, RequestContent content, AttemptListener listener, RateLimitedLog faults) {
         this.host = host;
         this.content = content;
         this.listener = listener;
-        this.troubles = troubles;
+        this.faults = faults;
         this.pump = content.longBody() instanceof LongBody body ? body.pump(this) : null;
     }
 
@@ -86,8 +86,8 @@
     }
 
     /**
-     * The backend holds a slot for the job from here on. Guards its good name against clients that send a
-     * long body slowly: a job that does not start would be taken for a backend that starts none.
+     * The worker holds a slot for the job from here on. Guards its good name against clients that send a
+     * long body slowly: a job that does not start would be taken for a worker that starts none.
      */
     @Override
     public void flows() {
@@ -99,7 +99,7 @@
         written = true;
     }
 
-    /** No fault of the backend's, and it cannot have run: its last byte never went out. */
+    /** No fault of the worker's, and it cannot have run: its last byte never went out. */
     @Override
     public void lost() {
         unsent(Outcome.CANCELLED);
@@ -110,7 +110,7 @@
         unsent(Outcome.CONNECT_FAILED);
     }
 
-    /** Guards against a second end: a backend may begin its result before it has all of the body. */
+    /** Guards against a second end: a worker may begin its result before it has all of the body. */
     private void unsent(Outcome outcome) {
         if (result != null) {
             breakOff();
@@ -122,14 +122,14 @@
 
     @Override
     public void makesTooLittle() {
-        troubles.trouble(Trouble.BODY_TOO_SLOW, host, "it made too little of a result");
+        faults.fault(PeerFault.BODY_TOO_SLOW, host, "it made too little of a result");
         breakOff();
     }
 
     @Override
     void head(HttpResponse response) {
         try {
-            load = Loads.parseHeader(response.headers().get(Headers.LOAD));
+            load = LoadReportParser.parseHeader(response.headers().get(Headers.LOAD));
         } catch (JsonParseException e) {
             bad(e);
             return;
@@ -170,7 +170,7 @@
 
     // ---- A long result ----
 
-    private void beginResult(JobLine line) {
+    private void beginResult(ProgressLine line) {
         final ResultStream begun = listener.resultBegins(line.result(), line.follows(),
             line.load() == LoadReport.NONE ? load : line.load());
         if (begun instanceof LongResult ours) {
@@ -187,9 +187,9 @@
     }
 
     private void pass(ByteBuf chunk) {
-        final long most = result.stated() < 0 ? Long.MAX_VALUE : result.stated();
-        if (!result.collect(chunk, connection.allocator(), most)) {
-            troubles.trouble(Trouble.BAD_BACKEND_ANSWER, host, "a result is longer than it said");
+        final long max = result.stated() < 0 ? Long.MAX_VALUE : result.stated();
+        if (!result.collect(chunk, connection.allocator(), max)) {
+            faults.fault(PeerFault.BAD_BACKEND_ANSWER, host, "a result is longer than it said");
             breakOff();
         }
     }
@@ -231,7 +231,7 @@
 
     private void line(String text) {
         try {
-            final JobLine line = JobLine.parse(text, content.requestId());
+            final ProgressLine line = ProgressLine.parse(text, content.requestId());
             if (line.follows() != null) {
                 beginResult(line);
             } else if (line.outcome() == null) {
@@ -239,7 +239,7 @@
             } else {
                 end(line.outcome(), line.load() == LoadReport.NONE ? load : line.load(), line.result());
             }
-        } catch (JobLine.AnotherReq e) {
+        } catch (ProgressLine.OtherRequestException e) {
             anothers = connection.isInDoubt();
             if (!anothers) {
                 bad(e);
@@ -262,7 +262,7 @@
     void anothersEnded() {
         anothers = false;
         load = LoadReport.NONE;
-        lines = new JobLines();
+        lines = new ProgressLineReader();
     }
 
     @Override
@@ -287,7 +287,7 @@
     }
 
     private void bad(JsonParseException e) {
-        troubles.trouble(Trouble.BAD_BACKEND_ANSWER, host, e.getMessage());
+        faults.fault(PeerFault.BAD_BACKEND_ANSWER, host, e.getMessage());
         end(Outcome.ERROR, LoadReport.NONE, null);
         drop();
     }
@@ -315,7 +315,7 @@
     public Outcome giveUp() {
         drop();
         stopPump();
-        // Guards backends' good name against clients that send a long body slowly.
+        // Guards workers' good name against clients that send a long body slowly.
         return written ? Outcome.TIMED_OUT : pump != null ? Outcome.CANCELLED : Outcome.CONNECT_FAILED;
     }
 }
--- a/src/main/java/cresschute/node/http/Exchange.java
+++ b/src/main/java/cresschute/node/http/HttpExchange.java
@@ -5,8 +5,8 @@
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpResponse;
 
-/** One request to a backend and its answer, on a connection of its own while it lasts. */
-abstract class Exchange {
+/** One request to a worker and its answer, on a connection of its own while it lasts. */
+abstract class HttpExchange {
 
     /** Set once its first byte is handed to a connection. */
     boolean begun;
@@ -15,7 +15,7 @@
     /** Set once the outcome is told: what comes after that is read away. */
     boolean over;
     /** The connection in use, or null before one is up. */
-    BackendConnection connection;
+    WorkerConnection connection;
 
     /**
      * The request: whole, or its head where {@link #body()} carries the rest. Made right before it is
--- a/src/main/java/cresschute/node/http/HttpProbe.java
+++ b/src/main/java/cresschute/node/http/HttpLoadQuery.java
@@ -3,9 +3,9 @@
 import com.google.gson.JsonParseException;
 import cresschute.dispatch.LoadReport;
 import cresschute.dispatch.Outcome;
-import cresschute.node.Backends.ProbeListener;
+import cresschute.node.WorkerClient.LoadQueryListener;
 import cresschute.node.RateLimitedLog;
-import cresschute.node.Trouble;
+import cresschute.node.PeerFault;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
@@ -20,21 +20,21 @@
 import java.util.concurrent.Future;
 
 /** A probe: a sign of life, with the load report as its body where there are reports. */
-final class HttpProbe extends Exchange {
+final class HttpLoadQuery extends HttpExchange {
 
-    private static final int MOST_BYTES = 4096;
+    private static final int MAX_BYTES = 4096;
 
     private final String host;
-    private final ProbeListener listener;
-    private final RateLimitedLog troubles;
+    private final LoadQueryListener listener;
+    private final RateLimitedLog faults;
     private final StringBuilder body = new StringBuilder();
     private Future<?> timeout;
     private HttpResponse response;
 
-    HttpProbe(String host, ProbeListener listener, RateLimitedLog troubles) {
+    HttpLoadQuery(String host, LoadQueryListener listener, RateLimitedLog faults) {
         this.host = host;
         this.listener = listener;
-        this.troubles = troubles;
+        this.faults = faults;
     }
 
     /** Ends with this timer, unless an answer comes before. */
@@ -62,7 +62,7 @@
 
     @Override
     void content(ByteBuf content) {
-        if (body.length() < MOST_BYTES) {
+        if (body.length() < MAX_BYTES) {
             body.append(content.toString(StandardCharsets.UTF_8));
         }
     }
@@ -72,11 +72,11 @@
         final boolean alive = response.status().equals(HttpResponseStatus.OK);
         try {
             final String header = response.headers().get(Headers.LOAD);
-            final LoadReport load = header != null ? Loads.parseHeader(header)
-                : alive ? Loads.parseBody(body.toString()) : LoadReport.NONE;
+            final LoadReport load = header != null ? LoadReportParser.parseHeader(header)
+                : alive ? LoadReportParser.parseBody(body.toString()) : LoadReport.NONE;
             end(alive ? Outcome.SERVED : Outcome.ERROR, load);
         } catch (JsonParseException e) {
-            troubles.trouble(Trouble.BAD_BACKEND_ANSWER, host, "to a probe: " + e.getMessage());
+            faults.fault(PeerFault.BAD_BACKEND_ANSWER, host, "to a probe: " + e.getMessage());
             end(Outcome.ERROR, LoadReport.NONE);
         }
     }
--- a/src/main/java/cresschute/node/http/Loads.java
+++ b/src/main/java/cresschute/node/http/LoadReportParser.java
@@ -6,9 +6,9 @@
 import cresschute.node.Json;
 
 /** Load reports in their two forms: a header's name=value list and a JSON object. */
-final class Loads {
+final class LoadReportParser {
 
-    private Loads() {}
+    private LoadReportParser() {}
 
     /** Reads a header; null is no report, and what is not a name with a number is an error. */
     static LoadReport parseHeader(String header) {
--- a/src/main/java/cresschute/node/http/LongBodies.java
+++ b/src/main/java/cresschute/node/http/LongBodies.java
@@ -3,8 +3,8 @@
 import cresschute.flow.Budget;
 import cresschute.flow.Budget.Account;
 import cresschute.flow.Budget.Admission;
-import cresschute.node.Core;
-import cresschute.node.Trouble;
+import cresschute.node.RequestLifecycle;
+import cresschute.node.PeerFault;
 import cresschute.settings.ApplianceSettings.Bodies;
 import cresschute.settings.ApplianceSettings.ClassBodies;
 import io.netty.buffer.ByteBufAllocator;
@@ -21,11 +21,11 @@
     private final Bodies settings;
     private final Budget budget;
     private final long longest;
-    private final Core core;
+    private final RequestLifecycle core;
     private final Set<BodyPump> pumps = new LinkedHashSet<>();
     private final Set<LongResult> results = new LinkedHashSet<>();
 
-    LongBodies(Bodies settings, Core core) {
+    LongBodies(Bodies settings, RequestLifecycle core) {
         this.settings = settings;
         this.core = core;
         this.budget = new Budget(settings.budget(), settings.window(), settings.lent(), LEND_SHARE,
@@ -77,7 +77,7 @@
     private Account open(String client, Runnable room) {
         final Admission admission = budget.open(client, room);
         if (admission.account() == null) {
-            core.troubles().trouble(Trouble.NO_ROOM_FOR_BODY, client, switch (admission.refusal()) {
+            core.faults().fault(PeerFault.NO_ROOM_FOR_BODY, client, switch (admission.refusal()) {
                 case NODE_FULL -> "the budget of " + settings.budget() + " bytes is in use";
                 case CLIENT_FULL -> "its bodies own " + settings.ofAClient() + " bytes already";
             });
@@ -106,13 +106,13 @@
         results.remove(result);
     }
 
-    /** Gives up what goes too slowly: peers that take too little, backends that make too little. */
+    /** Gives up what goes too slowly: peers that take too little, workers that make too little. */
     void sweep() {
         List.copyOf(pumps).forEach(BodyPump::judge);
         List.copyOf(results).forEach(LongResult::judge);
     }
 
     void tooSlow(String who, String what) {
-        core.troubles().trouble(Trouble.BODY_TOO_SLOW, who, what);
+        core.faults().fault(PeerFault.BODY_TOO_SLOW, who, what);
     }
 }
--- a/src/main/java/cresschute/node/http/LongBody.java
+++ b/src/main/java/cresschute/node/http/LongBody.java
@@ -1,11 +1,11 @@
 package cresschute.node.http;
 
 import cresschute.flow.Budget;
-import cresschute.node.ReqBody;
+import cresschute.node.RequestBody;
 import cresschute.settings.ApplianceSettings.ClassBodies;
 
-/** A req's long body on its way from its client's connection to its fetches. On the loop. */
-final class LongBody extends LongStream implements ReqBody {
+/** A request's long body on its way from its client's connection to its attempts. On the loop. */
+final class LongBody extends LongStream implements RequestBody {
 
     private final long spool;
     private final long length;
--- a/src/main/java/cresschute/node/http/LongResult.java
+++ b/src/main/java/cresschute/node/http/LongResult.java
@@ -6,8 +6,8 @@
 import io.netty.buffer.ByteBufAllocator;
 
 /**
- * A long result on its way from its fetch to the connection of its req's client. Its room is owned from the
- * time when the req is taken: a job that has run is never lost for want of it. On the loop.
+ * A long result on its way from its attempt to the connection of its request's client. Its room is owned from the
+ * time when the request is taken: a job that has run is never lost for want of it. On the loop.
  */
 final class LongResult extends LongStream implements ResultStream {
 
@@ -17,7 +17,7 @@
         /** There may be room for another read. */
         void readOn();
 
-        /** The backend makes too little of it. */
+        /** The worker makes too little of it. */
         void makesTooLittle();
     }
 
@@ -42,12 +42,12 @@
         source = maker;
     }
 
-    /** What the backend calls its content, or null. */
+    /** What the worker calls its content, or null. */
     String type() {
         return type;
     }
 
-    /** Bytes that the backend tells, or -1. */
+    /** Bytes that the worker tells, or -1. */
     long stated() {
         return stated;
     }
--- a/src/main/java/cresschute/node/http/LongStream.java
+++ b/src/main/java/cresschute/node/http/LongStream.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A long body on its way, a req's or a result. Read in pieces that are copied out of what the codec hands on,
+ * A long body on its way, a request's or a result. Read in pieces that are copied out of what the codec hands on,
  * so that what is held is what is counted, however small the chunks; written by pumps. On the loop.
  */
 abstract class LongStream {
@@ -21,11 +21,11 @@
      * body may have grown to before it was known to be long, it must fit into the least window.
      */
     private static final int READ_BYTES = 32 * 1024;
-    private static final int LEAST_READ_BYTES = 64;
+    private static final int MIN_READ_BYTES = 64;
     private static final int FIRST_READ_BYTES = 2048;
     /** What holding a piece takes beside its bytes. */
     private static final int PIECE_BYTES = 256;
-    private static final int MOST_COST = READ_BYTES + PIECE_BYTES;
+    private static final int MAX_COST = READ_BYTES + PIECE_BYTES;
 
     final LongBodies owner;
     private final ClassBodies limits;
@@ -63,15 +63,15 @@
 
     /** For connections on which such bodies come: one read brings no more than there is room for. */
     static RecvByteBufAllocator reads() {
-        return new AdaptiveRecvByteBufAllocator(LEAST_READ_BYTES, FIRST_READ_BYTES, READ_BYTES);
+        return new AdaptiveRecvByteBufAllocator(MIN_READ_BYTES, FIRST_READ_BYTES, READ_BYTES);
     }
 
     // ---- In ----
 
     /** Takes in what was read; false where none may come, or more than the most. */
-    final boolean collect(ByteBuf content, ByteBufAllocator allocator, long most) {
+    final boolean collect(ByteBuf content, ByteBufAllocator allocator, long max) {
         final int count = content.readableBytes();
-        if (bytes + count > most || body.state() != Body.State.OPEN) {
+        if (bytes + count > max || body.state() != Body.State.OPEN) {
             return false;
         }
         bytes += count;
@@ -113,7 +113,7 @@
 
     /** Whether another read has room; where it has not, {@link #hasRoomAgain} is called once it may have. */
     final boolean hasRoom() {
-        final boolean fits = body.room(MOST_COST) >= MOST_COST;
+        final boolean fits = body.room(MAX_COST) >= MAX_COST;
         from.turn(fits, nowUs());
         return fits;
     }
@@ -149,7 +149,7 @@
     }
 
     /** A way on; it may find at its start that it cannot be begun any more. */
-    final BodyPump pump(BodyPump.Ends ends) {
+    final BodyPump pump(BodyPump.BodyEndpoints ends) {
         pumps++;
         final BodyPump pump = new BodyPump(this, ends);
         owner.add(pump);
--- a/src/main/java/cresschute/node/http/JobLine.java
+++ b/src/main/java/cresschute/node/http/ProgressLine.java
@@ -7,47 +7,47 @@
 import cresschute.node.Json;
 
 /**
- * One line of a backend's answer.
+ * One line of a worker's answer.
  *
- * @param outcome how the fetch ended, or null where it goes on
+ * @param outcome how the attempt ended, or null where it goes on
  * @param share how much is done, where it goes on
  * @param result what the client gets, where it is served; the type of what follows, where that is a result
  * @param follows bytes of the result that follows this line, -1 where that is not told; null where none does
  */
-record JobLine(Outcome outcome, double share, LoadReport load, String result, Long follows) {
+record ProgressLine(Outcome outcome, double share, LoadReport load, String result, Long follows) {
 
-    private static final double MOST_BYTES = 1L << 50;
+    private static final double MAX_BYTES = 1L << 50;
 
-    /** A line that names another req than the one that was asked about. */
-    static final class AnotherReq extends JsonParseException {
+    /** A line that names another request than the one that was asked about. */
+    static final class OtherRequestException extends JsonParseException {
 
         private static final long serialVersionUID = 1L;
 
-        AnotherReq() {
+        OtherRequestException() {
             super("a line about another req");
         }
     }
 
-    JobLine(Outcome outcome, double share, LoadReport load, String result) {
+    ProgressLine(Outcome outcome, double share, LoadReport load, String result) {
         this(outcome, share, load, result, null);
     }
 
-    /** Reads a line about this req; any flaw is a {@link JsonParseException}. */
-    static JobLine parse(String text, String requestId) {
+    /** Reads a line about this request; any flaw is a {@link JsonParseException}. */
+    static ProgressLine parse(String text, String requestId) {
         final JsonObject json = Json.object(text);
         if (!Json.string(json, "id").equals(requestId)) {
-            throw new AnotherReq();
+            throw new OtherRequestException();
         }
-        final LoadReport load = json.has("load") ? Loads.parse(Json.child(json, "load")) : LoadReport.NONE;
+        final LoadReport load = json.has("load") ? LoadReportParser.parse(Json.child(json, "load")) : LoadReport.NONE;
         final String state = Json.string(json, "state");
         return switch (state) {
-            case "started" -> new JobLine(null, 0, load, null);
-            case "running" -> new JobLine(null, share(json), load, null);
-            case "done" -> new JobLine(Outcome.SERVED, 1, load, Json.string(json, "result"));
-            case "result" -> new JobLine(null, 1, load, type(json), length(json));
-            case "failed" -> new JobLine(Outcome.ERROR, 0, load, null);
-            case "returned" -> new JobLine(Outcome.FULL, 0, load, null);
-            case "lost" -> new JobLine(Outcome.BROKEN, 0, load, null);
+            case "started" -> new ProgressLine(null, 0, load, null);
+            case "running" -> new ProgressLine(null, share(json), load, null);
+            case "done" -> new ProgressLine(Outcome.SERVED, 1, load, Json.string(json, "result"));
+            case "result" -> new ProgressLine(null, 1, load, type(json), length(json));
+            case "failed" -> new ProgressLine(Outcome.ERROR, 0, load, null);
+            case "returned" -> new ProgressLine(Outcome.FULL, 0, load, null);
+            case "lost" -> new ProgressLine(Outcome.BROKEN, 0, load, null);
             default -> throw new JsonParseException("unknown state " + state);
         };
     }
@@ -63,7 +63,7 @@
 
     private static long length(JsonObject json) {
         final double length = Json.number(json, "length", -1);
-        if (json.has("length") && !(length >= 0 && length <= MOST_BYTES && length == Math.rint(length))) {
+        if (json.has("length") && !(length >= 0 && length <= MAX_BYTES && length == Math.rint(length))) {
             throw new JsonParseException("length is unusable");
         }
         return (long) length;
--- a/src/main/java/cresschute/node/http/JobLines.java
+++ b/src/main/java/cresschute/node/http/ProgressLineReader.java
@@ -5,9 +5,9 @@
 import java.nio.charset.StandardCharsets;
 
 /** Cuts chunks, however split or joined, into lines. The buffer grows as needed and is compacted in place. */
-final class JobLines {
+final class ProgressLineReader {
 
-    static final int MOST_BYTES = 256 * 1024;
+    static final int MAX_BYTES = 256 * 1024;
 
     private byte[] bytes = new byte[512];
     private int start;
@@ -17,7 +17,7 @@
     /** Takes in a chunk; false where a line would grow beyond its limit. */
     boolean add(ByteBuf chunk) {
         final int count = chunk.readableBytes();
-        if (end - start + count > MOST_BYTES) {
+        if (end - start + count > MAX_BYTES) {
             return false;
         }
         if (end + count > bytes.length) {
--- a/src/main/java/cresschute/node/http/Reading.java
+++ b/src/main/java/cresschute/node/http/ReadNow.java
@@ -6,16 +6,16 @@
 import io.netty.channel.nio.AbstractNioChannel;
 
 /** Reading a connection at a moment of one's own, and not only when the loop comes to it. On the loop. */
-final class Reading {
+final class ReadNow {
 
     /** Reads of one connection in one pass of the loop, as Netty has it for sockets. */
     private static final int READS_A_PASS = 16;
 
-    private Reading() {}
+    private ReadNow() {}
 
     /**
      * For connections whose end is to be seen in the pass of the loop that reads what came before it: by
-     * default a read that leaves room in its buffer is the last one of the pass. Guards against sending a req
+     * default a read that leaves room in its buffer is the last one of the pass. Guards against sending a request
      * whose client has left already, and against keeping a connection that has ended behind its answer.
      */
     static RecvByteBufAllocator toTheEnd() {
--- a/src/main/java/cresschute/node/http/ReqHead.java
+++ b/src/main/java/cresschute/node/http/RequestHead.java
@@ -1,10 +1,10 @@
 package cresschute.node.http;
 
-import cresschute.dispatch.Effect;
+import cresschute.dispatch.Idempotency;
 import cresschute.dispatch.Job;
 import cresschute.dispatch.RequestClass;
 import cresschute.dispatch.Tenant;
-import cresschute.node.FlatSettings;
+import cresschute.node.DeploymentSettingsParser;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpMethod;
@@ -19,19 +19,19 @@
 import java.util.Map;
 
 /**
- * What a req's head says.
+ * What a request's head says.
  *
  * @param waitUs how long its client waits for the answer, counted from its sending
  */
-record ReqHead(String requestId, String target, String idempotencyKey, Job job, long waitUs) {
+record RequestHead(String requestId, String target, String idempotencyKey, Job job, long waitUs) {
 
-    /** A head that is answered by a status and never becomes a req. */
-    static final class UnusableHead extends Exception {
+    /** A head that is answered by a status and never becomes a request. */
+    static final class InvalidHeadException extends Exception {
 
         private static final long serialVersionUID = 1L;
         private final transient HttpResponseStatus status;
 
-        UnusableHead(HttpResponseStatus status, String why) {
+        InvalidHeadException(HttpResponseStatus status, String why) {
             super(why, null, false, false);
             this.status = status;
         }
@@ -42,7 +42,7 @@
     }
 
     /** Reads heads by the classes of the settings. */
-    static final class Parser {
+    static final class RequestHeadParser {
 
         private static final List<AsciiString> SAID_ONCE = List.of(HttpHeaderNames.HOST, Headers.REQUEST_ID,
             Headers.IDEMPOTENCY_KEY, Headers.DEADLINE, Headers.EXTRAS, Headers.RETRY, Headers.TENANT);
@@ -51,28 +51,28 @@
         private final List<RequestClass> classes;
         private final List<Tenant> tenants;
 
-        Parser(List<String> names, List<RequestClass> classes, List<Tenant> tenants) {
+        RequestHeadParser(List<String> names, List<RequestClass> classes, List<Tenant> tenants) {
             names.forEach(name -> numbers.put(name, numbers.size()));
             this.classes = classes;
             this.tenants = tenants;
         }
 
         /** Classes by the numbers that the module knows them by; only those named are taken. */
-        Parser(Map<String, Integer> live, List<RequestClass> classes, List<Tenant> tenants) {
+        RequestHeadParser(Map<String, Integer> live, List<RequestClass> classes, List<Tenant> tenants) {
             numbers.putAll(live);
             this.classes = classes;
             this.tenants = tenants;
         }
 
-        ReqHead parse(HttpRequest request) throws UnusableHead {
+        RequestHead parse(HttpRequest request) throws InvalidHeadException {
             final String target = originForm(request.uri());
             final QueryStringDecoder query = query(target);
             final Integer requestClass = numbers.get(firstPart(query.path()));
             if (requestClass == null) {
-                throw new UnusableHead(HttpResponseStatus.NOT_FOUND, "no such class");
+                throw new InvalidHeadException(HttpResponseStatus.NOT_FOUND, "no such class");
             }
             if (!request.method().equals(HttpMethod.POST)) {
-                throw new UnusableHead(HttpResponseStatus.METHOD_NOT_ALLOWED, "jobs come by POST");
+                throw new InvalidHeadException(HttpResponseStatus.METHOD_NOT_ALLOWED, "jobs come by POST");
             }
             final HttpHeaders headers = request.headers();
             once(headers);
@@ -82,7 +82,7 @@
             }
             final RequestClass stated = classes.get(requestClass);
             final String key = headers.get(Headers.IDEMPOTENCY_KEY);
-            if (stated.effect() == Effect.KEYED && (key == null || key.isBlank())) {
+            if (stated.idempotency() == Idempotency.KEYED && (key == null || key.isBlank())) {
                 throw bad("Idempotency-Key is missing");
             }
             final String deadline = headers.get(Headers.DEADLINE);
@@ -99,14 +99,14 @@
             }
             final Job job = new Job(requestClass, tenant(headers), extras.getOrDefault("slots", 1.0), 0,
                 objects.isEmpty() ? 0 : keyNumber(objects.get(0)), "1".equals(headers.get(Headers.RETRY)));
-            return new ReqHead(requestId, target, key, job, waitUs);
+            return new RequestHead(requestId, target, key, job, waitUs);
         }
 
         /**
          * Guards against a head that says one thing twice: whoever reads it next might take the other one,
-         * and the node would count one deadline, key or id while the backend goes by another.
+         * and the node would count one deadline, key or id while the worker goes by another.
          */
-        private static void once(HttpHeaders headers) throws UnusableHead {
+        private static void once(HttpHeaders headers) throws InvalidHeadException {
             for (final AsciiString name : SAID_ONCE) {
                 final Iterator<String> values = headers.valueStringIterator(name);
                 if (values.hasNext()) {
@@ -119,14 +119,14 @@
         }
 
         /**
-         * Whose share the req counts against, by its number in the settings; 0 where these have no shares.
-         * Guards against counting one customer's reqs as another's.
+         * Whose share the request counts against, by its number in the settings; 0 where these have no shares.
+         * Guards against counting one customer's requests as another's.
          */
-        private int tenant(HttpHeaders headers) throws UnusableHead {
+        private int tenant(HttpHeaders headers) throws InvalidHeadException {
             if (tenants.isEmpty()) {
                 return 0;
             }
-            final String name = FlatSettings.word(headers.get(Headers.TENANT, "").strip());
+            final String name = DeploymentSettingsParser.word(headers.get(Headers.TENANT, "").strip());
             for (int number = 0; number < tenants.size(); number++) {
                 if (tenants.get(number).name().equals(name)) {
                     return number;
@@ -136,7 +136,7 @@
         }
 
         /** Also takes the form with scheme and host, as every HTTP server must. */
-        private static String originForm(String uri) throws UnusableHead {
+        private static String originForm(String uri) throws InvalidHeadException {
             final int host = uri.startsWith("http://") ? "http://".length() : 0;
             final int path = uri.indexOf('/', host);
             if (path < 0 || host == 0 && path > 0) {
@@ -145,7 +145,7 @@
             return uri.substring(path);
         }
 
-        private static QueryStringDecoder query(String target) throws UnusableHead {
+        private static QueryStringDecoder query(String target) throws InvalidHeadException {
             try {
                 final QueryStringDecoder query = new QueryStringDecoder(target, StandardCharsets.UTF_8);
                 query.parameters();
@@ -161,7 +161,7 @@
             return path.substring(1, end < 0 ? path.length() : end);
         }
 
-        private static Map<String, Double> extras(String header) throws UnusableHead {
+        private static Map<String, Double> extras(String header) throws InvalidHeadException {
             final Map<String, Double> extras = new HashMap<>();
             for (final String pair : header.isBlank() ? new String[0] : header.split(",")) {
                 final int split = pair.indexOf('=');
@@ -187,8 +187,8 @@
             }
         }
 
-        private static UnusableHead bad(String why) {
-            return new UnusableHead(HttpResponseStatus.BAD_REQUEST, why);
+        private static InvalidHeadException bad(String why) {
+            return new InvalidHeadException(HttpResponseStatus.BAD_REQUEST, why);
         }
     }
 }
--- a/src/main/java/cresschute/node/http/BackendConnection.java
+++ b/src/main/java/cresschute/node/http/WorkerConnection.java
@@ -19,24 +19,24 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 
-/** A connection to a backend. It carries one exchange at a time and nothing is ever sent again on it. */
-final class BackendConnection extends SimpleChannelInboundHandler<HttpObject> {
+/** A connection to a worker. It carries one exchange at a time and nothing is ever sent again on it. */
+final class WorkerConnection extends SimpleChannelInboundHandler<HttpObject> {
 
     /** Time for the end of an answer whose outcome is told, before the connection is given up, ms. */
     private static final long TAIL_MS = 1_000;
 
     /**
      * How soon after an answer the next exchange on its connection may still meet that answer a second time,
-     * ms; what then names no req is believed once nothing has followed it for as long as the second figure
-     * says. A backend's own answer, or its 200 for a job taken, is there within a round trip or two.
+     * ms; what then names no request is believed once nothing has followed it for as long as the second figure
+     * says. A worker's own answer, or its 200 for a job taken, is there within a round trip or two.
      */
     private static final long DOUBT_WITHIN_MS = 100;
     private static final long DOUBT_MS = 50;
 
     final InetSocketAddress addr;
-    private final BackendConnections owner;
+    private final WorkerConnectionPool owner;
     private Channel channel;
-    private Exchange exchange;
+    private HttpExchange exchange;
     private boolean keepAlive;
     /** Whether more answers have come than were asked for. */
     private boolean outOfStep;
@@ -52,7 +52,7 @@
     private HttpResponse unbelieved;
     private Future<?> belief;
 
-    BackendConnection(InetSocketAddress addr, BackendConnections owner) {
+    WorkerConnection(InetSocketAddress addr, WorkerConnectionPool owner) {
         this.addr = addr;
         this.owner = owner;
     }
@@ -63,7 +63,7 @@
     }
 
     /** Starts an exchange on this connection, which is up and idle. */
-    void start(Exchange next) {
+    void start(HttpExchange next) {
         if (retire != null) {
             retire.cancel(false);
             retire = null;
@@ -77,7 +77,7 @@
         try {
             request = next.request();
         } catch (IllegalArgumentException e) {
-            // Guards against a fetch without an end: what cannot be put on the wire never runs.
+            // Guards against an attempt without an end: what cannot be put on the wire never runs.
             exceptionCaught(null, e);
             return;
         }
@@ -133,11 +133,11 @@
 
     /**
      * Takes in what has come while nothing was asked here: a close, or bytes that nobody is waiting for, end
-     * this connection now. Guards a req against being written where the answer to another one, or the end,
+     * this connection now. Guards a request against being written where the answer to another one, or the end,
      * is to be read first.
      */
     boolean isQuiet() {
-        Reading.now(channel);
+        ReadNow.now(channel);
         return channel.isActive();
     }
 
@@ -152,7 +152,7 @@
     protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
         kept = false;
         if (exchange == null) {
-            // Guards other backends against one that answers twice: that this one was kept tells nothing.
+            // Guards other workers against one that answers twice: that this one was kept tells nothing.
             if (!closing) {
                 owner.unasked(addr);
             }
@@ -185,7 +185,7 @@
         }
     }
 
-    /** Whether lines that name another req may be a second answer to the exchange before. */
+    /** Whether lines that name another request may be a second answer to the exchange before. */
     boolean isInDoubt() {
         return doubtful;
     }
@@ -219,7 +219,7 @@
     }
 
     private void content(HttpContent content) {
-        final Exchange current = exchange;
+        final HttpExchange current = exchange;
         final boolean wasOver = current.over;
         current.content(content.content());
         if (content instanceof LastHttpContent last) {
@@ -238,12 +238,12 @@
                 close();
             }
         } else if (current.over && !wasOver) {
-            // Guards against a backend that tells the outcome and never ends its answer.
+            // Guards against a worker that tells the outcome and never ends its answer.
             tail = channel.eventLoop().schedule(this::close, TAIL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** Guards the heap: a timer left to run out holds its fetch, with the req's body, for a second. */
+    /** Guards the heap: a timer left to run out holds its attempt, with the request's body, for a second. */
     private void forgetTail() {
         if (tail != null) {
             tail.cancel(false);
@@ -266,7 +266,7 @@
             owner.keptOneBroke();
         }
         if (exchange != null) {
-            final Exchange broken = exchange;
+            final HttpExchange broken = exchange;
             exchange = null;
             broken.broken();
         }
--- a/src/main/java/cresschute/node/http/BackendConnections.java
+++ b/src/main/java/cresschute/node/http/WorkerConnectionPool.java
@@ -1,9 +1,9 @@
 package cresschute.node.http;
 
-import cresschute.node.Backends;
+import cresschute.node.WorkerClient;
 import cresschute.node.RateLimitedLog;
-import cresschute.node.ReqContent;
-import cresschute.node.Trouble;
+import cresschute.node.RequestContent;
+import cresschute.node.PeerFault;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -22,10 +22,10 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** All connections to backends: those in use and those idle, newest first, by address. */
-public final class BackendConnections implements Backends {
+/** All connections to workers: those in use and those idle, newest first, by address. */
+public final class WorkerConnectionPool implements WorkerClient {
 
-    /** An idle connection is closed at this part of the time at which its backend would close it. */
+    /** An idle connection is closed at this part of the time at which its worker would close it. */
     private static final double RETIRE_AT = 0.75;
     /** How long a probe may take, ms. */
     private static final long PROBE_MS = 350;
@@ -34,55 +34,55 @@
     private static final long FRESH_S = 15;
 
     private final EventLoop loop;
-    private final RateLimitedLog troubles;
+    private final RateLimitedLog faults;
     private long retireUs;
-    private final int most;
+    private final int max;
     private final Bootstrap bootstrap;
-    private final Map<InetSocketAddress, Deque<BackendConnection>> idle = new HashMap<>();
+    private final Map<InetSocketAddress, Deque<WorkerConnection>> idle = new HashMap<>();
     private int opened;
     private long freshUntilNs = System.nanoTime();
 
     /**
      * None are open at first.
      *
-     * @param most how many may be open at a time
+     * @param max how many may be open at a time
      * @param longResults whether results may come that are passed on as they are made
      */
-    public BackendConnections(EventLoop loop, RateLimitedLog troubles, long connectTimeoutUs, long connIdleUs,
-        int most, boolean longResults) {
+    public WorkerConnectionPool(EventLoop loop, RateLimitedLog faults, long connectTimeoutUs, long connIdleUs,
+        int max, boolean longResults) {
         this.loop = loop;
-        this.troubles = troubles;
-        this.most = most;
+        this.faults = faults;
+        this.max = max;
         this.bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class)
             .option(ChannelOption.TCP_NODELAY, true);
-        retune(connectTimeoutUs, connIdleUs);
+        applySettings(connectTimeoutUs, connIdleUs);
         bootstrap.option(ChannelOption.RECVBUF_ALLOCATOR, longResults ? LongStream.reads()
-            : Reading.toTheEnd());
+            : ReadNow.toTheEnd());
     }
 
     /**
      * Takes these limits for connections that are opened, or become idle, from now on; where idle ones may be
      * kept less long than before, those that are idle now are closed.
      */
-    public void retune(long connectTimeoutUs, long connIdleUs) {
+    public void applySettings(long connectTimeoutUs, long connIdleUs) {
         bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connectTimeoutUs / 1000));
         final long before = retireUs;
         retireUs = (long) (connIdleUs * RETIRE_AT);
         if (retireUs < before) {
-            List.copyOf(idle.values()).forEach(kept -> List.copyOf(kept).forEach(BackendConnection::close));
+            List.copyOf(idle.values()).forEach(kept -> List.copyOf(kept).forEach(WorkerConnection::close));
         }
     }
 
     @Override
-    public Call fetch(InetSocketAddress addr, ReqContent content, FetchListener listener) {
-        final HttpFetch fetch = new HttpFetch(host(addr), content, listener, troubles);
-        start(addr, fetch);
-        return fetch;
+    public AttemptCall attempt(InetSocketAddress addr, RequestContent content, AttemptListener listener) {
+        final HttpAttempt attempt = new HttpAttempt(host(addr), content, listener, faults);
+        start(addr, attempt);
+        return attempt;
     }
 
     @Override
-    public void probe(InetSocketAddress addr, ProbeListener listener) {
-        final HttpProbe probe = new HttpProbe(host(addr), listener, troubles);
+    public void probe(InetSocketAddress addr, LoadQueryListener listener) {
+        final HttpLoadQuery probe = new HttpLoadQuery(host(addr), listener, faults);
         probe.endWith(loop.schedule(probe::timedOut, PROBE_MS, TimeUnit.MILLISECONDS));
         start(addr, probe);
     }
@@ -91,16 +91,16 @@
         return NetUtil.toSocketAddressString(addr);
     }
 
-    private void start(InetSocketAddress addr, Exchange exchange) {
-        final Deque<BackendConnection> waiting = idle.getOrDefault(addr, new ArrayDeque<>(0));
-        for (BackendConnection up = waiting.poll(); up != null; up = waiting.poll()) {
+    private void start(InetSocketAddress addr, HttpExchange exchange) {
+        final Deque<WorkerConnection> waiting = idle.getOrDefault(addr, new ArrayDeque<>(0));
+        for (WorkerConnection up = waiting.poll(); up != null; up = waiting.poll()) {
             if (up.isUp() && up.isQuiet()) {
                 up.start(exchange);
                 return;
             }
         }
-        if (opened >= most && !closeOneIdle()) {
-            troubles.trouble(Trouble.NO_CONNECTION_LEFT, host(addr), "all are in use");
+        if (opened >= max && !closeOneIdle()) {
+            faults.fault(PeerFault.NO_CONNECTION_LEFT, host(addr), "all are in use");
             loop.execute(exchange::broken);
             return;
         }
@@ -108,8 +108,8 @@
         connect(addr, exchange);
     }
 
-    private void connect(InetSocketAddress addr, Exchange exchange) {
-        final BackendConnection connection = new BackendConnection(addr, this);
+    private void connect(InetSocketAddress addr, HttpExchange exchange) {
+        final WorkerConnection connection = new WorkerConnection(addr, this);
         final ChannelFuture connecting = bootstrap.clone().handler(new ChannelInitializer<Channel>() {
             @Override
             protected void initChannel(Channel channel) {
@@ -130,8 +130,8 @@
     }
 
     private boolean closeOneIdle() {
-        for (final Deque<BackendConnection> waiting : idle.values()) {
-            final BackendConnection oldest = waiting.pollLast();
+        for (final Deque<WorkerConnection> waiting : idle.values()) {
+            final WorkerConnection oldest = waiting.pollLast();
             if (oldest != null) {
                 oldest.close();
                 return true;
@@ -142,14 +142,14 @@
 
     @Override
     public void closeIdle(InetSocketAddress addr) {
-        final Deque<BackendConnection> waiting = idle.get(addr);
+        final Deque<WorkerConnection> waiting = idle.get(addr);
         if (waiting != null) {
-            List.copyOf(waiting).forEach(BackendConnection::close);
+            List.copyOf(waiting).forEach(WorkerConnection::close);
         }
     }
 
     /** Takes back a connection whose exchange is over. */
-    void idle(BackendConnection connection) {
+    void idle(WorkerConnection connection) {
         if (System.nanoTime() < freshUntilNs) {
             connection.close();
         } else if (connection.isUp()) {
@@ -159,18 +159,18 @@
     }
 
     /**
-     * Guards against backends, or what lies before them, that drop kept connections well before the stated
-     * time: the req that meets this ends as a reset, and a keyed one is bound by it. A new connection costs
-     * milliseconds, so for a while no req goes out on a kept one, whichever its backend.
+     * Guards against workers, or what lies before them, that drop kept connections well before the stated
+     * time: the request that meets this ends as a reset, and a keyed one is bound by it. A new connection costs
+     * milliseconds, so for a while no request goes out on a kept one, whichever its worker.
      */
     void keptOneBroke() {
         freshUntilNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(FRESH_S);
-        List.copyOf(idle.values()).forEach(kept -> List.copyOf(kept).forEach(BackendConnection::close));
+        List.copyOf(idle.values()).forEach(kept -> List.copyOf(kept).forEach(WorkerConnection::close));
     }
 
-    void closed(BackendConnection connection) {
+    void closed(WorkerConnection connection) {
         opened--;
-        final Deque<BackendConnection> waiting = idle.get(connection.addr);
+        final Deque<WorkerConnection> waiting = idle.get(connection.addr);
         if (waiting != null) {
             waiting.remove(connection);
             if (waiting.isEmpty()) {
@@ -181,17 +181,17 @@
 
     /** Bytes on a connection where none are due: it ends, and nothing that they say is heeded. */
     void unasked(InetSocketAddress addr) {
-        troubles.trouble(Trouble.BAD_BACKEND_ANSWER, host(addr), "to nothing that was asked");
+        faults.fault(PeerFault.BAD_BACKEND_ANSWER, host(addr), "to nothing that was asked");
     }
 
     /** A connection breaking is an outcome and no news; anything else is worth a line. */
     void troubled(InetSocketAddress addr, Throwable cause) {
         if (!(cause instanceof IOException)) {
-            troubles.trouble(Trouble.BACKEND_CONNECTION, host(addr), String.valueOf(cause));
+            faults.fault(PeerFault.BACKEND_CONNECTION, host(addr), String.valueOf(cause));
         }
     }
 
-    /** Connections to backends that are open or coming up. */
+    /** Connections to workers that are open or coming up. */
     public int opened() {
         return opened;
     }
--- a/src/main/java/cresschute/peers/ClaimCheck.java
+++ b/src/main/java/cresschute/peers/ClaimValidator.java
@@ -23,7 +23,7 @@
  * Until it is found out, a peer can thus add the margin, 4 requests or half of what is reported, to every
  * worker, and more to a worker for as long as it takes until one question about it is verified.
  */
-final class ClaimCheck {
+final class ClaimValidator {
 
     /** Requests by which a view may exceed a report, which is some seconds old, without being wrong. */
     static final int MARGIN = 4;
--- a/src/main/java/cresschute/peers/LoadExchange.java
+++ b/src/main/java/cresschute/peers/LoadExchange.java
@@ -15,7 +15,7 @@
 public final class LoadExchange {
 
     /** Notified of what operators should know. */
-    public interface Listener extends LoadView.DistrustListener {
+    public interface Listener extends PeerLoadView.DistrustListener {
 
         /** Two listed workers have the same key: the load of both is asked by probe. */
         void keyCollision(String worker, String other);
@@ -23,17 +23,17 @@
 
     private final WorkerKeys keys;
     private final InFlightCounts counts = new InFlightCounts();
-    private final LoadAnnouncer announcer;
+    private final LoadGossiper announcer;
     private final PeerTable peers;
-    private final LoadView view;
+    private final PeerLoadView view;
     private final Map<Integer, String> refreshed = new LinkedHashMap<>();
 
     /** A dispatcher that starts now; {@code nowUs}, us of Unix time, is its incarnation. */
     public LoadExchange(ExchangeSettings settings, long nowUs, Listener listener) {
         keys = new WorkerKeys(listener::keyCollision);
-        announcer = new LoadAnnouncer(settings, counts, nowUs);
+        announcer = new LoadGossiper(settings, counts, nowUs);
         peers = new PeerTable(settings.name(), settings.peers(), nowUs);
-        view = new LoadView(keys, counts, peers, listener);
+        view = new PeerLoadView(keys, counts, peers, listener);
     }
 
     /** The list names this worker. */
@@ -62,7 +62,7 @@
     }
 
     /** Takes an authentic message in, or says why it changes nothing. */
-    public void receive(long nowUs, LoadMessage message) throws RefusedMessageException {
+    public void receive(long nowUs, LoadMessage message) throws RejectedMessageException {
         for (final int key : peers.receive(nowUs, message)) {
             keys.name(key).ifPresent(name -> refreshed.put(key, name));
         }
--- a/src/main/java/cresschute/peers/LoadAnnouncer.java
+++ b/src/main/java/cresschute/peers/LoadGossiper.java
@@ -22,7 +22,7 @@
  * begins only when all keys were stated.
  * </ul>
  */
-public final class LoadAnnouncer {
+public final class LoadGossiper {
 
     /** The shortest time between two messages, us. */
     public static final long MIN_INTERVAL_US = 250_000;
@@ -47,7 +47,7 @@
     private boolean cycleEnds;
 
     /** An announcer of these numbers; {@code nowUs}, the time of its start, is its incarnation. */
-    public LoadAnnouncer(ExchangeSettings settings, InFlightCounts counts, long nowUs) {
+    public LoadGossiper(ExchangeSettings settings, InFlightCounts counts, long nowUs) {
         this.settings = settings;
         this.counts = counts;
         this.sender = WorkerKeys.hash(settings.name());
@@ -108,13 +108,13 @@
             - LoadMessageCodec.MIN_MESSAGE_BYTES;
     }
 
-    /** Bytes of all changes, or one more than {@code most}. */
-    private int changeBytes(int most) {
+    /** Bytes of all changes, or one more than {@code max}. */
+    private int changeBytes(int max) {
         int bytes = 0;
-        for (final Iterator<Integer> keys = counts.changes(); keys.hasNext() && bytes <= most;) {
+        for (final Iterator<Integer> keys = counts.changes(); keys.hasNext() && bytes <= max;) {
             bytes += LoadMessageCodec.entryBytes(counts.count(keys.next()));
         }
-        return Math.min(bytes, Math.max(0, most) + 1);
+        return Math.min(bytes, Math.max(0, max) + 1);
     }
 
     private void addChanges(int room, List<Entry> entries) {
--- a/src/main/java/cresschute/peers/LoadMessageCodec.java
+++ b/src/main/java/cresschute/peers/LoadMessageCodec.java
@@ -85,28 +85,28 @@
     }
 
     /** The message of a datagram's bytes. */
-    public LoadMessage decode(byte[] bytes) throws RefusedMessageException {
+    public LoadMessage decode(byte[] bytes) throws RejectedMessageException {
         if (bytes.length < MIN_MESSAGE_BYTES) {
-            throw new RefusedMessageException(Refusal.TOO_SHORT);
+            throw new RejectedMessageException(RejectionReason.TOO_SHORT);
         }
         if (bytes.length > MAX_MESSAGE_BYTES) {
-            throw new RefusedMessageException(Refusal.TOO_LONG);
+            throw new RejectedMessageException(RejectionReason.TOO_LONG);
         }
         if (bytes[0] != VERSION) {
-            throw new RefusedMessageException(Refusal.OTHER_VERSION);
+            throw new RejectedMessageException(RejectionReason.OTHER_VERSION);
         }
         final int signed = bytes.length - CODE_BYTES;
         if (!MessageDigest.isEqual(code(bytes, signed), Arrays.copyOfRange(bytes, signed, bytes.length))) {
-            throw new RefusedMessageException(Refusal.NOT_AUTHENTIC);
+            throw new RejectedMessageException(RejectionReason.NOT_AUTHENTIC);
         }
         try {
             return read(ByteBuffer.wrap(bytes, 1, signed - 1));
         } catch (BufferUnderflowException e) {
-            throw new RefusedMessageException(Refusal.MALFORMED);
+            throw new RejectedMessageException(RejectionReason.MALFORMED);
         }
     }
 
-    private static LoadMessage read(ByteBuffer in) throws RefusedMessageException {
+    private static LoadMessage read(ByteBuffer in) throws RejectedMessageException {
         final int flags = in.get();
         final int sender = in.getInt();
         final long incarnation = in.getLong();
@@ -118,7 +118,7 @@
             entries.add(new Entry(in.getInt(), varint(in)));
         }
         if ((flags & ~FLAG_LEAVING) != 0 || incarnation < 0 || sequence == 0 || cycle == 0) {
-            throw new RefusedMessageException(Refusal.MALFORMED);
+            throw new RejectedMessageException(RejectionReason.MALFORMED);
         }
         return new LoadMessage(sender, incarnation, sequence, cycle, flags == FLAG_LEAVING, range, entries);
     }
@@ -137,7 +137,7 @@
         out.put((byte) rest);
     }
 
-    private static int varint(ByteBuffer in) throws RefusedMessageException {
+    private static int varint(ByteBuffer in) throws RejectedMessageException {
         long value = 0;
         for (int i = 0; i < MAX_VARINT_BYTES; i++) {
             final int next = in.get();
@@ -149,6 +149,6 @@
                 return (int) value;
             }
         }
-        throw new RefusedMessageException(Refusal.MALFORMED);
+        throw new RejectedMessageException(RejectionReason.MALFORMED);
     }
 }
--- a/src/main/java/cresschute/peers/Peer.java
+++ b/src/main/java/cresschute/peers/Peer.java
@@ -51,15 +51,15 @@
     }
 
     /** Takes a message in; returns the workers that it is about. One that is not new changes nothing. */
-    Set<Integer> take(long nowUs, LoadMessage message) throws RefusedMessageException {
+    Set<Integer> take(long nowUs, LoadMessage message) throws RejectedMessageException {
         if (message.incarnation() < incarnation) {
-            throw new RefusedMessageException(Refusal.OLD_INCARNATION);
+            throw new RejectedMessageException(RejectionReason.OLD_INCARNATION);
         }
         if (message.incarnation() == incarnation && message.sequence() <= sequence) {
-            throw new RefusedMessageException(Refusal.OLD_SEQUENCE);
+            throw new RejectedMessageException(RejectionReason.OLD_SEQUENCE);
         }
         if (counts.size() + message.entries().size() > PeerTable.MAX_ENTRIES_PER_PEER) {
-            throw new RefusedMessageException(Refusal.TOO_MANY_ENTRIES);
+            throw new RejectedMessageException(RejectionReason.TOO_MANY_ENTRIES);
         }
         if (message.incarnation() > incarnation) {
             begin(nowUs, message);
--- a/src/main/java/cresschute/peers/LoadView.java
+++ b/src/main/java/cresschute/peers/PeerLoadView.java
@@ -4,10 +4,10 @@
 
 /**
  * Requests that all dispatchers together have out at a worker. It answers only while what is known is all
- * there is ({@link PeerTable#isComplete}) and nothing speaks against it ({@link ClaimCheck}); otherwise the
+ * there is ({@link PeerTable#isComplete}) and nothing speaks against it ({@link ClaimValidator}); otherwise the
  * worker has to be asked.
  */
-public final class LoadView {
+public final class PeerLoadView {
 
     /** Notified that a peer is distrusted. */
     @FunctionalInterface
@@ -21,10 +21,10 @@
     private final InFlightCounts own;
     private final PeerTable peers;
     private final DistrustListener listener;
-    private final ClaimCheck check = new ClaimCheck();
+    private final ClaimValidator check = new ClaimValidator();
 
     /** A view of what this dispatcher counts and its peers state. */
-    public LoadView(WorkerKeys keys, InFlightCounts own, PeerTable peers, DistrustListener listener) {
+    public PeerLoadView(WorkerKeys keys, InFlightCounts own, PeerTable peers, DistrustListener listener) {
         this.keys = keys;
         this.own = own;
         this.peers = peers;
--- a/src/main/java/cresschute/peers/PeerTable.java
+++ b/src/main/java/cresschute/peers/PeerTable.java
@@ -18,7 +18,7 @@
  * in between, else JOINING.
  * <li>ABSENT: no message for 60 s, or it said that it stops. Its counts are dropped; with the next message it
  * is JOINING.
- * <li>DISTRUSTED: its counts exceeded what workers report ({@link ClaimCheck}), for 60 s and each time twice
+ * <li>DISTRUSTED: its counts exceeded what workers report ({@link ClaimValidator}), for 60 s and each time twice
  * as long, up to 1 h; an hour without makes it 60 s again. Its messages are taken in meanwhile, and after
  * that it is what they make it.
  * </ul>
@@ -52,9 +52,9 @@
     }
 
     /** Takes an authentic message in and returns the workers it is about, or says why it changes nothing. */
-    public Set<Integer> receive(long nowUs, LoadMessage message) throws RefusedMessageException {
+    public Set<Integer> receive(long nowUs, LoadMessage message) throws RejectedMessageException {
         if (message.sender() == self) {
-            throw new RefusedMessageException(Refusal.OWN_NAME);
+            throw new RejectedMessageException(RejectionReason.OWN_NAME);
         }
         Peer peer = bySender.get(message.sender());
         if (peer == null) {
@@ -66,10 +66,10 @@
     }
 
     /** A dispatcher under a new name takes the place of one that is absent. */
-    private void makeRoom(long nowUs) throws RefusedMessageException {
+    private void makeRoom(long nowUs) throws RejectedMessageException {
         if (bySender.size() >= peers && !bySender.values().removeIf(
             peer -> peer.state(nowUs) == PeerState.ABSENT)) {
-            throw new RefusedMessageException(Refusal.TOO_MANY_SENDERS);
+            throw new RejectedMessageException(RejectionReason.TOO_MANY_SENDERS);
         }
     }
 
--- a/src/main/java/cresschute/peers/Refusal.java
+++ b/src/main/java/cresschute/peers/RejectionReason.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 
 /** Why a datagram or message changes nothing. */
-public enum Refusal {
+public enum RejectionReason {
 
     /** Shorter than a message without entries. */
     TOO_SHORT,
--- a/src/main/java/cresschute/peers/socket/PeerLog.java
+++ b/src/main/java/cresschute/peers/socket/PeerLog.java
@@ -4,7 +4,7 @@
 import cresschute.peers.LoadExchange;
 import cresschute.peers.PeerState;
 import cresschute.peers.PeerTable;
-import cresschute.peers.Refusal;
+import cresschute.peers.RejectionReason;
 import java.lang.System.Logger;
 import java.lang.System.Logger.Level;
 import java.net.InetSocketAddress;
@@ -27,7 +27,7 @@
     }
 
     private final String node;
-    private final Map<Refusal, Count> refusals = new EnumMap<>(Refusal.class);
+    private final Map<RejectionReason, Count> refusals = new EnumMap<>(RejectionReason.class);
     private final Count failures = new Count();
     private Map<Integer, PeerState> states = new HashMap<>();
     private final Map<Integer, InetSocketAddress> addresses = new HashMap<>();
@@ -43,7 +43,7 @@
     }
 
     /** Datagrams refused for this reason so far. */
-    public long refused(Refusal refusal) {
+    public long refused(RejectionReason refusal) {
         final Count counted = refusals.get(refusal);
         return counted == null ? 0 : counted.count;
     }
@@ -52,7 +52,7 @@
         return refusals.values().stream().mapToLong(each -> each.count).sum();
     }
 
-    void refused(long nowUs, Refusal refusal, InetSocketAddress from) {
+    void refused(long nowUs, RejectionReason refusal, InetSocketAddress from) {
         final Count counted = refusals.computeIfAbsent(refusal, unseen -> new Count());
         if (isDue(counted, nowUs)) {
             LogEvent.of("peer_message_refused", "message from " + text(from) + " refused: " + refusal.word()
--- a/src/main/java/cresschute/peers/socket/PeerSocket.java
+++ b/src/main/java/cresschute/peers/socket/PeerSocket.java
@@ -1,10 +1,10 @@
 package cresschute.peers.socket;
 
-import cresschute.peers.LoadAnnouncer;
+import cresschute.peers.LoadGossiper;
 import cresschute.peers.LoadExchange;
 import cresschute.peers.LoadMessage;
 import cresschute.peers.LoadMessageCodec;
-import cresschute.peers.RefusedMessageException;
+import cresschute.peers.RejectedMessageException;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
@@ -115,7 +115,7 @@
                     }
                 });
         }
-        log.sent((long) (bytes.length + LoadAnnouncer.HEADER_BYTES) * peers.size());
+        log.sent((long) (bytes.length + LoadGossiper.HEADER_BYTES) * peers.size());
     }
 
     private final class Receiver extends SimpleChannelInboundHandler<DatagramPacket> {
@@ -127,7 +127,7 @@
                 final LoadMessage message = codec.decode(ByteBufUtil.getBytes(packet.content()));
                 exchange.receive(nowUs, message);
                 log.taken(message.sender(), packet.sender());
-            } catch (RefusedMessageException e) {
+            } catch (RejectedMessageException e) {
                 log.refused(nowUs, e.refusal(), packet.sender());
             }
         }
--- a/src/main/java/cresschute/settings/ApplianceSettings.java
+++ b/src/main/java/cresschute/settings/ApplianceSettings.java
@@ -1,6 +1,6 @@
 package cresschute.settings;
 
-import cresschute.dispatch.Settings;
+import cresschute.dispatch.DispatchSettings;
 import java.net.InetSocketAddress;
 import java.util.List;
 
@@ -23,7 +23,7 @@
  * @param peers the other dispatchers, or null where nothing is exchanged
  * @param shown the settings in force as a script of their own, with all that holds without being stated
  */
-public record ApplianceSettings(String name, InetSocketAddress listen, Long seed, Settings module,
+public record ApplianceSettings(String name, InetSocketAddress listen, Long seed, DispatchSettings module,
     List<String> classes, List<String> zones, List<String> kinds,
     List<WorkerEntry> workers, InetSocketAddress director, long connectTimeoutUs,
     long idleTimeoutUs, int sockets, String logFormat, String logLevel,
--- a/src/main/java/cresschute/settings/Field.java
+++ b/src/main/java/cresschute/settings/Field.java
@@ -7,13 +7,13 @@
  * @param required whether it must be given
  * @param meaning one line for the reference
  */
-record Field<T>(String name, Kind<T> kind, T otherwise, boolean required, String meaning) {
+record Field<T>(String name, FieldType<T> kind, T otherwise, boolean required, String meaning) {
 
-    static <T> Field<T> required(String name, Kind<T> kind, String meaning) {
+    static <T> Field<T> required(String name, FieldType<T> kind, String meaning) {
         return new Field<>(name, kind, null, true, meaning);
     }
 
-    static <T> Field<T> optional(String name, Kind<T> kind, T otherwise, String meaning) {
+    static <T> Field<T> optional(String name, FieldType<T> kind, T otherwise, String meaning) {
         return new Field<>(name, kind, otherwise, false, meaning);
     }
 
--- a/src/main/java/cresschute/settings/SettingsChecks.java
+++ b/src/main/java/cresschute/settings/SettingsChecks.java
@@ -1,13 +1,13 @@
 package cresschute.settings;
 
-import cresschute.dispatch.ColdStart;
-import cresschute.dispatch.Effect;
-import cresschute.dispatch.Goal;
-import cresschute.dispatch.Limits;
+import cresschute.dispatch.SlowStartSettings;
+import cresschute.dispatch.Idempotency;
+import cresschute.dispatch.ObjectiveWeights;
+import cresschute.dispatch.AttemptLimits;
 import cresschute.dispatch.Placement;
-import cresschute.dispatch.RepeatScope;
+import cresschute.dispatch.DeduplicationScope;
 import cresschute.dispatch.RequestClass;
-import cresschute.dispatch.Settings;
+import cresschute.dispatch.DispatchSettings;
 import cresschute.dispatch.WeightSource;
 import cresschute.settings.ApplianceSettings.Bodies;
 import cresschute.settings.ApplianceSettings.ClassBodies;
@@ -269,7 +269,7 @@
         return List.copyOf(names);
     }
 
-    private Settings module(List<String> zones, List<String> kinds, Statement director) {
+    private DispatchSettings module(List<String> zones, List<String> kinds, Statement director) {
         final Statement limits = one(Schema.LIMITS);
         final Statement reports = one(Schema.REPORTS);
         final Statement cold = one(Schema.COLD_START);
@@ -284,19 +284,19 @@
                     numbers(each.get(Schema.CLASS_KINDS), kinds)),
                 (int) attempts(each)));
         }
-        return new Settings(one(Schema.NODE).get(Schema.DISPATCHERS).intValue(),
+        return new DispatchSettings(one(Schema.NODE).get(Schema.DISPATCHERS).intValue(),
             zones.indexOf(one(Schema.NODE).get(Schema.NODE_ZONE)), zones.size(), Math.max(1, kinds.size()),
             classes,
             List.of(), 1, false,
-            new Limits(limits.get(Schema.ATTEMPTS).intValue(), limits.get(Schema.RETRY_AFTER),
+            new AttemptLimits(limits.get(Schema.ATTEMPTS).intValue(), limits.get(Schema.RETRY_AFTER),
                 limits.get(Schema.SECOND_COPIES)),
-            new ColdStart(cold.get(Schema.FROM_SHARE), cold.get(Schema.WARM_WITHIN),
+            new SlowStartSettings(cold.get(Schema.FROM_SHARE), cold.get(Schema.WARM_WITHIN),
                 cold.get(Schema.OVERLOAD),
                 cold.get(Schema.TIP_AFTER)),
-            new Goal(goal.get(Schema.WHOLE), goal.get(Schema.WORST_WINDOW), goal.get(Schema.WORST_CLASS), 0),
+            new ObjectiveWeights(goal.get(Schema.WHOLE), goal.get(Schema.WORST_WINDOW), goal.get(Schema.WORST_CLASS), 0),
             director != null, director == null ? 0 : director.get(Schema.ASK_WITHIN), WeightSource.NONE,
             reports.get(Schema.LOAD), reports.get(Schema.STARTS), reports.get(Schema.PROGRESS), 0,
-            limits.get(Schema.PROBES), false, 0, false, Settings.UNLIMITED);
+            limits.get(Schema.PROBES), false, 0, false, DispatchSettings.UNLIMITED);
     }
 
     /** Of a class's bound and that of all classes the lower one holds. */
@@ -304,20 +304,20 @@
         return Math.min(jobClass.get(Schema.CLASS_ATTEMPTS), one(Schema.LIMITS).get(Schema.ATTEMPTS));
     }
 
-    private static Effect effect(String word) {
+    private static Idempotency effect(String word) {
         return switch (word) {
-            case "safe" -> Effect.SAFE;
-            case "keyed" -> Effect.KEYED;
-            case "unsafe" -> Effect.UNSAFE;
+            case "safe" -> Idempotency.SAFE;
+            case "keyed" -> Idempotency.KEYED;
+            case "unsafe" -> Idempotency.UNSAFE;
             default -> throw new IllegalArgumentException("there is no effect '" + word + "'");
         };
     }
 
-    private static RepeatScope repeatScope(String word) {
+    private static DeduplicationScope repeatScope(String word) {
         return switch (word) {
-            case "all" -> RepeatScope.ALL;
-            case "zone" -> RepeatScope.ZONE;
-            case "cell" -> RepeatScope.CELL;
+            case "all" -> DeduplicationScope.ALL;
+            case "zone" -> DeduplicationScope.ZONE;
+            case "cell" -> DeduplicationScope.CELL;
             default -> throw new IllegalArgumentException("there is no repeat scope '" + word + "'");
         };
     }
--- a/src/main/java/cresschute/settings/Statement.java
+++ b/src/main/java/cresschute/settings/Statement.java
@@ -2,7 +2,7 @@
 
 import cresschute.settings.script.Builtin.Argument;
 import cresschute.settings.script.Builtin.Call;
-import cresschute.settings.script.Nearest;
+import cresschute.settings.script.Suggestion;
 import cresschute.settings.script.Position;
 import cresschute.settings.script.Values;
 import java.util.HashMap;
@@ -58,7 +58,7 @@
     }
 
     private static String hint(Block block, String name) {
-        final String nearest = Nearest.hint(name, block.fieldNames());
+        final String nearest = Suggestion.hint(name, block.fieldNames());
         return nearest.isEmpty() ? "; it has " + String.join(", ", block.fieldNames()) : nearest;
     }
 
--- a/src/main/java/cresschute/settings/script/Builtin.java
+++ b/src/main/java/cresschute/settings/script/Builtin.java
@@ -20,7 +20,7 @@
      * @param at where the call begins
      */
     record Call(String name, Position at, List<Argument> positional, Map<String, Argument> named,
-        Meter meter) {
+        StepLimit meter) {
 
         /** The positional arguments, which must be so many, and no named ones. */
         List<Argument> exactly(int least, int most) throws ScriptError {
--- a/src/main/java/cresschute/settings/script/Functions.java
+++ b/src/main/java/cresschute/settings/script/Functions.java
@@ -19,9 +19,9 @@
 final class Functions {
 
     private final Operators operators;
-    private final Meter meter;
+    private final StepLimit meter;
 
-    Functions(Operators operators, Meter meter) {
+    Functions(Operators operators, StepLimit meter) {
         this.operators = operators;
         this.meter = meter;
     }
--- a/src/main/java/cresschute/settings/script/Interpreter.java
+++ b/src/main/java/cresschute/settings/script/Interpreter.java
@@ -27,7 +27,7 @@
 
     private enum Flow { NEXT, BREAK, CONTINUE, RETURN }
 
-    private final Meter meter;
+    private final StepLimit meter;
     private final Operators operators;
     private final Functions functions;
     private final Map<String, Object> given = new HashMap<>();
@@ -36,7 +36,7 @@
     private int depth;
 
     Interpreter(Map<String, Builtin> builtins, Bounds bounds) {
-        meter = new Meter(bounds);
+        meter = new StepLimit(bounds);
         operators = new Operators(meter);
         functions = new Functions(operators, meter);
         given.putAll(functions.all());
@@ -628,7 +628,7 @@
             final Set<String> known = new HashSet<>(given.keySet());
             known.addAll(globals.keySet());
             known.addAll(frame.values.keySet());
-            throw new ScriptError(at, "unknown name '" + name + "'" + Nearest.hint(name, known));
+            throw new ScriptError(at, "unknown name '" + name + "'" + Suggestion.hint(name, known));
         }
         return value;
     }
--- a/src/main/java/cresschute/settings/script/Operators.java
+++ b/src/main/java/cresschute/settings/script/Operators.java
@@ -11,9 +11,9 @@
 /** What operators do with each kind of value. Whole numbers are of 64 bits and never wrap. */
 final class Operators {
 
-    private final Meter meter;
+    private final StepLimit meter;
 
-    Operators(Meter meter) {
+    Operators(StepLimit meter) {
         this.meter = meter;
     }
 
--- a/src/main/java/cresschute/settings/script/Meter.java
+++ b/src/main/java/cresschute/settings/script/StepLimit.java
@@ -1,7 +1,7 @@
 package cresschute.settings.script;
 
 /** Counts what a run of a script has taken, and ends it with an error at the first bound that it meets. */
-final class Meter {
+final class StepLimit {
 
     private static final int CHARS_A_CELL = 8;
 
@@ -9,7 +9,7 @@
     private long steps;
     private long cells;
 
-    Meter(Bounds bounds) {
+    StepLimit(Bounds bounds) {
         this.bounds = bounds;
     }
 
--- a/src/main/java/cresschute/settings/script/Nearest.java
+++ b/src/main/java/cresschute/settings/script/Suggestion.java
@@ -5,11 +5,11 @@
 import org.apache.commons.text.similarity.LevenshteinDistance;
 
 /** Finds the known name that a misspelt one was meant to be. */
-public final class Nearest {
+public final class Suggestion {
 
     private static final LevenshteinDistance DISTANCE = LevenshteinDistance.getDefaultInstance();
 
-    private Nearest() {}
+    private Suggestion() {}
 
     /** Words that name the nearest known name, to follow an error; none where nothing is near. */
     public static String hint(String name, Collection<String> known) {
--- a/src/main/java/cresschute/settings/script/Texts.java
+++ b/src/main/java/cresschute/settings/script/Texts.java
@@ -35,7 +35,7 @@
     }
 
     /** Fills in {@code %s}, {@code %d}, {@code %r} and {@code %%}. */
-    static String percent(String format, Object values, Meter meter, Position at) throws ScriptError {
+    static String percent(String format, Object values, StepLimit meter, Position at) throws ScriptError {
         final List<Object> given = values instanceof TupleValue tuple ? tuple.elements() : List.of(values);
         final StringBuilder out = new StringBuilder();
         int used = 0;
--- a/src/main/java/cresschute/settings/script/Values.java
+++ b/src/main/java/cresschute/settings/script/Values.java
@@ -151,7 +151,7 @@
     }
 
     /** Whether two values are equal; walks down them, which counts. */
-    static boolean equal(Object a, Object b, int depth, Meter meter, Position at) throws ScriptError {
+    static boolean equal(Object a, Object b, int depth, StepLimit meter, Position at) throws ScriptError {
         meter.step(at);
         meter.nesting(depth, at);
         if (a instanceof Number x && b instanceof Number y) {
@@ -178,7 +178,7 @@
         return a.equals(b);
     }
 
-    private static boolean equalAll(List<Object> a, List<Object> b, int depth, Meter meter, Position at)
+    private static boolean equalAll(List<Object> a, List<Object> b, int depth, StepLimit meter, Position at)
         throws ScriptError {
         if (a.size() != b.size()) {
             return false;
@@ -192,7 +192,7 @@
     }
 
     /** A value's text, as {@code str} makes it. */
-    static String text(Object value, Meter meter, Position at) throws ScriptError {
+    static String text(Object value, StepLimit meter, Position at) throws ScriptError {
         if (value instanceof String text) {
             return text;
         }
@@ -202,7 +202,7 @@
     }
 
     /** Counts as it writes: a small value that holds itself many times over has a huge text. */
-    private static void write(Object value, StringBuilder out, int depth, Meter meter, Position at)
+    private static void write(Object value, StringBuilder out, int depth, StepLimit meter, Position at)
         throws ScriptError {
         meter.step(at);
         meter.nesting(depth, at);
@@ -240,7 +240,7 @@
     }
 
     private static void writeAll(List<Object> elements, String open, String close, StringBuilder out,
-        int depth, Meter meter, Position at) throws ScriptError {
+        int depth, StepLimit meter, Position at) throws ScriptError {
         String gap = open;
         for (final Object element : elements) {
             out.append(gap);
--- a/src/main/java/cresschute/simulator/Main.java
+++ b/src/main/java/cresschute/simulator/Main.java
@@ -17,7 +17,7 @@
             System.exit(2);
         }
         try {
-            new InstanceHost(new FileInputStream(FileDescriptor.in),
+            new SimulatorAdapter(new FileInputStream(FileDescriptor.in),
                 new FileOutputStream(FileDescriptor.out)).run();
         } catch (MalformedInputException e) {
             System.err.println("benchlink: malformed input: " + e.getMessage());
--- a/src/main/java/cresschute/simulator/SettingsParser.java
+++ b/src/main/java/cresschute/simulator/SettingsParser.java
@@ -1,13 +1,13 @@
 package cresschute.simulator;
 
-import cresschute.dispatch.ColdStart;
-import cresschute.dispatch.Effect;
-import cresschute.dispatch.Goal;
-import cresschute.dispatch.Limits;
+import cresschute.dispatch.SlowStartSettings;
+import cresschute.dispatch.Idempotency;
+import cresschute.dispatch.ObjectiveWeights;
+import cresschute.dispatch.AttemptLimits;
 import cresschute.dispatch.Placement;
-import cresschute.dispatch.RepeatScope;
+import cresschute.dispatch.DeduplicationScope;
 import cresschute.dispatch.RequestClass;
-import cresschute.dispatch.Settings;
+import cresschute.dispatch.DispatchSettings;
 import cresschute.dispatch.Tenant;
 import cresschute.dispatch.WeightSource;
 import java.util.ArrayList;
@@ -15,7 +15,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Turns the path=value lines of a launch into {@link Settings}. Keys it does not know are ignored. */
+/** Turns the path=value lines of a launch into {@link DispatchSettings}. Keys it does not know are ignored. */
 public final class SettingsParser {
 
     private final Map<String, String> values = new HashMap<>();
@@ -30,7 +30,7 @@
     }
 
     /** Reads the settings that an instance is launched with. */
-    public static Settings parse(String text) {
+    public static DispatchSettings parse(String text) {
         return new SettingsParser(text).settings();
     }
 
@@ -43,9 +43,9 @@
             fields.indexOf("backlog"));
     }
 
-    private Settings settings() {
+    private DispatchSettings settings() {
         final long warmWithinUs = (long) number("rules.warmWithinUs", 0);
-        return new Settings(
+        return new DispatchSettings(
             (int) number("balancers"),
             (int) number("myZone", 0),
             Math.max(1, list("zones").size()),
@@ -54,16 +54,16 @@
             tenants(),
             number("overShareWorth", 1),
             word("worthBy", "request").equals("work"),
-            new Limits(
+            new AttemptLimits(
                 (int) number("limits.maxAttempts", 1),
                 flag("limits.retryAfter", false) ? (long) number("limits.maxRetryAfterUs", 0) : 0,
                 flag("limits.parallelTries", false)),
-            new ColdStart(
+            new SlowStartSettings(
                 number("rules.coldFrom", 1),
                 warmWithinUs,
                 number("rules.overloadFactor", 1),
                 (long) number("rules.tipAfterUs", 0)),
-            new Goal(
+            new ObjectiveWeights(
                 number("goal.whole", 1),
                 number("goal.worstWindow", 0),
                 number("goal.worstClass", 0),
@@ -79,7 +79,7 @@
             flag("limits.peerMessages", false),
             number("prices.origin", 0),
             flag("rules.busyIsNoProof", false),
-            (long) number("rules.closeOnDrainWithinUs", Settings.UNLIMITED));
+            (long) number("rules.closeOnDrainWithinUs", DispatchSettings.UNLIMITED));
     }
 
     private List<RequestClass> classes() {
@@ -134,21 +134,21 @@
         return tenants;
     }
 
-    private Effect effect(String key) {
+    private Idempotency effect(String key) {
         final String word = required(key);
         return switch (word) {
-            case "pure" -> Effect.SAFE;
-            case "token" -> Effect.KEYED;
-            case "side_effect" -> Effect.UNSAFE;
+            case "pure" -> Idempotency.SAFE;
+            case "token" -> Idempotency.KEYED;
+            case "side_effect" -> Idempotency.UNSAFE;
             default -> throw unusable(key, word);
         };
     }
 
-    private static RepeatScope scope(String word) {
+    private static DeduplicationScope scope(String word) {
         return switch (word) {
-            case "cell" -> RepeatScope.CELL;
-            case "zone" -> RepeatScope.ZONE;
-            default -> RepeatScope.ALL;
+            case "cell" -> DeduplicationScope.CELL;
+            case "zone" -> DeduplicationScope.ZONE;
+            default -> DeduplicationScope.ALL;
         };
     }
 
--- a/src/main/java/cresschute/simulator/InstanceHost.java
+++ b/src/main/java/cresschute/simulator/SimulatorAdapter.java
@@ -1,14 +1,14 @@
 package cresschute.simulator;
 
-import cresschute.dispatch.Actions;
-import cresschute.dispatch.Events;
+import cresschute.dispatch.DispatcherActions;
+import cresschute.dispatch.DispatcherEvents;
 import cresschute.dispatch.Job;
-import cresschute.dispatch.ListForm;
+import cresschute.dispatch.EndpointListForm;
 import cresschute.dispatch.LoadReport;
 import cresschute.dispatch.Outcome;
 import cresschute.dispatch.Worker;
 import cresschute.dispatch.WorkerState;
-import cresschute.dispatch.Logic;
+import cresschute.dispatch.Dispatcher;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
@@ -19,7 +19,7 @@
 import java.util.Map;
 
 /** Hosts one module for each instance and carries events and actions between it and the wire. */
-final class InstanceHost {
+final class SimulatorAdapter {
 
     private static final int MARK_HINTED = 1;
     private static final int MARK_REPEATED = 2;
@@ -34,7 +34,7 @@
     private final Map<Integer, Instance> instances = new HashMap<>();
     private final Map<Integer, List<Worker>> catalogs = new HashMap<>();
 
-    InstanceHost(InputStream in, OutputStream out) {
+    SimulatorAdapter(InputStream in, OutputStream out) {
         this.reader = new FrameReader(in);
         this.out = out;
     }
@@ -84,12 +84,12 @@
         final long seed = reader.u64();
         final String text = new String(reader.bytes(reader.u32()), StandardCharsets.UTF_8);
         final InstanceActions actions = new InstanceActions(instance, reply);
-        final Logic module = new Logic(SettingsParser.parse(text), seed, actions);
+        final Dispatcher module = new Dispatcher(SettingsParser.parse(text), seed, actions);
         instances.put(instance, new Instance(module, SettingsParser.reportLayout(text)));
     }
 
     private void deliver(int code, Instance instance, long nowUs) {
-        final Events module = instance.module();
+        final DispatcherEvents module = instance.module();
         switch (code) {
             case WireCodes.REGISTRY -> deliverList(module, nowUs);
             case WireCodes.INCOMING -> deliverRequest(module, nowUs);
@@ -98,30 +98,30 @@
             case WireCodes.PONG -> deliverProbe(instance, nowUs);
             case WireCodes.DATAGRAM -> deliverPeer(module, nowUs);
             case WireCodes.VANISHED -> module.clientLeft(nowUs, reader.u32());
-            case WireCodes.TIMER -> module.woken(nowUs, reader.u64());
+            case WireCodes.TIMER -> module.timerFired(nowUs, reader.u64());
             default -> {}
         }
     }
 
-    private void deliverList(Events module, long nowUs) {
-        final ListForm form = switch (reader.u8()) {
-            case 0 -> ListForm.CHANGES;
-            case 1 -> ListForm.FULL;
-            case 2 -> ListForm.CACHED;
-            case 3 -> ListForm.FAILED;
+    private void deliverList(DispatcherEvents module, long nowUs) {
+        final EndpointListForm form = switch (reader.u8()) {
+            case 0 -> EndpointListForm.CHANGES;
+            case 1 -> EndpointListForm.FULL;
+            case 2 -> EndpointListForm.CACHED;
+            case 3 -> EndpointListForm.FAILED;
             default -> throw new MalformedInputException("registry of unknown form");
         };
         reader.u64();
         final int catalog = reader.u32();
-        if (form == ListForm.FAILED) {
-            module.listed(nowUs, form, List.of());
+        if (form == EndpointListForm.FAILED) {
+            module.endpointListChanged(nowUs, form, List.of());
             return;
         }
         final List<Worker> workers = catalogs.get(catalog);
         if (workers == null) {
             throw new MalformedInputException("registry names catalog " + catalog + ", which was never sent");
         }
-        module.listed(nowUs, form, workers);
+        module.endpointListChanged(nowUs, form, workers);
     }
 
     private List<Worker> readWorkers() {
@@ -143,7 +143,7 @@
         return List.copyOf(workers);
     }
 
-    private void deliverRequest(Events module, long nowUs) {
+    private void deliverRequest(DispatcherEvents module, long nowUs) {
         final int request = reader.u32();
         final int requestClass = reader.u16();
         final long dataKey = reader.u64();
@@ -154,7 +154,7 @@
         final int tenant = reader.u32();
         final Job job = new Job(requestClass, tenant, slots, (marks & MARK_HINTED) != 0 ? costUs : 0, dataKey,
             (marks & MARK_REPEATED) != 0);
-        module.requested(nowUs, request, job, reader.u64());
+        module.requestArrived(nowUs, request, job, reader.u64());
     }
 
     private void deliverOutcome(Instance instance, long nowUs) {
@@ -166,21 +166,21 @@
         final boolean closed = reader.u8() != 0;
         reader.u32();
         final LoadReport report = instance.reports().read(reader);
-        instance.module().ended(nowUs, request, attempt, worker, outcome, elapsedUs, closed, report);
+        instance.module().attemptEnded(nowUs, request, attempt, worker, outcome, elapsedUs, closed, report);
     }
 
     private void deliverProbe(Instance instance, long nowUs) {
         final int worker = reader.u32();
         reader.u32();
         final Outcome outcome = outcome(reader.u8());
-        instance.module().probed(nowUs, worker, outcome, instance.reports().read(reader));
+        instance.module().loadReported(nowUs, worker, outcome, instance.reports().read(reader));
     }
 
-    /** A message holds a worker and a class, as {@code tellSilent} wrote them. */
-    private void deliverPeer(Events module, long nowUs) {
+    /** A message holds a worker and a class, as {@code reportUnresponsive} wrote them. */
+    private void deliverPeer(DispatcherEvents module, long nowUs) {
         reader.u32();
         if (reader.u16() == SILENT_BYTES) {
-            module.toldSilent(nowUs, reader.u32(), reader.u16());
+            module.workerReportedUnresponsive(nowUs, reader.u32(), reader.u16());
         }
     }
 
@@ -198,7 +198,7 @@
         };
     }
 
-    private void deliverNote(Events module, long nowUs) {
+    private void deliverNote(DispatcherEvents module, long nowUs) {
         final int request = reader.u32();
         final int worker = reader.u32();
         final int attempt = reader.u8();
@@ -210,18 +210,18 @@
         }
     }
 
-    private record Instance(Events module, ReportLayout reports) {}
+    private record Instance(DispatcherEvents module, ReportLayout reports) {}
 
     /** Writes one instance's actions into the reply. */
-    private record InstanceActions(int instance, FrameWriter reply) implements Actions {
+    private record InstanceActions(int instance, FrameWriter reply) implements DispatcherActions {
 
         @Override
-        public void send(int requestId, int workerId, long giveUpUs) {
-            reply.record(WireCodes.PLACE, 20).u32(instance).u32(requestId).u64(giveUpUs).u32(workerId);
+        public void send(int requestId, int workerId, long deadlineUs) {
+            reply.record(WireCodes.PLACE, 20).u32(instance).u32(requestId).u64(deadlineUs).u32(workerId);
         }
 
         @Override
-        public void refuse(int requestId, long retryAfterUs) {
+        public void reject(int requestId, long retryAfterUs) {
             reply.record(WireCodes.SHED, 12).u32(instance).u32(requestId).u32((int) retryAfterUs);
         }
 
@@ -231,28 +231,28 @@
         }
 
         @Override
-        public void wakeAfter(long token, long delayUs) {
+        public void startTimer(long token, long delayUs) {
             reply.record(WireCodes.SLEEP, 16).u32(instance).u64(token).u32((int) delayUs);
         }
 
         @Override
-        public void watchList() {
+        public void pollEndpointList() {
             reply.record(WireCodes.SUBSCRIBE, 5).u32(instance).u8(1);
         }
 
         @Override
-        public void probe(int workerId) {
+        public void queryLoad(int workerId) {
             reply.record(WireCodes.HEALTH_CHECK, 8).u32(instance).u32(workerId);
         }
 
         @Override
-        public void tellSilent(int workerId, int requestClass) {
+        public void reportUnresponsive(int workerId, int requestClass) {
             reply.record(WireCodes.SAY, 10 + SILENT_BYTES).u32(instance).u32(EVERY_PEER).u16(SILENT_BYTES)
                 .u32(workerId).u16(requestClass);
         }
 
         @Override
-        public void closeIdle(int workerId) {
+        public void closeIdleConnections(int workerId) {
             reply.record(WireCodes.CLOSE, 8).u32(instance).u32(workerId);
         }
     }
--- a/src/main/java/cresschute/testbed/DirectorStandIn.java
+++ b/src/main/java/cresschute/testbed/DiscoveryStandIn.java
@@ -27,13 +27,13 @@
  * The service that tells of the workers: the whole list, and watches that wait for changes. What happens to a
  * worker is told as late as it is set to; it can be down, and its connections reset. All on one loop.
  */
-public final class DirectorStandIn {
+public final class DiscoveryStandIn {
 
     private static final String PATH = "/registry/instances";
-    private static final int MOST_BODY_BYTES = 4096;
-    private static final long MOST_WAIT_MS = 60_000;
+    private static final int MAX_BODY_BYTES = 4096;
+    private static final long MAX_WAIT_MS = 60_000;
     /** How many changes are kept; a watch from before them is told the whole list. */
-    private static final int MOST_CHANGES = 10_000;
+    private static final int MAX_CHANGES = 10_000;
 
     private record Entry(String id, InetSocketAddress address, String zone, String kind, int cell,
         String state, long startedMs) {
@@ -67,7 +67,7 @@
     private final LoopbackServer server;
     private long calls;
 
-    DirectorStandIn(EventLoop loop, Recorder recorder) {
+    DiscoveryStandIn(EventLoop loop, Recorder recorder) {
         this(loop, recorder, null);
     }
 
@@ -76,14 +76,14 @@
      *
      * @param first makes the handler next to the socket of each connection, or null for none
      */
-    public DirectorStandIn(EventLoop loop, Recorder recorder, Supplier<ChannelHandler> first) {
+    public DiscoveryStandIn(EventLoop loop, Recorder recorder, Supplier<ChannelHandler> first) {
         this.loop = loop;
         this.recorder = recorder;
         server = new LoopbackServer(loop, channel -> {
             if (first != null) {
                 channel.pipeline().addLast(first.get());
             }
-            channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MOST_BODY_BYTES),
+            channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_BODY_BYTES),
                 new Handler());
         });
     }
@@ -153,7 +153,7 @@
             entries.put(entry.id(), entry);
         }
         changes.add(new Change(version, entry.id()));
-        if (changes.size() > MOST_CHANGES) {
+        if (changes.size() > MAX_CHANGES) {
             changes.remove(0);
         }
         final List<Watch> due = List.copyOf(watches);
@@ -207,7 +207,7 @@
             if (watches.remove(watch)) {
                 changed(ctx, since);
             }
-        }, Math.min(timeoutMs, MOST_WAIT_MS), TimeUnit.MILLISECONDS);
+        }, Math.min(timeoutMs, MAX_WAIT_MS), TimeUnit.MILLISECONDS);
     }
 
     private void whole(ChannelHandlerContext ctx) {
--- a/src/main/java/cresschute/testbed/Fleet.java
+++ b/src/main/java/cresschute/testbed/Fleet.java
@@ -1,6 +1,6 @@
 package cresschute.testbed;
 
-import cresschute.dispatch.ColdStart;
+import cresschute.dispatch.SlowStartSettings;
 import cresschute.testbed.JobClass.Demand;
 import cresschute.testbed.Observation.OperatorDrained;
 import cresschute.testbed.Observation.SendCame;
@@ -31,7 +31,7 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * A whole site on loopback ports: a director, workers, clients, and between them a node of the program
+ * A whole site on loopback ports: a discovery service, workers, clients, and between them a node of the program
  * itself, as {@code serve} runs it, on a loop of its own. The stand-ins share one other loop. All chance
  * comes from a seed; the times at which sockets are read do not, so that runs are alike and not the same.
  */
@@ -51,12 +51,12 @@
      * @param controlSocket where consoles connect to the node, or null
      * @param stateFolder where the node keeps its operators' drains, or null
      */
-    public record Plan(int workers, double ratePerS, long seed, List<Trouble> troubles, String controlSocket,
+    public record Plan(int workers, double ratePerS, long seed, List<InjectedFault> faults, String controlSocket,
         String stateFolder) {
 
         /** A fleet whose node no console can connect to. */
-        public Plan(int workers, double ratePerS, long seed, List<Trouble> troubles) {
-            this(workers, ratePerS, seed, troubles, null, null);
+        public Plan(int workers, double ratePerS, long seed, List<InjectedFault> faults) {
+            this(workers, ratePerS, seed, faults, null, null);
         }
     }
 
@@ -66,32 +66,32 @@
     private final EventLoop loop = group.next();
     private final UniformRandomProvider chance;
     private final List<WorkerStandIn> workers = new ArrayList<>();
-    private final DirectorStandIn director;
+    private final DiscoveryStandIn discovery;
     private final ApplianceSettings settings;
     private final List<JobClass> classes;
     private final LoadClients clients;
     private final NodeServer node;
     private boolean closed;
 
-    /** Starts director and workers, and builds the node; nothing is sent yet. */
+    /** Starts discovery and workers, and builds the node; nothing is sent yet. */
     public Fleet(Plan plan) {
         this.plan = plan;
         chance = RandomSource.XO_SHI_RO_256_PP.create(plan.seed());
-        final InetSocketAddress directorAt;
-        director = new DirectorStandIn(loop, recorder);
+        final InetSocketAddress discoveryAt;
+        discovery = new DiscoveryStandIn(loop, recorder);
         try {
-            directorAt = director.start();
-            final ApplianceSettings bare = settings(directorAt, List.of());
+            discoveryAt = discovery.start();
+            final ApplianceSettings bare = settings(discoveryAt, List.of());
             for (int i = 0; i < plan.workers(); i++) {
                 workers.add(worker(i, bare));
             }
-            settings = settings(directorAt, workers);
+            settings = settings(discoveryAt, workers);
             classes = JobClass.of(settings, List.of(new Demand("lookup", 0.49, 400_000),
                 new Demand("report", 0.27, 1_500_000), new Demand("file", 0.24, 2_400_000)));
             clients = new LoadClients(loop, recorder, RandomSource.XO_SHI_RO_256_PP.create(plan.seed() + 1),
                 classes, plan.ratePerS());
             node = new NodeServer(NodeConfig.of(settings, plan.seed()));
-            checkTroubles();
+            checkFaults();
         } catch (RuntimeException e) {
             group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
             throw e;
@@ -107,19 +107,19 @@
             new WorkerStandIn.Make("w" + (number + 1), cell, "local", big ? "big" : "std", big ? 5 : 4,
                 speed),
             number < CELLS ? new CellKeys(windowUs(bare)) : workers.get(cell).keys(),
-            bare.module().coldStart());
+            bare.module().slowStart());
         worker.start();
-        onLoop(() -> director.set(worker, "SERVING", 0));
+        onLoop(() -> discovery.set(worker, "SERVING", 0));
         return worker;
     }
 
     private static long windowUs(ApplianceSettings settings) {
-        return settings.module().classes().stream().mapToLong(each -> each.repeatWindowUs()).max().orElse(0);
+        return settings.module().classes().stream().mapToLong(each -> each.deduplicationWindowUs()).max().orElse(0);
     }
 
     /** The settings come from a script, as a site's do; the addresses are put before it. */
-    private ApplianceSettings settings(InetSocketAddress director, List<WorkerStandIn> workers) {
-        final String script = "DIRECTOR = \"127.0.0.1:" + director.getPort() + "\"\nWORKERS = ["
+    private ApplianceSettings settings(InetSocketAddress discovery, List<WorkerStandIn> workers) {
+        final String script = "DIRECTOR = \"127.0.0.1:" + discovery.getPort() + "\"\nWORKERS = ["
             + workers.stream().map(each -> "(\"" + each.make().id() + "\", \"127.0.0.1:"
                 + each.address().getPort() + "\", \"" + each.make().kind() + "\", "
                 + each.make().cell() + ")")
@@ -147,56 +147,56 @@
         }
     }
 
-    private void checkTroubles() {
-        for (final Trouble trouble : plan.troubles()) {
-            if (trouble.worker() != null
-                && workers.stream().noneMatch(each -> each.make().id().equals(trouble.worker()))) {
-                throw new IllegalArgumentException("no worker is called '" + trouble.worker()
+    private void checkFaults() {
+        for (final InjectedFault fault : plan.faults()) {
+            if (fault.worker() != null
+                && workers.stream().noneMatch(each -> each.make().id().equals(fault.worker()))) {
+                throw new IllegalArgumentException("no worker is called '" + fault.worker()
                     + "'; there are w1 to w" + workers.size());
             }
         }
     }
 
-    /** Starts the node, then the clients, then the clock of the troubles. */
+    /** Starts the node, then the clients, then the clock of the faults. */
     public void start() {
         final SocketAddress at = node.start();
         onLoop(() -> {
-            director.late(TOLD_LATE_US);
+            discovery.late(TOLD_LATE_US);
             clients.start(at);
-            plan.troubles().forEach(this::plan);
+            plan.faults().forEach(this::plan);
         });
     }
 
-    // ---- Troubles ----
+    // ---- Faults ----
 
-    private void plan(Trouble trouble) {
-        final WorkerStandIn worker = !trouble.kind().isOfWorker() ? null
-            : workers.stream().filter(each -> each.make().id().equals(trouble.worker())).findFirst()
+    private void plan(InjectedFault fault) {
+        final WorkerStandIn worker = !fault.kind().isOfWorker() ? null
+            : workers.stream().filter(each -> each.make().id().equals(fault.worker())).findFirst()
                 .orElseGet(() -> workers.get(chance.nextInt(workers.size())));
-        loop.schedule(() -> begin(trouble, worker), trouble.atUs(), TimeUnit.MICROSECONDS);
-        loop.schedule(() -> end(trouble, worker), trouble.atUs() + trouble.forUs(), TimeUnit.MICROSECONDS);
+        loop.schedule(() -> begin(fault, worker), fault.atUs(), TimeUnit.MICROSECONDS);
+        loop.schedule(() -> end(fault, worker), fault.atUs() + fault.forUs(), TimeUnit.MICROSECONDS);
     }
 
-    private void begin(Trouble trouble, WorkerStandIn worker) {
-        switch (trouble.kind()) {
-            case SLOW -> worker.slow(trouble.factor());
+    private void begin(InjectedFault fault, WorkerStandIn worker) {
+        switch (fault.kind()) {
+            case SLOW -> worker.slow(fault.factor());
             case SILENT -> worker.silent(true);
-            case RESET -> worker.resets(trouble.factor());
-            case GARBAGE -> worker.garbage(trouble.factor());
-            case LATE -> worker.lateReports((long) (trouble.factor() * 1e6));
+            case RESET -> worker.resets(fault.factor());
+            case GARBAGE -> worker.garbage(fault.factor());
+            case LATE -> worker.lateReports((long) (fault.factor() * 1e6));
             case CRASH -> {
                 worker.crash();
-                director.set(worker, "DELETED", 0);
+                discovery.set(worker, "DELETED", 0);
             }
-            case DRAIN -> director.set(worker, "DRAINING", 0);
-            case BURST -> clients.burst(trouble.factor());
-            case TAIL -> clients.tail(trouble.factor());
-            case DIRECTOR -> director.down(true);
+            case DRAIN -> discovery.set(worker, "DRAINING", 0);
+            case BURST -> clients.burst(fault.factor());
+            case TAIL -> clients.tail(fault.factor());
+            case DIRECTOR -> discovery.down(true);
         }
     }
 
-    private void end(Trouble trouble, WorkerStandIn worker) {
-        switch (trouble.kind()) {
+    private void end(InjectedFault fault, WorkerStandIn worker) {
+        switch (fault.kind()) {
             case SLOW -> worker.slow(1);
             case SILENT -> worker.silent(false);
             case RESET -> worker.resets(0);
@@ -204,12 +204,12 @@
             case LATE -> worker.lateReports(0);
             case CRASH -> {
                 worker.boot();
-                director.set(worker, "SERVING", recorder.nowUs() / 1000);
+                discovery.set(worker, "SERVING", recorder.nowUs() / 1000);
             }
-            case DRAIN -> director.set(worker, "SERVING", 0);
+            case DRAIN -> discovery.set(worker, "SERVING", 0);
             case BURST -> clients.burst(1);
             case TAIL -> clients.tail(1);
-            case DIRECTOR -> director.down(false);
+            case DIRECTOR -> discovery.down(false);
         }
     }
 
@@ -229,7 +229,7 @@
     /** What was seen so far, and what it comes to. */
     public FleetReport report() {
         final List<Observation> seen = recorder.seen();
-        return new FleetReport(Outcomes.of(seen, classes), RuleChecker.check(seen, classes, coldStart()),
+        return new FleetReport(RequestOutcomes.of(seen, classes), RuleChecker.check(seen, classes, coldStart()),
             node.invariantBreaches());
     }
 
@@ -238,14 +238,14 @@
         return recorder.seen();
     }
 
-    /** A worker's trouble begins now. Not on the fleet's loop. */
-    void begin(Trouble.Kind kind, String worker) {
-        onLoop(() -> begin(new Trouble(kind, worker, 1, 0, 0), workerCalled(worker)));
+    /** A worker's fault begins now. Not on the fleet's loop. */
+    void begin(InjectedFault.Kind kind, String worker) {
+        onLoop(() -> begin(new InjectedFault(kind, worker, 1, 0, 0), workerCalled(worker)));
     }
 
-    /** A worker's trouble ends now. Not on the fleet's loop. */
-    void end(Trouble.Kind kind, String worker) {
-        onLoop(() -> end(new Trouble(kind, worker, 1, 0, 0), workerCalled(worker)));
+    /** A worker's fault ends now. Not on the fleet's loop. */
+    void end(InjectedFault.Kind kind, String worker) {
+        onLoop(() -> end(new InjectedFault(kind, worker, 1, 0, 0), workerCalled(worker)));
     }
 
     private WorkerStandIn workerCalled(String id) {
@@ -285,13 +285,13 @@
             .collect(Collectors.groupingBy(SendCame::worker, Collectors.counting()));
     }
 
-    /** The director forgets what it has told, so that its next answer is a whole list. */
+    /** Discovery forgets what it has told, so that its next answer is a whole list. */
     void tellWholeList() {
-        onLoop(director::forgetChanges);
+        onLoop(discovery::forgetChanges);
     }
 
-    private ColdStart coldStart() {
-        return settings.module().coldStart();
+    private SlowStartSettings coldStart() {
+        return settings.module().slowStart();
     }
 
     private void onLoop(Runnable call) {
@@ -303,7 +303,7 @@
         stop();
     }
 
-    /** Ends it all, once: clients leave, the node stops as by SIGTERM, then workers and director go. */
+    /** Ends it all, once: clients leave, the node stops as by SIGTERM, then workers and discovery go. */
     public synchronized void stop() {
         if (closed) {
             return;
@@ -320,7 +320,7 @@
         }
         onLoop(() -> {
             workers.forEach(WorkerStandIn::close);
-            director.close();
+            discovery.close();
         });
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
     }
--- a/src/main/java/cresschute/testbed/FleetReport.java
+++ b/src/main/java/cresschute/testbed/FleetReport.java
@@ -2,8 +2,8 @@
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
-import cresschute.testbed.Outcomes.End;
-import cresschute.testbed.Outcomes.OfClass;
+import cresschute.testbed.RequestOutcomes.End;
+import cresschute.testbed.RequestOutcomes.OfClass;
 import cresschute.testbed.RuleChecker.Breach;
 import cresschute.testbed.RuleChecker.Rule;
 import java.util.ArrayList;
@@ -18,9 +18,9 @@
  * @param invariantBreaches how often the node found by itself that something did not hold that must; a
  *     machine without time to spare makes answers late, so that they are told and break no rule
  */
-public record FleetReport(Outcomes outcomes, List<Breach> breaches, long invariantBreaches) {
+public record FleetReport(RequestOutcomes outcomes, List<Breach> breaches, long invariantBreaches) {
 
-    private static final int MOST_BREACHES_SHOWN = 10;
+    private static final int MAX_BREACHES_SHOWN = 10;
     private static final double P50 = 50;
     private static final double P99 = 99;
     private static final int WIDE = 72;
@@ -49,7 +49,7 @@
         }
         json.add("rules_broken", broken);
         json.addProperty("invariants_broken", invariantBreaches);
-        json.addProperty("worth_kept", rounded(outcomes.worthKept(), 1000));
+        json.addProperty("worth_kept", rounded(outcomes.weightedServedFraction(), 1000));
         final JsonObject classes = new JsonObject();
         outcomes.classes().forEach((name, ofClass) -> classes.add(name, json(ofClass)));
         json.add("classes", classes);
@@ -99,12 +99,12 @@
         if (outcomes.ended(End.UNFINISHED) > 0) {
             lines.add("cut off while waiting: " + outcomes.ended(End.UNFINISHED));
         }
-        lines.add(String.format(Locale.ROOT, "worth kept: %.3f of 1", outcomes.worthKept()));
+        lines.add(String.format(Locale.ROOT, "worth kept: %.3f of 1", outcomes.weightedServedFraction()));
         for (final Rule rule : Rule.values()) {
             final List<Breach> of = breaches.stream().filter(each -> each.rule() == rule).toList();
             lines.add(String.format(Locale.ROOT, "%-18s %s", rule.wireName().replace('_', ' '),
                 of.isEmpty() ? "kept" : "BROKEN " + of.size() + " times"));
-            of.stream().limit(MOST_BREACHES_SHOWN).forEach(each -> wrap("  " + each.what(), columns, lines));
+            of.stream().limit(MAX_BREACHES_SHOWN).forEach(each -> wrap("  " + each.what(), columns, lines));
         }
         if (invariantBreaches > 0) {
             lines.add("the node's own invariants: broken " + invariantBreaches);
--- a/src/main/java/cresschute/testbed/Trouble.java
+++ b/src/main/java/cresschute/testbed/InjectedFault.java
@@ -8,22 +8,22 @@
 import java.util.regex.Pattern;
 
 /**
- * A trouble that a fleet is to have, at a time after its start.
+ * A fault that a fleet is to have, at a time after its start.
  *
  * @param worker whom it befalls, or null for one drawn by chance; of no use where it befalls no worker
  * @param factor how bad it is; what it means depends on the kind
  */
-public record Trouble(Kind kind, String worker, double factor, long atUs, long forUs) {
+public record InjectedFault(Kind kind, String worker, double factor, long atUs, long forUs) {
 
     /** What may happen; each has a factor and a duration that hold where none is given. */
     public enum Kind {
         /** A worker runs slower by the factor. */
         SLOW(5, 10_000, true, "a worker runs x times slower"),
-        /** A worker takes reqs, runs nothing and says nothing. */
+        /** A worker takes requests, runs nothing and says nothing. */
         SILENT(1, 8_000, true, "a worker takes jobs and answers none"),
-        /** A worker resets the connections of this share of reqs. */
+        /** A worker resets the connections of this share of requests. */
         RESET(0.5, 5_000, true, "a worker resets the connection of a share x of its jobs"),
-        /** A worker answers this share of reqs with bytes that are no JSON in the middle of a body. */
+        /** A worker answers this share of requests with bytes that are no JSON in the middle of a body. */
         GARBAGE(0.5, 5_000, true, "a worker answers a share x of its jobs with bytes that are no JSON"),
         /** A worker's load reports are older by the factor, in seconds. */
         LATE(3, 10_000, true, "a worker's load reports are x seconds old"),
@@ -33,9 +33,9 @@
         DRAIN(1, 8_000, true, "a worker is told to drain"),
         /** Clients send more by the factor. */
         BURST(2, 4_000, false, "clients send x times as much"),
-        /** One req in fifty costs this many times the usual work. */
+        /** One request in fifty costs this many times the usual work. */
         TAIL(15, 10_000, false, "one job in fifty takes x times the usual work"),
-        /** The director answers 503 and resets its connections. */
+        /** Discovery answers 503 and resets its connections. */
         DIRECTOR(1, 5_000, false, "the director is down");
 
         private final double factor;
@@ -71,8 +71,8 @@
         + "slow@5s or silent:w2@500ms+3s";
 
     /** Reads a list with commas between; what is wrong is an {@link IllegalArgumentException}. */
-    public static List<Trouble> parse(String text) {
-        final List<Trouble> troubles = new ArrayList<>();
+    public static List<InjectedFault> parse(String text) {
+        final List<InjectedFault> faults = new ArrayList<>();
         for (final String part : text.isBlank() ? new String[0] : text.split(",")) {
             final Matcher matcher = FORM.matcher(part.strip());
             if (!matcher.matches()) {
@@ -87,11 +87,11 @@
                 throw new IllegalArgumentException(kind.word() + " befalls no worker; leave out ':"
                     + matcher.group(2) + "'");
             }
-            troubles.add(new Trouble(kind, matcher.group(2),
+            faults.add(new InjectedFault(kind, matcher.group(2),
                 matcher.group(3) == null ? kind.factor : Double.parseDouble(matcher.group(3)),
                 Durations.parseUs(matcher.group(4)),
                 matcher.group(5) == null ? kind.forMs * 1000 : Durations.parseUs(matcher.group(5))));
         }
-        return List.copyOf(troubles);
+        return List.copyOf(faults);
     }
 }
--- a/src/main/java/cresschute/testbed/JobClass.java
+++ b/src/main/java/cresschute/testbed/JobClass.java
@@ -1,7 +1,7 @@
 package cresschute.testbed;
 
-import cresschute.dispatch.Effect;
-import cresschute.dispatch.RepeatScope;
+import cresschute.dispatch.Idempotency;
+import cresschute.dispatch.DeduplicationScope;
 import cresschute.dispatch.RequestClass;
 import cresschute.settings.ApplianceSettings;
 import java.util.ArrayList;
@@ -12,22 +12,22 @@
  *
  * @param share of all jobs, as a weight
  * @param meanWorkUs running time at speed 1 on average
- * @param mostSends how often one req may be sent to workers
+ * @param maxAttempts how often one request may be sent to workers
  */
-public record JobClass(String name, double worth, long aimUs, double aimStretch, long deadlineUs,
-    Effect effect,
-    RepeatScope scope, long repeatWindowUs, int mostSends, double share, long meanWorkUs) {
+public record JobClass(String name, double priorityWeight, long latencyObjectiveUs, double latencyObjectiveStretch, long deadlineUs,
+    Idempotency effect,
+    DeduplicationScope scope, long repeatWindowUs, int maxAttempts, double share, long meanWorkUs) {
 
-    /** The classes of settings; a job takes a fifth of its aim on average, and all are sent as often. */
+    /** The classes of settings; a job takes a fifth of its latency objective on average, and all are sent as often. */
     static List<JobClass> of(ApplianceSettings settings, List<Demand> demands) {
         final List<JobClass> classes = new ArrayList<>();
         for (int i = 0; i < settings.classes().size(); i++) {
             final String name = settings.classes().get(i);
             final RequestClass stated = settings.module().classes().get(i);
             final Demand demand = demands.stream().filter(each -> each.className().equals(name)).findFirst()
-                .orElse(new Demand(name, 1, stated.aimUs() / 5));
-            classes.add(new JobClass(name, stated.worth(), stated.aimUs(), stated.aimStretch(),
-                stated.deadlineUs(), stated.effect(), stated.scope(), stated.repeatWindowUs(),
+                .orElse(new Demand(name, 1, stated.latencyObjectiveUs() / 5));
+            classes.add(new JobClass(name, stated.priorityWeight(), stated.latencyObjectiveUs(), stated.latencyObjectiveStretch(),
+                stated.deadlineUs(), stated.idempotency(), stated.deduplicationScope(), stated.deduplicationWindowUs(),
                 Math.min(stated.maxAttempts(), settings.module().limits().maxAttempts()), demand.share(),
                 demand.meanWorkUs()));
         }
@@ -39,6 +39,6 @@
 
     /** Whether an answer this long after the first try was sent is in time. */
     boolean isInTime(long tookUs, long workUs) {
-        return tookUs <= aimUs + aimStretch * workUs;
+        return tookUs <= latencyObjectiveUs + latencyObjectiveStretch * workUs;
     }
 }
--- a/src/main/java/cresschute/testbed/WideSite.java
+++ b/src/main/java/cresschute/testbed/LargeFleet.java
@@ -18,10 +18,10 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * A node that is told of very many workers, by a director whose list does not rest: for what consoles cost
+ * A node that is told of very many workers, by a discovery service whose list does not rest: for what consoles cost
  * at that size. Nobody sends jobs, so that none of the workers need be there.
  */
-public final class WideSite implements AutoCloseable {
+public final class LargeFleet implements AutoCloseable {
 
     private static final long STEP_MS = 50;
     /** The longest wait for a call on the loop, or for the node's end, s. */
@@ -32,21 +32,21 @@
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final UniformRandomProvider chance;
-    private final DirectorStandIn director;
+    private final DiscoveryStandIn discovery;
     private final List<WorkerStandIn.Make> workers = new ArrayList<>();
     private final boolean[] drains;
     private final NodeServer node;
 
-    /** Starts director and node; the list is told at once. */
-    public WideSite(int count, long seed, Path controlSocket) {
+    /** Starts discovery and node; the list is told at once. */
+    public LargeFleet(int count, long seed, Path controlSocket) {
         chance = RandomSource.XO_SHI_RO_256_PP.create(seed);
-        director = new DirectorStandIn(loop, new Recorder());
+        discovery = new DiscoveryStandIn(loop, new Recorder());
         drains = new boolean[count];
-        final InetSocketAddress at = director.start();
+        final InetSocketAddress at = discovery.start();
         for (int i = 0; i < count; i++) {
             workers.add(new WorkerStandIn.Make("w" + (i + 1), i % 10, "local", "std", 4, 1));
         }
-        CompletableFuture.runAsync(() -> workers.forEach(each -> director.set(each, NOWHERE, "SERVING", 0)),
+        CompletableFuture.runAsync(() -> workers.forEach(each -> discovery.set(each, NOWHERE, "SERVING", 0)),
             loop).orTimeout(MAX_WAIT_S, TimeUnit.SECONDS).join();
         node = new NodeServer(NodeConfig.of(SettingsFile.parse("""
             node(name = "wide", listen = "127.0.0.1:0", seed = 1)
@@ -63,7 +63,7 @@
             for (int i = 0; i < perS * STEP_MS / 1_000; i++) {
                 final int worker = chance.nextInt(drains.length);
                 drains[worker] = !drains[worker];
-                director.set(workers.get(worker), NOWHERE, drains[worker] ? "DRAINING" : "SERVING", 0);
+                discovery.set(workers.get(worker), NOWHERE, drains[worker] ? "DRAINING" : "SERVING", 0);
             }
         }, STEP_MS, STEP_MS, TimeUnit.MILLISECONDS);
     }
@@ -76,7 +76,7 @@
     @Override
     public void close() {
         node.stop().orTimeout(MAX_WAIT_S, TimeUnit.SECONDS).join();
-        CompletableFuture.runAsync(director::close, loop).orTimeout(MAX_WAIT_S, TimeUnit.SECONDS).join();
+        CompletableFuture.runAsync(discovery::close, loop).orTimeout(MAX_WAIT_S, TimeUnit.SECONDS).join();
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
     }
 }
--- a/src/main/java/cresschute/testbed/LoadClients.java
+++ b/src/main/java/cresschute/testbed/LoadClients.java
@@ -1,13 +1,13 @@
 package cresschute.testbed;
 
 import com.google.gson.JsonObject;
-import cresschute.dispatch.Effect;
+import cresschute.dispatch.Idempotency;
 import cresschute.testbed.Observation.AnswerTooMany;
-import cresschute.testbed.Observation.ReqAnswered;
-import cresschute.testbed.Observation.ReqLost;
-import cresschute.testbed.Observation.ReqSent;
-import cresschute.testbed.Observation.ReqUnanswered;
-import cresschute.testbed.Observation.ReqUnfinished;
+import cresschute.testbed.Observation.RequestAnswered;
+import cresschute.testbed.Observation.RequestLost;
+import cresschute.testbed.Observation.RequestSent;
+import cresschute.testbed.Observation.RequestUnanswered;
+import cresschute.testbed.Observation.RequestUnfinished;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -45,7 +45,7 @@
 
 /**
  * Clients of a node. Jobs come in an open loop, whether earlier ones are answered or not. Clients keep their
- * connections, send one req at a time on each, try again after a refusal up to two times as it advises, and
+ * connections, send one request at a time on each, try again after a refusal up to two times as it advises, and
  * after a failure where a repeat is safe. All of it happens on one loop.
  */
 public final class LoadClients {
@@ -54,9 +54,9 @@
     public static final int OK = 200;
     private static final int REFUSED = 503;
     private static final int TOO_MANY = 429;
-    private static final int MOST_TRIES = 3;
-    private static final int MOST_ANSWER_BYTES = 1 << 20;
-    /** How long after its deadline a req is still listened for: an answer so late is late, but it is one. */
+    private static final int MAX_TRIES = 3;
+    private static final int MAX_ANSWER_BYTES = 1 << 20;
+    /** How long after its deadline a request is still listened for: an answer so late is late, but it is one. */
     private static final long LATE_BEYOND_US = 2_000_000;
     private static final double SPREAD = 0.45;
     private static final double TAIL_SHARE = 0.02;
@@ -116,7 +116,7 @@
      * @param tenant the customer, or null where there are none
      */
     public void submit(JobClass stated, String origin, long workUs, String tenant) {
-        final String key = stated.effect() == Effect.KEYED ? "key-" + origin : null;
+        final String key = stated.effect() == Idempotency.KEYED ? "key-" + origin : null;
         new Try(stated, origin, origin, key, workUs, 1, 1, tenant).send();
     }
 
@@ -161,7 +161,7 @@
         final long workUs = Math.max(1, (long) (stated.meanWorkUs() * spread.sample() * heavy));
         final double slots = chance.nextDouble() < WIDE_SHARE ? 2 : 1;
         final String origin = "job-" + ++lastOrigin + "-" + Long.toHexString(chance.nextLong());
-        final String key = stated.effect() == Effect.KEYED ? "key-" + origin : null;
+        final String key = stated.effect() == Idempotency.KEYED ? "key-" + origin : null;
         new Try(stated, origin, origin, key, workUs, slots, 1, null).send();
     }
 
@@ -186,7 +186,7 @@
         arriving = false;
         for (final Try each : new ArrayList<>(open)) {
             each.over();
-            recorder.add(new ReqUnfinished(recorder.nowUs(), each.id));
+            recorder.add(new RequestUnfinished(recorder.nowUs(), each.id));
         }
         new ArrayList<>(connections).forEach(connection -> connection.channel.close());
     }
@@ -231,7 +231,7 @@
                     @Override
                     protected void initChannel(Channel channel) {
                         channel.pipeline().addLast(new HttpClientCodec(),
-                            new HttpObjectAggregator(MOST_ANSWER_BYTES), new Connection(channel, node));
+                            new HttpObjectAggregator(MAX_ANSWER_BYTES), new Connection(channel, node));
                     }
                 }).connect(node).addListener((ChannelFutureListener) connected -> {
                     if (!connected.isSuccess()) {
@@ -246,11 +246,11 @@
 
         void written() {
             sent++;
-            recorder.add(new ReqSent(recorder.nowUs(), id, origin, stated.name(), key, workUs, slots,
+            recorder.add(new RequestSent(recorder.nowUs(), id, origin, stated.name(), key, workUs, slots,
                 stated.deadlineUs()));
             unanswered = loop.schedule(() -> {
                 if (open.remove(this)) {
-                    recorder.add(new ReqUnanswered(recorder.nowUs(), id));
+                    recorder.add(new RequestUnanswered(recorder.nowUs(), id));
                 }
             }, stated.deadlineUs() + LATE_BEYOND_US, TimeUnit.MICROSECONDS);
         }
@@ -269,10 +269,10 @@
                 return;
             }
             final int status = response.status().code();
-            recorder.add(new ReqAnswered(recorder.nowUs(), id, status,
+            recorder.add(new RequestAnswered(recorder.nowUs(), id, status,
                 response.content().toString(StandardCharsets.UTF_8)));
             final boolean refused = status == REFUSED || status == TOO_MANY;
-            if (refused || status != OK && stated.effect() == Effect.SAFE) {
+            if (refused || status != OK && stated.effect() == Idempotency.SAFE) {
                 retry(retryAfterUs(response.headers().get(HttpHeaderNames.RETRY_AFTER, "0")));
             }
         }
@@ -286,7 +286,7 @@
         }
 
         private void retry(long adviceUs) {
-            if (number < MOST_TRIES && arriving) {
+            if (number < MAX_TRIES && arriving) {
                 final long delayUs = Math.max(adviceUs, (long) (200_000 * (0.5 + chance.nextDouble())));
                 final Try next = new Try(stated, origin, "again-" + number + "-" + origin, key, workUs, slots,
                     number + 1, tenant);
@@ -365,7 +365,7 @@
             connections.remove(this);
             idle.get(node).remove(this);
             if (current != null && current.unanswered != null && current.over()) {
-                recorder.add(new ReqLost(recorder.nowUs(), current.id));
+                recorder.add(new RequestLost(recorder.nowUs(), current.id));
             } else if (current != null && current.over()) {
                 current.retry(0);
             }
--- a/src/main/java/cresschute/testbed/Observation.java
+++ b/src/main/java/cresschute/testbed/Observation.java
@@ -3,7 +3,7 @@
 import com.google.gson.annotations.SerializedName;
 
 /**
- * Something that the client side, the worker side or the director of a fleet saw. Times are microseconds of
+ * Something that the client side, the worker side or discovery of a fleet saw. Times are microseconds of
  * the fleet's one clock. What the node believes is not among them: they are what it is judged by.
  */
 public sealed interface Observation {
@@ -12,12 +12,12 @@
     long us();
 
     /**
-     * A client has written the last byte of a req.
+     * A client has written the last byte of a request.
      *
      * @param origin the id of the first try, the same in all retries of it
      * @param workUs running time at a worker of speed 1
      */
-    record ReqSent(@SerializedName("us") long us, @SerializedName("id") String id,
+    record RequestSent(@SerializedName("us") long us, @SerializedName("id") String id,
         @SerializedName("origin") String origin, @SerializedName("className") String className,
         @SerializedName("key") String key, @SerializedName("workUs") long workUs,
         @SerializedName("slots") double slots, @SerializedName("deadlineUs") long deadlineUs)
@@ -25,14 +25,14 @@
             Observation {}
 
     /** A client has read the last byte of an answer. */
-    record ReqAnswered(@SerializedName("us") long us, @SerializedName("id") String id,
+    record RequestAnswered(@SerializedName("us") long us, @SerializedName("id") String id,
         @SerializedName("status") int status, @SerializedName("body") String body) implements Observation {}
 
-    /** A connection ended before the answer to a req that was written to it. */
-    record ReqLost(@SerializedName("us") long us, @SerializedName("id") String id) implements Observation {}
+    /** A connection ended before the answer to a request that was written to it. */
+    record RequestLost(@SerializedName("us") long us, @SerializedName("id") String id) implements Observation {}
 
     /** A client has stopped waiting long after the deadline; no answer had come. */
-    record ReqUnanswered(@SerializedName("us") long us, @SerializedName("id") String id)
+    record RequestUnanswered(@SerializedName("us") long us, @SerializedName("id") String id)
         implements
             Observation {}
 
@@ -42,12 +42,12 @@
             Observation {}
 
     /** The run ended while a client was waiting, before its time was up. */
-    record ReqUnfinished(@SerializedName("us") long us, @SerializedName("id") String id)
+    record RequestUnfinished(@SerializedName("us") long us, @SerializedName("id") String id)
         implements
             Observation {}
 
     /**
-     * A worker has read the last byte of a req.
+     * A worker has read the last byte of a request.
      *
      * @param firstByteUs when its first byte came
      * @param work what it adds to the worker's load: slots times microseconds at speed 1
@@ -59,7 +59,7 @@
         implements
             Observation {}
 
-    /** A worker turned a req away and will never run it. */
+    /** A worker turned a request away and will never run it. */
     record SendTurnedAway(@SerializedName("us") long us, @SerializedName("worker") String worker,
         @SerializedName("id") String id) implements Observation {}
 
@@ -67,7 +67,7 @@
     record RunStarted(@SerializedName("us") long us, @SerializedName("worker") String worker,
         @SerializedName("id") String id) implements Observation {}
 
-    /** A job is done: this is the one result that may be answered for the req. */
+    /** A job is done: this is the one result that may be answered for the request. */
     record RunDone(@SerializedName("us") long us, @SerializedName("worker") String worker,
         @SerializedName("id") String id, @SerializedName("result") String result) implements Observation {}
 
@@ -86,7 +86,7 @@
         implements
             Observation {}
 
-    /** The director has written this to the node. */
+    /** Discovery has written this to the node. */
     record WorkerTold(@SerializedName("us") long us, @SerializedName("worker") String worker,
         @SerializedName("state") String state, @SerializedName("startedMs") long startedMs)
         implements
--- a/src/main/java/cresschute/testbed/Outcomes.java
+++ b/src/main/java/cresschute/testbed/RequestOutcomes.java
@@ -1,10 +1,10 @@
 package cresschute.testbed;
 
-import cresschute.testbed.Observation.ReqAnswered;
-import cresschute.testbed.Observation.ReqLost;
-import cresschute.testbed.Observation.ReqSent;
-import cresschute.testbed.Observation.ReqUnanswered;
-import cresschute.testbed.Observation.ReqUnfinished;
+import cresschute.testbed.Observation.RequestAnswered;
+import cresschute.testbed.Observation.RequestLost;
+import cresschute.testbed.Observation.RequestSent;
+import cresschute.testbed.Observation.RequestUnanswered;
+import cresschute.testbed.Observation.RequestUnfinished;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -15,7 +15,7 @@
  * What became of the jobs that clients asked for, a client's retries counted as part of its first try. Pure:
  * it reads the observations alone.
  */
-public final class Outcomes {
+public final class RequestOutcomes {
 
     private static final long LONGEST_US = 3_600_000_000L;
     private static final int DIGITS = 3;
@@ -34,8 +34,8 @@
         private final Histogram servedUs = new Histogram(LONGEST_US, DIGITS);
         private int inTime;
         private int asked;
-        private double worthAsked;
-        private double worthKept;
+        private double priorityWeightAsked;
+        private double weightedServedFraction;
 
         /** Jobs asked for. */
         public int asked() {
@@ -58,40 +58,40 @@
         }
 
         /** Worth of the jobs asked for. */
-        public double worthAsked() {
-            return worthAsked;
+        public double priorityWeightAsked() {
+            return priorityWeightAsked;
         }
 
         /** Worth of those that were served in time. */
-        public double worthKept() {
-            return worthKept;
+        public double weightedServedFraction() {
+            return weightedServedFraction;
         }
     }
 
     private final Map<String, OfClass> classes = new LinkedHashMap<>();
 
-    private Outcomes() {}
+    private RequestOutcomes() {}
 
-    private record Job(ReqSent first, ReqSent last) {}
+    private record Job(RequestSent first, RequestSent last) {}
 
     /** Reads what was seen. */
-    public static Outcomes of(List<Observation> seen, List<JobClass> jobClasses) {
+    public static RequestOutcomes of(List<Observation> seen, List<JobClass> jobClasses) {
         final Map<String, Job> jobs = new LinkedHashMap<>();
         final Map<String, Observation> ends = new HashMap<>();
         for (final Observation each : seen) {
-            if (each instanceof ReqSent sent) {
+            if (each instanceof RequestSent sent) {
                 jobs.merge(sent.origin(), new Job(sent, sent), (old, now) -> new Job(old.first(), sent));
-            } else if (each instanceof ReqAnswered answer) {
+            } else if (each instanceof RequestAnswered answer) {
                 ends.putIfAbsent(answer.id(), answer);
-            } else if (each instanceof ReqLost lost) {
+            } else if (each instanceof RequestLost lost) {
                 ends.putIfAbsent(lost.id(), lost);
-            } else if (each instanceof ReqUnanswered none) {
+            } else if (each instanceof RequestUnanswered none) {
                 ends.putIfAbsent(none.id(), none);
-            } else if (each instanceof ReqUnfinished cut) {
+            } else if (each instanceof RequestUnfinished cut) {
                 ends.putIfAbsent(cut.id(), cut);
             }
         }
-        final Outcomes outcomes = new Outcomes();
+        final RequestOutcomes outcomes = new RequestOutcomes();
         jobClasses.forEach(each -> outcomes.classes.put(each.name(), new OfClass()));
         for (final Job job : jobs.values()) {
             jobClasses.stream().filter(each -> each.name().equals(job.first().className())).findFirst()
@@ -106,24 +106,24 @@
         ofClass.asked++;
         ofClass.ends.merge(how, 1, Integer::sum);
         if (how != End.UNFINISHED) {
-            ofClass.worthAsked += stated.worth();
+            ofClass.priorityWeightAsked += stated.priorityWeight();
         }
         if (how == End.SERVED) {
             final long tookUs = end.us() - job.first().us();
             ofClass.servedUs.recordValue(Math.max(0, Math.min(LONGEST_US, tookUs)));
             if (stated.isInTime(tookUs, job.first().workUs())) {
                 ofClass.inTime++;
-                ofClass.worthKept += stated.worth();
+                ofClass.weightedServedFraction += stated.priorityWeight();
             }
         }
     }
 
     private static End end(Observation end) {
-        if (end instanceof ReqAnswered answer) {
+        if (end instanceof RequestAnswered answer) {
             return answer.status() == LoadClients.OK ? End.SERVED
                 : answer.status() == REFUSED || answer.status() == TOO_MANY ? End.REFUSED : End.FAILED;
         }
-        return end instanceof ReqUnfinished || end == null ? End.UNFINISHED : End.UNANSWERED;
+        return end instanceof RequestUnfinished || end == null ? End.UNFINISHED : End.UNANSWERED;
     }
 
     /** By class, in the order of the classes. */
@@ -147,8 +147,8 @@
     }
 
     /** Worth served in time over worth asked for; 1 where nothing was asked for. */
-    public double worthKept() {
-        final double asked = classes.values().stream().mapToDouble(OfClass::worthAsked).sum();
-        return asked == 0 ? 1 : classes.values().stream().mapToDouble(OfClass::worthKept).sum() / asked;
+    public double weightedServedFraction() {
+        final double asked = classes.values().stream().mapToDouble(OfClass::priorityWeightAsked).sum();
+        return asked == 0 ? 1 : classes.values().stream().mapToDouble(OfClass::weightedServedFraction).sum() / asked;
     }
 }
--- a/src/main/java/cresschute/testbed/RuleChecker.java
+++ b/src/main/java/cresschute/testbed/RuleChecker.java
@@ -1,15 +1,15 @@
 package cresschute.testbed;
 
-import cresschute.dispatch.ColdStart;
-import cresschute.dispatch.Effect;
-import cresschute.dispatch.RepeatScope;
+import cresschute.dispatch.SlowStartSettings;
+import cresschute.dispatch.Idempotency;
+import cresschute.dispatch.DeduplicationScope;
 import cresschute.testbed.Observation.AnswerTooMany;
 import cresschute.testbed.Observation.EffectMade;
 import cresschute.testbed.Observation.OperatorDrained;
-import cresschute.testbed.Observation.ReqAnswered;
-import cresschute.testbed.Observation.ReqLost;
-import cresschute.testbed.Observation.ReqSent;
-import cresschute.testbed.Observation.ReqUnanswered;
+import cresschute.testbed.Observation.RequestAnswered;
+import cresschute.testbed.Observation.RequestLost;
+import cresschute.testbed.Observation.RequestSent;
+import cresschute.testbed.Observation.RequestUnanswered;
 import cresschute.testbed.Observation.RunDone;
 import cresschute.testbed.Observation.SendCame;
 import cresschute.testbed.Observation.SendTurnedAway;
@@ -25,7 +25,7 @@
 import java.util.Set;
 
 /**
- * Holds the four rules of a dispatcher against what the sides around it saw: one answer for each req, no
+ * Holds the four rules of a dispatcher against what the sides around it saw: one answer for each request, no
  * effect twice, drains kept, cold starts kept. It knows nothing of the node, and is pure: the same
  * observations always give the same breaches.
  */
@@ -59,16 +59,16 @@
     public record Breach(Rule rule, long us, String what) {}
 
     private final Map<String, JobClass> classes = new HashMap<>();
-    private final ColdStart coldStart;
+    private final SlowStartSettings coldStart;
     private final List<Breach> breaches = new ArrayList<>();
 
-    private RuleChecker(List<JobClass> classes, ColdStart coldStart) {
+    private RuleChecker(List<JobClass> classes, SlowStartSettings coldStart) {
         classes.forEach(each -> this.classes.put(each.name(), each));
         this.coldStart = coldStart;
     }
 
     /** All breaches in what was seen, in the order of the rules. */
-    public static List<Breach> check(List<Observation> seen, List<JobClass> classes, ColdStart coldStart) {
+    public static List<Breach> check(List<Observation> seen, List<JobClass> classes, SlowStartSettings coldStart) {
         final RuleChecker checker = new RuleChecker(classes, coldStart);
         checker.answers(seen);
         checker.repeats(seen);
@@ -82,18 +82,18 @@
         breaches.add(new Breach(rule, us, what));
     }
 
-    // ---- One answer for each req ----
+    // ---- One answer for each request ----
 
     private void answers(List<Observation> seen) {
         final Set<String> sent = new HashSet<>();
         final Set<String> answered = new HashSet<>();
         final Map<String, Set<String>> results = new HashMap<>();
         for (final Observation each : seen) {
-            if (each instanceof ReqSent req) {
-                sent.add(req.id());
+            if (each instanceof RequestSent request) {
+                sent.add(request.id());
             } else if (each instanceof RunDone done) {
                 results.computeIfAbsent(done.id(), unseen -> new HashSet<>()).add(done.result());
-            } else if (each instanceof ReqAnswered answer) {
+            } else if (each instanceof RequestAnswered answer) {
                 if (!sent.contains(answer.id())) {
                     breach(Rule.ONE_ANSWER, answer.us(), "an answer to " + answer.id()
                         + ", which nobody sent");
@@ -106,10 +106,10 @@
                 }
             } else if (each instanceof AnswerTooMany answer) {
                 breach(Rule.ONE_ANSWER, answer.us(), "an answer where none was owed: " + answer.what());
-            } else if (each instanceof ReqLost lost) {
+            } else if (each instanceof RequestLost lost) {
                 breach(Rule.ONE_ANSWER, lost.us(), "the connection of " + lost.id()
                     + " ended without an answer");
-            } else if (each instanceof ReqUnanswered none) {
+            } else if (each instanceof RequestUnanswered none) {
                 breach(Rule.ONE_ANSWER, none.us(), "no answer to " + none.id());
             }
         }
@@ -117,14 +117,14 @@
 
     // ---- No effect twice ----
 
-    /** How often, and where to, a req was sent: as its class permits, whether harm came of it or not. */
+    /** How often, and where to, a request was sent: as its class permits, whether harm came of it or not. */
     private void repeats(List<Observation> seen) {
         final Map<String, JobClass> classOf = new HashMap<>();
         final Map<String, List<SendCame>> sends = new LinkedHashMap<>();
         final Set<String> turnedAway = new HashSet<>();
         for (final Observation each : seen) {
-            if (each instanceof ReqSent req && classes.containsKey(req.className())) {
-                classOf.put(req.id(), classes.get(req.className()));
+            if (each instanceof RequestSent request && classes.containsKey(request.className())) {
+                classOf.put(request.id(), classes.get(request.className()));
             } else if (each instanceof SendCame send) {
                 sends.computeIfAbsent(send.id(), unseen -> new ArrayList<>()).add(send);
             } else if (each instanceof SendTurnedAway away) {
@@ -138,13 +138,13 @@
                 breach(Rule.NO_EFFECT_TWICE, last.us(), "workers were sent " + id + ", which no client sent");
                 return;
             }
-            if (all.size() > stated.mostSends()) {
+            if (all.size() > stated.maxAttempts()) {
                 breach(Rule.NO_EFFECT_TWICE, last.us(), id + " was sent " + all.size() + " times; "
-                    + stated.mostSends() + " are allowed");
+                    + stated.maxAttempts() + " are allowed");
             }
             final List<SendCame> mayRun = all.stream()
                 .filter(send -> !turnedAway.contains(send.worker() + " " + send.id())).toList();
-            if (stated.effect() != Effect.SAFE && mayRun.size() > 1) {
+            if (stated.effect() != Idempotency.SAFE && mayRun.size() > 1) {
                 harmful(id, stated, mayRun);
             }
         });
@@ -153,9 +153,9 @@
     private void harmful(String id, JobClass stated, List<SendCame> mayRun) {
         final SendCame first = mayRun.get(0);
         for (final SendCame again : mayRun.subList(1, mayRun.size())) {
-            if (stated.effect() == Effect.UNSAFE) {
+            if (stated.effect() == Idempotency.UNSAFE) {
                 breach(Rule.NO_EFFECT_TWICE, again.us(), id + " is unsafe to repeat and was sent again");
-            } else if (stated.scope() == RepeatScope.CELL && again.cell() != first.cell()) {
+            } else if (stated.scope() == DeduplicationScope.CELL && again.cell() != first.cell()) {
                 breach(Rule.NO_EFFECT_TWICE, again.us(), id + " was sent to cell " + first.cell()
                     + " and again to cell " + again.cell());
             } else if (again.us() > first.us() + stated.repeatWindowUs()) {
@@ -242,16 +242,16 @@
 
     private void cold(SendCame send, WorkerBooted boot, List<SendCame> recent) {
         final long age = send.us() - boot.us();
-        if (age >= coldStart.warmWithinUs()) {
+        if (age >= coldStart.warmUpDurationUs()) {
             return;
         }
         recent.add(send);
-        recent.removeIf(old -> old.us() <= send.us() - coldStart.tipAfterUs());
+        recent.removeIf(old -> old.us() <= send.us() - coldStart.overloadAfterUs());
         final double sent = recent.stream().mapToDouble(SendCame::work).sum();
         final double bound = coldBudget(coldStart, boot.capacity(), age);
         if (sent > bound * COLD_SLACK) {
             breach(Rule.COLD_STARTS_KEPT, send.us(), send.worker() + " was sent " + Math.round(sent / 1000)
-                + " ms of work within " + coldStart.tipAfterUs() / 1000 + " ms, " + age / 1000
+                + " ms of work within " + coldStart.overloadAfterUs() / 1000 + " ms, " + age / 1000
                 + " ms after its start; it can take " + Math.round(bound / 1000));
         }
     }
@@ -259,13 +259,13 @@
     /**
      * Work that a worker may be sent within the time of tipping over, at an age: slots times microseconds.
      */
-    static double coldBudget(ColdStart coldStart, double capacity, long ageUs) {
-        return coldStart.overloadFactor() * capacity * shareAt(coldStart, ageUs) * coldStart.tipAfterUs();
+    static double coldBudget(SlowStartSettings coldStart, double capacity, long ageUs) {
+        return coldStart.overloadFactor() * capacity * shareAt(coldStart, ageUs) * coldStart.overloadAfterUs();
     }
 
     /** The share of its capacity that a worker has at an age; it grows evenly until it is warm. */
-    static double shareAt(ColdStart coldStart, long ageUs) {
-        return ageUs >= coldStart.warmWithinUs() ? 1 : coldStart.fromShare()
-            + (1 - coldStart.fromShare()) * Math.max(0, ageUs) / coldStart.warmWithinUs();
+    static double shareAt(SlowStartSettings coldStart, long ageUs) {
+        return ageUs >= coldStart.warmUpDurationUs() ? 1 : coldStart.initialCapacityFraction()
+            + (1 - coldStart.initialCapacityFraction()) * Math.max(0, ageUs) / coldStart.warmUpDurationUs();
     }
 }
--- a/src/main/java/cresschute/testbed/SmallReqs.java
+++ b/src/main/java/cresschute/testbed/SmallRequests.java
@@ -35,16 +35,16 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Very many small reqs and workers that answer at once, for what a node itself costs a req. Reqs are due at
+ * Very many small requests and workers that answer at once, for what a node itself costs a request. Requests are due at
  * even times and counted from these, whether or not a connection was free: a node that stands still is seen
- * in all reqs that were due meanwhile.
+ * in all requests that were due meanwhile.
  */
-public final class SmallReqs implements AutoCloseable {
+public final class SmallRequests implements AutoCloseable {
 
-    private static final int MOST_BODY_BYTES = 64 * 1024;
+    private static final int MAX_BODY_BYTES = 64 * 1024;
     private static final int OK = 200;
     private static final long STEP_US = 1_000;
-    private static final long MOST_US = 60_000_000;
+    private static final long MAX_US = 60_000_000;
     /** How much longer than planned a step of a run may take, ms. */
     private static final long MAX_EXTRA_MS = 120_000;
 
@@ -55,7 +55,7 @@
     private final List<LoopbackServer> servers = new ArrayList<>();
     private final Deque<Client> idle = new ArrayDeque<>();
     private final Deque<Long> due = new ArrayDeque<>();
-    private final Histogram times = new Histogram(MOST_US, 3);
+    private final Histogram times = new Histogram(MAX_US, 3);
     private long notServed;
     private long lastId;
 
@@ -64,7 +64,7 @@
         final List<InetSocketAddress> addresses = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             final LoopbackServer server = new LoopbackServer(workers, channel -> channel.pipeline()
-                .addLast(new HttpServerCodec(), new HttpObjectAggregator(MOST_BODY_BYTES), new Worker()));
+                .addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_BODY_BYTES), new Worker()));
             addresses.add(server.listen());
             servers.add(server);
         }
@@ -94,7 +94,7 @@
                     @Override
                     protected void initChannel(Channel each) {
                         each.pipeline().addLast(new HttpClientCodec(),
-                            new HttpObjectAggregator(MOST_BODY_BYTES), client);
+                            new HttpObjectAggregator(MAX_BODY_BYTES), client);
                     }
                 }).connect(node).syncUninterruptibly().channel();
             client.channel = channel;
@@ -103,7 +103,7 @@
         }
     }
 
-    /** Sends reqs for a while and returns, once the last is answered, the times of those served, us. */
+    /** Sends requests for a while and returns, once the last is answered, the times of those served, us. */
     public Histogram run(int perS, long forMs) throws InterruptedException {
         final CompletableFuture<Void> done = new CompletableFuture<>();
         clients.execute(() -> {
@@ -137,7 +137,7 @@
         }
     }
 
-    /** Reqs of the last run that were refused, or failed. */
+    /** Requests of the last run that were refused, or failed. */
     public long notServed() {
         return CompletableFuture.supplyAsync(() -> notServed, clients)
             .orTimeout(MAX_EXTRA_MS, TimeUnit.MILLISECONDS).join();
@@ -162,7 +162,7 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
             if (response.status().code() == OK) {
-                times.recordValue(Math.max(0, Math.min(MOST_US, clock.nowUs() - dueUs)));
+                times.recordValue(Math.max(0, Math.min(MAX_US, clock.nowUs() - dueUs)));
             } else {
                 notServed++;
             }
@@ -172,7 +172,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            // A req that was out there is never answered: it is seen as a run that does not end.
+            // A request that was out there is never answered: it is seen as a run that does not end.
             ctx.close();
         }
     }
--- a/src/main/java/cresschute/testbed/WorkerStandIn.java
+++ b/src/main/java/cresschute/testbed/WorkerStandIn.java
@@ -2,7 +2,7 @@
 
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParseException;
-import cresschute.dispatch.ColdStart;
+import cresschute.dispatch.SlowStartSettings;
 import cresschute.testbed.Observation.EffectMade;
 import cresschute.testbed.Observation.RunDone;
 import cresschute.testbed.Observation.RunStarted;
@@ -42,18 +42,18 @@
 /**
  * A worker as the protocol has it: slots, a queue in order of arrival, lines that tell of start, progress and
  * end, load reports, keys that its cell drops, a cold start under which it falls over if it is sent too much.
- * How long a job takes is told by its body, {@code {"work_us":..., "slots":...}}. It has scripted troubles,
+ * How long a job takes is told by its body, {@code {"work_us":..., "slots":...}}. It has scripted faults,
  * and all of it happens on one loop.
  */
 public final class WorkerStandIn {
 
-    private static final int MOST_BODY_BYTES = 128 * 1024;
+    private static final int MAX_BODY_BYTES = 128 * 1024;
     private static final long DEFAULT_WORK_US = 100_000;
     private static final long PROGRESS_US = 1_000_000;
     private static final long REPORT_US = 1_000_000;
     private static final long WARMING_STEP_US = 100_000;
     private static final long LISTEN_AGAIN_MS = 20;
-    private static final int MOST_WAITING_A_SLOT = 8;
+    private static final int MAX_WAITING_A_SLOT = 8;
 
     /** What a worker is. */
     public record Make(String id, int cell, String zone, String kind, int slots, double speed) {
@@ -68,7 +68,7 @@
     private final UniformRandomProvider chance;
     private final Make make;
     private final CellKeys keys;
-    private final ColdStart coldStart;
+    private final SlowStartSettings coldStart;
     private final Deque<Job> waiting = new ArrayDeque<>();
     private final List<Job> running = new ArrayList<>();
     private final Deque<SendCame> sentCold = new ArrayDeque<>();
@@ -88,7 +88,7 @@
     private record Report(long us, double freeSlots, int queue) {}
 
     WorkerStandIn(EventLoop loop, Recorder recorder, UniformRandomProvider chance, Make make, CellKeys keys,
-        ColdStart coldStart) {
+        SlowStartSettings coldStart) {
         this.loop = loop;
         this.recorder = recorder;
         this.chance = chance;
@@ -96,7 +96,7 @@
         this.keys = keys;
         this.coldStart = coldStart;
         server = new LoopbackServer(loop, channel -> channel.pipeline().addLast(new FirstBytes(),
-            new HttpServerCodec(), new HttpObjectAggregator(MOST_BODY_BYTES), new Handler()));
+            new HttpServerCodec(), new HttpObjectAggregator(MAX_BODY_BYTES), new Handler()));
     }
 
     Make make() {
@@ -114,12 +114,12 @@
 
     /** Listens on a free port of the loopback address, warm; blocks, so not on the loop. */
     void start() {
-        // Before it listens: the first req may ask for a report.
+        // Before it listens: the first request may ask for a report.
         loop.submit(this::report).syncUninterruptibly();
         address = server.listen();
     }
 
-    // ---- Troubles; all on the loop ----
+    // ---- Faults; all on the loop ----
 
     void slow(double factor) {
         replan(() -> slowness = factor);
@@ -184,7 +184,7 @@
     /** While it warms, what runs gets faster step by step. */
     private void warm() {
         final int now = life;
-        if (recorder.nowUs() - bootedUs < coldStart.warmWithinUs()) {
+        if (recorder.nowUs() - bootedUs < coldStart.warmUpDurationUs()) {
             loop.schedule(() -> {
                 if (life == now) {
                     replan(() -> {});
@@ -260,7 +260,7 @@
         return load;
     }
 
-    /** One req that was sent to it. */
+    /** One request that was sent to it. */
     private final class Job {
         private final String id;
         private final String key;
@@ -390,7 +390,7 @@
 
     // ---- Requests ----
 
-    /** Notes when the first byte of each req came. */
+    /** Notes when the first byte of each request came. */
     private static final class FirstBytes extends ChannelInboundHandlerAdapter {
         private long us;
 
@@ -457,7 +457,7 @@
                 LoopbackServer.reset(ctx.channel());
                 return;
             }
-            if (waiting.size() >= MOST_WAITING_A_SLOT * make.slots()) {
+            if (waiting.size() >= MAX_WAITING_A_SLOT * make.slots()) {
                 recorder.add(new SendTurnedAway(recorder.nowUs(), make.id(), id));
                 final DefaultFullHttpResponse full = LoopbackServer.answer(
                     HttpResponseStatus.SERVICE_UNAVAILABLE, "");
@@ -479,11 +479,11 @@
         /** Whether it falls over by this: it was sent more than it can take while it is cold. */
         private boolean falls(SendCame send) {
             final long age = send.us() - bootedUs;
-            if (age >= coldStart.warmWithinUs()) {
+            if (age >= coldStart.warmUpDurationUs()) {
                 return false;
             }
             sentCold.add(send);
-            while (sentCold.peek().us() <= send.us() - coldStart.tipAfterUs()) {
+            while (sentCold.peek().us() <= send.us() - coldStart.overloadAfterUs()) {
                 sentCold.poll();
             }
             final double sent = sentCold.stream().mapToDouble(SendCame::work).sum();
--- a/src/main/java/cresschute/testbed/bodies/BodiesSite.java
+++ b/src/main/java/cresschute/testbed/bodies/BodiesSite.java
@@ -32,7 +32,7 @@
         return workers.get(0).address();
     }
 
-    /** Writes the node's settings; small reqs have workers of their own. */
+    /** Writes the node's settings; small requests have workers of their own. */
     void writeSettings(Path script, List<InetSocketAddress> forSmall) throws IOException {
         final StringBuilder site = new StringBuilder("""
             node(name = "bodies", listen = "127.0.0.1:0", seed = 1)
--- a/src/main/java/cresschute/testbed/bodies/BodiesTrial.java
+++ b/src/main/java/cresschute/testbed/bodies/BodiesTrial.java
@@ -1,7 +1,7 @@
 package cresschute.testbed.bodies;
 
 import cresschute.testbed.NodeProcess;
-import cresschute.testbed.SmallReqs;
+import cresschute.testbed.SmallRequests;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.net.InetSocketAddress;
@@ -18,7 +18,7 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Long bodies through a node in a process of its own: at unlike speeds, beside small reqs, and what is held
+ * Long bodies through a node in a process of its own: at unlike speeds, beside small requests, and what is held
  * for each that is open. Every byte is checked where it arrives. Blocks until all of it is played.
  */
 public final class BodiesTrial {
@@ -40,8 +40,8 @@
      *
      * @param bytes of each long body where nobody is slow
      * @param rounds of each pair of speeds
-     * @param slow bodies that are open beside small reqs
-     * @param seconds that slow ones, and small reqs beside them, go on
+     * @param slow bodies that are open beside small requests
+     * @param seconds that slow ones, and small requests beside them, go on
      */
     public record Size(long bytes, int rounds, int slow, int seconds) {}
 
@@ -61,7 +61,7 @@
     /** Plays it and returns what must not be; {@code chart} is drawn from the samples of all of it. */
     public List<String> run(Path folder, Path chart) throws IOException, InterruptedException {
         final Path script = folder.resolve("bodies.star");
-        try (BodiesSite site = new BodiesSite(WORKERS); SmallReqs small = new SmallReqs()) {
+        try (BodiesSite site = new BodiesSite(WORKERS); SmallRequests small = new SmallRequests()) {
             site.writeSettings(script, small.startWorkers(SMALL_WORKERS));
             try (NodeProcess node = new NodeProcess(script, NODE_OPTIONS);
                 MemoryLine memory = new MemoryLine(node);
@@ -154,9 +154,9 @@
             most.heap() / MB, most.direct() / MB);
     }
 
-    // ---- Beside small reqs ----
+    // ---- Beside small requests ----
 
-    private void besideSmallReqs(NodeProcess node, SmallReqs small, MemoryLine memory)
+    private void besideSmallReqs(NodeProcess node, SmallRequests small, MemoryLine memory)
         throws InterruptedException {
         row("\n| %d small reqs a second for %d s | ms p50 | p99 | p99.9 | most | not served | node's CPU, %% of"
             + " a core | most direct, MB |\n| --- | --- | --- | --- | --- | --- | --- | --- |", SMALL_PER_S,
@@ -172,7 +172,7 @@
         }
     }
 
-    private void smallReqs(String what, NodeProcess node, SmallReqs small, MemoryLine memory)
+    private void smallReqs(String what, NodeProcess node, SmallRequests small, MemoryLine memory)
         throws InterruptedException {
         final double since = memory.now();
         final long cpuNs = node.cpuNs();
@@ -201,7 +201,7 @@
             Thread.sleep(SETTLED_MS);
         }
 
-        /** Those that were not turned away. */
+        /** Those that were not rejected. */
         long flowing() {
             return wanted - all.stream().filter(CompletableFuture::isDone).count();
         }
@@ -221,7 +221,7 @@
         }
     }
 
-    // ---- What an open req holds ----
+    // ---- What an open request holds ----
 
     private void held(NodeProcess node) throws IOException, InterruptedException {
         row("\n| open at a time | heap held, kB each | direct in use, kB each |\n| --- | --- | --- |");
--- a/src/main/java/cresschute/testbed/capacity/Evaluation.java
+++ b/src/main/java/cresschute/testbed/capacity/Evaluation.java
@@ -1,6 +1,6 @@
 package cresschute.testbed.capacity;
 
-import cresschute.dispatch.ColdStart;
+import cresschute.dispatch.SlowStartSettings;
 import cresschute.testbed.Observation;
 import cresschute.testbed.RuleChecker;
 import java.util.ArrayList;
@@ -16,7 +16,7 @@
     private static final double P99 = 99;
     private static final double P999 = 99.9;
     /** No worker is cold. */
-    private static final ColdStart WARM = new ColdStart(1, 0, 3, 1_000_000);
+    private static final SlowStartSettings WARM = new SlowStartSettings(1, 0, 3, 1_000_000);
 
     private final CapacityPlan plan;
     private final List<Sample> samples;
--- a/src/main/java/cresschute/testbed/capacity/HollowDiscovery.java
+++ b/src/main/java/cresschute/testbed/capacity/HollowDiscovery.java
@@ -1,7 +1,7 @@
 package cresschute.testbed.capacity;
 
 import com.google.gson.JsonObject;
-import cresschute.testbed.DirectorStandIn;
+import cresschute.testbed.DiscoveryStandIn;
 import cresschute.testbed.Recorder;
 import cresschute.testbed.WorkerStandIn.Make;
 import io.netty.channel.EventLoop;
@@ -26,7 +26,7 @@
     private final List<Make> makes;
     private final List<InetSocketAddress> addresses;
     private final UniformRandomProvider chance;
-    private final DirectorStandIn standIn;
+    private final DiscoveryStandIn standIn;
     private final boolean[] drains;
     private final long[] startedMs;
     private final double changesPerSecond;
@@ -43,7 +43,7 @@
         drains = new boolean[makes.size()];
         startedMs = new long[makes.size()];
         changesPerSecond = plan.listChangesPerSecond();
-        standIn = new DirectorStandIn(loop, recorder, () -> {
+        standIn = new DiscoveryStandIn(loop, recorder, () -> {
             handshakes++;
             return new ByteCounter(recorder::nowUs, size -> bytes += size);
         });
--- a/src/main/java/cresschute/testbed/capacity/ObservationFile.java
+++ b/src/main/java/cresschute/testbed/capacity/ObservationFile.java
@@ -24,12 +24,12 @@
     private static final String TYPE = "type";
     /** Each type of observation under the name that lines carry. */
     private static final Map<String, Class<? extends Observation>> TYPES = Map.ofEntries(
-        Map.entry("ReqSent", Observation.ReqSent.class),
-        Map.entry("ReqAnswered", Observation.ReqAnswered.class),
-        Map.entry("ReqLost", Observation.ReqLost.class),
-        Map.entry("ReqUnanswered", Observation.ReqUnanswered.class),
+        Map.entry("ReqSent", Observation.RequestSent.class),
+        Map.entry("ReqAnswered", Observation.RequestAnswered.class),
+        Map.entry("ReqLost", Observation.RequestLost.class),
+        Map.entry("ReqUnanswered", Observation.RequestUnanswered.class),
         Map.entry("AnswerTooMany", Observation.AnswerTooMany.class),
-        Map.entry("ReqUnfinished", Observation.ReqUnfinished.class),
+        Map.entry("ReqUnfinished", Observation.RequestUnfinished.class),
         Map.entry("SendCame", Observation.SendCame.class),
         Map.entry("SendTurnedAway", Observation.SendTurnedAway.class),
         Map.entry("RunStarted", Observation.RunStarted.class),
--- a/src/main/java/cresschute/testbed/capacity/RequestOutcomes.java
+++ b/src/main/java/cresschute/testbed/capacity/RequestOutcomes.java
@@ -2,10 +2,10 @@
 
 import cresschute.testbed.LoadClients;
 import cresschute.testbed.Observation;
-import cresschute.testbed.Observation.ReqAnswered;
-import cresschute.testbed.Observation.ReqLost;
-import cresschute.testbed.Observation.ReqSent;
-import cresschute.testbed.Observation.ReqUnanswered;
+import cresschute.testbed.Observation.RequestAnswered;
+import cresschute.testbed.Observation.RequestLost;
+import cresschute.testbed.Observation.RequestSent;
+import cresschute.testbed.Observation.RequestUnanswered;
 import cresschute.testbed.Observation.RunStarted;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -39,7 +39,7 @@
         private boolean unanswered;
         private long startedUs = Long.MAX_VALUE;
 
-        Tracked(ReqSent first) {
+        Tracked(RequestSent first) {
             origin = first.origin();
             className = first.className();
             sentUs = first.us();
@@ -62,24 +62,24 @@
     static RequestOutcomes of(List<Observation> seen, long fromUs, long toUs) {
         final RequestOutcomes outcomes = new RequestOutcomes();
         // Requests first: a client may note its sending later than a worker notes the start.
-        seen.stream().filter(ReqSent.class::isInstance).map(ReqSent.class::cast).forEach(outcomes::register);
+        seen.stream().filter(RequestSent.class::isInstance).map(RequestSent.class::cast).forEach(outcomes::register);
         seen.forEach(outcomes::take);
         outcomes.count(fromUs, toUs);
         return outcomes;
     }
 
-    private void register(ReqSent sent) {
+    private void register(RequestSent sent) {
         byId.put(sent.id(), byOrigin.computeIfAbsent(sent.origin(), unseen -> new Tracked(sent)));
     }
 
     private void take(Observation each) {
-        if (each instanceof ReqSent sent) {
+        if (each instanceof RequestSent sent) {
             byId.get(sent.id()).tries++;
-        } else if (each instanceof ReqAnswered answer && byId.containsKey(answer.id())) {
+        } else if (each instanceof RequestAnswered answer && byId.containsKey(answer.id())) {
             answered(byId.get(answer.id()), answer);
-        } else if (each instanceof ReqUnanswered none) {
+        } else if (each instanceof RequestUnanswered none) {
             unanswered(none.id());
-        } else if (each instanceof ReqLost lost) {
+        } else if (each instanceof RequestLost lost) {
             unanswered(lost.id());
         } else if (each instanceof RunStarted run && byId.containsKey(run.id())) {
             final Tracked tracked = byId.get(run.id());
@@ -87,7 +87,7 @@
         }
     }
 
-    private static void answered(Tracked tracked, ReqAnswered answer) {
+    private static void answered(Tracked tracked, RequestAnswered answer) {
         if (answer.status() == LoadClients.OK) {
             tracked.served = true;
         } else if (answer.status() == UNAVAILABLE || answer.status() == TOO_MANY) {
--- a/src/main/java/cresschute/testbed/capacity/Site.java
+++ b/src/main/java/cresschute/testbed/capacity/Site.java
@@ -2,8 +2,8 @@
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
-import cresschute.dispatch.Effect;
-import cresschute.dispatch.RepeatScope;
+import cresschute.dispatch.Idempotency;
+import cresschute.dispatch.DeduplicationScope;
 import cresschute.testbed.JobClass;
 import cresschute.testbed.WorkerStandIn;
 import java.util.ArrayList;
@@ -116,21 +116,21 @@
     List<JobClass> classes() {
         final double accelerated = acceleratedShare();
         final List<JobClass> classes = new ArrayList<>();
-        classes.add(stated(URGENT, 4, URGENT_START_US, 1, Effect.SAFE, URGENT_SHARE));
-        classes.add(stated("keyed", 2, (long) (MAX_WAIT_US / 2), 1.5, Effect.KEYED, KEYED_SHARE));
-        classes.add(stated("unsafe", 2, (long) (MAX_WAIT_US / 2), 1.5, Effect.UNSAFE, UNSAFE_SHARE));
-        classes.add(stated("batch", 1, (long) (MAX_WAIT_US / 2), 1.5, Effect.SAFE,
+        classes.add(stated(URGENT, 4, URGENT_START_US, 1, Idempotency.SAFE, URGENT_SHARE));
+        classes.add(stated("keyed", 2, (long) (MAX_WAIT_US / 2), 1.5, Idempotency.KEYED, KEYED_SHARE));
+        classes.add(stated("unsafe", 2, (long) (MAX_WAIT_US / 2), 1.5, Idempotency.UNSAFE, UNSAFE_SHARE));
+        classes.add(stated("batch", 1, (long) (MAX_WAIT_US / 2), 1.5, Idempotency.SAFE,
             1 - URGENT_SHARE - KEYED_SHARE - UNSAFE_SHARE - accelerated));
         if (accelerated > 0) {
-            classes.add(stated(ACCELERATED, 2, (long) (MAX_WAIT_US / 2), 1.5, Effect.SAFE, accelerated));
+            classes.add(stated(ACCELERATED, 2, (long) (MAX_WAIT_US / 2), 1.5, Idempotency.SAFE, accelerated));
         }
         return List.copyOf(classes);
     }
 
-    private JobClass stated(String name, double value, long aimUs, double stretch, Effect effect,
+    private JobClass stated(String name, double value, long aimUs, double stretch, Idempotency effect,
         double share) {
         return new JobClass(name, value, aimUs, stretch, deadlineUs(), effect,
-            effect == Effect.KEYED ? RepeatScope.CELL : RepeatScope.ALL, repeatWindowUs(), MAX_ATTEMPTS,
+            effect == Idempotency.KEYED ? DeduplicationScope.CELL : DeduplicationScope.ALL, repeatWindowUs(), MAX_ATTEMPTS,
             share, (long) plan.meanRunUs());
     }
 
@@ -183,16 +183,16 @@
         for (final JobClass each : classes()) {
             final JsonObject stated = new JsonObject();
             stated.addProperty("name", each.name());
-            stated.addProperty("worth", each.worth());
-            stated.addProperty("goalTimeUs", each.aimUs());
-            stated.addProperty("aimStretch", each.aimStretch());
+            stated.addProperty("worth", each.priorityWeight());
+            stated.addProperty("goalTimeUs", each.latencyObjectiveUs());
+            stated.addProperty("aimStretch", each.latencyObjectiveStretch());
             stated.addProperty("deadlineUs", each.deadlineUs());
             stated.addProperty("idempotency", switch (each.effect()) {
                 case SAFE -> "pure";
                 case KEYED -> "token";
                 case UNSAFE -> "side_effect";
             });
-            stated.addProperty("group", each.effect() == Effect.KEYED ? "cell" : "all");
+            stated.addProperty("group", each.effect() == Idempotency.KEYED ? "cell" : "all");
             stated.addProperty("keyTtlUs", each.repeatWindowUs());
             if (each.name().equals(ACCELERATED)) {
                 final JsonArray kinds = new JsonArray();
--- a/src/main/java/cresschute/testbed/model/BaselineModule.java
+++ b/src/main/java/cresschute/testbed/model/BaselineModule.java
@@ -1,12 +1,12 @@
 package cresschute.testbed.model;
 
-import cresschute.dispatch.Actions;
-import cresschute.dispatch.Events;
+import cresschute.dispatch.DispatcherActions;
+import cresschute.dispatch.DispatcherEvents;
 import cresschute.dispatch.Job;
-import cresschute.dispatch.ListForm;
+import cresschute.dispatch.EndpointListForm;
 import cresschute.dispatch.LoadReport;
 import cresschute.dispatch.Outcome;
-import cresschute.dispatch.Settings;
+import cresschute.dispatch.DispatchSettings;
 import cresschute.dispatch.Worker;
 import cresschute.dispatch.WorkerState;
 import java.util.ArrayList;
@@ -20,7 +20,7 @@
  * A module to compare with: it admits all, chooses by one simple policy, never probes or hedges, and fails a
  * request whose only attempt fails.
  */
-final class BaselineModule implements Events {
+final class BaselineModule implements DispatcherEvents {
 
     /** How a worker is chosen. */
     enum Policy {
@@ -49,13 +49,13 @@
     }
 
     private final Policy policy;
-    private final Actions actions;
+    private final DispatcherActions actions;
     private final IntToDoubleFunction trueLoad;
     private final SplittableRandom random;
     private final List<Integer> ready = new ArrayList<>();
     private final Map<Integer, Double> reported = new HashMap<>();
 
-    BaselineModule(Policy policy, long seed, Actions actions, IntToDoubleFunction trueLoad) {
+    BaselineModule(Policy policy, long seed, DispatcherActions actions, IntToDoubleFunction trueLoad) {
         this.policy = policy;
         this.actions = actions;
         this.trueLoad = trueLoad;
@@ -63,8 +63,8 @@
     }
 
     @Override
-    public void listed(long nowUs, ListForm form, List<Worker> entries) {
-        if (form == ListForm.FULL || form == ListForm.CACHED) {
+    public void endpointListChanged(long nowUs, EndpointListForm form, List<Worker> entries) {
+        if (form == EndpointListForm.FULL || form == EndpointListForm.CACHED) {
             ready.clear();
         }
         for (final Worker entry : entries) {
@@ -77,12 +77,12 @@
     }
 
     @Override
-    public void requested(long nowUs, int requestId, Job job, long giveUpUs) {
+    public void requestArrived(long nowUs, int requestId, Job job, long deadlineUs) {
         if (ready.isEmpty()) {
-            actions.refuse(requestId, 0);
+            actions.reject(requestId, 0);
             return;
         }
-        actions.send(requestId, choose(), giveUpUs);
+        actions.send(requestId, choose(), deadlineUs);
     }
 
     private int choose() {
@@ -103,19 +103,19 @@
 
     private int leastLoaded(int first) {
         int best = first;
-        double least = trueLoad.applyAsDouble(first);
-        for (int i = 0; i < ready.size() && least > 0; i++) {
+        double min = trueLoad.applyAsDouble(first);
+        for (int i = 0; i < ready.size() && min > 0; i++) {
             final double load = trueLoad.applyAsDouble(ready.get(i));
-            if (load < least) {
+            if (load < min) {
                 best = ready.get(i);
-                least = load;
+                min = load;
             }
         }
         return best;
     }
 
     @Override
-    public void ended(long nowUs, int requestId, int attempt, int workerId, Outcome outcome, long elapsedUs,
+    public void attemptEnded(long nowUs, int requestId, int attempt, int workerId, Outcome outcome, long elapsedUs,
         boolean requestClosed, LoadReport report) {
         if (!report.equals(LoadReport.NONE)) {
             reported.put(workerId, report.waiting() - report.freeSlots());
@@ -131,27 +131,27 @@
     }
 
     @Override
-    public void jobProgressed(long nowUs, int requestId, int attempt, int workerId, double shareDone) {
+    public void jobProgressed(long nowUs, int requestId, int attempt, int workerId, double fractionDone) {
         // Progress changes no choice.
     }
 
     @Override
-    public void probed(long nowUs, int workerId, Outcome outcome, LoadReport report) {
+    public void loadReported(long nowUs, int workerId, Outcome outcome, LoadReport report) {
         throw new IllegalStateException("no probe was sent");
     }
 
     @Override
-    public void toldSilent(long nowUs, int workerId, int requestClass) {
+    public void workerReportedUnresponsive(long nowUs, int workerId, int requestClass) {
         // Only the whole worker is chosen or not.
     }
 
     @Override
-    public void woken(long nowUs, long token) {
+    public void timerFired(long nowUs, long token) {
         throw new IllegalStateException("no timer was set");
     }
 
     @Override
-    public void retuned(long nowUs, Settings settings) {
+    public void settingsChanged(long nowUs, DispatchSettings settings) {
         // No setting changes a choice.
     }
 }
--- a/src/main/java/cresschute/testbed/model/CapacityCsv.java
+++ b/src/main/java/cresschute/testbed/model/CapacityCsv.java
@@ -34,16 +34,16 @@
     }
 
     /** Writes all points up to this number of workers, each as soon as it is measured. */
-    public void write(int mostWorkers) {
+    public void write(int maxWorkers) {
         out.print(HEAD);
         for (final int workers : WORKERS) {
-            if (workers <= mostWorkers) {
+            if (workers <= maxWorkers) {
                 writeAll("workers", workers, USUAL_DISPATCHERS);
             }
         }
         for (final int dispatchers : DISPATCHERS) {
             if (dispatchers != USUAL_DISPATCHERS) {
-                writeAll("dispatchers", Math.min(mostWorkers, PLANNED_WORKERS), dispatchers);
+                writeAll("dispatchers", Math.min(maxWorkers, PLANNED_WORKERS), dispatchers);
             }
         }
         out.flush();
--- a/src/main/java/cresschute/testbed/model/Agenda.java
+++ b/src/main/java/cresschute/testbed/model/EventQueue.java
@@ -4,7 +4,7 @@
 import java.util.PriorityQueue;
 
 /** What is to happen in virtual time, one thing after the other; of the same moment, in order of planning. */
-final class Agenda {
+final class EventQueue {
 
     private record Plan(long atUs, long number, Runnable event) {}
 
@@ -13,7 +13,7 @@
     private long planned;
     private long nowUs;
 
-    Agenda(long startUs) {
+    EventQueue(long startUs) {
         nowUs = startUs;
     }
 
--- a/src/main/java/cresschute/testbed/model/ExchangingModules.java
+++ b/src/main/java/cresschute/testbed/model/ExchangingModules.java
@@ -1,20 +1,20 @@
 package cresschute.testbed.model;
 
-import cresschute.dispatch.Actions;
-import cresschute.dispatch.Events;
+import cresschute.dispatch.DispatcherActions;
+import cresschute.dispatch.DispatcherEvents;
 import cresschute.dispatch.Job;
-import cresschute.dispatch.ListForm;
+import cresschute.dispatch.EndpointListForm;
 import cresschute.dispatch.LoadReport;
 import cresschute.dispatch.Outcome;
-import cresschute.dispatch.Settings;
+import cresschute.dispatch.DispatchSettings;
 import cresschute.dispatch.Worker;
 import cresschute.testbed.model.FleetModel.ModuleMaker;
 import cresschute.peers.ExchangeSettings;
-import cresschute.peers.LoadAnnouncer;
+import cresschute.peers.LoadGossiper;
 import cresschute.peers.LoadExchange;
 import cresschute.peers.LoadMessage;
 import cresschute.peers.LoadMessageCodec;
-import cresschute.peers.RefusedMessageException;
+import cresschute.peers.RejectedMessageException;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -47,7 +47,7 @@
     }
 
     @Override
-    public Events make(Settings settings, long seed, Actions actions) {
+    public DispatcherEvents make(DispatchSettings settings, long seed, DispatcherActions actions) {
         final Dispatcher dispatcher = new Dispatcher("n" + dispatchers.size(), settings.dispatchers() - 1,
             actions);
         dispatchers.add(dispatcher);
@@ -81,17 +81,17 @@
         return Integer.toString(workerId);
     }
 
-    private final class Dispatcher implements Events, Actions {
+    private final class Dispatcher implements DispatcherEvents, DispatcherActions {
 
         private final String name;
         private final int peers;
-        private final Actions actions;
+        private final DispatcherActions actions;
         private final Deque<int[]> answers = new ArrayDeque<>();
-        private Events module;
+        private DispatcherEvents module;
         private LoadExchange exchange;
         private long nowUs;
 
-        Dispatcher(String name, int peers, Actions actions) {
+        Dispatcher(String name, int peers, DispatcherActions actions) {
             this.name = name;
             this.peers = peers;
             this.actions = actions;
@@ -110,41 +110,41 @@
                         // The same.
                     }
                 });
-            actions.wakeAfter(POLL_TOKEN, POLL_US);
+            actions.startTimer(POLL_TOKEN, POLL_US);
         }
 
         private void poll() {
             exchange.poll(nowUs).ifPresent(message -> {
-                bytes += (long) peers * (LoadMessageCodec.messageBytes(message) + LoadAnnouncer.HEADER_BYTES);
+                bytes += (long) peers * (LoadMessageCodec.messageBytes(message) + LoadGossiper.HEADER_BYTES);
                 dispatchers.stream().filter(other -> other != this)
                     .forEach(other -> other.receive(nowUs, message));
             });
-            exchange.takeRefreshed(nowUs).forEach(name -> probe(Integer.parseInt(name)));
-            actions.wakeAfter(POLL_TOKEN, POLL_US);
+            exchange.takeRefreshed(nowUs).forEach(name -> queryLoad(Integer.parseInt(name)));
+            actions.startTimer(POLL_TOKEN, POLL_US);
         }
 
         private void receive(long atUs, LoadMessage message) {
             try {
                 exchange.receive(atUs, message);
-            } catch (RefusedMessageException e) {
+            } catch (RejectedMessageException e) {
                 throw new IllegalStateException(e);
             }
         }
 
         @Override
-        public void listed(long atUs, ListForm form, List<Worker> entries) {
+        public void endpointListChanged(long atUs, EndpointListForm form, List<Worker> entries) {
             nowUs = atUs;
             if (exchange == null) {
                 start();
             }
             entries.forEach(each -> exchange.listed(name(each.id())));
-            module.listed(atUs, form, entries);
+            module.endpointListChanged(atUs, form, entries);
         }
 
         @Override
-        public void requested(long atUs, int requestId, Job job, long giveUpUs) {
+        public void requestArrived(long atUs, int requestId, Job job, long deadlineUs) {
             nowUs = atUs;
-            module.requested(atUs, requestId, job, giveUpUs);
+            module.requestArrived(atUs, requestId, job, deadlineUs);
         }
 
         @Override
@@ -154,74 +154,74 @@
         }
 
         @Override
-        public void jobProgressed(long atUs, int requestId, int attempt, int workerId, double shareDone) {
+        public void jobProgressed(long atUs, int requestId, int attempt, int workerId, double fractionDone) {
             nowUs = atUs;
-            module.jobProgressed(atUs, requestId, attempt, workerId, shareDone);
+            module.jobProgressed(atUs, requestId, attempt, workerId, fractionDone);
         }
 
         @Override
-        public void ended(long atUs, int requestId, int attempt, int workerId, Outcome outcome,
+        public void attemptEnded(long atUs, int requestId, int attempt, int workerId, Outcome outcome,
             long elapsedUs, boolean requestClosed, LoadReport report) {
             nowUs = atUs;
             exchange.ended(name(workerId));
             exchange.reported(atUs, name(workerId), report.outstanding());
-            module.ended(atUs, requestId, attempt, workerId, outcome, elapsedUs, requestClosed, report);
+            module.attemptEnded(atUs, requestId, attempt, workerId, outcome, elapsedUs, requestClosed, report);
         }
 
         @Override
-        public void probed(long atUs, int workerId, Outcome outcome, LoadReport report) {
+        public void loadReported(long atUs, int workerId, Outcome outcome, LoadReport report) {
             nowUs = atUs;
             exchange.reported(atUs, name(workerId), report.outstanding());
-            module.probed(atUs, workerId, outcome, report);
+            module.loadReported(atUs, workerId, outcome, report);
         }
 
         @Override
-        public void toldSilent(long atUs, int workerId, int requestClass) {
+        public void workerReportedUnresponsive(long atUs, int workerId, int requestClass) {
             nowUs = atUs;
-            module.toldSilent(atUs, workerId, requestClass);
+            module.workerReportedUnresponsive(atUs, workerId, requestClass);
         }
 
         @Override
-        public void woken(long atUs, long token) {
+        public void timerFired(long atUs, long token) {
             nowUs = atUs;
             if (token == POLL_TOKEN) {
                 poll();
             } else if (token == ANSWER_TOKEN) {
                 final int[] answer = answers.poll();
-                module.probed(atUs, answer[0], Outcome.SERVED, new LoadReport(-1, answer[1], -1));
+                module.loadReported(atUs, answer[0], Outcome.SERVED, new LoadReport(-1, answer[1], -1));
             } else {
-                module.woken(atUs, token);
+                module.timerFired(atUs, token);
             }
         }
 
         @Override
-        public void retuned(long atUs, Settings settings) {
+        public void settingsChanged(long atUs, DispatchSettings settings) {
             nowUs = atUs;
-            module.retuned(atUs, settings);
+            module.settingsChanged(atUs, settings);
         }
 
         @Override
-        public void send(int requestId, int workerId, long giveUpUs) {
+        public void send(int requestId, int workerId, long deadlineUs) {
             exchange.started(name(workerId));
-            actions.send(requestId, workerId, giveUpUs);
+            actions.send(requestId, workerId, deadlineUs);
         }
 
         @Override
-        public void probe(int workerId) {
+        public void queryLoad(int workerId) {
             final OptionalInt known = exchange.outstanding(nowUs, name(workerId));
             if (known.isPresent()) {
                 answered++;
                 answers.add(new int[]{workerId, known.getAsInt()});
-                actions.wakeAfter(ANSWER_TOKEN, 0);
+                actions.startTimer(ANSWER_TOKEN, 0);
             } else {
                 probes++;
-                actions.probe(workerId);
+                actions.queryLoad(workerId);
             }
         }
 
         @Override
-        public void refuse(int requestId, long retryAfterUs) {
-            actions.refuse(requestId, retryAfterUs);
+        public void reject(int requestId, long retryAfterUs) {
+            actions.reject(requestId, retryAfterUs);
         }
 
         @Override
@@ -230,23 +230,23 @@
         }
 
         @Override
-        public void wakeAfter(long token, long delayUs) {
-            actions.wakeAfter(token, delayUs);
+        public void startTimer(long token, long delayUs) {
+            actions.startTimer(token, delayUs);
         }
 
         @Override
-        public void watchList() {
-            actions.watchList();
+        public void pollEndpointList() {
+            actions.pollEndpointList();
         }
 
         @Override
-        public void tellSilent(int workerId, int requestClass) {
-            actions.tellSilent(workerId, requestClass);
+        public void reportUnresponsive(int workerId, int requestClass) {
+            actions.reportUnresponsive(workerId, requestClass);
         }
 
         @Override
-        public void closeIdle(int workerId) {
-            actions.closeIdle(workerId);
+        public void closeIdleConnections(int workerId) {
+            actions.closeIdleConnections(workerId);
         }
     }
 }
