--- a/src/main/java/cresschute/testbed/model/FleetCapacity.java
+++ b/src/main/java/cresschute/testbed/model/FleetCapacity.java
@@ -1,16 +1,16 @@
 package cresschute.testbed.model;
 
-import cresschute.dispatch.ColdStart;
-import cresschute.dispatch.Effect;
-import cresschute.dispatch.Goal;
-import cresschute.dispatch.Limits;
+import cresschute.dispatch.SlowStartSettings;
+import cresschute.dispatch.Idempotency;
+import cresschute.dispatch.ObjectiveWeights;
+import cresschute.dispatch.AttemptLimits;
 import cresschute.dispatch.Placement;
-import cresschute.dispatch.RepeatScope;
+import cresschute.dispatch.DeduplicationScope;
 import cresschute.dispatch.RequestClass;
-import cresschute.dispatch.Settings;
+import cresschute.dispatch.DispatchSettings;
 import cresschute.dispatch.Tenant;
 import cresschute.dispatch.WeightSource;
-import cresschute.dispatch.Logic;
+import cresschute.dispatch.Dispatcher;
 import cresschute.testbed.model.FleetModel.Demand;
 import cresschute.testbed.model.FleetModel.Kind;
 import cresschute.testbed.model.FleetModel.ModuleMaker;
@@ -57,24 +57,24 @@
 
     private FleetCapacity() {}
 
-    private static RequestClass requestClass(double value, long aimUs, double stretch) {
-        return new RequestClass(value, aimUs, stretch, DEADLINE_US, Effect.SAFE, RepeatScope.ALL, 0,
+    private static RequestClass requestClass(double value, long latencyObjectiveUs, double stretch) {
+        return new RequestClass(value, latencyObjectiveUs, stretch, DEADLINE_US, Idempotency.SAFE, DeduplicationScope.ALL, 0,
             Placement.ANYWHERE);
     }
 
-    private static Settings settings(Point point) {
+    private static DispatchSettings settings(Point point) {
         final double quotaPerS = 1.3 * STARTS_A_WORKER * point.workers() / TENANTS;
         final List<Tenant> tenants =
             IntStream.range(0, TENANTS).mapToObj(i -> new Tenant("tenant-" + i, quotaPerS)).toList();
-        return new Settings(point.dispatchers(), 0, ZONES, KINDS.size(), CLASSES, tenants, 0.3, false,
-            new Limits(5, 2 * SECOND_US, true), new ColdStart(0.3, 20 * SECOND_US, 3, SECOND_US),
-            new Goal(0.65, 0.15, 0.2, 0), false, 0, WeightSource.NOMINAL, true, true, SECOND_US, 0, true,
-            false, 0, false, Settings.UNLIMITED);
+        return new DispatchSettings(point.dispatchers(), 0, ZONES, KINDS.size(), CLASSES, tenants, 0.3, false,
+            new AttemptLimits(5, 2 * SECOND_US, true), new SlowStartSettings(0.3, 20 * SECOND_US, 3, SECOND_US),
+            new ObjectiveWeights(0.65, 0.15, 0.2, 0), false, 0, WeightSource.NOMINAL, true, true, SECOND_US, 0, true,
+            false, 0, false, DispatchSettings.UNLIMITED);
     }
 
     private static FleetModel fleet(Point point) {
         final FleetModel[] built = new FleetModel[1];
-        final ModuleMaker maker = point.policy().equals(MODULE) ? Logic::new
+        final ModuleMaker maker = point.policy().equals(MODULE) ? Dispatcher::new
             : (settings, seed, actions) -> new BaselineModule(
                 BaselineModule.Policy.of(point.policy()), seed,
                 actions, worker -> built[0].trueLoad(worker));
@@ -112,8 +112,8 @@
         double asked = 0;
         for (int i = 0; i < CLASSES.size(); i++) {
             final Tally tally = fleet.tally(i, WARM_UP_S, WARM_UP_S + MEASURED_S);
-            inTime += tally.inTime() * CLASSES.get(i).worth();
-            asked += tally.asked() * CLASSES.get(i).worth();
+            inTime += tally.inTime() * CLASSES.get(i).priorityWeight();
+            asked += tally.asked() * CLASSES.get(i).priorityWeight();
         }
         return inTime / asked;
     }
--- a/src/main/java/cresschute/testbed/model/FleetModel.java
+++ b/src/main/java/cresschute/testbed/model/FleetModel.java
@@ -1,10 +1,10 @@
 package cresschute.testbed.model;
 
-import cresschute.dispatch.Actions;
-import cresschute.dispatch.Events;
-import cresschute.dispatch.ListForm;
+import cresschute.dispatch.DispatcherActions;
+import cresschute.dispatch.DispatcherEvents;
+import cresschute.dispatch.EndpointListForm;
 import cresschute.dispatch.RequestClass;
-import cresschute.dispatch.Settings;
+import cresschute.dispatch.DispatchSettings;
 import cresschute.dispatch.Worker;
 import cresschute.dispatch.WorkerState;
 import java.util.ArrayList;
@@ -36,7 +36,7 @@
      * @param load work asked for over what all workers can do while all are well
      * @param skew how many times the mean a dispatcher may get: traffic is spread from 1/skew to skew
      */
-    public record Plan(Settings settings, List<Demand> demands, List<Kind> kinds, int workers, int cellSize,
+    public record Plan(DispatchSettings settings, List<Demand> demands, List<Kind> kinds, int workers, int cellSize,
         double load, double skew, long seed) {}
 
     /** How many of a class's requests came within a time, and what became of them. */
@@ -79,7 +79,7 @@
 
     private final Plan plan;
     private final SplittableRandom random;
-    private final Agenda agenda = new Agenda(START_US);
+    private final EventQueue agenda = new EventQueue(START_US);
     private final RegionLink link = new RegionLink();
     private final Map<Integer, ModelWorker> workers = new LinkedHashMap<>();
     private final List<ModelDispatcher> dispatchers = new ArrayList<>();
@@ -100,13 +100,13 @@
             listed.add(workers.get(id).listed(WorkerState.READY));
         }
         for (int i = 0; i < plan.settings().dispatchers(); i++) {
-            final Settings told = inZone(plan.settings(), i % plan.settings().zones());
+            final DispatchSettings told = inZone(plan.settings(), i % plan.settings().zones());
             final long seed = random.nextLong();
             dispatchers.add(new ModelDispatcher(agenda, workers, link, told.zone(),
                 actions -> module.make(told, seed, actions), coldSends));
             weights.add(Math.pow(plan.skew(), 2 * random.nextDouble() - 1));
         }
-        dispatchers.forEach(each -> each.listed(ListForm.CACHED, listed));
+        dispatchers.forEach(each -> each.listed(EndpointListForm.CACHED, listed));
         agenda.after(0, this::arrive);
     }
 
@@ -114,14 +114,14 @@
     public interface ModuleMaker {
 
         /** A new module that acts by these actions. */
-        Events make(Settings settings, long seed, Actions actions);
+        DispatcherEvents make(DispatchSettings settings, long seed, DispatcherActions actions);
     }
 
-    private static Settings inZone(Settings s, int zone) {
-        return new Settings(s.dispatchers(), zone, s.zones(), s.kinds(), s.classes(), s.tenants(),
-            s.overShareWorth(), s.worthByWork(), s.limits(), s.coldStart(), s.goal(), s.listMustBeAsked(),
-            s.askWithinUs(), s.weightSource(), s.reportsLoad(), s.tellsStart(), s.progressUs(),
-            s.crossZonePrice(), s.probing(), s.peerMessages(), s.fetchPrice(), s.fullMayHaveRun(),
+    private static DispatchSettings inZone(DispatchSettings s, int zone) {
+        return new DispatchSettings(s.dispatchers(), zone, s.zones(), s.kinds(), s.classes(), s.tenants(),
+            s.overQuotaWeightFactor(), s.priorityWeightPerWork(), s.limits(), s.slowStart(), s.objectiveWeights(), s.endpointListIsPolled(),
+            s.pollWithinUs(), s.weightSource(), s.reportsLoad(), s.reportsJobStart(), s.progressUs(),
+            s.crossZonePrice(), s.allowsLoadQueries(), s.allowsPeerMessages(), s.dataTransferPrice(), s.fullMayHaveRun(),
             s.closeOnDrainWithinUs());
     }
 
@@ -134,7 +134,7 @@
         final Kind of = plan.kinds().get(kind);
         final int zones = plan.settings().zones();
         final int cell = id % zones + zones * (id / zones / plan.cellSize());
-        workers.put(id, new ModelWorker(agenda, plan.settings().coldStart(), id, id % zones, kind, cell,
+        workers.put(id, new ModelWorker(agenda, plan.settings().slowStart(), id, id % zones, kind, cell,
             of.slots(), of.speed() * (0.85 + 0.3 * random.nextDouble()), meanWorkUs()));
     }
 
@@ -238,7 +238,7 @@
         final long lateUs = 500_000 + random.nextLong(NOTICE_US - 1_000_000);
         dispatchers.forEach(each -> agenda.after(lateUs + random.nextLong(500_000),
             () -> link.deliver(each.zone, entry.zone(),
-                () -> each.listed(ListForm.CHANGES, List.of(entry)))));
+                () -> each.listed(EndpointListForm.CHANGES, List.of(entry)))));
     }
 
     private void arrive() {
@@ -314,7 +314,7 @@
             @Override
             public void served() {
                 first.servedUs = agenda.nowUs();
-                first.inTime = first.servedUs - first.atUs <= stated.aimUs() + stated.aimStretch() * workUs;
+                first.inTime = first.servedUs - first.atUs <= stated.latencyObjectiveUs() + stated.latencyObjectiveStretch() * workUs;
             }
 
             @Override
--- a/src/main/java/cresschute/testbed/model/ModelDispatcher.java
+++ b/src/main/java/cresschute/testbed/model/ModelDispatcher.java
@@ -1,9 +1,9 @@
 package cresschute.testbed.model;
 
-import cresschute.dispatch.Actions;
-import cresschute.dispatch.Events;
+import cresschute.dispatch.DispatcherActions;
+import cresschute.dispatch.DispatcherEvents;
 import cresschute.dispatch.Job;
-import cresschute.dispatch.ListForm;
+import cresschute.dispatch.EndpointListForm;
 import cresschute.dispatch.LoadReport;
 import cresschute.dispatch.Outcome;
 import cresschute.dispatch.Worker;
@@ -16,7 +16,7 @@
  * One dispatcher of the model: the decision module with the host's duties around it. Sends, probes and news
  * take the network's time; other copies are given up once one has answered, as the node's core does.
  */
-final class ModelDispatcher implements Actions {
+final class ModelDispatcher implements DispatcherActions {
 
     /** How a try ended for its client. */
     interface Client {
@@ -55,11 +55,11 @@
     /** The answer's way, taken off what a client waits. */
     private static final long MARGIN_US = 15_000;
 
-    private final Agenda agenda;
+    private final EventQueue agenda;
     private final Map<Integer, ModelWorker> workers;
     private final RegionLink link;
     final int zone;
-    private final Events module;
+    private final DispatcherEvents module;
     private final Map<Integer, Open> open = new HashMap<>();
     private final DispatcherMeter meter = new DispatcherMeter();
     /** Jobs sent to cold workers by all dispatchers, by class. */
@@ -67,8 +67,8 @@
     private int lastId;
     long sends;
 
-    ModelDispatcher(Agenda agenda, Map<Integer, ModelWorker> workers, RegionLink link, int zone,
-        Function<Actions, Events> module, int[] coldSends) {
+    ModelDispatcher(EventQueue agenda, Map<Integer, ModelWorker> workers, RegionLink link, int zone,
+        Function<DispatcherActions, DispatcherEvents> module, int[] coldSends) {
         this.agenda = agenda;
         this.workers = workers;
         this.link = link;
@@ -77,8 +77,8 @@
         this.module = module.apply(this);
     }
 
-    void listed(ListForm form, List<Worker> entries) {
-        module.listed(agenda.nowUs(), form, entries);
+    void listed(EndpointListForm form, List<Worker> entries) {
+        module.endpointListChanged(agenda.nowUs(), form, entries);
     }
 
     /** Whether a worker's machine is up and the network leads there. */
@@ -104,48 +104,48 @@
     void take(int requestClass, int tenant, double workUs, int slots, long waitUs, Client client) {
         final int id = ++lastId;
         open.put(id, new Open(requestClass, workUs, slots, client));
-        module.requested(agenda.nowUs(), id, new Job(requestClass, tenant, slots, 0, 0, false),
+        module.requestArrived(agenda.nowUs(), id, new Job(requestClass, tenant, slots, 0, 0, false),
             agenda.nowUs() + waitUs - MARGIN_US);
     }
 
     @Override
-    public void send(int requestId, int workerId, long giveUpUs) {
-        agenda.after(0, () -> sendNow(requestId, workerId, giveUpUs));
+    public void send(int requestId, int workerId, long deadlineUs) {
+        agenda.after(0, () -> sendNow(requestId, workerId, deadlineUs));
     }
 
-    private void sendNow(int requestId, int workerId, long giveUpUs) {
-        final Open req = open.get(requestId);
-        final int number = req.sent++;
-        if (req.closed) {
-            module.ended(agenda.nowUs(), requestId, number, workerId, Outcome.NOT_SENT, 0, true,
+    private void sendNow(int requestId, int workerId, long deadlineUs) {
+        final Open request = open.get(requestId);
+        final int number = request.sent++;
+        if (request.closed) {
+            module.attemptEnded(agenda.nowUs(), requestId, number, workerId, Outcome.NOT_SENT, 0, true,
                 LoadReport.NONE);
             return;
         }
         sends++;
         final long sentUs = agenda.nowUs();
         meter.sent(sentUs, workerId);
-        req.out.put(number, workerId);
+        request.out.put(number, workerId);
         final ModelWorker worker = workers.get(workerId);
         if (!reaches(worker)) {
             meter.inVain();
             agenda.after(CONNECT_TIMEOUT_US, () -> end(requestId, number, Outcome.CONNECT_FAILED, sentUs));
             return;
         }
-        coldSends[req.requestClass] += worker.isCold() ? 1 : 0;
-        agenda.at(giveUpUs, () -> end(requestId, number, Outcome.TIMED_OUT, sentUs));
-        agenda.after(WAY_US, () -> worker.take(req.workUs, req.slots, new ModelWorker.Sender() {
+        coldSends[request.requestClass] += worker.isCold() ? 1 : 0;
+        agenda.at(deadlineUs, () -> end(requestId, number, Outcome.TIMED_OUT, sentUs));
+        agenda.after(WAY_US, () -> worker.take(request.workUs, request.slots, new ModelWorker.Sender() {
             @Override
             public void started() {
-                meter.started(req.requestClass, req.starts++);
-                req.client.started();
+                meter.started(request.requestClass, request.starts++);
+                request.client.started();
                 progressed(0);
             }
 
             @Override
-            public void progressed(double shareDone) {
+            public void progressed(double fractionDone) {
                 agenda.after(WAY_US, () -> {
-                    if (link.connects(zone, worker.zone) && req.out.containsKey(number)) {
-                        module.jobProgressed(agenda.nowUs(), requestId, number, workerId, shareDone);
+                    if (link.connects(zone, worker.zone) && request.out.containsKey(number)) {
+                        module.jobProgressed(agenda.nowUs(), requestId, number, workerId, fractionDone);
                     }
                 });
             }
@@ -162,34 +162,34 @@
     }
 
     private void end(int requestId, int number, Outcome outcome, long sentUs) {
-        final Open req = open.get(requestId);
-        final Integer workerId = req.out.remove(number);
+        final Open request = open.get(requestId);
+        final Integer workerId = request.out.remove(number);
         if (workerId == null) {
             return;
         }
         final long nowUs = agenda.nowUs();
-        final boolean answers = outcome == Outcome.SERVED && !req.closed;
-        req.closed |= answers;
+        final boolean answers = outcome == Outcome.SERVED && !request.closed;
+        request.closed |= answers;
         final LoadReport report = outcome == Outcome.SERVED || outcome == Outcome.FULL
             || outcome == Outcome.ERROR ? workers.get(workerId).visible() : LoadReport.NONE;
         meter.ended(nowUs, workerId, outcome, report);
-        module.ended(nowUs, requestId, number, workerId, outcome, nowUs - sentUs, req.closed, report);
+        module.attemptEnded(nowUs, requestId, number, workerId, outcome, nowUs - sentUs, request.closed, report);
         if (answers) {
-            List.copyOf(req.out.keySet()).forEach(other -> end(requestId, other, Outcome.CANCELLED, sentUs));
-            req.client.served();
+            List.copyOf(request.out.keySet()).forEach(other -> end(requestId, other, Outcome.CANCELLED, sentUs));
+            request.client.served();
         }
     }
 
     private void answer(int requestId, Runnable told) {
-        final Open req = open.get(requestId);
-        if (!req.closed) {
-            req.closed = true;
+        final Open request = open.get(requestId);
+        if (!request.closed) {
+            request.closed = true;
             told.run();
         }
     }
 
     @Override
-    public void refuse(int requestId, long retryAfterUs) {
+    public void reject(int requestId, long retryAfterUs) {
         agenda.after(0, () -> answer(requestId, () -> open.get(requestId).client.refused(retryAfterUs)));
     }
 
@@ -199,17 +199,17 @@
     }
 
     @Override
-    public void wakeAfter(long token, long delayUs) {
-        agenda.after(delayUs, () -> module.woken(agenda.nowUs(), token));
+    public void startTimer(long token, long delayUs) {
+        agenda.after(delayUs, () -> module.timerFired(agenda.nowUs(), token));
     }
 
     @Override
-    public void watchList() {
+    public void pollEndpointList() {
         // The model tells each change by itself once it is known.
     }
 
     @Override
-    public void probe(int workerId) {
+    public void queryLoad(int workerId) {
         final ModelWorker worker = workers.get(workerId);
         final boolean up = reaches(worker);
         meter.probed();
@@ -219,17 +219,17 @@
         agenda.after(up ? 2 * WAY_US : PROBE_TIMEOUT_US, () -> {
             final LoadReport report = up ? worker.visible() : LoadReport.NONE;
             meter.reported(agenda.nowUs(), workerId, report);
-            module.probed(agenda.nowUs(), workerId, up ? Outcome.SERVED : Outcome.CONNECT_FAILED, report);
+            module.loadReported(agenda.nowUs(), workerId, up ? Outcome.SERVED : Outcome.CONNECT_FAILED, report);
         });
     }
 
     @Override
-    public void tellSilent(int workerId, int requestClass) {
+    public void reportUnresponsive(int workerId, int requestClass) {
         throw new IllegalStateException("no peer messages in this model");
     }
 
     @Override
-    public void closeIdle(int workerId) {
+    public void closeIdleConnections(int workerId) {
         // A connection costs nothing here.
     }
 }
--- a/src/main/java/cresschute/testbed/model/ModelWorker.java
+++ b/src/main/java/cresschute/testbed/model/ModelWorker.java
@@ -1,6 +1,6 @@
 package cresschute.testbed.model;
 
-import cresschute.dispatch.ColdStart;
+import cresschute.dispatch.SlowStartSettings;
 import cresschute.dispatch.LoadReport;
 import cresschute.dispatch.Outcome;
 import cresschute.dispatch.Worker;
@@ -17,7 +17,7 @@
     interface Sender {
         void started();
 
-        void progressed(double shareDone);
+        void progressed(double fractionDone);
 
         void ended(Outcome outcome);
     }
@@ -41,8 +41,8 @@
     private static final long REPORT_DELAY_US = 250_000;
     private static final int QUEUE_A_SLOT = 12;
 
-    private final Agenda agenda;
-    private final ColdStart cold;
+    private final EventQueue agenda;
+    private final SlowStartSettings cold;
     final int id;
     final int zone;
     final int kind;
@@ -63,7 +63,7 @@
     private double maxColdCountRatio;
     private double maxColdWorkRatio;
 
-    ModelWorker(Agenda agenda, ColdStart cold, int id, int zone, int kind, int cell, int slots, double speed,
+    ModelWorker(EventQueue agenda, SlowStartSettings cold, int id, int zone, int kind, int cell, int slots, double speed,
         double meanWorkUs) {
         this.agenda = agenda;
         this.cold = cold;
@@ -130,8 +130,8 @@
 
     private double warmth(long atUs) {
         final long ageUs = atUs - startedUs;
-        return startedUs == 0 || ageUs >= cold.warmWithinUs() ? 1
-            : cold.fromShare() + (1 - cold.fromShare()) * ageUs / cold.warmWithinUs();
+        return startedUs == 0 || ageUs >= cold.warmUpDurationUs() ? 1
+            : cold.initialCapacityFraction() + (1 - cold.initialCapacityFraction()) * ageUs / cold.warmUpDurationUs();
     }
 
     /** Whether it has started too lately to do all that it will. */
@@ -175,12 +175,12 @@
             return;
         }
         colds.add(new long[]{nowUs, (long) work});
-        while (colds.peek()[0] < nowUs - cold.tipAfterUs()) {
+        while (colds.peek()[0] < nowUs - cold.overloadAfterUs()) {
             colds.poll();
         }
         final double sent = colds.stream().mapToLong(each -> each[1]).sum() / meanWorkUs;
-        final double bound = cold.jobsBorne(cold.overloadFactor() * warmth(nowUs) * slots * speed
-            * cold.tipAfterUs() / meanWorkUs);
+        final double bound = cold.toleratedJobs(cold.overloadFactor() * warmth(nowUs) * slots * speed
+            * cold.overloadAfterUs() / meanWorkUs);
         maxColdCountRatio = Math.max(maxColdCountRatio, colds.size() / bound);
         maxColdWorkRatio = Math.max(maxColdWorkRatio, sent / bound);
         if (sent > bound) {
--- a/src/test/java/cresschute/LayoutTest.java
+++ b/src/test/java/cresschute/LayoutTest.java
@@ -91,7 +91,7 @@
             .and().doNotHaveSimpleName("SettingsFile")
             .should().dependOnClassesThat().resideInAnyPackage("java.io", "java.nio.file", "io.netty..")
             .check(CLASSES);
-        noClasses().that().haveSimpleName("RuleChecker").or().haveSimpleName("Outcomes").should()
+        noClasses().that().haveSimpleName("RuleChecker").or().haveSimpleName("RequestOutcomes").and().resideInAPackage("cresschute.testbed").should()
             .dependOnClassesThat().resideInAnyPackage("java.io", "java.nio..", "java.net", "io.netty..")
             .check(CLASSES);
     }
--- a/src/test/java/cresschute/cli/ConsoleProgramTest.java
+++ b/src/test/java/cresschute/cli/ConsoleProgramTest.java
@@ -7,8 +7,8 @@
 import cresschute.ProgramProcess;
 import cresschute.testbed.Fleet;
 import cresschute.testbed.FleetReport;
-import cresschute.testbed.Trouble;
-import cresschute.testbed.WideSite;
+import cresschute.testbed.InjectedFault;
+import cresschute.testbed.LargeFleet;
 import cresschute.node.Json;
 import java.io.IOException;
 import java.io.PrintWriter;
@@ -51,7 +51,7 @@
     }
 
     private Fleet fleet(String troubles) {
-        final Fleet fleet = new Fleet(new Fleet.Plan(5, 15, 1, Trouble.parse(troubles), socket.toString(),
+        final Fleet fleet = new Fleet(new Fleet.Plan(5, 15, 1, InjectedFault.parse(troubles), socket.toString(),
             null));
         fleet.start();
         return fleet;
@@ -172,7 +172,7 @@
     /** A thousand workers, 200 of which change in a second: the one that is meant is found and drained. */
     @Test
     void oneOfAThousandIsDrainedWhileTheListChangesUnderTheScreen() throws Exception {
-        try (WideSite site = new WideSite(1_000, 1, socket);
+        try (LargeFleet site = new LargeFleet(1_000, 1, socket);
             VirtualScreen screen = console(100, 30, Map.of())) {
             screen.await("1/1000");
             site.churn(200);
--- a/src/test/java/cresschute/cli/ProgramTest.java
+++ b/src/test/java/cresschute/cli/ProgramTest.java
@@ -200,7 +200,7 @@
             }
             assertThat(line).isNotNull();
             assertThat(lines).anyMatch(each -> each.contains("cresschute.node.NodeServer "));
-            assertThat(lines).noneMatch(each -> each.contains("cresschute.node.ControlDesk ")
+            assertThat(lines).noneMatch(each -> each.contains("cresschute.node.ControlService ")
                 || each.contains("cresschute.control.") || each.contains("cresschute.health.")
                 || each.contains("cresschute.peers.") || each.contains("cresschute.node.PeerLoads ")
                 || each.contains("org.HdrHistogram"));
--- a/src/test/java/cresschute/control/ControlRequestTest.java
+++ b/src/test/java/cresschute/control/ControlRequestTest.java
@@ -4,7 +4,7 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import cresschute.control.ControlRequest.What;
-import cresschute.control.Drains.Operation;
+import cresschute.control.DrainRegistry.Operation;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -35,16 +35,16 @@
         {"v":1,"id":"1","do":"drain","op":"o","worker":"w\\u001b[2J"}      | worker has control characters, or more than 200
         """)
     void unusableLinesAreTold(String line, String error) {
-        assertThatThrownBy(() -> ControlRequest.parse(line)).isInstanceOf(ControlRequest.Unusable.class)
+        assertThatThrownBy(() -> ControlRequest.parse(line)).isInstanceOf(ControlRequest.InvalidRequestException.class)
             .hasMessageContaining(error);
     }
 
     @Test
     void deepNestingIsNoDanger() {
-        assertThatThrownBy(() -> ControlRequest.parse("[".repeat(ControlRequest.MOST_LINE)))
-            .isInstanceOf(ControlRequest.Unusable.class);
+        assertThatThrownBy(() -> ControlRequest.parse("[".repeat(ControlRequest.MAX_LINE)))
+            .isInstanceOf(ControlRequest.InvalidRequestException.class);
         assertThatThrownBy(() -> ControlRequest.parse("{\"a\":".repeat(3_000)))
-            .isInstanceOf(ControlRequest.Unusable.class);
+            .isInstanceOf(ControlRequest.InvalidRequestException.class);
     }
 
     @Test
@@ -57,7 +57,7 @@
             true));
         final ControlRequest undrain = ControlRequest.parse(
             "{\"v\":1,\"id\":\"1\",\"do\":\"undrain\",\"op\":\"o\",\"worker\":\"w1\"}");
-        assertThat(undrain.operation()).isEqualTo(new Operation("o", false, "w1", Drains.FOREVER, "somebody",
+        assertThat(undrain.operation()).isEqualTo(new Operation("o", false, "w1", DrainRegistry.FOREVER, "somebody",
             "", false));
         final ControlRequest follow = ControlRequest.parse(
             "{\"v\":1,\"id\":\"s\",\"do\":\"subscribe\",\"from\":9,\"boot\":\"b\"}");
--- a/src/test/java/cresschute/control/DrainsTest.java
+++ b/src/test/java/cresschute/control/DrainRegistryTest.java
@@ -6,12 +6,12 @@
 import cresschute.dispatch.Placement;
 import cresschute.dispatch.Worker;
 import cresschute.dispatch.WorkerState;
-import cresschute.control.Drains.ClassBound;
-import cresschute.control.Drains.Kind;
-import cresschute.control.Drains.Listed;
-import cresschute.control.Drains.Operation;
-import cresschute.control.Drains.Outcome;
-import cresschute.control.Drains.Site;
+import cresschute.control.DrainRegistry.ClassBound;
+import cresschute.control.DrainRegistry.Kind;
+import cresschute.control.DrainRegistry.Listed;
+import cresschute.control.DrainRegistry.Operation;
+import cresschute.control.DrainRegistry.Outcome;
+import cresschute.control.DrainRegistry.Site;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The operator's overlay: operations once, refusals with reasons, and a plain model beside it. */
-class DrainsTest {
+class DrainRegistryTest {
 
     private static final long S = 1_000_000;
     private static final Site SITE = new Site(List.of(worker("a", 0, 1), worker("b", 0, 1),
@@ -31,18 +31,18 @@
         List.of(new ClassBound("any", Placement.ANYWHERE),
             new ClassBound("big", new Placement(null, List.of(1)))), Set.of());
 
-    private final Drains drains = new Drains();
+    private final DrainRegistry drains = new DrainRegistry();
 
     private static Listed worker(String name, int kind, int cell) {
         return new Listed(name, new Worker(name.charAt(0), 0, kind, cell, WorkerState.READY, 1, 0));
     }
 
     private static Operation drain(String id, String worker) {
-        return new Operation(id, true, worker, Drains.FOREVER, "ann", "disk", false);
+        return new Operation(id, true, worker, DrainRegistry.FOREVER, "ann", "disk", false);
     }
 
     private static Operation undo(String id, String worker) {
-        return new Operation(id, false, worker, Drains.FOREVER, "ann", "", false);
+        return new Operation(id, false, worker, DrainRegistry.FOREVER, "ann", "", false);
     }
 
     @Test
@@ -73,7 +73,7 @@
         drains.apply(drain("1", "a"), SITE, 5);
         assertThat(drains.apply(new Operation("2", true, "a", S, "bob", "", false), SITE, 9))
             .isEqualTo(new Outcome(Kind.ALREADY, "drained by ann: disk"));
-        assertThat(drains.inForce()).containsExactly(new Drains.Drain("a", 5, Drains.FOREVER, "ann", "disk"));
+        assertThat(drains.inForce()).containsExactly(new DrainRegistry.Drain("a", 5, DrainRegistry.FOREVER, "ann", "disk"));
         assertThat(drains.apply(undo("3", "b"), SITE, 9))
             .isEqualTo(new Outcome(Kind.ALREADY, "not drained by an operator"));
     }
@@ -114,16 +114,16 @@
         assertThat(drains.nextEndUs()).isEqualTo(4 * S);
         assertThat(drains.expire(4 * S - 1)).isEmpty();
         assertThat(drains.expire(4 * S)).containsExactly("a");
-        assertThat(drains.nextEndUs()).isEqualTo(Drains.FOREVER);
-        drains.apply(new Operation("2", true, "a", Drains.FOREVER - 1, "ann", "", false), SITE, S);
-        assertThat(drains.nextEndUs()).isEqualTo(Drains.FOREVER);
+        assertThat(drains.nextEndUs()).isEqualTo(DrainRegistry.FOREVER);
+        drains.apply(new Operation("2", true, "a", DrainRegistry.FOREVER - 1, "ann", "", false), SITE, S);
+        assertThat(drains.nextEndUs()).isEqualTo(DrainRegistry.FOREVER);
         assertThatThrownBy(() -> new Operation("3", true, "a", 0, "ann", "", false))
             .hasMessage("a drain lasts longer than no time");
     }
 
     @Test
     void memoryOfOperationsIsBounded() {
-        for (int i = 0; i <= Drains.MOST_REMEMBERED; i++) {
+        for (int i = 0; i <= DrainRegistry.MAX_REMEMBERED; i++) {
             drains.apply(undo("u" + i, "a"), SITE, 0);
         }
         // The oldest is forgotten: under its id another operation is a new one.
@@ -138,7 +138,7 @@
      */
     @Property(tries = 300, seed = "81")
     void agreesWithAPlainModel(@ForAll Random random) {
-        Drains tested = new Drains();
+        DrainRegistry tested = new DrainRegistry();
         final Map<String, Long> model = new HashMap<>();
         final Set<String> heard = new HashSet<>();
         for (int step = 0; step < 60; step++) {
@@ -169,7 +169,7 @@
                 }
             }
             if (random.nextInt(10) == 0) {
-                final Drains restarted = new Drains();
+                final DrainRegistry restarted = new DrainRegistry();
                 restarted.restore(tested.inForce());
                 tested = restarted;
             }
--- a/src/test/java/cresschute/control/ManagementCallTest.java
+++ b/src/test/java/cresschute/control/ManagementCallTest.java
@@ -35,7 +35,7 @@
         'enable-server a b'           | enable-server takes one worker id
         """)
     void refusesWhatItCannotUse(String line, String why) {
-        assertThatThrownBy(() -> ManagementCall.parse(line)).isInstanceOf(ManagementCall.Unusable.class)
+        assertThatThrownBy(() -> ManagementCall.parse(line)).isInstanceOf(ManagementCall.InvalidCallException.class)
             .hasMessageContaining(why).message().hasLineCount(1);
     }
 
@@ -49,6 +49,6 @@
     @CsvSource({"201", "513"})
     void boundsTheLengthOfIdsAndCalls(int length) {
         assertThatThrownBy(() -> ManagementCall.parse("disable-server " + "s".repeat(length)))
-            .isInstanceOf(ManagementCall.Unusable.class);
+            .isInstanceOf(ManagementCall.InvalidCallException.class);
     }
 }
--- a/src/test/java/cresschute/control/SnapshotTest.java
+++ b/src/test/java/cresschute/control/SnapshotTest.java
@@ -3,8 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import cresschute.control.Drains.Drain;
-import cresschute.control.Drains.Operation;
+import cresschute.control.DrainRegistry.Drain;
+import cresschute.control.DrainRegistry.Operation;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import java.util.List;
@@ -14,10 +14,10 @@
 class SnapshotTest {
 
     private static Snapshot some() {
-        final Drains drains = new Drains();
-        drains.restore(List.of(new Drain("w1", 5, Drains.FOREVER, "ann", "d\u00efsk"),
+        final DrainRegistry drains = new DrainRegistry();
+        drains.restore(List.of(new Drain("w1", 5, DrainRegistry.FOREVER, "ann", "d\u00efsk"),
             new Drain("w2", 6, 99, "bob", "")));
-        drains.apply(new Operation("o1", false, "w2", Drains.FOREVER, "bob", "", false), null, 7);
+        drains.apply(new Operation("o1", false, "w2", DrainRegistry.FOREVER, "bob", "", false), null, 7);
         return new Snapshot(41, drains.inForce(), drains.remembered());
     }
 
@@ -27,11 +27,11 @@
         assertThat(Snapshot.decode(bytes)).isEqualTo(some());
         for (int i = 0; i < bytes.length; i++) {
             final byte[] torn = Arrays.copyOf(bytes, i);
-            assertThatThrownBy(() -> Snapshot.decode(torn)).isInstanceOf(Framed.Damaged.class);
+            assertThatThrownBy(() -> Snapshot.decode(torn)).isInstanceOf(ChecksummedFile.DamagedFileException.class);
             for (int bit = 0; bit < 8; bit++) {
                 final byte[] flipped = bytes.clone();
                 flipped[i] ^= (byte) (1 << bit);
-                assertThatThrownBy(() -> Snapshot.decode(flipped)).isInstanceOf(Framed.Damaged.class);
+                assertThatThrownBy(() -> Snapshot.decode(flipped)).isInstanceOf(ChecksummedFile.DamagedFileException.class);
             }
         }
         assertThatThrownBy(() -> Snapshot.decode(Arrays.copyOf(bytes, bytes.length + 1)))
@@ -50,9 +50,9 @@
     @Test
     void restartDoesNotForgetOperations() throws Exception {
         final Snapshot read = Snapshot.decode(some().encode());
-        final Drains drains = new Drains();
-        drains.restore(List.of(new Drain("w2", 8, Drains.FOREVER, "ann", "")), read.operations());
-        drains.apply(new Operation("o1", false, "w2", Drains.FOREVER, "bob", "", false), null, 9);
+        final DrainRegistry drains = new DrainRegistry();
+        drains.restore(List.of(new Drain("w2", 8, DrainRegistry.FOREVER, "ann", "")), read.operations());
+        drains.apply(new Operation("o1", false, "w2", DrainRegistry.FOREVER, "bob", "", false), null, 9);
         assertThat(drains.of("w2")).isNotNull();
     }
 }
--- a/src/test/java/cresschute/control/StoredSnapshotFormatTest.java
+++ b/src/test/java/cresschute/control/StoredSnapshotFormatTest.java
@@ -2,11 +2,11 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cresschute.control.Drains.Drain;
-import cresschute.control.Drains.Kind;
-import cresschute.control.Drains.Operation;
-import cresschute.control.Drains.Outcome;
-import cresschute.control.Drains.Remembered;
+import cresschute.control.DrainRegistry.Drain;
+import cresschute.control.DrainRegistry.Kind;
+import cresschute.control.DrainRegistry.Operation;
+import cresschute.control.DrainRegistry.Outcome;
+import cresschute.control.DrainRegistry.Remembered;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Set;
@@ -70,22 +70,22 @@
     void drainsAndOperationsOfAnEarlierVersionAreInForce() throws Exception {
         final Snapshot read = Snapshot.decode(bytes(DRAINS));
         assertThat(read.generation()).isEqualTo(41);
-        final Drains drains = new Drains();
+        final DrainRegistry drains = new DrainRegistry();
         drains.restore(read.drains(), read.operations());
         assertThat(drains.inForce()).containsExactly(
             new Drain("w1", DRAINED_AT_US, DRAIN_ENDS_AT_US, "ann", "new disk"),
-            new Drain("w2", DRAINED_AT_US + 1_000_000, Drains.FOREVER, "bob", ""));
+            new Drain("w2", DRAINED_AT_US + 1_000_000, DrainRegistry.FOREVER, "bob", ""));
         assertThat(drains.remembered()).containsExactly(
             new Remembered(new Operation("op-1", true, "w1", 7_200_000_000L, "ann", "new disk", false),
                 new Outcome(Kind.DONE, "")),
-            new Remembered(new Operation("op-2", true, "w1", Drains.FOREVER, "bob", "", true),
+            new Remembered(new Operation("op-2", true, "w1", DrainRegistry.FOREVER, "bob", "", true),
                 new Outcome(Kind.ALREADY, "drained by ann: new disk")),
-            new Remembered(new Operation("op-3", true, "w9", Drains.FOREVER, "bob", "", false),
+            new Remembered(new Operation("op-3", true, "w9", DrainRegistry.FOREVER, "bob", "", false),
                 new Outcome(Kind.REFUSED, "no worker is called w9")));
         assertThat(text(new Snapshot(41, drains.inForce(), drains.remembered()).encode())).isEqualTo(DRAINS);
         assertThat(drains.expire(DRAIN_ENDS_AT_US - 1)).isEmpty();
         assertThat(drains.expire(DRAIN_ENDS_AT_US)).containsExactly("w1");
-        assertThat(drains.expire(Drains.FOREVER - 1)).isEmpty();
+        assertThat(drains.expire(DrainRegistry.FOREVER - 1)).isEmpty();
     }
 
     @Test
@@ -93,7 +93,7 @@
         final Snapshot read = Snapshot.decode(bytes(UNDRAINED));
         assertThat(read).isEqualTo(new Snapshot(42,
             List.of(new Drain("w1", DRAINED_AT_US, DRAIN_ENDS_AT_US, "ann", "new disk")),
-            List.of(new Remembered(new Operation("op-4", false, "w2", Drains.FOREVER, "cy", "", false),
+            List.of(new Remembered(new Operation("op-4", false, "w2", DrainRegistry.FOREVER, "cy", "", false),
                 new Outcome(Kind.DONE, "")))));
         assertThat(text(read.encode())).isEqualTo(UNDRAINED);
     }
--- a/src/test/java/cresschute/control/BoardTest.java
+++ b/src/test/java/cresschute/control/VersionedTableTest.java
@@ -11,9 +11,9 @@
 import org.junit.jupiter.api.Test;
 
 /** What consoles are told of a board adds up to the board, whichever changes they slept through. */
-class BoardTest {
+class VersionedTableTest {
 
-    private static void take(Map<String, String> held, Board.News news) {
+    private static void take(Map<String, String> held, VersionedTable.Delta news) {
         if (news.whole()) {
             held.clear();
         }
@@ -23,7 +23,7 @@
 
     @Property(tries = 300, seed = "82")
     void newsAddUpToTheBoard(@ForAll Random random) {
-        final Board board = new Board();
+        final VersionedTable board = new VersionedTable();
         final Map<String, String> model = new HashMap<>();
         final Map<String, String> quick = new HashMap<>();
         final Map<String, String> slow = new HashMap<>();
@@ -52,7 +52,7 @@
 
     @Test
     void sameRowIsNoChange() {
-        final Board board = new Board();
+        final VersionedTable board = new VersionedTable();
         board.put("w", "1");
         board.put("w", "1");
         assertThat(board.number()).isEqualTo(1);
@@ -61,19 +61,19 @@
 
     @Test
     void consoleFromTooLongAgoStartsAnew() {
-        final Board board = new Board();
+        final VersionedTable board = new VersionedTable();
         board.put("stays", "1");
-        for (int i = 0; i <= Board.MOST_GONE; i++) {
+        for (int i = 0; i <= VersionedTable.MAX_GONE; i++) {
             board.put("w" + i, "1");
         }
         final long before = board.number();
-        for (int i = 0; i < Board.MOST_GONE; i++) {
+        for (int i = 0; i < VersionedTable.MAX_GONE; i++) {
             board.remove("w" + i);
         }
         assertThat(board.since(before).whole()).isFalse();
-        assertThat(board.since(before).gone()).hasSize(Board.MOST_GONE);
-        board.remove("w" + Board.MOST_GONE);
-        final Board.News news = board.since(before);
+        assertThat(board.since(before).gone()).hasSize(VersionedTable.MAX_GONE);
+        board.remove("w" + VersionedTable.MAX_GONE);
+        final VersionedTable.Delta news = board.since(before);
         assertThat(news.whole()).isTrue();
         assertThat(news.rows()).containsOnlyKeys("stays");
         assertThat(board.since(before + 1).whole()).isFalse();
@@ -82,7 +82,7 @@
     /** A number that this board has never given is of another run of the node. */
     @Test
     void numberFromTheFutureMeansNothing() {
-        final Board board = new Board();
+        final VersionedTable board = new VersionedTable();
         board.put("w", "1");
         assertThat(board.since(99).whole()).isTrue();
         assertThat(board.since(-1).whole()).isTrue();
@@ -92,15 +92,15 @@
     void eventsTellHowManyWereMissed() {
         final EventRing ring = new EventRing();
         assertThat(ring.after(0).happenings()).isEmpty();
-        for (int i = 1; i <= EventRing.MOST + 10; i++) {
+        for (int i = 1; i <= EventRing.MAX + 10; i++) {
             ring.add(i, "kind", null, "text");
         }
         assertThat(ring.after(0).missed()).isEqualTo(10);
-        assertThat(ring.after(0).happenings()).hasSize(EventRing.MOST);
+        assertThat(ring.after(0).happenings()).hasSize(EventRing.MAX);
         assertThat(ring.after(8).missed()).isEqualTo(2);
         assertThat(ring.after(ring.last() - 2)).isEqualTo(new EventRing.Read(List.of(
-            new EventRing.Happening(EventRing.MOST + 9, EventRing.MOST + 9, "kind", null, "text"),
-            new EventRing.Happening(EventRing.MOST + 10, EventRing.MOST + 10, "kind", null, "text")), 0));
+            new EventRing.Happening(EventRing.MAX + 9, EventRing.MAX + 9, "kind", null, "text"),
+            new EventRing.Happening(EventRing.MAX + 10, EventRing.MAX + 10, "kind", null, "text")), 0));
         assertThat(ring.after(ring.last() + 5).happenings()).isEmpty();
     }
 }
--- a/src/test/java/cresschute/control/files/SharedStateFormatTest.java
+++ b/src/test/java/cresschute/control/files/SharedOperatorStateFormatTest.java
@@ -2,8 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cresschute.control.Drains;
-import cresschute.control.Drains.Drain;
+import cresschute.control.DrainRegistry;
+import cresschute.control.DrainRegistry.Drain;
 import cresschute.control.ManagementCall;
 import cresschute.control.OperatorsState;
 import cresschute.control.Snapshot;
@@ -22,7 +22,7 @@
  * bytes that are written next. The literals are what that version wrote.
  */
 @Timeout(30)
-class SharedStateFormatTest {
+class SharedOperatorStateFormatTest {
 
     private static final String OPERATORS_FILE = "cresschute-operators";
     private static final String BANNED = """
@@ -41,7 +41,7 @@
     private Path folder;
 
     private static Snapshot snapshot(long generation) {
-        return new Snapshot(generation, List.of(new Drain("w" + generation, generation, Drains.FOREVER,
+        return new Snapshot(generation, List.of(new Drain("w" + generation, generation, DrainRegistry.FOREVER,
             "ann", "")), List.of());
     }
 
@@ -93,10 +93,10 @@
     }
 
     private OperatorsState openAndCall(OperatorsState[] found, String... calls) throws Exception {
-        final SharedState.Opened opened = SharedState.open(folder, Runnable::run, state -> {});
+        final SharedOperatorState.Opened opened = SharedOperatorState.open(folder, Runnable::run, state -> {});
         found[0] = opened.found();
         OperatorsState last = opened.found();
-        try (SharedState shared = opened.shared()) {
+        try (SharedOperatorState shared = opened.shared()) {
             for (final String call : calls) {
                 final ManagementCall parsed = ManagementCall.parse(call);
                 final CompletableFuture<OperatorsState> done = new CompletableFuture<>();
--- a/src/test/java/cresschute/control/files/StateFolderTest.java
+++ b/src/test/java/cresschute/control/files/StateFolderTest.java
@@ -3,8 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import cresschute.control.Drains;
-import cresschute.control.Drains.Drain;
+import cresschute.control.DrainRegistry;
+import cresschute.control.DrainRegistry.Drain;
 import cresschute.control.Snapshot;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -29,7 +29,7 @@
     }
 
     private static Snapshot snapshot(long generation) {
-        return new Snapshot(generation, List.of(new Drain("w" + generation, generation, Drains.FOREVER, "ann",
+        return new Snapshot(generation, List.of(new Drain("w" + generation, generation, DrainRegistry.FOREVER, "ann",
             "")), List.of());
     }
 
--- a/src/test/java/cresschute/control/socket/ControlProtocolFormatTest.java
+++ b/src/test/java/cresschute/control/socket/ControlProtocolFormatTest.java
@@ -6,11 +6,11 @@
 import com.google.gson.JsonParser;
 import cresschute.ControlPeer;
 import cresschute.console.ControlLink;
-import cresschute.control.Board;
+import cresschute.control.VersionedTable;
 import cresschute.control.ControlRequest;
 import cresschute.control.ControlRequest.What;
-import cresschute.control.Drains;
-import cresschute.control.Drains.Operation;
+import cresschute.control.DrainRegistry;
+import cresschute.control.DrainRegistry.Operation;
 import cresschute.control.EventRing;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
@@ -46,7 +46,7 @@
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final Board board = new Board();
+    private final VersionedTable board = new VersionedTable();
     private final EventRing events = new EventRing();
     private Operation carriedOut;
     private ControlServer server;
@@ -55,7 +55,7 @@
     @TempDir
     private Path folder;
 
-    private final class KnownDesk implements Desk {
+    private final class KnownDesk implements ControlHandler {
 
         @Override
         public String boot() {
@@ -63,7 +63,7 @@
         }
 
         @Override
-        public Board board() {
+        public VersionedTable board() {
             return board;
         }
 
@@ -139,7 +139,7 @@
         assertThat(ControlRequest.parse(DRAIN)).isEqualTo(new ControlRequest("o1", What.DRAIN, 0, "", 0,
             new Operation("op-1", true, "w1", 7_200_000_000L, "ann", "new disk", true)));
         assertThat(ControlRequest.parse(UNDRAIN)).isEqualTo(new ControlRequest("o2", What.UNDRAIN, 0, "", 0,
-            new Operation("op-2", false, "w1", Drains.FOREVER, "ann", "", false)));
+            new Operation("op-2", false, "w1", DrainRegistry.FOREVER, "ann", "", false)));
     }
 
     // ---- What nodes answer ----
--- a/src/test/java/cresschute/control/socket/ControlServerTest.java
+++ b/src/test/java/cresschute/control/socket/ControlServerTest.java
@@ -4,9 +4,9 @@
 
 import com.google.gson.JsonObject;
 import cresschute.ControlPeer;
-import cresschute.control.Board;
+import cresschute.control.VersionedTable;
 import cresschute.control.ControlRequest;
-import cresschute.control.Drains.Operation;
+import cresschute.control.DrainRegistry.Operation;
 import cresschute.control.EventRing;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
@@ -32,14 +32,14 @@
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final AtomicInteger asked = new AtomicInteger();
-    private final Board board = new Board();
+    private final VersionedTable board = new VersionedTable();
     private ControlServer server;
     private Path socket;
 
     @TempDir
     private Path folder;
 
-    private final class LargeDesk implements Desk {
+    private final class LargeDesk implements ControlHandler {
 
         @Override
         public String boot() {
@@ -47,7 +47,7 @@
         }
 
         @Override
-        public Board board() {
+        public VersionedTable board() {
             return board;
         }
 
--- a/src/test/java/cresschute/dispatch/LogicTest.java
+++ b/src/test/java/cresschute/dispatch/DispatcherTest.java
@@ -1,10 +1,10 @@
 package cresschute.dispatch;
 
-import static cresschute.dispatch.Recorder.SECOND;
-import static cresschute.dispatch.Recorder.in;
-import static cresschute.dispatch.Recorder.job;
-import static cresschute.dispatch.Recorder.settings;
-import static cresschute.dispatch.Recorder.worker;
+import static cresschute.dispatch.RecordingActions.SECOND;
+import static cresschute.dispatch.RecordingActions.in;
+import static cresschute.dispatch.RecordingActions.job;
+import static cresschute.dispatch.RecordingActions.settings;
+import static cresschute.dispatch.RecordingActions.worker;
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
@@ -19,21 +19,21 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class LogicTest {
+class DispatcherTest {
 
-    private static Recorder with(Effect effect, RepeatScope scope) {
-        return new Recorder(settings(List.of(job(1, effect, scope))));
+    private static RecordingActions with(Idempotency effect, DeduplicationScope scope) {
+        return new RecordingActions(settings(List.of(job(1, effect, scope))));
     }
 
-    private static Recorder twoSafeWorkers() {
-        return with(Effect.SAFE, RepeatScope.ALL).list(ListForm.CACHED, worker(1, 0, 0), worker(2, 1, 1));
+    private static RecordingActions twoSafeWorkers() {
+        return with(Idempotency.SAFE, DeduplicationScope.ALL).list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 1, 1));
     }
 
     // ---- one answer for each request ----
 
     @Test
     void withoutWorkersARequestIsHeldAndRefusedInTime() {
-        final Recorder host = with(Effect.UNSAFE, RepeatScope.ALL).list(ListForm.CACHED);
+        final RecordingActions host = with(Idempotency.UNSAFE, DeduplicationScope.ALL).list(EndpointListForm.CACHED);
         host.request(1, 0);
         assertThat(host.refused).isEmpty();
         host.pass(5 * SECOND);
@@ -43,16 +43,16 @@
 
     @Test
     void aHeldRequestGoesOutWhenAWorkerComes() {
-        final Recorder host = with(Effect.SAFE, RepeatScope.ALL).list(ListForm.CACHED);
+        final RecordingActions host = with(Idempotency.SAFE, DeduplicationScope.ALL).list(EndpointListForm.CACHED);
         host.request(1, 0);
-        host.list(ListForm.CHANGES, worker(9, 0, 0));
+        host.list(EndpointListForm.CHANGES, worker(9, 0, 0));
         host.pass(SECOND / 5);
-        assertThat(host.sends).containsExactly(new Recorder.Send(1, 9));
+        assertThat(host.sends).containsExactly(new RecordingActions.Send(1, 9));
     }
 
     @Test
     void aTimeOutAtTheDeadlineIsAnsweredAtOnce() {
-        final Recorder host = with(Effect.UNSAFE, RepeatScope.ALL).list(ListForm.CACHED, worker(1, 0, 0));
+        final RecordingActions host = with(Idempotency.UNSAFE, DeduplicationScope.ALL).list(EndpointListForm.CACHED, worker(1, 0, 0));
         host.request(1, 0);
         host.pass(5 * SECOND);
         host.end(1, 0, 1, Outcome.TIMED_OUT);
@@ -63,7 +63,7 @@
 
     @Test
     void nothingIsSentAfterTheClientLeft() {
-        final Recorder host = twoSafeWorkers();
+        final RecordingActions host = twoSafeWorkers();
         host.request(1, 0);
         host.module.clientLeft(host.nowUs, 1);
         host.end(1, 0, host.lastSend().worker(), Outcome.FULL);
@@ -73,7 +73,7 @@
 
     @Test
     void lateAndUnknownNewsIsIgnored() {
-        final Recorder host = twoSafeWorkers();
+        final RecordingActions host = twoSafeWorkers();
         host.request(1, 0);
         final int worker = host.lastSend().worker();
         host.end(1, 0, worker, Outcome.SERVED);
@@ -81,31 +81,31 @@
         host.end(77, 3, 5, Outcome.BROKEN);
         host.module.jobProgressed(host.nowUs, 1, 0, worker, 0.5);
         host.module.clientLeft(host.nowUs, 1);
-        host.module.woken(host.nowUs, 123);
+        host.module.timerFired(host.nowUs, 123);
         assertThat(host.log).hasSize(1);
     }
 
     /** Rude clients' requests made every worker rest, one after the other, and were sent five times each. */
     @Test
     void anUnusableRequestFailsAtOnceAndSaysNothingOfItsWorker() {
-        final Recorder host = twoSafeWorkers();
+        final RecordingActions host = twoSafeWorkers();
         for (int id = 1; id <= 40; id++) {
             host.request(id, 0);
             host.end(id, 0, host.lastSend().worker(),
                 host.lastSend().worker() == 1 ? Outcome.UNUSABLE : Outcome.SERVED);
         }
         assertThat(host.sends).hasSize(40);
-        assertThat(host.sends.subList(20, 40)).extracting(Recorder.Send::worker).contains(1);
+        assertThat(host.sends.subList(20, 40)).extracting(RecordingActions.Send::worker).contains(1);
         assertThat(host.sends).filteredOn(send -> send.worker() == 1).hasSameSizeAs(host.failed);
         assertThat(host.refused).isEmpty();
     }
 
-    private static Recorder withARunningJob(Effect effect) {
+    private static RecordingActions withARunningJob(Idempotency effect) {
         final RequestClass patient =
-            new RequestClass(1, SECOND, 2, 5 * SECOND, effect, RepeatScope.CELL, SECOND * 4,
+            new RequestClass(1, SECOND, 2, 5 * SECOND, effect, DeduplicationScope.CELL, SECOND * 4,
                 Placement.ANYWHERE);
-        final Recorder host = new Recorder(Recorder.copying(List.of(patient)))
-            .list(ListForm.CACHED, worker(1, 0, 0), worker(2, 0, 0), worker(3, 0, 1), worker(4, 0, 1));
+        final RecordingActions host = new RecordingActions(RecordingActions.copying(List.of(patient)))
+            .list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 0, 0), worker(3, 0, 1), worker(4, 0, 1));
         host.request(1, 0);
         host.module.jobProgressed(host.nowUs, 1, 0, host.lastSend().worker(), 0);
         return host;
@@ -114,21 +114,21 @@
     /** nairobi-noms: workers hang for up to 25 s, and their jobs were waited for until their time was up. */
     @ParameterizedTest
     @EnumSource
-    void aJobWhoseProgressNotesStopIsCopiedWhereItsClassAllows(Effect effect) {
-        final Recorder host = withARunningJob(effect);
+    void aJobWhoseProgressNotesStopIsCopiedWhereItsClassAllows(Idempotency effect) {
+        final RecordingActions host = withARunningJob(effect);
         final int first = host.lastSend().worker();
         host.pass(SECOND * 3 / 2);
         assertThat(host.sends).hasSize(1);
         host.pass(SECOND);
-        assertThat(host.sends).hasSize(effect == Effect.UNSAFE ? 1 : 2);
-        if (effect == Effect.KEYED) {
+        assertThat(host.sends).hasSize(effect == Idempotency.UNSAFE ? 1 : 2);
+        if (effect == Idempotency.KEYED) {
             assertThat((host.lastSend().worker() - 1) / 2).isEqualTo((first - 1) / 2);
         }
         host.sends.clear();
         for (int id = 2; id < 20; id++) {
             host.request(id, 0);
         }
-        assertThat(host.sends).hasSize(18).extracting(Recorder.Send::worker).doesNotContain(first);
+        assertThat(host.sends).hasSize(18).extracting(RecordingActions.Send::worker).doesNotContain(first);
     }
 
     /**
@@ -137,11 +137,11 @@
      */
     @ParameterizedTest(name = "{0}, told of its start: {1}")
     @CsvSource({"SAFE, false, 2", "SAFE, true, 1", "KEYED, false, 2", "UNSAFE, false, 1"})
-    void aJobThatHasNotStartedByHalfItsSlackIsCopied(Effect effect, boolean started, int sends) {
-        final RequestClass patient = new RequestClass(1, SECOND, 2, 5 * SECOND, effect, RepeatScope.CELL,
+    void aJobThatHasNotStartedByHalfItsSlackIsCopied(Idempotency effect, boolean started, int sends) {
+        final RequestClass patient = new RequestClass(1, SECOND, 2, 5 * SECOND, effect, DeduplicationScope.CELL,
             SECOND * 4, Placement.ANYWHERE);
-        final Recorder host = new Recorder(Recorder.copying(List.of(patient)))
-            .list(ListForm.CACHED, worker(1, 0, 0), worker(2, 0, 0), worker(3, 0, 1), worker(4, 0, 1));
+        final RecordingActions host = new RecordingActions(RecordingActions.copying(List.of(patient)))
+            .list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 0, 0), worker(3, 0, 1), worker(4, 0, 1));
         host.request(1, 0);
         final int first = host.lastSend().worker();
         if (started) {
@@ -155,7 +155,7 @@
         if (sends == 2) {
             assertThat(host.lastSend().worker()).isNotEqualTo(first);
         }
-        if (sends == 2 && effect == Effect.KEYED) {
+        if (sends == 2 && effect == Idempotency.KEYED) {
             assertThat((host.lastSend().worker() - 1) / 2).isEqualTo((first - 1) / 2);
         }
     }
@@ -167,20 +167,20 @@
     @ParameterizedTest(name = "{0} free slots")
     @CsvSource({"0, 1", "3, 2"})
     void aCopyGoesOnlyWhereAWorkerAnswersThatItHasRoom(int free, int sends) {
-        final RequestClass patient = new RequestClass(1, SECOND, 2, 5 * SECOND, Effect.SAFE, RepeatScope.ALL,
+        final RequestClass patient = new RequestClass(1, SECOND, 2, 5 * SECOND, Idempotency.SAFE, DeduplicationScope.ALL,
             0, Placement.ANYWHERE);
-        final Recorder host = new Recorder(Recorder.copyingWhereAsked(List.of(patient)))
-            .list(ListForm.CACHED, worker(1, 0, 0), worker(2, 0, 0), worker(3, 0, 0));
+        final RecordingActions host = new RecordingActions(RecordingActions.copyingWhereAsked(List.of(patient)))
+            .list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 0, 0), worker(3, 0, 0));
         host.request(1, 0);
         for (int worker = 1; worker <= 3; worker++) {
-            host.module.probed(host.nowUs, worker, Outcome.SERVED, new LoadReport(4, -1, 0));
+            host.module.loadReported(host.nowUs, worker, Outcome.SERVED, new LoadReport(4, -1, 0));
         }
         final int first = host.lastSend().worker();
         host.probed.clear();
         host.pass(2 * SECOND);
         assertThat(host.sends).as("sent on the news of before").hasSize(1);
         assertThat(host.probed).doesNotContain(first).hasSize(2);
-        host.probed.forEach(worker -> host.module.probed(host.nowUs, worker, Outcome.SERVED,
+        host.probed.forEach(worker -> host.module.loadReported(host.nowUs, worker, Outcome.SERVED,
             new LoadReport(free, -1, 4 - free)));
         host.pass(SECOND / 10);
         assertThat(host.sends).hasSize(sends);
@@ -188,7 +188,7 @@
 
     @Test
     void aJobThatTellsOfItsProgressIsLeftAlone() {
-        final Recorder host = withARunningJob(Effect.SAFE);
+        final RecordingActions host = withARunningJob(Idempotency.SAFE);
         for (int second = 1; second <= 4; second++) {
             host.pass(SECOND);
             host.module.jobProgressed(host.nowUs, 1, 0, host.lastSend().worker(), 0.2 * second);
@@ -199,15 +199,15 @@
     /** One broken stream had its worker left out until the job's time was up, 20 s on. */
     @Test
     void aSilentStreamIsNoSilentWorker() {
-        final Recorder host = withARunningJob(Effect.SAFE);
+        final RecordingActions host = withARunningJob(Idempotency.SAFE);
         final int first = host.lastSend().worker();
         for (int id = 2; id <= 8; id++) {
             host.request(id, 0);
         }
-        final List<Recorder.Send> others = List.copyOf(host.sends.subList(1, 8));
-        assertThat(others).extracting(Recorder.Send::worker).contains(first);
+        final List<RecordingActions.Send> others = List.copyOf(host.sends.subList(1, 8));
+        assertThat(others).extracting(RecordingActions.Send::worker).contains(first);
         for (int note = 1; note <= 5; note++) {
-            for (final Recorder.Send other : others) {
+            for (final RecordingActions.Send other : others) {
                 host.module.jobProgressed(host.nowUs, other.request(), 0, other.worker(), 0.1 * note);
             }
             host.pass(SECOND / 2);
@@ -216,7 +216,7 @@
         for (int id = 9; id < 30; id++) {
             host.request(id, 0);
         }
-        assertThat(host.sends).extracting(Recorder.Send::worker).contains(first);
+        assertThat(host.sends).extracting(RecordingActions.Send::worker).contains(first);
     }
 
     // ---- no doubled effect ----
@@ -224,9 +224,9 @@
     @ParameterizedTest
     @EnumSource(names = {"FULL", "CONNECT_FAILED", "NOT_SENT"})
     void whatNeverRanIsSentElsewhereForEveryEffect(Outcome outcome) {
-        for (final Effect effect : Effect.values()) {
-            final Recorder host = with(effect, RepeatScope.CELL)
-                .list(ListForm.CACHED, worker(1, 0, 0), worker(2, 1, 1));
+        for (final Idempotency effect : Idempotency.values()) {
+            final RecordingActions host = with(effect, DeduplicationScope.CELL)
+                .list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 1, 1));
             host.request(1, 0);
             final int first = host.lastSend().worker();
             host.end(1, 0, first, outcome);
@@ -239,8 +239,8 @@
     @ParameterizedTest
     @EnumSource(names = {"ERROR", "TIMED_OUT", "BROKEN", "CANCELLED"})
     void anUnsafeRequestThatMayHaveRunFailsAndIsNeverRefused(Outcome outcome) {
-        final Recorder host = with(Effect.UNSAFE, RepeatScope.ALL)
-            .list(ListForm.CACHED, worker(1, 0, 0), worker(2, 1, 1));
+        final RecordingActions host = with(Idempotency.UNSAFE, DeduplicationScope.ALL)
+            .list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 1, 1));
         host.request(1, 0);
         host.end(1, 0, host.lastSend().worker(), outcome);
         host.pass(5 * SECOND);
@@ -249,9 +249,9 @@
 
     @ParameterizedTest
     @EnumSource(names = {"CELL", "ZONE"})
-    void aKeyedRequestThatMayHaveRunStaysInItsGroup(RepeatScope scope) {
-        final Recorder host = with(Effect.KEYED, scope);
-        host.list(ListForm.CACHED, worker(1, 0, 0), worker(2, 0, 0), worker(3, 1, 1),
+    void aKeyedRequestThatMayHaveRunStaysInItsGroup(DeduplicationScope scope) {
+        final RecordingActions host = with(Idempotency.KEYED, scope);
+        host.list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 0, 0), worker(3, 1, 1),
             worker(4, 1, 1), worker(5, 2, 2), worker(6, 2, 2));
         for (int id = 1; id <= 50; id++) {
             host.request(id, 0);
@@ -267,10 +267,10 @@
 
     @Test
     void aKeyedRequestIsNotRepeatedAfterItsWindow() {
-        final RequestClass brief = new RequestClass(1, 4 * SECOND, 2, 5 * SECOND, Effect.KEYED,
-            RepeatScope.ALL, SECOND, Placement.ANYWHERE);
-        final Recorder host = new Recorder(settings(List.of(brief)));
-        host.list(ListForm.CACHED, worker(1, 0, 0), worker(2, 1, 1)).request(1, 0);
+        final RequestClass brief = new RequestClass(1, 4 * SECOND, 2, 5 * SECOND, Idempotency.KEYED,
+            DeduplicationScope.ALL, SECOND, Placement.ANYWHERE);
+        final RecordingActions host = new RecordingActions(settings(List.of(brief)));
+        host.list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 1, 1)).request(1, 0);
         host.pass(SECOND + 1);
         host.end(1, 0, host.lastSend().worker(), Outcome.BROKEN);
         host.pass(SECOND);
@@ -280,7 +280,7 @@
 
     @Test
     void attemptsStayWithinTheLimit() {
-        final Recorder host = twoSafeWorkers();
+        final RecordingActions host = twoSafeWorkers();
         host.request(1, 0);
         for (int attempt = 0; attempt < 8; attempt++) {
             host.end(1, attempt, host.lastSend().worker(), Outcome.FULL);
@@ -289,22 +289,22 @@
         assertThat(host.refused).containsExactly(1);
     }
 
-    /** Of the bounds of a class and of all classes the lower one holds, for repeats and for second copies. */
+    /** Of the bounds of a class and of all classes the lower one holds, for repeats and for hedged requests. */
     @ParameterizedTest
     @CsvSource({"1, 1", "2, 2", "4, 4", "9, 4"})
     void attemptsStayWithinTheLimitOfTheirClass(int ofClass, int sent) {
-        final RequestClass bounded = new RequestClass(1, SECOND, 2, 5 * SECOND, Effect.SAFE,
-            RepeatScope.ALL, 0, Placement.ANYWHERE, ofClass);
-        final Recorder host = new Recorder(settings(List.of(bounded)))
-            .list(ListForm.CACHED, worker(1, 0, 0), worker(2, 0, 1));
+        final RequestClass bounded = new RequestClass(1, SECOND, 2, 5 * SECOND, Idempotency.SAFE,
+            DeduplicationScope.ALL, 0, Placement.ANYWHERE, ofClass);
+        final RecordingActions host = new RecordingActions(settings(List.of(bounded)))
+            .list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 0, 1));
         host.request(1, 0);
         for (int attempt = 0; attempt < 8; attempt++) {
             host.end(1, attempt, host.lastSend().worker(), Outcome.FULL);
         }
         assertThat(host.sends).hasSize(sent);
         assertThat(host.refused).containsExactly(1);
-        final Recorder copying = new Recorder(Recorder.copying(List.of(bounded)))
-            .list(ListForm.CACHED, worker(1, 0, 0), worker(2, 0, 1));
+        final RecordingActions copying = new RecordingActions(RecordingActions.copying(List.of(bounded)))
+            .list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 0, 1));
         copying.request(1, 0);
         copying.module.jobProgressed(copying.nowUs, 1, 0, copying.lastSend().worker(), 0);
         copying.pass(SECOND * 5 / 2);
@@ -314,8 +314,8 @@
     /** All workers drop a repeat of it for a while, and no longer: so long a refusal is no false promise. */
     @Test
     void aKeyedRequestThatAllWorkersWouldDropIsRefusedWithinItsWindow() {
-        final Recorder host = with(Effect.KEYED, RepeatScope.ALL);
-        host.list(ListForm.CACHED, worker(1, 0, 0)).request(1, 0);
+        final RecordingActions host = with(Idempotency.KEYED, DeduplicationScope.ALL);
+        host.list(EndpointListForm.CACHED, worker(1, 0, 0)).request(1, 0);
         host.pass(2 * SECOND);
         host.end(1, 0, 1, Outcome.BROKEN);
         host.request(2, 0);
@@ -332,9 +332,9 @@
     /** shah-alam-hub: halal-check went to a worker of the other zone in the first second of every day. */
     @Test
     void aBoundClassKeepsItsPlacementAtEveryAttempt() {
-        final Recorder host = new Recorder(settings(List.of(
-            Recorder.bound(Effect.SAFE, RepeatScope.ALL, WEST))));
-        host.list(ListForm.CACHED, worker(1, 0, 0), worker(2, 0, 0), worker(3, 1, 1), worker(4, 1, 1),
+        final RecordingActions host = new RecordingActions(settings(List.of(
+            RecordingActions.bound(Idempotency.SAFE, DeduplicationScope.ALL, WEST))));
+        host.list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 0, 0), worker(3, 1, 1), worker(4, 1, 1),
             worker(5, 2, 2));
         for (int id = 1; id <= 30; id++) {
             host.request(id, 0);
@@ -343,14 +343,14 @@
                 host.pass(SECOND / 20);
             }
         }
-        assertThat(host.sends).hasSizeGreaterThan(20).extracting(Recorder.Send::worker).containsOnly(3, 4);
+        assertThat(host.sends).hasSizeGreaterThan(20).extracting(RecordingActions.Send::worker).containsOnly(3, 4);
     }
 
     @Test
     void withoutAnOpenWorkerABoundRequestWaitsAndIsEnded() {
-        final Recorder host = new Recorder(settings(List.of(Recorder.bound(Effect.UNSAFE, RepeatScope.ALL,
+        final RecordingActions host = new RecordingActions(settings(List.of(RecordingActions.bound(Idempotency.UNSAFE, DeduplicationScope.ALL,
             new Placement(List.of(1), List.of(1))))));
-        host.list(ListForm.CACHED, worker(1, 0, 0), worker(2, 1, 1)).request(1, 0);
+        host.list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 1, 1)).request(1, 0);
         host.pass(5 * SECOND);
         assertThat(host.sends).isEmpty();
         assertThat(host.refused).containsExactly(1);
@@ -358,9 +358,9 @@
 
     @Test
     void aRepeatStaysInGroupAndPlacement() {
-        final Recorder host = new Recorder(settings(List.of(
-            Recorder.bound(Effect.KEYED, RepeatScope.CELL, WEST))));
-        host.list(ListForm.CACHED, worker(1, 0, 7), worker(2, 0, 7), worker(3, 1, 7), worker(4, 1, 7),
+        final RecordingActions host = new RecordingActions(settings(List.of(
+            RecordingActions.bound(Idempotency.KEYED, DeduplicationScope.CELL, WEST))));
+        host.list(EndpointListForm.CACHED, worker(1, 0, 7), worker(2, 0, 7), worker(3, 1, 7), worker(4, 1, 7),
             worker(5, 1, 8), worker(6, 1, 8));
         for (int id = 1; id <= 50; id++) {
             host.request(id, 0);
@@ -378,18 +378,18 @@
     /** penang-kits: an unsafe request was sent again after 'full', which there proves nothing. */
     @Test
     void whereFullIsNoProofAnUnsafeRequestFailsAtOnce() {
-        final Recorder host = new Recorder(settings(List.of(job(1, Effect.UNSAFE, RepeatScope.ALL)), true,
-            Settings.UNLIMITED));
-        host.list(ListForm.CACHED, worker(1, 0, 0), worker(2, 1, 1)).request(1, 0);
+        final RecordingActions host = new RecordingActions(settings(List.of(job(1, Idempotency.UNSAFE, DeduplicationScope.ALL)), true,
+            DispatchSettings.UNLIMITED));
+        host.list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 1, 1)).request(1, 0);
         host.end(1, 0, host.lastSend().worker(), Outcome.FULL);
         assertThat(host.log).hasSize(2).last().isEqualTo("fail 1");
     }
 
     @Test
     void whereFullIsNoProofAKeyedRequestStaysInItsGroup() {
-        final Recorder host = new Recorder(settings(List.of(job(1, Effect.KEYED, RepeatScope.CELL)), true,
-            Settings.UNLIMITED));
-        host.list(ListForm.CACHED, worker(1, 0, 0), worker(2, 0, 0), worker(3, 1, 1), worker(4, 1, 1));
+        final RecordingActions host = new RecordingActions(settings(List.of(job(1, Idempotency.KEYED, DeduplicationScope.CELL)), true,
+            DispatchSettings.UNLIMITED));
+        host.list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 0, 0), worker(3, 1, 1), worker(4, 1, 1));
         for (int id = 1; id <= 30; id++) {
             host.request(id, 0);
             final int first = host.lastSend().worker();
@@ -402,22 +402,22 @@
 
     // ---- drains and lists ----
 
-    private static Recorder closing(long withinUs) {
-        return new Recorder(settings(List.of(job(1, Effect.SAFE, RepeatScope.ALL)), false, withinUs));
+    private static RecordingActions closing(long withinUs) {
+        return new RecordingActions(settings(List.of(job(1, Idempotency.SAFE, DeduplicationScope.ALL)), false, withinUs));
     }
 
     /** sabah-food-boxes: idle connections to a draining worker were left open. */
     @Test
     void idleConnectionsAreClosedOnTheNoticeAndAfterEachLaterOutcome() {
-        final Recorder host = closing(800_000).list(ListForm.CACHED, worker(1, 0, 0));
+        final RecordingActions host = closing(800_000).list(EndpointListForm.CACHED, worker(1, 0, 0));
         host.request(1, 0);
         host.request(2, 0);
         assertThat(host.closed).isEmpty();
-        host.list(ListForm.CHANGES, in(WorkerState.DRAINING, 1, 0));
+        host.list(EndpointListForm.CHANGES, in(WorkerState.DRAINING, 1, 0));
         assertThat(host.closed).containsExactly(1);
         host.end(1, 0, 1, Outcome.SERVED);
         assertThat(host.closed).containsExactly(1, 1);
-        host.list(ListForm.FULL, worker(2, 0, 0));
+        host.list(EndpointListForm.FULL, worker(2, 0, 0));
         host.closed.clear();
         host.end(2, 0, 1, Outcome.SERVED);
         assertThat(host.closed).containsExactly(1);
@@ -425,15 +425,15 @@
 
     @Test
     void aWorkerThatIsFirstHeardOfAsDrainingIsClosedToo() {
-        final Recorder host = closing(0).list(ListForm.CACHED, in(WorkerState.DRAINING, 1, 0));
+        final RecordingActions host = closing(0).list(EndpointListForm.CACHED, in(WorkerState.DRAINING, 1, 0));
         assertThat(host.closed).containsExactly(1);
     }
 
     @Test
     void nothingIsClosedWhereNoTimeIsStated() {
-        final Recorder host = closing(Settings.UNLIMITED).list(ListForm.CACHED, worker(1, 0, 0));
+        final RecordingActions host = closing(DispatchSettings.UNLIMITED).list(EndpointListForm.CACHED, worker(1, 0, 0));
         host.request(1, 0);
-        host.list(ListForm.CHANGES, in(WorkerState.DRAINING, 1, 0));
+        host.list(EndpointListForm.CHANGES, in(WorkerState.DRAINING, 1, 0));
         host.end(1, 0, 1, Outcome.SERVED);
         assertThat(host.closed).isEmpty();
     }
@@ -441,40 +441,40 @@
     /** A machine told of with another zone or kind is another machine: the index must not lose count. */
     @Test
     void aWorkerThatMovesIsTakenForAnother() {
-        final Recorder host = with(Effect.SAFE, RepeatScope.ALL).list(ListForm.CACHED, worker(1, 0, 0));
-        host.list(ListForm.CHANGES, worker(1, 1, 1));
-        host.list(ListForm.CHANGES, new Worker(1, 2, 1, 2, WorkerState.GONE, 1, 0));
+        final RecordingActions host = with(Idempotency.SAFE, DeduplicationScope.ALL).list(EndpointListForm.CACHED, worker(1, 0, 0));
+        host.list(EndpointListForm.CHANGES, worker(1, 1, 1));
+        host.list(EndpointListForm.CHANGES, new Worker(1, 2, 1, 2, WorkerState.GONE, 1, 0));
         host.request(1, 0);
         assertThat(host.sends).isEmpty();
     }
 
     @Test
     void nothingNewGoesToADrainingGoneOrUnlistedWorker() {
-        final Recorder host = twoSafeWorkers();
-        host.list(ListForm.CHANGES, in(WorkerState.DRAINING, 1, 0));
+        final RecordingActions host = twoSafeWorkers();
+        host.list(EndpointListForm.CHANGES, in(WorkerState.DRAINING, 1, 0));
         host.request(1, 0);
-        host.list(ListForm.CHANGES, in(WorkerState.READY, 1, 0));
-        host.list(ListForm.CHANGES, in(WorkerState.GONE, 1, 0));
+        host.list(EndpointListForm.CHANGES, in(WorkerState.READY, 1, 0));
+        host.list(EndpointListForm.CHANGES, in(WorkerState.GONE, 1, 0));
         host.request(2, 0);
-        host.list(ListForm.FULL, worker(2, 1, 1));
+        host.list(EndpointListForm.FULL, worker(2, 1, 1));
         host.request(3, 0);
-        assertThat(host.sends).extracting(Recorder.Send::worker).containsOnly(2).hasSize(3);
+        assertThat(host.sends).extracting(RecordingActions.Send::worker).containsOnly(2).hasSize(3);
     }
 
     @Test
     void aFailedCallKeepsTheListAndIsRepeatedWithinTheLimit() {
-        final Recorder host = new Recorder(settings(List.of(job(1, Effect.SAFE, RepeatScope.ALL)),
+        final RecordingActions host = new RecordingActions(settings(List.of(job(1, Idempotency.SAFE, DeduplicationScope.ALL)),
             List.of(), 1,
             true));
-        host.list(ListForm.CACHED, worker(1, 0, 0));
+        host.list(EndpointListForm.CACHED, worker(1, 0, 0));
         host.pass(2 * SECOND);
         assertThat(host.watches).isEqualTo(1);
-        host.list(ListForm.FAILED);
+        host.list(EndpointListForm.FAILED);
         host.request(1, 0);
         assertThat(host.sends).hasSize(1);
         host.pass(2 * SECOND);
         assertThat(host.watches).isEqualTo(2);
-        host.list(ListForm.CHANGES);
+        host.list(EndpointListForm.CHANGES);
         host.pass(20 * SECOND);
         assertThat(host.watches).isEqualTo(2);
     }
@@ -483,10 +483,10 @@
 
     @Test
     void aColdWorkerGetsNoMoreThanThisDispatchersPart() {
-        final Recorder host = new Recorder(settings(List.of(job(1, Effect.SAFE, RepeatScope.ALL)),
+        final RecordingActions host = new RecordingActions(settings(List.of(job(1, Idempotency.SAFE, DeduplicationScope.ALL)),
             List.of(), 4,
             false));
-        host.list(ListForm.CACHED, in(WorkerState.READY, 1, host.nowUs));
+        host.list(EndpointListForm.CACHED, in(WorkerState.READY, 1, host.nowUs));
         // Jobs are taken to run 0.4 s; cold, it does 0.2 to 0.25 s of work a second in the first second.
         for (int id = 0; id < 100; id++) {
             host.request(id, 0);
@@ -503,18 +503,18 @@
     void jobsLateBehindOthersTakeNothingFromAColdWorkersPart() {
         final int[] sends = new int[2];
         for (int late = 0; late < 2; late++) {
-            final Recorder host = new Recorder(settings(List.of(job(1, Effect.SAFE, RepeatScope.ALL))));
-            host.list(ListForm.CACHED, worker(1, 0, 0), worker(2, 0, 0));
+            final RecordingActions host = new RecordingActions(settings(List.of(job(1, Idempotency.SAFE, DeduplicationScope.ALL))));
+            host.list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 0, 0));
             for (int id = 0; id < 30; id++) {
                 host.request(id, 0);
                 final int worker = host.lastSend().worker();
                 host.pass(late == 0 ? 1 : 2 * SECOND);
                 host.module.jobProgressed(host.nowUs, id, 0, worker, 0);
                 host.pass(4 * SECOND / 10);
-                host.module.ended(host.nowUs, id, 0, worker, Outcome.SERVED, host.nowUs, true,
+                host.module.attemptEnded(host.nowUs, id, 0, worker, Outcome.SERVED, host.nowUs, true,
                     new LoadReport(2, -1, 0));
             }
-            host.list(ListForm.FULL, in(WorkerState.READY, 3, host.nowUs));
+            host.list(EndpointListForm.FULL, in(WorkerState.READY, 3, host.nowUs));
             host.sends.clear();
             for (int id = 100; id < 1000; id++) {
                 host.request(id, 0);
@@ -527,7 +527,7 @@
 
     @Test
     void aWorkerRestsAfterAFailedConnection() {
-        final Recorder host = with(Effect.SAFE, RepeatScope.ALL).list(ListForm.CACHED, worker(1, 0, 0),
+        final RecordingActions host = with(Idempotency.SAFE, DeduplicationScope.ALL).list(EndpointListForm.CACHED, worker(1, 0, 0),
             worker(2, 0, 0), worker(3, 0, 0), worker(4, 0, 0), worker(5, 0, 0), worker(6, 0, 0));
         host.request(1, 0);
         final int broken = host.lastSend().worker();
@@ -535,15 +535,15 @@
         for (int id = 2; id < 30; id++) {
             host.request(id, 0);
         }
-        assertThat(host.sends.subList(1, host.sends.size())).extracting(Recorder.Send::worker)
+        assertThat(host.sends.subList(1, host.sends.size())).extracting(RecordingActions.Send::worker)
             .doesNotContain(broken);
     }
 
     /** Where all workers fail alike, none of them is the culprit and work goes on. */
     @Test
-    void troubleOfAllAlikeRestsNobody() {
-        final Recorder host = with(Effect.UNSAFE, RepeatScope.ALL)
-            .list(ListForm.CACHED, worker(1, 0, 0), worker(2, 1, 1));
+    void faultOfAllAlikeRestsNobody() {
+        final RecordingActions host = with(Idempotency.UNSAFE, DeduplicationScope.ALL)
+            .list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 1, 1));
         for (int id = 0; id < 8; id++) {
             host.request(id, 0);
             host.end(id, 0, host.lastSend().worker(), Outcome.BROKEN);
@@ -554,14 +554,14 @@
     // ---- budget and fill ----
 
     /** Two classes of equal work and unlike worth, 100 requests a second. */
-    private static Recorder twoClasses() {
-        final Recorder host = new Recorder(settings(List.of(job(10, Effect.UNSAFE, RepeatScope.ALL),
-            job(1, Effect.UNSAFE, RepeatScope.ALL))));
-        return host.list(ListForm.CACHED, worker(1, 0, 0), worker(2, 0, 0), worker(3, 1, 1), worker(4, 1, 1));
+    private static RecordingActions twoClasses() {
+        final RecordingActions host = new RecordingActions(settings(List.of(job(10, Idempotency.UNSAFE, DeduplicationScope.ALL),
+            job(1, Idempotency.UNSAFE, DeduplicationScope.ALL))));
+        return host.list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 0, 0), worker(3, 1, 1), worker(4, 1, 1));
     }
 
     /** Of every ten requests' time, seven sends are served; those beyond end as told. */
-    private static void offer(Recorder host, int fromId, int toId, Outcome beyond) {
+    private static void offer(RecordingActions host, int fromId, int toId, Outcome beyond) {
         int served = 0;
         for (int id = fromId; id < toId; id++) {
             served = id % 10 == 0 ? 0 : served;
@@ -574,14 +574,14 @@
         }
     }
 
-    private static Recorder underTrouble(Outcome beyond) {
-        final Recorder host = twoClasses();
+    private static RecordingActions underFault(Outcome beyond) {
+        final RecordingActions host = twoClasses();
         offer(host, 0, 2000, beyond);
         return host;
     }
 
-    private static long refusedOfClass(Recorder host, int requestClass, int fromId) {
-        final Set<Integer> sent = host.sends.stream().map(Recorder.Send::request).collect(Collectors.toSet());
+    private static long refusedOfClass(RecordingActions host, int requestClass, int fromId) {
+        final Set<Integer> sent = host.sends.stream().map(RecordingActions.Send::request).collect(Collectors.toSet());
         return host.refused.stream().filter(id -> id >= fromId && id % 2 == requestClass &&
             !sent.contains(id))
             .count();
@@ -589,12 +589,12 @@
 
     @Test
     void nothingIsRefusedUnsentBeforeASignOfOverload() {
-        assertThat(underTrouble(Outcome.SERVED).refused).isEmpty();
+        assertThat(underFault(Outcome.SERVED).refused).isEmpty();
     }
 
     @Test
-    void overloadShedsTheLeastWorthPerWorkUnsent() {
-        final Recorder host = underTrouble(Outcome.TIMED_OUT);
+    void overloadShedsTheLowestPriorityWeightPerWorkUnsent() {
+        final RecordingActions host = underFault(Outcome.TIMED_OUT);
         assertThat(refusedOfClass(host, 1, 1000)).isGreaterThan(100);
         assertThat(refusedOfClass(host, 0, 1000)).isZero();
     }
@@ -602,43 +602,43 @@
     /** Incident i8149be: errors of single workers are no overload. */
     @Test
     void errorsDoNotNarrowTheBudget() {
-        final Recorder host = underTrouble(Outcome.ERROR);
+        final RecordingActions host = underFault(Outcome.ERROR);
         assertThat(refusedOfClass(host, 1, 1000)).isZero();
     }
 
     /** A wave of bad endings must not close a dispatcher for long: it reopens while work finishes in time. */
     @Test
     void aBudgetReopensAfterAWave() {
-        final Recorder host = underTrouble(Outcome.TIMED_OUT);
+        final RecordingActions host = underFault(Outcome.TIMED_OUT);
         assertThat(refusedOfClass(host, 1, 1900)).isGreaterThan(5);
         offer(host, 2000, 3000, Outcome.SERVED);
         assertThat(refusedOfClass(host, 1, 2900)).isZero();
     }
 
-    /** A retry that comes after the aim of its first try is worth nothing and must cost no work. */
+    /** A retry that comes after the latency objective of its first try is worth nothing and must cost no work. */
     @Test
-    void aRetryWhoseAimHasPassedIsRefusedUnsent() {
-        final Recorder host = twoSafeWorkers();
+    void aRetryWhoseLatencyObjectiveHasPassedIsRefusedUnsent() {
+        final RecordingActions host = twoSafeWorkers();
         host.request(1, 0);
         host.end(1, 0, host.lastSend().worker(), Outcome.SERVED);
-        host.module.requested(host.nowUs, 2, new Job(0, 0, 1, 0, 0, true), host.nowUs + 2 * SECOND);
+        host.module.requestArrived(host.nowUs, 2, new Job(0, 0, 1, 0, 0, true), host.nowUs + 2 * SECOND);
         assertThat(host.sends).hasSize(1);
         assertThat(host.refused).containsExactly(2);
     }
 
     /**
      * join+mass: unmarked clients with a quarter of the usual time were taken for retries of long ago, and
-     * one short req in four was refused at its arrival. Retries as advised come after 0.4 s at the most
-     * there, and a req may be in time for 1 s.
+     * one short request in four was refused at its arrival. Retries as advised come after 0.4 s at the most
+     * there, and a request may be in time for 1 s.
      */
     @ParameterizedTest(name = "{0} ms of the time are missing, marked: {1}")
     @CsvSource({"0, false, 2", "900, false, 2", "1200, false, 1", "1500, false, 2", "4000, false, 2",
         "1200, true, 1", "4000, true, 1"})
     void aClientThatGivesUpEarlyIsNoRetry(long missingMs, boolean marked, int sends) {
-        final Recorder host = new Recorder(Recorder.advising(List.of(job(1, Effect.SAFE, RepeatScope.ALL))))
-            .list(ListForm.CACHED, worker(1, 0, 0), worker(2, 0, 0));
+        final RecordingActions host = new RecordingActions(RecordingActions.advising(List.of(job(1, Idempotency.SAFE, DeduplicationScope.ALL))))
+            .list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 0, 0));
         host.request(1, 0);
-        host.module.requested(host.nowUs, 2, new Job(0, 0, 1, 0, 0, marked),
+        host.module.requestArrived(host.nowUs, 2, new Job(0, 0, 1, 0, 0, marked),
             host.nowUs + 5 * SECOND - missingMs * 1000);
         assertThat(host.sends).hasSize(sends);
     }
@@ -650,17 +650,17 @@
     @ParameterizedTest(name = "given up after {0} ms, of 1000 in which it is in time")
     @CsvSource({"300, true", "1500, false"})
     void aTimeOutInTimeIsNoSignOfOverload(long waitMs, boolean keptOpen) {
-        final Recorder host = new Recorder(Recorder.advising(List.of(job(1, Effect.SAFE, RepeatScope.ALL))))
-            .list(ListForm.CACHED, worker(1, 0, 0), worker(2, 0, 0), worker(3, 0, 0));
+        final RecordingActions host = new RecordingActions(RecordingActions.advising(List.of(job(1, Idempotency.SAFE, DeduplicationScope.ALL))))
+            .list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 0, 0), worker(3, 0, 0));
         int refused = 0;
         for (int id = 0; id < 400; id++) {
             final int before = host.sends.size();
-            host.module.requested(host.nowUs, id, new Job(0, 0, 1, 0, 0, false),
+            host.module.requestArrived(host.nowUs, id, new Job(0, 0, 1, 0, 0, false),
                 host.nowUs + (id % 2 == 0 ? 5 * SECOND : waitMs * 1000));
             if (host.sends.size() > before && id % 2 == 1) {
                 final int worker = host.lastSend().worker();
                 host.pass(waitMs * 1000);
-                host.module.ended(host.nowUs, id, 0, worker, Outcome.TIMED_OUT, waitMs * 1000, false,
+                host.module.attemptEnded(host.nowUs, id, 0, worker, Outcome.TIMED_OUT, waitMs * 1000, false,
                     LoadReport.NONE);
             } else if (host.sends.size() > before) {
                 host.module.jobProgressed(host.nowUs, id, 0, host.lastSend().worker(), 0);
@@ -676,21 +676,21 @@
     /** zone+mass: start and end read in one turn told of a running time of 0, and the class had no time. */
     @Test
     void aStartReadWithItsEndTellsOfNoRunningTime() {
-        final Recorder host = twoSafeWorkers();
+        final RecordingActions host = twoSafeWorkers();
         host.request(1, 0);
         host.pass(SECOND / 10);
         host.module.jobProgressed(host.nowUs, 1, 0, host.lastSend().worker(), 0);
         host.end(1, 0, host.lastSend().worker(), Outcome.SERVED);
-        // 0.1 s of running and an aim of 0.2 s: it may wait for 0.3 s of the 0.4 s and is not refused there.
-        host.module.requested(host.nowUs, 2, new Job(0, 0, 1, 0, 0, true), host.nowUs + 4_700_000);
+        // 0.1 s of running and a latency objective of 0.2 s: it may wait for 0.3 s of the 0.4 s and is not refused there.
+        host.module.requestArrived(host.nowUs, 2, new Job(0, 0, 1, 0, 0, true), host.nowUs + 4_700_000);
         assertThat(host.sends).hasSize(2);
     }
 
     @Test
     void trafficBeyondATenantsShareGoesFirst() {
-        final Recorder host = new Recorder(settings(List.of(job(1, Effect.UNSAFE, RepeatScope.ALL)),
+        final RecordingActions host = new RecordingActions(settings(List.of(job(1, Idempotency.UNSAFE, DeduplicationScope.ALL)),
             List.of(new Tenant("a", 10), new Tenant("b", 1000)), 1, false));
-        host.list(ListForm.CACHED, worker(1, 0, 0), worker(2, 0, 0));
+        host.list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 0, 0));
         int served = 0;
         int overServed = 0;
         int withinServed = 0;
@@ -712,8 +712,8 @@
 
     @Test
     void theFasterAndEmptierWorkerGetsMore() {
-        final Recorder host = with(Effect.SAFE, RepeatScope.ALL)
-            .list(ListForm.CACHED, worker(1, 0, 0), worker(2, 0, 0));
+        final RecordingActions host = with(Idempotency.SAFE, DeduplicationScope.ALL)
+            .list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 0, 0));
         int fast = 0;
         for (int id = 0; id < 600; id++) {
             host.request(id, 0);
@@ -729,14 +729,14 @@
     /** A worker that takes jobs and starts none loses its draws by their lateness, before any ends. */
     @Test
     void aSilentWorkerIsAvoidedByWhatIsLateThere() {
-        final Recorder host = with(Effect.UNSAFE, RepeatScope.ALL).list(ListForm.CACHED, worker(2, 0, 0));
+        final RecordingActions host = with(Idempotency.UNSAFE, DeduplicationScope.ALL).list(EndpointListForm.CACHED, worker(2, 0, 0));
         for (int id = 10; id < 90; id++) {
             host.request(id, 0);
             host.module.jobProgressed(host.nowUs, id, 0, 2, 0);
             host.pass(SECOND / 5);
             host.end(id, 0, 2, Outcome.SERVED);
         }
-        host.list(ListForm.FULL, worker(1, 0, 0));
+        host.list(EndpointListForm.FULL, worker(1, 0, 0));
         for (int id = 0; id < 6; id++) {
             host.request(id, 0);
         }
@@ -744,7 +744,7 @@
         for (int id = 0; id < 6; id++) {
             host.end(id, 0, 1, Outcome.CANCELLED);
         }
-        host.list(ListForm.CHANGES, worker(2, 0, 0));
+        host.list(EndpointListForm.CHANGES, worker(2, 0, 0));
         host.sends.clear();
         for (int id = 100; id < 3000; id++) {
             final int before = host.sends.size();
@@ -761,7 +761,7 @@
     /** Incident i6c06e6, 205 dispatchers: each saw one ending a second, and lumps kept budgets open. */
     @Test
     void aDispatcherThatSeesFewEndingsStillLearns() {
-        final Recorder host = twoClasses();
+        final RecordingActions host = twoClasses();
         for (int id = 0; id < 400; id++) {
             final int before = host.sends.size();
             host.request(id, id / 2 % 2);
@@ -777,26 +777,26 @@
 
     // ---- data keys and hints ----
 
-    private static List<Integer> sentFor(long dataKey, Recorder host) {
+    private static List<Integer> sentFor(long dataKey, RecordingActions host) {
         host.sends.clear();
         for (int id = 0; id < 20; id++) {
             final int request = host.log.size() + 1000;
             host.request(request, new Job(0, 0, 1, 0, dataKey, false));
             host.end(request, 0, host.lastSend().worker(), Outcome.SERVED);
         }
-        return host.sends.stream().map(Recorder.Send::worker).distinct().toList();
+        return host.sends.stream().map(RecordingActions.Send::worker).distinct().toList();
     }
 
     /** sabah-food-boxes: spread over all workers, a job's data was fetched anew nearly each time. */
     @Test
     void jobsOfOneDataKeyGoToOneWorkerWhicheverDispatcherSendsThem() {
-        final Recorder one = with(Effect.SAFE, RepeatScope.ALL);
-        final Recorder other = with(Effect.SAFE, RepeatScope.ALL);
+        final RecordingActions one = with(Idempotency.SAFE, DeduplicationScope.ALL);
+        final RecordingActions other = with(Idempotency.SAFE, DeduplicationScope.ALL);
         final Worker[] workers = IntStream.range(0, 12).mapToObj(id -> worker(id, 0, 0))
             .toArray(Worker[]::new);
-        one.list(ListForm.CACHED, workers);
+        one.list(EndpointListForm.CACHED, workers);
         other.request(999, 0);
-        other.list(ListForm.CACHED, workers);
+        other.list(EndpointListForm.CACHED, workers);
         final Set<Integer> homes = new HashSet<>();
         for (long key = 1; key <= 40; key++) {
             assertThat(sentFor(key, one)).hasSize(1).isEqualTo(sentFor(key, other));
@@ -805,13 +805,13 @@
         assertThat(homes).hasSizeGreaterThan(8);
     }
 
-    private static Recorder threeSafeWorkers() {
-        return with(Effect.SAFE, RepeatScope.ALL)
-            .list(ListForm.CACHED, worker(1, 0, 0), worker(2, 0, 0), worker(3, 0, 0));
+    private static RecordingActions threeSafeWorkers() {
+        return with(Idempotency.SAFE, DeduplicationScope.ALL)
+            .list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 0, 0), worker(3, 0, 0));
     }
 
-    /** The key's home, after it has turned away a job of that key. */
-    private static int fullHomeOf(long dataKey, Recorder host) {
+    /** The key's home, after it has rejected a job of that key. */
+    private static int fullHomeOf(long dataKey, RecordingActions host) {
         final int home = sentFor(dataKey, host).get(0);
         host.request(1, new Job(0, 0, 1, 0, dataKey, false));
         host.end(1, 0, home, Outcome.FULL);
@@ -820,18 +820,18 @@
 
     @Test
     void aKeysHomeThatIsFullOrGoneHasASuccessor() {
-        final Recorder host = threeSafeWorkers();
+        final RecordingActions host = threeSafeWorkers();
         final int home = fullHomeOf(5, host);
         final int next = host.lastSend().worker();
         assertThat(next).isNotEqualTo(home);
-        host.list(ListForm.CHANGES, in(WorkerState.GONE, home, 0));
+        host.list(EndpointListForm.CHANGES, in(WorkerState.GONE, home, 0));
         assertThat(sentFor(5, host)).containsExactly(next);
     }
 
     /** sabah-food-boxes: the home of a key in demand got half of all sends, nearly all answered 'full'. */
     @Test
     void aFullWorkerIsLeftAloneForAboutAJob() {
-        final Recorder host = threeSafeWorkers();
+        final RecordingActions host = threeSafeWorkers();
         final int home = fullHomeOf(5, host);
         assertThat(sentFor(5, host)).doesNotContain(home);
         host.pass(SECOND);
@@ -840,10 +840,10 @@
 
     /** shah-alam-hub: worth counts by work there, and the long class of worth 5 was shed before worth 1. */
     @Test
-    void whereWorthCountsByWorkALongJobOfAWorthyClassIsNotShedFirst() {
-        final Recorder host = new Recorder(Recorder.byWork(List.of(job(5, Effect.UNSAFE, RepeatScope.ALL),
-            job(1, Effect.UNSAFE, RepeatScope.ALL))));
-        host.list(ListForm.CACHED, worker(1, 0, 0), worker(2, 0, 0), worker(3, 1, 1), worker(4, 1, 1));
+    void wherePriorityWeightCountsByWorkALongJobOfAWorthyClassIsNotShedFirst() {
+        final RecordingActions host = new RecordingActions(RecordingActions.byWork(List.of(job(5, Idempotency.UNSAFE, DeduplicationScope.ALL),
+            job(1, Idempotency.UNSAFE, DeduplicationScope.ALL))));
+        host.list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 0, 0), worker(3, 1, 1), worker(4, 1, 1));
         for (int id = 0; id < 2000; id++) {
             final int before = host.sends.size();
             host.request(id, new Job(id % 2, 0, 1, id % 2 == 0 ? 1_600_000 : 200_000, 0, false));
@@ -859,7 +859,7 @@
     /** sabah-food-boxes: at a request in two seconds, chance alone brings three in a moment now and then. */
     @Test
     void aRareTenantsChanceBunchIsWithinItsShare() {
-        final ShareMeter meter = new ShareMeter(0.5 / 1e6);
+        final QuotaMeter meter = new QuotaMeter(0.5 / 1e6);
         meter.take(60 * SECOND, 0);
         for (int i = 0; i < 3; i++) {
             assertThat(meter.take(60 * SECOND, 1)).isTrue();
@@ -872,67 +872,67 @@
     /** shah-alam-hub: half of the workers left one class unanswered; 150 dispatchers found out one by one. */
     @Test
     void aClassThatDoesNotStartAtAFreeWorkerIsToldAndAvoidedThere() {
-        final Recorder host = new Recorder(settings(List.of(job(1, Effect.SAFE, RepeatScope.ALL),
-            job(1, Effect.SAFE, RepeatScope.ALL))));
-        host.list(ListForm.CACHED, worker(1, 0, 0));
+        final RecordingActions host = new RecordingActions(settings(List.of(job(1, Idempotency.SAFE, DeduplicationScope.ALL),
+            job(1, Idempotency.SAFE, DeduplicationScope.ALL))));
+        host.list(EndpointListForm.CACHED, worker(1, 0, 0));
         host.request(1, 0);
         final LoadReport free = new LoadReport(6, -1, -1);
-        host.module.ended(host.nowUs, 1, 0, 1, Outcome.SERVED, 100_000, true, free);
+        host.module.attemptEnded(host.nowUs, 1, 0, 1, Outcome.SERVED, 100_000, true, free);
         host.request(2, 0);
         host.pass(SECOND * 3);
         assertThat(host.told).containsExactly(1);
-        host.list(ListForm.CHANGES, worker(2, 0, 0));
-        host.module.toldSilent(host.nowUs, 77, 0);
-        host.module.toldSilent(host.nowUs, 1, 99);
+        host.list(EndpointListForm.CHANGES, worker(2, 0, 0));
+        host.module.workerReportedUnresponsive(host.nowUs, 77, 0);
+        host.module.workerReportedUnresponsive(host.nowUs, 1, 99);
         host.sends.clear();
         for (int id = 10; id < 30; id++) {
             host.request(id, 0);
             host.end(id, 0, host.lastSend().worker(), Outcome.SERVED);
         }
-        assertThat(host.sends).extracting(Recorder.Send::worker).containsOnly(2);
+        assertThat(host.sends).extracting(RecordingActions.Send::worker).containsOnly(2);
     }
 
     @Test
     void whatAnotherDispatcherToldHoldsForItsClassAndForATime() {
-        final Recorder host = new Recorder(settings(List.of(job(1, Effect.SAFE, RepeatScope.ALL),
-            job(1, Effect.SAFE, RepeatScope.ALL))));
-        host.list(ListForm.CACHED, worker(1, 0, 0), worker(2, 0, 0));
-        host.module.toldSilent(host.nowUs, 1, 0);
+        final RecordingActions host = new RecordingActions(settings(List.of(job(1, Idempotency.SAFE, DeduplicationScope.ALL),
+            job(1, Idempotency.SAFE, DeduplicationScope.ALL))));
+        host.list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 0, 0));
+        host.module.workerReportedUnresponsive(host.nowUs, 1, 0);
         assertThat(workersOf(0, host)).containsOnly(2);
         assertThat(workersOf(1, host)).contains(1);
         host.pass(5 * SECOND);
         assertThat(workersOf(0, host)).contains(1);
     }
 
-    private static Set<Integer> workersOf(int requestClass, Recorder host) {
+    private static Set<Integer> workersOf(int requestClass, RecordingActions host) {
         final int before = host.sends.size();
         for (int i = 0; i < 20; i++) {
             final int id = 100 + host.sends.size();
             host.request(id, requestClass);
             host.end(id, 0, host.lastSend().worker(), Outcome.SERVED);
         }
-        return host.sends.stream().skip(before).map(Recorder.Send::worker).collect(Collectors.toSet());
+        return host.sends.stream().skip(before).map(RecordingActions.Send::worker).collect(Collectors.toSet());
     }
 
     // ---- probes ----
 
-    private static Recorder probing() {
-        return new Recorder(Recorder.probing(List.of(job(1, Effect.SAFE, RepeatScope.ALL))))
-            .list(ListForm.CACHED, worker(1, 0, 0), worker(2, 0, 1));
+    private static RecordingActions probing() {
+        return new RecordingActions(RecordingActions.probing(List.of(job(1, Idempotency.SAFE, DeduplicationScope.ALL))))
+            .list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 0, 1));
     }
 
     /** penang-kits, shah-alam-hub: a dispatcher met each worker every ten seconds and knew nothing of now. */
     @Test
     void whereReportsAreOldTheDrawnWorkersAreAskedFirst() {
-        final Recorder host = probing();
+        final RecordingActions host = probing();
         for (int id = 0; id < 20; id++) {
             host.pass(5 * SECOND);
             host.probed.clear();
             host.request(id, 0);
             assertThat(host.probed).containsExactlyInAnyOrder(1, 2);
             assertThat(host.sends).hasSize(id);
-            host.module.probed(host.nowUs, 1, Outcome.SERVED, new LoadReport(id % 2 * 4, 4 - id % 2 * 4, -1));
-            host.module.probed(host.nowUs, 2, Outcome.SERVED, new LoadReport(4 - id % 2 * 4, id % 2 * 4, -1));
+            host.module.loadReported(host.nowUs, 1, Outcome.SERVED, new LoadReport(id % 2 * 4, 4 - id % 2 * 4, -1));
+            host.module.loadReported(host.nowUs, 2, Outcome.SERVED, new LoadReport(4 - id % 2 * 4, id % 2 * 4, -1));
             assertThat(host.lastSend().worker()).isEqualTo(2 - id % 2);
             host.end(id, 0, host.lastSend().worker(), Outcome.SERVED);
         }
@@ -942,7 +942,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"left", "drained", "both"})
     void aRequestHeldForAProbeIsSentByWhatHoldsWhenItIsSent(String what) {
-        final Recorder host = probing();
+        final RecordingActions host = probing();
         host.pass(5 * SECOND);
         host.probed.clear();
         host.request(1, 0);
@@ -951,21 +951,21 @@
             host.module.clientLeft(host.nowUs, 1);
         }
         if (!what.equals("left")) {
-            host.list(ListForm.CHANGES, new Worker(1, 0, 0, 0, WorkerState.DRAINING, 1, 0));
+            host.list(EndpointListForm.CHANGES, new Worker(1, 0, 0, 0, WorkerState.DRAINING, 1, 0));
         }
-        host.module.probed(host.nowUs, 1, Outcome.SERVED, new LoadReport(4, -1, 0));
-        host.module.probed(host.nowUs, 2, Outcome.SERVED, new LoadReport(0, -1, 9));
+        host.module.loadReported(host.nowUs, 1, Outcome.SERVED, new LoadReport(4, -1, 0));
+        host.module.loadReported(host.nowUs, 2, Outcome.SERVED, new LoadReport(0, -1, 9));
         host.pass(SECOND);
-        assertThat(host.sends).extracting(Recorder.Send::worker)
+        assertThat(host.sends).extracting(RecordingActions.Send::worker)
             .isEqualTo(what.equals("drained") ? List.of(2) : List.of());
     }
 
     /** What was taken back before its first byte tells nothing of any worker, and is chosen for anew. */
     @ParameterizedTest
     @EnumSource
-    void aSendThatWasTakenBackIsMadeElsewhereAndNarrowsNothing(Effect effect) {
-        final Recorder host = with(effect, RepeatScope.ALL);
-        host.list(ListForm.CACHED, worker(1, 0, 0), worker(2, 0, 0));
+    void aSendThatWasTakenBackIsMadeElsewhereAndNarrowsNothing(Idempotency effect) {
+        final RecordingActions host = with(effect, DeduplicationScope.ALL);
+        host.list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 0, 0));
         for (int id = 1; id <= 200; id++) {
             host.request(id, 0);
             host.end(id, 0, host.lastSend().worker(), Outcome.NOT_SENT);
@@ -981,12 +981,12 @@
     /** nairobi-noms: reports tell free slots and a queue, and every full worker looked alike. */
     @Test
     void ofTwoFullWorkersTheOneWithTheShorterQueueGetsTheJob() {
-        final Recorder host = probing();
+        final RecordingActions host = probing();
         for (int id = 0; id < 20; id++) {
             host.pass(5 * SECOND);
             host.request(id, 0);
-            host.module.probed(host.nowUs, 1, Outcome.SERVED, new LoadReport(0, -1, id % 2 * 6));
-            host.module.probed(host.nowUs, 2, Outcome.SERVED, new LoadReport(0, -1, 6 - id % 2 * 6));
+            host.module.loadReported(host.nowUs, 1, Outcome.SERVED, new LoadReport(0, -1, id % 2 * 6));
+            host.module.loadReported(host.nowUs, 2, Outcome.SERVED, new LoadReport(0, -1, 6 - id % 2 * 6));
             assertThat(host.lastSend().worker()).isEqualTo(1 + id % 2);
             host.end(id, 0, host.lastSend().worker(), Outcome.SERVED);
         }
@@ -994,13 +994,13 @@
 
     @Test
     void threeAreAskedWhereNewsIsOldAndNoneWhereItIsFresh() {
-        final Recorder host = new Recorder(Recorder.probing(List.of(job(1, Effect.SAFE, RepeatScope.ALL))));
-        host.list(ListForm.CACHED, worker(1, 0, 0), worker(2, 0, 0), worker(3, 0, 0));
+        final RecordingActions host = new RecordingActions(RecordingActions.probing(List.of(job(1, Idempotency.SAFE, DeduplicationScope.ALL))));
+        host.list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 0, 0), worker(3, 0, 0));
         host.pass(10 * SECOND);
         host.request(1, 0);
         assertThat(host.probed).containsExactlyInAnyOrder(1, 2, 3);
         for (int worker = 1; worker <= 3; worker++) {
-            host.module.probed(host.nowUs, worker, Outcome.SERVED, new LoadReport(4, -1, -1));
+            host.module.loadReported(host.nowUs, worker, Outcome.SERVED, new LoadReport(4, -1, -1));
         }
         host.probed.clear();
         host.request(2, 0);
@@ -1016,13 +1016,13 @@
     @ParameterizedTest(name = "{0} dispatchers, a report {1} ms old: asked anew {2}")
     @CsvSource({"1, 1000, false", "14, 1000, true", "14, 100, false"})
     void aReportIsOldNewsSoonerTheMoreDispatchersSend(int dispatchers, long ageMs, boolean asked) {
-        final Recorder host = new Recorder(Recorder.probing(List.of(job(1, Effect.SAFE, RepeatScope.ALL)),
+        final RecordingActions host = new RecordingActions(RecordingActions.probing(List.of(job(1, Idempotency.SAFE, DeduplicationScope.ALL)),
             dispatchers));
-        host.list(ListForm.CACHED, worker(1, 0, 0), worker(2, 0, 0));
+        host.list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 0, 0));
         host.pass(10 * SECOND);
         host.request(1, 0);
-        host.module.probed(host.nowUs, 1, Outcome.SERVED, new LoadReport(4, -1, -1));
-        host.module.probed(host.nowUs, 2, Outcome.SERVED, new LoadReport(4, -1, -1));
+        host.module.loadReported(host.nowUs, 1, Outcome.SERVED, new LoadReport(4, -1, -1));
+        host.module.loadReported(host.nowUs, 2, Outcome.SERVED, new LoadReport(4, -1, -1));
         host.end(1, 0, host.lastSend().worker(), Outcome.SERVED);
         host.pass(ageMs * 1000);
         host.probed.clear();
@@ -1033,13 +1033,13 @@
 
     @Test
     void aWorkerThatDoesNotAnswerIsNotWaitedFor() {
-        final Recorder host = probing();
+        final RecordingActions host = probing();
         host.pass(5 * SECOND);
         host.request(1, 0);
-        host.module.probed(host.nowUs, 2, Outcome.SERVED, LoadReport.NONE);
+        host.module.loadReported(host.nowUs, 2, Outcome.SERVED, LoadReport.NONE);
         host.pass(SECOND / 10);
-        assertThat(host.sends).containsExactly(new Recorder.Send(1, 2));
-        host.module.probed(host.nowUs, 1, Outcome.TIMED_OUT, LoadReport.NONE);
+        assertThat(host.sends).containsExactly(new RecordingActions.Send(1, 2));
+        host.module.loadReported(host.nowUs, 1, Outcome.TIMED_OUT, LoadReport.NONE);
         assertThat(host.sends).hasSize(1);
     }
 
@@ -1049,8 +1049,8 @@
      */
     @Test
     void unansweredProbesAreNotRepeatedWithoutBound() {
-        final Recorder host = new Recorder(Recorder.probing(List.of(job(1, Effect.SAFE, RepeatScope.ALL))))
-            .list(ListForm.CACHED, IntStream.rangeClosed(1, 40).mapToObj(id -> worker(id, 0, 0))
+        final RecordingActions host = new RecordingActions(RecordingActions.probing(List.of(job(1, Idempotency.SAFE, DeduplicationScope.ALL))))
+            .list(EndpointListForm.CACHED, IntStream.rangeClosed(1, 40).mapToObj(id -> worker(id, 0, 0))
                 .toArray(Worker[]::new));
         host.pass(60 * SECOND);
         host.request(1, 0);
@@ -1059,7 +1059,7 @@
             final List<Integer> round = List.copyOf(host.probed);
             host.probed.clear();
             asked += round.size();
-            round.forEach(id -> host.module.probed(host.nowUs, id, Outcome.TIMED_OUT, LoadReport.NONE));
+            round.forEach(id -> host.module.loadReported(host.nowUs, id, Outcome.TIMED_OUT, LoadReport.NONE));
         }
         assertThat(asked).as("probes of one request").isEqualTo(6);
         assertThat(host.sends).hasSize(1);
@@ -1068,28 +1068,28 @@
     /** A late answer to a probe must not steer a keyed request out of its group. */
     @Test
     void anAnswerToAnEarlierProbeIsForgottenOnceTheRequestIsOut() {
-        final Recorder host = new Recorder(Recorder.probing(List.of(job(1, Effect.KEYED, RepeatScope.CELL))));
-        host.list(ListForm.CACHED, worker(1, 0, 0), worker(2, 1, 1)).pass(5 * SECOND);
+        final RecordingActions host = new RecordingActions(RecordingActions.probing(List.of(job(1, Idempotency.KEYED, DeduplicationScope.CELL))));
+        host.list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 1, 1)).pass(5 * SECOND);
         host.request(1, 0);
-        host.module.probed(host.nowUs, 2, Outcome.SERVED, LoadReport.NONE);
+        host.module.loadReported(host.nowUs, 2, Outcome.SERVED, LoadReport.NONE);
         host.pass(SECOND / 10);
-        host.module.probed(host.nowUs, 1, Outcome.SERVED, LoadReport.NONE);
+        host.module.loadReported(host.nowUs, 1, Outcome.SERVED, LoadReport.NONE);
         host.end(1, 0, 2, Outcome.BROKEN);
         host.pass(SECOND);
-        assertThat(host.sends).containsOnly(new Recorder.Send(1, 2));
+        assertThat(host.sends).containsOnly(new RecordingActions.Send(1, 2));
     }
 
     /** shah-alam-hub, quiet: a tenth was refused for late jobs though half of the slots were free. */
     @Test
     void badEndingsDoNotNarrowWhileReportsTellOfFreeSlots() {
-        final Recorder host = twoClasses();
+        final RecordingActions host = twoClasses();
         for (int id = 0; id < 2000; id++) {
             final int before = host.sends.size();
             host.request(id, id % 2);
             if (host.sends.size() > before) {
                 final int worker = host.lastSend().worker();
                 final Outcome outcome = id % 5 == 0 ? Outcome.TIMED_OUT : Outcome.SERVED;
-                host.module.ended(host.nowUs, id, 0, worker, outcome, 100_000, id % 5 != 0,
+                host.module.attemptEnded(host.nowUs, id, 0, worker, outcome, 100_000, id % 5 != 0,
                     new LoadReport(id % 4 == 0 ? 8 : 5, 3, -1));
             }
             host.pass(SECOND / 100);
@@ -1101,14 +1101,14 @@
 
     @Test
     void theSameEventsGiveTheSameActions() {
-        assertThat(underTrouble(Outcome.FULL).log).isEqualTo(underTrouble(Outcome.FULL).log);
+        assertThat(underFault(Outcome.FULL).log).isEqualTo(underFault(Outcome.FULL).log);
     }
 
     @Test
     void contradictorySettingsAreRefusedByName() {
         assertThatThrownBy(() -> settings(List.of())).hasMessageContaining("classes");
         assertThatThrownBy(() -> new Tenant("a", -1)).hasMessageContaining("quotaPerS");
-        assertThatThrownBy(() -> new RequestClass(1, 0, 2, 5, Effect.SAFE, RepeatScope.ALL, 0,
+        assertThatThrownBy(() -> new RequestClass(1, 0, 2, 5, Idempotency.SAFE, DeduplicationScope.ALL, 0,
             Placement.ANYWHERE))
             .hasMessageContaining("aimUs");
     }
--- a/src/test/java/cresschute/dispatch/RulesPropertyTest.java
+++ b/src/test/java/cresschute/dispatch/RulesPropertyTest.java
@@ -20,30 +20,30 @@
 
     private static final long SECOND = 1_000_000;
     private static final int STEPS = 1500;
-    private static final ListForm[] PUSHED = {ListForm.CHANGES, ListForm.FULL};
+    private static final EndpointListForm[] PUSHED = {EndpointListForm.CHANGES, EndpointListForm.FULL};
 
     /** What the checker knows of a request. */
     private static final class Owed {
         private final RequestClass stated;
-        private final long giveUpUs;
+        private final long deadlineUs;
         private final Map<Integer, Integer> out = new LinkedHashMap<>();
         private int sent;
         private boolean closed;
         private Worker ranAt;
         private long ranSinceUs;
 
-        Owed(RequestClass stated, long giveUpUs) {
+        Owed(RequestClass stated, long deadlineUs) {
             this.stated = stated;
-            this.giveUpUs = giveUpUs;
+            this.deadlineUs = deadlineUs;
         }
     }
 
-    private static final class Checker implements Actions {
+    private static final class Checker implements DispatcherActions {
         private final Random random;
-        private final Settings settings;
-        private final Logic module;
+        private final DispatchSettings settings;
+        private final Dispatcher module;
         private final Map<Integer, Worker> listed = new LinkedHashMap<>();
-        private final Map<Integer, Owed> owed = new LinkedHashMap<>();
+        private final Map<Integer, Owed> unanswered = new LinkedHashMap<>();
         private final Map<Integer, Map<Integer, Long>> sentAtUs = new LinkedHashMap<>();
         private final List<Integer> probes = new ArrayList<>();
         private final Set<Integer> closed = new LinkedHashSet<>();
@@ -54,30 +54,30 @@
         Checker(long seed) {
             random = new Random(seed);
             settings = randomSettings();
-            module = new Logic(settings, seed, this);
+            module = new Dispatcher(settings, seed, this);
         }
 
         private <T> T any(T[] values) {
             return values[random.nextInt(values.length)];
         }
 
-        private Settings randomSettings() {
+        private DispatchSettings randomSettings() {
             final List<RequestClass> classes = new ArrayList<>();
-            for (final Effect effect : Effect.values()) {
-                final long aimUs = 50_000 + random.nextInt(2_000_000);
-                classes.add(new RequestClass(1 + random.nextInt(12), aimUs, random.nextInt(3),
-                    aimUs * (2 + random.nextInt(6)), effect, any(RepeatScope.values()),
+            for (final Idempotency effect : Idempotency.values()) {
+                final long latencyObjectiveUs = 50_000 + random.nextInt(2_000_000);
+                classes.add(new RequestClass(1 + random.nextInt(12), latencyObjectiveUs, random.nextInt(3),
+                    latencyObjectiveUs * (2 + random.nextInt(6)), effect, any(DeduplicationScope.values()),
                     random.nextInt(3_000_000), new Placement(anyOf(3), anyOf(2))));
             }
-            return new Settings(1 + random.nextInt(40), random.nextInt(3), 3, 2, classes, List.of(), 0.1,
+            return new DispatchSettings(1 + random.nextInt(40), random.nextInt(3), 3, 2, classes, List.of(), 0.1,
                 random.nextBoolean(),
-                new Limits(1 + random.nextInt(5), random.nextInt(2) * SECOND, random.nextBoolean()),
-                new ColdStart(0.1 + random.nextDouble() / 2, 10 * SECOND, 2 + random.nextInt(3), SECOND),
-                new Goal(1, 0, 0, 0), random.nextBoolean(), 10 * SECOND, any(WeightSource.values()),
+                new AttemptLimits(1 + random.nextInt(5), random.nextInt(2) * SECOND, random.nextBoolean()),
+                new SlowStartSettings(0.1 + random.nextDouble() / 2, 10 * SECOND, 2 + random.nextInt(3), SECOND),
+                new ObjectiveWeights(1, 0, 0, 0), random.nextBoolean(), 10 * SECOND, any(WeightSource.values()),
                 random.nextBoolean(), random.nextBoolean(),
                 random.nextInt(2) * SECOND, 0.03, random.nextBoolean(), random.nextBoolean(),
                 0.1, random.nextBoolean(),
-                random.nextBoolean() ? Settings.UNLIMITED : random.nextInt(1_000_000));
+                random.nextBoolean() ? DispatchSettings.UNLIMITED : random.nextInt(1_000_000));
         }
 
         /** Some of the first numbers, or null for no bound. */
@@ -98,42 +98,42 @@
                 0.5f + random.nextInt(4), random.nextInt(3) == 0 ? nowUs - random.nextInt(20_000_000) : 0);
         }
 
-        private void list(ListForm form) {
+        private void list(EndpointListForm form) {
             final List<Worker> entries = new ArrayList<>();
             for (int id = 0; id < 12; id++) {
-                if (random.nextInt(form == ListForm.CHANGES ? 4 : 2) == 0) {
+                if (random.nextInt(form == EndpointListForm.CHANGES ? 4 : 2) == 0) {
                     entries.add(randomWorker(id));
                 }
             }
-            if (form != ListForm.FAILED) {
-                if (form != ListForm.CHANGES) {
+            if (form != EndpointListForm.FAILED) {
+                if (form != EndpointListForm.CHANGES) {
                     listed.clear();
                 }
                 entries.forEach(worker -> listed.put(worker.id(), worker));
             }
             closed.clear();
-            module.listed(nowUs, form, form == ListForm.FAILED ? List.of() : entries);
-            if (form != ListForm.FAILED) {
+            module.endpointListChanged(nowUs, form, form == EndpointListForm.FAILED ? List.of() : entries);
+            if (form != EndpointListForm.FAILED) {
                 entries.forEach(entry -> mustBeClosed(entry.id(), entry.state() == WorkerState.DRAINING));
             }
         }
 
         /** At a draining worker every idle connection is closed in the event that makes or finds it idle. */
         private void mustBeClosed(int worker, boolean draining) {
-            if (draining && settings.closeOnDrainWithinUs() < Settings.UNLIMITED) {
+            if (draining && settings.closeOnDrainWithinUs() < DispatchSettings.UNLIMITED) {
                 assertThat(closed).as("idle connections to a draining worker").contains(worker);
             }
         }
 
         void run() {
-            list(ListForm.CACHED);
+            list(EndpointListForm.CACHED);
             for (int step = 0; step < STEPS; step++) {
                 pass(random.nextInt(40_000));
                 switch (random.nextInt(20)) {
-                    case 0 -> list(any(settings.listMustBeAsked() ? ListForm.values() : PUSHED));
+                    case 0 -> list(any(settings.endpointListIsPolled() ? EndpointListForm.values() : PUSHED));
                     case 1 -> leave();
                     case 2 -> unknownNews();
-                    case 13 -> module.toldSilent(nowUs, random.nextInt(14), random.nextInt(5) - 1);
+                    case 13 -> module.workerReportedUnresponsive(nowUs, random.nextInt(14), random.nextInt(5) - 1);
                     case 3 -> progress();
                     case 4, 5, 6, 7 -> answerProbe();
                     case 8, 9, 10, 11, 12 -> request();
@@ -141,12 +141,12 @@
                 }
             }
             pass(20 * SECOND);
-            assertThat(owed.values()).as("requests without their answer").allMatch(request -> request.closed);
+            assertThat(unanswered.values()).as("requests without their answer").allMatch(request -> request.closed);
         }
 
         private void unknownNews() {
             final int id = random.nextInt(requests + 1);
-            module.ended(nowUs, id, 9, 3, Outcome.BROKEN, 1, false, LoadReport.NONE);
+            module.attemptEnded(nowUs, id, 9, 3, Outcome.BROKEN, 1, false, LoadReport.NONE);
         }
 
         private void pass(long us) {
@@ -154,7 +154,7 @@
             while (wakeAtUs <= untilUs || nextDeadlineUs() <= untilUs) {
                 nowUs = Math.max(nowUs, Math.min(wakeAtUs, nextDeadlineUs()));
                 if (wakeAtUs <= nowUs) {
-                    module.woken(nowUs, 0);
+                    module.timerFired(nowUs, 0);
                 }
                 timeOut();
             }
@@ -162,13 +162,13 @@
         }
 
         private long nextDeadlineUs() {
-            return owed.values().stream().filter(request -> !request.closed || !request.out.isEmpty())
-                .mapToLong(request -> request.giveUpUs).min().orElse(Long.MAX_VALUE);
+            return unanswered.values().stream().filter(request -> !request.closed || !request.out.isEmpty())
+                .mapToLong(request -> request.deadlineUs).min().orElse(Long.MAX_VALUE);
         }
 
         private void timeOut() {
-            owed.forEach((id, request) -> {
-                if (request.giveUpUs <= nowUs) {
+            unanswered.forEach((id, request) -> {
+                if (request.deadlineUs <= nowUs) {
                     List.copyOf(request.out.keySet())
                         .forEach(attempt -> end(id, request, attempt, Outcome.TIMED_OUT));
                     assertThat(request.closed).as("answered by its deadline").isTrue();
@@ -180,14 +180,14 @@
             final int type = random.nextInt(settings.classes().size());
             final RequestClass stated = settings.classes().get(type);
             final int id = requests++;
-            owed.put(id, new Owed(stated, nowUs + stated.deadlineUs()));
+            unanswered.put(id, new Owed(stated, nowUs + stated.deadlineUs()));
             final Job job = new Job(type, 0, 1 + random.nextInt(4),
                 random.nextInt(2) * random.nextInt(900_000), random.nextInt(3), false);
-            module.requested(nowUs, id, job, nowUs + stated.deadlineUs());
+            module.requestArrived(nowUs, id, job, nowUs + stated.deadlineUs());
         }
 
         private Integer anyOut() {
-            final List<Integer> ids = owed.entrySet().stream()
+            final List<Integer> ids = unanswered.entrySet().stream()
                 .filter(entry -> !entry.getValue().out.isEmpty()).map(Map.Entry::getKey).toList();
             return ids.isEmpty() ? null : ids.get(random.nextInt(ids.size()));
         }
@@ -195,7 +195,7 @@
         private void end() {
             final Integer id = anyOut();
             if (id != null) {
-                end(id, owed.get(id), owed.get(id).out.keySet().iterator().next(), any(Outcome.values()));
+                end(id, unanswered.get(id), unanswered.get(id).out.keySet().iterator().next(), any(Outcome.values()));
             }
         }
 
@@ -209,7 +209,7 @@
             }
             request.closed |= outcome == Outcome.SERVED;
             closed.remove(worker);
-            module.ended(nowUs, id, attempt, worker, outcome, 1000, request.closed,
+            module.attemptEnded(nowUs, id, attempt, worker, outcome, 1000, request.closed,
                 anyReport());
             final Worker now = listed.get(worker);
             mustBeClosed(worker, now == null || now.state() != WorkerState.READY);
@@ -222,7 +222,7 @@
         private void answerProbe() {
             if (!probes.isEmpty()) {
                 final int worker = probes.remove(random.nextInt(probes.size()));
-                module.probed(nowUs, worker, random.nextInt(3) == 0 ? any(Outcome.values()) : Outcome.SERVED,
+                module.loadReported(nowUs, worker, random.nextInt(3) == 0 ? any(Outcome.values()) : Outcome.SERVED,
                     anyReport());
             }
         }
@@ -230,7 +230,7 @@
         private void progress() {
             final Integer id = anyOut();
             if (id != null) {
-                final Map.Entry<Integer, Integer> out = owed.get(id).out.entrySet().iterator().next();
+                final Map.Entry<Integer, Integer> out = unanswered.get(id).out.entrySet().iterator().next();
                 module.jobProgressed(nowUs, id, out.getKey(), out.getValue(), random.nextFloat());
             }
         }
@@ -238,18 +238,18 @@
         private void leave() {
             if (requests > 0) {
                 final int id = random.nextInt(requests);
-                owed.get(id).closed = true;
+                unanswered.get(id).closed = true;
                 module.clientLeft(nowUs, id);
             }
         }
 
         @Override
-        public void send(int requestId, int workerId, long giveUpUs) {
-            final Owed request = owed.get(requestId);
+        public void send(int requestId, int workerId, long deadlineUs) {
+            final Owed request = unanswered.get(requestId);
             final RequestClass stated = request.stated;
             assertThat(request.closed).as("sent after the final answer").isFalse();
             assertThat(request.out).as("attempts at once")
-                .hasSizeLessThanOrEqualTo(settings.limits().secondCopies() ? 1 : 0);
+                .hasSizeLessThanOrEqualTo(settings.limits().allowsHedging() ? 1 : 0);
             final Worker worker = listed.get(workerId);
             assertThat(worker).as("sent to a worker not listed").isNotNull();
             assertThat(worker.state()).as("sent to a draining or gone worker").isEqualTo(WorkerState.READY);
@@ -261,17 +261,17 @@
             final Map.Entry<Integer, Integer> outOne =
                 request.out.entrySet().stream().findFirst().orElse(null);
             final Integer outAt = outOne == null ? null : outOne.getValue();
-            if (outAt != null && stated.effect() == Effect.KEYED) {
+            if (outAt != null && stated.idempotency() == Idempotency.KEYED) {
                 assertThat(group(stated, worker)).isEqualTo(group(stated, listedAs(outAt)));
                 // The window is that of the send that is out; an earlier one that never ran binds nothing.
                 assertThat(nowUs).as("a keyed copy within the window of the send that is out")
                     .isLessThanOrEqualTo(sentAtUs.get(requestId).get(outOne.getKey())
-                        + stated.repeatWindowUs());
+                        + stated.deduplicationWindowUs());
             }
             if (request.ranAt != null || outAt != null) {
-                assertThat(stated.effect()).as("an effect may be doubled").isNotEqualTo(Effect.UNSAFE);
-                if (stated.effect() == Effect.KEYED && request.ranAt != null) {
-                    assertThat(nowUs).isLessThanOrEqualTo(request.ranSinceUs + stated.repeatWindowUs());
+                assertThat(stated.idempotency()).as("an effect may be doubled").isNotEqualTo(Idempotency.UNSAFE);
+                if (stated.idempotency() == Idempotency.KEYED && request.ranAt != null) {
+                    assertThat(nowUs).isLessThanOrEqualTo(request.ranSinceUs + stated.deduplicationWindowUs());
                     assertThat(group(stated, worker)).isEqualTo(group(stated, request.ranAt));
                 }
             }
@@ -284,7 +284,7 @@
         }
 
         private static int group(RequestClass stated, Worker worker) {
-            return switch (stated.scope()) {
+            return switch (stated.deduplicationScope()) {
                 case ALL -> 0;
                 case ZONE -> worker.zone();
                 case CELL -> worker.cell();
@@ -292,20 +292,20 @@
         }
 
         private void answer(int requestId) {
-            final Owed request = owed.get(requestId);
+            final Owed request = unanswered.get(requestId);
             assertThat(request.closed).as("answered twice").isFalse();
-            assertThat(nowUs).as("answered after the deadline").isLessThanOrEqualTo(request.giveUpUs);
+            assertThat(nowUs).as("answered after the deadline").isLessThanOrEqualTo(request.deadlineUs);
             request.closed = true;
         }
 
         @Override
-        public void refuse(int requestId, long retryAfterUs) {
+        public void reject(int requestId, long retryAfterUs) {
             answer(requestId);
-            final Owed request = owed.get(requestId);
+            final Owed request = unanswered.get(requestId);
             final boolean mayRun = request.ranAt != null || !request.out.isEmpty();
-            final boolean dropped = request.stated.effect() == Effect.KEYED
-                && request.stated.scope() == RepeatScope.ALL;
-            assertThat(request.stated.effect() == Effect.SAFE || dropped || !mayRun)
+            final boolean dropped = request.stated.idempotency() == Idempotency.KEYED
+                && request.stated.deduplicationScope() == DeduplicationScope.ALL;
+            assertThat(request.stated.idempotency() == Idempotency.SAFE || dropped || !mayRun)
                 .as("a refusal promises that a retry does no harm").isTrue();
             assertThat(retryAfterUs).isBetween(0L, settings.limits().maxRetryAfterUs());
         }
@@ -316,33 +316,33 @@
         }
 
         @Override
-        public void wakeAfter(long token, long delayUs) {
+        public void startTimer(long token, long delayUs) {
             assertThat(delayUs).isPositive();
             wakeAtUs = nowUs + delayUs;
         }
 
         @Override
-        public void probe(int workerId) {
-            assertThat(settings.probing()).as("probes only where allowed").isTrue();
+        public void queryLoad(int workerId) {
+            assertThat(settings.allowsLoadQueries()).as("probes only where allowed").isTrue();
             assertThat(listed).as("probes only of listed workers").containsKey(workerId);
             probes.add(workerId);
         }
 
         @Override
-        public void tellSilent(int workerId, int requestClass) {
-            assertThat(settings.peerMessages()).as("messages only where allowed").isTrue();
+        public void reportUnresponsive(int workerId, int requestClass) {
+            assertThat(settings.allowsPeerMessages()).as("messages only where allowed").isTrue();
         }
 
         @Override
-        public void closeIdle(int workerId) {
+        public void closeIdleConnections(int workerId) {
             assertThat(settings.closeOnDrainWithinUs()).as("binds where stated")
-                .isLessThan(Settings.UNLIMITED);
+                .isLessThan(DispatchSettings.UNLIMITED);
             closed.add(workerId);
         }
 
         @Override
-        public void watchList() {
-            assertThat(settings.listMustBeAsked()).isTrue();
+        public void pollEndpointList() {
+            assertThat(settings.endpointListIsPolled()).isTrue();
         }
     }
 
--- a/src/test/java/cresschute/dispatch/WorkerVisits.java
+++ b/src/test/java/cresschute/dispatch/WorkerVisits.java
@@ -18,20 +18,20 @@
     private WorkerVisits() {}
 
     /** Puts counting collections into a module that has its list; its classes may go anywhere. */
-    public static WorkerVisits of(Logic module, int zones) {
+    public static WorkerVisits of(Dispatcher module, int zones) {
         final WorkerVisits visits = new WorkerVisits();
         try {
-            final Fleet fleet = (Fleet) fieldOfType(Logic.class, Fleet.class).get(module);
-            final Field nodes = Fleet.class.getDeclaredField("nodes");
+            final WorkerIndex fleet = (WorkerIndex) fieldOfType(Dispatcher.class, WorkerIndex.class).get(module);
+            final Field nodes = WorkerIndex.class.getDeclaredField("nodes");
             nodes.setAccessible(true);
             nodes.set(fleet, visits.new CountingMap(fleet.nodes));
-            final Field members = Pool.class.getDeclaredField("members");
+            final Field members = WorkerGroup.class.getDeclaredField("members");
             members.setAccessible(true);
             for (int zone = 0; zone < zones; zone++) {
-                final Pool pool = fleet.pool(Placement.ANYWHERE, Pool.ZONE, zone);
+                final WorkerGroup pool = fleet.pool(Placement.ANYWHERE, WorkerGroup.ZONE, zone);
                 members.set(pool, visits.new CountingList(pool.members));
             }
-            final Pool all = fleet.pool(Placement.ANYWHERE, Pool.ALL, 0);
+            final WorkerGroup all = fleet.pool(Placement.ANYWHERE, WorkerGroup.ALL, 0);
             members.set(all, visits.new CountingList(all.members));
         } catch (ReflectiveOperationException e) {
             throw new IllegalStateException(e);
@@ -56,16 +56,16 @@
         return taken;
     }
 
-    private final class CountingList extends AbstractList<Node> implements RandomAccess {
+    private final class CountingList extends AbstractList<WorkerInstance> implements RandomAccess {
 
-        private final List<Node> of;
+        private final List<WorkerInstance> of;
 
-        CountingList(List<Node> of) {
+        CountingList(List<WorkerInstance> of) {
             this.of = of;
         }
 
         @Override
-        public Node get(int index) {
+        public WorkerInstance get(int index) {
             count++;
             return of.get(index);
         }
@@ -76,41 +76,41 @@
         }
 
         @Override
-        public void add(int index, Node node) {
+        public void add(int index, WorkerInstance node) {
             of.add(index, node);
         }
 
         @Override
-        public Node set(int index, Node node) {
+        public WorkerInstance set(int index, WorkerInstance node) {
             return of.set(index, node);
         }
 
         @Override
-        public Node remove(int index) {
+        public WorkerInstance remove(int index) {
             return of.remove(index);
         }
     }
 
-    private final class CountingMap extends LinkedHashMap<Integer, Node> {
+    private final class CountingMap extends LinkedHashMap<Integer, WorkerInstance> {
 
         private static final long serialVersionUID = 1;
 
-        CountingMap(Map<Integer, Node> of) {
+        CountingMap(Map<Integer, WorkerInstance> of) {
             super(of);
         }
 
         @Override
-        public Node get(Object key) {
+        public WorkerInstance get(Object key) {
             count++;
             return super.get(key);
         }
 
         @Override
-        public Collection<Node> values() {
-            final Collection<Node> of = super.values();
+        public Collection<WorkerInstance> values() {
+            final Collection<WorkerInstance> of = super.values();
             return new AbstractCollection<>() {
                 @Override
-                public Iterator<Node> iterator() {
+                public Iterator<WorkerInstance> iterator() {
                     return counted(of.iterator());
                 }
 
--- a/src/test/java/cresschute/flow/BodyTest.java
+++ b/src/test/java/cresschute/flow/BodyTest.java
@@ -74,7 +74,7 @@
         assertThat(sender.isDone()).isTrue();
     }
 
-    /** The second copy of a req whose body outgrows its spool: who is behind is cut off, and told so. */
+    /** The hedged request of a request whose body outgrows its spool: who is behind is cut off, and told so. */
     @Test
     void furthestSenderGoesOnAloneBeyondTheSpool() {
         final List<String> behindTold = new ArrayList<>();
@@ -106,7 +106,7 @@
         assertThat(body.send(news)).isNull();
     }
 
-    /** Kept for a further fetch, but in the way of this one: it goes on and cannot be sent anew. */
+    /** Kept for a further attempt, but in the way of this one: it goes on and cannot be sent anew. */
     @Test
     void spoolGivesWayWhereNothingElseCould() {
         final Budget small = new Budget(8, 8, 0, 1, 8);
--- a/src/test/java/cresschute/health/HealthBookTest.java
+++ b/src/test/java/cresschute/health/HealthTrackerTest.java
@@ -5,28 +5,28 @@
 import cresschute.dispatch.LoadReport;
 import cresschute.dispatch.Outcome;
 import cresschute.dispatch.WorkerState;
-import cresschute.health.HealthBook.Aim;
-import cresschute.health.HealthBook.Answer;
-import cresschute.health.HealthBook.Change;
-import cresschute.health.HealthBook.Job;
+import cresschute.health.HealthTracker.LatencyObjective;
+import cresschute.health.HealthTracker.Answer;
+import cresschute.health.HealthTracker.Change;
+import cresschute.health.HealthTracker.Job;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /** Who is well, told by what passes: each condition, its end, and that none of them flaps. */
-class HealthBookTest {
+class HealthTrackerTest {
 
     private static final long MS = 1_000;
     private static final long S = 1_000 * MS;
     private static final long LOOK = 250 * MS;
 
-    private final HealthBook book = new HealthBook(Thresholds.usual(S, 8 * S),
-        List.of(new Aim(2, S, 2), new Aim(5, 4 * S, 2)));
+    private final HealthTracker book = new HealthTracker(Thresholds.usual(S, 8 * S),
+        List.of(new LatencyObjective(2, S, 2), new LatencyObjective(5, 4 * S, 2)));
     private final List<String> changes = new ArrayList<>();
     private long nowUs = 1_000 * S;
 
-    HealthBookTest() {
+    HealthTrackerTest() {
         for (int worker = 0; worker < 4; worker++) {
             book.listed(nowUs, worker, WorkerState.READY, false, 0);
         }
@@ -229,7 +229,7 @@
     void goneWorkersAreForgottenOnceNothingIsOutThere() {
         final Job job = start(0);
         book.listed(nowUs, 0, WorkerState.GONE, false, 0);
-        pass(HealthBook.GONE_SHOWN_US + S);
+        pass(HealthTracker.GONE_SHOWN_US + S);
         assertThat(book.view(nowUs, 0).why()).isEqualTo("not on the list; 1 still out");
         job.ended(nowUs, Outcome.SERVED, LoadReport.NONE);
         look();
@@ -242,29 +242,29 @@
             serve(0, 100 * MS);
         }
         serve(0, 3 * S);
-        final HealthBook.View busy = book.view(nowUs, 0);
+        final HealthTracker.View busy = book.view(nowUs, 0);
         assertThat(busy.ratePerS()).isBetween(0.5, 0.53);
         assertThat(busy.minute().p50Ms()).isBetween(95L, 106L);
         assertThat(busy.minute().p99Ms()).isBetween(2_800L, 3_200L);
         assertThat(Arrays.stream(busy.sparks()).sum()).isEqualTo(31);
         pass(70 * S);
         assertThat(book.view(nowUs, 0).ratePerS()).isZero();
-        assertThat(book.view(nowUs, 0).minute()).isEqualTo(new HealthBook.Times(-1, -1));
+        assertThat(book.view(nowUs, 0).minute()).isEqualTo(new HealthTracker.Times(-1, -1));
         assertThat(book.view(nowUs, 0).tenMinutes().p50Ms()).isBetween(95L, 106L);
         pass(601 * S);
         assertThat(book.view(nowUs, 0).tenMinutes().p50Ms()).isEqualTo(-1);
     }
 
     @Test
-    void worthKeptCountsWhatCameInTime() {
-        assertThat(book.worthKept(nowUs)).isEqualTo(-1);
+    void priorityWeightKeptCountsWhatCameInTime() {
+        assertThat(book.weightedServedFraction(nowUs)).isEqualTo(-1);
         book.asked(nowUs, 0);
         book.answered(nowUs, 0, Answer.SERVED, 1, 2 * S, 500 * MS);
         book.answered(nowUs, 0, Answer.SERVED, 1, 2 * S + 1, 500 * MS);
         book.answered(nowUs, 1, Answer.REFUSED, 0, 0, 0);
         book.answered(nowUs, 1, Answer.LEFT, 1, 0, 0);
-        assertThat(book.worthKept(nowUs)).isEqualTo(2.0 / 9);
-        final HealthBook.ClassView view = book.classView(nowUs, 0);
+        assertThat(book.weightedServedFraction(nowUs)).isEqualTo(2.0 / 9);
+        final HealthTracker.ClassView view = book.classView(nowUs, 0);
         assertThat(List.of(view.asked(), view.admitted(), view.served(), view.inTime()))
             .containsExactly(1, 2, 2, 1);
     }
@@ -272,8 +272,8 @@
     /** A thousand workers, each with every slice of time in use, as the class comment states. */
     @Test
     void memoryOfAThousandWorkersIsBounded() {
-        final HealthBook large = new HealthBook(Thresholds.usual(S, 0), List.of(new Aim(1, S, 2),
-            new Aim(1, S, 2), new Aim(1, S, 2)));
+        final HealthTracker large = new HealthTracker(Thresholds.usual(S, 0), List.of(new LatencyObjective(1, S, 2),
+            new LatencyObjective(1, S, 2), new LatencyObjective(1, S, 2)));
         final long before = used();
         for (long at = 0; at < 600; at += 5) {
             for (int worker = 0; worker < 1_000; worker++) {
--- a/src/test/java/cresschute/node/ClassTableTest.java
+++ b/src/test/java/cresschute/node/ClassTableTest.java
@@ -3,9 +3,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import cresschute.dispatch.Effect;
+import cresschute.dispatch.Idempotency;
 import cresschute.dispatch.Placement;
-import cresschute.dispatch.RepeatScope;
+import cresschute.dispatch.DeduplicationScope;
 import cresschute.dispatch.RequestClass;
 import java.util.ArrayList;
 import java.util.List;
@@ -15,13 +15,13 @@
 /** A class keeps its number for good; what changes or goes is retired, and changed ones come anew. */
 class ClassTableTest {
 
-    private static RequestClass of(Effect effect, double worth) {
-        return new RequestClass(worth, 400_000, 2, 5_000_000, effect, RepeatScope.ALL, 0, Placement.ANYWHERE);
+    private static RequestClass of(Idempotency effect, double priorityWeight) {
+        return new RequestClass(priorityWeight, 400_000, 2, 5_000_000, effect, DeduplicationScope.ALL, 0, Placement.ANYWHERE);
     }
 
-    private static final RequestClass PURE = of(Effect.SAFE, 2);
-    private static final RequestClass KEYED = of(Effect.KEYED, 5);
-    private static final RequestClass ONCE = of(Effect.UNSAFE, 1);
+    private static final RequestClass PURE = of(Idempotency.SAFE, 2);
+    private static final RequestClass KEYED = of(Idempotency.KEYED, 5);
+    private static final RequestClass ONCE = of(Idempotency.UNSAFE, 1);
 
     private final ClassTable start = ClassTable.of(List.of("check", "file"), List.of(PURE, KEYED));
 
@@ -48,7 +48,7 @@
         assertThat(next.classes()).containsExactly(PURE, KEYED, ONCE);
         assertThat(next.changesFrom(start)).isEqualTo("changed: file");
         assertThat(next.live()).isEqualTo(Map.of("check", 0, "file", 2));
-        // And back again: the old meaning is a new number too, for the retired one may have reqs under way.
+        // And back again: the old meaning is a new number too, for the retired one may have requests under way.
         final ClassTable back = next.after(List.of("check", "file"), List.of(PURE, KEYED));
         assertThat(back.live()).isEqualTo(Map.of("check", 0, "file", 3));
     }
@@ -60,13 +60,13 @@
         ClassTable table = start;
         final List<String> names = new ArrayList<>();
         final List<RequestClass> classes = new ArrayList<>();
-        for (int i = 0; table.size() + 1 <= ClassTable.MOST; i++) {
+        for (int i = 0; table.size() + 1 <= ClassTable.MAX; i++) {
             names.add("c" + i);
             classes.add(PURE);
             table = table.after(names, classes);
         }
         final ClassTable full = table;
         assertThatThrownBy(() -> full.after(List.of("more"), List.of(PURE)))
-            .hasMessageContaining("more than " + ClassTable.MOST);
+            .hasMessageContaining("more than " + ClassTable.MAX);
     }
 }
--- a/src/test/java/cresschute/node/ControlDeskFormatTest.java
+++ b/src/test/java/cresschute/node/ControlServiceFormatTest.java
@@ -4,9 +4,9 @@
 
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
-import cresschute.dispatch.Events;
-import cresschute.control.Drains;
-import cresschute.control.Drains.Operation;
+import cresschute.dispatch.DispatcherEvents;
+import cresschute.control.DrainRegistry;
+import cresschute.control.DrainRegistry.Operation;
 import io.netty.channel.embedded.EmbeddedChannel;
 import java.lang.reflect.Proxy;
 import java.net.ServerSocket;
@@ -19,29 +19,29 @@
  * The rows and answers that a node shows to consoles, key by key as an earlier version wrote them. The
  * literals are never adapted to a renaming in the code.
  */
-class ControlDeskFormatTest {
+class ControlServiceFormatTest {
 
     private static final long NOW_US = 1_700_000_000_000_000L;
 
     private final EmbeddedChannel loop = new EmbeddedChannel();
 
-    private ControlDesk desk(ServerSocket at) throws Exception {
+    private ControlService handler(ServerSocket at) throws Exception {
         final NodeConfig config = NodeConfig.parse(TestNode.config(at, TestNode.list(1, true,
             TestNode.entry("s-1", at, "SERVING") + "," + TestNode.entry("s-2", at, "SERVING") + ","
                 + TestNode.entry("s-3", at, "DRAINING"))), Map.of());
-        final ControlDesk desk = new ControlDesk(config, loop.eventLoop(), () -> NOW_US);
-        final Events module = (Events) Proxy.newProxyInstance(getClass().getClassLoader(),
-            new Class<?>[]{Events.class}, (proxy, method, args) -> null);
-        final Core core = new Core(config, loop.eventLoop(), () -> NOW_US,
-            new RateLimitedLog(System.getLogger("test"), () -> NOW_US), desk, actions -> module);
-        desk.open(core);
+        final ControlService handler = new ControlService(config, loop.eventLoop(), () -> NOW_US);
+        final DispatcherEvents module = (DispatcherEvents) Proxy.newProxyInstance(getClass().getClassLoader(),
+            new Class<?>[]{DispatcherEvents.class}, (proxy, method, args) -> null);
+        final RequestLifecycle core = new RequestLifecycle(config, loop.eventLoop(), () -> NOW_US,
+            new RateLimitedLog(System.getLogger("test"), () -> NOW_US), handler, actions -> module);
+        handler.open(core);
         core.start(null, () -> {}, config.known());
-        return desk;
+        return handler;
     }
 
-    private static String operate(ControlDesk desk, Operation operation) {
+    private static String operate(ControlService handler, Operation operation) {
         final List<JsonObject> answers = new ArrayList<>();
-        desk.carryOut(operation, answers::add);
+        handler.carryOut(operation, answers::add);
         assertThat(answers).hasSize(1);
         return answers.get(0).toString();
     }
@@ -53,13 +53,13 @@
     @Test
     void outcomesAreAnsweredAsByAnEarlierNode() throws Exception {
         try (ServerSocket at = Peer.listen()) {
-            final ControlDesk desk = desk(at);
-            assertThat(operate(desk, drain("op-1", "s-1", 7_200_000_000L))).isEqualTo(
+            final ControlService handler = handler(at);
+            assertThat(operate(handler, drain("op-1", "s-1", 7_200_000_000L))).isEqualTo(
                 "{\"ok\":true,\"outcome\":\"done\",\"why\":\"\",\"worker\":\"s-1\",\"in_flight\":0}");
-            assertThat(operate(desk, drain("op-2", "s-1", Drains.FOREVER))).isEqualTo(
+            assertThat(operate(handler, drain("op-2", "s-1", DrainRegistry.FOREVER))).isEqualTo(
                 "{\"ok\":true,\"outcome\":\"already\",\"why\":\"drained by ann: new disk\","
                     + "\"worker\":\"s-1\",\"in_flight\":0}");
-            assertThat(operate(desk, drain("op-3", "s-9", Drains.FOREVER))).isEqualTo(
+            assertThat(operate(handler, drain("op-3", "s-9", DrainRegistry.FOREVER))).isEqualTo(
                 "{\"ok\":true,\"outcome\":\"refused\",\"why\":\"no worker is called s-9\","
                     + "\"worker\":\"s-9\",\"in_flight\":0}");
         }
@@ -72,10 +72,10 @@
     @Test
     void rowsAreShownAsByAnEarlierNode() throws Exception {
         try (ServerSocket at = Peer.listen()) {
-            final ControlDesk desk = desk(at);
-            operate(desk, drain("op-1", "s-1", 7_200_000_000L));
-            desk.look();
-            final Map<String, String> rows = desk.board().since(0).rows();
+            final ControlService handler = handler(at);
+            operate(handler, drain("op-1", "s-1", 7_200_000_000L));
+            handler.look();
+            final Map<String, String> rows = handler.board().since(0).rows();
             assertThat(rows).containsOnlyKeys("w/s-1", "w/s-2", "w/s-3", "c/check", "c/file", "node");
             final String port = ":" + at.getLocalPort();
             rows.replaceAll((key, row) -> row.replace(port, ":PORT"));
--- a/src/test/java/cresschute/node/ControlDeskTest.java
+++ b/src/test/java/cresschute/node/ControlServiceTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cresschute.dispatch.Events;
+import cresschute.dispatch.DispatcherEvents;
 import io.netty.channel.embedded.EmbeddedChannel;
 import java.lang.reflect.Proxy;
 import java.net.ServerSocket;
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The operator's place in a node, on a clock that is turned by hand. */
-class ControlDeskTest {
+class ControlServiceTest {
 
     private static final long TEN_MINUTES_US = 600_000_000;
 
@@ -27,22 +27,22 @@
                 TestNode.entry("s-1", free, "SERVING") + "," + TestNode.entry("s-2", free, "SERVING"))),
                 Map.of());
         }
-        final ControlDesk desk = new ControlDesk(config, loop.eventLoop(), () -> nowUs);
-        final Events module = (Events) Proxy.newProxyInstance(getClass().getClassLoader(),
-            new Class<?>[]{Events.class}, (proxy, method, args) -> null);
-        final Core core = new Core(config, loop.eventLoop(), () -> nowUs,
-            new RateLimitedLog(System.getLogger("test"), () -> nowUs), desk, actions -> module);
-        desk.open(core);
+        final ControlService handler = new ControlService(config, loop.eventLoop(), () -> nowUs);
+        final DispatcherEvents module = (DispatcherEvents) Proxy.newProxyInstance(getClass().getClassLoader(),
+            new Class<?>[]{DispatcherEvents.class}, (proxy, method, args) -> null);
+        final RequestLifecycle core = new RequestLifecycle(config, loop.eventLoop(), () -> nowUs,
+            new RateLimitedLog(System.getLogger("test"), () -> nowUs), handler, actions -> module);
+        handler.open(core);
         core.start(null, () -> {}, config.known());
-        desk.look();
-        assertThat(desk.board().since(0).rows()).containsKeys("w/s-1", "w/s-2");
-        core.directorTold(new DirectorList(2, true, List.of(config.known().entries().get(0))));
-        desk.look();
-        assertThat(desk.board().since(0).rows().get("w/s-2")).contains("\"state\":\"gone\"");
-        final long before = desk.board().number();
+        handler.look();
+        assertThat(handler.board().since(0).rows()).containsKeys("w/s-1", "w/s-2");
+        core.endpointListReceived(new EndpointList(2, true, List.of(config.known().entries().get(0))));
+        handler.look();
+        assertThat(handler.board().since(0).rows().get("w/s-2")).contains("\"state\":\"gone\"");
+        final long before = handler.board().number();
         nowUs += TEN_MINUTES_US;
-        desk.look();
-        assertThat(desk.board().since(0).rows()).containsKey("w/s-1").doesNotContainKey("w/s-2");
-        assertThat(desk.board().since(before).gone()).containsExactly("w/s-2");
+        handler.look();
+        assertThat(handler.board().since(0).rows()).containsKey("w/s-1").doesNotContainKey("w/s-2");
+        assertThat(handler.board().since(before).gone()).containsExactly("w/s-2");
     }
 }
