--- a/src/test/java/cresschute/node/CrossingRulesTest.java
+++ b/src/test/java/cresschute/node/CrossingRulesTest.java
@@ -3,10 +3,10 @@
 import static cresschute.node.TestNode.answer;
 import static cresschute.node.TestNode.entry;
 import static cresschute.node.TestNode.list;
-import static cresschute.node.TestNode.req;
+import static cresschute.node.TestNode.request;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cresschute.dispatch.Actions;
+import cresschute.dispatch.DispatcherActions;
 import cresschute.settings.ApplianceSettings.Bodies;
 import cresschute.settings.ApplianceSettings.ClassBodies;
 import java.io.IOException;
@@ -31,15 +31,15 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Two events that cross, each time forced: a backend that does not accept yet, or a peer that writes or
+ * Two events that cross, each time forced: a worker that does not accept yet, or a peer that writes or
  * closes while the node's loop is held between the one and the other. See docs/results/crossings.md.
  */
 @Timeout(30)
 class CrossingRulesTest {
 
-    private static final BiConsumer<Actions, Integer> HOLDS = (actions, req) -> {};
-    private static final BiConsumer<Actions, Integer> SENDS =
-        (actions, req) -> actions.send(req, 0, Long.MAX_VALUE);
+    private static final BiConsumer<DispatcherActions, Integer> HOLDS = (actions, request) -> {};
+    private static final BiConsumer<DispatcherActions, Integer> SENDS =
+        (actions, request) -> actions.send(request, 0, Long.MAX_VALUE);
 
     private final List<Peer> held = new ArrayList<>();
 
@@ -55,14 +55,14 @@
             + "\"result\":\"of " + id + "\"}\n");
     }
 
-    /** A node to whose backend connections do not come up until it accepts, which may take for ever. */
-    private static TestNode patient(BiConsumer<Actions, Integer> onReq) throws Exception {
-        return patient(onReq, null);
+    /** A node to whose worker connections do not come up until it accepts, which may take for ever. */
+    private static TestNode patient(BiConsumer<DispatcherActions, Integer> onRequest) throws Exception {
+        return patient(onRequest, null);
     }
 
-    private static TestNode patient(BiConsumer<Actions, Integer> onReq, Bodies bodies) throws Exception {
+    private static TestNode patient(BiConsumer<DispatcherActions, Integer> onRequest, Bodies bodies) throws Exception {
         return TestNode.configured(text -> text.replace("\"connectTimeoutUs\":250000",
-            "\"connectTimeoutUs\":20000000"), onReq, bodies);
+            "\"connectTimeoutUs\":20000000"), onRequest, bodies);
     }
 
     /** Fills a listener's queue: further connections come up only once some of these are accepted. */
@@ -81,7 +81,7 @@
     /** Something a test does while the loop is held: nothing that it makes ready is read before it ends. */
     @FunctionalInterface
     private interface WhileHeld {
-        void run(Actions actions) throws Exception;
+        void run(DispatcherActions actions) throws Exception;
     }
 
     /** Holds the loop; what the module asks for meanwhile is carried out before anything else is read. */
@@ -98,11 +98,11 @@
         over.get(8, TimeUnit.SECONDS);
     }
 
-    /** Takes a fetch and answers nothing. Held: a socket that nobody refers to may be closed at any time. */
+    /** Takes an attempt and answers nothing. Held: a socket that nobody refers to may be closed at any time. */
     private void hang(TestNode node) throws IOException {
-        final Peer backend = node.backend();
-        held.add(backend);
-        backend.read();
+        final Peer worker = node.worker();
+        held.add(worker);
+        worker.read();
     }
 
     private static String eventStarting(TestNode node, String start) throws InterruptedException {
@@ -119,51 +119,51 @@
     @Test
     void nothingIsSentForAClientThatLeftWhileTheConnectionCameUp() throws Exception {
         try (TestNode node = patient(SENDS); Peer other = node.client()) {
-            fill(node.backend);
-            final Peer client = node.client().write(req("r1", "", ""));
+            fill(node.worker);
+            final Peer client = node.client().write(request("r1", "", ""));
             assertThat(node.event()).startsWith("requested 1");
             untilItHasTurned(node);
             client.leave();
             assertThat(node.event()).isEqualTo("left 1");
             assertThat(node.event()).startsWith("ended 1 0 CANCELLED closed true");
-            acceptFilled(node.backend);
-            other.write(req("r2", "", ""));
-            assertThat(node.backend().read()).contains("X-Request-Id: r2");
+            acceptFilled(node.worker);
+            other.write(request("r2", "", ""));
+            assertThat(node.worker().read()).contains("X-Request-Id: r2");
         }
     }
 
-    /** The same where the module gave the req up before its connection was there. */
+    /** The same where the module gave the request up before its connection was there. */
     @Test
-    void nothingIsSentForAReqThatWasRefusedWhileTheConnectionCameUp() throws Exception {
+    void nothingIsSentForARequestThatWasRefusedWhileTheConnectionCameUp() throws Exception {
         try (TestNode node = patient(SENDS); Peer client = node.client()) {
-            fill(node.backend);
-            client.write(req("r1", "", ""));
+            fill(node.worker);
+            client.write(request("r1", "", ""));
             assertThat(node.event()).startsWith("requested 1");
-            node.act(actions -> actions.refuse(1, 0));
+            node.act(actions -> actions.reject(1, 0));
             assertThat(client.read()).startsWith("HTTP/1.1 503");
             assertThat(eventStarting(node, "ended")).startsWith("ended 1 0 CANCELLED closed true");
         }
     }
 
-    /** Connecting may take longer than a drain's grace: what is told meanwhile ends the fetch, unsent. */
+    /** Connecting may take longer than a drain's grace: what is told meanwhile ends the attempt, unsent. */
     @ParameterizedTest
     @ValueSource(strings = {"draining", "gone", "left out", "moved", "restarted"})
-    void nothingIsSentToABackendOfWhichMoreWasToldWhileTheConnectionCameUp(String what) throws Exception {
+    void nothingIsSentToAWorkerOfWhichMoreWasToldWhileTheConnectionCameUp(String what) throws Exception {
         try (TestNode node = patient(SENDS);
             Peer client = node.client();
             ServerSocket moved = Peer.listen()) {
-            fill(node.backend);
-            node.act(Actions::watchList);
-            final Peer director = node.director();
-            director.read();
-            client.write(req("r1", "", ""));
+            fill(node.worker);
+            node.act(DispatcherActions::pollEndpointList);
+            final Peer discovery = node.discovery();
+            discovery.read();
+            client.write(request("r1", "", ""));
             assertThat(eventStarting(node, "requested")).startsWith("requested 1");
-            director.write(answer("200 OK", "", switch (what) {
-                case "draining" -> list(2, false, entry("s-1", node.backend, "DRAINING"));
-                case "gone" -> list(2, false, entry("s-1", node.backend, "DELETED"));
+            discovery.write(answer("200 OK", "", switch (what) {
+                case "draining" -> list(2, false, entry("s-1", node.worker, "DRAINING"));
+                case "gone" -> list(2, false, entry("s-1", node.worker, "DELETED"));
                 case "left out" -> list(2, true, "");
                 case "moved" -> list(2, false, entry("s-1", moved, "SERVING"));
-                default -> list(2, false, entry("s-1", node.backend, "SERVING").replace(":7}", ":8}"));
+                default -> list(2, false, entry("s-1", node.worker, "SERVING").replace(":7}", ":8}"));
             }));
             assertThat(eventStarting(node, "ended")).startsWith("ended 1 0 NOT_SENT closed false");
             assertThat(client.read()).startsWith("HTTP/1.1 503");
@@ -171,13 +171,13 @@
     }
 
     @Test
-    void nothingIsSentToABackendThatAnOperatorTookOutWhileTheConnectionCameUp(@TempDir Path shared)
+    void nothingIsSentToAWorkerThatAnOperatorTookOutWhileTheConnectionCameUp(@TempDir Path shared)
         throws Exception {
         try (TestNode node = new TestNode(shared, null); Peer client = node.client()) {
-            fill(node.backend);
+            fill(node.worker);
             // The call is carried out within the connect time-out, which here is the usual one.
             try (Peer operator = Peer.connect(node.server.managementAddress())) {
-                client.write(req("r1", "", ""));
+                client.write(request("r1", "", ""));
                 assertThat(node.event()).startsWith("requested 1");
                 operator.write("disable-server s-1\n");
                 assertThat(eventStarting(node, "ended")).startsWith("ended 1 0 NOT_SENT closed false");
@@ -186,35 +186,35 @@
         }
     }
 
-    /** The client leaves and its backend drains, in this order and the other one: one end, nothing sent. */
+    /** The client leaves and its worker drains, in this order and the other one: one end, nothing sent. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void endsOnceWhereAClientLeavesAndItsBackendDrains(boolean leavesFirst) throws Exception {
+    void endsOnceWhereAClientLeavesAndItsWorkerDrains(boolean leavesFirst) throws Exception {
         try (TestNode node = patient(SENDS); Peer client = node.client()) {
-            fill(node.backend);
-            node.act(Actions::watchList);
-            final Peer director = node.director();
-            director.read();
-            client.write(req("r1", "", ""));
+            fill(node.worker);
+            node.act(DispatcherActions::pollEndpointList);
+            final Peer discovery = node.discovery();
+            discovery.read();
+            client.write(request("r1", "", ""));
             assertThat(eventStarting(node, "requested")).startsWith("requested 1");
             untilItHasTurned(node);
-            final String news = answer("200 OK", "", list(2, false, entry("s-1", node.backend, "DRAINING")));
+            final String news = answer("200 OK", "", list(2, false, entry("s-1", node.worker, "DRAINING")));
             if (leavesFirst) {
                 client.leave();
                 assertThat(eventStarting(node, "left")).isEqualTo("left 1");
                 assertThat(node.event()).startsWith("ended 1 0 CANCELLED closed true");
-                director.write(news);
+                discovery.write(news);
                 assertThat(node.event()).startsWith("listed CHANGES 0DRAINING");
             } else {
                 holding(node, actions -> {
-                    director.write(news);
+                    discovery.write(news);
                     client.leave();
                 });
                 assertThat(eventStarting(node, "ended")).startsWith("ended 1 0 ");
             }
             // A call after the news shows that the watch went on and that no further end came before it.
-            assertThat(director.read()).contains("since=2&");
-            node.act(actions -> actions.wakeAfter(5, 0));
+            assertThat(discovery.read()).contains("since=2&");
+            node.act(actions -> actions.startTimer(5, 0));
             assertThat(node.events.stream().filter(each -> each.startsWith("ended")).count()).isZero();
         }
     }
@@ -227,13 +227,13 @@
 
     /** Waits until the node's own timer has run for {@value #HELD_US} us. */
     private static void untilTimerRan(TestNode node) throws InterruptedException {
-        node.act(actions -> actions.wakeAfter(5, HELD_US));
+        node.act(actions -> actions.startTimer(5, HELD_US));
         assertThat(eventStarting(node, "woken")).isEqualTo("woken 5");
     }
 
     /** Waits until what the module asked for is carried out: connecting is a task of its own. */
     private static void untilItHasTurned(TestNode node) throws InterruptedException {
-        node.act(actions -> actions.wakeAfter(6, 0));
+        node.act(actions -> actions.startTimer(6, 0));
         assertThat(eventStarting(node, "woken")).isEqualTo("woken 6");
     }
 
@@ -251,16 +251,16 @@
     void tellsWhatIsLeftWhenTheConnectionIsUp(boolean further) throws Exception {
         try (TestNode node = patient(further ? SENDS : HOLDS); Peer client = node.client()) {
             final long sentNs = System.nanoTime();
-            client.write(req("r1", "", ""));
+            client.write(request("r1", "", ""));
             assertThat(node.event()).startsWith("requested 1");
             if (further) {
                 hang(node);
             }
-            fill(node.backend);
+            fill(node.worker);
             node.act(actions -> actions.send(1, 0, Long.MAX_VALUE));
             untilTimerRan(node);
-            acceptFilled(node.backend);
-            assertTellsWhatIsLeft(node.backend().read(), sentNs);
+            acceptFilled(node.worker);
+            assertTellsWhatIsLeft(node.worker().read(), sentNs);
         }
     }
 
@@ -269,10 +269,10 @@
     void tellsWhatIsLeftOnAKeptConnection() throws Exception {
         try (TestNode node = new TestNode(HOLDS); Peer client = node.client(); Peer next = node.client()) {
             final long sentNs = System.nanoTime();
-            final Peer backend = keptWithReqHeld(node, client, next);
+            final Peer worker = keptWithRequestHeld(node, client, next);
             untilTimerRan(node);
             node.act(actions -> actions.send(2, 0, Long.MAX_VALUE));
-            assertTellsWhatIsLeft(backend.read(), sentNs);
+            assertTellsWhatIsLeft(worker.read(), sentNs);
         }
     }
 
@@ -282,14 +282,14 @@
         try (TestNode node = new TestNode(HOLDS); Peer client = node.client()) {
             final long sentNs = System.nanoTime();
             for (int i = 1; i <= 17; i++) {
-                client.write(req("r" + i, "", ""));
+                client.write(request("r" + i, "", ""));
             }
             assertThat(eventStarting(node, "requested 16")).isNotNull();
             untilTimerRan(node);
-            node.act(actions -> actions.refuse(1, 0));
+            node.act(actions -> actions.reject(1, 0));
             assertThat(eventStarting(node, "requested 17")).isNotNull();
             node.act(actions -> actions.send(17, 0, Long.MAX_VALUE));
-            assertTellsWhatIsLeft(node.backend().read(), sentNs);
+            assertTellsWhatIsLeft(node.worker().read(), sentNs);
         }
     }
 
@@ -297,16 +297,16 @@
     @Test
     void beginsNoAttemptWhoseTimeIsUp() throws Exception {
         try (TestNode node = patient(HOLDS); Peer client = node.client()) {
-            fill(node.backend);
-            client.write(req("r1", "", ""));
+            fill(node.worker);
+            client.write(request("r1", "", ""));
             assertThat(node.event()).startsWith("requested 1");
             node.act(actions -> actions.send(1, 0, System.currentTimeMillis() * 1_000 + HELD_US));
             untilItHasTurned(node);
             // Its SYN is sent again a second after the first, well after the time of the attempt is up.
             final List<Peer> accepted = new ArrayList<>();
             holding(node, actions -> {
-                acceptFilled(node.backend);
-                accepted.add(node.backend());
+                acceptFilled(node.worker);
+                accepted.add(node.worker());
             });
             assertThat(accepted.get(0).isClosedByOther()).isTrue();
             assertThat(eventStarting(node, "ended")).startsWith("ended 1 0 CONNECT_FAILED closed false");
@@ -315,22 +315,22 @@
 
     // ---- Clients that leave ----
 
-    /** The end came behind the req in one pass, and was read one pass later: the job was sent for nobody. */
+    /** The end came behind the request in one pass, and was read one pass later: the job was sent for nobody. */
     @Test
-    void sendsNothingForAClientWhoseEndCameWithItsReq() throws Exception {
+    void sendsNothingForAClientWhoseEndCameWithItsRequest() throws Exception {
         try (TestNode node = new TestNode()) {
-            final Peer client = node.client().write(req("r1", "", ""));
+            final Peer client = node.client().write(request("r1", "", ""));
             assertThat(node.event()).startsWith("requested 1");
-            final Peer backend = node.backend();
-            backend.read();
-            backend.write(done("r1"));
+            final Peer worker = node.worker();
+            worker.read();
+            worker.write(done("r1"));
             client.read();
             assertThat(eventStarting(node, "ended")).contains("SERVED");
-            holding(node, actions -> client.write(req("r2", "", "")).leave());
+            holding(node, actions -> client.write(request("r2", "", "")).leave());
             assertThat(eventStarting(node, "requested")).startsWith("requested 2");
             assertThat(node.event()).isEqualTo("left 2");
             assertThat(node.event()).startsWith("ended 2 0 NOT_SENT closed true");
-            assertThat(backend.hasNews()).isFalse();
+            assertThat(worker.hasNews()).isFalse();
         }
     }
 
@@ -345,7 +345,7 @@
                 case HALF -> client.endSending();
                 default -> {
                     for (int i = 1; i <= 20; i++) {
-                        client.write(req("behind" + i, "", "body"));
+                        client.write(request("behind" + i, "", "body"));
                     }
                     client.leave();
                 }
@@ -358,15 +358,15 @@
     @EnumSource
     void sendsNothingOnAKeptConnectionForAClientWhoseCloseIsUnread(Close close) throws Exception {
         try (TestNode node = new TestNode(HOLDS); Peer client = node.client(); Peer next = node.client()) {
-            final Peer backend = keptWithReqHeld(node, client, next);
+            final Peer worker = keptWithRequestHeld(node, client, next);
             holding(node, actions -> {
                 close.by(next);
                 actions.send(2, 0, Long.MAX_VALUE);
             });
             assertThat(eventStarting(node, "ended")).startsWith("ended 2 0 NOT_SENT closed true");
-            client.write(req("r3", "", ""));
+            client.write(request("r3", "", ""));
             assertThat(eventStarting(node, "requested")).startsWith("requested ");
-            assertThat(backend.hasNews()).isFalse();
+            assertThat(worker.hasNews()).isFalse();
         }
     }
 
@@ -374,7 +374,7 @@
     @Test
     void sendsNoFurtherAttemptForAClientWhoseCloseIsUnread() throws Exception {
         try (TestNode node = new TestNode(); Peer client = node.client()) {
-            client.write(req("r1", "", ""));
+            client.write(request("r1", "", ""));
             hang(node);
             holding(node, actions -> {
                 client.leave();
@@ -389,14 +389,14 @@
     @EnumSource
     void sendsNothingOnANewConnectionForAClientWhoseCloseIsUnread(Close close) throws Exception {
         try (TestNode node = patient(SENDS); Peer client = node.client()) {
-            fill(node.backend);
-            client.write(req("r1", "", ""));
+            fill(node.worker);
+            client.write(request("r1", "", ""));
             assertThat(node.event()).startsWith("requested 1");
             untilItHasTurned(node);
             final List<Peer> accepted = new ArrayList<>();
             holding(node, actions -> {
-                acceptFilled(node.backend);
-                accepted.add(node.backend());
+                acceptFilled(node.worker);
+                accepted.add(node.worker());
                 close.by(client);
             });
             assertThat(accepted.get(0).isClosedByOther()).isTrue();
@@ -408,29 +408,29 @@
     @Test
     void takesAHalfCloseForLeavingAndServesOthers() throws Exception {
         try (TestNode node = new TestNode(HOLDS); Peer client = node.client(); Peer other = node.client()) {
-            client.write(req("r1", "", ""));
+            client.write(request("r1", "", ""));
             assertThat(node.event()).startsWith("requested 1");
-            other.write(req("r2", "", ""));
+            other.write(request("r2", "", ""));
             assertThat(node.event()).startsWith("requested 2");
             client.endSending();
             assertThat(node.event()).isEqualTo("left 1");
             assertThat(client.isClosedByOther()).isTrue();
-            node.act(actions -> actions.refuse(2, 0));
+            node.act(actions -> actions.reject(2, 0));
             assertThat(other.read()).startsWith("HTTP/1.1 503");
         }
     }
 
-    /** With 16 reqs taken, reading was paused, and nobody saw that the client had left. */
+    /** With 16 requests taken, reading was paused, and nobody saw that the client had left. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void seesAClientLeaveThatHasSentMoreThanIsTakenAhead(boolean resets) throws Exception {
         try (TestNode node = new TestNode(HOLDS)) {
             final Peer client = node.client();
             for (int i = 1; i <= 16; i++) {
-                client.write(req("r" + i, "", ""));
+                client.write(request("r" + i, "", ""));
                 assertThat(node.event()).startsWith("requested " + i + " ");
             }
-            client.write(req("r17", "", "") + req("r18", "", ""));
+            client.write(request("r17", "", "") + request("r18", "", ""));
             if (resets) {
                 client.reset();
             } else {
@@ -444,7 +444,7 @@
 
     /**
      * With no room for the rest of a long body its client's end cannot be seen, as it stands behind that: the
-     * req was sent whenever the module, or its connection, came to it.
+     * request was sent whenever the module, or its connection, came to it.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
@@ -452,28 +452,28 @@
         final Bodies bodies = LongBodyNode.bodies(new ClassBodies(8L << 20, 1024, 20_000_000, false, false));
         try (TestNode node = patient(connecting ? SENDS : HOLDS, bodies); Peer other = node.client()) {
             if (connecting) {
-                fill(node.backend);
+                fill(node.worker);
             }
             final Peer client = node.client().write(LongBodyNode.head("r1", 8L << 20, ""));
-            client.writeBytes(0, LongBodyNode.MOST_OF_ONE);
+            client.writeBytes(0, LongBodyNode.MAX_OF_ONE);
             assertThat(eventStarting(node, "requested")).startsWith("requested 1");
             client.leave();
             // By the node's own clock; more than the time after which nobody can be taken to be there.
-            assertThat(Core.MAX_READ_PAUSE_US).isLessThan(100_000);
-            node.act(actions -> actions.wakeAfter(5, 150_000));
+            assertThat(RequestLifecycle.MAX_READ_PAUSE_US).isLessThan(100_000);
+            node.act(actions -> actions.startTimer(5, 150_000));
             assertThat(eventStarting(node, "woken")).isEqualTo("woken 5");
             if (connecting) {
-                acceptFilled(node.backend);
+                acceptFilled(node.worker);
                 // Its connection came up, and ends without a byte.
-                assertThat(node.backend().isClosedByOther()).isTrue();
+                assertThat(node.worker().isClosedByOther()).isTrue();
                 assertThat(eventStarting(node, "ended")).startsWith("ended 1 0 CANCELLED closed true");
             } else {
                 node.act(actions -> actions.send(1, 0, Long.MAX_VALUE));
                 assertThat(eventStarting(node, "ended")).startsWith("ended 1 0 NOT_SENT closed true");
-                other.write(req("r2", "", ""));
+                other.write(request("r2", "", ""));
                 assertThat(eventStarting(node, "requested")).startsWith("requested 2");
                 node.act(actions -> actions.send(2, 0, Long.MAX_VALUE));
-                assertThat(node.backend().read()).contains("X-Request-Id: r2");
+                assertThat(node.worker().read()).contains("X-Request-Id: r2");
             }
         }
     }
@@ -482,13 +482,13 @@
     void takesWhatWaitsBehindOthersInOrderOnceThereIsPlace() throws Exception {
         try (TestNode node = new TestNode(HOLDS); Peer client = node.client()) {
             for (int i = 1; i <= 18; i++) {
-                client.write(req("r" + i, "", ""));
+                client.write(request("r" + i, "", ""));
             }
             for (int i = 1; i <= 16; i++) {
                 assertThat(node.event()).startsWith("requested " + i + " ");
             }
-            node.act(actions -> actions.refuse(2, 0));
-            node.act(actions -> actions.refuse(1, 0));
+            node.act(actions -> actions.reject(2, 0));
+            node.act(actions -> actions.reject(1, 0));
             assertThat(client.read()).startsWith("HTTP/1.1 503");
             assertThat(client.read()).startsWith("HTTP/1.1 503");
             assertThat(eventStarting(node, "requested")).startsWith("requested 17 ");
@@ -496,83 +496,83 @@
         }
     }
 
-    /** One client's flood is turned away or closed on, and others are served. */
+    /** One client's flood is rejected or closed on, and others are served. */
     @Test
-    void endsAFloodOfReqsWithoutAnswers() throws Exception {
+    void endsAFloodOfRequestsWithoutAnswers() throws Exception {
         try (TestNode node = new TestNode(HOLDS); Peer flood = node.client(); Peer usual = node.client()) {
-            final StringBuilder reqs = new StringBuilder();
+            final StringBuilder requests = new StringBuilder();
             for (int i = 0; i <= 120; i++) {
-                reqs.append(req("f" + i, "", ""));
+                requests.append(request("f" + i, "", ""));
             }
             try {
-                flood.write(reqs.toString());
+                flood.write(requests.toString());
             } catch (IOException e) {
                 // Closed on before all of it was written.
             }
             assertThat(flood.readToEnd()).satisfiesAnyOf(end -> assertThat(end).isNull(),
                 end -> assertThat(end).isEmpty());
-            usual.write(req("r1", "", ""));
+            usual.write(request("r1", "", ""));
             assertThat(eventStarting(node, "requested 17")).startsWith("requested 17");
         }
     }
 
     // ---- Kept connections ----
 
-    /** Serves r1, as the module sends it, on a connection to the backend that is kept. */
+    /** Serves r1, as the module sends it, on a connection to the worker that is kept. */
     private static Peer kept(TestNode node, Peer client) throws IOException {
-        client.write(req("r1", "", ""));
-        final Peer backend = node.backend();
-        backend.read();
-        backend.write(done("r1"));
+        client.write(request("r1", "", ""));
+        final Peer worker = node.worker();
+        worker.read();
+        worker.write(done("r1"));
         client.read();
-        return backend;
+        return worker;
     }
 
-    /** Serves r1 on a connection to the backend that is kept, with r2 taken and held by the module. */
-    private static Peer keptWithReqHeld(TestNode node, Peer client, Peer next) throws Exception {
-        client.write(req("r1", "", ""));
+    /** Serves r1 on a connection to the worker that is kept, with r2 taken and held by the module. */
+    private static Peer keptWithRequestHeld(TestNode node, Peer client, Peer next) throws Exception {
+        client.write(request("r1", "", ""));
         assertThat(node.event()).startsWith("requested 1");
         node.act(actions -> actions.send(1, 0, Long.MAX_VALUE));
-        final Peer backend = node.backend();
-        backend.read();
-        backend.write(done("r1"));
+        final Peer worker = node.worker();
+        worker.read();
+        worker.write(done("r1"));
         assertThat(client.read()).endsWith("of r1");
-        next.write(req("r2", "", ""));
+        next.write(request("r2", "", ""));
         assertThat(eventStarting(node, "requested")).startsWith("requested 2");
-        return backend;
+        return worker;
     }
 
-    /** Written to a connection whose end was in the buffer, the req ended as a reset and may have run. */
+    /** Written to a connection whose end was in the buffer, the request ended as a reset and may have run. */
     @Test
-    void writesNoReqToAKeptConnectionThatHasEnded() throws Exception {
+    void writesNoRequestToAKeptConnectionThatHasEnded() throws Exception {
         try (TestNode node = new TestNode(HOLDS); Peer client = node.client(); Peer next = node.client()) {
-            final Peer backend = keptWithReqHeld(node, client, next);
+            final Peer worker = keptWithRequestHeld(node, client, next);
             holding(node, actions -> {
-                backend.leave();
+                worker.leave();
                 actions.send(2, 0, Long.MAX_VALUE);
             });
-            final Peer fresh = node.backend();
+            final Peer fresh = node.worker();
             assertThat(fresh.read()).contains("X-Request-Id: r2");
             fresh.write(done("r2"));
             assertThat(next.read()).endsWith("of r2");
         }
     }
 
-    /** A second answer that names no req was taken for the next req's: as proof that it never ran. */
+    /** A second answer that names no request was taken for the next request's: as proof that it never ran. */
     @ParameterizedTest
     @CsvSource(delimiter = '|', textBlock = """
         503 No | X-Not-Run: 1
         500 No | X-Load: x0=1
         200 OK | X-Load: x0=1
         """)
-    void takesNoAnswerThatWasThereBeforeTheReq(String status, String header) throws Exception {
+    void takesNoAnswerThatWasThereBeforeTheRequest(String status, String header) throws Exception {
         try (TestNode node = new TestNode(HOLDS); Peer client = node.client(); Peer next = node.client()) {
-            final Peer backend = keptWithReqHeld(node, client, next);
+            final Peer worker = keptWithRequestHeld(node, client, next);
             holding(node, actions -> {
-                backend.write(answer(status, header + "\r\n", ""));
+                worker.write(answer(status, header + "\r\n", ""));
                 actions.send(2, 0, Long.MAX_VALUE);
             });
-            final Peer fresh = node.backend();
+            final Peer fresh = node.worker();
             assertThat(fresh.read()).contains("X-Request-Id: r2");
             fresh.write(done("r2"));
             assertThat(next.read()).endsWith("of r2");
@@ -580,7 +580,7 @@
         }
     }
 
-    /** The second answer comes after the next req was written; that one's own follows, and alone counts. */
+    /** The second answer comes after the next request was written; that one's own follows, and alone counts. */
     @ParameterizedTest
     @CsvSource(delimiter = '|', textBlock = """
         503 No | X-Not-Run: 1 | ''
@@ -588,40 +588,40 @@
         200 OK | X-Load: x0=1 | {"id":"r1","from":"s-1","state":"returned"}
         200 OK | X-Load: x0=1 | {"id":"r1","from":"s-1","state":"done","result":"again"}
         """)
-    void passesOverASecondAnswerToTheReqBefore(String status, String header, String line) throws Exception {
+    void passesOverASecondAnswerToTheRequestBefore(String status, String header, String line) throws Exception {
         try (TestNode node = new TestNode(HOLDS); Peer client = node.client(); Peer next = node.client()) {
-            final Peer backend = keptWithReqHeld(node, client, next);
+            final Peer worker = keptWithRequestHeld(node, client, next);
             node.act(actions -> actions.send(2, 0, Long.MAX_VALUE));
-            assertThat(backend.read()).contains("X-Request-Id: r2");
-            backend.write(answer(status, header + "\r\n", line) + done("r2"));
+            assertThat(worker.read()).contains("X-Request-Id: r2");
+            worker.write(answer(status, header + "\r\n", line) + done("r2"));
             assertThat(next.read()).endsWith("of r2");
             assertThat(eventStarting(node, "ended 2")).startsWith("ended 2 0 SERVED");
-            assertThat(backend.isClosedByOther()).isTrue();
+            assertThat(worker.isClosedByOther()).isTrue();
         }
     }
 
-    /** Whether it was the next req's own answer is never known: it may have run. */
+    /** Whether it was the next request's own answer is never known: it may have run. */
     @Test
     void takesNoSecondAnswerForProofWhereTheConnectionEndsBehindIt() throws Exception {
         try (TestNode node = new TestNode(HOLDS); Peer client = node.client(); Peer next = node.client()) {
-            final Peer backend = keptWithReqHeld(node, client, next);
+            final Peer worker = keptWithRequestHeld(node, client, next);
             node.act(actions -> actions.send(2, 0, Long.MAX_VALUE));
-            assertThat(backend.read()).contains("X-Request-Id: r2");
-            backend.write(answer("503 No", "X-Not-Run: 1\r\n", "")).leave();
+            assertThat(worker.read()).contains("X-Request-Id: r2");
+            worker.write(answer("503 No", "X-Not-Run: 1\r\n", "")).leave();
             assertThat(eventStarting(node, "ended 2")).startsWith("ended 2 0 BROKEN closed false");
         }
     }
 
-    /** One backend's second answer had every kept connection to all others closed for 15 s. */
+    /** One worker's second answer had every kept connection to all others closed for 15 s. */
     @ParameterizedTest
     @ValueSource(strings = {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", "what is this\r\n\r\n", "x"})
     void closesAloneTheKeptConnectionOnWhichBytesCameUnasked(String bytes) throws Exception {
         try (TestNode node = new TestNode(); Peer client = node.client(); Peer other = node.client()) {
-            client.write(req("r1", "", ""));
-            final Peer first = node.backend();
+            client.write(request("r1", "", ""));
+            final Peer first = node.worker();
             first.read();
-            other.write(req("r2", "", ""));
-            final Peer second = node.backend();
+            other.write(request("r2", "", ""));
+            final Peer second = node.worker();
             second.read();
             first.write(done("r1"));
             client.read();
@@ -629,7 +629,7 @@
             other.read();
             first.write(bytes.length() > 1 ? bytes : bytes + "\r\n\r\n");
             assertThat(first.isClosedByOther()).isTrue();
-            client.write(req("r3", "", ""));
+            client.write(request("r3", "", ""));
             assertThat(second.read()).contains("X-Request-Id: r3");
         }
     }
@@ -641,64 +641,64 @@
     void acceptsWhoeverCameBeforeTheListenerCloses() throws Exception {
         try (TestNode node = new TestNode()) {
             holding(node, actions -> {
-                held.add(node.client().write(req("r1", "", "")));
-                held.add(node.client().write(req("r2", "", "")));
+                held.add(node.client().write(request("r1", "", "")));
+                held.add(node.client().write(request("r2", "", "")));
                 node.server.front().stopAccepting();
             });
-            final Peer first = node.backend();
-            final Peer second = node.backend();
-            for (final Peer backend : List.of(first, second)) {
-                backend.write(done(backend.read().contains("X-Request-Id: r1") ? "r1" : "r2"));
+            final Peer first = node.worker();
+            final Peer second = node.worker();
+            for (final Peer worker : List.of(first, second)) {
+                worker.write(done(worker.read().contains("X-Request-Id: r1") ? "r1" : "r2"));
             }
             assertThat(held.get(0).read()).endsWith("of r1");
             assertThat(held.get(1).read()).endsWith("of r2");
         }
     }
 
-    /** A req that lay unread on an idle connection was reset by its closing. */
+    /** A request that lay unread on an idle connection was reset by its closing. */
     @Test
     void takesWhatCameOnAnIdleConnectionBeforeItClosesIt() throws Exception {
         try (TestNode node = new TestNode(); Peer client = node.client()) {
-            final Peer backend = kept(node, client);
+            final Peer worker = kept(node, client);
             holding(node, actions -> {
-                client.write(req("r2", "", ""));
+                client.write(request("r2", "", ""));
                 node.server.front().stopAccepting();
             });
-            backend.read();
-            backend.write(done("r2"));
+            worker.read();
+            worker.write(done("r2"));
             assertThat(client.read()).endsWith("of r2").contains("\r\nconnection: close\r\n");
             assertThat(client.readToEnd()).isNotNull().isEmpty();
         }
     }
 
-    /** A close with the next req unread is a reset, and a reset can eat the answer just written. */
+    /** A close with the next request unread is a reset, and a reset can eat the answer just written. */
     @Test
     void endsAfterTheLastAnswerWithoutAReset() throws Exception {
         try (TestNode node = new TestNode(HOLDS); Peer client = node.client()) {
-            client.write(req("r1", "", ""));
+            client.write(request("r1", "", ""));
             assertThat(node.event()).startsWith("requested 1");
             holding(node, actions -> {
                 node.server.front().stopAccepting();
-                client.write(req("r2", "", ""));
-                actions.refuse(1, 0);
+                client.write(request("r2", "", ""));
+                actions.reject(1, 0);
             });
             assertThat(client.read()).startsWith("HTTP/1.1 503").contains("\r\nconnection: close\r\n");
             assertThat(client.readToEnd()).isNotNull().isEmpty();
         }
     }
 
-    /** A req taken late in a stop, at a backend that hangs, had no answer when the platform killed it. */
+    /** A request taken late in a stop, at a worker that hangs, had no answer when the platform killed it. */
     @Test
     void answersAllBeforeThePlatformKillsIt() throws Exception {
         try (TestNode node = new TestNode(); Peer early = node.client(); Peer late = node.client()) {
-            early.write(req("r1", "", ""));
+            early.write(request("r1", "", ""));
             hang(node);
-            final String req = req("r2", "", "body");
-            late.write(req.substring(0, req.length() - 1));
+            final String request = request("r2", "", "body");
+            late.write(request.substring(0, request.length() - 1));
             final CompletableFuture<Void> stopped = node.server.stop();
             final Future<?> killed = node.server.loop().schedule(() -> {}, 3_700, TimeUnit.MILLISECONDS);
             assertThat(node.client().isClosedByOther()).isTrue();
-            late.write(req.substring(req.length() - 1));
+            late.write(request.substring(request.length() - 1));
             hang(node);
             assertThat(early.read()).startsWith("HTTP/1.1 503");
             assertThat(late.read()).startsWith("HTTP/1.1 503").contains("\r\nconnection: close\r\n");
@@ -710,8 +710,8 @@
     /** The signal comes while the node starts: whoever still gets in is let go, and the node ends. */
     @Test
     void endsWhereItIsToldToBeforeItListens() throws Exception {
-        try (ServerSocket director = Peer.listen()) {
-            final NodeServer node = new NodeServer(NodeConfig.parse(TestNode.config(director,
+        try (ServerSocket discovery = Peer.listen()) {
+            final NodeServer node = new NodeServer(NodeConfig.parse(TestNode.config(discovery,
                 list(1, true, "")), java.util.Map.of()));
             final CompletableFuture<Void> stopped = node.stop();
             try (Peer client = Peer.connect(node.start())) {
@@ -743,7 +743,7 @@
         gone    | "name":"file"       | "name":"other"      | 404
         shorter | "deadlineUs":5000000 | "deadlineUs":4000000 | requested 1 class 3
         """)
-    void takesAReqByTheSettingsAtItsLastByte(String what, String from, String to, String then)
+    void takesARequestByTheSettingsAtItsLastByte(String what, String from, String to, String then)
         throws Exception {
         try (TestNode node = new TestNode(); Peer client = node.client()) {
             client.write("POST /file HTTP/1.1\r\nX-Request-Id: r1\r\nIdempotency-Key: k\r\n"
@@ -761,9 +761,9 @@
         }
     }
 
-    /** Of two reqs on one connection, each has what the settings said when it was taken, and no more. */
+    /** Of two requests on one connection, each has what the settings said when it was taken, and no more. */
     @Test
-    void takesNothingOverFromTheReqBeforeOnItsConnection() throws Exception {
+    void takesNothingOverFromTheRequestBeforeOnItsConnection() throws Exception {
         try (TestNode node = new TestNode(HOLDS); Peer client = node.client()) {
             client.write("POST /file?obj=2a HTTP/1.1\r\nX-Request-Id: r1\r\nIdempotency-Key: k\r\n"
                 + "X-Deadline: 900m\r\nContent-Length: 4\r\n\r\nbody");
@@ -775,7 +775,7 @@
             client.write("POST /check HTTP/1.1\r\nX-Request-Id: r2\r\nContent-Length: 0\r\n\r\n");
             assertThat(node.event()).isEqualTo("requested 2 class 2 key 0");
             node.act(actions -> actions.send(2, 0, Long.MAX_VALUE));
-            assertThat(node.backend().read()).doesNotContainIgnoringCase("Idempotency-Key")
+            assertThat(node.worker().read()).doesNotContainIgnoringCase("Idempotency-Key")
                 .endsWith("\r\n\r\n").containsPattern("(?i)X-Deadline: 4[0-9]{6}u\r\n");
         }
     }
@@ -783,17 +783,17 @@
     private static final UnaryOperator<String> SHARED = text -> text.replace("\"zones\":", "\"tenants\":["
         + "{\"name\":\"alpha\",\"quotaPerS\":5},{\"name\":\"beta co\",\"quotaPerS\":7}],\"zones\":");
 
-    /** Every req counted against the first customer's share, whoever had sent it. */
+    /** Every request counted against the first customer's share, whoever had sent it. */
     @Test
-    void countsEachReqAgainstTheShareOfItsOwnCustomer() throws Exception {
+    void countsEachRequestAgainstTheShareOfItsOwnCustomer() throws Exception {
         try (TestNode node = TestNode.configured(SHARED, HOLDS); Peer client = node.client()) {
-            client.write(req("r1", "X-Tenant: beta co\r\n", "") + req("r2", "X-Tenant: alpha\r\n", ""));
+            client.write(request("r1", "X-Tenant: beta co\r\n", "") + request("r2", "X-Tenant: alpha\r\n", ""));
             assertThat(node.event()).isEqualTo("requested 1 class 0 key 42 tenant 1");
             assertThat(node.event()).isEqualTo("requested 2 class 0 key 42");
             // The same name has another place, and no other setting has changed its meaning.
             reload(node, text -> SHARED.apply(text).replace("alpha", "gamma"));
             assertThat(node.event()).startsWith("retuned");
-            client.write(req("r3", "X-Tenant: gamma\r\n", ""));
+            client.write(request("r3", "X-Tenant: gamma\r\n", ""));
             assertThat(node.event()).isEqualTo("requested 3 class 0 key 42");
         }
     }
@@ -801,11 +801,11 @@
     @ParameterizedTest
     @ValueSource(strings = {"", "X-Tenant: \r\n", "X-Tenant: other\r\n",
         "X-Tenant: alpha\r\nX-Tenant: beta co\r\n"})
-    void answers400WhereAReqNamesNoCustomer(String headers) throws Exception {
+    void answers400WhereARequestNamesNoCustomer(String headers) throws Exception {
         try (TestNode node = TestNode.configured(SHARED, HOLDS); Peer client = node.client()) {
-            client.write(req("r1", headers, ""));
+            client.write(request("r1", headers, ""));
             assertThat(client.read()).startsWith("HTTP/1.1 400").containsIgnoringCase("X-Tenant");
-            client.write(req("r1", "X-Tenant: alpha\r\n", ""));
+            client.write(request("r1", "X-Tenant: alpha\r\n", ""));
             assertThat(node.event()).startsWith("requested 1");
         }
     }
@@ -822,9 +822,9 @@
     void closesIdleConnectionsThatTheNewSettingsKeepLessLong() throws Exception {
         try (TestNode node = TestNode.configured(text -> text.replace("\"connIdleUs\":2000000",
             "\"connIdleUs\":60000000"), SENDS); Peer client = node.client()) {
-            final Peer backend = kept(node, client);
+            final Peer worker = kept(node, client);
             reload(node, text -> text.replace("\"connIdleUs\":2000000", "\"connIdleUs\":50000000"));
-            assertThat(backend.isClosedByOther()).isTrue();
+            assertThat(worker.isClosedByOther()).isTrue();
         }
     }
 
@@ -834,9 +834,9 @@
             "deadlineUs\":60000000");
         try (TestNode node = TestNode.configured(text -> patient.apply(text).replace("250000", "40000000"),
             SENDS); Peer client = node.client()) {
-            fill(node.backend);
+            fill(node.worker);
             reload(node, patient);
-            client.write(req("r1", "", ""));
+            client.write(request("r1", "", ""));
             assertThat(eventStarting(node, "ended")).startsWith("ended 1 0 CONNECT_FAILED closed false");
         }
     }
@@ -849,26 +849,26 @@
             for (int i = 2; i <= 82; i++) {
                 held.add(node.client());
             }
-            held.get(held.size() - 1).write(req("last", "", ""));
+            held.get(held.size() - 1).write(request("last", "", ""));
             assertThat(node.event()).startsWith("requested 1");
             holding(node, actions -> {
                 held.add(node.client());
-                early.write(req("early", "", ""));
+                early.write(request("early", "", ""));
             });
             assertThat(eventStarting(node, "requested")).startsWith("requested 2");
             assertThat(held.get(0).isClosedByOther()).isTrue();
         }
     }
 
-    // ---- The director ----
+    // ---- Discovery ----
 
-    /** Begins a watch; the connection on which the director has its first call, unanswered. */
+    /** Begins a watch; the connection on which discovery has its first call, unanswered. */
     private static Peer watch(TestNode node) throws Exception {
-        node.act(Actions::watchList);
-        final Peer director = node.director();
-        director.read();
+        node.act(DispatcherActions::pollEndpointList);
+        final Peer discovery = node.discovery();
+        discovery.read();
         assertThat(node.event()).isEqualTo("listed FAILED");
-        return director;
+        return discovery;
     }
 
     /** The module's pause and a second call were to fit into the 6 s after which news counts as told. */
@@ -876,11 +876,11 @@
     void opensASilentWatchAnewAtOnce() throws Exception {
         try (TestNode node = new TestNode(HOLDS)) {
             final Peer silent = watch(node);
-            final Peer again = node.director();
+            final Peer again = node.discovery();
             assertThat(again.read()).contains("?since=1&timeout_ms=1 ");
             assertThat(silent.isClosedByOther()).isTrue();
             // What the silent one says now is not heard.
-            again.write(answer("200 OK", "", list(2, false, entry("s-1", node.backend, "DRAINING"))));
+            again.write(answer("200 OK", "", list(2, false, entry("s-1", node.worker, "DRAINING"))));
             assertThat(node.event()).isEqualTo("listed CHANGES 0DRAINING7000");
             assertThat(again.read()).contains("?since=2&timeout_ms=2000 ");
         }
@@ -891,12 +891,12 @@
     void asksAThirdTimeAtOnceWhereTheRepeatIsSilentToo() throws Exception {
         try (TestNode node = new TestNode(HOLDS)) {
             watch(node);
-            final Peer silentToo = node.director();
+            final Peer silentToo = node.discovery();
             assertThat(silentToo.read()).contains("?since=1&timeout_ms=1 ");
-            final Peer third = node.director();
+            final Peer third = node.discovery();
             assertThat(third.read()).contains("?since=1&timeout_ms=1 ");
             assertThat(silentToo.isClosedByOther()).isTrue();
-            third.write(answer("200 OK", "", list(2, false, entry("s-1", node.backend, "DRAINING"))));
+            third.write(answer("200 OK", "", list(2, false, entry("s-1", node.worker, "DRAINING"))));
             assertThat(node.event()).isEqualTo("listed CHANGES 0DRAINING7000");
             assertThat(third.read()).contains("?since=2&timeout_ms=2000 ");
         }
@@ -907,13 +907,13 @@
     void asksAgainForAWholeListThatDoesNotCome() throws Exception {
         try (TestNode node = new TestNode(HOLDS); ServerSocket next = Peer.listen()) {
             watch(node);
-            reload(node, text -> text.replace(":" + node.director.getLocalPort() + "\"",
+            reload(node, text -> text.replace(":" + node.discovery.getLocalPort() + "\"",
                 ":" + next.getLocalPort() + "\""));
             final Peer silent = Peer.accept(next);
             assertThat(silent.read()).startsWith("GET /registry/instances HTTP/1.1");
             final Peer again = Peer.accept(next);
             assertThat(again.read()).startsWith("GET /registry/instances HTTP/1.1");
-            again.write(answer("200 OK", "", list(4, true, entry("s-1", node.backend, "DRAINING"))));
+            again.write(answer("200 OK", "", list(4, true, entry("s-1", node.worker, "DRAINING"))));
             assertThat(eventStarting(node, "listed")).isEqualTo("listed FULL 0DRAINING7000");
         }
     }
@@ -924,47 +924,47 @@
         try (TestNode node = new TestNode(HOLDS)) {
             final Peer endless = watch(node);
             endless.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n{\r\n");
-            final Peer again = node.director();
+            final Peer again = node.discovery();
             assertThat(again.read()).contains("?since=1&timeout_ms=1 ");
         }
     }
 
-    /** A stale list brought a drained backend back; a director that counts anew is believed in the end. */
+    /** A stale list brought a drained worker back; a discovery service that counts anew is believed in the end. */
     @Test
     void doubtsAnOlderListOnce() throws Exception {
         try (TestNode node = new TestNode(HOLDS)) {
             final Peer stale = watch(node);
-            stale.write(answer("200 OK", "", list(0, true, entry("s-2", node.backend, "SERVING"))));
+            stale.write(answer("200 OK", "", list(0, true, entry("s-2", node.worker, "SERVING"))));
             assertThat(node.event()).isEqualTo("listed FAILED");
-            node.act(Actions::watchList);
-            final Peer again = node.director();
+            node.act(DispatcherActions::pollEndpointList);
+            final Peer again = node.discovery();
             assertThat(again.read()).startsWith("GET /registry/instances HTTP/1.1");
             assertThat(node.event()).isEqualTo("listed FAILED");
-            again.write(answer("200 OK", "", list(0, true, entry("s-2", node.backend, "SERVING"))));
+            again.write(answer("200 OK", "", list(0, true, entry("s-2", node.worker, "SERVING"))));
             assertThat(node.event()).startsWith("listed FULL 1READY");
             assertThat(again.read()).contains("?since=0&timeout_ms=2000 ");
         }
     }
 
-    /** The old director's answer lies unread when the file names another one: it is not taken. */
+    /** The old discovery service's answer lies unread when the file names another one: it is not taken. */
     @Test
-    void hearsNothingOfTheOldDirectorAfterTheMove() throws Exception {
+    void hearsNothingOfTheOldDiscoveryAfterTheMove() throws Exception {
         try (TestNode node = new TestNode(HOLDS); ServerSocket next = Peer.listen()) {
             final Peer old = watch(node);
-            final String text = node.configText().replace(":" + node.director.getLocalPort() + "\"",
+            final String text = node.configText().replace(":" + node.discovery.getLocalPort() + "\"",
                 ":" + next.getLocalPort() + "\"");
             final NodeConfig moved = NodeConfig.parse(text, java.util.Map.of());
             holding(node, actions -> {
-                old.write(answer("200 OK", "", list(9, false, entry("s-1", node.backend, "DRAINING"))));
+                old.write(answer("200 OK", "", list(9, false, entry("s-1", node.worker, "DRAINING"))));
                 node.server.reload(() -> moved);
-                actions.watchList();
+                actions.pollEndpointList();
             });
-            final Peer director = Peer.accept(next);
-            assertThat(director.read()).startsWith("GET /registry/instances HTTP/1.1");
+            final Peer discovery = Peer.accept(next);
+            assertThat(discovery.read()).startsWith("GET /registry/instances HTTP/1.1");
             assertThat(eventStarting(node, "listed")).isEqualTo("listed FAILED");
-            director.write(answer("200 OK", "", list(4, true, entry("s-1", node.backend, "SERVING"))));
+            discovery.write(answer("200 OK", "", list(4, true, entry("s-1", node.worker, "SERVING"))));
             assertThat(node.event()).isEqualTo("listed FULL 0READY7000");
-            assertThat(director.read()).contains("?since=4&");
+            assertThat(discovery.read()).contains("?since=4&");
         }
     }
 }
--- a/src/test/java/cresschute/node/DescriptorLimitTest.java
+++ b/src/test/java/cresschute/node/DescriptorLimitTest.java
@@ -41,7 +41,7 @@
     private InetSocketAddress address;
     private InetSocketAddress management;
     private final List<Peer> clients = new ArrayList<>();
-    private int mostOpen;
+    private int maxOpen;
 
     private void start(int discovery, String known) throws Exception {
         final Path config = folder.resolve("config.json");
@@ -79,8 +79,8 @@
 
     /** Notes what the process holds, which is never more than it may. */
     private void count() throws IOException {
-        mostOpen = Math.max(mostOpen, node.openDescriptors());
-        assertThat(mostOpen).as("open descriptors").isLessThan(DESCRIPTORS);
+        maxOpen = Math.max(maxOpen, node.openDescriptors());
+        assertThat(maxOpen).as("open descriptors").isLessThan(DESCRIPTORS);
     }
 
     /** Clients that connect and send nothing, more than the node has descriptors for. */
@@ -96,7 +96,7 @@
 
     private void isServed(String id) throws IOException {
         try (Peer client = Peer.connect(address)) {
-            client.write(TestNode.req(id, "", ""));
+            client.write(TestNode.request(id, "", ""));
             assertThat(client.read()).startsWith("HTTP/1.1 200").endsWith("\r\n\r\nyes");
         }
         count();
@@ -192,7 +192,7 @@
                     clients.add(Peer.connect(management));
                 }
                 for (int i = 0; i < SHARES.clients(); i++) {
-                    clients.add(Peer.connect(address).write(TestNode.req("r" + i, "", "")));
+                    clients.add(Peer.connect(address).write(TestNode.request("r" + i, "", "")));
                 }
                 Awaitility.await().atMost(MAX_WAIT).until(() -> {
                     count();
@@ -206,7 +206,7 @@
                 count();
                 assertThat(node.linesSoFar()).noneMatch(line -> line.contains("Too many open files"));
                 // So full it was: all but a part of what is in no share.
-                assertThat(mostOpen).isGreaterThan(SHARES.clients() + SHARES.workers() + SHARES.callers());
+                assertThat(maxOpen).isGreaterThan(SHARES.clients() + SHARES.workers() + SHARES.callers());
             } finally {
                 stop();
             }
--- a/src/test/java/cresschute/node/FleetSizeTest.java
+++ b/src/test/java/cresschute/node/FleetSizeTest.java
@@ -21,7 +21,7 @@
 
     private static final int MANY = 1_024;
     /** The least memory of a scored day that was seen, KiB. */
-    private static final long LEAST_MEMORY_KIB = 144 * 1024;
+    private static final long MIN_MEMORY_KIB = 144 * 1024;
 
     /** Every flag of the run line that bounds memory. */
     private static List<String> memoryFlags() throws Exception {
@@ -33,9 +33,9 @@
         return flags;
     }
 
-    private static String entries(ServerSocket backend, int first, String state) {
+    private static String entries(ServerSocket workerServer, int first, String state) {
         return IntStream.range(first, first + MANY)
-            .mapToObj(i -> TestNode.entry("s-" + i, backend, state)
+            .mapToObj(i -> TestNode.entry("s-" + i, workerServer, state)
                 .replace("\"cell\":0", "\"cell\":" + i / 6))
             .collect(Collectors.joining(","));
     }
@@ -48,27 +48,27 @@
     @Test
     void listsOfManyWorkersAndDispatchersAreServedFrom(@TempDir Path folder) throws Exception {
         final Path config = folder.resolve("config.json");
-        try (ServerSocket backend = Peer.listen(); ServerSocket director = Peer.listen()) {
-            Files.writeString(config, TestNode.config(director,
-                indented(TestNode.list(1, true, entries(backend, 0, "SERVING"))))
+        try (ServerSocket workerServer = Peer.listen(); ServerSocket discovery = Peer.listen()) {
+            Files.writeString(config, TestNode.config(discovery,
+                indented(TestNode.list(1, true, entries(workerServer, 0, "SERVING"))))
                 .replace("\"balancers\":1", "\"balancers\":" + MANY));
             final ProcessBuilder builder = new ProcessBuilder(ProgramProcess.command(memoryFlags(), "serve"));
             builder.environment().put("BALANCER_CONFIG", config.toString());
             try (ProgramProcess node = ProgramProcess.start(builder)) {
                 final int port = ProgramProcess.portIn(node.awaitLine("listens on"));
-                final Peer watch = Peer.accept(director);
+                final Peer watch = Peer.accept(discovery);
                 assertThat(watch.read()).contains("since=1&");
                 // Half of the first workers go and as many new ones come, in a list cut at odd places.
                 final String next = TestNode.answer("200 OK", "", indented(
-                    TestNode.list(2, true, entries(backend, MANY / 2, "SERVING"))));
+                    TestNode.list(2, true, entries(workerServer, MANY / 2, "SERVING"))));
                 for (int at = 0; at < next.length(); at += 9_973) {
                     watch.write(next.substring(at, Math.min(next.length(), at + 9_973)));
                 }
                 assertThat(watch.read()).contains("since=2&");
                 try (Peer client = Peer.connect(new InetSocketAddress("127.0.0.1", port))) {
                     for (int i = 0; i < 20; i++) {
-                        client.write(TestNode.req("r" + i, "", ""));
-                        try (Peer worker = Peer.accept(backend)) {
+                        client.write(TestNode.request("r" + i, "", ""));
+                        try (Peer worker = Peer.accept(workerServer)) {
                             worker.read();
                             worker.write(TestNode.answer("200 OK", "Connection: close\r\n",
                                 "{\"id\":\"r" + i + "\",\"state\":\"done\",\"result\":\"yes\"}\n"));
@@ -76,7 +76,7 @@
                         }
                     }
                 }
-                assertThat(memoryKib(node.process().pid())).as("memory, KiB").isLessThan(LEAST_MEMORY_KIB);
+                assertThat(memoryKib(node.process().pid())).as("memory, KiB").isLessThan(MIN_MEMORY_KIB);
                 assertThat(node.process().isAlive()).isTrue();
             }
         }
--- a/src/test/java/cresschute/node/LongBodyNode.java
+++ b/src/test/java/cresschute/node/LongBodyNode.java
@@ -15,7 +15,7 @@
     static final int MIB = KIB * KIB;
     static final long BUDGET = 16 * MIB;
     /** What one body, or one result, may hold: its window and what it may be lent. */
-    static final long MOST_OF_ONE = 256 * KIB;
+    static final long MAX_OF_ONE = 256 * KIB;
     static final long PATIENT_US = 20_000_000;
 
     private static final long WINDOW = 128 * KIB;
@@ -29,7 +29,7 @@
     private LongBodyNode() {}
 
     static Bodies bodies(ClassBodies each) {
-        return new Bodies(BUDGET, WINDOW, MOST_OF_ONE - WINDOW, SPOOL, 3 * WINDOW, List.of(each, each));
+        return new Bodies(BUDGET, WINDOW, MAX_OF_ONE - WINDOW, SPOOL, 3 * WINDOW, List.of(each, each));
     }
 
     static TestNode bodies(long stallUs, int sends) throws Exception {
@@ -40,7 +40,7 @@
         return new TestNode(bodies(new ClassBodies(64 * MIB, KIB, stallUs, true, deadlineToFirst)), 1);
     }
 
-    /** The head of a req with a body of this length, or in chunks where it is below 0. */
+    /** The head of a request with a body of this length, or in chunks where it is below 0. */
     static String head(String id, long length, String headers) {
         return "POST /check?obj=2a HTTP/1.1\r\nHost: api\r\nX-Request-Id: " + id + "\r\n" + headers
             + (length < 0 ? "Transfer-Encoding: chunked" : "Content-Length: " + length) + "\r\n\r\n";
--- a/src/test/java/cresschute/node/LongBodyRulesTest.java
+++ b/src/test/java/cresschute/node/LongBodyRulesTest.java
@@ -2,7 +2,7 @@
 
 import static cresschute.node.LongBodyNode.KIB;
 import static cresschute.node.LongBodyNode.MIB;
-import static cresschute.node.LongBodyNode.MOST_OF_ONE;
+import static cresschute.node.LongBodyNode.MAX_OF_ONE;
 import static cresschute.node.LongBodyNode.PATIENT_US;
 import static cresschute.node.LongBodyNode.beside;
 import static cresschute.node.LongBodyNode.bodies;
@@ -10,7 +10,7 @@
 import static cresschute.node.LongBodyNode.held;
 import static cresschute.node.LongBodyNode.untilFree;
 import static cresschute.node.TestNode.answer;
-import static cresschute.node.TestNode.req;
+import static cresschute.node.TestNode.request;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cresschute.settings.ApplianceSettings.ClassBodies;
@@ -36,21 +36,21 @@
     void passesOnWhatHasComeBeforeTheRestIsThere() throws Exception {
         try (TestNode node = node(1); Peer client = node.client()) {
             client.write(head("r1", MIB, "")).writeBytes(0, MIB / 2);
-            try (Peer backend = node.backend()) {
-                assertThat(backend.readHead()).startsWith("POST /check?obj=2a HTTP/1.1\r\n")
+            try (Peer worker = node.worker()) {
+                assertThat(worker.readHead()).startsWith("POST /check?obj=2a HTTP/1.1\r\n")
                     .containsIgnoringCase("Content-Length: " + MIB + "\r\n");
-                backend.readBytes(0, MIB / 2 - 32 * KIB);
-                // The backend's slot is held from here on, and the module is told so.
+                worker.readBytes(0, MIB / 2 - 32 * KIB);
+                // The worker's slot is held from here on, and the module is told so.
                 assertThat(node.event()).startsWith("requested 1");
                 assertThat(node.event()).startsWith("progressed 1 0 0.0");
                 client.writeBytes(MIB / 2, MIB / 2);
-                backend.readBytes(MIB / 2 - 32 * KIB, MIB / 2 + 32 * KIB);
-                backend.write(DONE);
+                worker.readBytes(MIB / 2 - 32 * KIB, MIB / 2 + 32 * KIB);
+                worker.write(DONE);
                 assertThat(client.read()).startsWith("HTTP/1.1 200 OK\r\n").endsWith("yes");
-                // The connection goes on with the next req, a short one, and so does the backend's.
-                client.write(req("r1", "", "short"));
-                assertThat(backend.read()).endsWith("short");
-                backend.write(DONE);
+                // The connection goes on with the next request, a short one, and so does the worker's.
+                client.write(request("r1", "", "short"));
+                assertThat(worker.read()).endsWith("short");
+                worker.write(DONE);
                 assertThat(client.read()).startsWith("HTTP/1.1 200 OK\r\n");
             }
             untilFree(node);
@@ -71,38 +71,38 @@
                 }
                 client.write("0\r\nX-Sum: 1\r\n\r\n");
             });
-            try (Peer backend = node.backend()) {
-                assertThat(backend.readHead()).containsIgnoringCase("Transfer-Encoding: chunked\r\n");
-                backend.readChunks(100L * chunk);
-                backend.write(DONE);
+            try (Peer worker = node.worker()) {
+                assertThat(worker.readHead()).containsIgnoringCase("Transfer-Encoding: chunked\r\n");
+                worker.readChunks(100L * chunk);
+                worker.write(DONE);
                 assertThat(client.read()).startsWith("HTTP/1.1 200 OK\r\n");
             }
             writing.join();
         }
     }
 
-    /** What is held is within the budget, however fast the client and however slow the backend. */
+    /** What is held is within the budget, however fast the client and however slow the worker. */
     @Test
-    void holdsNoMoreThanItsBoundWhileTheBackendReadsNothing() throws Exception {
+    void holdsNoMoreThanItsBoundWhileTheWorkerReadsNothing() throws Exception {
         final long length = 24L * MIB;
         try (TestNode node = node(1); Peer client = node.client()) {
             client.write(head("r1", length, ""));
             final CompletableFuture<Void> writing = beside(() -> {
                 client.writeBytes(0, length);
             });
-            try (Peer backend = node.backend()) {
-                backend.readHead();
+            try (Peer worker = node.worker()) {
+                worker.readHead();
                 long held = 0;
                 // Its window and what it may be lent, as nobody else wants any: then reading has stopped.
-                while (held <= MOST_OF_ONE - 64 * KIB) {
+                while (held <= MAX_OF_ONE - 64 * KIB) {
                     held = held(node);
-                    assertThat(held).isLessThanOrEqualTo(MOST_OF_ONE);
+                    assertThat(held).isLessThanOrEqualTo(MAX_OF_ONE);
                 }
                 for (long at = 0; at < length; at += MIB) {
-                    backend.readBytes(at, MIB);
-                    assertThat(held(node)).isLessThanOrEqualTo(MOST_OF_ONE);
+                    worker.readBytes(at, MIB);
+                    assertThat(held(node)).isLessThanOrEqualTo(MAX_OF_ONE);
                 }
-                backend.write(DONE);
+                worker.write(DONE);
                 assertThat(client.read()).startsWith("HTTP/1.1 200 OK\r\n");
             }
             writing.join();
@@ -110,17 +110,17 @@
         }
     }
 
-    /** A body that is kept goes to a further fetch from its first byte. */
+    /** A body that is kept goes to a further attempt from its first byte. */
     @Test
     void sendsKeptBodyAnewAfterABreak() throws Exception {
         try (TestNode node = node(2); Peer client = node.client()) {
             client.write(head("r1", 100 * KIB, "")).writeBytes(0, 100 * KIB);
-            try (Peer first = node.backend()) {
+            try (Peer first = node.worker()) {
                 first.readHead();
                 first.readBytes(0, 50 * KIB);
                 first.reset();
             }
-            try (Peer second = node.backend()) {
+            try (Peer second = node.worker()) {
                 second.readHead();
                 second.readBytes(0, 100 * KIB).write(DONE);
                 assertThat(client.read()).startsWith("HTTP/1.1 200 OK\r\n");
@@ -129,17 +129,17 @@
         }
     }
 
-    /** A second copy has all of a body that is kept, beside the first, each at its own pace. */
+    /** A hedged request has all of a body that is kept, beside the first, each at its own pace. */
     @Test
     void secondCopyOfAKeptBodyHasAllOfIt() throws Exception {
         try (TestNode node = node(1); Peer client = node.client()) {
             client.write(head("r1", 100 * KIB, "")).writeBytes(0, 100 * KIB);
             assertThat(node.event()).startsWith("requested 1");
-            try (Peer first = node.backend()) {
+            try (Peer first = node.worker()) {
                 first.readHead();
                 first.readBytes(0, 30 * KIB);
                 node.act(actions -> actions.send(1, 0, Long.MAX_VALUE));
-                try (Peer second = node.backend()) {
+                try (Peer second = node.worker()) {
                     second.readHead();
                     second.readBytes(0, 100 * KIB).write(DONE);
                     assertThat(client.read()).startsWith("HTTP/1.1 200 OK\r\n");
@@ -151,15 +151,15 @@
         }
     }
 
-    /** A body that is partly gone goes to no second backend, and that counts for no loss there. */
+    /** A body that is partly gone goes to no second worker, and that counts for no loss there. */
     @Test
     void secondCopyBeyondTheSpoolIsNotBegun() throws Exception {
         try (TestNode node = node(1); Peer client = node.client()) {
             client.write(head("r1", MIB, "")).writeBytes(0, MIB / 2);
             assertThat(node.event()).startsWith("requested 1");
-            try (Peer backend = node.backend()) {
-                backend.readHead();
-                backend.readBytes(0, MIB / 2 - 32 * KIB);
+            try (Peer worker = node.worker()) {
+                worker.readHead();
+                worker.readBytes(0, MIB / 2 - 32 * KIB);
                 node.act(actions -> actions.send(1, 0, Long.MAX_VALUE));
                 assertThat(node.eventBesideProgress()).isEqualTo("listed FAILED");
                 assertThat(node.eventBesideProgress()).startsWith("ended 1 1 CANCELLED closed false");
@@ -173,10 +173,10 @@
         try (TestNode node = node(2); Peer client = node.client()) {
             client.write(head("r1", MIB, "")).writeBytes(0, MIB / 2);
             assertThat(node.eventBesideProgress()).startsWith("requested 1");
-            try (Peer backend = node.backend()) {
-                backend.readHead();
-                backend.readBytes(0, MIB / 2 - 32 * KIB);
-                backend.reset();
+            try (Peer worker = node.worker()) {
+                worker.readHead();
+                worker.readBytes(0, MIB / 2 - 32 * KIB);
+                worker.reset();
             }
             assertThat(node.eventBesideProgress()).startsWith("ended 1 0 CONNECT_FAILED closed true");
             assertThat(client.read()).startsWith("HTTP/1.1 503 ").containsIgnoringCase("Retry-After: 1\r\n")
@@ -186,13 +186,13 @@
     }
 
     @Test
-    void clientThatLeavesInTheMiddleEndsItsFetchWithoutBlame() throws Exception {
+    void clientThatLeavesInTheMiddleEndsItsAttemptWithoutBlame() throws Exception {
         try (TestNode node = node(2)) {
             final Peer client = node.client();
             client.write(head("r1", MIB, "")).writeBytes(0, MIB / 2);
-            try (Peer backend = node.backend()) {
-                backend.readHead();
-                backend.readBytes(0, MIB / 4);
+            try (Peer worker = node.worker()) {
+                worker.readHead();
+                worker.readBytes(0, MIB / 4);
                 client.close();
                 assertThat(node.eventBesideProgress()).startsWith("requested 1");
                 assertThat(node.eventBesideProgress()).isEqualTo("left 1");
@@ -219,10 +219,10 @@
             assertThat(node.events).noneMatch(event -> event.startsWith("requested"));
             // Short bodies need none of that room.
             try (Peer other = node.client()) {
-                other.write(req("r1", "", "short"));
-                try (Peer backend = node.backend()) {
-                    backend.read();
-                    backend.write(DONE);
+                other.write(request("r1", "", "short"));
+                try (Peer worker = node.worker()) {
+                    worker.read();
+                    worker.write(DONE);
                     assertThat(other.read()).startsWith("HTTP/1.1 200 OK\r\n");
                 }
             }
@@ -230,7 +230,7 @@
     }
 
     @Test
-    void endsBodyThatGrowsBeyondItsClassWithItsFetch() throws Exception {
+    void endsBodyThatGrowsBeyondItsClassWithItsAttempt() throws Exception {
         final ClassBodies small = new ClassBodies(300 * KIB, KIB, PATIENT_US, false, false);
         try (TestNode node = new TestNode(LongBodyNode.bodies(small), 1);
             Peer client = node.client();
@@ -239,8 +239,8 @@
             assertThat(told.read()).startsWith("HTTP/1.1 413 ").endsWith("body over 300 KiB\n");
             client.write(head("r1", -1, "")).write(Integer.toHexString(MIB) + "\r\n")
                 .writeBytes(0, 290 * KIB);
-            try (Peer backend = node.backend()) {
-                backend.readHead();
+            try (Peer worker = node.worker()) {
+                worker.readHead();
                 client.writeBytes(290 * KIB, 11 * KIB);
                 assertThat(client.read()).startsWith("HTTP/1.1 413 ");
                 assertThat(node.eventBesideProgress()).startsWith("requested 1");
@@ -251,14 +251,14 @@
         }
     }
 
-    /** What is no chunk ends the body, and with it a req that was taken. */
+    /** What is no chunk ends the body, and with it a request that was taken. */
     @Test
     void chunkExtensionWithoutEndIsNoBody() throws Exception {
         try (TestNode node = node(1); Peer client = node.client()) {
             client.write(head("r1", -1, "")).writeChunk(0, MIB / 2);
             assertThat(node.event()).startsWith("requested 1");
-            try (Peer backend = node.backend()) {
-                backend.readHead();
+            try (Peer worker = node.worker()) {
+                worker.readHead();
                 client.write("5;" + "x".repeat(10_000));
                 assertThat(client.read()).startsWith("HTTP/1.1 400 ");
                 assertThat(node.eventBesideProgress()).isEqualTo("left 1");
@@ -268,18 +268,18 @@
         }
     }
 
-    /** What comes beyond a stated length is no part of the body, and as a req it is none. */
+    /** What comes beyond a stated length is no part of the body, and as a request it is none. */
     @Test
     void bytesBeyondTheLengthAreNotPassedOn() throws Exception {
         try (TestNode node = node(1); Peer client = node.client()) {
             client.write(head("r1", MIB / 2, "")).writeBytes(0, MIB / 2).write("more\r\n\r\n");
-            try (Peer backend = node.backend()) {
-                backend.readHead();
-                backend.readBytes(0, MIB / 2);
+            try (Peer worker = node.worker()) {
+                worker.readHead();
+                worker.readBytes(0, MIB / 2);
                 assertThat(client.isClosedByOther()).isTrue();
-                assertThat(backend.hasNews()).isFalse();
+                assertThat(worker.hasNews()).isFalse();
                 // The job has its body whole and runs on, for nobody.
-                backend.write(DONE);
+                worker.write(DONE);
                 untilFree(node);
             }
         }
@@ -295,16 +295,16 @@
         }
     }
 
-    /** A backend that takes nothing is at fault, its client is not. */
+    /** A worker that takes nothing is at fault, its client is not. */
     @Test
-    void givesUpBackendThatTakesNothing() throws Exception {
+    void givesUpWorkerThatTakesNothing() throws Exception {
         final long length = 32L * MIB;
         try (TestNode node = bodies(2_000_000, 1); Peer client = node.client()) {
             client.write(head("r1", length, ""));
             final CompletableFuture<Void> writing = beside(() -> client.writeBytes(0, length));
             assertThat(node.eventBesideProgress()).startsWith("requested 1");
-            try (Peer backend = node.backend()) {
-                backend.readHead();
+            try (Peer worker = node.worker()) {
+                worker.readHead();
                 assertThat(node.eventBesideProgress()).startsWith("ended 1 0 CONNECT_FAILED closed true");
                 untilFree(node);
             }
@@ -318,18 +318,18 @@
     void stopWaitsForBodiesUnderWay() throws Exception {
         try (TestNode node = node(1); Peer client = node.client()) {
             client.write(head("r1", MIB, "")).writeBytes(0, MIB / 2);
-            try (Peer backend = node.backend()) {
-                backend.readHead();
+            try (Peer worker = node.worker()) {
+                worker.readHead();
                 final CompletableFuture<Void> stopped = node.server.stop();
-                backend.readBytes(0, MIB / 4);
+                worker.readBytes(0, MIB / 4);
                 // Until no more is accepted; the connection that is at work stays.
                 while (!refuses(node)) {
                     Thread.onSpinWait();
                 }
                 assertThat(stopped).isNotDone();
                 client.writeBytes(MIB / 2, MIB / 2);
-                backend.readBytes(MIB / 4, 3 * MIB / 4);
-                backend.write(DONE);
+                worker.readBytes(MIB / 4, 3 * MIB / 4);
+                worker.write(DONE);
                 assertThat(client.read()).startsWith("HTTP/1.1 200 OK\r\n")
                     .containsIgnoringCase("Connection: close\r\n");
                 stopped.get(8, TimeUnit.SECONDS);
@@ -358,13 +358,13 @@
                 }
                 client.write("0\r\n\r\n");
             });
-            try (Peer backend = node.backend()) {
-                backend.readHead();
-                while (held(node) <= MOST_OF_ONE - 64 * KIB && !writing.isDone()) {
+            try (Peer worker = node.worker()) {
+                worker.readHead();
+                while (held(node) <= MAX_OF_ONE - 64 * KIB && !writing.isDone()) {
                     Thread.onSpinWait();
                 }
-                assertThat(held(node)).isLessThanOrEqualTo(MOST_OF_ONE);
-                backend.write(DONE);
+                assertThat(held(node)).isLessThanOrEqualTo(MAX_OF_ONE);
+                worker.write(DONE);
                 assertThat(client.read()).startsWith("HTTP/1.1 200 OK\r\n");
             }
             client.reset();
--- a/src/test/java/cresschute/node/LongResultRulesTest.java
+++ b/src/test/java/cresschute/node/LongResultRulesTest.java
@@ -2,14 +2,14 @@
 
 import static cresschute.node.LongBodyNode.KIB;
 import static cresschute.node.LongBodyNode.MIB;
-import static cresschute.node.LongBodyNode.MOST_OF_ONE;
+import static cresschute.node.LongBodyNode.MAX_OF_ONE;
 import static cresschute.node.LongBodyNode.PATIENT_US;
 import static cresschute.node.LongBodyNode.beside;
 import static cresschute.node.LongBodyNode.held;
 import static cresschute.node.LongBodyNode.results;
 import static cresschute.node.LongBodyNode.untilFree;
 import static cresschute.node.TestNode.answer;
-import static cresschute.node.TestNode.req;
+import static cresschute.node.TestNode.request;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.nio.charset.StandardCharsets;
@@ -38,17 +38,17 @@
         return CHUNKED + line("r1", "\"state\":\"started\"") + line("r1", "\"state\":\"result\"" + rest);
     }
 
-    /** A client whose req is at the backend, which has read it. */
+    /** A client whose request is at the worker, which has read it. */
     private static Peer asked(TestNode node, String headers) throws Exception {
-        return node.client().write(req("r1", headers, "body"));
+        return node.client().write(request("r1", headers, "body"));
     }
 
     @Test
     void passesOnWhatIsMadeBeforeTheRestIsThere() throws Exception {
         try (TestNode node = results(PATIENT_US, false); Peer client = asked(node, "")) {
-            try (Peer backend = node.backend()) {
-                backend.read();
-                backend.write(result(",\"type\":\"text/csv\"")).writeChunk(0, 40 * KIB);
+            try (Peer worker = node.worker()) {
+                worker.read();
+                worker.write(result(",\"type\":\"text/csv\"")).writeChunk(0, 40 * KIB);
                 assertThat(client.readHead()).startsWith("HTTP/1.1 200 OK\r\n")
                     .containsIgnoringCase("content-type: text/csv\r\n")
                     .containsIgnoringCase("transfer-encoding: chunked\r\n");
@@ -56,39 +56,39 @@
                 assertThat(node.event()).startsWith("progressed 1 0 0.0");
                 // For the module the job has run; its answer is still on its way.
                 assertThat(node.event()).startsWith("ended 1 0 SERVED closed true");
-                backend.writeChunk(40 * KIB, 10 * KIB).write("0\r\nX-Job-State: done\r\n\r\n");
+                worker.writeChunk(40 * KIB, 10 * KIB).write("0\r\nX-Job-State: done\r\n\r\n");
                 client.readChunks(50 * KIB);
                 untilFree(node);
-                // Both connections go on with the next req.
-                client.write(req("r1", "", "again"));
-                backend.read();
-                backend.write(answer("200 OK", "", "{\"id\":\"r1\",\"state\":\"done\",\"result\":\"y\"}\n"));
+                // Both connections go on with the next request.
+                client.write(request("r1", "", "again"));
+                worker.read();
+                worker.write(answer("200 OK", "", "{\"id\":\"r1\",\"state\":\"done\",\"result\":\"y\"}\n"));
                 assertThat(client.read()).startsWith("HTTP/1.1 200 OK\r\n").endsWith("y");
             }
         }
     }
 
-    /** What is held is within the bound, however fast the backend and however slow the client. */
+    /** What is held is within the bound, however fast the worker and however slow the client. */
     @Test
     void holdsNoMoreThanItsBoundWhileTheClientReadsNothing() throws Exception {
         final long length = 24L * MIB;
         try (TestNode node = results(PATIENT_US, false); Peer client = asked(node, "")) {
-            try (Peer backend = node.backend()) {
-                backend.read();
-                backend.write(result(",\"length\":" + length));
+            try (Peer worker = node.worker()) {
+                worker.read();
+                worker.write(result(",\"length\":" + length));
                 final CompletableFuture<Void> writing = beside(() -> {
                     for (long at = 0; at < length; at += MIB) {
-                        backend.writeChunk(at, MIB);
+                        worker.writeChunk(at, MIB);
                     }
-                    backend.write("0\r\n\r\n");
+                    worker.write("0\r\n\r\n");
                 });
-                while (held(node) <= MOST_OF_ONE - 64 * KIB) {
+                while (held(node) <= MAX_OF_ONE - 64 * KIB) {
                     Thread.onSpinWait();
                 }
                 assertThat(client.readHead()).containsIgnoringCase("content-length: " + length + "\r\n");
                 for (long at = 0; at < length; at += MIB) {
                     client.readBytes(at, MIB);
-                    assertThat(held(node)).isLessThanOrEqualTo(MOST_OF_ONE);
+                    assertThat(held(node)).isLessThanOrEqualTo(MAX_OF_ONE);
                 }
                 writing.join();
                 untilFree(node);
@@ -101,14 +101,14 @@
     @ValueSource(strings = {"break", "0\r\n\r\n", "0\r\nX-Job-State: failed\r\n\r\n"})
     void brokenResultNeverLooksWhole(String end) throws Exception {
         try (TestNode node = results(PATIENT_US, false); Peer client = asked(node, "")) {
-            try (Peer backend = node.backend()) {
-                backend.read();
-                backend.write(result("")).writeChunk(0, 100);
+            try (Peer worker = node.worker()) {
+                worker.read();
+                worker.write(result("")).writeChunk(0, 100);
                 assertThat(client.readHead()).containsIgnoringCase("transfer-encoding: chunked\r\n");
                 if (end.equals("break")) {
-                    backend.reset();
+                    worker.reset();
                 } else {
-                    backend.write(end);
+                    worker.write(end);
                 }
                 assertThat(new String(client.readToEnd(), StandardCharsets.ISO_8859_1))
                     .doesNotEndWith("\r\n0\r\n\r\n");
@@ -121,10 +121,10 @@
     @CsvSource({"100, 99", "100, 101"})
     void resultOfAnotherLengthThanToldIsBroken(int told, int came) throws Exception {
         try (TestNode node = results(PATIENT_US, false); Peer client = asked(node, "")) {
-            try (Peer backend = node.backend()) {
-                backend.read();
+            try (Peer worker = node.worker()) {
+                worker.read();
                 // Beside: the node hangs up as soon as it is too long, maybe before all is written.
-                beside(() -> backend.write(result(",\"length\":" + told)).writeChunk(0, came)
+                beside(() -> worker.write(result(",\"length\":" + told)).writeChunk(0, came)
                     .write("0\r\n\r\n"));
                 client.readHead();
                 assertThat(client.readToEnd()).hasSizeLessThan(told);
@@ -138,13 +138,13 @@
     @ValueSource(booleans = {true, false})
     void oldClientSeesWhetherItIsWhole(boolean whole) throws Exception {
         try (TestNode node = results(PATIENT_US, false); Peer client = node.client()) {
-            client.write(req("r1", "", "body").replace("HTTP/1.1", "HTTP/1.0"));
-            try (Peer backend = node.backend()) {
-                backend.read();
-                backend.write(result("")).writeChunk(0, 100);
+            client.write(request("r1", "", "body").replace("HTTP/1.1", "HTTP/1.0"));
+            try (Peer worker = node.worker()) {
+                worker.read();
+                worker.write(result("")).writeChunk(0, 100);
                 client.readHead();
                 client.readBytes(0, 100);
-                backend.write("0\r\nX-Job-State: " + (whole ? "done" : "lost") + "\r\n\r\n");
+                worker.write("0\r\nX-Job-State: " + (whole ? "done" : "lost") + "\r\n\r\n");
                 assertThat(client.readToEnd()).isEqualTo(whole ? new byte[0] : null);
             }
         }
@@ -156,7 +156,7 @@
         try (TestNode node = results(PATIENT_US, false); Peer client = asked(node, "")) {
             assertThat(node.event()).startsWith("requested 1");
             node.act(actions -> actions.send(1, 0, Long.MAX_VALUE));
-            try (Peer first = node.backend(); Peer second = node.backend()) {
+            try (Peer first = node.worker(); Peer second = node.worker()) {
                 first.read();
                 second.read();
                 second.write(result("")).writeChunk(0, 100);
@@ -179,35 +179,35 @@
     @Test
     void clientThatLeavesEndsTheResult() throws Exception {
         try (TestNode node = results(PATIENT_US, false); Peer client = asked(node, "")) {
-            try (Peer backend = node.backend()) {
-                backend.read();
-                backend.write(result("")).writeChunk(0, 100);
+            try (Peer worker = node.worker()) {
+                worker.read();
+                worker.write(result("")).writeChunk(0, 100);
                 client.readHead();
                 client.reset();
-                assertThat(backend.isClosedByOther()).isTrue();
+                assertThat(worker.isClosedByOther()).isTrue();
                 untilFree(node);
             }
         }
     }
 
     /**
-     * A backend that begins its result before it has all of the body: its fetch has ended by that, and must
+     * A worker that begins its result before it has all of the body: its attempt has ended by that, and must
      * not end again as the rest of the body is lost.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void resultBeforeTheBodysEndEndsItsFetchOnce(boolean whole) throws Exception {
+    void resultBeforeTheBodysEndEndsItsAttemptOnce(boolean whole) throws Exception {
         try (TestNode node = results(PATIENT_US, false); Peer client = node.client()) {
             client.write(LongBodyNode.head("r1", MIB, "")).writeBytes(0, MIB / 2);
-            try (Peer backend = node.backend()) {
-                backend.readHead();
-                backend.write(result("")).writeChunk(0, 100);
+            try (Peer worker = node.worker()) {
+                worker.readHead();
+                worker.write(result("")).writeChunk(0, 100);
                 client.readHead();
                 if (whole) {
-                    backend.write("0\r\nX-Job-State: done\r\n\r\n");
+                    worker.write("0\r\nX-Job-State: done\r\n\r\n");
                     client.readChunks(100);
                 } else {
-                    backend.reset();
+                    worker.reset();
                     assertThat(new String(client.readToEnd(), StandardCharsets.ISO_8859_1))
                         .doesNotEndWith("\r\n0\r\n\r\n");
                 }
@@ -216,13 +216,13 @@
         }
     }
 
-    /** A line of this kind from a backend of a class that has no long results is no answer. */
+    /** A line of this kind from a worker of a class that has no long results is no answer. */
     @Test
     void longResultIsNoAnswerWhereNoneIsExpected() throws Exception {
         try (TestNode node = LongBodyNode.bodies(PATIENT_US, 1); Peer client = asked(node, "")) {
-            try (Peer backend = node.backend()) {
-                backend.read();
-                backend.write(result(""));
+            try (Peer worker = node.worker()) {
+                worker.read();
+                worker.write(result(""));
                 assertThat(client.read()).startsWith("HTTP/1.1 503 ");
             }
         }
@@ -236,10 +236,10 @@
             Peer second = node.client();
             Peer third = node.client();
             Peer fourth = node.client()) {
-            second.write(req("r2", "", "body"));
-            third.write(req("r3", "", "body"));
-            try (Peer one = node.backend(); Peer two = node.backend(); Peer three = node.backend()) {
-                fourth.write(req("r4", "", "body"));
+            second.write(request("r2", "", "body"));
+            third.write(request("r3", "", "body"));
+            try (Peer one = node.worker(); Peer two = node.worker(); Peer three = node.worker()) {
+                fourth.write(request("r4", "", "body"));
                 assertThat(fourth.read()).startsWith("HTTP/1.1 503 ")
                     .containsIgnoringCase("Retry-After: 1\r\n");
                 assertThat(List.of(one.read(), two.read(), three.read()))
@@ -253,28 +253,28 @@
 
     /** Nothing comes for the longest stall, although there is room. */
     @Test
-    void givesUpBackendThatMakesNothingMore() throws Exception {
+    void givesUpWorkerThatMakesNothingMore() throws Exception {
         try (TestNode node = results(300_000, false); Peer client = asked(node, "")) {
-            try (Peer backend = node.backend()) {
-                backend.read();
-                backend.write(result(",\"length\":1000")).writeChunk(0, 500);
+            try (Peer worker = node.worker()) {
+                worker.read();
+                worker.write(result(",\"length\":1000")).writeChunk(0, 500);
                 client.readHead();
                 assertThat(client.readToEnd()).hasSize(500);
-                assertThat(backend.isClosedByOther()).isTrue();
+                assertThat(worker.isClosedByOther()).isTrue();
             }
         }
     }
 
-    /** A client that takes nothing for the longest stall is given up, and the backend is free. */
+    /** A client that takes nothing for the longest stall is given up, and the worker is free. */
     @Test
     void givesUpClientThatReadsNothing() throws Exception {
         try (TestNode node = results(1_000_000, false); Peer client = asked(node, "")) {
-            try (Peer backend = node.backend()) {
-                backend.read();
-                backend.write(result(""));
+            try (Peer worker = node.worker()) {
+                worker.read();
+                worker.write(result(""));
                 final CompletableFuture<Void> writing = beside(() -> {
                     for (long at = 0; at < 64; at++) {
-                        backend.writeChunk(at * MIB, MIB);
+                        worker.writeChunk(at * MIB, MIB);
                     }
                 });
                 assertThat(writing.handle((done, broken) -> broken != null).get(20, TimeUnit.SECONDS))
@@ -291,14 +291,14 @@
     void deadlineCountsToTheByteThatTheClassSays(boolean toFirst) throws Exception {
         try (TestNode node = results(PATIENT_US, toFirst);
             Peer client = asked(node, "X-Deadline: 500m\r\n")) {
-            try (Peer backend = node.backend()) {
-                backend.read();
-                backend.write(result(",\"length\":200")).writeChunk(0, 100);
+            try (Peer worker = node.worker()) {
+                worker.read();
+                worker.write(result(",\"length\":200")).writeChunk(0, 100);
                 client.readHead();
                 // The node's own clock tells when the time is over.
                 node.server.loop().schedule(() -> {}, 600, TimeUnit.MILLISECONDS).get();
                 if (toFirst) {
-                    backend.writeChunk(100, 100).write("0\r\n\r\n");
+                    worker.writeChunk(100, 100).write("0\r\n\r\n");
                     client.readBytes(0, 200);
                 } else {
                     assertThat(client.readToEnd()).hasSize(100);
@@ -307,14 +307,14 @@
         }
     }
 
-    /** Answers keep the order of their reqs, long or not. */
+    /** Answers keep the order of their requests, long or not. */
     @Test
     void answersBehindALongResultWaitForIt() throws Exception {
         try (TestNode node = results(PATIENT_US, false); Peer client = asked(node, "")) {
-            try (Peer first = node.backend()) {
+            try (Peer first = node.worker()) {
                 first.read();
-                client.write(req("r2", "", "two"));
-                try (Peer second = node.backend()) {
+                client.write(request("r2", "", "two"));
+                try (Peer second = node.worker()) {
                     assertThat(second.read()).endsWith("two");
                     second.write(CHUNKED + line("r2", "\"state\":\"result\"")).writeChunk(0, 30)
                         .write("0\r\nX-Job-State: done\r\n\r\n");
@@ -333,14 +333,14 @@
     @Test
     void stopWaitsForResultsUnderWay() throws Exception {
         try (TestNode node = results(PATIENT_US, false); Peer client = asked(node, "")) {
-            try (Peer backend = node.backend()) {
-                backend.read();
-                backend.write(result("")).writeChunk(0, 100);
+            try (Peer worker = node.worker()) {
+                worker.read();
+                worker.write(result("")).writeChunk(0, 100);
                 client.readHead();
                 final CompletableFuture<Void> stopped = node.server.stop();
                 node.server.loop().schedule(() -> {}, 600, TimeUnit.MILLISECONDS).get();
                 assertThat(stopped).isNotDone();
-                backend.writeChunk(100, 100).write("0\r\nX-Job-State: done\r\n\r\n");
+                worker.writeChunk(100, 100).write("0\r\nX-Job-State: done\r\n\r\n");
                 client.readChunks(200);
                 // A connection that carried it while the stop was told ends with the stop, or by its client.
                 client.reset();
--- a/src/test/java/cresschute/node/MainTest.java
+++ b/src/test/java/cresschute/node/MainTest.java
@@ -19,15 +19,15 @@
 
     private static final String IGNORED = "SIGHUP is ignored, as this process was started with it ignored";
 
-    private static ProgramProcess serve(String config, String director) throws Exception {
-        return serve(ProgramProcess.command(List.of(), "serve"), config, director);
+    private static ProgramProcess serve(String config, String discovery) throws Exception {
+        return serve(ProgramProcess.command(List.of(), "serve"), config, discovery);
     }
 
-    private static ProgramProcess serve(List<String> command, String config, String director)
+    private static ProgramProcess serve(List<String> command, String config, String discovery)
         throws Exception {
         final ProcessBuilder builder = new ProcessBuilder(command);
         builder.environment().put("BALANCER_CONFIG", config);
-        builder.environment().put("BALANCER_DISCOVERY", director);
+        builder.environment().put("BALANCER_DISCOVERY", discovery);
         return ProgramProcess.start(builder);
     }
 
@@ -39,14 +39,14 @@
         }
     }
 
-    /** A hang-up ended the process. The environment names the old director for ever; the file may not. */
+    /** A hang-up ended the process. The environment names the old discovery service for ever; the file may not. */
     @Test
-    void followsTheFilesDirectorOnSighup(@TempDir Path folder) throws Exception {
+    void followsTheFilesDiscoveryOnSighup(@TempDir Path folder) throws Exception {
         final Path config = folder.resolve("config.json");
-        try (ServerSocket backend = Peer.listen();
+        try (ServerSocket workerServer = Peer.listen();
             ServerSocket old = Peer.listen();
             ServerSocket next = Peer.listen()) {
-            final String known = TestNode.list(1, true, TestNode.entry("s-1", backend, "SERVING"));
+            final String known = TestNode.list(1, true, TestNode.entry("s-1", workerServer, "SERVING"));
             Files.writeString(config, TestNode.config(old, known));
             try (ProgramProcess node = serve(config.toString(), "127.0.0.1:" + old.getLocalPort())) {
                 Peer.accept(old).read();
@@ -55,10 +55,10 @@
                 node.awaitLine("not reloaded, the old configuration stays: configuration: ");
                 Files.writeString(config, TestNode.config(next, known));
                 node.signal("HUP");
-                final Peer director = Peer.accept(next);
-                assertThat(director.read()).startsWith("GET /registry/instances HTTP/1.1");
-                director.write(TestNode.answer("200 OK", "", TestNode.list(9, true, "")));
-                assertThat(director.read()).startsWith("GET /registry/instances?since=9&");
+                final Peer discovery = Peer.accept(next);
+                assertThat(discovery.read()).startsWith("GET /registry/instances HTTP/1.1");
+                discovery.write(TestNode.answer("200 OK", "", TestNode.list(9, true, "")));
+                assertThat(discovery.read()).startsWith("GET /registry/instances?since=9&");
                 assertThat(node.process().isAlive()).isTrue();
                 assertThat(node.linesSoFar()).noneMatch(line -> line.contains(IGNORED));
             }
@@ -69,16 +69,16 @@
     @Test
     void saysWhereSighupIsIgnored(@TempDir Path folder) throws Exception {
         final Path config = folder.resolve("config.json");
-        try (ServerSocket backend = Peer.listen(); ServerSocket director = Peer.listen()) {
-            Files.writeString(config, TestNode.config(director,
-                TestNode.list(1, true, TestNode.entry("s-1", backend, "SERVING"))));
+        try (ServerSocket workerServer = Peer.listen(); ServerSocket discovery = Peer.listen()) {
+            Files.writeString(config, TestNode.config(discovery,
+                TestNode.list(1, true, TestNode.entry("s-1", workerServer, "SERVING"))));
             final List<String> command = new ArrayList<>(List.of("sh", "-c",
                 "trap '' HUP; exec \"$@\"", "sh"));
             command.addAll(ProgramProcess.commandInheritingSignals("serve"));
             try (ProgramProcess node = serve(command, config.toString(), "")) {
                 node.awaitLine(IGNORED);
                 node.awaitLine(" listens on ");
-                final Peer watch = Peer.accept(director);
+                final Peer watch = Peer.accept(discovery);
                 assertThat(watch.read()).startsWith("GET /registry/instances");
                 Files.writeString(config, "{\"name\":");
                 node.signal("HUP");
@@ -97,14 +97,14 @@
     @Test
     void answersWhatItTookAfterSigterm(@TempDir Path folder) throws Exception {
         final Path config = folder.resolve("config.json");
-        try (ServerSocket backend = Peer.listen(); ServerSocket director = Peer.listen()) {
-            Files.writeString(config, TestNode.config(director,
-                TestNode.list(1, true, TestNode.entry("s-1", backend, "SERVING"))));
+        try (ServerSocket workerServer = Peer.listen(); ServerSocket discovery = Peer.listen()) {
+            Files.writeString(config, TestNode.config(discovery,
+                TestNode.list(1, true, TestNode.entry("s-1", workerServer, "SERVING"))));
             try (ProgramProcess node = serve(config.toString(), "")) {
                 final int port = ProgramProcess.portIn(node.awaitLine("listens on"));
                 final Peer client = Peer.connect(new InetSocketAddress("127.0.0.1", port));
-                client.write(TestNode.req("r1", "", ""));
-                final Peer worker = Peer.accept(backend);
+                client.write(TestNode.request("r1", "", ""));
+                final Peer worker = Peer.accept(workerServer);
                 worker.read();
                 node.signal("TERM");
                 node.awaitLine("no longer accepting: 1 reqs");
--- a/src/test/java/cresschute/node/OperatorsRulesTest.java
+++ b/src/test/java/cresschute/node/ManagementRulesTest.java
@@ -1,7 +1,7 @@
 package cresschute.node;
 
 import static cresschute.node.TestNode.answer;
-import static cresschute.node.TestNode.req;
+import static cresschute.node.TestNode.request;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.nio.file.Files;
@@ -13,7 +13,7 @@
 
 /** What the platform's operators call, one promise a test, over real sockets. */
 @Timeout(30)
-class OperatorsRulesTest {
+class ManagementRulesTest {
 
     private static final String READY = "GET /health/ready HTTP/1.1\r\nHost: api\r\n\r\n";
 
@@ -24,7 +24,7 @@
         return "{\"id\":\"" + id + "\",\"from\":\"s-1\",\"state\":\"done\",\"result\":\"yes\"}\n";
     }
 
-    /** The next event that is not a note of progress or a req's. */
+    /** The next event that is not a note of progress or a request's. */
     private static String listEvent(TestNode node) throws InterruptedException {
         for (String event = node.event(); event != null; event = node.event()) {
             if (event.startsWith("listed")) {
@@ -92,9 +92,9 @@
             Peer idle = node.client();
             Peer busy = node.client()) {
             assertThat(idle.write(READY).read()).startsWith("HTTP/1.1 200");
-            busy.write(req("r1", "", ""));
-            final Peer backend = node.backend();
-            backend.read();
+            busy.write(request("r1", "", ""));
+            final Peer worker = node.worker();
+            worker.read();
             assertThat(node.call("drain")).startsWith("200 draining");
             assertThat(node.call("ready")).startsWith("400 not ready: drained");
             try (Peer asks = node.client()) {
@@ -102,7 +102,7 @@
             }
             // The idle connection is closed; the busy one after its answer, which says so.
             assertThat(idle.readToEnd()).isNotNull().isEmpty();
-            backend.write(answer("200 OK", "", done("r1")));
+            worker.write(answer("200 OK", "", done("r1")));
             assertThat(busy.read()).startsWith("HTTP/1.1 200").contains("\r\nconnection: close\r\n");
             assertThat(busy.isClosedByOther()).isTrue();
             assertThat(node.call("resume")).startsWith("200 resumed");
--- a/src/test/java/cresschute/node/NodeConfigTest.java
+++ b/src/test/java/cresschute/node/NodeConfigTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import cresschute.dispatch.Effect;
+import cresschute.dispatch.Idempotency;
 import java.net.ServerSocket;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
@@ -23,8 +23,8 @@
         final NodeConfig config = NodeConfig.parse(good(), Map.of("BALANCER_LISTEN", "127.0.0.9:7"));
         assertThat(config.listen().toString()).isEqualTo("/127.0.0.9:7");
         assertThat(config.classes()).containsExactly("check", "file");
-        assertThat(config.settings().classes().get(1).effect()).isEqualTo(Effect.KEYED);
-        assertThat(config.settings().listMustBeAsked()).isTrue();
+        assertThat(config.settings().classes().get(1).idempotency()).isEqualTo(Idempotency.KEYED);
+        assertThat(config.settings().endpointListIsPolled()).isTrue();
         assertThat(config.connIdleUs()).isEqualTo(2_000_000);
         assertThat(config.known().version()).isEqualTo(3);
     }
@@ -57,7 +57,7 @@
 
     @Test
     void flattensNestedSettings() {
-        assertThat(FlatSettings.of(Json.object("""
+        assertThat(DeploymentSettingsParser.of(Json.object("""
             {"a":{"b":1.5,"c":"free slots"},"d":[1,2],"e":[],"f":[{"g":true},{"g":"x,y"}],"h":null}""")))
             .isEqualTo("a.b=1.5\na.c=free_slots\nd=1,2\ne=\nf.count=2\nf.0.g=true\nf.1.g=x_y\n");
     }
--- a/src/test/java/cresschute/node/PeerLoadsTest.java
+++ b/src/test/java/cresschute/node/PeerLoadsTest.java
@@ -93,10 +93,10 @@
         final Peers exchange = new Peers(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
             List.of(at(peers[0]), at(peers[1])), key.toString(), 3_000);
         final NodeConfig read = NodeConfig.of(settings(), 7);
-        node = new NodeServer(new NodeConfig(read.name(), read.listen(), read.director(), read.seed(),
+        node = new NodeServer(new NodeConfig(read.name(), read.listen(), read.discovery(), read.seed(),
             read.settings(), read.classes(), read.zones(), read.kinds(), read.connectTimeoutUs(),
             read.connIdleUs(), read.sockets(), read.known(), null, null, null, NodeConfig.Operators.NONE,
-            ConfigShape.NONE, exchange));
+            ConfigFingerprint.NONE, exchange));
         address = node.start();
     }
 
@@ -142,7 +142,7 @@
 
     private void request(String id) throws IOException {
         try (Peer client = Peer.connect(address)) {
-            client.write(TestNode.req(id, "", ""));
+            client.write(TestNode.request(id, "", ""));
             assertThat(client.read()).startsWith("HTTP/1.1 200");
         }
     }
--- a/src/test/java/cresschute/node/CoreTest.java
+++ b/src/test/java/cresschute/node/RequestLifecycleTest.java
@@ -3,8 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import cresschute.dispatch.Actions;
-import cresschute.dispatch.Events;
+import cresschute.dispatch.DispatcherActions;
+import cresschute.dispatch.DispatcherEvents;
 import cresschute.dispatch.Job;
 import cresschute.dispatch.LoadReport;
 import cresschute.dispatch.Outcome;
@@ -20,22 +20,22 @@
 import org.junit.jupiter.api.Test;
 
 /** The core alone, on a loop that is turned by hand. */
-class CoreTest implements ReqClient {
+class RequestLifecycleTest implements ResponseListener {
 
     private static final Job JOB = new Job(0, 0, 1, 0, 0, false);
-    private static final ReqContent CONTENT = new ReqContent("r1", "/check", null, new byte[0]);
+    private static final RequestContent CONTENT = new RequestContent("r1", "/check", null, new byte[0]);
 
     private final EmbeddedChannel loop = new EmbeddedChannel();
     private final List<String> heard = new ArrayList<>();
-    private final List<Backends.FetchListener> fetches = new ArrayList<>();
+    private final List<WorkerClient.AttemptListener> attempts = new ArrayList<>();
     private final List<Integer> givenUp = new ArrayList<>();
     private long nowUs = 1_000_000;
     private boolean moduleThrows;
     private int copies = 1;
     private boolean connectionsThrow;
     private long readPausedUs;
-    private Actions actions;
-    private Core core;
+    private DispatcherActions actions;
+    private RequestLifecycle core;
 
     @BeforeEach
     void start() throws Exception {
@@ -45,19 +45,19 @@
                 TestNode.entry("s-1", free, "SERVING"))), Map.of());
         }
         loop.freezeTime();
-        core = new Core(config, loop.eventLoop(), () -> nowUs,
+        core = new RequestLifecycle(config, loop.eventLoop(), () -> nowUs,
             new RateLimitedLog(System.getLogger("test"), () -> nowUs), given -> {
                 actions = given;
                 return module();
             });
-        core.start(new Backends() {
+        core.start(new WorkerClient() {
             @Override
-            public Call fetch(InetSocketAddress addr, ReqContent content, FetchListener listener) {
-                fetches.add(listener);
+            public AttemptCall attempt(InetSocketAddress addr, RequestContent content, AttemptListener listener) {
+                attempts.add(listener);
                 if (connectionsThrow) {
                     throw new IllegalStateException("no connections");
                 }
-                final int number = fetches.size() - 1;
+                final int number = attempts.size() - 1;
                 return () -> {
                     givenUp.add(number);
                     return Outcome.TIMED_OUT;
@@ -65,7 +65,7 @@
             }
 
             @Override
-            public void probe(InetSocketAddress addr, ProbeListener listener) {
+            public void probe(InetSocketAddress addr, LoadQueryListener listener) {
                 heard.add("probe");
             }
 
@@ -78,9 +78,9 @@
         heard.clear();
     }
 
-    /** Notes calls by name, request and outcome; sends each req, and again whatever ended unserved. */
-    private Events module() {
-        return (Events) Proxy.newProxyInstance(getClass().getClassLoader(), new Class<?>[]{Events.class},
+    /** Notes calls by name, request and outcome; sends each request, and again whatever ended unserved. */
+    private DispatcherEvents module() {
+        return (DispatcherEvents) Proxy.newProxyInstance(getClass().getClassLoader(), new Class<?>[]{DispatcherEvents.class},
             (proxy, method, args) -> {
                 if (moduleThrows) {
                     throw new IllegalStateException("the module is broken");
@@ -109,10 +109,10 @@
         turn();
     }
 
-    private Req take() {
-        final Req req = core.take(CONTENT, JOB, 100_000, this);
+    private ClientRequest take() {
+        final ClientRequest request = core.take(CONTENT, JOB, 100_000, this);
         turn();
-        return req;
+        return request;
     }
 
     @Override
@@ -132,7 +132,7 @@
     }
 
     @Override
-    public void syntheticAnswer(long retryAfterUs) {
+    public void localReply(long retryAfterUs) {
         heard.add("refused " + retryAfterUs);
     }
 
@@ -144,40 +144,40 @@
     @Test
     void handsOverAllThatIsReadyBeforeItActs() {
         core.take(CONTENT, JOB, 100_000, this);
-        core.directorFailed();
+        core.discoveryFailed();
         assertThat(heard).isEmpty();
         turn();
         assertThat(heard).containsExactly("requested", "listed");
-        assertThat(fetches).hasSize(1);
+        assertThat(attempts).hasSize(1);
     }
 
-    /** Once, the req was forgotten before the module heard of it, and the unsent second send got number 0. */
+    /** Once, the request was forgotten before the module heard of it, and the unsent second send got number 0. */
     @Test
     void numbersTheSendThatCrossesAClientsLeaving() {
-        final Req req = take();
-        fetches.get(0).ended(Outcome.FULL, LoadReport.NONE, null);
-        core.clientLeft(req);
+        final ClientRequest request = take();
+        attempts.get(0).ended(Outcome.FULL, LoadReport.NONE, null);
+        core.clientLeft(request);
         turn();
         assertThat(heard).containsExactly("requested", "ended 0 FULL true", "clientLeft",
             "ended 1 NOT_SENT true");
-        assertThat(fetches).hasSize(1);
+        assertThat(attempts).hasSize(1);
     }
 
     @Test
-    void givesUpFetchInTimeForTheAnswer() {
+    void givesUpAttemptInTimeForTheAnswer() {
         take();
-        pass(100_000 - Core.ANSWER_MARGIN_US);
+        pass(100_000 - RequestLifecycle.ANSWER_MARGIN_US);
         assertThat(heard).containsExactly("requested", "ended 0 TIMED_OUT false");
     }
 
     @Test
     void answersServedAtOnceAndOnce() {
         take();
-        fetches.get(0).ended(Outcome.SERVED, LoadReport.NONE, "yes");
+        attempts.get(0).ended(Outcome.SERVED, LoadReport.NONE, "yes");
         actions.fail(1);
         turn();
         assertThat(heard).containsExactly("requested", "served yes", "ended 0 SERVED true");
-        assertThat(core.owed()).isZero();
+        assertThat(core.unanswered()).isZero();
     }
 
     /** zone+vast: a copy that waited in a queue ran on there for nobody once the other had answered. */
@@ -185,26 +185,26 @@
     void givesUpTheOtherCopiesOnceOneServesWithoutBlame() {
         copies = 3;
         take();
-        assertThat(fetches).hasSize(3);
-        fetches.get(1).ended(Outcome.SERVED, LoadReport.NONE, "yes");
+        assertThat(attempts).hasSize(3);
+        attempts.get(1).ended(Outcome.SERVED, LoadReport.NONE, "yes");
         turn();
         assertThat(givenUp).containsExactlyInAnyOrder(0, 2);
         assertThat(heard).containsOnlyOnce("served yes").contains("ended 1 SERVED true",
             "ended 0 CANCELLED true", "ended 2 CANCELLED true");
-        assertThat(core.owed()).isZero();
+        assertThat(core.unanswered()).isZero();
     }
 
     /** A hedge went out however long its client had not been read. */
     @Test
     void beginsNoHedgeWhileItsClientIsNotRead() {
         take();
-        readPausedUs = Core.MAX_READ_PAUSE_US + 1;
+        readPausedUs = RequestLifecycle.MAX_READ_PAUSE_US + 1;
         actions.send(1, 0, Long.MAX_VALUE);
-        core.directorFailed();
+        core.discoveryFailed();
         turn();
-        assertThat(fetches).hasSize(1);
+        assertThat(attempts).hasSize(1);
         assertThat(heard).containsExactly("requested", "listed", "ended 1 CANCELLED false");
-        fetches.get(0).ended(Outcome.SERVED, LoadReport.NONE, "yes");
+        attempts.get(0).ended(Outcome.SERVED, LoadReport.NONE, "yes");
         assertThat(heard).contains("served yes");
     }
 
@@ -212,32 +212,32 @@
     void beginsNoHedgeOnANewConnectionWhileItsClientIsNotRead() {
         copies = 2;
         take();
-        assertThat(fetches.get(1).mayBegin()).isTrue();
-        readPausedUs = Core.MAX_READ_PAUSE_US + 1;
-        assertThat(fetches.get(1).mayBegin()).isFalse();
+        assertThat(attempts.get(1).mayBegin()).isTrue();
+        readPausedUs = RequestLifecycle.MAX_READ_PAUSE_US + 1;
+        assertThat(attempts.get(1).mayBegin()).isFalse();
         turn();
         assertThat(givenUp).containsExactly(1);
         assertThat(heard).containsExactly("requested", "ended 1 CANCELLED false");
     }
 
     @Test
-    void failsReqThatTheModuleForgets() {
+    void failsRequestThatTheModuleForgets() {
         take();
-        pass(100_000 + Core.OVERDUE_US);
+        pass(100_000 + RequestLifecycle.OVERDUE_US);
         assertThat(heard).containsOnlyOnce("failed").containsSubsequence("failed", "clientLeft");
         assertThat(core.invariant().total()).isPositive();
     }
 
     @Test
-    void failsReqOnWhichTheModuleThrows() {
+    void failsRequestOnWhichTheModuleThrows() {
         moduleThrows = true;
         assertThatThrownBy(this::take).hasMessageContaining("module failed");
         assertThat(heard).containsExactly("failed");
-        assertThat(core.owed()).isZero();
+        assertThat(core.unanswered()).isZero();
     }
 
     @Test
-    void endsFetchThatCannotBeStarted() {
+    void endsAttemptThatCannotBeStarted() {
         connectionsThrow = true;
         take();
         turn();
@@ -245,23 +245,23 @@
     }
 
     @Test
-    void countsASecondEndOfAFetch() {
+    void countsASecondEndOfAnAttempt() {
         take();
-        fetches.get(0).ended(Outcome.BROKEN, LoadReport.NONE, null);
-        assertThatThrownBy(() -> fetches.get(0).ended(Outcome.ERROR, LoadReport.NONE, null))
+        attempts.get(0).ended(Outcome.BROKEN, LoadReport.NONE, null);
+        assertThatThrownBy(() -> attempts.get(0).ended(Outcome.ERROR, LoadReport.NONE, null))
             .hasMessageContaining("fetch ended twice");
     }
 
-    /** A keyed req that has been sent binds the cell that it went to, until it is answered. */
+    /** A keyed request that has been sent binds the cell that it went to, until it is answered. */
     @Test
-    void keyedReqBindsItsCellWhileItIsOpen() {
+    void keyedRequestBindsItsCellWhileItIsOpen() {
         take();
         assertThat(core.boundCells()).isEmpty();
-        core.take(new ReqContent("r2", "/file", "key", new byte[0]), new Job(1, 0, 1, 0, 0, false), 100_000,
+        core.take(new RequestContent("r2", "/file", "key", new byte[0]), new Job(1, 0, 1, 0, 0, false), 100_000,
             this);
         turn();
         assertThat(core.boundCells()).containsExactly(0);
-        fetches.get(1).ended(Outcome.SERVED, LoadReport.NONE, "yes");
+        attempts.get(1).ended(Outcome.SERVED, LoadReport.NONE, "yes");
         assertThat(core.boundCells()).isEmpty();
     }
 }
--- a/src/test/java/cresschute/node/RetuneRulesTest.java
+++ b/src/test/java/cresschute/node/SettingsReloadRulesTest.java
@@ -9,9 +9,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Settings changed at SIGHUP: classes come and go, reqs under way keep theirs, broken files do nothing. */
+/** Settings changed at SIGHUP: classes come and go, requests under way keep theirs, broken files do nothing. */
 @Timeout(30)
-class RetuneRulesTest {
+class SettingsReloadRulesTest {
 
     private static final String FILE_CLASS = """
         {"name":"file","idempotency":"token","group":"cell","keyTtlUs":4000000,"goalTimeUs":400000,
@@ -33,15 +33,15 @@
     }
 
     @Test
-    void takesNewClassesAndFewerAttemptsWhileReqsUnderWayKeepTheirClass() throws Exception {
+    void takesNewClassesAndFewerAttemptsWhileRequestsUnderWayKeepTheirClass() throws Exception {
         try (TestNode node = new TestNode();
             Peer early = node.client();
             Peer late = node.client();
             Peer gone = node.client()) {
             early.write(post("file", "r1"));
             assertThat(node.event()).isEqualTo("requested 1 class 1 key 42");
-            final Peer backend = node.backend();
-            assertThat(backend.read()).contains("POST /file");
+            final Peer worker = node.worker();
+            assertThat(worker.read()).contains("POST /file");
             final String text = node.configText();
             assertThat(text).contains(FILE_CLASS.strip());
             reload(node, text.replace(FILE_CLASS.strip(), REPORT_CLASS.strip())
@@ -51,7 +51,7 @@
             assertThat(node.event()).isEqualTo("requested 2 class 2 key 42");
             // A class that is gone is none: nothing new is taken for it.
             assertThat(gone.write(post("file", "r3")).read()).startsWith("HTTP/1.1 404");
-            backend.write(answer("200 OK", "", done("r1")));
+            worker.write(answer("200 OK", "", done("r1")));
             assertThat(early.read()).startsWith("HTTP/1.1 200").endsWith("yes");
         }
     }
@@ -74,7 +74,7 @@
             final String text = node.configText();
             assertThat(text).as(what).contains(from == null ? "" : from);
             reload(node, from == null ? to : text.replace(from, to));
-            // Had it been taken, the module would hear of it before the next req.
+            // Had it been taken, the module would hear of it before the next request.
             client.write(post("file", "r1"));
             assertThat(node.event()).as(what).isEqualTo("requested 1 class 1 key 42");
         }
--- a/src/test/java/cresschute/node/SocketRulesTest.java
+++ b/src/test/java/cresschute/node/SocketRulesTest.java
@@ -3,7 +3,7 @@
 import static cresschute.node.TestNode.answer;
 import static cresschute.node.TestNode.entry;
 import static cresschute.node.TestNode.list;
-import static cresschute.node.TestNode.req;
+import static cresschute.node.TestNode.request;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.net.ServerSocket;
@@ -34,29 +34,29 @@
     }
 
     @Test
-    void passesReqOnUnchangedAndAnswersWithItsResult() throws Exception {
+    void passesRequestOnUnchangedAndAnswersWithItsResult() throws Exception {
         try (TestNode node = new TestNode(); Peer client = node.client()) {
-            client.write(req("r1", "Idempotency-Key: k9\r\nX-Deadline: 4000m\r\n", "some body"));
-            final Peer backend = node.backend();
-            assertThat(backend.read()).startsWith("POST /check?obj=2a HTTP/1.1\r\n")
+            client.write(request("r1", "Idempotency-Key: k9\r\nX-Deadline: 4000m\r\n", "some body"));
+            final Peer worker = node.worker();
+            assertThat(worker.read()).startsWith("POST /check?obj=2a HTTP/1.1\r\n")
                 .endsWith("\r\n\r\nsome body").containsIgnoringCase("X-Request-Id: r1\r\n")
                 .containsIgnoringCase("Idempotency-Key: k9\r\n")
                 .containsPattern("(?i)X-Deadline: 39[0-9]{5}u\r\n");
-            backend.write(answer("200 OK", "", DONE));
+            worker.write(answer("200 OK", "", DONE));
             assertThat(client.read()).startsWith("HTTP/1.1 200 OK\r\n").endsWith("\r\n\r\nyes");
             assertThat(node.event()).isEqualTo("requested 1 class 0 key 42");
             assertThat(node.event()).startsWith("ended 1 0 SERVED closed true");
         }
     }
 
-    /** Once one copy has answered, the other's connection is closed: its backend may drop it unstarted. */
+    /** Once one copy has answered, the other's connection is closed: its worker may drop it unstarted. */
     @Test
     void aCopyIsGivenUpOnceAnotherHasAnswered() throws Exception {
         try (TestNode node = new TestNode(); Peer client = node.client()) {
-            client.write(req("r1", "", "body"));
+            client.write(request("r1", "", "body"));
             assertThat(node.event()).startsWith("requested 1");
             node.act(actions -> actions.send(1, 0, Long.MAX_VALUE));
-            try (Peer first = node.backend(); Peer second = node.backend()) {
+            try (Peer first = node.worker(); Peer second = node.worker()) {
                 first.read();
                 second.read();
                 second.write(answer("200 OK", "", DONE));
@@ -75,15 +75,15 @@
     }
 
     @Test
-    void takesReqAtItsLastByteOnly() throws Exception {
+    void takesRequestAtItsLastByteOnly() throws Exception {
         try (TestNode node = new TestNode(); Peer client = node.client(); Peer other = node.client()) {
-            final String req = req("r1", "", "body");
-            client.write(req.substring(0, req.length() - 1));
-            other.write(req("r2", "", ""));
-            node.backend().read();
+            final String request = request("r1", "", "body");
+            client.write(request.substring(0, request.length() - 1));
+            other.write(request("r2", "", ""));
+            node.worker().read();
             assertThat(node.events).filteredOn(event -> event.startsWith("requested")).hasSize(1);
-            client.write(req.substring(req.length() - 1));
-            assertThat(node.backend().read()).endsWith("body");
+            client.write(request.substring(request.length() - 1));
+            assertThat(node.worker().read()).endsWith("body");
         }
     }
 
@@ -105,13 +105,13 @@
         404 No |                  |                               | UNUSABLE
         400 No | X-Not-Run: 1     |                               | UNUSABLE
         """)
-    void tellsEndOfFetchByWhatCameBack(String status, String header, String rest, String outcome)
+    void tellsEndOfAttemptByWhatCameBack(String status, String header, String rest, String outcome)
         throws Exception {
         try (TestNode node = new TestNode(); Peer client = node.client()) {
-            client.write(req("r1", "", ""));
-            final Peer backend = node.backend();
-            backend.read();
-            backend.write(answer(status, header == null ? "" : header + "\r\n",
+            client.write(request("r1", "", ""));
+            final Peer worker = node.worker();
+            worker.read();
+            worker.write(answer(status, header == null ? "" : header + "\r\n",
                 rest == null ? "" : line(rest.replace('\'', '"'))));
             final boolean served = outcome.equals("SERVED");
             assertThat(client.read()).startsWith(served ? "HTTP/1.1 200" : "HTTP/1.1 503")
@@ -126,22 +126,22 @@
     @Test
     void readsSplitAndJoinedChunksAndLoadsInBothForms() throws Exception {
         try (TestNode node = new TestNode(); Peer client = node.client()) {
-            client.write(req("r1", "", ""));
-            final Peer backend = node.backend();
-            backend.read();
+            client.write(request("r1", "", ""));
+            final Peer worker = node.worker();
+            worker.read();
             final String half = line("\"state\":\"running\",\"share\":0.5");
-            backend.write(CHUNKED + chunk(line("\"state\":\"started\"") + half.substring(0, 20)));
+            worker.write(CHUNKED + chunk(line("\"state\":\"started\"") + half.substring(0, 20)));
             assertThat(node.event()).startsWith("requested");
             assertThat(node.event()).isEqualTo("progressed 1 0 0.0");
             final String load = "\"load\":{\"x0\":3,\"queue\":1}";
             final String done = line("\"state\":\"done\",\"result\":\"\\u00e9\"," + load);
-            backend.write(chunk(half.substring(20) + done) + "0\r\n\r\n");
+            worker.write(chunk(half.substring(20) + done) + "0\r\n\r\n");
             assertThat(node.event()).isEqualTo("progressed 1 0 0.5");
             assertThat(node.event()).isEqualTo("ended 1 0 SERVED closed true load 3.0 -1.0");
             assertThat(client.read()).endsWith("\u00c3\u00a9");
-            client.write(req("r2", "", ""));
-            backend.read();
-            backend.write(answer("503 No", "X-Not-Run: 1\r\nX-Load: inflight=7,queue=2,x0=1\r\n", ""));
+            client.write(request("r2", "", ""));
+            worker.read();
+            worker.write(answer("503 No", "X-Not-Run: 1\r\nX-Load: inflight=7,queue=2,x0=1\r\n", ""));
             node.event();
             assertThat(node.event()).isEqualTo("ended 2 0 FULL closed false load 1.0 7.0");
         }
@@ -151,16 +151,16 @@
     @CsvSource({"true", "false"})
     void countsBreakAfterTheLastByteAsReset(boolean reset) throws Exception {
         try (TestNode node = new TestNode(); Peer client = node.client()) {
-            client.write(req("r1", "", ""));
-            final Peer backend = node.backend();
-            backend.read();
-            backend.write(CHUNKED + chunk(line("\"state\":\"started\"")));
+            client.write(request("r1", "", ""));
+            final Peer worker = node.worker();
+            worker.read();
+            worker.write(CHUNKED + chunk(line("\"state\":\"started\"")));
             node.event();
             assertThat(node.event()).startsWith("progressed");
             if (reset) {
-                backend.reset();
+                worker.reset();
             } else {
-                backend.close();
+                worker.close();
             }
             assertThat(node.event()).startsWith("ended 1 0 BROKEN closed false");
         }
@@ -169,8 +169,8 @@
     @Test
     void countsRefusedConnectionAsCouldNotConnect() throws Exception {
         try (TestNode node = new TestNode(); Peer client = node.client()) {
-            node.backend.close();
-            client.write(req("r1", "", ""));
+            node.worker.close();
+            client.write(request("r1", "", ""));
             assertThat(client.read()).startsWith("HTTP/1.1 503");
             node.event();
             assertThat(node.event()).startsWith("ended 1 0 CONNECT_FAILED closed false");
@@ -184,9 +184,9 @@
         final List<Peer> held = new ArrayList<>();
         try (TestNode node = new TestNode(); Peer client = node.client()) {
             for (int i = 0; i <= Peer.BACKLOG; i++) {
-                held.add(Peer.connect(node.backend.getLocalSocketAddress()));
+                held.add(Peer.connect(node.worker.getLocalSocketAddress()));
             }
-            client.write(req("r1", "", ""));
+            client.write(request("r1", "", ""));
             node.event();
             assertThat(node.event()).startsWith("ended 1 0 CONNECT_FAILED closed false");
         } finally {
@@ -196,20 +196,20 @@
         }
     }
 
-    /** Of 200 descriptors 83 are for clients: one that brought no req goes, not the oldest or the new one. */
+    /** Of 200 descriptors 83 are for clients: one that brought no request goes, not the oldest or the new one. */
     @Test
     void makesRoomForNewClientsByTheLongestIdle() throws Exception {
-        try (TestNode node = new TestNode((actions, req) -> actions.refuse(req, 0));
+        try (TestNode node = new TestNode((actions, request) -> actions.reject(request, 0));
             Peer oldest = node.client();
             Peer quiet = node.client()) {
-            assertThat(oldest.write(req("r1", "", "")).read()).startsWith("HTTP/1.1 503");
+            assertThat(oldest.write(request("r1", "", "")).read()).startsWith("HTTP/1.1 503");
             Peer last = oldest;
             for (int i = 3; i <= 83; i++) {
                 last = node.client();
             }
             assertThat(quiet.isClosedByOther()).isTrue();
-            assertThat(last.write(req("r2", "", "")).read()).startsWith("HTTP/1.1 503");
-            assertThat(oldest.write(req("r3", "", "")).read()).startsWith("HTTP/1.1 503");
+            assertThat(last.write(request("r2", "", "")).read()).startsWith("HTTP/1.1 503");
+            assertThat(oldest.write(request("r3", "", "")).read()).startsWith("HTTP/1.1 503");
         }
     }
 
@@ -217,20 +217,20 @@
     @Test
     void waitsNoLongerThanTheClassAllows() throws Exception {
         try (TestNode node = new TestNode(); Peer client = node.client()) {
-            client.write(req("r1", "X-Deadline: 999999999m\r\n", ""));
-            assertThat(node.backend().read()).containsPattern("(?i)X-Deadline: 49[0-9]{5}u\r\n");
+            client.write(request("r1", "X-Deadline: 999999999m\r\n", ""));
+            assertThat(node.worker().read()).containsPattern("(?i)X-Deadline: 49[0-9]{5}u\r\n");
         }
     }
 
-    /** Clients that say nothing, or half of a req, hold a descriptor each; one that sent a req may wait. */
+    /** Clients that say nothing, or half of a request, hold a descriptor each; one that sent a request may wait. */
     @ParameterizedTest
     @ValueSource(strings = {"", "POST /check",
         "POST /check HTTP/1.1\r\nX-Request-Id: r\r\nContent-Length: 9\r\n\r\n1",
         "GET /health/ready HTTP/1.1\r\n\r\n"})
-    void closesOnClientsThatBringNoReq(String part) throws Exception {
-        try (TestNode node = new TestNode((actions, req) -> actions.refuse(req, 0));
+    void closesOnClientsThatBringNoRequest(String part) throws Exception {
+        try (TestNode node = new TestNode((actions, request) -> actions.reject(request, 0));
             Peer usual = node.client()) {
-            usual.write(req("r1", "", "")).read();
+            usual.write(request("r1", "", "")).read();
             final long startNs = System.nanoTime();
             final Peer silent = node.client().write(part);
             if (part.startsWith("GET")) {
@@ -239,30 +239,30 @@
             assertThat(silent.isClosedByOther()).isTrue();
             // Well above the 2 s, for a loaded machine, and well below what the wait was before.
             assertThat(System.nanoTime() - startNs).isLessThan(6_000_000_000L);
-            assertThat(usual.write(req("r2", "", "")).read()).startsWith("HTTP/1.1 503");
+            assertThat(usual.write(request("r2", "", "")).read()).startsWith("HTTP/1.1 503");
         }
     }
 
-    /** A client under another's id had both turned away by the backends, which then counted as unwell. */
+    /** A client under another's id had both rejected by the workers, which then counted as unwell. */
     @Test
     void refusesAnIdThatIsInUse() throws Exception {
         try (TestNode node = new TestNode(); Peer client = node.client(); Peer other = node.client()) {
-            client.write(req("r1", "", ""));
-            final Peer backend = node.backend();
-            backend.read();
-            assertThat(other.write(req("r1", "", "body")).read()).startsWith("HTTP/1.1 409");
-            backend.write(answer("200 OK", "", DONE));
+            client.write(request("r1", "", ""));
+            final Peer worker = node.worker();
+            worker.read();
+            assertThat(other.write(request("r1", "", "body")).read()).startsWith("HTTP/1.1 409");
+            worker.write(answer("200 OK", "", DONE));
             assertThat(client.read()).endsWith("yes");
-            other.write(req("r1", "", ""));
-            assertThat(backend.read()).contains("r1");
+            other.write(request("r1", "", ""));
+            assertThat(worker.read()).contains("r1");
         }
     }
 
-    /** Otherwise such a client hears nothing until the req before is done, which may take 25 s. */
+    /** Otherwise such a client hears nothing until the request before is done, which may take 25 s. */
     @Test
-    void closesAtOnceOnWhatItCannotReadBehindAnOpenReq() throws Exception {
+    void closesAtOnceOnWhatItCannotReadBehindAnOpenRequest() throws Exception {
         try (TestNode node = new TestNode(); Peer client = node.client()) {
-            client.write(req("r1", "", "") + "what\r\n\r\n");
+            client.write(request("r1", "", "") + "what\r\n\r\n");
             assertThat(client.isClosedByOther()).isTrue();
             node.event();
             assertThat(node.event()).isEqualTo("left 1");
@@ -270,11 +270,11 @@
     }
 
     @Test
-    void answersReqsReadAheadInOrderAlsoAtAStop() throws Exception {
+    void answersRequestsReadAheadInOrderAlsoAtAStop() throws Exception {
         try (TestNode node = new TestNode(); Peer client = node.client()) {
-            client.write(req("r1", "", "") + req("r2", "", ""));
-            final Peer first = node.backend();
-            final Peer second = node.backend();
+            client.write(request("r1", "", "") + request("r2", "", ""));
+            final Peer first = node.worker();
+            final Peer second = node.worker();
             assertThat(first.read() + second.read()).contains("r1", "r2");
             final CompletableFuture<Void> stopped = node.server.stop();
             assertThat(node.client().isClosedByOther()).isTrue();
@@ -289,11 +289,11 @@
     @Test
     void givesUpOnSilenceAndCloses() throws Exception {
         try (TestNode node = new TestNode(200_000); Peer client = node.client()) {
-            client.write(req("r1", "", ""));
-            final Peer backend = node.backend();
-            backend.read();
+            client.write(request("r1", "", ""));
+            final Peer worker = node.worker();
+            worker.read();
             assertThat(client.read()).startsWith("HTTP/1.1 503");
-            assertThat(backend.isClosedByOther()).isTrue();
+            assertThat(worker.isClosedByOther()).isTrue();
             node.event();
             assertThat(node.event()).startsWith("ended 1 0 TIMED_OUT closed false");
         }
@@ -301,57 +301,57 @@
 
     @Test
     void refusesAtOnceWithAdvice() throws Exception {
-        try (TestNode node = new TestNode((actions, req) -> actions.refuse(req, 2_000_000));
+        try (TestNode node = new TestNode((actions, request) -> actions.reject(request, 2_000_000));
             Peer client = node.client()) {
-            client.write(req("r1", "", ""));
+            client.write(request("r1", "", ""));
             assertThat(client.read()).startsWith("HTTP/1.1 503").contains("\r\nretry-after: 2\r\n");
         }
     }
 
     @Test
-    void goesOnWithFetchesOfClientThatLeft() throws Exception {
+    void goesOnWithAttemptsOfClientThatLeft() throws Exception {
         try (TestNode node = new TestNode()) {
-            final Peer client = node.client().write(req("r1", "", ""));
-            final Peer backend = node.backend();
-            backend.read();
+            final Peer client = node.client().write(request("r1", "", ""));
+            final Peer worker = node.worker();
+            worker.read();
             client.close();
             node.event();
             assertThat(node.event()).isEqualTo("left 1");
-            backend.write(answer("200 OK", "", DONE));
+            worker.write(answer("200 OK", "", DONE));
             assertThat(node.event()).startsWith("ended 1 0 SERVED closed true");
         }
     }
 
     @Test
-    void keepsOneReqOnAConnectionAndRetiresItWhenIdle() throws Exception {
+    void keepsOneRequestOnAConnectionAndRetiresItWhenIdle() throws Exception {
         try (TestNode node = new TestNode(); Peer client = node.client(); Peer other = node.client()) {
-            client.write(req("r1", "", ""));
-            final Peer first = node.backend();
+            client.write(request("r1", "", ""));
+            final Peer first = node.worker();
             first.read();
-            other.write(req("r2", "", ""));
-            final Peer second = node.backend();
+            other.write(request("r2", "", ""));
+            final Peer second = node.worker();
             assertThat(second.read()).contains("r2");
             first.write(answer("200 OK", "", DONE));
             client.read();
-            client.write(req("r3", "", ""));
+            client.write(request("r3", "", ""));
             assertThat(first.read()).contains("r3");
             first.write(answer("503 No", "X-Not-Run: 1\r\n", ""));
             final long idleNs = System.nanoTime();
             assertThat(first.isClosedByOther()).isTrue();
-            // Well before the 2 s at which the backend would close it.
+            // Well before the 2 s at which the worker would close it.
             assertThat(System.nanoTime() - idleNs).isBetween(1_000_000_000L, 2_000_000_000L);
         }
     }
 
-    /** Kept connections that backends had dropped unsaid cost a fetch each, and bound keyed reqs. */
+    /** Kept connections that workers had dropped unsaid cost an attempt each, and bound keyed requests. */
     @Test
     void keepsNoConnectionForAWhileAfterAKeptOneWasDropped() throws Exception {
         try (TestNode node = new TestNode(); Peer client = node.client(); Peer other = node.client()) {
-            client.write(req("r1", "", ""));
-            final Peer first = node.backend();
+            client.write(request("r1", "", ""));
+            final Peer first = node.worker();
             first.read();
-            other.write(req("r2", "", ""));
-            final Peer second = node.backend();
+            other.write(request("r2", "", ""));
+            final Peer second = node.worker();
             second.read();
             first.write(answer("200 OK", "", DONE));
             client.read();
@@ -359,22 +359,22 @@
             second.write(answer("200 OK", "", DONE.replace("r1", "r2")));
             other.read();
             assertThat(second.isClosedByOther()).isTrue();
-            client.write(req("r3", "", ""));
-            assertThat(node.backend().read()).contains("r3");
+            client.write(request("r3", "", ""));
+            assertThat(node.worker().read()).contains("r3");
         }
     }
 
     @Test
     void closesIdleConnectionsAtTheModulesWord() throws Exception {
         try (TestNode node = new TestNode(); Peer client = node.client()) {
-            client.write(req("r1", "", ""));
-            final Peer backend = node.backend();
-            backend.read();
-            backend.write(answer("200 OK", "", DONE));
+            client.write(request("r1", "", ""));
+            final Peer worker = node.worker();
+            worker.read();
+            worker.write(answer("200 OK", "", DONE));
             client.read();
             final long askedNs = System.nanoTime();
-            node.act(actions -> actions.closeIdle(0));
-            assertThat(backend.isClosedByOther()).isTrue();
+            node.act(actions -> actions.closeIdleConnections(0));
+            assertThat(worker.isClosedByOther()).isTrue();
             assertThat(System.nanoTime() - askedNs).isLessThan(1_000_000_000L);
         }
     }
@@ -383,10 +383,10 @@
     @CsvSource({"200 OK, SERVED load 2.0", "503 No, ERROR load -1.0"})
     void probesForTheLoad(String status, String told) throws Exception {
         try (TestNode node = new TestNode()) {
-            node.act(actions -> actions.probe(0));
-            final Peer backend = node.backend();
-            assertThat(backend.read()).startsWith("GET /stats HTTP/1.1");
-            backend.write(answer(status, "", status.startsWith("200") ? "{\"queue\":0,\"x0\":2}" : ""));
+            node.act(actions -> actions.queryLoad(0));
+            final Peer worker = node.worker();
+            assertThat(worker.read()).startsWith("GET /stats HTTP/1.1");
+            worker.write(answer(status, "", status.startsWith("200") ? "{\"queue\":0,\"x0\":2}" : ""));
             node.event();
             assertThat(node.event()).isEqualTo("probed " + told);
         }
@@ -398,17 +398,17 @@
             ServerSocket moved = Peer.listen();
             Peer client = node.client()) {
             assertThat(node.events.poll(8, TimeUnit.SECONDS)).isEqualTo("listed CACHED 0READY7000");
-            node.act(actions -> actions.watchList());
-            final Peer director = node.director();
-            assertThat(director.read()).startsWith("GET /registry/instances?since=1&timeout_ms=");
+            node.act(actions -> actions.pollEndpointList());
+            final Peer discovery = node.discovery();
+            assertThat(discovery.read()).startsWith("GET /registry/instances?since=1&timeout_ms=");
             assertThat(node.event()).isEqualTo("listed FAILED");
-            director.write(answer("200 OK", "", list(2, false, entry("s-2", node.backend, "DRAINING"))));
+            discovery.write(answer("200 OK", "", list(2, false, entry("s-2", node.worker, "DRAINING"))));
             // The module does not ask again: the call that follows is the watch's own.
-            assertThat(director.read()).contains("since=2&");
+            assertThat(discovery.read()).contains("since=2&");
             assertThat(node.event()).isEqualTo("listed CHANGES 1DRAINING7000");
-            director.write(answer("200 OK", "", list(3, true, entry("s-1", moved, "SERVING"))));
+            discovery.write(answer("200 OK", "", list(3, true, entry("s-1", moved, "SERVING"))));
             assertThat(node.event()).isEqualTo("listed FULL 0READY7000");
-            client.write(req("r1", "", ""));
+            client.write(request("r1", "", ""));
             assertThat(Peer.accept(moved).read()).contains("r1");
         }
     }
@@ -424,41 +424,41 @@
         """)
     void takesAFailedCallAsFailure(String status, String body) throws Exception {
         try (TestNode node = new TestNode()) {
-            node.act(actions -> actions.watchList());
-            final Peer director = node.director();
-            director.read();
+            node.act(actions -> actions.pollEndpointList());
+            final Peer discovery = node.discovery();
+            discovery.read();
             assertThat(node.event()).isEqualTo("listed FAILED");
             if (status == null) {
-                director.reset();
+                discovery.reset();
             } else {
-                director.write(answer(status, "", body));
+                discovery.write(answer(status, "", body));
             }
             assertThat(node.event()).isEqualTo("listed FAILED");
-            node.act(actions -> actions.watchList());
-            assertThat(node.director().read()).contains("since=1&");
+            node.act(actions -> actions.pollEndpointList());
+            assertThat(node.discovery().read()).contains("since=1&");
         }
     }
 
     @Test
-    void takesASilentDirectorAsFailure() throws Exception {
+    void takesASilentDiscoveryAsFailure() throws Exception {
         try (TestNode node = new TestNode()) {
-            node.act(actions -> actions.watchList());
-            node.director().read();
+            node.act(actions -> actions.pollEndpointList());
+            node.discovery().read();
             assertThat(node.event()).isEqualTo("listed FAILED");
             assertThat(node.event()).isEqualTo("listed FAILED");
         }
     }
 
     @Test
-    void isReadyOnceABackendIsKnown() throws Exception {
-        try (TestNode node = new TestNode((actions, req) -> {}, false); Peer client = node.client()) {
+    void isReadyOnceAWorkerIsKnown() throws Exception {
+        try (TestNode node = new TestNode((actions, request) -> {}, false); Peer client = node.client()) {
             final String ask = "GET /health/ready HTTP/1.1\r\nHost: api\r\n\r\n";
             assertThat(client.write(ask).read()).startsWith("HTTP/1.1 503");
-            node.act(actions -> actions.watchList());
-            final Peer director = node.director();
-            director.read();
-            director.write(answer("200 OK", "", list(2, true, entry("s-1", node.backend, "SERVING"))));
-            assertThat(director.read()).contains("since=2&");
+            node.act(actions -> actions.pollEndpointList());
+            final Peer discovery = node.discovery();
+            discovery.read();
+            discovery.write(answer("200 OK", "", list(2, true, entry("s-1", node.worker, "SERVING"))));
+            assertThat(discovery.read()).contains("since=2&");
             assertThat(client.write(ask).read()).startsWith("HTTP/1.1 200");
         }
     }
@@ -466,19 +466,19 @@
     @Test
     void servesOnAfterAStopAndAnswersAllItTook() throws Exception {
         try (TestNode node = new TestNode(); Peer early = node.client(); Peer idle = node.client()) {
-            early.write(req("r1", "", ""));
-            final Peer backend = node.backend();
-            backend.read();
+            early.write(request("r1", "", ""));
+            final Peer worker = node.worker();
+            worker.read();
             final CompletableFuture<Void> stopped = node.server.stop();
-            final Peer late = node.client().write(req("r2", "", ""));
-            final Peer again = node.backend();
+            final Peer late = node.client().write(request("r2", "", ""));
+            final Peer again = node.worker();
             assertThat(again.read()).contains("r2");
             again.write(answer("200 OK", "", DONE.replace("r1", "r2")));
             assertThat(late.read()).startsWith("HTTP/1.1 200");
             assertThat(idle.isClosedByOther()).isTrue();
             assertThat(late.isClosedByOther()).isTrue();
             assertThat(stopped).isNotDone();
-            backend.write(answer("200 OK", "", DONE));
+            worker.write(answer("200 OK", "", DONE));
             assertThat(early.read()).startsWith("HTTP/1.1 200").contains("\r\nconnection: close\r\n");
             stopped.get(8, TimeUnit.SECONDS);
         }
@@ -507,7 +507,7 @@
             client.write(line + " HTTP/1.1\r\n" + headers.replace(";", "\r\n") + "\r\n\r\n");
             assertThat(client.read()).startsWith("HTTP/1.1 " + status);
             assertThat(node.events).noneMatch(event -> event.startsWith("requested"));
-            next.write(req("r2", "", ""));
+            next.write(request("r2", "", ""));
             assertThat(node.event()).startsWith("requested 1");
         }
     }
@@ -523,7 +523,7 @@
 
     /**
      * A head that says one thing twice, or claims another version of HTTP, was passed on as the node had read
-     * it; a backend might have read the other value. The client gets an error and no backend hears of it.
+     * it; a worker might have read the other value. The client gets an error and no worker hears of it.
      */
     @ParameterizedTest
     @CsvSource(delimiter = '|', textBlock = """
@@ -564,10 +564,10 @@
     @ValueSource(strings = {"HTTP/1.1", "HTTP/1.0"})
     void servesTheVersionsItSpeaks(String version) throws Exception {
         try (TestNode node = new TestNode(); Peer client = node.client()) {
-            client.write(req("r1", "", "").replace("HTTP/1.1", version));
-            final Peer backend = node.backend();
-            backend.read();
-            backend.write(answer("200 OK", "", DONE));
+            client.write(request("r1", "", "").replace("HTTP/1.1", version));
+            final Peer worker = node.worker();
+            worker.read();
+            worker.write(answer("200 OK", "", DONE));
             assertThat(client.read()).startsWith("HTTP/1.1 200 ");
         }
     }
--- a/src/test/java/cresschute/node/StartWithoutDiscoveryTest.java
+++ b/src/test/java/cresschute/node/StartWithoutDiscoveryTest.java
@@ -43,7 +43,7 @@
             // The list at the start is told before the listener is open: the first answer is a yes.
             client.write("GET /health/ready HTTP/1.1\r\nHost: n\r\n\r\n");
             assertThat(client.read()).startsWith("HTTP/1.1 200");
-            client.write(TestNode.req("r1", "", ""));
+            client.write(TestNode.request("r1", "", ""));
             assertThat(client.read()).startsWith("HTTP/1.1 200").endsWith("\r\n\r\nyes");
         }
         assertThat(worker.jobs()).isEqualTo(1);
--- a/src/test/java/cresschute/node/TestNode.java
+++ b/src/test/java/cresschute/node/TestNode.java
@@ -2,13 +2,13 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cresschute.dispatch.Actions;
-import cresschute.dispatch.Events;
+import cresschute.dispatch.DispatcherActions;
+import cresschute.dispatch.DispatcherEvents;
 import cresschute.dispatch.Job;
-import cresschute.dispatch.ListForm;
+import cresschute.dispatch.EndpointListForm;
 import cresschute.dispatch.LoadReport;
 import cresschute.dispatch.Outcome;
-import cresschute.dispatch.Settings;
+import cresschute.dispatch.DispatchSettings;
 import cresschute.dispatch.Worker;
 import cresschute.settings.ApplianceSettings.Bodies;
 import java.io.IOException;
@@ -26,56 +26,56 @@
 import java.util.function.Consumer;
 import java.util.function.UnaryOperator;
 
-/** A node on real sockets, with one backend and a director driven by hand and a module that notes events. */
+/** A node on real sockets, with one worker and a discovery service driven by hand and a module that notes events. */
 final class TestNode implements AutoCloseable {
 
-    final ServerSocket backend = Peer.listen();
-    final ServerSocket director = Peer.listen();
+    final ServerSocket worker = Peer.listen();
+    final ServerSocket discovery = Peer.listen();
     final BlockingQueue<String> events = new LinkedBlockingQueue<>();
     final NodeServer server;
     final SocketAddress addr;
-    private Actions actions;
+    private DispatcherActions actions;
     private int sendsLeft;
 
-    /** The module sends each req to the one backend. */
+    /** The module sends each request to the one worker. */
     TestNode() throws IOException, ConfigException {
         this(Long.MAX_VALUE / 2);
     }
 
     /** The same, for so long at the most. */
     TestNode(long waitUs) throws IOException, ConfigException {
-        this((actions, req) -> actions.send(req, 0, System.currentTimeMillis() * 1000 + waitUs));
+        this((actions, request) -> actions.send(request, 0, System.currentTimeMillis() * 1000 + waitUs));
     }
 
-    TestNode(BiConsumer<Actions, Integer> onReq) throws IOException, ConfigException {
-        this(onReq, true);
+    TestNode(BiConsumer<DispatcherActions, Integer> onRequest) throws IOException, ConfigException {
+        this(onRequest, true);
     }
 
-    TestNode(BiConsumer<Actions, Integer> onReq, boolean known) throws IOException, ConfigException {
-        this(onReq, known, null);
+    TestNode(BiConsumer<DispatcherActions, Integer> onRequest, boolean known) throws IOException, ConfigException {
+        this(onRequest, known, null);
     }
 
-    /** A node that takes long bodies and sends each req to the one backend, so often at the most. */
+    /** A node that takes long bodies and sends each request to the one worker, so often at the most. */
     TestNode(Bodies bodies, int sends) throws IOException, ConfigException {
-        this((actions, req) -> actions.send(req, 0, Long.MAX_VALUE), true, bodies);
+        this((actions, request) -> actions.send(request, 0, Long.MAX_VALUE), true, bodies);
         sendsLeft = sends - 1;
     }
 
     /** A node whose configuration's text is this one's, changed. */
-    static TestNode configured(UnaryOperator<String> change, BiConsumer<Actions, Integer> onReq)
+    static TestNode configured(UnaryOperator<String> change, BiConsumer<DispatcherActions, Integer> onRequest)
         throws IOException, ConfigException {
-        return configured(change, onReq, null);
+        return configured(change, onRequest, null);
     }
 
     /** The same, with long bodies where they are not null. */
-    static TestNode configured(UnaryOperator<String> change, BiConsumer<Actions, Integer> onReq,
+    static TestNode configured(UnaryOperator<String> change, BiConsumer<DispatcherActions, Integer> onRequest,
         Bodies bodies) throws IOException, ConfigException {
-        return new TestNode(onReq, true, bodies, null, null, change);
+        return new TestNode(onRequest, true, bodies, null, null, change);
     }
 
     /** A process of an upgrade: it accepts on the platform's listener, which the other one shares. */
     TestNode(ServerSocketChannel passed) throws IOException, ConfigException {
-        this((actions, req) -> actions.send(req, 0, Long.MAX_VALUE), true, null, passed, null);
+        this((actions, request) -> actions.send(request, 0, Long.MAX_VALUE), true, null, passed, null);
     }
 
     /**
@@ -83,42 +83,42 @@
      * passed}, where not null, is the platform's listener that the other process of an upgrade shares.
      */
     TestNode(Path shared, ServerSocketChannel passed) throws IOException, ConfigException {
-        this((actions, req) -> actions.send(req, 0, Long.MAX_VALUE), true, null, passed, shared);
+        this((actions, request) -> actions.send(request, 0, Long.MAX_VALUE), true, null, passed, shared);
     }
 
-    private TestNode(BiConsumer<Actions, Integer> onReq, boolean known, Bodies bodies)
+    private TestNode(BiConsumer<DispatcherActions, Integer> onRequest, boolean known, Bodies bodies)
         throws IOException, ConfigException {
-        this(onReq, known, bodies, null, null);
+        this(onRequest, known, bodies, null, null);
     }
 
-    private TestNode(BiConsumer<Actions, Integer> onReq, boolean known, Bodies bodies,
+    private TestNode(BiConsumer<DispatcherActions, Integer> onRequest, boolean known, Bodies bodies,
         ServerSocketChannel passed, Path shared) throws IOException, ConfigException {
-        this(onReq, known, bodies, passed, shared, UnaryOperator.identity());
+        this(onRequest, known, bodies, passed, shared, UnaryOperator.identity());
     }
 
-    private TestNode(BiConsumer<Actions, Integer> onReq, boolean known, Bodies bodies,
+    private TestNode(BiConsumer<DispatcherActions, Integer> onRequest, boolean known, Bodies bodies,
         ServerSocketChannel passed, Path shared, UnaryOperator<String> change)
         throws IOException, ConfigException {
-        final String list = list(1, true, known ? entry("s-1", backend, "SERVING") : "");
-        final NodeConfig read = NodeConfig.parse(change.apply(config(director, list)), Map.of());
-        server = new NodeServer(new NodeConfig(read.name(), read.listen(), read.director(), read.seed(),
+        final String list = list(1, true, known ? entry("s-1", worker, "SERVING") : "");
+        final NodeConfig read = NodeConfig.parse(change.apply(config(discovery, list)), Map.of());
+        server = new NodeServer(new NodeConfig(read.name(), read.listen(), read.discovery(), read.seed(),
             read.settings(), read.classes(), read.zones(), read.kinds(), read.connectTimeoutUs(),
             read.connIdleUs(), read.sockets(), read.known(), null, null, bodies,
             new NodeConfig.Operators(shared == null ? null : new InetSocketAddress("127.0.0.1", 0),
                 passed != null, shared == null ? null : shared.toString()), read.shape()), passed,
             given -> {
                 actions = given;
-                return new Notes(onReq);
+                return new Notes(onRequest);
             });
         addr = server.start();
     }
 
     /** The text of this node's configuration, as the platform would write it again. */
     String configText() {
-        return config(director, list(1, true, entry("s-1", backend, "SERVING")));
+        return config(discovery, list(1, true, entry("s-1", worker, "SERVING")));
     }
 
-    static String config(ServerSocket director, String known) {
+    static String config(ServerSocket discovery, String known) {
         return """
             {"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:%d","seed":"92094eb940cf389a",
              "limits":{"sockets":200},"known":%s,"settings":{"balancers":1,"classes":[
@@ -127,7 +127,7 @@
               "deadlineUs":5000000}],"zones":["a"],"hostTypes":["m1"],"membershipMode":"ask",
              "limits":{"connIdleUs":2000000,"connectTimeoutUs":250000,"retryAfter":true,
              "maxRetryAfterUs":2000000}}}""".formatted(
-            director.getLocalPort(), known);
+            discovery.getLocalPort(), known);
     }
 
     static String list(int version, boolean full, String entries) {
@@ -144,7 +144,7 @@
             + body;
     }
 
-    static String req(String id, String headers, String body) {
+    static String request(String id, String headers, String body) {
         return "POST /check?obj=2a HTTP/1.1\r\nHost: api\r\nX-Request-Id: " + id + "\r\n" + headers
             + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
@@ -161,11 +161,11 @@
         return event != null && event.startsWith("progressed") ? eventBesideProgress() : event;
     }
 
-    void act(Consumer<Actions> action) {
+    void act(Consumer<DispatcherActions> action) {
         server.loop().execute(() -> {
             action.accept(actions);
             // Any event makes the loop carry actions out.
-            server.core().directorFailed();
+            server.core().discoveryFailed();
         });
     }
 
@@ -180,42 +180,42 @@
         return Peer.connect(addr);
     }
 
-    Peer backend() throws IOException {
-        return Peer.accept(backend);
+    Peer worker() throws IOException {
+        return Peer.accept(worker);
     }
 
-    Peer director() throws IOException {
-        return Peer.accept(director);
+    Peer discovery() throws IOException {
+        return Peer.accept(discovery);
     }
 
     @Override
     public void close() throws IOException {
         server.halt();
-        backend.close();
-        director.close();
+        worker.close();
+        discovery.close();
         assertThat(server.core().invariant().total()).isZero();
     }
 
-    private final class Notes implements Events {
+    private final class Notes implements DispatcherEvents {
 
-        private final BiConsumer<Actions, Integer> onReq;
+        private final BiConsumer<DispatcherActions, Integer> onRequest;
 
-        Notes(BiConsumer<Actions, Integer> onReq) {
-            this.onReq = onReq;
+        Notes(BiConsumer<DispatcherActions, Integer> onRequest) {
+            this.onRequest = onRequest;
         }
 
         @Override
-        public void listed(long nowUs, ListForm form, List<Worker> entries) {
+        public void endpointListChanged(long nowUs, EndpointListForm form, List<Worker> entries) {
             final StringBuilder text = new StringBuilder("listed " + form);
             entries.forEach(worker -> text.append(" " + worker.id() + worker.state() + worker.startedAtUs()));
             events.add(text.toString());
         }
 
         @Override
-        public void requested(long nowUs, int requestId, Job job, long giveUpUs) {
+        public void requestArrived(long nowUs, int requestId, Job job, long deadlineUs) {
             events.add("requested " + requestId + " class " + job.requestClass() + " key " + job.dataKey()
                 + (job.tenant() == 0 ? "" : " tenant " + job.tenant()));
-            onReq.accept(actions, requestId);
+            onRequest.accept(actions, requestId);
         }
 
         @Override
@@ -224,39 +224,39 @@
         }
 
         @Override
-        public void jobProgressed(long nowUs, int requestId, int attempt, int workerId, double shareDone) {
-            events.add("progressed " + requestId + " " + attempt + " " + shareDone);
+        public void jobProgressed(long nowUs, int requestId, int attempt, int workerId, double fractionDone) {
+            events.add("progressed " + requestId + " " + attempt + " " + fractionDone);
         }
 
         @Override
-        public void ended(long nowUs, int requestId, int attempt, int workerId, Outcome outcome,
+        public void attemptEnded(long nowUs, int requestId, int attempt, int workerId, Outcome outcome,
             long elapsedUs, boolean requestClosed, LoadReport report) {
             events.add("ended " + requestId + " " + attempt + " " + outcome + " closed " + requestClosed
                 + " load " + report.freeSlots() + " " + report.outstanding());
             if (!requestClosed && sendsLeft-- > 0) {
                 actions.send(requestId, 0, Long.MAX_VALUE);
             } else if (!requestClosed) {
-                actions.refuse(requestId, 1_500_000);
+                actions.reject(requestId, 1_500_000);
             }
         }
 
         @Override
-        public void probed(long nowUs, int workerId, Outcome outcome, LoadReport report) {
+        public void loadReported(long nowUs, int workerId, Outcome outcome, LoadReport report) {
             events.add("probed " + outcome + " load " + report.freeSlots());
         }
 
         @Override
-        public void toldSilent(long nowUs, int workerId, int requestClass) {
+        public void workerReportedUnresponsive(long nowUs, int workerId, int requestClass) {
             throw new IllegalStateException("nodes do not talk");
         }
 
         @Override
-        public void woken(long nowUs, long token) {
+        public void timerFired(long nowUs, long token) {
             events.add("woken " + token);
         }
 
         @Override
-        public void retuned(long nowUs, Settings settings) {
+        public void settingsChanged(long nowUs, DispatchSettings settings) {
             events.add("retuned " + settings.classes().size() + " classes, attempts "
                 + settings.limits().maxAttempts());
         }
--- a/src/test/java/cresschute/node/UpgradeRulesTest.java
+++ b/src/test/java/cresschute/node/UpgradeRulesTest.java
@@ -1,7 +1,7 @@
 package cresschute.node;
 
 import static cresschute.node.TestNode.answer;
-import static cresschute.node.TestNode.req;
+import static cresschute.node.TestNode.request;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.net.InetAddress;
@@ -37,8 +37,8 @@
             .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             TestNode old = new TestNode(platform)) {
             final SocketAddress addr = platform.getLocalAddress();
-            final Peer kept = Peer.connect(addr).write(req("r1", "", ""));
-            final Peer first = old.backend();
+            final Peer kept = Peer.connect(addr).write(request("r1", "", ""));
+            final Peer first = old.worker();
             assertThat(first.read()).contains("X-Request-Id: r1");
             first.write(answer("200 OK", "", done("r1")));
             assertThat(kept.read()).startsWith("HTTP/1.1 200");
@@ -46,16 +46,16 @@
                 final CompletableFuture<Void> stopped = old.server.stop();
                 settle(old);
                 // New connections wait in the platform's queue for the new process alone.
-                final Peer late = Peer.connect(addr).write(req("r2", "", ""));
-                final Peer second = next.backend();
+                final Peer late = Peer.connect(addr).write(request("r2", "", ""));
+                final Peer second = next.worker();
                 assertThat(second.read()).contains("X-Request-Id: r2");
                 second.write(answer("200 OK", "", done("r2")));
                 assertThat(late.read()).startsWith("HTTP/1.1 200");
                 // The old process ends its idle connection with a close, never a reset, and then itself.
                 assertThat(kept.readToEnd()).isNotNull().isEmpty();
                 stopped.get(8, TimeUnit.SECONDS);
-                final Peer after = Peer.connect(addr).write(req("r3", "", ""));
-                // On the kept connection to the backend: the new process goes on alone.
+                final Peer after = Peer.connect(addr).write(request("r3", "", ""));
+                // On the kept connection to the worker: the new process goes on alone.
                 assertThat(second.read()).contains("X-Request-Id: r3");
                 assertThat(platform.isOpen()).isTrue();
                 after.close();
--- a/src/test/java/cresschute/node/http/HttpFetchTest.java
+++ b/src/test/java/cresschute/node/http/HttpAttemptTest.java
@@ -4,33 +4,33 @@
 
 import cresschute.dispatch.Outcome;
 import cresschute.node.RateLimitedLog;
-import cresschute.node.ReqContent;
+import cresschute.node.RequestContent;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Whether a job may have run is decided by its last byte, which kernel buffers hide from a socket test. */
-class HttpFetchTest {
+class HttpAttemptTest {
 
     private final NotedEnds noted = new NotedEnds();
-    private final ReqContent content = new ReqContent("r1", "/check", null, new byte[0]);
-    private final HttpFetch fetch = new HttpFetch("127.0.0.1:9", content, noted,
+    private final RequestContent content = new RequestContent("r1", "/check", null, new byte[0]);
+    private final HttpAttempt attempt = new HttpAttempt("127.0.0.1:9", content, noted,
         new RateLimitedLog(System.getLogger("test"), () -> 0));
 
     @ParameterizedTest
     @CsvSource({"false, CONNECT_FAILED", "true, BROKEN"})
     void tellsABreakByWhatWasWritten(boolean written, Outcome outcome) {
-        fetch.written = written;
-        fetch.broken();
-        fetch.broken();
+        attempt.written = written;
+        attempt.broken();
+        attempt.broken();
         assertThat(noted.ends).containsExactly(outcome);
     }
 
     @ParameterizedTest
     @CsvSource({"false, CONNECT_FAILED", "true, TIMED_OUT"})
     void tellsAGiveUpByWhatWasWrittenAndNothingAfterIt(boolean written, Outcome outcome) {
-        fetch.written = written;
-        assertThat(fetch.giveUp()).isEqualTo(outcome);
-        fetch.broken();
+        attempt.written = written;
+        assertThat(attempt.giveUp()).isEqualTo(outcome);
+        attempt.broken();
         assertThat(noted.ends).isEmpty();
     }
 }
--- a/src/test/java/cresschute/node/http/NotedEnds.java
+++ b/src/test/java/cresschute/node/http/NotedEnds.java
@@ -2,13 +2,13 @@
 
 import cresschute.dispatch.LoadReport;
 import cresschute.dispatch.Outcome;
-import cresschute.node.Backends.FetchListener;
+import cresschute.node.WorkerClient.AttemptListener;
 import cresschute.node.ResultStream;
 import java.util.ArrayList;
 import java.util.List;
 
-/** Notes how a fetch ended, of which nothing else may come. */
-final class NotedEnds implements FetchListener {
+/** Notes how an attempt ended, of which nothing else may come. */
+final class NotedEnds implements AttemptListener {
 
     final List<Outcome> ends = new ArrayList<>();
 
@@ -18,7 +18,7 @@
     }
 
     @Override
-    public void progressed(double shareDone) {
+    public void progressed(double fractionDone) {
         throw new AssertionError("nothing of the kind came back");
     }
 
--- a/src/test/java/cresschute/node/http/ParsersTest.java
+++ b/src/test/java/cresschute/node/http/ParsersTest.java
@@ -39,13 +39,13 @@
         {}                      | -1 | -1 | -1
         """)
     void readsLoadsInBothForms(String text, double freeSlots, double outstanding, double waiting) {
-        assertThat(Loads.parseBody(text)).isEqualTo(new LoadReport(freeSlots, outstanding, waiting));
+        assertThat(LoadReportParser.parseBody(text)).isEqualTo(new LoadReport(freeSlots, outstanding, waiting));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"x0", "x0=", "x0=a", "{\"x0\":\"3\"}", "{", "x0=1,,queue=2"})
     void refusesOtherLoads(String text) {
-        assertThatThrownBy(() -> Loads.parseBody(text)).isInstanceOf(JsonParseException.class);
+        assertThatThrownBy(() -> LoadReportParser.parseBody(text)).isInstanceOf(JsonParseException.class);
     }
 
     @ParameterizedTest
@@ -54,7 +54,7 @@
         "{\"id\":\"r1\",\"state\":\"done\"}", "{\"id\":\"r1\",\"state\":\"running\",\"share\":2}",
         "{\"id\":\"r1\",\"state\":\"started\"} {}", "{id:'r1'}"})
     void refusesOtherLines(String text) {
-        assertThatThrownBy(() -> JobLine.parse(text, "r1")).isInstanceOf(JsonParseException.class);
+        assertThatThrownBy(() -> ProgressLine.parse(text, "r1")).isInstanceOf(JsonParseException.class);
     }
 
     @ParameterizedTest
@@ -62,7 +62,7 @@
     void cutsLinesWhereverChunksEnd(int size) {
         final String text = "one\n\n  two\u00e9\r\n" + "long".repeat(400) + "\nrest";
         final byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        final JobLines lines = new JobLines();
+        final ProgressLineReader lines = new ProgressLineReader();
         final List<String> cut = new ArrayList<>();
         for (int at = 0; at < bytes.length; at += size) {
             final int count = Math.min(size, bytes.length - at);
@@ -77,6 +77,6 @@
 
     @Test
     void boundsALine() {
-        assertThat(new JobLines().add(Unpooled.wrappedBuffer(new byte[JobLines.MOST_BYTES + 1]))).isFalse();
+        assertThat(new ProgressLineReader().add(Unpooled.wrappedBuffer(new byte[ProgressLineReader.MAX_BYTES + 1]))).isFalse();
     }
 }
--- a/src/test/java/cresschute/node/http/BackendConnectionTest.java
+++ b/src/test/java/cresschute/node/http/WorkerConnectionTest.java
@@ -4,7 +4,7 @@
 
 import cresschute.dispatch.Outcome;
 import cresschute.node.RateLimitedLog;
-import cresschute.node.ReqContent;
+import cresschute.node.RequestContent;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.embedded.EmbeddedChannel;
 import io.netty.handler.codec.http.DefaultHttpContent;
@@ -17,23 +17,23 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** A connection whose time is turned by hand: what is left of a fetch once its answer is whole. */
-class BackendConnectionTest {
+/** A connection whose time is turned by hand: what is left of an attempt once its answer is whole. */
+class WorkerConnectionTest {
 
     private static final long IDLE_US = 4_000_000;
     private static final InetSocketAddress ADDR = new InetSocketAddress("127.0.0.1", 9);
 
     private final NotedEnds noted = new NotedEnds();
-    private final RateLimitedLog troubles = new RateLimitedLog(System.getLogger("test"), () -> 0);
+    private final RateLimitedLog faults = new RateLimitedLog(System.getLogger("test"), () -> 0);
     private final EmbeddedChannel channel = new EmbeddedChannel();
-    private final BackendConnection connection = new BackendConnection(ADDR,
-        new BackendConnections(channel.eventLoop(), troubles, 1_000, IDLE_US, 10, false));
+    private final WorkerConnection connection = new WorkerConnection(ADDR,
+        new WorkerConnectionPool(channel.eventLoop(), faults, 1_000, IDLE_US, 10, false));
 
-    BackendConnectionTest() {
+    WorkerConnectionTest() {
         channel.freezeTime();
         channel.pipeline().addLast(connection);
-        connection.start(new HttpFetch("127.0.0.1:9", new ReqContent("r1", "/check", null, new byte[0]),
-            noted, troubles));
+        connection.start(new HttpAttempt("127.0.0.1:9", new RequestContent("r1", "/check", null, new byte[0]),
+            noted, faults));
         channel.writeInbound(new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK),
             new DefaultHttpContent(Unpooled.copiedBuffer(
                 "{\"id\":\"r1\",\"state\":\"done\",\"result\":\"yes\"}\n", StandardCharsets.UTF_8)));
@@ -44,15 +44,15 @@
         return ns < 0 ? -1 : TimeUnit.NANOSECONDS.toMillis(ns);
     }
 
-    /** Only the timer of the idle connection is left, which holds nothing of the fetch. */
+    /** Only the timer of the idle connection is left, which holds nothing of the attempt. */
     @Test
-    void wholeAnswerLeavesNoTimerOfItsFetch() {
+    void wholeAnswerLeavesNoTimerOfItsAttempt() {
         assertThat(noted.ends).containsExactly(Outcome.SERVED);
         channel.writeInbound(LastHttpContent.EMPTY_LAST_CONTENT);
         assertThat(untilNextTimerMs()).isEqualTo(3_000);
     }
 
-    /** A backend that tells the outcome and does not end its answer is given up after a second. */
+    /** A worker that tells the outcome and does not end its answer is given up after a second. */
     @Test
     void answerWithoutAnEndIsGivenUp() {
         assertThat(untilNextTimerMs()).isEqualTo(1_000);
--- a/src/test/java/cresschute/peers/LoadAnnouncerTest.java
+++ b/src/test/java/cresschute/peers/LoadGossiperTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 
 /** When a message goes out and what is in it. */
-class LoadAnnouncerTest {
+class LoadGossiperTest {
 
     private static final long MS = 1_000;
     private static final long S = 1_000_000;
@@ -21,8 +21,8 @@
     private final InFlightCounts counts = new InFlightCounts();
     private long nowUs = 100 * S;
 
-    private LoadAnnouncer announcer(int peers, long bytesPerS, long refreshUs) {
-        return new LoadAnnouncer(new ExchangeSettings("n0", peers, bytesPerS, refreshUs), counts, nowUs);
+    private LoadGossiper announcer(int peers, long bytesPerS, long refreshUs) {
+        return new LoadGossiper(new ExchangeSettings("n0", peers, bytesPerS, refreshUs), counts, nowUs);
     }
 
     private static List<Integer> keys(LoadMessage message) {
@@ -30,7 +30,7 @@
     }
 
     /** The next message and the time passed until it. */
-    private LoadMessage next(LoadAnnouncer announcer) {
+    private LoadMessage next(LoadGossiper announcer) {
         for (int i = 0; i < 1_000; i++) {
             nowUs += 10 * MS;
             final Optional<LoadMessage> message = announcer.poll(nowUs);
@@ -43,7 +43,7 @@
 
     @Test
     void newsGoOutAfterAQuarterSecondAndHeartbeatsAfterOne() {
-        final LoadAnnouncer announcer = announcer(2, 100_000, 60 * S);
+        final LoadGossiper announcer = announcer(2, 100_000, 60 * S);
         counts.started(5);
         final long startUs = nowUs;
         final LoadMessage news = next(announcer);
@@ -64,7 +64,7 @@
     @Test
     void oneWorkersChangesAreOneEntryAndTheOldestChangeIsFirst() {
         // 100 bytes a second for one peer: a heartbeat leaves room for five entries.
-        final LoadAnnouncer announcer = announcer(1, 100, 3_600 * S);
+        final LoadGossiper announcer = announcer(1, 100, 3_600 * S);
         for (int key = 20; key > 10; key--) {
             counts.started(key);
         }
@@ -81,7 +81,7 @@
 
     @Test
     void oneCycleStatesEveryOpenNumberInRangesThatCoverAllKeys() {
-        final LoadAnnouncer announcer = announcer(2, 50_000, 10 * S);
+        final LoadGossiper announcer = announcer(2, 50_000, 10 * S);
         final Set<Integer> open = new TreeSet<>(Integer::compareUnsigned);
         for (int i = 0; i < 100; i++) {
             open.add(i * 0x2345_6789);
@@ -114,7 +114,7 @@
 
     @Test
     void shortBudgetMakesCyclesLongerAndLosesNothing() {
-        final LoadAnnouncer announcer = announcer(29, 3_000, 10 * S);
+        final LoadGossiper announcer = announcer(29, 3_000, 10 * S);
         for (int key = 0; key < 60; key++) {
             counts.started(key * 1_000);
         }
@@ -129,7 +129,7 @@
 
     @Test
     void leavingIsSaidOnce() {
-        final LoadAnnouncer announcer = announcer(2, 1_000, 60 * S);
+        final LoadGossiper announcer = announcer(2, 1_000, 60 * S);
         assertThat(announcer.leave(nowUs)).as("no budget yet").isEmpty();
         nowUs += S;
         final LoadMessage message = announcer.leave(nowUs).orElseThrow();
--- a/src/test/java/cresschute/peers/LoadMessageCodecTest.java
+++ b/src/test/java/cresschute/peers/LoadMessageCodecTest.java
@@ -26,18 +26,18 @@
             new KeyRange(5, KeyRange.MAX_KEY), List.of(entries));
     }
 
-    private Refusal refusal(byte[] bytes) {
+    private RejectionReason refusal(byte[] bytes) {
         try {
             codec.decode(bytes);
             return null;
-        } catch (RefusedMessageException e) {
+        } catch (RejectedMessageException e) {
             return e.refusal();
         }
     }
 
     @Property(tries = 300, seed = "7")
     void whatGoesInComesOut(@ForAll int sender, @ForAll @IntRange(max = 180) int size, @ForAll long seed,
-        @ForAll boolean leaving) throws RefusedMessageException {
+        @ForAll boolean leaving) throws RejectedMessageException {
         final Random random = new Random(seed);
         final List<Entry> entries = new ArrayList<>();
         IntStream.range(0, size).forEach(i -> entries.add(new Entry(random.nextInt(),
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void largestCountsComeOut() throws RefusedMessageException {
+    void largestCountsComeOut() throws RejectedMessageException {
         final LoadMessage message = message(new Entry(-1, Integer.MAX_VALUE), new Entry(0, 0),
             new Entry(1, 127), new Entry(2, 128));
         assertThat(codec.decode(codec.encode(message))).isEqualTo(message);
@@ -62,7 +62,7 @@
         final byte[] whole = codec.encode(message(new Entry(1, 300), new Entry(2, 2)));
         for (int length = 0; length < whole.length; length++) {
             assertThat(refusal(Arrays.copyOf(whole, length))).as("cut to " + length).isEqualTo(
-                length < LoadMessageCodec.MIN_MESSAGE_BYTES ? Refusal.TOO_SHORT : Refusal.NOT_AUTHENTIC);
+                length < LoadMessageCodec.MIN_MESSAGE_BYTES ? RejectionReason.TOO_SHORT : RejectionReason.NOT_AUTHENTIC);
         }
     }
 
@@ -73,29 +73,29 @@
             final byte[] flipped = whole.clone();
             flipped[bit / 8] ^= (byte) (1 << bit % 8);
             assertThat(refusal(flipped)).as("bit " + bit)
-                .isEqualTo(bit < 8 ? Refusal.OTHER_VERSION : Refusal.NOT_AUTHENTIC);
+                .isEqualTo(bit < 8 ? RejectionReason.OTHER_VERSION : RejectionReason.NOT_AUTHENTIC);
         }
     }
 
     @Test
     void lengthenedOrOfAnotherKeyItIsRefused() {
         final byte[] whole = codec.encode(message());
-        assertThat(refusal(Arrays.copyOf(whole, whole.length + 1))).isEqualTo(Refusal.NOT_AUTHENTIC);
-        assertThat(refusal(new byte[LoadMessageCodec.MAX_MESSAGE_BYTES + 1])).isEqualTo(Refusal.TOO_LONG);
+        assertThat(refusal(Arrays.copyOf(whole, whole.length + 1))).isEqualTo(RejectionReason.NOT_AUTHENTIC);
+        assertThat(refusal(new byte[LoadMessageCodec.MAX_MESSAGE_BYTES + 1])).isEqualTo(RejectionReason.TOO_LONG);
         assertThat(refusal(new LoadMessageCodec("another key of 24 bytes!".getBytes(
-            java.nio.charset.StandardCharsets.UTF_8)).encode(message()))).isEqualTo(Refusal.NOT_AUTHENTIC);
+            java.nio.charset.StandardCharsets.UTF_8)).encode(message()))).isEqualTo(RejectionReason.NOT_AUTHENTIC);
     }
 
     @Test
     void authenticBytesOutOfFormAreMalformed() {
         assertThat(refusal(codec.encode(new LoadMessage(1, -5, 1, 1, false, KeyRange.EMPTY, List.of()))))
-            .as("negative incarnation").isEqualTo(Refusal.MALFORMED);
+            .as("negative incarnation").isEqualTo(RejectionReason.MALFORMED);
         assertThat(refusal(codec.encode(new LoadMessage(1, 5, 0, 1, false, KeyRange.EMPTY, List.of()))))
-            .as("sequence 0").isEqualTo(Refusal.MALFORMED);
+            .as("sequence 0").isEqualTo(RejectionReason.MALFORMED);
         assertThat(refusal(codec.encode(new LoadMessage(1, 5, 1, 0, false, KeyRange.EMPTY, List.of()))))
-            .as("cycle 0").isEqualTo(Refusal.MALFORMED);
+            .as("cycle 0").isEqualTo(RejectionReason.MALFORMED);
         assertThat(refusal(codec.encode(message(new Entry(1, -1))))).as("count beyond 31 bits")
-            .isEqualTo(Refusal.MALFORMED);
+            .isEqualTo(RejectionReason.MALFORMED);
     }
 
     @Test
--- a/src/test/java/cresschute/peers/LoadViewTest.java
+++ b/src/test/java/cresschute/peers/PeerLoadViewTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What the view answers, and what a peer that lies can do. */
-class LoadViewTest {
+class PeerLoadViewTest {
 
     private static final long S = 1_000_000;
     private static final int LIAR = WorkerKeys.hash("liar");
@@ -22,7 +22,7 @@
     private final InFlightCounts own = new InFlightCounts();
     private long nowUs = 100 * S;
     private final PeerTable peers = new PeerTable("self", 2, nowUs);
-    private final LoadView view = new LoadView(keys, own, peers, (sender, forUs) -> distrusted.add(sender));
+    private final PeerLoadView view = new PeerLoadView(keys, own, peers, (sender, forUs) -> distrusted.add(sender));
     private long sequence;
 
     private static String worker(int number) {
@@ -40,7 +40,7 @@
         try {
             peers.receive(nowUs, new LoadMessage(sender, 1, sequence, 1, false, KeyRange.EMPTY,
                 IntStream.range(0, workers).mapToObj(i -> new Entry(keys.list(worker(i)), count)).toList()));
-        } catch (RefusedMessageException e) {
+        } catch (RejectedMessageException e) {
             throw new AssertionError(e);
         }
     }
@@ -110,7 +110,7 @@
             nowUs += S / 10;
             states(30, 2, 40);
             view.reported(nowUs, worker(reports++ % 40), 2);
-            assertThat(reports).isLessThanOrEqualTo(ClaimCheck.WINDOW);
+            assertThat(reports).isLessThanOrEqualTo(ClaimValidator.WINDOW);
         }
         assertThat(distrusted).containsExactly(LIAR);
         assertThat(peers.isComplete(nowUs)).isFalse();
--- a/src/test/java/cresschute/peers/PeerTableTest.java
+++ b/src/test/java/cresschute/peers/PeerTableTest.java
@@ -26,11 +26,11 @@
     }
 
     /** The reason for which it is refused, or null. */
-    private Refusal receive(LoadMessage message) {
+    private RejectionReason receive(LoadMessage message) {
         try {
             table.receive(nowUs, message);
             return null;
-        } catch (RefusedMessageException e) {
+        } catch (RejectedMessageException e) {
             return e.refusal();
         }
     }
@@ -129,13 +129,13 @@
 
     @Test
     void oldMessagesOwnOnesAndTooManySendersAreRefused() {
-        assertThat(receive(message(WorkerKeys.hash("self"), 1, 1, 1))).isEqualTo(Refusal.OWN_NAME);
+        assertThat(receive(message(WorkerKeys.hash("self"), 1, 1, 1))).isEqualTo(RejectionReason.OWN_NAME);
         receive(message(A, 5, 3, 1));
-        assertThat(receive(message(A, 5, 3, 1))).isEqualTo(Refusal.OLD_SEQUENCE);
-        assertThat(receive(message(A, 5, 2, 1))).isEqualTo(Refusal.OLD_SEQUENCE);
-        assertThat(receive(message(A, 4, 9, 1))).isEqualTo(Refusal.OLD_INCARNATION);
+        assertThat(receive(message(A, 5, 3, 1))).isEqualTo(RejectionReason.OLD_SEQUENCE);
+        assertThat(receive(message(A, 5, 2, 1))).isEqualTo(RejectionReason.OLD_SEQUENCE);
+        assertThat(receive(message(A, 4, 9, 1))).isEqualTo(RejectionReason.OLD_INCARNATION);
         receive(message(B, 1, 1, 1));
-        assertThat(receive(message(77, 1, 1, 1))).isEqualTo(Refusal.TOO_MANY_SENDERS);
+        assertThat(receive(message(77, 1, 1, 1))).isEqualTo(RejectionReason.TOO_MANY_SENDERS);
         nowUs += 60 * S;
         receive(message(A, 5, 4, 1));
         assertThat(receive(message(77, 1, 1, 1))).as("one is absent now").isNull();
@@ -145,12 +145,12 @@
     @Test
     void onePeerCannotFillTheMemory() {
         int sequence = 0;
-        Refusal refusal = null;
+        RejectionReason refusal = null;
         for (int from = 0; refusal == null; from += 200) {
             refusal = receive(message(A, 1, ++sequence, 1, IntStream.range(from, from + 200)
                 .mapToObj(key -> new Entry(key, 1)).toArray(Entry[]::new)));
         }
-        assertThat(refusal).isEqualTo(Refusal.TOO_MANY_ENTRIES);
+        assertThat(refusal).isEqualTo(RejectionReason.TOO_MANY_ENTRIES);
         assertThat(200 * sequence).isLessThanOrEqualTo(PeerTable.MAX_ENTRIES_PER_PEER + 200);
     }
 
--- a/src/test/java/cresschute/peers/SimulatedNetwork.java
+++ b/src/test/java/cresschute/peers/SimulatedNetwork.java
@@ -169,7 +169,7 @@
         site.messages++;
         for (int to = 0; to < sites.size(); to++) {
             if (to != from) {
-                site.bytes += bytes.length + LoadAnnouncer.HEADER_BYTES;
+                site.bytes += bytes.length + LoadGossiper.HEADER_BYTES;
                 send(from, to, bytes);
             }
         }
@@ -200,7 +200,7 @@
         try {
             site.exchange.receive(nowUs, site.codec.decode(bytes));
             return true;
-        } catch (RefusedMessageException e) {
+        } catch (RejectedMessageException e) {
             return false;
         }
     }
--- a/src/test/java/cresschute/peers/socket/PeerSocketTest.java
+++ b/src/test/java/cresschute/peers/socket/PeerSocketTest.java
@@ -10,7 +10,7 @@
 import cresschute.peers.LoadMessage.KeyRange;
 import cresschute.peers.LoadMessageCodec;
 import cresschute.peers.PeerState;
-import cresschute.peers.Refusal;
+import cresschute.peers.RejectionReason;
 import cresschute.peers.WorkerKeys;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
@@ -134,9 +134,9 @@
         final byte[] other = new LoadMessageCodec(KEY).encode(lie);
         other[0] = 2;
         send(other, site);
-        await().atMost(PATIENCE).until(() -> onLoop(() -> site.log().refused(Refusal.NOT_AUTHENTIC) == 1
-            && site.log().refused(Refusal.TOO_SHORT) == 2 && site.log().refused(Refusal.TOO_LONG) == 1
-            && site.log().refused(Refusal.OTHER_VERSION) == 1));
+        await().atMost(PATIENCE).until(() -> onLoop(() -> site.log().refused(RejectionReason.NOT_AUTHENTIC) == 1
+            && site.log().refused(RejectionReason.TOO_SHORT) == 2 && site.log().refused(RejectionReason.TOO_LONG) == 1
+            && site.log().refused(RejectionReason.OTHER_VERSION) == 1));
         assertThat(outstanding(site)).hasValue(0);
         assertThat(isComplete(site)).isTrue();
     }
--- a/src/test/java/cresschute/scale/AnswerCount.java
+++ b/src/test/java/cresschute/scale/AnswerCount.java
@@ -1,7 +1,7 @@
 package cresschute.scale;
 
-import cresschute.dispatch.Actions;
-import cresschute.dispatch.Events;
+import cresschute.dispatch.DispatcherActions;
+import cresschute.dispatch.DispatcherEvents;
 import cresschute.dispatch.Outcome;
 import cresschute.testbed.model.FleetModel.ModuleMaker;
 import java.lang.reflect.InvocationTargetException;
@@ -19,21 +19,21 @@
     private final Map<Key, Integer> answers = new HashMap<>();
     private int dispatchers;
     private int open;
-    private int mostOpen;
+    private int maxOpen;
 
     /** A maker that wraps the modules of another and their actions. */
     ModuleMaker around(ModuleMaker maker) {
         return (settings, seed, actions) -> {
             final int dispatcher = dispatchers++;
-            final Actions counted = (Actions) wrap(Actions.class, actions, (name, args) -> {
+            final DispatcherActions counted = (DispatcherActions) wrap(DispatcherActions.class, actions, (name, args) -> {
                 if (name.equals("refuse") || name.equals("fail")) {
                     answered(new Key(dispatcher, (Integer) args[0]));
                 }
             });
-            return (Events) wrap(Events.class, maker.make(settings, seed, counted), (name, args) -> {
+            return (DispatcherEvents) wrap(DispatcherEvents.class, maker.make(settings, seed, counted), (name, args) -> {
                 if (name.equals("requested")) {
                     answers.put(new Key(dispatcher, (Integer) args[1]), 0);
-                    mostOpen = Math.max(mostOpen, ++open);
+                    maxOpen = Math.max(maxOpen, ++open);
                 } else if (name.equals("ended") && args[4] == Outcome.SERVED) {
                     answered(new Key(dispatcher, (Integer) args[1]));
                 }
@@ -67,8 +67,8 @@
     }
 
     /** The most that were open at a time. */
-    int mostOpen() {
-        return mostOpen;
+    int maxOpen() {
+        return maxOpen;
     }
 
     /** Requests by dispatcher and number that were not answered exactly once. */
--- a/src/test/java/cresschute/scale/DecisionCostScaleTest.java
+++ b/src/test/java/cresschute/scale/DecisionCostScaleTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cresschute.dispatch.ListForm;
+import cresschute.dispatch.EndpointListForm;
 import cresschute.dispatch.Outcome;
 import cresschute.dispatch.WorkerState;
 import cresschute.dispatch.WorkerVisits;
@@ -24,7 +24,7 @@
     private static ScriptedHost host(int workers) {
         final ScriptedHost host = new ScriptedHost(
             PlannedSize.settings(PlannedSize.DISPATCHERS, PlannedSize.TENANTS), SEED);
-        host.list(ListForm.CACHED, PlannedSize.workers(workers));
+        host.list(EndpointListForm.CACHED, PlannedSize.workers(workers));
         return host;
     }
 
@@ -74,7 +74,7 @@
         for (final int workers : new int[]{PlannedSize.TENTH_OF_WORKERS, PlannedSize.WORKERS}) {
             final ScriptedHost host = host(workers);
             final WorkerVisits visits = WorkerVisits.of(host.module, PlannedSize.ZONES);
-            host.list(ListForm.CHANGES, List.of(PlannedSize.worker(3, WorkerState.DRAINING, 0)));
+            host.list(EndpointListForm.CHANGES, List.of(PlannedSize.worker(3, WorkerState.DRAINING, 0)));
             assertThat((double) visits.take() / workers).as("visits a worker for a change of %d", workers)
                 .isLessThanOrEqualTo(MAX_VISITS_A_WORKER_AND_CHANGE);
         }
--- a/src/test/java/cresschute/scale/ExchangeScaleTest.java
+++ b/src/test/java/cresschute/scale/ExchangeScaleTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cresschute.dispatch.Logic;
+import cresschute.dispatch.Dispatcher;
 import cresschute.testbed.model.DispatcherMeter;
 import cresschute.testbed.model.ExchangingModules;
 import cresschute.testbed.model.FleetModel;
@@ -41,10 +41,10 @@
     /** Some are left, as a part of the questions is put to the worker itself. */
     @Test
     void exchangeTakesTheWayOfNearlyAllProbesWithinItsBytes() {
-        final ExchangingModules exchange = new ExchangingModules(Logic::new,
+        final ExchangingModules exchange = new ExchangingModules(Dispatcher::new,
             ExchangeSettings.DEFAULT_BYTES_PER_S);
         final long with = probes(fleet(exchange));
-        final long without = probes(fleet(Logic::new));
+        final long without = probes(fleet(Dispatcher::new));
         assertThat(without).as("probes without the exchange, seed %d", SEED).isGreaterThan(20L * SECONDS);
         assertThat(with).as("probes with it, of %d", without).isPositive().isLessThan(without / 5);
         assertThat(exchange.answered()).as("questions that the view answered").isGreaterThan(without / 2);
--- a/src/test/java/cresschute/scale/FleetCapacityTest.java
+++ b/src/test/java/cresschute/scale/FleetCapacityTest.java
@@ -50,8 +50,8 @@
     void chanceStartsUrgentWorkLaterThanTheTrueState() {
         final String measure = "urgent_start_p99_seconds";
         final double random = measured("random", SEED).get(measure);
-        final double least = measured("least_outstanding_true", SEED).get(measure);
+        final double min = measured("least_outstanding_true", SEED).get(measure);
         assertThat(random).as("random, seed %d", SEED).isGreaterThan(5);
-        assertThat(least).as("least outstanding by true state, seed %d", SEED).isLessThan(0.1);
+        assertThat(min).as("least outstanding by true state, seed %d", SEED).isLessThan(0.1);
     }
 }
--- a/src/test/java/cresschute/scale/FleetScaleTest.java
+++ b/src/test/java/cresschute/scale/FleetScaleTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cresschute.dispatch.RequestClass;
-import cresschute.dispatch.Logic;
+import cresschute.dispatch.Dispatcher;
 import cresschute.testbed.model.DispatcherMeter;
 import cresschute.testbed.model.FleetModel;
 import cresschute.testbed.model.FleetModel.Demand;
@@ -46,7 +46,7 @@
     @ValueSource(ints = {2, 20, 40})
     void probesAWorkerAreBoundedWhateverTheNumberOfDispatchers(int dispatchers) {
         final int workers = PlannedSize.TENTH_OF_WORKERS;
-        final FleetModel fleet = fleet(workers, dispatchers, PlannedSize.MEAN_RUN_US, USUAL_LOAD, Logic::new);
+        final FleetModel fleet = fleet(workers, dispatchers, PlannedSize.MEAN_RUN_US, USUAL_LOAD, Dispatcher::new);
         fleet.pass(40 * PlannedSize.SECOND_US);
         fleet.meters().forEach(DispatcherMeter::restart);
         final int seconds = 40;
@@ -65,14 +65,14 @@
     void gangsThatFillTheFleetInOneInstantGetOneAnswerEach() {
         final AnswerCount answers = new AnswerCount();
         final FleetModel fleet = fleet(PlannedSize.WORKERS, PlannedSize.DISPATCHERS,
-            2 * PlannedSize.SECOND_US, 1e-6, answers.around(Logic::new));
+            2 * PlannedSize.SECOND_US, 1e-6, answers.around(Dispatcher::new));
         final int gangs = PlannedSize.RUNNING / PlannedSize.GANG + 1;
         final List<Gang> all = new ArrayList<>();
         for (int i = 0; i < gangs; i++) {
             all.add(fleet.gang(PlannedSize.USUAL + i % 2, i % PlannedSize.TENANTS, PlannedSize.GANG));
         }
         fleet.pass(15 * PlannedSize.SECOND_US);
-        assertThat(answers.mostOpen()).as("open at a time").isGreaterThanOrEqualTo(PlannedSize.RUNNING);
+        assertThat(answers.maxOpen()).as("open at a time").isGreaterThanOrEqualTo(PlannedSize.RUNNING);
         assertThat(answers.requests()).as("requests taken")
             .isGreaterThanOrEqualTo(gangs * PlannedSize.GANG);
         fleet.drain();
@@ -87,7 +87,7 @@
         final AnswerCount answers = new AnswerCount();
         final int workers = 2 * PlannedSize.TENTH_OF_WORKERS;
         final FleetModel fleet = fleet(workers, PlannedSize.DISPATCHERS, 5 * PlannedSize.SECOND_US, 0.4,
-            answers.around(Logic::new));
+            answers.around(Dispatcher::new));
         fleet.pass(10 * PlannedSize.SECOND_US);
         fleet.cutRegions(PlannedSize.FIRST_ZONE_OF_SECOND_REGION);
         fleet.pass(2 * PlannedSize.SECOND_US);
--- a/src/test/java/cresschute/scale/ModuleMemoryScaleTest.java
+++ b/src/test/java/cresschute/scale/ModuleMemoryScaleTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.within;
 
-import cresschute.dispatch.ListForm;
+import cresschute.dispatch.EndpointListForm;
 import cresschute.dispatch.Outcome;
 import cresschute.dispatch.WorkerState;
 import java.util.List;
@@ -23,7 +23,7 @@
     private static ScriptedHost host(int workers, int tenants) {
         final ScriptedHost host = new ScriptedHost(PlannedSize.settings(PlannedSize.DISPATCHERS, tenants),
             SEED);
-        host.list(ListForm.CACHED, PlannedSize.workers(workers));
+        host.list(EndpointListForm.CACHED, PlannedSize.workers(workers));
         return host;
     }
 
@@ -80,13 +80,13 @@
         final int replaced = 60 * 79;
         for (int id = 0; id < replaced; id++) {
             final int at = id % PlannedSize.WORKERS;
-            host.list(ListForm.CHANGES, List.of(PlannedSize.worker(at, WorkerState.GONE, 0)));
-            host.list(ListForm.CHANGES, List.of(PlannedSize.worker(at, WorkerState.READY, host.nowUs)));
+            host.list(EndpointListForm.CHANGES, List.of(PlannedSize.worker(at, WorkerState.GONE, 0)));
+            host.list(EndpointListForm.CHANGES, List.of(PlannedSize.worker(at, WorkerState.READY, host.nowUs)));
             host.nowUs += PlannedSize.SECOND_US;
         }
         assertThat(size(host).objects()).as("objects after %d replacements", replaced)
             .isEqualTo(before.objects());
-        host.list(ListForm.FULL, IntStream.range(0, PlannedSize.TENTH_OF_WORKERS)
+        host.list(EndpointListForm.FULL, IntStream.range(0, PlannedSize.TENTH_OF_WORKERS)
             .mapToObj(id -> PlannedSize.worker(id, WorkerState.READY, 0)).toList());
         assertThat(size(host).bytes()).as("bytes with a tenth of the workers").isLessThan(before.bytes() / 5);
     }
