--- a/src/test/java/cresschute/scale/CoreScaleTest.java
+++ b/src/test/java/cresschute/scale/RequestLifecycleScaleTest.java
@@ -5,17 +5,17 @@
 import cresschute.dispatch.Job;
 import cresschute.dispatch.LoadReport;
 import cresschute.dispatch.Outcome;
-import cresschute.dispatch.Settings;
+import cresschute.dispatch.DispatchSettings;
 import cresschute.dispatch.Worker;
 import cresschute.dispatch.WorkerState;
-import cresschute.dispatch.Logic;
-import cresschute.node.Backends;
-import cresschute.node.Core;
-import cresschute.node.DirectorList;
+import cresschute.dispatch.Dispatcher;
+import cresschute.node.WorkerClient;
+import cresschute.node.RequestLifecycle;
+import cresschute.node.EndpointList;
 import cresschute.node.NodeConfig;
 import cresschute.node.RateLimitedLog;
-import cresschute.node.ReqClient;
-import cresschute.node.ReqContent;
+import cresschute.node.ResponseListener;
+import cresschute.node.RequestContent;
 import cresschute.node.ResultStream;
 import io.netty.channel.embedded.EmbeddedChannel;
 import java.net.InetSocketAddress;
@@ -28,7 +28,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What the core and its module hold, and the messages that they send, at the planned size. */
-class CoreScaleTest implements Backends {
+class RequestLifecycleScaleTest implements WorkerClient {
 
     private static final long SEED = 15;
     private static final int MAX_BYTES_A_REQUEST = 1_200;
@@ -37,18 +37,18 @@
     private static final int MAX_BYTES_A_NAME = 350;
 
     private final EmbeddedChannel loop = new EmbeddedChannel();
-    private final Deque<FetchListener> out = new ArrayDeque<>();
+    private final Deque<AttemptListener> out = new ArrayDeque<>();
     private final List<Answers> clients = new ArrayList<>();
-    private final Settings settings = PlannedSize.settings(PlannedSize.DISPATCHERS, PlannedSize.TENANTS);
+    private final DispatchSettings settings = PlannedSize.settings(PlannedSize.DISPATCHERS, PlannedSize.TENANTS);
     private final RateLimitedLog log = new RateLimitedLog(System.getLogger("test"), () -> this.nowUs);
     private long nowUs = 1_000 * PlannedSize.SECOND_US;
     private long version = 1;
     private int watches;
     private int probes;
-    private Core core;
+    private RequestLifecycle core;
 
     /** Counts what one client hears. */
-    private static final class Answers implements ReqClient {
+    private static final class Answers implements ResponseListener {
 
         private int count;
 
@@ -63,7 +63,7 @@
         }
 
         @Override
-        public void syntheticAnswer(long retryAfterUs) {
+        public void localReply(long retryAfterUs) {
             count++;
         }
 
@@ -76,13 +76,13 @@
     private void start(int workers) {
         loop.freezeTime();
         final InetSocketAddress nowhere = new InetSocketAddress("127.0.0.1", 1);
-        final DirectorList known = list(true, IntStream.range(0, workers).boxed().toList(),
+        final EndpointList known = list(true, IntStream.range(0, workers).boxed().toList(),
             WorkerState.READY);
         final NodeConfig config = new NodeConfig("d-0", nowhere, nowhere, SEED, settings,
             List.of("urgent", "usual", "once"), zones(), List.of("k0", "k1"), 250_000, 10_000_000, 1_024,
             known, null, null, null);
-        core = new Core(config, loop.eventLoop(), () -> nowUs, log,
-            actions -> new Logic(settings, SEED, actions));
+        core = new RequestLifecycle(config, loop.eventLoop(), () -> nowUs, log,
+            actions -> new Dispatcher(settings, SEED, actions));
         core.start(this, () -> watches++, known);
         loop.runPendingTasks();
     }
@@ -91,10 +91,10 @@
         return IntStream.range(0, PlannedSize.ZONES).mapToObj(zone -> "z" + zone).toList();
     }
 
-    private DirectorList list(boolean full, List<Integer> ids, WorkerState state) {
-        return new DirectorList(version++, full, ids.stream().map(id -> {
+    private EndpointList list(boolean full, List<Integer> ids, WorkerState state) {
+        return new EndpointList(version++, full, ids.stream().map(id -> {
             final Worker worker = PlannedSize.worker(id, state, 0);
-            return new DirectorList.Entry("worker-" + id, new InetSocketAddress("127.0.0.1", 2),
+            return new EndpointList.Endpoint("worker-" + id, new InetSocketAddress("127.0.0.1", 2),
                 "z" + worker.zone(), "k" + worker.kind(), worker.cell() % PlannedSize.WORKERS, state, 1, 0);
         }).toList());
     }
@@ -107,7 +107,7 @@
         for (int i = 0; i < count; i++) {
             final Answers client = new Answers();
             clients.add(client);
-            core.take(new ReqContent("r" + clients.size(), "/job", null, new byte[0]),
+            core.take(new RequestContent("r" + clients.size(), "/job", null, new byte[0]),
                 new Job(PlannedSize.USUAL, 0, 1, 0, 0, false), 300 * PlannedSize.SECOND_US, client);
         }
         loop.runPendingTasks();
@@ -121,13 +121,13 @@
     }
 
     @Override
-    public Call fetch(InetSocketAddress addr, ReqContent content, FetchListener listener) {
+    public AttemptCall attempt(InetSocketAddress addr, RequestContent content, AttemptListener listener) {
         out.add(listener);
         return () -> Outcome.CANCELLED;
     }
 
     @Override
-    public void probe(InetSocketAddress addr, ProbeListener listener) {
+    public void probe(InetSocketAddress addr, LoadQueryListener listener) {
         probes++;
         listener.probed(Outcome.SERVED, new LoadReport(10, -1, 0));
     }
@@ -147,7 +147,7 @@
         }
         final DeepSize full = size();
         assertThat(out).as("attempts out").hasSameSizeAs(clients);
-        assertThat(core.owed()).as("answers owed").isEqualTo(clients.size());
+        assertThat(core.unanswered()).as("answers owed").isEqualTo(clients.size());
         assertThat((double) (full.bytes() - idle.bytes()) / clients.size()).as("bytes a request")
             .isBetween(300.0, (double) MAX_BYTES_A_REQUEST);
         assertThat((double) (full.objects() - idle.objects()) / clients.size()).as("objects a request")
@@ -157,7 +157,7 @@
             loop.runPendingTasks();
         }
         assertThat(clients).as("answers of each client").allMatch(client -> client.count == 1);
-        assertThat(core.owed()).as("answers owed").isZero();
+        assertThat(core.unanswered()).as("answers owed").isZero();
         assertThat(size().objects()).as("objects after the last answer").isEqualTo(idle.objects());
     }
 
@@ -168,8 +168,8 @@
         final DeepSize before = size();
         final int replaced = 30 * 79;
         for (int i = 0; i < replaced; i++) {
-            core.directorTold(list(false, List.of(i), WorkerState.GONE));
-            core.directorTold(list(false, List.of(PlannedSize.WORKERS + i), WorkerState.READY));
+            core.endpointListReceived(list(false, List.of(i), WorkerState.GONE));
+            core.endpointListReceived(list(false, List.of(PlannedSize.WORKERS + i), WorkerState.READY));
             pass(PlannedSize.SECOND_US);
         }
         assertThat((double) (size().bytes() - before.bytes()) / replaced).as("bytes a name")
@@ -184,7 +184,7 @@
         final int asked = watches;
         assertThat(asked).as("calls for the list at the start").isEqualTo(1);
         for (int i = 0; i < 1_500; i++) {
-            core.directorTold(list(false, List.of(i % PlannedSize.WORKERS),
+            core.endpointListReceived(list(false, List.of(i % PlannedSize.WORKERS),
                 i % 2 == 0 ? WorkerState.DRAINING : WorkerState.READY));
             pass(PlannedSize.SECOND_US / 10);
         }
--- a/src/test/java/cresschute/scale/RestartScaleTest.java
+++ b/src/test/java/cresschute/scale/RestartScaleTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cresschute.dispatch.ListForm;
+import cresschute.dispatch.EndpointListForm;
 import cresschute.dispatch.Outcome;
 import cresschute.dispatch.Worker;
 import cresschute.dispatch.WorkerState;
@@ -23,7 +23,7 @@
     private static ScriptedHost restarted(int workers) {
         final ScriptedHost host = new ScriptedHost(
             PlannedSize.settings(PlannedSize.DISPATCHERS, PlannedSize.TENANTS), SEED);
-        host.list(ListForm.CACHED, PlannedSize.workers(workers));
+        host.list(EndpointListForm.CACHED, PlannedSize.workers(workers));
         return host;
     }
 
@@ -46,7 +46,7 @@
         final int gone = PlannedSize.WORKERS / 10;
         final List<Worker> now = IntStream.range(gone, PlannedSize.WORKERS + gone)
             .mapToObj(id -> PlannedSize.worker(id, WorkerState.READY, 0)).toList();
-        host.list(ListForm.FULL, now);
+        host.list(EndpointListForm.FULL, now);
         boolean toNew = false;
         for (int i = 0; i < REQUESTS; i++) {
             host.request(PlannedSize.USUAL, i % PlannedSize.TENANTS);
@@ -66,9 +66,9 @@
         final long betweenUs = 100_000;
         final long before = host.ticks;
         for (int i = 0; i < changes; i++) {
-            host.list(ListForm.CHANGES,
+            host.list(EndpointListForm.CHANGES,
                 List.of(PlannedSize.worker(i % PlannedSize.WORKERS, WorkerState.READY, host.nowUs)));
-            host.module.retuned(host.nowUs, PlannedSize.settings(PlannedSize.DISPATCHERS,
+            host.module.settingsChanged(host.nowUs, PlannedSize.settings(PlannedSize.DISPATCHERS,
                 PlannedSize.TENANTS + i % 2));
             host.pass(betweenUs);
         }
--- a/src/test/java/cresschute/scale/ScriptedHost.java
+++ b/src/test/java/cresschute/scale/ScriptedHost.java
@@ -1,13 +1,13 @@
 package cresschute.scale;
 
-import cresschute.dispatch.Actions;
+import cresschute.dispatch.DispatcherActions;
 import cresschute.dispatch.Job;
-import cresschute.dispatch.ListForm;
+import cresschute.dispatch.EndpointListForm;
 import cresschute.dispatch.LoadReport;
 import cresschute.dispatch.Outcome;
-import cresschute.dispatch.Settings;
+import cresschute.dispatch.DispatchSettings;
 import cresschute.dispatch.Worker;
-import cresschute.dispatch.Logic;
+import cresschute.dispatch.Dispatcher;
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.HashMap;
@@ -15,7 +15,7 @@
 import java.util.Map;
 
 /** The host of one module, turned by hand: time passes only by {@link #pass}, and nothing ends by itself. */
-final class ScriptedHost implements Actions {
+final class ScriptedHost implements DispatcherActions {
 
     /** An attempt that has not ended. */
     record Sent(int requestId, int attempt, int workerId) {}
@@ -24,7 +24,7 @@
     /** The module's own pause between looks at its requests, for these classes. */
     static final long TICK_US = 50_000;
 
-    final Logic module;
+    final Dispatcher module;
     final Deque<Sent> out = new ArrayDeque<>();
     private final Deque<Integer> probed = new ArrayDeque<>();
     private final Map<Integer, Integer> attempts = new HashMap<>();
@@ -37,17 +37,17 @@
     long watches;
     long ticks;
 
-    ScriptedHost(Settings settings, long seed) {
-        module = new Logic(settings, seed, this);
+    ScriptedHost(DispatchSettings settings, long seed) {
+        module = new Dispatcher(settings, seed, this);
     }
 
-    void list(ListForm form, List<Worker> entries) {
-        module.listed(nowUs, form, entries);
+    void list(EndpointListForm form, List<Worker> entries) {
+        module.endpointListChanged(nowUs, form, entries);
     }
 
     int request(int requestClass, int tenant) {
         final int id = (int) ++lastRequest;
-        module.requested(nowUs, id, new Job(requestClass, tenant, 1, 0, 0, false),
+        module.requestArrived(nowUs, id, new Job(requestClass, tenant, 1, 0, 0, false),
             nowUs + PlannedSize.CLASSES.get(requestClass).deadlineUs());
         answerProbes();
         return id;
@@ -56,7 +56,7 @@
     /** Answers all probes with free slots. */
     void answerProbes() {
         while (!probed.isEmpty()) {
-            module.probed(nowUs, probed.poll(), Outcome.SERVED, new LoadReport(SLOTS, -1, 0));
+            module.loadReported(nowUs, probed.poll(), Outcome.SERVED, new LoadReport(SLOTS, -1, 0));
         }
     }
 
@@ -67,7 +67,7 @@
         if (answers) {
             answered(sent.requestId());
         }
-        module.ended(nowUs, sent.requestId(), sent.attempt(), sent.workerId(), outcome,
+        module.attemptEnded(nowUs, sent.requestId(), sent.attempt(), sent.workerId(), outcome,
             PlannedSize.SECOND_US, answers, answers ? new LoadReport(SLOTS, -1, 0) : LoadReport.NONE);
         answerProbes();
     }
@@ -80,7 +80,7 @@
             for (int due = timers; due > 0; due--) {
                 timers--;
                 ticks++;
-                module.woken(nowUs, 0);
+                module.timerFired(nowUs, 0);
                 answerProbes();
             }
         }
@@ -95,13 +95,13 @@
     }
 
     @Override
-    public void send(int requestId, int workerId, long giveUpUs) {
+    public void send(int requestId, int workerId, long deadlineUs) {
         sends++;
         out.add(new Sent(requestId, attempts.merge(requestId, 1, Integer::sum) - 1, workerId));
     }
 
     @Override
-    public void refuse(int requestId, long retryAfterUs) {
+    public void reject(int requestId, long retryAfterUs) {
         answered(requestId);
     }
 
@@ -111,28 +111,28 @@
     }
 
     @Override
-    public void wakeAfter(long token, long delayUs) {
+    public void startTimer(long token, long delayUs) {
         timers++;
     }
 
     @Override
-    public void watchList() {
+    public void pollEndpointList() {
         watches++;
     }
 
     @Override
-    public void probe(int workerId) {
+    public void queryLoad(int workerId) {
         probes++;
         probed.add(workerId);
     }
 
     @Override
-    public void tellSilent(int workerId, int requestClass) {
+    public void reportUnresponsive(int workerId, int requestClass) {
         throw new IllegalStateException("no peer messages here");
     }
 
     @Override
-    public void closeIdle(int workerId) {
+    public void closeIdleConnections(int workerId) {
         throw new IllegalStateException("nothing is stated of drains here");
     }
 }
--- a/src/test/java/cresschute/settings/SettingsFileTest.java
+++ b/src/test/java/cresschute/settings/SettingsFileTest.java
@@ -2,8 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cresschute.dispatch.Effect;
-import cresschute.dispatch.RepeatScope;
+import cresschute.dispatch.Idempotency;
+import cresschute.dispatch.DeduplicationScope;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -38,7 +38,7 @@
         final ApplianceSettings settings = settings(NODE + WORKER + CLASS);
         assertThat(settings.seed()).isNull();
         assertThat(settings.director()).isNull();
-        assertThat(settings.module().listMustBeAsked()).isFalse();
+        assertThat(settings.module().endpointListIsPolled()).isFalse();
         assertThat(settings.zones()).containsExactly("local");
         assertThat(settings.kinds()).containsExactly("worker");
         assertThat(settings.sockets()).isEqualTo(1024);
@@ -65,29 +65,29 @@
         final var module = settings.module();
         assertThat(module.dispatchers()).isEqualTo(2);
         assertThat(module.zone()).isZero();
-        assertThat(module.listMustBeAsked()).isTrue();
-        assertThat(module.askWithinUs()).isEqualTo(4_000_000);
+        assertThat(module.endpointListIsPolled()).isTrue();
+        assertThat(module.pollWithinUs()).isEqualTo(4_000_000);
         assertThat(module.limits().maxAttempts()).isEqualTo(4);
-        assertThat(module.limits().secondCopies()).isTrue();
+        assertThat(module.limits().allowsHedging()).isTrue();
         assertThat(module.limits().maxRetryAfterUs()).isZero();
-        assertThat(module.probing()).isTrue();
+        assertThat(module.allowsLoadQueries()).isTrue();
         assertThat(module.reportsLoad()).isFalse();
-        assertThat(module.tellsStart()).isFalse();
+        assertThat(module.reportsJobStart()).isFalse();
         assertThat(module.progressUs()).isEqualTo(1_500_000);
-        assertThat(module.coldStart().fromShare()).isEqualTo(0.32);
-        assertThat(module.coldStart().warmWithinUs()).isEqualTo(8_800_000);
-        assertThat(module.coldStart().overloadFactor()).isEqualTo(2.5);
-        assertThat(module.coldStart().tipAfterUs()).isEqualTo(2_000_000);
-        assertThat(List.of(module.goal().whole(), module.goal().worstWindow(), module.goal().worstClass()))
+        assertThat(module.slowStart().initialCapacityFraction()).isEqualTo(0.32);
+        assertThat(module.slowStart().warmUpDurationUs()).isEqualTo(8_800_000);
+        assertThat(module.slowStart().overloadFactor()).isEqualTo(2.5);
+        assertThat(module.slowStart().overloadAfterUs()).isEqualTo(2_000_000);
+        assertThat(List.of(module.objectiveWeights().overall(), module.objectiveWeights().worstWindow(), module.objectiveWeights().worstClass()))
             .containsExactly(1.0, 2.0, 3.0);
         final var file = module.classes().get(1);
-        assertThat(file.worth()).isEqualTo(5);
-        assertThat(file.aimUs()).isEqualTo(4_000_000);
-        assertThat(file.aimStretch()).isEqualTo(2);
+        assertThat(file.priorityWeight()).isEqualTo(5);
+        assertThat(file.latencyObjectiveUs()).isEqualTo(4_000_000);
+        assertThat(file.latencyObjectiveStretch()).isEqualTo(2);
         assertThat(file.deadlineUs()).isEqualTo(25_000_000);
-        assertThat(file.effect()).isEqualTo(Effect.KEYED);
-        assertThat(file.scope()).isEqualTo(RepeatScope.CELL);
-        assertThat(file.repeatWindowUs()).isEqualTo(40_000_000);
+        assertThat(file.idempotency()).isEqualTo(Idempotency.KEYED);
+        assertThat(file.deduplicationScope()).isEqualTo(DeduplicationScope.CELL);
+        assertThat(file.deduplicationWindowUs()).isEqualTo(40_000_000);
         assertThat(file.maxAttempts()).isEqualTo(2);
         assertThat(file.placement().zones()).containsExactly(1);
         assertThat(file.placement().kinds()).containsExactly(0);
--- a/src/test/java/cresschute/simulator/SettingsParserTest.java
+++ b/src/test/java/cresschute/simulator/SettingsParserTest.java
@@ -3,10 +3,10 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import cresschute.dispatch.Effect;
+import cresschute.dispatch.Idempotency;
 import cresschute.dispatch.Placement;
-import cresschute.dispatch.RepeatScope;
-import cresschute.dispatch.Settings;
+import cresschute.dispatch.DeduplicationScope;
+import cresschute.dispatch.DispatchSettings;
 import cresschute.dispatch.WeightSource;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -45,20 +45,20 @@
 
     @Test
     void readsWhatIsStatedAndDefaultsTheRest() {
-        final Settings settings = SettingsParser.parse(SMALL);
+        final DispatchSettings settings = SettingsParser.parse(SMALL);
         assertThat(settings.dispatchers()).isEqualTo(2);
         assertThat(settings.classes()).hasSize(2);
-        assertThat(settings.classes().get(0).effect()).isEqualTo(Effect.KEYED);
-        assertThat(settings.classes().get(0).scope()).isEqualTo(RepeatScope.CELL);
-        assertThat(settings.classes().get(0).worth()).isEqualTo(12);
-        assertThat(settings.classes().get(1).worth()).isEqualTo(1);
+        assertThat(settings.classes().get(0).idempotency()).isEqualTo(Idempotency.KEYED);
+        assertThat(settings.classes().get(0).deduplicationScope()).isEqualTo(DeduplicationScope.CELL);
+        assertThat(settings.classes().get(0).priorityWeight()).isEqualTo(12);
+        assertThat(settings.classes().get(1).priorityWeight()).isEqualTo(1);
         assertThat(settings.classes().get(0).placement()).isEqualTo(Placement.ANYWHERE);
         assertThat(settings.classes().get(1).placement()).isEqualTo(new Placement(List.of(1, 2), List.of(3)));
         assertThat(settings.fullMayHaveRun()).isFalse();
-        assertThat(settings.closeOnDrainWithinUs()).isEqualTo(Settings.UNLIMITED);
-        assertThat(settings.classes().get(1).aimStretch()).isEqualTo(1.5);
+        assertThat(settings.closeOnDrainWithinUs()).isEqualTo(DispatchSettings.UNLIMITED);
+        assertThat(settings.classes().get(1).latencyObjectiveStretch()).isEqualTo(1.5);
         assertThat(settings.limits().maxRetryAfterUs()).isZero();
-        assertThat(settings.listMustBeAsked()).isTrue();
+        assertThat(settings.endpointListIsPolled()).isTrue();
         assertThat(settings.weightSource()).isEqualTo(WeightSource.LIVE);
         assertThat(settings.reportsLoad()).isTrue();
         assertThat(SettingsParser.reportLayout(SMALL)).isEqualTo(new ReportLayout(2, 1, 3));
@@ -67,7 +67,7 @@
 
     @Test
     void readsFurtherRulesWhereTheyAreStated() {
-        final Settings settings = SettingsParser.parse(SMALL + """
+        final DispatchSettings settings = SettingsParser.parse(SMALL + """
             classes.0.runsOn=0,2
             classes.1.runsOn=1,3
             rules.busyIsNoProof=true
--- a/src/test/java/cresschute/simulator/InstanceHostTest.java
+++ b/src/test/java/cresschute/simulator/SimulatorAdapterTest.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class InstanceHostTest {
+class SimulatorAdapterTest {
 
     private final ByteArrayOutputStream input = new ByteArrayOutputStream();
     private int batches;
@@ -62,7 +62,7 @@
     /** Runs the batches and returns each action of the last reply as its code and fields. */
     private List<ByteBuffer> lastReply() throws IOException {
         final ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new InstanceHost(new ByteArrayInputStream(input.toByteArray()), out).run();
+        new SimulatorAdapter(new ByteArrayInputStream(input.toByteArray()), out).run();
         final ByteBuffer all = ByteBuffer.wrap(out.toByteArray()).order(ByteOrder.LITTLE_ENDIAN);
         final List<ByteBuffer> actions = new ArrayList<>();
         for (int batch = 1; batch <= batches; batch++) {
--- a/src/test/java/cresschute/testbed/ControlledFleetTest.java
+++ b/src/test/java/cresschute/testbed/ControlledFleetTest.java
@@ -6,8 +6,8 @@
 import com.google.gson.JsonObject;
 import cresschute.ControlPeer;
 import cresschute.control.socket.ControlServer;
-import cresschute.testbed.Observation.ReqAnswered;
-import cresschute.testbed.Observation.ReqSent;
+import cresschute.testbed.Observation.RequestAnswered;
+import cresschute.testbed.Observation.RequestSent;
 import cresschute.testbed.Observation.SendCame;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -75,13 +75,13 @@
     }
 
     private long asked() {
-        return fleet.seen().stream().filter(ReqSent.class::isInstance).count();
+        return fleet.seen().stream().filter(RequestSent.class::isInstance).count();
     }
 
-    /** Lets so many more reqs come. */
-    private void more(int reqs) {
+    /** Lets so many more requests come. */
+    private void more(int requests) {
         final long before = asked();
-        await(() -> asked() >= before + reqs);
+        await(() -> asked() >= before + requests);
     }
 
     private boolean isDrained(String worker) throws IOException {
@@ -187,11 +187,11 @@
     @Test
     void drainHoldsOverTheWorkersRestart() throws IOException {
         more(10);
-        fleet.begin(Trouble.Kind.CRASH, "w4");
+        fleet.begin(InjectedFault.Kind.CRASH, "w4");
         try (ControlPeer peer = peer()) {
             await(() -> peer.worker("w4").get("state").getAsString().equals("gone"));
             drain(peer, "o1", "w4");
-            fleet.end(Trouble.Kind.CRASH, "w4");
+            fleet.end(InjectedFault.Kind.CRASH, "w4");
             await(() -> peer.worker("w4").get("state").getAsString().equals("draining"));
             final int before = fleet.seen().size();
             more(60);
@@ -209,7 +209,7 @@
             fleet.tellWholeList();
             more(20);
             assertThat(peer.worker("w5").get("state").getAsString()).isEqualTo("draining");
-            fleet.begin(Trouble.Kind.DRAIN, "w5");
+            fleet.begin(InjectedFault.Kind.DRAIN, "w5");
             await(() -> peer.worker("w5").get("listed").getAsString().equals("draining"));
             undrain(peer, "o2", "w5");
             // The operator's word is undone, the list's is not.
@@ -217,7 +217,7 @@
             final int before = fleet.seen().size();
             more(40);
             assertThat(since(before)).noneMatch(each -> goesTo(each, "w5"));
-            fleet.end(Trouble.Kind.DRAIN, "w5");
+            fleet.end(InjectedFault.Kind.DRAIN, "w5");
             await(() -> since(before).stream()
                 .anyMatch(each -> goesTo(each, "w5")));
         }
@@ -239,7 +239,7 @@
                 assertThat(peer.operate("undrain", "u" + i, "w" + i)).isEqualTo("done: ");
             }
             final int before = fleet.seen().size();
-            await(() -> since(before).stream().anyMatch(each -> each instanceof ReqAnswered answer && answer
+            await(() -> since(before).stream().anyMatch(each -> each instanceof RequestAnswered answer && answer
                 .status() == LoadClients.OK));
         }
     }
@@ -311,7 +311,7 @@
     void sessionsAndLinesAreBounded() throws IOException {
         final List<ControlPeer> peers = new ArrayList<>();
         try {
-            for (int i = 0; i < ControlServer.MOST_SESSIONS; i++) {
+            for (int i = 0; i < ControlServer.MAX_SESSIONS; i++) {
                 peers.add(peer());
                 peers.get(i).ask("\"do\":\"events\"");
             }
--- a/src/test/java/cresschute/testbed/TroubleTest.java
+++ b/src/test/java/cresschute/testbed/FaultTest.java
@@ -8,16 +8,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The words for troubles and times. */
-class TroubleTest {
+/** The words for faults and times. */
+class FaultTest {
 
     @Test
     void listsAreRead() {
-        assertThat(Trouble.parse("slow@5s, silent:w2@500ms+3s,burstx2.5@1m")).isEqualTo(List.of(
-            new Trouble(Trouble.Kind.SLOW, null, 5, 5_000_000, 10_000_000),
-            new Trouble(Trouble.Kind.SILENT, "w2", 1, 500_000, 3_000_000),
-            new Trouble(Trouble.Kind.BURST, null, 2.5, 60_000_000, 4_000_000)));
-        assertThat(Trouble.parse(" ")).isEmpty();
+        assertThat(InjectedFault.parse("slow@5s, silent:w2@500ms+3s,burstx2.5@1m")).isEqualTo(List.of(
+            new InjectedFault(InjectedFault.Kind.SLOW, null, 5, 5_000_000, 10_000_000),
+            new InjectedFault(InjectedFault.Kind.SILENT, "w2", 1, 500_000, 3_000_000),
+            new InjectedFault(InjectedFault.Kind.BURST, null, 2.5, 60_000_000, 4_000_000)));
+        assertThat(InjectedFault.parse(" ")).isEmpty();
     }
 
     @ParameterizedTest
@@ -30,6 +30,6 @@
         burst:w1@5s | burst befalls no worker; leave out ':w1'
         """)
     void wrongOnesAreTold(String text, String message) {
-        assertThatThrownBy(() -> Trouble.parse(text)).hasMessage(message);
+        assertThatThrownBy(() -> InjectedFault.parse(text)).hasMessage(message);
     }
 }
--- a/src/test/java/cresschute/testbed/FleetTest.java
+++ b/src/test/java/cresschute/testbed/FleetTest.java
@@ -3,14 +3,14 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import cresschute.testbed.Observation.ReqAnswered;
-import cresschute.testbed.Observation.ReqSent;
+import cresschute.testbed.Observation.RequestAnswered;
+import cresschute.testbed.Observation.RequestSent;
 import cresschute.testbed.Observation.RunDone;
 import cresschute.testbed.Observation.RunStarted;
 import cresschute.testbed.Observation.SendCame;
 import cresschute.testbed.Observation.WorkerBooted;
 import cresschute.testbed.Observation.WorkerTold;
-import cresschute.testbed.Outcomes.End;
+import cresschute.testbed.RequestOutcomes.End;
 import java.time.Duration;
 import java.util.HashSet;
 import java.util.List;
@@ -25,7 +25,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The stand-ins round a real node, seed 1: each trouble has its effect, and the rules hold in all of them.
+ * The stand-ins round a real node, seed 1: each fault has its effect, and the rules hold in all of them.
  */
 @Timeout(60)
 @Execution(ExecutionMode.CONCURRENT)
@@ -33,8 +33,8 @@
 
     private static final long SEED = 1;
 
-    private static Fleet fleet(String troubles) {
-        final Fleet fleet = new Fleet(new Fleet.Plan(4, 20, SEED, Trouble.parse(troubles)));
+    private static Fleet fleet(String faults) {
+        final Fleet fleet = new Fleet(new Fleet.Plan(4, 20, SEED, InjectedFault.parse(faults)));
         fleet.start();
         return fleet;
     }
@@ -68,7 +68,7 @@
     }
 
     private static boolean serves(Observation seen) {
-        return seen instanceof ReqAnswered answer && answer.status() == LoadClients.OK;
+        return seen instanceof RequestAnswered answer && answer.status() == LoadClients.OK;
     }
 
     @Test
@@ -76,7 +76,7 @@
         // Well within what eight workers can do, so that nothing has to be refused.
         try (Fleet fleet = new Fleet(new Fleet.Plan(8, 12, SEED, List.of()))) {
             fleet.start();
-            Awaitility.await().until(() -> count(fleet, ReqSent.class) >= 25);
+            Awaitility.await().until(() -> count(fleet, RequestSent.class) >= 25);
             final FleetReport report = end(fleet);
             sound(report);
             assertThat(report.outcomes().ended(End.SERVED)).isEqualTo(report.outcomes().asked());
@@ -87,21 +87,21 @@
         }
     }
 
-    /** Whatever goes wrong, every req has its one answer and nothing takes effect twice. */
+    /** Whatever goes wrong, every request has its one answer and nothing takes effect twice. */
     @ParameterizedTest
     @ValueSource(strings = {"reset:w1x1@0s", "garbage:w1x1@0s"})
-    void failedFetchesAreMadeGoodElsewhere(String trouble) {
-        try (Fleet fleet = fleet(trouble)) {
+    void failedAttemptsAreMadeGoodElsewhere(String fault) {
+        try (Fleet fleet = fleet(fault)) {
             final Set<String> troubled = new HashSet<>();
             await(fleet, seen -> {
                 if (seen instanceof SendCame send && send.worker().equals("w1")) {
                     troubled.add(send.id());
                 }
-                return seen instanceof ReqAnswered answer && answer.status() == LoadClients.OK
+                return seen instanceof RequestAnswered answer && answer.status() == LoadClients.OK
                     && troubled.contains(answer.id()) && !answer.body().startsWith("w1 ");
             });
             sound(cut(fleet));
-            assertThat(fleet.seen()).noneMatch(seen -> seen instanceof ReqAnswered answer
+            assertThat(fleet.seen()).noneMatch(seen -> seen instanceof RequestAnswered answer
                 && answer.body().startsWith("w1 "));
         }
     }
@@ -112,8 +112,8 @@
             await(fleet, seen -> seen instanceof RunStarted run && run.worker().equals("w1"));
             final RunStarted run = fleet.seen().stream().filter(seen -> seen instanceof RunStarted start
                 && start.worker().equals("w1")).map(RunStarted.class::cast).findFirst().orElseThrow();
-            final long workUs = fleet.seen().stream().filter(seen -> seen instanceof ReqSent req
-                && req.id().equals(run.id())).map(seen -> ((ReqSent) seen).workUs()).findFirst()
+            final long workUs = fleet.seen().stream().filter(seen -> seen instanceof RequestSent request
+                && request.id().equals(run.id())).map(seen -> ((RequestSent) seen).workUs()).findFirst()
                 .orElseThrow();
             Awaitility.await().until(() -> fleet.nowUs() > run.us() + 3 * workUs);
             assertThat(fleet.seen()).noneMatch(seen -> seen instanceof RunDone done
@@ -159,7 +159,7 @@
         try (Fleet fleet = fleet("drain:w1@500ms+30s")) {
             await(fleet, seen -> seen instanceof WorkerTold told && told.state().equals("DRAINING"));
             final int before = fleet.seen().size();
-            Awaitility.await().until(() -> count(fleet, ReqSent.class) > 60);
+            Awaitility.await().until(() -> count(fleet, RequestSent.class) > 60);
             final long toldUs = fleet.seen().stream().filter(seen -> seen instanceof WorkerTold told
                 && told.state().equals("DRAINING")).findFirst().orElseThrow().us();
             sound(cut(fleet));
@@ -170,9 +170,9 @@
         }
     }
 
-    /** The list that the settings name is enough to serve by until the director answers. */
+    /** The list that the settings name is enough to serve by until discovery answers. */
     @Test
-    void servesByTheKnownListWhileTheDirectorIsDown() {
+    void servesByTheKnownListWhileTheDiscoveryIsDown() {
         try (Fleet fleet = fleet("director@0s+3s")) {
             await(fleet, FleetTest::serves);
             assertThat(fleet.seen()).noneMatch(WorkerTold.class::isInstance);
@@ -184,11 +184,11 @@
     @Test
     void burstBringsMore() {
         try (Fleet calm = new Fleet(new Fleet.Plan(2, 20, SEED, List.of()));
-            Fleet burst = new Fleet(new Fleet.Plan(2, 20, SEED, Trouble.parse("burstx10@0s+30s")))) {
+            Fleet burst = new Fleet(new Fleet.Plan(2, 20, SEED, InjectedFault.parse("burstx10@0s+30s")))) {
             calm.start();
             burst.start();
-            Awaitility.await().until(() -> count(calm, ReqSent.class) >= 15);
-            assertThat(count(burst, ReqSent.class)).isGreaterThan(2 * count(calm, ReqSent.class));
+            Awaitility.await().until(() -> count(calm, RequestSent.class) >= 15);
+            assertThat(count(burst, RequestSent.class)).isGreaterThan(2 * count(calm, RequestSent.class));
             final FleetReport report = cut(burst);
             sound(report);
             assertThat(report.outcomes().ended(End.UNFINISHED)).isPositive();
@@ -197,16 +197,16 @@
 
     @Test
     void tailMakesSomeJobsHeavy() {
-        try (Fleet fleet = new Fleet(new Fleet.Plan(8, 100, SEED, Trouble.parse("tailx30@0s+30s")))) {
+        try (Fleet fleet = new Fleet(new Fleet.Plan(8, 100, SEED, InjectedFault.parse("tailx30@0s+30s")))) {
             fleet.start();
-            await(fleet, seen -> seen instanceof ReqSent req && req.workUs() > 6 * 2_400_000);
+            await(fleet, seen -> seen instanceof RequestSent request && request.workUs() > 6 * 2_400_000);
             sound(cut(fleet));
         }
     }
 
     @Test
-    void troubleOfNoWorkerIsToldAtOnce() {
-        assertThatThrownBy(() -> new Fleet(new Fleet.Plan(2, 1, SEED, Trouble.parse("slow:w9@1s"))))
+    void faultOfNoWorkerIsToldAtOnce() {
+        assertThatThrownBy(() -> new Fleet(new Fleet.Plan(2, 1, SEED, InjectedFault.parse("slow:w9@1s"))))
             .hasMessage("no worker is called 'w9'; there are w1 to w2");
     }
 
--- a/src/test/java/cresschute/testbed/WideSiteTest.java
+++ b/src/test/java/cresschute/testbed/LargeFleetTest.java
@@ -13,7 +13,7 @@
 
 /** A thousand workers, of which 200 a second change: what a console holds is what the node has. */
 @Timeout(60)
-class WideSiteTest {
+class LargeFleetTest {
 
     @TempDir
     private Path folder;
@@ -29,7 +29,7 @@
     @Test
     void newsOfAThousandWorkersAddUp() throws Exception {
         final Path socket = folder.resolve("s");
-        try (WideSite site = new WideSite(1_000, 1, socket); ControlPeer peer = new ControlPeer(socket)) {
+        try (LargeFleet site = new LargeFleet(1_000, 1, socket); ControlPeer peer = new ControlPeer(socket)) {
             final Map<String, JsonObject> held = new HashMap<>();
             take(held, peer.ask("\"do\":\"subscribe\""));
             while (held.size() < 1_002) {
--- a/src/test/java/cresschute/testbed/RuleCheckerTest.java
+++ b/src/test/java/cresschute/testbed/RuleCheckerTest.java
@@ -2,24 +2,24 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cresschute.dispatch.ColdStart;
-import cresschute.dispatch.Effect;
-import cresschute.dispatch.RepeatScope;
+import cresschute.dispatch.SlowStartSettings;
+import cresschute.dispatch.Idempotency;
+import cresschute.dispatch.DeduplicationScope;
 import cresschute.testbed.Observation.AnswerTooMany;
 import cresschute.testbed.Observation.EffectMade;
 import cresschute.testbed.Observation.OperatorDrained;
-import cresschute.testbed.Observation.ReqAnswered;
-import cresschute.testbed.Observation.ReqLost;
-import cresschute.testbed.Observation.ReqSent;
-import cresschute.testbed.Observation.ReqUnanswered;
-import cresschute.testbed.Observation.ReqUnfinished;
+import cresschute.testbed.Observation.RequestAnswered;
+import cresschute.testbed.Observation.RequestLost;
+import cresschute.testbed.Observation.RequestSent;
+import cresschute.testbed.Observation.RequestUnanswered;
+import cresschute.testbed.Observation.RequestUnfinished;
 import cresschute.testbed.Observation.RunDone;
 import cresschute.testbed.Observation.SendCame;
 import cresschute.testbed.Observation.SendTurnedAway;
 import cresschute.testbed.Observation.WorkerBooted;
 import cresschute.testbed.Observation.WorkerFell;
 import cresschute.testbed.Observation.WorkerTold;
-import cresschute.testbed.Outcomes.End;
+import cresschute.testbed.RequestOutcomes.End;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -28,16 +28,16 @@
 class RuleCheckerTest {
 
     private static final long S = 1_000_000;
-    private static final ColdStart COLD = new ColdStart(0.5, 10 * S, 2, S);
+    private static final SlowStartSettings COLD = new SlowStartSettings(0.5, 10 * S, 2, S);
     private static final List<JobClass> CLASSES = List.of(
-        jobClass("safe", Effect.SAFE, RepeatScope.ALL, 3), jobClass("keyed", Effect.KEYED, RepeatScope.CELL,
+        jobClass("safe", Idempotency.SAFE, DeduplicationScope.ALL, 3), jobClass("keyed", Idempotency.KEYED, DeduplicationScope.CELL,
             3),
-        jobClass("wide", Effect.KEYED, RepeatScope.ALL, 3), jobClass("unsafe", Effect.UNSAFE, RepeatScope.ALL,
+        jobClass("wide", Idempotency.KEYED, DeduplicationScope.ALL, 3), jobClass("unsafe", Idempotency.UNSAFE, DeduplicationScope.ALL,
             3));
 
     private final List<Observation> seen = new ArrayList<>();
 
-    private static JobClass jobClass(String name, Effect effect, RepeatScope scope, int sends) {
+    private static JobClass jobClass(String name, Idempotency effect, DeduplicationScope scope, int sends) {
         return new JobClass(name, 2, S, 1, 5 * S, effect, scope, 4 * S, sends, 1, S);
     }
 
@@ -47,7 +47,7 @@
     }
 
     private void sent(String id, String className) {
-        seen.add(new ReqSent(0, id, id, className, className.equals("safe") ? null : "k", S, 1, 5 * S));
+        seen.add(new RequestSent(0, id, id, className, className.equals("safe") ? null : "k", S, 1, 5 * S));
     }
 
     private void came(long us, String worker, int cell, String id) {
@@ -56,7 +56,7 @@
 
     private void served(String id, String result) {
         seen.add(new RunDone(S, "w1", id, "w1 did " + id));
-        seen.add(new ReqAnswered(S, id, 200, result));
+        seen.add(new RequestAnswered(S, id, 200, result));
     }
 
     @Test
@@ -68,22 +68,22 @@
         came(2, "w1", 0, "b");
         came(3, "w2", 0, "b");
         seen.add(new EffectMade(9, "w2", "b", "k"));
-        seen.add(new ReqAnswered(9, "b", 503, "refused"));
+        seen.add(new RequestAnswered(9, "b", 503, "refused"));
         sent("c", "safe");
-        seen.add(new ReqUnfinished(9, "c"));
+        seen.add(new RequestUnfinished(9, "c"));
         assertThat(breaches()).isEmpty();
     }
 
     @Test
-    void everyReqHasOneAnswer() {
+    void everyRequestHasOneAnswer() {
         sent("a", "safe");
-        seen.add(new ReqAnswered(1, "a", 503, ""));
-        seen.add(new ReqAnswered(2, "a", 503, ""));
-        seen.add(new ReqAnswered(3, "x", 503, ""));
+        seen.add(new RequestAnswered(1, "a", 503, ""));
+        seen.add(new RequestAnswered(2, "a", 503, ""));
+        seen.add(new RequestAnswered(3, "x", 503, ""));
         sent("b", "safe");
-        seen.add(new ReqLost(4, "b"));
+        seen.add(new RequestLost(4, "b"));
         sent("c", "safe");
-        seen.add(new ReqUnanswered(5, "c"));
+        seen.add(new RequestUnanswered(5, "c"));
         seen.add(new AnswerTooMany(6, "d"));
         sent("e", "safe");
         came(1, "w1", 0, "e");
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void reqsAreSentAgainOnlyAsTheirClassPermits() {
+    void requestsAreSentAgainOnlyAsTheirClassPermits() {
         sent("a", "safe");
         came(1, "w1", 0, "a");
         came(2, "w2", 1, "a");
@@ -132,7 +132,7 @@
             "NO_EFFECT_TWICE: workers were sent g, which no client sent");
     }
 
-    /** What a worker turned away never ran, so that it may go anywhere. */
+    /** What a worker rejected never ran, so that it may go anywhere. */
     @Test
     void whatWasTurnedAwayDoesNotCount() {
         sent("a", "unsafe");
@@ -217,18 +217,18 @@
 
     @Test
     void retriesCountAsPartOfTheFirstTry() {
-        seen.add(new ReqSent(0, "a", "a", "safe", null, S, 1, 5 * S));
-        seen.add(new ReqAnswered(S, "a", 503, ""));
-        seen.add(new ReqSent(S, "again-1-a", "a", "safe", null, S, 1, 5 * S));
-        seen.add(new ReqAnswered(2 * S, "again-1-a", 200, "x"));
-        seen.add(new ReqSent(0, "b", "b", "safe", null, S, 1, 5 * S));
-        seen.add(new ReqAnswered(2 * S + 1, "b", 200, "x"));
-        seen.add(new ReqSent(0, "c", "c", "safe", null, S, 1, 5 * S));
-        seen.add(new ReqAnswered(1, "c", 500, ""));
-        seen.add(new ReqSent(0, "d", "d", "safe", null, S, 1, 5 * S));
-        seen.add(new ReqUnanswered(1, "d"));
-        seen.add(new ReqSent(0, "e", "e", "safe", null, S, 1, 5 * S));
-        final Outcomes outcomes = Outcomes.of(seen, CLASSES);
+        seen.add(new RequestSent(0, "a", "a", "safe", null, S, 1, 5 * S));
+        seen.add(new RequestAnswered(S, "a", 503, ""));
+        seen.add(new RequestSent(S, "again-1-a", "a", "safe", null, S, 1, 5 * S));
+        seen.add(new RequestAnswered(2 * S, "again-1-a", 200, "x"));
+        seen.add(new RequestSent(0, "b", "b", "safe", null, S, 1, 5 * S));
+        seen.add(new RequestAnswered(2 * S + 1, "b", 200, "x"));
+        seen.add(new RequestSent(0, "c", "c", "safe", null, S, 1, 5 * S));
+        seen.add(new RequestAnswered(1, "c", 500, ""));
+        seen.add(new RequestSent(0, "d", "d", "safe", null, S, 1, 5 * S));
+        seen.add(new RequestUnanswered(1, "d"));
+        seen.add(new RequestSent(0, "e", "e", "safe", null, S, 1, 5 * S));
+        final RequestOutcomes outcomes = RequestOutcomes.of(seen, CLASSES);
         assertThat(outcomes.asked()).isEqualTo(5);
         assertThat(outcomes.ended(End.SERVED)).isEqualTo(2);
         assertThat(outcomes.ended(End.REFUSED)).isZero();
@@ -236,7 +236,7 @@
         assertThat(outcomes.ended(End.UNANSWERED)).isEqualTo(1);
         assertThat(outcomes.ended(End.UNFINISHED)).isEqualTo(1);
         assertThat(outcomes.inTime()).isEqualTo(1);
-        assertThat(outcomes.worthKept()).isEqualTo(0.25);
+        assertThat(outcomes.weightedServedFraction()).isEqualTo(0.25);
         assertThat(outcomes.classes().get("safe").servedMs(50)).isBetween(1999.0, 2001.0);
     }
 }
--- a/src/test/java/cresschute/testbed/StandInsTest.java
+++ b/src/test/java/cresschute/testbed/StandInsTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.google.gson.JsonObject;
-import cresschute.dispatch.ColdStart;
+import cresschute.dispatch.SlowStartSettings;
 import cresschute.testbed.Observation.EffectMade;
 import cresschute.testbed.Observation.RunDone;
 import cresschute.testbed.Observation.RunStarted;
@@ -31,11 +31,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Worker and director as the protocol has them, each alone, over sockets driven by hand. */
+/** Worker and discovery as the protocol has them, each alone, over sockets driven by hand. */
 @Timeout(30)
 class StandInsTest {
 
-    private static final ColdStart COLD = new ColdStart(0.5, 60_000_000, 2, 1_000_000);
+    private static final SlowStartSettings COLD = new SlowStartSettings(0.5, 60_000_000, 2, 1_000_000);
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
@@ -108,7 +108,7 @@
         assertThat(done.getAsJsonObject("load").keySet()).containsExactly("x0", "queue");
     }
 
-    /** In order of arrival, as slots allow; beyond eight waiting a slot it turns reqs away unstarted. */
+    /** In order of arrival, as slots allow; beyond eight waiting a slot it turns requests away unstarted. */
     @Test
     void workerQueuesAndTurnsAway() throws IOException {
         final WorkerStandIn worker = worker("w1", 1);
@@ -212,24 +212,24 @@
     }
 
     @Test
-    void directorTellsListAndChangesAndCanBeDown() throws IOException {
-        final DirectorStandIn director = new DirectorStandIn(loop, recorder);
-        final InetSocketAddress at = director.start();
+    void discoveryTellsListAndChangesAndCanBeDown() throws IOException {
+        final DiscoveryStandIn discovery = new DiscoveryStandIn(loop, recorder);
+        final InetSocketAddress at = discovery.start();
         final WorkerStandIn worker = worker("w1", 1);
-        loop.submit(() -> director.set(worker, "SERVING", 0)).syncUninterruptibly();
+        loop.submit(() -> discovery.set(worker, "SERVING", 0)).syncUninterruptibly();
         Awaitility.await().until(() -> list(at, "").getAsJsonArray("servers").size() == 1);
         final long version = list(at, "").get("version").getAsLong();
         assertThat(list(at, "").get("full").getAsBoolean()).isTrue();
         assertThat(list(at, "?since=" + version + "&timeout_ms=50").getAsJsonArray("servers")).isEmpty();
-        loop.schedule(() -> director.set(worker, "DRAINING", 0), 100, TimeUnit.MILLISECONDS);
+        loop.schedule(() -> discovery.set(worker, "DRAINING", 0), 100, TimeUnit.MILLISECONDS);
         final JsonObject changed = list(at, "?since=" + version + "&timeout_ms=20000");
         assertThat(changed.get("full").getAsBoolean()).isFalse();
         assertThat(changed.toString()).contains("\"state\":\"DRAINING\"");
-        loop.submit(() -> director.set(worker, "DELETED", 0)).syncUninterruptibly();
+        loop.submit(() -> discovery.set(worker, "DELETED", 0)).syncUninterruptibly();
         assertThat(list(at, "?since=" + (version + 1) + "&timeout_ms=20000").toString()).contains("DELETED");
         assertThat(recorder.seen().stream().filter(WorkerTold.class::isInstance)
             .map(seen -> ((WorkerTold) seen).state())).contains("SERVING", "DRAINING", "DELETED");
-        loop.submit(() -> director.down(true)).syncUninterruptibly();
+        loop.submit(() -> discovery.down(true)).syncUninterruptibly();
         assertThat(send(at,
             get("/registry/instances")).readLine()).isEqualTo("HTTP/1.1 503 Service Unavailable");
     }
--- a/src/test/java/cresschute/testbed/capacity/RequestOutcomesTest.java
+++ b/src/test/java/cresschute/testbed/capacity/RequestOutcomesTest.java
@@ -4,9 +4,9 @@
 import static org.assertj.core.api.Assertions.within;
 
 import cresschute.testbed.Observation;
-import cresschute.testbed.Observation.ReqAnswered;
-import cresschute.testbed.Observation.ReqLost;
-import cresschute.testbed.Observation.ReqSent;
+import cresschute.testbed.Observation.RequestAnswered;
+import cresschute.testbed.Observation.RequestLost;
+import cresschute.testbed.Observation.RequestSent;
 import cresschute.testbed.Observation.RunStarted;
 import cresschute.testbed.Observation.SendCame;
 import java.nio.file.Files;
@@ -22,11 +22,11 @@
     private final List<Observation> seen = new ArrayList<>();
 
     private void sent(long us, String id, String origin, String className) {
-        seen.add(new ReqSent(us, id, origin, className, null, 1, 1, 1));
+        seen.add(new RequestSent(us, id, origin, className, null, 1, 1, 1));
     }
 
     private void answered(long us, String id, int status) {
-        seen.add(new ReqAnswered(us, id, status, ""));
+        seen.add(new RequestAnswered(us, id, status, ""));
     }
 
     private RequestOutcomes outcomes() {
@@ -53,7 +53,7 @@
     @Test
     void lostIsUnanswered() {
         sent(1, "a", "a", "batch");
-        seen.add(new ReqLost(2, "a"));
+        seen.add(new RequestLost(2, "a"));
         assertThat(outcomes().unanswered()).isEqualTo(1);
         assertThat(outcomes().refusedShare()).isZero();
     }
@@ -87,7 +87,7 @@
         final Path first = folder.resolve("first");
         final Path second = folder.resolve("second");
         final SendCame came = new SendCame(7, 6, "w1", 3, "a", null, 12);
-        final ReqSent sent = new ReqSent(5, "a", "a", "batch", "key", 1, 1, 1);
+        final RequestSent sent = new RequestSent(5, "a", "a", "batch", "key", 1, 1, 1);
         try (ObservationFile one = new ObservationFile(first);
             ObservationFile two = new ObservationFile(
                 second)) {
--- a/src/test/java/cresschute/testbed/model/FleetModelTest.java
+++ b/src/test/java/cresschute/testbed/model/FleetModelTest.java
@@ -2,16 +2,16 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cresschute.dispatch.ColdStart;
-import cresschute.dispatch.Effect;
-import cresschute.dispatch.Goal;
-import cresschute.dispatch.Limits;
+import cresschute.dispatch.SlowStartSettings;
+import cresschute.dispatch.Idempotency;
+import cresschute.dispatch.ObjectiveWeights;
+import cresschute.dispatch.AttemptLimits;
 import cresschute.dispatch.Placement;
-import cresschute.dispatch.RepeatScope;
+import cresschute.dispatch.DeduplicationScope;
 import cresschute.dispatch.RequestClass;
-import cresschute.dispatch.Settings;
+import cresschute.dispatch.DispatchSettings;
 import cresschute.dispatch.WeightSource;
-import cresschute.dispatch.Logic;
+import cresschute.dispatch.Dispatcher;
 import cresschute.testbed.model.FleetModel.ColdTally;
 import cresschute.testbed.model.FleetModel.Demand;
 import cresschute.testbed.model.FleetModel.Kind;
@@ -39,28 +39,28 @@
 
     /** Short checks, longer reports and long keyed jobs; workers tell of their load and may be probed. */
     private static final List<RequestClass> TOLD = List.of(
-        new RequestClass(2, 400_000, 2.5, 10 * SECOND, Effect.SAFE, RepeatScope.ALL, 0, Placement.ANYWHERE),
-        new RequestClass(1, 1_500_000, 2.5, 25 * SECOND, Effect.SAFE, RepeatScope.ALL, 0, Placement.ANYWHERE),
-        new RequestClass(5, 4 * SECOND, 2, 25 * SECOND, Effect.KEYED, RepeatScope.CELL, 40 * SECOND,
+        new RequestClass(2, 400_000, 2.5, 10 * SECOND, Idempotency.SAFE, DeduplicationScope.ALL, 0, Placement.ANYWHERE),
+        new RequestClass(1, 1_500_000, 2.5, 25 * SECOND, Idempotency.SAFE, DeduplicationScope.ALL, 0, Placement.ANYWHERE),
+        new RequestClass(5, 4 * SECOND, 2, 25 * SECOND, Idempotency.KEYED, DeduplicationScope.CELL, 40 * SECOND,
             Placement.ANYWHERE));
     private static final List<Demand> TOLD_WORK = List.of(new Demand(0.49, 830_000, 400_000, 0),
         new Demand(0.27, 3_200_000, 1_400_000, 0.2), new Demand(0.24, 5_000_000, 2_500_000, 0.2));
 
     /** Classes that may not be repeated, of very uneven work; nothing is told of load. */
     private static final List<RequestClass> UNTOLD = List.of(
-        new RequestClass(5, 300_000, 2.5, 8 * SECOND, Effect.SAFE, RepeatScope.ALL, 0, Placement.ANYWHERE),
-        new RequestClass(5, 1_200_000, 2, 25 * SECOND, Effect.UNSAFE, RepeatScope.ALL, 0,
+        new RequestClass(5, 300_000, 2.5, 8 * SECOND, Idempotency.SAFE, DeduplicationScope.ALL, 0, Placement.ANYWHERE),
+        new RequestClass(5, 1_200_000, 2, 25 * SECOND, Idempotency.UNSAFE, DeduplicationScope.ALL, 0,
             Placement.ANYWHERE),
-        new RequestClass(15, 2 * SECOND, 1.75, 25 * SECOND, Effect.UNSAFE, RepeatScope.ALL, 0,
+        new RequestClass(15, 2 * SECOND, 1.75, 25 * SECOND, Idempotency.UNSAFE, DeduplicationScope.ALL, 0,
             Placement.ANYWHERE));
     private static final List<Demand> UNTOLD_WORK = List.of(new Demand(0.46, 680_000, 1_500_000, 0),
         new Demand(0.43, 2_750_000, 5_500_000, 0), new Demand(0.11, 4_100_000, 8_000_000, 0));
 
-    private static Settings settings(int dispatchers, List<RequestClass> classes, ColdStart cold,
+    private static DispatchSettings settings(int dispatchers, List<RequestClass> classes, SlowStartSettings cold,
         boolean told) {
-        return new Settings(dispatchers, 0, 3, 3, classes, List.of(), 1, false,
-            new Limits(5, 2 * SECOND, told), cold, new Goal(0.65, 0.15, 0.2, 0), false, 0,
-            WeightSource.NOMINAL, told, true, SECOND, 0, told, false, 0, false, Settings.UNLIMITED);
+        return new DispatchSettings(dispatchers, 0, 3, 3, classes, List.of(), 1, false,
+            new AttemptLimits(5, 2 * SECOND, told), cold, new ObjectiveWeights(0.65, 0.15, 0.2, 0), false, 0,
+            WeightSource.NOMINAL, told, true, SECOND, 0, told, false, 0, false, DispatchSettings.UNLIMITED);
     }
 
     private static FleetModel told(double load, long seed) {
@@ -68,16 +68,16 @@
     }
 
     private static FleetModel told(int dispatchers, int workers, double load, long seed) {
-        final ColdStart cold = new ColdStart(0.32, 8_800_000, 3, SECOND);
+        final SlowStartSettings cold = new SlowStartSettings(0.32, 8_800_000, 3, SECOND);
         return new FleetModel(new Plan(settings(dispatchers, TOLD, cold, true), TOLD_WORK,
-            List.of(new Kind(5, 1.5, 0.31), new Kind(4, 0.97, 0.69)), workers, 6, load, 3, seed), Logic::new);
+            List.of(new Kind(5, 1.5, 0.31), new Kind(4, 0.97, 0.69)), workers, 6, load, 3, seed), Dispatcher::new);
     }
 
-    private static FleetModel untold(double load, long seed) {
-        final ColdStart cold = new ColdStart(0.13, 24 * SECOND, 3, 2 * SECOND);
+    private static FleetModel pendingEvents(double load, long seed) {
+        final SlowStartSettings cold = new SlowStartSettings(0.13, 24 * SECOND, 3, 2 * SECOND);
         return new FleetModel(new Plan(settings(DISPATCHERS, UNTOLD, cold, false), UNTOLD_WORK,
             List.of(new Kind(3, 2, 0.31), new Kind(2, 1.2, 0.31), new Kind(2, 0.8, 0.38)),
-            WORKERS, 6, load, 3, seed), Logic::new);
+            WORKERS, 6, load, 3, seed), Dispatcher::new);
     }
 
     /** Some workers slow and some failing, a burst, and a zone lost in second 15 to 30, cold after it. */
@@ -166,9 +166,9 @@
     @ParameterizedTest
     @CsvSource({"0.4, 0.65, 1", "0.4, 0.65, 2"})
     void everyClassIsServedWhereNothingTellsOfLoad(double load, double share, long seed) {
-        final FleetModel lost = untold(load, seed);
+        final FleetModel lost = pendingEvents(load, seed);
         loseAZone(lost);
-        final FleetModel replaced = untold(load, seed);
+        final FleetModel replaced = pendingEvents(load, seed);
         replaceMost(replaced);
         for (int requestClass = 0; requestClass < 3; requestClass++) {
             assertThat(inTime(lost, requestClass, 0, 45)).as("class %d", requestClass).isGreaterThan(share);
--- a/src/test/java/cresschute/testbed/model/ModelWorkerTest.java
+++ b/src/test/java/cresschute/testbed/model/ModelWorkerTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.within;
 
-import cresschute.dispatch.ColdStart;
+import cresschute.dispatch.SlowStartSettings;
 import cresschute.dispatch.Outcome;
 import org.junit.jupiter.api.Test;
 
@@ -13,9 +13,9 @@
     private static final long SECOND = 1_000_000;
     private static final long MEAN_WORK_US = 100_000;
 
-    private final Agenda agenda = new Agenda(SECOND);
+    private final EventQueue agenda = new EventQueue(SECOND);
     // Half of 2 slots for a second, doubled: 20 jobs of 0.1 s; it hardly warms while it is looked at.
-    private final ColdStart rule = new ColdStart(0.5, 1_000_000 * SECOND, 2, SECOND);
+    private final SlowStartSettings rule = new SlowStartSettings(0.5, 1_000_000 * SECOND, 2, SECOND);
     private final ModelWorker worker = new ModelWorker(agenda, rule, 0, 0, 0, 0, 2, 1, MEAN_WORK_US);
 
     private void send(int jobs, long workUs) {
@@ -27,7 +27,7 @@
                 }
 
                 @Override
-                public void progressed(double shareDone) {
+                public void progressed(double fractionDone) {
                     // Only what the worker counts is looked at.
                 }
 
@@ -41,9 +41,9 @@
 
     @Test
     void bearsTwoRootsAndTwoJobsBeyondWhatIsStated() {
-        assertThat(rule.jobsBorne(0)).isEqualTo(2);
-        assertThat(rule.jobsBorne(4)).isEqualTo(10);
-        assertThat(rule.jobsBorne(100)).isEqualTo(122);
+        assertThat(rule.toleratedJobs(0)).isEqualTo(2);
+        assertThat(rule.toleratedJobs(4)).isEqualTo(10);
+        assertThat(rule.toleratedJobs(100)).isEqualTo(122);
     }
 
     @Test
