--- a/src/main/java/cresschute/capacity/Axis.java
+++ b/src/main/java/cresschute/capacity/Axis.java
@@ -19,10 +19,14 @@
     /** Changes of the worker list a second. */
     LIST_CHANGES("list-changes", "list_changes_per_second", "list changes a second"),
     /** Settings reloads a second. */
-    SETTINGS_CHANGES("settings-changes", "settings_changes_per_second", "settings changes a second");
+    SETTINGS_CHANGES(
+            "settings-changes", "settings_changes_per_second", "settings changes a second");
 
-    /** The name of the axis of a run at full size, which varies no single dimension and is held out. */
+    /**
+     * The name of the axis of a run at full size, which varies no single dimension and is held out.
+     */
     public static final String FULL = "full";
+
     /** The name of the axis of a run that varies nothing; it is in no fit. */
     public static final String NONE = "none";
 
--- a/src/main/java/cresschute/capacity/CapacityPage.java
+++ b/src/main/java/cresschute/capacity/CapacityPage.java
@@ -60,7 +60,7 @@
     }
 
     private static String table(Map<String, String> tables, String name, Set<String> written)
-        throws MarkerException {
+            throws MarkerException {
         if (!tables.containsKey(name)) {
             throw new MarkerException("there is no table " + name);
         }
@@ -71,11 +71,12 @@
     }
 
     private static void checkWhole(String open, Set<String> names, Set<String> written)
-        throws MarkerException {
+            throws MarkerException {
         if (open != null) {
             throw new MarkerException("the table " + open + " has no end");
         }
-        final List<String> missing = names.stream().filter(name -> !written.contains(name)).sorted().toList();
+        final List<String> missing =
+                names.stream().filter(name -> !written.contains(name)).sorted().toList();
         if (!missing.isEmpty()) {
             throw new MarkerException("no marker for the tables " + String.join(", ", missing));
         }
--- a/src/main/java/cresschute/capacity/CapacityTables.java
+++ b/src/main/java/cresschute/capacity/CapacityTables.java
@@ -11,12 +11,15 @@
     private CapacityTables() {}
 
     /** All tables, from all measurements. */
-    public static Map<String, String> of(List<Measurement> measurements, List<FaultMeasurement> faults) {
+    public static Map<String, String> of(
+            List<Measurement> measurements, List<FaultMeasurement> faults) {
         final CapacityModel model = new CapacityModel(measurements);
         final Map<String, String> tables = new LinkedHashMap<>();
         tables.put("planned-size", PlannedSizeTable.text(PlannedSize.OPERATORS));
-        tables.put("runs", RunsTable.text(measurements.stream()
-            .filter(row -> row.role() != Role.MODEL).toList()));
+        tables.put(
+                "runs",
+                RunsTable.text(
+                        measurements.stream().filter(row -> row.role() != Role.MODEL).toList()));
         tables.put("fleet-model", FleetModelTable.text(measurements));
         for (final Role role : EnumSet.complementOf(EnumSet.of(Role.MODEL))) {
             tables.put(role.label() + "-needs", RoleTables.needs(model, role));
--- a/src/main/java/cresschute/capacity/CsvTable.java
+++ b/src/main/java/cresschute/capacity/CsvTable.java
@@ -3,7 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A comma-separated file without quotes, with a version line and a header, checked for its shape. */
+/**
+ * A comma-separated file without quotes, with a version line and a header, checked for its shape.
+ */
 final class CsvTable {
 
     /** The lines before the first row: the version and the header. */
@@ -83,20 +85,26 @@
     private final List<String> columns;
     private final List<Row> rows = new ArrayList<>();
 
-    /** Reads a file's text, which must begin with the version line and these columns in this order. */
-    CsvTable(String file, String text, String versionLine, List<String> columns) throws CsvFormatException {
+    /**
+     * Reads a file's text, which must begin with the version line and these columns in this order.
+     */
+    CsvTable(String file, String text, String versionLine, List<String> columns)
+            throws CsvFormatException {
         this.file = file;
         this.columns = columns;
         final List<String> lines = text.lines().toList();
         checkHead(lines, versionLine);
         if (!text.endsWith("\n")) {
-            throw new CsvFormatException(file, lines.size(), "the file is cut: its last line has no end");
+            throw new CsvFormatException(
+                    file, lines.size(), "the file is cut: its last line has no end");
         }
         for (int i = HEAD_LINES; i < lines.size(); i++) {
             final String[] fields = lines.get(i).split(",", -1);
             if (fields.length != columns.size()) {
-                throw new CsvFormatException(file, i + 1,
-                    fields.length + " fields where " + columns.size() + " are expected");
+                throw new CsvFormatException(
+                        file,
+                        i + 1,
+                        fields.length + " fields where " + columns.size() + " are expected");
             }
             rows.add(new Row(this, i + 1, fields));
         }
@@ -107,8 +115,8 @@
             throw new CsvFormatException(file, 1, "the first line must be '" + versionLine + "'");
         }
         if (lines.size() < HEAD_LINES || !lines.get(1).strip().equals(String.join(",", columns))) {
-            throw new CsvFormatException(file, HEAD_LINES,
-                "the header must be '" + String.join(",", columns) + "'");
+            throw new CsvFormatException(
+                    file, HEAD_LINES, "the header must be '" + String.join(",", columns) + "'");
         }
     }
 
--- a/src/main/java/cresschute/capacity/FaultFile.java
+++ b/src/main/java/cresschute/capacity/FaultFile.java
@@ -10,8 +10,17 @@
     public static final String VERSION_LINE = "# cresschute capacity faults, version 1";
 
     /** The columns, in order. */
-    public static final List<String> COLUMNS = List.of("run", "commit", "date", "seed", "fault", "repetition",
-        "measure", "value", "partial");
+    public static final List<String> COLUMNS =
+            List.of(
+                    "run",
+                    "commit",
+                    "date",
+                    "seed",
+                    "fault",
+                    "repetition",
+                    "measure",
+                    "value",
+                    "partial");
 
     private FaultFile() {}
 
@@ -30,11 +39,20 @@
         final List<FaultMeasurement> measurements = new ArrayList<>();
         for (final CsvTable.Row row : new CsvTable(file, text, VERSION_LINE, COLUMNS).rows()) {
             final String label = row.text("fault");
-            final FaultKind fault = FaultKind.of(label)
-                .orElseThrow(() -> row.error("fault: '" + label + "' is unknown"));
-            measurements.add(new FaultMeasurement(row.text("run"), row.text("commit"), row.text("date"),
-                row.text("seed"), fault, row.count("repetition"), row.text("measure"), row.number("value"),
-                row.flag("partial")));
+            final FaultKind fault =
+                    FaultKind.of(label)
+                            .orElseThrow(() -> row.error("fault: '" + label + "' is unknown"));
+            measurements.add(
+                    new FaultMeasurement(
+                            row.text("run"),
+                            row.text("commit"),
+                            row.text("date"),
+                            row.text("seed"),
+                            fault,
+                            row.count("repetition"),
+                            row.text("measure"),
+                            row.number("value"),
+                            row.flag("partial")));
         }
         return List.copyOf(measurements);
     }
--- a/src/main/java/cresschute/capacity/FaultMeasurement.java
+++ b/src/main/java/cresschute/capacity/FaultMeasurement.java
@@ -13,5 +13,13 @@
  * @param value the value
  * @param partial whether the run did not reach the size or the duration that it was to have
  */
-public record FaultMeasurement(String run, String commit, String date, String seed, FaultKind fault,
-    int repetition, String measure, double value, boolean partial) {}
+public record FaultMeasurement(
+        String run,
+        String commit,
+        String date,
+        String seed,
+        FaultKind fault,
+        int repetition,
+        String measure,
+        double value,
+        boolean partial) {}
--- a/src/main/java/cresschute/capacity/Figures.java
+++ b/src/main/java/cresschute/capacity/Figures.java
@@ -11,8 +11,10 @@
     static final String NOT_MEASURED = "not measured";
     private static final String NONE = "-";
     private static final int DIGITS = 3;
+
     /** From here on, what rounds to a thousand, all digits before the point are written. */
     private static final double WHOLE_FROM = 999.5;
+
     /** Below this a figure is rounding error of the arithmetic. */
     private static final double ZERO_BELOW = 1e-12;
 
@@ -30,7 +32,9 @@
             return String.format(Locale.ROOT, "%,d", Math.round(value));
         }
         final BigDecimal rounded =
-            new BigDecimal(value).round(new MathContext(DIGITS, RoundingMode.HALF_EVEN)).stripTrailingZeros();
+                new BigDecimal(value)
+                        .round(new MathContext(DIGITS, RoundingMode.HALF_EVEN))
+                        .stripTrailingZeros();
         return rounded.scale() < 0 ? rounded.setScale(0).toPlainString() : rounded.toPlainString();
     }
 
@@ -41,13 +45,19 @@
 
     /** A value with its interval, marked where it lies outside the measured sizes. */
     static String estimate(Estimate estimate) {
-        return number(estimate.value()) + " ± " + number(estimate.halfWidth())
-            + (estimate.extrapolated() ? " (extrapolated)" : "");
+        return number(estimate.value())
+                + " ± "
+                + number(estimate.halfWidth())
+                + (estimate.extrapolated() ? " (extrapolated)" : "");
     }
 
     /** The bounds of a slope's interval. */
     static String interval(LinearFit fit) {
-        return number(fit.slope()) + " (" + number(fit.slope() - fit.slopeHalfWidth()) + " to "
-            + number(fit.slope() + fit.slopeHalfWidth()) + ")";
+        return number(fit.slope())
+                + " ("
+                + number(fit.slope() - fit.slopeHalfWidth())
+                + " to "
+                + number(fit.slope() + fit.slopeHalfWidth())
+                + ")";
     }
 }
--- a/src/main/java/cresschute/capacity/HeldOutCheck.java
+++ b/src/main/java/cresschute/capacity/HeldOutCheck.java
@@ -16,23 +16,36 @@
  * @param measured their mean
  * @param predicted what the fits say, at their size
  */
-public record HeldOutCheck(CapacityModel.Key key, String runs, int points, boolean partial, double measured,
-    Estimate predicted) {
+public record HeldOutCheck(
+        CapacityModel.Key key,
+        String runs,
+        int points,
+        boolean partial,
+        double measured,
+        Estimate predicted) {
 
     private record Group(CapacityModel.Key key, Optional<Axis> axis, Sizes sizes) {}
 
     private static final double PERCENT = 100;
 
-    /** The checks of all points held out, for measures that have fits; of whole values, if there are any. */
+    /**
+     * The checks of all points held out, for measures that have fits; of whole values, if there are
+     * any.
+     */
     public static List<HeldOutCheck> of(CapacityModel model) {
         final List<HeldOutCheck> checks = new ArrayList<>();
-        model.measurements().stream().filter(Measurement::heldOut)
-            .collect(Collectors.groupingBy(HeldOutCheck::group, LinkedHashMap::new, Collectors.toList()))
-            .forEach((group, rows) -> {
-                final List<Measurement> used = wholeOnes(rows);
-                model.estimate(group.key(), group.sizes())
-                    .ifPresent(predicted -> checks.add(check(group, used, predicted)));
-            });
+        model.measurements().stream()
+                .filter(Measurement::heldOut)
+                .collect(
+                        Collectors.groupingBy(
+                                HeldOutCheck::group, LinkedHashMap::new, Collectors.toList()))
+                .forEach(
+                        (group, rows) -> {
+                            final List<Measurement> used = wholeOnes(rows);
+                            model.estimate(group.key(), group.sizes())
+                                    .ifPresent(
+                                            predicted -> checks.add(check(group, used, predicted)));
+                        });
         return List.copyOf(checks);
     }
 
@@ -46,15 +59,22 @@
     }
 
     private static HeldOutCheck check(Group group, List<Measurement> rows, Estimate predicted) {
-        return new HeldOutCheck(group.key(),
-            rows.stream().map(Measurement::run).distinct().collect(Collectors.joining(", ")), rows.size(),
-            rows.stream().anyMatch(Measurement::partial),
-            rows.stream().mapToDouble(Measurement::value).average().orElseThrow(), predicted);
+        return new HeldOutCheck(
+                group.key(),
+                rows.stream().map(Measurement::run).distinct().collect(Collectors.joining(", ")),
+                rows.size(),
+                rows.stream().anyMatch(Measurement::partial),
+                rows.stream().mapToDouble(Measurement::value).average().orElseThrow(),
+                predicted);
     }
 
-    /** How far the prediction is above the measured value, in per cent of that; NaN where that is 0. */
+    /**
+     * How far the prediction is above the measured value, in per cent of that; NaN where that is 0.
+     */
     public double offPercent() {
-        return measured == 0 ? Double.NaN : PERCENT * (predicted.value() - measured) / Math.abs(measured);
+        return measured == 0
+                ? Double.NaN
+                : PERCENT * (predicted.value() - measured) / Math.abs(measured);
     }
 
     /** Whether the measured value lies in the prediction's interval. */
--- a/src/main/java/cresschute/capacity/Measurement.java
+++ b/src/main/java/cresschute/capacity/Measurement.java
@@ -18,5 +18,16 @@
  * @param value the value, in the measure's unit
  * @param partial whether the run did not reach the size or the duration that it was to have
  */
-public record Measurement(String run, String commit, String date, String seed, Optional<Axis> axis,
-    int repetition, boolean heldOut, Sizes sizes, Role role, String measure, double value, boolean partial) {}
+public record Measurement(
+        String run,
+        String commit,
+        String date,
+        String seed,
+        Optional<Axis> axis,
+        int repetition,
+        boolean heldOut,
+        Sizes sizes,
+        Role role,
+        String measure,
+        double value,
+        boolean partial) {}
--- a/src/main/java/cresschute/capacity/MeasurementFile.java
+++ b/src/main/java/cresschute/capacity/MeasurementFile.java
@@ -13,9 +13,26 @@
     public static final String VERSION_LINE = "# cresschute capacity measurements, version 1";
 
     /** The columns, in order. */
-    public static final List<String> COLUMNS = List.of("run", "commit", "date", "seed", "axis", "repetition",
-        "held_out", "workers", "running", "starts_per_second", "tenants", "dispatchers",
-        "list_changes_per_second", "settings_changes_per_second", "role", "measure", "value", "partial");
+    public static final List<String> COLUMNS =
+            List.of(
+                    "run",
+                    "commit",
+                    "date",
+                    "seed",
+                    "axis",
+                    "repetition",
+                    "held_out",
+                    "workers",
+                    "running",
+                    "starts_per_second",
+                    "tenants",
+                    "dispatchers",
+                    "list_changes_per_second",
+                    "settings_changes_per_second",
+                    "role",
+                    "measure",
+                    "value",
+                    "partial");
 
     private MeasurementFile() {}
 
@@ -44,11 +61,22 @@
             throw row.error("a run at full size must be held out");
         }
         final String roleLabel = row.text("role");
-        final Role role = Role.of(roleLabel)
-            .orElseThrow(() -> row.error("role: '" + roleLabel + "' is unknown"));
-        return new Measurement(row.text("run"), row.text("commit"), row.text("date"), row.text("seed"), axis,
-            row.count("repetition"), heldOut, sizes(row), role, row.text("measure"), row.number("value"),
-            row.flag("partial"));
+        final Role role =
+                Role.of(roleLabel)
+                        .orElseThrow(() -> row.error("role: '" + roleLabel + "' is unknown"));
+        return new Measurement(
+                row.text("run"),
+                row.text("commit"),
+                row.text("date"),
+                row.text("seed"),
+                axis,
+                row.count("repetition"),
+                heldOut,
+                sizes(row),
+                role,
+                row.text("measure"),
+                row.number("value"),
+                row.flag("partial"));
     }
 
     private static Sizes sizes(CsvTable.Row row) throws CsvFormatException {
--- a/src/main/java/cresschute/capacity/PlannedSize.java
+++ b/src/main/java/cresschute/capacity/PlannedSize.java
@@ -22,15 +22,44 @@
  * @param replacementsPerDay machines that are restarted or replaced on an ordinary day
  * @param dispatchers dispatcher processes, one on each machine set aside for control
  */
-public record PlannedSize(int workers, int accelerators, int jobsPerDay, int startsPerSecond, int running,
-    int gangSize, int tenants, int urgentStartMs, int regions, int zones, int configurationChangesPerDay,
-    int configurationDelayMs, int failuresPerDay, int replacementsPerDay, int dispatchers) {
+public record PlannedSize(
+        int workers,
+        int accelerators,
+        int jobsPerDay,
+        int startsPerSecond,
+        int running,
+        int gangSize,
+        int tenants,
+        int urgentStartMs,
+        int regions,
+        int zones,
+        int configurationChangesPerDay,
+        int configurationDelayMs,
+        int failuresPerDay,
+        int replacementsPerDay,
+        int dispatchers) {
 
     /** The operators' size within two years. */
-    public static final PlannedSize OPERATORS = new PlannedSize(1_400, 1_800, 8_600, 300, 9_100, 128, 54,
-        5_400, 2, 7, 1_500, 10_000, 19, 79, ControlLimits.OPERATORS.machines());
+    public static final PlannedSize OPERATORS =
+            new PlannedSize(
+                    1_400,
+                    1_800,
+                    8_600,
+                    300,
+                    9_100,
+                    128,
+                    54,
+                    5_400,
+                    2,
+                    7,
+                    1_500,
+                    10_000,
+                    19,
+                    79,
+                    ControlLimits.OPERATORS.machines());
 
     private static final double SECONDS_PER_DAY = 86_400;
+
     /** A machine that fails or is replaced leaves the list once and comes back once. */
     private static final int LIST_CHANGES_PER_MACHINE = 2;
 
@@ -42,7 +71,8 @@
     /** Changes of the list a second, where every change of the configuration is one as well. */
     public double listChangesPerSecond() {
         return (configurationChangesPerDay
-            + (double) LIST_CHANGES_PER_MACHINE * (failuresPerDay + replacementsPerDay)) / SECONDS_PER_DAY;
+                        + (double) LIST_CHANGES_PER_MACHINE * (failuresPerDay + replacementsPerDay))
+                / SECONDS_PER_DAY;
     }
 
     /** Settings reloads a second, where every change of the configuration is one. */
@@ -63,11 +93,26 @@
         return new Sizes(sizes);
     }
 
-    /** Twice of everything that grows with the installation; limits, delays and control machines stay. */
+    /**
+     * Twice of everything that grows with the installation; limits, delays and control machines
+     * stay.
+     */
     public PlannedSize doubled() {
-        return new PlannedSize(2 * workers, 2 * accelerators, 2 * jobsPerDay, 2 * startsPerSecond, 2
-            * running,
-            2 * gangSize, 2 * tenants, urgentStartMs, regions, zones, 2 * configurationChangesPerDay,
-            configurationDelayMs, 2 * failuresPerDay, 2 * replacementsPerDay, dispatchers);
+        return new PlannedSize(
+                2 * workers,
+                2 * accelerators,
+                2 * jobsPerDay,
+                2 * startsPerSecond,
+                2 * running,
+                2 * gangSize,
+                2 * tenants,
+                urgentStartMs,
+                regions,
+                zones,
+                2 * configurationChangesPerDay,
+                configurationDelayMs,
+                2 * failuresPerDay,
+                2 * replacementsPerDay,
+                dispatchers);
     }
 }
--- a/src/main/java/cresschute/capacity/RatioRow.java
+++ b/src/main/java/cresschute/capacity/RatioRow.java
@@ -15,10 +15,18 @@
  * @param mechanism what carries it
  * @param source where the figure comes from, or why there is none
  */
-record RatioRow(String need, String amount, String limit, Optional<Double> ratio, String mechanism,
-    String source) {
+record RatioRow(
+        String need,
+        String amount,
+        String limit,
+        Optional<Double> ratio,
+        String mechanism,
+        String source) {
 
-    /** All needs that have a limit, at a size: the greatest ratio first, those without a figure last. */
+    /**
+     * All needs that have a limit, at a size: the greatest ratio first, those without a figure
+     * last.
+     */
     static List<RatioRow> of(CapacityModel model, PlannedSize size) {
         final List<RatioRow> rows = new ArrayList<>();
         for (final TrackedMeasure measure : TrackedMeasure.values()) {
@@ -31,24 +39,35 @@
         return rows;
     }
 
-    private static RatioRow measured(CapacityModel model, TrackedMeasure measure, Limit limit,
-        PlannedSize size) {
+    private static RatioRow measured(
+            CapacityModel model, TrackedMeasure measure, Limit limit, PlannedSize size) {
         final Optional<Estimate> estimate = measure.estimate(model, size.sizes());
-        final String need = measure.role().label() + " `" + measure.measure() + "` ("
-            + measure.kind().label() + "), " + measure.unit();
-        return new RatioRow(need, estimate.map(Figures::estimate).orElse(Figures.NOT_MEASURED),
-            Figures.number(limit.value()) + " (" + limit.source() + ")",
-            estimate.map(each -> limit.ratio(each.value())), Mechanism.markdown(measure.mechanism()),
-            estimate.isPresent() ? "the sweep's fits" : measure.reasonNotMeasured());
+        final String need =
+                measure.role().label()
+                        + " `"
+                        + measure.measure()
+                        + "` ("
+                        + measure.kind().label()
+                        + "), "
+                        + measure.unit();
+        return new RatioRow(
+                need,
+                estimate.map(Figures::estimate).orElse(Figures.NOT_MEASURED),
+                Figures.number(limit.value()) + " (" + limit.source() + ")",
+                estimate.map(each -> limit.ratio(each.value())),
+                Mechanism.markdown(measure.mechanism()),
+                estimate.isPresent() ? "the sweep's fits" : measure.reasonNotMeasured());
     }
 
     private static RatioRow stated(StatedBound bound, PlannedSize size) {
         final Optional<Limit> limit = bound.limit();
-        return new RatioRow(bound.need(),
-            limit.isPresent() ? Figures.number(bound.amount(size)) : Figures.NOT_MEASURED,
-            limit.map(each -> Figures.number(each.value())).orElse("-"),
-            limit.map(each -> each.ratio(bound.amount(size))), Mechanism.markdown(bound.mechanism()),
-            limit.map(each -> "arithmetic: " + each.source()).orElse("nothing carries it"));
+        return new RatioRow(
+                bound.need(),
+                limit.isPresent() ? Figures.number(bound.amount(size)) : Figures.NOT_MEASURED,
+                limit.map(each -> Figures.number(each.value())).orElse("-"),
+                limit.map(each -> each.ratio(bound.amount(size))),
+                Mechanism.markdown(bound.mechanism()),
+                limit.map(each -> "arithmetic: " + each.source()).orElse("nothing carries it"));
     }
 
     /** Whether it has a figure. */
--- a/src/main/java/cresschute/capacity/RoleTables.java
+++ b/src/main/java/cresschute/capacity/RoleTables.java
@@ -12,44 +12,112 @@
     private RoleTables() {}
 
     static String needs(CapacityModel model, Role role) {
-        final MarkdownTable table = new MarkdownTable("measure", "kind", "unit", "carried by",
-            "at the planned size", "limit", "need/limit");
-        of(role).forEach(measure -> {
-            final Optional<Estimate> estimate = measure.estimate(model, PlannedSize.OPERATORS.sizes());
-            table.row("`" + measure.measure() + "`", measure.kind().label(), measure.unit(),
-                Mechanism.markdown(measure.mechanism()),
-                estimate.map(Figures::estimate)
-                    .orElse("**" + Figures.NOT_MEASURED + "**: " + measure.reasonNotMeasured()),
-                measure.limit().map(limit -> Figures.number(limit.value()) + " (" + limit.source() + ")")
-                    .orElse("none stated"),
-                estimate.flatMap(value -> measure.limit().map(limit -> limit.ratio(value.value())))
-                    .map(Figures::ratio).orElse("-"));
-        });
+        final MarkdownTable table =
+                new MarkdownTable(
+                        "measure",
+                        "kind",
+                        "unit",
+                        "carried by",
+                        "at the planned size",
+                        "limit",
+                        "need/limit");
+        of(role).forEach(
+                        measure -> {
+                            final Optional<Estimate> estimate =
+                                    measure.estimate(model, PlannedSize.OPERATORS.sizes());
+                            table.row(
+                                    "`" + measure.measure() + "`",
+                                    measure.kind().label(),
+                                    measure.unit(),
+                                    Mechanism.markdown(measure.mechanism()),
+                                    estimate.map(Figures::estimate)
+                                            .orElse(
+                                                    "**"
+                                                            + Figures.NOT_MEASURED
+                                                            + "**: "
+                                                            + measure.reasonNotMeasured()),
+                                    limit(measure),
+                                    ratio(measure, estimate));
+                        });
         return table.textOr("");
     }
 
+    private static String limit(TrackedMeasure measure) {
+        return measure.limit()
+                .map(limit -> Figures.number(limit.value()) + " (" + limit.source() + ")")
+                .orElse("none stated");
+    }
+
+    private static String ratio(TrackedMeasure measure, Optional<Estimate> estimate) {
+        return estimate.flatMap(need -> measure.limit().map(limit -> limit.ratio(need.value())))
+                .map(Figures::ratio)
+                .orElse("-");
+    }
+
     static String slopes(CapacityModel model, Role role) {
-        final MarkdownTable table = new MarkdownTable("measure", "size: unit", "measured from, to", "values",
-            "intercept", "slope (95 %)", "R²", "commit, seeds");
-        model.keys().stream().filter(key -> key.role() == role && isTracked(key))
-            .forEach(key -> model.fits(key).forEach((axis, fit) -> table.row("`" + key.measure() + "`",
-                CapacityModel.isReciprocal(role, axis) ? "1 / " + axis.unit() : axis.unit(), Figures.number(
-                    fit.minSize()) + ", " + Figures.number(fit.maxSize()),
-                Figures.number(fit.points()), Figures.number(fit.intercept()), Figures.interval(fit),
-                Figures.number(fit.rSquared()), run(model, key, axis))));
+        final MarkdownTable table =
+                new MarkdownTable(
+                        "measure",
+                        "size: unit",
+                        "measured from, to",
+                        "values",
+                        "intercept",
+                        "slope (95 %)",
+                        "R²",
+                        "commit, seeds");
+        model.keys().stream()
+                .filter(key -> key.role() == role && isTracked(key))
+                .forEach(
+                        key ->
+                                model.fits(key)
+                                        .forEach(
+                                                (axis, fit) ->
+                                                        table.row(
+                                                                "`" + key.measure() + "`",
+                                                                CapacityModel.isReciprocal(
+                                                                                role, axis)
+                                                                        ? "1 / " + axis.unit()
+                                                                        : axis.unit(),
+                                                                Figures.number(fit.minSize())
+                                                                        + ", "
+                                                                        + Figures.number(
+                                                                                fit.maxSize()),
+                                                                Figures.number(fit.points()),
+                                                                Figures.number(fit.intercept()),
+                                                                Figures.interval(fit),
+                                                                Figures.number(fit.rSquared()),
+                                                                run(model, key, axis))));
         return table.textOr("No slope: **" + Figures.NOT_MEASURED + "**.");
     }
 
     /** The commits and seeds of the measurements that a fit goes through. */
     private static String run(CapacityModel model, CapacityModel.Key key, Axis axis) {
-        final Map<String, String> seeds = model.measurements().stream()
-            .filter(row -> row.role() == key.role() && row.measure().equals(key.measure())
-                && row.axis().equals(Optional.of(axis)) && !row.heldOut() && !row.partial())
-            .collect(Collectors.groupingBy(Measurement::commit, TreeMap::new,
-                Collectors.mapping(Measurement::seed, Collectors.collectingAndThen(Collectors.toSet(),
-                    set -> set.stream().sorted().collect(Collectors.joining(", "))))));
-        return seeds.entrySet().stream().map(each -> "`" + each.getKey() + "`, " + each.getValue())
-            .collect(Collectors.joining("; "));
+        final Map<String, String> seeds =
+                model.measurements().stream()
+                        .filter(
+                                row ->
+                                        row.role() == key.role()
+                                                && row.measure().equals(key.measure())
+                                                && row.axis().equals(Optional.of(axis))
+                                                && !row.heldOut()
+                                                && !row.partial())
+                        .collect(
+                                Collectors.groupingBy(
+                                        Measurement::commit,
+                                        TreeMap::new,
+                                        Collectors.mapping(
+                                                Measurement::seed,
+                                                Collectors.collectingAndThen(
+                                                        Collectors.toSet(),
+                                                        set ->
+                                                                set.stream()
+                                                                        .sorted()
+                                                                        .collect(
+                                                                                Collectors.joining(
+                                                                                        ", "))))));
+        return seeds.entrySet().stream()
+                .map(each -> "`" + each.getKey() + "`, " + each.getValue())
+                .collect(Collectors.joining("; "));
     }
 
     private static Stream<TrackedMeasure> of(Role role) {
@@ -58,6 +126,7 @@
 
     /** Whether the page tells of a measure; others that a file brings are left out. */
     static boolean isTracked(CapacityModel.Key key) {
-        return of(key.role()).anyMatch(each -> each.measure().equals(key.measure()) && !each.isOfAStandIn());
+        return of(key.role())
+                .anyMatch(each -> each.measure().equals(key.measure()) && !each.isOfAStandIn());
     }
 }
--- a/src/main/java/cresschute/capacity/RunsTable.java
+++ b/src/main/java/cresschute/capacity/RunsTable.java
@@ -12,19 +12,59 @@
     private RunsTable() {}
 
     static String text(List<Measurement> measurements) {
-        final MarkdownTable table = new MarkdownTable("axis", "commit", "dates", "seeds", "runs", "values",
-            "held out", "partial, left out of fits");
-        measurements.stream().collect(Collectors.groupingBy(
-            row -> new Group(row.axis().map(Axis::label).orElse(row.heldOut() ? Axis.FULL : Axis.NONE), row
-                .commit()), LinkedHashMap::new,
-            Collectors.toList()))
-            .forEach((group, rows) -> table.row(group.axis(), "`" + group.commit() + "`",
-                range(rows.stream().map(Measurement::date).sorted().toList()),
-                String.join(", ", rows.stream().map(Measurement::seed).distinct().sorted().toList()),
-                Figures.number(rows.stream().map(Measurement::run).distinct().count()),
-                Figures.number(rows.size()),
-                Figures.number(rows.stream().filter(Measurement::heldOut).count()),
-                Figures.number(rows.stream().filter(Measurement::partial).count())));
+        final MarkdownTable table =
+                new MarkdownTable(
+                        "axis",
+                        "commit",
+                        "dates",
+                        "seeds",
+                        "runs",
+                        "values",
+                        "held out",
+                        "partial, left out of fits");
+        measurements.stream()
+                .collect(
+                        Collectors.groupingBy(
+                                row ->
+                                        new Group(
+                                                row.axis()
+                                                        .map(Axis::label)
+                                                        .orElse(
+                                                                row.heldOut()
+                                                                        ? Axis.FULL
+                                                                        : Axis.NONE),
+                                                row.commit()),
+                                LinkedHashMap::new,
+                                Collectors.toList()))
+                .forEach(
+                        (group, rows) ->
+                                table.row(
+                                        group.axis(),
+                                        "`" + group.commit() + "`",
+                                        range(
+                                                rows.stream()
+                                                        .map(Measurement::date)
+                                                        .sorted()
+                                                        .toList()),
+                                        String.join(
+                                                ", ",
+                                                rows.stream()
+                                                        .map(Measurement::seed)
+                                                        .distinct()
+                                                        .sorted()
+                                                        .toList()),
+                                        Figures.number(
+                                                rows.stream()
+                                                        .map(Measurement::run)
+                                                        .distinct()
+                                                        .count()),
+                                        Figures.number(rows.size()),
+                                        Figures.number(
+                                                rows.stream().filter(Measurement::heldOut).count()),
+                                        Figures.number(
+                                                rows.stream()
+                                                        .filter(Measurement::partial)
+                                                        .count())));
         return table.textOr("No run has been measured yet.");
     }
 
--- a/src/main/java/cresschute/capacity/StateTable.java
+++ b/src/main/java/cresschute/capacity/StateTable.java
@@ -2,15 +2,24 @@
 
 import java.util.Optional;
 
-/** What each role holds in memory: entries at the planned size, bytes of one from the slope of the heap. */
+/**
+ * What each role holds in memory: entries at the planned size, bytes of one from the slope of the
+ * heap.
+ */
 final class StateTable {
 
     private static final double BYTES_PER_MB = 1e6;
     private static final CapacityModel.Key HEAP = new CapacityModel.Key(Role.DISPATCHER, "heap_mb");
 
     private final CapacityModel model;
-    private final MarkdownTable table = new MarkdownTable("role", "state", "carried by", "entries",
-        "bytes an entry (95 %)", "MB at the planned size");
+    private final MarkdownTable table =
+            new MarkdownTable(
+                    "role",
+                    "state",
+                    "carried by",
+                    "entries",
+                    "bytes an entry (95 %)",
+                    "MB at the planned size");
 
     private StateTable(CapacityModel model) {
         this.model = model;
@@ -19,31 +28,62 @@
     static String text(CapacityModel model) {
         final StateTable state = new StateTable(model);
         final PlannedSize size = PlannedSize.OPERATORS;
-        state.none("client", "nothing of the project's", Mechanism.MISSING, "clients are the operators' own");
-        state.dispatcher("worker list and what is learned of each worker", "WorkerIndex", Axis.WORKERS,
-            size.workers());
-        state.dispatcher("open requests and their attempts; one dispatcher's part, the slope is of all",
-            "RequestLifecycle", Axis.RUNNING, size.running());
+        state.none(
+                "client",
+                "nothing of the project's",
+                Mechanism.MISSING,
+                "clients are the operators' own");
+        state.dispatcher(
+                "worker list and what is learned of each worker",
+                "WorkerIndex",
+                Axis.WORKERS,
+                size.workers());
+        state.dispatcher(
+                "open requests and their attempts; one dispatcher's part, the slope is of all",
+                "RequestLifecycle",
+                Axis.RUNNING,
+                size.running());
         state.dispatcher("tenants' share meters", "QuotaMeter", Axis.TENANTS, size.tenants());
         state.none("worker", "load report, running tasks", Mechanism.MISSING, "stand-ins");
         state.none("discovery", "the list and its versions", Mechanism.MISSING, "a stand-in");
-        state.none("console", "rows and health of each worker, events", "HealthTracker",
-            "not in the sweep; see the console above");
+        state.none(
+                "console",
+                "rows and health of each worker, events",
+                "HealthTracker",
+                "not in the sweep; see the console above");
         return state.table.textOr("");
     }
 
     private void dispatcher(String what, String mechanism, Axis axis, int entries) {
         final Optional<LinearFit> fit = Optional.ofNullable(model.fits(HEAP).get(axis));
-        table.row("dispatcher", what, Mechanism.markdown(mechanism), Figures.number(entries),
-            fit.map(each -> Figures.number(each.slope() * BYTES_PER_MB) + " ("
-                + Figures.number((each.slope() - each.slopeHalfWidth()) * BYTES_PER_MB) + " to "
-                + Figures.number((each.slope() + each.slopeHalfWidth()) * BYTES_PER_MB) + ")")
-                .orElse("**" + Figures.NOT_MEASURED + "**: no sweep over " + axis.unit()),
-            fit.map(each -> Figures.number(each.slope() * entries)).orElse("-"));
+        table.row(
+                "dispatcher",
+                what,
+                Mechanism.markdown(mechanism),
+                Figures.number(entries),
+                fit.map(
+                                each ->
+                                        Figures.number(each.slope() * BYTES_PER_MB)
+                                                + " ("
+                                                + Figures.number(
+                                                        (each.slope() - each.slopeHalfWidth())
+                                                                * BYTES_PER_MB)
+                                                + " to "
+                                                + Figures.number(
+                                                        (each.slope() + each.slopeHalfWidth())
+                                                                * BYTES_PER_MB)
+                                                + ")")
+                        .orElse("**" + Figures.NOT_MEASURED + "**: no sweep over " + axis.unit()),
+                fit.map(each -> Figures.number(each.slope() * entries)).orElse("-"));
     }
 
     private void none(String role, String what, String mechanism, String reason) {
-        table.row(role, what, Mechanism.markdown(mechanism), "-",
-            "**" + Figures.NOT_MEASURED + "**: " + reason, "-");
+        table.row(
+                role,
+                what,
+                Mechanism.markdown(mechanism),
+                "-",
+                "**" + Figures.NOT_MEASURED + "**: " + reason,
+                "-");
     }
 }
--- a/src/main/java/cresschute/capacity/StatedBound.java
+++ b/src/main/java/cresschute/capacity/StatedBound.java
@@ -4,49 +4,83 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Needs whose limit the code itself states, so that arithmetic holds them against it, and needs that nothing
- * carries.
+ * Needs whose limit the code itself states, so that arithmetic holds them against it, and needs
+ * that nothing carries.
  */
 public enum StatedBound {
 
     /** Requests of a gang that count as within the quota of their tenant, at one dispatcher. */
-    GANG_WITHIN_QUOTA("requests of a gang within its tenant's quota, all at one dispatcher",
-        PlannedSize::gangSize, 3, "QuotaMeter",
-        "a burst of 2 s of 1.5 times an even part, at least 3; quotas taken as even, the peak in all"),
+    GANG_WITHIN_QUOTA(
+            "requests of a gang within its tenant's quota, all at one dispatcher",
+            PlannedSize::gangSize,
+            3,
+            "QuotaMeter",
+            "a burst of 2 s of 1.5 times an even part, at least 3; quotas taken as even, the peak"
+                    + " in all"),
     /** Numbers of classes over all settings reloads. */
-    CLASS_NUMBERS("class numbers used in a day, if every change of configuration changes one class",
-        PlannedSize::configurationChangesPerDay, 64, "ClassTable", "64 numbers from a start to the next"),
+    CLASS_NUMBERS(
+            "class numbers used in a day, if every change of configuration changes one class",
+            PlannedSize::configurationChangesPerDay,
+            64,
+            "ClassTable",
+            "64 numbers from a start to the next"),
     /** Connections to workers, one for each open request. */
-    WORKER_CONNECTIONS("connections of one dispatcher to workers",
-        size -> (double) size.running() / size.dispatchers(), 440, "DescriptorShares",
-        "45 % of 1,024 descriptors less 48, no management listener; `limits.sockets`: up to 1,000,000"),
+    WORKER_CONNECTIONS(
+            "connections of one dispatcher to workers",
+            size -> (double) size.running() / size.dispatchers(),
+            440,
+            "DescriptorShares",
+            "45 % of 1,024 descriptors less 48, no management listener; `limits.sockets`: up to"
+                    + " 1,000,000"),
     /** How much more than its quota a tenant may take. */
-    QUOTA_SLACK("traffic of a tenant that counts as within its quota, in quotas", size -> 1.5, 1,
-        "QuotaMeter",
-        "an even part for each dispatcher, times 1.5"),
+    QUOTA_SLACK(
+            "traffic of a tenant that counts as within its quota, in quotas",
+            size -> 1.5,
+            1,
+            "QuotaMeter",
+            "an even part for each dispatcher, times 1.5"),
     /** A gang on one client connection. */
-    GANG_ON_A_CONNECTION("requests of a gang on one client connection", PlannedSize::gangSize, 120,
-        "ClientConnection", "one more than 120 without an answer closes the connection"),
+    GANG_ON_A_CONNECTION(
+            "requests of a gang on one client connection",
+            PlannedSize::gangSize,
+            120,
+            "ClientConnection",
+            "one more than 120 without an answer closes the connection"),
     /** A change of the worker list. */
-    LIST_CHANGE("ms until a change of the list is in force, two calls in a row having fallen silent",
-        size -> 6_000,
-        PlannedSize.OPERATORS.configurationDelayMs(), "DiscoveryClient",
-        "2 + 1.25 + 1.25 + 0.2 s for what two calls miss, stated as 6 s"),
+    LIST_CHANGE(
+            "ms until a change of the list is in force, two calls in a row having fallen silent",
+            size -> 6_000,
+            PlannedSize.OPERATORS.configurationDelayMs(),
+            "DiscoveryClient",
+            "2 + 1.25 + 1.25 + 0.2 s for what two calls miss, stated as 6 s"),
     /** The size of the worker list. */
-    LIST_SIZE("workers in one list", PlannedSize::workers, 10_000, "DiscoveryClient",
-        "4 MiB, about 10,000 workers"),
+    LIST_SIZE(
+            "workers in one list",
+            PlannedSize::workers,
+            10_000,
+            "DiscoveryClient",
+            "4 MiB, about 10,000 workers"),
     /** A drain or ban at one dispatcher. */
-    DRAIN("ms until a drain or ban is in force at the dispatcher that was called", size -> 400,
-        PlannedSize.OPERATORS.configurationDelayMs(), "DrainRegistry", "the rule of the list's drains: 0.4 s"),
+    DRAIN(
+            "ms until a drain or ban is in force at the dispatcher that was called",
+            size -> 400,
+            PlannedSize.OPERATORS.configurationDelayMs(),
+            "DrainRegistry",
+            "the rule of the list's drains: 0.4 s"),
     /** Operators' drains and bans at a time. */
-    BANS("bans at a time, if every change of a day is one that stays",
-        PlannedSize::configurationChangesPerDay, 10_000, "OperatorsState", "10,000; more are refused"),
+    BANS(
+            "bans at a time, if every change of a day is one that stays",
+            PlannedSize::configurationChangesPerDay,
+            10_000,
+            "OperatorsState",
+            "10,000; more are refused"),
     /** All requests of a gang or none. */
     GANG_ADMISSION("a gang admitted whole or not at all"),
     /** Slots for urgent work while all are taken. */
     PREEMPTION("a slot freed for urgent work while all are taken"),
     /** Settings at all dispatchers. */
-    SETTINGS_EVERYWHERE("a settings file carried to every dispatcher, and known to be in force there"),
+    SETTINGS_EVERYWHERE(
+            "a settings file carried to every dispatcher, and known to be in force there"),
     /** Drains and bans at all dispatchers. */
     BAN_EVERYWHERE("a drain or ban carried to every dispatcher"),
     /** Open requests of a dispatcher that is lost. */
@@ -61,8 +95,12 @@
     private final Limit limit;
     private final String mechanism;
 
-    StatedBound(String need, ToDoubleFunction<PlannedSize> amount, double limit, String mechanism,
-        String source) {
+    StatedBound(
+            String need,
+            ToDoubleFunction<PlannedSize> amount,
+            double limit,
+            String mechanism,
+            String source) {
         this.need = need;
         this.amount = amount;
         this.limit = new Limit(limit, source);
--- a/src/main/java/cresschute/cli/BenchlinkCommand.java
+++ b/src/main/java/cresschute/cli/BenchlinkCommand.java
@@ -4,14 +4,17 @@
 import picocli.CommandLine.Command;
 
 /** For help alone: {@link Main} runs {@code benchlink} without the parser of the command line. */
-@Command(name = "benchlink", mixinStandardHelpOptions = true,
-    description = "Hosts the decision module on the simulator's wire, on standard input and output.",
-    footer = {"", "Example: cresschute benchlink"})
+@Command(
+        name = "benchlink",
+        mixinStandardHelpOptions = true,
+        description =
+                "Hosts the decision module on the simulator's wire, on standard input and output.",
+        footer = {"", "Example: cresschute benchlink"})
 final class BenchlinkCommand implements Callable<Integer> {
 
     @Override
     public Integer call() {
-        cresschute.simulator.Main.main(new String[]{"benchlink"});
+        cresschute.simulator.Main.main(new String[] {"benchlink"});
         return ExitCodes.DONE;
     }
 }
--- a/src/main/java/cresschute/cli/CapacityCommand.java
+++ b/src/main/java/cresschute/cli/CapacityCommand.java
@@ -23,12 +23,20 @@
 import picocli.CommandLine.Spec;
 
 /** What dispatchers need at a given size. */
-@Command(name = "capacity", mixinStandardHelpOptions = true,
-    description = "Runs dispatcher processes between hollow workers, hollow clients and discovery, at a size "
-        + "that is given, and prints what each of them uses.",
-    footer = {"", "Example: cresschute lab capacity --quick --json", "",
-        "Exit codes: 0 measured whole and all rules kept, 1 partial, a rule broken, a request unanswered or "
-            + "a limit of the machine in the way, 2 it could not be used as given, 130 interrupted."})
+@Command(
+        name = "capacity",
+        mixinStandardHelpOptions = true,
+        description =
+                "Runs dispatcher processes between hollow workers, hollow clients and discovery, at"
+                        + " a size that is given, and prints what each of them uses.",
+        footer = {
+            "",
+            "Example: cresschute lab capacity --quick --json",
+            "",
+            "Exit codes: 0 measured whole and all rules kept, 1 partial, a rule broken, a request"
+                    + " unanswered or a limit of the machine in the way, 2 it could not be used as"
+                    + " given, 130 interrupted."
+        })
 final class CapacityCommand implements Callable<Integer> {
 
     private static final int INTERRUPTED = 130;
@@ -39,70 +47,119 @@
     @Option(names = "--workers", paramLabel = "N", description = "listed workers (default: 1400)")
     private Integer workers;
 
-    @Option(names = "--accelerators", paramLabel = "N",
-        description = "accelerators among them (default: 1800 for 1400 workers)")
+    @Option(
+            names = "--accelerators",
+            paramLabel = "N",
+            description = "accelerators among them (default: 1800 for 1400 workers)")
     private Integer accelerators;
 
-    @Option(names = "--running", paramLabel = "N", description = "jobs that run at a time (default: 9100)")
+    @Option(
+            names = "--running",
+            paramLabel = "N",
+            description = "jobs that run at a time (default: 9100)")
     private Integer running;
 
     @Option(names = "--starts", paramLabel = "R", description = "requests a second (default: 300)")
     private Double starts;
 
-    @Option(names = "--tenants", paramLabel = "N", description = "customers with quotas (default: 54)")
+    @Option(
+            names = "--tenants",
+            paramLabel = "N",
+            description = "customers with quotas (default: 54)")
     private Integer tenants;
 
-    @Option(names = "--dispatchers", paramLabel = "N", description = "dispatcher processes (default: 7)")
+    @Option(
+            names = "--dispatchers",
+            paramLabel = "N",
+            description = "dispatcher processes (default: 7)")
     private Integer dispatchers;
 
-    @Option(names = "--zones", paramLabel = "N", defaultValue = "7",
-        description = "zones, each in one region (default: ${DEFAULT-VALUE})")
+    @Option(
+            names = "--zones",
+            paramLabel = "N",
+            defaultValue = "7",
+            description = "zones, each in one region (default: ${DEFAULT-VALUE})")
     private int zones;
 
-    @Option(names = "--regions", paramLabel = "N", defaultValue = "2",
-        description = "regions (default: ${DEFAULT-VALUE})")
+    @Option(
+            names = "--regions",
+            paramLabel = "N",
+            defaultValue = "2",
+            description = "regions (default: ${DEFAULT-VALUE})")
     private int regions;
 
-    @Option(names = "--gang", paramLabel = "N",
-        description = "requests of one tenant in one instant, at the most; 0: no gangs (default: 128)")
+    @Option(
+            names = "--gang",
+            paramLabel = "N",
+            description =
+                    "requests of one tenant in one instant, at the most; 0: no gangs (default:"
+                            + " 128)")
     private Integer gang;
 
-    @Option(names = "--changes-a-day", paramLabel = "R", defaultValue = "1500",
-        description = "changes of the settings, each read again on SIGHUP (default: ${DEFAULT-VALUE})")
+    @Option(
+            names = "--changes-a-day",
+            paramLabel = "R",
+            defaultValue = "1500",
+            description =
+                    "changes of the settings, each read again on SIGHUP (default:"
+                            + " ${DEFAULT-VALUE})")
     private double changesADay;
 
-    @Option(names = "--list-changes", paramLabel = "R", defaultValue = "0.5",
-        description = "changes of the workers' list a second (default: ${DEFAULT-VALUE})")
+    @Option(
+            names = "--list-changes",
+            paramLabel = "R",
+            defaultValue = "0.5",
+            description = "changes of the workers' list a second (default: ${DEFAULT-VALUE})")
     private double listChanges;
 
-    @Option(names = "--seconds", paramLabel = "S",
-        description = "how long is measured, after the jobs run (default: 60)")
+    @Option(
+            names = "--seconds",
+            paramLabel = "S",
+            description = "how long is measured, after the jobs run (default: 60)")
     private Double seconds;
 
-    @Option(names = "--seed", paramLabel = "S", defaultValue = "1",
-        description = "for all chance (default: ${DEFAULT-VALUE})")
+    @Option(
+            names = "--seed",
+            paramLabel = "S",
+            defaultValue = "1",
+            description = "for all chance (default: ${DEFAULT-VALUE})")
     private long seed;
 
-    @Option(names = "--memory-mb", paramLabel = "MB", defaultValue = "0",
-        description = "memory of a dispatcher; 0: the bounds of the platform's run line "
-            + "(default: ${DEFAULT-VALUE})")
+    @Option(
+            names = "--memory-mb",
+            paramLabel = "MB",
+            defaultValue = "0",
+            description =
+                    "memory of a dispatcher; 0: the bounds of the platform's run line "
+                            + "(default: ${DEFAULT-VALUE})")
     private int memoryMb;
 
-    @Option(names = "--sweep", paramLabel = "AXIS",
-        description = "measure along workers, running, starts, tenants, dispatchers, list-changes, "
-            + "settings-changes or all, and then the whole size once")
+    @Option(
+            names = "--sweep",
+            paramLabel = "AXIS",
+            description =
+                    "measure along workers, running, starts, tenants, dispatchers, list-changes, "
+                            + "settings-changes or all, and then the whole size once")
     private String sweep;
 
-    @Option(names = "--repetitions", paramLabel = "N", defaultValue = "1",
-        description = "how often each size is measured (default: ${DEFAULT-VALUE})")
+    @Option(
+            names = "--repetitions",
+            paramLabel = "N",
+            defaultValue = "1",
+            description = "how often each size is measured (default: ${DEFAULT-VALUE})")
     private int repetitions;
 
-    @Option(names = "--csv", paramLabel = "FILE",
-        description = "write all measurements to this file, a row for each size, role and measure")
+    @Option(
+            names = "--csv",
+            paramLabel = "FILE",
+            description =
+                    "write all measurements to this file, a row for each size, role and measure")
     private Path csv;
 
-    @Option(names = "--charts", paramLabel = "FOLDER",
-        description = "draw what a dispatcher needs against the size, for each axis of a sweep")
+    @Option(
+            names = "--charts",
+            paramLabel = "FOLDER",
+            description = "draw what a dispatcher needs against the size, for each axis of a sweep")
     private Path charts;
 
     @Option(names = "--quick", description = "smaller sizes, where no others are given")
@@ -111,19 +168,22 @@
     @Option(names = "--json", description = "print one JSON object for each size instead of tables")
     private boolean json;
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     @Override
     public Integer call() throws IOException, InterruptedException {
         final List<Sweep.Point> points = points();
         final CountDownLatch interrupted = new CountDownLatch(1);
         final CountDownLatch ended = new CountDownLatch(1);
-        final Thread hook = new Thread(() -> {
-            // Guards against processes that are left, and keeps what was measured until then.
-            interrupted.countDown();
-            awaitQuietly(ended);
-        }, "capacity-interrupted");
+        final Thread hook =
+                new Thread(
+                        () -> {
+                            // Guards against processes that are left, and keeps what was measured
+                            // until then.
+                            interrupted.countDown();
+                            awaitQuietly(ended);
+                        },
+                        "capacity-interrupted");
         Runtime.getRuntime().addShutdownHook(hook);
         try {
             for (final Sweep.Point each : points) {
@@ -139,18 +199,24 @@
         }
     }
 
-    private int measure(List<Sweep.Point> points, CountDownLatch interrupted) throws IOException,
-        InterruptedException {
+    private int measure(List<Sweep.Point> points, CountDownLatch interrupted)
+            throws IOException, InterruptedException {
         int code = ExitCodes.DONE;
         try (MeasurementFile file = csv == null ? null : new MeasurementFile(csv, commit())) {
             final NeedChart chart = new NeedChart();
             for (int i = 0; i < points.size() && interrupted.getCount() > 0; i++) {
                 if (points.size() > 1) {
-                    progress("point " + (i + 1) + " of " + points.size() + ", along "
-                        + points.get(i).axis());
+                    progress(
+                            "point "
+                                    + (i + 1)
+                                    + " of "
+                                    + points.size()
+                                    + ", along "
+                                    + points.get(i).axis());
                 }
-                final CapacityResult result = new CapacityExperiment(points.get(i).plan(), this::progress,
-                    interrupted).run();
+                final CapacityResult result =
+                        new CapacityExperiment(points.get(i).plan(), this::progress, interrupted)
+                                .run();
                 if (file != null) {
                     file.add(points.get(i), result);
                 }
@@ -170,11 +236,25 @@
     /** The commit that the program was built from, where it still stands in its working tree. */
     private static String commit() {
         try {
-            final Path classes = Path.of(CapacityCommand.class.getProtectionDomain().getCodeSource()
-                .getLocation().getPath());
-            final Process git = new ProcessBuilder("git", "-C", classes.getParent().toString(), "rev-parse",
-                "--short=12", "HEAD").redirectError(ProcessBuilder.Redirect.DISCARD).start();
-            final String out = new String(git.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+            final Path classes =
+                    Path.of(
+                            CapacityCommand.class
+                                    .getProtectionDomain()
+                                    .getCodeSource()
+                                    .getLocation()
+                                    .getPath());
+            final Process git =
+                    new ProcessBuilder(
+                                    "git",
+                                    "-C",
+                                    classes.getParent().toString(),
+                                    "rev-parse",
+                                    "--short=12",
+                                    "HEAD")
+                            .redirectError(ProcessBuilder.Redirect.DISCARD)
+                            .start();
+            final String out =
+                    new String(git.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
             return out.isBlank() ? UNKNOWN : out.strip();
         } catch (IOException e) {
             return UNKNOWN;
@@ -199,16 +279,21 @@
 
     private List<Sweep.Point> points() {
         if (repetitions < 1 || repetitions > MAX_REPETITIONS) {
-            throw new ParameterException(spec.commandLine(), "--repetitions: " + repetitions
-                + " is out of range; allowed: 1 to " + MAX_REPETITIONS);
+            throw new ParameterException(
+                    spec.commandLine(),
+                    "--repetitions: "
+                            + repetitions
+                            + " is out of range; allowed: 1 to "
+                            + MAX_REPETITIONS);
         }
         if (csv != null && csv.getParent() != null && !Files.isDirectory(csv.getParent())) {
-            throw new ParameterException(spec.commandLine(), "--csv: there is no folder "
-                + csv.getParent());
+            throw new ParameterException(
+                    spec.commandLine(), "--csv: there is no folder " + csv.getParent());
         }
         try {
-            return sweep == null ? Sweep.single(plan(), repetitions)
-                : Sweep.along(sweep, plan(), repetitions);
+            return sweep == null
+                    ? Sweep.single(plan(), repetitions)
+                    : Sweep.along(sweep, plan(), repetitions);
         } catch (UnusablePlanException e) {
             throw new ParameterException(spec.commandLine(), e.getMessage());
         }
@@ -216,11 +301,23 @@
 
     private CapacityPlan plan() {
         final int count = or(workers, 1_400, 200);
-        return new CapacityPlan(count,
-            accelerators != null ? accelerators : (int) Math.round(count * ACCELERATORS_A_WORKER),
-            or(running, 9_100, 240), or(starts, 300.0, 80.0), or(tenants, 54, 54), or(dispatchers, 7, 2),
-            zones, regions, or(gang, 128, 32), changesADay, listChanges, or(seconds, 60.0, 8.0), seed,
-            memoryMb);
+        return new CapacityPlan(
+                count,
+                accelerators != null
+                        ? accelerators
+                        : (int) Math.round(count * ACCELERATORS_A_WORKER),
+                or(running, 9_100, 240),
+                or(starts, 300.0, 80.0),
+                or(tenants, 54, 54),
+                or(dispatchers, 7, 2),
+                zones,
+                regions,
+                or(gang, 128, 32),
+                changesADay,
+                listChanges,
+                or(seconds, 60.0, 8.0),
+                seed,
+                memoryMb);
     }
 
     private <T> T or(T given, T whole, T small) {
--- a/src/main/java/cresschute/cli/CapacityModelCommand.java
+++ b/src/main/java/cresschute/cli/CapacityModelCommand.java
@@ -12,35 +12,55 @@
 import picocli.CommandLine.Option;
 
 /** The fleet of the planned size in virtual time, as lines of the capacity table. */
-@Command(name = "capacity-model", mixinStandardHelpOptions = true,
-    description = "Runs fleets of up to 1,400 workers and 30 dispatchers in virtual time, with the module "
-        + "and with simple policies to compare with, and writes what was measured. The same seed writes "
-        + "the same.",
-    footer = {"", "Example: cresschute lab capacity-model --csv model.csv --seed 1"})
+@Command(
+        name = "capacity-model",
+        mixinStandardHelpOptions = true,
+        description =
+                "Runs fleets of up to 1,400 workers and 30 dispatchers in virtual time, with the"
+                        + " module and with simple policies to compare with, and writes what was"
+                        + " measured. The same seed writes the same.",
+        footer = {"", "Example: cresschute lab capacity-model --csv model.csv --seed 1"})
 final class CapacityModelCommand implements Callable<Integer> {
 
-    @Option(names = "--csv", paramLabel = "FILE", required = true, description = "where the table goes")
+    @Option(
+            names = "--csv",
+            paramLabel = "FILE",
+            required = true,
+            description = "where the table goes")
     private Path csv;
 
-    @Option(names = "--seed", paramLabel = "N", defaultValue = "1",
-        description = "feeds all chance (default: ${DEFAULT-VALUE})")
+    @Option(
+            names = "--seed",
+            paramLabel = "N",
+            defaultValue = "1",
+            description = "feeds all chance (default: ${DEFAULT-VALUE})")
     private long seed;
 
-    @Option(names = "--workers", paramLabel = "N", defaultValue = "1400",
-        description = "the most workers of a fleet (default: ${DEFAULT-VALUE})")
+    @Option(
+            names = "--workers",
+            paramLabel = "N",
+            defaultValue = "1400",
+            description = "the most workers of a fleet (default: ${DEFAULT-VALUE})")
     private int workers;
 
-    @Option(names = "--commit", paramLabel = "ID", defaultValue = "unknown",
-        description = "the commit that is measured, for the table (default: ${DEFAULT-VALUE})")
+    @Option(
+            names = "--commit",
+            paramLabel = "ID",
+            defaultValue = "unknown",
+            description = "the commit that is measured, for the table (default: ${DEFAULT-VALUE})")
     private String commit;
 
-    @Option(names = "--date", paramLabel = "DATE", defaultValue = "unknown",
-        description = "the day of the run, for the table (default: ${DEFAULT-VALUE})")
+    @Option(
+            names = "--date",
+            paramLabel = "DATE",
+            defaultValue = "unknown",
+            description = "the day of the run, for the table (default: ${DEFAULT-VALUE})")
     private String date;
 
     @Override
     public Integer call() throws IOException {
-        try (PrintWriter out = new PrintWriter(Files.newBufferedWriter(csv, StandardCharsets.UTF_8))) {
+        try (PrintWriter out =
+                new PrintWriter(Files.newBufferedWriter(csv, StandardCharsets.UTF_8))) {
             new CapacityCsv(FleetCapacity::measure, out, commit, date, seed).write(workers);
             return out.checkError() ? ExitCodes.FAILED : ExitCodes.DONE;
         }
--- a/src/main/java/cresschute/cli/CapacityPageCommand.java
+++ b/src/main/java/cresschute/cli/CapacityPageCommand.java
@@ -23,26 +23,40 @@
 import picocli.CommandLine.Spec;
 
 /** Writes the tables of the capacity page from the measurements that are kept, or checks them. */
-@Command(name = "capacity-page", mixinStandardHelpOptions = true,
-    description = "Computes the tables of the capacity page from the measurements in a folder and writes "
-        + "them into the page; other text of the page stays.",
-    footer = {"", "Example: cresschute lab capacity-page --check", "",
-        "Exit codes: 0 done, 1 the page says something else (--check), 2 a file cannot be used."})
+@Command(
+        name = "capacity-page",
+        mixinStandardHelpOptions = true,
+        description =
+                "Computes the tables of the capacity page from the measurements in a folder and"
+                        + " writes them into the page; other text of the page stays.",
+        footer = {
+            "",
+            "Example: cresschute lab capacity-page --check",
+            "",
+            "Exit codes: 0 done, 1 the page says something else (--check), 2 a file cannot be used."
+        })
 final class CapacityPageCommand implements Callable<Integer> {
 
-    @Option(names = "--measurements", paramLabel = "FOLDER", defaultValue = "docs/results/capacity",
-        description = "the folder with the CSV files (default: ${DEFAULT-VALUE})")
+    @Option(
+            names = "--measurements",
+            paramLabel = "FOLDER",
+            defaultValue = "docs/results/capacity",
+            description = "the folder with the CSV files (default: ${DEFAULT-VALUE})")
     private Path folder;
 
-    @Option(names = "--page", paramLabel = "FILE", defaultValue = "docs/CAPACITY.md",
-        description = "the page (default: ${DEFAULT-VALUE})")
+    @Option(
+            names = "--page",
+            paramLabel = "FILE",
+            defaultValue = "docs/CAPACITY.md",
+            description = "the page (default: ${DEFAULT-VALUE})")
     private Path page;
 
-    @Option(names = "--check", description = "change nothing; end with 1 if the page says something else")
+    @Option(
+            names = "--check",
+            description = "change nothing; end with 1 if the page says something else")
     private boolean check;
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     private final List<Measurement> measurements = new ArrayList<>();
     private final List<FaultMeasurement> faults = new ArrayList<>();
@@ -90,8 +104,15 @@
 
     private int write(String after) throws IOException {
         Files.writeString(page, after, StandardCharsets.UTF_8);
-        spec.commandLine().getOut().println(page + ": written from " + measurements.size()
-            + " measurements and " + faults.size() + " of faults");
+        spec.commandLine()
+                .getOut()
+                .println(
+                        page
+                                + ": written from "
+                                + measurements.size()
+                                + " measurements and "
+                                + faults.size()
+                                + " of faults");
         return ExitCodes.DONE;
     }
 
@@ -102,11 +123,19 @@
         final List<String> said = before.lines().toList();
         final List<String> computed = after.lines().toList();
         int line = 0;
-        while (line < said.size() && line < computed.size() && said.get(line).equals(computed.get(line))) {
+        while (line < said.size()
+                && line < computed.size()
+                && said.get(line).equals(computed.get(line))) {
             line++;
         }
-        spec.commandLine().getErr().println("cresschute: " + page + ":" + (line + 1)
-            + ": the page says something else than the measurements");
+        spec.commandLine()
+                .getErr()
+                .println(
+                        "cresschute: "
+                                + page
+                                + ":"
+                                + (line + 1)
+                                + ": the page says something else than the measurements");
         return ExitCodes.FAILED;
     }
 
--- a/src/main/java/cresschute/cli/CheckCommand.java
+++ b/src/main/java/cresschute/cli/CheckCommand.java
@@ -15,9 +15,11 @@
 import picocli.CommandLine.Spec;
 
 /** Checks a settings script and starts nothing. */
-@Command(name = "check", mixinStandardHelpOptions = true,
-    description = "Checks a settings script and prints everything that is wrong with it.",
-    footer = {"", "Example: cresschute check --show deploy/appliance.star"})
+@Command(
+        name = "check",
+        mixinStandardHelpOptions = true,
+        description = "Checks a settings script and prints everything that is wrong with it.",
+        footer = {"", "Example: cresschute check --show deploy/appliance.star"})
 final class CheckCommand implements Callable<Integer> {
 
     @Parameters(paramLabel = "FILE", arity = "0..1", description = "the settings script")
@@ -29,11 +31,12 @@
     @Option(names = "--json", description = "print one JSON object")
     private boolean json;
 
-    @Option(names = "--reference", description = "print all blocks and fields that a script may state")
+    @Option(
+            names = "--reference",
+            description = "print all blocks and fields that a script may state")
     private boolean reference;
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     @Override
     public Integer call() {
@@ -58,8 +61,15 @@
         if (json) {
             out.println(object(result));
         } else if (sound) {
-            out.print(show ? result.settings().shown() : file + ": " + result.settings().classes().size()
-                + " classes, " + result.settings().workers().size() + " workers, no errors\n");
+            out.print(
+                    show
+                            ? result.settings().shown()
+                            : file
+                                    + ": "
+                                    + result.settings().classes().size()
+                                    + " classes, "
+                                    + result.settings().workers().size()
+                                    + " workers, no errors\n");
         } else {
             result.problems().forEach(problem -> err.println(problem.line(file.toString())));
         }
--- a/src/main/java/cresschute/cli/Commands.java
+++ b/src/main/java/cresschute/cli/Commands.java
@@ -8,20 +8,38 @@
 import picocli.CommandLine.Spec;
 
 /** The command line: its commands, and one way of failing for all of them. */
-@Command(name = "cresschute", synopsisSubcommandLabel = "COMMAND", mixinStandardHelpOptions = true,
-    versionProvider = VersionCommand.Provider.class,
-    description = "Takes jobs from clients and pushes them to workers: refuses at once what does not fit, "
-        + "and answers every job exactly once.",
-    footer = {"", "Example: cresschute demo --for 10s", "",
-        "Exit codes: 0 done, 1 it ran and failed, 2 it could not be used as given."},
-    subcommands = {ServeCommand.class, BenchlinkCommand.class, CheckCommand.class, DemoCommand.class,
-        ConsoleCommand.class, WorkersCommand.class, DrainCommand.class, UndrainCommand.class,
-        EventsCommand.class, TrialCommand.class, LabCommand.class,
-        VersionCommand.class, CompletionCommand.class})
+@Command(
+        name = "cresschute",
+        synopsisSubcommandLabel = "COMMAND",
+        mixinStandardHelpOptions = true,
+        versionProvider = VersionCommand.Provider.class,
+        description =
+                "Takes jobs from clients and pushes them to workers: refuses at once what does not"
+                        + " fit, and answers every job exactly once.",
+        footer = {
+            "",
+            "Example: cresschute demo --for 10s",
+            "",
+            "Exit codes: 0 done, 1 it ran and failed, 2 it could not be used as given."
+        },
+        subcommands = {
+            ServeCommand.class,
+            BenchlinkCommand.class,
+            CheckCommand.class,
+            DemoCommand.class,
+            ConsoleCommand.class,
+            WorkersCommand.class,
+            DrainCommand.class,
+            UndrainCommand.class,
+            EventsCommand.class,
+            TrialCommand.class,
+            LabCommand.class,
+            VersionCommand.class,
+            CompletionCommand.class
+        })
 final class Commands implements Runnable {
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     /** Runs a command line and returns its exit code. */
     static int execute(String... args) {
@@ -31,12 +49,13 @@
     /** The command line, ready to run. */
     static CommandLine line() {
         return new CommandLine(new Commands())
-            .setParameterExceptionHandler((e, args) -> unusable(e))
-            .setExecutionExceptionHandler((e, line, parsed) -> {
-                line.getErr().println("cresschute: " + plain(e));
-                return ExitCodes.FAILED;
-            })
-            .setExitCodeExceptionMapper(e -> ExitCodes.FAILED);
+                .setParameterExceptionHandler((e, args) -> unusable(e))
+                .setExecutionExceptionHandler(
+                        (e, line, parsed) -> {
+                            line.getErr().println("cresschute: " + plain(e));
+                            return ExitCodes.FAILED;
+                        })
+                .setExitCodeExceptionMapper(e -> ExitCodes.FAILED);
     }
 
     @Override
@@ -47,13 +66,18 @@
     /** One line of what is wrong and one of where to look, in place of picocli's page of help. */
     private static int unusable(ParameterException e) {
         final PrintWriter err = e.getCommandLine().getErr();
-        err.println("cresschute: " + plain(e) + "; try '"
-            + e.getCommandLine().getCommandSpec().qualifiedName() + " --help'");
+        err.println(
+                "cresschute: "
+                        + plain(e)
+                        + "; try '"
+                        + e.getCommandLine().getCommandSpec().qualifiedName()
+                        + " --help'");
         return ExitCodes.UNUSABLE;
     }
 
     private static String plain(Exception e) {
-        final String message = e.getMessage() == null ? e.getClass().getSimpleName() : e.getMessage();
+        final String message =
+                e.getMessage() == null ? e.getClass().getSimpleName() : e.getMessage();
         return message.lines().findFirst().orElse(e.getClass().getSimpleName());
     }
 }
--- a/src/main/java/cresschute/cli/CompletionCommand.java
+++ b/src/main/java/cresschute/cli/CompletionCommand.java
@@ -7,13 +7,14 @@
 import picocli.CommandLine.Spec;
 
 /** Writes the shell's completion script. */
-@Command(name = "completion", mixinStandardHelpOptions = true,
-    description = "Prints a script with which bash and zsh complete commands and options.",
-    footer = {"", "Example: source <(cresschute completion)"})
+@Command(
+        name = "completion",
+        mixinStandardHelpOptions = true,
+        description = "Prints a script with which bash and zsh complete commands and options.",
+        footer = {"", "Example: source <(cresschute completion)"})
 final class CompletionCommand implements Callable<Integer> {
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     @Override
     public Integer call() {
--- a/src/main/java/cresschute/cli/ConsoleCommand.java
+++ b/src/main/java/cresschute/cli/ConsoleCommand.java
@@ -12,17 +12,21 @@
 import picocli.CommandLine.Spec;
 
 /** The screen for the person at the box. */
-@Command(name = "console", mixinStandardHelpOptions = true,
-    description = "Shows the workers of a node on the whole screen, and drains one at a key.",
-    footer = {"", "Leaving it, or losing the line, undoes nothing. ? shows the keys.", "",
-        "Example: cresschute console --settings deploy/appliance.star"})
+@Command(
+        name = "console",
+        mixinStandardHelpOptions = true,
+        description = "Shows the workers of a node on the whole screen, and drains one at a key.",
+        footer = {
+            "",
+            "Leaving it, or losing the line, undoes nothing. ? shows the keys.",
+            "",
+            "Example: cresschute console --settings deploy/appliance.star"
+        })
 final class ConsoleCommand implements Callable<Integer> {
 
-    @Mixin
-    private ControlSocket node;
+    @Mixin private ControlSocket node;
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     @Override
     public Integer call() throws IOException, InterruptedException {
@@ -30,13 +34,17 @@
         final Screen screen = Screen.ofProcess();
         final String kind = System.getenv().getOrDefault("TERM", "dumb");
         if (!screen.isTerminal() || kind.equals("dumb")) {
-            spec.commandLine().getErr().println("cresschute: this is no terminal that can show a screen; "
-                + "here is what 'cresschute workers --watch' shows");
+            spec.commandLine()
+                    .getErr()
+                    .println(
+                            "cresschute: this is no terminal that can show a screen; "
+                                    + "here is what 'cresschute workers --watch' shows");
             return WorkersCommand.print(spec, socket, true, false);
         }
         // The system's own stty tells and sets the terminal: no native library is needed for it.
         try (Terminal terminal = TerminalBuilder.builder().system(true).provider("exec").build()) {
-            new Console(terminal, socket, ControlSocket.who(System.getenv()), screen.hasColor()).run();
+            new Console(terminal, socket, ControlSocket.who(System.getenv()), screen.hasColor())
+                    .run();
         }
         return ExitCodes.DONE;
     }
--- a/src/main/java/cresschute/cli/ControlSocket.java
+++ b/src/main/java/cresschute/cli/ControlSocket.java
@@ -14,12 +14,16 @@
     /** Names the socket where no option does. */
     static final String VARIABLE = "CRESSCHUTE_SOCKET";
 
-    @Option(names = "--socket", paramLabel = "FILE",
-        description = "the node's control socket (default: what " + VARIABLE + " names)")
+    @Option(
+            names = "--socket",
+            paramLabel = "FILE",
+            description = "the node's control socket (default: what " + VARIABLE + " names)")
     private Path socket;
 
-    @Option(names = "--settings", paramLabel = "FILE",
-        description = "the node's settings script, which names the socket")
+    @Option(
+            names = "--settings",
+            paramLabel = "FILE",
+            description = "the node's settings script, which names the socket")
     private Path settings;
 
     /** The socket; without one it is an error of the command line. */
@@ -35,15 +39,18 @@
                 throw new ParameterException(spec.commandLine(), e.lines().get(0));
             }
             if (read.controlSocket() == null) {
-                throw new ParameterException(spec.commandLine(), settings
-                    + " states no control(socket = ...); its node can have no console");
+                throw new ParameterException(
+                        spec.commandLine(),
+                        settings
+                                + " states no control(socket = ...); its node can have no console");
             }
             return Path.of(read.controlSocket());
         }
         final String named = environment.getOrDefault(VARIABLE, "");
         if (named.isEmpty()) {
-            throw new ParameterException(spec.commandLine(),
-                "which node? give --socket FILE or --settings FILE, or set " + VARIABLE);
+            throw new ParameterException(
+                    spec.commandLine(),
+                    "which node? give --socket FILE or --settings FILE, or set " + VARIABLE);
         }
         try {
             return Path.of(named);
@@ -54,8 +61,11 @@
 
     /** Who is asking, as the node's log and other consoles are told. */
     static String who(Map<String, String> environment) {
-        final String user = environment.getOrDefault("SUDO_USER",
-            environment.getOrDefault("USER", System.getProperty("user.name", "somebody")));
+        final String user =
+                environment.getOrDefault(
+                        "SUDO_USER",
+                        environment.getOrDefault(
+                                "USER", System.getProperty("user.name", "somebody")));
         return user.isBlank() ? "somebody" : user;
     }
 }
--- a/src/main/java/cresschute/cli/DemoCommand.java
+++ b/src/main/java/cresschute/cli/DemoCommand.java
@@ -1,11 +1,11 @@
 package cresschute.cli;
 
+import cresschute.logs.LogFinder;
+import cresschute.logs.structured.StructuredLog;
 import cresschute.testbed.Durations;
 import cresschute.testbed.Fleet;
 import cresschute.testbed.FleetReport;
 import cresschute.testbed.InjectedFault;
-import cresschute.logs.LogFinder;
-import cresschute.logs.structured.StructuredLog;
 import java.io.PrintWriter;
 import java.lang.System.Logger.Level;
 import java.nio.file.Path;
@@ -22,13 +22,21 @@
 import picocli.CommandLine.Spec;
 
 /** Shows the node at work between stand-ins, and holds its rules against what these saw. */
-@Command(name = "demo", mixinStandardHelpOptions = true,
-    description = "Runs workers, a director and clients on loopback ports with a node between them, and "
-        + "prints what became of the jobs and whether the rules were kept.",
-    footer = {"", "Troubles: KIND[:WORKER][xFACTOR]@START[+DURATION], with commas between them.", "",
-        "Example: cresschute demo --for 20s --trouble slow@5s,silent:w2@8s+4s", "",
-        "Exit codes: 0 all rules kept, 1 a rule was broken, 2 it could not be used as given, "
-            + "130 interrupted."})
+@Command(
+        name = "demo",
+        mixinStandardHelpOptions = true,
+        description =
+                "Runs workers, a director and clients on loopback ports with a node between them,"
+                        + " and prints what became of the jobs and whether the rules were kept.",
+        footer = {
+            "",
+            "Troubles: KIND[:WORKER][xFACTOR]@START[+DURATION], with commas between them.",
+            "",
+            "Example: cresschute demo --for 20s --trouble slow@5s,silent:w2@8s+4s",
+            "",
+            "Exit codes: 0 all rules kept, 1 a rule was broken, 2 it could not be used as given, "
+                    + "130 interrupted."
+        })
 final class DemoCommand implements Callable<Integer> {
 
     private static final long REFRESH_MS = 200;
@@ -38,31 +46,49 @@
     private static final int MOST_WORKERS = 1_024;
     private static final double MOST_RATE = 2_000;
 
-    @Option(names = "--workers", paramLabel = "N", defaultValue = "8",
-        description = "how many workers, 1 to 1024 (default: ${DEFAULT-VALUE})")
+    @Option(
+            names = "--workers",
+            paramLabel = "N",
+            defaultValue = "8",
+            description = "how many workers, 1 to 1024 (default: ${DEFAULT-VALUE})")
     private int workers;
 
-    @Option(names = "--rate", paramLabel = "R", defaultValue = "12",
-        description = "jobs that arrive in a second, up to 2000 (default: ${DEFAULT-VALUE})")
+    @Option(
+            names = "--rate",
+            paramLabel = "R",
+            defaultValue = "12",
+            description = "jobs that arrive in a second, up to 2000 (default: ${DEFAULT-VALUE})")
     private double rate;
 
-    @Option(names = "--for", paramLabel = "TIME", defaultValue = "20s",
-        description = "how long jobs arrive, such as 500ms, 20s, 2m (default: ${DEFAULT-VALUE})")
+    @Option(
+            names = "--for",
+            paramLabel = "TIME",
+            defaultValue = "20s",
+            description =
+                    "how long jobs arrive, such as 500ms, 20s, 2m (default: ${DEFAULT-VALUE})")
     private String duration;
 
-    @Option(names = "--seed", paramLabel = "S", defaultValue = "1",
-        description = "for all chance (default: ${DEFAULT-VALUE})")
+    @Option(
+            names = "--seed",
+            paramLabel = "S",
+            defaultValue = "1",
+            description = "for all chance (default: ${DEFAULT-VALUE})")
     private long seed;
 
-    @Option(names = "--trouble", paramLabel = "LIST", defaultValue = "",
-        description = "what goes wrong, and when; see --list-troubles")
+    @Option(
+            names = "--trouble",
+            paramLabel = "LIST",
+            defaultValue = "",
+            description = "what goes wrong, and when; see --list-troubles")
     private String trouble;
 
     @Option(names = "--list-troubles", description = "print the kinds of trouble")
     private boolean listTroubles;
 
-    @Option(names = "--socket", paramLabel = "FILE",
-        description = "let consoles connect to the node, at this control socket")
+    @Option(
+            names = "--socket",
+            paramLabel = "FILE",
+            description = "let consoles connect to the node, at this control socket")
     private Path socket;
 
     @Option(names = "--json", description = "print one JSON object")
@@ -71,8 +97,7 @@
     @Option(names = "--verbose", description = "show the node's log")
     private boolean verbose;
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     private FleetReport judged;
     private long judgeAtNs = System.nanoTime();
@@ -81,8 +106,11 @@
     public Integer call() throws InterruptedException {
         final PrintWriter out = spec.commandLine().getOut();
         if (listTroubles) {
-            Arrays.stream(InjectedFault.Kind.values()).forEach(kind -> out.println(String.format("%-9s %s", kind
-                .word(), kind.meaning())));
+            Arrays.stream(InjectedFault.Kind.values())
+                    .forEach(
+                            kind ->
+                                    out.println(
+                                            String.format("%-9s %s", kind.word(), kind.meaning())));
             out.flush();
             return ExitCodes.DONE;
         }
@@ -94,15 +122,19 @@
         final CountDownLatch interrupted = new CountDownLatch(1);
         final CountDownLatch ended = new CountDownLatch(1);
         try (Fleet fleet = fleet()) {
-            final Thread hook = new Thread(() -> {
-                // Guards the table against Ctrl-C: what was asked for and seen so far is still told.
-                interrupted.countDown();
-                try {
-                    ended.await();
-                } catch (InterruptedException e) {
-                    Thread.currentThread().interrupt();
-                }
-            }, "demo-interrupted");
+            final Thread hook =
+                    new Thread(
+                            () -> {
+                                // Guards the table against Ctrl-C: what was asked for and seen so
+                                // far is still told.
+                                interrupted.countDown();
+                                try {
+                                    ended.await();
+                                } catch (InterruptedException e) {
+                                    Thread.currentThread().interrupt();
+                                }
+                            },
+                            "demo-interrupted");
             Runtime.getRuntime().addShutdownHook(hook);
             fleet.start();
             final boolean whole = watch(fleet, forUs, screen, interrupted);
@@ -138,15 +170,25 @@
 
     private Fleet fleet() {
         if (workers < 1 || workers > MOST_WORKERS) {
-            throw unusable("--workers: " + workers + " is out of range; allowed: 1 to " + MOST_WORKERS);
+            throw unusable(
+                    "--workers: " + workers + " is out of range; allowed: 1 to " + MOST_WORKERS);
         }
         if (!(rate > 0 && rate <= MOST_RATE)) {
-            throw unusable("--rate: " + rate + " is out of range; allowed: above 0, up to "
-                + (int) MOST_RATE);
+            throw unusable(
+                    "--rate: "
+                            + rate
+                            + " is out of range; allowed: above 0, up to "
+                            + (int) MOST_RATE);
         }
         try {
-            return new Fleet(new Fleet.Plan(workers, rate, seed, InjectedFault.parse(trouble),
-                socket == null ? null : socket.toAbsolutePath().toString(), null));
+            return new Fleet(
+                    new Fleet.Plan(
+                            workers,
+                            rate,
+                            seed,
+                            InjectedFault.parse(trouble),
+                            socket == null ? null : socket.toAbsolutePath().toString(),
+                            null));
         } catch (IllegalArgumentException e) {
             throw unusable("--trouble: " + e.getMessage());
         }
@@ -158,7 +200,7 @@
 
     /** Watches it until all is answered; false where it was interrupted before. */
     private boolean watch(Fleet fleet, long forUs, Screen screen, CountDownLatch interrupted)
-        throws InterruptedException {
+            throws InterruptedException {
         final long startNs = System.nanoTime();
         boolean arriving = true;
         while (true) {
@@ -182,7 +224,8 @@
         if (!screen.isTerminal() || json) {
             return;
         }
-        // Guards a long run against its own picture: all that was seen is judged, so the longer that takes,
+        // Guards a long run against its own picture: all that was seen is judged, so the longer
+        // that takes,
         // the rarer it is done, for a twentieth of the time at most.
         final long nowNs = System.nanoTime();
         if (nowNs >= judgeAtNs) {
@@ -190,14 +233,23 @@
             judgeAtNs = nowNs + JUDGING_SHARE * (System.nanoTime() - nowNs);
         }
         final FleetReport now = judged;
-        final String line = String.format("%3ds of %ds  %s", ranUs / 1_000_000, forUs / 1_000_000,
-            now.outcomes().asked() + " asked, " + waiting + " waiting, "
-                + (now.isSound() ? "rules kept" : "A RULE IS BROKEN"));
+        final String line =
+                String.format(
+                        "%3ds of %ds  %s",
+                        ranUs / 1_000_000,
+                        forUs / 1_000_000,
+                        now.outcomes().asked()
+                                + " asked, "
+                                + waiting
+                                + " waiting, "
+                                + (now.isSound() ? "rules kept" : "A RULE IS BROKEN"));
         final PrintWriter err = spec.commandLine().getErr();
         // One column is left free: in the last one a terminal would begin a new line.
-        err.print("\r" + (line.length() < screen.columns() ? line
-            + " ".repeat(screen.columns() - 1 - line.length())
-            : line.substring(0, screen.columns() - 1)));
+        err.print(
+                "\r"
+                        + (line.length() < screen.columns()
+                                ? line + " ".repeat(screen.columns() - 1 - line.length())
+                                : line.substring(0, screen.columns() - 1)));
         err.flush();
     }
 
@@ -213,15 +265,20 @@
             out.println(report.json());
         } else {
             final List<String> lines = report.table(screen.columns());
-            out.println((whole ? "" : "interrupted; so far:\n") + lines.stream()
-                .map(line -> colored(line, screen)).collect(Collectors.joining("\n")));
+            out.println(
+                    (whole ? "" : "interrupted; so far:\n")
+                            + lines.stream()
+                                    .map(line -> colored(line, screen))
+                                    .collect(Collectors.joining("\n")));
         }
         out.flush();
         return report;
     }
 
     private static String colored(String line, Screen screen) {
-        return !screen.hasColor() ? line : line.replace("BROKEN", "\u001b[31mBROKEN\u001b[0m")
-            .replaceFirst(" kept$", " \u001b[32mkept\u001b[0m");
+        return !screen.hasColor()
+                ? line
+                : line.replace("BROKEN", "\u001b[31mBROKEN\u001b[0m")
+                        .replaceFirst(" kept$", " \u001b[32mkept\u001b[0m");
     }
 }
--- a/src/main/java/cresschute/cli/DrainCommand.java
+++ b/src/main/java/cresschute/cli/DrainCommand.java
@@ -11,21 +11,32 @@
 import picocli.CommandLine.Spec;
 
 /** Drains a worker from a script. */
-@Command(name = "drain", mixinStandardHelpOptions = true,
-    description = "Sends a worker nothing new from now on; what is out there may end.",
-    footer = {"", "Example: cresschute drain w3 --for 2h --reason 'new disk' --wait", "",
-        "Exit codes: 0 drained, and with --wait nothing is out there any more; 1 refused, or the node does "
-            + "not answer; 2 it could not be used as given."})
+@Command(
+        name = "drain",
+        mixinStandardHelpOptions = true,
+        description = "Sends a worker nothing new from now on; what is out there may end.",
+        footer = {
+            "",
+            "Example: cresschute drain w3 --for 2h --reason 'new disk' --wait",
+            "",
+            "Exit codes: 0 drained, and with --wait nothing is out there any more; 1 refused, or"
+                    + " the node does not answer; 2 it could not be used as given."
+        })
 final class DrainCommand implements Callable<Integer> {
 
-    @Mixin
-    private Operating operating;
+    @Mixin private Operating operating;
 
-    @Option(names = "--for", paramLabel = "TIME",
-        description = "how long, such as 90s, 30m, 2h, 7d (default: until it is undone)")
+    @Option(
+            names = "--for",
+            paramLabel = "TIME",
+            description = "how long, such as 90s, 30m, 2h, 7d (default: until it is undone)")
     private String duration;
 
-    @Option(names = "--reason", paramLabel = "TEXT", defaultValue = "", description = "shown to others")
+    @Option(
+            names = "--reason",
+            paramLabel = "TEXT",
+            defaultValue = "",
+            description = "shown to others")
     private String reason;
 
     @Option(names = "--force", description = "drain it although some work will have nowhere to go")
@@ -34,8 +45,7 @@
     @Option(names = "--wait", description = "return once nothing is out at the worker any more")
     private boolean wait;
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     @Override
     public Integer call() throws InterruptedException {
@@ -55,7 +65,10 @@
         } catch (IllegalArgumentException | ArithmeticException e) {
             // Told below, as for one that is no time at all.
         }
-        throw new ParameterException(spec.commandLine(), "--for: '" + duration
-            + "' is no time; allowed: a whole number and ms, s, m, h or d, such as 2h");
+        throw new ParameterException(
+                spec.commandLine(),
+                "--for: '"
+                        + duration
+                        + "' is no time; allowed: a whole number and ms, s, m, h or d, such as 2h");
     }
 }
--- a/src/main/java/cresschute/cli/EventsCommand.java
+++ b/src/main/java/cresschute/cli/EventsCommand.java
@@ -17,30 +17,35 @@
 import picocli.CommandLine.Spec;
 
 /** Prints what happened at a site. */
-@Command(name = "events", mixinStandardHelpOptions = true,
-    description = "Prints what has happened: drains, changes of the list, workers that slow or fall silent.",
-    footer = {"", "Example: cresschute events --follow"})
+@Command(
+        name = "events",
+        mixinStandardHelpOptions = true,
+        description =
+                "Prints what has happened: drains, changes of the list, workers that slow or fall"
+                        + " silent.",
+        footer = {"", "Example: cresschute events --follow"})
 final class EventsCommand implements Callable<Integer> {
 
-    private static final DateTimeFormatter TIME = DateTimeFormatter.ofPattern("yyyy-MM-dd HH:mm:ss",
-        Locale.ROOT);
+    private static final DateTimeFormatter TIME =
+            DateTimeFormatter.ofPattern("yyyy-MM-dd HH:mm:ss", Locale.ROOT);
     private static final long LOOK_MS = 1_000;
 
-    @Mixin
-    private ControlSocket node;
+    @Mixin private ControlSocket node;
 
     @Option(names = "--follow", description = "go on until interrupted")
     private boolean follow;
 
-    @Option(names = "--after", paramLabel = "N", defaultValue = "0",
-        description = "only those with a higher number")
+    @Option(
+            names = "--after",
+            paramLabel = "N",
+            defaultValue = "0",
+            description = "only those with a higher number")
     private long after;
 
     @Option(names = "--json", description = "print one JSON object a line")
     private boolean json;
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     @Override
     public Integer call() throws InterruptedException {
@@ -65,14 +70,22 @@
 
     private void print(PrintWriter out, JsonObject line) {
         if (line.has("missed") && line.get("missed").getAsLong() > 0 && !json) {
-            out.println("... " + line.get("missed").getAsLong() + " older ones are not kept any more");
+            out.println(
+                    "... " + line.get("missed").getAsLong() + " older ones are not kept any more");
         }
         if (line.has("events")) {
             for (final JsonElement each : line.getAsJsonArray("events")) {
                 final JsonObject event = each.getAsJsonObject();
-                out.println(json ? event.toString() : TIME.format(Instant.ofEpochMilli(
-                    event.get("at_ms").getAsLong()).atZone(ZoneId.systemDefault())) + " "
-                    + event.get("text").getAsString().replaceAll("\\p{Cntrl}", "?"));
+                out.println(
+                        json
+                                ? event.toString()
+                                : TIME.format(
+                                                Instant.ofEpochMilli(event.get("at_ms").getAsLong())
+                                                        .atZone(ZoneId.systemDefault()))
+                                        + " "
+                                        + event.get("text")
+                                                .getAsString()
+                                                .replaceAll("\\p{Cntrl}", "?"));
             }
         }
         out.flush();
--- a/src/main/java/cresschute/cli/LabCommand.java
+++ b/src/main/java/cresschute/cli/LabCommand.java
@@ -14,14 +14,20 @@
 import picocli.CommandLine.Spec;
 
 /** Experiments of the lab, whose results are tables and charts. */
-@Command(name = "lab", mixinStandardHelpOptions = true,
-    subcommands = {LabCommand.Bodies.class, CapacityCommand.class, CapacityPageCommand.class,
-        CapacityModelCommand.class},
-    description = "Plays experiments on loopback and writes their results as tables and charts.")
+@Command(
+        name = "lab",
+        mixinStandardHelpOptions = true,
+        subcommands = {
+            LabCommand.Bodies.class,
+            CapacityCommand.class,
+            CapacityPageCommand.class,
+            CapacityModelCommand.class
+        },
+        description =
+                "Plays experiments on loopback and writes their results as tables and charts.")
 final class LabCommand implements Runnable {
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     @Override
     public void run() {
@@ -29,34 +35,53 @@
     }
 
     /** Long bodies and results. */
-    @Command(name = "bodies", mixinStandardHelpOptions = true,
-        description = "Passes long bodies and results through a node of its own, at unlike speeds and beside "
-            + "small reqs; prints tables and draws the node's memory. Every byte is checked.",
-        footer = {"", "Example: cresschute lab bodies --megabytes 300 --chart memory.png"})
+    @Command(
+            name = "bodies",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Passes long bodies and results through a node of its own, at unlike speeds and"
+                            + " beside small reqs; prints tables and draws the node's memory. Every"
+                            + " byte is checked.",
+            footer = {"", "Example: cresschute lab bodies --megabytes 300 --chart memory.png"})
     static final class Bodies implements Callable<Integer> {
 
-        @Option(names = "--megabytes", paramLabel = "N", defaultValue = "300",
-            description = "millions of bytes of each body (default: ${DEFAULT-VALUE})")
+        @Option(
+                names = "--megabytes",
+                paramLabel = "N",
+                defaultValue = "300",
+                description = "millions of bytes of each body (default: ${DEFAULT-VALUE})")
         private int megabytes;
 
-        @Option(names = "--rounds", paramLabel = "N", defaultValue = "3",
-            description = "rounds of each case (default: ${DEFAULT-VALUE})")
+        @Option(
+                names = "--rounds",
+                paramLabel = "N",
+                defaultValue = "3",
+                description = "rounds of each case (default: ${DEFAULT-VALUE})")
         private int rounds;
 
-        @Option(names = "--slow", paramLabel = "N", defaultValue = "200",
-            description = "slow bodies that are open beside small reqs (default: ${DEFAULT-VALUE})")
+        @Option(
+                names = "--slow",
+                paramLabel = "N",
+                defaultValue = "200",
+                description =
+                        "slow bodies that are open beside small reqs (default: ${DEFAULT-VALUE})")
         private int slow;
 
-        @Option(names = "--seconds", paramLabel = "S", defaultValue = "10",
-            description = "how long slow cases go on (default: ${DEFAULT-VALUE})")
+        @Option(
+                names = "--seconds",
+                paramLabel = "S",
+                defaultValue = "10",
+                description = "how long slow cases go on (default: ${DEFAULT-VALUE})")
         private int seconds;
 
-        @Option(names = "--chart", paramLabel = "FILE", defaultValue = "bodies.png",
-            description = "where the chart goes (default: ${DEFAULT-VALUE})")
+        @Option(
+                names = "--chart",
+                paramLabel = "FILE",
+                defaultValue = "bodies.png",
+                description = "where the chart goes (default: ${DEFAULT-VALUE})")
         private Path chart;
 
-        @Spec
-        private CommandSpec spec;
+        @Spec private CommandSpec spec;
 
         @Override
         public Integer call() throws IOException, InterruptedException {
@@ -67,11 +92,17 @@
             final PrintWriter out = spec.commandLine().getOut();
             final Path folder = Files.createTempDirectory("cresschute-lab");
             try {
-                final List<String> wrong = new BodiesTrial(
-                    new BodiesTrial.Size(megabytes * 1_000_000L, rounds, slow, seconds), out)
-                    .run(folder, chart);
-                out.println("\n" + (wrong.isEmpty() ? "Every byte and every answer was as it should be."
-                    : "WRONG: " + String.join("; ", wrong)));
+                final List<String> wrong =
+                        new BodiesTrial(
+                                        new BodiesTrial.Size(
+                                                megabytes * 1_000_000L, rounds, slow, seconds),
+                                        out)
+                                .run(folder, chart);
+                out.println(
+                        "\n"
+                                + (wrong.isEmpty()
+                                        ? "Every byte and every answer was as it should be."
+                                        : "WRONG: " + String.join("; ", wrong)));
                 out.flush();
                 return wrong.isEmpty() ? ExitCodes.DONE : ExitCodes.FAILED;
             } finally {
--- a/src/main/java/cresschute/cli/Main.java
+++ b/src/main/java/cresschute/cli/Main.java
@@ -6,8 +6,9 @@
 import io.netty.util.internal.logging.JdkLoggerFactory;
 
 /**
- * The program's beginning. {@code serve} and {@code benchlink} as the platform starts them go straight to
- * work: the parser of the command line and the structured log are not so much as loaded for them.
+ * The program's beginning. {@code serve} and {@code benchlink} as the platform starts them go
+ * straight to work: the parser of the command line and the structured log are not so much as loaded
+ * for them.
  */
 public final class Main {
 
@@ -15,7 +16,8 @@
 
     /** Runs a command line and, unless it started something that goes on, exits with its code. */
     public static void main(String[] args) {
-        // Guards the small node's memory: by itself Netty would load the structured log that it finds.
+        // Guards the small node's memory: by itself Netty would load the structured log that it
+        // finds.
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
         if (args.length == 1 && args[0].equals("serve")) {
             serveOnPlatform();
@@ -29,15 +31,19 @@
                 }
             } catch (NoClassDefFoundError e) {
                 // The jar's own class path holds what the platform's node needs, and no more.
-                exit(ExitCodes.UNUSABLE, "java -jar runs serve and benchlink alone; use bin/cresschute");
+                exit(
+                        ExitCodes.UNUSABLE,
+                        "java -jar runs serve and benchlink alone; use bin/cresschute");
             }
         }
     }
 
     private static void serveOnPlatform() {
         try {
-            Serving.start(NodeConfig.load(System.getenv()), () -> NodeConfig.reload(System.getenv()),
-                () -> {});
+            Serving.start(
+                    NodeConfig.load(System.getenv()),
+                    () -> NodeConfig.reload(System.getenv()),
+                    () -> {});
         } catch (ConfigException e) {
             exit(ExitCodes.UNUSABLE, e.getMessage());
         } catch (RuntimeException e) {
--- a/src/main/java/cresschute/cli/NodeTalk.java
+++ b/src/main/java/cresschute/cli/NodeTalk.java
@@ -8,7 +8,9 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A command's talk with a node: one request, its answer, and the lines that follow. On one thread. */
+/**
+ * A command's talk with a node: one request, its answer, and the lines that follow. On one thread.
+ */
 final class NodeTalk implements AutoCloseable {
 
     private static final int MOST_QUEUED = 64;
@@ -36,11 +38,15 @@
 
     NodeTalk(Path socket) throws NoAnswer {
         try {
-            link = ControlLink.open(socket, this::put, why -> {
-                final JsonObject end = new JsonObject();
-                end.addProperty("ended", why);
-                put(end);
-            });
+            link =
+                    ControlLink.open(
+                            socket,
+                            this::put,
+                            why -> {
+                                final JsonObject end = new JsonObject();
+                                end.addProperty("ended", why);
+                                put(end);
+                            });
         } catch (IOException e) {
             throw new NoAnswer(e.getMessage(), true);
         }
--- a/src/main/java/cresschute/cli/Operating.java
+++ b/src/main/java/cresschute/cli/Operating.java
@@ -17,32 +17,41 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * The words that draining and its undoing share, and how both are carried out: one operation is sent to the
- * node, again if the connection breaks, until its outcome is known.
+ * The words that draining and its undoing share, and how both are carried out: one operation is
+ * sent to the node, again if the connection breaks, until its outcome is known.
  */
 final class Operating {
 
-    @Mixin
-    private ControlSocket node;
+    @Mixin private ControlSocket node;
 
     @Parameters(paramLabel = "WORKER", description = "its name, as the list has it")
     private String worker;
 
-    @Option(names = "--operation", paramLabel = "ID",
-        description = "the mark of the operation: the same one again has no second effect (default: drawn)")
+    @Option(
+            names = "--operation",
+            paramLabel = "ID",
+            description =
+                    "the mark of the operation: the same one again has no second effect (default:"
+                            + " drawn)")
     private String operation;
 
     @Option(names = "--json", description = "print the node's answer as one JSON object")
     private boolean json;
 
-    /** How long a node may be away, as while it starts again, before the outcome counts as unknown. */
+    /**
+     * How long a node may be away, as while it starts again, before the outcome counts as unknown.
+     */
     private static final long PATIENCE_MS = 15_000;
+
     private static final long AGAIN_MS = 300;
     private static final Pattern DURATION = Pattern.compile("([0-9]{1,9})(ms|s|m|h|d)");
-    private static final Map<String, Long> UNITS = Map.of("ms", 1L, "s", 1_000L, "m", 60_000L, "h",
-        3_600_000L, "d", 86_400_000L);
+    private static final Map<String, Long> UNITS =
+            Map.of("ms", 1L, "s", 1_000L, "m", 60_000L, "h", 3_600_000L, "d", 86_400_000L);
 
-    /** A time such as 90s or 2h in milliseconds; anything else is an {@link IllegalArgumentException}. */
+    /**
+     * A time such as 90s or 2h in milliseconds; anything else is an {@link
+     * IllegalArgumentException}.
+     */
     static long durationMs(String text) {
         final Matcher matcher = DURATION.matcher(text);
         if (!matcher.matches()) {
@@ -58,7 +67,7 @@
      * @param further fields of the request
      */
     int run(CommandSpec spec, String what, Map<String, Object> further, boolean wait)
-        throws InterruptedException {
+            throws InterruptedException {
         final Map<String, Object> fields = new LinkedHashMap<>(further);
         fields.put("op", operation == null ? UUID.randomUUID().toString() : operation);
         fields.put("worker", worker);
@@ -75,7 +84,8 @@
                 final JsonObject answer = talk.ask(request);
                 return told(request, answer, talk, wait, json, out, err);
             } catch (NoAnswer e) {
-                // Not known whether the node heard it; under its id it may be sent again. One that was
+                // Not known whether the node heard it; under its id it may be sent again. One that
+                // was
                 // never there at all is told at once.
                 if (!e.isWorthRetrying() || !sent || System.currentTimeMillis() >= untilMs) {
                     err.println("cresschute: " + e.getMessage());
@@ -86,8 +96,15 @@
         }
     }
 
-    private static int told(JsonObject request, JsonObject answer, NodeTalk talk, boolean wait, boolean json,
-        PrintWriter out, PrintWriter err) throws NoAnswer, InterruptedException {
+    private static int told(
+            JsonObject request,
+            JsonObject answer,
+            NodeTalk talk,
+            boolean wait,
+            boolean json,
+            PrintWriter out,
+            PrintWriter err)
+            throws NoAnswer, InterruptedException {
         final String worker = answer.get("worker").getAsString();
         final String outcome = answer.get("outcome").getAsString();
         final boolean drain = request.get("do").getAsString().equals("drain");
@@ -98,16 +115,21 @@
         if (json) {
             out.println(answer);
         } else if (outcome.equals("done")) {
-            out.println(worker + (drain ? " is draining; " + inFlight + " still out"
-                : " is no longer drained by an operator"));
+            out.println(
+                    worker
+                            + (drain
+                                    ? " is draining; " + inFlight + " still out"
+                                    : " is no longer drained by an operator"));
         } else if (outcome.equals("already")) {
             out.println(worker + ": " + answer.get("why").getAsString());
         }
         out.flush();
         if (outcome.equals("refused")) {
             if (!json) {
-                err.println("cresschute: " + answer.get("why").getAsString()
-                    + (drain ? "; --force drains it anyway" : ""));
+                err.println(
+                        "cresschute: "
+                                + answer.get("why").getAsString()
+                                + (drain ? "; --force drains it anyway" : ""));
             }
             return ExitCodes.FAILED;
         }
@@ -121,11 +143,12 @@
         return ExitCodes.DONE;
     }
 
-    private static void untilNothingIsOut(String worker, NodeTalk talk) throws NoAnswer,
-        InterruptedException {
+    private static void untilNothingIsOut(String worker, NodeTalk talk)
+            throws NoAnswer, InterruptedException {
         final SiteModel model = new SiteModel();
         model.take(talk.ask(ControlLink.request("2", "subscribe")), System.currentTimeMillis());
-        while (model.worker(worker) != null && model.worker(worker).get("in_flight").getAsInt() > 0) {
+        while (model.worker(worker) != null
+                && model.worker(worker).get("in_flight").getAsInt() > 0) {
             final JsonObject line = talk.next(SiteModel.STALE_AFTER_MS * 4);
             if (line == null) {
                 throw new NoAnswer("the node has gone silent", true);
--- a/src/main/java/cresschute/cli/Screen.java
+++ b/src/main/java/cresschute/cli/Screen.java
@@ -7,7 +7,8 @@
 /**
  * What is known of the place where output goes.
  *
- * @param isTerminal whether somebody is watching; without, nothing is drawn over and nothing coloured
+ * @param isTerminal whether somebody is watching; without, nothing is drawn over and nothing
+ *     coloured
  * @param columns its width
  * @param hasColor whether colours are wanted
  */
@@ -24,23 +25,34 @@
     /** The screen as an environment tells it. */
     static Screen of(Map<String, String> environment, boolean isTerminal) {
         final String columns = environment.getOrDefault("COLUMNS", "");
-        final int width = columns.matches("[0-9]{1,4}") ? Integer.parseInt(columns)
-            : isTerminal ? terminalColumns() : USUAL_COLUMNS;
+        final int width =
+                columns.matches("[0-9]{1,4}")
+                        ? Integer.parseInt(columns)
+                        : isTerminal ? terminalColumns() : USUAL_COLUMNS;
         // Any value but an empty one, by the convention of no-color.org.
-        final boolean plain = !environment.getOrDefault("NO_COLOR", "").isEmpty()
-            || environment.getOrDefault("TERM", "dumb").equals("dumb");
+        final boolean plain =
+                !environment.getOrDefault("NO_COLOR", "").isEmpty()
+                        || environment.getOrDefault("TERM", "dumb").equals("dumb");
         return new Screen(isTerminal, Math.max(LEAST_COLUMNS, width), isTerminal && !plain);
     }
 
-    /** As {@code stty} tells it: picocli's width is never below 55, and JLine asks the terminal itself. */
+    /**
+     * As {@code stty} tells it: picocli's width is never below 55, and JLine asks the terminal
+     * itself.
+     */
     private static int terminalColumns() {
         try {
-            final Process stty = new ProcessBuilder("stty", "size")
-                .redirectInput(ProcessBuilder.Redirect.INHERIT).start();
-            final String[] size = new String(stty.getInputStream().readAllBytes(), StandardCharsets.US_ASCII)
-                .strip().split(" ");
-            return size.length == 2 && size[1].matches("[1-9][0-9]{0,3}") ? Integer.parseInt(size[1])
-                : USUAL_COLUMNS;
+            final Process stty =
+                    new ProcessBuilder("stty", "size")
+                            .redirectInput(ProcessBuilder.Redirect.INHERIT)
+                            .start();
+            final String[] size =
+                    new String(stty.getInputStream().readAllBytes(), StandardCharsets.US_ASCII)
+                            .strip()
+                            .split(" ");
+            return size.length == 2 && size[1].matches("[1-9][0-9]{0,3}")
+                    ? Integer.parseInt(size[1])
+                    : USUAL_COLUMNS;
         } catch (IOException e) {
             return USUAL_COLUMNS;
         }
--- a/src/main/java/cresschute/cli/ServeCommand.java
+++ b/src/main/java/cresschute/cli/ServeCommand.java
@@ -18,11 +18,21 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** Runs a node by a settings script. Without one, {@link Main} runs it by the platform's environment. */
-@Command(name = "serve", mixinStandardHelpOptions = true,
-    description = "Runs a node: by a settings script, or without one by the BALANCER_ variables.",
-    footer = {"", "SIGHUP reads the settings again, SIGTERM answers all that was taken and ends.", "",
-        "Example: cresschute serve --settings deploy/appliance.star"})
+/**
+ * Runs a node by a settings script. Without one, {@link Main} runs it by the platform's
+ * environment.
+ */
+@Command(
+        name = "serve",
+        mixinStandardHelpOptions = true,
+        description =
+                "Runs a node: by a settings script, or without one by the BALANCER_ variables.",
+        footer = {
+            "",
+            "SIGHUP reads the settings again, SIGTERM answers all that was taken and ends.",
+            "",
+            "Example: cresschute serve --settings deploy/appliance.star"
+        })
 final class ServeCommand implements Callable<Integer> {
 
     /** In place of an exit code: the node goes on when the command has returned. */
@@ -31,8 +41,7 @@
     @Option(names = "--settings", paramLabel = "FILE", description = "the settings script")
     private Path file;
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     @Override
     public Integer call() {
@@ -47,8 +56,10 @@
             e.lines().forEach(err::println);
             return ExitCodes.UNUSABLE;
         }
-        final StructuredLog log = new StructuredLog(settings.logFormat().equals("json"),
-            Level.valueOf(settings.logLevel().toUpperCase(Locale.ROOT)));
+        final StructuredLog log =
+                new StructuredLog(
+                        settings.logFormat().equals("json"),
+                        Level.valueOf(settings.logLevel().toUpperCase(Locale.ROOT)));
         LogFinder.use(log);
         try {
             Serving.start(node(settings), () -> reread(file), log::close);
@@ -58,17 +69,24 @@
             return ExitCodes.UNUSABLE;
         } catch (IllegalStateException e) {
             log.close();
-            spec.commandLine().getErr().println("cresschute: cannot start: " + e.getMessage()
-                + (e.getCause() instanceof SocketException
-                    ? "; see who listens there, or give node another listen address" : ""));
+            spec.commandLine()
+                    .getErr()
+                    .println(
+                            "cresschute: cannot start: "
+                                    + e.getMessage()
+                                    + (e.getCause() instanceof SocketException
+                                            ? "; see who listens there, or give node another listen"
+                                                    + " address"
+                                            : ""));
             return ExitCodes.FAILED;
         }
         return GOES_ON;
     }
 
     private static NodeConfig node(ApplianceSettings settings) {
-        return NodeConfig.of(settings, settings.seed() == null ? new SecureRandom().nextLong()
-            : settings.seed());
+        return NodeConfig.of(
+                settings,
+                settings.seed() == null ? new SecureRandom().nextLong() : settings.seed());
     }
 
     private static NodeConfig reread(Path file) throws ConfigException {
--- a/src/main/java/cresschute/cli/Serving.java
+++ b/src/main/java/cresschute/cli/Serving.java
@@ -22,24 +22,33 @@
      *
      * @param reload reads the configuration anew, on the thread of the signal
      * @param stopped run at the very end, once all that the node took is answered
-     * @throws ConfigException where the platform said that it passes a listener, and none can be taken
+     * @throws ConfigException where the platform said that it passes a listener, and none can be
+     *     taken
      */
     static void start(NodeConfig config, Callable<NodeConfig> reload, Runnable stopped)
-        throws ConfigException {
-        final NodeServer node = new NodeServer(config,
-            config.operators().passedListener() ? PassedListener.take() : null);
+            throws ConfigException {
+        final NodeServer node =
+                new NodeServer(
+                        config, config.operators().passedListener() ? PassedListener.take() : null);
         // Guards against a hang-up that comes as soon as clients can: by default it ends the JVM.
         final boolean reloads = ReloadSignal.onEach(() -> node.reload(reload));
         if (!reloads) {
-            LogEvent.of("reload_signal_ignored",
-                "SIGHUP is ignored, as this process was started with it ignored:"
-                    + " the configuration is read again at a start only").log(LOG, Level.WARNING);
+            LogEvent.of(
+                            "reload_signal_ignored",
+                            "SIGHUP is ignored, as this process was started with it ignored:"
+                                    + " the configuration is read again at a start only")
+                    .log(LOG, Level.WARNING);
         }
-        // Before clients can connect: a SIGTERM that comes as soon as they can must find who answers them.
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-            node.stop().join();
-            stopped.run();
-        }, "stop"));
+        // Before clients can connect: a SIGTERM that comes as soon as they can must find who
+        // answers them.
+        Runtime.getRuntime()
+                .addShutdownHook(
+                        new Thread(
+                                () -> {
+                                    node.stop().join();
+                                    stopped.run();
+                                },
+                                "stop"));
         node.start();
     }
 }
--- a/src/main/java/cresschute/cli/SettingsOf.java
+++ b/src/main/java/cresschute/cli/SettingsOf.java
@@ -33,8 +33,8 @@
     static ApplianceSettings file(Path file) throws UnusableFile {
         final SettingsFile.Result result = read(file);
         if (result.settings() == null) {
-            throw new UnusableFile(result.problems().stream()
-                .map(each -> each.line(file.toString())).toList());
+            throw new UnusableFile(
+                    result.problems().stream().map(each -> each.line(file.toString())).toList());
         }
         return result.settings();
     }
@@ -44,7 +44,8 @@
         try {
             return SettingsFile.read(file);
         } catch (IOException e) {
-            final String why = e instanceof NoSuchFileException ? "there is no such file" : e.toString();
+            final String why =
+                    e instanceof NoSuchFileException ? "there is no such file" : e.toString();
             throw new UnusableFile(List.of("cresschute: cannot read " + file + ": " + why));
         }
     }
--- a/src/main/java/cresschute/cli/TrialCommand.java
+++ b/src/main/java/cresschute/cli/TrialCommand.java
@@ -4,13 +4,13 @@
 import cresschute.cli.NodeTalk.NoAnswer;
 import cresschute.console.ControlLink;
 import cresschute.console.ScreenCost;
+import cresschute.logs.LogFinder;
+import cresschute.logs.structured.StructuredLog;
 import cresschute.testbed.Fleet;
 import cresschute.testbed.FleetReport;
+import cresschute.testbed.LargeFleet;
 import cresschute.testbed.NodeProcess;
 import cresschute.testbed.SmallRequests;
-import cresschute.testbed.LargeFleet;
-import cresschute.logs.LogFinder;
-import cresschute.logs.structured.StructuredLog;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.lang.System.Logger.Level;
@@ -30,17 +30,31 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Measures the console's parts on loopback and prints tables in Markdown, as the docs keep them. */
-@Command(name = "trial", mixinStandardHelpOptions = true,
-    description = "Measures what drains and consoles cost, on loopback, and prints tables.",
-    footer = {"", "Trials: drains (how soon new work stops), consoles (the node's CPU with 0, 1 and 8 of "
-        + "them), screen (drawing 1,000 workers), reqs (very many small ones), lists (what a node needs "
-        + "with 14, 200 and 1,024 workers).",
-        "", "Example: cresschute trial drains --count 200"})
+/**
+ * Measures the console's parts on loopback and prints tables in Markdown, as the docs keep them.
+ */
+@Command(
+        name = "trial",
+        mixinStandardHelpOptions = true,
+        description = "Measures what drains and consoles cost, on loopback, and prints tables.",
+        footer = {
+            "",
+            "Trials: drains (how soon new work stops), consoles (the node's CPU with 0, 1 and 8 of"
+                + " them), screen (drawing 1,000 workers), reqs (very many small ones), lists (what"
+                + " a node needs with 14, 200 and 1,024 workers).",
+            "",
+            "Example: cresschute trial drains --count 200"
+        })
 final class TrialCommand implements Callable<Integer> {
 
     /** What may be measured. */
-    enum Trial { drains, consoles, screen, reqs, lists }
+    enum Trial {
+        drains,
+        consoles,
+        screen,
+        reqs,
+        lists
+    }
 
     private static final double RATE = 25;
     private static final int WORKERS = 8;
@@ -49,36 +63,60 @@
     private static final int CHURN = 200;
     private static final int CLIENTS = 200;
     private static final int[] LISTED = {14, 200, 1_024};
+
     /** The memory bounds of the platform's command line. */
-    private static final List<String> PLATFORM = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1",
-        "-Xms24m", "-Xmx64m", "-Xss512k", "-XX:MaxMetaspaceSize=40m", "-XX:ReservedCodeCacheSize=16m",
-        "-XX:MaxDirectMemorySize=16m", "-Dio.netty.allocator.type=pooled");
+    private static final List<String> PLATFORM =
+            List.of(
+                    "-XX:+UseSerialGC",
+                    "-XX:TieredStopAtLevel=1",
+                    "-Xms24m",
+                    "-Xmx64m",
+                    "-Xss512k",
+                    "-XX:MaxMetaspaceSize=40m",
+                    "-XX:ReservedCodeCacheSize=16m",
+                    "-XX:MaxDirectMemorySize=16m",
+                    "-Dio.netty.allocator.type=pooled");
 
     @Parameters(paramLabel = "TRIAL", description = "${COMPLETION-CANDIDATES}")
     private Trial trial;
 
-    @Option(names = "--count", paramLabel = "N", defaultValue = "200",
-        description = "how many drains, or drawings (default: ${DEFAULT-VALUE})")
+    @Option(
+            names = "--count",
+            paramLabel = "N",
+            defaultValue = "200",
+            description = "how many drains, or drawings (default: ${DEFAULT-VALUE})")
     private int count;
 
-    @Option(names = "--seconds", paramLabel = "S", defaultValue = "6",
-        description = "how long each number of consoles is measured (default: ${DEFAULT-VALUE})")
+    @Option(
+            names = "--seconds",
+            paramLabel = "S",
+            defaultValue = "6",
+            description =
+                    "how long each number of consoles is measured (default: ${DEFAULT-VALUE})")
     private int seconds;
 
-    @Option(names = "--rounds", paramLabel = "N", defaultValue = "5",
-        description = "how often, in turn (default: ${DEFAULT-VALUE})")
+    @Option(
+            names = "--rounds",
+            paramLabel = "N",
+            defaultValue = "5",
+            description = "how often, in turn (default: ${DEFAULT-VALUE})")
     private int rounds;
 
-    @Option(names = "--seed", paramLabel = "S", defaultValue = "1",
-        description = "for all chance (default: ${DEFAULT-VALUE})")
+    @Option(
+            names = "--seed",
+            paramLabel = "S",
+            defaultValue = "1",
+            description = "for all chance (default: ${DEFAULT-VALUE})")
     private long seed;
 
-    @Option(names = "--rate", paramLabel = "R", defaultValue = "10000",
-        description = "small reqs in a second (default: ${DEFAULT-VALUE})")
+    @Option(
+            names = "--rate",
+            paramLabel = "R",
+            defaultValue = "10000",
+            description = "small reqs in a second (default: ${DEFAULT-VALUE})")
     private int rate;
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     @Override
     public Integer call() throws IOException, InterruptedException, NoAnswer {
@@ -111,8 +149,15 @@
         final Spans nobodyDrained = new Spans();
         int more = 0;
         final FleetReport report;
-        try (Fleet fleet = new Fleet(new Fleet.Plan(WORKERS, RATE, seed, List.of(), socket.toString(),
-            folder.resolve("state").toString()))) {
+        try (Fleet fleet =
+                new Fleet(
+                        new Fleet.Plan(
+                                WORKERS,
+                                RATE,
+                                seed,
+                                List.of(),
+                                socket.toString(),
+                                folder.resolve("state").toString()))) {
             fleet.start();
             Thread.sleep(4 * SETTLED_MS);
             try (NodeTalk talk = new NodeTalk(socket)) {
@@ -140,24 +185,48 @@
         }
         out.println("| of " + count + " drains, ms | p50 | p99 | max |\n| --- | --- | --- | --- |");
         out.println("| until the node had kept and confirmed it | " + figures(confirmed) + " |");
-        out.println("| until the first byte of the last new work at the worker | " + figures(stopped) + " |");
-        out.println("\nDrains after which any new work came: " + more + ". Reqs: " + report.outcomes().asked()
-            + ", worth kept " + String.format(Locale.ROOT, "%.3f", report.outcomes().weightedServedFraction())
-            + ", rules broken: " + report.breaches().size() + ", invariants broken: "
-            + report.invariantBreaches() + ".");
-        out.println("\n| worker | sends a second while none is drained | while another one is | ratio |\n"
-            + "| --- | --- | --- | --- |");
+        out.println(
+                "| until the first byte of the last new work at the worker | "
+                        + figures(stopped)
+                        + " |");
+        out.println(
+                "\nDrains after which any new work came: "
+                        + more
+                        + ". Reqs: "
+                        + report.outcomes().asked()
+                        + ", worth kept "
+                        + String.format(
+                                Locale.ROOT, "%.3f", report.outcomes().weightedServedFraction())
+                        + ", rules broken: "
+                        + report.breaches().size()
+                        + ", invariants broken: "
+                        + report.invariantBreaches()
+                        + ".");
+        out.println(
+                "\n"
+                        + "| worker | sends a second while none is drained | while another one is |"
+                        + " ratio |\n"
+                        + "| --- | --- | --- | --- |");
         for (int i = 1; i <= WORKERS; i++) {
             final double calm = nobodyDrained.perS("w" + i);
             final double drained = othersDrained.perS("w" + i);
-            out.println(String.format(Locale.ROOT, "| w%d | %.2f | %.2f | %.2f |", i, calm, drained,
-                drained / calm));
+            out.println(
+                    String.format(
+                            Locale.ROOT,
+                            "| w%d | %.2f | %.2f | %.2f |",
+                            i,
+                            calm,
+                            drained,
+                            drained / calm));
         }
         report.breaches().forEach(each -> out.println("- " + each.what()));
         return report.isSound() ? ExitCodes.DONE : ExitCodes.FAILED;
     }
 
-    /** What workers were sent over many spans of time, each of which leaves out one worker at the most. */
+    /**
+     * What workers were sent over many spans of time, each of which leaves out one worker at the
+     * most.
+     */
     private static final class Spans {
         private final Map<String, Long> sends = new HashMap<>();
         private final Map<String, Long> us = new HashMap<>();
@@ -179,18 +248,34 @@
         }
     }
 
-    private static void operate(NodeTalk talk, String what, int number, String worker) throws NoAnswer,
-        InterruptedException {
-        final JsonObject answer = talk.ask(ControlLink.request(what + number, what,
-            Map.of("op", what + "-" + number, "worker", worker, "who", "trial", "force", true)));
+    private static void operate(NodeTalk talk, String what, int number, String worker)
+            throws NoAnswer, InterruptedException {
+        final JsonObject answer =
+                talk.ask(
+                        ControlLink.request(
+                                what + number,
+                                what,
+                                Map.of(
+                                        "op",
+                                        what + "-" + number,
+                                        "worker",
+                                        worker,
+                                        "who",
+                                        "trial",
+                                        "force",
+                                        true)));
         if (!answer.get("outcome").getAsString().equals("done")) {
             throw new IllegalStateException("a " + what + " was not done: " + answer);
         }
     }
 
     private static String figures(Histogram us) {
-        return String.format(Locale.ROOT, "%.1f | %.1f | %.1f", us.getValueAtPercentile(50) / 1e3,
-            us.getValueAtPercentile(99) / 1e3, us.getMaxValue() / 1e3);
+        return String.format(
+                Locale.ROOT,
+                "%.1f | %.1f | %.1f",
+                us.getValueAtPercentile(50) / 1e3,
+                us.getValueAtPercentile(99) / 1e3,
+                us.getMaxValue() / 1e3);
     }
 
     // ---- What consoles cost ----
@@ -202,10 +287,12 @@
 
     private int consoles(PrintWriter out, Path folder) throws NoAnswer, InterruptedException {
         out.println(
-            "| site | consoles | node's CPU, per cent of a core: median (least to most) | heap after a"
-                + " collection, MB: median |\n| --- | --- | --- | --- |");
+                "| site | consoles | node's CPU, per cent of a core: median (least to most) | heap"
+                        + " after a collection, MB: median |\n"
+                        + "| --- | --- | --- | --- |");
         final Path one = folder.resolve("fleet");
-        try (Fleet fleet = new Fleet(new Fleet.Plan(WORKERS, RATE, seed, List.of(), one.toString(), null))) {
+        try (Fleet fleet =
+                new Fleet(new Fleet.Plan(WORKERS, RATE, seed, List.of(), one.toString(), null))) {
             fleet.start();
             consoles(out, "8 workers, " + (int) RATE + " jobs a second", one, fleet::nodeCpuNs);
         }
@@ -217,12 +304,15 @@
         return ExitCodes.DONE;
     }
 
-    private void consoles(PrintWriter out, String site, Path socket, Cpu cpu) throws NoAnswer,
-        InterruptedException {
+    private void consoles(PrintWriter out, String site, Path socket, Cpu cpu)
+            throws NoAnswer, InterruptedException {
         final int[] numbers = {0, 1, 8};
-        final List<List<Double>> shares = List.of(new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
-        final List<List<Double>> heaps = List.of(new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
-        // In turn, so that the program's warming falls on all of them; the first round is for that alone.
+        final List<List<Double>> shares =
+                List.of(new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
+        final List<List<Double>> heaps =
+                List.of(new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
+        // In turn, so that the program's warming falls on all of them; the first round is for that
+        // alone.
         for (int round = 0; round <= rounds; round++) {
             for (int which = 0; which < numbers.length; which++) {
                 final List<ControlLink> links = new ArrayList<>();
@@ -234,7 +324,8 @@
                     final long beforeNs = cpu.ns();
                     final long startNs = System.nanoTime();
                     Thread.sleep(seconds * 1_000L);
-                    final double share = 100.0 * (cpu.ns() - beforeNs) / (System.nanoTime() - startNs);
+                    final double share =
+                            100.0 * (cpu.ns() - beforeNs) / (System.nanoTime() - startNs);
                     if (round > 0) {
                         shares.get(which).add(share);
                         heaps.get(which).add(heapMb());
@@ -246,9 +337,16 @@
         }
         for (int which = 0; which < numbers.length; which++) {
             final List<Double> sorted = shares.get(which).stream().sorted().toList();
-            out.println(String.format(Locale.ROOT, "| %s | %d | %.2f (%.2f to %.2f) | %.1f |", site,
-                numbers[which], median(sorted), sorted.get(0), sorted.get(sorted.size() - 1),
-                median(heaps.get(which).stream().sorted().toList())));
+            out.println(
+                    String.format(
+                            Locale.ROOT,
+                            "| %s | %d | %.2f (%.2f to %.2f) | %.1f |",
+                            site,
+                            numbers[which],
+                            median(sorted),
+                            sorted.get(0),
+                            sorted.get(sorted.size() - 1),
+                            median(heaps.get(which).stream().sorted().toList())));
         }
         out.flush();
     }
@@ -278,13 +376,20 @@
     private int screen(PrintWriter out) {
         ScreenCost.measure(WIDE, CHURN, count);
         out.println(
-            "| workers, of which changed | ms to take the news in and draw 120x50: p50 | p99 | max |\n"
-                + "| --- | --- | --- | --- |");
-        for (final int changed : new int[]{0, CHURN / 10, CHURN, WIDE}) {
+                "| workers, of which changed | ms to take the news in and draw 120x50: p50 | p99 |"
+                        + " max |\n"
+                        + "| --- | --- | --- | --- |");
+        for (final int changed : new int[] {0, CHURN / 10, CHURN, WIDE}) {
             final Histogram ns = ScreenCost.measure(WIDE, changed, count);
-            out.println(String.format(Locale.ROOT, "| %d, %d | %.2f | %.2f | %.2f |", WIDE, changed,
-                ns.getValueAtPercentile(50) / 1e6, ns.getValueAtPercentile(99) / 1e6,
-                ns.getMaxValue() / 1e6));
+            out.println(
+                    String.format(
+                            Locale.ROOT,
+                            "| %d, %d | %.2f | %.2f | %.2f |",
+                            WIDE,
+                            changed,
+                            ns.getValueAtPercentile(50) / 1e6,
+                            ns.getValueAtPercentile(99) / 1e6,
+                            ns.getMaxValue() / 1e6));
         }
         return ExitCodes.DONE;
     }
@@ -301,11 +406,16 @@
             Files.writeString(script, smallSite(load.startWorkers(WORKERS)));
             try (NodeProcess node = new NodeProcess(script, options)) {
                 load.connect(node.address(), CLIENTS);
-                out.println("| run of " + seconds + " s at " + rate
-                    + " reqs a second | ms p50 | p99 | p99.9 |"
-                    + " max | not served | node's CPU, us a req | bytes made a req | full collections |"
-                    + " young ones | heap held at its end, MB |\n"
-                    + "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
+                out.println(
+                        "| run of "
+                                + seconds
+                                + " s at "
+                                + rate
+                                + " reqs a second | ms p50 | p99 | p99.9 | max | not served |"
+                                + " node's CPU, us a req | bytes made a req | full collections |"
+                                + " young ones | heap held at its end, MB |\n"
+                                + "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |"
+                                + " --- |");
                 for (int round = 0; round <= rounds; round++) {
                     final List<String> before = Files.readAllLines(collections);
                     final long made = node.allocated();
@@ -316,14 +426,26 @@
                     final List<String> logged = Files.readAllLines(collections);
                     final List<String> during = logged.subList(before.size(), logged.size());
                     final long reqs = Math.max(1, rate * (long) seconds);
-                    out.println(String.format(Locale.ROOT, "| %s | %.2f | %.2f | %.2f | %.2f | %d | %d | %d |"
-                        + " %d | %d | %.1f |", round == 0 ? "warming" : "" + round,
-                        us.getValueAtPercentile(50) / 1e3, us.getValueAtPercentile(99) / 1e3,
-                        us.getValueAtPercentile(99.9) / 1e3, us.getMaxValue() / 1e3, load.notServed(),
-                        usedNs / 1_000 / reqs, madeNow / reqs,
-                        during.stream().filter(each -> each.contains("Pause Full")).count(),
-                        during.stream().filter(each -> each.contains("Pause Young")).count(),
-                        node.memoryHeld().heap() / 1e6));
+                    out.println(
+                            String.format(
+                                    Locale.ROOT,
+                                    "| %s | %.2f | %.2f | %.2f | %.2f | %d | %d | %d |"
+                                            + " %d | %d | %.1f |",
+                                    round == 0 ? "warming" : "" + round,
+                                    us.getValueAtPercentile(50) / 1e3,
+                                    us.getValueAtPercentile(99) / 1e3,
+                                    us.getValueAtPercentile(99.9) / 1e3,
+                                    us.getMaxValue() / 1e3,
+                                    load.notServed(),
+                                    usedNs / 1_000 / reqs,
+                                    madeNow / reqs,
+                                    during.stream()
+                                            .filter(each -> each.contains("Pause Full"))
+                                            .count(),
+                                    during.stream()
+                                            .filter(each -> each.contains("Pause Young"))
+                                            .count(),
+                                    node.memoryHeld().heap() / 1e6));
                     out.flush();
                 }
             }
@@ -332,14 +454,19 @@
     }
 
     private static String smallSite(List<InetSocketAddress> workers) {
-        final StringBuilder site = new StringBuilder("""
-            node(name = "small", listen = "127.0.0.1:0", seed = 1)
-            job_class(name = "small", worth = 1, aim = 1 * s, deadline = 5 * s, effect = "safe")
-            limits(sockets = 4096)
-            """);
+        final StringBuilder site =
+                new StringBuilder(
+                        """
+                        node(name = "small", listen = "127.0.0.1:0", seed = 1)
+                        job_class(name = "small", worth = 1, aim = 1 * s, deadline = 5 * s, effect = "safe")
+                        limits(sockets = 4096)
+                        """);
         for (int i = 0; i < workers.size(); i++) {
-            site.append("worker(id = \"w").append(i + 1).append("\", address = \"127.0.0.1:")
-                .append(workers.get(i).getPort()).append("\")\n");
+            site.append("worker(id = \"w")
+                    .append(i + 1)
+                    .append("\", address = \"127.0.0.1:")
+                    .append(workers.get(i).getPort())
+                    .append("\")\n");
         }
         return site.toString();
     }
@@ -351,9 +478,13 @@
 
     /** A node for each length of the list, in turn, with the same reqs. */
     private int lists(PrintWriter out, Path folder) throws IOException, InterruptedException {
-        out.println("| workers listed | node's CPU, us a req: median (least to most) | against "
-            + LISTED[0] + " | heap held, MB: median | against " + LISTED[0] + " | not served |\n"
-            + "| --- | --- | --- | --- | --- | --- |");
+        out.println(
+                "| workers listed | node's CPU, us a req: median (least to most) | against "
+                        + LISTED[0]
+                        + " | heap held, MB: median | against "
+                        + LISTED[0]
+                        + " | not served |\n"
+                        + "| --- | --- | --- | --- | --- | --- |");
         Used least = null;
         for (final int listed : LISTED) {
             try (SmallRequests load = new SmallRequests()) {
@@ -380,10 +511,18 @@
                 heap.sort(null);
                 final Used used = new Used(median(us), median(heap));
                 least = least == null ? used : least;
-                out.println(String.format(Locale.ROOT,
-                    "| %d | %.0f (%.0f to %.0f) | %.2f | %.1f | %.2f | %d |",
-                    listed, used.usAReq(), us.get(0), us.get(us.size() - 1), used.usAReq() / least.usAReq(),
-                    used.heapMb(), used.heapMb() / least.heapMb(), notServed));
+                out.println(
+                        String.format(
+                                Locale.ROOT,
+                                "| %d | %.0f (%.0f to %.0f) | %.2f | %.1f | %.2f | %d |",
+                                listed,
+                                used.usAReq(),
+                                us.get(0),
+                                us.get(us.size() - 1),
+                                used.usAReq() / least.usAReq(),
+                                used.heapMb(),
+                                used.heapMb() / least.heapMb(),
+                                notServed));
                 out.flush();
             }
         }
--- a/src/main/java/cresschute/cli/UndrainCommand.java
+++ b/src/main/java/cresschute/cli/UndrainCommand.java
@@ -8,16 +8,16 @@
 import picocli.CommandLine.Spec;
 
 /** Undoes an operator's drain from a script. */
-@Command(name = "undrain", mixinStandardHelpOptions = true,
-    description = "Undoes an operator's drain; a drain of the list's own stays.",
-    footer = {"", "Example: cresschute undrain w3"})
+@Command(
+        name = "undrain",
+        mixinStandardHelpOptions = true,
+        description = "Undoes an operator's drain; a drain of the list's own stays.",
+        footer = {"", "Example: cresschute undrain w3"})
 final class UndrainCommand implements Callable<Integer> {
 
-    @Mixin
-    private Operating operating;
+    @Mixin private Operating operating;
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     @Override
     public Integer call() throws InterruptedException {
--- a/src/main/java/cresschute/cli/VersionCommand.java
+++ b/src/main/java/cresschute/cli/VersionCommand.java
@@ -9,22 +9,24 @@
 import picocli.CommandLine.Spec;
 
 /** Tells which program this is. */
-@Command(name = "version", mixinStandardHelpOptions = true, description = "Prints the version.",
-    footer = {"", "Example: cresschute version --json"})
+@Command(
+        name = "version",
+        mixinStandardHelpOptions = true,
+        description = "Prints the version.",
+        footer = {"", "Example: cresschute version --json"})
 final class VersionCommand implements Callable<Integer> {
 
     @Option(names = "--json", description = "print one JSON object")
     private boolean json;
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     /** The version for {@code --version}. */
     static final class Provider implements IVersionProvider {
 
         @Override
         public String[] getVersion() {
-            return new String[]{"cresschute " + version()};
+            return new String[] {"cresschute " + version()};
         }
     }
 
@@ -39,8 +41,12 @@
         final JsonObject object = new JsonObject();
         object.addProperty("version", version());
         object.addProperty("java", Runtime.version().toString());
-        spec.commandLine().getOut().println(json ? object.toString()
-            : "cresschute " + version() + " on Java " + Runtime.version());
+        spec.commandLine()
+                .getOut()
+                .println(
+                        json
+                                ? object.toString()
+                                : "cresschute " + version() + " on Java " + Runtime.version());
         return ExitCodes.DONE;
     }
 }
--- a/src/main/java/cresschute/cli/WorkersCommand.java
+++ b/src/main/java/cresschute/cli/WorkersCommand.java
@@ -16,15 +16,17 @@
 import picocli.CommandLine.Spec;
 
 /** Prints who is well. */
-@Command(name = "workers", mixinStandardHelpOptions = true,
-    description = "Prints the workers of a node: who takes work, is slowing or silent, is draining.",
-    footer = {"", "Example: cresschute workers --watch"})
+@Command(
+        name = "workers",
+        mixinStandardHelpOptions = true,
+        description =
+                "Prints the workers of a node: who takes work, is slowing or silent, is draining.",
+        footer = {"", "Example: cresschute workers --watch"})
 final class WorkersCommand implements Callable<Integer> {
 
     private static final long REPRINT_MS = 2_000;
 
-    @Mixin
-    private ControlSocket node;
+    @Mixin private ControlSocket node;
 
     @Option(names = "--watch", description = "print them again every 2 s until interrupted")
     private boolean watch;
@@ -32,8 +34,7 @@
     @Option(names = "--json", description = "print one JSON object a picture")
     private boolean json;
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     @Override
     public Integer call() throws InterruptedException {
@@ -41,12 +42,14 @@
     }
 
     /** Prints them once, or again and again. */
-    static int print(CommandSpec spec, Path socket, boolean watch, boolean json) throws InterruptedException {
+    static int print(CommandSpec spec, Path socket, boolean watch, boolean json)
+            throws InterruptedException {
         final PrintWriter out = spec.commandLine().getOut();
         final SiteModel model = new SiteModel();
         try (NodeTalk talk = new NodeTalk(socket)) {
-            model.take(talk.ask(ControlLink.request("1", watch ? "subscribe" : "workers")),
-                System.currentTimeMillis());
+            model.take(
+                    talk.ask(ControlLink.request("1", watch ? "subscribe" : "workers")),
+                    System.currentTimeMillis());
             print(out, model, json);
             long printedMs = System.currentTimeMillis();
             // A reader that has gone, as after `| head`, ends it.
--- a/src/main/java/cresschute/console/Console.java
+++ b/src/main/java/cresschute/console/Console.java
@@ -19,16 +19,18 @@
 import org.jline.utils.InfoCmp.Capability;
 
 /**
- * The full-screen console. One thread takes keys, the node's lines and the passing of time from one queue
- * and draws; a thread reads keys, and the link reads lines. An operation that was sent and not answered is
- * sent again, under the same id, once there is a connection again.
+ * The full-screen console. One thread takes keys, the node's lines and the passing of time from one
+ * queue and draws; a thread reads keys, and the link reads lines. An operation that was sent and
+ * not answered is sent again, under the same id, once there is a connection again.
  */
 public final class Console {
 
     private static final int MOST_QUEUED = 256;
     private static final long TICK_MS = 250;
+
     /** Drawn no more often than this, however much the node tells. */
     private static final long DRAW_MS = 100;
+
     private static final long RECONNECT_MS = 500;
 
     private final Terminal terminal;
@@ -104,19 +106,23 @@
 
     private void readKeys() {
         final Keys keys = new Keys(timeoutMs -> terminal.reader().read(timeoutMs));
-        final Thread reader = new Thread(() -> {
-            try {
-                Keys.Key key = keys.next();
-                while (key != null) {
-                    final Keys.Key taken = key;
-                    offer(() -> act(state.key(taken, model)));
-                    key = keys.next();
-                }
-            } catch (IOException e) {
-                // The terminal is gone, as when a line is cut: there is nobody to show anything to.
-            }
-            offer(() -> quit = true);
-        }, "console-keys");
+        final Thread reader =
+                new Thread(
+                        () -> {
+                            try {
+                                Keys.Key key = keys.next();
+                                while (key != null) {
+                                    final Keys.Key taken = key;
+                                    offer(() -> act(state.key(taken, model)));
+                                    key = keys.next();
+                                }
+                            } catch (IOException e) {
+                                // The terminal is gone, as when a line is cut: there is nobody to
+                                // show anything to.
+                            }
+                            offer(() -> quit = true);
+                        },
+                        "console-keys");
         reader.setDaemon(true);
         reader.start();
     }
@@ -129,8 +135,11 @@
         }
         final int mine = ++linkNumber;
         try {
-            link = ControlLink.open(socket, line -> offer(() -> taken(mine, line)),
-                why -> offer(() -> ended(mine, why)));
+            link =
+                    ControlLink.open(
+                            socket,
+                            line -> offer(() -> taken(mine, line)),
+                            why -> offer(() -> ended(mine, why)));
             model.connected(System.currentTimeMillis());
             if (mine > 1) {
                 state.say("connected");
@@ -143,7 +152,8 @@
             events.addProperty("after", model.lastEvent());
             events.addProperty("boot", model.boot());
             link.send(events);
-            // Whether the node heard them before the cut is not known, and by their ids does not matter.
+            // Whether the node heard them before the cut is not known, and by their ids does not
+            // matter.
             for (final JsonObject each : unanswered.values()) {
                 link.send(each);
             }
@@ -175,8 +185,8 @@
             return;
         }
         model.take(line, System.currentTimeMillis());
-        final JsonObject request = line.has("outcome") ? unanswered.remove(ScreenState.text(line, "re"))
-            : null;
+        final JsonObject request =
+                line.has("outcome") ? unanswered.remove(ScreenState.text(line, "re")) : null;
         if (request != null) {
             answered(request, line);
         }
@@ -186,8 +196,14 @@
         final String worker = ScreenState.text(answer, "worker");
         final boolean drain = request.get("do").getAsString().equals("drain");
         switch (ScreenState.text(answer, "outcome")) {
-            case "done" -> state.say(drain ? worker + " is draining; " + answer.get("in_flight").getAsInt()
-                + " still out" : worker + " takes work again, unless the list says otherwise");
+            case "done" ->
+                    state.say(
+                            drain
+                                    ? worker
+                                            + " is draining; "
+                                            + answer.get("in_flight").getAsInt()
+                                            + " still out"
+                                    : worker + " takes work again, unless the list says otherwise");
             case "already" -> state.say(worker + ": " + ScreenState.text(answer, "why"));
             default -> {
                 if (drain && !request.has("force")) {
@@ -223,7 +239,11 @@
         }
         final JsonObject request = ControlLink.request(id, what, fields);
         unanswered.put(id, request);
-        state.say(what + " of " + state.asked() + (link == null ? " waits for the connection" : " sent"));
+        state.say(
+                what
+                        + " of "
+                        + state.asked()
+                        + (link == null ? " waits for the connection" : " sent"));
         if (link != null) {
             try {
                 link.send(request);
@@ -244,8 +264,10 @@
             resized = false;
             final Size told = terminal.getSize();
             // A terminal that does not tell its size is taken for the usual one.
-            size = new Size(told.getColumns() <= 0 ? 80 : told.getColumns(),
-                told.getRows() <= 0 ? 24 : told.getRows());
+            size =
+                    new Size(
+                            told.getColumns() <= 0 ? 80 : told.getColumns(),
+                            told.getRows() <= 0 ? 24 : told.getRows());
             display.resize(size.getRows(), size.getColumns());
             display.clear();
             terminal.puts(Capability.clear_screen);
@@ -254,10 +276,17 @@
         drawnMs = nowMs;
         final Integer colors = terminal.getNumericCapability(Capability.max_colors);
         final Charset charset = terminal.encoding();
-        display.update(ScreenView.draw(model, state, new ScreenView.Look(
-            Math.max(ScreenView.LEAST_COLUMNS, size.getColumns()),
-            Math.max(ScreenView.LEAST_ROWS, size.getRows()),
-            colorWanted && colors != null && colors >= 8, StandardCharsets.UTF_8.equals(charset),
-            ZoneId.systemDefault()), nowMs), -1);
+        display.update(
+                ScreenView.draw(
+                        model,
+                        state,
+                        new ScreenView.Look(
+                                Math.max(ScreenView.LEAST_COLUMNS, size.getColumns()),
+                                Math.max(ScreenView.LEAST_ROWS, size.getRows()),
+                                colorWanted && colors != null && colors >= 8,
+                                StandardCharsets.UTF_8.equals(charset),
+                                ZoneId.systemDefault()),
+                        nowMs),
+                -1);
     }
 }
--- a/src/main/java/cresschute/console/ControlLink.java
+++ b/src/main/java/cresschute/console/ControlLink.java
@@ -17,8 +17,8 @@
 import java.util.function.Consumer;
 
 /**
- * A connection to a node's control socket. Lines are read by a thread of its own, which hands each one over
- * and waits while it is not taken. {@link #send} may be called from any one thread.
+ * A connection to a node's control socket. Lines are read by a thread of its own, which hands each
+ * one over and waits while it is not taken. {@link #send} may be called from any one thread.
  */
 public final class ControlLink implements AutoCloseable {
 
@@ -38,13 +38,18 @@
      * @param ended hears once why there will be no more, on the link's thread
      */
     public static ControlLink open(Path socket, Consumer<JsonObject> lines, Consumer<String> ended)
-        throws IOException {
+            throws IOException {
         final SocketChannel channel;
         try {
             channel = SocketChannel.open(UnixDomainSocketAddress.of(socket));
         } catch (SocketException e) {
-            throw new IOException("no node answers at " + socket + " (" + e.getMessage()
-                + "); is it running, and does its script state this control socket?", e);
+            throw new IOException(
+                    "no node answers at "
+                            + socket
+                            + " ("
+                            + e.getMessage()
+                            + "); is it running, and does its script state this control socket?",
+                    e);
         } catch (IllegalArgumentException e) {
             throw new IOException(socket + " is no control socket: " + e.getMessage(), e);
         }
@@ -55,7 +60,8 @@
 
     private void read(Consumer<JsonObject> lines, Consumer<String> ended) {
         String why = "the node closed the connection";
-        try (BufferedReader in = new BufferedReader(Channels.newReader(channel, StandardCharsets.UTF_8))) {
+        try (BufferedReader in =
+                new BufferedReader(Channels.newReader(channel, StandardCharsets.UTF_8))) {
             String line = in.readLine();
             while (line != null) {
                 lines.accept(JsonParser.parseString(line).getAsJsonObject());
@@ -82,15 +88,16 @@
     /** The same with further fields; values are texts, numbers or truth values. */
     public static JsonObject request(String id, String what, Map<String, Object> fields) {
         final JsonObject request = request(id, what);
-        fields.forEach((name, value) -> {
-            if (value instanceof Number number) {
-                request.addProperty(name, number);
-            } else if (value instanceof Boolean truth) {
-                request.addProperty(name, truth);
-            } else {
-                request.addProperty(name, String.valueOf(value));
-            }
-        });
+        fields.forEach(
+                (name, value) -> {
+                    if (value instanceof Number number) {
+                        request.addProperty(name, number);
+                    } else if (value instanceof Boolean truth) {
+                        request.addProperty(name, truth);
+                    } else {
+                        request.addProperty(name, String.valueOf(value));
+                    }
+                });
         return request;
     }
 
--- a/src/main/java/cresschute/console/Keys.java
+++ b/src/main/java/cresschute/console/Keys.java
@@ -10,10 +10,24 @@
     private static final int CTRL_D = 4;
     private static final int DELETE = 127;
     private static final int BACKSPACE = 8;
+
     /** How long the rest of a sequence may take, ms; after that an escape was the key itself. */
     private static final long SEQUENCE_MS = 60;
 
-    enum Kind { CHAR, UP, DOWN, PAGE_UP, PAGE_DOWN, HOME, END, ENTER, ESCAPE, BACKSPACE, QUIT, UNKNOWN }
+    enum Kind {
+        CHAR,
+        UP,
+        DOWN,
+        PAGE_UP,
+        PAGE_DOWN,
+        HOME,
+        END,
+        ENTER,
+        ESCAPE,
+        BACKSPACE,
+        QUIT,
+        UNKNOWN
+    }
 
     /** One key; {@code character} is there for {@link FieldType#CHAR}. */
     record Key(Kind kind, char character) {
@@ -64,20 +78,22 @@
             rest.append((char) next);
             next = source.read(SEQUENCE_MS);
         }
-        final Kind kind = switch (next) {
-            case 'A' -> Kind.UP;
-            case 'B' -> Kind.DOWN;
-            case 'H' -> Kind.HOME;
-            case 'F' -> Kind.END;
-            case '~' -> switch (rest.toString()) {
-                case "5" -> Kind.PAGE_UP;
-                case "6" -> Kind.PAGE_DOWN;
-                case "1", "7" -> Kind.HOME;
-                case "4", "8" -> Kind.END;
-                default -> Kind.UNKNOWN;
-            };
-            default -> Kind.UNKNOWN;
-        };
+        final Kind kind =
+                switch (next) {
+                    case 'A' -> Kind.UP;
+                    case 'B' -> Kind.DOWN;
+                    case 'H' -> Kind.HOME;
+                    case 'F' -> Kind.END;
+                    case '~' ->
+                            switch (rest.toString()) {
+                                case "5" -> Kind.PAGE_UP;
+                                case "6" -> Kind.PAGE_DOWN;
+                                case "1", "7" -> Kind.HOME;
+                                case "4", "8" -> Kind.END;
+                                default -> Kind.UNKNOWN;
+                            };
+                    default -> Kind.UNKNOWN;
+                };
         return Key.of(kind);
     }
 }
--- a/src/main/java/cresschute/console/ScreenCost.java
+++ b/src/main/java/cresschute/console/ScreenCost.java
@@ -41,12 +41,26 @@
     private static JsonObject news(boolean whole, int first, int count, int value) {
         final StringBuilder rows = new StringBuilder();
         for (int i = first; i < first + count; i++) {
-            rows.append(i == first ? "" : ",").append("\"w/w").append(i).append("\":{\"id\":\"w").append(i)
-                .append("\",\"state\":\"taking\",\"why\":\"\",\"since_ms\":1,\"kind\":\"std\",\"in_flight\":")
-                .append(value % 9).append(",\"rate\":1.5,\"p50_ms\":400,\"p99_ms\":900,\"sparks\":[1,2,3,4,5,"
-                    + "6,7,8,9,10,11,12],\"queue\":1,\"free\":2,\"report_ms\":1}");
+            rows.append(i == first ? "" : ",")
+                    .append("\"w/w")
+                    .append(i)
+                    .append("\":{\"id\":\"w")
+                    .append(i)
+                    .append(
+                            "\",\"state\":\"taking\",\"why\":\"\",\"since_ms\":1,\"kind\":\"std\",\"in_flight\":")
+                    .append(value % 9)
+                    .append(
+                            ",\"rate\":1.5,\"p50_ms\":400,\"p99_ms\":900,\"sparks\":[1,2,3,4,5,"
+                                    + "6,7,8,9,10,11,12],\"queue\":1,\"free\":2,\"report_ms\":1}");
         }
-        return JsonParser.parseString("{\"boot\":\"b\",\"number\":" + (value + 1) + ",\"whole\":" + whole
-            + ",\"rows\":{" + rows + "},\"gone\":[]}").getAsJsonObject();
+        return JsonParser.parseString(
+                        "{\"boot\":\"b\",\"number\":"
+                                + (value + 1)
+                                + ",\"whole\":"
+                                + whole
+                                + ",\"rows\":{"
+                                + rows
+                                + "},\"gone\":[]}")
+                .getAsJsonObject();
     }
 }
--- a/src/main/java/cresschute/console/ScreenState.java
+++ b/src/main/java/cresschute/console/ScreenState.java
@@ -7,20 +7,33 @@
 import java.util.Locale;
 
 /**
- * What the person at the screen has chosen: the worker under the cursor, filter, order, and what is being
- * asked. The selection is a worker's name, so that it stays with the worker while rows move. Pure.
+ * What the person at the screen has chosen: the worker under the cursor, filter, order, and what is
+ * being asked. The selection is a worker's name, so that it stays with the worker while rows move.
+ * Pure.
  */
 final class ScreenState {
 
     private static final int MOST_FILTER = 40;
-    private static final List<String> WORST_FIRST = List.of("silent", "slowing", "full", "cold", "draining",
-        "gone", "taking");
+    private static final List<String> WORST_FIRST =
+            List.of("silent", "slowing", "full", "cold", "draining", "gone", "taking");
 
     /** Orders of the rows. */
-    enum Order { NAME, STATE, OUT, P99, RATE }
+    enum Order {
+        NAME,
+        STATE,
+        OUT,
+        P99,
+        RATE
+    }
 
     /** What keys mean now. */
-    enum Mode { BROWSE, FILTER, CONFIRM_DRAIN, CONFIRM_FORCE, HELP }
+    enum Mode {
+        BROWSE,
+        FILTER,
+        CONFIRM_DRAIN,
+        CONFIRM_FORCE,
+        HELP
+    }
 
     private Order order = Order.NAME;
     private Mode mode = Mode.BROWSE;
@@ -59,7 +72,9 @@
         message = text;
     }
 
-    /** The rows to show, in order; moves the selection where its worker is not among them any more. */
+    /**
+     * The rows to show, in order; moves the selection where its worker is not among them any more.
+     */
     List<JsonObject> rows(SiteModel model) {
         final List<JsonObject> rows = new ArrayList<>();
         for (final JsonObject row : model.workers()) {
@@ -92,17 +107,19 @@
     private boolean matches(JsonObject row) {
         final String wanted = filter.toLowerCase(Locale.ROOT);
         return text(row, "id").toLowerCase(Locale.ROOT).contains(wanted)
-            || text(row, "state").contains(wanted)
-            || text(row, "kind").toLowerCase(Locale.ROOT).contains(wanted);
+                || text(row, "state").contains(wanted)
+                || text(row, "kind").toLowerCase(Locale.ROOT).contains(wanted);
     }
 
     private Comparator<JsonObject> comparator() {
-        final Comparator<JsonObject> byName = Comparator.comparing(row -> text(row, "id"),
-            ScreenState::byNumber);
+        final Comparator<JsonObject> byName =
+                Comparator.comparing(row -> text(row, "id"), ScreenState::byNumber);
         return switch (order) {
             case NAME -> byName;
-            case STATE -> Comparator.<JsonObject>comparingInt(row -> WORST_FIRST.indexOf(text(row, "state")))
-                .thenComparing(byName);
+            case STATE ->
+                    Comparator.<JsonObject>comparingInt(
+                                    row -> WORST_FIRST.indexOf(text(row, "state")))
+                            .thenComparing(byName);
             case OUT -> descending("in_flight").thenComparing(byName);
             case P99 -> descending("p99_ms").thenComparing(byName);
             case RATE -> descending("rate").thenComparing(byName);
@@ -113,11 +130,16 @@
         return Comparator.<JsonObject>comparingDouble(row -> number(row, field)).reversed();
     }
 
-    /** w2 before w10: of names that differ in the number at their end alone, the shorter one comes first. */
+    /**
+     * w2 before w10: of names that differ in the number at their end alone, the shorter one comes
+     * first.
+     */
     private static int byNumber(String one, String other) {
         final int head = headLength(one);
-        return one.length() != other.length() && head == headLength(other)
-            && one.regionMatches(0, other, 0, head) ? Integer.compare(one.length(), other.length())
+        return one.length() != other.length()
+                        && head == headLength(other)
+                        && one.regionMatches(0, other, 0, head)
+                ? Integer.compare(one.length(), other.length())
                 : one.compareTo(other);
     }
 
@@ -140,7 +162,13 @@
     // ---- Keys ----
 
     /** What the console is to do besides drawing. */
-    enum Wish { NOTHING, QUIT, DRAIN, FORCED_DRAIN, UNDRAIN }
+    enum Wish {
+        NOTHING,
+        QUIT,
+        DRAIN,
+        FORCED_DRAIN,
+        UNDRAIN
+    }
 
     /** Takes a key; rows must have been asked for since the model changed. */
     Wish key(Keys.Key key, SiteModel model) {
@@ -227,7 +255,8 @@
                 filter = "";
                 mode = Mode.BROWSE;
             }
-            case BACKSPACE -> filter = filter.isEmpty() ? filter : filter.substring(0, filter.length() - 1);
+            case BACKSPACE ->
+                    filter = filter.isEmpty() ? filter : filter.substring(0, filter.length() - 1);
             case CHAR -> filter = filter.length() < MOST_FILTER ? filter + key.character() : filter;
             case QUIT -> {
                 return Wish.QUIT;
--- a/src/main/java/cresschute/console/SiteModel.java
+++ b/src/main/java/cresschute/console/SiteModel.java
@@ -11,15 +11,19 @@
 import java.util.Map;
 
 /**
- * What a console knows of its site: the rows of the node's board as they were last told, the last events,
- * and how fresh all of that is. Pure: it is fed with lines and the clock.
+ * What a console knows of its site: the rows of the node's board as they were last told, the last
+ * events, and how fresh all of that is. Pure: it is fed with lines and the clock.
  */
 public final class SiteModel {
 
     /** Events that are kept for the screen. */
     static final int MOST_EVENTS = 200;
-    /** A node tells something every second; after so long without a word its figures are old, ms. */
+
+    /**
+     * A node tells something every second; after so long without a word its figures are old, ms.
+     */
     public static final long STALE_AFTER_MS = 3_000;
+
     private static final String WORKER = "w/";
     private static final String CLASS = "c/";
 
@@ -73,7 +77,9 @@
                 classes.clear();
             }
             line.getAsJsonArray("gone").forEach(key -> drop(key.getAsString()));
-            line.getAsJsonObject("rows").entrySet().forEach(each -> put(each.getKey(), each.getValue()));
+            line.getAsJsonObject("rows")
+                    .entrySet()
+                    .forEach(each -> put(each.getKey(), each.getValue()));
             number = line.get("number").getAsLong();
             loaded = true;
         }
@@ -111,8 +117,9 @@
         if (!connected) {
             return loaded ? Freshness.RECONNECTING : Freshness.LOADING;
         }
-        return !loaded ? Freshness.LOADING
-            : nowMs - heardMs >= STALE_AFTER_MS ? Freshness.STALE : Freshness.LIVE;
+        return !loaded
+                ? Freshness.LOADING
+                : nowMs - heardMs >= STALE_AFTER_MS ? Freshness.STALE : Freshness.LIVE;
     }
 
     /** When the node last said anything, Unix time in milliseconds. */
--- a/src/main/java/cresschute/console/WorkerTable.java
+++ b/src/main/java/cresschute/console/WorkerTable.java
@@ -13,23 +13,33 @@
     /** A line of titles and one a worker, by name. */
     public static List<String> lines(SiteModel model, long nowMs) {
         final List<String> lines = new ArrayList<>();
-        lines.add(String.format("%-16s %-9s %4s %6s %7s %7s %5s %5s  %s", "WORKER", "STATE", "OUT", "/S",
-            "P50", "P99", "QUEUE", "FREE", "WHY"));
+        lines.add(
+                String.format(
+                        "%-16s %-9s %4s %6s %7s %7s %5s %5s  %s",
+                        "WORKER", "STATE", "OUT", "/S", "P50", "P99", "QUEUE", "FREE", "WHY"));
         for (final JsonObject row : new ScreenState().rows(model)) {
-            lines.add(String.format(Locale.ROOT, "%-16s %-9s %4d %6.1f %7s %7s %5s %5s  %s",
-                ScreenView.clean(ScreenState.text(row, "id")), ScreenState.text(row, "state"),
-                row.get("in_flight").getAsInt(), ScreenState.number(row, "rate"),
-                ScreenView.ms(ScreenState.number(row, "p50_ms")),
-                ScreenView.ms(ScreenState.number(row, "p99_ms")),
-                ScreenView.count(ScreenState.number(row, "queue")),
-                ScreenView.count(ScreenState.number(row, "free")),
-                ScreenView.clean(why(row, nowMs))).stripTrailing());
+            lines.add(
+                    String.format(
+                                    Locale.ROOT,
+                                    "%-16s %-9s %4d %6.1f %7s %7s %5s %5s  %s",
+                                    ScreenView.clean(ScreenState.text(row, "id")),
+                                    ScreenState.text(row, "state"),
+                                    row.get("in_flight").getAsInt(),
+                                    ScreenState.number(row, "rate"),
+                                    ScreenView.ms(ScreenState.number(row, "p50_ms")),
+                                    ScreenView.ms(ScreenState.number(row, "p99_ms")),
+                                    ScreenView.count(ScreenState.number(row, "queue")),
+                                    ScreenView.count(ScreenState.number(row, "free")),
+                                    ScreenView.clean(why(row, nowMs)))
+                            .stripTrailing());
         }
         return lines;
     }
 
     private static String why(JsonObject row, long nowMs) {
         final String why = ScreenState.text(row, "why");
-        return why.isEmpty() ? "" : why + ", for " + ScreenView.age(nowMs - row.get("since_ms").getAsLong());
+        return why.isEmpty()
+                ? ""
+                : why + ", for " + ScreenView.age(nowMs - row.get("since_ms").getAsLong());
     }
 }
--- a/src/main/java/cresschute/control/ChecksummedFile.java
+++ b/src/main/java/cresschute/control/ChecksummedFile.java
@@ -7,17 +7,19 @@
 import java.util.zip.CRC32C;
 
 /**
- * The form of what a node keeps in a file: one line that names the kind and tells generation, length and a
- * checksum of all the rest, and then the content. Whatever is torn, flipped or of another kind is refused.
- * Pure.
+ * The form of what a node keeps in a file: one line that names the kind and tells generation,
+ * length and a checksum of all the rest, and then the content. Whatever is torn, flipped or of
+ * another kind is refused. Pure.
  *
  * @param generation counts up with every write, over restarts and processes too
  * @param body the content after the first line
  */
 public record ChecksummedFile(long generation, byte[] body) {
 
-    private static final Pattern HEAD = Pattern.compile(
-        "([a-z-]{1,40} [0-9]{1,3}) generation=([0-9]{1,18}) bytes=([0-9]{1,9}) crc32c=([0-9a-f]{8})");
+    private static final Pattern HEAD =
+            Pattern.compile(
+                    "([a-z-]{1,40} [0-9]{1,3}) generation=([0-9]{1,18}) bytes=([0-9]{1,9})"
+                            + " crc32c=([0-9a-f]{8})");
 
     /** A file that is not what was written; its message says in which way. */
     public static final class DamagedFileException extends Exception {
@@ -31,8 +33,16 @@
 
     /** The bytes of a file of this kind, such as {@code "cresschute-drains 1"}. */
     static byte[] encode(String kind, long generation, byte[] body) {
-        final byte[] head = (kind + " generation=" + generation + " bytes=" + body.length + " crc32c="
-            + checksum(generation, body) + "\n").getBytes(StandardCharsets.US_ASCII);
+        final byte[] head =
+                (kind
+                                + " generation="
+                                + generation
+                                + " bytes="
+                                + body.length
+                                + " crc32c="
+                                + checksum(generation, body)
+                                + "\n")
+                        .getBytes(StandardCharsets.US_ASCII);
         final byte[] all = Arrays.copyOf(head, head.length + body.length);
         System.arraycopy(body, 0, all, head.length, body.length);
         return all;
@@ -50,7 +60,8 @@
         }
         final int length = Integer.parseInt(head.group(3));
         if (bytes.length - end - 1 != length) {
-            throw new DamagedFileException("it holds " + (bytes.length - end - 1) + " bytes of " + length);
+            throw new DamagedFileException(
+                    "it holds " + (bytes.length - end - 1) + " bytes of " + length);
         }
         final byte[] body = Arrays.copyOfRange(bytes, end + 1, bytes.length);
         final long generation = Long.parseLong(head.group(2));
--- a/src/main/java/cresschute/control/ControlRequest.java
+++ b/src/main/java/cresschute/control/ControlRequest.java
@@ -17,16 +17,22 @@
  * @param after events: the number of the last one that was read
  * @param operation drain and undrain alone
  */
-public record ControlRequest(String id, What what, long from, String boot, long after, Operation operation) {
+public record ControlRequest(
+        String id, What what, long from, String boot, long after, Operation operation) {
 
     /** The version of the protocol that this node speaks. */
     public static final int VERSION = 1;
+
     /** Characters of a line from a console, its end aside. */
     public static final int MAX_LINE = 16 * 1024;
+
     private static final int MAX_TEXT = 200;
-    private static final Set<String> KNOWN = Set.of("v", "id", "do", "from", "boot", "after", "op", "worker",
-        "for_ms", "who", "reason", "force");
+    private static final Set<String> KNOWN =
+            Set.of(
+                    "v", "id", "do", "from", "boot", "after", "op", "worker", "for_ms", "who",
+                    "reason", "force");
     private static final long US_A_MS = 1_000;
+
     /** A hundred years: whoever drains for longer means for good. */
     private static final long MAX_FOR_MS = 100L * 366 * 24 * 3_600_000;
 
@@ -77,7 +83,8 @@
             }
             json = element.getAsJsonObject();
         } catch (JsonParseException | StackOverflowError e) {
-            throw new InvalidRequestException(null, "a request is one JSON object a line; this is no JSON");
+            throw new InvalidRequestException(
+                    null, "a request is one JSON object a line; this is no JSON");
         }
         final String id = text(json, "id", null, null);
         if (id == null) {
@@ -85,8 +92,14 @@
         }
         final long version = number(json, id, "v", -1);
         if (version != VERSION) {
-            throw new InvalidRequestException(id, version == -1 ? "v is missing; this node speaks version " + VERSION
-                : "version " + version + " is not spoken here; this node speaks version " + VERSION);
+            throw new InvalidRequestException(
+                    id,
+                    version == -1
+                            ? "v is missing; this node speaks version " + VERSION
+                            : "version "
+                                    + version
+                                    + " is not spoken here; this node speaks version "
+                                    + VERSION);
         }
         for (final String field : json.keySet()) {
             if (!KNOWN.contains(field)) {
@@ -94,21 +107,33 @@
             }
         }
         final String word = text(json, "do", id, "");
-        final What what = switch (word) {
-            case "workers" -> What.WORKERS;
-            case "subscribe" -> What.SUBSCRIBE;
-            case "events" -> What.EVENTS;
-            case "drain" -> What.DRAIN;
-            case "undrain" -> What.UNDRAIN;
-            default -> throw new InvalidRequestException(id, "do is '" + word
-                + "'; there are workers, subscribe, events, drain, undrain");
-        };
+        final What what =
+                switch (word) {
+                    case "workers" -> What.WORKERS;
+                    case "subscribe" -> What.SUBSCRIBE;
+                    case "events" -> What.EVENTS;
+                    case "drain" -> What.DRAIN;
+                    case "undrain" -> What.UNDRAIN;
+                    default ->
+                            throw new InvalidRequestException(
+                                    id,
+                                    "do is '"
+                                            + word
+                                            + "'; there are workers, subscribe, events, drain,"
+                                            + " undrain");
+                };
         final boolean drains = what == What.DRAIN || what == What.UNDRAIN;
-        return new ControlRequest(id, what, number(json, id, "from", 0), text(json, "boot", id, ""),
-            number(json, id, "after", 0), drains ? operation(json, id, what) : null);
+        return new ControlRequest(
+                id,
+                what,
+                number(json, id, "from", 0),
+                text(json, "boot", id, ""),
+                number(json, id, "after", 0),
+                drains ? operation(json, id, what) : null);
     }
 
-    private static Operation operation(JsonObject json, String id, What what) throws InvalidRequestException {
+    private static Operation operation(JsonObject json, String id, What what)
+            throws InvalidRequestException {
         final String op = text(json, "op", id, "");
         final String worker = text(json, "worker", id, "");
         if (op.isEmpty() || worker.isEmpty()) {
@@ -116,18 +141,25 @@
         }
         final long forMs = number(json, id, "for_ms", Long.MAX_VALUE);
         if (forMs != Long.MAX_VALUE && (forMs < 1 || forMs > MAX_FOR_MS)) {
-            throw new InvalidRequestException(id, "for_ms is " + forMs + "; allowed: 1 to " + MAX_FOR_MS);
+            throw new InvalidRequestException(
+                    id, "for_ms is " + forMs + "; allowed: 1 to " + MAX_FOR_MS);
         }
         final JsonElement force = json.get("force");
         if (force != null && !(force instanceof JsonPrimitive truth && truth.isBoolean())) {
             throw new InvalidRequestException(id, "force is neither true nor false");
         }
-        return new Operation(op, what == What.DRAIN, worker,
-            forMs == Long.MAX_VALUE ? DrainRegistry.FOREVER : forMs * US_A_MS, text(json, "who", id, "somebody"),
-            text(json, "reason", id, ""), force != null && force.getAsBoolean());
+        return new Operation(
+                op,
+                what == What.DRAIN,
+                worker,
+                forMs == Long.MAX_VALUE ? DrainRegistry.FOREVER : forMs * US_A_MS,
+                text(json, "who", id, "somebody"),
+                text(json, "reason", id, ""),
+                force != null && force.getAsBoolean());
     }
 
-    private static String text(JsonObject json, String field, String id, String otherwise) throws InvalidRequestException {
+    private static String text(JsonObject json, String field, String id, String otherwise)
+            throws InvalidRequestException {
         final JsonElement value = json.get(field);
         if (value == null) {
             return otherwise;
@@ -138,12 +170,14 @@
         final String text = value.getAsString();
         if (text.length() > MAX_TEXT || text.chars().anyMatch(Character::isISOControl)) {
             // Guards the log and the screens of others: a reason must not move their cursor.
-            throw new InvalidRequestException(id, field + " has control characters, or more than " + MAX_TEXT);
+            throw new InvalidRequestException(
+                    id, field + " has control characters, or more than " + MAX_TEXT);
         }
         return text;
     }
 
-    private static long number(JsonObject json, String id, String field, long otherwise) throws InvalidRequestException {
+    private static long number(JsonObject json, String id, String field, long otherwise)
+            throws InvalidRequestException {
         final JsonElement value = json.get(field);
         if (value == null) {
             return otherwise;
