--- a/src/main/java/cresschute/control/DrainRegistry.java
+++ b/src/main/java/cresschute/control/DrainRegistry.java
@@ -12,16 +12,18 @@
 import java.util.Set;
 
 /**
- * The operator's drains, laid over whatever the list says. Pure: the clock is passed in, and nothing is read
- * or written. Operations carry ids, so that one that is sent again after a cut has no second effect. Not safe
- * for several threads: its owner is the loop.
+ * The operator's drains, laid over whatever the list says. Pure: the clock is passed in, and
+ * nothing is read or written. Operations carry ids, so that one that is sent again after a cut has
+ * no second effect. Not safe for several threads: its owner is the loop.
  */
 public final class DrainRegistry {
 
     /** Operations whose outcome is remembered; an older one that is sent again counts as new. */
     static final int MAX_REMEMBERED = 1_024;
+
     /** Drains at a time; a site has fewer workers. */
     static final int MAX_DRAINS = 10_000;
+
     /** A drain without an end of its own. */
     public static final long FOREVER = Long.MAX_VALUE;
 
@@ -31,9 +33,12 @@
      * @param untilUs when it ends by itself, or {@link #FOREVER}
      * @param who who asked for it, in the words of their console
      */
-    public record Drain(@SerializedName("worker") String worker, @SerializedName("sinceUs") long sinceUs,
-        @SerializedName("untilUs") long untilUs, @SerializedName("who") String who,
-        @SerializedName("reason") String reason) {}
+    public record Drain(
+            @SerializedName("worker") String worker,
+            @SerializedName("sinceUs") long sinceUs,
+            @SerializedName("untilUs") long untilUs,
+            @SerializedName("who") String who,
+            @SerializedName("reason") String reason) {}
 
     /**
      * What an operator asks for.
@@ -43,10 +48,14 @@
      * @param forUs how long, from when it is first heard; {@link #FOREVER} where it has no end
      * @param forced whether to drain although work would have nowhere to go
      */
-    public record Operation(@SerializedName("id") String id, @SerializedName("start") boolean start,
-        @SerializedName("worker") String worker, @SerializedName("forUs") long forUs,
-        @SerializedName("who") String who, @SerializedName("reason") String reason,
-        @SerializedName("forced") boolean forced) {
+    public record Operation(
+            @SerializedName("id") String id,
+            @SerializedName("start") boolean start,
+            @SerializedName("worker") String worker,
+            @SerializedName("forUs") long forUs,
+            @SerializedName("who") String who,
+            @SerializedName("reason") String reason,
+            @SerializedName("forced") boolean forced) {
         public Operation {
             Objects.requireNonNull(id);
             Objects.requireNonNull(worker);
@@ -101,13 +110,17 @@
      * What a drain is judged by.
      *
      * @param workers the list without any overlay
-     * @param boundCells cells that keyed requests may only be repeated in, as their first sends are out there
+     * @param boundCells cells that keyed requests may only be repeated in, as their first sends are
+     *     out there
      */
     public record Site(List<Listed> workers, List<ClassBound> classes, Set<Integer> boundCells) {}
 
-    /** An operation that was carried out, and how it ended: what makes it harmless to send it again. */
-    public record Remembered(@SerializedName("operation") Operation operation,
-        @SerializedName("outcome") Outcome outcome) {}
+    /**
+     * An operation that was carried out, and how it ended: what makes it harmless to send it again.
+     */
+    public record Remembered(
+            @SerializedName("operation") Operation operation,
+            @SerializedName("outcome") Outcome outcome) {}
 
     private final Map<String, Drain> drains = new LinkedHashMap<>();
     private final Map<String, Remembered> remembered = new LinkedHashMap<>();
@@ -116,10 +129,12 @@
     public Outcome apply(Operation operation, Site site, long nowUs) {
         final Remembered before = remembered.get(operation.id());
         if (before != null) {
-            return before.operation().equals(operation) ? before.outcome()
-                : Outcome.refused("operation " + operation.id() + " was another one before");
+            return before.operation().equals(operation)
+                    ? before.outcome()
+                    : Outcome.refused("operation " + operation.id() + " was another one before");
         }
-        final Outcome outcome = operation.start() ? start(operation, site, nowUs) : cancel(operation);
+        final Outcome outcome =
+                operation.start() ? start(operation, site, nowUs) : cancel(operation);
         remembered.put(operation.id(), new Remembered(operation, outcome));
         if (remembered.size() > MAX_REMEMBERED) {
             remembered.remove(remembered.keySet().iterator().next());
@@ -135,8 +150,10 @@
     private Outcome start(Operation operation, Site site, long nowUs) {
         final Drain inForce = drains.get(operation.worker());
         if (inForce != null) {
-            return Outcome.already("drained by " + inForce.who() + (inForce.reason().isEmpty() ? ""
-                : ": " + inForce.reason()));
+            return Outcome.already(
+                    "drained by "
+                            + inForce.who()
+                            + (inForce.reason().isEmpty() ? "" : ": " + inForce.reason()));
         }
         if (drains.size() >= MAX_DRAINS) {
             return Outcome.refused(MAX_DRAINS + " drains are in force; undo one first");
@@ -146,41 +163,51 @@
             return Outcome.refused(harm);
         }
         // Guards against a sum that wraps round for a drain of some hundred thousand years.
-        final long untilUs = operation.forUs() > FOREVER - nowUs ? FOREVER : nowUs + operation.forUs();
-        drains.put(operation.worker(), new Drain(operation.worker(), nowUs, untilUs, operation.who(),
-            operation.reason()));
+        final long untilUs =
+                operation.forUs() > FOREVER - nowUs ? FOREVER : nowUs + operation.forUs();
+        drains.put(
+                operation.worker(),
+                new Drain(operation.worker(), nowUs, untilUs, operation.who(), operation.reason()));
         return Outcome.DONE;
     }
 
     private Outcome cancel(Operation operation) {
-        return drains.remove(operation.worker()) != null ? Outcome.DONE
-            : Outcome.already("not drained by an operator");
+        return drains.remove(operation.worker()) != null
+                ? Outcome.DONE
+                : Outcome.already("not drained by an operator");
     }
 
     /** Why a drain would leave work without a place, or null. */
     private String harm(String name, Site site) {
-        final Worker leaving = site.workers().stream().filter(each -> each.name().equals(name))
-            .map(Listed::worker).findFirst().orElse(null);
+        final Worker leaving =
+                site.workers().stream()
+                        .filter(each -> each.name().equals(name))
+                        .map(Listed::worker)
+                        .findFirst()
+                        .orElse(null);
         if (leaving == null) {
             return "no worker is called " + name;
         }
         if (over(name, leaving.state()) != WorkerState.READY) {
-            // It takes nothing new as it is: a worker that is restarting just now comes back drained.
+            // It takes nothing new as it is: a worker that is restarting just now comes back
+            // drained.
             return null;
         }
         final List<Worker> left = new ArrayList<>();
         for (final Listed each : site.workers()) {
-            if (!each.name().equals(name) && over(each.name(), each.worker().state()) == WorkerState.READY) {
+            if (!each.name().equals(name)
+                    && over(each.name(), each.worker().state()) == WorkerState.READY) {
                 left.add(each.worker());
             }
         }
         for (final ClassBound each : site.classes()) {
-            if (each.placement().allows(leaving) && left.stream().noneMatch(each.placement()::allows)) {
+            if (each.placement().allows(leaving)
+                    && left.stream().noneMatch(each.placement()::allows)) {
                 return name + " is the last worker that may run " + each.name();
             }
         }
         if (site.boundCells().contains(leaving.cell())
-            && left.stream().noneMatch(worker -> worker.cell() == leaving.cell())) {
+                && left.stream().noneMatch(worker -> worker.cell() == leaving.cell())) {
             return name + " is the last of cell " + leaving.cell() + ", where keyed jobs are out";
         }
         return null;
@@ -188,13 +215,21 @@
 
     /** The state that the module hears: the worse of what the list and the operator say. */
     public WorkerState over(String worker, WorkerState listed) {
-        return listed == WorkerState.READY && drains.containsKey(worker) ? WorkerState.DRAINING : listed;
+        return listed == WorkerState.READY && drains.containsKey(worker)
+                ? WorkerState.DRAINING
+                : listed;
     }
 
-    /** Ends the drains whose time is up, and names their workers, whose state may have changed by it. */
+    /**
+     * Ends the drains whose time is up, and names their workers, whose state may have changed by
+     * it.
+     */
     public List<String> expire(long nowUs) {
-        final List<String> ended = drains.values().stream().filter(each -> each.untilUs() <= nowUs)
-            .map(Drain::worker).toList();
+        final List<String> ended =
+                drains.values().stream()
+                        .filter(each -> each.untilUs() <= nowUs)
+                        .map(Drain::worker)
+                        .toList();
         ended.forEach(drains::remove);
         return ended;
     }
--- a/src/main/java/cresschute/control/EventRing.java
+++ b/src/main/java/cresschute/control/EventRing.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * The last things that happened at a site, numbered, in words for people. Old ones make room; whoever reads
- * on from a number is told how many it missed. Pure; its owner is the loop.
+ * The last things that happened at a site, numbered, in words for people. Old ones make room;
+ * whoever reads on from a number is told how many it missed. Pure; its owner is the loop.
  */
 public final class EventRing {
 
--- a/src/main/java/cresschute/control/ManagementCall.java
+++ b/src/main/java/cresschute/control/ManagementCall.java
@@ -3,17 +3,18 @@
 import java.util.Locale;
 
 /**
- * One call of the platform's operators: a line of plain words, as {@code docs/operators.md} lists them. The
- * answer to it is one line too, beginning with {@code 200} or {@code 400}. Pure.
+ * One call of the platform's operators: a line of plain words, as {@code docs/operators.md} lists
+ * them. The answer to it is one line too, beginning with {@code 200} or {@code 400}. Pure.
  *
  * @param verb what is asked
- * @param worker the worker's id as the list names it, for {@link Verb#DISABLE_SERVER} and
- *     {@link Verb#ENABLE_SERVER}; null for the others
+ * @param worker the worker's id as the list names it, for {@link Verb#DISABLE_SERVER} and {@link
+ *     Verb#ENABLE_SERVER}; null for the others
  */
 public record ManagementCall(Verb verb, String worker) {
 
     /** Characters of a call, its end of line aside; a list's ids are far shorter. */
     public static final int MAX_LINE = 512;
+
     /** Characters of a worker's id. */
     static final int MAX_ID = 200;
 
@@ -64,11 +65,12 @@
     }
 
     /**
-     * Reads a call: words apart by spaces or tabs, an end of CR LF or LF already taken off. The verb is as
-     * {@link Verb} writes it, in any case.
+     * Reads a call: words apart by spaces or tabs, an end of CR LF or LF already taken off. The
+     * verb is as {@link Verb} writes it, in any case.
      *
-     * @throws InvalidCallException for an empty line, an unknown verb, a missing or extra word, or an id that no list
-     *     could hold: control characters, or more than {@value #MOST_ID} characters
+     * @throws InvalidCallException for an empty line, an unknown verb, a missing or extra word, or
+     *     an id that no list could hold: control characters, or more than {@value #MOST_ID}
+     *     characters
      */
     public static ManagementCall parse(String line) throws InvalidCallException {
         if (line.length() > MAX_LINE) {
@@ -80,12 +82,14 @@
         }
         final Verb verb = Verb.of(words[0].toLowerCase(Locale.ROOT));
         if (verb == null) {
-            throw new InvalidCallException("no call is named " + printable(words[0]) + "; calls are: " + known());
+            throw new InvalidCallException(
+                    "no call is named " + printable(words[0]) + "; calls are: " + known());
         }
         final int wanted = verb.needsWorker ? 2 : 1;
         if (words.length != wanted) {
-            throw new InvalidCallException(verb.word + (verb.needsWorker ? " takes one worker id"
-                : " takes nothing more"));
+            throw new InvalidCallException(
+                    verb.word
+                            + (verb.needsWorker ? " takes one worker id" : " takes nothing more"));
         }
         if (!verb.needsWorker) {
             return new ManagementCall(verb, null);
@@ -100,8 +104,9 @@
     private static String known() {
         final StringBuilder text = new StringBuilder();
         for (final Verb each : Verb.values()) {
-            text.append(text.length() == 0 ? "" : ", ").append(each.word)
-                .append(each.needsWorker ? " ID" : "");
+            text.append(text.length() == 0 ? "" : ", ")
+                    .append(each.word)
+                    .append(each.needsWorker ? " ID" : "");
         }
         return text.toString();
     }
@@ -109,7 +114,9 @@
     /** What a wrong word looks like in an answer: short, and nothing that breaks the line. */
     private static String printable(String word) {
         final StringBuilder shown = new StringBuilder();
-        word.codePoints().limit(40).forEach(c -> shown.append(c >= ' ' && c < 0x7f ? (char) c : '?'));
+        word.codePoints()
+                .limit(40)
+                .forEach(c -> shown.append(c >= ' ' && c < 0x7f ? (char) c : '?'));
         return shown + (word.length() > 40 ? "..." : "");
     }
 }
--- a/src/main/java/cresschute/control/OperatorsState.java
+++ b/src/main/java/cresschute/control/OperatorsState.java
@@ -1,8 +1,8 @@
 package cresschute.control;
 
-import com.google.gson.annotations.SerializedName;
 import com.google.gson.Gson;
 import com.google.gson.JsonParseException;
+import com.google.gson.annotations.SerializedName;
 import cresschute.control.ChecksummedFile.DamagedFileException;
 import java.nio.charset.StandardCharsets;
 import java.util.Collections;
@@ -12,9 +12,9 @@
 import java.util.TreeSet;
 
 /**
- * What the platform's operators have asked of a node and what holds until they call it back: the workers
- * taken out, and whether the node is drained. Both processes of an upgrade are one node, so this is what they
- * share in a file. Pure.
+ * What the platform's operators have asked of a node and what holds until they call it back: the
+ * workers taken out, and whether the node is drained. Both processes of an upgrade are one node, so
+ * this is what they share in a file. Pure.
  *
  * @param generation counts up with every change, whichever process makes it
  * @param banned ids of the workers that get nothing new, whatever the list says
@@ -24,22 +24,24 @@
 
     /** Workers that can be out at a time; a site has far fewer. */
     public static final int MAX_BANNED = 10_000;
+
     /** Nothing asked. */
     public static final OperatorsState NONE = new OperatorsState(0, new TreeSet<>(), false);
 
     private static final String KIND = "cresschute-operators 1";
     private static final Gson GSON = new Gson();
 
-    private record Body(@SerializedName("banned") List<String> banned,
-        @SerializedName("drained") boolean drained) {}
+    private record Body(
+            @SerializedName("banned") List<String> banned,
+            @SerializedName("drained") boolean drained) {}
 
     public OperatorsState {
         banned = Collections.unmodifiableSortedSet(new TreeSet<>(banned));
     }
 
     /**
-     * The state after a call that changes something; {@link ManagementCall.Verb#READY} changes nothing. A
-     * call repeated is harmless: the state is the same, only the generation counts up.
+     * The state after a call that changes something; {@link ManagementCall.Verb#READY} changes
+     * nothing. A call repeated is harmless: the state is the same, only the generation counts up.
      *
      * @throws IllegalStateException where {@value #MOST_BANNED} workers are out already
      */
@@ -49,7 +51,8 @@
         switch (call.verb()) {
             case DISABLE_SERVER -> {
                 if (!next.contains(call.worker()) && next.size() >= MAX_BANNED) {
-                    throw new IllegalStateException(MAX_BANNED + " workers are out; enable one first");
+                    throw new IllegalStateException(
+                            MAX_BANNED + " workers are out; enable one first");
                 }
                 next.add(call.worker());
             }
@@ -64,28 +67,37 @@
         return new OperatorsState(generation + 1, next, drain);
     }
 
-    /** This state under another generation, such as the next one of a file that holds a newer one. */
+    /**
+     * This state under another generation, such as the next one of a file that holds a newer one.
+     */
     public OperatorsState numbered(long newGeneration) {
         return new OperatorsState(newGeneration, banned, drained);
     }
 
     /** The bytes of a file. */
     public byte[] encode() {
-        return ChecksummedFile.encode(KIND, generation,
-            GSON.toJson(new Body(List.copyOf(banned), drained)).getBytes(StandardCharsets.UTF_8));
+        return ChecksummedFile.encode(
+                KIND,
+                generation,
+                GSON.toJson(new Body(List.copyOf(banned), drained))
+                        .getBytes(StandardCharsets.UTF_8));
     }
 
     /** Reads a file's bytes whole; anything torn, flipped or foreign in them is an error. */
     public static OperatorsState decode(byte[] bytes) throws DamagedFileException {
         final ChecksummedFile framed = ChecksummedFile.decode(KIND, bytes);
         try {
-            final Body read = GSON.fromJson(new String(framed.body(), StandardCharsets.UTF_8), Body.class);
-            if (read.banned().size() > MAX_BANNED || read.banned().stream().anyMatch(id -> id == null)) {
+            final Body read =
+                    GSON.fromJson(new String(framed.body(), StandardCharsets.UTF_8), Body.class);
+            if (read.banned().size() > MAX_BANNED
+                    || read.banned().stream().anyMatch(id -> id == null)) {
                 throw new DamagedFileException("it names no usable workers");
             }
-            return new OperatorsState(framed.generation(), new TreeSet<>(read.banned()), read.drained());
+            return new OperatorsState(
+                    framed.generation(), new TreeSet<>(read.banned()), read.drained());
         } catch (JsonParseException | NullPointerException e) {
-            throw new DamagedFileException("its content is not that of operators' state: " + e.getMessage());
+            throw new DamagedFileException(
+                    "its content is not that of operators' state: " + e.getMessage());
         }
     }
 
--- a/src/main/java/cresschute/control/VersionedTable.java
+++ b/src/main/java/cresschute/control/VersionedTable.java
@@ -7,15 +7,18 @@
 import java.util.Map;
 
 /**
- * What consoles see, as rows of text under a key, each with the number of the change that made it what it
- * is. A console that holds everything up to some number is told the rows that are newer, whichever changes
- * lay between: so what waits for a slow console is at most one version of each row, and never a queue of
- * changes. Rows that went away are remembered for a while; a console from before that starts anew.
- * Pure; its owner is the loop.
+ * What consoles see, as rows of text under a key, each with the number of the change that made it
+ * what it is. A console that holds everything up to some number is told the rows that are newer,
+ * whichever changes lay between: so what waits for a slow console is at most one version of each
+ * row, and never a queue of changes. Rows that went away are remembered for a while; a console from
+ * before that starts anew. Pure; its owner is the loop.
  */
 public final class VersionedTable {
 
-    /** Rows that went away and are remembered; a console from before the oldest needs a whole picture. */
+    /**
+     * Rows that went away and are remembered; a console from before the oldest needs a whole
+     * picture.
+     */
     static final int MAX_GONE = 4_096;
 
     private record Row(String text, long number) {}
@@ -64,13 +67,22 @@
     public Delta since(long from) {
         final boolean whole = from <= 0 || from < forgottenUpTo || from > number;
         final Map<String, String> newer = new LinkedHashMap<>();
-        rows.forEach((key, row) -> {
-            if (whole || row.number() > from) {
-                newer.put(key, row.text());
-            }
-        });
-        final List<String> left = whole ? List.of() : gone.stream()
-            .filter(each -> each.number() > from && !rows.containsKey(each.key())).map(Gone::key).toList();
+        rows.forEach(
+                (key, row) -> {
+                    if (whole || row.number() > from) {
+                        newer.put(key, row.text());
+                    }
+                });
+        final List<String> left =
+                whole
+                        ? List.of()
+                        : gone.stream()
+                                .filter(
+                                        each ->
+                                                each.number() > from
+                                                        && !rows.containsKey(each.key()))
+                                .map(Gone::key)
+                                .toList();
         return new Delta(whole, number, newer, left);
     }
 }
--- a/src/main/java/cresschute/control/files/PrivateFolder.java
+++ b/src/main/java/cresschute/control/files/PrivateFolder.java
@@ -10,11 +10,15 @@
 
     private PrivateFolder() {}
 
-    /** Makes a folder, and those above it, with mode 0700; one that is there stays as it is. Blocks. */
+    /**
+     * Makes a folder, and those above it, with mode 0700; one that is there stays as it is. Blocks.
+     */
     public static void make(Path folder) throws IOException {
         if (!Files.isDirectory(folder)) {
-            Files.createDirectories(folder,
-                PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rwx------")));
+            Files.createDirectories(
+                    folder,
+                    PosixFilePermissions.asFileAttribute(
+                            PosixFilePermissions.fromString("rwx------")));
         }
     }
 }
--- a/src/main/java/cresschute/control/socket/ControlHandler.java
+++ b/src/main/java/cresschute/control/socket/ControlHandler.java
@@ -1,16 +1,19 @@
 package cresschute.control.socket;
 
 import com.google.gson.JsonObject;
-import cresschute.control.VersionedTable;
 import cresschute.control.ControlRequest;
 import cresschute.control.DrainRegistry.Operation;
 import cresschute.control.EventRing;
+import cresschute.control.VersionedTable;
 import java.util.function.Consumer;
 
 /** What the control socket stands before: the node's own part. All calls are on the loop. */
 public interface ControlHandler {
 
-    /** The run of the node: another one after each start, so that numbers of different runs do not mix. */
+    /**
+     * The run of the node: another one after each start, so that numbers of different runs do not
+     * mix.
+     */
     String boot();
 
     /** What is to be seen; {@link #look} brings it up to date. */
--- a/src/main/java/cresschute/control/socket/ControlServer.java
+++ b/src/main/java/cresschute/control/socket/ControlServer.java
@@ -29,19 +29,26 @@
 import java.util.Set;
 
 /**
- * The Unix domain socket at which consoles connect. The file's mode is the permission: 0600 in a folder of
- * 0700. All of it happens on the node's loop, save {@link #listen}, which looks at files.
+ * The Unix domain socket at which consoles connect. The file's mode is the permission: 0600 in a
+ * folder of 0700. All of it happens on the node's loop, save {@link #listen}, which looks at files.
  */
 public final class ControlServer {
 
     /** Sessions at a time. */
     public static final int MAX_SESSIONS = 16;
+
     /** Bytes that may wait for a console before it is told nothing more until it has read them. */
     static final int MAX_WAITING = 512 * 1024;
+
     private static final int LESS_WAITING = 64 * 1024;
-    private static final Set<PosixFilePermission> OTHERS = EnumSet.of(PosixFilePermission.GROUP_READ,
-        PosixFilePermission.GROUP_WRITE, PosixFilePermission.GROUP_EXECUTE, PosixFilePermission.OTHERS_READ,
-        PosixFilePermission.OTHERS_WRITE, PosixFilePermission.OTHERS_EXECUTE);
+    private static final Set<PosixFilePermission> OTHERS =
+            EnumSet.of(
+                    PosixFilePermission.GROUP_READ,
+                    PosixFilePermission.GROUP_WRITE,
+                    PosixFilePermission.GROUP_EXECUTE,
+                    PosixFilePermission.OTHERS_READ,
+                    PosixFilePermission.OTHERS_WRITE,
+                    PosixFilePermission.OTHERS_EXECUTE);
     private static final Logger LOG = System.getLogger("cresschute.control");
 
     private final EventLoop loop;
@@ -65,29 +72,42 @@
         final Set<PosixFilePermission> open = EnumSet.copyOf(OTHERS);
         open.retainAll(Files.getPosixFilePermissions(folder));
         if (!open.isEmpty()) {
-            throw new IOException("the folder of the control socket, " + folder
-                + ", is open to others; chmod 700 it or name another");
+            throw new IOException(
+                    "the folder of the control socket, "
+                            + folder
+                            + ", is open to others; chmod 700 it or name another");
         }
         removeStale();
-        final ChannelFuture bound = new ServerBootstrap().group(loop)
-            .channel(NioServerDomainSocketChannel.class)
-            .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK,
-                new WriteBufferWaterMark(LESS_WAITING, MAX_WAITING))
-            .childHandler(new ChannelInitializer<Channel>() {
-                @Override
-                protected void initChannel(Channel channel) {
-                    open(channel);
-                }
-            }).bind(UnixDomainSocketAddress.of(file)).awaitUninterruptibly();
+        final ChannelFuture bound =
+                new ServerBootstrap()
+                        .group(loop)
+                        .channel(NioServerDomainSocketChannel.class)
+                        .childOption(
+                                ChannelOption.WRITE_BUFFER_WATER_MARK,
+                                new WriteBufferWaterMark(LESS_WAITING, MAX_WAITING))
+                        .childHandler(
+                                new ChannelInitializer<Channel>() {
+                                    @Override
+                                    protected void initChannel(Channel channel) {
+                                        open(channel);
+                                    }
+                                })
+                        .bind(UnixDomainSocketAddress.of(file))
+                        .awaitUninterruptibly();
         if (!bound.isSuccess()) {
-            throw new IOException("cannot listen on the control socket " + file + ": "
-                + bound.cause().getMessage(), bound.cause());
+            throw new IOException(
+                    "cannot listen on the control socket "
+                            + file
+                            + ": "
+                            + bound.cause().getMessage(),
+                    bound.cause());
         }
         server = bound.channel();
         // Nobody else could come before this: the folder keeps them out.
         Files.setPosixFilePermissions(file, PosixFilePermissions.fromString("rw-------"));
-        LogEvent.of("control_listening", "consoles can connect at " + file).with("file", file)
-            .log(LOG, Level.INFO);
+        LogEvent.of("control_listening", "consoles can connect at " + file)
+                .with("file", file)
+                .log(LOG, Level.INFO);
     }
 
     /** A killed node leaves its socket behind; one that answers is another node's. */
@@ -96,8 +116,10 @@
             return;
         }
         if (Files.isRegularFile(file, LinkOption.NOFOLLOW_LINKS) || Files.isDirectory(file)) {
-            throw new IOException(file + " is there and is no socket; name another file for the control"
-                + " socket");
+            throw new IOException(
+                    file
+                            + " is there and is no socket; name another file for the control"
+                            + " socket");
         }
         if (isAnswered()) {
             throw new IOException("another node listens on the control socket " + file);
@@ -122,10 +144,14 @@
         }
         sessions.add(session);
         channel.closeFuture().addListener(closed -> sessions.remove(session));
-        // The flow control guards the heap: one read brings many short requests, and without it each of them
+        // The flow control guards the heap: one read brings many short requests, and without it
+        // each of them
         // would be answered in full, however little of that is taken.
-        channel.pipeline().addLast(new LineBasedFrameDecoder(ControlRequest.MAX_LINE),
-            new FlowControlHandler(), session);
+        channel.pipeline()
+                .addLast(
+                        new LineBasedFrameDecoder(ControlRequest.MAX_LINE),
+                        new FlowControlHandler(),
+                        session);
     }
 
     /** Whether anybody follows what the board shows. */
@@ -155,7 +181,8 @@
             } catch (IOException e) {
                 // The next start finds that nobody listens there and removes it.
                 LogEvent.of("control_file_left", "the control socket " + file + " was left behind")
-                    .because(e).log(LOG, Level.WARNING);
+                        .because(e)
+                        .log(LOG, Level.WARNING);
             }
         }
     }
--- a/src/main/java/cresschute/control/socket/ControlSession.java
+++ b/src/main/java/cresschute/control/socket/ControlSession.java
@@ -3,11 +3,11 @@
 import com.google.gson.Gson;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
-import cresschute.control.VersionedTable;
 import cresschute.control.ControlRequest;
 import cresschute.control.ControlRequest.InvalidRequestException;
 import cresschute.control.EventRing;
 import cresschute.control.EventRing.Happening;
+import cresschute.control.VersionedTable;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFutureListener;
@@ -18,16 +18,18 @@
 import java.util.Map;
 
 /**
- * One console's connection. It is read only while what was written to it is taken, and it is told news only
- * then: a console that stops reading costs a bounded piece of memory, and the newest state once it reads
- * again. All on the loop.
+ * One console's connection. It is read only while what was written to it is taken, and it is told
+ * news only then: a console that stops reading costs a bounded piece of memory, and the newest
+ * state once it reads again. All on the loop.
  */
 final class ControlSession extends SimpleChannelInboundHandler<ByteBuf> {
 
     /** A console that has not read for so long is let go, us. */
     static final long STALLED_US = 30_000_000;
+
     /** A console that follows rows hears at least this often that its picture holds, us. */
     private static final long BEAT_US = 1_000_000;
+
     private static final Gson GSON = new Gson();
 
     private final long number;
@@ -74,7 +76,8 @@
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, ByteBuf bytes) {
         try {
-            final ControlRequest request = ControlRequest.parse(bytes.toString(StandardCharsets.UTF_8));
+            final ControlRequest request =
+                    ControlRequest.parse(bytes.toString(StandardCharsets.UTF_8));
             handler.audit(number, request);
             answer(request);
         } catch (InvalidRequestException e) {
@@ -91,26 +94,37 @@
             case SUBSCRIBE -> {
                 handler.look();
                 // A number of another run of the node means nothing here.
-                final VersionedTable.Delta news = handler.board().since(request.boot().equals(handler.boot())
-                    ? request.from() : 0);
+                final VersionedTable.Delta news =
+                        handler.board()
+                                .since(request.boot().equals(handler.boot()) ? request.from() : 0);
                 rows = true;
                 toldRows = news.number();
                 write(news(request.id(), news, null));
             }
             case EVENTS -> {
                 // Nor does one of another run's events; a script that names no run means this one.
-                final EventRing.Read read = handler.events().after(request.boot().isEmpty()
-                    || request.boot().equals(handler.boot()) ? request.after() : 0);
+                final EventRing.Read read =
+                        handler.events()
+                                .after(
+                                        request.boot().isEmpty()
+                                                        || request.boot().equals(handler.boot())
+                                                ? request.after()
+                                                : 0);
                 events = true;
                 toldEvents = handler.events().last();
                 write(news(request.id(), null, read));
             }
-            case DRAIN, UNDRAIN -> handler.carryOut(request.operation(), fields -> {
-                final JsonObject answer = new JsonObject();
-                answer.addProperty("re", request.id());
-                fields.entrySet().forEach(each -> answer.add(each.getKey(), each.getValue()));
-                write(answer.toString());
-            });
+            case DRAIN, UNDRAIN ->
+                    handler.carryOut(
+                            request.operation(),
+                            fields -> {
+                                final JsonObject answer = new JsonObject();
+                                answer.addProperty("re", request.id());
+                                fields.entrySet()
+                                        .forEach(
+                                                each -> answer.add(each.getKey(), each.getValue()));
+                                write(answer.toString());
+                            });
         }
     }
 
@@ -126,10 +140,14 @@
             return;
         }
         stalledSinceUs = 0;
-        final VersionedTable.Delta news = rows && handler.board().number() != toldRows ? handler.board().since(toldRows)
-            : null;
-        final EventRing.Read read = events && handler.events().last() != toldEvents
-            ? handler.events().after(toldEvents) : null;
+        final VersionedTable.Delta news =
+                rows && handler.board().number() != toldRows
+                        ? handler.board().since(toldRows)
+                        : null;
+        final EventRing.Read read =
+                events && handler.events().last() != toldEvents
+                        ? handler.events().after(toldEvents)
+                        : null;
         if (news != null || read != null || rows && nowUs - startReportedAtUs >= BEAT_US) {
             startReportedAtUs = nowUs;
             toldRows = news == null ? toldRows : news.number();
@@ -146,11 +164,17 @@
         }
         out.append("\"boot\":").append(GSON.toJson(handler.boot()));
         if (news != null) {
-            out.append(",\"number\":").append(news.number()).append(",\"whole\":").append(news.whole())
-                .append(",\"rows\":{");
+            out.append(",\"number\":")
+                    .append(news.number())
+                    .append(",\"whole\":")
+                    .append(news.whole())
+                    .append(",\"rows\":{");
             String comma = "";
             for (final Map.Entry<String, String> row : news.rows().entrySet()) {
-                out.append(comma).append(GSON.toJson(row.getKey())).append(':').append(row.getValue());
+                out.append(comma)
+                        .append(GSON.toJson(row.getKey()))
+                        .append(':')
+                        .append(row.getValue());
                 comma = ",";
             }
             out.append("},\"gone\":").append(GSON.toJson(news.gone()));
--- a/src/main/java/cresschute/control/socket/ManagementServer.java
+++ b/src/main/java/cresschute/control/socket/ManagementServer.java
@@ -30,17 +30,19 @@
 import java.util.function.Consumer;
 
 /**
- * Where the platform's operators call: TCP, one line to a connection, answered by one line that begins with
- * {@code 200} or {@code 400}, and then closed. Whoever sends nothing, or half a call, holds only a
- * descriptor: every connection has its own timers and none waits for another. All of it is on the node's
- * loop, so an answer is as late as a turn of that loop at most.
+ * Where the platform's operators call: TCP, one line to a connection, answered by one line that
+ * begins with {@code 200} or {@code 400}, and then closed. Whoever sends nothing, or half a call,
+ * holds only a descriptor: every connection has its own timers and none waits for another. All of
+ * it is on the node's loop, so an answer is as late as a turn of that loop at most.
  */
 public final class ManagementServer {
 
     /** A call whose end has not come by then is answered as incomplete, ms. */
     static final long HALF_CALL_MS = 2_000;
+
     /** A caller that has said nothing by then is let go, ms. */
     static final long SILENT_MS = 5_000;
+
     private static final Logger LOG = System.getLogger("cresschute.management");
 
     /** The node's side of it; all calls are on the loop. */
@@ -62,7 +64,8 @@
      *
      * @param maxCallers connections held at a time; the next ones are told so and closed
      */
-    public ManagementServer(EventLoop loop, InetSocketAddress address, int maxCallers, ManagementHandler handler) {
+    public ManagementServer(
+            EventLoop loop, InetSocketAddress address, int maxCallers, ManagementHandler handler) {
         this.loop = loop;
         this.address = address;
         this.maxCallers = maxCallers;
@@ -71,34 +74,57 @@
 
     /** Binds; the future fails where nothing can listen there. */
     public ChannelFuture listen() {
-        final ChannelFuture bound = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-            .option(ChannelOption.RECVBUF_ALLOCATOR, oneAtATime())
-            .childOption(ChannelOption.TCP_NODELAY, true)
-            .childHandler(new ChannelInitializer<Channel>() {
-                @Override
-                protected void initChannel(Channel channel) {
-                    if (callers.size() >= maxCallers) {
-                        channel.writeAndFlush(line("400 " + maxCallers + " callers are here; call again"))
-                            .addListener(ChannelFutureListener.CLOSE);
-                        return;
-                    }
-                    callers.add(channel);
-                    channel.closeFuture().addListener(closed -> callers.remove(channel));
-                    final Caller caller = new Caller();
-                    channel.pipeline().addLast(new ChannelInboundHandlerAdapter() {
-                        @Override
-                        public void channelRead(ChannelHandlerContext ctx, Object message) {
-                            caller.begun();
-                            ctx.fireChannelRead(message);
-                        }
-                    }, new LineBasedFrameDecoder(ManagementCall.MAX_LINE + 2, true, true), caller);
-                }
-            }).bind(address);
+        final ChannelFuture bound =
+                new ServerBootstrap()
+                        .group(loop)
+                        .channel(NioServerSocketChannel.class)
+                        .option(ChannelOption.RECVBUF_ALLOCATOR, oneAtATime())
+                        .childOption(ChannelOption.TCP_NODELAY, true)
+                        .childHandler(
+                                new ChannelInitializer<Channel>() {
+                                    @Override
+                                    protected void initChannel(Channel channel) {
+                                        if (callers.size() >= maxCallers) {
+                                            channel.writeAndFlush(
+                                                            line(
+                                                                    "400 "
+                                                                            + maxCallers
+                                                                            + " callers are here;"
+                                                                            + " call again"))
+                                                    .addListener(ChannelFutureListener.CLOSE);
+                                            return;
+                                        }
+                                        callers.add(channel);
+                                        channel.closeFuture()
+                                                .addListener(closed -> callers.remove(channel));
+                                        final Caller caller = new Caller();
+                                        channel.pipeline()
+                                                .addLast(
+                                                        new ChannelInboundHandlerAdapter() {
+                                                            @Override
+                                                            public void channelRead(
+                                                                    ChannelHandlerContext ctx,
+                                                                    Object message) {
+                                                                caller.begun();
+                                                                ctx.fireChannelRead(message);
+                                                            }
+                                                        },
+                                                        new LineBasedFrameDecoder(
+                                                                ManagementCall.MAX_LINE + 2,
+                                                                true,
+                                                                true),
+                                                        caller);
+                                    }
+                                })
+                        .bind(address);
         server = bound.channel();
         return bound;
     }
 
-    /** One connection a reading of the listener: a caller too many is closed before the next is accepted. */
+    /**
+     * One connection a reading of the listener: a caller too many is closed before the next is
+     * accepted.
+     */
     private static RecvByteBufAllocator oneAtATime() {
         return new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(1);
     }
@@ -117,8 +143,8 @@
     }
 
     private static ByteBuf line(String text) {
-        return Unpooled.copiedBuffer(text.replace('\n', ' ').replace('\r', ' ') + "\n",
-            StandardCharsets.UTF_8);
+        return Unpooled.copiedBuffer(
+                text.replace('\n', ' ').replace('\r', ' ') + "\n", StandardCharsets.UTF_8);
     }
 
     /** One connection: its line, its answer, its timers. */
@@ -131,17 +157,29 @@
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            half = loop.schedule(() -> {
-                if (heard && !answered) {
-                    answer(ctx, "400 incomplete call: no end of line came within " + HALF_CALL_MS + " ms");
-                }
-            }, HALF_CALL_MS, TimeUnit.MILLISECONDS);
-            silent = loop.schedule(() -> {
-                if (!answered) {
-                    answered = true;
-                    ctx.close();
-                }
-            }, SILENT_MS, TimeUnit.MILLISECONDS);
+            half =
+                    loop.schedule(
+                            () -> {
+                                if (heard && !answered) {
+                                    answer(
+                                            ctx,
+                                            "400 incomplete call: no end of line came within "
+                                                    + HALF_CALL_MS
+                                                    + " ms");
+                                }
+                            },
+                            HALF_CALL_MS,
+                            TimeUnit.MILLISECONDS);
+            silent =
+                    loop.schedule(
+                            () -> {
+                                if (!answered) {
+                                    answered = true;
+                                    ctx.close();
+                                }
+                            },
+                            SILENT_MS,
+                            TimeUnit.MILLISECONDS);
             ctx.fireChannelActive();
         }
 
@@ -162,8 +200,9 @@
                 }
                 answered = true;
                 LogEvent.of("operators_called", "operators call: " + text.strip())
-                    .with("call", call.verb().word()).with("worker", String.valueOf(call.worker()))
-                    .log(LOG, Level.INFO);
+                        .with("call", call.verb().word())
+                        .with("worker", String.valueOf(call.worker()))
+                        .log(LOG, Level.INFO);
                 handler.call(call, answer -> write(ctx, answer));
             } finally {
                 frame.release();
--- a/src/main/java/cresschute/dispatch/Attempt.java
+++ b/src/main/java/cresschute/dispatch/Attempt.java
@@ -12,7 +12,10 @@
     boolean silent;
     boolean still;
 
-    /** Notes a word of its progress: it is heard, and the first tells when it began and how far it got. */
+    /**
+     * Notes a word of its progress: it is heard, and the first tells when it began and how far it
+     * got.
+     */
     void heard(long nowUs, double fractionDone) {
         lastProgressUs = nowUs;
         still = false;
--- a/src/main/java/cresschute/dispatch/AttemptLimits.java
+++ b/src/main/java/cresschute/dispatch/AttemptLimits.java
@@ -1,8 +1,8 @@
 package cresschute.dispatch;
 
 /**
- * What the host allows. {@code maxRetryAfterUs} is 0 where clients take no advice; {@code allowsHedging}
- * tells whether a request may be out twice at a time.
+ * What the host allows. {@code maxRetryAfterUs} is 0 where clients take no advice; {@code
+ * allowsHedging} tells whether a request may be out twice at a time.
  */
 public record AttemptLimits(int maxAttempts, long maxRetryAfterUs, boolean allowsHedging) {
     public AttemptLimits {
--- a/src/main/java/cresschute/dispatch/DemandBuckets.java
+++ b/src/main/java/cresschute/dispatch/DemandBuckets.java
@@ -22,7 +22,8 @@
 
     /** The cell of a job that takes so many slots. */
     DemandBucket of(int requestClass, double slots, boolean overQuota) {
-        final int size = (int) Math.max(0, Math.min(SIZES - 1, Math.ceil(Math.log(slots) / Math.log(2))));
+        final int size =
+                (int) Math.max(0, Math.min(SIZES - 1, Math.ceil(Math.log(slots) / Math.log(2))));
         return all.get((requestClass * SIZES + size) * 2 + (overQuota ? 1 : 0));
     }
 
--- a/src/main/java/cresschute/dispatch/DispatcherEvents.java
+++ b/src/main/java/cresschute/dispatch/DispatcherEvents.java
@@ -18,8 +18,15 @@
     void jobProgressed(long nowUs, int requestId, int attempt, int workerId, double fractionDone);
 
     /** An attempt ended, once for each send. {@code requestClosed}: no answer is owed any more. */
-    void attemptEnded(long nowUs, int requestId, int attempt, int workerId, Outcome outcome, long elapsedUs,
-        boolean requestClosed, LoadReport report);
+    void attemptEnded(
+            long nowUs,
+            int requestId,
+            int attempt,
+            int workerId,
+            Outcome outcome,
+            long elapsedUs,
+            boolean requestClosed,
+            LoadReport report);
 
     /** A probe ended, one call for each, or a load is known unasked; {@code SERVED} where known. */
     void loadReported(long nowUs, int workerId, Outcome outcome, LoadReport report);
@@ -31,11 +38,12 @@
     void timerFired(long nowUs, long token);
 
     /**
-     * The settings change while the module runs, as an operator changed them. The classes told before
-     * come first, unchanged and in their order, and new ones may follow; a class that no longer comes
-     * stays and is simply not asked for any more, so a request under way keeps its class. The number of
-     * attempts allowed may fall: that holds for requests under way too, while a rise holds only for those
-     * that arrive later. The dispatcher's zone and the numbers of zones and kinds stay as they were.
+     * The settings change while the module runs, as an operator changed them. The classes told
+     * before come first, unchanged and in their order, and new ones may follow; a class that no
+     * longer comes stays and is simply not asked for any more, so a request under way keeps its
+     * class. The number of attempts allowed may fall: that holds for requests under way too, while
+     * a rise holds only for those that arrive later. The dispatcher's zone and the numbers of zones
+     * and kinds stay as they were.
      *
      * @throws IllegalArgumentException where the classes told before, the zones or the kinds differ
      */
--- a/src/main/java/cresschute/dispatch/EndpointListForm.java
+++ b/src/main/java/cresschute/dispatch/EndpointListForm.java
@@ -1,6 +1,12 @@
 package cresschute.dispatch;
 
-/** What a piece of list news holds; {@code FAILED} means a watch or attempt failed and the list stands. */
+/**
+ * What a piece of list news holds; {@code FAILED} means a watch or attempt failed and the list
+ * stands.
+ */
 public enum EndpointListForm {
-    CHANGES, FULL, CACHED, FAILED
+    CHANGES,
+    FULL,
+    CACHED,
+    FAILED
 }
--- a/src/main/java/cresschute/dispatch/Idempotency.java
+++ b/src/main/java/cresschute/dispatch/Idempotency.java
@@ -1,4 +1,8 @@
 package cresschute.dispatch;
 
 /** What a repeat of a request may do. */
-public enum Idempotency { SAFE, KEYED, UNSAFE }
+public enum Idempotency {
+    SAFE,
+    KEYED,
+    UNSAFE
+}
--- a/src/main/java/cresschute/dispatch/Job.java
+++ b/src/main/java/cresschute/dispatch/Job.java
@@ -9,5 +9,10 @@
  * @param dataKey what it concerns; jobs of one key need the same data at their worker. 0: nothing
  * @param clientRetry set where clients mark their retries
  */
-public record Job(int requestClass, int tenant, double slots, long runningTimeHintUs, long dataKey,
-    boolean clientRetry) {}
+public record Job(
+        int requestClass,
+        int tenant,
+        double slots,
+        long runningTimeHintUs,
+        long dataKey,
+        boolean clientRetry) {}
--- a/src/main/java/cresschute/dispatch/Placement.java
+++ b/src/main/java/cresschute/dispatch/Placement.java
@@ -23,13 +23,13 @@
     /** Whether the bounds leave this worker open. */
     public boolean allows(Worker worker) {
         return (zones == null || zones.contains(worker.zone()))
-            && (kinds == null || kinds.contains(worker.kind()));
+                && (kinds == null || kinds.contains(worker.kind()));
     }
 
     /** Whether all that the other leaves open is open here too. */
     public boolean contains(Placement other) {
         return (zones == null || other.zones != null && zones.containsAll(other.zones))
-            && (kinds == null || other.kinds != null && kinds.containsAll(other.kinds));
+                && (kinds == null || other.kinds != null && kinds.containsAll(other.kinds));
     }
 
     private static List<Integer> sorted(List<Integer> bound) {
@@ -38,6 +38,6 @@
 
     boolean isWithin(int zoneCount, int kindCount) {
         return (zones == null || zones.get(0) >= 0 && zones.get(zones.size() - 1) < zoneCount)
-            && (kinds == null || kinds.get(0) >= 0 && kinds.get(kinds.size() - 1) < kindCount);
+                && (kinds == null || kinds.get(0) >= 0 && kinds.get(kinds.size() - 1) < kindCount);
     }
 }
--- a/src/main/java/cresschute/dispatch/QuotaMeter.java
+++ b/src/main/java/cresschute/dispatch/QuotaMeter.java
@@ -4,6 +4,7 @@
 final class QuotaMeter {
     /** A saved share, us, and the least of it, requests: covers chance bunching of arrivals. */
     private static final double BURST_US = 2_000_000;
+
     private static final double BURST = 3;
 
     final double quotaPerUs;
--- a/src/main/java/cresschute/dispatch/WeightSource.java
+++ b/src/main/java/cresschute/dispatch/WeightSource.java
@@ -1,6 +1,11 @@
 package cresschute.dispatch;
 
-/** Meaning of a worker's weight. {@code LIVE} is its size over one plus the requests held by a core. */
+/**
+ * Meaning of a worker's weight. {@code LIVE} is its size over one plus the requests held by a core.
+ */
 public enum WeightSource {
-    NONE, NOMINAL, ROUGH, LIVE
+    NONE,
+    NOMINAL,
+    ROUGH,
+    LIVE
 }
--- a/src/main/java/cresschute/dispatch/WorkerInstance.java
+++ b/src/main/java/cresschute/dispatch/WorkerInstance.java
@@ -30,7 +30,8 @@
     long coldSinceUs;
     final ArrayDeque<PendingRequest> askers = new ArrayDeque<>();
 
-    WorkerInstance(Worker listed, WorkerKind kind, List<WorkerGroup> pools, int slots, int classes) {
+    WorkerInstance(
+            Worker listed, WorkerKind kind, List<WorkerGroup> pools, int slots, int classes) {
         this.listed = listed;
         this.kind = kind;
         this.pools = pools;
@@ -49,8 +50,10 @@
 
     /** Whether an entry tells of this run of this machine, whatever its state. */
     boolean isSameRun(Worker entry) {
-        return listed.startedAtUs() == entry.startedAtUs() && listed.zone() == entry.zone()
-            && listed.kind() == entry.kind() && listed.cell() == entry.cell();
+        return listed.startedAtUs() == entry.startedAtUs()
+                && listed.zone() == entry.zone()
+                && listed.kind() == entry.kind()
+                && listed.cell() == entry.cell();
     }
 
     /** It told something of a job: it does not stand still. */
@@ -65,13 +68,19 @@
         kind.learnRun(ratio);
     }
 
-    /** Takes in how much longer than usual a job took or takes, waiting as it may; tells of its kind too. */
+    /**
+     * Takes in how much longer than usual a job took or takes, waiting as it may; tells of its kind
+     * too.
+     */
     void learnPace(double ratio) {
         slowness += SLOWNESS_WEIGHT * (ratio / kind.slowness - slowness);
         kind.learnSlowness(ratio);
     }
 
-    /** Work that it may be sent while cold, with this part new in each window; below 0: it was sent ahead. */
+    /**
+     * Work that it may be sent while cold, with this part new in each window; below 0: it was sent
+     * ahead.
+     */
     double coldTokens(long nowUs, double part, long windowUs) {
         coldTokens = Math.min(part, coldTokens + part * (nowUs - coldSinceUs) / windowUs);
         coldSinceUs = nowUs;
--- a/src/main/java/cresschute/flow/Body.java
+++ b/src/main/java/cresschute/flow/Body.java
@@ -7,23 +7,29 @@
 import java.util.function.Consumer;
 
 /**
- * A body on its way from whoever sends it to us to whoever we send it to, in pieces, with no more of it held
- * than there is room for.
+ * A body on its way from whoever sends it to us to whoever we send it to, in pieces, with no more
+ * of it held than there is room for.
  *
- * <p>While no more than a bound has been read, all of it is kept from byte 0 on, and any number of senders
- * may go over it, each for itself: that is what a further attempt or a hedged request needs. Once more has been
- * read, the sender that is furthest goes on alone, the others are cut off, and what was sent is let go.
+ * <p>While no more than a bound has been read, all of it is kept from byte 0 on, and any number of
+ * senders may go over it, each for itself: that is what a further attempt or a hedged request
+ * needs. Once more has been read, the sender that is furthest goes on alone, the others are cut
+ * off, and what was sent is let go.
  *
- * <p>Pure: pieces are of any kind and counted by what they cost; {@code release} is called once for each when
- * it is no longer held here. A sender that passes a piece on keeps a hold of its own on it until it is
- * written. Owned by one thread.
+ * <p>Pure: pieces are of any kind and counted by what they cost; {@code release} is called once for
+ * each when it is no longer held here. A sender that passes a piece on keeps a hold of its own on
+ * it until it is written. Owned by one thread.
  *
  * @param <P> a piece, such as a buffer
  */
 public final class Body<P> {
 
     /** How far the body has come in. */
-    public enum State { OPEN, WHOLE, BROKEN, CLOSED }
+    public enum State {
+        OPEN,
+        WHOLE,
+        BROKEN,
+        CLOSED
+    }
 
     private record Piece<P>(P content, long cost) {}
 
@@ -32,8 +38,10 @@
     private final Consumer<P> release;
     private final List<Piece<P>> held = new ArrayList<>();
     private final List<Sender> senders = new ArrayList<>();
+
     /** Pieces let go of so far: the number of the first that is held. */
     private int letGo;
+
     private long room;
     private long read;
     private boolean spooling = true;
@@ -43,7 +51,8 @@
      * A body of which nothing is read.
      *
      * @param account its room, which is closed with it
-     * @param spoolBound cost up to which it can be sent anew; no more than its account can hold at all
+     * @param spoolBound cost up to which it can be sent anew; no more than its account can hold at
+     *     all
      */
     public Body(Budget.Account account, long spoolBound, Consumer<P> release) {
         this.account = Objects.requireNonNull(account);
@@ -54,8 +63,8 @@
     // ---- In ----
 
     /**
-     * Room to read up to so much now. Without any, the account tells when there is some; what was given and
-     * not used stays good.
+     * Room to read up to so much now. Without any, the account tells when there is some; what was
+     * given and not used stays good.
      */
     public long room(long wanted) {
         if (state != State.OPEN) {
@@ -70,7 +79,10 @@
         return Math.min(room, wanted);
     }
 
-    /** Asks until there is enough or nothing: only an account that was given nothing is told of more. */
+    /**
+     * Asks until there is enough or nothing: only an account that was given nothing is told of
+     * more.
+     */
     private void takeRoom(long wanted) {
         long more = Long.MAX_VALUE;
         while (room < wanted && more > 0) {
@@ -79,7 +91,10 @@
         }
     }
 
-    /** Whether all that is held has been sent by one sender, so that no room comes back by its going on. */
+    /**
+     * Whether all that is held has been sent by one sender, so that no room comes back by its going
+     * on.
+     */
     private boolean isStuck() {
         return !held.isEmpty() && !senders.isEmpty() && furthest().sent == letGo + held.size();
     }
@@ -91,7 +106,8 @@
     /** A piece that was read, within the room that was given. */
     public void add(P content, long cost) {
         if (state != State.OPEN || cost > room) {
-            throw new IllegalStateException("a piece of " + cost + " with room for " + room + ", " + state);
+            throw new IllegalStateException(
+                    "a piece of " + cost + " with room for " + room + ", " + state);
         }
         held.add(new Piece<>(content, cost));
         room -= cost;
@@ -155,7 +171,8 @@
     }
 
     /**
-     * A sender that begins at byte 0, or null where part of the body is gone or goes with another sender.
+     * A sender that begins at byte 0, or null where part of the body is gone or goes with another
+     * sender.
      *
      * @param news told whenever there is more to send, no more will come, or the sender is cut off
      */
@@ -186,7 +203,9 @@
 
         /** The next piece, or null where none has come yet or it may not go on. */
         public P next() {
-            return isCurrent() && next < letGo + held.size() ? held.get(next++ - letGo).content() : null;
+            return isCurrent() && next < letGo + held.size()
+                    ? held.get(next++ - letGo).content()
+                    : null;
         }
 
         /** The first piece that was taken and not yet sent is written. */
--- a/src/main/java/cresschute/flow/Budget.java
+++ b/src/main/java/cresschute/flow/Budget.java
@@ -7,13 +7,15 @@
 import java.util.Objects;
 
 /**
- * The bytes that all bodies of a node may hold at a time. A body that is admitted owns a window that nobody
- * can take, so that none starves; what is left is lent beyond the windows, to those that asked first, a
- * piece at a time. What is given back goes first to whoever waits, in the order of asking.
+ * The bytes that all bodies of a node may hold at a time. A body that is admitted owns a window
+ * that nobody can take, so that none starves; what is left is lent beyond the windows, to those
+ * that asked first, a piece at a time. What is given back goes first to whoever waits, in the order
+ * of asking.
  *
- * <p>The less is free, the less each is lent, so that what is lent to bodies that stand still leaves room for
- * the windows of others: the dynamic thresholds of shared-memory switches (Choudhury and Hahne, IEEE/ACM
- * Transactions on Networking 6(2), 1998), with a share of the free part as the threshold.
+ * <p>The less is free, the less each is lent, so that what is lent to bodies that stand still
+ * leaves room for the windows of others: the dynamic thresholds of shared-memory switches
+ * (Choudhury and Hahne, IEEE/ACM Transactions on Networking 6(2), 1998), with a share of the free
+ * part as the threshold.
  *
  * <p>Pure: no clock, no I/O and no bytes, only their numbers. Its owner is one thread.
  */
@@ -39,7 +41,11 @@
      * @param maxPerClient bytes of windows of one client's bodies together
      */
     public Budget(long total, long window, long maxLent, long lendShare, long maxPerClient) {
-        if (window <= 0 || total < window || maxLent < 0 || lendShare < 1 || maxPerClient < window) {
+        if (window <= 0
+                || total < window
+                || maxLent < 0
+                || lendShare < 1
+                || maxPerClient < window) {
             throw new IllegalArgumentException("a budget has room for one window at least");
         }
         this.total = total;
@@ -50,7 +56,10 @@
     }
 
     /** Why a body is not admitted. */
-    public enum Refusal { NODE_FULL, CLIENT_FULL }
+    public enum Refusal {
+        NODE_FULL,
+        CLIENT_FULL
+    }
 
     /** Either an account or the reason why there is none. */
     public record Admission(Account account, Refusal refusal) {}
@@ -58,14 +67,16 @@
     /**
      * Opens an account for a body, if its window fits.
      *
-     * @param granted told whenever credit that was asked for in vain has come; may ask again at once
+     * @param granted told whenever credit that was asked for in vain has come; may ask again at
+     *     once
      */
     public Admission open(String client, Runnable granted) {
         final long held = windowsOfClients.getOrDefault(client, 0L);
         if (held + window > maxPerClient) {
             return new Admission(null, Refusal.CLIENT_FULL);
         }
-        // Lent bytes are somebody's and come back by themselves; a window must be there from the start.
+        // Lent bytes are somebody's and come back by themselves; a window must be there from the
+        // start.
         if (inWindows + lent + window > total) {
             return new Admission(null, Refusal.NODE_FULL);
         }
@@ -89,7 +100,8 @@
     }
 
     private void lendToWaiting() {
-        // Each of those that wait now is served once at the most: one that asks again goes behind the others.
+        // Each of those that wait now is served once at the most: one that asks again goes behind
+        // the others.
         for (int left = waiting.size(); left > 0 && !waiting.isEmpty() && lendable() > 0; left--) {
             final Account next = waiting.pollFirst();
             if (next.lentHere() < lendable()) {
@@ -120,20 +132,20 @@
         }
 
         /**
-         * Takes room for up to so many bytes and returns for how many there was. If there was none, the body
-         * is told once there is.
+         * Takes room for up to so many bytes and returns for how many there was. If there was none,
+         * the body is told once there is.
          */
         public long take(long wanted) {
             if (closed || wanted <= 0) {
                 return 0;
             }
             final long own = Math.max(0, window - held);
-            final long borrowed = Math.max(0, Math.min(wanted - own,
-                lendable() - lentHere()));
+            final long borrowed = Math.max(0, Math.min(wanted - own, lendable() - lentHere()));
             final long taken = Math.min(wanted, own) + borrowed;
             held += taken;
             lent += borrowed;
-            // Bytes of its own that it gives back wake it by itself; only lent ones are worth queueing for.
+            // Bytes of its own that it gives back wake it by itself; only lent ones are worth
+            // queueing for.
             if (taken == 0 && lentHere() < maxLent && !queued) {
                 queued = true;
                 waiting.addLast(this);
@@ -167,7 +179,8 @@
             lent -= lentHere();
             held = 0;
             inWindows -= window;
-            windowsOfClients.merge(client, -window, (old, less) -> old + less == 0 ? null : old + less);
+            windowsOfClients.merge(
+                    client, -window, (old, less) -> old + less == 0 ? null : old + less);
             lendToWaiting();
         }
     }
--- a/src/main/java/cresschute/flow/Pace.java
+++ b/src/main/java/cresschute/flow/Pace.java
@@ -1,11 +1,13 @@
 package cresschute.flow;
 
 /**
- * Whether one side of a body moves at all, judged by progress and only while it is that side's turn: a sender
- * without credit, or a receiver to whom nothing is under way, waits for somebody else.
+ * Whether one side of a body moves at all, judged by progress and only while it is that side's
+ * turn: a sender without credit, or a receiver to whom nothing is under way, waits for somebody
+ * else.
  *
- * <p>A side is too slow once it has moved nothing for the longest stall, or less than the least rate over a
- * span of the same length; both in time that was its own. Pure, times in microseconds; owned by one thread.
+ * <p>A side is too slow once it has moved nothing for the longest stall, or less than the least
+ * rate over a span of the same length; both in time that was its own. Pure, times in microseconds;
+ * owned by one thread.
  */
 public final class Pace {
 
--- a/src/main/java/cresschute/health/HealthTracker.java
+++ b/src/main/java/cresschute/health/HealthTracker.java
@@ -10,30 +10,32 @@
 import org.HdrHistogram.IntCountsHistogram;
 
 /**
- * Who is well: from what passes on the sockets, the condition of each worker, with its reason and since
- * when, and rates and times for each worker and each class. It describes and never decides.
+ * Who is well: from what passes on the sockets, the condition of each worker, with its reason and
+ * since when, and rates and times for each worker and each class. It describes and never decides.
  *
  * <p>Pure: the clock is passed in, and its owner, the loop, is the only one to call it. Times are
- * microseconds of a clock that never goes back. Memory is bounded by the workers that are listed, or went
- * less than ten minutes ago: about 16 kB for each, as measured by {@code HealthTrackerTest}.
+ * microseconds of a clock that never goes back. Memory is bounded by the workers that are listed,
+ * or went less than ten minutes ago: about 16 kB for each, as measured by {@code
+ * HealthTrackerTest}.
  */
 public final class HealthTracker {
 
     /** How long a worker that is gone is still shown. */
     static final long GONE_SHOWN_US = 600_000_000L;
+
     private static final long MINUTE_US = 60_000_000L;
     private static final long S = 1_000_000L;
     private static final int SPARKS = 12;
     private static final int MIN_SAMPLES = 5;
     private static final double WEIGHT_OF_NEW = 0.2;
+
     /** A running job this many times older than the class's median counts as held up. */
     private static final double HELD_UP = 3;
+
     /** How long a worker that gets nothing to do is still called silent. */
     private static final long UNTRIED_US = 30 * S;
 
-    /**
-     * Times of served jobs, in milliseconds, or -1 where there were none.
-     */
+    /** Times of served jobs, in milliseconds, or -1 where there were none. */
     public record Times(long p50Ms, long p99Ms) {}
 
     /**
@@ -49,24 +51,50 @@
      * @param free free slots as last reported, or -1
      * @param reportUs when that report came, or 0
      */
-    public record View(Condition condition, String why, long sinceUs, int inFlight, int[] inFlightByClass,
-        double ratePerS, int failed, Times minute, Times tenMinutes, int[] sparks,
-        double queue, double free, long reportUs) {}
+    public record View(
+            Condition condition,
+            String why,
+            long sinceUs,
+            int inFlight,
+            int[] inFlightByClass,
+            double ratePerS,
+            int failed,
+            Times minute,
+            Times tenMinutes,
+            int[] sparks,
+            double queue,
+            double free,
+            long reportUs) {}
 
     /**
      * How a class is served, over the last minute.
      *
      * @param admitted requests that were not rejected at once, or failed, before any attempt
-     * @param inTime requests answered within their latency objective, as far as it can be told from here
+     * @param inTime requests answered within their latency objective, as far as it can be told from
+     *     here
      */
-    public record ClassView(int asked, int admitted, int served, int refused, int failed, int inTime,
-        int inFlight, Times minute, Times tenMinutes) {}
+    public record ClassView(
+            int asked,
+            int admitted,
+            int served,
+            int refused,
+            int failed,
+            int inTime,
+            int inFlight,
+            Times minute,
+            Times tenMinutes) {}
 
     /** What counts as in time in a class, and what that is worth. */
-    public record LatencyObjective(double priorityWeight, long latencyObjectiveUs, double stretch) {}
+    public record LatencyObjective(
+            double priorityWeight, long latencyObjectiveUs, double stretch) {}
 
     /** How a request was answered. */
-    public enum Answer { SERVED, REFUSED, FAILED, LEFT }
+    public enum Answer {
+        SERVED,
+        REFUSED,
+        FAILED,
+        LEFT
+    }
 
     /** An attempt that is out. */
     public final class Job {
@@ -96,8 +124,9 @@
             if (outcome == Outcome.CONNECT_FAILED) {
                 worker.connectFailures++;
                 worker.connectFailedUs = nowUs;
-            } else if (outcome != Outcome.TIMED_OUT && outcome != Outcome.CANCELLED
-                && outcome != Outcome.NOT_SENT) {
+            } else if (outcome != Outcome.TIMED_OUT
+                    && outcome != Outcome.CANCELLED
+                    && outcome != Outcome.NOT_SENT) {
                 worker.heardUs = nowUs;
                 worker.connectFailures = 0;
             }
@@ -113,9 +142,13 @@
             final long ranUs = ranUs(nowUs);
             final ClassHealth seen = classes.get(requestClass);
             if (seen.medianUs > 0) {
-                // Of logarithms: times of jobs spread by factors, and one heavy job is not to weigh for many.
-                worker.slowness += (Math.log(Math.max(1, ranUs) / (double) seen.medianUs) - worker.slowness)
-                    * (worker.samples < MIN_SAMPLES ? 1.0 / (worker.samples + 1) : WEIGHT_OF_NEW);
+                // Of logarithms: times of jobs spread by factors, and one heavy job is not to weigh
+                // for many.
+                worker.slowness +=
+                        (Math.log(Math.max(1, ranUs) / (double) seen.medianUs) - worker.slowness)
+                                * (worker.samples < MIN_SAMPLES
+                                        ? 1.0 / (worker.samples + 1)
+                                        : WEIGHT_OF_NEW);
                 worker.samples++;
             }
             seen.runs.add(nowUs, ranUs);
@@ -144,8 +177,10 @@
         private double queue = -1;
         private int connectFailures;
         private long connectFailedUs;
+
         /** Logarithm of how many times as long as elsewhere its jobs run. */
         private double slowness;
+
         private int samples;
         private Condition condition;
         private String why = "";
@@ -199,7 +234,8 @@
     // ---- What passes ----
 
     /** What the list says of a worker, and whether it is an operator who drains it. */
-    public void listed(long nowUs, int worker, WorkerState state, boolean byOperator, long startedUs) {
+    public void listed(
+            long nowUs, int worker, WorkerState state, boolean byOperator, long startedUs) {
         final WorkerHealth seen = workers.get(worker);
         if (seen == null) {
             if (state != WorkerState.GONE) {
@@ -258,8 +294,8 @@
      * @param waitedUs since it came
      * @param ranUs how long the job ran that served it
      */
-    public void answered(long nowUs, int requestClass, Answer answer, int attempts, long waitedUs,
-        long ranUs) {
+    public void answered(
+            long nowUs, int requestClass, Answer answer, int attempts, long waitedUs, long ranUs) {
         final ClassHealth seen = classes.get(requestClass);
         seen.admitted.add(nowUs, attempts > 0 ? 1 : 0);
         switch (answer) {
@@ -267,7 +303,9 @@
                 seen.served.add(nowUs, 1);
                 seen.minute.add(nowUs, waitedUs);
                 seen.tenMinutes.add(nowUs, waitedUs);
-                if (waitedUs <= seen.latencyObjective.latencyObjectiveUs() + seen.latencyObjective.stretch() * ranUs) {
+                if (waitedUs
+                        <= seen.latencyObjective.latencyObjectiveUs()
+                                + seen.latencyObjective.stretch() * ranUs) {
                     seen.inTime.add(nowUs, 1);
                 }
             }
@@ -287,19 +325,26 @@
         for (final ClassHealth seen : classes) {
             scratch.reset();
             seen.runs.addTo(scratch, nowUs);
-            seen.medianUs = scratch.getTotalCount() < MIN_SAMPLES ? 0
-                : scratch.getValueAtPercentile(50) * 1_000;
+            seen.medianUs =
+                    scratch.getTotalCount() < MIN_SAMPLES
+                            ? 0
+                            : scratch.getValueAtPercentile(50) * 1_000;
         }
         final List<Change> changes = new ArrayList<>();
-        workers.forEach((id, seen) -> {
-            final Condition before = seen.condition;
-            settle(seen, nowUs);
-            if (seen.condition != before) {
-                changes.add(new Change(id, before, seen.condition, seen.why));
-            }
-        });
-        workers.values().removeIf(seen -> seen.condition == Condition.GONE && seen.jobs.isEmpty()
-            && nowUs - seen.sinceUs >= GONE_SHOWN_US);
+        workers.forEach(
+                (id, seen) -> {
+                    final Condition before = seen.condition;
+                    settle(seen, nowUs);
+                    if (seen.condition != before) {
+                        changes.add(new Change(id, before, seen.condition, seen.why));
+                    }
+                });
+        workers.values()
+                .removeIf(
+                        seen ->
+                                seen.condition == Condition.GONE
+                                        && seen.jobs.isEmpty()
+                                        && nowUs - seen.sinceUs >= GONE_SHOWN_US);
         return changes;
     }
 
@@ -315,10 +360,15 @@
             seen.next = now;
             seen.nextSinceUs = nowUs;
         }
-        // What the list or an operator says is no measurement: it holds at once, and so does its end.
+        // What the list or an operator says is no measurement: it holds at once, and so does its
+        // end.
         final boolean told = seen.condition == null || isTold(now) || isTold(seen.condition);
-        final long holdUs = told ? 0 : now == Condition.FULL || now.compareTo(seen.condition) < 0
-            ? thresholds.betterAfterUs() : thresholds.worseAfterUs();
+        final long holdUs =
+                told
+                        ? 0
+                        : now == Condition.FULL || now.compareTo(seen.condition) < 0
+                                ? thresholds.betterAfterUs()
+                                : thresholds.worseAfterUs();
         if (nowUs - seen.nextSinceUs >= holdUs) {
             seen.condition = now;
             seen.why = why.toString();
@@ -333,13 +383,16 @@
 
     private Condition judge(WorkerHealth seen, long nowUs, StringBuilder why) {
         if (seen.listed == WorkerState.GONE) {
-            why.append("not on the list").append(seen.jobs.isEmpty() ? ""
-                : "; " + seen.jobs.size() + " still out");
+            why.append("not on the list")
+                    .append(seen.jobs.isEmpty() ? "" : "; " + seen.jobs.size() + " still out");
             return Condition.GONE;
         }
         if (seen.byOperator || seen.listed == WorkerState.DRAINING) {
-            why.append(seen.byOperator ? "by an operator" : "by the list").append(seen.jobs.isEmpty()
-                ? "; nothing is out there" : "; " + seen.jobs.size() + " still out");
+            why.append(seen.byOperator ? "by an operator" : "by the list")
+                    .append(
+                            seen.jobs.isEmpty()
+                                    ? "; nothing is out there"
+                                    : "; " + seen.jobs.size() + " still out");
             return Condition.DRAINING;
         }
         if (isSilent(seen, nowUs, why)) {
@@ -352,7 +405,8 @@
         if (isSlow(seen, nowUs, why)) {
             return Condition.SLOWING;
         }
-        final boolean fresh = nowUs - seen.reportUs < thresholds.reportFreshUs() && seen.reportUs > 0;
+        final boolean fresh =
+                nowUs - seen.reportUs < thresholds.reportFreshUs() && seen.reportUs > 0;
         if (fresh && seen.free >= 0 && seen.free < 1 && seen.queue > 0) {
             why.append("no free slot and ").append((int) seen.queue).append(" waiting");
             return Condition.FULL;
@@ -366,21 +420,23 @@
 
     private boolean isSilent(WorkerHealth seen, long nowUs, StringBuilder why) {
         if (seen.connectFailures >= thresholds.connectFailures()
-            && nowUs - seen.connectFailedUs < UNTRIED_US) {
+                && nowUs - seen.connectFailedUs < UNTRIED_US) {
             why.append(seen.connectFailures).append(" connections in a row failed");
             return true;
         }
         if (seen.jobs.isEmpty()) {
             // Nothing is out, so nothing can be heard: for a while it stays what it was.
-            if (seen.condition != Condition.SILENT || seen.heardUs > seen.sinceUs
-                || nowUs - seen.sinceUs >= UNTRIED_US) {
+            if (seen.condition != Condition.SILENT
+                    || seen.heardUs > seen.sinceUs
+                    || nowUs - seen.sinceUs >= UNTRIED_US) {
                 return false;
             }
             why.append(seen.why);
             return true;
         }
-        final boolean running = thresholds.progressUs() > 0
-            && seen.jobs.stream().anyMatch(job -> job.startedUs > 0);
+        final boolean running =
+                thresholds.progressUs() > 0
+                        && seen.jobs.stream().anyMatch(job -> job.startedUs > 0);
         final long oldestUs = seen.jobs.stream().mapToLong(job -> job.sentUs).min().orElse(nowUs);
         final long quietUs = nowUs - Math.max(seen.heardUs, oldestUs);
         // Jobs that only wait have nothing to tell: others' jobs may be before them.
@@ -406,11 +462,14 @@
             why.append(heldUp).append(" of ").append(started).append(" running jobs are held up");
             return true;
         }
-        final double bound = seen.condition == Condition.SLOWING ? thresholds.slowUntil()
-            : thresholds.slowFrom();
+        final double bound =
+                seen.condition == Condition.SLOWING
+                        ? thresholds.slowUntil()
+                        : thresholds.slowFrom();
         if (seen.samples >= MIN_SAMPLES && Math.exp(seen.slowness) >= bound) {
-            why.append("jobs run ").append(Math.round(Math.exp(seen.slowness) * 10) / 10.0)
-                .append(" times as long as elsewhere");
+            why.append("jobs run ")
+                    .append(Math.round(Math.exp(seen.slowness) * 10) / 10.0)
+                    .append(" times as long as elsewhere");
             return true;
         }
         return false;
@@ -435,29 +494,51 @@
         if (seen == null) {
             return null;
         }
-        return new View(seen.condition == null ? Condition.TAKING : seen.condition, seen.why, seen.sinceUs,
-            seen.jobs.size(), seen.inFlight.clone(), seen.served.sum(nowUs) / (MINUTE_US / S),
-            (int) seen.failed.sum(nowUs), times(seen.minute, nowUs), times(seen.tenMinutes, nowUs),
-            seen.served.each(nowUs), seen.queue, seen.free, seen.reportUs);
+        return new View(
+                seen.condition == null ? Condition.TAKING : seen.condition,
+                seen.why,
+                seen.sinceUs,
+                seen.jobs.size(),
+                seen.inFlight.clone(),
+                seen.served.sum(nowUs) / (MINUTE_US / S),
+                (int) seen.failed.sum(nowUs),
+                times(seen.minute, nowUs),
+                times(seen.tenMinutes, nowUs),
+                seen.served.each(nowUs),
+                seen.queue,
+                seen.free,
+                seen.reportUs);
     }
 
     /** How a class is served. */
     public ClassView classView(long nowUs, int requestClass) {
         final ClassHealth seen = classes.get(requestClass);
-        return new ClassView((int) seen.asked.sum(nowUs), (int) seen.admitted.sum(nowUs),
-            (int) seen.served.sum(nowUs), (int) seen.refused.sum(nowUs), (int) seen.failed.sum(nowUs),
-            (int) seen.inTime.sum(nowUs), seen.inFlight, times(seen.minute, nowUs),
-            times(seen.tenMinutes, nowUs));
+        return new ClassView(
+                (int) seen.asked.sum(nowUs),
+                (int) seen.admitted.sum(nowUs),
+                (int) seen.served.sum(nowUs),
+                (int) seen.refused.sum(nowUs),
+                (int) seen.failed.sum(nowUs),
+                (int) seen.inTime.sum(nowUs),
+                seen.inFlight,
+                times(seen.minute, nowUs),
+                times(seen.tenMinutes, nowUs));
     }
 
-    /** Worth of what was answered in time over that of all that was answered in the last minute, or -1. */
+    /**
+     * Worth of what was answered in time over that of all that was answered in the last minute, or
+     * -1.
+     */
     public double weightedServedFraction(long nowUs) {
         double kept = 0;
         double all = 0;
         for (final ClassHealth seen : classes) {
             kept += seen.latencyObjective.priorityWeight() * seen.inTime.sum(nowUs);
-            all += seen.latencyObjective.priorityWeight() * (seen.served.sum(nowUs) + seen.refused.sum(nowUs)
-                + seen.failed.sum(nowUs));
+            all +=
+                    seen.latencyObjective.priorityWeight()
+                            * (seen.served.sum(nowUs)
+                                    + seen.refused.sum(nowUs)
+                                    + seen.failed.sum(nowUs));
         }
         return all <= 0 ? -1 : kept / all;
     }
@@ -465,7 +546,8 @@
     private Times times(Rolling rolling, long nowUs) {
         scratch.reset();
         rolling.addTo(scratch, nowUs);
-        return scratch.getTotalCount() == 0 ? new Times(-1, -1)
-            : new Times(scratch.getValueAtPercentile(50), scratch.getValueAtPercentile(99));
+        return scratch.getTotalCount() == 0
+                ? new Times(-1, -1)
+                : new Times(scratch.getValueAtPercentile(50), scratch.getValueAtPercentile(99));
     }
 }
--- a/src/main/java/cresschute/health/Rolling.java
+++ b/src/main/java/cresschute/health/Rolling.java
@@ -4,9 +4,10 @@
 import org.HdrHistogram.IntCountsHistogram;
 
 /**
- * Times of the last so many slices of time, as one histogram a slice that is used again when its time has
- * passed. One significant digit: a figure is at most a sixteenth off. Times are milliseconds up to an hour;
- * longer ones count as an hour. A histogram grows with the largest time in it, to about 1 KiB at an hour.
+ * Times of the last so many slices of time, as one histogram a slice that is used again when its
+ * time has passed. One significant digit: a figure is at most a sixteenth off. Times are
+ * milliseconds up to an hour; longer ones count as an hour. A histogram grows with the largest time
+ * in it, to about 1 KiB at an hour.
  */
 final class Rolling {
 
@@ -15,6 +16,7 @@
 
     private final long sliceUs;
     private final IntCountsHistogram[] slices;
+
     /** The slice of time that each histogram is of. */
     private final long[] of;
 
--- a/src/main/java/cresschute/logs/LogEvent.java
+++ b/src/main/java/cresschute/logs/LogEvent.java
@@ -7,9 +7,9 @@
 import java.util.List;
 
 /**
- * One line of the log: the name of its kind, a text for people, and fields for programs. The text alone is
- * what a plain back end writes; a structured one writes the name and the fields too. The on-call page lists
- * all names. Used by one thread at a time and not after it is logged.
+ * One line of the log: the name of its kind, a text for people, and fields for programs. The text
+ * alone is what a plain back end writes; a structured one writes the name and the fields too. The
+ * on-call page lists all names. Used by one thread at a time and not after it is logged.
  */
 public final class LogEvent {
 
@@ -33,8 +33,12 @@
 
     /** Adds a field. What is no number or truth value is written as its text. */
     public LogEvent with(String field, Object value) {
-        fields.add(new Field(field, value instanceof Number || value instanceof Boolean ? value
-            : String.valueOf(value)));
+        fields.add(
+                new Field(
+                        field,
+                        value instanceof Number || value instanceof Boolean
+                                ? value
+                                : String.valueOf(value)));
         return this;
     }
 
--- a/src/main/java/cresschute/logs/LogFinder.java
+++ b/src/main/java/cresschute/logs/LogFinder.java
@@ -1,8 +1,8 @@
 package cresschute.logs;
 
 /**
- * Gives the loggers of {@link System#getLogger}, which finds it as a service. They write to the JDK's own
- * back end, which costs a small node nothing, until another one is put in its place.
+ * Gives the loggers of {@link System#getLogger}, which finds it as a service. They write to the
+ * JDK's own back end, which costs a small node nothing, until another one is put in its place.
  */
 public final class LogFinder extends System.LoggerFinder {
 
--- a/src/main/java/cresschute/logs/PlainBackend.java
+++ b/src/main/java/cresschute/logs/PlainBackend.java
@@ -5,7 +5,10 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.logging.Logger;
 
-/** The light back end, which the JDK has: {@link java.util.logging}, as its own properties configure it. */
+/**
+ * The light back end, which the JDK has: {@link java.util.logging}, as its own properties configure
+ * it.
+ */
 final class PlainBackend implements LogBackend {
 
     /** Held here, as the JDK itself forgets loggers that nobody holds. */
--- a/src/main/java/cresschute/logs/RoutedLogger.java
+++ b/src/main/java/cresschute/logs/RoutedLogger.java
@@ -41,8 +41,13 @@
     public void log(Level level, ResourceBundle bundle, String format, Object... values) {
         if (isLoggable(level)) {
             final String text = localized(bundle, format);
-            log(level, LogEvent.of("plain", values == null || values.length == 0 ? text
-                : MessageFormat.format(text, values)));
+            log(
+                    level,
+                    LogEvent.of(
+                            "plain",
+                            values == null || values.length == 0
+                                    ? text
+                                    : MessageFormat.format(text, values)));
         }
     }
 
--- a/src/main/java/cresschute/logs/structured/StructuredLog.java
+++ b/src/main/java/cresschute/logs/structured/StructuredLog.java
@@ -18,9 +18,9 @@
 import org.slf4j.spi.LoggingEventBuilder;
 
 /**
- * The structured back end, on Logback: lines of text, or JSON objects with the event's name and fields. Lines
- * are written by a thread of its own, so that a reader that stops reading the log never stops the node; lines
- * that find no room then are lost.
+ * The structured back end, on Logback: lines of text, or JSON objects with the event's name and
+ * fields. Lines are written by a thread of its own, so that a reader that stops reading the log
+ * never stops the node; lines that find no room then are lost.
  */
 public final class StructuredLog implements LogBackend, AutoCloseable {
 
@@ -42,7 +42,8 @@
     /** Writes to a stream, or to standard error where it is null. */
     StructuredLog(boolean json, Level level, OutputStream out) {
         context.setName("cresschute");
-        // Guards against losing every line: a context of its own has none, and each line asks for it.
+        // Guards against losing every line: a context of its own has none, and each line asks for
+        // it.
         context.setMDCAdapter(new LogbackMDCAdapter());
         final Encoder<ILoggingEvent> encoder = json ? json() : text();
         encoder.setContext(context);
@@ -110,8 +111,8 @@
 
     @Override
     public void log(String logger, Level level, LogEvent event) {
-        LoggingEventBuilder line = context.getLogger(logger).atLevel(slf4j(level))
-            .addKeyValue("event", event.name());
+        LoggingEventBuilder line =
+                context.getLogger(logger).atLevel(slf4j(level)).addKeyValue("event", event.name());
         for (final LogEvent.Field field : event.fields()) {
             line = line.addKeyValue(field.name(), field.value());
         }
--- a/src/main/java/cresschute/node/Addresses.java
+++ b/src/main/java/cresschute/node/Addresses.java
@@ -14,8 +14,10 @@
 
     static InetSocketAddress parse(String text) {
         final int colon = text.lastIndexOf(':');
-        final byte[] ip = colon < 0 ? null
-            : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
+        final byte[] ip =
+                colon < 0
+                        ? null
+                        : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
         try {
             final int port = ip == null ? -1 : Integer.parseInt(text.substring(colon + 1));
             if (port < 0 || port > MAX_PORT) {
--- a/src/main/java/cresschute/node/Attempt.java
+++ b/src/main/java/cresschute/node/Attempt.java
@@ -10,17 +10,26 @@
     final int number;
     final int worker;
     final long sentUs;
+
     /** When its time is up, us. */
     final long deadlineUs;
+
     /** Where it goes, and the process that was listed there when it was sent. */
     final InetSocketAddress addr;
+
     final long processStartedUs;
     RequestListener.AttemptObserver watch;
     WorkerClient.AttemptCall call;
     Future<?> giveUp;
     boolean ended;
 
-    Attempt(ClientRequest request, int number, Worker worker, InetSocketAddress addr, long sentUs, long deadlineUs) {
+    Attempt(
+            ClientRequest request,
+            int number,
+            Worker worker,
+            InetSocketAddress addr,
+            long sentUs,
+            long deadlineUs) {
         this.request = request;
         this.number = number;
         this.worker = worker.id();
--- a/src/main/java/cresschute/node/ClassTable.java
+++ b/src/main/java/cresschute/node/ClassTable.java
@@ -1,17 +1,18 @@
 package cresschute.node;
 
-import cresschute.dispatch.RequestClass;
 import cresschute.dispatch.DispatchSettings;
+import cresschute.dispatch.RequestClass;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 
 /**
- * The classes of a node since its start, under the numbers by which the module knows them. A class keeps its
- * number for good. One that a new configuration no longer names, or names with another meaning, is retired:
- * requests under way keep it, and no new request is taken for it. A changed one comes back under a new number, so
- * that nothing under way changes its meaning. Pure and immutable.
+ * The classes of a node since its start, under the numbers by which the module knows them. A class
+ * keeps its number for good. One that a new configuration no longer names, or names with another
+ * meaning, is retired: requests under way keep it, and no new request is taken for it. A changed
+ * one comes back under a new number, so that nothing under way changes its meaning. Pure and
+ * immutable.
  */
 final class ClassTable {
 
@@ -45,11 +46,11 @@
     }
 
     /**
-     * The table under a new configuration's classes: the same class under the same name keeps its number, a
-     * new or changed one is added, and what is not named any more is retired.
+     * The table under a new configuration's classes: the same class under the same name keeps its
+     * number, a new or changed one is added, and what is not named any more is retired.
      *
-     * @throws IllegalArgumentException where more than {@value #MOST} numbers would be given out since the
-     *     start, or a name comes twice
+     * @throws IllegalArgumentException where more than {@value #MOST} numbers would be given out
+     *     since the start, or a name comes twice
      */
     ClassTable after(List<String> names, List<RequestClass> classes) {
         if (names.stream().distinct().count() != names.size()) {
@@ -74,22 +75,44 @@
             }
         }
         if (next.size() > MAX) {
-            throw new IllegalArgumentException("more than " + MAX + " classes since the start; a restart "
-                + "takes this configuration");
+            throw new IllegalArgumentException(
+                    "more than "
+                            + MAX
+                            + " classes since the start; a restart "
+                            + "takes this configuration");
         }
         return new ClassTable(next);
     }
 
     /**
-     * What the module is told: the new settings with these classes, and the zones and kinds of before, which
-     * only a start changes.
+     * What the module is told: the new settings with these classes, and the zones and kinds of
+     * before, which only a start changes.
      */
     DispatchSettings told(DispatchSettings next, DispatchSettings before) {
-        return new DispatchSettings(next.dispatchers(), before.zone(), before.zones(), before.kinds(), classes(),
-            next.tenants(), next.overQuotaWeightFactor(), next.priorityWeightPerWork(), next.limits(), next.slowStart(),
-            next.objectiveWeights(), next.endpointListIsPolled(), next.pollWithinUs(), next.weightSource(), next.reportsLoad(),
-            next.reportsJobStart(), next.progressUs(), next.crossZonePrice(), next.allowsLoadQueries(), next.allowsPeerMessages(),
-            next.dataTransferPrice(), next.fullMayHaveRun(), next.closeOnDrainWithinUs());
+        return new DispatchSettings(
+                next.dispatchers(),
+                before.zone(),
+                before.zones(),
+                before.kinds(),
+                classes(),
+                next.tenants(),
+                next.overQuotaWeightFactor(),
+                next.priorityWeightPerWork(),
+                next.limits(),
+                next.slowStart(),
+                next.objectiveWeights(),
+                next.endpointListIsPolled(),
+                next.pollWithinUs(),
+                next.weightSource(),
+                next.reportsLoad(),
+                next.reportsJobStart(),
+                next.progressUs(),
+                next.crossZonePrice(),
+                next.allowsLoadQueries(),
+                next.allowsPeerMessages(),
+                next.dataTransferPrice(),
+                next.fullMayHaveRun(),
+                next.closeOnDrainWithinUs());
     }
 
     /** Every class by its number, retired ones too: what the module is told. */
@@ -97,7 +120,10 @@
         return entries.stream().map(Entry::stated).toList();
     }
 
-    /** Every class's name by its number, retired ones too: for what the log says of requests under way. */
+    /**
+     * Every class's name by its number, retired ones too: for what the log says of requests under
+     * way.
+     */
     List<String> names() {
         return entries.stream().map(Entry::name).toList();
     }
@@ -117,7 +143,10 @@
         return entries.equals(other.entries);
     }
 
-    /** The names of the classes that are new here and retired here, against an older table, for the log. */
+    /**
+     * The names of the classes that are new here and retired here, against an older table, for the
+     * log.
+     */
     String changesFrom(ClassTable before) {
         final List<String> added = new ArrayList<>();
         final List<String> retired = new ArrayList<>();
--- a/src/main/java/cresschute/node/ClientRequest.java
+++ b/src/main/java/cresschute/node/ClientRequest.java
@@ -4,7 +4,10 @@
 import java.util.Set;
 import java.util.concurrent.Future;
 
-/** A client's request: owed one answer until closed, held until its attempts have ended and the module knows. */
+/**
+ * A client's request: owed one answer until closed, held until its attempts have ended and the
+ * module knows.
+ */
 public final class ClientRequest {
     final int id;
     final RequestContent content;
@@ -16,20 +19,33 @@
     final ResponseListener client;
     Future<?> overdue;
     int attemptsStarted;
+
     /** Where its first attempt went, or -1. */
     int firstWorker = -1;
+
     final Set<Attempt> out = new LinkedHashSet<>();
+
     /** The attempt whose long result is on its way to the client, or null, and what it goes by. */
     Attempt streaming;
+
     ResultStream result;
     int pendingEvents;
+
     /** Whether an attempt of it has ended that may have had its effect. */
     boolean mayHaveRun;
+
     boolean closed;
     boolean answered;
 
-    ClientRequest(int id, RequestContent content, String className, int requestClass, long takenUs, long dueUs,
-        long deadlineUs, ResponseListener client) {
+    ClientRequest(
+            int id,
+            RequestContent content,
+            String className,
+            int requestClass,
+            long takenUs,
+            long dueUs,
+            long deadlineUs,
+            ResponseListener client) {
         this.id = id;
         this.content = content;
         this.className = className;
--- a/src/main/java/cresschute/node/Clock.java
+++ b/src/main/java/cresschute/node/Clock.java
@@ -1,6 +1,9 @@
 package cresschute.node;
 
-/** The module's clock: Unix time, us, as it was at the start, run on by a clock that never goes back. */
+/**
+ * The module's clock: Unix time, us, as it was at the start, run on by a clock that never goes
+ * back.
+ */
 @FunctionalInterface
 public interface Clock {
 
--- a/src/main/java/cresschute/node/ConfigFingerprint.java
+++ b/src/main/java/cresschute/node/ConfigFingerprint.java
@@ -10,9 +10,9 @@
 import java.util.TreeSet;
 
 /**
- * The keys that a configuration file holds. The platform writes every file of a node in one form, so a file
- * read again that lacks a key of the first one is cut or broken, even where a default would stand in for
- * the key: it is refused rather than half taken. Pure.
+ * The keys that a configuration file holds. The platform writes every file of a node in one form,
+ * so a file read again that lacks a key of the first one is cut or broken, even where a default
+ * would stand in for the key: it is refused rather than half taken. Pure.
  *
  * @param keys the paths of all keys, objects followed down and arrays taken whole
  * @param classes the keys of each class, in the order of the file
@@ -36,11 +36,14 @@
         final List<Set<String>> classes = new ArrayList<>();
         final List<String> names = new ArrayList<>();
         final JsonElement settings = file.get("settings");
-        final JsonElement listed = settings != null && settings.isJsonObject()
-            ? settings.getAsJsonObject().get("classes") : null;
+        final JsonElement listed =
+                settings != null && settings.isJsonObject()
+                        ? settings.getAsJsonObject().get("classes")
+                        : null;
         if (listed != null && listed.isJsonArray()) {
             for (final JsonElement each : listed.getAsJsonArray()) {
-                final JsonObject stated = each.isJsonObject() ? each.getAsJsonObject() : new JsonObject();
+                final JsonObject stated =
+                        each.isJsonObject() ? each.getAsJsonObject() : new JsonObject();
                 classes.add(stated.keySet());
                 final JsonElement name = stated.get("name");
                 names.add(name != null && name.isJsonPrimitive() ? name.getAsString() : "");
@@ -60,13 +63,15 @@
     }
 
     /**
-     * The keys of this shape that a later file lacks: its own; of a class that is here under the same name,
-     * those that it has here; and of a new class those that every class here has. Each class's by its
-     * number in the later file. Empty where it is whole.
+     * The keys of this shape that a later file lacks: its own; of a class that is here under the
+     * same name, those that it has here; and of a new class those that every class here has. Each
+     * class's by its number in the later file. Empty where it is whole.
      */
     List<String> missingIn(ConfigFingerprint later) {
-        final List<String> missing = new ArrayList<>(new TreeSet<>(keys).stream()
-            .filter(key -> !later.keys.contains(key)).toList());
+        final List<String> missing =
+                new ArrayList<>(
+                        new TreeSet<>(keys)
+                                .stream().filter(key -> !later.keys.contains(key)).toList());
         final Set<String> common = new TreeSet<>(classes.isEmpty() ? Set.of() : classes.get(0));
         classes.forEach(common::retainAll);
         for (int i = 0; i < later.classes.size(); i++) {
--- a/src/main/java/cresschute/node/ControlService.java
+++ b/src/main/java/cresschute/node/ControlService.java
@@ -2,11 +2,6 @@
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
-import cresschute.dispatch.LoadReport;
-import cresschute.dispatch.RequestClass;
-import cresschute.dispatch.Worker;
-import cresschute.dispatch.WorkerState;
-import cresschute.control.VersionedTable;
 import cresschute.control.ControlRequest;
 import cresschute.control.DrainRegistry;
 import cresschute.control.DrainRegistry.ClassBound;
@@ -17,9 +12,14 @@
 import cresschute.control.DrainRegistry.Site;
 import cresschute.control.EventRing;
 import cresschute.control.Snapshot;
+import cresschute.control.VersionedTable;
 import cresschute.control.files.StateFolder;
-import cresschute.control.socket.ControlServer;
 import cresschute.control.socket.ControlHandler;
+import cresschute.control.socket.ControlServer;
+import cresschute.dispatch.LoadReport;
+import cresschute.dispatch.RequestClass;
+import cresschute.dispatch.Worker;
+import cresschute.dispatch.WorkerState;
 import cresschute.health.Condition;
 import cresschute.health.HealthTracker;
 import cresschute.health.Thresholds;
@@ -43,17 +43,19 @@
 import java.util.function.Consumer;
 
 /**
- * The operator's place in a node: lays drains over the list, keeps them, notes who is well, and shows all of
- * it to consoles. It chooses no worker and answers no request. All of it is on the loop, save {@link #open} and
- * {@link #close}, which wait for files. A node that names neither a control socket nor a state folder has
- * none.
+ * The operator's place in a node: lays drains over the list, keeps them, notes who is well, and
+ * shows all of it to consoles. It chooses no worker and answers no request. All of it is on the
+ * loop, save {@link #open} and {@link #close}, which wait for files. A node that names neither a
+ * control socket nor a state folder has none.
  */
 final class ControlService implements RequestListener, ControlHandler {
 
     /** How often conditions are looked at and consoles are told, ms. */
     private static final long LOOK_MS = 250;
+
     /** Figures of an unchanged worker are drawn anew at every so many looks. */
     private static final int LOOKS_A_FIGURE = 4;
+
     private static final long US_A_MS = 1_000;
     private static final Logger LOG = System.getLogger("cresschute.control");
 
@@ -75,8 +77,10 @@
     private long keptUpTo;
     private IOException keepFailed;
     private int looks;
+
     /** Workers that have a row. */
     private Set<Integer> shown = Set.of();
+
     private boolean stopping;
 
     /** An answer that waits until a snapshot is kept. */
@@ -88,15 +92,26 @@
         this.clock = clock;
         final List<HealthTracker.LatencyObjective> aims = new ArrayList<>();
         for (final RequestClass each : config.settings().classes()) {
-            aims.add(new HealthTracker.LatencyObjective(each.priorityWeight(), each.latencyObjectiveUs(), each.latencyObjectiveStretch()));
+            aims.add(
+                    new HealthTracker.LatencyObjective(
+                            each.priorityWeight(),
+                            each.latencyObjectiveUs(),
+                            each.latencyObjectiveStretch()));
         }
-        health = new HealthTracker(Thresholds.usual(config.settings().progressUs(),
-            config.settings().slowStart().warmUpDurationUs()), aims);
+        health =
+                new HealthTracker(
+                        Thresholds.usual(
+                                config.settings().progressUs(),
+                                config.settings().slowStart().warmUpDurationUs()),
+                        aims);
     }
 
     // ---- Start and stop ----
 
-    /** Takes up the drains that were kept, before the first list is told. Reads files, so not on the loop. */
+    /**
+     * Takes up the drains that were kept, before the first list is told. Reads files, so not on the
+     * loop.
+     */
     void open(RequestLifecycle watched) throws IOException {
         core = watched;
         if (config.stateFolder() != null) {
@@ -105,8 +120,14 @@
             generation = kept.generation();
             keptUpTo = generation;
             drains.restore(kept.drains(), kept.operations());
-            LogEvent.of("drains_restored", "drains taken up from " + config.stateFolder() + ": "
-                + kept.drains().size()).with("count", kept.drains().size()).log(LOG, Level.INFO);
+            LogEvent.of(
+                            "drains_restored",
+                            "drains taken up from "
+                                    + config.stateFolder()
+                                    + ": "
+                                    + kept.drains().size())
+                    .with("count", kept.drains().size())
+                    .log(LOG, Level.INFO);
         }
         if (config.controlSocket() != null) {
             server = new ControlServer(loop, Path.of(config.controlSocket()), this);
@@ -124,7 +145,10 @@
     /** The node stops: consoles are told. On the loop. */
     void stopping() {
         stopping = true;
-        note("node_stopping", null, "the node is stopping; " + core.unanswered() + " reqs are owed an answer");
+        note(
+                "node_stopping",
+                null,
+                "the node is stopping; " + core.unanswered() + " reqs are owed an answer");
     }
 
     /** Ends the sessions. On the loop. */
@@ -146,17 +170,24 @@
     @Override
     public void carryOut(Operation operation, Consumer<JsonObject> answer) {
         expire();
-        // One that was carried out before is only answered again: nothing is told or kept a second time.
+        // One that was carried out before is only answered again: nothing is told or kept a second
+        // time.
         final boolean again = drains.isRemembered(operation.id());
         final Outcome outcome = drains.apply(operation, site(), clock.nowUs());
         if (outcome.kind() == DrainRegistry.Kind.DONE && !again) {
-            note(operation.start() ? "drained" : "undrained", operation.worker(), operation.worker()
-                + (operation.start() ? " drained" : " no longer drained") + " by " + operation.who()
-                + (operation.reason().isEmpty() ? "" : ": " + operation.reason()));
+            note(
+                    operation.start() ? "drained" : "undrained",
+                    operation.worker(),
+                    operation.worker()
+                            + (operation.start() ? " drained" : " no longer drained")
+                            + " by "
+                            + operation.who()
+                            + (operation.reason().isEmpty() ? "" : ": " + operation.reason()));
             overlayChanged(List.of(operation.worker()));
             keep();
         }
-        // Confirmed only when kept: also the second time, for the first may still be on its way to the disk.
+        // Confirmed only when kept: also the second time, for the first may still be on its way to
+        // the disk.
         afterKept(() -> answer.accept(answer(operation, outcome)));
     }
 
@@ -171,20 +202,25 @@
         if (state != null) {
             json.addProperty("kept", keepFailed == null);
             if (keepFailed != null) {
-                json.addProperty("keep_error", "in force, but a restart would forget it: "
-                    + keepFailed.getMessage());
+                json.addProperty(
+                        "keep_error",
+                        "in force, but a restart would forget it: " + keepFailed.getMessage());
             }
         }
         return json;
     }
 
     private Site site() {
-        final List<Listed> workers = core.registry().listed().stream()
-            .map(each -> new Listed(core.registry().name(each.id()), each)).toList();
+        final List<Listed> workers =
+                core.registry().listed().stream()
+                        .map(each -> new Listed(core.registry().name(each.id()), each))
+                        .toList();
         final List<ClassBound> classes = new ArrayList<>();
         for (int i = 0; i < config.classes().size(); i++) {
-            classes.add(new ClassBound(config.classes().get(i),
-                config.settings().classes().get(i).placement()));
+            classes.add(
+                    new ClassBound(
+                            config.classes().get(i),
+                            config.settings().classes().get(i).placement()));
         }
         return new Site(workers, classes, core.boundCells());
     }
@@ -217,17 +253,21 @@
             return;
         }
         final long mine = ++generation;
-        state.keep(new Snapshot(mine, drains.inForce(), drains.remembered()), loop, failed -> {
-            keptUpTo = mine;
-            keepFailed = failed;
-            if (failed != null) {
-                LogEvent.of("snapshot_failed", "drains could not be kept: " + failed)
-                    .with("detail", failed).log(LOG, Level.ERROR);
-            }
-            while (!waiting.isEmpty() && waiting.peekFirst().generation() <= keptUpTo) {
-                waiting.pollFirst().answer().run();
-            }
-        });
+        state.keep(
+                new Snapshot(mine, drains.inForce(), drains.remembered()),
+                loop,
+                failed -> {
+                    keptUpTo = mine;
+                    keepFailed = failed;
+                    if (failed != null) {
+                        LogEvent.of("snapshot_failed", "drains could not be kept: " + failed)
+                                .with("detail", failed)
+                                .log(LOG, Level.ERROR);
+                    }
+                    while (!waiting.isEmpty() && waiting.peekFirst().generation() <= keptUpTo) {
+                        waiting.pollFirst().answer().run();
+                    }
+                });
     }
 
     private void afterKept(Runnable answer) {
@@ -252,18 +292,28 @@
             final String name = core.registry().name(each.id());
             final WorkerState before = listedBefore.put(name, each.state());
             if (before != null && before != each.state()) {
-                note("listed", name, "the list says " + name + " is " + switch (each.state()) {
-                    case READY -> "serving";
-                    case DRAINING -> "draining";
-                    case GONE -> "gone";
-                });
+                note(
+                        "listed",
+                        name,
+                        "the list says "
+                                + name
+                                + " is "
+                                + switch (each.state()) {
+                                    case READY -> "serving";
+                                    case DRAINING -> "draining";
+                                    case GONE -> "gone";
+                                });
             }
         }
     }
 
     private void heard(long nowUs, Worker worker) {
-        health.listed(nowUs, worker.id(), worker.state(),
-            drains.of(core.registry().name(worker.id())) != null, worker.startedAtUs());
+        health.listed(
+                nowUs,
+                worker.id(),
+                worker.state(),
+                drains.of(core.registry().name(worker.id())) != null,
+                worker.startedAtUs());
         changed.add(worker.id());
     }
 
@@ -273,10 +323,9 @@
     }
 
     @Override
-    public void answered(long nowUs, int requestClass, Answer answer, int attempts, long waitedUs,
-        long ranUs) {
-        health.answered(nowUs, requestClass, healthAnswer(answer), attempts, waitedUs,
-            ranUs);
+    public void answered(
+            long nowUs, int requestClass, Answer answer, int attempts, long waitedUs, long ranUs) {
+        health.answered(nowUs, requestClass, healthAnswer(answer), attempts, waitedUs, ranUs);
     }
 
     private static HealthTracker.Answer healthAnswer(Answer answer) {
@@ -334,16 +383,27 @@
         for (final HealthTracker.Change each : health.look(clock.nowUs())) {
             changed.add(each.worker());
             if (isNews(each)) {
-                note("condition", core.registry().name(each.worker()), core.registry().name(each.worker())
-                    + " is " + each.to().word() + (each.why().isEmpty() ? "" : ": " + each.why()));
+                note(
+                        "condition",
+                        core.registry().name(each.worker()),
+                        core.registry().name(each.worker())
+                                + " is "
+                                + each.to().word()
+                                + (each.why().isEmpty() ? "" : ": " + each.why()));
             }
         }
     }
 
-    /** What the list says is noted as it is heard, and a worker that fills up and empties is at work. */
+    /**
+     * What the list says is noted as it is heard, and a worker that fills up and empties is at
+     * work.
+     */
     private static boolean isNews(HealthTracker.Change change) {
-        return change.from() != null && change.to() != Condition.GONE && change.to() != Condition.DRAINING
-            && !(change.from().compareTo(Condition.FULL) <= 0 && change.to().compareTo(Condition.FULL) <= 0);
+        return change.from() != null
+                && change.to() != Condition.GONE
+                && change.to() != Condition.DRAINING
+                && !(change.from().compareTo(Condition.FULL) <= 0
+                        && change.to().compareTo(Condition.FULL) <= 0);
     }
 
     private void note(String kind, String worker, String text) {
@@ -363,14 +423,18 @@
         looks++;
         final Set<Integer> known = new HashSet<>(health.workers());
         for (final int worker : known) {
-            if (all || changed.contains(worker) || worker % LOOKS_A_FIGURE == looks % LOOKS_A_FIGURE) {
+            if (all
+                    || changed.contains(worker)
+                    || worker % LOOKS_A_FIGURE == looks % LOOKS_A_FIGURE) {
                 board.put("w/" + core.registry().name(worker), row(nowUs, worker));
             }
         }
         changed.clear();
-        // Guards against rows that stay for good: a worker that is forgotten has no change of its own.
-        shown.stream().filter(worker -> !known.contains(worker))
-            .forEach(worker -> board.remove("w/" + core.registry().name(worker)));
+        // Guards against rows that stay for good: a worker that is forgotten has no change of its
+        // own.
+        shown.stream()
+                .filter(worker -> !known.contains(worker))
+                .forEach(worker -> board.remove("w/" + core.registry().name(worker)));
         shown = known;
         for (int i = 0; i < config.classes().size(); i++) {
             board.put("c/" + config.classes().get(i), classRow(nowUs, i));
@@ -389,8 +453,9 @@
         row.addProperty("address", NetUtil.toSocketAddressString(core.registry().address(worker)));
         row.addProperty("kind", core.registry().kind(listed.kind()));
         row.addProperty("cell", listed.cell());
-        row.addProperty("listed", listed.state() == WorkerState.READY ? "serving"
-            : listed.state().wireName());
+        row.addProperty(
+                "listed",
+                listed.state() == WorkerState.READY ? "serving" : listed.state().wireName());
         final Drain drain = drains.of(core.registry().name(worker));
         if (drain != null) {
             final JsonObject shown = new JsonObject();
@@ -424,7 +489,8 @@
         return row.toString();
     }
 
-    private static void times(JsonObject row, HealthTracker.Times minute, HealthTracker.Times tenMinutes) {
+    private static void times(
+            JsonObject row, HealthTracker.Times minute, HealthTracker.Times tenMinutes) {
         row.addProperty("p50_ms", minute.p50Ms());
         row.addProperty("p99_ms", minute.p99Ms());
         row.addProperty("p50_ms_10m", tenMinutes.p50Ms());
@@ -437,8 +503,11 @@
         row.addProperty("id", config.classes().get(number));
         row.addProperty("asked", view.asked());
         final int answered = view.served() + view.refused() + view.failed();
-        row.addProperty("admitted", answered == 0 ? -1
-            : Math.min(1, Math.round(view.admitted() * 1000.0 / answered) / 1000.0));
+        row.addProperty(
+                "admitted",
+                answered == 0
+                        ? -1
+                        : Math.min(1, Math.round(view.admitted() * 1000.0 / answered) / 1000.0));
         row.addProperty("served", view.served());
         row.addProperty("refused", view.refused());
         row.addProperty("failed", view.failed());
@@ -452,7 +521,8 @@
         final JsonObject row = new JsonObject();
         row.addProperty("name", config.name());
         row.addProperty("list_version", core.listVersion());
-        row.addProperty("list_ms", config.discovery() == null ? 0 : core.listUpdatedAtUs() / US_A_MS);
+        row.addProperty(
+                "list_ms", config.discovery() == null ? 0 : core.listUpdatedAtUs() / US_A_MS);
         row.addProperty("fixed_list", config.discovery() == null);
         row.addProperty("open", core.unanswered());
         final double kept = health.weightedServedFraction(nowUs);
@@ -480,14 +550,28 @@
 
     @Override
     public void audit(long session, ControlRequest request) {
-        final LogEvent event = LogEvent.of("console_asked", "console " + session + " asks: "
-            + request.what().wireName() + (request.operation() == null ? ""
-                : " " + request.operation().worker() + " by " + request.operation().who()))
-            .with("session", session).with("what", request.what().wireName());
+        final LogEvent event =
+                LogEvent.of(
+                                "console_asked",
+                                "console "
+                                        + session
+                                        + " asks: "
+                                        + request.what().wireName()
+                                        + (request.operation() == null
+                                                ? ""
+                                                : " "
+                                                        + request.operation().worker()
+                                                        + " by "
+                                                        + request.operation().who()))
+                        .with("session", session)
+                        .with("what", request.what().wireName());
         if (request.operation() != null) {
             final Operation asked = request.operation();
-            event.with("worker", asked.worker()).with("operation", asked.id()).with("who", asked.who())
-                .with("reason", asked.reason()).with("forced", asked.forced());
+            event.with("worker", asked.worker())
+                    .with("operation", asked.id())
+                    .with("who", asked.who())
+                    .with("reason", asked.reason())
+                    .with("forced", asked.forced());
         }
         event.log(LOG, Level.INFO);
     }
--- a/src/main/java/cresschute/node/DeploymentSettingsParser.java
+++ b/src/main/java/cresschute/node/DeploymentSettingsParser.java
@@ -35,7 +35,10 @@
         }
     }
 
-    /** Plain values are joined with commas; of objects the count is told and each has its number as a key. */
+    /**
+     * Plain values are joined with commas; of objects the count is told and each has its number as
+     * a key.
+     */
     private void array(String path, JsonArray array) {
         if (array.isEmpty() || array.get(0).isJsonPrimitive()) {
             final StringJoiner joined = new StringJoiner(",");
@@ -57,7 +60,10 @@
         return word(element.getAsString());
     }
 
-    /** A value as the lines have it. Guards against values that would read as two: they know no quoting. */
+    /**
+     * A value as the lines have it. Guards against values that would read as two: they know no
+     * quoting.
+     */
     public static String word(String value) {
         return value.replaceAll("[\\s,]", "_");
     }
--- a/src/main/java/cresschute/node/DescriptorShares.java
+++ b/src/main/java/cresschute/node/DescriptorShares.java
@@ -1,36 +1,46 @@
 package cresschute.node;
 
 /**
- * How a node divides the file descriptors that its process may hold, so that none of its parts can take what
- * another one needs.
+ * How a node divides the file descriptors that its process may hold, so that none of its parts can
+ * take what another one needs.
  *
  * @param clients connections from clients at a time
  * @param workers connections to workers at a time
- * @param callers calls of the platform's operators at a time; 0 where there is no management listener
+ * @param callers calls of the platform's operators at a time; 0 where there is no management
+ *     listener
  */
 record DescriptorShares(int clients, int workers, int callers) {
 
     /**
-     * Descriptors that are in none of the shares. Of these a process holds 22 at rest: its standard streams,
-     * the JVM's files, the class path, the selector and the listeners. The others are for the connection to
-     * discovery and an old one of it that is being closed, for the file of the operators' state, and for
-     * connections that are accepted in one reading of a listener before any is closed for them: 16 of clients
-     * and one caller.
+     * Descriptors that are in none of the shares. Of these a process holds 22 at rest: its standard
+     * streams, the JVM's files, the class path, the selector and the listeners. The others are for
+     * the connection to discovery and an old one of it that is being closed, for the file of the
+     * operators' state, and for connections that are accepted in one reading of a listener before
+     * any is closed for them: 16 of clients and one caller.
      */
     static final int RESERVED_DESCRIPTORS = 48;
+
     /** The most calls of operators that are held at a time. */
     static final int MAX_CALLERS = 32;
-    /** Under a small limit, calls of operators may take one in so many of the descriptors to share. */
+
+    /**
+     * Under a small limit, calls of operators may take one in so many of the descriptors to share.
+     */
     private static final int CALLERS_DIVISOR = 8;
-    /** Clients' part of the rest: up to a third of all carry open requests, and so may the attempts. */
+
+    /**
+     * Clients' part of the rest: up to a third of all carry open requests, and so may the attempts.
+     */
     private static final double CLIENT_PART = 0.55;
+
     /** A client and a worker, where a limit leaves nothing to share. */
     private static final int MIN_CONNECTIONS = 2;
 
     /** The shares under a limit of the process's descriptors. */
     static DescriptorShares of(int descriptors, boolean hasManagement) {
         final int shared = Math.max(MIN_CONNECTIONS, descriptors - RESERVED_DESCRIPTORS);
-        final int callers = hasManagement ? Math.max(1, Math.min(MAX_CALLERS, shared / CALLERS_DIVISOR)) : 0;
+        final int callers =
+                hasManagement ? Math.max(1, Math.min(MAX_CALLERS, shared / CALLERS_DIVISOR)) : 0;
         final int connections = Math.max(MIN_CONNECTIONS, shared - callers);
         final int clients = (int) (connections * CLIENT_PART);
         return new DescriptorShares(clients, connections - clients, callers);
--- a/src/main/java/cresschute/node/Discovery.java
+++ b/src/main/java/cresschute/node/Discovery.java
@@ -1,6 +1,9 @@
 package cresschute.node;
 
-/** The way to discovery. It tells {@link RequestLifecycle} of each list, in order, and of each failed watch, once. */
+/**
+ * The way to discovery. It tells {@link RequestLifecycle} of each list, in order, and of each
+ * failed watch, once.
+ */
 @FunctionalInterface
 public interface Discovery {
 
--- a/src/main/java/cresschute/node/EndpointList.java
+++ b/src/main/java/cresschute/node/EndpointList.java
@@ -16,8 +16,15 @@
 public record EndpointList(long version, boolean full, List<Endpoint> entries) {
 
     /** One worker as listed; {@code startedMs} is Unix time, or 0 for long ago. */
-    public record Endpoint(String id, InetSocketAddress addr, String zone, String kind, int cell,
-        WorkerState state, double weight, long startedMs) {}
+    public record Endpoint(
+            String id,
+            InetSocketAddress addr,
+            String zone,
+            String kind,
+            int cell,
+            WorkerState state,
+            double weight,
+            long startedMs) {}
 
     /** Reads an answer whole; any flaw in it is a {@link JsonParseException}. */
     public static EndpointList parse(JsonObject json) {
@@ -48,14 +55,21 @@
             throw new JsonParseException(e.getMessage());
         }
         final String word = Json.string(json, "state");
-        final WorkerState state = switch (word) {
-            case "SERVING" -> WorkerState.READY;
-            case "DRAINING" -> WorkerState.DRAINING;
-            case "DELETED" -> WorkerState.GONE;
-            default -> throw new JsonParseException("unknown state " + word);
-        };
-        return new Endpoint(Json.string(json, "id"), parsed, Json.string(json, "zone"),
-            Json.string(json, "kind"), (int) Json.number(json, "cell", 0), state,
-            Json.number(json, "weight", 1), (long) Json.number(json, "started_ms", 0));
+        final WorkerState state =
+                switch (word) {
+                    case "SERVING" -> WorkerState.READY;
+                    case "DRAINING" -> WorkerState.DRAINING;
+                    case "DELETED" -> WorkerState.GONE;
+                    default -> throw new JsonParseException("unknown state " + word);
+                };
+        return new Endpoint(
+                Json.string(json, "id"),
+                parsed,
+                Json.string(json, "zone"),
+                Json.string(json, "kind"),
+                (int) Json.number(json, "cell", 0),
+                state,
+                Json.number(json, "weight", 1),
+                (long) Json.number(json, "started_ms", 0));
     }
 }
--- a/src/main/java/cresschute/node/Invariant.java
+++ b/src/main/java/cresschute/node/Invariant.java
@@ -3,10 +3,14 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What must hold: asserted in debug builds (java -ea), counted in release builds. Used on the loop only. */
+/**
+ * What must hold: asserted in debug builds (java -ea), counted in release builds. Used on the loop
+ * only.
+ */
 public final class Invariant {
 
     private final Map<String, Long> breaches = new TreeMap<>();
+
     /** Written on the loop alone; read from other threads as well. */
     private volatile long total;
 
--- a/src/main/java/cresschute/node/Json.java
+++ b/src/main/java/cresschute/node/Json.java
@@ -34,7 +34,9 @@
     /** A string that must be there. */
     public static String string(JsonObject object, String name) {
         final JsonElement element = object.get(name);
-        if (element == null || !element.isJsonPrimitive() || !element.getAsJsonPrimitive().isString()) {
+        if (element == null
+                || !element.isJsonPrimitive()
+                || !element.getAsJsonPrimitive().isString()) {
             throw new JsonParseException(name + " is missing or no string");
         }
         return element.getAsString();
--- a/src/main/java/cresschute/node/LoadKnowledge.java
+++ b/src/main/java/cresschute/node/LoadKnowledge.java
@@ -4,8 +4,8 @@
 import java.util.OptionalInt;
 
 /**
- * What is known of workers' load without asking them. The core notifies it of attempts, lists and reports,
- * and asks it before each probe. All calls are on the loop; workers go by their names.
+ * What is known of workers' load without asking them. The core notifies it of attempts, lists and
+ * reports, and asks it before each probe. All calls are on the loop; workers go by their names.
  */
 interface LoadKnowledge {
 
@@ -24,7 +24,10 @@
     /** A worker reported its load, or {@link LoadReport#NONE}. */
     default void reported(String worker, LoadReport report) {}
 
-    /** Requests that all dispatchers together have out at a worker, or empty where it has to be asked. */
+    /**
+     * Requests that all dispatchers together have out at a worker, or empty where it has to be
+     * asked.
+     */
     default OptionalInt outstanding(String worker) {
         return OptionalInt.empty();
     }
--- a/src/main/java/cresschute/node/ManagementService.java
+++ b/src/main/java/cresschute/node/ManagementService.java
@@ -1,10 +1,10 @@
 package cresschute.node;
 
-import cresschute.dispatch.WorkerState;
 import cresschute.control.ManagementCall;
 import cresschute.control.OperatorsState;
 import cresschute.control.files.SharedOperatorState;
 import cresschute.control.socket.ManagementServer;
+import cresschute.dispatch.WorkerState;
 import cresschute.logs.LogEvent;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.EventLoop;
@@ -20,18 +20,22 @@
 import java.util.function.Consumer;
 
 /**
- * The platform operators' place in a node: their calls, the bans of workers laid over the list, and the
- * node's own drain. What they ask is kept in the folder that both processes of an upgrade share, and what the
- * other process writes there is taken up within a look of the file. It chooses no worker: a ban reaches the
- * module as a worker that drains. All of it is on the loop, save {@link #open} and {@link #close}.
+ * The platform operators' place in a node: their calls, the bans of workers laid over the list, and
+ * the node's own drain. What they ask is kept in the folder that both processes of an upgrade
+ * share, and what the other process writes there is taken up within a look of the file. It chooses
+ * no worker: a ban reaches the module as a worker that drains. All of it is on the loop, save
+ * {@link #open} and {@link #close}.
  *
- * <p>What is in force is the last state read or written, with the calls of this process laid over it that
- * are not yet written: a look that comes between a call and its write undoes nothing.
+ * <p>What is in force is the last state read or written, with the calls of this process laid over
+ * it that are not yet written: a look that comes between a call and its write undoes nothing.
  */
 final class ManagementService implements RequestListener, ManagementServer.ManagementHandler {
 
-    /** A call whose change is not yet written is answered all the same by then, ms; it is in force. */
+    /**
+     * A call whose change is not yet written is answered all the same by then, ms; it is in force.
+     */
     static final long ANSWER_WITHIN_MS = 500;
+
     private static final Logger LOG = System.getLogger("cresschute.management");
 
     private final NodeConfig config;
@@ -42,8 +46,10 @@
     private ReadinessSwitch readiness;
     private SharedOperatorState shared;
     private ManagementServer server;
+
     /** The last state read or written. */
     private OperatorsState kept = OperatorsState.NONE;
+
     /** That, with the calls that are not yet written laid over it. */
     private OperatorsState inForce = OperatorsState.NONE;
 
@@ -59,15 +65,17 @@
         core = watched;
         readiness = readinessSwitch;
         if (config.operators().shared() != null) {
-            final SharedOperatorState.Opened opened = SharedOperatorState.open(Path.of(config.operators().shared()), loop,
-                this::heard);
+            final SharedOperatorState.Opened opened =
+                    SharedOperatorState.open(
+                            Path.of(config.operators().shared()), loop, this::heard);
             shared = opened.shared();
             kept = opened.found();
             inForce = kept;
             if (!kept.banned().isEmpty() || kept.drained()) {
                 LogEvent.of("operators_restored", "taken up from before: " + describe(kept))
-                    .with("banned", String.join(",", kept.banned())).with("drained", kept.drained())
-                    .log(LOG, Level.INFO);
+                        .with("banned", String.join(",", kept.banned()))
+                        .with("drained", kept.drained())
+                        .log(LOG, Level.INFO);
             }
         }
     }
@@ -105,8 +113,11 @@
     @Override
     public void call(ManagementCall call, Consumer<String> answer) {
         switch (call.verb()) {
-            case READY -> answer.accept(readiness.isReady() ? "200 ready"
-                : "400 not ready: " + readiness.whyNotReady());
+            case READY ->
+                    answer.accept(
+                            readiness.isReady()
+                                    ? "200 ready"
+                                    : "400 not ready: " + readiness.whyNotReady());
             case DISABLE_SERVER, ENABLE_SERVER -> {
                 if (!isKnown(call.worker())) {
                     answer.accept("400 no list has named a worker " + call.worker());
@@ -141,26 +152,33 @@
             return;
         }
         final boolean[] told = {false};
-        final Runnable once = () -> {
-            if (!told[0]) {
-                told[0] = true;
-                answer.accept(done);
-            }
-        };
+        final Runnable once =
+                () -> {
+                    if (!told[0]) {
+                        told[0] = true;
+                        answer.accept(done);
+                    }
+                };
         loop.schedule(once, ANSWER_WITHIN_MS, TimeUnit.MILLISECONDS);
-        shared.change(state -> state.after(call), (written, failed) -> {
-            pending.remove(call);
-            if (failed != null) {
-                LogEvent.of("operators_state_unkept", "in force, but an upgrade would not know it: "
-                    + said(call) + ": " + failed.getMessage())
-                    .with("detail", String.valueOf(failed.getMessage()))
-                    .log(LOG, Level.ERROR);
-            } else if (written.generation() > kept.generation()) {
-                kept = written;
-            }
-            become(overlaid());
-            once.run();
-        });
+        shared.change(
+                state -> state.after(call),
+                (written, failed) -> {
+                    pending.remove(call);
+                    if (failed != null) {
+                        LogEvent.of(
+                                        "operators_state_unkept",
+                                        "in force, but an upgrade would not know it: "
+                                                + said(call)
+                                                + ": "
+                                                + failed.getMessage())
+                                .with("detail", String.valueOf(failed.getMessage()))
+                                .log(LOG, Level.ERROR);
+                    } else if (written.generation() > kept.generation()) {
+                        kept = written;
+                    }
+                    become(overlaid());
+                    once.run();
+                });
     }
 
     private static String said(ManagementCall call) {
@@ -181,9 +199,12 @@
         kept = found;
         final OperatorsState next = overlaid();
         if (!next.bannedChangedFrom(inForce).isEmpty() || next.drained() != inForce.drained()) {
-            LogEvent.of("operators_heard", "another process of this node changed: " + describe(next))
-                .with("banned", String.join(",", next.banned())).with("drained", next.drained())
-                .log(LOG, Level.INFO);
+            LogEvent.of(
+                            "operators_heard",
+                            "another process of this node changed: " + describe(next))
+                    .with("banned", String.join(",", next.banned()))
+                    .with("drained", next.drained())
+                    .log(LOG, Level.INFO);
         }
         become(next);
     }
@@ -204,8 +225,13 @@
             core.republish(changed);
         }
         if (next.drained() && !before.drained()) {
-            LogEvent.of("node_draining", "drained by an operator: not ready, connections are let go; "
-                + core.unanswered() + " reqs are owed an answer").with("count", core.unanswered()).log(LOG, Level.INFO);
+            LogEvent.of(
+                            "node_draining",
+                            "drained by an operator: not ready, connections are let go; "
+                                    + core.unanswered()
+                                    + " reqs are owed an answer")
+                    .with("count", core.unanswered())
+                    .log(LOG, Level.INFO);
             readiness.drain();
         } else if (!next.drained() && before.drained()) {
             LogEvent.of("node_resumed", "resumed by an operator: ready again").log(LOG, Level.INFO);
@@ -214,15 +240,19 @@
     }
 
     private static String describe(OperatorsState state) {
-        return (state.banned().isEmpty() ? "no worker is out" : "out: " + String.join(", ", state.banned()))
-            + (state.drained() ? "; the node is drained" : "");
+        return (state.banned().isEmpty()
+                        ? "no worker is out"
+                        : "out: " + String.join(", ", state.banned()))
+                + (state.drained() ? "; the node is drained" : "");
     }
 
     // ---- What passes ----
 
     @Override
     public WorkerState over(String worker, WorkerState listed) {
-        return listed == WorkerState.READY && inForce.isBanned(worker) ? WorkerState.DRAINING : listed;
+        return listed == WorkerState.READY && inForce.isBanned(worker)
+                ? WorkerState.DRAINING
+                : listed;
     }
 
     /** Workers out now, for the log. */
--- a/src/main/java/cresschute/node/NodeConfig.java
+++ b/src/main/java/cresschute/node/NodeConfig.java
@@ -5,10 +5,10 @@
 import com.google.gson.JsonParseException;
 import cresschute.dispatch.DispatchSettings;
 import cresschute.dispatch.WorkerState;
-import cresschute.simulator.SettingsParser;
 import cresschute.settings.ApplianceSettings;
 import cresschute.settings.ApplianceSettings.Bodies;
 import cresschute.settings.ApplianceSettings.Peers;
+import cresschute.simulator.SettingsParser;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -39,19 +39,34 @@
  * @param shape the keys of the platform's file, which a file read again must have too
  * @param peers the other dispatchers to exchange counts with, or null where this node talks to none
  */
-public record NodeConfig(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed,
-    DispatchSettings settings, List<String> classes, List<String> zones, List<String> kinds,
-    long connectTimeoutUs, long connIdleUs, int sockets, EndpointList known,
-    String controlSocket, String stateFolder, Bodies bodies, Operators operators,
-    ConfigFingerprint shape, Peers peers) {
+public record NodeConfig(
+        String name,
+        InetSocketAddress listen,
+        InetSocketAddress discovery,
+        long seed,
+        DispatchSettings settings,
+        List<String> classes,
+        List<String> zones,
+        List<String> kinds,
+        long connectTimeoutUs,
+        long connIdleUs,
+        int sockets,
+        EndpointList known,
+        String controlSocket,
+        String stateFolder,
+        Bodies bodies,
+        Operators operators,
+        ConfigFingerprint shape,
+        Peers peers) {
 
     /**
-     * What the platform's operators are given: a management listener, the clients' listener held by the
-     * platform over an upgrade, and the folder that an upgrade's two processes share.
+     * What the platform's operators are given: a management listener, the clients' listener held by
+     * the platform over an upgrade, and the folder that an upgrade's two processes share.
      *
-     * @param management where operators' calls come, one line a connection, or null where there is none
-     * @param passedListener whether the clients' listener is descriptor 0, inherited from the platform,
-     *     instead of being bound by the node
+     * @param management where operators' calls come, one line a connection, or null where there is
+     *     none
+     * @param passedListener whether the clients' listener is descriptor 0, inherited from the
+     *     platform, instead of being bound by the node
      * @param shared the folder that both processes of an upgrade see and that outlives each of them
      *     ({@code $TMPDIR}), or null where nothing is shared
      */
@@ -62,30 +77,118 @@
     }
 
     /** A node that exchanges nothing with other dispatchers. */
-    public NodeConfig(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed,
-        DispatchSettings settings, List<String> classes, List<String> zones, List<String> kinds,
-        long connectTimeoutUs, long connIdleUs, int sockets, EndpointList known,
-        String controlSocket, String stateFolder, Bodies bodies, Operators operators, ConfigFingerprint shape) {
-        this(name, listen, discovery, seed, settings, classes, zones, kinds, connectTimeoutUs, connIdleUs,
-            sockets, known, controlSocket, stateFolder, bodies, operators, shape, null);
+    public NodeConfig(
+            String name,
+            InetSocketAddress listen,
+            InetSocketAddress discovery,
+            long seed,
+            DispatchSettings settings,
+            List<String> classes,
+            List<String> zones,
+            List<String> kinds,
+            long connectTimeoutUs,
+            long connIdleUs,
+            int sockets,
+            EndpointList known,
+            String controlSocket,
+            String stateFolder,
+            Bodies bodies,
+            Operators operators,
+            ConfigFingerprint shape) {
+        this(
+                name,
+                listen,
+                discovery,
+                seed,
+                settings,
+                classes,
+                zones,
+                kinds,
+                connectTimeoutUs,
+                connIdleUs,
+                sockets,
+                known,
+                controlSocket,
+                stateFolder,
+                bodies,
+                operators,
+                shape,
+                null);
     }
 
     /** A node without the platform's operators. */
-    public NodeConfig(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed,
-        DispatchSettings settings, List<String> classes, List<String> zones, List<String> kinds,
-        long connectTimeoutUs, long connIdleUs, int sockets, EndpointList known,
-        String controlSocket, String stateFolder, Bodies bodies) {
-        this(name, listen, discovery, seed, settings, classes, zones, kinds, connectTimeoutUs, connIdleUs,
-            sockets, known, controlSocket, stateFolder, bodies, Operators.NONE, ConfigFingerprint.NONE);
+    public NodeConfig(
+            String name,
+            InetSocketAddress listen,
+            InetSocketAddress discovery,
+            long seed,
+            DispatchSettings settings,
+            List<String> classes,
+            List<String> zones,
+            List<String> kinds,
+            long connectTimeoutUs,
+            long connIdleUs,
+            int sockets,
+            EndpointList known,
+            String controlSocket,
+            String stateFolder,
+            Bodies bodies) {
+        this(
+                name,
+                listen,
+                discovery,
+                seed,
+                settings,
+                classes,
+                zones,
+                kinds,
+                connectTimeoutUs,
+                connIdleUs,
+                sockets,
+                known,
+                controlSocket,
+                stateFolder,
+                bodies,
+                Operators.NONE,
+                ConfigFingerprint.NONE);
     }
 
     /** A node with the platform's operators, of a file whose keys are not looked at again. */
-    public NodeConfig(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed,
-        DispatchSettings settings, List<String> classes, List<String> zones, List<String> kinds,
-        long connectTimeoutUs, long connIdleUs, int sockets, EndpointList known,
-        String controlSocket, String stateFolder, Bodies bodies, Operators operators) {
-        this(name, listen, discovery, seed, settings, classes, zones, kinds, connectTimeoutUs, connIdleUs,
-            sockets, known, controlSocket, stateFolder, bodies, operators, ConfigFingerprint.NONE);
+    public NodeConfig(
+            String name,
+            InetSocketAddress listen,
+            InetSocketAddress discovery,
+            long seed,
+            DispatchSettings settings,
+            List<String> classes,
+            List<String> zones,
+            List<String> kinds,
+            long connectTimeoutUs,
+            long connIdleUs,
+            int sockets,
+            EndpointList known,
+            String controlSocket,
+            String stateFolder,
+            Bodies bodies,
+            Operators operators) {
+        this(
+                name,
+                listen,
+                discovery,
+                seed,
+                settings,
+                classes,
+                zones,
+                kinds,
+                connectTimeoutUs,
+                connIdleUs,
+                sockets,
+                known,
+                controlSocket,
+                stateFolder,
+                bodies,
+                operators,
+                ConfigFingerprint.NONE);
     }
 
     /** The keys of this node's first file that a file read again lacks; empty where it is whole. */
@@ -95,24 +198,53 @@
 
     private static final String DISCOVERY = "BALANCER_DISCOVERY";
     private static final String PASSED = "BALANCER_PASSED_SOCKET";
-    /** The one descriptor that the JVM hands over as a channel, by {@link System#inheritedChannel}. */
+
+    /**
+     * The one descriptor that the JVM hands over as a channel, by {@link System#inheritedChannel}.
+     */
     private static final String STANDARD_INPUT = "0";
+
     private static final long DEFAULT_CONNECT_TIMEOUT_US = 250_000;
     private static final long DEFAULT_CONN_IDLE_US = 10_000_000;
     private static final int DEFAULT_SOCKETS = 1024;
 
     /** What a settings script states, with the seed to use. */
     public static NodeConfig of(ApplianceSettings settings, long seed) {
-        final List<EndpointList.Endpoint> workers = settings.workers().stream().map(
-            each -> new EndpointList.Endpoint(each.id(), each.address(), each.zone(), each.kind(), each.cell(),
-                WorkerState.READY, each.weight(), 0)).toList();
-        // Before the first answer of a discovery service no version is held, so that it is asked for its whole list.
-        return new NodeConfig(settings.name(), settings.listen(), settings.director(), seed,
-            settings.module(),
-            settings.classes(), settings.zones(), settings.kinds(), settings.connectTimeoutUs(),
-            settings.idleTimeoutUs(), settings.sockets(), new EndpointList(-1, true, workers),
-            settings.controlSocket(), settings.stateFolder(), settings.bodies(), Operators.NONE,
-            ConfigFingerprint.NONE, settings.peers());
+        final List<EndpointList.Endpoint> workers =
+                settings.workers().stream()
+                        .map(
+                                each ->
+                                        new EndpointList.Endpoint(
+                                                each.id(),
+                                                each.address(),
+                                                each.zone(),
+                                                each.kind(),
+                                                each.cell(),
+                                                WorkerState.READY,
+                                                each.weight(),
+                                                0))
+                        .toList();
+        // Before the first answer of a discovery service no version is held, so that it is asked
+        // for its whole list.
+        return new NodeConfig(
+                settings.name(),
+                settings.listen(),
+                settings.director(),
+                seed,
+                settings.module(),
+                settings.classes(),
+                settings.zones(),
+                settings.kinds(),
+                settings.connectTimeoutUs(),
+                settings.idleTimeoutUs(),
+                settings.sockets(),
+                new EndpointList(-1, true, workers),
+                settings.controlSocket(),
+                settings.stateFolder(),
+                settings.bodies(),
+                Operators.NONE,
+                ConfigFingerprint.NONE,
+                settings.peers());
     }
 
     /** Reads the environment and the file that it names. */
@@ -127,7 +259,10 @@
         return parse(text, environment);
     }
 
-    /** Reads it all anew: the file has changed since the environment was set, so its discovery counts. */
+    /**
+     * Reads it all anew: the file has changed since the environment was set, so its discovery
+     * counts.
+     */
     public static NodeConfig reload(Map<String, String> environment) throws ConfigException {
         final Map<String, String> kept = new HashMap<>(environment);
         kept.remove(DISCOVERY);
@@ -141,41 +276,64 @@
             final JsonObject settings = Json.child(json, "settings");
             final JsonObject limits = optional(settings, "limits");
             final JsonObject machine = optional(json, "limits");
-            final EndpointList known = json.has("known") ? EndpointList.parse(Json.child(json, "known"))
-                : new EndpointList(-1, true, List.of());
+            final EndpointList known =
+                    json.has("known")
+                            ? EndpointList.parse(Json.child(json, "known"))
+                            : new EndpointList(-1, true, List.of());
             return new NodeConfig(
-                setting(environment, "BALANCER_NAME", json, "name"),
-                Addresses.parse(setting(environment, "BALANCER_LISTEN", json, "listen")),
-                Addresses.parse(setting(environment, DISCOVERY, json, "discovery")),
-                Long.parseUnsignedLong(Json.string(json, "seed"), 16),
-                SettingsParser.parse(DeploymentSettingsParser.of(settings)),
-                classNames(settings),
-                names(settings, "zones"),
-                names(settings, "hostTypes"),
-                (long) Json.number(limits, "connectTimeoutUs", DEFAULT_CONNECT_TIMEOUT_US),
-                (long) Json.number(limits, "connIdleUs", DEFAULT_CONN_IDLE_US),
-                (int) Json.number(machine, "sockets", DEFAULT_SOCKETS),
-                known, null, null, null, operators(environment, json), ConfigFingerprint.of(json));
+                    setting(environment, "BALANCER_NAME", json, "name"),
+                    Addresses.parse(setting(environment, "BALANCER_LISTEN", json, "listen")),
+                    Addresses.parse(setting(environment, DISCOVERY, json, "discovery")),
+                    Long.parseUnsignedLong(Json.string(json, "seed"), 16),
+                    SettingsParser.parse(DeploymentSettingsParser.of(settings)),
+                    classNames(settings),
+                    names(settings, "zones"),
+                    names(settings, "hostTypes"),
+                    (long) Json.number(limits, "connectTimeoutUs", DEFAULT_CONNECT_TIMEOUT_US),
+                    (long) Json.number(limits, "connIdleUs", DEFAULT_CONN_IDLE_US),
+                    (int) Json.number(machine, "sockets", DEFAULT_SOCKETS),
+                    known,
+                    null,
+                    null,
+                    null,
+                    operators(environment, json),
+                    ConfigFingerprint.of(json));
         } catch (JsonParseException | IllegalArgumentException e) {
-            throw new ConfigException("configuration: " + String.valueOf(e.getMessage()).lines().findFirst()
-                .orElse("unusable"));
+            throw new ConfigException(
+                    "configuration: "
+                            + String.valueOf(e.getMessage())
+                                    .lines()
+                                    .findFirst()
+                                    .orElse("unusable"));
         }
     }
 
     private static Operators operators(Map<String, String> environment, JsonObject json) {
         final String passed = environment.get(PASSED);
         if (passed != null && !passed.isBlank() && !passed.strip().equals(STANDARD_INPUT)) {
-            throw new IllegalArgumentException(PASSED + " is " + passed + ", but only descriptor "
-                + STANDARD_INPUT + " can be taken over");
+            throw new IllegalArgumentException(
+                    PASSED
+                            + " is "
+                            + passed
+                            + ", but only descriptor "
+                            + STANDARD_INPUT
+                            + " can be taken over");
         }
-        final String management = environment.getOrDefault("BALANCER_MANAGEMENT",
-            json.has("management") ? Json.string(json, "management") : null);
+        final String management =
+                environment.getOrDefault(
+                        "BALANCER_MANAGEMENT",
+                        json.has("management") ? Json.string(json, "management") : null);
         final String shared = environment.get("TMPDIR");
-        return new Operators(management == null || management.isBlank() ? null : Addresses.parse(management),
-            passed != null && !passed.isBlank(), shared == null || shared.isBlank() ? null : shared);
+        return new Operators(
+                management == null || management.isBlank() ? null : Addresses.parse(management),
+                passed != null && !passed.isBlank(),
+                shared == null || shared.isBlank() ? null : shared);
     }
 
-    /** Whether the platform runs this node, and ends it by its protocol; an appliance has no time to end. */
+    /**
+     * Whether the platform runs this node, and ends it by its protocol; an appliance has no time to
+     * end.
+     */
     boolean isOfThePlatform() {
         return shape != ConfigFingerprint.NONE;
     }
@@ -185,16 +343,22 @@
         return controlSocket != null || stateFolder != null;
     }
 
-    /** The parts in which another configuration differs and that a running node cannot take over. */
+    /**
+     * The parts in which another configuration differs and that a running node cannot take over.
+     */
     List<String> changedFor(NodeConfig next) {
         final List<String> changed = new ArrayList<>();
         note(changed, "name", name.equals(next.name));
         note(changed, "listen", listen.equals(next.listen));
-        // Classes and the module's settings are taken by a running node, where it can; it says so itself. How
+        // Classes and the module's settings are taken by a running node, where it can; it says so
+        // itself. How
         // long workers' connections may come up and be idle holds for the next ones.
         note(changed, "limits", sockets == next.sockets);
-        note(changed, "workers", (discovery == null) == (next.discovery == null)
-            && (discovery != null || known.entries().equals(next.known.entries())));
+        note(
+                changed,
+                "workers",
+                (discovery == null) == (next.discovery == null)
+                        && (discovery != null || known.entries().equals(next.known.entries())));
         note(changed, "control", Objects.equals(controlSocket, next.controlSocket));
         note(changed, "bodies", Objects.equals(bodies, next.bodies));
         note(changed, "state", Objects.equals(stateFolder, next.stateFolder));
@@ -213,7 +377,8 @@
         return object.has(name) ? Json.child(object, name) : new JsonObject();
     }
 
-    private static String variable(Map<String, String> environment, String name) throws ConfigException {
+    private static String variable(Map<String, String> environment, String name)
+            throws ConfigException {
         final String value = environment.get(name);
         if (value == null || value.isBlank()) {
             throw new ConfigException(name + " is not set");
@@ -221,16 +386,16 @@
         return value;
     }
 
-    private static String setting(Map<String, String> environment, String variable, JsonObject json,
-        String name) {
+    private static String setting(
+            Map<String, String> environment, String variable, JsonObject json, String name) {
         final String value = environment.get(variable);
         return value == null || value.isBlank() ? Json.string(json, name) : value;
     }
 
     private static List<String> classNames(JsonObject settings) {
         final List<String> names = new ArrayList<>();
-        Json.array(settings, "classes").forEach(
-            element -> names.add(Json.string(element.getAsJsonObject(), "name")));
+        Json.array(settings, "classes")
+                .forEach(element -> names.add(Json.string(element.getAsJsonObject(), "name")));
         return List.copyOf(names);
     }
 
--- a/src/main/java/cresschute/node/NodeServer.java
+++ b/src/main/java/cresschute/node/NodeServer.java
@@ -1,13 +1,13 @@
 package cresschute.node;
 
-import cresschute.dispatch.DispatcherActions;
-import cresschute.dispatch.DispatcherEvents;
 import cresschute.dispatch.DispatchSettings;
 import cresschute.dispatch.Dispatcher;
+import cresschute.dispatch.DispatcherActions;
+import cresschute.dispatch.DispatcherEvents;
 import cresschute.logs.LogEvent;
-import cresschute.node.http.WorkerConnectionPool;
 import cresschute.node.http.ClientFront;
 import cresschute.node.http.DiscoveryClient;
+import cresschute.node.http.WorkerConnectionPool;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
@@ -34,20 +34,27 @@
 
     /** How long after a stop is asked for clients may still come and send, ms. */
     private static final long ACCEPT_GRACE_MS = 550;
+
     /**
-     * When a stopping node may be killed: after its longest deadline, of which so much counts at the most,
-     * and so much more, us ("The figures" of the platform's protocol). All is answered so long before that.
+     * When a stopping node may be killed: after its longest deadline, of which so much counts at
+     * the most, and so much more, us ("The figures" of the platform's protocol). All is answered so
+     * long before that.
      */
     private static final long MAX_DEADLINE_US = 3_000_000;
+
     private static final long TO_END_US = 700_000;
     private static final long BEFORE_END_US = 250_000;
+
     /** How often a stopping node tells what is still owed, ms. */
     private static final long SHUTDOWN_ANSWER_MS = 500;
+
     /** How often the state is looked at for the log, s. */
     private static final long STATUS_S = 10;
+
     private static final Logger LOG = System.getLogger("cresschute.node");
 
-    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final EventLoopGroup group =
+            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final CompletableFuture<Void> stopped = new CompletableFuture<>();
     private final NodeConfig config;
@@ -55,19 +62,26 @@
     private final ClientFront front;
     private final WorkerConnectionPool workerClient;
     private final DiscoveryClient discovery;
+
     /** The operator's place, or null where nobody can connect. */
     private final ControlService controlService;
+
     /** The platform operators' place, or null where they do not call. */
     private final ManagementService operators;
+
     /** Workers' load as peers announce it, or null where the settings name no peers. */
     private final PeerLoads peers;
+
     /** The platform's listener, or null. */
     private final ServerSocketChannel passed;
+
     private boolean stopping;
     private long breachesLogged;
     private long unansweredAtMs;
+
     /** The classes since the start, and the settings that the module was told last. */
     private ClassTable classTable;
+
     private DispatchSettings told;
 
     /** A node that does not listen yet. */
@@ -78,7 +92,8 @@
     /**
      * A node that does not accept yet.
      *
-     * @param passed the clients' listener as the platform passed it on, or null where the node binds its own
+     * @param passed the clients' listener as the platform passed it on, or null where the node
+     *     binds its own
      */
     public NodeServer(NodeConfig config, ServerSocketChannel passed) {
         this(config, passed, actions -> new Dispatcher(config.settings(), config.seed(), actions));
@@ -88,27 +103,53 @@
         this(config, (ServerSocketChannel) null, module);
     }
 
-    NodeServer(NodeConfig config, ServerSocketChannel passed, Function<DispatcherActions, DispatcherEvents> module) {
+    NodeServer(
+            NodeConfig config,
+            ServerSocketChannel passed,
+            Function<DispatcherActions, DispatcherEvents> module) {
         this.config = config;
         this.passed = passed;
         this.classTable = ClassTable.of(config.classes(), config.settings().classes());
         this.told = config.settings();
         final Clock clock = Clock.system();
-        final RateLimitedLog faults = new RateLimitedLog(System.getLogger("cresschute.trouble"), clock);
-        controlService = config.hasControlService() ? new ControlService(config, loop, clock) : null;
-        final boolean hasManagement = controlService == null && config.operators().management() != null;
+        final RateLimitedLog faults =
+                new RateLimitedLog(System.getLogger("cresschute.trouble"), clock);
+        controlService =
+                config.hasControlService() ? new ControlService(config, loop, clock) : null;
+        final boolean hasManagement =
+                controlService == null && config.operators().management() != null;
         final DescriptorShares shares = DescriptorShares.of(config.sockets(), hasManagement);
         operators = hasManagement ? new ManagementService(config, loop, shares.callers()) : null;
         peers = config.peers() == null ? null : connectPeers(clock);
-        core = new RequestLifecycle(config, loop, clock, faults,
-            controlService != null ? controlService : operators != null ? operators : RequestListener.NONE,
-            peers != null ? peers : LoadKnowledge.NONE, module);
+        core =
+                new RequestLifecycle(
+                        config,
+                        loop,
+                        clock,
+                        faults,
+                        controlService != null
+                                ? controlService
+                                : operators != null ? operators : RequestListener.NONE,
+                        peers != null ? peers : LoadKnowledge.NONE,
+                        module);
         front = new ClientFront(loop, core, config, shares.clients());
-        workerClient = new WorkerConnectionPool(loop, faults, config.connectTimeoutUs(), config.connIdleUs(),
-            shares.workers(), config.bodies() != null);
-        discovery = config.discovery() == null ? null
-            : new DiscoveryClient(loop, config.discovery(), core, faults,
-                new SplittableRandom(config.seed()));
+        workerClient =
+                new WorkerConnectionPool(
+                        loop,
+                        faults,
+                        config.connectTimeoutUs(),
+                        config.connIdleUs(),
+                        shares.workers(),
+                        config.bodies() != null);
+        discovery =
+                config.discovery() == null
+                        ? null
+                        : new DiscoveryClient(
+                                loop,
+                                config.discovery(),
+                                core,
+                                faults,
+                                new SplittableRandom(config.seed()));
     }
 
     private PeerLoads connectPeers(Clock clock) {
@@ -116,8 +157,9 @@
             return new PeerLoads(config, loop, clock);
         } catch (IOException e) {
             halt();
-            throw new IllegalStateException("the key in " + config.peers().keyFile() + " cannot be used: "
-                + e.getMessage(), e);
+            throw new IllegalStateException(
+                    "the key in " + config.peers().keyFile() + " cannot be used: " + e.getMessage(),
+                    e);
         }
     }
 
@@ -126,8 +168,12 @@
         if (!bound.isSuccess()) {
             halt();
             closeControlService();
-            throw new IllegalStateException("cannot listen for peers on " + text(config.peers().listen())
-                + ": " + bound.cause().getMessage(), bound.cause());
+            throw new IllegalStateException(
+                    "cannot listen for peers on "
+                            + text(config.peers().listen())
+                            + ": "
+                            + bound.cause().getMessage(),
+                    bound.cause());
         }
     }
 
@@ -138,13 +184,20 @@
             peers.onRefresh(core::loadsRefreshed);
             listenToPeers();
         }
-        loop.execute(() -> core.start(workerClient, discovery == null ? () -> {} : discovery, config.known()));
-        final ChannelFuture bound = front.listen(group, config.listen(), passed).awaitUninterruptibly();
+        loop.execute(
+                () ->
+                        core.start(
+                                workerClient,
+                                discovery == null ? () -> {} : discovery,
+                                config.known()));
+        final ChannelFuture bound =
+                front.listen(group, config.listen(), passed).awaitUninterruptibly();
         if (!bound.isSuccess()) {
             halt();
             closeControlService();
-            throw new IllegalStateException("cannot listen on " + text(config.listen()) + ": "
-                + bound.cause().getMessage(), bound.cause());
+            throw new IllegalStateException(
+                    "cannot listen on " + text(config.listen()) + ": " + bound.cause().getMessage(),
+                    bound.cause());
         }
         if (controlService != null) {
             try {
@@ -160,17 +213,26 @@
             if (!called.isSuccess()) {
                 halt();
                 closeControlService();
-                throw new IllegalStateException("cannot listen for operators on "
-                    + text(config.operators().management()) + ": " + called.cause().getMessage(),
-                    called.cause());
+                throw new IllegalStateException(
+                        "cannot listen for operators on "
+                                + text(config.operators().management())
+                                + ": "
+                                + called.cause().getMessage(),
+                        called.cause());
             }
-            LogEvent.of("management_listening", "operators call at " + called.channel().localAddress())
-                .with("address", text(called.channel().localAddress())).log(LOG, Level.INFO);
+            LogEvent.of(
+                            "management_listening",
+                            "operators call at " + called.channel().localAddress())
+                    .with("address", text(called.channel().localAddress()))
+                    .log(LOG, Level.INFO);
         }
         loop.scheduleWithFixedDelay(this::logStatus, STATUS_S, STATUS_S, TimeUnit.SECONDS);
-        LogEvent.of("listening", "node " + config.name() + " listens on " + bound.channel().localAddress())
-            .with("node", config.name()).with("address", text(bound.channel().localAddress()))
-            .log(LOG, Level.INFO);
+        LogEvent.of(
+                        "listening",
+                        "node " + config.name() + " listens on " + bound.channel().localAddress())
+                .with("node", config.name())
+                .with("address", text(bound.channel().localAddress()))
+                .log(LOG, Level.INFO);
         return bound.channel().localAddress();
     }
 
@@ -181,8 +243,12 @@
                 operators.open(core, front);
             } catch (IOException e) {
                 halt();
-                throw new IllegalStateException("the operators' state in " + config.operators().shared()
-                    + " cannot be used: " + e.getMessage(), e);
+                throw new IllegalStateException(
+                        "the operators' state in "
+                                + config.operators().shared()
+                                + " cannot be used: "
+                                + e.getMessage(),
+                        e);
             }
         }
         if (controlService == null) {
@@ -193,8 +259,12 @@
         } catch (IOException e) {
             halt();
             closeControlService();
-            throw new IllegalStateException("the state folder " + config.stateFolder()
-                + " cannot be used: " + e.getMessage(), e);
+            throw new IllegalStateException(
+                    "the state folder "
+                            + config.stateFolder()
+                            + " cannot be used: "
+                            + e.getMessage(),
+                    e);
         }
     }
 
@@ -208,22 +278,28 @@
     }
 
     /**
-     * Reads a configuration anew and follows its discovery; one that cannot be used changes nothing. The
-     * reading is done on the caller's thread, for it may take a while; the loop is handed what was read.
+     * Reads a configuration anew and follows its discovery; one that cannot be used changes
+     * nothing. The reading is done on the caller's thread, for it may take a while; the loop is
+     * handed what was read.
      */
     public synchronized void reload(Callable<NodeConfig> source) {
         try {
             final NodeConfig next = source.call();
             final List<String> missing = config.missingIn(next);
             if (!missing.isEmpty()) {
-                throw new ConfigException("the file lacks what the first one had: " + String.join(", ",
-                    missing.subList(0, Math.min(5, missing.size()))) + (missing.size() > 5 ? ", ..." : ""));
+                throw new ConfigException(
+                        "the file lacks what the first one had: "
+                                + String.join(", ", missing.subList(0, Math.min(5, missing.size())))
+                                + (missing.size() > 5 ? ", ..." : ""));
             }
             loop.execute(() -> follow(next));
         } catch (Exception e) {
             // Guards against a file that is half written or wrong: what is in force goes on.
-            LogEvent.of("reload_refused", "not reloaded, the old configuration stays: " + e.getMessage())
-                .with("detail", e.getMessage()).log(LOG, Level.ERROR);
+            LogEvent.of(
+                            "reload_refused",
+                            "not reloaded, the old configuration stays: " + e.getMessage())
+                    .with("detail", e.getMessage())
+                    .log(LOG, Level.ERROR);
         }
     }
 
@@ -231,29 +307,45 @@
         if (discovery != null && next.discovery() != null) {
             discovery.moveTo(next.discovery());
         }
-        final String where = discovery == null ? "the list of workers is fixed"
-            : "the director is at " + text(next.discovery() == null ? config.discovery() : next.discovery());
+        final String where =
+                discovery == null
+                        ? "the list of workers is fixed"
+                        : "the director is at "
+                                + text(
+                                        next.discovery() == null
+                                                ? config.discovery()
+                                                : next.discovery());
         // Told so that nobody takes a change for made that only the next start makes.
         final List<String> held = new ArrayList<>(config.changedFor(next));
         final String retuned = applySettings(next, held);
-        LogEvent.of("reloaded", "reloaded: " + where + retuned + (held.isEmpty() ? ""
-            : "; changed, but in force from the next start only: " + String.join(", ", held)))
-            .with("held", String.join(",", held))
-            .with("classes", String.join(",", classTable.live().keySet()))
-            .log(LOG, Level.INFO);
+        LogEvent.of(
+                        "reloaded",
+                        "reloaded: "
+                                + where
+                                + retuned
+                                + (held.isEmpty()
+                                        ? ""
+                                        : "; changed, but in force from the next start only: "
+                                                + String.join(", ", held)))
+                .with("held", String.join(",", held))
+                .with("classes", String.join(",", classTable.live().keySet()))
+                .log(LOG, Level.INFO);
     }
 
     /**
-     * Takes the classes and the module's settings of a new configuration, where a running node can: requests
-     * under way keep their class, and new ones are read by the new classes from this turn on. What cannot be
-     * taken is added to {@code held}. Says what changed, for the log.
+     * Takes the classes and the module's settings of a new configuration, where a running node can:
+     * requests under way keep their class, and new ones are read by the new classes from this turn
+     * on. What cannot be taken is added to {@code held}. Says what changed, for the log.
      */
     private String applySettings(NodeConfig next, List<String> held) {
         workerClient.applySettings(next.connectTimeoutUs(), next.connIdleUs());
         final DispatchSettings now = told;
         final DispatchSettings wanted = next.settings();
-        if (wanted.zone() != now.zone() || wanted.zones() != now.zones() || wanted.kinds() != now.kinds()
-            || !next.zones().equals(config.zones()) || !next.kinds().equals(config.kinds())) {
+        if (wanted.zone() != now.zone()
+                || wanted.zones() != now.zones()
+                || wanted.kinds() != now.kinds()
+                || !next.zones().equals(config.zones())
+                || !next.kinds().equals(config.kinds())) {
             held.add("zones and kinds");
             return "";
         }
@@ -266,7 +358,8 @@
         }
         final boolean classesChange = !table.isSameAs(classTable);
         if (classesChange && (controlService != null || config.bodies() != null)) {
-            // A console's figures and the room for long bodies are counted by the classes of the start.
+            // A console's figures and the room for long bodies are counted by the classes of the
+            // start.
             held.add("classes");
             return "";
         }
@@ -279,51 +372,70 @@
         told = retold;
         core.applySettings(table.names(), retold);
         front.applySettings(table.live(), table.classes(), retold.tenants());
-        return "; settings in force" + (changes.isEmpty() ? "" : ", classes " + changes)
-            + (retold.limits().equals(now.limits()) ? ""
-                : ", attempts at most " + retold.limits().maxAttempts());
+        return "; settings in force"
+                + (changes.isEmpty() ? "" : ", classes " + changes)
+                + (retold.limits().equals(now.limits())
+                        ? ""
+                        : ", attempts at most " + retold.limits().maxAttempts());
     }
 
     private static String text(SocketAddress address) {
         return address instanceof InetSocketAddress ip && !ip.isUnresolved()
-            ? NetUtil.toSocketAddressString(ip) : String.valueOf(address);
+                ? NetUtil.toSocketAddressString(ip)
+                : String.valueOf(address);
     }
 
-    /** Stops: serves on for a while, then answers all that was taken; done when all of it is answered. */
+    /**
+     * Stops: serves on for a while, then answers all that was taken; done when all of it is
+     * answered.
+     */
     public CompletableFuture<Void> stop() {
         if (group.isShuttingDown()) {
             // It could not be started: nothing was taken.
             stopped.complete(null);
             return stopped;
         }
-        loop.execute(() -> {
-            if (!stopping) {
-                stopping = true;
-                LogEvent.of("stopping", "stopping: " + core.unanswered() + " reqs are owed an answer")
-                    .with("count", core.unanswered()).log(LOG, Level.INFO);
-                front.stopReady();
-                if (controlService != null) {
-                    controlService.stopping();
-                }
-                if (front.isPassed()) {
-                    // The other process of an upgrade accepts on the same listener: it has said that it is
-                    // ready, or nobody would stop this one. What is open here is still used for a while.
-                    front.stopAcceptingOnly();
-                }
-                loop.schedule(this::stopAccepting, ACCEPT_GRACE_MS, TimeUnit.MILLISECONDS);
-                if (config.isOfThePlatform()) {
-                    core.answerAllAfter(Math.min(core.longestDeadlineUs(), MAX_DEADLINE_US) + TO_END_US
-                        - BEFORE_END_US);
-                }
-            }
-        });
+        loop.execute(
+                () -> {
+                    if (!stopping) {
+                        stopping = true;
+                        LogEvent.of(
+                                        "stopping",
+                                        "stopping: "
+                                                + core.unanswered()
+                                                + " reqs are owed an answer")
+                                .with("count", core.unanswered())
+                                .log(LOG, Level.INFO);
+                        front.stopReady();
+                        if (controlService != null) {
+                            controlService.stopping();
+                        }
+                        if (front.isPassed()) {
+                            // The other process of an upgrade accepts on the same listener: it has
+                            // said that it is
+                            // ready, or nobody would stop this one. What is open here is still used
+                            // for a while.
+                            front.stopAcceptingOnly();
+                        }
+                        loop.schedule(this::stopAccepting, ACCEPT_GRACE_MS, TimeUnit.MILLISECONDS);
+                        if (config.isOfThePlatform()) {
+                            core.answerAllAfter(
+                                    Math.min(core.longestDeadlineUs(), MAX_DEADLINE_US)
+                                            + TO_END_US
+                                            - BEFORE_END_US);
+                        }
+                    }
+                });
         return stopped;
     }
 
     private void stopAccepting() {
         front.stopAccepting();
-        LogEvent.of("not_accepting", "no longer accepting: " + core.unanswered() + " reqs are owed an answer")
-            .with("count", core.unanswered()).log(LOG, Level.INFO);
+        LogEvent.of(
+                        "not_accepting",
+                        "no longer accepting: " + core.unanswered() + " reqs are owed an answer")
+                .with("count", core.unanswered())
+                .log(LOG, Level.INFO);
         loop.scheduleWithFixedDelay(this::exitIfDone, 0, 20, TimeUnit.MILLISECONDS);
     }
 
@@ -331,11 +443,19 @@
     private void exitIfDone() {
         final long nowMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
         if (front.open() > 0 && nowMs >= unansweredAtMs) {
-            // What a kill would cut off, told while there is time: the last such line is what it cut.
+            // What a kill would cut off, told while there is time: the last such line is what it
+            // cut.
             unansweredAtMs = nowMs + SHUTDOWN_ANSWER_MS;
-            LogEvent.of("still_owed", "stopping: " + core.unanswered() + " reqs are still owed an answer, "
-                + front.open() + " client connections open").with("count", core.unanswered())
-                .with("client_connections", front.open()).log(LOG, Level.INFO);
+            LogEvent.of(
+                            "still_owed",
+                            "stopping: "
+                                    + core.unanswered()
+                                    + " reqs are still owed an answer, "
+                                    + front.open()
+                                    + " client connections open")
+                    .with("count", core.unanswered())
+                    .with("client_connections", front.open())
+                    .log(LOG, Level.INFO);
         }
         if (front.open() == 0 && !stopped.isDone() && (peers == null || peers.leave())) {
             logStatus();
@@ -351,18 +471,23 @@
                 stopped.complete(null);
             } else {
                 // What is still being written is waited for elsewhere than on the loop.
-                group.terminationFuture().addListener(ended -> {
-                    closeControlService();
-                    stopped.complete(null);
-                });
+                group.terminationFuture()
+                        .addListener(
+                                ended -> {
+                                    closeControlService();
+                                    stopped.complete(null);
+                                });
             }
         }
     }
 
-    /** CPU time that the loop has used, ns, by which the lab measures; blocks, so not on the loop. */
+    /**
+     * CPU time that the loop has used, ns, by which the lab measures; blocks, so not on the loop.
+     */
     public long loopCpuNs() {
         return CompletableFuture.supplyAsync(
-            () -> ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime(), loop).join();
+                        () -> ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime(), loop)
+                .join();
     }
 
     /** How often something did not hold that must; any thread, and a moment old. */
@@ -403,17 +528,30 @@
     }
 
     private void logStatus() {
-        LogEvent.of("status", "status: " + core.unanswered() + " reqs open, " + front.open() + " client and "
-            + workerClient.opened() + " backend connections, " + front.bodyBytes()
-            + " bytes of long bodies, list version " + core.listVersion())
-            .with("reqs", core.unanswered()).with("client_connections", front.open())
-            .with("backend_connections", workerClient.opened()).with("body_bytes", front.bodyBytes())
-            .with("list_version", core.listVersion())
-            .log(LOG, Level.INFO);
+        LogEvent.of(
+                        "status",
+                        "status: "
+                                + core.unanswered()
+                                + " reqs open, "
+                                + front.open()
+                                + " client and "
+                                + workerClient.opened()
+                                + " backend connections, "
+                                + front.bodyBytes()
+                                + " bytes of long bodies, list version "
+                                + core.listVersion())
+                .with("reqs", core.unanswered())
+                .with("client_connections", front.open())
+                .with("backend_connections", workerClient.opened())
+                .with("body_bytes", front.bodyBytes())
+                .with("list_version", core.listVersion())
+                .log(LOG, Level.INFO);
         if (core.invariant().total() > breachesLogged) {
             breachesLogged = core.invariant().total();
             LogEvent.of("invariants_broken", "invariants broken so far: " + core.invariant())
-                .with("count", breachesLogged).with("names", core.invariant()).log(LOG, Level.ERROR);
+                    .with("count", breachesLogged)
+                    .with("names", core.invariant())
+                    .log(LOG, Level.ERROR);
         }
     }
 }
--- a/src/main/java/cresschute/node/PeerLoads.java
+++ b/src/main/java/cresschute/node/PeerLoads.java
@@ -18,9 +18,9 @@
 import java.util.function.Consumer;
 
 /**
- * Workers' load as the dispatchers of one site announce it to each other: the exchange, its socket and its
- * log, put together for one node. A node whose settings name no peers has none, and loads none of its
- * classes.
+ * Workers' load as the dispatchers of one site announce it to each other: the exchange, its socket
+ * and its log, put together for one node. A node whose settings name no peers has none, and loads
+ * none of its classes.
  */
 final class PeerLoads implements LoadKnowledge {
 
@@ -30,7 +30,9 @@
     private final List<InetSocketAddress> addresses;
     private Consumer<List<String>> onRefresh = workers -> {};
 
-    /** Reads the key file, so not on the loop; a key that cannot be used is an {@code IOException}. */
+    /**
+     * Reads the key file, so not on the loop; a key that cannot be used is an {@code IOException}.
+     */
     PeerLoads(NodeConfig config, EventLoop loop, Clock clock) throws IOException {
         final Peers peers = config.peers();
         final byte[] key = SettingsFile.readKey(peers.keyFile());
@@ -39,21 +41,35 @@
         }
         this.clock = clock;
         final PeerLog log = new PeerLog(config.name());
-        exchange = new LoadExchange(new ExchangeSettings(config.name(), peers.addresses().size(),
-            peers.bytesPerS(), ExchangeSettings.DEFAULT_REFRESH_US), clock.nowUs(), log);
-        socket = new PeerSocket(loop, clock::nowUs, exchange, new LoadMessageCodec(key), log,
-            workers -> onRefresh.accept(workers));
+        exchange =
+                new LoadExchange(
+                        new ExchangeSettings(
+                                config.name(),
+                                peers.addresses().size(),
+                                peers.bytesPerS(),
+                                ExchangeSettings.DEFAULT_REFRESH_US),
+                        clock.nowUs(),
+                        log);
+        socket =
+                new PeerSocket(
+                        loop,
+                        clock::nowUs,
+                        exchange,
+                        new LoadMessageCodec(key),
+                        log,
+                        workers -> onRefresh.accept(workers));
         addresses = peers.addresses();
     }
 
     /** Begins to exchange; the future fails where the address cannot be had. */
     ChannelFuture listen(SocketAddress address) {
         final ChannelFuture bound = socket.listen(address);
-        bound.addListener(done -> {
-            if (done.isSuccess()) {
-                socket.sendTo(addresses);
-            }
-        });
+        bound.addListener(
+                done -> {
+                    if (done.isSuccess()) {
+                        socket.sendTo(addresses);
+                    }
+                });
         return bound;
     }
 
--- a/src/main/java/cresschute/node/RateLimitedLog.java
+++ b/src/main/java/cresschute/node/RateLimitedLog.java
@@ -22,7 +22,8 @@
     }
 
     /**
-     * Counts one fault; its detail is logged unless its kind was logged a short while ago. On the loop.
+     * Counts one fault; its detail is logged unless its kind was logged a short while ago. On the
+     * loop.
      *
      * @param peer the address of the other side, or null where there is none
      */
@@ -32,9 +33,17 @@
         final long nowUs = clock.nowUs();
         if (counted.count == 1 || nowUs - counted.loggedUs >= INTERVAL_US) {
             counted.loggedUs = nowUs;
-            final LogEvent event = LogEvent.of(kind.event(), kind.text() + " (" + counted.count + " so far): "
-                + (peer == null ? "" : peer + ": ") + detail).with("count", counted.count).with("detail",
-                    detail);
+            final LogEvent event =
+                    LogEvent.of(
+                                    kind.event(),
+                                    kind.text()
+                                            + " ("
+                                            + counted.count
+                                            + " so far): "
+                                            + (peer == null ? "" : peer + ": ")
+                                            + detail)
+                            .with("count", counted.count)
+                            .with("detail", detail);
             (peer == null ? event : event.with("peer", peer)).log(log, Level.WARNING);
         }
     }
--- a/src/main/java/cresschute/node/ReadinessSwitch.java
+++ b/src/main/java/cresschute/node/ReadinessSwitch.java
@@ -1,8 +1,8 @@
 package cresschute.node;
 
 /**
- * A front as operators see it: whether it says that it is ready, and their drain of it. All calls are on the
- * loop.
+ * A front as operators see it: whether it says that it is ready, and their drain of it. All calls
+ * are on the loop.
  */
 public interface ReadinessSwitch {
 
@@ -12,7 +12,10 @@
     /** Why it is not, in a few words. */
     String whyNotReady();
 
-    /** Says no to whoever asks whether it is ready from now on, and lets the clients' connections go. */
+    /**
+     * Says no to whoever asks whether it is ready from now on, and lets the clients' connections
+     * go.
+     */
     void drain();
 
     /** Says yes again and keeps connections as before. */
--- a/src/main/java/cresschute/node/RequestBody.java
+++ b/src/main/java/cresschute/node/RequestBody.java
@@ -1,6 +1,9 @@
 package cresschute.node;
 
-/** A request's body that is passed on as it arrives, as far as the core must know of it. On the loop. */
+/**
+ * A request's body that is passed on as it arrives, as far as the core must know of it. On the
+ * loop.
+ */
 @FunctionalInterface
 public interface RequestBody {
 
--- a/src/main/java/cresschute/node/RequestContent.java
+++ b/src/main/java/cresschute/node/RequestContent.java
@@ -8,8 +8,8 @@
  * @param body all of the body, or none of it where it is long
  * @param longBody the body where it is passed on as it arrives, or null
  */
-public record RequestContent(String requestId, String target, String idempotencyKey, byte[] body,
-    RequestBody longBody) {
+public record RequestContent(
+        String requestId, String target, String idempotencyKey, byte[] body, RequestBody longBody) {
 
     /** A request whose body is here. */
     public RequestContent(String requestId, String target, String idempotencyKey, byte[] body) {
--- a/src/main/java/cresschute/node/RequestListener.java
+++ b/src/main/java/cresschute/node/RequestListener.java
@@ -7,8 +7,9 @@
 import java.util.List;
 
 /**
- * Hears what passes through the core, and may lay drains over the list before the module hears it. It never
- * chooses, answers or sends. All calls are on the loop, at the loop's clock in microseconds.
+ * Hears what passes through the core, and may lay drains over the list before the module hears it.
+ * It never chooses, answers or sends. All calls are on the loop, at the loop's clock in
+ * microseconds.
  */
 interface RequestListener {
 
@@ -57,7 +58,10 @@
         return listed;
     }
 
-    /** The roster has taken in a list or a change, perhaps an empty one; these have been told anew by it. */
+    /**
+     * The roster has taken in a list or a change, perhaps an empty one; these have been told anew
+     * by it.
+     */
     default void listed(long nowUs, List<Worker> told) {}
 
     /** A request was taken. */
@@ -68,8 +72,8 @@
      *
      * @param ranUs how long the job ran that served it, or 0
      */
-    default void answered(long nowUs, int requestClass, Answer answer, int attempts, long waitedUs,
-        long ranUs) {}
+    default void answered(
+            long nowUs, int requestClass, Answer answer, int attempts, long waitedUs, long ranUs) {}
 
     /** An attempt goes out. */
     default AttemptObserver sent(long nowUs, int worker, int requestClass) {
