--- a/src/main/java/cresschute/node/WorkerClient.java
+++ b/src/main/java/cresschute/node/WorkerClient.java
@@ -19,10 +19,15 @@
     /** An attempt that is out. */
     interface AttemptCall {
 
-        /** Stops waiting and closes the connection; tells how the attempt ended by that, and reports no end. */
+        /**
+         * Stops waiting and closes the connection; tells how the attempt ended by that, and reports
+         * no end.
+         */
         Outcome giveUp();
 
-        /** Whether a byte of it may be on the wire; before that, giving it up takes nothing back. */
+        /**
+         * Whether a byte of it may be on the wire; before that, giving it up takes nothing back.
+         */
         default boolean hasBegun() {
             return true;
         }
@@ -32,16 +37,16 @@
     interface AttemptListener {
 
         /**
-         * Whether its first byte may go out now that a new connection is up; it has ended where not. Not to
-         * be asked from within the reading of a client's connection.
+         * Whether its first byte may go out now that a new connection is up; it has ended where
+         * not. Not to be asked from within the reading of a client's connection.
          */
         default boolean mayBegin() {
             return true;
         }
 
         /**
-         * What is left of the attempt's time, us; 0 where it is over. Asked when the head is written and not
-         * before: the connection may come up long after the attempt was chosen.
+         * What is left of the attempt's time, us; 0 where it is over. Asked when the head is
+         * written and not before: the connection may come up long after the attempt was chosen.
          */
         long remainingUs();
 
@@ -49,8 +54,9 @@
         void progressed(double fractionDone);
 
         /**
-         * The job makes a long result, and the end of the attempt is told by this: what follows is its result
-         * alone. {@link ResultStream#NOWHERE} where nobody wants it any more, null where none is expected.
+         * The job makes a long result, and the end of the attempt is told by this: what follows is
+         * its result alone. {@link ResultStream#NOWHERE} where nobody wants it any more, null where
+         * none is expected.
          */
         ResultStream resultBegins(String type, long length, LoadReport report);
 
--- a/src/main/java/cresschute/node/WorkerRegistry.java
+++ b/src/main/java/cresschute/node/WorkerRegistry.java
@@ -9,14 +9,18 @@
 import java.util.List;
 import java.util.Map;
 
-/** The workers that discovery has named so far, under numbers that hold for the life of the process. */
+/**
+ * The workers that discovery has named so far, under numbers that hold for the life of the process.
+ */
 final class WorkerRegistry {
 
     private final Map<String, Integer> idNumbers = new HashMap<>();
     private final List<InetSocketAddress> addresses = new ArrayList<>();
     private final List<String> ids = new ArrayList<>();
+
     /** As last listed, by number; one that a whole list leaves out is gone. */
     private final List<Worker> listed = new ArrayList<>();
+
     private final Map<String, Integer> zones = new HashMap<>();
     private final Map<String, Integer> kinds = new HashMap<>();
     private long version = -1;
@@ -26,12 +30,22 @@
         kinds.forEach(kind -> number(this.kinds, kind));
     }
 
-    /** Takes in an answer and tells it in the module's terms; a changed address holds from now on. */
+    /**
+     * Takes in an answer and tells it in the module's terms; a changed address holds from now on.
+     */
     List<Worker> take(EndpointList list) {
         version = list.version();
         if (list.full()) {
-            listed.replaceAll(each -> new Worker(each.id(), each.zone(), each.kind(), each.cell(),
-                WorkerState.GONE, each.weight(), each.startedAtUs()));
+            listed.replaceAll(
+                    each ->
+                            new Worker(
+                                    each.id(),
+                                    each.zone(),
+                                    each.kind(),
+                                    each.cell(),
+                                    WorkerState.GONE,
+                                    each.weight(),
+                                    each.startedAtUs()));
         }
         final List<Worker> workers = new ArrayList<>();
         for (final EndpointList.Endpoint entry : list.entries()) {
@@ -42,8 +56,15 @@
             } else {
                 addresses.set(id, entry.addr());
             }
-            final Worker worker = new Worker(id, number(zones, entry.zone()), number(kinds, entry.kind()),
-                entry.cell(), entry.state(), entry.weight(), entry.startedMs() * 1000);
+            final Worker worker =
+                    new Worker(
+                            id,
+                            number(zones, entry.zone()),
+                            number(kinds, entry.kind()),
+                            entry.cell(),
+                            entry.state(),
+                            entry.weight(),
+                            entry.startedMs() * 1000);
             if (id == listed.size()) {
                 listed.add(worker);
             } else {
@@ -71,8 +92,11 @@
 
     /** The name of a kind of machine. */
     String kind(int number) {
-        return kinds.entrySet().stream().filter(each -> each.getValue() == number).map(Map.Entry::getKey)
-            .findFirst().orElse("");
+        return kinds.entrySet().stream()
+                .filter(each -> each.getValue() == number)
+                .map(Map.Entry::getKey)
+                .findFirst()
+                .orElse("");
     }
 
     /** Where a worker listens, or null for a number that no list has named. */
--- a/src/main/java/cresschute/node/http/BodyPump.java
+++ b/src/main/java/cresschute/node/http/BodyPump.java
@@ -9,8 +9,8 @@
 import io.netty.util.concurrent.Future;
 
 /**
- * Carries a long body to one peer, no faster than its connection takes it: what is not written stays in the
- * body, where it is counted. On the loop.
+ * Carries a long body to one peer, no faster than its connection takes it: what is not written
+ * stays in the body, where it is counted. On the loop.
  */
 final class BodyPump {
 
@@ -18,8 +18,8 @@
     interface BodyEndpoints {
 
         /**
-         * It flows, or waits for whoever sends it: called with the first piece that is written, and again
-         * every second or so unless the peer is what it waits for.
+         * It flows, or waits for whoever sends it: called with the first piece that is written, and
+         * again every second or so unless the peer is what it waits for.
          */
         default void flows() {}
 
@@ -94,7 +94,7 @@
             underWay++;
             final int count = piece.readableBytes();
             channel.writeAndFlush(new DefaultHttpContent(piece.retainedDuplicate()))
-                .addListener(done -> sent(done, count));
+                    .addListener(done -> sent(done, count));
         }
         if (!over && !lastIsOut && sender.hasTakenAll()) {
             lastIsOut = true;
--- a/src/main/java/cresschute/node/http/ClientConnection.java
+++ b/src/main/java/cresschute/node/http/ClientConnection.java
@@ -1,10 +1,10 @@
 package cresschute.node.http;
 
 import cresschute.node.ClientRequest;
-import cresschute.node.ResponseListener;
+import cresschute.node.PeerFault;
 import cresschute.node.RequestContent;
+import cresschute.node.ResponseListener;
 import cresschute.node.ResultStream;
-import cresschute.node.PeerFault;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelFuture;
@@ -34,47 +34,72 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** A client's connection: reads requests, hands them to the core and writes the answers in the requests' order. */
+/**
+ * A client's connection: reads requests, hands them to the core and writes the answers in the
+ * requests' order.
+ */
 final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> {
 
     static final int MAX_BODY_BYTES = 64 * 1024;
+
     /**
-     * Requests taken ahead of their answers. What a client sends beyond that is read and waits here untaken, for
-     * with reading paused nobody would see that the client has left.
+     * Requests taken ahead of their answers. What a client sends beyond that is read and waits here
+     * untaken, for with reading paused nobody would see that the client has left.
      */
     private static final int MAX_AHEAD = 16;
-    /** Requests without an answer that a connection may hold, below the codec's bound; one more closes it. */
+
+    /**
+     * Requests without an answer that a connection may hold, below the codec's bound; one more
+     * closes it.
+     */
     private static final int MAX_UNANSWERED = 120;
+
     /** How long a client that was told of the end may take to end its side too, ms. */
     private static final long ENDING_MS = 400;
+
     /** How long an unwanted body's rest is read away, ms: an early reset could eat the answer. */
     private static final long LINGER_MS = 1_000;
+
     private static final int KIB = 1024;
     private static final byte[] NO_BODY = new byte[0];
     private static final String READY = "/health/ready";
 
     private final ClientFront front;
     private final Deque<Answer> answers = new ArrayDeque<>();
-    /** Requests that wait to be taken until fewer are ahead of them; their answers are the last ones. */
+
+    /**
+     * Requests that wait to be taken until fewer are ahead of them; their answers are the last
+     * ones.
+     */
     private final Deque<Waiting> waiting = new ArrayDeque<>();
+
     private ChannelHandlerContext context;
     private Answer reading;
     private RequestHead head;
+
     /** What the head of the request that is being read was read from, and by which settings. */
     private HttpRequest request;
+
     private RequestHead.RequestHeadParser parsedBy;
     private byte[] body = NO_BODY;
     private int bodyBytes;
+
     /** The body that is being read where it is long, and whether a read of it is asked for. */
     private LongBody longBody;
+
     private boolean awaiting;
+
     /** Since when there has been no room for a read of it; 0 while there is. */
     private long readPausedSinceNs;
+
     private boolean deaf;
+
     /** Whether nothing is sent here any more. */
     private boolean ending;
+
     private boolean flushing;
     private boolean proven;
+
     /** When it became the client's turn; bytes that make no whole request do not count. */
     private long turnNs = System.nanoTime();
 
@@ -132,7 +157,9 @@
         }
     }
 
-    /** Guards against a wait for requests before it: what cannot be read ends the connection now. */
+    /**
+     * Guards against a wait for requests before it: what cannot be read ends the connection now.
+     */
     private void malformed() {
         if (reading == null) {
             reading = new Answer(false, false);
@@ -142,7 +169,8 @@
             deaf = true;
             close();
         } else {
-            // Guards a request that was taken with its body still coming: nothing is owed for it any more.
+            // Guards a request that was taken with its body still coming: nothing is owed for it
+            // any more.
             reading.clientLeft();
             deafWith(HttpResponseStatus.BAD_REQUEST, "malformed HTTP");
         }
@@ -150,8 +178,12 @@
 
     private void begin(HttpRequest next) {
         if (answers.size() >= MAX_UNANSWERED) {
-            front.core().faults().fault(PeerFault.CLIENT_CONNECTION, null, MAX_UNANSWERED
-                + " reqs on one connection wait for their answers");
+            front.core()
+                    .faults()
+                    .fault(
+                            PeerFault.CLIENT_CONNECTION,
+                            null,
+                            MAX_UNANSWERED + " reqs on one connection wait for their answers");
             deaf = true;
             close();
             return;
@@ -160,23 +192,29 @@
             turnNs = System.nanoTime();
         }
         request = next;
-        reading = new Answer(HttpUtil.isKeepAlive(request),
-            request.protocolVersion().equals(HttpVersion.HTTP_1_0));
+        reading =
+                new Answer(
+                        HttpUtil.isKeepAlive(request),
+                        request.protocolVersion().equals(HttpVersion.HTTP_1_0));
         answers.add(reading);
         head = null;
         bodyBytes = 0;
         // Guards against reading on by rules that are not those of the client's version.
         if (!request.protocolVersion().equals(HttpVersion.HTTP_1_1)
-            && !request.protocolVersion().equals(HttpVersion.HTTP_1_0)) {
+                && !request.protocolVersion().equals(HttpVersion.HTTP_1_0)) {
             deafWith(HttpResponseStatus.HTTP_VERSION_NOT_SUPPORTED, "HTTP/1.1 and HTTP/1.0 alone");
             return;
         }
-        // Guards against a second request hidden in a body: where its length is told twice, or by a coding that
-        // nobody here knows, servers may differ about its end. The codec lets some of these through.
-        final String coding = String.join(",", request.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING));
-        if (!coding.isEmpty() && (request.headers().contains(HttpHeaderNames.CONTENT_LENGTH)
-            || !coding.strip().equalsIgnoreCase("chunked")
-            || !request.protocolVersion().equals(HttpVersion.HTTP_1_1))) {
+        // Guards against a second request hidden in a body: where its length is told twice, or by a
+        // coding that
+        // nobody here knows, servers may differ about its end. The codec lets some of these
+        // through.
+        final String coding =
+                String.join(",", request.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING));
+        if (!coding.isEmpty()
+                && (request.headers().contains(HttpHeaderNames.CONTENT_LENGTH)
+                        || !coding.strip().equalsIgnoreCase("chunked")
+                        || !request.protocolVersion().equals(HttpVersion.HTTP_1_1))) {
             malformed();
             return;
         }
@@ -189,8 +227,14 @@
         final int pathEnd = request.uri().indexOf('?');
         if ((pathEnd < 0 ? request.uri() : request.uri().substring(0, pathEnd)).equals(READY)) {
             final boolean get = request.method().equals(HttpMethod.GET);
-            reading.complete(!get ? HttpResponseStatus.METHOD_NOT_ALLOWED : front.isReady()
-                ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, "", 0);
+            reading.complete(
+                    !get
+                            ? HttpResponseStatus.METHOD_NOT_ALLOWED
+                            : front.isReady()
+                                    ? HttpResponseStatus.OK
+                                    : HttpResponseStatus.SERVICE_UNAVAILABLE,
+                    "",
+                    0);
             return;
         }
         try {
@@ -204,8 +248,11 @@
                 return;
             }
             if (HttpUtil.is100ContinueExpected(request)) {
-                context.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                    HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
+                context.writeAndFlush(
+                        new DefaultFullHttpResponse(
+                                HttpVersion.HTTP_1_1,
+                                HttpResponseStatus.CONTINUE,
+                                Unpooled.EMPTY_BUFFER));
             }
         } catch (RequestHead.InvalidHeadException e) {
             reading.complete(e.status(), e.getMessage() + "\n", 0);
@@ -215,8 +262,10 @@
     private void collect(ByteBuf content) {
         final int count = content.readableBytes();
         if (longBody == null && bodyBytes + count > MAX_BODY_BYTES) {
-            final long longest = head == null || reading.isComplete() ? MAX_BODY_BYTES
-                : front.longestBody(head.job().requestClass());
+            final long longest =
+                    head == null || reading.isComplete()
+                            ? MAX_BODY_BYTES
+                            : front.longestBody(head.job().requestClass());
             if (longest <= MAX_BODY_BYTES) {
                 tooLarge(longest);
                 return;
@@ -256,9 +305,12 @@
 
     /** Opens the body of the request that is being read; false where it was answered instead. */
     private boolean openLong(long length) {
-        longBody = front.bodies().open(clientHost(), head.job().requestClass(), length, this::roomForBody);
+        longBody =
+                front.bodies()
+                        .open(clientHost(), head.job().requestClass(), length, this::roomForBody);
         if (longBody == null) {
-            deafWith(HttpResponseStatus.SERVICE_UNAVAILABLE, "refused", front.core().retryAfterUs());
+            deafWith(
+                    HttpResponseStatus.SERVICE_UNAVAILABLE, "refused", front.core().retryAfterUs());
             return false;
         }
         reading.body = longBody;
@@ -269,7 +321,9 @@
     }
 
     private String clientHost() {
-        return ((InetSocketAddress) context.channel().remoteAddress()).getAddress().getHostAddress();
+        return ((InetSocketAddress) context.channel().remoteAddress())
+                .getAddress()
+                .getHostAddress();
     }
 
     @Override
@@ -313,7 +367,9 @@
         }
     }
 
-    /** A long body that is given up for its client's fault, whether its request was taken or not. */
+    /**
+     * A long body that is given up for its client's fault, whether its request was taken or not.
+     */
     private void abandon(HttpResponseStatus status, String why) {
         final boolean begun = reading.pump != null;
         reading.clientLeft();
@@ -341,10 +397,16 @@
         return reading != null && reading.request != null;
     }
 
-    /** Gives up the long body that is being read where its client sends too little; told by the sweep. */
+    /**
+     * Gives up the long body that is being read where its client sends too little; told by the
+     * sweep.
+     */
     void judgeBody() {
         if (longBody.isSenderTooSlow()) {
-            front.bodies().tooSlow(String.valueOf(context.channel().remoteAddress()), "it sent too little");
+            front.bodies()
+                    .tooSlow(
+                            String.valueOf(context.channel().remoteAddress()),
+                            "it sent too little");
             abandon(HttpResponseStatus.REQUEST_TIMEOUT, "the body came too slowly");
         }
     }
@@ -377,7 +439,10 @@
         request = null;
     }
 
-    /** Guards against a request that is taken now by the settings that were in force at its first byte. */
+    /**
+     * Guards against a request that is taken now by the settings that were in force at its first
+     * byte.
+     */
     private boolean isStillUsable(Answer answer) {
         if (front.parser() != parsedBy) {
             try {
@@ -401,8 +466,12 @@
         /** Its head now that it has waited: so much less of its time is left. */
         RequestHead headNow() {
             final long waitedUs = TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - sinceNs);
-            return new RequestHead(head.requestId(), head.target(), head.idempotencyKey(), head.job(),
-                Math.max(0, head.waitUs() - waitedUs));
+            return new RequestHead(
+                    head.requestId(),
+                    head.target(),
+                    head.idempotencyKey(),
+                    head.job(),
+                    Math.max(0, head.waitUs() - waitedUs));
         }
     }
 
@@ -410,8 +479,11 @@
         if (front.hold(next.cost())) {
             waiting.add(next);
         } else {
-            turnAway(next.answer(), HttpResponseStatus.SERVICE_UNAVAILABLE, "refused",
-                front.core().retryAfterUs());
+            turnAway(
+                    next.answer(),
+                    HttpResponseStatus.SERVICE_UNAVAILABLE,
+                    "refused",
+                    front.core().retryAfterUs());
         }
     }
 
@@ -430,20 +502,38 @@
     }
 
     private void take(Answer answer, byte[] whole) {
-        // Guards against a second request under an open one's id: workers would turn both its attempts and
+        // Guards against a second request under an open one's id: workers would turn both its
+        // attempts and
         // those of the first away, and their health would be judged by it.
         if (front.core().isOpen(head.requestId())) {
             turnAway(answer, HttpResponseStatus.CONFLICT, "X-Request-Id is in use", 0);
         } else if (!answer.reserve()) {
-            turnAway(answer, HttpResponseStatus.SERVICE_UNAVAILABLE, "refused", front.core().retryAfterUs());
+            turnAway(
+                    answer,
+                    HttpResponseStatus.SERVICE_UNAVAILABLE,
+                    "refused",
+                    front.core().retryAfterUs());
         } else {
             proven = true;
-            answer.request = front.core().take(new RequestContent(head.requestId(), head.target(),
-                head.idempotencyKey(), whole, longBody), head.job(), head.waitUs(), answer);
+            answer.request =
+                    front.core()
+                            .take(
+                                    new RequestContent(
+                                            head.requestId(),
+                                            head.target(),
+                                            head.idempotencyKey(),
+                                            whole,
+                                            longBody),
+                                    head.job(),
+                                    head.waitUs(),
+                                    answer);
         }
     }
 
-    /** Answers a request that is not taken; a long body that is still coming ends the connection with it. */
+    /**
+     * Answers a request that is not taken; a long body that is still coming ends the connection
+     * with it.
+     */
     private void turnAway(Answer answer, HttpResponseStatus status, String why, long retryAfterUs) {
         if (longBody != null) {
             deafWith(status, why, retryAfterUs);
@@ -466,13 +556,17 @@
 
     /** Closes after a while; requests read before what went wrong are answered first. */
     private void linger() {
-        context.executor().schedule(() -> {
-            if (answers.isEmpty()) {
-                close();
-            } else {
-                linger();
-            }
-        }, LINGER_MS, TimeUnit.MILLISECONDS);
+        context.executor()
+                .schedule(
+                        () -> {
+                            if (answers.isEmpty()) {
+                                close();
+                            } else {
+                                linger();
+                            }
+                        },
+                        LINGER_MS,
+                        TimeUnit.MILLISECONDS);
     }
 
     // ---- Answering ----
@@ -497,7 +591,8 @@
     private void writeComplete() {
         while (!answers.isEmpty() && answers.peek().isComplete()) {
             final Answer answer = answers.poll();
-            // Guards against losing requests read ahead: at a stop, only the last answer closes the connection.
+            // Guards against losing requests read ahead: at a stop, only the last answer closes the
+            // connection.
             final boolean isLast = front.isClosing() && answers.isEmpty() && reading == null;
             final boolean keepAlive = answer.keepAlive && !isLast;
             if (!keepAlive) {
@@ -532,8 +627,10 @@
 
     /** Nothing is being read, answered or written here. */
     boolean isIdle() {
-        return answers.isEmpty() && reading == null && context.channel().unsafe().outboundBuffer() != null
-            && context.channel().unsafe().outboundBuffer().isEmpty();
+        return answers.isEmpty()
+                && reading == null
+                && context.channel().unsafe().outboundBuffer() != null
+                && context.channel().unsafe().outboundBuffer().isEmpty();
     }
 
     /** A request has begun here and is not whole. */
@@ -541,12 +638,17 @@
         return reading != null && answers.size() == 1;
     }
 
-    /** Whether it owes the next word, so that it may be closed where there are too many connections. */
+    /**
+     * Whether it owes the next word, so that it may be closed where there are too many connections.
+     */
     boolean mayMakeRoom() {
         return isIdle() || !isProven() && isReading();
     }
 
-    /** Reads what has come until now, unless a long body has no room. Not from within its own reading. */
+    /**
+     * Reads what has come until now, unless a long body has no room. Not from within its own
+     * reading.
+     */
     void readNow() {
         if (longBody == null || awaiting) {
             ReadNow.now(context.channel());
@@ -558,7 +660,10 @@
         return proven;
     }
 
-    /** Waiting for the client alone: for the rest of a request, for the next one, or to take its answer. */
+    /**
+     * Waiting for the client alone: for the rest of a request, for the next one, or to take its
+     * answer.
+     */
     boolean isWaitingForClient() {
         return answers.isEmpty() || reading != null;
     }
@@ -572,8 +677,8 @@
     }
 
     /**
-     * Ends this connection where it still is idle once all that has come is read: a request that is here already
-     * is taken, and closes it with its answer.
+     * Ends this connection where it still is idle once all that has come is read: a request that is
+     * here already is taken, and closes it with its answer.
      */
     void endIfIdle() {
         readNow();
@@ -584,9 +689,9 @@
     }
 
     /**
-     * Ends sending, and reads away what still comes until the client ends too, {@value #ENDING_MS} ms at the
-     * most. Guards an answer just written: a close with bytes unread resets the connection, and a reset lets
-     * the client lose what it has not read yet.
+     * Ends sending, and reads away what still comes until the client ends too, {@value #ENDING_MS}
+     * ms at the most. Guards an answer just written: a close with bytes unread resets the
+     * connection, and a reset lets the client lose what it has not read yet.
      */
     private void endSending() {
         if (ending || !context.channel().isActive()) {
@@ -608,7 +713,8 @@
             return;
         }
         front.core().faults().fault(PeerFault.CLIENT_CONNECTION, null, cause.toString());
-        // Guards against an error of our own that leaves requests of this connection without an answer.
+        // Guards against an error of our own that leaves requests of this connection without an
+        // answer.
         deaf = true;
         waiting.forEach(each -> front.letGo(each.cost()));
         waiting.clear();
@@ -628,10 +734,15 @@
         private final boolean isOld;
         private boolean keepAlive;
         private ClientRequest request;
+
         /** The request's body where it is long. */
         private LongBody body;
-        /** Room for its result where that may be long, whether that has begun, and what writes it. */
+
+        /**
+         * Room for its result where that may be long, whether that has begun, and what writes it.
+         */
         private LongResult result;
+
         private boolean streams;
         private BodyPump pump;
         private FullHttpResponse response;
@@ -648,7 +759,8 @@
 
         @Override
         public boolean hasLeft() {
-            // Guards against sending for nobody: what came since the loop last read, its end too, lies in the
+            // Guards against sending for nobody: what came since the loop last read, its end too,
+            // lies in the
             // socket.
             readNow();
             return !context.channel().isActive();
@@ -656,8 +768,9 @@
 
         @Override
         public long readPausedUs() {
-            return body == null || body != longBody || readPausedSinceNs == 0 ? 0
-                : TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - readPausedSinceNs);
+            return body == null || body != longBody || readPausedSinceNs == 0
+                    ? 0
+                    : TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - readPausedSinceNs);
         }
 
         void clientLeft() {
@@ -682,7 +795,9 @@
 
         // ---- Long results ----
 
-        /** Takes the room for a long result, where its class has such; false where there is none. */
+        /**
+         * Takes the room for a long result, where its class has such; false where there is none.
+         */
         boolean reserve() {
             final int requestClass = head.job().requestClass();
             if (front.hasLongResults(requestClass)) {
@@ -713,8 +828,8 @@
                 failed();
                 return;
             }
-            final DefaultHttpResponse started = new DefaultHttpResponse(HttpVersion.HTTP_1_1,
-                HttpResponseStatus.OK);
+            final DefaultHttpResponse started =
+                    new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
             if (result.type() != null) {
                 started.headers().set(HttpHeaderNames.CONTENT_TYPE, result.type());
             }
@@ -749,7 +864,10 @@
             flush();
         }
 
-        /** Guards against a broken result that looks whole: its end, or part of its length, is missing. */
+        /**
+         * Guards against a broken result that looks whole: its end, or part of its length, is
+         * missing.
+         */
         @Override
         public void lost() {
             if (isOld && result.stated() < 0) {
@@ -784,14 +902,18 @@
         }
 
         private void complete(HttpResponseStatus status, String text, long retryAfterUs) {
-            response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
-                Unpooled.wrappedBuffer(text.getBytes(StandardCharsets.UTF_8)));
+            response =
+                    new DefaultFullHttpResponse(
+                            HttpVersion.HTTP_1_1,
+                            status,
+                            Unpooled.wrappedBuffer(text.getBytes(StandardCharsets.UTF_8)));
             HttpUtil.setContentLength(response, response.content().readableBytes());
             if (status.equals(HttpResponseStatus.METHOD_NOT_ALLOWED)) {
                 response.headers().set(HttpHeaderNames.ALLOW, head == null ? "GET, POST" : "POST");
             }
             if (retryAfterUs > 0) {
-                response.headers().set(HttpHeaderNames.RETRY_AFTER, RetryAfter.format(retryAfterUs));
+                response.headers()
+                        .set(HttpHeaderNames.RETRY_AFTER, RetryAfter.format(retryAfterUs));
             }
             if (body != null && body == longBody) {
                 // Answered before its last byte: what is left of it is read away, for a while.
--- a/src/main/java/cresschute/node/http/ClientFront.java
+++ b/src/main/java/cresschute/node/http/ClientFront.java
@@ -2,9 +2,9 @@
 
 import cresschute.dispatch.RequestClass;
 import cresschute.dispatch.Tenant;
-import cresschute.node.RequestLifecycle;
-import cresschute.node.ReadinessSwitch;
 import cresschute.node.NodeConfig;
+import cresschute.node.ReadinessSwitch;
+import cresschute.node.RequestLifecycle;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -27,25 +27,34 @@
 public final class ClientFront implements ReadinessSwitch {
 
     private static final int BACKLOG = 1024;
+
     /** How many connections Netty accepts in one reading of a listener. */
     private static final int ACCEPTED_AT_ONCE = 16;
+
     /** What requests that wait behind others of their connections may take, all together, bytes. */
     private static final int MAX_HELD_BYTES = 2 << 20;
+
     private static final long SWEEP_MS = 250;
+
     /**
-     * A connection that waits so long for a whole request is closed, unless it has brought one before. Usual
-     * clients send as soon as they are connected; one that does not is owed an end within 3 s.
+     * A connection that waits so long for a whole request is closed, unless it has brought one
+     * before. Usual clients send as soon as they are connected; one that does not is owed an end
+     * within 3 s.
      */
     private static final long UNPROVEN_MS = 2_000;
+
     /** The same where it has brought one, and where it has begun the next. */
     private static final long QUIET_MS = 300_000;
+
     private static final long PARTIAL_MS = 2_500;
+
     /** The same once no more are accepted. */
     private static final long CLOSING_MS = 2_000;
+
     /**
-     * After a drain is asked for, connections are let go from then on, ms. The front asks every 100 ms
-     * whether the node is ready and sends no new connections 200 ms after a no: a connection closed before
-     * that may come straight back.
+     * After a drain is asked for, connections are let go from then on, ms. The front asks every 100
+     * ms whether the node is ready and sends no new connections 200 ms after a no: a connection
+     * closed before that may come straight back.
      */
     static final long LET_GO_MS = 500;
 
@@ -53,18 +62,25 @@
     private final RequestLifecycle core;
     private RequestHead.RequestHeadParser parser;
     private final int max;
+
     /** Null where bodies are short. */
     private final LongBodies bodies;
+
     private final Set<ClientConnection> connections = new LinkedHashSet<>();
     private Channel server;
+
     /** Whether the listener is the platform's, which is never closed here. */
     private boolean passed;
+
     private boolean stopping;
     private boolean closing;
     private int heldBytes;
+
     /** Whether an operator drained the node, and since which of the drains asked for. */
     private boolean draining;
+
     private int drains;
+
     /** Whether connections are let go after their answers because of a drain. */
     private boolean lettingGo;
 
@@ -76,17 +92,20 @@
     public ClientFront(EventLoop loop, RequestLifecycle core, NodeConfig config, int max) {
         this.loop = loop;
         this.core = core;
-        this.parser = new RequestHead.RequestHeadParser(config.classes(), config.settings().classes(),
-            config.settings().tenants());
+        this.parser =
+                new RequestHead.RequestHeadParser(
+                        config.classes(), config.settings().classes(), config.settings().tenants());
         this.max = max;
         this.bodies = config.bodies() == null ? null : new LongBodies(config.bodies(), core);
     }
 
     /**
-     * Reads requests of these classes from now on, on the loop: {@code live} gives the number of each class that
-     * new requests may be of, {@code classes} all of them by number, {@code tenants} the customers.
+     * Reads requests of these classes from now on, on the loop: {@code live} gives the number of
+     * each class that new requests may be of, {@code classes} all of them by number, {@code
+     * tenants} the customers.
      */
-    public void applySettings(Map<String, Integer> live, List<RequestClass> classes, List<Tenant> tenants) {
+    public void applySettings(
+            Map<String, Integer> live, List<RequestClass> classes, List<Tenant> tenants) {
         parser = new RequestHead.RequestHeadParser(live, classes, tenants);
     }
 
@@ -98,27 +117,37 @@
     /**
      * Listens on this address only, or accepts on a listener that the platform holds and passed on.
      *
-     * @param passed bound and listening already, or null; it is shared with the other process of an upgrade
+     * @param passed bound and listening already, or null; it is shared with the other process of an
+     *     upgrade
      */
-    public ChannelFuture listen(EventLoopGroup group, InetSocketAddress addr, ServerSocketChannel passed) {
+    public ChannelFuture listen(
+            EventLoopGroup group, InetSocketAddress addr, ServerSocketChannel passed) {
         loop.scheduleWithFixedDelay(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
         this.passed = passed != null;
         final ServerBootstrap bootstrap = new ServerBootstrap();
-        bootstrap.childOption(ChannelOption.RECVBUF_ALLOCATOR, bodies != null ? LongStream.reads()
-            : ReadNow.toTheEnd());
+        bootstrap.childOption(
+                ChannelOption.RECVBUF_ALLOCATOR,
+                bodies != null ? LongStream.reads() : ReadNow.toTheEnd());
         bootstrap.group(group);
         if (passed == null) {
-            bootstrap.channel(NioServerSocketChannel.class).option(ChannelOption.SO_BACKLOG, BACKLOG);
+            bootstrap
+                    .channel(NioServerSocketChannel.class)
+                    .option(ChannelOption.SO_BACKLOG, BACKLOG);
         } else {
             bootstrap.channelFactory(() -> new NioServerSocketChannel(passed));
         }
-        bootstrap.childOption(ChannelOption.TCP_NODELAY, true)
-            .childHandler(new ChannelInitializer<Channel>() {
-                @Override
-                protected void initChannel(Channel channel) {
-                    channel.pipeline().addLast(new HttpServerCodec(), new ClientConnection(ClientFront.this));
-                }
-            });
+        bootstrap
+                .childOption(ChannelOption.TCP_NODELAY, true)
+                .childHandler(
+                        new ChannelInitializer<Channel>() {
+                            @Override
+                            protected void initChannel(Channel channel) {
+                                channel.pipeline()
+                                        .addLast(
+                                                new HttpServerCodec(),
+                                                new ClientConnection(ClientFront.this));
+                            }
+                        });
         // A passed listener is bound: registering it with the loop is all that is left.
         final ChannelFuture bound = passed == null ? bootstrap.bind(addr) : bootstrap.register();
         server = bound.channel();
@@ -137,8 +166,9 @@
     }
 
     /**
-     * Accepts no more; each connection is closed after its next answer. A passed listener stays open, for the
-     * other process of an upgrade accepts on it: connections wait in its queue, and none is refused.
+     * Accepts no more; each connection is closed after its next answer. A passed listener stays
+     * open, for the other process of an upgrade accepts on it: connections wait in its queue, and
+     * none is refused.
      */
     public void stopAcceptingOnly() {
         closing = true;
@@ -155,10 +185,15 @@
         }
     }
 
-    /** Guards those who are connected already and wait to be accepted: with the listener they are reset. */
+    /**
+     * Guards those who are connected already and wait to be accepted: with the listener they are
+     * reset.
+     */
     private void acceptAll() {
         // Each reading of a listener accepts some; over the backlog's size, all that came are in.
-        for (int i = 0; i < BACKLOG && !server.eventLoop().isShuttingDown(); i += ACCEPTED_AT_ONCE) {
+        for (int i = 0;
+                i < BACKLOG && !server.eventLoop().isShuttingDown();
+                i += ACCEPTED_AT_ONCE) {
             ReadNow.now(server);
         }
     }
@@ -174,8 +209,9 @@
     }
 
     /**
-     * Says no to the front from now on; {@value #LET_GO_MS} ms later, closes what is idle and each other
-     * connection after its next answer. New connections are still accepted, and served the same way.
+     * Says no to the front from now on; {@value #LET_GO_MS} ms later, closes what is idle and each
+     * other connection after its next answer. New connections are still accepted, and served the
+     * same way.
      */
     @Override
     public void drain() {
@@ -184,12 +220,15 @@
         }
         draining = true;
         final int drain = ++drains;
-        loop.schedule(() -> {
-            if (draining && drain == drains) {
-                lettingGo = true;
-                closeIdle();
-            }
-        }, LET_GO_MS, TimeUnit.MILLISECONDS);
+        loop.schedule(
+                () -> {
+                    if (draining && drain == drains) {
+                        lettingGo = true;
+                        closeIdle();
+                    }
+                },
+                LET_GO_MS,
+                TimeUnit.MILLISECONDS);
     }
 
     /** Ends a drain: ready again, and connections are kept as before. */
@@ -199,7 +238,10 @@
         lettingGo = false;
     }
 
-    /** Whether the node says that it is ready: started, a worker known, neither stopping nor drained. */
+    /**
+     * Whether the node says that it is ready: started, a worker known, neither stopping nor
+     * drained.
+     */
     @Override
     public boolean isReady() {
         return !stopping && !draining && core.isReady();
@@ -208,8 +250,11 @@
     /** Why it is not, in a few words. */
     @Override
     public String whyNotReady() {
-        return stopping ? "stopping" : draining ? "drained by an operator"
-            : !core.isReady() ? "no worker is known yet" : "ready";
+        return stopping
+                ? "stopping"
+                : draining
+                        ? "drained by an operator"
+                        : !core.isReady() ? "no worker is known yet" : "ready";
     }
 
     /** Whether connections end after their answers. */
@@ -244,7 +289,10 @@
         return bodies != null && bodies.of(requestClass).longResults();
     }
 
-    /** Takes room for a request that waits behind others of its connection; false where there is none. */
+    /**
+     * Takes room for a request that waits behind others of its connection; false where there is
+     * none.
+     */
     boolean hold(int bytes) {
         if (heldBytes + bytes > MAX_HELD_BYTES) {
             return false;
@@ -261,7 +309,8 @@
     void opened(ClientConnection connection) {
         connections.add(connection);
         if (closing) {
-            // Accepted as the listener was closed: what it has sent is taken, and it is not waited for.
+            // Accepted as the listener was closed: what it has sent is taken, and it is not waited
+            // for.
             loop.execute(connection::endIfIdle);
         }
         if (connections.size() >= max && !makeRoom(connection)) {
@@ -270,18 +319,22 @@
     }
 
     /**
-     * Guards the descriptors, and usual clients against those that only hold connections: of those that owe
-     * the next word one makes room, the unproven first, but never the new one, which is about to send. What
-     * has come on a connection is read before it is closed: its request may lie unread. If there is none,
-     * further ones wait to be accepted until an answer makes one. Not from within the reading of a client's
-     * connection.
+     * Guards the descriptors, and usual clients against those that only hold connections: of those
+     * that owe the next word one makes room, the unproven first, but never the new one, which is
+     * about to send. What has come on a connection is read before it is closed: its request may lie
+     * unread. If there is none, further ones wait to be accepted until an answer makes one. Not
+     * from within the reading of a client's connection.
      */
     private boolean makeRoom(ClientConnection newest) {
-        final List<ClientConnection> candidates = connections.stream()
-            .filter(other -> other != newest && other.mayMakeRoom())
-            .sorted(Comparator.comparing(ClientConnection::isProven)
-                .thenComparing(Comparator.comparingLong(ClientConnection::waitedNs).reversed()))
-            .toList();
+        final List<ClientConnection> candidates =
+                connections.stream()
+                        .filter(other -> other != newest && other.mayMakeRoom())
+                        .sorted(
+                                Comparator.comparing(ClientConnection::isProven)
+                                        .thenComparing(
+                                                Comparator.comparingLong(ClientConnection::waitedNs)
+                                                        .reversed()))
+                        .toList();
         for (final ClientConnection candidate : candidates) {
             candidate.readNow();
             if (candidate.mayMakeRoom()) {
@@ -329,10 +382,14 @@
                 connection.judgeBody();
                 continue;
             }
-            final long limitMs = isClosing() ? CLOSING_MS : !connection.isProven() ? UNPROVEN_MS
-                : connection.isIdle() ? QUIET_MS : PARTIAL_MS;
+            final long limitMs =
+                    isClosing()
+                            ? CLOSING_MS
+                            : !connection.isProven()
+                                    ? UNPROVEN_MS
+                                    : connection.isIdle() ? QUIET_MS : PARTIAL_MS;
             if (connection.isWaitingForClient()
-                && connection.waitedNs() > TimeUnit.MILLISECONDS.toNanos(limitMs)) {
+                    && connection.waitedNs() > TimeUnit.MILLISECONDS.toNanos(limitMs)) {
                 connection.close();
             }
         }
--- a/src/main/java/cresschute/node/http/DiscoveryClient.java
+++ b/src/main/java/cresschute/node/http/DiscoveryClient.java
@@ -1,12 +1,12 @@
 package cresschute.node.http;
 
 import com.google.gson.JsonParseException;
-import cresschute.node.RequestLifecycle;
 import cresschute.node.Discovery;
 import cresschute.node.EndpointList;
 import cresschute.node.Json;
-import cresschute.node.RateLimitedLog;
 import cresschute.node.PeerFault;
+import cresschute.node.RateLimitedLog;
+import cresschute.node.RequestLifecycle;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -39,15 +39,16 @@
 /**
  * Watches discovery's list by one call after the other on one connection, until a call fails.
  *
- * <p>There is one call at a time, and one connection: what comes on an older one is not heard. A call that
- * falls silent, whose answer never ends or whose connection never comes up is repeated on a new connection
- * and so that discovery need not wait for news, by {@link DiscoveryCallSchedule}, which works out the bounds;
- * only when the repeats are used up is the module told, as of any other failure. It asks again 0.5 to 1.5 s
- * later.
+ * <p>There is one call at a time, and one connection: what comes on an older one is not heard. A
+ * call that falls silent, whose answer never ends or whose connection never comes up is repeated on
+ * a new connection and so that discovery need not wait for news, by {@link DiscoveryCallSchedule},
+ * which works out the bounds; only when the repeats are used up is the module told, as of any other
+ * failure. It asks again 0.5 to 1.5 s later.
  *
- * <p>A list that is older than the one held is taken only from a discovery service at a new address, or where the
- * discovery says the same again when asked anew for its whole list: a stale answer must not bring a drained
- * worker back, and a discovery service that counts anew must not be disbelieved for good.
+ * <p>A list that is older than the one held is taken only from a discovery service at a new
+ * address, or where the discovery says the same again when asked anew for its whole list: a stale
+ * answer must not bring a drained worker back, and a discovery service that counts anew must not be
+ * disbelieved for good.
  */
 public final class DiscoveryClient implements Discovery {
 
@@ -60,33 +61,50 @@
     private final Bootstrap bootstrap;
     private final DiscoveryCallSchedule schedule;
     private Channel channel;
+
     /** When the call that is out is over, or the next repeat begins. */
     private Future<?> timer;
+
     private InetSocketAddress addr;
     private boolean watching;
     private boolean asked;
     private boolean newcomer;
+
     /** Whether an older list was sent back, so that the whole list is asked for. */
     private boolean doubted;
 
-    /** Does nothing until it is asked to watch; {@code random} spreads the repeats of many dispatchers. */
-    public DiscoveryClient(EventLoop loop, InetSocketAddress addr, RequestLifecycle core, RateLimitedLog faults,
-        RandomGenerator random) {
+    /**
+     * Does nothing until it is asked to watch; {@code random} spreads the repeats of many
+     * dispatchers.
+     */
+    public DiscoveryClient(
+            EventLoop loop,
+            InetSocketAddress addr,
+            RequestLifecycle core,
+            RateLimitedLog faults,
+            RandomGenerator random) {
         this.loop = loop;
         this.schedule = new DiscoveryCallSchedule(random);
         this.addr = addr;
         this.core = core;
         this.faults = faults;
-        this.bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class)
-            .option(ChannelOption.TCP_NODELAY, true)
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
-            .handler(new ChannelInitializer<Channel>() {
-                @Override
-                protected void initChannel(Channel opened) {
-                    opened.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(MAX_BYTES),
-                        new Answers());
-                }
-            });
+        this.bootstrap =
+                new Bootstrap()
+                        .group(loop)
+                        .channel(NioSocketChannel.class)
+                        .option(ChannelOption.TCP_NODELAY, true)
+                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
+                        .handler(
+                                new ChannelInitializer<Channel>() {
+                                    @Override
+                                    protected void initChannel(Channel opened) {
+                                        opened.pipeline()
+                                                .addLast(
+                                                        new HttpClientCodec(),
+                                                        new HttpObjectAggregator(MAX_BYTES),
+                                                        new Answers());
+                                    }
+                                });
     }
 
     @Override
@@ -98,14 +116,17 @@
         }
     }
 
-    /** Turns to discovery at another address; a list that was asked for is asked for there at once. */
+    /**
+     * Turns to discovery at another address; a list that was asked for is asked for there at once.
+     */
     public void moveTo(InetSocketAddress next) {
         if (next.equals(addr)) {
             return;
         }
         addr = next;
         newcomer = true;
-        // Guards against waiting for an old address that says no more: its call is over, and none has failed.
+        // Guards against waiting for an old address that says no more: its call is over, and none
+        // has failed.
         hangUp();
         if (asked) {
             watching = true;
@@ -115,32 +136,39 @@
 
     private void call() {
         // Guards against a discovery service that says nothing, not even a reset.
-        timer = loop.schedule(() -> fellSilent("no answer in time"), schedule.limitMs(asksForAll()),
-            TimeUnit.MILLISECONDS);
+        timer =
+                loop.schedule(
+                        () -> fellSilent("no answer in time"),
+                        schedule.limitMs(asksForAll()),
+                        TimeUnit.MILLISECONDS);
         if (channel != null && channel.isActive()) {
             send();
             return;
         }
         final ChannelFuture connecting = bootstrap.connect(addr);
         channel = connecting.channel();
-        connecting.addListener(done -> {
-            if (connecting.channel() != channel) {
-                connecting.channel().close();
-            } else if (done.isSuccess()) {
-                send();
-            } else if (done.cause() instanceof ConnectTimeoutException) {
-                fellSilent("no connection in time");
-            } else {
-                fail("cannot connect: " + done.cause().getMessage());
-            }
-        });
+        connecting.addListener(
+                done -> {
+                    if (connecting.channel() != channel) {
+                        connecting.channel().close();
+                    } else if (done.isSuccess()) {
+                        send();
+                    } else if (done.cause() instanceof ConnectTimeoutException) {
+                        fellSilent("no connection in time");
+                    } else {
+                        fail("cannot connect: " + done.cause().getMessage());
+                    }
+                });
     }
 
     private boolean asksForAll() {
         return core.listVersion() < 0 || newcomer || doubted;
     }
 
-    /** Guards what drains while discovery says nothing: one failure more would take the module's pause. */
+    /**
+     * Guards what drains while discovery says nothing: one failure more would take the module's
+     * pause.
+     */
     private void fellSilent(String why) {
         final OptionalLong pauseMs = watching ? schedule.afterSilence() : OptionalLong.empty();
         if (pauseMs.isEmpty()) {
@@ -157,11 +185,19 @@
     }
 
     private void send() {
-        // Guards against missing a change between two discovery services: the new one is asked for its whole list.
-        final String path = "/registry/instances" + (asksForAll() ? "" : "?since=" + core.listVersion()
-            + "&timeout_ms=" + schedule.waitMs());
-        final FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path,
-            Unpooled.EMPTY_BUFFER);
+        // Guards against missing a change between two discovery services: the new one is asked for
+        // its whole list.
+        final String path =
+                "/registry/instances"
+                        + (asksForAll()
+                                ? ""
+                                : "?since="
+                                        + core.listVersion()
+                                        + "&timeout_ms="
+                                        + schedule.waitMs());
+        final FullHttpRequest request =
+                new DefaultFullHttpRequest(
+                        HttpVersion.HTTP_1_1, HttpMethod.GET, path, Unpooled.EMPTY_BUFFER);
         request.headers().set(HttpHeaderNames.HOST, NetUtil.toSocketAddressString(addr));
         channel.writeAndFlush(request);
     }
@@ -173,12 +209,15 @@
         }
         final EndpointList list;
         try {
-            list = EndpointList.parse(Json.object(response.content().toString(StandardCharsets.UTF_8)));
+            list =
+                    EndpointList.parse(
+                            Json.object(response.content().toString(StandardCharsets.UTF_8)));
         } catch (JsonParseException e) {
             fail("bad list: " + e.getMessage());
             return;
         } catch (RuntimeException e) {
-            // Guards against a list that the reader trips over: one line, and the list in force goes on.
+            // Guards against a list that the reader trips over: one line, and the list in force
+            // goes on.
             fail("unreadable list: " + e);
             return;
         }
@@ -191,7 +230,8 @@
         newcomer = false;
         doubted = false;
         schedule.restart();
-        // Before this call is over: should anything fail on the list, its deadline still opens a new watch.
+        // Before this call is over: should anything fail on the list, its deadline still opens a
+        // new watch.
         core.endpointListReceived(list);
         timer.cancel(false);
         if (!HttpUtil.isKeepAlive(response)) {
--- a/src/main/java/cresschute/node/http/HttpAttempt.java
+++ b/src/main/java/cresschute/node/http/HttpAttempt.java
@@ -3,12 +3,12 @@
 import com.google.gson.JsonParseException;
 import cresschute.dispatch.LoadReport;
 import cresschute.dispatch.Outcome;
-import cresschute.node.WorkerClient.AttemptCall;
-import cresschute.node.WorkerClient.AttemptListener;
+import cresschute.node.PeerFault;
 import cresschute.node.RateLimitedLog;
 import cresschute.node.RequestContent;
 import cresschute.node.ResultStream;
-import cresschute.node.PeerFault;
+import cresschute.node.WorkerClient.AttemptCall;
+import cresschute.node.WorkerClient.AttemptListener;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
@@ -23,7 +23,8 @@
 import io.netty.handler.codec.http.HttpVersion;
 
 /** An attempt: the request as the client sent it, and an answer that comes in lines. */
-final class HttpAttempt extends HttpExchange implements AttemptCall, BodyPump.BodyEndpoints, LongResult.Source {
+final class HttpAttempt extends HttpExchange
+        implements AttemptCall, BodyPump.BodyEndpoints, LongResult.Source {
 
     private static final int OK = 200;
     private static final int UNAVAILABLE = 503;
@@ -34,17 +35,26 @@
     private final AttemptListener listener;
     private final RateLimitedLog faults;
     private ProgressLineReader lines = new ProgressLineReader();
+
     /** What carries a long body, or null. */
     private final BodyPump pump;
+
     /** A long result from its first byte on, or null. */
     private LongResult result;
+
     private boolean awaiting;
     private Outcome unstreamed;
-    /** Whether a line of this answer named another request, where the answer before may have come twice. */
+
+    /**
+     * Whether a line of this answer named another request, where the answer before may have come
+     * twice.
+     */
     private boolean anothers;
+
     private LoadReport load = LoadReport.NONE;
 
-    HttpAttempt(String host, RequestContent content, AttemptListener listener, RateLimitedLog faults) {
+    HttpAttempt(
+            String host, RequestContent content, AttemptListener listener, RateLimitedLog faults) {
         this.host = host;
         this.content = content;
         this.listener = listener;
@@ -54,16 +64,21 @@
 
     @Override
     HttpRequest request() {
-        final HttpRequest request = pump != null
-            ? new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, content.target())
-            : new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, content.target(),
-                Unpooled.wrappedBuffer(content.body()));
+        final HttpRequest request =
+                pump != null
+                        ? new DefaultHttpRequest(
+                                HttpVersion.HTTP_1_1, HttpMethod.POST, content.target())
+                        : new DefaultFullHttpRequest(
+                                HttpVersion.HTTP_1_1,
+                                HttpMethod.POST,
+                                content.target(),
+                                Unpooled.wrappedBuffer(content.body()));
         request.headers()
-            .set(HttpHeaderNames.HOST, host)
-            .set(Headers.REQUEST_ID, content.requestId())
-            .set(Headers.DEADLINE, Deadline.format(listener.remainingUs()));
-        final long length = content.longBody() instanceof LongBody body ? body.length()
-            : content.body().length;
+                .set(HttpHeaderNames.HOST, host)
+                .set(Headers.REQUEST_ID, content.requestId())
+                .set(Headers.DEADLINE, Deadline.format(listener.remainingUs()));
+        final long length =
+                content.longBody() instanceof LongBody body ? body.length() : content.body().length;
         if (length >= 0) {
             request.headers().set(HttpHeaderNames.CONTENT_LENGTH, length);
         } else {
@@ -86,8 +101,9 @@
     }
 
     /**
-     * The worker holds a slot for the job from here on. Guards its good name against clients that send a
-     * long body slowly: a job that does not start would be taken for a worker that starts none.
+     * The worker holds a slot for the job from here on. Guards its good name against clients that
+     * send a long body slowly: a job that does not start would be taken for a worker that starts
+     * none.
      */
     @Override
     public void flows() {
@@ -136,11 +152,14 @@
         }
         final int status = response.status().code();
         // Guards against taking any 503 for proof that nothing ran: only the worker's own mark is.
-        final boolean notRun = (status == UNAVAILABLE || status == GATEWAY_TIMEOUT)
-            && "1".equals(response.headers().get(Headers.NOT_RUN));
+        final boolean notRun =
+                (status == UNAVAILABLE || status == GATEWAY_TIMEOUT)
+                        && "1".equals(response.headers().get(Headers.NOT_RUN));
         final boolean unusable = response.status().codeClass() == HttpStatusClass.CLIENT_ERROR;
-        unstreamed = status == OK ? null
-            : notRun ? Outcome.FULL : unusable ? Outcome.UNUSABLE : Outcome.ERROR;
+        unstreamed =
+                status == OK
+                        ? null
+                        : notRun ? Outcome.FULL : unusable ? Outcome.UNUSABLE : Outcome.ERROR;
     }
 
     @Override
@@ -171,8 +190,11 @@
     // ---- A long result ----
 
     private void beginResult(ProgressLine line) {
-        final ResultStream begun = listener.resultBegins(line.result(), line.follows(),
-            line.load() == LoadReport.NONE ? load : line.load());
+        final ResultStream begun =
+                listener.resultBegins(
+                        line.result(),
+                        line.follows(),
+                        line.load() == LoadReport.NONE ? load : line.load());
         if (begun instanceof LongResult ours) {
             result = ours;
             result.from(this);
@@ -237,7 +259,10 @@
             } else if (line.outcome() == null) {
                 listener.progressed(line.share());
             } else {
-                end(line.outcome(), line.load() == LoadReport.NONE ? load : line.load(), line.result());
+                end(
+                        line.outcome(),
+                        line.load() == LoadReport.NONE ? load : line.load(),
+                        line.result());
             }
         } catch (ProgressLine.OtherRequestException e) {
             anothers = connection.isInDoubt();
@@ -251,7 +276,8 @@
 
     @Override
     boolean isAnothers() {
-        final String rest = over || unstreamed != null || anothers || result != null ? "" : lines.rest();
+        final String rest =
+                over || unstreamed != null || anothers || result != null ? "" : lines.rest();
         if (!rest.isEmpty()) {
             line(rest);
         }
@@ -269,21 +295,28 @@
     void last(HttpHeaders trailers) {
         if (result != null) {
             final String state = trailers.get(Headers.JOB_STATE);
-            endResult(result.isAsLongAsStated() && (state == null ? result.stated() >= 0
-                : state.equals("done")));
+            endResult(
+                    result.isAsLongAsStated()
+                            && (state == null ? result.stated() >= 0 : state.equals("done")));
             return;
         }
         broken();
     }
 
-    /** Guards against guessing: what an answer's head says stands, else the request's last byte decides. */
+    /**
+     * Guards against guessing: what an answer's head says stands, else the request's last byte
+     * decides.
+     */
     @Override
     void broken() {
         if (result != null) {
             endResult(false);
             return;
         }
-        end(unstreamed != null ? unstreamed : written ? Outcome.BROKEN : Outcome.CONNECT_FAILED, load, null);
+        end(
+                unstreamed != null ? unstreamed : written ? Outcome.BROKEN : Outcome.CONNECT_FAILED,
+                load,
+                null);
     }
 
     private void bad(JsonParseException e) {
@@ -316,6 +349,8 @@
         drop();
         stopPump();
         // Guards workers' good name against clients that send a long body slowly.
-        return written ? Outcome.TIMED_OUT : pump != null ? Outcome.CANCELLED : Outcome.CONNECT_FAILED;
+        return written
+                ? Outcome.TIMED_OUT
+                : pump != null ? Outcome.CANCELLED : Outcome.CONNECT_FAILED;
     }
 }
--- a/src/main/java/cresschute/node/http/HttpExchange.java
+++ b/src/main/java/cresschute/node/http/HttpExchange.java
@@ -10,16 +10,19 @@
 
     /** Set once its first byte is handed to a connection. */
     boolean begun;
+
     /** Set once the last byte of the request is written: from then on it may have run. */
     boolean written;
+
     /** Set once the outcome is told: what comes after that is read away. */
     boolean over;
+
     /** The connection in use, or null before one is up. */
     WorkerConnection connection;
 
     /**
-     * The request: whole, or its head where {@link #body()} carries the rest. Made right before it is
-     * written.
+     * The request: whole, or its head where {@link #body()} carries the rest. Made right before it
+     * is written.
      */
     abstract HttpRequest request();
 
@@ -35,7 +38,10 @@
 
     abstract void head(HttpResponse response);
 
-    /** Whether the answer that comes turned out to be another exchange's, so that its own is still due. */
+    /**
+     * Whether the answer that comes turned out to be another exchange's, so that its own is still
+     * due.
+     */
     boolean isAnothers() {
         return false;
     }
--- a/src/main/java/cresschute/node/http/HttpLoadQuery.java
+++ b/src/main/java/cresschute/node/http/HttpLoadQuery.java
@@ -3,9 +3,9 @@
 import com.google.gson.JsonParseException;
 import cresschute.dispatch.LoadReport;
 import cresschute.dispatch.Outcome;
-import cresschute.node.WorkerClient.LoadQueryListener;
-import cresschute.node.RateLimitedLog;
 import cresschute.node.PeerFault;
+import cresschute.node.RateLimitedLog;
+import cresschute.node.WorkerClient.LoadQueryListener;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
@@ -49,8 +49,9 @@
 
     @Override
     FullHttpRequest request() {
-        final FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
-            "/stats", Unpooled.EMPTY_BUFFER);
+        final FullHttpRequest request =
+                new DefaultFullHttpRequest(
+                        HttpVersion.HTTP_1_1, HttpMethod.GET, "/stats", Unpooled.EMPTY_BUFFER);
         request.headers().set(HttpHeaderNames.HOST, host);
         return request;
     }
@@ -72,8 +73,10 @@
         final boolean alive = response.status().equals(HttpResponseStatus.OK);
         try {
             final String header = response.headers().get(Headers.LOAD);
-            final LoadReport load = header != null ? LoadReportParser.parseHeader(header)
-                : alive ? LoadReportParser.parseBody(body.toString()) : LoadReport.NONE;
+            final LoadReport load =
+                    header != null
+                            ? LoadReportParser.parseHeader(header)
+                            : alive ? LoadReportParser.parseBody(body.toString()) : LoadReport.NONE;
             end(alive ? Outcome.SERVED : Outcome.ERROR, load);
         } catch (JsonParseException e) {
             faults.fault(PeerFault.BAD_BACKEND_ANSWER, host, "to a probe: " + e.getMessage());
--- a/src/main/java/cresschute/node/http/LoadReportParser.java
+++ b/src/main/java/cresschute/node/http/LoadReportParser.java
@@ -19,8 +19,9 @@
         for (final String pair : header.split(",")) {
             final int split = pair.indexOf('=');
             try {
-                fields.addProperty(pair.substring(0, Math.max(0, split)).strip(),
-                    Double.valueOf(pair.substring(split + 1).strip()));
+                fields.addProperty(
+                        pair.substring(0, Math.max(0, split)).strip(),
+                        Double.valueOf(pair.substring(split + 1).strip()));
             } catch (NumberFormatException e) {
                 throw new JsonParseException("unusable load report: " + header);
             }
@@ -30,7 +31,8 @@
 
     /** Reads an object; fields that it lacks count as not told. */
     static LoadReport parse(JsonObject fields) {
-        final double outstanding = Json.number(fields, "inflight", Json.number(fields, "outstanding", -1));
+        final double outstanding =
+                Json.number(fields, "inflight", Json.number(fields, "outstanding", -1));
         final double waiting = Json.number(fields, "queue", Json.number(fields, "backlog", -1));
         return new LoadReport(Json.number(fields, "x0", -1), outstanding, waiting);
     }
--- a/src/main/java/cresschute/node/http/LongBodies.java
+++ b/src/main/java/cresschute/node/http/LongBodies.java
@@ -3,8 +3,8 @@
 import cresschute.flow.Budget;
 import cresschute.flow.Budget.Account;
 import cresschute.flow.Budget.Admission;
-import cresschute.node.RequestLifecycle;
 import cresschute.node.PeerFault;
+import cresschute.node.RequestLifecycle;
 import cresschute.settings.ApplianceSettings.Bodies;
 import cresschute.settings.ApplianceSettings.ClassBodies;
 import io.netty.buffer.ByteBufAllocator;
@@ -12,10 +12,15 @@
 import java.util.List;
 import java.util.Set;
 
-/** The long bodies of a node: the budget that they share, and what watches their pace. On the loop. */
+/**
+ * The long bodies of a node: the budget that they share, and what watches their pace. On the loop.
+ */
 final class LongBodies {
 
-    /** With 40 bodies that stand still, each holds two to three windows, and there is room for 130 more. */
+    /**
+     * With 40 bodies that stand still, each holds two to three windows, and there is room for 130
+     * more.
+     */
     private static final long LEND_SHARE = 64;
 
     private final Bodies settings;
@@ -28,8 +33,13 @@
     LongBodies(Bodies settings, RequestLifecycle core) {
         this.settings = settings;
         this.core = core;
-        this.budget = new Budget(settings.budget(), settings.window(), settings.lent(), LEND_SHARE,
-            settings.ofAClient());
+        this.budget =
+                new Budget(
+                        settings.budget(),
+                        settings.window(),
+                        settings.lent(),
+                        LEND_SHARE,
+                        settings.ofAClient());
         this.longest = settings.classes().stream().mapToLong(ClassBodies::longest).max().orElse(0);
     }
 
@@ -51,16 +61,17 @@
      */
     LongBody open(String client, int requestClass, long length, Runnable room) {
         final Account account = open(client, room);
-        return account == null ? null
-            : new LongBody(this, account, of(requestClass), settings.spool(), length, room);
+        return account == null
+                ? null
+                : new LongBody(this, account, of(requestClass), settings.spool(), length, room);
     }
 
     /** Opens the room for a result, or returns null where there is none. */
     LongResult openResult(String client, int requestClass, ByteBufAllocator allocator) {
         final Waker waker = new Waker();
         final Account account = open(client, waker);
-        waker.result = account == null ? null
-            : new LongResult(this, account, of(requestClass), allocator);
+        waker.result =
+                account == null ? null : new LongResult(this, account, of(requestClass), allocator);
         return waker.result;
     }
 
@@ -77,10 +88,16 @@
     private Account open(String client, Runnable room) {
         final Admission admission = budget.open(client, room);
         if (admission.account() == null) {
-            core.faults().fault(PeerFault.NO_ROOM_FOR_BODY, client, switch (admission.refusal()) {
-                case NODE_FULL -> "the budget of " + settings.budget() + " bytes is in use";
-                case CLIENT_FULL -> "its bodies own " + settings.ofAClient() + " bytes already";
-            });
+            core.faults()
+                    .fault(
+                            PeerFault.NO_ROOM_FOR_BODY,
+                            client,
+                            switch (admission.refusal()) {
+                                case NODE_FULL ->
+                                        "the budget of " + settings.budget() + " bytes is in use";
+                                case CLIENT_FULL ->
+                                        "its bodies own " + settings.ofAClient() + " bytes already";
+                            });
         }
         return admission.account();
     }
--- a/src/main/java/cresschute/node/http/LongBody.java
+++ b/src/main/java/cresschute/node/http/LongBody.java
@@ -11,8 +11,13 @@
     private final long length;
     private final Runnable room;
 
-    LongBody(LongBodies owner, Budget.Account account, ClassBodies limits, long spool, long length,
-        Runnable room) {
+    LongBody(
+            LongBodies owner,
+            Budget.Account account,
+            ClassBodies limits,
+            long spool,
+            long length,
+            Runnable room) {
         super(owner, account, limits, spool);
         this.length = length;
         this.spool = spool;
--- a/src/main/java/cresschute/node/http/LongResult.java
+++ b/src/main/java/cresschute/node/http/LongResult.java
@@ -6,8 +6,9 @@
 import io.netty.buffer.ByteBufAllocator;
 
 /**
- * A long result on its way from its attempt to the connection of its request's client. Its room is owned from the
- * time when the request is taken: a job that has run is never lost for want of it. On the loop.
+ * A long result on its way from its attempt to the connection of its request's client. Its room is
+ * owned from the time when the request is taken: a job that has run is never lost for want of it.
+ * On the loop.
  */
 final class LongResult extends LongStream implements ResultStream {
 
@@ -26,7 +27,11 @@
     private long stated = -1;
     private Source source;
 
-    LongResult(LongBodies owner, Budget.Account account, ClassBodies limits, ByteBufAllocator allocator) {
+    LongResult(
+            LongBodies owner,
+            Budget.Account account,
+            ClassBodies limits,
+            ByteBufAllocator allocator) {
         super(owner, account, limits, 0);
         this.allocator = allocator;
     }
--- a/src/main/java/cresschute/node/http/LongStream.java
+++ b/src/main/java/cresschute/node/http/LongStream.java
@@ -11,20 +11,25 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A long body on its way, a request's or a result. Read in pieces that are copied out of what the codec hands on,
- * so that what is held is what is counted, however small the chunks; written by pumps. On the loop.
+ * A long body on its way, a request's or a result. Read in pieces that are copied out of what the
+ * codec hands on, so that what is held is what is counted, however small the chunks; written by
+ * pumps. On the loop.
  */
 abstract class LongStream {
 
     /**
-     * The most that is read at a time: half of it gives a fifth less throughput. Together with what a short
-     * body may have grown to before it was known to be long, it must fit into the least window.
+     * The most that is read at a time: half of it gives a fifth less throughput. Together with what
+     * a short body may have grown to before it was known to be long, it must fit into the least
+     * window.
      */
     private static final int READ_BYTES = 32 * 1024;
+
     private static final int MIN_READ_BYTES = 64;
     private static final int FIRST_READ_BYTES = 2048;
+
     /** What holding a piece takes beside its bytes. */
     private static final int PIECE_BYTES = 256;
+
     private static final int MAX_COST = READ_BYTES + PIECE_BYTES;
 
     final LongBodies owner;
@@ -61,7 +66,9 @@
         return bytes;
     }
 
-    /** For connections on which such bodies come: one read brings no more than there is room for. */
+    /**
+     * For connections on which such bodies come: one read brings no more than there is room for.
+     */
     static RecvByteBufAllocator reads() {
         return new AdaptiveRecvByteBufAllocator(MIN_READ_BYTES, FIRST_READ_BYTES, READ_BYTES);
     }
@@ -101,7 +108,8 @@
         }
         if (piece.readableBytes() < READ_BYTES / 2) {
             // Guards the bound: a large buffer is not held for a few bytes.
-            final ByteBuf small = allocator.directBuffer(piece.readableBytes(), piece.readableBytes());
+            final ByteBuf small =
+                    allocator.directBuffer(piece.readableBytes(), piece.readableBytes());
             small.writeBytes(piece);
             piece.release();
             piece = small;
@@ -111,7 +119,10 @@
         body.add(piece, cost);
     }
 
-    /** Whether another read has room; where it has not, {@link #hasRoomAgain} is called once it may have. */
+    /**
+     * Whether another read has room; where it has not, {@link #hasRoomAgain} is called once it may
+     * have.
+     */
     final boolean hasRoom() {
         final boolean fits = body.room(MAX_COST) >= MAX_COST;
         from.turn(fits, nowUs());
@@ -179,8 +190,8 @@
     }
 
     /**
-     * Nobody will begin to send it any more. Where all of it has come, pumps that are at work go on;
-     * otherwise it ends here.
+     * Nobody will begin to send it any more. Where all of it has come, pumps that are at work go
+     * on; otherwise it ends here.
      */
     final void retire() {
         retired = true;
--- a/src/main/java/cresschute/node/http/ProgressLine.java
+++ b/src/main/java/cresschute/node/http/ProgressLine.java
@@ -11,8 +11,10 @@
  *
  * @param outcome how the attempt ended, or null where it goes on
  * @param share how much is done, where it goes on
- * @param result what the client gets, where it is served; the type of what follows, where that is a result
- * @param follows bytes of the result that follows this line, -1 where that is not told; null where none does
+ * @param result what the client gets, where it is served; the type of what follows, where that is a
+ *     result
+ * @param follows bytes of the result that follows this line, -1 where that is not told; null where
+ *     none does
  */
 record ProgressLine(Outcome outcome, double share, LoadReport load, String result, Long follows) {
 
@@ -38,7 +40,10 @@
         if (!Json.string(json, "id").equals(requestId)) {
             throw new OtherRequestException();
         }
-        final LoadReport load = json.has("load") ? LoadReportParser.parse(Json.child(json, "load")) : LoadReport.NONE;
+        final LoadReport load =
+                json.has("load")
+                        ? LoadReportParser.parse(Json.child(json, "load"))
+                        : LoadReport.NONE;
         final String state = Json.string(json, "state");
         return switch (state) {
             case "started" -> new ProgressLine(null, 0, load, null);
@@ -63,7 +68,8 @@
 
     private static long length(JsonObject json) {
         final double length = Json.number(json, "length", -1);
-        if (json.has("length") && !(length >= 0 && length <= MAX_BYTES && length == Math.rint(length))) {
+        if (json.has("length")
+                && !(length >= 0 && length <= MAX_BYTES && length == Math.rint(length))) {
             throw new JsonParseException("length is unusable");
         }
         return (long) length;
--- a/src/main/java/cresschute/node/http/ProgressLineReader.java
+++ b/src/main/java/cresschute/node/http/ProgressLineReader.java
@@ -4,7 +4,10 @@
 import io.netty.buffer.Unpooled;
 import java.nio.charset.StandardCharsets;
 
-/** Cuts chunks, however split or joined, into lines. The buffer grows as needed and is compacted in place. */
+/**
+ * Cuts chunks, however split or joined, into lines. The buffer grows as needed and is compacted in
+ * place.
+ */
 final class ProgressLineReader {
 
     static final int MAX_BYTES = 256 * 1024;
@@ -21,8 +24,10 @@
             return false;
         }
         if (end + count > bytes.length) {
-            final byte[] room = end - start + count > bytes.length
-                ? new byte[Math.max(bytes.length * 2, end - start + count)] : bytes;
+            final byte[] room =
+                    end - start + count > bytes.length
+                            ? new byte[Math.max(bytes.length * 2, end - start + count)]
+                            : bytes;
             System.arraycopy(bytes, start, room, 0, end - start);
             bytes = room;
             end -= start;
@@ -38,7 +43,8 @@
     String next() {
         for (; scanned < end; scanned++) {
             if (bytes[scanned] == '\n') {
-                final String line = new String(bytes, start, scanned - start, StandardCharsets.UTF_8).strip();
+                final String line =
+                        new String(bytes, start, scanned - start, StandardCharsets.UTF_8).strip();
                 start = scanned + 1;
                 if (!line.isEmpty()) {
                     scanned++;
--- a/src/main/java/cresschute/node/http/RequestHead.java
+++ b/src/main/java/cresschute/node/http/RequestHead.java
@@ -44,8 +44,15 @@
     /** Reads heads by the classes of the settings. */
     static final class RequestHeadParser {
 
-        private static final List<AsciiString> SAID_ONCE = List.of(HttpHeaderNames.HOST, Headers.REQUEST_ID,
-            Headers.IDEMPOTENCY_KEY, Headers.DEADLINE, Headers.EXTRAS, Headers.RETRY, Headers.TENANT);
+        private static final List<AsciiString> SAID_ONCE =
+                List.of(
+                        HttpHeaderNames.HOST,
+                        Headers.REQUEST_ID,
+                        Headers.IDEMPOTENCY_KEY,
+                        Headers.DEADLINE,
+                        Headers.EXTRAS,
+                        Headers.RETRY,
+                        Headers.TENANT);
 
         private final Map<String, Integer> numbers = new HashMap<>();
         private final List<RequestClass> classes;
@@ -58,7 +65,8 @@
         }
 
         /** Classes by the numbers that the module knows them by; only those named are taken. */
-        RequestHeadParser(Map<String, Integer> live, List<RequestClass> classes, List<Tenant> tenants) {
+        RequestHeadParser(
+                Map<String, Integer> live, List<RequestClass> classes, List<Tenant> tenants) {
             numbers.putAll(live);
             this.classes = classes;
             this.tenants = tenants;
@@ -72,7 +80,8 @@
                 throw new InvalidHeadException(HttpResponseStatus.NOT_FOUND, "no such class");
             }
             if (!request.method().equals(HttpMethod.POST)) {
-                throw new InvalidHeadException(HttpResponseStatus.METHOD_NOT_ALLOWED, "jobs come by POST");
+                throw new InvalidHeadException(
+                        HttpResponseStatus.METHOD_NOT_ALLOWED, "jobs come by POST");
             }
             final HttpHeaders headers = request.headers();
             once(headers);
@@ -86,9 +95,12 @@
                 throw bad("Idempotency-Key is missing");
             }
             final String deadline = headers.get(Headers.DEADLINE);
-            // Guards what the module learns of a class's clients: none waits longer than the class's time.
-            final long waitUs = deadline == null ? stated.deadlineUs()
-                : Math.min(stated.deadlineUs(), Deadline.parseUs(deadline));
+            // Guards what the module learns of a class's clients: none waits longer than the
+            // class's time.
+            final long waitUs =
+                    deadline == null
+                            ? stated.deadlineUs()
+                            : Math.min(stated.deadlineUs(), Deadline.parseUs(deadline));
             if (waitUs < 0) {
                 throw bad("X-Deadline is unusable");
             }
@@ -97,14 +109,21 @@
             if (objects.size() > 1) {
                 throw bad("obj is given twice");
             }
-            final Job job = new Job(requestClass, tenant(headers), extras.getOrDefault("slots", 1.0), 0,
-                objects.isEmpty() ? 0 : keyNumber(objects.get(0)), "1".equals(headers.get(Headers.RETRY)));
+            final Job job =
+                    new Job(
+                            requestClass,
+                            tenant(headers),
+                            extras.getOrDefault("slots", 1.0),
+                            0,
+                            objects.isEmpty() ? 0 : keyNumber(objects.get(0)),
+                            "1".equals(headers.get(Headers.RETRY)));
             return new RequestHead(requestId, target, key, job, waitUs);
         }
 
         /**
-         * Guards against a head that says one thing twice: whoever reads it next might take the other one,
-         * and the node would count one deadline, key or id while the worker goes by another.
+         * Guards against a head that says one thing twice: whoever reads it next might take the
+         * other one, and the node would count one deadline, key or id while the worker goes by
+         * another.
          */
         private static void once(HttpHeaders headers) throws InvalidHeadException {
             for (final AsciiString name : SAID_ONCE) {
@@ -119,14 +138,15 @@
         }
 
         /**
-         * Whose share the request counts against, by its number in the settings; 0 where these have no shares.
-         * Guards against counting one customer's requests as another's.
+         * Whose share the request counts against, by its number in the settings; 0 where these have
+         * no shares. Guards against counting one customer's requests as another's.
          */
         private int tenant(HttpHeaders headers) throws InvalidHeadException {
             if (tenants.isEmpty()) {
                 return 0;
             }
-            final String name = DeploymentSettingsParser.word(headers.get(Headers.TENANT, "").strip());
+            final String name =
+                    DeploymentSettingsParser.word(headers.get(Headers.TENANT, "").strip());
             for (int number = 0; number < tenants.size(); number++) {
                 if (tenants.get(number).name().equals(name)) {
                     return number;
@@ -147,7 +167,8 @@
 
         private static QueryStringDecoder query(String target) throws InvalidHeadException {
             try {
-                final QueryStringDecoder query = new QueryStringDecoder(target, StandardCharsets.UTF_8);
+                final QueryStringDecoder query =
+                        new QueryStringDecoder(target, StandardCharsets.UTF_8);
                 query.parameters();
                 query.path();
                 return query;
--- a/src/main/java/cresschute/node/http/RetryAfter.java
+++ b/src/main/java/cresschute/node/http/RetryAfter.java
@@ -11,6 +11,8 @@
     static String format(long us) {
         final long ms = (us + MS - 1) / MS;
         final long rest = ms % MS;
-        return rest == 0 ? Long.toString(ms / MS) : ms / MS + "." + Long.toString(MS + rest).substring(1);
+        return rest == 0
+                ? Long.toString(ms / MS)
+                : ms / MS + "." + Long.toString(MS + rest).substring(1);
     }
 }
--- a/src/main/java/cresschute/node/http/WorkerConnection.java
+++ b/src/main/java/cresschute/node/http/WorkerConnection.java
@@ -19,18 +19,24 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 
-/** A connection to a worker. It carries one exchange at a time and nothing is ever sent again on it. */
+/**
+ * A connection to a worker. It carries one exchange at a time and nothing is ever sent again on it.
+ */
 final class WorkerConnection extends SimpleChannelInboundHandler<HttpObject> {
 
-    /** Time for the end of an answer whose outcome is told, before the connection is given up, ms. */
+    /**
+     * Time for the end of an answer whose outcome is told, before the connection is given up, ms.
+     */
     private static final long TAIL_MS = 1_000;
 
     /**
-     * How soon after an answer the next exchange on its connection may still meet that answer a second time,
-     * ms; what then names no request is believed once nothing has followed it for as long as the second figure
-     * says. A worker's own answer, or its 200 for a job taken, is there within a round trip or two.
+     * How soon after an answer the next exchange on its connection may still meet that answer a
+     * second time, ms; what then names no request is believed once nothing has followed it for as
+     * long as the second figure says. A worker's own answer, or its 200 for a job taken, is there
+     * within a round trip or two.
      */
     private static final long DOUBT_WITHIN_MS = 100;
+
     private static final long DOUBT_MS = 50;
 
     final InetSocketAddress addr;
@@ -38,18 +44,25 @@
     private Channel channel;
     private HttpExchange exchange;
     private boolean keepAlive;
+
     /** Whether more answers have come than were asked for. */
     private boolean outOfStep;
+
     private boolean informational;
     private boolean kept;
     private boolean closing;
     private Future<?> retire;
     private Future<?> tail;
     private long idleSinceNs;
-    /** Whether the answer to the exchange before may come a second time and be taken for this one's. */
+
+    /**
+     * Whether the answer to the exchange before may come a second time and be taken for this one's.
+     */
     private boolean doubtful;
+
     /** A head that is not yet believed, and when it will be. */
     private HttpResponse unbelieved;
+
     private Future<?> belief;
 
     WorkerConnection(InetSocketAddress addr, WorkerConnectionPool owner) {
@@ -68,7 +81,9 @@
             retire.cancel(false);
             retire = null;
             kept = true;
-            doubtful = System.nanoTime() - idleSinceNs < TimeUnit.MILLISECONDS.toNanos(DOUBT_WITHIN_MS);
+            doubtful =
+                    System.nanoTime() - idleSinceNs
+                            < TimeUnit.MILLISECONDS.toNanos(DOUBT_WITHIN_MS);
         }
         exchange = next;
         next.connection = this;
@@ -82,12 +97,14 @@
             return;
         }
         final BodyPump body = next.body();
-        channel.writeAndFlush(request).addListener(sent -> {
-            next.written = sent.isSuccess() && body == null;
-            if (!sent.isSuccess()) {
-                channel.close();
-            }
-        });
+        channel.writeAndFlush(request)
+                .addListener(
+                        sent -> {
+                            next.written = sent.isSuccess() && body == null;
+                            if (!sent.isSuccess()) {
+                                channel.close();
+                            }
+                        });
         if (body != null) {
             body.start(channel);
         }
@@ -132,9 +149,9 @@
     }
 
     /**
-     * Takes in what has come while nothing was asked here: a close, or bytes that nobody is waiting for, end
-     * this connection now. Guards a request against being written where the answer to another one, or the end,
-     * is to be read first.
+     * Takes in what has come while nothing was asked here: a close, or bytes that nobody is waiting
+     * for, end this connection now. Guards a request against being written where the answer to
+     * another one, or the end, is to be read first.
      */
     boolean isQuiet() {
         ReadNow.now(channel);
@@ -152,7 +169,8 @@
     protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
         kept = false;
         if (exchange == null) {
-            // Guards other workers against one that answers twice: that this one was kept tells nothing.
+            // Guards other workers against one that answers twice: that this one was kept tells
+            // nothing.
             if (!closing) {
                 owner.unasked(addr);
             }
@@ -179,8 +197,12 @@
             if (unbelieved == null) {
                 content(content);
             } else if (content instanceof LastHttpContent last) {
-                belief = channel.eventLoop().schedule(() -> believe(last.trailingHeaders()), DOUBT_MS,
-                    TimeUnit.MILLISECONDS);
+                belief =
+                        channel.eventLoop()
+                                .schedule(
+                                        () -> believe(last.trailingHeaders()),
+                                        DOUBT_MS,
+                                        TimeUnit.MILLISECONDS);
             }
         }
     }
@@ -243,7 +265,10 @@
         }
     }
 
-    /** Guards the heap: a timer left to run out holds its attempt, with the request's body, for a second. */
+    /**
+     * Guards the heap: a timer left to run out holds its attempt, with the request's body, for a
+     * second.
+     */
     private void forgetTail() {
         if (tail != null) {
             tail.cancel(false);
@@ -258,7 +283,8 @@
         }
         forgetTail();
         if (belief != null) {
-            // Whether it was this exchange's answer will not be known: it ends as broken, and may have run.
+            // Whether it was this exchange's answer will not be known: it ends as broken, and may
+            // have run.
             belief.cancel(false);
         }
         owner.closed(this);
--- a/src/main/java/cresschute/node/http/WorkerConnectionPool.java
+++ b/src/main/java/cresschute/node/http/WorkerConnectionPool.java
@@ -1,9 +1,9 @@
 package cresschute.node.http;
 
-import cresschute.node.WorkerClient;
+import cresschute.node.PeerFault;
 import cresschute.node.RateLimitedLog;
 import cresschute.node.RequestContent;
-import cresschute.node.PeerFault;
+import cresschute.node.WorkerClient;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -27,6 +27,7 @@
 
     /** An idle connection is closed at this part of the time at which its worker would close it. */
     private static final double RETIRE_AT = 0.75;
+
     /** How long a probe may take, ms. */
     private static final long PROBE_MS = 350;
 
@@ -48,33 +49,45 @@
      * @param max how many may be open at a time
      * @param longResults whether results may come that are passed on as they are made
      */
-    public WorkerConnectionPool(EventLoop loop, RateLimitedLog faults, long connectTimeoutUs, long connIdleUs,
-        int max, boolean longResults) {
+    public WorkerConnectionPool(
+            EventLoop loop,
+            RateLimitedLog faults,
+            long connectTimeoutUs,
+            long connIdleUs,
+            int max,
+            boolean longResults) {
         this.loop = loop;
         this.faults = faults;
         this.max = max;
-        this.bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class)
-            .option(ChannelOption.TCP_NODELAY, true);
+        this.bootstrap =
+                new Bootstrap()
+                        .group(loop)
+                        .channel(NioSocketChannel.class)
+                        .option(ChannelOption.TCP_NODELAY, true);
         applySettings(connectTimeoutUs, connIdleUs);
-        bootstrap.option(ChannelOption.RECVBUF_ALLOCATOR, longResults ? LongStream.reads()
-            : ReadNow.toTheEnd());
+        bootstrap.option(
+                ChannelOption.RECVBUF_ALLOCATOR,
+                longResults ? LongStream.reads() : ReadNow.toTheEnd());
     }
 
     /**
-     * Takes these limits for connections that are opened, or become idle, from now on; where idle ones may be
-     * kept less long than before, those that are idle now are closed.
+     * Takes these limits for connections that are opened, or become idle, from now on; where idle
+     * ones may be kept less long than before, those that are idle now are closed.
      */
     public void applySettings(long connectTimeoutUs, long connIdleUs) {
-        bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connectTimeoutUs / 1000));
+        bootstrap.option(
+                ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connectTimeoutUs / 1000));
         final long before = retireUs;
         retireUs = (long) (connIdleUs * RETIRE_AT);
         if (retireUs < before) {
-            List.copyOf(idle.values()).forEach(kept -> List.copyOf(kept).forEach(WorkerConnection::close));
+            List.copyOf(idle.values())
+                    .forEach(kept -> List.copyOf(kept).forEach(WorkerConnection::close));
         }
     }
 
     @Override
-    public AttemptCall attempt(InetSocketAddress addr, RequestContent content, AttemptListener listener) {
+    public AttemptCall attempt(
+            InetSocketAddress addr, RequestContent content, AttemptListener listener) {
         final HttpAttempt attempt = new HttpAttempt(host(addr), content, listener, faults);
         start(addr, attempt);
         return attempt;
@@ -110,23 +123,30 @@
 
     private void connect(InetSocketAddress addr, HttpExchange exchange) {
         final WorkerConnection connection = new WorkerConnection(addr, this);
-        final ChannelFuture connecting = bootstrap.clone().handler(new ChannelInitializer<Channel>() {
-            @Override
-            protected void initChannel(Channel channel) {
-                channel.pipeline().addLast(new HttpClientCodec(), connection);
-            }
-        }).connect(addr);
-        connecting.addListener(done -> {
-            if (!done.isSuccess()) {
-                opened--;
-                exchange.broken();
-            } else if (exchange.over || !exchange.mayBegin()) {
-                // Given up before it was up.
-                connecting.channel().close();
-            } else {
-                connection.start(exchange);
-            }
-        });
+        final ChannelFuture connecting =
+                bootstrap
+                        .clone()
+                        .handler(
+                                new ChannelInitializer<Channel>() {
+                                    @Override
+                                    protected void initChannel(Channel channel) {
+                                        channel.pipeline()
+                                                .addLast(new HttpClientCodec(), connection);
+                                    }
+                                })
+                        .connect(addr);
+        connecting.addListener(
+                done -> {
+                    if (!done.isSuccess()) {
+                        opened--;
+                        exchange.broken();
+                    } else if (exchange.over || !exchange.mayBegin()) {
+                        // Given up before it was up.
+                        connecting.channel().close();
+                    } else {
+                        connection.start(exchange);
+                    }
+                });
     }
 
     private boolean closeOneIdle() {
@@ -159,13 +179,15 @@
     }
 
     /**
-     * Guards against workers, or what lies before them, that drop kept connections well before the stated
-     * time: the request that meets this ends as a reset, and a keyed one is bound by it. A new connection costs
-     * milliseconds, so for a while no request goes out on a kept one, whichever its worker.
+     * Guards against workers, or what lies before them, that drop kept connections well before the
+     * stated time: the request that meets this ends as a reset, and a keyed one is bound by it. A
+     * new connection costs milliseconds, so for a while no request goes out on a kept one,
+     * whichever its worker.
      */
     void keptOneBroke() {
         freshUntilNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(FRESH_S);
-        List.copyOf(idle.values()).forEach(kept -> List.copyOf(kept).forEach(WorkerConnection::close));
+        List.copyOf(idle.values())
+                .forEach(kept -> List.copyOf(kept).forEach(WorkerConnection::close));
     }
 
     void closed(WorkerConnection connection) {
--- a/src/main/java/cresschute/peers/InFlightCounts.java
+++ b/src/main/java/cresschute/peers/InFlightCounts.java
@@ -10,8 +10,9 @@
 import java.util.TreeMap;
 
 /**
- * This dispatcher's number of open attempts by worker key, and the keys whose number differs from the one
- * stated last, oldest change first. A number that returns to the stated one is no news any more.
+ * This dispatcher's number of open attempts by worker key, and the keys whose number differs from
+ * the one stated last, oldest change first. A number that returns to the stated one is no news any
+ * more.
  */
 public final class InFlightCounts {
 
--- a/src/main/java/cresschute/peers/LoadExchange.java
+++ b/src/main/java/cresschute/peers/LoadExchange.java
@@ -8,9 +8,9 @@
 import java.util.OptionalInt;
 
 /**
- * One dispatcher's part in the exchange: counts its own attempts, says when to send what, takes in what
- * others send, and gives workers' load. It has no clock, thread or socket: a driver calls it, with a time
- * that never runs backwards.
+ * One dispatcher's part in the exchange: counts its own attempts, says when to send what, takes in
+ * what others send, and gives workers' load. It has no clock, thread or socket: a driver calls it,
+ * with a time that never runs backwards.
  */
 public final class LoadExchange {
 
@@ -51,7 +51,9 @@
         counts.ended(keys.list(worker));
     }
 
-    /** The message that is due now, if one is, for every peer; to be asked a few times each 250 ms. */
+    /**
+     * The message that is due now, if one is, for every peer; to be asked a few times each 250 ms.
+     */
     public Optional<LoadMessage> poll(long nowUs) {
         return announcer.poll(nowUs);
     }
@@ -69,21 +71,25 @@
     }
 
     /**
-     * Workers about which messages came since the last call and for which the view may answer. Whoever
-     * chooses workers should learn their load anew by {@link #outstanding}.
+     * Workers about which messages came since the last call and for which the view may answer.
+     * Whoever chooses workers should learn their load anew by {@link #outstanding}.
      */
     public List<String> takeRefreshed(long nowUs) {
         final List<String> names = new ArrayList<>();
-        refreshed.forEach((key, name) -> {
-            if (view.answersFor(nowUs, key)) {
-                names.add(name);
-            }
-        });
+        refreshed.forEach(
+                (key, name) -> {
+                    if (view.answersFor(nowUs, key)) {
+                        names.add(name);
+                    }
+                });
         refreshed.clear();
         return names;
     }
 
-    /** Requests that all dispatchers have out at a worker, or empty where the worker has to be asked. */
+    /**
+     * Requests that all dispatchers have out at a worker, or empty where the worker has to be
+     * asked.
+     */
     public OptionalInt outstanding(long nowUs, String worker) {
         return view.outstanding(nowUs, worker);
     }
--- a/src/main/java/cresschute/peers/LoadGossiper.java
+++ b/src/main/java/cresschute/peers/LoadGossiper.java
@@ -10,26 +10,31 @@
 import java.util.Set;
 
 /**
- * Decides when this dispatcher sends a message and what is in it. The same message goes to every peer.
+ * Decides when this dispatcher sends a message and what is in it. The same message goes to every
+ * peer.
  *
  * <ul>
- * <li>Changed numbers go out oldest change first, within 250 ms where the budget holds all of them.
- * <li>A message goes out at least once a second, with as much as the budget holds, also where nothing has
- * changed: it is the sign that this dispatcher lives. Only where the budget does not hold so much as an empty
- * message does it wait longer.
- * <li>The sweep states all open numbers in the order of their keys once a cycle. It has up to half of a
- * message's room before changes have any. Where the budget is short, a cycle takes longer; the next one
- * begins only when all keys were stated.
+ *   <li>Changed numbers go out oldest change first, within 250 ms where the budget holds all of
+ *       them.
+ *   <li>A message goes out at least once a second, with as much as the budget holds, also where
+ *       nothing has changed: it is the sign that this dispatcher lives. Only where the budget does
+ *       not hold so much as an empty message does it wait longer.
+ *   <li>The sweep states all open numbers in the order of their keys once a cycle. It has up to
+ *       half of a message's room before changes have any. Where the budget is short, a cycle takes
+ *       longer; the next one begins only when all keys were stated.
  * </ul>
  */
 public final class LoadGossiper {
 
     /** The shortest time between two messages, us. */
     public static final long MIN_INTERVAL_US = 250_000;
+
     /** The longest time between two messages where the budget allows it, us. */
     public static final long HEARTBEAT_US = 1_000_000;
+
     /** Heads of IPv4 and UDP, bytes for each datagram. */
     public static final int HEADER_BYTES = 28;
+
     private static final long LAST_KEY = Integer.toUnsignedLong(KeyRange.MAX_KEY);
 
     private final InFlightCounts counts;
@@ -42,8 +47,13 @@
     private long cycle = 1;
     private long cycleStartUs;
     private int sweptInCycle;
-    /** The first key that the sweep has not passed, unsigned; past the highest key where it passed all. */
+
+    /**
+     * The first key that the sweep has not passed, unsigned; past the highest key where it passed
+     * all.
+     */
     private long nextKey;
+
     private boolean cycleEnds;
 
     /** An announcer of these numbers; {@code nowUs}, the time of its start, is its incarnation. */
@@ -76,8 +86,9 @@
 
     /** The last message: this dispatcher stops. Empty where the budget does not hold it. */
     public Optional<LoadMessage> leave(long nowUs) {
-        return room(nowUs) < 0 ? Optional.empty()
-            : Optional.of(message(nowUs, KeyRange.EMPTY, List.of(), true));
+        return room(nowUs) < 0
+                ? Optional.empty()
+                : Optional.of(message(nowUs, KeyRange.EMPTY, List.of(), true));
     }
 
     private LoadMessage message(long nowUs, KeyRange range, List<Entry> entries, boolean leaving) {
@@ -90,7 +101,7 @@
             cycleEnds = false;
         }
         final LoadMessage message =
-            new LoadMessage(sender, incarnation, ++sequence, ofCycle, leaving, range, entries);
+                new LoadMessage(sender, incarnation, ++sequence, ofCycle, leaving, range, entries);
         bucket.take(cost(LoadMessageCodec.messageBytes(message)));
         sentUs = nowUs;
         return message;
@@ -105,13 +116,13 @@
     private int room(long nowUs) {
         final long ofBudget = bucket.available(nowUs) / settings.peers() - HEADER_BYTES;
         return (int) Math.min(ofBudget, LoadMessageCodec.MAX_MESSAGE_BYTES)
-            - LoadMessageCodec.MIN_MESSAGE_BYTES;
+                - LoadMessageCodec.MIN_MESSAGE_BYTES;
     }
 
     /** Bytes of all changes, or one more than {@code max}. */
     private int changeBytes(int max) {
         int bytes = 0;
-        for (final Iterator<Integer> keys = counts.changes(); keys.hasNext() && bytes <= max;) {
+        for (final Iterator<Integer> keys = counts.changes(); keys.hasNext() && bytes <= max; ) {
             bytes += LoadMessageCodec.entryBytes(counts.count(keys.next()));
         }
         return Math.min(bytes, Math.max(0, max) + 1);
@@ -124,7 +135,7 @@
             left -= LoadMessageCodec.entryBytes(entry.count());
             there.add(entry.key());
         }
-        for (final Iterator<Integer> keys = counts.changes(); keys.hasNext();) {
+        for (final Iterator<Integer> keys = counts.changes(); keys.hasNext(); ) {
             final int key = keys.next();
             final int bytes = LoadMessageCodec.entryBytes(counts.count(key));
             if (bytes > left) {
@@ -138,7 +149,9 @@
         }
     }
 
-    /** Adds the open numbers that are due by the time passed in the cycle; returns the keys covered. */
+    /**
+     * Adds the open numbers that are due by the time passed in the cycle; returns the keys covered.
+     */
     private KeyRange sweep(long nowUs, int room, List<Entry> entries) {
         final List<Integer> open = nextKey > LAST_KEY ? List.of() : counts.openFrom((int) nextKey);
         final double passed = Math.min(1, (double) (nowUs - cycleStartUs) / settings.refreshUs());
--- a/src/main/java/cresschute/peers/LoadMessageCodec.java
+++ b/src/main/java/cresschute/peers/LoadMessageCodec.java
@@ -13,23 +13,27 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * The form of a message on the wire, big-endian: version (1 byte), flags (1), sender (4), incarnation (8),
- * sequence (4), cycle (4), first and last key of the range (4 each), then for each entry its key (4) and its
- * count (a varint), and at the end the first 16 bytes of the HMAC-SHA-256 of all that with the shared key.
- * Not for several threads at a time.
+ * The form of a message on the wire, big-endian: version (1 byte), flags (1), sender (4),
+ * incarnation (8), sequence (4), cycle (4), first and last key of the range (4 each), then for each
+ * entry its key (4) and its count (a varint), and at the end the first 16 bytes of the HMAC-SHA-256
+ * of all that with the shared key. Not for several threads at a time.
  */
 public final class LoadMessageCodec {
 
     /** The longest message, bytes: a datagram of it is not fragmented on any usual path. */
     public static final int MAX_MESSAGE_BYTES = 1_200;
+
     /** The shortest key, bytes. */
     public static final int MIN_KEY_BYTES = 16;
+
     static final int VERSION = 1;
     private static final int FLAG_LEAVING = 1;
     private static final int HEAD_BYTES = 1 + 1 + 4 + 8 + 4 + 4 + 4 + 4;
     private static final int CODE_BYTES = 16;
+
     /** A message without entries, bytes. */
     public static final int MIN_MESSAGE_BYTES = HEAD_BYTES + CODE_BYTES;
+
     private static final long UNSIGNED_INT = 0xffff_ffffL;
     private static final int VARINT_BITS = 7;
     private static final int VARINT_MORE = 0x80;
@@ -62,8 +66,8 @@
 
     /** Bytes of a message on the wire. */
     public static int messageBytes(LoadMessage message) {
-        return MIN_MESSAGE_BYTES + message.entries().stream().mapToInt(each -> entryBytes(each.count()))
-            .sum();
+        return MIN_MESSAGE_BYTES
+                + message.entries().stream().mapToInt(each -> entryBytes(each.count())).sum();
     }
 
     /** The bytes of a message. */
@@ -73,9 +77,14 @@
             throw new IllegalArgumentException("a message of " + size + " bytes");
         }
         final ByteBuffer out = ByteBuffer.allocate(size);
-        out.put((byte) VERSION).put((byte) (message.leaving() ? FLAG_LEAVING : 0)).putInt(message.sender())
-            .putLong(message.incarnation()).putInt((int) message.sequence()).putInt((int) message.cycle())
-            .putInt(message.range().first()).putInt(message.range().last());
+        out.put((byte) VERSION)
+                .put((byte) (message.leaving() ? FLAG_LEAVING : 0))
+                .putInt(message.sender())
+                .putLong(message.incarnation())
+                .putInt((int) message.sequence())
+                .putInt((int) message.cycle())
+                .putInt(message.range().first())
+                .putInt(message.range().last());
         for (final Entry entry : message.entries()) {
             out.putInt(entry.key());
             putVarint(out, entry.count());
@@ -96,7 +105,8 @@
             throw new RejectedMessageException(RejectionReason.OTHER_VERSION);
         }
         final int signed = bytes.length - CODE_BYTES;
-        if (!MessageDigest.isEqual(code(bytes, signed), Arrays.copyOfRange(bytes, signed, bytes.length))) {
+        if (!MessageDigest.isEqual(
+                code(bytes, signed), Arrays.copyOfRange(bytes, signed, bytes.length))) {
             throw new RejectedMessageException(RejectionReason.NOT_AUTHENTIC);
         }
         try {
@@ -120,7 +130,8 @@
         if ((flags & ~FLAG_LEAVING) != 0 || incarnation < 0 || sequence == 0 || cycle == 0) {
             throw new RejectedMessageException(RejectionReason.MALFORMED);
         }
-        return new LoadMessage(sender, incarnation, sequence, cycle, flags == FLAG_LEAVING, range, entries);
+        return new LoadMessage(
+                sender, incarnation, sequence, cycle, flags == FLAG_LEAVING, range, entries);
     }
 
     private byte[] code(byte[] bytes, int length) {
--- a/src/main/java/cresschute/peers/Peer.java
+++ b/src/main/java/cresschute/peers/Peer.java
@@ -18,8 +18,13 @@
     private long lastMessageUs;
     private boolean left;
     private boolean joined;
-    /** Whether the cycle was received from its beginning, the sequence number there, and messages since. */
+
+    /**
+     * Whether the cycle was received from its beginning, the sequence number there, and messages
+     * since.
+     */
     private boolean cycleFromStart;
+
     private long cycleFirstSequence;
     private long receivedInCycle;
     private long distrustUs;
@@ -50,7 +55,10 @@
         return stateByMessages(nowUs) == PeerState.ABSENT ? 0 : counts.getOrDefault(key, 0);
     }
 
-    /** Takes a message in; returns the workers that it is about. One that is not new changes nothing. */
+    /**
+     * Takes a message in; returns the workers that it is about. One that is not new changes
+     * nothing.
+     */
     Set<Integer> take(long nowUs, LoadMessage message) throws RejectedMessageException {
         if (message.incarnation() < incarnation) {
             throw new RejectedMessageException(RejectionReason.OLD_INCARNATION);
@@ -93,7 +101,7 @@
             counts.clear();
         }
         if (before == PeerState.ABSENT
-            || before == PeerState.SUSPECT && message.sequence() > sequence + 1) {
+                || before == PeerState.SUSPECT && message.sequence() > sequence + 1) {
             joined = false;
             cycleFromStart = false;
         }
@@ -103,8 +111,9 @@
         if (message.cycle() != cycle) {
             if (cycleFromStart) {
                 final long sent = message.sequence() - cycleFirstSequence;
-                joined = message.cycle() == cycle + 1
-                    && sent - receivedInCycle <= sent * PeerTable.MAX_MISSING_SHARE;
+                joined =
+                        message.cycle() == cycle + 1
+                                && sent - receivedInCycle <= sent * PeerTable.MAX_MISSING_SHARE;
             }
             cycle = message.cycle();
             cycleFromStart = true;
@@ -115,11 +124,18 @@
     }
 
     private Set<Integer> apply(LoadMessage message) {
-        final Set<Integer> concerned = message.entries().stream().map(Entry::key)
-            .collect(Collectors.toCollection(LinkedHashSet::new));
+        final Set<Integer> concerned =
+                message.entries().stream()
+                        .map(Entry::key)
+                        .collect(Collectors.toCollection(LinkedHashSet::new));
         if (!message.range().isEmpty()) {
-            final List<Integer> closed = counts.keySet().stream()
-                .filter(key -> message.range().contains(key) && !concerned.contains(key)).toList();
+            final List<Integer> closed =
+                    counts.keySet().stream()
+                            .filter(
+                                    key ->
+                                            message.range().contains(key)
+                                                    && !concerned.contains(key))
+                            .toList();
             closed.forEach(counts::remove);
             concerned.addAll(closed);
         }
@@ -133,12 +149,17 @@
         return concerned;
     }
 
-    /** Concludes nothing from its numbers for a while, twice as long as the last time if that is recent. */
+    /**
+     * Concludes nothing from its numbers for a while, twice as long as the last time if that is
+     * recent.
+     */
     long distrust(long nowUs) {
-        final boolean recent = distrustUs > 0
-            && nowUs - distrustedUntilUs < PeerTable.MAX_DISTRUST_US;
-        distrustUs = recent ? Math.min(PeerTable.MAX_DISTRUST_US, 2 * distrustUs)
-            : PeerTable.MIN_DISTRUST_US;
+        final boolean recent =
+                distrustUs > 0 && nowUs - distrustedUntilUs < PeerTable.MAX_DISTRUST_US;
+        distrustUs =
+                recent
+                        ? Math.min(PeerTable.MAX_DISTRUST_US, 2 * distrustUs)
+                        : PeerTable.MIN_DISTRUST_US;
         distrustedUntilUs = nowUs + distrustUs;
         return distrustUs;
     }
--- a/src/main/java/cresschute/peers/PeerLoadView.java
+++ b/src/main/java/cresschute/peers/PeerLoadView.java
@@ -3,9 +3,9 @@
 import java.util.OptionalInt;
 
 /**
- * Requests that all dispatchers together have out at a worker. It answers only while what is known is all
- * there is ({@link PeerTable#isComplete}) and nothing speaks against it ({@link ClaimValidator}); otherwise the
- * worker has to be asked.
+ * Requests that all dispatchers together have out at a worker. It answers only while what is known
+ * is all there is ({@link PeerTable#isComplete}) and nothing speaks against it ({@link
+ * ClaimValidator}); otherwise the worker has to be asked.
  */
 public final class PeerLoadView {
 
@@ -24,7 +24,8 @@
     private final ClaimValidator check = new ClaimValidator();
 
     /** A view of what this dispatcher counts and its peers state. */
-    public PeerLoadView(WorkerKeys keys, InFlightCounts own, PeerTable peers, DistrustListener listener) {
+    public PeerLoadView(
+            WorkerKeys keys, InFlightCounts own, PeerTable peers, DistrustListener listener) {
         this.keys = keys;
         this.own = own;
         this.peers = peers;
@@ -34,12 +35,15 @@
     /** Requests out at a worker, or empty where the worker has to be asked. */
     public OptionalInt outstanding(long nowUs, String worker) {
         final OptionalInt key = keys.unique(worker);
-        if (key.isEmpty() || !peers.isComplete(nowUs) || check.isContradicted(nowUs, key.getAsInt())) {
+        if (key.isEmpty()
+                || !peers.isComplete(nowUs)
+                || check.isContradicted(nowUs, key.getAsInt())) {
             return OptionalInt.empty();
         }
         final int claimed = peers.count(nowUs, key.getAsInt());
-        return check.verifies(nowUs, key.getAsInt(), claimed) ? OptionalInt.empty()
-            : OptionalInt.of(sum(own.count(key.getAsInt()), claimed));
+        return check.verifies(nowUs, key.getAsInt(), claimed)
+                ? OptionalInt.empty()
+                : OptionalInt.of(sum(own.count(key.getAsInt()), claimed));
     }
 
     /** Whether the view may answer for the worker with this key. */
@@ -54,8 +58,13 @@
             return;
         }
         final int viewed = sum(own.count(key.getAsInt()), peers.count(nowUs, key.getAsInt()));
-        check.compare(nowUs, key.getAsInt(), viewed, outstanding, peers.claims(nowUs, key.getAsInt()))
-            .ifPresent(sender -> listener.distrusted(sender, peers.distrust(nowUs, sender)));
+        check.compare(
+                        nowUs,
+                        key.getAsInt(),
+                        viewed,
+                        outstanding,
+                        peers.claims(nowUs, key.getAsInt()))
+                .ifPresent(sender -> listener.distrusted(sender, peers.distrust(nowUs, sender)));
     }
 
     private static int sum(int first, int second) {
--- a/src/main/java/cresschute/peers/PeerTable.java
+++ b/src/main/java/cresschute/peers/PeerTable.java
@@ -6,37 +6,46 @@
 import java.util.TreeMap;
 
 /**
- * The other dispatchers and what each stated last. Nothing happens by itself: every question carries the
- * time, and states follow from it.
+ * The other dispatchers and what each stated last. Nothing happens by itself: every question
+ * carries the time, and states follow from it.
  *
  * <ul>
- * <li>JOINING: from the first message received of an incarnation until a whole cycle was received with at
- * most 5 % of its messages missing. An incarnation received from its first message on is ALIVE at once. A
- * peer that sent nothing since this dispatcher's start counts as JOINING for 60 s, and then as ABSENT.
- * <li>ALIVE: a message came within 3 s. A cycle with more than 5 % missing makes it JOINING.
- * <li>SUSPECT: no message for 3 s. Its counts stay. With the next one it is what it was where none was missed
- * in between, else JOINING.
- * <li>ABSENT: no message for 60 s, or it said that it stops. Its counts are dropped; with the next message it
- * is JOINING.
- * <li>DISTRUSTED: its counts exceeded what workers report ({@link ClaimValidator}), for 60 s and each time twice
- * as long, up to 1 h; an hour without makes it 60 s again. Its messages are taken in meanwhile, and after
- * that it is what they make it.
+ *   <li>JOINING: from the first message received of an incarnation until a whole cycle was received
+ *       with at most 5 % of its messages missing. An incarnation received from its first message on
+ *       is ALIVE at once. A peer that sent nothing since this dispatcher's start counts as JOINING
+ *       for 60 s, and then as ABSENT.
+ *   <li>ALIVE: a message came within 3 s. A cycle with more than 5 % missing makes it JOINING.
+ *   <li>SUSPECT: no message for 3 s. Its counts stay. With the next one it is what it was where
+ *       none was missed in between, else JOINING.
+ *   <li>ABSENT: no message for 60 s, or it said that it stops. Its counts are dropped; with the
+ *       next message it is JOINING.
+ *   <li>DISTRUSTED: its counts exceeded what workers report ({@link ClaimValidator}), for 60 s and
+ *       each time twice as long, up to 1 h; an hour without makes it 60 s again. Its messages are
+ *       taken in meanwhile, and after that it is what they make it.
  * </ul>
  *
- * A newer incarnation forgets the counts of the older one, and messages of an older one are refused.
+ * A newer incarnation forgets the counts of the older one, and messages of an older one are
+ * refused.
  */
 public final class PeerTable {
 
     /** Time without a message after which a peer is SUSPECT, us. */
     public static final long SUSPECT_AFTER_US = 3_000_000;
+
     /** Time without a message after which a peer is ABSENT, us. */
     public static final long ABSENT_AFTER_US = 60_000_000;
+
     /** The part of a cycle's messages that may be missing. */
     static final double MAX_MISSING_SHARE = 0.05;
+
     /** The first time for which a peer is distrusted, and the longest, us. */
     static final long MIN_DISTRUST_US = 60_000_000;
+
     static final long MAX_DISTRUST_US = 3_600_000_000L;
-    /** Workers of which one peer may state a number: bounds the memory that a faulty peer can take. */
+
+    /**
+     * Workers of which one peer may state a number: bounds the memory that a faulty peer can take.
+     */
     static final int MAX_ENTRIES_PER_PEER = 16_384;
 
     private final int self;
@@ -51,7 +60,10 @@
         this.startUs = nowUs;
     }
 
-    /** Takes an authentic message in and returns the workers it is about, or says why it changes nothing. */
+    /**
+     * Takes an authentic message in and returns the workers it is about, or says why it changes
+     * nothing.
+     */
     public Set<Integer> receive(long nowUs, LoadMessage message) throws RejectedMessageException {
         if (message.sender() == self) {
             throw new RejectedMessageException(RejectionReason.OWN_NAME);
@@ -67,8 +79,8 @@
 
     /** A dispatcher under a new name takes the place of one that is absent. */
     private void makeRoom(long nowUs) throws RejectedMessageException {
-        if (bySender.size() >= peers && !bySender.values().removeIf(
-            peer -> peer.state(nowUs) == PeerState.ABSENT)) {
+        if (bySender.size() >= peers
+                && !bySender.values().removeIf(peer -> peer.state(nowUs) == PeerState.ABSENT)) {
             throw new RejectedMessageException(RejectionReason.TOO_MANY_SENDERS);
         }
     }
@@ -86,8 +98,8 @@
     }
 
     /**
-     * Whether what is known is all there is: no peer is JOINING, SUSPECT or DISTRUSTED, and a majority of all
-     * dispatchers, this one included, is ALIVE.
+     * Whether what is known is all there is: no peer is JOINING, SUSPECT or DISTRUSTED, and a
+     * majority of all dispatchers, this one included, is ALIVE.
      */
     public boolean isComplete(long nowUs) {
         if (missing() > 0 && nowUs - startUs < ABSENT_AFTER_US) {
@@ -117,12 +129,13 @@
     /** What each peer states at a worker, those without open attempts left out. */
     Map<Integer, Integer> claims(long nowUs, int key) {
         final Map<Integer, Integer> claims = new HashMap<>();
-        bySender.forEach((sender, peer) -> {
-            final int count = peer.count(nowUs, key);
-            if (count > 0) {
-                claims.put(sender, count);
-            }
-        });
+        bySender.forEach(
+                (sender, peer) -> {
+                    final int count = peer.count(nowUs, key);
+                    if (count > 0) {
+                        claims.put(sender, count);
+                    }
+                });
         return claims;
     }
 
--- a/src/main/java/cresschute/peers/RejectionReason.java
+++ b/src/main/java/cresschute/peers/RejectionReason.java
@@ -15,7 +15,9 @@
     NOT_AUTHENTIC,
     /** Authentic, but its bytes do not follow the format. */
     MALFORMED,
-    /** Under this dispatcher's own name: two dispatchers share one, or an own datagram came back. */
+    /**
+     * Under this dispatcher's own name: two dispatchers share one, or an own datagram came back.
+     */
     OWN_NAME,
     /** From more senders than there are peers. */
     TOO_MANY_SENDERS,
--- a/src/main/java/cresschute/peers/WorkerKeys.java
+++ b/src/main/java/cresschute/peers/WorkerKeys.java
@@ -13,8 +13,9 @@
 import java.util.function.BiConsumer;
 
 /**
- * Short keys of workers' names, the same at every dispatcher: the first four bytes of the name's SHA-256.
- * Two listed names with one key make the load of both unknown, since a message could mean either of them.
+ * Short keys of workers' names, the same at every dispatcher: the first four bytes of the name's
+ * SHA-256. Two listed names with one key make the load of both unknown, since a message could mean
+ * either of them.
  */
 public final class WorkerKeys {
 
@@ -31,8 +32,9 @@
     /** The key of a name, whether it is listed or not. */
     public static int hash(String name) {
         try {
-            final byte[] digest = MessageDigest.getInstance("SHA-256")
-                .digest(name.getBytes(StandardCharsets.UTF_8));
+            final byte[] digest =
+                    MessageDigest.getInstance("SHA-256")
+                            .digest(name.getBytes(StandardCharsets.UTF_8));
             return ByteBuffer.wrap(digest).getInt();
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException("every Java platform has SHA-256", e);
--- a/src/main/java/cresschute/peers/socket/PeerSocket.java
+++ b/src/main/java/cresschute/peers/socket/PeerSocket.java
@@ -1,7 +1,7 @@
 package cresschute.peers.socket;
 
-import cresschute.peers.LoadGossiper;
 import cresschute.peers.LoadExchange;
+import cresschute.peers.LoadGossiper;
 import cresschute.peers.LoadMessage;
 import cresschute.peers.LoadMessageCodec;
 import cresschute.peers.RejectedMessageException;
@@ -23,11 +23,14 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 
-/** The exchange's datagrams on the node's own event loop: sends what is due, takes in what comes. */
+/**
+ * The exchange's datagrams on the node's own event loop: sends what is due, takes in what comes.
+ */
 public final class PeerSocket {
 
     /** How often it is seen whether a message is due, ms. */
     private static final long POLL_MS = 50;
+
     /** The longest that a stop waits for the budget to hold the last message, us. */
     private static final long MAX_LEAVE_US = 1_000_000;
 
@@ -43,11 +46,16 @@
     private boolean left;
 
     /**
-     * A socket that is not bound yet; {@code clockUs} is the exchange's clock, and {@code refreshed} is given
-     * the workers whose load is known anew.
+     * A socket that is not bound yet; {@code clockUs} is the exchange's clock, and {@code
+     * refreshed} is given the workers whose load is known anew.
      */
-    public PeerSocket(EventLoop loop, LongSupplier clockUs, LoadExchange exchange, LoadMessageCodec codec,
-        PeerLog log, Consumer<List<String>> refreshed) {
+    public PeerSocket(
+            EventLoop loop,
+            LongSupplier clockUs,
+            LoadExchange exchange,
+            LoadMessageCodec codec,
+            PeerLog log,
+            Consumer<List<String>> refreshed) {
         this.loop = loop;
         this.clockUs = clockUs;
         this.exchange = exchange;
@@ -58,13 +66,19 @@
 
     /** Binds and takes in what comes; the future fails where the address cannot be had. */
     public ChannelFuture listen(SocketAddress address) {
-        final ChannelFuture bound = new Bootstrap().group(loop).channel(NioDatagramChannel.class)
-            .handler(new Receiver()).bind(address);
-        bound.addListener((ChannelFutureListener) done -> {
-            if (done.isSuccess()) {
-                channel = done.channel();
-            }
-        });
+        final ChannelFuture bound =
+                new Bootstrap()
+                        .group(loop)
+                        .channel(NioDatagramChannel.class)
+                        .handler(new Receiver())
+                        .bind(address);
+        bound.addListener(
+                (ChannelFutureListener)
+                        done -> {
+                            if (done.isSuccess()) {
+                                channel = done.channel();
+                            }
+                        });
         return bound;
     }
 
@@ -89,17 +103,19 @@
     }
 
     /**
-     * Says that this dispatcher stops, as soon as the budget holds it; to be called until it returns true.
-     * Nothing is sent after that. On the loop.
+     * Says that this dispatcher stops, as soon as the budget holds it; to be called until it
+     * returns true. Nothing is sent after that. On the loop.
      */
     public boolean leave() {
         final long nowUs = clockUs.getAsLong();
         leavingSinceUs = leavingSinceUs < 0 ? nowUs : leavingSinceUs;
         if (!left) {
-            exchange.leave(nowUs).ifPresent(message -> {
-                send(message);
-                left = true;
-            });
+            exchange.leave(nowUs)
+                    .ifPresent(
+                            message -> {
+                                send(message);
+                                left = true;
+                            });
         }
         return left || nowUs - leavingSinceUs >= MAX_LEAVE_US;
     }
@@ -108,12 +124,15 @@
         final byte[] bytes = codec.encode(message);
         for (final InetSocketAddress peer : peers) {
             channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(bytes), peer))
-                .addListener(done -> {
-                    if (!done.isSuccess()) {
-                        log.failed(clockUs.getAsLong(), "message to " + PeerLog.text(peer) + " not sent",
-                            done.cause());
-                    }
-                });
+                    .addListener(
+                            done -> {
+                                if (!done.isSuccess()) {
+                                    log.failed(
+                                            clockUs.getAsLong(),
+                                            "message to " + PeerLog.text(peer) + " not sent",
+                                            done.cause());
+                                }
+                            });
         }
         log.sent((long) (bytes.length + LoadGossiper.HEADER_BYTES) * peers.size());
     }
@@ -132,7 +151,10 @@
             }
         }
 
-        /** Guards the exchange against a receive that fails, such as a port unreachable reported by ICMP. */
+        /**
+         * Guards the exchange against a receive that fails, such as a port unreachable reported by
+         * ICMP.
+         */
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             log.failed(clockUs.getAsLong(), "no message received", cause);
--- a/src/main/java/cresschute/settings/ApplianceSettings.java
+++ b/src/main/java/cresschute/settings/ApplianceSettings.java
@@ -8,7 +8,8 @@
  * What a settings script states, checked: nothing in it contradicts another part.
  *
  * @param seed for random choices, or null for a new one at each start
- * @param module what the decision module is told; its zones, kinds and classes are numbered as the names here
+ * @param module what the decision module is told; its zones, kinds and classes are numbered as the
+ *     names here
  * @param classes the classes' names
  * @param zones the zones' names
  * @param kinds the names of the kinds of worker
@@ -21,14 +22,29 @@
  * @param stateFolder the folder for state, or null
  * @param bodies the room for long bodies, or null where no class allows any
  * @param peers the other dispatchers, or null where nothing is exchanged
- * @param shown the settings in force as a script of their own, with all that holds without being stated
+ * @param shown the settings in force as a script of their own, with all that holds without being
+ *     stated
  */
-public record ApplianceSettings(String name, InetSocketAddress listen, Long seed, DispatchSettings module,
-    List<String> classes, List<String> zones, List<String> kinds,
-    List<WorkerEntry> workers, InetSocketAddress director, long connectTimeoutUs,
-    long idleTimeoutUs, int sockets, String logFormat, String logLevel,
-    String controlSocket, String stateFolder, Bodies bodies,
-    Peers peers, String shown) {
+public record ApplianceSettings(
+        String name,
+        InetSocketAddress listen,
+        Long seed,
+        DispatchSettings module,
+        List<String> classes,
+        List<String> zones,
+        List<String> kinds,
+        List<WorkerEntry> workers,
+        InetSocketAddress director,
+        long connectTimeoutUs,
+        long idleTimeoutUs,
+        int sockets,
+        String logFormat,
+        String logLevel,
+        String controlSocket,
+        String stateFolder,
+        Bodies bodies,
+        Peers peers,
+        String shown) {
 
     /**
      * The exchange with the other dispatchers.
@@ -38,16 +54,24 @@
      * @param keyFile the file of the key that all of them share
      * @param bytesPerS bytes a second that this one sends at the most
      */
-    public record Peers(InetSocketAddress listen, List<InetSocketAddress> addresses, String keyFile,
-        long bytesPerS) {}
+    public record Peers(
+            InetSocketAddress listen,
+            List<InetSocketAddress> addresses,
+            String keyFile,
+            long bytesPerS) {}
 
     /**
      * The room for long bodies, all in bytes.
      *
      * @param classes what each class allows, in their order
      */
-    public record Bodies(long budget, long window, long lent, long spool, long ofAClient,
-        List<ClassBodies> classes) {}
+    public record Bodies(
+            long budget,
+            long window,
+            long lent,
+            long spool,
+            long ofAClient,
+            List<ClassBodies> classes) {}
 
     /**
      * What a class allows of bodies.
@@ -58,10 +82,19 @@
      * @param longResults whether a result may come as it is made
      * @param deadlineToFirst whether the deadline of such a result counts to its first byte
      */
-    public record ClassBodies(long longest, long leastRate, long stallUs, boolean longResults,
-        boolean deadlineToFirst) {}
+    public record ClassBodies(
+            long longest,
+            long leastRate,
+            long stallUs,
+            boolean longResults,
+            boolean deadlineToFirst) {}
 
     /** A worker of the list. */
-    public record WorkerEntry(String id, InetSocketAddress address, String zone, String kind, int cell,
-        double weight) {}
+    public record WorkerEntry(
+            String id,
+            InetSocketAddress address,
+            String zone,
+            String kind,
+            int cell,
+            double weight) {}
 }
--- a/src/main/java/cresschute/settings/FieldType.java
+++ b/src/main/java/cresschute/settings/FieldType.java
@@ -22,55 +22,83 @@
 record FieldType<T>(String allowed, Function<Object, T> read, Function<T, String> show) {
 
     private static final Pattern NAME = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,63}");
-    /** What fits into {@code sockaddr_un} with the zero at its end on every system that Java runs on. */
+
+    /**
+     * What fits into {@code sockaddr_un} with the zero at its end on every system that Java runs
+     * on.
+     */
     private static final int MOST_SOCKET_BYTES = 100;
+
     private static final long US_A_MS = 1_000;
     private static final long US_A_S = 1_000_000;
 
     /** A name of up to 64 letters, digits, dots, dashes and underscores. */
     static FieldType<String> name() {
-        return new FieldType<>("a name of 1 to 64 letters, digits, '.', '-' and '_', the first a letter or digit",
-            value -> value instanceof String text && NAME.matcher(text).matches() ? text : null,
-            Values::quoted);
+        return new FieldType<>(
+                "a name of 1 to 64 letters, digits, '.', '-' and '_', the first a letter or digit",
+                value -> value instanceof String text && NAME.matcher(text).matches() ? text : null,
+                Values::quoted);
     }
 
     /** One of these words. */
     static FieldType<String> choice(String... words) {
         final List<String> known = List.of(words);
         final List<String> quoted = known.stream().map(Values::quoted).toList();
-        return new FieldType<>(String.join(" or ", quoted),
-            value -> value instanceof String text && known.contains(text) ? text : null, Values::quoted);
+        return new FieldType<>(
+                String.join(" or ", quoted),
+                value -> value instanceof String text && known.contains(text) ? text : null,
+                Values::quoted);
     }
 
     /** A whole number within bounds. */
     static FieldType<Long> whole(long least, long most) {
-        return new FieldType<>("a whole number from " + least + " to " + most,
-            value -> value instanceof Long number && number >= least && number <= most ? number : null,
-            Object::toString);
+        return new FieldType<>(
+                "a whole number from " + least + " to " + most,
+                value ->
+                        value instanceof Long number && number >= least && number <= most
+                                ? number
+                                : null,
+                Object::toString);
     }
 
     /** A number within bounds. */
     static FieldType<Double> number(double least, double most) {
-        return new FieldType<>("a number from " + Values.number(least) + " to " + Values.number(most),
-            value -> value instanceof Number number && number.doubleValue() >= least
-                && number.doubleValue() <= most ? (Double) number.doubleValue() : null,
-            value -> BigDecimal.valueOf(value).stripTrailingZeros().toPlainString());
+        return new FieldType<>(
+                "a number from " + Values.number(least) + " to " + Values.number(most),
+                value ->
+                        value instanceof Number number
+                                        && number.doubleValue() >= least
+                                        && number.doubleValue() <= most
+                                ? (Double) number.doubleValue()
+                                : null,
+                value -> BigDecimal.valueOf(value).stripTrailingZeros().toPlainString());
     }
 
     /** True or False. */
     static FieldType<Boolean> truth() {
-        return new FieldType<>("True or False", value -> value instanceof Boolean truth ? truth : null,
-            value -> value ? "True" : "False");
+        return new FieldType<>(
+                "True or False",
+                value -> value instanceof Boolean truth ? truth : null,
+                value -> value ? "True" : "False");
     }
 
     /** A time within bounds in microseconds, held in microseconds. */
     static FieldType<Long> time(long leastUs, long mostUs) {
-        return new FieldType<>("a time from " + time(leastUs) + " to " + time(mostUs) + ", such as "
-            + (mostUs >= US_A_S ? "2 * s" : "20 * ms"),
-            value -> value instanceof Quantity quantity && quantity.dimension() == Dimension.TIME
-                && quantity.amount() >= leastUs && quantity.amount() <= mostUs
-                    ? (Long) Math.round(quantity.amount()) : null,
-            FieldType::time);
+        return new FieldType<>(
+                "a time from "
+                        + time(leastUs)
+                        + " to "
+                        + time(mostUs)
+                        + ", such as "
+                        + (mostUs >= US_A_S ? "2 * s" : "20 * ms"),
+                value ->
+                        value instanceof Quantity quantity
+                                        && quantity.dimension() == Dimension.TIME
+                                        && quantity.amount() >= leastUs
+                                        && quantity.amount() <= mostUs
+                                ? (Long) Math.round(quantity.amount())
+                                : null,
+                FieldType::time);
     }
 
     private static String time(long us) {
@@ -79,11 +107,16 @@
 
     /** A size within bounds in bytes, held in bytes. */
     static FieldType<Long> size(long least, long most) {
-        return new FieldType<>("a size from " + size(least) + " to " + size(most) + ", such as 2 * MiB",
-            value -> value instanceof Quantity quantity && quantity.dimension() == Dimension.SIZE
-                && quantity.amount() >= least && quantity.amount() <= most
-                    ? (Long) Math.round(quantity.amount()) : null,
-            FieldType::size);
+        return new FieldType<>(
+                "a size from " + size(least) + " to " + size(most) + ", such as 2 * MiB",
+                value ->
+                        value instanceof Quantity quantity
+                                        && quantity.dimension() == Dimension.SIZE
+                                        && quantity.amount() >= least
+                                        && quantity.amount() <= most
+                                ? (Long) Math.round(quantity.amount())
+                                : null,
+                FieldType::size);
     }
 
     static String size(long bytes) {
@@ -92,64 +125,85 @@
 
     /** An IP address with a port, held as both. */
     static FieldType<InetSocketAddress> address() {
-        return new FieldType<>("an IP address with a port, such as \"127.0.0.1:9000\"",
-            value -> value instanceof String text ? IpAddress.parse(text) : null,
-            value -> Values.quoted(IpAddress.format(value)));
+        return new FieldType<>(
+                "an IP address with a port, such as \"127.0.0.1:9000\"",
+                value -> value instanceof String text ? IpAddress.parse(text) : null,
+                value -> Values.quoted(IpAddress.format(value)));
     }
 
     /** A list of IP addresses with ports. */
     static FieldType<List<InetSocketAddress>> addresses() {
         final FieldType<InetSocketAddress> address = address();
-        return new FieldType<>("a list of IP addresses with ports, such as [\"10.0.0.2:7946\"]", value -> {
-            if (!(value instanceof ListValue list)) {
-                return null;
-            }
-            final List<InetSocketAddress> addresses = new ArrayList<>();
-            for (final Object element : list.elements()) {
-                final InetSocketAddress read = address.read().apply(element);
-                if (read == null) {
-                    return null;
-                }
-                addresses.add(read);
-            }
-            return List.copyOf(addresses);
-        }, value -> "[" + String.join(", ", value.stream().map(address.show()).toList()) + "]");
+        return new FieldType<>(
+                "a list of IP addresses with ports, such as [\"10.0.0.2:7946\"]",
+                value -> {
+                    if (!(value instanceof ListValue list)) {
+                        return null;
+                    }
+                    final List<InetSocketAddress> addresses = new ArrayList<>();
+                    for (final Object element : list.elements()) {
+                        final InetSocketAddress read = address.read().apply(element);
+                        if (read == null) {
+                            return null;
+                        }
+                        addresses.add(read);
+                    }
+                    return List.copyOf(addresses);
+                },
+                value ->
+                        "[" + String.join(", ", value.stream().map(address.show()).toList()) + "]");
     }
 
     /** A path from the root. */
     static FieldType<String> path() {
-        return new FieldType<>("a path that begins with '/'",
-            value -> value instanceof String text && text.startsWith("/") && text.indexOf('\0') < 0
-                ? text : null, Values::quoted);
+        return new FieldType<>(
+                "a path that begins with '/'",
+                value ->
+                        value instanceof String text
+                                        && text.startsWith("/")
+                                        && text.indexOf('\0') < 0
+                                ? text
+                                : null,
+                Values::quoted);
     }
 
     /** A path from the root, short enough for the address of a Unix domain socket. */
     static FieldType<String> socketPath() {
         final FieldType<String> path = path();
-        return new FieldType<>(path.allowed() + ", of at most " + MOST_SOCKET_BYTES + " bytes", value -> {
-            final String read = path.read().apply(value);
-            return read == null || read.getBytes(StandardCharsets.UTF_8).length > MOST_SOCKET_BYTES ? null
-                : read;
-        }, path.show());
+        return new FieldType<>(
+                path.allowed() + ", of at most " + MOST_SOCKET_BYTES + " bytes",
+                value -> {
+                    final String read = path.read().apply(value);
+                    return read == null
+                                    || read.getBytes(StandardCharsets.UTF_8).length
+                                            > MOST_SOCKET_BYTES
+                            ? null
+                            : read;
+                },
+                path.show());
     }
 
     /** A list of names, none of them twice. */
     static FieldType<List<String>> names() {
         final FieldType<String> name = name();
-        return new FieldType<>("a list of names, each once", value -> {
-            if (!(value instanceof ListValue list)) {
-                return null;
-            }
-            final List<String> names = new ArrayList<>();
-            for (final Object element : list.elements()) {
-                final String read = name.read().apply(element);
-                if (read == null || names.contains(read)) {
-                    return null;
-                }
-                names.add(read);
-            }
-            return List.copyOf(names);
-        }, value -> "[" + String.join(", ", value.stream().map(Values::quoted).toList()) + "]");
+        return new FieldType<>(
+                "a list of names, each once",
+                value -> {
+                    if (!(value instanceof ListValue list)) {
+                        return null;
+                    }
+                    final List<String> names = new ArrayList<>();
+                    for (final Object element : list.elements()) {
+                        final String read = name.read().apply(element);
+                        if (read == null || names.contains(read)) {
+                            return null;
+                        }
+                        names.add(read);
+                    }
+                    return List.copyOf(names);
+                },
+                value ->
+                        "[" + String.join(", ", value.stream().map(Values::quoted).toList()) + "]");
     }
 
     static long ms(long count) {
--- a/src/main/java/cresschute/settings/IpAddress.java
+++ b/src/main/java/cresschute/settings/IpAddress.java
@@ -10,9 +10,11 @@
 final class IpAddress {
 
     private static final Pattern V4 =
-        Pattern.compile("(\\d{1,3})\\.(\\d{1,3})\\.(\\d{1,3})\\.(\\d{1,3}):(\\d{1,5})");
+            Pattern.compile("(\\d{1,3})\\.(\\d{1,3})\\.(\\d{1,3})\\.(\\d{1,3}):(\\d{1,5})");
+
     /** What can only be an IPv6 literal: the JDK takes a text in brackets for nothing else. */
     private static final Pattern V6 = Pattern.compile("(\\[[0-9a-fA-F:.]{2,45}\\]):(\\d{1,5})");
+
     private static final int BYTES = 4;
     private static final int MOST_BYTE = 255;
     private static final int MOST_PORT = 65_535;
--- a/src/main/java/cresschute/settings/SettingsFile.java
+++ b/src/main/java/cresschute/settings/SettingsFile.java
@@ -23,8 +23,8 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Reads settings scripts: runs the script, then checks all that it stated. It tells everything that is wrong
- * at once, as far as the script ran. Any thread; nothing is kept between calls.
+ * Reads settings scripts: runs the script, then checks all that it stated. It tells everything that
+ * is wrong at once, as far as the script ran. Any thread; nothing is kept between calls.
  */
 public final class SettingsFile {
 
@@ -38,22 +38,37 @@
 
     /** The shortest key that dispatchers may share, bytes. */
     static final int MIN_KEY_BYTES = 16;
+
     private static final int MAX_KEY_FILE_BYTES = 4_096;
 
     private SettingsFile() {}
 
-    /** Reads a file of UTF-8 text; one that cannot be read is an exception, one that is wrong is a result. */
+    /**
+     * Reads a file of UTF-8 text; one that cannot be read is an exception, one that is wrong is a
+     * result.
+     */
     public static Result read(Path file) throws IOException {
         // Guards the heap against a path that names something huge.
         if (Files.size(file) > 4L * Bounds.USUAL.textChars()) {
-            return new Result(null, List.of(new Problem(Position.START, "the script is too long; at most "
-                + Bounds.USUAL.textChars() + " characters are allowed")));
+            return new Result(
+                    null,
+                    List.of(
+                            new Problem(
+                                    Position.START,
+                                    "the script is too long; at most "
+                                            + Bounds.USUAL.textChars()
+                                            + " characters are allowed")));
         }
         try {
-            return parse(StandardCharsets.UTF_8.newDecoder()
-                .decode(ByteBuffer.wrap(Files.readAllBytes(file))).toString(), SettingsFile::keyProblem);
+            return parse(
+                    StandardCharsets.UTF_8
+                            .newDecoder()
+                            .decode(ByteBuffer.wrap(Files.readAllBytes(file)))
+                            .toString(),
+                    SettingsFile::keyProblem);
         } catch (CharacterCodingException e) {
-            return new Result(null, List.of(new Problem(Position.START, "the file is not UTF-8 text")));
+            return new Result(
+                    null, List.of(new Problem(Position.START, "the file is not UTF-8 text")));
         }
     }
 
@@ -79,7 +94,9 @@
     private static String keyProblem(String file) {
         try {
             final int length = readKey(file).length;
-            return length == 0 ? "is empty" : length < MIN_KEY_BYTES ? "has " + length + " bytes" : null;
+            return length == 0
+                    ? "is empty"
+                    : length < MIN_KEY_BYTES ? "has " + length + " bytes" : null;
         } catch (NoSuchFileException e) {
             return "does not exist";
         } catch (IOException e) {
@@ -93,14 +110,20 @@
         final Map<String, Builtin> host = new HashMap<>();
         for (final Block block : Schema.BLOCKS) {
             stated.put(block.name(), new ArrayList<>());
-            host.put(block.name(), call -> {
-                if (stated.get(block.name()).size() >= block.most()) {
-                    throw new ScriptError(call.at(), block.name() + " is stated too often; at most "
-                        + (block.most() == 1 ? "once" : block.most() + " times") + " is allowed");
-                }
-                stated.get(block.name()).add(Statement.read(block, call, problems));
-                return Values.NONE;
-            });
+            host.put(
+                    block.name(),
+                    call -> {
+                        if (stated.get(block.name()).size() >= block.most()) {
+                            throw new ScriptError(
+                                    call.at(),
+                                    block.name()
+                                            + " is stated too often; at most "
+                                            + (block.most() == 1 ? "once" : block.most() + " times")
+                                            + " is allowed");
+                        }
+                        stated.get(block.name()).add(Statement.read(block, call, problems));
+                        return Values.NONE;
+                    });
         }
         final List<ScriptError> errors = Script.run(text, host, Bounds.USUAL);
         errors.forEach(error -> problems.add(new Problem(error.position(), error.getMessage())));
@@ -114,7 +137,9 @@
         return new Result(null, List.copyOf(problems));
     }
 
-    /** The reference of all blocks and fields, in Markdown, as {@code docs/settings.md} holds it. */
+    /**
+     * The reference of all blocks and fields, in Markdown, as {@code docs/settings.md} holds it.
+     */
     public static String reference() {
         return Schema.reference();
     }
--- a/src/main/java/cresschute/settings/Statement.java
+++ b/src/main/java/cresschute/settings/Statement.java
@@ -2,8 +2,8 @@
 
 import cresschute.settings.script.Builtin.Argument;
 import cresschute.settings.script.Builtin.Call;
-import cresschute.settings.script.Suggestion;
 import cresschute.settings.script.Position;
+import cresschute.settings.script.Suggestion;
 import cresschute.settings.script.Values;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -34,24 +34,41 @@
         return new Statement(block, Position.START);
     }
 
-    /** Reads a call; what is wrong goes to the problems, all of it at once, and the rest is kept. */
+    /**
+     * Reads a call; what is wrong goes to the problems, all of it at once, and the rest is kept.
+     */
     static Statement read(Block block, Call call, List<Problem> problems) {
         final Statement statement = new Statement(block, call.at());
         if (!call.positional().isEmpty()) {
-            statement.problem(problems, call.positional().get(0).at(), block.name()
-                + ": an argument without a name; each is given as name = value");
+            statement.problem(
+                    problems,
+                    call.positional().get(0).at(),
+                    block.name() + ": an argument without a name; each is given as name = value");
         }
         for (final Map.Entry<String, Argument> given : call.named().entrySet()) {
-            block.field(given.getKey()).ifPresentOrElse(
-                field -> statement.take(field, given.getValue(), problems),
-                () -> statement.problem(problems, given.getValue().at(), block.name() + " has no field '"
-                    + given.getKey() + "'" + hint(block, given.getKey())));
+            block.field(given.getKey())
+                    .ifPresentOrElse(
+                            field -> statement.take(field, given.getValue(), problems),
+                            () ->
+                                    statement.problem(
+                                            problems,
+                                            given.getValue().at(),
+                                            block.name()
+                                                    + " has no field '"
+                                                    + given.getKey()
+                                                    + "'"
+                                                    + hint(block, given.getKey())));
         }
         for (final Field<?> field : block.fields()) {
             if (field.required() && !call.named().containsKey(field.name())) {
-                statement.problem(problems, call.at(), block.name() + ": " + field.name()
-                    + " is missing; required: "
-                    + field.kind().allowed());
+                statement.problem(
+                        problems,
+                        call.at(),
+                        block.name()
+                                + ": "
+                                + field.name()
+                                + " is missing; required: "
+                                + field.kind().allowed());
             }
         }
         return statement;
@@ -69,8 +86,16 @@
         }
         final Object value = field.read(given.value());
         if (value == null) {
-            problem(problems, given.at(), block.name() + ": " + field.name() + " is " + shown(given.value())
-                + "; allowed: " + field.kind().allowed());
+            problem(
+                    problems,
+                    given.at(),
+                    block.name()
+                            + ": "
+                            + field.name()
+                            + " is "
+                            + shown(given.value())
+                            + "; allowed: "
+                            + field.kind().allowed());
         } else {
             values.put(field.name(), value);
         }
@@ -84,8 +109,9 @@
         } else if (value instanceof Values.Quantity quantity) {
             return Values.text(quantity);
         }
-        return value instanceof Long || value instanceof Double ? value.toString()
-            : value instanceof Boolean truth ? truth ? "True" : "False" : Values.kind(value);
+        return value instanceof Long || value instanceof Double
+                ? value.toString()
+                : value instanceof Boolean truth ? truth ? "True" : "False" : Values.kind(value);
     }
 
     private void problem(List<Problem> problems, Position where, String message) {
@@ -116,7 +142,9 @@
         return places.containsKey(field.name());
     }
 
-    /** The value of a field, or null where it has none; the kind of the field is that of its value. */
+    /**
+     * The value of a field, or null where it has none; the kind of the field is that of its value.
+     */
     @SuppressWarnings("unchecked")
     <T> T get(Field<T> field) {
         return (T) values.get(field.name());
--- a/src/main/java/cresschute/settings/script/Bounds.java
+++ b/src/main/java/cresschute/settings/script/Bounds.java
@@ -1,12 +1,13 @@
 package cresschute.settings.script;
 
 /**
- * How much a script may take. Whatever it does, it ends within these, and an error names the one it met.
+ * How much a script may take. Whatever it does, it ends within these, and an error names the one it
+ * met.
  *
  * @param textChars characters of the script itself
  * @param steps expressions and statements evaluated, and elements that an operation walks over
- * @param cells memory that is allocated over the whole run, freed or not: one cell an element of a list, a
- *     dict or a tuple, and one for every 8 characters of a text
+ * @param cells memory that is allocated over the whole run, freed or not: one cell an element of a
+ *     list, a dict or a tuple, and one for every 8 characters of a text
  * @param calls functions of the script that are under way at a time
  * @param nesting values within values that an operation walks down
  */
--- a/src/main/java/cresschute/settings/script/Builtin.java
+++ b/src/main/java/cresschute/settings/script/Builtin.java
@@ -19,20 +19,35 @@
      * @param name what the script called
      * @param at where the call begins
      */
-    record Call(String name, Position at, List<Argument> positional, Map<String, Argument> named,
-        StepLimit meter) {
+    record Call(
+            String name,
+            Position at,
+            List<Argument> positional,
+            Map<String, Argument> named,
+            StepLimit meter) {
 
         /** The positional arguments, which must be so many, and no named ones. */
         List<Argument> exactly(int least, int most) throws ScriptError {
             if (!named.isEmpty()) {
-                throw new ScriptError(named.values().iterator().next().at(),
-                    name + " takes no argument with a name");
+                throw new ScriptError(
+                        named.values().iterator().next().at(),
+                        name + " takes no argument with a name");
             }
             if (positional.size() < least || positional.size() > most) {
-                final String allowed = least == most ? "" + least
-                    : most == Integer.MAX_VALUE ? "at least " + least : least + " to " + most;
-                throw new ScriptError(at, name + " was given " + positional.size()
-                    + (positional.size() == 1 ? " argument" : " arguments") + "; it takes " + allowed);
+                final String allowed =
+                        least == most
+                                ? "" + least
+                                : most == Integer.MAX_VALUE
+                                        ? "at least " + least
+                                        : least + " to " + most;
+                throw new ScriptError(
+                        at,
+                        name
+                                + " was given "
+                                + positional.size()
+                                + (positional.size() == 1 ? " argument" : " arguments")
+                                + "; it takes "
+                                + allowed);
             }
             return positional;
         }
@@ -43,8 +58,9 @@
 
         ScriptError wrong(int index, String allowed) {
             final Argument argument = positional.get(index);
-            return new ScriptError(argument.at(), name + " was given " + Values.kind(argument.value())
-                + "; it takes " + allowed);
+            return new ScriptError(
+                    argument.at(),
+                    name + " was given " + Values.kind(argument.value()) + "; it takes " + allowed);
         }
 
         String text(int index) throws ScriptError {
--- a/src/main/java/cresschute/settings/script/DepthBoundParser.java
+++ b/src/main/java/cresschute/settings/script/DepthBoundParser.java
@@ -16,7 +16,9 @@
         super(input);
     }
 
-    /** Unchecked, since generated code calls what throws it; {@link Script} turns it into an error. */
+    /**
+     * Unchecked, since generated code calls what throws it; {@link Script} turns it into an error.
+     */
     static final class TooDeep extends RuntimeException {
 
         private static final long serialVersionUID = 1L;
--- a/src/main/java/cresschute/settings/script/Functions.java
+++ b/src/main/java/cresschute/settings/script/Functions.java
@@ -34,15 +34,22 @@
         all.put("bool", call -> Values.truth(call.exactly(1, 1).get(0).value()));
         all.put("int", this::whole);
         all.put("float", this::real);
-        all.put("list", call -> new ListValue(call.exactly(0, 1).isEmpty() ? new ArrayList<>()
-            : taken(call)));
-        all.put("tuple", call -> new TupleValue(call.exactly(0, 1).isEmpty() ? List.of() : taken(call)));
+        all.put(
+                "list",
+                call ->
+                        new ListValue(
+                                call.exactly(0, 1).isEmpty() ? new ArrayList<>() : taken(call)));
+        all.put(
+                "tuple",
+                call -> new TupleValue(call.exactly(0, 1).isEmpty() ? List.of() : taken(call)));
         all.put("sorted", call -> new ListValue(sorted(takenAlone(call), call.at())));
-        all.put("reversed", call -> {
-            final List<Object> elements = takenAlone(call);
-            Collections.reverse(elements);
-            return new ListValue(elements);
-        });
+        all.put(
+                "reversed",
+                call -> {
+                    final List<Object> elements = takenAlone(call);
+                    Collections.reverse(elements);
+                    return new ListValue(elements);
+                });
         all.put("enumerate", this::enumerated);
         all.put("zip", this::zipped);
         all.put("min", call -> extreme(call, -1));
@@ -50,14 +57,16 @@
         all.put("any", call -> takenAlone(call).stream().anyMatch(Values::truth));
         all.put("all", call -> takenAlone(call).stream().allMatch(Values::truth));
         all.put("type", call -> Values.kind(call.exactly(1, 1).get(0).value()));
-        all.put("fail", call -> {
-            final StringBuilder text = new StringBuilder();
-            for (final Builtin.Argument argument : call.exactly(1, Integer.MAX_VALUE)) {
-                text.append(text.isEmpty() ? "" : " ").append(Values.text(argument.value(), meter,
-                    call.at()));
-            }
-            throw new ScriptError(call.at(), "fail: " + text);
-        });
+        all.put(
+                "fail",
+                call -> {
+                    final StringBuilder text = new StringBuilder();
+                    for (final Builtin.Argument argument : call.exactly(1, Integer.MAX_VALUE)) {
+                        text.append(text.isEmpty() ? "" : " ")
+                                .append(Values.text(argument.value(), meter, call.at()));
+                    }
+                    throw new ScriptError(call.at(), "fail: " + text);
+                });
         return all;
     }
 
@@ -83,8 +92,9 @@
         if (step == 0) {
             throw new ScriptError(call.positional().get(2).at(), "range cannot step by 0");
         }
-        return given == 1 ? new RangeValue(0, call.whole(0), 1)
-            : new RangeValue(call.whole(0), call.whole(1), step);
+        return given == 1
+                ? new RangeValue(0, call.whole(0), 1)
+                : new RangeValue(call.whole(0), call.whole(1), step);
     }
 
     private Object whole(Builtin.Call call) throws ScriptError {
@@ -104,7 +114,7 @@
         if (value instanceof Number number) {
             return number.doubleValue();
         } else if (value instanceof String text
-            && text.matches("[+-]?[0-9]+([.][0-9]*)?([eE][+-]?[0-9]+)?")) {
+                && text.matches("[+-]?[0-9]+([.][0-9]*)?([eE][+-]?[0-9]+)?")) {
             return Double.parseDouble(text);
         }
         throw call.wrong(0, "a number, or a text that is one");
@@ -141,8 +151,11 @@
 
     private Object extreme(Builtin.Call call, int sign) throws ScriptError {
         call.exactly(1, Integer.MAX_VALUE);
-        final List<Object> all = call.positional().size() == 1 ? taken(call)
-            : new ArrayList<>(call.positional().stream().map(Builtin.Argument::value).toList());
+        final List<Object> all =
+                call.positional().size() == 1
+                        ? taken(call)
+                        : new ArrayList<>(
+                                call.positional().stream().map(Builtin.Argument::value).toList());
         if (all.isEmpty()) {
             throw new ScriptError(call.at(), call.name() + " was given nothing to choose from");
         }
@@ -160,13 +173,16 @@
         }
         final int middle = elements.size() / 2;
         final List<Object> left = sorted(new ArrayList<>(elements.subList(0, middle)), at);
-        final List<Object> right = sorted(new ArrayList<>(elements.subList(middle, elements.size())), at);
+        final List<Object> right =
+                sorted(new ArrayList<>(elements.subList(middle, elements.size())), at);
         final List<Object> merged = new ArrayList<>();
         int l = 0;
         int r = 0;
         while (l < left.size() || r < right.size()) {
-            final boolean takeLeft = r == right.size()
-                || l < left.size() && operators.order(left.get(l), right.get(r), at) <= 0;
+            final boolean takeLeft =
+                    r == right.size()
+                            || l < left.size()
+                                    && operators.order(left.get(l), right.get(r), at) <= 0;
             merged.add(takeLeft ? left.get(l++) : right.get(r++));
         }
         return merged;
@@ -237,8 +253,8 @@
     }
 
     private static ScriptError noSequence(Object value, Position at) {
-        return new ScriptError(at, Values.kind(value)
-            + " is no sequence; a list, a tuple, a dict or a range is");
+        return new ScriptError(
+                at, Values.kind(value) + " is no sequence; a list, a tuple, a dict or a range is");
     }
 
     // ---- Methods ----
@@ -257,15 +273,17 @@
         return switch (name) {
             case "format" -> call -> Texts.format(text, call);
             case "join" -> call -> join(text, call);
-            case "split" -> call -> {
-                final String by = call.onlyText();
-                if (by.isEmpty()) {
-                    throw new ScriptError(call.at(), "split takes a text that is not empty");
-                }
-                meter.cells(text.length(), call.at());
-                return new ListValue(new ArrayList<>(List.of(text.split(Pattern.quote(by),
-                    -1))));
-            };
+            case "split" ->
+                    call -> {
+                        final String by = call.onlyText();
+                        if (by.isEmpty()) {
+                            throw new ScriptError(
+                                    call.at(), "split takes a text that is not empty");
+                        }
+                        meter.cells(text.length(), call.at());
+                        return new ListValue(
+                                new ArrayList<>(List.of(text.split(Pattern.quote(by), -1))));
+                    };
             case "replace" -> call -> replace(text, call);
             case "strip" -> call -> counted(text.strip(), call);
             case "lower" -> call -> counted(text.toLowerCase(Locale.ROOT), call);
@@ -288,8 +306,9 @@
         final List<String> parts = new ArrayList<>();
         for (final Object part : takenAlone(call)) {
             if (!(part instanceof String text)) {
-                throw new ScriptError(call.positional().get(0).at(),
-                    "join takes a sequence of texts; here is " + Values.kind(part));
+                throw new ScriptError(
+                        call.positional().get(0).at(),
+                        "join takes a sequence of texts; here is " + Values.kind(part));
             }
             parts.add(text);
             chars += text.length() + gap.length();
@@ -303,7 +322,8 @@
         final String from = call.text(0);
         final String to = call.text(1);
         if (from.isEmpty()) {
-            throw new ScriptError(call.positional().get(0).at(), "replace takes a text that is not empty");
+            throw new ScriptError(
+                    call.positional().get(0).at(), "replace takes a text that is not empty");
         }
         // Counted as if every part matched, before any of it is built.
         meter.text(text.length() + (long) text.length() / from.length() * to.length(), call.at());
@@ -312,61 +332,76 @@
 
     private Builtin listMethod(ListValue list, String name) {
         return switch (name) {
-            case "append" -> call -> {
-                call.exactly(1, 1);
-                meter.cells(1, call.at());
-                list.changeable(call.at()).add(call.value(0));
-                return Values.NONE;
-            };
-            case "extend" -> call -> {
-                list.changeable(call.at()).addAll(takenAlone(call));
-                return Values.NONE;
-            };
-            case "index" -> call -> {
-                call.exactly(1, 1);
-                for (int i = 0; i < list.elements().size(); i++) {
-                    if (Values.equal(list.elements().get(i), call.value(0), 0, meter, call.at())) {
-                        return (long) i;
-                    }
-                }
-                throw new ScriptError(call.at(), "index: the list does not hold this");
-            };
+            case "append" ->
+                    call -> {
+                        call.exactly(1, 1);
+                        meter.cells(1, call.at());
+                        list.changeable(call.at()).add(call.value(0));
+                        return Values.NONE;
+                    };
+            case "extend" ->
+                    call -> {
+                        list.changeable(call.at()).addAll(takenAlone(call));
+                        return Values.NONE;
+                    };
+            case "index" ->
+                    call -> {
+                        call.exactly(1, 1);
+                        for (int i = 0; i < list.elements().size(); i++) {
+                            if (Values.equal(
+                                    list.elements().get(i), call.value(0), 0, meter, call.at())) {
+                                return (long) i;
+                            }
+                        }
+                        throw new ScriptError(call.at(), "index: the list does not hold this");
+                    };
             default -> null;
         };
     }
 
     private Builtin dictMethod(DictValue dict, String name) {
         return switch (name) {
-            case "get" -> call -> {
-                call.exactly(1, 2);
-                final Object found = dict.entries().get(Operators.key(call.value(0), call.at()));
-                return found != null ? found : call.positional().size() == 2 ? call.value(1) : Values.NONE;
-            };
-            case "keys" -> call -> {
-                call.exactly(0, 0);
-                return new ListValue(elements(dict, call.at()));
-            };
-            case "values" -> call -> {
-                call.exactly(0, 0);
-                meter.cells(dict.entries().size(), call.at());
-                return new ListValue(new ArrayList<>(dict.entries().values()));
-            };
-            case "items" -> call -> {
-                call.exactly(0, 0);
-                meter.cells(3L * dict.entries().size(), call.at());
-                final List<Object> items = new ArrayList<>();
-                dict.entries().forEach((key, value) -> items.add(new TupleValue(List.of(key, value))));
-                return new ListValue(items);
-            };
-            case "update" -> call -> {
-                call.exactly(1, 1);
-                if (!(call.value(0) instanceof DictValue other)) {
-                    throw call.wrong(0, "a dict");
-                }
-                meter.cells(other.entries().size(), call.at());
-                dict.changeable(call.at()).putAll(new LinkedHashMap<>(other.entries()));
-                return Values.NONE;
-            };
+            case "get" ->
+                    call -> {
+                        call.exactly(1, 2);
+                        final Object found =
+                                dict.entries().get(Operators.key(call.value(0), call.at()));
+                        return found != null
+                                ? found
+                                : call.positional().size() == 2 ? call.value(1) : Values.NONE;
+                    };
+            case "keys" ->
+                    call -> {
+                        call.exactly(0, 0);
+                        return new ListValue(elements(dict, call.at()));
+                    };
+            case "values" ->
+                    call -> {
+                        call.exactly(0, 0);
+                        meter.cells(dict.entries().size(), call.at());
+                        return new ListValue(new ArrayList<>(dict.entries().values()));
+                    };
+            case "items" ->
+                    call -> {
+                        call.exactly(0, 0);
+                        meter.cells(3L * dict.entries().size(), call.at());
+                        final List<Object> items = new ArrayList<>();
+                        dict.entries()
+                                .forEach(
+                                        (key, value) ->
+                                                items.add(new TupleValue(List.of(key, value))));
+                        return new ListValue(items);
+                    };
+            case "update" ->
+                    call -> {
+                        call.exactly(1, 1);
+                        if (!(call.value(0) instanceof DictValue other)) {
+                            throw call.wrong(0, "a dict");
+                        }
+                        meter.cells(other.entries().size(), call.at());
+                        dict.changeable(call.at()).putAll(new LinkedHashMap<>(other.entries()));
+                        return Values.NONE;
+                    };
             default -> null;
         };
     }
