--- a/src/main/java/cresschute/settings/script/Interpreter.java
+++ b/src/main/java/cresschute/settings/script/Interpreter.java
@@ -19,13 +19,24 @@
 import org.antlr.v4.runtime.tree.ParseTree;
 import org.antlr.v4.runtime.tree.TerminalNode;
 
-/** Carries out a script by walking its tree. It reaches nothing but the values and functions it is given. */
+/**
+ * Carries out a script by walking its tree. It reaches nothing but the values and functions it is
+ * given.
+ */
 final class Interpreter {
 
-    /** Expressions within expressions, through all calls under way; bounds the stack that a run takes. */
+    /**
+     * Expressions within expressions, through all calls under way; bounds the stack that a run
+     * takes.
+     */
     private static final int MOST_DEPTH = 300;
 
-    private enum Flow { NEXT, BREAK, CONTINUE, RETURN }
+    private enum Flow {
+        NEXT,
+        BREAK,
+        CONTINUE,
+        RETURN
+    }
 
     private final StepLimit meter;
     private final Operators operators;
@@ -75,11 +86,15 @@
         @Override
         public Object call(Call call) throws ScriptError {
             if (running.size() == meter.bounds().calls()) {
-                throw new ScriptError(call.at(), "too many calls within calls; at most "
-                    + meter.bounds().calls() + " are allowed");
+                throw new ScriptError(
+                        call.at(),
+                        "too many calls within calls; at most "
+                                + meter.bounds().calls()
+                                + " are allowed");
             }
             if (!running.add(this)) {
-                throw new ScriptError(call.at(), "'" + name + "' calls itself; recursion is not allowed");
+                throw new ScriptError(
+                        call.at(), "'" + name + "' calls itself; recursion is not allowed");
             }
             try {
                 final Frame frame = new Frame(bind(call), locals);
@@ -94,25 +109,36 @@
             final Map<String, Object> values = new HashMap<>();
             for (int i = 0; i < call.positional().size(); i++) {
                 if (i == parameters.size()) {
-                    throw new ScriptError(call.positional().get(i).at(), "'" + name + "' takes "
-                        + parameters.size() + " arguments; " + call.positional().size() + " are given");
+                    throw new ScriptError(
+                            call.positional().get(i).at(),
+                            "'"
+                                    + name
+                                    + "' takes "
+                                    + parameters.size()
+                                    + " arguments; "
+                                    + call.positional().size()
+                                    + " are given");
                 }
                 values.put(parameters.get(i).name(), call.value(i));
             }
             for (final Map.Entry<String, Argument> named : call.named().entrySet()) {
-                if (parameters.stream().noneMatch(parameter -> parameter.name().equals(named.getKey()))) {
-                    throw new ScriptError(named.getValue().at(), "'" + name + "' has no argument '"
-                        + named.getKey() + "'");
+                if (parameters.stream()
+                        .noneMatch(parameter -> parameter.name().equals(named.getKey()))) {
+                    throw new ScriptError(
+                            named.getValue().at(),
+                            "'" + name + "' has no argument '" + named.getKey() + "'");
                 }
                 if (values.put(named.getKey(), named.getValue().value()) != null) {
-                    throw new ScriptError(named.getValue().at(), "'" + named.getKey() + "' is given twice");
+                    throw new ScriptError(
+                            named.getValue().at(), "'" + named.getKey() + "' is given twice");
                 }
             }
             for (final Parameter parameter : parameters) {
                 if (!values.containsKey(parameter.name())) {
                     if (parameter.otherwise() == null) {
-                        throw new ScriptError(call.at(), "'" + name + "' was given no '" + parameter.name()
-                            + "'");
+                        throw new ScriptError(
+                                call.at(),
+                                "'" + name + "' was given no '" + parameter.name() + "'");
                     }
                     values.put(parameter.name(), parameter.otherwise());
                 }
@@ -126,8 +152,11 @@
         for (final ScriptParser.StatementContext statement : file.statement()) {
             final Flow flow = statement(statement, frame);
             if (flow != Flow.NEXT) {
-                throw new ScriptError(Script.position(statement.start), flow == Flow.RETURN
-                    ? "'return' stands outside a function" : "'break' and 'continue' stand outside a loop");
+                throw new ScriptError(
+                        Script.position(statement.start),
+                        flow == Flow.RETURN
+                                ? "'return' stands outside a function"
+                                : "'break' and 'continue' stand outside a loop");
             }
         }
     }
@@ -156,12 +185,14 @@
             tree = tree.getChild(0);
         }
         return tree instanceof TerminalNode node && node.getSymbol().getType() == ScriptParser.NAME
-            ? node : null;
+                ? node
+                : null;
     }
 
     // ---- Statements ----
 
-    private Flow statement(ScriptParser.StatementContext statement, Frame frame) throws ScriptError {
+    private Flow statement(ScriptParser.StatementContext statement, Frame frame)
+            throws ScriptError {
         meter.step(Script.position(statement.start));
         if (statement.simpleLine() != null) {
             return simpleLine(statement.simpleLine(), frame);
@@ -194,8 +225,10 @@
             } else if (small.CONTINUE() != null) {
                 return Flow.CONTINUE;
             } else if (small.RETURN() != null) {
-                frame.returned = small.expressionList() == null ? Values.NONE
-                    : list(small.expressionList(), frame);
+                frame.returned =
+                        small.expressionList() == null
+                                ? Values.NONE
+                                : list(small.expressionList(), frame);
                 return Flow.RETURN;
             } else if (small.assignment() != null) {
                 assignment(small.assignment(), frame);
@@ -204,7 +237,8 @@
         return Flow.NEXT;
     }
 
-    private Flow ifStatement(ScriptParser.IfStatementContext branch, Frame frame) throws ScriptError {
+    private Flow ifStatement(ScriptParser.IfStatementContext branch, Frame frame)
+            throws ScriptError {
         for (int i = 0; i < branch.test().size(); i++) {
             if (Values.truth(eval(branch.test(i), frame))) {
                 return suite(branch.suite(i), frame);
@@ -213,7 +247,8 @@
         return branch.ELSE() == null ? Flow.NEXT : suite(branch.suite(branch.test().size()), frame);
     }
 
-    private Flow forStatement(ScriptParser.ForStatementContext loop, Frame frame) throws ScriptError {
+    private Flow forStatement(ScriptParser.ForStatementContext loop, Frame frame)
+            throws ScriptError {
         final Position at = Script.position(loop.test().start);
         final Object all = eval(loop.test(), frame);
         final Iterator<Object> elements = Functions.iterator(all, at);
@@ -251,18 +286,24 @@
         }
         final List<Parameter> parameters = new ArrayList<>();
         final Set<String> names = new HashSet<>();
-        for (final ScriptParser.ParameterContext parameter : def.parameters() == null
-            ? List.<ScriptParser.ParameterContext>of() : def.parameters().parameter()) {
+        for (final ScriptParser.ParameterContext parameter :
+                def.parameters() == null
+                        ? List.<ScriptParser.ParameterContext>of()
+                        : def.parameters().parameter()) {
             final String name = parameter.NAME().getText();
             notGiven(parameter.NAME());
             if (!names.add(name)) {
-                throw new ScriptError(Script.position(parameter.start), "'" + name + "' is there twice");
+                throw new ScriptError(
+                        Script.position(parameter.start), "'" + name + "' is there twice");
             }
-            final Object otherwise = parameter.test() == null ? null : eval(parameter.test(), frame);
-            if (otherwise == null && !parameters.isEmpty()
-                && parameters.get(parameters.size() - 1).otherwise() != null) {
-                throw new ScriptError(Script.position(parameter.start), "'" + name
-                    + "' has no default but follows one that has");
+            final Object otherwise =
+                    parameter.test() == null ? null : eval(parameter.test(), frame);
+            if (otherwise == null
+                    && !parameters.isEmpty()
+                    && parameters.get(parameters.size() - 1).otherwise() != null) {
+                throw new ScriptError(
+                        Script.position(parameter.start),
+                        "'" + name + "' has no default but follows one that has");
             }
             parameters.add(new Parameter(name, otherwise));
         }
@@ -271,7 +312,8 @@
 
     // ---- Assignment ----
 
-    private void assignment(ScriptParser.AssignmentContext assignment, Frame frame) throws ScriptError {
+    private void assignment(ScriptParser.AssignmentContext assignment, Frame frame)
+            throws ScriptError {
         if (assignment.op == null) {
             list(assignment.expressionList(0), frame);
             return;
@@ -284,7 +326,8 @@
         } else if (targets.test().size() == 1 && !endsWithComma(targets)) {
             assignOne(targets.test(0), value, frame);
         } else {
-            final List<Object> parts = parts(value, targets.test().size(), Script.position(targets.start));
+            final List<Object> parts =
+                    parts(value, targets.test().size(), Script.position(targets.start));
             for (int i = 0; i < parts.size(); i++) {
                 assignOne(targets.test(i), parts.get(i), frame);
             }
@@ -304,7 +347,7 @@
     }
 
     private void assign(List<TerminalNode> names, Object value, Position at, Frame frame)
-        throws ScriptError {
+            throws ScriptError {
         if (names.size() == 1) {
             set(names.get(0), value, frame);
             return;
@@ -323,12 +366,14 @@
     /** Guards against a script that makes {@code ms} mean something else further down. */
     private void notGiven(TerminalNode name) throws ScriptError {
         if (given.containsKey(name.getText())) {
-            throw new ScriptError(Script.position(name.getSymbol()), "'" + name.getText()
-                + "' is a name of the language; choose another");
+            throw new ScriptError(
+                    Script.position(name.getSymbol()),
+                    "'" + name.getText() + "' is a name of the language; choose another");
         }
     }
 
-    private void assignOne(ScriptParser.TestContext target, Object value, Frame frame) throws ScriptError {
+    private void assignOne(ScriptParser.TestContext target, Object value, Frame frame)
+            throws ScriptError {
         final TerminalNode name = soleName(target);
         if (name != null) {
             set(name, value, frame);
@@ -346,28 +391,35 @@
             tree = tree.getChild(0);
         }
         if (tree instanceof ScriptParser.PrimaryContext primary
-            && primary.suffix(primary.suffix().size() - 1) instanceof ScriptParser.IndexContext index) {
+                && primary.suffix(primary.suffix().size() - 1)
+                        instanceof ScriptParser.IndexContext index) {
             final Object container = primary(primary, primary.suffix().size() - 1, frame);
-            return new Place(container, eval(index.test(), frame), Script.position(index.test().start));
+            return new Place(
+                    container, eval(index.test(), frame), Script.position(index.test().start));
         }
-        throw new ScriptError(Script.position(target.start),
-            "a value cannot be given to this; it can to a name and to an element in brackets");
+        throw new ScriptError(
+                Script.position(target.start),
+                "a value cannot be given to this; it can to a name and to an element in brackets");
     }
 
     private void store(Place place, Object value) throws ScriptError {
         if (place.container() instanceof ListValue list) {
-            list.changeable(place.at()).set(index(place.key(), list.elements().size(), place.at()), value);
+            list.changeable(place.at())
+                    .set(index(place.key(), list.elements().size(), place.at()), value);
         } else if (place.container() instanceof DictValue dict) {
             meter.cells(2, place.at());
             dict.changeable(place.at()).put(Operators.key(place.key(), place.at()), value);
         } else {
-            throw new ScriptError(place.at(), Values.kind(place.container())
-                + " has no elements that can be set; a list and a dict have");
+            throw new ScriptError(
+                    place.at(),
+                    Values.kind(place.container())
+                            + " has no elements that can be set; a list and a dict have");
         }
     }
 
-    private void augment(ScriptParser.ExpressionListContext targets, String operator, Object value,
-        Frame frame) throws ScriptError {
+    private void augment(
+            ScriptParser.ExpressionListContext targets, String operator, Object value, Frame frame)
+            throws ScriptError {
         final Position at = Script.position(targets.start);
         final ScriptParser.TestContext target = targets.test(0);
         if (targets.test().size() > 1 || endsWithComma(targets)) {
@@ -375,9 +427,13 @@
         }
         final TerminalNode name = soleName(target);
         final Place place = name == null ? place(target, frame) : null;
-        final Object old = name == null ? element(place.container(), place.key(), place.at())
-            : eval(target, frame);
-        if (operator.equals("+") && old instanceof ListValue list && value instanceof ListValue more) {
+        final Object old =
+                name == null
+                        ? element(place.container(), place.key(), place.at())
+                        : eval(target, frame);
+        if (operator.equals("+")
+                && old instanceof ListValue list
+                && value instanceof ListValue more) {
             meter.cells(more.elements().size(), at);
             list.changeable(at).addAll(List.copyOf(more.elements()));
             return;
@@ -400,7 +456,7 @@
     }
 
     private List<Object> all(List<ScriptParser.TestContext> tests, Position at, Frame frame)
-        throws ScriptError {
+            throws ScriptError {
         meter.cells(tests.size(), at);
         final List<Object> values = new ArrayList<>();
         for (final ScriptParser.TestContext test : tests) {
@@ -429,14 +485,16 @@
         }
     }
 
-    private Object evalHere(ParserRuleContext context, Position at, Frame frame) throws ScriptError {
+    private Object evalHere(ParserRuleContext context, Position at, Frame frame)
+            throws ScriptError {
         if (context instanceof ScriptParser.PrimaryContext primary) {
             return primary(primary, primary.suffix().size(), frame);
         } else if (context instanceof ScriptParser.AtomContext atom) {
             return atom(atom, at, frame);
         } else if (context instanceof ScriptParser.TestContext choice) {
-            return eval(Values.truth(eval(choice.orTest(1), frame)) ? choice.orTest(0) : choice.test(),
-                frame);
+            return eval(
+                    Values.truth(eval(choice.orTest(1), frame)) ? choice.orTest(0) : choice.test(),
+                    frame);
         } else if (context instanceof ScriptParser.OrTestContext or) {
             return firstThat(or.andTest(), true, frame);
         } else if (context instanceof ScriptParser.AndTestContext and) {
@@ -444,8 +502,11 @@
         } else if (context instanceof ScriptParser.NotTestContext not) {
             return !Values.truth(eval(not.notTest(), frame));
         } else if (context instanceof ScriptParser.ComparisonContext comparison) {
-            return operators.compare(comparison.comparator().getText(), eval(comparison.sum(0), frame),
-                eval(comparison.sum(1), frame), at);
+            return operators.compare(
+                    comparison.comparator().getText(),
+                    eval(comparison.sum(0), frame),
+                    eval(comparison.sum(1), frame),
+                    at);
         } else if (context instanceof ScriptParser.UnaryContext unary) {
             final Object value = eval(unary.unary(), frame);
             final Object negated = operators.negated(value, at);
@@ -460,7 +521,7 @@
     }
 
     private Object firstThat(List<? extends ParserRuleContext> parts, boolean wanted, Frame frame)
-        throws ScriptError {
+            throws ScriptError {
         Object value = null;
         for (final ParserRuleContext part : parts) {
             value = eval(part, frame);
@@ -472,7 +533,7 @@
     }
 
     private Object primary(ScriptParser.PrimaryContext primary, int suffixes, Frame frame)
-        throws ScriptError {
+            throws ScriptError {
         Object value = eval(primary.atom(), frame);
         String name = primary.atom().getText();
         for (int i = 0; i < suffixes; i++) {
@@ -482,8 +543,9 @@
                 name = member.NAME().getText();
                 final Builtin method = functions.method(value, name);
                 if (method == null) {
-                    throw new ScriptError(Script.position(member.NAME().getSymbol()), Values.kind(value)
-                        + " has no method '" + name + "'");
+                    throw new ScriptError(
+                            Script.position(member.NAME().getSymbol()),
+                            Values.kind(value) + " has no method '" + name + "'");
                 }
                 value = method;
             } else if (suffix instanceof ScriptParser.CallContext call) {
@@ -491,32 +553,44 @@
             } else if (suffix instanceof ScriptParser.IndexContext index) {
                 value = element(value, eval(index.test(), frame), at);
             } else if (suffix instanceof ScriptParser.SliceContext slice) {
-                value = slice(value, slice.low == null ? null : eval(slice.low, frame),
-                    slice.high == null ? null : eval(slice.high, frame), at);
+                value =
+                        slice(
+                                value,
+                                slice.low == null ? null : eval(slice.low, frame),
+                                slice.high == null ? null : eval(slice.high, frame),
+                                at);
             }
         }
         return value;
     }
 
-    private Object call(Object function, String name, ScriptParser.CallContext context, Position at,
-        Frame frame) throws ScriptError {
+    private Object call(
+            Object function,
+            String name,
+            ScriptParser.CallContext context,
+            Position at,
+            Frame frame)
+            throws ScriptError {
         if (!(function instanceof Builtin builtin)) {
             throw new ScriptError(at, Values.kind(function) + " cannot be called");
         }
         final List<Argument> positional = new ArrayList<>();
         final Map<String, Argument> named = new LinkedHashMap<>();
         for (final ScriptParser.ArgumentContext argument : context.argument()) {
-            final Argument value = new Argument(eval(argument.test(), frame),
-                Script.position(argument.test().start));
+            final Argument value =
+                    new Argument(
+                            eval(argument.test(), frame), Script.position(argument.test().start));
             if (argument.NAME() != null) {
                 if (named.put(argument.NAME().getText(), value) != null) {
-                    throw new ScriptError(Script.position(argument.start), "'"
-                        + argument.NAME().getText() + "' is given twice");
+                    throw new ScriptError(
+                            Script.position(argument.start),
+                            "'" + argument.NAME().getText() + "' is given twice");
                 }
             } else if (named.isEmpty()) {
                 positional.add(value);
             } else {
-                throw new ScriptError(value.at(), "an argument without a name follows one with a name");
+                throw new ScriptError(
+                        value.at(), "an argument without a name follows one with a name");
             }
         }
         return builtin.call(new Call(name, at, positional, named, meter));
@@ -528,8 +602,13 @@
         }
         final long index = number < 0 ? number + size : number;
         if (index < 0 || index >= size) {
-            throw new ScriptError(at, "index " + number + " is out of range; there are " + size
-                + " elements, counted from 0");
+            throw new ScriptError(
+                    at,
+                    "index "
+                            + number
+                            + " is out of range; there are "
+                            + size
+                            + " elements, counted from 0");
         }
         return (int) index;
     }
@@ -547,8 +626,10 @@
         } else if (value instanceof DictValue dict) {
             final Object found = dict.entries().get(Operators.key(key, at));
             if (found == null) {
-                throw new ScriptError(at, "the dict has no key "
-                    + (key instanceof String text ? Values.quoted(text) : key));
+                throw new ScriptError(
+                        at,
+                        "the dict has no key "
+                                + (key instanceof String text ? Values.quoted(text) : key));
             }
             return found;
         }
@@ -556,12 +637,15 @@
     }
 
     private Object slice(Object value, Object low, Object high, Position at) throws ScriptError {
-        final int size = value instanceof String text ? text.length()
-            : value instanceof ListValue list ? list.elements().size()
-                : value instanceof TupleValue tuple ? tuple.elements().size() : -1;
+        final int size =
+                value instanceof String text
+                        ? text.length()
+                        : value instanceof ListValue list
+                                ? list.elements().size()
+                                : value instanceof TupleValue tuple ? tuple.elements().size() : -1;
         if (size < 0) {
-            throw new ScriptError(at, Values.kind(value)
-                + " cannot be cut; a text, a list and a tuple can");
+            throw new ScriptError(
+                    at, Values.kind(value) + " cannot be cut; a text, a list and a tuple can");
         }
         final int from = bound(low, 0, size, at);
         final int to = Math.max(from, bound(high, size, size, at));
@@ -570,13 +654,14 @@
             return text.substring(from, to);
         }
         meter.cells(to - from, at);
-        final List<Object> elements = value instanceof ListValue list ? list.elements()
-            : ((TupleValue) value).elements();
+        final List<Object> elements =
+                value instanceof ListValue list ? list.elements() : ((TupleValue) value).elements();
         final List<Object> part = new ArrayList<>(elements.subList(from, to));
         return value instanceof ListValue ? new ListValue(part) : new TupleValue(part);
     }
 
-    private static int bound(Object bound, int otherwise, int size, Position at) throws ScriptError {
+    private static int bound(Object bound, int otherwise, int size, Position at)
+            throws ScriptError {
         if (bound == null || bound == Values.NONE) {
             return otherwise;
         }
@@ -586,7 +671,8 @@
         return (int) Math.max(0, Math.min(size, number < 0 ? number + size : number));
     }
 
-    private Object atom(ScriptParser.AtomContext atom, Position at, Frame frame) throws ScriptError {
+    private Object atom(ScriptParser.AtomContext atom, Position at, Frame frame)
+            throws ScriptError {
         if (atom instanceof ScriptParser.NameContext name) {
             return named(name.getText(), at, frame);
         } else if (atom instanceof ScriptParser.IntegerContext integer) {
@@ -605,8 +691,9 @@
             meter.text(joined.length(), at);
             return joined.toString();
         } else if (atom instanceof ScriptParser.GroupContext group) {
-            return group.expressionList() == null ? new TupleValue(List.of())
-                : list(group.expressionList(), frame);
+            return group.expressionList() == null
+                    ? new TupleValue(List.of())
+                    : list(group.expressionList(), frame);
         } else if (atom instanceof ScriptParser.ListDisplayContext display) {
             return listDisplay(display, at, frame);
         } else if (atom instanceof ScriptParser.DictDisplayContext display) {
@@ -636,23 +723,29 @@
     // ---- Displays and comprehensions ----
 
     private Object listDisplay(ScriptParser.ListDisplayContext display, Position at, Frame frame)
-        throws ScriptError {
+            throws ScriptError {
         if (display.comprehension() == null) {
             return new ListValue(all(display.test(), at, frame));
         }
         final List<Object> elements = new ArrayList<>();
-        comprehend(display.comprehension(), frame, inner -> {
-            meter.cells(1, at);
-            elements.add(eval(display.test(0), inner));
-        });
+        comprehend(
+                display.comprehension(),
+                frame,
+                inner -> {
+                    meter.cells(1, at);
+                    elements.add(eval(display.test(0), inner));
+                });
         return new ListValue(elements);
     }
 
     private Object dictDisplay(ScriptParser.DictDisplayContext display, Position at, Frame frame)
-        throws ScriptError {
+            throws ScriptError {
         final DictValue dict = new DictValue();
         if (display.comprehension() != null) {
-            comprehend(display.comprehension(), frame, inner -> entry(display.entry(0), dict, at, inner));
+            comprehend(
+                    display.comprehension(),
+                    frame,
+                    inner -> entry(display.entry(0), dict, at, inner));
             return dict;
         }
         for (final ScriptParser.EntryContext entry : display.entry()) {
@@ -664,7 +757,7 @@
     }
 
     private boolean entry(ScriptParser.EntryContext entry, DictValue dict, Position at, Frame frame)
-        throws ScriptError {
+            throws ScriptError {
         meter.cells(2, at);
         final Object key = Operators.key(eval(entry.test(0), frame), Script.position(entry.start));
         return dict.changeable(at).put(key, eval(entry.test(1), frame)) == null;
@@ -677,7 +770,7 @@
 
     /** Goes through the clauses; their names are known within them alone. */
     private void comprehend(ScriptParser.ComprehensionContext clauses, Frame frame, Body body)
-        throws ScriptError {
+            throws ScriptError {
         if (!(clauses.getChild(0) instanceof ScriptParser.ForClauseContext)) {
             throw new ScriptError(Script.position(clauses.start), "expected 'for' before 'if'");
         }
@@ -686,7 +779,7 @@
     }
 
     private void clause(ScriptParser.ComprehensionContext clauses, int next, Frame frame, Body body)
-        throws ScriptError {
+            throws ScriptError {
         if (next == clauses.getChildCount()) {
             body.run(frame);
             return;
@@ -697,7 +790,8 @@
             }
             return;
         }
-        final ScriptParser.ForClauseContext loop = (ScriptParser.ForClauseContext) clauses.getChild(next);
+        final ScriptParser.ForClauseContext loop =
+                (ScriptParser.ForClauseContext) clauses.getChild(next);
         final Token start = loop.orTest().start;
         final Object all = eval(loop.orTest(), frame);
         walking(all, 1);
--- a/src/main/java/cresschute/settings/script/Operators.java
+++ b/src/main/java/cresschute/settings/script/Operators.java
@@ -19,17 +19,27 @@
 
     Object apply(String operator, Object a, Object b, Position at) throws ScriptError {
         try {
-            final Object result = switch (operator) {
-                case "+" -> plus(a, b, at);
-                case "-" -> minus(a, b);
-                case "*" -> times(a, b, at);
-                case "/" -> divided(a, b, at);
-                case "//" -> floored(a, b, at);
-                default -> a instanceof String format ? Texts.percent(format, b, meter, at) : rest(a, b, at);
-            };
+            final Object result =
+                    switch (operator) {
+                        case "+" -> plus(a, b, at);
+                        case "-" -> minus(a, b);
+                        case "*" -> times(a, b, at);
+                        case "/" -> divided(a, b, at);
+                        case "//" -> floored(a, b, at);
+                        default ->
+                                a instanceof String format
+                                        ? Texts.percent(format, b, meter, at)
+                                        : rest(a, b, at);
+                    };
             if (result == null) {
-                throw new ScriptError(at, "'" + operator + "' cannot join " + Values.kind(a) + " and "
-                    + Values.kind(b));
+                throw new ScriptError(
+                        at,
+                        "'"
+                                + operator
+                                + "' cannot join "
+                                + Values.kind(a)
+                                + " and "
+                                + Values.kind(b));
             }
             return result;
         } catch (ArithmeticException e) {
@@ -42,7 +52,9 @@
             return Math.addExact(x, y);
         } else if (a instanceof Number x && b instanceof Number y) {
             return x.doubleValue() + y.doubleValue();
-        } else if (a instanceof Quantity x && b instanceof Quantity y && x.dimension() == y.dimension()) {
+        } else if (a instanceof Quantity x
+                && b instanceof Quantity y
+                && x.dimension() == y.dimension()) {
             return new Quantity(x.dimension(), x.amount() + y.amount());
         } else if (a instanceof String x && b instanceof String y) {
             meter.text((long) x.length() + y.length(), at);
@@ -67,7 +79,9 @@
             return Math.subtractExact(x, y);
         } else if (a instanceof Number x && b instanceof Number y) {
             return x.doubleValue() - y.doubleValue();
-        } else if (a instanceof Quantity x && b instanceof Quantity y && x.dimension() == y.dimension()) {
+        } else if (a instanceof Quantity x
+                && b instanceof Quantity y
+                && x.dimension() == y.dimension()) {
             return new Quantity(x.dimension(), x.amount() - y.amount());
         }
         return null;
@@ -97,8 +111,8 @@
         if (!(value instanceof ListValue) && !(value instanceof TupleValue)) {
             return null;
         }
-        final List<Object> elements = value instanceof ListValue list ? list.elements()
-            : ((TupleValue) value).elements();
+        final List<Object> elements =
+                value instanceof ListValue list ? list.elements() : ((TupleValue) value).elements();
         meter.cells(Math.multiplyExact(elements.size(), times), at);
         final List<Object> repeated = new ArrayList<>();
         for (long i = 0; i < times && !elements.isEmpty(); i++) {
@@ -112,7 +126,9 @@
             return x.doubleValue() / divisor(y, at);
         } else if (a instanceof Quantity x && b instanceof Number y) {
             return new Quantity(x.dimension(), x.amount() / divisor(y, at));
-        } else if (a instanceof Quantity x && b instanceof Quantity y && x.dimension() == y.dimension()) {
+        } else if (a instanceof Quantity x
+                && b instanceof Quantity y
+                && x.dimension() == y.dimension()) {
             return x.amount() / divisor(y.amount(), at);
         }
         return null;
@@ -184,11 +200,17 @@
             return Double.compare(x.doubleValue(), y.doubleValue());
         } else if (a instanceof String x && b instanceof String y) {
             return x.compareTo(y);
-        } else if (a instanceof Quantity x && b instanceof Quantity y && x.dimension() == y.dimension()) {
+        } else if (a instanceof Quantity x
+                && b instanceof Quantity y
+                && x.dimension() == y.dimension()) {
             return Double.compare(x.amount(), y.amount());
         }
-        throw new ScriptError(at, Values.kind(a) + " and " + Values.kind(b)
-            + " have no order; numbers, texts, times and sizes have");
+        throw new ScriptError(
+                at,
+                Values.kind(a)
+                        + " and "
+                        + Values.kind(b)
+                        + " have no order; numbers, texts, times and sizes have");
     }
 
     private boolean contains(Object all, Object one, Position at) throws ScriptError {
@@ -200,8 +222,8 @@
         } else if (all instanceof RangeValue range) {
             return one instanceof Long number && within(range, number);
         } else if (all instanceof ListValue || all instanceof TupleValue) {
-            final List<Object> elements = all instanceof ListValue list ? list.elements()
-                : ((TupleValue) all).elements();
+            final List<Object> elements =
+                    all instanceof ListValue list ? list.elements() : ((TupleValue) all).elements();
             for (final Object element : elements) {
                 if (Values.equal(element, one, 0, meter, at)) {
                     return true;
@@ -209,12 +231,15 @@
             }
             return false;
         }
-        throw new ScriptError(at, "'in' cannot look for " + Values.kind(one) + " in " + Values.kind(all));
+        throw new ScriptError(
+                at, "'in' cannot look for " + Values.kind(one) + " in " + Values.kind(all));
     }
 
     private static boolean within(RangeValue range, long number) {
-        final boolean between = range.step() > 0 ? number >= range.start() && number < range.stop()
-            : number <= range.start() && number > range.stop();
+        final boolean between =
+                range.step() > 0
+                        ? number >= range.start() && number < range.stop()
+                        : number <= range.start() && number > range.stop();
         return between && (number - range.start()) % range.step() == 0;
     }
 
@@ -223,7 +248,8 @@
         if (value instanceof String || value instanceof Long || value instanceof Boolean) {
             return value;
         }
-        throw new ScriptError(at, Values.kind(value)
-            + " cannot be a key; texts, whole numbers, True and False can");
+        throw new ScriptError(
+                at,
+                Values.kind(value) + " cannot be a key; texts, whole numbers, True and False can");
     }
 }
--- a/src/main/java/cresschute/settings/script/Position.java
+++ b/src/main/java/cresschute/settings/script/Position.java
@@ -13,7 +13,9 @@
 
     @Override
     public int compareTo(Position other) {
-        return line != other.line ? Integer.compare(line, other.line) : Integer.compare(column, other.column);
+        return line != other.line
+                ? Integer.compare(line, other.line)
+                : Integer.compare(column, other.column);
     }
 
     @Override
--- a/src/main/java/cresschute/settings/script/Script.java
+++ b/src/main/java/cresschute/settings/script/Script.java
@@ -13,34 +13,41 @@
 import org.antlr.v4.runtime.misc.IntervalSet;
 
 /**
- * The language of settings scripts: a subset of Starlark without files, clock, chance, recursion and endless
- * loops. The page {@code docs/settings.md} lists what it has. Every run ends within its {@link Bounds}.
+ * The language of settings scripts: a subset of Starlark without files, clock, chance, recursion
+ * and endless loops. The page {@code docs/settings.md} lists what it has. Every run ends within its
+ * {@link Bounds}.
  */
 public final class Script {
 
     private static final int MOST_SYNTAX_ERRORS = 20;
+
     /** More alternatives than these would not help anybody. */
     private static final int MOST_EXPECTED = 4;
 
     private Script() {}
 
     /**
-     * Runs a script from its first line to its last, or to the first error. It can reach nothing but its
-     * host's functions, which it calls by their names. Runs on the caller's thread.
+     * Runs a script from its first line to its last, or to the first error. It can reach nothing
+     * but its host's functions, which it calls by their names. Runs on the caller's thread.
      *
      * @return what is wrong with it, in the order of the text; nothing if it ran through
      */
     public static List<ScriptError> run(String text, Map<String, Builtin> host, Bounds bounds) {
         if (text.length() > bounds.textChars()) {
-            return List.of(new ScriptError(Position.START, "the script is too long; at most "
-                + bounds.textChars() + " characters are allowed"));
+            return List.of(
+                    new ScriptError(
+                            Position.START,
+                            "the script is too long; at most "
+                                    + bounds.textChars()
+                                    + " characters are allowed"));
         }
         final List<ScriptError> errors = new ArrayList<>();
         try {
             final ScriptLexer lexer = new ScriptLexer(CharStreams.fromString(text));
             lexer.removeErrorListeners();
-            final ScriptParser parser = new ScriptParser(
-                new CommonTokenStream(new ListTokenSource(ScriptTokens.of(lexer))));
+            final ScriptParser parser =
+                    new ScriptParser(
+                            new CommonTokenStream(new ListTokenSource(ScriptTokens.of(lexer))));
             parser.removeErrorListeners();
             parser.addErrorListener(new SyntaxErrors(errors));
             final ScriptParser.FileContext file = parser.file();
@@ -59,7 +66,10 @@
         return new Position(Math.max(1, token.getLine()), token.getCharPositionInLine() + 1);
     }
 
-    /** Words syntax errors for people: one for a line at the most, as one error brings others after it. */
+    /**
+     * Words syntax errors for people: one for a line at the most, as one error brings others after
+     * it.
+     */
     private static final class SyntaxErrors extends BaseErrorListener {
 
         private final List<ScriptError> errors;
@@ -69,12 +79,22 @@
         }
 
         @Override
-        public void syntaxError(Recognizer<?, ?> recognizer, Object offending, int line, int column,
-            String message, RecognitionException e) {
-            final boolean known = errors.stream().anyMatch(error -> error.position().line() == line);
+        public void syntaxError(
+                Recognizer<?, ?> recognizer,
+                Object offending,
+                int line,
+                int column,
+                String message,
+                RecognitionException e) {
+            final boolean known =
+                    errors.stream().anyMatch(error -> error.position().line() == line);
             if (!known && errors.size() < MOST_SYNTAX_ERRORS) {
-                errors.add(new ScriptError(position((Token) offending), "unexpected "
-                    + name((Token) offending) + expected((ScriptParser) recognizer)));
+                errors.add(
+                        new ScriptError(
+                                position((Token) offending),
+                                "unexpected "
+                                        + name((Token) offending)
+                                        + expected((ScriptParser) recognizer)));
             }
         }
 
--- a/src/main/java/cresschute/settings/script/ScriptError.java
+++ b/src/main/java/cresschute/settings/script/ScriptError.java
@@ -1,6 +1,8 @@
 package cresschute.settings.script;
 
-/** What is wrong with a script, and where. Its message says what is allowed where that is not plain. */
+/**
+ * What is wrong with a script, and where. Its message says what is allowed where that is not plain.
+ */
 public final class ScriptError extends Exception {
 
     private static final long serialVersionUID = 1L;
--- a/src/main/java/cresschute/settings/script/ScriptTokens.java
+++ b/src/main/java/cresschute/settings/script/ScriptTokens.java
@@ -10,16 +10,33 @@
 import org.antlr.v4.runtime.Token;
 
 /**
- * Lays out the lexer's tokens as Python does: a line's end counts only outside brackets and after something,
- * and a change of a line's indentation becomes INDENT or DEDENT.
+ * Lays out the lexer's tokens as Python does: a line's end counts only outside brackets and after
+ * something, and a change of a line's indentation becomes INDENT or DEDENT.
  */
 final class ScriptTokens {
 
     /** Words of Python that this language leaves out; no name may be one of them. */
-    private static final Set<String> RESERVED = Set.of("as", "assert", "async", "await", "class", "del",
-        "except",
-        "finally", "from", "global", "import", "is", "lambda", "nonlocal", "raise", "try", "while", "with",
-        "yield");
+    private static final Set<String> RESERVED =
+            Set.of(
+                    "as",
+                    "assert",
+                    "async",
+                    "await",
+                    "class",
+                    "del",
+                    "except",
+                    "finally",
+                    "from",
+                    "global",
+                    "import",
+                    "is",
+                    "lambda",
+                    "nonlocal",
+                    "raise",
+                    "try",
+                    "while",
+                    "with",
+                    "yield");
 
     private final List<Token> laidOut = new ArrayList<>();
     private final Deque<Integer> indents = new ArrayDeque<>(List.of(0));
@@ -51,8 +68,11 @@
             throw unknown(token);
         }
         if (token.getType() == ScriptLexer.NAME && RESERVED.contains(token.getText())) {
-            throw new ScriptError(Script.position(token), "'" + token.getText()
-                + "' is not part of the language; docs/settings.md lists what is");
+            throw new ScriptError(
+                    Script.position(token),
+                    "'"
+                            + token.getText()
+                            + "' is not part of the language; docs/settings.md lists what is");
         }
         if (lineBegins && brackets.isEmpty()) {
             indent(token);
@@ -67,11 +87,14 @@
     }
 
     private static ScriptError unknown(Token token) {
-        return new ScriptError(Script.position(token), switch (token.getText()) {
-            case "\"", "'" -> "this text has no end; a text ends on the line on which it begins";
-            case "\t" -> "a tab; use spaces alone";
-            default -> "unexpected character '" + token.getText() + "'";
-        });
+        return new ScriptError(
+                Script.position(token),
+                switch (token.getText()) {
+                    case "\"", "'" ->
+                            "this text has no end; a text ends on the line on which it begins";
+                    case "\t" -> "a tab; use spaces alone";
+                    default -> "unexpected character '" + token.getText() + "'";
+                });
     }
 
     private void indent(Token token) throws ScriptError {
@@ -85,14 +108,16 @@
             add(ScriptParser.DEDENT, "less indentation", token);
         }
         if (column != indents.peek()) {
-            throw new ScriptError(Script.position(token), "this line's indentation matches no line above");
+            throw new ScriptError(
+                    Script.position(token), "this line's indentation matches no line above");
         }
     }
 
     private void end(Token eof) throws ScriptError {
         if (!brackets.isEmpty()) {
-            throw new ScriptError(Script.position(brackets.peek()), "this '" + brackets.peek().getText()
-                + "' is never closed");
+            throw new ScriptError(
+                    Script.position(brackets.peek()),
+                    "this '" + brackets.peek().getText() + "' is never closed");
         }
         if (!lineBegins) {
             add(ScriptParser.NEWLINE, "end of line", eof);
--- a/src/main/java/cresschute/settings/script/StepLimit.java
+++ b/src/main/java/cresschute/settings/script/StepLimit.java
@@ -1,6 +1,9 @@
 package cresschute.settings.script;
 
-/** Counts what a run of a script has taken, and ends it with an error at the first bound that it meets. */
+/**
+ * Counts what a run of a script has taken, and ends it with an error at the first bound that it
+ * meets.
+ */
 final class StepLimit {
 
     private static final int CHARS_A_CELL = 8;
@@ -24,8 +27,9 @@
     void steps(long count, Position at) throws ScriptError {
         steps += count;
         if (steps > bounds.steps()) {
-            throw new ScriptError(at, "the script takes too long; at most " + bounds.steps()
-                + " steps are allowed");
+            throw new ScriptError(
+                    at,
+                    "the script takes too long; at most " + bounds.steps() + " steps are allowed");
         }
     }
 
@@ -33,8 +37,11 @@
     void cells(long count, Position at) throws ScriptError {
         // Guards against a sum that wraps round: a single demand may be near the largest long.
         if (count > bounds.cells() - cells) {
-            throw new ScriptError(at, "the script takes too much memory; at most " + bounds.cells()
-                + " elements are allowed, 8 characters of text counting as one");
+            throw new ScriptError(
+                    at,
+                    "the script takes too much memory; at most "
+                            + bounds.cells()
+                            + " elements are allowed, 8 characters of text counting as one");
         }
         cells += count;
     }
@@ -45,8 +52,11 @@
 
     void nesting(int depth, Position at) throws ScriptError {
         if (depth > bounds.nesting()) {
-            throw new ScriptError(at, "values are nested too deeply; at most " + bounds.nesting()
-                + " levels are allowed");
+            throw new ScriptError(
+                    at,
+                    "values are nested too deeply; at most "
+                            + bounds.nesting()
+                            + " levels are allowed");
         }
     }
 }
--- a/src/main/java/cresschute/settings/script/Suggestion.java
+++ b/src/main/java/cresschute/settings/script/Suggestion.java
@@ -14,10 +14,12 @@
     /** Words that name the nearest known name, to follow an error; none where nothing is near. */
     public static String hint(String name, Collection<String> known) {
         return known.stream()
-            .filter(other -> distance(name, other) <= Math.max(1, (other.length() + 2) / 3))
-            .min(Comparator.comparingInt((String other) -> distance(name, other))
-                .thenComparing(Comparator.naturalOrder()))
-            .map(other -> "; did you mean '" + other + "'?").orElse("");
+                .filter(other -> distance(name, other) <= Math.max(1, (other.length() + 2) / 3))
+                .min(
+                        Comparator.comparingInt((String other) -> distance(name, other))
+                                .thenComparing(Comparator.naturalOrder()))
+                .map(other -> "; did you mean '" + other + "'?")
+                .orElse("");
     }
 
     private static int distance(String a, String b) {
--- a/src/main/java/cresschute/settings/script/Texts.java
+++ b/src/main/java/cresschute/settings/script/Texts.java
@@ -29,14 +29,20 @@
             case 't' -> '\t';
             case 'r' -> '\r';
             case '\\', '"', '\'' -> letter;
-            default -> throw new ScriptError(at, "unknown escape '\\" + letter
-                + "'; \\n, \\t, \\r, \\\\, \\\" and \\' are known");
+            default ->
+                    throw new ScriptError(
+                            at,
+                            "unknown escape '\\"
+                                    + letter
+                                    + "'; \\n, \\t, \\r, \\\\, \\\" and \\' are known");
         };
     }
 
     /** Fills in {@code %s}, {@code %d}, {@code %r} and {@code %%}. */
-    static String percent(String format, Object values, StepLimit meter, Position at) throws ScriptError {
-        final List<Object> given = values instanceof TupleValue tuple ? tuple.elements() : List.of(values);
+    static String percent(String format, Object values, StepLimit meter, Position at)
+            throws ScriptError {
+        final List<Object> given =
+                values instanceof TupleValue tuple ? tuple.elements() : List.of(values);
         final StringBuilder out = new StringBuilder();
         int used = 0;
         for (int i = 0; i < format.length(); i++) {
@@ -51,11 +57,15 @@
                 continue;
             }
             if (kind != 's' && kind != 'd' && kind != 'r') {
-                throw new ScriptError(at, "unknown format '%" + (kind == ' ' ? "" : kind)
-                    + "'; %s, %d, %r and %% are known");
+                throw new ScriptError(
+                        at,
+                        "unknown format '%"
+                                + (kind == ' ' ? "" : kind)
+                                + "'; %s, %d, %r and %% are known");
             }
             if (used == given.size()) {
-                throw new ScriptError(at, "the format asks for more values than the " + used + " given");
+                throw new ScriptError(
+                        at, "the format asks for more values than the " + used + " given");
             }
             final Object value = given.get(used++);
             if (kind == 'd' && !(value instanceof Long)) {
@@ -66,8 +76,9 @@
             meter.text(text.length(), at);
         }
         if (used < given.size()) {
-            throw new ScriptError(at, "the format asks for " + used + " of the " + given.size()
-                + " values given");
+            throw new ScriptError(
+                    at,
+                    "the format asks for " + used + " of the " + given.size() + " values given");
         }
         meter.text(out.length(), at);
         return out.toString();
@@ -83,10 +94,12 @@
             if (character == '{' && !doubled) {
                 final int end = format.indexOf('}', i);
                 if (end < 0) {
-                    throw new ScriptError(call.at(), "a '{' without its '}'; '{{' stands for a brace");
+                    throw new ScriptError(
+                            call.at(), "a '{' without its '}'; '{{' stands for a brace");
                 }
                 final String field = format.substring(i + 1, end);
-                final Object value = field(field.isEmpty() ? Integer.toString(next++) : field, call);
+                final Object value =
+                        field(field.isEmpty() ? Integer.toString(next++) : field, call);
                 final String text = Values.text(value, call.meter(), call.at());
                 call.meter().text(text.length(), call.at());
                 out.append(text);
@@ -106,13 +119,19 @@
         if (field.matches("[0-9]{1,6}")) {
             final int index = Integer.parseInt(field);
             if (index >= call.positional().size()) {
-                throw new ScriptError(call.at(), "the format asks for value " + index + " of the "
-                    + call.positional().size() + " given, counted from 0");
+                throw new ScriptError(
+                        call.at(),
+                        "the format asks for value "
+                                + index
+                                + " of the "
+                                + call.positional().size()
+                                + " given, counted from 0");
             }
             return call.value(index);
         }
         if (!call.named().containsKey(field)) {
-            throw new ScriptError(call.at(), "the format asks for '" + field + "', which is not given");
+            throw new ScriptError(
+                    call.at(), "the format asks for '" + field + "', which is not given");
         }
         return call.named().get(field).value();
     }
--- a/src/main/java/cresschute/settings/script/Values.java
+++ b/src/main/java/cresschute/settings/script/Values.java
@@ -7,18 +7,20 @@
 import java.util.Map;
 
 /**
- * The kinds of value that a script has, beside {@link Boolean}, {@link Long}, {@link Double}, {@link String}
- * and {@link #NONE}, and what holds for all of them: their names, their truth, equality and text.
+ * The kinds of value that a script has, beside {@link Boolean}, {@link Long}, {@link Double},
+ * {@link String} and {@link #NONE}, and what holds for all of them: their names, their truth,
+ * equality and text.
  */
 public final class Values {
 
     /** The value of {@code None}. */
-    public static final Object NONE = new Object() {
-        @Override
-        public String toString() {
-            return "None";
-        }
-    };
+    public static final Object NONE =
+            new Object() {
+                @Override
+                public String toString() {
+                    return "None";
+                }
+            };
 
     private Values() {}
 
@@ -27,7 +29,8 @@
 
     /** What a quantity measures, and in what: times in microseconds, sizes in bytes. */
     public enum Dimension {
-        TIME, SIZE
+        TIME,
+        SIZE
     }
 
     /** A list; it may not change while a loop is going through it. */
@@ -69,8 +72,9 @@
             if (step > 0 ? start >= stop : start <= stop) {
                 return 0;
             }
-            return step > 0 ? Long.divideUnsigned(stop - start - 1, step) + 1
-                : Long.divideUnsigned(start - stop - 1, -step) + 1;
+            return step > 0
+                    ? Long.divideUnsigned(stop - start - 1, step) + 1
+                    : Long.divideUnsigned(start - stop - 1, -step) + 1;
         }
 
         long at(long index) {
@@ -78,7 +82,10 @@
         }
     }
 
-    /** A dict; its keys are texts, whole numbers, {@code True} and {@code False}, in the order they came. */
+    /**
+     * A dict; its keys are texts, whole numbers, {@code True} and {@code False}, in the order they
+     * came.
+     */
     public static final class DictValue {
 
         private final Map<Object, Object> entries = new LinkedHashMap<>();
@@ -151,12 +158,14 @@
     }
 
     /** Whether two values are equal; walks down them, which counts. */
-    static boolean equal(Object a, Object b, int depth, StepLimit meter, Position at) throws ScriptError {
+    static boolean equal(Object a, Object b, int depth, StepLimit meter, Position at)
+            throws ScriptError {
         meter.step(at);
         meter.nesting(depth, at);
         if (a instanceof Number x && b instanceof Number y) {
-            return a instanceof Long && b instanceof Long ? x.longValue() == y.longValue()
-                : x.doubleValue() == y.doubleValue();
+            return a instanceof Long && b instanceof Long
+                    ? x.longValue() == y.longValue()
+                    : x.doubleValue() == y.doubleValue();
         }
         if (a instanceof ListValue x && b instanceof ListValue y) {
             return equalAll(x.elements, y.elements, depth, meter, at);
@@ -178,8 +187,9 @@
         return a.equals(b);
     }
 
-    private static boolean equalAll(List<Object> a, List<Object> b, int depth, StepLimit meter, Position at)
-        throws ScriptError {
+    private static boolean equalAll(
+            List<Object> a, List<Object> b, int depth, StepLimit meter, Position at)
+            throws ScriptError {
         if (a.size() != b.size()) {
             return false;
         }
@@ -202,8 +212,9 @@
     }
 
     /** Counts as it writes: a small value that holds itself many times over has a huge text. */
-    private static void write(Object value, StringBuilder out, int depth, StepLimit meter, Position at)
-        throws ScriptError {
+    private static void write(
+            Object value, StringBuilder out, int depth, StepLimit meter, Position at)
+            throws ScriptError {
         meter.step(at);
         meter.nesting(depth, at);
         final int before = out.length();
@@ -215,10 +226,22 @@
         } else if (value instanceof ListValue list) {
             writeAll(list.elements, "[", "]", out, depth, meter, at);
         } else if (value instanceof TupleValue tuple) {
-            writeAll(tuple.elements(), "(", tuple.elements().size() == 1 ? ",)" : ")", out, depth, meter, at);
+            writeAll(
+                    tuple.elements(),
+                    "(",
+                    tuple.elements().size() == 1 ? ",)" : ")",
+                    out,
+                    depth,
+                    meter,
+                    at);
         } else if (value instanceof RangeValue range) {
-            out.append("range(").append(range.start()).append(", ").append(range.stop()).append(", ")
-                .append(range.step()).append(')');
+            out.append("range(")
+                    .append(range.start())
+                    .append(", ")
+                    .append(range.stop())
+                    .append(", ")
+                    .append(range.step())
+                    .append(')');
         } else if (value instanceof DictValue dict) {
             String gap = "{";
             for (final Map.Entry<Object, Object> entry : dict.entries.entrySet()) {
@@ -239,8 +262,15 @@
         }
     }
 
-    private static void writeAll(List<Object> elements, String open, String close, StringBuilder out,
-        int depth, StepLimit meter, Position at) throws ScriptError {
+    private static void writeAll(
+            List<Object> elements,
+            String open,
+            String close,
+            StringBuilder out,
+            int depth,
+            StepLimit meter,
+            Position at)
+            throws ScriptError {
         String gap = open;
         for (final Object element : elements) {
             out.append(gap);
@@ -252,14 +282,20 @@
 
     /** A text as a script writes it. */
     public static String quoted(String text) {
-        return '"' + text.replace("\\", "\\\\").replace("\"", "\\\"").replace("\n", "\\n")
-            .replace("\t", "\\t").replace("\r", "\\r") + '"';
+        return '"'
+                + text.replace("\\", "\\\\")
+                        .replace("\"", "\\\"")
+                        .replace("\n", "\\n")
+                        .replace("\t", "\\t")
+                        .replace("\r", "\\r")
+                + '"';
     }
 
     /** A quantity as a script writes it, in the largest unit that leaves a short number. */
     public static String text(Quantity quantity) {
         final double amount = quantity.amount();
-        final List<Map.Entry<String, Double>> units = new ArrayList<>(Units.of(quantity.dimension()));
+        final List<Map.Entry<String, Double>> units =
+                new ArrayList<>(Units.of(quantity.dimension()));
         Collections.reverse(units);
         for (final Map.Entry<String, Double> unit : units) {
             final double count = amount / unit.getValue();
@@ -272,7 +308,8 @@
 
     /** A number without a needless fraction. */
     public static String number(double value) {
-        return value == Math.rint(value) && Math.abs(value) < 1e15 ? Long.toString((long) value)
-            : Double.toString(value);
+        return value == Math.rint(value) && Math.abs(value) < 1e15
+                ? Long.toString((long) value)
+                : Double.toString(value);
     }
 }
--- a/src/main/java/cresschute/simulator/FrameReader.java
+++ b/src/main/java/cresschute/simulator/FrameReader.java
@@ -38,13 +38,16 @@
         recordsLeft = frame.getInt();
         sequence = frame.getInt();
         if (length < HEADER_BYTES) {
-            throw new MalformedInputException("batch length " + Integer.toUnsignedString(length)
-                + " is out of range");
+            throw new MalformedInputException(
+                    "batch length " + Integer.toUnsignedString(length) + " is out of range");
         }
         if (length > frame.capacity()) {
-            frame = ByteBuffer.allocate(Math.max(length, length / 2 * 3)).order(ByteOrder.LITTLE_ENDIAN);
+            frame =
+                    ByteBuffer.allocate(Math.max(length, length / 2 * 3))
+                            .order(ByteOrder.LITTLE_ENDIAN);
         }
-        if (in.readNBytes(frame.array(), HEADER_BYTES, length - HEADER_BYTES) < length - HEADER_BYTES) {
+        if (in.readNBytes(frame.array(), HEADER_BYTES, length - HEADER_BYTES)
+                < length - HEADER_BYTES) {
             throw new MalformedInputException("input ends inside a batch");
         }
         frame.limit(length).position(HEADER_BYTES);
@@ -121,7 +124,8 @@
 
     private void need(int count) {
         if (count < 0 || recordEnd - frame.position() < count) {
-            throw new MalformedInputException("record " + recordCode + " is too short for its fields");
+            throw new MalformedInputException(
+                    "record " + recordCode + " is too short for its fields");
         }
     }
 }
--- a/src/main/java/cresschute/simulator/Main.java
+++ b/src/main/java/cresschute/simulator/Main.java
@@ -1,7 +1,7 @@
 package cresschute.simulator;
 
-import java.io.FileInputStream;
 import java.io.FileDescriptor;
+import java.io.FileInputStream;
 import java.io.FileOutputStream;
 import java.io.IOException;
 
@@ -10,15 +10,20 @@
 
     private Main() {}
 
-    /** Runs the named subcommand; exits with 2 on bad usage or malformed input, with 1 on a broken stream. */
+    /**
+     * Runs the named subcommand; exits with 2 on bad usage or malformed input, with 1 on a broken
+     * stream.
+     */
     public static void main(String[] args) {
         if (args.length != 1 || !args[0].equals("benchlink")) {
             System.err.println("usage: java -jar cresschute.jar benchlink");
             System.exit(2);
         }
         try {
-            new SimulatorAdapter(new FileInputStream(FileDescriptor.in),
-                new FileOutputStream(FileDescriptor.out)).run();
+            new SimulatorAdapter(
+                            new FileInputStream(FileDescriptor.in),
+                            new FileOutputStream(FileDescriptor.out))
+                    .run();
         } catch (MalformedInputException e) {
             System.err.println("benchlink: malformed input: " + e.getMessage());
             System.exit(2);
--- a/src/main/java/cresschute/simulator/SettingsParser.java
+++ b/src/main/java/cresschute/simulator/SettingsParser.java
@@ -1,13 +1,13 @@
 package cresschute.simulator;
 
-import cresschute.dispatch.SlowStartSettings;
+import cresschute.dispatch.AttemptLimits;
+import cresschute.dispatch.DeduplicationScope;
+import cresschute.dispatch.DispatchSettings;
 import cresschute.dispatch.Idempotency;
 import cresschute.dispatch.ObjectiveWeights;
-import cresschute.dispatch.AttemptLimits;
 import cresschute.dispatch.Placement;
-import cresschute.dispatch.DeduplicationScope;
 import cresschute.dispatch.RequestClass;
-import cresschute.dispatch.DispatchSettings;
+import cresschute.dispatch.SlowStartSettings;
 import cresschute.dispatch.Tenant;
 import cresschute.dispatch.WeightSource;
 import java.util.ArrayList;
@@ -15,7 +15,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** Turns the path=value lines of a launch into {@link DispatchSettings}. Keys it does not know are ignored. */
+/**
+ * Turns the path=value lines of a launch into {@link DispatchSettings}. Keys it does not know are
+ * ignored.
+ */
 public final class SettingsParser {
 
     private final Map<String, String> values = new HashMap<>();
@@ -39,47 +42,51 @@
         final SettingsParser parser = new SettingsParser(text);
         final List<String> fields = parser.list("report.fields");
         final boolean slotsFree = parser.word("extra.reportX0", "").equals("free_slots");
-        return new ReportLayout(slotsFree ? fields.indexOf("x0") : -1, fields.indexOf("outstanding"),
-            fields.indexOf("backlog"));
+        return new ReportLayout(
+                slotsFree ? fields.indexOf("x0") : -1,
+                fields.indexOf("outstanding"),
+                fields.indexOf("backlog"));
     }
 
     private DispatchSettings settings() {
         final long warmWithinUs = (long) number("rules.warmWithinUs", 0);
         return new DispatchSettings(
-            (int) number("balancers"),
-            (int) number("myZone", 0),
-            Math.max(1, list("zones").size()),
-            Math.max(1, list("hostTypes").size()),
-            classes(),
-            tenants(),
-            number("overShareWorth", 1),
-            word("worthBy", "request").equals("work"),
-            new AttemptLimits(
-                (int) number("limits.maxAttempts", 1),
-                flag("limits.retryAfter", false) ? (long) number("limits.maxRetryAfterUs", 0) : 0,
-                flag("limits.parallelTries", false)),
-            new SlowStartSettings(
-                number("rules.coldFrom", 1),
-                warmWithinUs,
-                number("rules.overloadFactor", 1),
-                (long) number("rules.tipAfterUs", 0)),
-            new ObjectiveWeights(
-                number("goal.whole", 1),
-                number("goal.worstWindow", 0),
-                number("goal.worstClass", 0),
-                number("goal.worstTenant", 0)),
-            word("membershipMode", "push").equals("ask"),
-            (long) number("rules.askWithinUs", 0),
-            weightSource(word("weightSource", "off")),
-            !word("report.how", "off").equals("off"),
-            flag("extra.tellsStart", false),
-            (long) number("extra.progressUs", 0),
-            number("prices.crossZone", 0),
-            flag("limits.probing", false),
-            flag("limits.peerMessages", false),
-            number("prices.origin", 0),
-            flag("rules.busyIsNoProof", false),
-            (long) number("rules.closeOnDrainWithinUs", DispatchSettings.UNLIMITED));
+                (int) number("balancers"),
+                (int) number("myZone", 0),
+                Math.max(1, list("zones").size()),
+                Math.max(1, list("hostTypes").size()),
+                classes(),
+                tenants(),
+                number("overShareWorth", 1),
+                word("worthBy", "request").equals("work"),
+                new AttemptLimits(
+                        (int) number("limits.maxAttempts", 1),
+                        flag("limits.retryAfter", false)
+                                ? (long) number("limits.maxRetryAfterUs", 0)
+                                : 0,
+                        flag("limits.parallelTries", false)),
+                new SlowStartSettings(
+                        number("rules.coldFrom", 1),
+                        warmWithinUs,
+                        number("rules.overloadFactor", 1),
+                        (long) number("rules.tipAfterUs", 0)),
+                new ObjectiveWeights(
+                        number("goal.whole", 1),
+                        number("goal.worstWindow", 0),
+                        number("goal.worstClass", 0),
+                        number("goal.worstTenant", 0)),
+                word("membershipMode", "push").equals("ask"),
+                (long) number("rules.askWithinUs", 0),
+                weightSource(word("weightSource", "off")),
+                !word("report.how", "off").equals("off"),
+                flag("extra.tellsStart", false),
+                (long) number("extra.progressUs", 0),
+                number("prices.crossZone", 0),
+                flag("limits.probing", false),
+                flag("limits.peerMessages", false),
+                number("prices.origin", 0),
+                flag("rules.busyIsNoProof", false),
+                (long) number("rules.closeOnDrainWithinUs", DispatchSettings.UNLIMITED));
     }
 
     private List<RequestClass> classes() {
@@ -89,17 +96,22 @@
         final List<RequestClass> classes = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             final String at = "classes." + i + ".";
-            final double familyStretch = i < stretches.size()
-                ? parse("extra.classStretch", stretches.get(i)) : 0;
-            classes.add(new RequestClass(
-                number(at + "worth", 1),
-                (long) number(at + "goalTimeUs"),
-                number(at + "aimStretch", familyStretch),
-                (long) number(at + "deadlineUs"),
-                effect(at + "idempotency"),
-                scope(word(at + "group", "all")),
-                (long) number(at + "keyTtlUs", 0),
-                placement(at, i < kinds.size() ? (int) parse("extra.classKind", kinds.get(i)) : -1)));
+            final double familyStretch =
+                    i < stretches.size() ? parse("extra.classStretch", stretches.get(i)) : 0;
+            classes.add(
+                    new RequestClass(
+                            number(at + "worth", 1),
+                            (long) number(at + "goalTimeUs"),
+                            number(at + "aimStretch", familyStretch),
+                            (long) number(at + "deadlineUs"),
+                            effect(at + "idempotency"),
+                            scope(word(at + "group", "all")),
+                            (long) number(at + "keyTtlUs", 0),
+                            placement(
+                                    at,
+                                    i < kinds.size()
+                                            ? (int) parse("extra.classKind", kinds.get(i))
+                                            : -1)));
         }
         return classes;
     }
@@ -117,15 +129,18 @@
     /** The numbers of a list, or null where the key is absent. */
     private List<Integer> numbers(String key) {
         return values.containsKey(key)
-            ? list(key).stream().map(word -> (int) parse(key, word)).toList() : null;
+                ? list(key).stream().map(word -> (int) parse(key, word)).toList()
+                : null;
     }
 
     private List<Tenant> tenants() {
         final int count = (int) number("tenants.count", 0);
         final List<Tenant> tenants = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            tenants.add(new Tenant(word("tenants." + i + ".name", Integer.toString(i)),
-                number("tenants." + i + ".quotaPerS")));
+            tenants.add(
+                    new Tenant(
+                            word("tenants." + i + ".name", Integer.toString(i)),
+                            number("tenants." + i + ".quotaPerS")));
         }
         // Guards against one customer's requests that count against another's share.
         if (tenants.stream().map(Tenant::name).distinct().count() != count) {
--- a/src/main/java/cresschute/simulator/SimulatorAdapter.java
+++ b/src/main/java/cresschute/simulator/SimulatorAdapter.java
@@ -1,14 +1,14 @@
 package cresschute.simulator;
 
+import cresschute.dispatch.Dispatcher;
 import cresschute.dispatch.DispatcherActions;
 import cresschute.dispatch.DispatcherEvents;
-import cresschute.dispatch.Job;
 import cresschute.dispatch.EndpointListForm;
+import cresschute.dispatch.Job;
 import cresschute.dispatch.LoadReport;
 import cresschute.dispatch.Outcome;
 import cresschute.dispatch.Worker;
 import cresschute.dispatch.WorkerState;
-import cresschute.dispatch.Dispatcher;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
@@ -104,13 +104,14 @@
     }
 
     private void deliverList(DispatcherEvents module, long nowUs) {
-        final EndpointListForm form = switch (reader.u8()) {
-            case 0 -> EndpointListForm.CHANGES;
-            case 1 -> EndpointListForm.FULL;
-            case 2 -> EndpointListForm.CACHED;
-            case 3 -> EndpointListForm.FAILED;
-            default -> throw new MalformedInputException("registry of unknown form");
-        };
+        final EndpointListForm form =
+                switch (reader.u8()) {
+                    case 0 -> EndpointListForm.CHANGES;
+                    case 1 -> EndpointListForm.FULL;
+                    case 2 -> EndpointListForm.CACHED;
+                    case 3 -> EndpointListForm.FAILED;
+                    default -> throw new MalformedInputException("registry of unknown form");
+                };
         reader.u64();
         final int catalog = reader.u32();
         if (form == EndpointListForm.FAILED) {
@@ -119,7 +120,8 @@
         }
         final List<Worker> workers = catalogs.get(catalog);
         if (workers == null) {
-            throw new MalformedInputException("registry names catalog " + catalog + ", which was never sent");
+            throw new MalformedInputException(
+                    "registry names catalog " + catalog + ", which was never sent");
         }
         module.endpointListChanged(nowUs, form, workers);
     }
@@ -132,12 +134,13 @@
             final int zone = reader.u8();
             final int kind = reader.u16();
             final int cell = reader.u16();
-            final WorkerState state = switch (reader.u8()) {
-                case 0 -> WorkerState.GONE;
-                case 1 -> WorkerState.READY;
-                case 2 -> WorkerState.DRAINING;
-                default -> throw new MalformedInputException("worker of unknown condition");
-            };
+            final WorkerState state =
+                    switch (reader.u8()) {
+                        case 0 -> WorkerState.GONE;
+                        case 1 -> WorkerState.READY;
+                        case 2 -> WorkerState.DRAINING;
+                        default -> throw new MalformedInputException("worker of unknown condition");
+                    };
             workers.add(new Worker(id, zone, kind, cell, state, reader.f32(), reader.u64()));
         }
         return List.copyOf(workers);
@@ -152,8 +155,14 @@
         final long costUs = Integer.toUnsignedLong(reader.u32());
         reader.f32();
         final int tenant = reader.u32();
-        final Job job = new Job(requestClass, tenant, slots, (marks & MARK_HINTED) != 0 ? costUs : 0, dataKey,
-            (marks & MARK_REPEATED) != 0);
+        final Job job =
+                new Job(
+                        requestClass,
+                        tenant,
+                        slots,
+                        (marks & MARK_HINTED) != 0 ? costUs : 0,
+                        dataKey,
+                        (marks & MARK_REPEATED) != 0);
         module.requestArrived(nowUs, request, job, reader.u64());
     }
 
@@ -166,7 +175,8 @@
         final boolean closed = reader.u8() != 0;
         reader.u32();
         final LoadReport report = instance.reports().read(reader);
-        instance.module().attemptEnded(nowUs, request, attempt, worker, outcome, elapsedUs, closed, report);
+        instance.module()
+                .attemptEnded(nowUs, request, attempt, worker, outcome, elapsedUs, closed, report);
     }
 
     private void deliverProbe(Instance instance, long nowUs) {
@@ -217,7 +227,11 @@
 
         @Override
         public void send(int requestId, int workerId, long deadlineUs) {
-            reply.record(WireCodes.PLACE, 20).u32(instance).u32(requestId).u64(deadlineUs).u32(workerId);
+            reply.record(WireCodes.PLACE, 20)
+                    .u32(instance)
+                    .u32(requestId)
+                    .u64(deadlineUs)
+                    .u32(workerId);
         }
 
         @Override
@@ -247,8 +261,12 @@
 
         @Override
         public void reportUnresponsive(int workerId, int requestClass) {
-            reply.record(WireCodes.SAY, 10 + SILENT_BYTES).u32(instance).u32(EVERY_PEER).u16(SILENT_BYTES)
-                .u32(workerId).u16(requestClass);
+            reply.record(WireCodes.SAY, 10 + SILENT_BYTES)
+                    .u32(instance)
+                    .u32(EVERY_PEER)
+                    .u16(SILENT_BYTES)
+                    .u32(workerId)
+                    .u16(requestClass);
         }
 
         @Override
--- a/src/main/java/cresschute/testbed/CellKeys.java
+++ b/src/main/java/cresschute/testbed/CellKeys.java
@@ -7,8 +7,8 @@
 import java.util.function.Consumer;
 
 /**
- * What the workers of one cell know of keys: a repeat within the window does not run. It waits for the first
- * run and takes its result; if that is lost with its worker, the key is free again.
+ * What the workers of one cell know of keys: a repeat within the window does not run. It waits for
+ * the first run and takes its result; if that is lost with its worker, the key is free again.
  */
 public final class CellKeys {
 
@@ -29,7 +29,8 @@
     /**
      * Takes a key in; true where its job is to run.
      *
-     * @param otherwise called with the first run's result where it is not, or with null if that run is lost
+     * @param otherwise called with the first run's result where it is not, or with null if that run
+     *     is lost
      */
     public boolean begins(String key, long nowUs, Consumer<String> otherwise) {
         final Entry entry = entries.get(key);
--- a/src/main/java/cresschute/testbed/DiscoveryStandIn.java
+++ b/src/main/java/cresschute/testbed/DiscoveryStandIn.java
@@ -3,8 +3,8 @@
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
 import cresschute.testbed.Observation.WorkerTold;
-import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelHandler;
+import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.EventLoop;
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.handler.codec.http.FullHttpRequest;
@@ -24,24 +24,33 @@
 import java.util.function.Supplier;
 
 /**
- * The service that tells of the workers: the whole list, and watches that wait for changes. What happens to a
- * worker is told as late as it is set to; it can be down, and its connections reset. All on one loop.
+ * The service that tells of the workers: the whole list, and watches that wait for changes. What
+ * happens to a worker is told as late as it is set to; it can be down, and its connections reset.
+ * All on one loop.
  */
 public final class DiscoveryStandIn {
 
     private static final String PATH = "/registry/instances";
     private static final int MAX_BODY_BYTES = 4096;
     private static final long MAX_WAIT_MS = 60_000;
+
     /** How many changes are kept; a watch from before them is told the whole list. */
     private static final int MAX_CHANGES = 10_000;
 
-    private record Entry(String id, InetSocketAddress address, String zone, String kind, int cell,
-        String state, long startedMs) {
+    private record Entry(
+            String id,
+            InetSocketAddress address,
+            String zone,
+            String kind,
+            int cell,
+            String state,
+            long startedMs) {
 
         JsonObject json() {
             final JsonObject json = new JsonObject();
             json.addProperty("id", id);
-            json.addProperty("addr", address.getAddress().getHostAddress() + ":" + address.getPort());
+            json.addProperty(
+                    "addr", address.getAddress().getHostAddress() + ":" + address.getPort());
             json.addProperty("zone", zone);
             json.addProperty("kind", kind);
             json.addProperty("cell", cell);
@@ -79,13 +88,19 @@
     public DiscoveryStandIn(EventLoop loop, Recorder recorder, Supplier<ChannelHandler> first) {
         this.loop = loop;
         this.recorder = recorder;
-        server = new LoopbackServer(loop, channel -> {
-            if (first != null) {
-                channel.pipeline().addLast(first.get());
-            }
-            channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_BODY_BYTES),
-                new Handler());
-        });
+        server =
+                new LoopbackServer(
+                        loop,
+                        channel -> {
+                            if (first != null) {
+                                channel.pipeline().addLast(first.get());
+                            }
+                            channel.pipeline()
+                                    .addLast(
+                                            new HttpServerCodec(),
+                                            new HttpObjectAggregator(MAX_BODY_BYTES),
+                                            new Handler());
+                        });
     }
 
     /** Listens on a free port of the loopback address; blocks, so not on the loop. */
@@ -124,19 +139,33 @@
         }
     }
 
-    /** A worker's state, as {@code SERVING}, {@code DRAINING} or {@code DELETED}; told when it is due. */
+    /**
+     * A worker's state, as {@code SERVING}, {@code DRAINING} or {@code DELETED}; told when it is
+     * due.
+     */
     void set(WorkerStandIn worker, String state, long startedMs) {
         set(worker.make(), worker.address(), state, startedMs);
     }
 
     /** The same of a worker that is nowhere but on the list. */
-    public void set(WorkerStandIn.Make make, InetSocketAddress address, String state, long startedMs) {
-        final Entry entry = new Entry(make.id(), address, make.zone(), make.kind(), make.cell(), state,
-            startedMs);
+    public void set(
+            WorkerStandIn.Make make, InetSocketAddress address, String state, long startedMs) {
+        final Entry entry =
+                new Entry(
+                        make.id(),
+                        address,
+                        make.zone(),
+                        make.kind(),
+                        make.cell(),
+                        state,
+                        startedMs);
         loop.schedule(() -> publish(entry), lateUs, TimeUnit.MICROSECONDS);
     }
 
-    /** As after its own restart: it knows no changes, and each watch is answered with the whole list. */
+    /**
+     * As after its own restart: it knows no changes, and each watch is answered with the whole
+     * list.
+     */
     void forgetChanges() {
         changes.clear();
         version++;
@@ -203,11 +232,14 @@
         }
         final Watch watch = new Watch(ctx, since);
         watches.add(watch);
-        loop.schedule(() -> {
-            if (watches.remove(watch)) {
-                changed(ctx, since);
-            }
-        }, Math.min(timeoutMs, MAX_WAIT_MS), TimeUnit.MILLISECONDS);
+        loop.schedule(
+                () -> {
+                    if (watches.remove(watch)) {
+                        changed(ctx, since);
+                    }
+                },
+                Math.min(timeoutMs, MAX_WAIT_MS),
+                TimeUnit.MILLISECONDS);
     }
 
     private void whole(ChannelHandlerContext ctx) {
@@ -222,16 +254,25 @@
             return;
         }
         final Set<String> ids = new HashSet<>();
-        changes.stream().filter(change -> change.version() > since).forEach(change -> ids.add(change.id()));
+        changes.stream()
+                .filter(change -> change.version() > since)
+                .forEach(change -> ids.add(change.id()));
         final JsonArray servers = new JsonArray();
         for (final String id : ids) {
             final Entry entry = entries.get(id);
             if (entry != null) {
                 servers.add(entry.json());
             } else {
-                servers.add(new Entry(id, new InetSocketAddress(InetAddress.getLoopbackAddress(), 1), "a",
-                    "gone", 0,
-                    "DELETED", 0).json());
+                servers.add(
+                        new Entry(
+                                        id,
+                                        new InetSocketAddress(InetAddress.getLoopbackAddress(), 1),
+                                        "a",
+                                        "gone",
+                                        0,
+                                        "DELETED",
+                                        0)
+                                .json());
             }
         }
         tell(ctx, false, servers);
@@ -243,10 +284,14 @@
         list.addProperty("full", full);
         list.add("servers", servers);
         final long us = recorder.nowUs();
-        servers.forEach(each -> recorder.add(new WorkerTold(us,
-            each.getAsJsonObject().get("id").getAsString(),
-            each.getAsJsonObject().get("state").getAsString(),
-            each.getAsJsonObject().get("started_ms").getAsLong())));
+        servers.forEach(
+                each ->
+                        recorder.add(
+                                new WorkerTold(
+                                        us,
+                                        each.getAsJsonObject().get("id").getAsString(),
+                                        each.getAsJsonObject().get("state").getAsString(),
+                                        each.getAsJsonObject().get("started_ms").getAsLong())));
         answer(ctx, HttpResponseStatus.OK, list.toString());
     }
 
--- a/src/main/java/cresschute/testbed/Durations.java
+++ b/src/main/java/cresschute/testbed/Durations.java
@@ -14,15 +14,18 @@
     public static long parseUs(String text) {
         final Matcher matcher = FORM.matcher(text.strip());
         if (!matcher.matches()) {
-            throw new IllegalArgumentException("'" + text
-                + "' is no duration; allowed: a number and ms, s or m, "
-                + "such as 500ms");
+            throw new IllegalArgumentException(
+                    "'"
+                            + text
+                            + "' is no duration; allowed: a number and ms, s or m, "
+                            + "such as 500ms");
         }
-        final double unit = switch (matcher.group(2)) {
-            case "ms" -> 1e3;
-            case "s" -> 1e6;
-            default -> 60e6;
-        };
+        final double unit =
+                switch (matcher.group(2)) {
+                    case "ms" -> 1e3;
+                    case "s" -> 1e6;
+                    default -> 60e6;
+                };
         return Math.round(Double.parseDouble(matcher.group(1)) * unit);
     }
 }
--- a/src/main/java/cresschute/testbed/Fleet.java
+++ b/src/main/java/cresschute/testbed/Fleet.java
@@ -1,14 +1,14 @@
 package cresschute.testbed;
 
 import cresschute.dispatch.SlowStartSettings;
-import cresschute.testbed.JobClass.Demand;
-import cresschute.testbed.Observation.OperatorDrained;
-import cresschute.testbed.Observation.SendCame;
 import cresschute.node.NodeConfig;
 import cresschute.node.NodeServer;
 import cresschute.settings.ApplianceSettings;
 import cresschute.settings.Problem;
 import cresschute.settings.SettingsFile;
+import cresschute.testbed.JobClass.Demand;
+import cresschute.testbed.Observation.OperatorDrained;
+import cresschute.testbed.Observation.SendCame;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -31,9 +31,10 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * A whole site on loopback ports: a discovery service, workers, clients, and between them a node of the program
- * itself, as {@code serve} runs it, on a loop of its own. The stand-ins share one other loop. All chance
- * comes from a seed; the times at which sockets are read do not, so that runs are alike and not the same.
+ * A whole site on loopback ports: a discovery service, workers, clients, and between them a node of
+ * the program itself, as {@code serve} runs it, on a loop of its own. The stand-ins share one other
+ * loop. All chance comes from a seed; the times at which sockets are read do not, so that runs are
+ * alike and not the same.
  */
 public final class Fleet implements AutoCloseable {
 
@@ -41,6 +42,7 @@
     private static final double BIG_SHARE = 0.3;
     private static final long TOLD_LATE_US = 200_000;
     private static final long STOP_S = 10;
+
     /** The longest wait for a call on the loop, s. */
     private static final long MAX_LOOP_WAIT_S = 30;
 
@@ -51,8 +53,13 @@
      * @param controlSocket where consoles connect to the node, or null
      * @param stateFolder where the node keeps its operators' drains, or null
      */
-    public record Plan(int workers, double ratePerS, long seed, List<InjectedFault> faults, String controlSocket,
-        String stateFolder) {
+    public record Plan(
+            int workers,
+            double ratePerS,
+            long seed,
+            List<InjectedFault> faults,
+            String controlSocket,
+            String stateFolder) {
 
         /** A fleet whose node no console can connect to. */
         public Plan(int workers, double ratePerS, long seed, List<InjectedFault> faults) {
@@ -62,7 +69,8 @@
 
     private final Plan plan;
     private final Recorder recorder = new Recorder();
-    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final EventLoopGroup group =
+            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final UniformRandomProvider chance;
     private final List<WorkerStandIn> workers = new ArrayList<>();
@@ -86,10 +94,20 @@
                 workers.add(worker(i, bare));
             }
             settings = settings(discoveryAt, workers);
-            classes = JobClass.of(settings, List.of(new Demand("lookup", 0.49, 400_000),
-                new Demand("report", 0.27, 1_500_000), new Demand("file", 0.24, 2_400_000)));
-            clients = new LoadClients(loop, recorder, RandomSource.XO_SHI_RO_256_PP.create(plan.seed() + 1),
-                classes, plan.ratePerS());
+            classes =
+                    JobClass.of(
+                            settings,
+                            List.of(
+                                    new Demand("lookup", 0.49, 400_000),
+                                    new Demand("report", 0.27, 1_500_000),
+                                    new Demand("file", 0.24, 2_400_000)));
+            clients =
+                    new LoadClients(
+                            loop,
+                            recorder,
+                            RandomSource.XO_SHI_RO_256_PP.create(plan.seed() + 1),
+                            classes,
+                            plan.ratePerS());
             node = new NodeServer(NodeConfig.of(settings, plan.seed()));
             checkFaults();
         } catch (RuntimeException e) {
@@ -100,37 +118,68 @@
 
     private WorkerStandIn worker(int number, ApplianceSettings bare) {
         final boolean big = chance.nextDouble() < BIG_SHARE;
-        final double speed = big ? 1.3 + 0.4 * chance.nextDouble() : 0.85 + 0.25 * chance.nextDouble();
+        final double speed =
+                big ? 1.3 + 0.4 * chance.nextDouble() : 0.85 + 0.25 * chance.nextDouble();
         final int cell = number % CELLS;
-        final WorkerStandIn worker = new WorkerStandIn(loop, recorder,
-            RandomSource.XO_SHI_RO_256_PP.create(plan.seed() + 100 + number),
-            new WorkerStandIn.Make("w" + (number + 1), cell, "local", big ? "big" : "std", big ? 5 : 4,
-                speed),
-            number < CELLS ? new CellKeys(windowUs(bare)) : workers.get(cell).keys(),
-            bare.module().slowStart());
+        final WorkerStandIn worker =
+                new WorkerStandIn(
+                        loop,
+                        recorder,
+                        RandomSource.XO_SHI_RO_256_PP.create(plan.seed() + 100 + number),
+                        new WorkerStandIn.Make(
+                                "w" + (number + 1),
+                                cell,
+                                "local",
+                                big ? "big" : "std",
+                                big ? 5 : 4,
+                                speed),
+                        number < CELLS ? new CellKeys(windowUs(bare)) : workers.get(cell).keys(),
+                        bare.module().slowStart());
         worker.start();
         onLoop(() -> discovery.set(worker, "SERVING", 0));
         return worker;
     }
 
     private static long windowUs(ApplianceSettings settings) {
-        return settings.module().classes().stream().mapToLong(each -> each.deduplicationWindowUs()).max().orElse(0);
+        return settings.module().classes().stream()
+                .mapToLong(each -> each.deduplicationWindowUs())
+                .max()
+                .orElse(0);
     }
 
     /** The settings come from a script, as a site's do; the addresses are put before it. */
     private ApplianceSettings settings(InetSocketAddress discovery, List<WorkerStandIn> workers) {
-        final String script = "DIRECTOR = \"127.0.0.1:" + discovery.getPort() + "\"\nWORKERS = ["
-            + workers.stream().map(each -> "(\"" + each.make().id() + "\", \"127.0.0.1:"
-                + each.address().getPort() + "\", \"" + each.make().kind() + "\", "
-                + each.make().cell() + ")")
-                .collect(Collectors.joining(", ")) + "]\n" + demoScript()
-            + (plan.controlSocket() == null ? ""
-                : "\ncontrol(socket = " + quoted(plan.controlSocket()) + ")\n")
-            + (plan.stateFolder() == null ? "" : "\nstate(folder = " + quoted(plan.stateFolder()) + ")\n");
+        final String script =
+                "DIRECTOR = \"127.0.0.1:"
+                        + discovery.getPort()
+                        + "\"\nWORKERS = ["
+                        + workers.stream()
+                                .map(
+                                        each ->
+                                                "(\""
+                                                        + each.make().id()
+                                                        + "\", \"127.0.0.1:"
+                                                        + each.address().getPort()
+                                                        + "\", \""
+                                                        + each.make().kind()
+                                                        + "\", "
+                                                        + each.make().cell()
+                                                        + ")")
+                                .collect(Collectors.joining(", "))
+                        + "]\n"
+                        + demoScript()
+                        + (plan.controlSocket() == null
+                                ? ""
+                                : "\ncontrol(socket = " + quoted(plan.controlSocket()) + ")\n")
+                        + (plan.stateFolder() == null
+                                ? ""
+                                : "\nstate(folder = " + quoted(plan.stateFolder()) + ")\n");
         final SettingsFile.Result result = SettingsFile.parse(script);
         if (result.settings() == null) {
-            throw new IllegalStateException(result.problems().stream().map(Problem::toString)
-                .collect(Collectors.joining("; ")));
+            throw new IllegalStateException(
+                    result.problems().stream()
+                            .map(Problem::toString)
+                            .collect(Collectors.joining("; ")));
         }
         return result.settings();
     }
@@ -150,9 +199,13 @@
     private void checkFaults() {
         for (final InjectedFault fault : plan.faults()) {
             if (fault.worker() != null
-                && workers.stream().noneMatch(each -> each.make().id().equals(fault.worker()))) {
-                throw new IllegalArgumentException("no worker is called '" + fault.worker()
-                    + "'; there are w1 to w" + workers.size());
+                    && workers.stream()
+                            .noneMatch(each -> each.make().id().equals(fault.worker()))) {
+                throw new IllegalArgumentException(
+                        "no worker is called '"
+                                + fault.worker()
+                                + "'; there are w1 to w"
+                                + workers.size());
             }
         }
     }
@@ -160,21 +213,27 @@
     /** Starts the node, then the clients, then the clock of the faults. */
     public void start() {
         final SocketAddress at = node.start();
-        onLoop(() -> {
-            discovery.late(TOLD_LATE_US);
-            clients.start(at);
-            plan.faults().forEach(this::plan);
-        });
+        onLoop(
+                () -> {
+                    discovery.late(TOLD_LATE_US);
+                    clients.start(at);
+                    plan.faults().forEach(this::plan);
+                });
     }
 
     // ---- Faults ----
 
     private void plan(InjectedFault fault) {
-        final WorkerStandIn worker = !fault.kind().isOfWorker() ? null
-            : workers.stream().filter(each -> each.make().id().equals(fault.worker())).findFirst()
-                .orElseGet(() -> workers.get(chance.nextInt(workers.size())));
+        final WorkerStandIn worker =
+                !fault.kind().isOfWorker()
+                        ? null
+                        : workers.stream()
+                                .filter(each -> each.make().id().equals(fault.worker()))
+                                .findFirst()
+                                .orElseGet(() -> workers.get(chance.nextInt(workers.size())));
         loop.schedule(() -> begin(fault, worker), fault.atUs(), TimeUnit.MICROSECONDS);
-        loop.schedule(() -> end(fault, worker), fault.atUs() + fault.forUs(), TimeUnit.MICROSECONDS);
+        loop.schedule(
+                () -> end(fault, worker), fault.atUs() + fault.forUs(), TimeUnit.MICROSECONDS);
     }
 
     private void begin(InjectedFault fault, WorkerStandIn worker) {
@@ -223,14 +282,17 @@
     /** Jobs that wait for their answer now. */
     public int waiting() {
         return CompletableFuture.supplyAsync(clients::waiting, loop)
-            .orTimeout(MAX_LOOP_WAIT_S, TimeUnit.SECONDS).join();
+                .orTimeout(MAX_LOOP_WAIT_S, TimeUnit.SECONDS)
+                .join();
     }
 
     /** What was seen so far, and what it comes to. */
     public FleetReport report() {
         final List<Observation> seen = recorder.seen();
-        return new FleetReport(RequestOutcomes.of(seen, classes), RuleChecker.check(seen, classes, coldStart()),
-            node.invariantBreaches());
+        return new FleetReport(
+                RequestOutcomes.of(seen, classes),
+                RuleChecker.check(seen, classes, coldStart()),
+                node.invariantBreaches());
     }
 
     /** The observations so far. */
@@ -249,10 +311,16 @@
     }
 
     private WorkerStandIn workerCalled(String id) {
-        return workers.stream().filter(each -> each.make().id().equals(id)).findFirst().orElseThrow();
+        return workers.stream()
+                .filter(each -> each.make().id().equals(id))
+                .findFirst()
+                .orElseThrow();
     }
 
-    /** Notes for the checker of the rules that an operator's drain holds from this time on, Unix time, us. */
+    /**
+     * Notes for the checker of the rules that an operator's drain holds from this time on, Unix
+     * time, us.
+     */
     public void drainedAt(String worker, long us) {
         recorder.add(new OperatorDrained(us, worker, true));
     }
@@ -278,11 +346,15 @@
         return node.loopCpuNs();
     }
 
-    /** How much each worker was sent within a span of Unix time in microseconds; none is not there. */
+    /**
+     * How much each worker was sent within a span of Unix time in microseconds; none is not there.
+     */
     public Map<String, Long> sends(long fromUs, long toUs) {
-        return recorder.seen().stream().filter(SendCame.class::isInstance).map(SendCame.class::cast)
-            .filter(each -> each.firstByteUs() > fromUs && each.firstByteUs() <= toUs)
-            .collect(Collectors.groupingBy(SendCame::worker, Collectors.counting()));
+        return recorder.seen().stream()
+                .filter(SendCame.class::isInstance)
+                .map(SendCame.class::cast)
+                .filter(each -> each.firstByteUs() > fromUs && each.firstByteUs() <= toUs)
+                .collect(Collectors.groupingBy(SendCame::worker, Collectors.counting()));
     }
 
     /** Discovery forgets what it has told, so that its next answer is a whole list. */
@@ -303,7 +375,10 @@
         stop();
     }
 
-    /** Ends it all, once: clients leave, the node stops as by SIGTERM, then workers and discovery go. */
+    /**
+     * Ends it all, once: clients leave, the node stops as by SIGTERM, then workers and discovery
+     * go.
+     */
     public synchronized void stop() {
         if (closed) {
             return;
@@ -318,10 +393,11 @@
         } catch (ExecutionException | TimeoutException e) {
             node.halt();
         }
-        onLoop(() -> {
-            workers.forEach(WorkerStandIn::close);
-            discovery.close();
-        });
+        onLoop(
+                () -> {
+                    workers.forEach(WorkerStandIn::close);
+                    discovery.close();
+                });
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
     }
 
--- a/src/main/java/cresschute/testbed/FleetReport.java
+++ b/src/main/java/cresschute/testbed/FleetReport.java
@@ -15,8 +15,9 @@
 /**
  * What a run of a fleet came to, for people and for programs.
  *
- * @param invariantBreaches how often the node found by itself that something did not hold that must; a
- *     machine without time to spare makes answers late, so that they are told and break no rule
+ * @param invariantBreaches how often the node found by itself that something did not hold that
+ *     must; a machine without time to spare makes answers late, so that they are told and break no
+ *     rule
  */
 public record FleetReport(RequestOutcomes outcomes, List<Breach> breaches, long invariantBreaches) {
 
@@ -76,35 +77,85 @@
     public List<String> table(int columns) {
         final List<String> lines = new ArrayList<>();
         if (columns >= WIDE) {
-            lines.add(String.format(Locale.ROOT, "%-12s %6s %6s %7s %6s %7s %9s %9s", "class", "asked",
-                "served", "refused", "failed", "in time", "p50 ms", "p99 ms"));
-            outcomes.classes().forEach((name, each) -> lines.add(String.format(Locale.ROOT,
-                "%-12s %6d %6d %7d %6d %7d %9.0f %9.0f", cut(name, 12), each.asked(), each.ended(End.SERVED),
-                each.ended(End.REFUSED), failed(each), each.inTime(), each.servedMs(P50),
-                each.servedMs(P99))));
-            lines.add(String.format(Locale.ROOT, "%-12s %6d %6d %7d %6d %7d", "all", outcomes.asked(),
-                outcomes.ended(End.SERVED), outcomes.ended(End.REFUSED), allFailed(), outcomes.inTime()));
+            lines.add(
+                    String.format(
+                            Locale.ROOT,
+                            "%-12s %6s %6s %7s %6s %7s %9s %9s",
+                            "class",
+                            "asked",
+                            "served",
+                            "refused",
+                            "failed",
+                            "in time",
+                            "p50 ms",
+                            "p99 ms"));
+            outcomes.classes()
+                    .forEach(
+                            (name, each) ->
+                                    lines.add(
+                                            String.format(
+                                                    Locale.ROOT,
+                                                    "%-12s %6d %6d %7d %6d %7d %9.0f %9.0f",
+                                                    cut(name, 12),
+                                                    each.asked(),
+                                                    each.ended(End.SERVED),
+                                                    each.ended(End.REFUSED),
+                                                    failed(each),
+                                                    each.inTime(),
+                                                    each.servedMs(P50),
+                                                    each.servedMs(P99))));
+            lines.add(
+                    String.format(
+                            Locale.ROOT,
+                            "%-12s %6d %6d %7d %6d %7d",
+                            "all",
+                            outcomes.asked(),
+                            outcomes.ended(End.SERVED),
+                            outcomes.ended(End.REFUSED),
+                            allFailed(),
+                            outcomes.inTime()));
         } else {
             for (final Map.Entry<String, OfClass> entry : outcomes.classes().entrySet()) {
                 final OfClass each = entry.getValue();
                 lines.add(cut(entry.getKey(), columns));
-                lines.add(String.format(Locale.ROOT, "  asked %d served %d in time %d", each.asked(),
-                    each.ended(End.SERVED), each.inTime()));
-                lines.add(String.format(Locale.ROOT, "  refused %d failed %d", each.ended(End.REFUSED),
-                    failed(each)));
-                lines.add(String.format(Locale.ROOT, "  p50 %.0f ms, p99 %.0f ms", each.servedMs(P50),
-                    each.servedMs(P99)));
+                lines.add(
+                        String.format(
+                                Locale.ROOT,
+                                "  asked %d served %d in time %d",
+                                each.asked(),
+                                each.ended(End.SERVED),
+                                each.inTime()));
+                lines.add(
+                        String.format(
+                                Locale.ROOT,
+                                "  refused %d failed %d",
+                                each.ended(End.REFUSED),
+                                failed(each)));
+                lines.add(
+                        String.format(
+                                Locale.ROOT,
+                                "  p50 %.0f ms, p99 %.0f ms",
+                                each.servedMs(P50),
+                                each.servedMs(P99)));
             }
         }
         if (outcomes.ended(End.UNFINISHED) > 0) {
             lines.add("cut off while waiting: " + outcomes.ended(End.UNFINISHED));
         }
-        lines.add(String.format(Locale.ROOT, "worth kept: %.3f of 1", outcomes.weightedServedFraction()));
+        lines.add(
+                String.format(
+                        Locale.ROOT, "worth kept: %.3f of 1", outcomes.weightedServedFraction()));
         for (final Rule rule : Rule.values()) {
             final List<Breach> of = breaches.stream().filter(each -> each.rule() == rule).toList();
-            lines.add(String.format(Locale.ROOT, "%-18s %s", rule.wireName().replace('_', ' '),
-                of.isEmpty() ? "kept" : "BROKEN " + of.size() + " times"));
-            of.stream().limit(MAX_BREACHES_SHOWN).forEach(each -> wrap("  " + each.what(), columns, lines));
+            lines.add(
+                    String.format(
+                            Locale.ROOT,
+                            "%-18s %s",
+                            rule.wireName().replace('_', ' '),
+                            of.isEmpty() ? "kept" : "BROKEN " + of.size() + " times"));
+            of.stream()
+                    .limit(MAX_BREACHES_SHOWN)
+                    .forEach(each -> wrap("  " + each.what(), columns, lines));
         }
         if (invariantBreaches > 0) {
             lines.add("the node's own invariants: broken " + invariantBreaches);
--- a/src/main/java/cresschute/testbed/JobClass.java
+++ b/src/main/java/cresschute/testbed/JobClass.java
@@ -1,7 +1,7 @@
 package cresschute.testbed;
 
-import cresschute.dispatch.Idempotency;
 import cresschute.dispatch.DeduplicationScope;
+import cresschute.dispatch.Idempotency;
 import cresschute.dispatch.RequestClass;
 import cresschute.settings.ApplianceSettings;
 import java.util.ArrayList;
@@ -14,22 +14,47 @@
  * @param meanWorkUs running time at speed 1 on average
  * @param maxAttempts how often one request may be sent to workers
  */
-public record JobClass(String name, double priorityWeight, long latencyObjectiveUs, double latencyObjectiveStretch, long deadlineUs,
-    Idempotency effect,
-    DeduplicationScope scope, long repeatWindowUs, int maxAttempts, double share, long meanWorkUs) {
+public record JobClass(
+        String name,
+        double priorityWeight,
+        long latencyObjectiveUs,
+        double latencyObjectiveStretch,
+        long deadlineUs,
+        Idempotency effect,
+        DeduplicationScope scope,
+        long repeatWindowUs,
+        int maxAttempts,
+        double share,
+        long meanWorkUs) {
 
-    /** The classes of settings; a job takes a fifth of its latency objective on average, and all are sent as often. */
+    /**
+     * The classes of settings; a job takes a fifth of its latency objective on average, and all are
+     * sent as often.
+     */
     static List<JobClass> of(ApplianceSettings settings, List<Demand> demands) {
         final List<JobClass> classes = new ArrayList<>();
         for (int i = 0; i < settings.classes().size(); i++) {
             final String name = settings.classes().get(i);
             final RequestClass stated = settings.module().classes().get(i);
-            final Demand demand = demands.stream().filter(each -> each.className().equals(name)).findFirst()
-                .orElse(new Demand(name, 1, stated.latencyObjectiveUs() / 5));
-            classes.add(new JobClass(name, stated.priorityWeight(), stated.latencyObjectiveUs(), stated.latencyObjectiveStretch(),
-                stated.deadlineUs(), stated.idempotency(), stated.deduplicationScope(), stated.deduplicationWindowUs(),
-                Math.min(stated.maxAttempts(), settings.module().limits().maxAttempts()), demand.share(),
-                demand.meanWorkUs()));
+            final Demand demand =
+                    demands.stream()
+                            .filter(each -> each.className().equals(name))
+                            .findFirst()
+                            .orElse(new Demand(name, 1, stated.latencyObjectiveUs() / 5));
+            classes.add(
+                    new JobClass(
+                            name,
+                            stated.priorityWeight(),
+                            stated.latencyObjectiveUs(),
+                            stated.latencyObjectiveStretch(),
+                            stated.deadlineUs(),
+                            stated.idempotency(),
+                            stated.deduplicationScope(),
+                            stated.deduplicationWindowUs(),
+                            Math.min(
+                                    stated.maxAttempts(), settings.module().limits().maxAttempts()),
+                            demand.share(),
+                            demand.meanWorkUs()));
         }
         return List.copyOf(classes);
     }
--- a/src/main/java/cresschute/testbed/LargeFleet.java
+++ b/src/main/java/cresschute/testbed/LargeFleet.java
@@ -18,18 +18,21 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * A node that is told of very many workers, by a discovery service whose list does not rest: for what consoles cost
- * at that size. Nobody sends jobs, so that none of the workers need be there.
+ * A node that is told of very many workers, by a discovery service whose list does not rest: for
+ * what consoles cost at that size. Nobody sends jobs, so that none of the workers need be there.
  */
 public final class LargeFleet implements AutoCloseable {
 
     private static final long STEP_MS = 50;
+
     /** The longest wait for a call on the loop, or for the node's end, s. */
     private static final long MAX_WAIT_S = 30;
-    private static final InetSocketAddress NOWHERE = new InetSocketAddress(InetAddress.getLoopbackAddress(),
-        1);
 
-    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private static final InetSocketAddress NOWHERE =
+            new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
+
+    private final EventLoopGroup group =
+            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final UniformRandomProvider chance;
     private final DiscoveryStandIn discovery;
@@ -46,26 +49,46 @@
         for (int i = 0; i < count; i++) {
             workers.add(new WorkerStandIn.Make("w" + (i + 1), i % 10, "local", "std", 4, 1));
         }
-        CompletableFuture.runAsync(() -> workers.forEach(each -> discovery.set(each, NOWHERE, "SERVING", 0)),
-            loop).orTimeout(MAX_WAIT_S, TimeUnit.SECONDS).join();
-        node = new NodeServer(NodeConfig.of(SettingsFile.parse("""
-            node(name = "wide", listen = "127.0.0.1:0", seed = 1)
-            director(address = "127.0.0.1:%d")
-            job_class(name = "lookup", worth = 1, aim = 1 * s, deadline = 5 * s, effect = "safe")
-            control(socket = "%s")
-            """.formatted(at.getPort(), controlSocket)).settings(), seed));
+        CompletableFuture.runAsync(
+                        () -> workers.forEach(each -> discovery.set(each, NOWHERE, "SERVING", 0)),
+                        loop)
+                .orTimeout(MAX_WAIT_S, TimeUnit.SECONDS)
+                .join();
+        node =
+                new NodeServer(
+                        NodeConfig.of(
+                                SettingsFile.parse(
+                                                """
+                                                node(name = "wide", listen = "127.0.0.1:0", seed = 1)
+                                                director(address = "127.0.0.1:%d")
+                                                job_class(name = "lookup", worth = 1, aim = 1 * s, deadline = 5 * s, effect = "safe")
+                                                control(socket = "%s")
+                                                """
+                                                        .formatted(at.getPort(), controlSocket))
+                                        .settings(),
+                                seed));
         node.start();
     }
 
-    /** From now on so many workers a second change between serving and draining, drawn by the seed. */
+    /**
+     * From now on so many workers a second change between serving and draining, drawn by the seed.
+     */
     public void churn(int perS) {
-        loop.scheduleAtFixedRate(() -> {
-            for (int i = 0; i < perS * STEP_MS / 1_000; i++) {
-                final int worker = chance.nextInt(drains.length);
-                drains[worker] = !drains[worker];
-                discovery.set(workers.get(worker), NOWHERE, drains[worker] ? "DRAINING" : "SERVING", 0);
-            }
-        }, STEP_MS, STEP_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleAtFixedRate(
+                () -> {
+                    for (int i = 0; i < perS * STEP_MS / 1_000; i++) {
+                        final int worker = chance.nextInt(drains.length);
+                        drains[worker] = !drains[worker];
+                        discovery.set(
+                                workers.get(worker),
+                                NOWHERE,
+                                drains[worker] ? "DRAINING" : "SERVING",
+                                0);
+                    }
+                },
+                STEP_MS,
+                STEP_MS,
+                TimeUnit.MILLISECONDS);
     }
 
     /** CPU time of the node's one loop, ns. */
@@ -76,7 +99,9 @@
     @Override
     public void close() {
         node.stop().orTimeout(MAX_WAIT_S, TimeUnit.SECONDS).join();
-        CompletableFuture.runAsync(discovery::close, loop).orTimeout(MAX_WAIT_S, TimeUnit.SECONDS).join();
+        CompletableFuture.runAsync(discovery::close, loop)
+                .orTimeout(MAX_WAIT_S, TimeUnit.SECONDS)
+                .join();
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
     }
 }
--- a/src/main/java/cresschute/testbed/LoadClients.java
+++ b/src/main/java/cresschute/testbed/LoadClients.java
@@ -44,20 +44,26 @@
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 
 /**
- * Clients of a node. Jobs come in an open loop, whether earlier ones are answered or not. Clients keep their
- * connections, send one request at a time on each, try again after a refusal up to two times as it advises, and
- * after a failure where a repeat is safe. All of it happens on one loop.
+ * Clients of a node. Jobs come in an open loop, whether earlier ones are answered or not. Clients
+ * keep their connections, send one request at a time on each, try again after a refusal up to two
+ * times as it advises, and after a failure where a repeat is safe. All of it happens on one loop.
  */
 public final class LoadClients {
 
     /** The status of an answer that serves. */
     public static final int OK = 200;
+
     private static final int REFUSED = 503;
     private static final int TOO_MANY = 429;
     private static final int MAX_TRIES = 3;
     private static final int MAX_ANSWER_BYTES = 1 << 20;
-    /** How long after its deadline a request is still listened for: an answer so late is late, but it is one. */
+
+    /**
+     * How long after its deadline a request is still listened for: an answer so late is late, but
+     * it is one.
+     */
     private static final long LATE_BEYOND_US = 2_000_000;
+
     private static final double SPREAD = 0.45;
     private static final double TAIL_SHARE = 0.02;
     private static final double WIDE_SHARE = 0.25;
@@ -81,17 +87,23 @@
     private int lastOrigin;
 
     /** Clients that send nothing yet. */
-    public LoadClients(EventLoop loop, Recorder recorder, UniformRandomProvider chance,
-        List<JobClass> classes,
-        double ratePerS) {
+    public LoadClients(
+            EventLoop loop,
+            Recorder recorder,
+            UniformRandomProvider chance,
+            List<JobClass> classes,
+            double ratePerS) {
         this.loop = loop;
         this.recorder = recorder;
         this.chance = chance;
         this.classes = classes;
         this.ratePerS = ratePerS;
         // A mean of 1: work varies by about half, as jobs of one class do.
-        this.spread = LogNormalSampler.of(ZigguratSampler.NormalizedGaussian.of(chance), -SPREAD * SPREAD / 2,
-            SPREAD);
+        this.spread =
+                LogNormalSampler.of(
+                        ZigguratSampler.NormalizedGaussian.of(chance),
+                        -SPREAD * SPREAD / 2,
+                        SPREAD);
         this.gap = ZigguratSampler.Exponential.of(chance, 1);
     }
 
@@ -103,7 +115,10 @@
         next();
     }
 
-    /** From now on what is submitted goes to these, drawn evenly; nothing arrives by itself. On the loop. */
+    /**
+     * From now on what is submitted goes to these, drawn evenly; nothing arrives by itself. On the
+     * loop.
+     */
     public void connectTo(List<SocketAddress> to) {
         nodes = List.copyOf(to);
         arriving = true;
@@ -147,12 +162,15 @@
 
     private void next() {
         final long delayUs = (long) (gap.sample() * 1e6 / (ratePerS * burst));
-        loop.schedule(() -> {
-            if (arriving) {
-                arrive();
-                next();
-            }
-        }, delayUs, TimeUnit.MICROSECONDS);
+        loop.schedule(
+                () -> {
+                    if (arriving) {
+                        arrive();
+                        next();
+                    }
+                },
+                delayUs,
+                TimeUnit.MICROSECONDS);
     }
 
     private void arrive() {
@@ -205,8 +223,15 @@
         private final String tenant;
         private Future<?> unanswered;
 
-        Try(JobClass stated, String origin, String id, String key, long workUs, double slots, int number,
-            String tenant) {
+        Try(
+                JobClass stated,
+                String origin,
+                String id,
+                String key,
+                long workUs,
+                double slots,
+                int number,
+                String tenant) {
             this.stated = stated;
             this.origin = origin;
             this.id = id;
@@ -219,40 +244,70 @@
 
         void send() {
             open.add(this);
-            final SocketAddress node = nodes.get(nodes.size() == 1 ? 0 : chance.nextInt(nodes.size()));
-            final Connection kept = idle.computeIfAbsent(node, unseen -> new ArrayDeque<>()).pollLast();
+            final SocketAddress node =
+                    nodes.get(nodes.size() == 1 ? 0 : chance.nextInt(nodes.size()));
+            final Connection kept =
+                    idle.computeIfAbsent(node, unseen -> new ArrayDeque<>()).pollLast();
             if (kept != null) {
                 kept.send(this);
                 return;
             }
             connects++;
-            new Bootstrap().group(loop).channel(NioSocketChannel.class)
-                .option(ChannelOption.TCP_NODELAY, true).handler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new HttpClientCodec(),
-                            new HttpObjectAggregator(MAX_ANSWER_BYTES), new Connection(channel, node));
-                    }
-                }).connect(node).addListener((ChannelFutureListener) connected -> {
-                    if (!connected.isSuccess()) {
-                        open.remove(this);
-                        // Nothing was sent: the node is not there, and another try does no harm.
-                        retry(0);
-                    } else if (open.contains(this)) {
-                        connected.channel().pipeline().get(Connection.class).send(this);
-                    }
-                });
+            new Bootstrap()
+                    .group(loop)
+                    .channel(NioSocketChannel.class)
+                    .option(ChannelOption.TCP_NODELAY, true)
+                    .handler(
+                            new ChannelInitializer<Channel>() {
+                                @Override
+                                protected void initChannel(Channel channel) {
+                                    channel.pipeline()
+                                            .addLast(
+                                                    new HttpClientCodec(),
+                                                    new HttpObjectAggregator(MAX_ANSWER_BYTES),
+                                                    new Connection(channel, node));
+                                }
+                            })
+                    .connect(node)
+                    .addListener(
+                            (ChannelFutureListener)
+                                    connected -> {
+                                        if (!connected.isSuccess()) {
+                                            open.remove(this);
+                                            // Nothing was sent: the node is not there, and another
+                                            // try does no harm.
+                                            retry(0);
+                                        } else if (open.contains(this)) {
+                                            connected
+                                                    .channel()
+                                                    .pipeline()
+                                                    .get(Connection.class)
+                                                    .send(this);
+                                        }
+                                    });
         }
 
         void written() {
             sent++;
-            recorder.add(new RequestSent(recorder.nowUs(), id, origin, stated.name(), key, workUs, slots,
-                stated.deadlineUs()));
-            unanswered = loop.schedule(() -> {
-                if (open.remove(this)) {
-                    recorder.add(new RequestUnanswered(recorder.nowUs(), id));
-                }
-            }, stated.deadlineUs() + LATE_BEYOND_US, TimeUnit.MICROSECONDS);
+            recorder.add(
+                    new RequestSent(
+                            recorder.nowUs(),
+                            id,
+                            origin,
+                            stated.name(),
+                            key,
+                            workUs,
+                            slots,
+                            stated.deadlineUs()));
+            unanswered =
+                    loop.schedule(
+                            () -> {
+                                if (open.remove(this)) {
+                                    recorder.add(new RequestUnanswered(recorder.nowUs(), id));
+                                }
+                            },
+                            stated.deadlineUs() + LATE_BEYOND_US,
+                            TimeUnit.MICROSECONDS);
         }
 
         /** Whether it was open until now. */
@@ -269,8 +324,12 @@
                 return;
             }
             final int status = response.status().code();
-            recorder.add(new RequestAnswered(recorder.nowUs(), id, status,
-                response.content().toString(StandardCharsets.UTF_8)));
+            recorder.add(
+                    new RequestAnswered(
+                            recorder.nowUs(),
+                            id,
+                            status,
+                            response.content().toString(StandardCharsets.UTF_8)));
             final boolean refused = status == REFUSED || status == TOO_MANY;
             if (refused || status != OK && stated.effect() == Idempotency.SAFE) {
                 retry(retryAfterUs(response.headers().get(HttpHeaderNames.RETRY_AFTER, "0")));
@@ -287,14 +346,26 @@
 
         private void retry(long adviceUs) {
             if (number < MAX_TRIES && arriving) {
-                final long delayUs = Math.max(adviceUs, (long) (200_000 * (0.5 + chance.nextDouble())));
-                final Try next = new Try(stated, origin, "again-" + number + "-" + origin, key, workUs, slots,
-                    number + 1, tenant);
-                loop.schedule(() -> {
-                    if (arriving) {
-                        next.send();
-                    }
-                }, delayUs, TimeUnit.MICROSECONDS);
+                final long delayUs =
+                        Math.max(adviceUs, (long) (200_000 * (0.5 + chance.nextDouble())));
+                final Try next =
+                        new Try(
+                                stated,
+                                origin,
+                                "again-" + number + "-" + origin,
+                                key,
+                                workUs,
+                                slots,
+                                number + 1,
+                                tenant);
+                loop.schedule(
+                        () -> {
+                            if (arriving) {
+                                next.send();
+                            }
+                        },
+                        delayUs,
+                        TimeUnit.MICROSECONDS);
             }
         }
 
@@ -302,11 +373,17 @@
             final JsonObject body = new JsonObject();
             body.addProperty("work_us", workUs);
             body.addProperty("slots", slots);
-            final DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1,
-                HttpMethod.POST, "/" + stated.name() + "?obj=" + Integer.toHexString(origin.hashCode()),
-                Unpooled.copiedBuffer(body.toString(), StandardCharsets.UTF_8));
-            request.headers().set(HttpHeaderNames.HOST, "lab").set("X-Request-Id", id)
-                .set("X-Deadline", stated.deadlineUs() / 1000 + "m").set("X-Extras", "slots=" + slots);
+            final DefaultFullHttpRequest request =
+                    new DefaultFullHttpRequest(
+                            HttpVersion.HTTP_1_1,
+                            HttpMethod.POST,
+                            "/" + stated.name() + "?obj=" + Integer.toHexString(origin.hashCode()),
+                            Unpooled.copiedBuffer(body.toString(), StandardCharsets.UTF_8));
+            request.headers()
+                    .set(HttpHeaderNames.HOST, "lab")
+                    .set("X-Request-Id", id)
+                    .set("X-Deadline", stated.deadlineUs() / 1000 + "m")
+                    .set("X-Extras", "slots=" + slots);
             if (tenant != null) {
                 request.headers().set("X-Tenant", tenant);
             }
@@ -336,11 +413,13 @@
 
         void send(Try next) {
             current = next;
-            channel.writeAndFlush(next.request()).addListener(written -> {
-                if (written.isSuccess() && open.contains(next)) {
-                    next.written();
-                }
-            });
+            channel.writeAndFlush(next.request())
+                    .addListener(
+                            written -> {
+                                if (written.isSuccess() && open.contains(next)) {
+                                    next.written();
+                                }
+                            });
         }
 
         @Override
--- a/src/main/java/cresschute/testbed/LoopbackServer.java
+++ b/src/main/java/cresschute/testbed/LoopbackServer.java
@@ -21,7 +21,10 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** What the stand-ins that are called share: a listener on loopback, and its connections. On one loop. */
+/**
+ * What the stand-ins that are called share: a listener on loopback, and its connections. On one
+ * loop.
+ */
 public final class LoopbackServer {
 
     private final EventLoop loop;
@@ -29,7 +32,9 @@
     private final Set<Channel> connections = new HashSet<>();
     private Channel server;
 
-    /** A server that does not listen yet; {@code pipeline} puts the handlers on each new connection. */
+    /**
+     * A server that does not listen yet; {@code pipeline} puts the handlers on each new connection.
+     */
     public LoopbackServer(EventLoop loop, Consumer<Channel> pipeline) {
         this.loop = loop;
         this.pipeline = pipeline;
@@ -48,24 +53,32 @@
 
     /** Listens at an address that it had before, which may fail while the port is not free yet. */
     ChannelFuture listenAgain(InetSocketAddress at) {
-        return bind(at).addListener((ChannelFutureListener) bound -> {
-            if (bound.isSuccess()) {
-                server = bound.channel();
-            }
-        });
+        return bind(at).addListener(
+                        (ChannelFutureListener)
+                                bound -> {
+                                    if (bound.isSuccess()) {
+                                        server = bound.channel();
+                                    }
+                                });
     }
 
     private ChannelFuture bind(InetSocketAddress at) {
-        return new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-            .option(ChannelOption.SO_REUSEADDR, true).childOption(ChannelOption.TCP_NODELAY, true)
-            .childHandler(new ChannelInitializer<Channel>() {
-                @Override
-                protected void initChannel(Channel channel) {
-                    connections.add(channel);
-                    channel.closeFuture().addListener(closed -> connections.remove(channel));
-                    pipeline.accept(channel);
-                }
-            }).bind(at);
+        return new ServerBootstrap()
+                .group(loop)
+                .channel(NioServerSocketChannel.class)
+                .option(ChannelOption.SO_REUSEADDR, true)
+                .childOption(ChannelOption.TCP_NODELAY, true)
+                .childHandler(
+                        new ChannelInitializer<Channel>() {
+                            @Override
+                            protected void initChannel(Channel channel) {
+                                connections.add(channel);
+                                channel.closeFuture()
+                                        .addListener(closed -> connections.remove(channel));
+                                pipeline.accept(channel);
+                            }
+                        })
+                .bind(at);
     }
 
     /** Accepts no more connections. */
@@ -91,8 +104,11 @@
 
     /** A whole answer. */
     static DefaultFullHttpResponse answer(HttpResponseStatus status, String body) {
-        final DefaultFullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
-            Unpooled.copiedBuffer(body, StandardCharsets.UTF_8));
+        final DefaultFullHttpResponse response =
+                new DefaultFullHttpResponse(
+                        HttpVersion.HTTP_1_1,
+                        status,
+                        Unpooled.copiedBuffer(body, StandardCharsets.UTF_8));
         HttpUtil.setContentLength(response, response.content().readableBytes());
         return response;
     }
--- a/src/main/java/cresschute/testbed/NodeProcess.java
+++ b/src/main/java/cresschute/testbed/NodeProcess.java
@@ -25,7 +25,9 @@
 /** A node in a process of its own, whose memory is watched from outside. */
 public final class NodeProcess implements AutoCloseable {
 
-    /** Bytes in use: by objects, after a collection where one was asked for, and by direct buffers. */
+    /**
+     * Bytes in use: by objects, after a collection where one was asked for, and by direct buffers.
+     */
     public record Memory(long heap, long direct) {}
 
     /** The longest that a node may take until it listens, s. */
@@ -45,16 +47,26 @@
         // Without a cleaner of its own, Netty's direct memory is the JDK's, which counts it.
         command.add("-Dio.netty.maxDirectMemory=0");
         command.addAll(options);
-        command.addAll(List.of("-cp", System.getProperty("java.class.path"), "cresschute.cli.Main", "serve",
-            "--settings", script.toString()));
+        command.addAll(
+                List.of(
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "cresschute.cli.Main",
+                        "serve",
+                        "--settings",
+                        script.toString()));
         process = new ProcessBuilder(command).start();
-        // A blocked read heeds no interrupt: a node that never listens is ended, which ends the read.
+        // A blocked read heeds no interrupt: a node that never listens is ended, which ends the
+        // read.
         final CompletableFuture<Void> listening = new CompletableFuture<>();
-        listening.orTimeout(MAX_START_S, TimeUnit.SECONDS).whenComplete((done, late) -> {
-            if (late != null) {
-                process.destroyForcibly();
-            }
-        });
+        listening
+                .orTimeout(MAX_START_S, TimeUnit.SECONDS)
+                .whenComplete(
+                        (done, late) -> {
+                            if (late != null) {
+                                process.destroyForcibly();
+                            }
+                        });
         final Matcher told = Pattern.compile("listens on /127\\.0\\.0\\.1:([0-9]+)").matcher("");
         final BufferedReader log = process.errorReader();
         String line = log.readLine();
@@ -83,10 +95,14 @@
         }
         final MBeanServerConnection beans = connector.getMBeanServerConnection();
         heap = ManagementFactory.getPlatformMXBean(beans, MemoryMXBean.class);
-        threads = ManagementFactory.newPlatformMXBeanProxy(beans, ManagementFactory.THREAD_MXBEAN_NAME,
-            ThreadMXBean.class);
-        direct = ManagementFactory.getPlatformMXBeans(beans, BufferPoolMXBean.class).stream()
-            .filter(each -> each.getName().equals("direct")).findFirst().orElseThrow();
+        threads =
+                ManagementFactory.newPlatformMXBeanProxy(
+                        beans, ManagementFactory.THREAD_MXBEAN_NAME, ThreadMXBean.class);
+        direct =
+                ManagementFactory.getPlatformMXBeans(beans, BufferPoolMXBean.class).stream()
+                        .filter(each -> each.getName().equals("direct"))
+                        .findFirst()
+                        .orElseThrow();
     }
 
     /** Where it listens. */
--- a/src/main/java/cresschute/testbed/RequestOutcomes.java
+++ b/src/main/java/cresschute/testbed/RequestOutcomes.java
@@ -12,8 +12,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What became of the jobs that clients asked for, a client's retries counted as part of its first try. Pure:
- * it reads the observations alone.
+ * What became of the jobs that clients asked for, a client's retries counted as part of its first
+ * try. Pure: it reads the observations alone.
  */
 public final class RequestOutcomes {
 
@@ -24,7 +24,11 @@
 
     /** How a job ended, as its last try did. */
     public enum End {
-        SERVED, REFUSED, FAILED, UNANSWERED, UNFINISHED
+        SERVED,
+        REFUSED,
+        FAILED,
+        UNANSWERED,
+        UNFINISHED
     }
 
     /** What became of one class. */
@@ -52,9 +56,13 @@
             return inTime;
         }
 
-        /** A percentile of the time from the first try to the result, of jobs that were served, ms. */
+        /**
+         * A percentile of the time from the first try to the result, of jobs that were served, ms.
+         */
         public double servedMs(double percentile) {
-            return servedUs.getTotalCount() == 0 ? 0 : servedUs.getValueAtPercentile(percentile) / 1000.0;
+            return servedUs.getTotalCount() == 0
+                    ? 0
+                    : servedUs.getValueAtPercentile(percentile) / 1000.0;
         }
 
         /** Worth of the jobs asked for. */
@@ -80,7 +88,10 @@
         final Map<String, Observation> ends = new HashMap<>();
         for (final Observation each : seen) {
             if (each instanceof RequestSent sent) {
-                jobs.merge(sent.origin(), new Job(sent, sent), (old, now) -> new Job(old.first(), sent));
+                jobs.merge(
+                        sent.origin(),
+                        new Job(sent, sent),
+                        (old, now) -> new Job(old.first(), sent));
             } else if (each instanceof RequestAnswered answer) {
                 ends.putIfAbsent(answer.id(), answer);
             } else if (each instanceof RequestLost lost) {
@@ -94,8 +105,10 @@
         final RequestOutcomes outcomes = new RequestOutcomes();
         jobClasses.forEach(each -> outcomes.classes.put(each.name(), new OfClass()));
         for (final Job job : jobs.values()) {
-            jobClasses.stream().filter(each -> each.name().equals(job.first().className())).findFirst()
-                .ifPresent(stated -> outcomes.count(job, stated, ends.get(job.last().id())));
+            jobClasses.stream()
+                    .filter(each -> each.name().equals(job.first().className()))
+                    .findFirst()
+                    .ifPresent(stated -> outcomes.count(job, stated, ends.get(job.last().id())));
         }
         return outcomes;
     }
@@ -120,8 +133,11 @@
 
     private static End end(Observation end) {
         if (end instanceof RequestAnswered answer) {
-            return answer.status() == LoadClients.OK ? End.SERVED
-                : answer.status() == REFUSED || answer.status() == TOO_MANY ? End.REFUSED : End.FAILED;
+            return answer.status() == LoadClients.OK
+                    ? End.SERVED
+                    : answer.status() == REFUSED || answer.status() == TOO_MANY
+                            ? End.REFUSED
+                            : End.FAILED;
         }
         return end instanceof RequestUnfinished || end == null ? End.UNFINISHED : End.UNANSWERED;
     }
@@ -148,7 +164,11 @@
 
     /** Worth served in time over worth asked for; 1 where nothing was asked for. */
     public double weightedServedFraction() {
-        final double asked = classes.values().stream().mapToDouble(OfClass::priorityWeightAsked).sum();
-        return asked == 0 ? 1 : classes.values().stream().mapToDouble(OfClass::weightedServedFraction).sum() / asked;
+        final double asked =
+                classes.values().stream().mapToDouble(OfClass::priorityWeightAsked).sum();
+        return asked == 0
+                ? 1
+                : classes.values().stream().mapToDouble(OfClass::weightedServedFraction).sum()
+                        / asked;
     }
 }
--- a/src/main/java/cresschute/testbed/RuleChecker.java
+++ b/src/main/java/cresschute/testbed/RuleChecker.java
@@ -1,8 +1,8 @@
 package cresschute.testbed;
 
-import cresschute.dispatch.SlowStartSettings;
-import cresschute.dispatch.Idempotency;
 import cresschute.dispatch.DeduplicationScope;
+import cresschute.dispatch.Idempotency;
+import cresschute.dispatch.SlowStartSettings;
 import cresschute.testbed.Observation.AnswerTooMany;
 import cresschute.testbed.Observation.EffectMade;
 import cresschute.testbed.Observation.OperatorDrained;
@@ -25,15 +25,22 @@
 import java.util.Set;
 
 /**
- * Holds the four rules of a dispatcher against what the sides around it saw: one answer for each request, no
- * effect twice, drains kept, cold starts kept. It knows nothing of the node, and is pure: the same
- * observations always give the same breaches.
+ * Holds the four rules of a dispatcher against what the sides around it saw: one answer for each
+ * request, no effect twice, drains kept, cold starts kept. It knows nothing of the node, and is
+ * pure: the same observations always give the same breaches.
  */
 public final class RuleChecker {
 
-    /** Nothing new goes to a worker later than this after the node was told, us; plus what sockets add. */
+    /**
+     * Nothing new goes to a worker later than this after the node was told, us; plus what sockets
+     * add.
+     */
     static final long DRAIN_WITHIN_US = 400_000 + 50_000;
-    /** What a cold worker may be sent beyond its budget, as a factor: chance makes short spans uneven. */
+
+    /**
+     * What a cold worker may be sent beyond its budget, as a factor: chance makes short spans
+     * uneven.
+     */
     static final double COLD_SLACK = 1.1;
 
     /** A rule. */
@@ -68,7 +75,8 @@
     }
 
     /** All breaches in what was seen, in the order of the rules. */
-    public static List<Breach> check(List<Observation> seen, List<JobClass> classes, SlowStartSettings coldStart) {
+    public static List<Breach> check(
+            List<Observation> seen, List<JobClass> classes, SlowStartSettings coldStart) {
         final RuleChecker checker = new RuleChecker(classes, coldStart);
         checker.answers(seen);
         checker.repeats(seen);
@@ -95,20 +103,29 @@
                 results.computeIfAbsent(done.id(), unseen -> new HashSet<>()).add(done.result());
             } else if (each instanceof RequestAnswered answer) {
                 if (!sent.contains(answer.id())) {
-                    breach(Rule.ONE_ANSWER, answer.us(), "an answer to " + answer.id()
-                        + ", which nobody sent");
+                    breach(
+                            Rule.ONE_ANSWER,
+                            answer.us(),
+                            "an answer to " + answer.id() + ", which nobody sent");
                 } else if (!answered.add(answer.id())) {
                     breach(Rule.ONE_ANSWER, answer.us(), "a second answer to " + answer.id());
                 } else if (answer.status() == LoadClients.OK
-                    && !results.getOrDefault(answer.id(), Set.of()).contains(answer.body())) {
-                    breach(Rule.ONE_ANSWER, answer.us(), answer.id()
-                        + " was served with what no worker made");
+                        && !results.getOrDefault(answer.id(), Set.of()).contains(answer.body())) {
+                    breach(
+                            Rule.ONE_ANSWER,
+                            answer.us(),
+                            answer.id() + " was served with what no worker made");
                 }
             } else if (each instanceof AnswerTooMany answer) {
-                breach(Rule.ONE_ANSWER, answer.us(), "an answer where none was owed: " + answer.what());
+                breach(
+                        Rule.ONE_ANSWER,
+                        answer.us(),
+                        "an answer where none was owed: " + answer.what());
             } else if (each instanceof RequestLost lost) {
-                breach(Rule.ONE_ANSWER, lost.us(), "the connection of " + lost.id()
-                    + " ended without an answer");
+                breach(
+                        Rule.ONE_ANSWER,
+                        lost.us(),
+                        "the connection of " + lost.id() + " ended without an answer");
             } else if (each instanceof RequestUnanswered none) {
                 breach(Rule.ONE_ANSWER, none.us(), "no answer to " + none.id());
             }
@@ -117,7 +134,10 @@
 
     // ---- No effect twice ----
 
-    /** How often, and where to, a request was sent: as its class permits, whether harm came of it or not. */
+    /**
+     * How often, and where to, a request was sent: as its class permits, whether harm came of it or
+     * not.
+     */
     private void repeats(List<Observation> seen) {
         final Map<String, JobClass> classOf = new HashMap<>();
         final Map<String, List<SendCame>> sends = new LinkedHashMap<>();
@@ -131,33 +151,58 @@
                 turnedAway.add(away.worker() + " " + away.id());
             }
         }
-        sends.forEach((id, all) -> {
-            final JobClass stated = classOf.get(id);
-            final SendCame last = all.get(all.size() - 1);
-            if (stated == null) {
-                breach(Rule.NO_EFFECT_TWICE, last.us(), "workers were sent " + id + ", which no client sent");
-                return;
-            }
-            if (all.size() > stated.maxAttempts()) {
-                breach(Rule.NO_EFFECT_TWICE, last.us(), id + " was sent " + all.size() + " times; "
-                    + stated.maxAttempts() + " are allowed");
-            }
-            final List<SendCame> mayRun = all.stream()
-                .filter(send -> !turnedAway.contains(send.worker() + " " + send.id())).toList();
-            if (stated.effect() != Idempotency.SAFE && mayRun.size() > 1) {
-                harmful(id, stated, mayRun);
-            }
-        });
+        sends.forEach(
+                (id, all) -> {
+                    final JobClass stated = classOf.get(id);
+                    final SendCame last = all.get(all.size() - 1);
+                    if (stated == null) {
+                        breach(
+                                Rule.NO_EFFECT_TWICE,
+                                last.us(),
+                                "workers were sent " + id + ", which no client sent");
+                        return;
+                    }
+                    if (all.size() > stated.maxAttempts()) {
+                        breach(
+                                Rule.NO_EFFECT_TWICE,
+                                last.us(),
+                                id
+                                        + " was sent "
+                                        + all.size()
+                                        + " times; "
+                                        + stated.maxAttempts()
+                                        + " are allowed");
+                    }
+                    final List<SendCame> mayRun =
+                            all.stream()
+                                    .filter(
+                                            send ->
+                                                    !turnedAway.contains(
+                                                            send.worker() + " " + send.id()))
+                                    .toList();
+                    if (stated.effect() != Idempotency.SAFE && mayRun.size() > 1) {
+                        harmful(id, stated, mayRun);
+                    }
+                });
     }
 
     private void harmful(String id, JobClass stated, List<SendCame> mayRun) {
         final SendCame first = mayRun.get(0);
         for (final SendCame again : mayRun.subList(1, mayRun.size())) {
             if (stated.effect() == Idempotency.UNSAFE) {
-                breach(Rule.NO_EFFECT_TWICE, again.us(), id + " is unsafe to repeat and was sent again");
+                breach(
+                        Rule.NO_EFFECT_TWICE,
+                        again.us(),
+                        id + " is unsafe to repeat and was sent again");
             } else if (stated.scope() == DeduplicationScope.CELL && again.cell() != first.cell()) {
-                breach(Rule.NO_EFFECT_TWICE, again.us(), id + " was sent to cell " + first.cell()
-                    + " and again to cell " + again.cell());
+                breach(
+                        Rule.NO_EFFECT_TWICE,
+                        again.us(),
+                        id
+                                + " was sent to cell "
+                                + first.cell()
+                                + " and again to cell "
+                                + again.cell());
             } else if (again.us() > first.us() + stated.repeatWindowUs()) {
                 breach(Rule.NO_EFFECT_TWICE, again.us(), id + " was sent again after its window");
             }
@@ -171,8 +216,15 @@
             if (each instanceof EffectMade effect && effect.key() != null) {
                 final EffectMade before = first.putIfAbsent(effect.key(), effect);
                 if (before != null) {
-                    breach(Rule.NO_EFFECT_TWICE, effect.us(), "key " + effect.key() + " took effect at "
-                        + before.worker() + " and again at " + effect.worker());
+                    breach(
+                            Rule.NO_EFFECT_TWICE,
+                            effect.us(),
+                            "key "
+                                    + effect.key()
+                                    + " took effect at "
+                                    + before.worker()
+                                    + " and again at "
+                                    + effect.worker());
                 }
             }
         }
@@ -184,7 +236,8 @@
     private void drains(List<Observation> seen) {
         final Map<String, Long> byList = new HashMap<>();
         final Map<String, Long> byOperator = new HashMap<>();
-        // Sends are noted at their last byte, after what was told since their first: so that all is in order.
+        // Sends are noted at their last byte, after what was told since their first: so that all is
+        // in order.
         final List<Observation> ordered = new ArrayList<>(seen);
         ordered.sort((a, b) -> Long.compare(drainTime(a), drainTime(b)));
         for (final Observation each : ordered) {
@@ -209,8 +262,16 @@
 
     private void kept(SendCame send, Long sinceUs, String what) {
         if (sinceUs != null && send.firstByteUs() > sinceUs + DRAIN_WITHIN_US) {
-            breach(Rule.DRAINS_KEPT, send.us(), send.worker() + " was sent " + send.id() + " "
-                + (send.firstByteUs() - sinceUs) / 1000 + " ms after " + what);
+            breach(
+                    Rule.DRAINS_KEPT,
+                    send.us(),
+                    send.worker()
+                            + " was sent "
+                            + send.id()
+                            + " "
+                            + (send.firstByteUs() - sinceUs) / 1000
+                            + " ms after "
+                            + what);
         }
     }
 
@@ -233,8 +294,9 @@
                 told.add(notice.worker());
             } else if (each instanceof WorkerFell fell) {
                 breach(Rule.COLD_STARTS_KEPT, fell.us(), fell.worker() + " fell over");
-            } else if (each instanceof SendCame send && boots.containsKey(send.worker())
-                && told.contains(send.worker())) {
+            } else if (each instanceof SendCame send
+                    && boots.containsKey(send.worker())
+                    && told.contains(send.worker())) {
                 cold(send, boots.get(send.worker()), recent.get(send.worker()));
             }
         }
@@ -250,22 +312,39 @@
         final double sent = recent.stream().mapToDouble(SendCame::work).sum();
         final double bound = coldBudget(coldStart, boot.capacity(), age);
         if (sent > bound * COLD_SLACK) {
-            breach(Rule.COLD_STARTS_KEPT, send.us(), send.worker() + " was sent " + Math.round(sent / 1000)
-                + " ms of work within " + coldStart.overloadAfterUs() / 1000 + " ms, " + age / 1000
-                + " ms after its start; it can take " + Math.round(bound / 1000));
+            breach(
+                    Rule.COLD_STARTS_KEPT,
+                    send.us(),
+                    send.worker()
+                            + " was sent "
+                            + Math.round(sent / 1000)
+                            + " ms of work within "
+                            + coldStart.overloadAfterUs() / 1000
+                            + " ms, "
+                            + age / 1000
+                            + " ms after its start; it can take "
+                            + Math.round(bound / 1000));
         }
     }
 
     /**
-     * Work that a worker may be sent within the time of tipping over, at an age: slots times microseconds.
+     * Work that a worker may be sent within the time of tipping over, at an age: slots times
+     * microseconds.
      */
     static double coldBudget(SlowStartSettings coldStart, double capacity, long ageUs) {
-        return coldStart.overloadFactor() * capacity * shareAt(coldStart, ageUs) * coldStart.overloadAfterUs();
+        return coldStart.overloadFactor()
+                * capacity
+                * shareAt(coldStart, ageUs)
+                * coldStart.overloadAfterUs();
     }
 
     /** The share of its capacity that a worker has at an age; it grows evenly until it is warm. */
     static double shareAt(SlowStartSettings coldStart, long ageUs) {
-        return ageUs >= coldStart.warmUpDurationUs() ? 1 : coldStart.initialCapacityFraction()
-            + (1 - coldStart.initialCapacityFraction()) * Math.max(0, ageUs) / coldStart.warmUpDurationUs();
+        return ageUs >= coldStart.warmUpDurationUs()
+                ? 1
+                : coldStart.initialCapacityFraction()
+                        + (1 - coldStart.initialCapacityFraction())
+                                * Math.max(0, ageUs)
+                                / coldStart.warmUpDurationUs();
     }
 }
--- a/src/main/java/cresschute/testbed/SmallRequests.java
+++ b/src/main/java/cresschute/testbed/SmallRequests.java
@@ -35,9 +35,9 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Very many small requests and workers that answer at once, for what a node itself costs a request. Requests are due at
- * even times and counted from these, whether or not a connection was free: a node that stands still is seen
- * in all requests that were due meanwhile.
+ * Very many small requests and workers that answer at once, for what a node itself costs a request.
+ * Requests are due at even times and counted from these, whether or not a connection was free: a
+ * node that stands still is seen in all requests that were due meanwhile.
  */
 public final class SmallRequests implements AutoCloseable {
 
@@ -45,10 +45,12 @@
     private static final int OK = 200;
     private static final long STEP_US = 1_000;
     private static final long MAX_US = 60_000_000;
+
     /** How much longer than planned a step of a run may take, ms. */
     private static final long MAX_EXTRA_MS = 120_000;
 
-    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
+    private final EventLoopGroup group =
+            new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
     private final EventLoop clients = group.next();
     private final EventLoop workers = group.next();
     private final Clock clock = Clock.system();
@@ -63,8 +65,15 @@
     public List<InetSocketAddress> startWorkers(int count) {
         final List<InetSocketAddress> addresses = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            final LoopbackServer server = new LoopbackServer(workers, channel -> channel.pipeline()
-                .addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_BODY_BYTES), new Worker()));
+            final LoopbackServer server =
+                    new LoopbackServer(
+                            workers,
+                            channel ->
+                                    channel.pipeline()
+                                            .addLast(
+                                                    new HttpServerCodec(),
+                                                    new HttpObjectAggregator(MAX_BODY_BYTES),
+                                                    new Worker()));
             addresses.add(server.listen());
             servers.add(server);
         }
@@ -75,8 +84,12 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-            ctx.writeAndFlush(LoopbackServer.answer(HttpResponseStatus.OK, "{\"id\":\""
-                + request.headers().get("X-Request-Id") + "\",\"state\":\"done\",\"result\":\"ok\"}\n"));
+            ctx.writeAndFlush(
+                    LoopbackServer.answer(
+                            HttpResponseStatus.OK,
+                            "{\"id\":\""
+                                    + request.headers().get("X-Request-Id")
+                                    + "\",\"state\":\"done\",\"result\":\"ok\"}\n"));
         }
 
         @Override
@@ -89,31 +102,49 @@
     public void connect(SocketAddress node, int count) {
         for (int i = 0; i < count; i++) {
             final Client client = new Client();
-            final Channel channel = new Bootstrap().group(clients).channel(NioSocketChannel.class)
-                .option(ChannelOption.TCP_NODELAY, true).handler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel each) {
-                        each.pipeline().addLast(new HttpClientCodec(),
-                            new HttpObjectAggregator(MAX_BODY_BYTES), client);
-                    }
-                }).connect(node).syncUninterruptibly().channel();
+            final Channel channel =
+                    new Bootstrap()
+                            .group(clients)
+                            .channel(NioSocketChannel.class)
+                            .option(ChannelOption.TCP_NODELAY, true)
+                            .handler(
+                                    new ChannelInitializer<Channel>() {
+                                        @Override
+                                        protected void initChannel(Channel each) {
+                                            each.pipeline()
+                                                    .addLast(
+                                                            new HttpClientCodec(),
+                                                            new HttpObjectAggregator(
+                                                                    MAX_BODY_BYTES),
+                                                            client);
+                                        }
+                                    })
+                            .connect(node)
+                            .syncUninterruptibly()
+                            .channel();
             client.channel = channel;
             CompletableFuture.runAsync(() -> idle.add(client), clients)
-                .orTimeout(MAX_EXTRA_MS, TimeUnit.MILLISECONDS).join();
+                    .orTimeout(MAX_EXTRA_MS, TimeUnit.MILLISECONDS)
+                    .join();
         }
     }
 
-    /** Sends requests for a while and returns, once the last is answered, the times of those served, us. */
+    /**
+     * Sends requests for a while and returns, once the last is answered, the times of those served,
+     * us.
+     */
     public Histogram run(int perS, long forMs) throws InterruptedException {
         final CompletableFuture<Void> done = new CompletableFuture<>();
-        clients.execute(() -> {
-            times.reset();
-            notServed = 0;
-            step(clock.nowUs(), perS, 0, perS * forMs / 1_000, done);
-        });
+        clients.execute(
+                () -> {
+                    times.reset();
+                    notServed = 0;
+                    step(clock.nowUs(), perS, 0, perS * forMs / 1_000, done);
+                });
         done.orTimeout(forMs + MAX_EXTRA_MS, TimeUnit.MILLISECONDS).join();
         return CompletableFuture.supplyAsync(times::copy, clients)
-            .orTimeout(MAX_EXTRA_MS, TimeUnit.MILLISECONDS).join();
+                .orTimeout(MAX_EXTRA_MS, TimeUnit.MILLISECONDS)
+                .join();
     }
 
     private void step(long startUs, int perS, long begun, long all, CompletableFuture<Void> done) {
@@ -126,8 +157,10 @@
         if (times.getTotalCount() + notServed >= all) {
             done.complete(null);
         } else {
-            clients.schedule(() -> step(startUs, perS, Math.max(begun, wanted), all, done), STEP_US,
-                TimeUnit.MICROSECONDS);
+            clients.schedule(
+                    () -> step(startUs, perS, Math.max(begun, wanted), all, done),
+                    STEP_US,
+                    TimeUnit.MICROSECONDS);
         }
     }
 
@@ -140,22 +173,27 @@
     /** Requests of the last run that were refused, or failed. */
     public long notServed() {
         return CompletableFuture.supplyAsync(() -> notServed, clients)
-            .orTimeout(MAX_EXTRA_MS, TimeUnit.MILLISECONDS).join();
+                .orTimeout(MAX_EXTRA_MS, TimeUnit.MILLISECONDS)
+                .join();
     }
 
     private final class Client extends SimpleChannelInboundHandler<FullHttpResponse> {
 
-        private final ByteBuf body = Unpooled.unreleasableBuffer(Unpooled.copiedBuffer("{}",
-            StandardCharsets.US_ASCII));
+        private final ByteBuf body =
+                Unpooled.unreleasableBuffer(Unpooled.copiedBuffer("{}", StandardCharsets.US_ASCII));
         private Channel channel;
         private long dueUs;
 
         void send(long due) {
             dueUs = due;
-            final FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST,
-                "/small", body.duplicate());
-            request.headers().set("Host", "node").set("X-Request-Id", "small-" + ++lastId)
-                .set("X-Deadline", "5000m").set("Content-Length", "2");
+            final FullHttpRequest request =
+                    new DefaultFullHttpRequest(
+                            HttpVersion.HTTP_1_1, HttpMethod.POST, "/small", body.duplicate());
+            request.headers()
+                    .set("Host", "node")
+                    .set("X-Request-Id", "small-" + ++lastId)
+                    .set("X-Deadline", "5000m")
+                    .set("Content-Length", "2");
             channel.writeAndFlush(request);
         }
 
@@ -172,15 +210,19 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            // A request that was out there is never answered: it is seen as a run that does not end.
+            // A request that was out there is never answered: it is seen as a run that does not
+            // end.
             ctx.close();
         }
     }
 
     @Override
     public void close() {
-        servers.forEach(server -> CompletableFuture.runAsync(server::close, workers)
-            .orTimeout(MAX_EXTRA_MS, TimeUnit.MILLISECONDS).join());
+        servers.forEach(
+                server ->
+                        CompletableFuture.runAsync(server::close, workers)
+                                .orTimeout(MAX_EXTRA_MS, TimeUnit.MILLISECONDS)
+                                .join());
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
     }
 }
--- a/src/main/java/cresschute/testbed/WorkerStandIn.java
+++ b/src/main/java/cresschute/testbed/WorkerStandIn.java
@@ -3,6 +3,7 @@
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParseException;
 import cresschute.dispatch.SlowStartSettings;
+import cresschute.node.Json;
 import cresschute.testbed.Observation.EffectMade;
 import cresschute.testbed.Observation.RunDone;
 import cresschute.testbed.Observation.RunStarted;
@@ -10,7 +11,6 @@
 import cresschute.testbed.Observation.SendTurnedAway;
 import cresschute.testbed.Observation.WorkerBooted;
 import cresschute.testbed.Observation.WorkerFell;
-import cresschute.node.Json;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -40,10 +40,10 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * A worker as the protocol has it: slots, a queue in order of arrival, lines that tell of start, progress and
- * end, load reports, keys that its cell drops, a cold start under which it falls over if it is sent too much.
- * How long a job takes is told by its body, {@code {"work_us":..., "slots":...}}. It has scripted faults,
- * and all of it happens on one loop.
+ * A worker as the protocol has it: slots, a queue in order of arrival, lines that tell of start,
+ * progress and end, load reports, keys that its cell drops, a cold start under which it falls over
+ * if it is sent too much. How long a job takes is told by its body, {@code {"work_us":...,
+ * "slots":...}}. It has scripted faults, and all of it happens on one loop.
  */
 public final class WorkerStandIn {
 
@@ -82,21 +82,35 @@
     private long reportsLateUs;
     private long bootedUs = Long.MIN_VALUE / 2;
     private boolean dead;
+
     /** Told apart from what was planned before a crash. */
     private int life;
 
     private record Report(long us, double freeSlots, int queue) {}
 
-    WorkerStandIn(EventLoop loop, Recorder recorder, UniformRandomProvider chance, Make make, CellKeys keys,
-        SlowStartSettings coldStart) {
+    WorkerStandIn(
+            EventLoop loop,
+            Recorder recorder,
+            UniformRandomProvider chance,
+            Make make,
+            CellKeys keys,
+            SlowStartSettings coldStart) {
         this.loop = loop;
         this.recorder = recorder;
         this.chance = chance;
         this.make = make;
         this.keys = keys;
         this.coldStart = coldStart;
-        server = new LoopbackServer(loop, channel -> channel.pipeline().addLast(new FirstBytes(),
-            new HttpServerCodec(), new HttpObjectAggregator(MAX_BODY_BYTES), new Handler()));
+        server =
+                new LoopbackServer(
+                        loop,
+                        channel ->
+                                channel.pipeline()
+                                        .addLast(
+                                                new FirstBytes(),
+                                                new HttpServerCodec(),
+                                                new HttpObjectAggregator(MAX_BODY_BYTES),
+                                                new Handler()));
     }
 
     Make make() {
@@ -169,28 +183,40 @@
         warm();
     }
 
-    /** Tried until it works: a listener's port is free only once the loop has looked at its sockets again. */
+    /**
+     * Tried until it works: a listener's port is free only once the loop has looked at its sockets
+     * again.
+     */
     private void listenAgain() {
         final int now = life;
-        server.listenAgain(address).addListener((ChannelFutureListener) bound -> {
-            if (life != now) {
-                bound.channel().close();
-            } else if (!bound.isSuccess()) {
-                loop.schedule(this::listenAgain, LISTEN_AGAIN_MS, TimeUnit.MILLISECONDS);
-            }
-        });
+        server.listenAgain(address)
+                .addListener(
+                        (ChannelFutureListener)
+                                bound -> {
+                                    if (life != now) {
+                                        bound.channel().close();
+                                    } else if (!bound.isSuccess()) {
+                                        loop.schedule(
+                                                this::listenAgain,
+                                                LISTEN_AGAIN_MS,
+                                                TimeUnit.MILLISECONDS);
+                                    }
+                                });
     }
 
     /** While it warms, what runs gets faster step by step. */
     private void warm() {
         final int now = life;
         if (recorder.nowUs() - bootedUs < coldStart.warmUpDurationUs()) {
-            loop.schedule(() -> {
-                if (life == now) {
-                    replan(() -> {});
-                    warm();
-                }
-            }, WARMING_STEP_US, TimeUnit.MICROSECONDS);
+            loop.schedule(
+                    () -> {
+                        if (life == now) {
+                            replan(() -> {});
+                            warm();
+                        }
+                    },
+                    WARMING_STEP_US,
+                    TimeUnit.MICROSECONDS);
         }
     }
 
@@ -204,8 +230,11 @@
 
     /** How fast a slot runs now, where 1 is the yardstick. */
     private double speed() {
-        return silent ? 0 : make.speed() / slowness
-            * RuleChecker.shareAt(coldStart, recorder.nowUs() - bootedUs);
+        return silent
+                ? 0
+                : make.speed()
+                        / slowness
+                        * RuleChecker.shareAt(coldStart, recorder.nowUs() - bootedUs);
     }
 
     /** Changes the speed of what runs: what is done so far was done at the old one. */
@@ -236,11 +265,14 @@
             reports.pollFirst();
         }
         final int now = life;
-        loop.schedule(() -> {
-            if (life == now && !dead) {
-                report();
-            }
-        }, (long) (REPORT_US * (1 + chance.nextDouble() / 2)), TimeUnit.MICROSECONDS);
+        loop.schedule(
+                () -> {
+                    if (life == now && !dead) {
+                        report();
+                    }
+                },
+                (long) (REPORT_US * (1 + chance.nextDouble() / 2)),
+                TimeUnit.MICROSECONDS);
     }
 
     /** The report that it tells now: the newest that is old enough. */
@@ -289,8 +321,8 @@
         void head() {
             if (!silent && !headWritten) {
                 headWritten = true;
-                final DefaultHttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1,
-                    HttpResponseStatus.OK);
+                final DefaultHttpResponse head =
+                        new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
                 HttpUtil.setTransferEncodingChunked(head, true);
                 channel.writeAndFlush(head);
             }
@@ -306,11 +338,15 @@
 
         /** Guards the queue: progress is told while it runs, and not while the worker is silent. */
         private void tick() {
-            progress = loop.schedule(() -> {
-                settle();
-                line("running", 1 - Math.max(0, leftUs) / workUs, null);
-                tick();
-            }, PROGRESS_US, TimeUnit.MICROSECONDS);
+            progress =
+                    loop.schedule(
+                            () -> {
+                                settle();
+                                line("running", 1 - Math.max(0, leftUs) / workUs, null);
+                                tick();
+                            },
+                            PROGRESS_US,
+                            TimeUnit.MICROSECONDS);
         }
 
         void settle() {
@@ -324,8 +360,13 @@
             if (end != null) {
                 end.cancel(false);
             }
-            end = rate <= 0 ? null : loop.schedule(this::done, (long) Math.max(0, leftUs / rate),
-                TimeUnit.MICROSECONDS);
+            end =
+                    rate <= 0
+                            ? null
+                            : loop.schedule(
+                                    this::done,
+                                    (long) Math.max(0, leftUs / rate),
+                                    TimeUnit.MICROSECONDS);
         }
 
         private void done() {
@@ -384,7 +425,8 @@
             }
             final String text = garbled && !last ? "\u0000\ufffd{]" + line + "\n" : line + "\n";
             final ByteBuf bytes = Unpooled.copiedBuffer(text, StandardCharsets.UTF_8);
-            channel.writeAndFlush(last ? new DefaultLastHttpContent(bytes) : new DefaultHttpContent(bytes));
+            channel.writeAndFlush(
+                    last ? new DefaultLastHttpContent(bytes) : new DefaultHttpContent(bytes));
         }
     }
 
@@ -422,8 +464,10 @@
             final String path = request.uri();
             if (path.equals("/stats") || path.equals("/health/live")) {
                 if (!silent) {
-                    ctx.writeAndFlush(LoopbackServer.answer(HttpResponseStatus.OK,
-                        path.equals("/stats") ? load().toString() : ""));
+                    ctx.writeAndFlush(
+                            LoopbackServer.answer(
+                                    HttpResponseStatus.OK,
+                                    path.equals("/stats") ? load().toString() : ""));
                 }
                 return;
             }
@@ -435,20 +479,29 @@
             take(ctx, request, id, firstByteUs);
         }
 
-        private void take(ChannelHandlerContext ctx, FullHttpRequest request, String id, long firstByteUs) {
+        private void take(
+                ChannelHandlerContext ctx, FullHttpRequest request, String id, long firstByteUs) {
             final String key = request.headers().get("Idempotency-Key");
             long workUs = DEFAULT_WORK_US;
             double slots = 1;
             try {
-                final JsonObject body = Json.object(request.content().toString(StandardCharsets.UTF_8));
+                final JsonObject body =
+                        Json.object(request.content().toString(StandardCharsets.UTF_8));
                 workUs = Math.max(1, (long) Json.number(body, "work_us", DEFAULT_WORK_US));
                 slots = Math.max(1, Math.min(make.slots(), Json.number(body, "slots", 1)));
             } catch (JsonParseException e) {
                 // Other clients' bodies are their own matter: such a job takes the usual time.
                 workUs = DEFAULT_WORK_US;
             }
-            final SendCame send = new SendCame(recorder.nowUs(), firstByteUs, make.id(), make.cell(), id, key,
-                workUs * slots);
+            final SendCame send =
+                    new SendCame(
+                            recorder.nowUs(),
+                            firstByteUs,
+                            make.id(),
+                            make.cell(),
+                            id,
+                            key,
+                            workUs * slots);
             recorder.add(send);
             if (falls(send)) {
                 return;
@@ -459,16 +512,23 @@
             }
             if (waiting.size() >= MAX_WAITING_A_SLOT * make.slots()) {
                 recorder.add(new SendTurnedAway(recorder.nowUs(), make.id(), id));
-                final DefaultFullHttpResponse full = LoopbackServer.answer(
-                    HttpResponseStatus.SERVICE_UNAVAILABLE, "");
+                final DefaultFullHttpResponse full =
+                        LoopbackServer.answer(HttpResponseStatus.SERVICE_UNAVAILABLE, "");
                 final Report told = told();
-                full.headers().set("X-Not-Run", "1")
-                    .set("X-Load", "x0=" + told.freeSlots() + ",queue=" + told.queue());
+                full.headers()
+                        .set("X-Not-Run", "1")
+                        .set("X-Load", "x0=" + told.freeSlots() + ",queue=" + told.queue());
                 ctx.writeAndFlush(full);
                 return;
             }
-            final Job job = new Job(id, key, workUs, slots, ctx.channel(),
-                chance.nextDouble() < garbageShare);
+            final Job job =
+                    new Job(
+                            id,
+                            key,
+                            workUs,
+                            slots,
+                            ctx.channel(),
+                            chance.nextDouble() < garbageShare);
             job.head();
             if (key == null || keys.begins(key, recorder.nowUs(), job::repeat)) {
                 waiting.add(job);
@@ -487,7 +547,9 @@
                 sentCold.poll();
             }
             final double sent = sentCold.stream().mapToDouble(SendCame::work).sum();
-            if (sent <= RuleChecker.coldBudget(coldStart, make.capacity(), age) * RuleChecker.COLD_SLACK) {
+            if (sent
+                    <= RuleChecker.coldBudget(coldStart, make.capacity(), age)
+                            * RuleChecker.COLD_SLACK) {
                 return false;
             }
             recorder.add(new WorkerFell(recorder.nowUs(), make.id()));
--- a/src/main/java/cresschute/testbed/bodies/BodiesSite.java
+++ b/src/main/java/cresschute/testbed/bodies/BodiesSite.java
@@ -10,11 +10,14 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.LongAdder;
 
-/** A site for long bodies: workers that take and make them, and the settings of a node before them. */
+/**
+ * A site for long bodies: workers that take and make them, and the settings of a node before them.
+ */
 final class BodiesSite implements AutoCloseable {
 
     /** What all long bodies and results may hold at a time, bytes; docs and charts state it. */
     static final long BUDGET = 32L << 20;
+
     /** What one of them owns, bytes. */
     static final long WINDOW = 128L << 10;
 
@@ -34,19 +37,23 @@
 
     /** Writes the node's settings; small requests have workers of their own. */
     void writeSettings(Path script, List<InetSocketAddress> forSmall) throws IOException {
-        final StringBuilder site = new StringBuilder("""
-            node(name = "bodies", listen = "127.0.0.1:0", seed = 1)
-            job_class(name = "small", worth = 1, aim = 1 * s, deadline = 5 * s, effect = "safe",
-                      kinds = ["quick"])
-            job_class(name = "upload", worth = 1, aim = 2 * s, stretch = 5, deadline = 1 * hours,
-                      effect = "unsafe", kinds = ["long"], longest_body = 4 * GiB,
-                      least_rate = 512 * B, stall = 20 * s)
-            job_class(name = "report", worth = 1, aim = 2 * s, stretch = 5, deadline = 1 * hours,
-                      effect = "unsafe", kinds = ["long"], long_results = True, deadline_to = "first",
-                      least_rate = 512 * B, stall = 20 * s)
-            bodies(budget = %d * B, window = %d * B, of_a_client = %d * B)
-            limits(sockets = 8192)
-            """.formatted(BUDGET, WINDOW, BUDGET));
+        final StringBuilder site =
+                new StringBuilder(
+                        """
+                        node(name = "bodies", listen = "127.0.0.1:0", seed = 1)
+                        job_class(name = "small", worth = 1, aim = 1 * s, deadline = 5 * s, effect = "safe",
+                                  kinds = ["quick"])
+                        job_class(name = "upload", worth = 1, aim = 2 * s, stretch = 5, deadline = 1 * hours,
+                                  effect = "unsafe", kinds = ["long"], longest_body = 4 * GiB,
+                                  least_rate = 512 * B, stall = 20 * s)
+                        job_class(name = "report", worth = 1, aim = 2 * s, stretch = 5, deadline = 1 * hours,
+                                  effect = "unsafe", kinds = ["long"], long_results = True,
+                                  deadline_to = "first",
+                                  least_rate = 512 * B, stall = 20 * s)
+                        bodies(budget = %d * B, window = %d * B, of_a_client = %d * B)
+                        limits(sockets = 8192)
+                        """
+                                .formatted(BUDGET, WINDOW, BUDGET));
         int number = 0;
         for (final BodyWorker each : workers) {
             worker(site, "l" + ++number, each.address(), "long");
@@ -58,18 +65,26 @@
     }
 
     private static void worker(StringBuilder site, String id, InetSocketAddress at, String kind) {
-        site.append("worker(id = \"").append(id).append("\", address = \"127.0.0.1:").append(at.getPort())
-            .append("\", kind = \"").append(kind).append("\")\n");
+        site.append("worker(id = \"")
+                .append(id)
+                .append("\", address = \"127.0.0.1:")
+                .append(at.getPort())
+                .append("\", kind = \"")
+                .append(kind)
+                .append("\")\n");
     }
 
-    /** Jobs that ran more than once, and bodies that came to a worker with a byte that was another. */
+    /**
+     * Jobs that ran more than once, and bodies that came to a worker with a byte that was another.
+     */
     List<String> broken() {
         final List<String> broken = new ArrayList<>();
-        runs.forEach((id, count) -> {
-            if (count.sum() > 1) {
-                broken.add(id + " ran " + count.sum() + " times");
-            }
-        });
+        runs.forEach(
+                (id, count) -> {
+                    if (count.sum() > 1) {
+                        broken.add(id + " ran " + count.sum() + " times");
+                    }
+                });
         if (wrong.sum() > 0) {
             broken.add(wrong.sum() + " bodies came changed");
         }
