--- a/src/main/java/cresschute/testbed/bodies/BodiesTrial.java
+++ b/src/main/java/cresschute/testbed/bodies/BodiesTrial.java
@@ -18,8 +18,9 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Long bodies through a node in a process of its own: at unlike speeds, beside small requests, and what is held
- * for each that is open. Every byte is checked where it arrives. Blocks until all of it is played.
+ * Long bodies through a node in a process of its own: at unlike speeds, beside small requests, and
+ * what is held for each that is open. Every byte is checked where it arrives. Blocks until all of
+ * it is played.
  */
 public final class BodiesTrial {
 
@@ -29,11 +30,13 @@
     private static final int SMALL_PER_S = 500;
     private static final long MODEM = 7_000;
     private static final int SETTLED_MS = 1_500;
+
     /** The longest that one transfer may take, s. */
     private static final long MAX_TRANSFER_S = 900;
+
     private static final double MB = 1e6;
-    private static final List<String> NODE_OPTIONS = List.of("-XX:+UseSerialGC", "-Xms24m", "-Xmx64m",
-        "-XX:MaxDirectMemorySize=96m");
+    private static final List<String> NODE_OPTIONS =
+            List.of("-XX:+UseSerialGC", "-Xms24m", "-Xmx64m", "-XX:MaxDirectMemorySize=96m");
 
     /**
      * How much is played.
@@ -58,21 +61,27 @@
         this.out = out;
     }
 
-    /** Plays it and returns what must not be; {@code chart} is drawn from the samples of all of it. */
+    /**
+     * Plays it and returns what must not be; {@code chart} is drawn from the samples of all of it.
+     */
     public List<String> run(Path folder, Path chart) throws IOException, InterruptedException {
         final Path script = folder.resolve("bodies.star");
-        try (BodiesSite site = new BodiesSite(WORKERS); SmallRequests small = new SmallRequests()) {
+        try (BodiesSite site = new BodiesSite(WORKERS);
+                SmallRequests small = new SmallRequests()) {
             site.writeSettings(script, small.startWorkers(SMALL_WORKERS));
             try (NodeProcess node = new NodeProcess(script, NODE_OPTIONS);
-                MemoryLine memory = new MemoryLine(node);
-                PlainRelay plain = new PlainRelay(site.anyWorker())) {
+                    MemoryLine memory = new MemoryLine(node);
+                    PlainRelay plain = new PlainRelay(site.anyWorker())) {
                 speeds(node.address(), plain.address(), memory);
                 slowReaders(node.address(), memory);
                 besideSmallReqs(node, small, memory);
                 held(node);
-                memory.draw(chart, "direct at the start + budget of "
-                    + String.format(Locale.ROOT, "%.1f", BodiesSite.BUDGET / MB) + " MB",
-                    memory.directAtStart() + BodiesSite.BUDGET);
+                memory.draw(
+                        chart,
+                        "direct at the start + budget of "
+                                + String.format(Locale.ROOT, "%.1f", BodiesSite.BUDGET / MB)
+                                + " MB",
+                        memory.directAtStart() + BodiesSite.BUDGET);
             }
             wrong.addAll(site.broken());
         }
@@ -84,21 +93,35 @@
         out.flush();
     }
 
-    private BodyClient.Plan plan(InetSocketAddress to, Pair pair, long bytes, long leaveAfter,
-        boolean ownLines) {
+    private BodyClient.Plan plan(
+            InetSocketAddress to, Pair pair, long bytes, long leaveAfter, boolean ownLines) {
         final String id = "body-" + lastId.incrementAndGet();
-        final String target = (pair.isResult() ? "/report?result=" + bytes + "&out=" : "/upload?in=")
-            + pair.worker();
-        return new BodyClient.Plan(to, id, target, pair.isResult() ? 0 : bytes, false,
-            LineSpeed.of(pair.isResult() ? 0 : pair.client()),
-            LineSpeed.of(pair.isResult() ? pair.client() : 0), leaveAfter, ownLines);
+        final String target =
+                (pair.isResult() ? "/report?result=" + bytes + "&out=" : "/upload?in=")
+                        + pair.worker();
+        return new BodyClient.Plan(
+                to,
+                id,
+                target,
+                pair.isResult() ? 0 : bytes,
+                false,
+                LineSpeed.of(pair.isResult() ? 0 : pair.client()),
+                LineSpeed.of(pair.isResult() ? pair.client() : 0),
+                leaveAfter,
+                ownLines);
     }
 
     private BodyClient.Came play(BodyClient.Plan plan) {
         final BodyClient.Came came = BodyClient.run(plan);
         if (plan.leaveAfter() < 0 && !(came.status() == 200 && came.whole())) {
-            wrong.add(plan.target() + ": status " + came.status() + " after " + came.bytes() + " bytes "
-                + came.text());
+            wrong.add(
+                    plan.target()
+                            + ": status "
+                            + came.status()
+                            + " after "
+                            + came.bytes()
+                            + " bytes "
+                            + came.text());
         }
         return came;
     }
@@ -107,15 +130,19 @@
 
     private void speeds(InetSocketAddress node, InetSocketAddress plain, MemoryLine memory) {
         final long fast = 40_000_000;
-        final List<Pair> pairs = List.of(new Pair("body, both as fast as it goes", false, 0, 0),
-            new Pair("body, worker at 40 MB/s", false, 0, fast),
-            new Pair("body, client at 40 MB/s", false, fast, 0),
-            new Pair("result, both as fast as it goes", true, 0, 0),
-            new Pair("result, client at 40 MB/s", true, fast, 0),
-            new Pair("result, worker at 40 MB/s", true, 0, fast));
-        row("| %d MB at a time | MB/s: median (least to most) | of a plain copy: median (least to most) |"
-            + " most heap, MB | most direct, MB |\n| --- | --- | --- | --- | --- |",
-            Math.round(size.bytes() / MB));
+        final List<Pair> pairs =
+                List.of(
+                        new Pair("body, both as fast as it goes", false, 0, 0),
+                        new Pair("body, worker at 40 MB/s", false, 0, fast),
+                        new Pair("body, client at 40 MB/s", false, fast, 0),
+                        new Pair("result, both as fast as it goes", true, 0, 0),
+                        new Pair("result, client at 40 MB/s", true, fast, 0),
+                        new Pair("result, worker at 40 MB/s", true, 0, fast));
+        row(
+                "| %d MB at a time | MB/s: median (least to most) | of a plain copy: median (least"
+                        + " to most) | most heap, MB | most direct, MB |\n"
+                        + "| --- | --- | --- | --- | --- |",
+                Math.round(size.bytes() / MB));
         for (final Pair pair : pairs) {
             play(plan(node, pair, size.bytes(), -1, false));
             final double since = memory.now();
@@ -128,8 +155,13 @@
                 ratios.add(through / copied);
             }
             final NodeProcess.Memory most = memory.mostSince(since);
-            row("| %s | %s | %s | %.1f | %.1f |", pair.what(), spread(rates, "%.0f"), spread(ratios, "%.2f"),
-                most.heap() / MB, most.direct() / MB);
+            row(
+                    "| %s | %s | %s | %.1f | %.1f |",
+                    pair.what(),
+                    spread(rates, "%.0f"),
+                    spread(ratios, "%.2f"),
+                    most.heap() / MB,
+                    most.direct() / MB);
         }
     }
 
@@ -139,28 +171,41 @@
 
     private static String spread(List<Double> values, String form) {
         final List<Double> sorted = values.stream().sorted().toList();
-        return String.format(Locale.ROOT, form + " (" + form + " to " + form + ")",
-            sorted.get(sorted.size() / 2), sorted.get(0), sorted.get(sorted.size() - 1));
+        return String.format(
+                Locale.ROOT,
+                form + " (" + form + " to " + form + ")",
+                sorted.get(sorted.size() / 2),
+                sorted.get(0),
+                sorted.get(sorted.size() - 1));
     }
 
     /** A client at modem speed while a worker would send all of it at once. */
     private void slowReaders(InetSocketAddress node, MemoryLine memory) {
         final double since = memory.now();
-        final BodyClient.Came came = play(plan(node, new Pair("", true, MODEM, 0), size.bytes(),
-            MODEM * size.seconds(), false));
+        final BodyClient.Came came =
+                play(
+                        plan(
+                                node,
+                                new Pair("", true, MODEM, 0),
+                                size.bytes(),
+                                MODEM * size.seconds(),
+                                false));
         final NodeProcess.Memory most = memory.mostSince(since);
-        row("| result, client at 7 kB/s, left after %d s | %.4f | | %.1f | %.1f |", size.seconds(), rate(
-            came),
-            most.heap() / MB, most.direct() / MB);
+        row(
+                "| result, client at 7 kB/s, left after %d s | %.4f | | %.1f | %.1f |",
+                size.seconds(), rate(came), most.heap() / MB, most.direct() / MB);
     }
 
     // ---- Beside small requests ----
 
     private void besideSmallReqs(NodeProcess node, SmallRequests small, MemoryLine memory)
-        throws InterruptedException {
-        row("\n| %d small reqs a second for %d s | ms p50 | p99 | p99.9 | most | not served | node's CPU, %% of"
-            + " a core | most direct, MB |\n| --- | --- | --- | --- | --- | --- | --- | --- |", SMALL_PER_S,
-            size.seconds());
+            throws InterruptedException {
+        row(
+                "\n"
+                    + "| %d small reqs a second for %d s | ms p50 | p99 | p99.9 | most | not served"
+                    + " | node's CPU, %% of a core | most direct, MB |\n"
+                    + "| --- | --- | --- | --- | --- | --- | --- | --- |",
+                SMALL_PER_S, size.seconds());
         // Not earlier: connections that bring nothing at first are closed.
         small.connect(node.address(), SMALL_CLIENTS);
         small.run(SMALL_PER_S, SETTLED_MS);
@@ -173,15 +218,22 @@
     }
 
     private void smallReqs(String what, NodeProcess node, SmallRequests small, MemoryLine memory)
-        throws InterruptedException {
+            throws InterruptedException {
         final double since = memory.now();
         final long cpuNs = node.cpuNs();
         final long startNs = System.nanoTime();
         final Histogram us = small.run(SMALL_PER_S, size.seconds() * 1_000L);
         final double cpu = 100.0 * (node.cpuNs() - cpuNs) / (System.nanoTime() - startNs);
-        row("| %s | %.2f | %.2f | %.2f | %.2f | %d | %.0f | %.1f |", what, us.getValueAtPercentile(50) / 1e3,
-            us.getValueAtPercentile(99) / 1e3, us.getValueAtPercentile(99.9) / 1e3, us.getMaxValue() / 1e3,
-            small.notServed(), cpu, memory.mostSince(since).direct() / MB);
+        row(
+                "| %s | %.2f | %.2f | %.2f | %.2f | %d | %.0f | %.1f |",
+                what,
+                us.getValueAtPercentile(50) / 1e3,
+                us.getValueAtPercentile(99) / 1e3,
+                us.getValueAtPercentile(99.9) / 1e3,
+                us.getMaxValue() / 1e3,
+                small.notServed(),
+                cpu,
+                memory.mostSince(since).direct() / MB);
     }
 
     /** Bodies and results, half of each, that flow slowly until they are told to leave. */
@@ -195,8 +247,10 @@
             final long bytes = RATE * (size.seconds() + 4);
             for (int i = 0; i < count; i++) {
                 final Pair pair = new Pair("", i % 2 == 1, RATE, 0);
-                all.add(CompletableFuture.supplyAsync(
-                    () -> BodyClient.run(plan(node, pair, bytes, -1, false)), BodyWorker::daemon));
+                all.add(
+                        CompletableFuture.supplyAsync(
+                                () -> BodyClient.run(plan(node, pair, bytes, -1, false)),
+                                BodyWorker::daemon));
             }
             Thread.sleep(SETTLED_MS);
         }
@@ -210,13 +264,20 @@
             int served = 0;
             int refused = 0;
             for (final CompletableFuture<BodyClient.Came> each : all) {
-                final BodyClient.Came came = each.orTimeout(MAX_TRANSFER_S, TimeUnit.SECONDS).join();
+                final BodyClient.Came came =
+                        each.orTimeout(MAX_TRANSFER_S, TimeUnit.SECONDS).join();
                 served += came.status() == 200 && came.whole() ? 1 : 0;
                 refused += came.status() == 503 ? 1 : 0;
             }
             if (served + refused < wanted) {
-                wrong.add("of " + wanted + " slow ones " + served + " were served and " + refused
-                    + " refused");
+                wrong.add(
+                        "of "
+                                + wanted
+                                + " slow ones "
+                                + served
+                                + " were served and "
+                                + refused
+                                + " refused");
             }
         }
     }
@@ -224,7 +285,10 @@
     // ---- What an open request holds ----
 
     private void held(NodeProcess node) throws IOException, InterruptedException {
-        row("\n| open at a time | heap held, kB each | direct in use, kB each |\n| --- | --- | --- |");
+        row(
+                "\n"
+                        + "| open at a time | heap held, kB each | direct in use, kB each |\n"
+                        + "| --- | --- | --- |");
         final NodeProcess.Memory before = settled(node);
         final List<Socket> idle = new ArrayList<>();
         for (int i = 0; i < size.slow(); i++) {
@@ -239,26 +303,41 @@
     }
 
     private void flowing(String what, NodeProcess node, long rate, String trouble)
-        throws InterruptedException {
+            throws InterruptedException {
         final NodeProcess.Memory before = settled(node);
         final CountDownLatch ended = new CountDownLatch(size.slow());
         for (int i = 0; i < size.slow(); i++) {
             final Pair pair = new Pair(what, false, rate, 0);
-            final BodyClient.Plan base = plan(node.address(), pair,
-                rate == 0 ? size.bytes() : rate * 10, -1, false);
-            final BodyClient.Plan plan = new BodyClient.Plan(base.to(), base.id(),
-                base.target() + trouble, base.upload(), false, base.up(), base.down(),
-                -1, false);
-            BodyWorker.daemon(() -> {
-                BodyClient.run(plan);
-                ended.countDown();
-            });
+            final BodyClient.Plan base =
+                    plan(node.address(), pair, rate == 0 ? size.bytes() : rate * 10, -1, false);
+            final BodyClient.Plan plan =
+                    new BodyClient.Plan(
+                            base.to(),
+                            base.id(),
+                            base.target() + trouble,
+                            base.upload(),
+                            false,
+                            base.up(),
+                            base.down(),
+                            -1,
+                            false);
+            BodyWorker.daemon(
+                    () -> {
+                        BodyClient.run(plan);
+                        ended.countDown();
+                    });
         }
         Thread.sleep(2 * SETTLED_MS);
         final long open = ended.getCount();
         each(open + " " + what, before, node.memoryHeld(), Math.max(1, open));
         if (!ended.await(MAX_TRANSFER_S, TimeUnit.SECONDS)) {
-            wrong.add(ended.getCount() + " " + what + " had not ended after " + MAX_TRANSFER_S + " s");
+            wrong.add(
+                    ended.getCount()
+                            + " "
+                            + what
+                            + " had not ended after "
+                            + MAX_TRANSFER_S
+                            + " s");
         }
     }
 
@@ -267,8 +346,12 @@
         return node.memoryHeld();
     }
 
-    private void each(String what, NodeProcess.Memory before, NodeProcess.Memory after, long count) {
-        row("| %s | %.1f | %.1f |", what, (after.heap() - before.heap()) / 1e3 / count,
-            (after.direct() - before.direct()) / 1e3 / count);
+    private void each(
+            String what, NodeProcess.Memory before, NodeProcess.Memory after, long count) {
+        row(
+                "| %s | %.1f | %.1f |",
+                what,
+                (after.heap() - before.heap()) / 1e3 / count,
+                (after.direct() - before.direct()) / 1e3 / count);
     }
 }
--- a/src/main/java/cresschute/testbed/bodies/BodyClient.java
+++ b/src/main/java/cresschute/testbed/bodies/BodyClient.java
@@ -5,7 +5,10 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** A client that sends one long body, or reads one long result, each at a speed of its own. One thread. */
+/**
+ * A client that sends one long body, or reads one long result, each at a speed of its own. One
+ * thread.
+ */
 final class BodyClient {
 
     private static final int OK = 200;
@@ -18,10 +21,19 @@
      * @param upload bytes of the body
      * @param down its speed of reading, {@code up} that of sending
      * @param leaveAfter bytes of the result after which it closes, or -1
-     * @param ownLines whether the worker's own lines come before a result, as they do without a node between
+     * @param ownLines whether the worker's own lines come before a result, as they do without a
+     *     node between
      */
-    record Plan(InetSocketAddress to, String id, String target, long upload, boolean chunked, LineSpeed up,
-        LineSpeed down, long leaveAfter, boolean ownLines) {}
+    record Plan(
+            InetSocketAddress to,
+            String id,
+            String target,
+            long upload,
+            boolean chunked,
+            LineSpeed up,
+            LineSpeed down,
+            long leaveAfter,
+            boolean ownLines) {}
 
     /**
      * What came of it.
@@ -43,7 +55,8 @@
         boolean whole = false;
         try (Socket socket = new Socket()) {
             if (plan.down().bytesAS() > 0) {
-                // The kernel's room for what is not read yet counts as the line's, so it is kept small.
+                // The kernel's room for what is not read yet counts as the line's, so it is kept
+                // small.
                 socket.setReceiveBufferSize(SMALL_WINDOW);
             }
             socket.connect(plan.to());
@@ -60,18 +73,29 @@
             // How far it came is told by what is returned.
             text.append(e.getMessage());
         }
-        return new Came(status, whole, Math.max(sent, expected.count()), System.nanoTime() - startNs,
-            text.toString());
+        return new Came(
+                status,
+                whole,
+                Math.max(sent, expected.count()),
+                System.nanoTime() - startNs,
+                text.toString());
     }
 
     private static long send(Plan plan, PacedSocket line) throws IOException {
-        line.write("POST " + plan.target() + " HTTP/1.1\r\nHost: node\r\nX-Request-Id: " + plan.id() + "\r\n"
-            + (plan.chunked() ? "Transfer-Encoding: chunked" : "Content-Length: " + plan.upload())
-            + "\r\n\r\n");
+        line.write(
+                "POST "
+                        + plan.target()
+                        + " HTTP/1.1\r\nHost: node\r\nX-Request-Id: "
+                        + plan.id()
+                        + "\r\n"
+                        + (plan.chunked()
+                                ? "Transfer-Encoding: chunked"
+                                : "Content-Length: " + plan.upload())
+                        + "\r\n\r\n");
         final SeededBytes made = new SeededBytes(plan.id());
         final byte[] block = new byte[PacedSocket.BLOCK];
         try {
-            for (long left = plan.upload(); left > 0;) {
+            for (long left = plan.upload(); left > 0; ) {
                 final int count = (int) Math.min(left, block.length);
                 made.fill(block, count);
                 line.write(plan.chunked() ? Integer.toHexString(count) + "\r\n" : "");
@@ -87,15 +111,18 @@
         return made.count();
     }
 
-    private static boolean read(Plan plan, HttpBody body, int status, SeededBytes expected,
-        StringBuilder text) throws IOException {
+    private static boolean read(
+            Plan plan, HttpBody body, int status, SeededBytes expected, StringBuilder text)
+            throws IOException {
         final byte[] block = new byte[PacedSocket.BLOCK];
         final boolean isResult = status == OK && plan.target().contains("result=");
         boolean lines = plan.ownLines();
         boolean same = true;
         for (int count = body.read(block); count >= 0; count = body.read(block)) {
-            final String shown = isResult && !lines ? "" : new String(block, 0, count,
-                StandardCharsets.ISO_8859_1);
+            final String shown =
+                    isResult && !lines
+                            ? ""
+                            : new String(block, 0, count, StandardCharsets.ISO_8859_1);
             if (!isResult || lines) {
                 text.append(shown);
                 lines = !shown.contains("\"result\"");
--- a/src/main/java/cresschute/testbed/bodies/BodyWorker.java
+++ b/src/main/java/cresschute/testbed/bodies/BodyWorker.java
@@ -13,9 +13,10 @@
 import java.util.regex.Pattern;
 
 /**
- * Workers that take and make long bodies. What one does is told by the job's path: {@code in} and {@code out}
- * are its speeds in bytes a second, {@code result} the bytes that it makes, {@code reset} and {@code stall}
- * the byte of the body, or of the result, at which it breaks or stands still. One thread a connection.
+ * Workers that take and make long bodies. What one does is told by the job's path: {@code in} and
+ * {@code out} are its speeds in bytes a second, {@code result} the bytes that it makes, {@code
+ * reset} and {@code stall} the byte of the body, or of the result, at which it breaks or stands
+ * still. One thread a connection.
  */
 public final class BodyWorker implements AutoCloseable {
 
@@ -73,7 +74,8 @@
                 serve(paced, first);
             }
         } catch (IOException e) {
-            // The node has closed it, or it broke as it was told to: the other side's tale is the one told.
+            // The node has closed it, or it broke as it was told to: the other side's tale is the
+            // one told.
             return;
         } finally {
             if (line != null) {
@@ -91,7 +93,9 @@
         final long stall = asked(first, "stall", -1);
         final long reset = asked(first, "reset", -1);
         final boolean breaksIn = result == 0;
-        line.speeds(breaksIn ? troubled(in, stall, reset) : in, breaksIn ? out : troubled(out, stall, reset));
+        line.speeds(
+                breaksIn ? troubled(in, stall, reset) : in,
+                breaksIn ? out : troubled(out, stall, reset));
         final HttpBody body = new HttpBody(line, headers);
         final SeededBytes expected = new SeededBytes(id);
         final byte[] block = new byte[PacedSocket.BLOCK];
@@ -106,14 +110,25 @@
         line.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         chunk(line, "{\"id\":\"" + id + "\",\"state\":\"started\"}\n");
         if (result == 0) {
-            chunk(line, "{\"id\":\"" + id + "\",\"state\":\"done\",\"result\":\"" + expected.count() + " "
-                + expected.sum() + "\"}\n");
+            chunk(
+                    line,
+                    "{\"id\":\""
+                            + id
+                            + "\",\"state\":\"done\",\"result\":\""
+                            + expected.count()
+                            + " "
+                            + expected.sum()
+                            + "\"}\n");
             line.write("0\r\n\r\n");
             return;
         }
-        chunk(line, "{\"id\":\"" + id + "\",\"state\":\"result\",\"type\":\"application/octet-stream\"}\n");
+        chunk(
+                line,
+                "{\"id\":\""
+                        + id
+                        + "\",\"state\":\"result\",\"type\":\"application/octet-stream\"}\n");
         final SeededBytes made = new SeededBytes(id);
-        for (long left = result; left > 0;) {
+        for (long left = result; left > 0; ) {
             final int count = (int) Math.min(left, block.length);
             made.fill(block, count);
             line.write(Integer.toHexString(count) + "\r\n");
--- a/src/main/java/cresschute/testbed/bodies/MemoryLine.java
+++ b/src/main/java/cresschute/testbed/bodies/MemoryLine.java
@@ -66,8 +66,9 @@
     /** The most in use from then on. */
     NodeProcess.Memory mostSince(double s) {
         final List<Sample> since = samples().stream().filter(each -> each.s() >= s).toList();
-        return new NodeProcess.Memory(since.stream().mapToLong(each -> each.memory().heap()).max().orElse(0),
-            since.stream().mapToLong(each -> each.memory().direct()).max().orElse(0));
+        return new NodeProcess.Memory(
+                since.stream().mapToLong(each -> each.memory().heap()).max().orElse(0),
+                since.stream().mapToLong(each -> each.memory().direct()).max().orElse(0));
     }
 
     long directAtStart() {
@@ -77,28 +78,51 @@
     /** Draws all of it, with this bound beside it, as PNG. */
     void draw(Path to, String boundName, long bound) throws IOException {
         final List<Sample> all = thinned(samples());
-        final XYChart chart = new XYChartBuilder().width(WIDTH).height(HEIGHT)
-            .title("Memory of the node while long bodies pass").xAxisTitle("s").yAxisTitle("MB").build();
+        final XYChart chart =
+                new XYChartBuilder()
+                        .width(WIDTH)
+                        .height(HEIGHT)
+                        .title("Memory of the node while long bodies pass")
+                        .xAxisTitle("s")
+                        .yAxisTitle("MB")
+                        .build();
         final double[] at = all.stream().mapToDouble(Sample::s).toArray();
-        series(chart, "heap, unused objects included", at,
-            all.stream().mapToDouble(each -> each.memory().heap() / MB).toArray());
-        series(chart, "direct buffers", at,
-            all.stream().mapToDouble(each -> each.memory().direct() / MB).toArray());
+        series(
+                chart,
+                "heap, unused objects included",
+                at,
+                all.stream().mapToDouble(each -> each.memory().heap() / MB).toArray());
+        series(
+                chart,
+                "direct buffers",
+                at,
+                all.stream().mapToDouble(each -> each.memory().direct() / MB).toArray());
         series(chart, boundName, at, all.stream().mapToDouble(each -> bound / MB).toArray());
         chart.getStyler().setYAxisMin(0.0);
         chart.getStyler().setLegendPosition(LegendPosition.OutsideS);
         BitmapEncoder.saveBitmap(chart, to.toString(), BitmapFormat.PNG);
     }
 
-    /** The most of each of some hundred spans: a peak is never left out, and the chart stays small. */
+    /**
+     * The most of each of some hundred spans: a peak is never left out, and the chart stays small.
+     */
     private static List<Sample> thinned(List<Sample> all) {
         final List<Sample> kept = new ArrayList<>();
         final int each = Math.max(1, all.size() / DRAWN);
         for (int i = 0; i < all.size(); i += each) {
             final List<Sample> span = all.subList(i, Math.min(all.size(), i + each));
-            kept.add(new Sample(span.get(0).s(), new NodeProcess.Memory(
-                span.stream().mapToLong(one -> one.memory().heap()).max().orElse(0),
-                span.stream().mapToLong(one -> one.memory().direct()).max().orElse(0))));
+            kept.add(
+                    new Sample(
+                            span.get(0).s(),
+                            new NodeProcess.Memory(
+                                    span.stream()
+                                            .mapToLong(one -> one.memory().heap())
+                                            .max()
+                                            .orElse(0),
+                                    span.stream()
+                                            .mapToLong(one -> one.memory().direct())
+                                            .max()
+                                            .orElse(0))));
         }
         return kept;
     }
--- a/src/main/java/cresschute/testbed/bodies/PacedSocket.java
+++ b/src/main/java/cresschute/testbed/bodies/PacedSocket.java
@@ -13,7 +13,10 @@
 import java.util.TreeMap;
 import java.util.concurrent.locks.LockSupport;
 
-/** A connection whose bodies go at a stated speed; heads and chunk sizes go as they come. One thread. */
+/**
+ * A connection whose bodies go at a stated speed; heads and chunk sizes go as they come. One
+ * thread.
+ */
 final class PacedSocket implements Closeable {
 
     static final int BLOCK = 16 * 1024;
@@ -55,7 +58,9 @@
         final Map<String, String> headers = new TreeMap<>();
         for (String line = line(); !line.isEmpty(); line = line()) {
             final int colon = line.indexOf(':');
-            headers.put(line.substring(0, colon).toLowerCase(Locale.ROOT), line.substring(colon + 1).strip());
+            headers.put(
+                    line.substring(0, colon).toLowerCase(Locale.ROOT),
+                    line.substring(colon + 1).strip());
         }
         return headers;
     }
@@ -81,7 +86,7 @@
 
     /** Bytes of a body, at this side's speed. */
     void write(byte[] bytes, int count) throws IOException {
-        for (int at = 0; at < count;) {
+        for (int at = 0; at < count; ) {
             final int now = writing.next(count - at);
             out.write(bytes, at, now);
             at += now;
@@ -108,8 +113,11 @@
 
         Line(LineSpeed speed) {
             this.speed = speed;
-            this.bucket = new TokenBucket(speed.bytesAS(), Math.max(1, Math.min(BLOCK, speed.bytesAS() / 10)),
-                System.nanoTime());
+            this.bucket =
+                    new TokenBucket(
+                            speed.bytesAS(),
+                            Math.max(1, Math.min(BLOCK, speed.bytesAS() / 10)),
+                            System.nanoTime());
         }
 
         /** Waits until some of these may go, and returns how many. */
@@ -122,8 +130,10 @@
                 stalled = true;
                 sleepNs(speed.stallMs() * MS);
             }
-            final long mark = !stalled && speed.stallAt() > at ? speed.stallAt()
-                : speed.resetAt() > at ? speed.resetAt() : Long.MAX_VALUE;
+            final long mark =
+                    !stalled && speed.stallAt() > at
+                            ? speed.stallAt()
+                            : speed.resetAt() > at ? speed.resetAt() : Long.MAX_VALUE;
             final long bounded = Math.min(wanted, mark - at);
             long free = bucket.take(bounded, System.nanoTime());
             while (free == 0) {
--- a/src/main/java/cresschute/testbed/bodies/PlainRelay.java
+++ b/src/main/java/cresschute/testbed/bodies/PlainRelay.java
@@ -7,8 +7,8 @@
 import java.net.Socket;
 
 /**
- * A copy from socket to socket that understands nothing: what passing bytes on costs at the least, beside
- * which a node's throughput is put. Two threads a connection.
+ * A copy from socket to socket that understands nothing: what passing bytes on costs at the least,
+ * beside which a node's throughput is put. Two threads a connection.
  */
 final class PlainRelay implements AutoCloseable {
 
@@ -43,9 +43,11 @@
 
     private static void copy(Socket from, Socket to) {
         final byte[] block = new byte[BLOCK];
-        try (from; to) {
-            for (int count = from.getInputStream().read(block); count >= 0; count = from.getInputStream()
-                .read(block)) {
+        try (from;
+                to) {
+            for (int count = from.getInputStream().read(block);
+                    count >= 0;
+                    count = from.getInputStream().read(block)) {
                 to.getOutputStream().write(block, 0, count);
             }
         } catch (IOException e) {
--- a/src/main/java/cresschute/testbed/bodies/SeededBytes.java
+++ b/src/main/java/cresschute/testbed/bodies/SeededBytes.java
@@ -7,7 +7,9 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** Bytes that anybody can make again from a name, and their checksum so far. Owned by one thread. */
+/**
+ * Bytes that anybody can make again from a name, and their checksum so far. Owned by one thread.
+ */
 final class SeededBytes {
 
     private static final int BLOCK = 8 * 1024;
@@ -27,7 +29,7 @@
 
     /** The next bytes of it. */
     void fill(byte[] into, int bytes) {
-        for (int done = 0; done < bytes;) {
+        for (int done = 0; done < bytes; ) {
             final int now = Math.min(bytes - done, ready());
             System.arraycopy(made, at, into, done, now);
             at += now;
@@ -39,7 +41,7 @@
     /** Whether these are its next bytes. */
     boolean isNext(byte[] given, int bytes) {
         boolean same = true;
-        for (int done = 0; done < bytes;) {
+        for (int done = 0; done < bytes; ) {
             final int now = Math.min(bytes - done, ready());
             same &= Arrays.equals(made, at, at + now, given, done, done + now);
             at += now;
--- a/src/main/java/cresschute/testbed/bodies/TokenBucket.java
+++ b/src/main/java/cresschute/testbed/bodies/TokenBucket.java
@@ -1,8 +1,8 @@
 package cresschute.testbed.bodies;
 
 /**
- * A line's speed: bytes come free at an even rate, and no more than a burst of them waits unused. Pure, times
- * in nanoseconds; owned by one thread.
+ * A line's speed: bytes come free at an even rate, and no more than a burst of them waits unused.
+ * Pure, times in nanoseconds; owned by one thread.
  */
 final class TokenBucket {
 
@@ -35,7 +35,8 @@
 
     /** How long after the last taking there are so many free, or a whole burst if that is less. */
     long untilFreeNs(long wanted) {
-        return bytesAns == 0 ? 0
-            : (long) Math.ceil(Math.max(0, Math.min(wanted, burst) - free) / bytesAns);
+        return bytesAns == 0
+                ? 0
+                : (long) Math.ceil(Math.max(0, Math.min(wanted, burst) - free) / bytesAns);
     }
 }
--- a/src/main/java/cresschute/testbed/capacity/ByteCounter.java
+++ b/src/main/java/cresschute/testbed/capacity/ByteCounter.java
@@ -7,7 +7,10 @@
 import java.util.function.LongConsumer;
 import java.util.function.LongSupplier;
 
-/** Next to a socket: counts what is read and written, and notes when the first byte of a message came. */
+/**
+ * Next to a socket: counts what is read and written, and notes when the first byte of a message
+ * came.
+ */
 final class ByteCounter extends ChannelDuplexHandler {
 
     private final LongSupplier clock;
--- a/src/main/java/cresschute/testbed/capacity/CapacityExperiment.java
+++ b/src/main/java/cresschute/testbed/capacity/CapacityExperiment.java
@@ -16,9 +16,10 @@
 import java.util.stream.Stream;
 
 /**
- * One experiment: dispatcher processes between hollow workers, hollow clients and discovery, each in a
- * process of its own. Jobs come faster until as many run as wanted; then the window is measured, what is
- * open is waited for, and all of it ends. Blocks; whatever happens, no process is left.
+ * One experiment: dispatcher processes between hollow workers, hollow clients and discovery, each
+ * in a process of its own. Jobs come faster until as many run as wanted; then the window is
+ * measured, what is open is waited for, and all of it ends. Blocks; whatever happens, no process is
+ * left.
  */
 public final class CapacityExperiment implements AutoCloseable {
 
@@ -55,18 +56,24 @@
      * @param progress is told what goes on, a line at a time
      * @param interrupted ends it early at zero
      */
-    public CapacityExperiment(CapacityPlan plan, Consumer<String> progress, CountDownLatch interrupted) {
+    public CapacityExperiment(
+            CapacityPlan plan, Consumer<String> progress, CountDownLatch interrupted) {
         this.plan = plan;
         this.progress = progress;
         this.interrupted = interrupted;
     }
 
-    /** Looks whether the machine has what this plan needs; {@link MachineLimitException} where it has not. */
+    /**
+     * Looks whether the machine has what this plan needs; {@link MachineLimitException} where it
+     * has not.
+     */
     public static void check(CapacityPlan plan) throws IOException {
         Preflight.check(plan);
     }
 
-    /** Plays it. A process that dies, or an interruption, ends it with what was measured until then. */
+    /**
+     * Plays it. A process that dies, or an interruption, ends it with what was measured until then.
+     */
     public CapacityResult run() throws IOException, InterruptedException {
         check(plan);
         folder = Files.createTempDirectory("cresschute-capacity");
@@ -81,8 +88,8 @@
             close();
         }
         try {
-            final List<Observation> seen = ObservationFile.read(peers.stream().map(PeerProcess::observations)
-                .toList());
+            final List<Observation> seen =
+                    ObservationFile.read(peers.stream().map(PeerProcess::observations).toList());
             final List<String> faults = new ArrayList<>();
             for (final DispatcherProcess each : dispatchers) {
                 faults.addAll(each.faults());
@@ -104,16 +111,20 @@
     // ---- The stages ----
 
     private void start() throws IOException, InterruptedException, Interrupted {
-        progress.accept("starting " + plan.workers() + " workers and " + plan.dispatchers()
-            + " dispatchers");
+        progress.accept(
+                "starting "
+                        + plan.workers()
+                        + " workers and "
+                        + plan.dispatchers()
+                        + " dispatchers");
         final int parts = Preflight.workerProcesses(plan, Preflight.descriptorLimit());
         for (int i = 0; i < parts; i++) {
             workers.add(peer(PeerMain.Role.WORKERS, i));
         }
         discovery = peer(PeerMain.Role.DISCOVERY, 0);
         clients = peer(PeerMain.Role.CLIENTS, 0);
-        final InetSocketAddress discoveryAt = PeerProcess.addresses(discovery.start(plan, clock, 1,
-            startWorkers())).get(0);
+        final InetSocketAddress discoveryAt =
+                PeerProcess.addresses(discovery.start(plan, clock, 1, startWorkers())).get(0);
         clients.start(plan, clock, 1, List.of());
         for (int i = 0; i < plan.dispatchers(); i++) {
             dispatchers.add(new DispatcherProcess(plan, i, discoveryAt, folder));
@@ -134,14 +145,21 @@
         clients.begin(dispatchersAt);
     }
 
-    /** Starts all workers in their processes and returns where they listen, in the order of the list. */
+    /**
+     * Starts all workers in their processes and returns where they listen, in the order of the
+     * list.
+     */
     private List<InetSocketAddress> startWorkers() throws IOException {
         final List<Iterator<InetSocketAddress>> started = new ArrayList<>();
         for (final PeerProcess each : workers) {
-            started.add(PeerProcess.addresses(each.start(plan, clock, workers.size(), List.of())).iterator());
+            started.add(
+                    PeerProcess.addresses(each.start(plan, clock, workers.size(), List.of()))
+                            .iterator());
         }
-        return new Site(plan).workers().stream()
-            .map(make -> started.get(Site.partOf(make, workers.size())).next()).toList();
+        return new Site(plan)
+                .workers().stream()
+                        .map(make -> started.get(Site.partOf(make, workers.size())).next())
+                        .toList();
     }
 
     private HollowWorkers.Counts workerCounts() throws IOException {
@@ -166,9 +184,18 @@
             pause(LOOK_MS);
             final HollowWorkers.Counts counts = workerCounts();
             running = counts.running();
-            progress.accept("ramp: " + running + " of " + plan.running() + " running after "
-                + Math.round(secondsSince(startNs)) + " s; " + counts.connections() + " connections, "
-                + counts.traffic().messages(TrafficKind.PROBE) + " probes so far");
+            progress.accept(
+                    "ramp: "
+                            + running
+                            + " of "
+                            + plan.running()
+                            + " running after "
+                            + Math.round(secondsSince(startNs))
+                            + " s; "
+                            + counts.connections()
+                            + " connections, "
+                            + counts.traffic().messages(TrafficKind.PROBE)
+                            + " probes so far");
         }
         clients.ask("end_ramp");
         discovery.begin(List.of());
@@ -188,9 +215,16 @@
                 }
             }
             samples.add(sample());
-            progress.accept("measured " + Math.round(secondsSince(startNs)) + " of "
-                + Math.round(plan.seconds()) + " s: " + samples.get(samples.size() - 1).running()
-                + " running, " + samples.get(samples.size() - 1).open() + " open");
+            progress.accept(
+                    "measured "
+                            + Math.round(secondsSince(startNs))
+                            + " of "
+                            + Math.round(plan.seconds())
+                            + " s: "
+                            + samples.get(samples.size() - 1).running()
+                            + " running, "
+                            + samples.get(samples.size() - 1).open()
+                            + " open");
         }
     }
 
@@ -206,9 +240,17 @@
         for (final PeerProcess each : workers.subList(1, workers.size())) {
             ofWorkers = ofWorkers.plus(use(each.pid(), WORKERS_PROCESS));
         }
-        return new Sample(System.nanoTime(), clock.nowUs(), ofDispatchers, List.of(ofWorkers,
-            use(discovery.pid(), "discovery"), use(clients.pid(), "the process of the hollow clients")),
-            workerCounts, discoveryCounts, clientCounts);
+        return new Sample(
+                System.nanoTime(),
+                clock.nowUs(),
+                ofDispatchers,
+                List.of(
+                        ofWorkers,
+                        use(discovery.pid(), "discovery"),
+                        use(clients.pid(), "the process of the hollow clients")),
+                workerCounts,
+                discoveryCounts,
+                clientCounts);
     }
 
     private static ProcessUse use(long pid, String what) throws PeerException {
@@ -228,7 +270,10 @@
         }
     }
 
-    /** Waits until all that is open is answered; what is not when the longest job must be over, stays. */
+    /**
+     * Waits until all that is open is answered; what is not when the longest job must be over,
+     * stays.
+     */
     private void drain() throws IOException, InterruptedException, Interrupted {
         clients.ask("stop_arriving");
         final double longest = SPARE_DRAIN_SECONDS + new Site(plan).deadlineUs() / US_A_SECOND;
--- a/src/main/java/cresschute/testbed/capacity/CapacityPlan.java
+++ b/src/main/java/cresschute/testbed/capacity/CapacityPlan.java
@@ -7,7 +7,8 @@
  *
  * @param workers listed workers
  * @param accelerators slots of the accelerated kind among them
- * @param running jobs that run at a time, so that the mean running time is this over {@code startsPerSecond}
+ * @param running jobs that run at a time, so that the mean running time is this over {@code
+ *     startsPerSecond}
  * @param startsPerSecond requests that clients begin in a second on average
  * @param tenants customers with a quota each
  * @param dispatchers dispatcher processes
@@ -18,18 +19,25 @@
  * @param seconds measured, after the number of running jobs is reached
  * @param memoryMb memory of a dispatcher, or 0 for the bounds of the platform's run line
  */
-public record CapacityPlan(@SerializedName("workers") int workers,
-    @SerializedName("accelerators") int accelerators, @SerializedName("running") int running,
-    @SerializedName("startsPerSecond") double startsPerSecond, @SerializedName("tenants") int tenants,
-    @SerializedName("dispatchers") int dispatchers, @SerializedName("zones") int zones,
-    @SerializedName("regions") int regions, @SerializedName("gang") int gang,
-    @SerializedName("changesADay") double changesADay,
-    @SerializedName("listChangesPerSecond") double listChangesPerSecond,
-    @SerializedName("seconds") double seconds, @SerializedName("seed") long seed,
-    @SerializedName("memoryMb") int memoryMb) {
+public record CapacityPlan(
+        @SerializedName("workers") int workers,
+        @SerializedName("accelerators") int accelerators,
+        @SerializedName("running") int running,
+        @SerializedName("startsPerSecond") double startsPerSecond,
+        @SerializedName("tenants") int tenants,
+        @SerializedName("dispatchers") int dispatchers,
+        @SerializedName("zones") int zones,
+        @SerializedName("regions") int regions,
+        @SerializedName("gang") int gang,
+        @SerializedName("changesADay") double changesADay,
+        @SerializedName("listChangesPerSecond") double listChangesPerSecond,
+        @SerializedName("seconds") double seconds,
+        @SerializedName("seed") long seed,
+        @SerializedName("memoryMb") int memoryMb) {
 
     /** Requests that one tenant may begin in one instant at the most. */
     public static final int MAX_GANG = 1_024;
+
     private static final int MAX_WORKERS = 10_000;
     private static final int MAX_RUNNING = 50_000;
     private static final double MAX_STARTS_PER_SECOND = 5_000;
@@ -57,8 +65,12 @@
         within("--regions", regions, 1, MAX_ZONES);
         within("--zones", zones, 1, MAX_ZONES);
         if (zones < regions) {
-            throw new UnusablePlanException("--zones: " + zones + " zones cannot make " + regions
-                + " regions: a zone belongs to one region");
+            throw new UnusablePlanException(
+                    "--zones: "
+                            + zones
+                            + " zones cannot make "
+                            + regions
+                            + " regions: a zone belongs to one region");
         }
         within("--gang", gang, 0, MAX_GANG);
         within("--changes-a-day", changesADay, 0, MAX_CHANGES_A_DAY);
@@ -69,16 +81,31 @@
         }
         final double mean = running / startsPerSecond;
         if (mean < MIN_MEAN_RUN_SECONDS || mean > MAX_MEAN_RUN_SECONDS) {
-            throw new UnusablePlanException("--running: " + running + " at " + text(startsPerSecond)
-                + " starts a second are jobs of " + text(mean) + " s; allowed: "
-                + text(MIN_MEAN_RUN_SECONDS) + " to " + text(MAX_MEAN_RUN_SECONDS) + " s");
+            throw new UnusablePlanException(
+                    "--running: "
+                            + running
+                            + " at "
+                            + text(startsPerSecond)
+                            + " starts a second are jobs of "
+                            + text(mean)
+                            + " s; allowed: "
+                            + text(MIN_MEAN_RUN_SECONDS)
+                            + " to "
+                            + text(MAX_MEAN_RUN_SECONDS)
+                            + " s");
         }
     }
 
     private static void within(String option, double value, double min, double max) {
         if (!(value >= min && value <= max)) {
-            throw new UnusablePlanException(option + ": " + text(value) + " is out of range; allowed: "
-                + text(min) + " to " + text(max));
+            throw new UnusablePlanException(
+                    option
+                            + ": "
+                            + text(value)
+                            + " is out of range; allowed: "
+                            + text(min)
+                            + " to "
+                            + text(max));
         }
     }
 
@@ -98,50 +125,153 @@
 
     /** The same with another number of workers, and as many accelerators a worker. */
     public CapacityPlan withWorkers(int next) {
-        return new CapacityPlan(next, (int) Math.round((double) accelerators * next / workers), running,
-            startsPerSecond, tenants, dispatchers, zones, regions, gang, changesADay, listChangesPerSecond,
-            seconds, seed, memoryMb);
+        return new CapacityPlan(
+                next,
+                (int) Math.round((double) accelerators * next / workers),
+                running,
+                startsPerSecond,
+                tenants,
+                dispatchers,
+                zones,
+                regions,
+                gang,
+                changesADay,
+                listChangesPerSecond,
+                seconds,
+                seed,
+                memoryMb);
     }
 
     /** The same with another number of running jobs. */
     public CapacityPlan withRunning(int next) {
-        return new CapacityPlan(workers, accelerators, next, startsPerSecond, tenants, dispatchers, zones,
-            regions, gang, changesADay, listChangesPerSecond, seconds, seed, memoryMb);
+        return new CapacityPlan(
+                workers,
+                accelerators,
+                next,
+                startsPerSecond,
+                tenants,
+                dispatchers,
+                zones,
+                regions,
+                gang,
+                changesADay,
+                listChangesPerSecond,
+                seconds,
+                seed,
+                memoryMb);
     }
 
     /** The same with another rate of starts. */
     public CapacityPlan withStarts(double next) {
-        return new CapacityPlan(workers, accelerators, running, next, tenants, dispatchers, zones, regions,
-            gang, changesADay, listChangesPerSecond, seconds, seed, memoryMb);
+        return new CapacityPlan(
+                workers,
+                accelerators,
+                running,
+                next,
+                tenants,
+                dispatchers,
+                zones,
+                regions,
+                gang,
+                changesADay,
+                listChangesPerSecond,
+                seconds,
+                seed,
+                memoryMb);
     }
 
     /** The same with another number of tenants. */
     public CapacityPlan withTenants(int next) {
-        return new CapacityPlan(workers, accelerators, running, startsPerSecond, next, dispatchers, zones,
-            regions, gang, changesADay, listChangesPerSecond, seconds, seed, memoryMb);
+        return new CapacityPlan(
+                workers,
+                accelerators,
+                running,
+                startsPerSecond,
+                next,
+                dispatchers,
+                zones,
+                regions,
+                gang,
+                changesADay,
+                listChangesPerSecond,
+                seconds,
+                seed,
+                memoryMb);
     }
 
     /** The same with another number of dispatchers. */
     public CapacityPlan withDispatchers(int next) {
-        return new CapacityPlan(workers, accelerators, running, startsPerSecond, tenants, next, zones,
-            regions, gang, changesADay, listChangesPerSecond, seconds, seed, memoryMb);
+        return new CapacityPlan(
+                workers,
+                accelerators,
+                running,
+                startsPerSecond,
+                tenants,
+                next,
+                zones,
+                regions,
+                gang,
+                changesADay,
+                listChangesPerSecond,
+                seconds,
+                seed,
+                memoryMb);
     }
 
     /** The same with another rate of list changes. */
     public CapacityPlan withListChanges(double perSecond) {
-        return new CapacityPlan(workers, accelerators, running, startsPerSecond, tenants, dispatchers, zones,
-            regions, gang, changesADay, perSecond, seconds, seed, memoryMb);
+        return new CapacityPlan(
+                workers,
+                accelerators,
+                running,
+                startsPerSecond,
+                tenants,
+                dispatchers,
+                zones,
+                regions,
+                gang,
+                changesADay,
+                perSecond,
+                seconds,
+                seed,
+                memoryMb);
     }
 
     /** The same with another rate of settings changes. */
     public CapacityPlan withSettingsChanges(double perSecond) {
-        return new CapacityPlan(workers, accelerators, running, startsPerSecond, tenants, dispatchers, zones,
-            regions, gang, perSecond * SECONDS_A_DAY, listChangesPerSecond, seconds, seed, memoryMb);
+        return new CapacityPlan(
+                workers,
+                accelerators,
+                running,
+                startsPerSecond,
+                tenants,
+                dispatchers,
+                zones,
+                regions,
+                gang,
+                perSecond * SECONDS_A_DAY,
+                listChangesPerSecond,
+                seconds,
+                seed,
+                memoryMb);
     }
 
     /** The same with another seed. */
     public CapacityPlan withSeed(long next) {
-        return new CapacityPlan(workers, accelerators, running, startsPerSecond, tenants, dispatchers, zones,
-            regions, gang, changesADay, listChangesPerSecond, seconds, next, memoryMb);
+        return new CapacityPlan(
+                workers,
+                accelerators,
+                running,
+                startsPerSecond,
+                tenants,
+                dispatchers,
+                zones,
+                regions,
+                gang,
+                changesADay,
+                listChangesPerSecond,
+                seconds,
+                next,
+                memoryMb);
     }
 }
--- a/src/main/java/cresschute/testbed/capacity/CapacityResult.java
+++ b/src/main/java/cresschute/testbed/capacity/CapacityResult.java
@@ -14,7 +14,8 @@
  * @param rulesBroken one line for each breach
  * @param partial why it was not measured whole, or null where it was
  */
-public record CapacityResult(CapacityPlan plan, Measures measures, List<String> rulesBroken, String partial) {
+public record CapacityResult(
+        CapacityPlan plan, Measures measures, List<String> rulesBroken, String partial) {
 
     /** The whole result as one JSON object. */
     public JsonObject json() {
@@ -22,7 +23,8 @@
         json.addProperty("workers", plan.workers());
         json.addProperty("running", (long) figure(Role.WORKER, "running"));
         json.addProperty("running_asked", plan.running());
-        json.addProperty("starts_per_second", Measures.rounded(figure(Role.CLIENT, "requests_per_second")));
+        json.addProperty(
+                "starts_per_second", Measures.rounded(figure(Role.CLIENT, "requests_per_second")));
         json.addProperty("starts_per_second_asked", plan.startsPerSecond());
         json.addProperty("dispatchers", plan.dispatchers());
         json.addProperty("tenants", plan.tenants());
@@ -50,12 +52,29 @@
     /** The result as a table in Markdown, with what must not be after it. */
     public List<String> table() {
         final List<String> lines = new ArrayList<>();
-        lines.add("| " + plan.workers() + " workers, " + plan.running() + " running, "
-            + plan.startsPerSecond() + " starts a second, " + plan.dispatchers() + " dispatchers | |");
+        lines.add(
+                "| "
+                        + plan.workers()
+                        + " workers, "
+                        + plan.running()
+                        + " running, "
+                        + plan.startsPerSecond()
+                        + " starts a second, "
+                        + plan.dispatchers()
+                        + " dispatchers | |");
         lines.add("| --- | --- |");
         for (final Role role : Role.values()) {
-            new TreeMap<>(measures.of(role)).forEach((measure, value) -> lines.add("| " + role.word() + " "
-                + measure.replace('_', ' ') + " | " + Measures.rounded(value) + " |"));
+            new TreeMap<>(measures.of(role))
+                    .forEach(
+                            (measure, value) ->
+                                    lines.add(
+                                            "| "
+                                                    + role.word()
+                                                    + " "
+                                                    + measure.replace('_', ' ')
+                                                    + " | "
+                                                    + Measures.rounded(value)
+                                                    + " |"));
         }
         lines.add("");
         lines.add(partial == null ? "Measured whole." : "PARTIAL: " + partial);
--- a/src/main/java/cresschute/testbed/capacity/DispatcherProcess.java
+++ b/src/main/java/cresschute/testbed/capacity/DispatcherProcess.java
@@ -12,25 +12,41 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** A dispatcher as the platform runs it: a process with the run line's bounds and a configuration file. */
+/**
+ * A dispatcher as the platform runs it: a process with the run line's bounds and a configuration
+ * file.
+ */
 final class DispatcherProcess implements AutoCloseable {
 
     /** Options of the platform's run line that do not depend on the memory given. */
-    static final List<String> OPTIONS = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1",
-        "-Xshare:auto", "-XX:-UsePerfData", "-Xms24m", "-Xss512k", "-XX:MaxMetaspaceSize=40m",
-        "-XX:ReservedCodeCacheSize=16m", "-Djava.net.preferIPv4Stack=true",
-        "-Dio.netty.allocator.type=pooled", "-Dio.netty.allocator.numHeapArenas=1",
-        "-Dio.netty.allocator.numDirectArenas=1",
-        "-Djava.util.logging.manager=cresschute.node.StayingLogManager");
+    static final List<String> OPTIONS =
+            List.of(
+                    "-XX:+UseSerialGC",
+                    "-XX:TieredStopAtLevel=1",
+                    "-Xshare:auto",
+                    "-XX:-UsePerfData",
+                    "-Xms24m",
+                    "-Xss512k",
+                    "-XX:MaxMetaspaceSize=40m",
+                    "-XX:ReservedCodeCacheSize=16m",
+                    "-Djava.net.preferIPv4Stack=true",
+                    "-Dio.netty.allocator.type=pooled",
+                    "-Dio.netty.allocator.numHeapArenas=1",
+                    "-Dio.netty.allocator.numDirectArenas=1",
+                    "-Djava.util.logging.manager=cresschute.node.StayingLogManager");
+
     /** Options of the run line that do, as it has them. */
     static final List<String> MEMORY_OPTIONS = List.of("-Xmx64m", "-XX:MaxDirectMemorySize=16m");
+
     private static final int HEAP_PARTS = 2;
     private static final int DIRECT_PARTS = 8;
     private static final int OTHER_DESCRIPTORS = 48;
     private static final double WORKER_PART = 0.45;
     private static final double CONNECTIONS_OVER_RUNNING = 1.5;
+
     /** Probes of one request that may be out for a second at a time. */
     private static final int PROBES_A_START = 3;
+
     private static final int SPARE_CONNECTIONS = 300;
     private static final long START_MS = 30_000;
     private static final long LOOK_MS = 20;
@@ -48,7 +64,7 @@
 
     /** Starts it; it need not listen yet. */
     DispatcherProcess(CapacityPlan plan, int number, InetSocketAddress discovery, Path folder)
-        throws IOException {
+            throws IOException {
         this.plan = plan;
         this.number = number;
         this.discovery = discovery;
@@ -59,26 +75,35 @@
         command.addAll(OPTIONS);
         command.addAll(memoryOptions(plan));
         command.addAll(program());
-        final ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true)
-            .redirectOutput(log.toFile());
+        final ProcessBuilder builder =
+                new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(log.toFile());
         builder.environment().put("BALANCER_CONFIG", config.toString());
-        builder.environment().keySet().removeIf(each -> each.startsWith("BALANCER_")
-            && !each.equals("BALANCER_CONFIG"));
+        builder.environment()
+                .keySet()
+                .removeIf(each -> each.startsWith("BALANCER_") && !each.equals("BALANCER_CONFIG"));
         process = builder.start();
     }
 
     private static List<String> memoryOptions(CapacityPlan plan) {
-        return plan.memoryMb() == 0 ? MEMORY_OPTIONS
-            : List.of("-Xmx" + plan.memoryMb() / HEAP_PARTS + "m",
-                "-XX:MaxDirectMemorySize=" + plan.memoryMb() / DIRECT_PARTS + "m");
+        return plan.memoryMb() == 0
+                ? MEMORY_OPTIONS
+                : List.of(
+                        "-Xmx" + plan.memoryMb() / HEAP_PARTS + "m",
+                        "-XX:MaxDirectMemorySize=" + plan.memoryMb() / DIRECT_PARTS + "m");
     }
 
     /** The jar where the program runs from one, as on the platform, and else its classes. */
     private static List<String> program() throws IOException {
-        final Path home = Path.of(DispatcherProcess.class.getProtectionDomain().getCodeSource().getLocation()
-            .getPath());
+        final Path home =
+                Path.of(
+                        DispatcherProcess.class
+                                .getProtectionDomain()
+                                .getCodeSource()
+                                .getLocation()
+                                .getPath());
         if (!Files.isRegularFile(home)) {
-            return List.of("-cp", System.getProperty("java.class.path"), "cresschute.cli.Main", "serve");
+            return List.of(
+                    "-cp", System.getProperty("java.class.path"), "cresschute.cli.Main", "serve");
         }
         final Path classes = home.resolveSibling("cresschute.jsa");
         final List<String> options = new ArrayList<>();
@@ -93,7 +118,8 @@
     static int workerConnections(CapacityPlan plan) {
         final double probing = PROBES_A_START * plan.startsPerSecond() / plan.dispatchers();
         return (int) (CONNECTIONS_OVER_RUNNING * plan.running() / plan.dispatchers() + probing)
-            + plan.gang() + SPARE_CONNECTIONS;
+                + plan.gang()
+                + SPARE_CONNECTIONS;
     }
 
     /** Descriptors that a dispatcher is allowed. */
@@ -109,7 +135,8 @@
         final JsonObject json = new JsonObject();
         json.addProperty("name", "dispatcher-" + number);
         json.addProperty("listen", "127.10.0." + (number + FIRST_HOST) + ":0");
-        json.addProperty("discovery", discovery.getAddress().getHostAddress() + ":" + discovery.getPort());
+        json.addProperty(
+                "discovery", discovery.getAddress().getHostAddress() + ":" + discovery.getPort());
         json.addProperty("seed", Long.toHexString(plan.seed() * 1_000 + number));
         json.add("limits", limits);
         json.add("settings", new Site(plan).settings(number, changes));
@@ -120,15 +147,18 @@
     InetSocketAddress awaitListening() throws IOException, InterruptedException {
         final long startNs = System.nanoTime();
         while (process.isAlive()
-            && System.nanoTime() - startNs < TimeUnit.MILLISECONDS.toNanos(START_MS)) {
+                && System.nanoTime() - startNs < TimeUnit.MILLISECONDS.toNanos(START_MS)) {
             final Matcher told = LISTENS.matcher(Files.readString(log));
             if (told.find()) {
                 return PeerProcess.address(told.group(1));
             }
             Thread.sleep(LOOK_MS);
         }
-        throw new PeerException("dispatcher " + number + " did not start: "
-            + Files.readString(log).lines().findFirst().orElse("it said nothing"));
+        throw new PeerException(
+                "dispatcher "
+                        + number
+                        + " did not start: "
+                        + Files.readString(log).lines().findFirst().orElse("it said nothing"));
     }
 
     /** Changes its settings and has them read again. */
@@ -136,14 +166,17 @@
         changes++;
         final Path next = config.resolveSibling(config.getFileName() + ".next");
         Files.writeString(next, config().toString());
-        Files.move(next, config, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        Files.move(
+                next, config, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor();
     }
 
     /** What its log tells of broken invariants and of settings that it refused, one line each. */
     List<String> faults() throws IOException {
-        return Files.readAllLines(log).stream().filter(line -> FAULT.matcher(line).find())
-            .map(line -> "INVARIANT: dispatcher " + number + ": " + line.strip()).toList();
+        return Files.readAllLines(log).stream()
+                .filter(line -> FAULT.matcher(line).find())
+                .map(line -> "INVARIANT: dispatcher " + number + ": " + line.strip())
+                .toList();
     }
 
     long pid() {
--- a/src/main/java/cresschute/testbed/capacity/Evaluation.java
+++ b/src/main/java/cresschute/testbed/capacity/Evaluation.java
@@ -15,6 +15,7 @@
     private static final double P50 = 50;
     private static final double P99 = 99;
     private static final double P999 = 99.9;
+
     /** No worker is cold. */
     private static final SlowStartSettings WARM = new SlowStartSettings(1, 0, 3, 1_000_000);
 
@@ -37,8 +38,13 @@
      * @param faults what the dispatchers themselves logged as broken
      * @param partial why it was not measured whole, or null
      */
-    static CapacityResult of(CapacityPlan plan, List<Sample> samples, List<Double> heapsMb,
-        List<Observation> seen, List<String> faults, String partial) {
+    static CapacityResult of(
+            CapacityPlan plan,
+            List<Sample> samples,
+            List<Double> heapsMb,
+            List<Observation> seen,
+            List<String> faults,
+            String partial) {
         final Evaluation evaluation = new Evaluation(plan, samples, heapsMb);
         if (samples.size() > 1) {
             evaluation.dispatchers();
@@ -48,7 +54,7 @@
         evaluation.clients(seen);
         final List<String> broken = new ArrayList<>(faults);
         RuleChecker.check(seen, new Site(plan).classes(), WARM)
-            .forEach(each -> broken.add(each.rule() + ": " + each.what()));
+                .forEach(each -> broken.add(each.rule() + ": " + each.what()));
         return new CapacityResult(plan, evaluation.measures, broken, partial);
     }
 
@@ -77,7 +83,8 @@
     }
 
     private double cpuPercent(ToDoubleFunction<Sample> cpuSeconds) {
-        return PERCENT * perSecond(cpuSeconds.applyAsDouble(last()) - cpuSeconds.applyAsDouble(first()));
+        return PERCENT
+                * perSecond(cpuSeconds.applyAsDouble(last()) - cpuSeconds.applyAsDouble(first()));
     }
 
     // ---- Roles ----
@@ -88,7 +95,8 @@
         double max = 0;
         for (int i = 0; i < count; i++) {
             final int number = i;
-            final double percent = cpuPercent(sample -> sample.dispatchers().get(number).cpuSeconds());
+            final double percent =
+                    cpuPercent(sample -> sample.dispatchers().get(number).cpuSeconds());
             sum += percent;
             max = Math.max(max, percent);
         }
@@ -97,26 +105,60 @@
         put(Role.DISPATCHER, "cpu_percent_max", max);
         put(Role.DISPATCHER, "memory_mb", mean(ProcessUse::rssMb));
         put(Role.DISPATCHER, "rss_mb", mean(ProcessUse::rssMb));
-        put(Role.DISPATCHER, "rss_mb_max", samples.stream().flatMap(each -> each.dispatchers().stream())
-            .mapToDouble(ProcessUse::rssMb).max().orElse(0));
-        put(Role.DISPATCHER, "heap_mb",
-            heapsMb.stream().mapToDouble(each -> each).average().orElse(Double.NaN));
+        put(
+                Role.DISPATCHER,
+                "rss_mb_max",
+                samples.stream()
+                        .flatMap(each -> each.dispatchers().stream())
+                        .mapToDouble(ProcessUse::rssMb)
+                        .max()
+                        .orElse(0));
+        put(
+                Role.DISPATCHER,
+                "heap_mb",
+                heapsMb.stream().mapToDouble(each -> each).average().orElse(Double.NaN));
         put(Role.DISPATCHER, "descriptors", mean(ProcessUse::descriptors));
         put(Role.DISPATCHER, "control_bytes_per_second", perSecond(all.controlBytes()) / count);
-        put(Role.DISPATCHER, "probe_bytes_per_second", perSecond(all.bytes(TrafficKind.PROBE)) / count);
-        put(Role.DISPATCHER, "probes_per_second", perSecond(all.messages(TrafficKind.PROBE)) / count);
-        put(Role.DISPATCHER, "handshake_per_second", perSecond(all.messages(TrafficKind.HANDSHAKE)) / count);
-        put(Role.DISPATCHER, "list_bytes_per_second", perSecond(all.bytes(TrafficKind.LIST)) / count);
-        put(Role.DISPATCHER, "report_bytes_per_second",
-            perSecond(all.bytes(TrafficKind.LOAD_REPORT)) / count);
-        put(Role.DISPATCHER, "request_bytes_per_second", perSecond(all.bytes(TrafficKind.REQUEST)) / count);
-        put(Role.DISPATCHER, "start_line_bytes_per_second",
-            perSecond(all.bytes(TrafficKind.START_LINE)) / count);
-        put(Role.DISPATCHER, "progress_line_bytes_per_second",
-            perSecond(all.bytes(TrafficKind.PROGRESS_LINE)) / count);
-        put(Role.DISPATCHER, "result_line_bytes_per_second",
-            perSecond(all.bytes(TrafficKind.RESULT_LINE)) / count);
-        put(Role.DISPATCHER, "attempts_per_second", perSecond(all.messages(TrafficKind.REQUEST)) / count);
+        put(
+                Role.DISPATCHER,
+                "probe_bytes_per_second",
+                perSecond(all.bytes(TrafficKind.PROBE)) / count);
+        put(
+                Role.DISPATCHER,
+                "probes_per_second",
+                perSecond(all.messages(TrafficKind.PROBE)) / count);
+        put(
+                Role.DISPATCHER,
+                "handshake_per_second",
+                perSecond(all.messages(TrafficKind.HANDSHAKE)) / count);
+        put(
+                Role.DISPATCHER,
+                "list_bytes_per_second",
+                perSecond(all.bytes(TrafficKind.LIST)) / count);
+        put(
+                Role.DISPATCHER,
+                "report_bytes_per_second",
+                perSecond(all.bytes(TrafficKind.LOAD_REPORT)) / count);
+        put(
+                Role.DISPATCHER,
+                "request_bytes_per_second",
+                perSecond(all.bytes(TrafficKind.REQUEST)) / count);
+        put(
+                Role.DISPATCHER,
+                "start_line_bytes_per_second",
+                perSecond(all.bytes(TrafficKind.START_LINE)) / count);
+        put(
+                Role.DISPATCHER,
+                "progress_line_bytes_per_second",
+                perSecond(all.bytes(TrafficKind.PROGRESS_LINE)) / count);
+        put(
+                Role.DISPATCHER,
+                "result_line_bytes_per_second",
+                perSecond(all.bytes(TrafficKind.RESULT_LINE)) / count);
+        put(
+                Role.DISPATCHER,
+                "attempts_per_second",
+                perSecond(all.messages(TrafficKind.REQUEST)) / count);
     }
 
     private double mean(ToDoubleFunction<ProcessUse> figure) {
@@ -129,20 +171,34 @@
         peer(Role.WORKER, Sample.WORKERS);
         put(Role.WORKER, "running", samples.stream().mapToInt(Sample::running).average().orElse(0));
         put(Role.WORKER, "connections", last().workers().connections());
-        put(Role.WORKER, "probes_per_second", perSecond(traffic.messages(TrafficKind.PROBE)) / each);
-        put(Role.WORKER, "handshakes_per_second", perSecond(traffic.messages(TrafficKind.HANDSHAKE)) / each);
+        put(
+                Role.WORKER,
+                "probes_per_second",
+                perSecond(traffic.messages(TrafficKind.PROBE)) / each);
+        put(
+                Role.WORKER,
+                "handshakes_per_second",
+                perSecond(traffic.messages(TrafficKind.HANDSHAKE)) / each);
         put(Role.WORKER, "control_bytes_per_second", perSecond(traffic.controlBytes()) / each);
     }
 
     private void discovery() {
         final Traffic traffic = discoveryTraffic();
         peer(Role.DISCOVERY, Sample.DISCOVERY);
-        put(Role.DISCOVERY, "calls_per_second", perSecond(last().discovery().get("calls").getAsLong()
-            - first().discovery().get("calls").getAsLong()));
+        put(
+                Role.DISCOVERY,
+                "calls_per_second",
+                perSecond(
+                        last().discovery().get("calls").getAsLong()
+                                - first().discovery().get("calls").getAsLong()));
         put(Role.DISCOVERY, "bytes_per_second", perSecond(traffic.bytes(TrafficKind.LIST)));
         put(Role.DISCOVERY, "control_bytes_per_second", perSecond(traffic.controlBytes()));
-        put(Role.DISCOVERY, "changes_per_second", perSecond(last().discovery().get("changes").getAsLong()
-            - first().discovery().get("changes").getAsLong()));
+        put(
+                Role.DISCOVERY,
+                "changes_per_second",
+                perSecond(
+                        last().discovery().get("changes").getAsLong()
+                                - first().discovery().get("changes").getAsLong()));
     }
 
     private void peer(Role role, int number) {
@@ -156,9 +212,13 @@
         final RequestOutcomes outcomes = RequestOutcomes.of(seen, fromUs, toUs);
         if (samples.size() > 1) {
             peer(Role.CLIENT, Sample.CLIENTS);
-            final long connects = last().clients().get("connects").getAsLong()
-                - first().clients().get("connects").getAsLong();
-            put(Role.CLIENT, "control_bytes_per_second", perSecond(connects * Traffic.HANDSHAKE_BYTES));
+            final long connects =
+                    last().clients().get("connects").getAsLong()
+                            - first().clients().get("connects").getAsLong();
+            put(
+                    Role.CLIENT,
+                    "control_bytes_per_second",
+                    perSecond(connects * Traffic.HANDSHAKE_BYTES));
             put(Role.CLIENT, "handshakes_per_second", perSecond(connects));
             put(Role.CLIENT, "measured_seconds", seconds());
             put(Role.CLIENT, "open", samples.stream().mapToInt(Sample::open).average().orElse(0));
--- a/src/main/java/cresschute/testbed/capacity/HollowClients.java
+++ b/src/main/java/cresschute/testbed/capacity/HollowClients.java
@@ -12,20 +12,24 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Clients of all tenants: single requests that come by chance, and gangs, many requests of one tenant in one
- * instant. Until the wanted number of jobs is open they come faster, each with what is left of a run. All on
- * one loop.
+ * Clients of all tenants: single requests that come by chance, and gangs, many requests of one
+ * tenant in one instant. Until the wanted number of jobs is open they come faster, each with what
+ * is left of a run. All on one loop.
  */
 final class HollowClients {
 
     /** Begins the id of each request of a gang, with the gang's number after it. */
     static final String GANG = "gang-";
+
     /** Part of the requests that come in gangs. */
     private static final double GANG_SHARE = 0.1;
+
     /** Gangs are the largest one, and halves of it. */
     private static final int GANG_SIZES = 4;
+
     /** Rate of the ramp over the plan's, and how long it grows to that. */
     private static final double RAMP_OVER_STARTS = 1.6;
+
     private static final double GENTLE_SECONDS = 5;
     private static final long STEP_US = 2_000;
     private static final double US_A_SECOND = 1e6;
@@ -52,9 +56,16 @@
         this.recorder = recorder;
         chance = RandomSource.XO_SHI_RO_256_PP.create(plan.seed());
         classes = new Site(plan).classes();
-        runTimes = new RunTimes(RandomSource.XO_SHI_RO_256_PP.create(plan.seed() + 1), plan.meanRunUs());
-        clients = new LoadClients(loop, recorder, RandomSource.XO_SHI_RO_256_PP.create(plan.seed() + 2),
-            classes, plan.startsPerSecond());
+        runTimes =
+                new RunTimes(
+                        RandomSource.XO_SHI_RO_256_PP.create(plan.seed() + 1), plan.meanRunUs());
+        clients =
+                new LoadClients(
+                        loop,
+                        recorder,
+                        RandomSource.XO_SHI_RO_256_PP.create(plan.seed() + 2),
+                        classes,
+                        plan.startsPerSecond());
     }
 
     /** Begins to send to these. On the loop. */
@@ -123,7 +134,8 @@
 
     private double rate() {
         if (ramping) {
-            // Guards against measuring a start-up: programs and connections get warm at a growing rate.
+            // Guards against measuring a start-up: programs and connections get warm at a growing
+            // rate.
             final double grown = (lastStepUs - begunUs) / US_A_SECOND / GENTLE_SECONDS;
             return RAMP_OVER_STARTS * plan.startsPerSecond() * Math.min(1, Math.max(0.05, grown));
         }
@@ -149,8 +161,8 @@
     }
 
     private void submitSingle() {
-        final long restOfRampUs = ramping
-            ? (long) ((plan.running() - clients.waiting()) / rate() * US_A_SECOND) : 0;
+        final long restOfRampUs =
+                ramping ? (long) ((plan.running() - clients.waiting()) / rate() * US_A_SECOND) : 0;
         final long workUs = ramping ? restOfRampUs + runTimes.rest() : runTimes.next();
         submit(drawClass(), "job-", workUs, Site.tenant(chance.nextInt(plan.tenants())));
     }
@@ -167,8 +179,11 @@
 
     private void submit(JobClass stated, String prefix, long workUs, String tenant) {
         submitted++;
-        clients.submit(stated, prefix + ++lastNumber + "-" + Long.toHexString(chance.nextLong()), workUs,
-            tenant);
+        clients.submit(
+                stated,
+                prefix + ++lastNumber + "-" + Long.toHexString(chance.nextLong()),
+                workUs,
+                tenant);
     }
 
     private JobClass drawClass() {
--- a/src/main/java/cresschute/testbed/capacity/HollowDiscovery.java
+++ b/src/main/java/cresschute/testbed/capacity/HollowDiscovery.java
@@ -13,8 +13,9 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * The service that lists the hollow workers, and its changes: a worker drawn by the seed drains, and serves
- * again some seconds later, every second time as one that was started anew. All on one loop.
+ * The service that lists the hollow workers, and its changes: a worker drawn by the seed drains,
+ * and serves again some seconds later, every second time as one that was started anew. All on one
+ * loop.
  */
 final class HollowDiscovery {
 
@@ -34,7 +35,11 @@
     private long bytes;
     private long changes;
 
-    HollowDiscovery(EventLoop loop, Recorder recorder, CapacityPlan plan, List<InetSocketAddress> addresses) {
+    HollowDiscovery(
+            EventLoop loop,
+            Recorder recorder,
+            CapacityPlan plan,
+            List<InetSocketAddress> addresses) {
         this.loop = loop;
         this.recorder = recorder;
         this.addresses = List.copyOf(addresses);
@@ -43,19 +48,25 @@
         drains = new boolean[makes.size()];
         startedMs = new long[makes.size()];
         changesPerSecond = plan.listChangesPerSecond();
-        standIn = new DiscoveryStandIn(loop, recorder, () -> {
-            handshakes++;
-            return new ByteCounter(recorder::nowUs, size -> bytes += size);
-        });
+        standIn =
+                new DiscoveryStandIn(
+                        loop,
+                        recorder,
+                        () -> {
+                            handshakes++;
+                            return new ByteCounter(recorder::nowUs, size -> bytes += size);
+                        });
     }
 
     /** Lists all workers and listens; not on the loop. */
     InetSocketAddress start() {
-        loop.submit(() -> {
-            for (int i = 0; i < makes.size(); i++) {
-                tell(i, "SERVING");
-            }
-        }).syncUninterruptibly();
+        loop.submit(
+                        () -> {
+                            for (int i = 0; i < makes.size(); i++) {
+                                tell(i, "SERVING");
+                            }
+                        })
+                .syncUninterruptibly();
         return standIn.start(InetAddress.getLoopbackAddress());
     }
 
@@ -77,12 +88,15 @@
         changes++;
         tell(number, "DRAINING");
         final boolean anew = changes % 2 == 0;
-        loop.schedule(() -> {
-            drains[number] = false;
-            startedMs[number] = anew ? recorder.nowUs() / 1_000 : startedMs[number];
-            changes++;
-            tell(number, "SERVING");
-        }, DRAINED_US, TimeUnit.MICROSECONDS);
+        loop.schedule(
+                () -> {
+                    drains[number] = false;
+                    startedMs[number] = anew ? recorder.nowUs() / 1_000 : startedMs[number];
+                    changes++;
+                    tell(number, "SERVING");
+                },
+                DRAINED_US,
+                TimeUnit.MICROSECONDS);
     }
 
     private void tell(int number, String state) {
--- a/src/main/java/cresschute/testbed/capacity/HollowWorkers.java
+++ b/src/main/java/cresschute/testbed/capacity/HollowWorkers.java
@@ -1,6 +1,7 @@
 package cresschute.testbed.capacity;
 
 import com.google.gson.JsonObject;
+import cresschute.node.Json;
 import cresschute.testbed.CellKeys;
 import cresschute.testbed.LoopbackServer;
 import cresschute.testbed.Observation.EffectMade;
@@ -10,7 +11,6 @@
 import cresschute.testbed.Observation.SendTurnedAway;
 import cresschute.testbed.Recorder;
 import cresschute.testbed.WorkerStandIn.Make;
-import cresschute.node.Json;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
@@ -31,9 +31,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Very many workers that run nothing: each listens at an address of its own and speaks the whole protocol,
- * but a job there is a timer. They share loops, those of a cell one. They count what is read and written, by
- * kind.
+ * Very many workers that run nothing: each listens at an address of its own and speaks the whole
+ * protocol, but a job there is a timer. They share loops, those of a cell one. They count what is
+ * read and written, by kind.
  */
 final class HollowWorkers {
 
@@ -65,9 +65,14 @@
     InetSocketAddress start(Make make, int number) throws UnknownHostException {
         final Worker worker = new Worker(make);
         final LoopbackServer server = new LoopbackServer(loop, channel -> accept(channel, worker));
-        return server.listen(InetAddress.getByAddress(new byte[]{127,
-            (byte) (FIRST_NET + number / HOSTS_A_NET / HOSTS_A_NET),
-            (byte) (number / HOSTS_A_NET % HOSTS_A_NET), (byte) (number % HOSTS_A_NET + 1)}));
+        return server.listen(
+                InetAddress.getByAddress(
+                        new byte[] {
+                            127,
+                            (byte) (FIRST_NET + number / HOSTS_A_NET / HOSTS_A_NET),
+                            (byte) (number / HOSTS_A_NET % HOSTS_A_NET),
+                            (byte) (number % HOSTS_A_NET + 1)
+                        }));
     }
 
     private void accept(Channel channel, Worker worker) {
@@ -75,8 +80,12 @@
         connections++;
         channel.closeFuture().addListener(closed -> connections--);
         final ByteCounter counter = new ByteCounter(recorder::nowUs, size -> {});
-        channel.pipeline().addLast(counter, new HttpRequestDecoder(),
-            new HttpObjectAggregator(MAX_BODY_BYTES), new Handler(worker, counter));
+        channel.pipeline()
+                .addLast(
+                        counter,
+                        new HttpRequestDecoder(),
+                        new HttpObjectAggregator(MAX_BODY_BYTES),
+                        new Handler(worker, counter));
     }
 
     /** What was counted so far. On the loop. */
@@ -90,13 +99,17 @@
         static final Counts NONE = new Counts(0, 0, new Traffic());
 
         Counts plus(Counts other) {
-            return new Counts(running + other.running, connections + other.connections,
-                traffic.plus(other.traffic));
+            return new Counts(
+                    running + other.running,
+                    connections + other.connections,
+                    traffic.plus(other.traffic));
         }
 
         static Counts of(JsonObject json) {
-            return new Counts(json.get("running").getAsInt(), json.get("connections").getAsLong(),
-                Traffic.of(json.getAsJsonObject("traffic")));
+            return new Counts(
+                    json.get("running").getAsInt(),
+                    json.get("connections").getAsLong(),
+                    Traffic.of(json.getAsJsonObject("traffic")));
         }
 
         JsonObject json() {
@@ -169,12 +182,20 @@
 
         private void tellProgress() {
             if (recorder.nowUs() - startedUs + progressUs < workUs) {
-                progress = loop.schedule(() -> {
-                    final double share = (recorder.nowUs() - startedUs) / (double) workUs;
-                    line(TrafficKind.PROGRESS_LINE, line("running") + ",\"share\":"
-                        + Math.round(Math.min(1, share) * 1_000) / 1e3);
-                    tellProgress();
-                }, progressUs, TimeUnit.MICROSECONDS);
+                progress =
+                        loop.schedule(
+                                () -> {
+                                    final double share =
+                                            (recorder.nowUs() - startedUs) / (double) workUs;
+                                    line(
+                                            TrafficKind.PROGRESS_LINE,
+                                            line("running")
+                                                    + ",\"share\":"
+                                                    + Math.round(Math.min(1, share) * 1_000) / 1e3);
+                                    tellProgress();
+                                },
+                                progressUs,
+                                TimeUnit.MICROSECONDS);
             }
         }
 
@@ -204,8 +225,11 @@
 
         private void end(String result) {
             final String report = ",\"load\":{" + worker.report() + "}";
-            final String line = (result == null ? line("lost") : line("done") + ",\"result\":\"" + result
-                + "\"") + report;
+            final String line =
+                    (result == null
+                                    ? line("lost")
+                                    : line("done") + ",\"result\":\"" + result + "\"")
+                            + report;
             if (channel.isActive()) {
                 traffic.add(TrafficKind.LOAD_REPORT, report.length());
                 traffic.more(TrafficKind.RESULT_LINE, LAST_CHUNK.length() - report.length());
@@ -215,7 +239,13 @@
         }
 
         private String line(String state) {
-            return "{\"id\":\"" + id + "\",\"from\":\"" + worker.make.id() + "\",\"state\":\"" + state + '"';
+            return "{\"id\":\""
+                    + id
+                    + "\",\"from\":\""
+                    + worker.make.id()
+                    + "\",\"state\":\""
+                    + state
+                    + '"';
         }
 
         /** Writes a line that lacks its end. */
@@ -266,14 +296,29 @@
 
         private void take(Channel channel, FullHttpRequest request, String id, long firstByteUs) {
             final String key = request.headers().get("Idempotency-Key");
-            final long workUs = Math.max(1, (long) Json.number(
-                Json.object(request.content().toString(StandardCharsets.UTF_8)), "work_us", 1));
-            recorder.add(new SendCame(recorder.nowUs(), firstByteUs, worker.make.id(), worker.make.cell(), id,
-                key, workUs));
+            final long workUs =
+                    Math.max(
+                            1,
+                            (long)
+                                    Json.number(
+                                            Json.object(
+                                                    request.content()
+                                                            .toString(StandardCharsets.UTF_8)),
+                                            "work_us",
+                                            1));
+            recorder.add(
+                    new SendCame(
+                            recorder.nowUs(),
+                            firstByteUs,
+                            worker.make.id(),
+                            worker.make.cell(),
+                            id,
+                            key,
+                            workUs));
             if (worker.waiting.size() >= MAX_WAITING_A_SLOT * worker.make.slots()) {
                 recorder.add(new SendTurnedAway(recorder.nowUs(), worker.make.id(), id));
-                final String report = "x-load: " + worker.report().replace("\"", "").replace(':', '=')
-                    + "\r\n";
+                final String report =
+                        "x-load: " + worker.report().replace("\"", "").replace(':', '=') + "\r\n";
                 traffic.add(TrafficKind.LOAD_REPORT, report.length());
                 write(channel, answer("503 Service Unavailable", "x-not-run: 1\r\n" + report, ""));
                 return;
@@ -288,8 +333,14 @@
         }
 
         private static String answer(String status, String headers, String body) {
-            return "HTTP/1.1 " + status + "\r\n" + headers + "content-length: " + body.length() + "\r\n\r\n"
-                + body;
+            return "HTTP/1.1 "
+                    + status
+                    + "\r\n"
+                    + headers
+                    + "content-length: "
+                    + body.length()
+                    + "\r\n\r\n"
+                    + body;
         }
 
         @Override
--- a/src/main/java/cresschute/testbed/capacity/MeasurementFile.java
+++ b/src/main/java/cresschute/testbed/capacity/MeasurementFile.java
@@ -14,17 +14,35 @@
 import java.util.stream.Stream;
 
 /**
- * Measurements in the long form: one row for each point, role and measure, written as they are known. All
- * fields are words and numbers, none of which needs quoting.
+ * Measurements in the long form: one row for each point, role and measure, written as they are
+ * known. All fields are words and numbers, none of which needs quoting.
  */
 public final class MeasurementFile implements AutoCloseable {
 
     /** The first line, by which readers know the form. */
     public static final String FIRST_LINE = "# cresschute capacity measurements, version 1";
+
     /** The columns, in order. */
-    public static final List<String> COLUMNS = List.of("run", "commit", "date", "seed", "axis", "repetition",
-        "held_out", "workers", "running", "starts_per_second", "tenants", "dispatchers",
-        "list_changes_per_second", "settings_changes_per_second", "role", "measure", "value", "partial");
+    public static final List<String> COLUMNS =
+            List.of(
+                    "run",
+                    "commit",
+                    "date",
+                    "seed",
+                    "axis",
+                    "repetition",
+                    "held_out",
+                    "workers",
+                    "running",
+                    "starts_per_second",
+                    "tenants",
+                    "dispatchers",
+                    "list_changes_per_second",
+                    "settings_changes_per_second",
+                    "role",
+                    "measure",
+                    "value",
+                    "partial");
 
     private final Writer out;
     private final String commit;
@@ -47,20 +65,40 @@
         runs++;
         final String date = Instant.now().truncatedTo(ChronoUnit.SECONDS).toString();
         for (final Role role : Role.values()) {
-            new TreeMap<>(result.measures().of(role)).entrySet()
-                .forEach(each -> row(point, result, date, role, each));
+            new TreeMap<>(result.measures().of(role))
+                    .entrySet()
+                    .forEach(each -> row(point, result, date, role, each));
         }
         out.flush();
     }
 
-    private void row(Sweep.Point point, CapacityResult result, String date, Role role,
-        Map.Entry<String, Double> measured) {
+    private void row(
+            Sweep.Point point,
+            CapacityResult result,
+            String date,
+            Role role,
+            Map.Entry<String, Double> measured) {
         final CapacityPlan plan = point.plan();
         try {
-            print(runs, commit, date, plan.seed(), point.axis(), point.repetition(),
-                point.heldOut(), plan.workers(), plan.running(), plan.startsPerSecond(), plan.tenants(),
-                plan.dispatchers(), plan.listChangesPerSecond(), plan.settingsChangesPerSecond(),
-                role.word(), measured.getKey(), measured.getValue(), result.partial() != null);
+            print(
+                    runs,
+                    commit,
+                    date,
+                    plan.seed(),
+                    point.axis(),
+                    point.repetition(),
+                    point.heldOut(),
+                    plan.workers(),
+                    plan.running(),
+                    plan.startsPerSecond(),
+                    plan.tenants(),
+                    plan.dispatchers(),
+                    plan.listChangesPerSecond(),
+                    plan.settingsChangesPerSecond(),
+                    role.word(),
+                    measured.getKey(),
+                    measured.getValue(),
+                    result.partial() != null);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
--- a/src/main/java/cresschute/testbed/capacity/NeedChart.java
+++ b/src/main/java/cresschute/testbed/capacity/NeedChart.java
@@ -17,10 +17,17 @@
 
     private static final int WIDTH = 800;
     private static final int HEIGHT = 420;
+
     /** A need, and how its axis is labelled. */
-    private static final Map<String, String> NEEDS = new TreeMap<>(Map.of("cpu_percent",
-        "CPU of a dispatcher, % of a core", "rss_mb", "resident memory of a dispatcher, MB",
-        "control_bytes_per_second", "control traffic of a dispatcher, B/s"));
+    private static final Map<String, String> NEEDS =
+            new TreeMap<>(
+                    Map.of(
+                            "cpu_percent",
+                            "CPU of a dispatcher, % of a core",
+                            "rss_mb",
+                            "resident memory of a dispatcher, MB",
+                            "control_bytes_per_second",
+                            "control traffic of a dispatcher, B/s"));
 
     private record Measured(Sweep.Point point, CapacityResult result) {}
 
@@ -34,9 +41,13 @@
     /** Draws a chart for each axis that was measured, into a folder that is there. */
     public void draw(Path folder) throws IOException {
         for (final Sweep.Axis axis : Sweep.Axis.values()) {
-            final List<Measured> along = measured.stream()
-                .filter(each -> each.point().axis().equals(axis.word()) && each.result().partial() == null)
-                .toList();
+            final List<Measured> along =
+                    measured.stream()
+                            .filter(
+                                    each ->
+                                            each.point().axis().equals(axis.word())
+                                                    && each.result().partial() == null)
+                            .toList();
             if (!along.isEmpty()) {
                 for (final Map.Entry<String, String> need : NEEDS.entrySet()) {
                     draw(folder, axis, need.getKey(), need.getValue(), along);
@@ -45,22 +56,34 @@
         }
     }
 
-    private static void draw(Path folder, Sweep.Axis axis, String need, String label, List<Measured> along)
-        throws IOException {
+    private static void draw(
+            Path folder, Sweep.Axis axis, String need, String label, List<Measured> along)
+            throws IOException {
         final List<Double> sizes = new ArrayList<>();
         final List<Double> values = new ArrayList<>();
         for (final Measured each : along) {
-            each.result().measures().get(Role.DISPATCHER, need).ifPresent(value -> {
-                sizes.add(axis.of(each.point().plan()));
-                values.add(value);
-            });
+            each.result()
+                    .measures()
+                    .get(Role.DISPATCHER, need)
+                    .ifPresent(
+                            value -> {
+                                sizes.add(axis.of(each.point().plan()));
+                                values.add(value);
+                            });
         }
-        final XYChart chart = new XYChartBuilder().width(WIDTH).height(HEIGHT).xAxisTitle(axis.word())
-            .yAxisTitle(label).build();
-        chart.getStyler().setDefaultSeriesRenderStyle(XYSeriesRenderStyle.Scatter).setLegendVisible(false);
+        final XYChart chart =
+                new XYChartBuilder()
+                        .width(WIDTH)
+                        .height(HEIGHT)
+                        .xAxisTitle(axis.word())
+                        .yAxisTitle(label)
+                        .build();
+        chart.getStyler()
+                .setDefaultSeriesRenderStyle(XYSeriesRenderStyle.Scatter)
+                .setLegendVisible(false);
         chart.getStyler().setYAxisMin(0.0);
         chart.addSeries(need, sizes, values);
-        BitmapEncoder.saveBitmap(chart, folder.resolve(need + "-" + axis.word()).toString(),
-            BitmapFormat.PNG);
+        BitmapEncoder.saveBitmap(
+                chart, folder.resolve(need + "-" + axis.word()).toString(), BitmapFormat.PNG);
     }
 }
--- a/src/main/java/cresschute/testbed/capacity/ObservationFile.java
+++ b/src/main/java/cresschute/testbed/capacity/ObservationFile.java
@@ -17,30 +17,36 @@
 import java.util.function.Consumer;
 import java.util.stream.Collectors;
 
-/** What a process of the experiment observes, one JSON object a line, kept even if the process dies. */
+/**
+ * What a process of the experiment observes, one JSON object a line, kept even if the process dies.
+ */
 final class ObservationFile implements Consumer<Observation>, AutoCloseable {
 
     private static final Gson GSON = new Gson();
     private static final String TYPE = "type";
+
     /** Each type of observation under the name that lines carry. */
-    private static final Map<String, Class<? extends Observation>> TYPES = Map.ofEntries(
-        Map.entry("ReqSent", Observation.RequestSent.class),
-        Map.entry("ReqAnswered", Observation.RequestAnswered.class),
-        Map.entry("ReqLost", Observation.RequestLost.class),
-        Map.entry("ReqUnanswered", Observation.RequestUnanswered.class),
-        Map.entry("AnswerTooMany", Observation.AnswerTooMany.class),
-        Map.entry("ReqUnfinished", Observation.RequestUnfinished.class),
-        Map.entry("SendCame", Observation.SendCame.class),
-        Map.entry("SendTurnedAway", Observation.SendTurnedAway.class),
-        Map.entry("RunStarted", Observation.RunStarted.class),
-        Map.entry("RunDone", Observation.RunDone.class),
-        Map.entry("EffectMade", Observation.EffectMade.class),
-        Map.entry("WorkerBooted", Observation.WorkerBooted.class),
-        Map.entry("WorkerFell", Observation.WorkerFell.class),
-        Map.entry("WorkerTold", Observation.WorkerTold.class),
-        Map.entry("OperatorDrained", Observation.OperatorDrained.class));
-    private static final Map<Class<? extends Observation>, String> TYPE_NAMES = TYPES.entrySet().stream()
-        .collect(Collectors.toUnmodifiableMap(Map.Entry::getValue, Map.Entry::getKey));
+    private static final Map<String, Class<? extends Observation>> TYPES =
+            Map.ofEntries(
+                    Map.entry("ReqSent", Observation.RequestSent.class),
+                    Map.entry("ReqAnswered", Observation.RequestAnswered.class),
+                    Map.entry("ReqLost", Observation.RequestLost.class),
+                    Map.entry("ReqUnanswered", Observation.RequestUnanswered.class),
+                    Map.entry("AnswerTooMany", Observation.AnswerTooMany.class),
+                    Map.entry("ReqUnfinished", Observation.RequestUnfinished.class),
+                    Map.entry("SendCame", Observation.SendCame.class),
+                    Map.entry("SendTurnedAway", Observation.SendTurnedAway.class),
+                    Map.entry("RunStarted", Observation.RunStarted.class),
+                    Map.entry("RunDone", Observation.RunDone.class),
+                    Map.entry("EffectMade", Observation.EffectMade.class),
+                    Map.entry("WorkerBooted", Observation.WorkerBooted.class),
+                    Map.entry("WorkerFell", Observation.WorkerFell.class),
+                    Map.entry("WorkerTold", Observation.WorkerTold.class),
+                    Map.entry("OperatorDrained", Observation.OperatorDrained.class));
+
+    private static final Map<Class<? extends Observation>, String> TYPE_NAMES =
+            TYPES.entrySet().stream()
+                    .collect(Collectors.toUnmodifiableMap(Map.Entry::getValue, Map.Entry::getKey));
 
     private final BufferedWriter out;
 
@@ -70,7 +76,10 @@
         out.close();
     }
 
-    /** The observations of several files in the order of time; a line cut off by a death is left out. */
+    /**
+     * The observations of several files in the order of time; a line cut off by a death is left
+     * out.
+     */
     static List<Observation> read(List<Path> files) throws IOException {
         final List<Observation> all = new ArrayList<>();
         for (final Path file : files) {
--- a/src/main/java/cresschute/testbed/capacity/PeerMain.java
+++ b/src/main/java/cresschute/testbed/capacity/PeerMain.java
@@ -30,14 +30,18 @@
 import java.util.function.Supplier;
 
 /**
- * A process of the experiment's own: hollow workers, hollow clients or discovery. It takes one JSON object a
- * line on standard input and answers each with one on standard output; it ends when its input does, so that
- * it never outlives the process that started it.
+ * A process of the experiment's own: hollow workers, hollow clients or discovery. It takes one JSON
+ * object a line on standard input and answers each with one on standard output; it ends when its
+ * input does, so that it never outlives the process that started it.
  */
 public final class PeerMain {
 
     /** What a process is. */
-    enum Role { WORKERS, CLIENTS, DISCOVERY }
+    enum Role {
+        WORKERS,
+        CLIENTS,
+        DISCOVERY
+    }
 
     /** Loops that the workers share. */
     private static final int WORKER_LOOPS = 3;
@@ -46,15 +50,18 @@
     private final EventLoop loop;
     private final Role role;
     private final Map<EventLoop, HollowWorkers> workers = new LinkedHashMap<>();
+
     /** Processes that end with this one's input, since they have none of their own. */
     private final List<ProcessHandle> guarded = new ArrayList<>();
+
     private HollowClients clients;
     private HollowDiscovery discovery;
 
     private PeerMain(Role role) {
         this.role = role;
-        group = new MultiThreadIoEventLoopGroup(role == Role.WORKERS ? WORKER_LOOPS : 1,
-            NioIoHandler.newFactory());
+        group =
+                new MultiThreadIoEventLoopGroup(
+                        role == Role.WORKERS ? WORKER_LOOPS : 1, NioIoHandler.newFactory());
         loop = group.next();
     }
 
@@ -63,12 +70,13 @@
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
         // Guards the log against descriptors running out: its times need a file of the JDK's.
         ZoneId.systemDefault().getRules();
-        final BufferedReader in = new BufferedReader(new InputStreamReader(System.in,
-            StandardCharsets.UTF_8));
+        final BufferedReader in =
+                new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
         try (ObservationFile file = new ObservationFile(Path.of(args[1]))) {
             final PeerMain peer = new PeerMain(Role.valueOf(args[0]));
             for (String line = in.readLine(); line != null; line = in.readLine()) {
-                final JsonObject answer = peer.take(JsonParser.parseString(line).getAsJsonObject(), file);
+                final JsonObject answer =
+                        peer.take(JsonParser.parseString(line).getAsJsonObject(), file);
                 file.flush();
                 System.out.println(answer);
             }
@@ -91,7 +99,7 @@
 
     private JsonObject guard(JsonObject command) {
         command.getAsJsonArray("processes")
-            .forEach(each -> ProcessHandle.of(each.getAsLong()).ifPresent(guarded::add));
+                .forEach(each -> ProcessHandle.of(each.getAsLong()).ifPresent(guarded::add));
         return new JsonObject();
     }
 
@@ -100,8 +108,9 @@
     }
 
     private static <T> T on(EventLoop loop, Supplier<T> what) {
-        return CompletableFuture.supplyAsync(what, loop).orTimeout(PeerProcess.ANSWER_SECONDS,
-            TimeUnit.SECONDS).join();
+        return CompletableFuture.supplyAsync(what, loop)
+                .orTimeout(PeerProcess.ANSWER_SECONDS, TimeUnit.SECONDS)
+                .join();
     }
 
     private static JsonObject done(Runnable what) {
@@ -112,12 +121,19 @@
     private JsonObject start(JsonObject command, ObservationFile file) throws IOException {
         final Gson gson = new Gson();
         final CapacityPlan plan = gson.fromJson(command.get("plan"), CapacityPlan.class);
-        final Recorder recorder = new Recorder(gson.fromJson(command.get("clock"), SharedClock.class), file);
+        final Recorder recorder =
+                new Recorder(gson.fromJson(command.get("clock"), SharedClock.class), file);
         final JsonObject answer = new JsonObject();
         switch (role) {
             case WORKERS -> {
-                answer.add("addresses", PeerProcess.json(startWorkers(new Site(plan),
-                    command.get("part").getAsInt(), command.get("parts").getAsInt(), recorder)));
+                answer.add(
+                        "addresses",
+                        PeerProcess.json(
+                                startWorkers(
+                                        new Site(plan),
+                                        command.get("part").getAsInt(),
+                                        command.get("parts").getAsInt(),
+                                        recorder)));
             }
             case CLIENTS -> clients = new HollowClients(loop, recorder, plan);
             case DISCOVERY -> {
@@ -128,9 +144,12 @@
         return answer;
     }
 
-    /** Starts one part of the workers. Those of a cell share what they know of keys, and so their loop. */
+    /**
+     * Starts one part of the workers. Those of a cell share what they know of keys, and so their
+     * loop.
+     */
     private List<InetSocketAddress> startWorkers(Site site, int part, int parts, Recorder recorder)
-        throws IOException {
+            throws IOException {
         final List<EventLoop> loops = new ArrayList<>();
         for (int i = 0; i < WORKER_LOOPS; i++) {
             loops.add(group.next());
@@ -141,8 +160,10 @@
             final Make make = makes.get(i);
             if (Site.partOf(make, parts) == part) {
                 final EventLoop shared = loops.get(make.cell() / parts % WORKER_LOOPS);
-                addresses.add(workers.computeIfAbsent(shared, unseen -> new HollowWorkers(shared, recorder,
-                    site)).start(make, i));
+                addresses.add(
+                        workers.computeIfAbsent(
+                                        shared, unseen -> new HollowWorkers(shared, recorder, site))
+                                .start(make, i));
             }
         }
         return addresses;
@@ -168,9 +189,11 @@
 
     private JsonObject counts() {
         return switch (role) {
-            case WORKERS -> workers.entrySet().stream().map(each -> on(each.getKey(), each
-                .getValue()::counts))
-                .reduce(HollowWorkers.Counts.NONE, HollowWorkers.Counts::plus).json();
+            case WORKERS ->
+                    workers.entrySet().stream()
+                            .map(each -> on(each.getKey(), each.getValue()::counts))
+                            .reduce(HollowWorkers.Counts.NONE, HollowWorkers.Counts::plus)
+                            .json();
             case CLIENTS -> onLoop(clients::counts);
             case DISCOVERY -> onLoop(discovery::counts);
         };
--- a/src/main/java/cresschute/testbed/capacity/PeerProcess.java
+++ b/src/main/java/cresschute/testbed/capacity/PeerProcess.java
@@ -15,11 +15,14 @@
 import java.util.List;
 import java.util.Locale;
 
-/** A process of the experiment's own, as the one that started it sees it: it is asked and answers. */
+/**
+ * A process of the experiment's own, as the one that started it sees it: it is asked and answers.
+ */
 final class PeerProcess implements AutoCloseable {
 
     /** How long an answer may take, s. */
     static final long ANSWER_SECONDS = 30;
+
     private static final int MAX_HEAP_MB = 1_024;
 
     private final PeerMain.Role role;
@@ -41,11 +44,17 @@
         observations = folder.resolve(name() + "-" + part + ".observations");
         log = folder.resolve(name() + "-" + part + ".log");
         final List<String> command = new ArrayList<>(ProcessCommand.java());
-        command.addAll(List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx" + MAX_HEAP_MB + "m",
-            "-cp", System.getProperty("java.class.path"), PeerMain.class.getName(), role.name(),
-            observations.toString()));
-        process = new ProcessBuilder(command)
-            .redirectError(log.toFile()).start();
+        command.addAll(
+                List.of(
+                        "-XX:+UseSerialGC",
+                        "-XX:TieredStopAtLevel=1",
+                        "-Xmx" + MAX_HEAP_MB + "m",
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        PeerMain.class.getName(),
+                        role.name(),
+                        observations.toString()));
+        process = new ProcessBuilder(command).redirectError(log.toFile()).start();
         commands = process.outputWriter();
         answers = process.inputReader();
     }
@@ -68,8 +77,9 @@
     }
 
     /** Has it begin its part of so many. */
-    JsonObject start(CapacityPlan plan, SharedClock clock, int parts, List<InetSocketAddress> addresses)
-        throws PeerException {
+    JsonObject start(
+            CapacityPlan plan, SharedClock clock, int parts, List<InetSocketAddress> addresses)
+            throws PeerException {
         final JsonObject command = command("start");
         command.add("plan", new Gson().toJsonTree(plan));
         command.add("clock", new Gson().toJsonTree(clock));
@@ -120,8 +130,14 @@
 
     private PeerException ended() {
         try {
-            return new PeerException("the process of the hollow " + name() + " ended"
-                + Files.readAllLines(log).stream().findFirst().map(each -> ": " + each).orElse(""));
+            return new PeerException(
+                    "the process of the hollow "
+                            + name()
+                            + " ended"
+                            + Files.readAllLines(log).stream()
+                                    .findFirst()
+                                    .map(each -> ": " + each)
+                                    .orElse(""));
         } catch (IOException e) {
             return new PeerException("the process of the hollow " + name() + " ended");
         }
@@ -129,7 +145,8 @@
 
     static JsonArray json(List<InetSocketAddress> addresses) {
         final JsonArray json = new JsonArray();
-        addresses.forEach(each -> json.add(each.getAddress().getHostAddress() + ":" + each.getPort()));
+        addresses.forEach(
+                each -> json.add(each.getAddress().getHostAddress() + ":" + each.getPort()));
         return json;
     }
 
@@ -143,7 +160,8 @@
 
     static InetSocketAddress address(String text) {
         final int colon = text.lastIndexOf(':');
-        return new InetSocketAddress(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
+        return new InetSocketAddress(
+                text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
     }
 
     @Override
--- a/src/main/java/cresschute/testbed/capacity/Preflight.java
+++ b/src/main/java/cresschute/testbed/capacity/Preflight.java
@@ -12,14 +12,19 @@
 final class Preflight {
 
     private static final int OTHER_DESCRIPTORS = 300;
-    /** Connections that are closed, but not yet seen to be: some more than can be open at a time. */
+
+    /**
+     * Connections that are closed, but not yet seen to be: some more than can be open at a time.
+     */
     private static final double CLOSING_TOO = 1.5;
+
     private static final int MAX_WORKER_PROCESSES = 4;
     private static final double DISPATCHER_MB = 200;
     private static final double PEER_MB = 200;
     private static final double KB_A_REQUEST = 80;
     private static final double KB_A_MB = 1_024;
-    private static final Pattern DESCRIPTORS = Pattern.compile("Max open files\\s+\\S+\\s+([0-9]+)");
+    private static final Pattern DESCRIPTORS =
+            Pattern.compile("Max open files\\s+\\S+\\s+([0-9]+)");
     private static final Pattern AVAILABLE = Pattern.compile("MemAvailable:\\s+([0-9]+) kB");
 
     private Preflight() {}
@@ -42,34 +47,50 @@
         return number(DESCRIPTORS, "/proc/self/limits", Long.MAX_VALUE);
     }
 
-    /** Over how many processes the hollow workers are spread, so that no one runs out of descriptors. */
+    /**
+     * Over how many processes the hollow workers are spread, so that no one runs out of
+     * descriptors.
+     */
     static int workerProcesses(CapacityPlan plan, long limit) {
         return (int) Math.ceil(atWorkers(plan) / (double) Math.max(1, limit - OTHER_DESCRIPTORS));
     }
 
     /** A listener each, and what all dispatchers may hold to them. */
     private static double atWorkers(CapacityPlan plan) {
-        return plan.workers() + CLOSING_TOO * plan.dispatchers() * DispatcherProcess.workerConnections(plan);
+        return plan.workers()
+                + CLOSING_TOO * plan.dispatchers() * DispatcherProcess.workerConnections(plan);
     }
 
     static void descriptors(CapacityPlan plan, long limit) {
-        final long atClients = OTHER_DESCRIPTORS
-            + (long) plan.dispatchers() * DispatcherProcess.workerConnections(plan);
-        final long atWorkers = OTHER_DESCRIPTORS + (long) Math.ceil(atWorkers(plan) / MAX_WORKER_PROCESSES);
-        final long needed = Math.max(Math.max(atWorkers, atClients), DispatcherProcess.descriptors(plan));
+        final long atClients =
+                OTHER_DESCRIPTORS
+                        + (long) plan.dispatchers() * DispatcherProcess.workerConnections(plan);
+        final long atWorkers =
+                OTHER_DESCRIPTORS + (long) Math.ceil(atWorkers(plan) / MAX_WORKER_PROCESSES);
+        final long needed =
+                Math.max(Math.max(atWorkers, atClients), DispatcherProcess.descriptors(plan));
         if (needed > limit) {
-            throw new MachineLimitException("descriptors: one process needs " + needed
-                + ", the hard limit (ulimit -Hn) is " + limit
-                + "; raise it, or lower --running or --workers");
+            throw new MachineLimitException(
+                    "descriptors: one process needs "
+                            + needed
+                            + ", the hard limit (ulimit -Hn) is "
+                            + limit
+                            + "; raise it, or lower --running or --workers");
         }
     }
 
     static void memory(CapacityPlan plan, double availableMb) {
-        final double needed = plan.dispatchers() * Math.max(DISPATCHER_MB, plan.memoryMb()) + 3 * PEER_MB
-            + plan.running() * KB_A_REQUEST / KB_A_MB;
+        final double needed =
+                plan.dispatchers() * Math.max(DISPATCHER_MB, plan.memoryMb())
+                        + 3 * PEER_MB
+                        + plan.running() * KB_A_REQUEST / KB_A_MB;
         if (needed > availableMb) {
-            throw new MachineLimitException("memory: " + Math.round(needed) + " MB are needed, "
-                + Math.round(availableMb) + " MB are available");
+            throw new MachineLimitException(
+                    "memory: "
+                            + Math.round(needed)
+                            + " MB are needed, "
+                            + Math.round(availableMb)
+                            + " MB are available");
         }
     }
 
@@ -79,15 +100,20 @@
         final long ports = Long.parseLong(ends[1]) - Long.parseLong(ends[0]) + 1;
         final long needed = DispatcherProcess.descriptors(plan);
         if (needed > ports) {
-            throw new MachineLimitException("ports: up to " + needed + " connections to one dispatcher, "
-                + ports + " local ports (net.ipv4.ip_local_port_range)");
+            throw new MachineLimitException(
+                    "ports: up to "
+                            + needed
+                            + " connections to one dispatcher, "
+                            + ports
+                            + " local ports (net.ipv4.ip_local_port_range)");
         }
         try (ServerSocket probe = new ServerSocket(0, 1, InetAddress.getByName("127.20.0.1"))) {
             if (probe.getLocalPort() == 0) {
                 throw new MachineLimitException("ports: none is free on 127.20.0.1");
             }
         } catch (IOException e) {
-            throw new MachineLimitException("ports: cannot listen on 127.20.0.1: " + e.getMessage());
+            throw new MachineLimitException(
+                    "ports: cannot listen on 127.20.0.1: " + e.getMessage());
         }
     }
 }
--- a/src/main/java/cresschute/testbed/capacity/ProcessCommand.java
+++ b/src/main/java/cresschute/testbed/capacity/ProcessCommand.java
@@ -11,10 +11,15 @@
 
     private ProcessCommand() {}
 
-    /** Begins a Java command. Ctrl-C goes to all of a terminal's processes and is for the first one alone. */
+    /**
+     * Begins a Java command. Ctrl-C goes to all of a terminal's processes and is for the first one
+     * alone.
+     */
     static List<String> java() {
-        return List.of("env", "--ignore-signal=INT",
-            Path.of(System.getProperty("java.home"), "bin", "java").toString());
+        return List.of(
+                "env",
+                "--ignore-signal=INT",
+                Path.of(System.getProperty("java.home"), "bin", "java").toString());
     }
 
     /** Ends a process at once and waits until it is gone. */
--- a/src/main/java/cresschute/testbed/capacity/ProcessUse.java
+++ b/src/main/java/cresschute/testbed/capacity/ProcessUse.java
@@ -21,33 +21,42 @@
 
     /** The kernel tells times in this unit to user space on all of its machines. */
     private static final double TICKS_A_SECOND = 100;
+
     private static final int USER_TIME = 11;
     private static final int SYSTEM_TIME = 12;
     private static final double KB_A_MB = 1_024;
     private static final long COMMAND_SECONDS = 20;
     private static final Pattern RESIDENT = Pattern.compile("VmRSS:\\s+([0-9]+) kB");
-    private static final Pattern USED = Pattern.compile("generation\\s+total [0-9]+K, used ([0-9]+)K");
+    private static final Pattern USED =
+            Pattern.compile("generation\\s+total [0-9]+K, used ([0-9]+)K");
 
     static ProcessUse of(long pid) throws IOException {
         final Path folder = Path.of("/proc", Long.toString(pid));
         final String stat = Files.readString(folder.resolve("stat"));
         final String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-        final double cpuSeconds = (Long.parseLong(fields[USER_TIME]) + Long.parseLong(fields[SYSTEM_TIME]))
-            / TICKS_A_SECOND;
+        final double cpuSeconds =
+                (Long.parseLong(fields[USER_TIME]) + Long.parseLong(fields[SYSTEM_TIME]))
+                        / TICKS_A_SECOND;
         final Matcher resident = RESIDENT.matcher(Files.readString(folder.resolve("status")));
         try (Stream<Path> descriptors = Files.list(folder.resolve("fd"))) {
-            return new ProcessUse(cpuSeconds, resident.find()
-                ? Long.parseLong(resident.group(1)) / KB_A_MB : 0, (int) descriptors.count());
+            return new ProcessUse(
+                    cpuSeconds,
+                    resident.find() ? Long.parseLong(resident.group(1)) / KB_A_MB : 0,
+                    (int) descriptors.count());
         }
     }
 
     /** Of several processes together. */
     ProcessUse plus(ProcessUse other) {
-        return new ProcessUse(cpuSeconds + other.cpuSeconds, rssMb + other.rssMb,
-            descriptors + other.descriptors);
+        return new ProcessUse(
+                cpuSeconds + other.cpuSeconds,
+                rssMb + other.rssMb,
+                descriptors + other.descriptors);
     }
 
-    /** Heap in use of a Java process right after a collection, MB, or NaN where it cannot be had. */
+    /**
+     * Heap in use of a Java process right after a collection, MB, or NaN where it cannot be had.
+     */
     static double heapMb(long pid) throws IOException {
         command(pid, "GC.run");
         final Matcher used = USED.matcher(command(pid, "GC.heap_info"));
@@ -65,9 +74,12 @@
         if (!Files.isExecutable(jcmd)) {
             return "";
         }
-        final Process process = new ProcessBuilder(List.of(jcmd.toString(), Long.toString(pid), what))
-            .redirectErrorStream(true).start();
-        final String out = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        final Process process =
+                new ProcessBuilder(List.of(jcmd.toString(), Long.toString(pid), what))
+                        .redirectErrorStream(true)
+                        .start();
+        final String out =
+                new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         try {
             process.waitFor(COMMAND_SECONDS, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
--- a/src/main/java/cresschute/testbed/capacity/RequestOutcomes.java
+++ b/src/main/java/cresschute/testbed/capacity/RequestOutcomes.java
@@ -16,8 +16,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What became of the requests whose first try was sent within a span of time: the share that was served in
- * the end, how soon urgent work started, and how gangs were admitted. Pure.
+ * What became of the requests whose first try was sent within a span of time: the share that was
+ * served in the end, how soon urgent work started, and how gangs were admitted. Pure.
  */
 final class RequestOutcomes {
 
@@ -62,7 +62,10 @@
     static RequestOutcomes of(List<Observation> seen, long fromUs, long toUs) {
         final RequestOutcomes outcomes = new RequestOutcomes();
         // Requests first: a client may note its sending later than a worker notes the start.
-        seen.stream().filter(RequestSent.class::isInstance).map(RequestSent.class::cast).forEach(outcomes::register);
+        seen.stream()
+                .filter(RequestSent.class::isInstance)
+                .map(RequestSent.class::cast)
+                .forEach(outcomes::register);
         seen.forEach(outcomes::take);
         outcomes.count(fromUs, toUs);
         return outcomes;
@@ -120,7 +123,8 @@
         if (each.startedUs == Long.MAX_VALUE) {
             urgentNotStarted++;
         } else {
-            urgentStarts.recordValue(Math.max(0, Math.min(MAX_START_US, each.startedUs - each.sentUs)));
+            urgentStarts.recordValue(
+                    Math.max(0, Math.min(MAX_START_US, each.startedUs - each.sentUs)));
         }
     }
 
@@ -152,14 +156,16 @@
     }
 
     double retriesPerRequest() {
-        return counted.isEmpty() ? 0
-            : counted.stream().mapToInt(each -> each.tries - 1).sum() / (double) counted.size();
+        return counted.isEmpty()
+                ? 0
+                : counted.stream().mapToInt(each -> each.tries - 1).sum() / (double) counted.size();
     }
 
     /** When urgent jobs started, ms after their first try; NaN where none did. */
     double urgentStartMs(double percentile) {
-        return urgentStarts.getTotalCount() == 0 ? Double.NaN
-            : urgentStarts.getValueAtPercentile(percentile) / 1e3;
+        return urgentStarts.getTotalCount() == 0
+                ? Double.NaN
+                : urgentStarts.getValueAtPercentile(percentile) / 1e3;
     }
 
     int urgentNotStarted() {
@@ -171,15 +177,17 @@
         final Map<String, int[]> gangs = new LinkedHashMap<>();
         for (final Tracked each : counted) {
             if (each.origin.startsWith(HollowClients.GANG)) {
-                final String gang = each.origin.substring(0, each.origin.indexOf('-',
-                    HollowClients.GANG.length()));
+                final String gang =
+                        each.origin.substring(
+                                0, each.origin.indexOf('-', HollowClients.GANG.length()));
                 final int[] members = gangs.computeIfAbsent(gang, unseen -> new int[2]);
                 members[0]++;
                 members[1] += each.firstRefused ? 1 : 0;
             }
         }
         final int[] kinds = new int[3];
-        gangs.values().forEach(members -> kinds[members[1] == 0 ? 0 : members[1] < members[0] ? 1 : 2]++);
+        gangs.values()
+                .forEach(members -> kinds[members[1] == 0 ? 0 : members[1] < members[0] ? 1 : 2]++);
         return kinds;
     }
 }
--- a/src/main/java/cresschute/testbed/capacity/RunTimes.java
+++ b/src/main/java/cresschute/testbed/capacity/RunTimes.java
@@ -3,7 +3,8 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Running times: exponential up to a longest one, which the rest take. Pure but for the source of chance.
+ * Running times: exponential up to a longest one, which the rest take. Pure but for the source of
+ * chance.
  */
 final class RunTimes {
 
--- a/src/main/java/cresschute/testbed/capacity/Sample.java
+++ b/src/main/java/cresschute/testbed/capacity/Sample.java
@@ -9,13 +9,20 @@
  * @param ns the monotonic clock
  * @param us the experiment's clock
  * @param dispatchers what each dispatcher has used
- * @param peers what the processes of the workers have used, together, of discovery and of the clients
+ * @param peers what the processes of the workers have used, together, of discovery and of the
+ *     clients
  * @param workers counts of the hollow workers
  * @param discovery counts of discovery
  * @param clients counts of the hollow clients
  */
-record Sample(long ns, long us, List<ProcessUse> dispatchers, List<ProcessUse> peers,
-    HollowWorkers.Counts workers, JsonObject discovery, JsonObject clients) {
+record Sample(
+        long ns,
+        long us,
+        List<ProcessUse> dispatchers,
+        List<ProcessUse> peers,
+        HollowWorkers.Counts workers,
+        JsonObject discovery,
+        JsonObject clients) {
 
     static final int WORKERS = 0;
     static final int DISCOVERY = 1;
--- a/src/main/java/cresschute/testbed/capacity/Site.java
+++ b/src/main/java/cresschute/testbed/capacity/Site.java
@@ -2,33 +2,44 @@
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
-import cresschute.dispatch.Idempotency;
 import cresschute.dispatch.DeduplicationScope;
+import cresschute.dispatch.Idempotency;
 import cresschute.testbed.JobClass;
 import cresschute.testbed.WorkerStandIn;
 import java.util.ArrayList;
 import java.util.List;
 
-/** What follows from a plan: the workers, the classes of jobs, and the settings of the dispatchers. Pure. */
+/**
+ * What follows from a plan: the workers, the classes of jobs, and the settings of the dispatchers.
+ * Pure.
+ */
 final class Site {
 
     static final String URGENT = "urgent";
+
     /** Within this an urgent job is to start, us. */
     static final long URGENT_START_US = 5_400_000;
+
     /** The longest run over the mean one. */
     static final double MAX_RUN_OVER_MEAN = 2;
+
     /** How often one request may be sent to workers. */
     private static final int MAX_ATTEMPTS = 5;
+
     private static final String ACCELERATED = "accelerated";
     private static final double URGENT_SHARE = 0.1;
     private static final double KEYED_SHARE = 0.2;
     private static final double UNSAFE_SHARE = 0.1;
     private static final double ACCELERATED_SHARE = 0.3;
+
     /** Part of the accelerators that jobs keep busy, at the most. */
     private static final double ACCELERATORS_BUSY = 0.75;
+
     private static final int ACCELERATORS_A_WORKER = 4;
+
     /** Slots over running jobs. */
     private static final double SLOTS_OVER_RUNNING = 1.3;
+
     private static final int WORKERS_A_CELL = 20;
     private static final double QUOTA_OVER_STARTS = 1.5;
     private static final double MAX_WAIT_US = 20e6;
@@ -45,8 +56,15 @@
 
     Site(CapacityPlan plan) {
         this.plan = plan;
-        acceleratorWorkers = plan.accelerators() == 0 ? 0 : (int) Math.min(Math.max(1, plan.workers() / 2),
-            Math.ceil((double) plan.accelerators() / ACCELERATORS_A_WORKER));
+        acceleratorWorkers =
+                plan.accelerators() == 0
+                        ? 0
+                        : (int)
+                                Math.min(
+                                        Math.max(1, plan.workers() / 2),
+                                        Math.ceil(
+                                                (double) plan.accelerators()
+                                                        / ACCELERATORS_A_WORKER));
     }
 
     // ---- Workers ----
@@ -56,8 +74,14 @@
         final List<WorkerStandIn.Make> workers = new ArrayList<>();
         for (int i = 0; i < plan.workers(); i++) {
             final boolean accelerated = isAccelerated(i);
-            workers.add(new WorkerStandIn.Make("w" + (i + 1), i / WORKERS_A_CELL, zone(i % plan.zones()),
-                accelerated ? ACCELERATED : "plain", accelerated ? acceleratorSlots() : plainSlots(), 1));
+            workers.add(
+                    new WorkerStandIn.Make(
+                            "w" + (i + 1),
+                            i / WORKERS_A_CELL,
+                            zone(i % plan.zones()),
+                            accelerated ? ACCELERATED : "plain",
+                            accelerated ? acceleratorSlots() : plainSlots(),
+                            1));
         }
         return workers;
     }
@@ -68,8 +92,8 @@
     }
 
     private boolean isAccelerated(int number) {
-        return (long) (number + 1) * acceleratorWorkers / plan.workers() > (long) number * acceleratorWorkers
-            / plan.workers();
+        return (long) (number + 1) * acceleratorWorkers / plan.workers()
+                > (long) number * acceleratorWorkers / plan.workers();
     }
 
     private int acceleratorSlots() {
@@ -78,12 +102,16 @@
 
     private int plainSlots() {
         final double slots = SLOTS_OVER_RUNNING * plan.running() * (1 - acceleratedShare());
-        return (int) Math.max(2, Math.ceil(slots / Math.max(1, plan.workers() - acceleratorWorkers)));
+        return (int)
+                Math.max(2, Math.ceil(slots / Math.max(1, plan.workers() - acceleratorWorkers)));
     }
 
     private double acceleratedShare() {
-        return acceleratorWorkers == 0 || acceleratorWorkers == plan.workers() ? 0
-            : Math.min(ACCELERATED_SHARE, ACCELERATORS_BUSY * plan.accelerators() / plan.running());
+        return acceleratorWorkers == 0 || acceleratorWorkers == plan.workers()
+                ? 0
+                : Math.min(
+                        ACCELERATED_SHARE,
+                        ACCELERATORS_BUSY * plan.accelerators() / plan.running());
     }
 
     /** The name of a zone, with its region's. */
@@ -117,21 +145,56 @@
         final double accelerated = acceleratedShare();
         final List<JobClass> classes = new ArrayList<>();
         classes.add(stated(URGENT, 4, URGENT_START_US, 1, Idempotency.SAFE, URGENT_SHARE));
-        classes.add(stated("keyed", 2, (long) (MAX_WAIT_US / 2), 1.5, Idempotency.KEYED, KEYED_SHARE));
-        classes.add(stated("unsafe", 2, (long) (MAX_WAIT_US / 2), 1.5, Idempotency.UNSAFE, UNSAFE_SHARE));
-        classes.add(stated("batch", 1, (long) (MAX_WAIT_US / 2), 1.5, Idempotency.SAFE,
-            1 - URGENT_SHARE - KEYED_SHARE - UNSAFE_SHARE - accelerated));
+        classes.add(
+                stated("keyed", 2, (long) (MAX_WAIT_US / 2), 1.5, Idempotency.KEYED, KEYED_SHARE));
+        classes.add(
+                stated(
+                        "unsafe",
+                        2,
+                        (long) (MAX_WAIT_US / 2),
+                        1.5,
+                        Idempotency.UNSAFE,
+                        UNSAFE_SHARE));
+        classes.add(
+                stated(
+                        "batch",
+                        1,
+                        (long) (MAX_WAIT_US / 2),
+                        1.5,
+                        Idempotency.SAFE,
+                        1 - URGENT_SHARE - KEYED_SHARE - UNSAFE_SHARE - accelerated));
         if (accelerated > 0) {
-            classes.add(stated(ACCELERATED, 2, (long) (MAX_WAIT_US / 2), 1.5, Idempotency.SAFE, accelerated));
+            classes.add(
+                    stated(
+                            ACCELERATED,
+                            2,
+                            (long) (MAX_WAIT_US / 2),
+                            1.5,
+                            Idempotency.SAFE,
+                            accelerated));
         }
         return List.copyOf(classes);
     }
 
-    private JobClass stated(String name, double value, long aimUs, double stretch, Idempotency effect,
-        double share) {
-        return new JobClass(name, value, aimUs, stretch, deadlineUs(), effect,
-            effect == Idempotency.KEYED ? DeduplicationScope.CELL : DeduplicationScope.ALL, repeatWindowUs(), MAX_ATTEMPTS,
-            share, (long) plan.meanRunUs());
+    private JobClass stated(
+            String name,
+            double value,
+            long aimUs,
+            double stretch,
+            Idempotency effect,
+            double share) {
+        return new JobClass(
+                name,
+                value,
+                aimUs,
+                stretch,
+                deadlineUs(),
+                effect,
+                effect == Idempotency.KEYED ? DeduplicationScope.CELL : DeduplicationScope.ALL,
+                repeatWindowUs(),
+                MAX_ATTEMPTS,
+                share,
+                (long) plan.meanRunUs());
     }
 
     static String tenant(int number) {
@@ -187,11 +250,13 @@
             stated.addProperty("goalTimeUs", each.latencyObjectiveUs());
             stated.addProperty("aimStretch", each.latencyObjectiveStretch());
             stated.addProperty("deadlineUs", each.deadlineUs());
-            stated.addProperty("idempotency", switch (each.effect()) {
-                case SAFE -> "pure";
-                case KEYED -> "token";
-                case UNSAFE -> "side_effect";
-            });
+            stated.addProperty(
+                    "idempotency",
+                    switch (each.effect()) {
+                        case SAFE -> "pure";
+                        case KEYED -> "token";
+                        case UNSAFE -> "side_effect";
+                    });
             stated.addProperty("group", each.effect() == Idempotency.KEYED ? "cell" : "all");
             stated.addProperty("keyTtlUs", each.repeatWindowUs());
             if (each.name().equals(ACCELERATED)) {
--- a/src/main/java/cresschute/testbed/capacity/Sweep.java
+++ b/src/main/java/cresschute/testbed/capacity/Sweep.java
@@ -13,7 +13,13 @@
 
     /** What changes along a sweep. */
     public enum Axis {
-        WORKERS, RUNNING, STARTS, TENANTS, DISPATCHERS, LIST_CHANGES, SETTINGS_CHANGES;
+        WORKERS,
+        RUNNING,
+        STARTS,
+        TENANTS,
+        DISPATCHERS,
+        LIST_CHANGES,
+        SETTINGS_CHANGES;
 
         /** Its name on the command line and in results. */
         public String word() {
@@ -44,12 +50,18 @@
 
     /** The axis of a point that lies on none. */
     public static final String NO_AXIS = "none";
+
     private static final String ALL = "all";
     private static final int MAX_DISPATCHERS = 7;
     private static final double[] PARTS = {0.25, 0.5, 0.75, 1};
     private static final double[] STARTS_PARTS = {0.4, 0.6, 0.8, 1};
-    /** The starts are fixed nearer to the largest size: fewer of them would be jobs that run for long. */
+
+    /**
+     * The starts are fixed nearer to the largest size: fewer of them would be jobs that run for
+     * long.
+     */
     private static final double FIXED_STARTS = 0.75;
+
     private static final double[] LIST_CHANGES_PER_SECOND = {0, 1, 4, 16};
     private static final double[] SETTINGS_CHANGES_PER_SECOND = {0, 0.1, 0.3, 1};
 
@@ -65,25 +77,34 @@
     }
 
     /**
-     * The points along an axis, or along all, each repeated, in an order drawn by the seed; then the largest
-     * size as a point that is held out.
+     * The points along an axis, or along all, each repeated, in an order drawn by the seed; then
+     * the largest size as a point that is held out.
      *
      * @param axis the word of an axis, or {@code all}
      */
     public static List<Point> along(String axis, CapacityPlan largest, int repetitions) {
-        final List<Axis> axes = Arrays.stream(Axis.values())
-            .filter(each -> axis.equals(ALL) || each.word().equals(axis)).toList();
+        final List<Axis> axes =
+                Arrays.stream(Axis.values())
+                        .filter(each -> axis.equals(ALL) || each.word().equals(axis))
+                        .toList();
         if (axes.isEmpty()) {
-            throw new UnusablePlanException("--sweep: '" + axis + "' is no axis; allowed: "
-                + Arrays.stream(Axis.values()).map(Axis::word).collect(Collectors.joining(", "))
-                + ", all");
+            throw new UnusablePlanException(
+                    "--sweep: '"
+                            + axis
+                            + "' is no axis; allowed: "
+                            + Arrays.stream(Axis.values())
+                                    .map(Axis::word)
+                                    .collect(Collectors.joining(", "))
+                            + ", all");
         }
         final List<Point> points = new ArrayList<>();
         final CapacityPlan fixed = middle(largest);
         for (int i = 1; i <= repetitions; i++) {
             for (final Axis each : axes) {
                 for (final CapacityPlan plan : plans(each, fixed, largest)) {
-                    points.add(new Point(each.word(), i, false, plan.withSeed(largest.seed() + i - 1)));
+                    points.add(
+                            new Point(
+                                    each.word(), i, false, plan.withSeed(largest.seed() + i - 1)));
                 }
             }
         }
@@ -95,28 +116,37 @@
     /** Half the size, so that each axis has points below and above what the others are fixed at. */
     private static CapacityPlan middle(CapacityPlan largest) {
         return largest.withWorkers(Math.max(1, largest.workers() / 2))
-            .withRunning(Math.max(1, largest.running() / 2))
-            .withStarts(FIXED_STARTS * largest.startsPerSecond()).withDispatchers((largest.dispatchers() + 1)
-                / 2);
+                .withRunning(Math.max(1, largest.running() / 2))
+                .withStarts(FIXED_STARTS * largest.startsPerSecond())
+                .withDispatchers((largest.dispatchers() + 1) / 2);
     }
 
     private static List<CapacityPlan> plans(Axis axis, CapacityPlan fixed, CapacityPlan largest) {
-        final double[] values = switch (axis) {
-            case LIST_CHANGES -> LIST_CHANGES_PER_SECOND;
-            case SETTINGS_CHANGES -> SETTINGS_CHANGES_PER_SECOND;
-            case DISPATCHERS -> new double[]{1, 3, 5, MAX_DISPATCHERS};
-            case STARTS -> STARTS_PARTS;
-            default -> PARTS;
-        };
-        return Arrays.stream(values).mapToObj(value -> switch (axis) {
-            case WORKERS -> fixed.withWorkers(part(value, largest.workers()));
-            case RUNNING -> fixed.withRunning(part(value, largest.running()));
-            case STARTS -> fixed.withStarts(value * largest.startsPerSecond());
-            case TENANTS -> fixed.withTenants(part(value, largest.tenants()));
-            case DISPATCHERS -> fixed.withDispatchers((int) value);
-            case LIST_CHANGES -> fixed.withListChanges(value);
-            case SETTINGS_CHANGES -> fixed.withSettingsChanges(value);
-        }).toList();
+        final double[] values =
+                switch (axis) {
+                    case LIST_CHANGES -> LIST_CHANGES_PER_SECOND;
+                    case SETTINGS_CHANGES -> SETTINGS_CHANGES_PER_SECOND;
+                    case DISPATCHERS -> new double[] {1, 3, 5, MAX_DISPATCHERS};
+                    case STARTS -> STARTS_PARTS;
+                    default -> PARTS;
+                };
+        return Arrays.stream(values)
+                .mapToObj(
+                        value ->
+                                switch (axis) {
+                                    case WORKERS ->
+                                            fixed.withWorkers(part(value, largest.workers()));
+                                    case RUNNING ->
+                                            fixed.withRunning(part(value, largest.running()));
+                                    case STARTS ->
+                                            fixed.withStarts(value * largest.startsPerSecond());
+                                    case TENANTS ->
+                                            fixed.withTenants(part(value, largest.tenants()));
+                                    case DISPATCHERS -> fixed.withDispatchers((int) value);
+                                    case LIST_CHANGES -> fixed.withListChanges(value);
+                                    case SETTINGS_CHANGES -> fixed.withSettingsChanges(value);
+                                })
+                .toList();
     }
 
     private static int part(double part, int whole) {
--- a/src/main/java/cresschute/testbed/capacity/Traffic.java
+++ b/src/main/java/cresschute/testbed/capacity/Traffic.java
@@ -5,7 +5,9 @@
 /** Messages and bytes by kind, summed since the start. On one thread. */
 final class Traffic {
 
-    /** Segments of a TCP connection's opening and closing with their headers, as reckoned, bytes. */
+    /**
+     * Segments of a TCP connection's opening and closing with their headers, as reckoned, bytes.
+     */
     static final long HANDSHAKE_BYTES = 200;
 
     private final long[] messages = new long[TrafficKind.values().length];
--- a/src/main/java/cresschute/testbed/model/BaselineModule.java
+++ b/src/main/java/cresschute/testbed/model/BaselineModule.java
@@ -1,12 +1,12 @@
 package cresschute.testbed.model;
 
+import cresschute.dispatch.DispatchSettings;
 import cresschute.dispatch.DispatcherActions;
 import cresschute.dispatch.DispatcherEvents;
-import cresschute.dispatch.Job;
 import cresschute.dispatch.EndpointListForm;
+import cresschute.dispatch.Job;
 import cresschute.dispatch.LoadReport;
 import cresschute.dispatch.Outcome;
-import cresschute.dispatch.DispatchSettings;
 import cresschute.dispatch.Worker;
 import cresschute.dispatch.WorkerState;
 import java.util.ArrayList;
@@ -17,8 +17,8 @@
 import java.util.function.IntToDoubleFunction;
 
 /**
- * A module to compare with: it admits all, chooses by one simple policy, never probes or hedges, and fails a
- * request whose only attempt fails.
+ * A module to compare with: it admits all, chooses by one simple policy, never probes or hedges,
+ * and fails a request whose only attempt fails.
  */
 final class BaselineModule implements DispatcherEvents {
 
@@ -28,7 +28,10 @@
         RANDOM("random"),
         /** The one of two with fewer jobs as last reported to this dispatcher. */
         POWER_OF_TWO_STALE("power_of_two_stale"),
-        /** The one of all with the least load as it truly is: the bound, which no dispatcher can reach. */
+        /**
+         * The one of all with the least load as it truly is: the bound, which no dispatcher can
+         * reach.
+         */
         LEAST_OUTSTANDING_TRUE("least_outstanding_true");
 
         private final String wireName;
@@ -55,7 +58,8 @@
     private final List<Integer> ready = new ArrayList<>();
     private final Map<Integer, Double> reported = new HashMap<>();
 
-    BaselineModule(Policy policy, long seed, DispatcherActions actions, IntToDoubleFunction trueLoad) {
+    BaselineModule(
+            Policy policy, long seed, DispatcherActions actions, IntToDoubleFunction trueLoad) {
         this.policy = policy;
         this.actions = actions;
         this.trueLoad = trueLoad;
@@ -91,7 +95,9 @@
             case RANDOM -> first;
             case POWER_OF_TWO_STALE -> {
                 final int second = any();
-                yield reported.getOrDefault(second, 0.0) < reported.getOrDefault(first, 0.0) ? second : first;
+                yield reported.getOrDefault(second, 0.0) < reported.getOrDefault(first, 0.0)
+                        ? second
+                        : first;
             }
             case LEAST_OUTSTANDING_TRUE -> leastLoaded(first);
         };
@@ -115,8 +121,15 @@
     }
 
     @Override
-    public void attemptEnded(long nowUs, int requestId, int attempt, int workerId, Outcome outcome, long elapsedUs,
-        boolean requestClosed, LoadReport report) {
+    public void attemptEnded(
+            long nowUs,
+            int requestId,
+            int attempt,
+            int workerId,
+            Outcome outcome,
+            long elapsedUs,
+            boolean requestClosed,
+            LoadReport report) {
         if (!report.equals(LoadReport.NONE)) {
             reported.put(workerId, report.waiting() - report.freeSlots());
         }
@@ -131,7 +144,8 @@
     }
 
     @Override
-    public void jobProgressed(long nowUs, int requestId, int attempt, int workerId, double fractionDone) {
+    public void jobProgressed(
+            long nowUs, int requestId, int attempt, int workerId, double fractionDone) {
         // Progress changes no choice.
     }
 
--- a/src/main/java/cresschute/testbed/model/CapacityCsv.java
+++ b/src/main/java/cresschute/testbed/model/CapacityCsv.java
@@ -6,16 +6,18 @@
 import java.util.Map;
 import java.util.function.Function;
 
-/** Writes what {@link FleetCapacity} measures as lines of the capacity table, one for each measure. */
+/**
+ * Writes what {@link FleetCapacity} measures as lines of the capacity table, one for each measure.
+ */
 public final class CapacityCsv {
 
     private static final int[] WORKERS = {140, 350, 700, 1_400};
     private static final int[] DISPATCHERS = {2, 7, 15, 30};
     private static final int USUAL_DISPATCHERS = 7;
     private static final int PLANNED_WORKERS = 1_400;
-    private static final String HEAD = "# cresschute capacity measurements, version 1\n"
-        + "run,commit,date,seed,axis,repetition,held_out,workers,running,starts_per_second,tenants,"
-        + "dispatchers,list_changes_per_second,settings_changes_per_second,role,measure,value,partial\n";
+    private static final String HEAD =
+            "# cresschute capacity measurements, version 1\n"
+                + "run,commit,date,seed,axis,repetition,held_out,workers,running,starts_per_second,tenants,dispatchers,list_changes_per_second,settings_changes_per_second,role,measure,value,partial\n";
 
     private final Function<Point, Map<String, Double>> model;
     private final PrintWriter out;
@@ -24,8 +26,12 @@
     private final long seed;
 
     /** Lines for runs of one seed of a model; commit and date are told as they are given. */
-    public CapacityCsv(Function<Point, Map<String, Double>> model, PrintWriter out, String commit,
-        String date, long seed) {
+    public CapacityCsv(
+            Function<Point, Map<String, Double>> model,
+            PrintWriter out,
+            String commit,
+            String date,
+            long seed) {
         this.model = model;
         this.out = out;
         this.commit = commit;
@@ -51,16 +57,33 @@
 
     private void writeAll(String axis, int workers, int dispatchers) {
         write(axis, new Point(workers, dispatchers, FleetCapacity.MODULE, seed));
-        FleetCapacity.BASELINES
-            .forEach(policy -> write(axis, new Point(workers, dispatchers, policy, seed)));
+        FleetCapacity.BASELINES.forEach(
+                policy -> write(axis, new Point(workers, dispatchers, policy, seed)));
         out.flush();
     }
 
     private void write(String axis, Point point) {
-        model.apply(point).forEach((measure, value) -> out.print(String.format(Locale.ROOT,
-            "model-%s,%s,%s,%d,%s,1,false,%d,%d,%.3f,%d,%d,0,0,model,%s,%s,false%n", point.policy(), commit,
-            date, seed, axis, point.workers(), FleetCapacity.running(point.workers()),
-            FleetCapacity.startsPerSecond(point.workers()), FleetCapacity.tenants(), point.dispatchers(),
-            measure, value.isNaN() ? "" : String.format(Locale.ROOT, "%.6f", value))));
+        model.apply(point)
+                .forEach(
+                        (measure, value) ->
+                                out.print(
+                                        String.format(
+                                                Locale.ROOT,
+                                                "model-%s,%s,%s,%d,%s,1,false,%d,%d,%.3f,%d,%d,0,0,model,%s,%s,false%n",
+                                                point.policy(),
+                                                commit,
+                                                date,
+                                                seed,
+                                                axis,
+                                                point.workers(),
+                                                FleetCapacity.running(point.workers()),
+                                                FleetCapacity.startsPerSecond(point.workers()),
+                                                FleetCapacity.tenants(),
+                                                point.dispatchers(),
+                                                measure,
+                                                value.isNaN()
+                                                        ? ""
+                                                        : String.format(
+                                                                Locale.ROOT, "%.6f", value))));
     }
 }
--- a/src/main/java/cresschute/testbed/model/DispatcherMeter.java
+++ b/src/main/java/cresschute/testbed/model/DispatcherMeter.java
@@ -105,8 +105,8 @@
     }
 
     /**
-     * Time between a worker's last report to this dispatcher and each send to it, in rising order, us. The
-     * report itself may have been old by the worker's own refresh and delay.
+     * Time between a worker's last report to this dispatcher and each send to it, in rising order,
+     * us. The report itself may have been old by the worker's own refresh and delay.
      */
     public long[] beliefAgesUs() {
         final long[] sorted = Arrays.copyOf(agesUs, ages);
--- a/src/main/java/cresschute/testbed/model/EventQueue.java
+++ b/src/main/java/cresschute/testbed/model/EventQueue.java
@@ -3,13 +3,17 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** What is to happen in virtual time, one thing after the other; of the same moment, in order of planning. */
+/**
+ * What is to happen in virtual time, one thing after the other; of the same moment, in order of
+ * planning.
+ */
 final class EventQueue {
 
     private record Plan(long atUs, long number, Runnable event) {}
 
     private final PriorityQueue<Plan> plans =
-        new PriorityQueue<>(Comparator.comparingLong(Plan::atUs).thenComparingLong(Plan::number));
+            new PriorityQueue<>(
+                    Comparator.comparingLong(Plan::atUs).thenComparingLong(Plan::number));
     private long planned;
     private long nowUs;
 
--- a/src/main/java/cresschute/testbed/model/ExchangingModules.java
+++ b/src/main/java/cresschute/testbed/model/ExchangingModules.java
@@ -1,20 +1,20 @@
 package cresschute.testbed.model;
 
+import cresschute.dispatch.DispatchSettings;
 import cresschute.dispatch.DispatcherActions;
 import cresschute.dispatch.DispatcherEvents;
-import cresschute.dispatch.Job;
 import cresschute.dispatch.EndpointListForm;
+import cresschute.dispatch.Job;
 import cresschute.dispatch.LoadReport;
 import cresschute.dispatch.Outcome;
-import cresschute.dispatch.DispatchSettings;
 import cresschute.dispatch.Worker;
-import cresschute.testbed.model.FleetModel.ModuleMaker;
 import cresschute.peers.ExchangeSettings;
-import cresschute.peers.LoadGossiper;
 import cresschute.peers.LoadExchange;
+import cresschute.peers.LoadGossiper;
 import cresschute.peers.LoadMessage;
 import cresschute.peers.LoadMessageCodec;
 import cresschute.peers.RejectedMessageException;
+import cresschute.testbed.model.FleetModel.ModuleMaker;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -22,15 +22,17 @@
 import java.util.OptionalInt;
 
 /**
- * Makes modules whose dispatchers exchange their in-flight counts, as a node with peers does: a probe that
- * the view answers does not reach the fleet, and the module learns unasked what changed. Messages between
- * dispatchers arrive at once and none is lost.
+ * Makes modules whose dispatchers exchange their in-flight counts, as a node with peers does: a
+ * probe that the view answers does not reach the fleet, and the module learns unasked what changed.
+ * Messages between dispatchers arrive at once and none is lost.
  */
 public final class ExchangingModules implements ModuleMaker {
 
     private static final long POLL_US = 50_000;
+
     /** Tokens of this class's own timers, which no module uses. */
     private static final long POLL_TOKEN = Long.MIN_VALUE;
+
     private static final long ANSWER_TOKEN = Long.MIN_VALUE + 1;
 
     private final ModuleMaker maker;
@@ -40,7 +42,10 @@
     private long probes;
     private long bytes;
 
-    /** Exchanges among the modules of another maker, each of which sends so many bytes a second at most. */
+    /**
+     * Exchanges among the modules of another maker, each of which sends so many bytes a second at
+     * most.
+     */
     public ExchangingModules(ModuleMaker maker, long bytesPerS) {
         this.maker = maker;
         this.bytesPerS = bytesPerS;
@@ -48,8 +53,8 @@
 
     @Override
     public DispatcherEvents make(DispatchSettings settings, long seed, DispatcherActions actions) {
-        final Dispatcher dispatcher = new Dispatcher("n" + dispatchers.size(), settings.dispatchers() - 1,
-            actions);
+        final Dispatcher dispatcher =
+                new Dispatcher("n" + dispatchers.size(), settings.dispatchers() - 1, actions);
         dispatchers.add(dispatcher);
         dispatcher.module = maker.make(settings, seed, dispatcher);
         return dispatcher;
@@ -98,27 +103,37 @@
         }
 
         private void start() {
-            exchange = new LoadExchange(new ExchangeSettings(name, peers, bytesPerS,
-                ExchangeSettings.DEFAULT_REFRESH_US), nowUs, new LoadExchange.Listener() {
-                    @Override
-                    public void keyCollision(String worker, String other) {
-                        // Their load is probed; that is all there is to it here.
-                    }
-
-                    @Override
-                    public void distrusted(int sender, long forUs) {
-                        // The same.
-                    }
-                });
+            exchange =
+                    new LoadExchange(
+                            new ExchangeSettings(
+                                    name, peers, bytesPerS, ExchangeSettings.DEFAULT_REFRESH_US),
+                            nowUs,
+                            new LoadExchange.Listener() {
+                                @Override
+                                public void keyCollision(String worker, String other) {
+                                    // Their load is probed; that is all there is to it here.
+                                }
+
+                                @Override
+                                public void distrusted(int sender, long forUs) {
+                                    // The same.
+                                }
+                            });
             actions.startTimer(POLL_TOKEN, POLL_US);
         }
 
         private void poll() {
-            exchange.poll(nowUs).ifPresent(message -> {
-                bytes += (long) peers * (LoadMessageCodec.messageBytes(message) + LoadGossiper.HEADER_BYTES);
-                dispatchers.stream().filter(other -> other != this)
-                    .forEach(other -> other.receive(nowUs, message));
-            });
+            exchange.poll(nowUs)
+                    .ifPresent(
+                            message -> {
+                                bytes +=
+                                        (long) peers
+                                                * (LoadMessageCodec.messageBytes(message)
+                                                        + LoadGossiper.HEADER_BYTES);
+                                dispatchers.stream()
+                                        .filter(other -> other != this)
+                                        .forEach(other -> other.receive(nowUs, message));
+                            });
             exchange.takeRefreshed(nowUs).forEach(name -> queryLoad(Integer.parseInt(name)));
             actions.startTimer(POLL_TOKEN, POLL_US);
         }
@@ -154,18 +169,27 @@
         }
 
         @Override
-        public void jobProgressed(long atUs, int requestId, int attempt, int workerId, double fractionDone) {
+        public void jobProgressed(
+                long atUs, int requestId, int attempt, int workerId, double fractionDone) {
             nowUs = atUs;
             module.jobProgressed(atUs, requestId, attempt, workerId, fractionDone);
         }
 
         @Override
-        public void attemptEnded(long atUs, int requestId, int attempt, int workerId, Outcome outcome,
-            long elapsedUs, boolean requestClosed, LoadReport report) {
+        public void attemptEnded(
+                long atUs,
+                int requestId,
+                int attempt,
+                int workerId,
+                Outcome outcome,
+                long elapsedUs,
+                boolean requestClosed,
+                LoadReport report) {
             nowUs = atUs;
             exchange.ended(name(workerId));
             exchange.reported(atUs, name(workerId), report.outstanding());
-            module.attemptEnded(atUs, requestId, attempt, workerId, outcome, elapsedUs, requestClosed, report);
+            module.attemptEnded(
+                    atUs, requestId, attempt, workerId, outcome, elapsedUs, requestClosed, report);
         }
 
         @Override
@@ -188,7 +212,8 @@
                 poll();
             } else if (token == ANSWER_TOKEN) {
                 final int[] answer = answers.poll();
-                module.loadReported(atUs, answer[0], Outcome.SERVED, new LoadReport(-1, answer[1], -1));
+                module.loadReported(
+                        atUs, answer[0], Outcome.SERVED, new LoadReport(-1, answer[1], -1));
             } else {
                 module.timerFired(atUs, token);
             }
@@ -211,7 +236,7 @@
             final OptionalInt known = exchange.outstanding(nowUs, name(workerId));
             if (known.isPresent()) {
                 answered++;
-                answers.add(new int[]{workerId, known.getAsInt()});
+                answers.add(new int[] {workerId, known.getAsInt()});
                 actions.startTimer(ANSWER_TOKEN, 0);
             } else {
                 probes++;
--- a/src/main/java/cresschute/testbed/model/FleetCapacity.java
+++ b/src/main/java/cresschute/testbed/model/FleetCapacity.java
@@ -1,16 +1,16 @@
 package cresschute.testbed.model;
 
-import cresschute.dispatch.SlowStartSettings;
+import cresschute.dispatch.AttemptLimits;
+import cresschute.dispatch.DeduplicationScope;
+import cresschute.dispatch.DispatchSettings;
+import cresschute.dispatch.Dispatcher;
 import cresschute.dispatch.Idempotency;
 import cresschute.dispatch.ObjectiveWeights;
-import cresschute.dispatch.AttemptLimits;
 import cresschute.dispatch.Placement;
-import cresschute.dispatch.DeduplicationScope;
 import cresschute.dispatch.RequestClass;
-import cresschute.dispatch.DispatchSettings;
+import cresschute.dispatch.SlowStartSettings;
 import cresschute.dispatch.Tenant;
 import cresschute.dispatch.WeightSource;
-import cresschute.dispatch.Dispatcher;
 import cresschute.testbed.model.FleetModel.Demand;
 import cresschute.testbed.model.FleetModel.Kind;
 import cresschute.testbed.model.FleetModel.ModuleMaker;
@@ -23,8 +23,9 @@
 import java.util.stream.LongStream;
 
 /**
- * The fleet of the planned size in virtual time, and parts of it at the same load a worker: value served,
- * urgent starts, probes and the age of belief, for the module and for simple policies to compare with.
+ * The fleet of the planned size in virtual time, and parts of it at the same load a worker: value
+ * served, urgent starts, probes and the age of belief, for the module and for simple policies to
+ * compare with.
  */
 public final class FleetCapacity {
 
@@ -33,53 +34,107 @@
 
     /** The module that is measured; the other policies are to compare with. */
     public static final String MODULE = "module";
+
     /** The policies to compare with. */
-    public static final List<String> BASELINES = List.of("random", "power_of_two_stale",
-        "least_outstanding_true");
+    public static final List<String> BASELINES =
+            List.of("random", "power_of_two_stale", "least_outstanding_true");
 
     private static final long SECOND_US = 1_000_000;
     private static final int ZONES = 7;
     private static final int WORKERS_A_CELL = 20;
     private static final int TENANTS = 54;
+
     /** Starts a second of one worker: 300 over 1,400. */
     private static final double STARTS_A_WORKER = 300.0 / 1_400;
+
     private static final double LOAD = 0.69;
     private static final long MEAN_RUN_US = 30 * SECOND_US;
     private static final long DEADLINE_US = 300 * SECOND_US;
     private static final long WARM_UP_S = 90;
     private static final long MEASURED_S = 60;
     private static final double SKEW = 1.5;
-    private static final List<RequestClass> CLASSES = List.of(requestClass(10, 5_400_000, 1.3),
-        requestClass(2, 30 * SECOND_US, 2), requestClass(1, 60 * SECOND_US, 2.5));
-    private static final List<Demand> DEMANDS = List.of(new Demand(0.1, MEAN_RUN_US, MEAN_RUN_US, 0),
-        new Demand(0.6, MEAN_RUN_US, MEAN_RUN_US, 0), new Demand(0.3, MEAN_RUN_US, MEAN_RUN_US, 0));
+    private static final List<RequestClass> CLASSES =
+            List.of(
+                    requestClass(10, 5_400_000, 1.3),
+                    requestClass(2, 30 * SECOND_US, 2),
+                    requestClass(1, 60 * SECOND_US, 2.5));
+    private static final List<Demand> DEMANDS =
+            List.of(
+                    new Demand(0.1, MEAN_RUN_US, MEAN_RUN_US, 0),
+                    new Demand(0.6, MEAN_RUN_US, MEAN_RUN_US, 0),
+                    new Demand(0.3, MEAN_RUN_US, MEAN_RUN_US, 0));
     private static final List<Kind> KINDS = List.of(new Kind(9, 1, 0.7), new Kind(10, 1, 0.3));
 
     private FleetCapacity() {}
 
-    private static RequestClass requestClass(double value, long latencyObjectiveUs, double stretch) {
-        return new RequestClass(value, latencyObjectiveUs, stretch, DEADLINE_US, Idempotency.SAFE, DeduplicationScope.ALL, 0,
-            Placement.ANYWHERE);
+    private static RequestClass requestClass(
+            double value, long latencyObjectiveUs, double stretch) {
+        return new RequestClass(
+                value,
+                latencyObjectiveUs,
+                stretch,
+                DEADLINE_US,
+                Idempotency.SAFE,
+                DeduplicationScope.ALL,
+                0,
+                Placement.ANYWHERE);
     }
 
     private static DispatchSettings settings(Point point) {
         final double quotaPerS = 1.3 * STARTS_A_WORKER * point.workers() / TENANTS;
         final List<Tenant> tenants =
-            IntStream.range(0, TENANTS).mapToObj(i -> new Tenant("tenant-" + i, quotaPerS)).toList();
-        return new DispatchSettings(point.dispatchers(), 0, ZONES, KINDS.size(), CLASSES, tenants, 0.3, false,
-            new AttemptLimits(5, 2 * SECOND_US, true), new SlowStartSettings(0.3, 20 * SECOND_US, 3, SECOND_US),
-            new ObjectiveWeights(0.65, 0.15, 0.2, 0), false, 0, WeightSource.NOMINAL, true, true, SECOND_US, 0, true,
-            false, 0, false, DispatchSettings.UNLIMITED);
+                IntStream.range(0, TENANTS)
+                        .mapToObj(i -> new Tenant("tenant-" + i, quotaPerS))
+                        .toList();
+        return new DispatchSettings(
+                point.dispatchers(),
+                0,
+                ZONES,
+                KINDS.size(),
+                CLASSES,
+                tenants,
+                0.3,
+                false,
+                new AttemptLimits(5, 2 * SECOND_US, true),
+                new SlowStartSettings(0.3, 20 * SECOND_US, 3, SECOND_US),
+                new ObjectiveWeights(0.65, 0.15, 0.2, 0),
+                false,
+                0,
+                WeightSource.NOMINAL,
+                true,
+                true,
+                SECOND_US,
+                0,
+                true,
+                false,
+                0,
+                false,
+                DispatchSettings.UNLIMITED);
     }
 
     private static FleetModel fleet(Point point) {
         final FleetModel[] built = new FleetModel[1];
-        final ModuleMaker maker = point.policy().equals(MODULE) ? Dispatcher::new
-            : (settings, seed, actions) -> new BaselineModule(
-                BaselineModule.Policy.of(point.policy()), seed,
-                actions, worker -> built[0].trueLoad(worker));
-        built[0] = new FleetModel(new Plan(settings(point), DEMANDS, KINDS, point.workers(), WORKERS_A_CELL,
-            LOAD, SKEW, point.seed()), maker);
+        final ModuleMaker maker =
+                point.policy().equals(MODULE)
+                        ? Dispatcher::new
+                        : (settings, seed, actions) ->
+                                new BaselineModule(
+                                        BaselineModule.Policy.of(point.policy()),
+                                        seed,
+                                        actions,
+                                        worker -> built[0].trueLoad(worker));
+        built[0] =
+                new FleetModel(
+                        new Plan(
+                                settings(point),
+                                DEMANDS,
+                                KINDS,
+                                point.workers(),
+                                WORKERS_A_CELL,
+                                LOAD,
+                                SKEW,
+                                point.seed()),
+                        maker);
         return built[0];
     }
 
@@ -93,8 +148,11 @@
         final double probes = fleet.meters().stream().mapToLong(DispatcherMeter::probes).sum();
         measures.put("probes_per_second_per_worker", probes / MEASURED_S / point.workers());
         measures.put("probes_per_second_per_dispatcher", probes / MEASURED_S / point.dispatchers());
-        final long[] agesUs = fleet.meters().stream()
-            .flatMapToLong(meter -> LongStream.of(meter.beliefAgesUs())).sorted().toArray();
+        final long[] agesUs =
+                fleet.meters().stream()
+                        .flatMapToLong(meter -> LongStream.of(meter.beliefAgesUs()))
+                        .sorted()
+                        .toArray();
         measures.put("belief_age_p50_seconds", quantileS(agesUs, 0.5));
         measures.put("belief_age_p99_seconds", quantileS(agesUs, 0.99));
         fleet.drain();
@@ -120,8 +178,10 @@
 
     /** The value that this share of them does not exceed; not a number where there is none. */
     private static double quantileS(long[] sortedUs, double share) {
-        return sortedUs.length == 0 ? Double.NaN
-            : (double) sortedUs[Math.max(0, (int) Math.ceil(share * sortedUs.length) - 1)] / SECOND_US;
+        return sortedUs.length == 0
+                ? Double.NaN
+                : (double) sortedUs[Math.max(0, (int) Math.ceil(share * sortedUs.length) - 1)]
+                        / SECOND_US;
     }
 
     /** Tasks that run on average at this size. */
--- a/src/main/java/cresschute/testbed/model/FleetModel.java
+++ b/src/main/java/cresschute/testbed/model/FleetModel.java
@@ -1,10 +1,10 @@
 package cresschute.testbed.model;
 
+import cresschute.dispatch.DispatchSettings;
 import cresschute.dispatch.DispatcherActions;
 import cresschute.dispatch.DispatcherEvents;
 import cresschute.dispatch.EndpointListForm;
 import cresschute.dispatch.RequestClass;
-import cresschute.dispatch.DispatchSettings;
 import cresschute.dispatch.Worker;
 import cresschute.dispatch.WorkerState;
 import java.util.ArrayList;
@@ -17,13 +17,18 @@
 import java.util.function.Supplier;
 
 /**
- * A fleet in virtual time: many dispatchers, each with a decision module of its own, in front of workers that
- * they share. The same seed gives the same run. Times are microseconds; all happens on the caller's thread.
+ * A fleet in virtual time: many dispatchers, each with a decision module of its own, in front of
+ * workers that they share. The same seed gives the same run. Times are microseconds; all happens on
+ * the caller's thread.
  */
 public final class FleetModel {
 
-    /** What is asked of a class: its part of all jobs, and mean and deviation of the work of one, us. */
-    public record Demand(double share, double meanWorkUs, double deviationUs, double partWithTwoSlots) {}
+    /**
+     * What is asked of a class: its part of all jobs, and mean and deviation of the work of one,
+     * us.
+     */
+    public record Demand(
+            double share, double meanWorkUs, double deviationUs, double partWithTwoSlots) {}
 
     /** A kind of worker: its slots, a core's speed and its part of all workers. */
     public record Kind(int slots, double speed, double share) {}
@@ -34,10 +39,18 @@
      * @param settings what each module is told; the zone is set for each dispatcher
      * @param demands of each class of the settings, in their order
      * @param load work asked for over what all workers can do while all are well
-     * @param skew how many times the mean a dispatcher may get: traffic is spread from 1/skew to skew
+     * @param skew how many times the mean a dispatcher may get: traffic is spread from 1/skew to
+     *     skew
      */
-    public record Plan(DispatchSettings settings, List<Demand> demands, List<Kind> kinds, int workers, int cellSize,
-        double load, double skew, long seed) {}
+    public record Plan(
+            DispatchSettings settings,
+            List<Demand> demands,
+            List<Kind> kinds,
+            int workers,
+            int cellSize,
+            double load,
+            double skew,
+            long seed) {}
 
     /** How many of a class's requests came within a time, and what became of them. */
     public record Tally(int asked, int inTime, int late, int refused) {}
@@ -51,8 +64,12 @@
      * @param maxCountRatio the worst window by number of jobs
      * @param sends jobs sent to cold workers, by class
      */
-    public record ColdTally(int falls, int fallsByCount, double maxWorkRatio, double maxCountRatio,
-        List<Integer> sends) {}
+    public record ColdTally(
+            int falls,
+            int fallsByCount,
+            double maxWorkRatio,
+            double maxCountRatio,
+            List<Integer> sends) {}
 
     /** A client's request, from its first try on. */
     static final class First {
@@ -69,10 +86,13 @@
     }
 
     private static final long START_US = 10_000_000_000L;
+
     /** A change of the list is known to a dispatcher this long after it at the latest. */
     private static final long NOTICE_US = 3_000_000;
+
     /** A connection without a sign of life from the other end is given up after this. */
     private static final long BREAK_US = 5_000_000;
+
     private static final int RETRIES = 2;
     private static final double HONOURED = 0.85;
     private static final long BACKOFF_US = 50_000;
@@ -89,7 +109,10 @@
     private double burst = 1;
     private boolean arriving = true;
 
-    /** A fleet that has just started; {@code module} makes one dispatcher's module from settings and seed. */
+    /**
+     * A fleet that has just started; {@code module} makes one dispatcher's module from settings and
+     * seed.
+     */
     public FleetModel(Plan plan, ModuleMaker module) {
         this.plan = plan;
         this.random = new SplittableRandom(plan.seed());
@@ -102,8 +125,14 @@
         for (int i = 0; i < plan.settings().dispatchers(); i++) {
             final DispatchSettings told = inZone(plan.settings(), i % plan.settings().zones());
             final long seed = random.nextLong();
-            dispatchers.add(new ModelDispatcher(agenda, workers, link, told.zone(),
-                actions -> module.make(told, seed, actions), coldSends));
+            dispatchers.add(
+                    new ModelDispatcher(
+                            agenda,
+                            workers,
+                            link,
+                            told.zone(),
+                            actions -> module.make(told, seed, actions),
+                            coldSends));
             weights.add(Math.pow(plan.skew(), 2 * random.nextDouble() - 1));
         }
         dispatchers.forEach(each -> each.listed(EndpointListForm.CACHED, listed));
@@ -118,11 +147,30 @@
     }
 
     private static DispatchSettings inZone(DispatchSettings s, int zone) {
-        return new DispatchSettings(s.dispatchers(), zone, s.zones(), s.kinds(), s.classes(), s.tenants(),
-            s.overQuotaWeightFactor(), s.priorityWeightPerWork(), s.limits(), s.slowStart(), s.objectiveWeights(), s.endpointListIsPolled(),
-            s.pollWithinUs(), s.weightSource(), s.reportsLoad(), s.reportsJobStart(), s.progressUs(),
-            s.crossZonePrice(), s.allowsLoadQueries(), s.allowsPeerMessages(), s.dataTransferPrice(), s.fullMayHaveRun(),
-            s.closeOnDrainWithinUs());
+        return new DispatchSettings(
+                s.dispatchers(),
+                zone,
+                s.zones(),
+                s.kinds(),
+                s.classes(),
+                s.tenants(),
+                s.overQuotaWeightFactor(),
+                s.priorityWeightPerWork(),
+                s.limits(),
+                s.slowStart(),
+                s.objectiveWeights(),
+                s.endpointListIsPolled(),
+                s.pollWithinUs(),
+                s.weightSource(),
+                s.reportsLoad(),
+                s.reportsJobStart(),
+                s.progressUs(),
+                s.crossZonePrice(),
+                s.allowsLoadQueries(),
+                s.allowsPeerMessages(),
+                s.dataTransferPrice(),
+                s.fullMayHaveRun(),
+                s.closeOnDrainWithinUs());
     }
 
     private void addWorker(int id) {
@@ -134,20 +182,39 @@
         final Kind of = plan.kinds().get(kind);
         final int zones = plan.settings().zones();
         final int cell = id % zones + zones * (id / zones / plan.cellSize());
-        workers.put(id, new ModelWorker(agenda, plan.settings().slowStart(), id, id % zones, kind, cell,
-            of.slots(), of.speed() * (0.85 + 0.3 * random.nextDouble()), meanWorkUs()));
+        workers.put(
+                id,
+                new ModelWorker(
+                        agenda,
+                        plan.settings().slowStart(),
+                        id,
+                        id % zones,
+                        kind,
+                        cell,
+                        of.slots(),
+                        of.speed() * (0.85 + 0.3 * random.nextDouble()),
+                        meanWorkUs()));
     }
 
     private double meanWorkUs() {
         final double shares = plan.demands().stream().mapToDouble(Demand::share).sum();
-        return plan.demands().stream().mapToDouble(each -> each.share() / shares * each.meanWorkUs() * (1
-            + each.partWithTwoSlots())).sum();
+        return plan.demands().stream()
+                .mapToDouble(
+                        each ->
+                                each.share()
+                                        / shares
+                                        * each.meanWorkUs()
+                                        * (1 + each.partWithTwoSlots()))
+                .sum();
     }
 
     /** Requests a second that all dispatchers get together, apart from bursts. */
     public double ratePerS() {
-        final double capacity = plan.kinds().stream()
-            .mapToDouble(each -> each.share() * each.slots() * each.speed()).sum() * plan.workers();
+        final double capacity =
+                plan.kinds().stream()
+                                .mapToDouble(each -> each.share() * each.slots() * each.speed())
+                                .sum()
+                        * plan.workers();
         return plan.load() * capacity / (meanWorkUs() / 1e6);
     }
 
@@ -161,8 +228,12 @@
     /** Lets all that is under way come to its end; nothing new arrives. */
     public void drain() {
         arriving = false;
-        pass(plan.settings().classes().stream().mapToLong(RequestClass::deadlineUs).max().orElse(0)
-            + 1_000_000);
+        pass(
+                plan.settings().classes().stream()
+                                .mapToLong(RequestClass::deadlineUs)
+                                .max()
+                                .orElse(0)
+                        + 1_000_000);
     }
 
     /** Traffic is so many times the usual from now on. */
@@ -171,8 +242,8 @@
     }
 
     /**
-     * Cuts the network between the zones below this one and the others. Connections across it, and to workers
-     * that are down, break some seconds later.
+     * Cuts the network between the zones below this one and the others. Connections across it, and
+     * to workers that are down, break some seconds later.
      */
     public void cutRegions(int firstZone) {
         link.cut(firstZone);
@@ -191,7 +262,10 @@
 
     /** Workers by number that are up. */
     public List<Integer> up() {
-        return workers.values().stream().filter(ModelWorker::isUp).map(worker -> worker.id).toList();
+        return workers.values().stream()
+                .filter(ModelWorker::isUp)
+                .map(worker -> worker.id)
+                .toList();
     }
 
     /** The zone of a worker, counted from 0. */
@@ -201,21 +275,23 @@
 
     /** Workers vanish without a word; the list tells of it later. */
     public void lose(Collection<Integer> ids) {
-        ids.forEach(id -> {
-            workers.get(id).lose();
-            tell(workers.get(id).listed(WorkerState.GONE));
-        });
+        ids.forEach(
+                id -> {
+                    workers.get(id).lose();
+                    tell(workers.get(id).listed(WorkerState.GONE));
+                });
     }
 
     /** Workers are back, or new, as cold processes; the list tells of it later. */
     public void start(Collection<Integer> ids) {
-        ids.forEach(id -> {
-            if (!workers.containsKey(id)) {
-                addWorker(id);
-            }
-            workers.get(id).startAnew();
-            tell(workers.get(id).listed(WorkerState.READY));
-        });
+        ids.forEach(
+                id -> {
+                    if (!workers.containsKey(id)) {
+                        addWorker(id);
+                    }
+                    workers.get(id).startAnew();
+                    tell(workers.get(id).listed(WorkerState.READY));
+                });
     }
 
     /** Workers drain: they end what they have and want nothing new. */
@@ -236,9 +312,18 @@
     private void tell(Worker entry) {
         // The list is late by as much for all, and each watch by a little more.
         final long lateUs = 500_000 + random.nextLong(NOTICE_US - 1_000_000);
-        dispatchers.forEach(each -> agenda.after(lateUs + random.nextLong(500_000),
-            () -> link.deliver(each.zone, entry.zone(),
-                () -> each.listed(EndpointListForm.CHANGES, List.of(entry)))));
+        dispatchers.forEach(
+                each ->
+                        agenda.after(
+                                lateUs + random.nextLong(500_000),
+                                () ->
+                                        link.deliver(
+                                                each.zone,
+                                                entry.zone(),
+                                                () ->
+                                                        each.listed(
+                                                                EndpointListForm.CHANGES,
+                                                                List.of(entry)))));
     }
 
     private void arrive() {
@@ -253,9 +338,11 @@
     }
 
     private int drawClass() {
-        double draw = random.nextDouble() * plan.demands().stream().mapToDouble(Demand::share).sum();
+        double draw =
+                random.nextDouble() * plan.demands().stream().mapToDouble(Demand::share).sum();
         int requestClass = 0;
-        while (requestClass < plan.demands().size() - 1 && draw >= plan.demands().get(requestClass).share()) {
+        while (requestClass < plan.demands().size() - 1
+                && draw >= plan.demands().get(requestClass).share()) {
             draw -= plan.demands().get(requestClass++).share();
         }
         return requestClass;
@@ -281,7 +368,7 @@
         final double cv = demand.deviationUs() / demand.meanWorkUs();
         final double sigma = Math.sqrt(Math.log(1 + cv * cv));
         final double workUs =
-            demand.meanWorkUs() * Math.exp(sigma * random.nextGaussian() - sigma * sigma / 2);
+                demand.meanWorkUs() * Math.exp(sigma * random.nextGaussian() - sigma * sigma / 2);
         final int slots = random.nextDouble() < demand.partWithTwoSlots() ? 2 : 1;
         final First first = new First(requestClass, agenda.nowUs());
         firsts.add(first);
@@ -298,58 +385,99 @@
         return dispatchers.get(index);
     }
 
-    private void tryAt(ModelDispatcher dispatcher, First first, int tenant, double workUs, int slots,
-        int retries) {
+    private void tryAt(
+            ModelDispatcher dispatcher,
+            First first,
+            int tenant,
+            double workUs,
+            int slots,
+            int retries) {
         final RequestClass stated = plan.settings().classes().get(first.requestClass);
         final long leftUs = first.atUs + stated.deadlineUs() - agenda.nowUs();
         if (leftUs <= 0) {
             return;
         }
-        dispatcher.take(first.requestClass, tenant, workUs, slots, leftUs, new ModelDispatcher.Client() {
-            @Override
-            public void started() {
-                first.startedUs = first.startedUs < 0 ? agenda.nowUs() : first.startedUs;
-            }
-
-            @Override
-            public void served() {
-                first.servedUs = agenda.nowUs();
-                first.inTime = first.servedUs - first.atUs <= stated.latencyObjectiveUs() + stated.latencyObjectiveStretch() * workUs;
-            }
-
-            @Override
-            public void refused(long retryAfterUs) {
-                if (retries < RETRIES) {
-                    final long adviceUs = random.nextDouble() < HONOURED ? retryAfterUs : 0;
-                    final long waitUs = Math.max(adviceUs, (long) (exponential() * BACKOFF_US));
-                    agenda.after(waitUs, () -> tryAt(anyDispatcher(), first, tenant, workUs, slots, retries
-                        + 1));
-                }
-            }
-
-            @Override
-            public void failed() {
-                refused(0);
-            }
-        });
+        dispatcher.take(
+                first.requestClass,
+                tenant,
+                workUs,
+                slots,
+                leftUs,
+                new ModelDispatcher.Client() {
+                    @Override
+                    public void started() {
+                        first.startedUs = first.startedUs < 0 ? agenda.nowUs() : first.startedUs;
+                    }
+
+                    @Override
+                    public void served() {
+                        first.servedUs = agenda.nowUs();
+                        first.inTime =
+                                first.servedUs - first.atUs
+                                        <= stated.latencyObjectiveUs()
+                                                + stated.latencyObjectiveStretch() * workUs;
+                    }
+
+                    @Override
+                    public void refused(long retryAfterUs) {
+                        if (retries < RETRIES) {
+                            final long adviceUs = random.nextDouble() < HONOURED ? retryAfterUs : 0;
+                            final long waitUs =
+                                    Math.max(adviceUs, (long) (exponential() * BACKOFF_US));
+                            agenda.after(
+                                    waitUs,
+                                    () ->
+                                            tryAt(
+                                                    anyDispatcher(),
+                                                    first,
+                                                    tenant,
+                                                    workUs,
+                                                    slots,
+                                                    retries + 1));
+                        }
+                    }
+
+                    @Override
+                    public void failed() {
+                        refused(0);
+                    }
+                });
     }
 
     // ---- What came of it ----
 
-    /** What became of a class's requests that first came in the seconds from one on, up to another. */
+    /**
+     * What became of a class's requests that first came in the seconds from one on, up to another.
+     */
     public Tally tally(int requestClass, double fromS, double toS) {
-        final List<First> of = firsts.stream().filter(first -> first.requestClass == requestClass
-            && first.atUs - START_US >= fromS * 1e6 && first.atUs - START_US < toS * 1e6).toList();
+        final List<First> of =
+                firsts.stream()
+                        .filter(
+                                first ->
+                                        first.requestClass == requestClass
+                                                && first.atUs - START_US >= fromS * 1e6
+                                                && first.atUs - START_US < toS * 1e6)
+                        .toList();
         final int inTime = (int) of.stream().filter(first -> first.inTime).count();
         final int served = (int) of.stream().filter(first -> first.servedUs >= 0).count();
         return new Tally(of.size(), inTime, served - inTime, of.size() - served);
     }
 
-    /** Times from first try to a worker's start of those of a class that started, in rising order, us. */
+    /**
+     * Times from first try to a worker's start of those of a class that started, in rising order,
+     * us.
+     */
     public long[] startDelaysUs(int requestClass, double fromS, double toS) {
-        return firsts.stream().filter(first -> first.requestClass == requestClass && first.startedUs >= 0
-            && first.atUs - START_US >= fromS * 1e6 && first.atUs - START_US < toS * 1e6)
-            .mapToLong(first -> first.startedUs - first.atUs).sorted().toArray();
+        return firsts.stream()
+                .filter(
+                        first ->
+                                first.requestClass == requestClass
+                                        && first.startedUs >= 0
+                                        && first.atUs - START_US >= fromS * 1e6
+                                        && first.atUs - START_US < toS * 1e6)
+                .mapToLong(first -> first.startedUs - first.atUs)
+                .sorted()
+                .toArray();
     }
 
     /** What each dispatcher has sent, asked and learned so far. */
@@ -359,7 +487,8 @@
 
     /** Sends over first tries: 1 where nothing is sent twice and nothing refused. */
     public double sendsARequest() {
-        return (double) dispatchers.stream().mapToLong(each -> each.sends).sum() / Math.max(1, firsts.size());
+        return (double) dispatchers.stream().mapToLong(each -> each.sends).sum()
+                / Math.max(1, firsts.size());
     }
 
     /** Cold workers that were pushed over. */
@@ -369,10 +498,20 @@
 
     /** What cold workers were sent, and how near to a fall, or beyond, they came. */
     public ColdTally coldTally() {
-        return new ColdTally((int) fallen(),
-            (int) workers.values().stream().filter(worker -> worker.maxColdCountRatio() > 1).count(),
-            workers.values().stream().mapToDouble(ModelWorker::maxColdWorkRatio).max().orElse(0),
-            workers.values().stream().mapToDouble(ModelWorker::maxColdCountRatio).max().orElse(0),
-            Arrays.stream(coldSends).boxed().toList());
+        return new ColdTally(
+                (int) fallen(),
+                (int)
+                        workers.values().stream()
+                                .filter(worker -> worker.maxColdCountRatio() > 1)
+                                .count(),
+                workers.values().stream()
+                        .mapToDouble(ModelWorker::maxColdWorkRatio)
+                        .max()
+                        .orElse(0),
+                workers.values().stream()
+                        .mapToDouble(ModelWorker::maxColdCountRatio)
+                        .max()
+                        .orElse(0),
+                Arrays.stream(coldSends).boxed().toList());
     }
 }
--- a/src/main/java/cresschute/testbed/model/Gang.java
+++ b/src/main/java/cresschute/testbed/model/Gang.java
@@ -18,7 +18,12 @@
 
     /** How many of them a worker began to run within this time of their arrival. */
     public int startedWithin(long us) {
-        return (int) members.stream()
-            .filter(member -> member.startedUs >= 0 && member.startedUs - member.atUs <= us).count();
+        return (int)
+                members.stream()
+                        .filter(
+                                member ->
+                                        member.startedUs >= 0
+                                                && member.startedUs - member.atUs <= us)
+                        .count();
     }
 }
