--- a/src/main/java/cresschute/testbed/model/ModelDispatcher.java
+++ b/src/main/java/cresschute/testbed/model/ModelDispatcher.java
@@ -2,8 +2,8 @@
 
 import cresschute.dispatch.DispatcherActions;
 import cresschute.dispatch.DispatcherEvents;
-import cresschute.dispatch.Job;
 import cresschute.dispatch.EndpointListForm;
+import cresschute.dispatch.Job;
 import cresschute.dispatch.LoadReport;
 import cresschute.dispatch.Outcome;
 import cresschute.dispatch.Worker;
@@ -13,8 +13,9 @@
 import java.util.function.Function;
 
 /**
- * One dispatcher of the model: the decision module with the host's duties around it. Sends, probes and news
- * take the network's time; other copies are given up once one has answered, as the node's core does.
+ * One dispatcher of the model: the decision module with the host's duties around it. Sends, probes
+ * and news take the network's time; other copies are given up once one has answered, as the node's
+ * core does.
  */
 final class ModelDispatcher implements DispatcherActions {
 
@@ -50,8 +51,10 @@
 
     private static final long CONNECT_TIMEOUT_US = 250_000;
     private static final long PROBE_TIMEOUT_US = 350_000;
+
     /** A way from a dispatcher to a worker or back, its turn and a handshake included, us. */
     private static final long WAY_US = 2_000;
+
     /** The answer's way, taken off what a client waits. */
     private static final long MARGIN_US = 15_000;
 
@@ -62,13 +65,20 @@
     private final DispatcherEvents module;
     private final Map<Integer, Open> open = new HashMap<>();
     private final DispatcherMeter meter = new DispatcherMeter();
+
     /** Jobs sent to cold workers by all dispatchers, by class. */
     private final int[] coldSends;
+
     private int lastId;
     long sends;
 
-    ModelDispatcher(EventQueue agenda, Map<Integer, ModelWorker> workers, RegionLink link, int zone,
-        Function<DispatcherActions, DispatcherEvents> module, int[] coldSends) {
+    ModelDispatcher(
+            EventQueue agenda,
+            Map<Integer, ModelWorker> workers,
+            RegionLink link,
+            int zone,
+            Function<DispatcherActions, DispatcherEvents> module,
+            int[] coldSends) {
         this.agenda = agenda;
         this.workers = workers;
         this.link = link;
@@ -86,14 +96,25 @@
         return worker.isUp() && link.connects(zone, worker.zone);
     }
 
-    /** Ends the attempts whose worker is not reached: their connections break, and the jobs may have run. */
+    /**
+     * Ends the attempts whose worker is not reached: their connections break, and the jobs may have
+     * run.
+     */
     void breakUnreachable() {
-        List.copyOf(open.keySet()).forEach(requestId -> List.copyOf(open.get(requestId).out.entrySet())
-            .forEach(sent -> {
-                if (!reaches(workers.get(sent.getValue()))) {
-                    end(requestId, sent.getKey(), Outcome.BROKEN, agenda.nowUs());
-                }
-            }));
+        List.copyOf(open.keySet())
+                .forEach(
+                        requestId ->
+                                List.copyOf(open.get(requestId).out.entrySet())
+                                        .forEach(
+                                                sent -> {
+                                                    if (!reaches(workers.get(sent.getValue()))) {
+                                                        end(
+                                                                requestId,
+                                                                sent.getKey(),
+                                                                Outcome.BROKEN,
+                                                                agenda.nowUs());
+                                                    }
+                                                }));
     }
 
     /** What it has sent, asked and learned so far. */
@@ -104,8 +125,11 @@
     void take(int requestClass, int tenant, double workUs, int slots, long waitUs, Client client) {
         final int id = ++lastId;
         open.put(id, new Open(requestClass, workUs, slots, client));
-        module.requestArrived(agenda.nowUs(), id, new Job(requestClass, tenant, slots, 0, 0, false),
-            agenda.nowUs() + waitUs - MARGIN_US);
+        module.requestArrived(
+                agenda.nowUs(),
+                id,
+                new Job(requestClass, tenant, slots, 0, 0, false),
+                agenda.nowUs() + waitUs - MARGIN_US);
     }
 
     @Override
@@ -117,8 +141,15 @@
         final Open request = open.get(requestId);
         final int number = request.sent++;
         if (request.closed) {
-            module.attemptEnded(agenda.nowUs(), requestId, number, workerId, Outcome.NOT_SENT, 0, true,
-                LoadReport.NONE);
+            module.attemptEnded(
+                    agenda.nowUs(),
+                    requestId,
+                    number,
+                    workerId,
+                    Outcome.NOT_SENT,
+                    0,
+                    true,
+                    LoadReport.NONE);
             return;
         }
         sends++;
@@ -128,37 +159,55 @@
         final ModelWorker worker = workers.get(workerId);
         if (!reaches(worker)) {
             meter.inVain();
-            agenda.after(CONNECT_TIMEOUT_US, () -> end(requestId, number, Outcome.CONNECT_FAILED, sentUs));
+            agenda.after(
+                    CONNECT_TIMEOUT_US,
+                    () -> end(requestId, number, Outcome.CONNECT_FAILED, sentUs));
             return;
         }
         coldSends[request.requestClass] += worker.isCold() ? 1 : 0;
         agenda.at(deadlineUs, () -> end(requestId, number, Outcome.TIMED_OUT, sentUs));
-        agenda.after(WAY_US, () -> worker.take(request.workUs, request.slots, new ModelWorker.Sender() {
-            @Override
-            public void started() {
-                meter.started(request.requestClass, request.starts++);
-                request.client.started();
-                progressed(0);
-            }
-
-            @Override
-            public void progressed(double fractionDone) {
-                agenda.after(WAY_US, () -> {
-                    if (link.connects(zone, worker.zone) && request.out.containsKey(number)) {
-                        module.jobProgressed(agenda.nowUs(), requestId, number, workerId, fractionDone);
-                    }
-                });
-            }
-
-            @Override
-            public void ended(Outcome outcome) {
-                agenda.after(WAY_US, () -> {
-                    if (link.connects(zone, worker.zone)) {
-                        end(requestId, number, outcome, sentUs);
-                    }
-                });
-            }
-        }));
+        agenda.after(
+                WAY_US,
+                () ->
+                        worker.take(
+                                request.workUs,
+                                request.slots,
+                                new ModelWorker.Sender() {
+                                    @Override
+                                    public void started() {
+                                        meter.started(request.requestClass, request.starts++);
+                                        request.client.started();
+                                        progressed(0);
+                                    }
+
+                                    @Override
+                                    public void progressed(double fractionDone) {
+                                        agenda.after(
+                                                WAY_US,
+                                                () -> {
+                                                    if (link.connects(zone, worker.zone)
+                                                            && request.out.containsKey(number)) {
+                                                        module.jobProgressed(
+                                                                agenda.nowUs(),
+                                                                requestId,
+                                                                number,
+                                                                workerId,
+                                                                fractionDone);
+                                                    }
+                                                });
+                                    }
+
+                                    @Override
+                                    public void ended(Outcome outcome) {
+                                        agenda.after(
+                                                WAY_US,
+                                                () -> {
+                                                    if (link.connects(zone, worker.zone)) {
+                                                        end(requestId, number, outcome, sentUs);
+                                                    }
+                                                });
+                                    }
+                                }));
     }
 
     private void end(int requestId, int number, Outcome outcome, long sentUs) {
@@ -170,12 +219,23 @@
         final long nowUs = agenda.nowUs();
         final boolean answers = outcome == Outcome.SERVED && !request.closed;
         request.closed |= answers;
-        final LoadReport report = outcome == Outcome.SERVED || outcome == Outcome.FULL
-            || outcome == Outcome.ERROR ? workers.get(workerId).visible() : LoadReport.NONE;
+        final LoadReport report =
+                outcome == Outcome.SERVED || outcome == Outcome.FULL || outcome == Outcome.ERROR
+                        ? workers.get(workerId).visible()
+                        : LoadReport.NONE;
         meter.ended(nowUs, workerId, outcome, report);
-        module.attemptEnded(nowUs, requestId, number, workerId, outcome, nowUs - sentUs, request.closed, report);
+        module.attemptEnded(
+                nowUs,
+                requestId,
+                number,
+                workerId,
+                outcome,
+                nowUs - sentUs,
+                request.closed,
+                report);
         if (answers) {
-            List.copyOf(request.out.keySet()).forEach(other -> end(requestId, other, Outcome.CANCELLED, sentUs));
+            List.copyOf(request.out.keySet())
+                    .forEach(other -> end(requestId, other, Outcome.CANCELLED, sentUs));
             request.client.served();
         }
     }
@@ -190,7 +250,8 @@
 
     @Override
     public void reject(int requestId, long retryAfterUs) {
-        agenda.after(0, () -> answer(requestId, () -> open.get(requestId).client.refused(retryAfterUs)));
+        agenda.after(
+                0, () -> answer(requestId, () -> open.get(requestId).client.refused(retryAfterUs)));
     }
 
     @Override
@@ -216,11 +277,17 @@
         if (!up) {
             meter.inVain();
         }
-        agenda.after(up ? 2 * WAY_US : PROBE_TIMEOUT_US, () -> {
-            final LoadReport report = up ? worker.visible() : LoadReport.NONE;
-            meter.reported(agenda.nowUs(), workerId, report);
-            module.loadReported(agenda.nowUs(), workerId, up ? Outcome.SERVED : Outcome.CONNECT_FAILED, report);
-        });
+        agenda.after(
+                up ? 2 * WAY_US : PROBE_TIMEOUT_US,
+                () -> {
+                    final LoadReport report = up ? worker.visible() : LoadReport.NONE;
+                    meter.reported(agenda.nowUs(), workerId, report);
+                    module.loadReported(
+                            agenda.nowUs(),
+                            workerId,
+                            up ? Outcome.SERVED : Outcome.CONNECT_FAILED,
+                            report);
+                });
     }
 
     @Override
--- a/src/main/java/cresschute/testbed/model/ModelWorker.java
+++ b/src/main/java/cresschute/testbed/model/ModelWorker.java
@@ -1,15 +1,16 @@
 package cresschute.testbed.model;
 
-import cresschute.dispatch.SlowStartSettings;
 import cresschute.dispatch.LoadReport;
 import cresschute.dispatch.Outcome;
+import cresschute.dispatch.SlowStartSettings;
 import cresschute.dispatch.Worker;
 import cresschute.dispatch.WorkerState;
 import java.util.ArrayDeque;
 
 /**
- * A worker: as many slots as cores, a bounded queue served in order, a cold start in which its speed rises
- * evenly, load reports that are refreshed now and then and arrive late. A cancel stops nothing.
+ * A worker: as many slots as cores, a bounded queue served in order, a cold start in which its
+ * speed rises evenly, load reports that are refreshed now and then and arrive late. A cancel stops
+ * nothing.
  */
 final class ModelWorker {
 
@@ -36,6 +37,7 @@
 
     /** Steps in which a warming worker's work is added up, us. */
     private static final long WARMING_STEP_US = 50_000;
+
     private static final long PROGRESS_US = 1_000_000;
     private static final long REPORT_US = 1_300_000;
     private static final long REPORT_DELAY_US = 250_000;
@@ -63,8 +65,16 @@
     private double maxColdCountRatio;
     private double maxColdWorkRatio;
 
-    ModelWorker(EventQueue agenda, SlowStartSettings cold, int id, int zone, int kind, int cell, int slots, double speed,
-        double meanWorkUs) {
+    ModelWorker(
+            EventQueue agenda,
+            SlowStartSettings cold,
+            int id,
+            int zone,
+            int kind,
+            int cell,
+            int slots,
+            double speed,
+            double meanWorkUs) {
         this.agenda = agenda;
         this.cold = cold;
         this.id = id;
@@ -130,8 +140,10 @@
 
     private double warmth(long atUs) {
         final long ageUs = atUs - startedUs;
-        return startedUs == 0 || ageUs >= cold.warmUpDurationUs() ? 1
-            : cold.initialCapacityFraction() + (1 - cold.initialCapacityFraction()) * ageUs / cold.warmUpDurationUs();
+        return startedUs == 0 || ageUs >= cold.warmUpDurationUs()
+                ? 1
+                : cold.initialCapacityFraction()
+                        + (1 - cold.initialCapacityFraction()) * ageUs / cold.warmUpDurationUs();
     }
 
     /** Whether it has started too lately to do all that it will. */
@@ -168,19 +180,28 @@
         return maxColdWorkRatio;
     }
 
-    /** Counts the jobs and their work in the window that ends now; by their work, it falls over the bound. */
+    /**
+     * Counts the jobs and their work in the window that ends now; by their work, it falls over the
+     * bound.
+     */
     private void noteCold(double work) {
         final long nowUs = agenda.nowUs();
         if (!up || warmth(nowUs) >= 1) {
             return;
         }
-        colds.add(new long[]{nowUs, (long) work});
+        colds.add(new long[] {nowUs, (long) work});
         while (colds.peek()[0] < nowUs - cold.overloadAfterUs()) {
             colds.poll();
         }
         final double sent = colds.stream().mapToLong(each -> each[1]).sum() / meanWorkUs;
-        final double bound = cold.toleratedJobs(cold.overloadFactor() * warmth(nowUs) * slots * speed
-            * cold.overloadAfterUs() / meanWorkUs);
+        final double bound =
+                cold.toleratedJobs(
+                        cold.overloadFactor()
+                                * warmth(nowUs)
+                                * slots
+                                * speed
+                                * cold.overloadAfterUs()
+                                / meanWorkUs);
         maxColdCountRatio = Math.max(maxColdCountRatio, colds.size() / bound);
         maxColdWorkRatio = Math.max(maxColdWorkRatio, sent / bound);
         if (sent > bound) {
@@ -200,19 +221,23 @@
             final long ranUs = fails ? WARMING_STEP_US : runningUs(held.workUs);
             for (long told = PROGRESS_US; told < ranUs; told += PROGRESS_US) {
                 final double share = (double) told / ranUs;
-                agenda.after(told, () -> {
-                    if (of == run) {
-                        held.sender.progressed(share);
-                    }
-                });
+                agenda.after(
+                        told,
+                        () -> {
+                            if (of == run) {
+                                held.sender.progressed(share);
+                            }
+                        });
             }
-            agenda.after(ranUs, () -> {
-                if (of == run) {
-                    busy -= held.slots;
-                    held.sender.ended(fails ? Outcome.ERROR : Outcome.SERVED);
-                    startWaiting();
-                }
-            });
+            agenda.after(
+                    ranUs,
+                    () -> {
+                        if (of == run) {
+                            busy -= held.slots;
+                            held.sender.ended(fails ? Outcome.ERROR : Outcome.SERVED);
+                            startWaiting();
+                        }
+                    });
         }
     }
 
--- a/src/main/java/cresschute/testbed/model/RegionLink.java
+++ b/src/main/java/cresschute/testbed/model/RegionLink.java
@@ -4,8 +4,9 @@
 import java.util.List;
 
 /**
- * The network between two regions, up or cut. While it is cut no connection, answer or notice passes from one
- * region to the other; answers are lost, changes of the worker list come once it is up again, in order.
+ * The network between two regions, up or cut. While it is cut no connection, answer or notice
+ * passes from one region to the other; answers are lost, changes of the worker list come once it is
+ * up again, in order.
  */
 final class RegionLink {
 
--- a/src/test/java/cresschute/ControlPeer.java
+++ b/src/test/java/cresschute/ControlPeer.java
@@ -41,7 +41,10 @@
         return line == null ? null : JsonParser.parseString(line).getAsJsonObject();
     }
 
-    /** Sends a request with these fields and returns its answer; other lines before it are passed over. */
+    /**
+     * Sends a request with these fields and returns its answer; other lines before it are passed
+     * over.
+     */
     public JsonObject ask(String fields) throws IOException {
         final String id = "t" + ++last;
         write("{\"v\":1,\"id\":\"" + id + "\"," + fields + "}\n");
@@ -60,7 +63,13 @@
     }
 
     public static String operation(String what, String op, String worker) {
-        return "\"do\":\"" + what + "\",\"op\":\"" + op + "\",\"worker\":\"" + worker + "\",\"who\":\"ann\"";
+        return "\"do\":\""
+                + what
+                + "\",\"op\":\""
+                + op
+                + "\",\"worker\":\""
+                + worker
+                + "\",\"who\":\"ann\"";
     }
 
     /** A worker's row as the node shows it now. */
--- a/src/test/java/cresschute/KnownFailuresTest.java
+++ b/src/test/java/cresschute/KnownFailuresTest.java
@@ -11,13 +11,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What {@code .ci/run} makes of KNOWN-RED.txt, with a Maven that notes how it is called and ends as told. */
+/**
+ * What {@code .ci/run} makes of KNOWN-RED.txt, with a Maven that notes how it is called and ends as
+ * told.
+ */
 class KnownFailuresTest {
 
     private static final String RED = "cresschute.node.MainTest#first, the cause, issue 7";
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
 
     @BeforeEach
     void copyTheScript() throws IOException {
@@ -26,23 +28,27 @@
         Files.createDirectories(folder.resolve("bin"));
         program("javac", "exit 0");
         // The copied list of exclusions is gone after the run.
-        program("mvn", """
-            echo "$*" | sed 's/excludesFile=[^ ]*/excludesFile=F/' >>calls
-            for word in "$@"; do
-              case $word in -Dsurefire.excludesFile=*) cat "${word#*=}" >excluded ;; esac
-            done
-            case "$*" in *verify*) exit $VERIFY_CODE ;; *) exit $RED_CODE ;; esac
-            """);
+        program(
+                "mvn",
+                """
+                echo "$*" | sed 's/excludesFile=[^ ]*/excludesFile=F/' >>calls
+                for word in "$@"; do
+                  case $word in -Dsurefire.excludesFile=*) cat "${word#*=}" >excluded ;; esac
+                done
+                case "$*" in *verify*) exit $VERIFY_CODE ;; *) exit $RED_CODE ;; esac
+                """);
     }
 
     private void program(String name, String text) throws IOException {
-        final Path file = Files.writeString(folder.resolve("bin").resolve(name), "#!/bin/sh\n" + text);
+        final Path file =
+                Files.writeString(folder.resolve("bin").resolve(name), "#!/bin/sh\n" + text);
         Files.setPosixFilePermissions(file, PosixFilePermissions.fromString("rwxr-xr-x"));
     }
 
     /** What the script prints, its exit code last. */
     private List<String> run(int verifyCode, int redCode) throws Exception {
-        final ProcessBuilder builder = new ProcessBuilder("bash", folder.resolve(".ci/run").toString());
+        final ProcessBuilder builder =
+                new ProcessBuilder("bash", folder.resolve(".ci/run").toString());
         builder.environment().put("PATH", folder.resolve("bin") + ":" + System.getenv("PATH"));
         builder.environment().put("VERIFY_CODE", String.valueOf(verifyCode));
         builder.environment().put("RED_CODE", String.valueOf(redCode));
@@ -58,8 +64,9 @@
     }
 
     private List<String> calls() throws IOException {
-        return Files.exists(folder.resolve("calls")) ? Files.readAllLines(folder.resolve("calls")) : List
-            .of();
+        return Files.exists(folder.resolve("calls"))
+                ? Files.readAllLines(folder.resolve("calls"))
+                : List.of();
     }
 
     @Test
@@ -72,13 +79,16 @@
     @Test
     void onlyTheNamedTestsMayFail() throws Exception {
         known(RED);
-        assertThat(run(0, 1)).contains("  " + RED)
-            .contains("KNOWN-RED: cresschute.node.MainTest#first fails, or could not be run")
-            .endsWith("exit 0");
-        assertThat(calls()).containsExactly("-B verify -Dsurefire.excludesFile=F",
-            "-q -B surefire:test -Dtest=cresschute.node.MainTest#first");
+        assertThat(run(0, 1))
+                .contains("  " + RED)
+                .contains("KNOWN-RED: cresschute.node.MainTest#first fails, or could not be run")
+                .endsWith("exit 0");
+        assertThat(calls())
+                .containsExactly(
+                        "-B verify -Dsurefire.excludesFile=F",
+                        "-q -B surefire:test -Dtest=cresschute.node.MainTest#first");
         assertThat(Files.readAllLines(folder.resolve("excluded")))
-            .containsExactly("**/cresschute/node/MainTest.class#first");
+                .containsExactly("**/cresschute/node/MainTest.class#first");
     }
 
     @Test
@@ -90,9 +100,9 @@
     @Test
     void testThatPassesAgainIsTold() throws Exception {
         known(RED);
-        assertThat(run(0, 0)).contains(
-            "KNOWN-RED: cresschute.node.MainTest#first passes now; take its line out")
-            .endsWith("exit 0");
+        assertThat(run(0, 0))
+                .contains("KNOWN-RED: cresschute.node.MainTest#first passes now; take its line out")
+                .endsWith("exit 0");
     }
 
     @Test
--- a/src/test/java/cresschute/LayoutTest.java
+++ b/src/test/java/cresschute/LayoutTest.java
@@ -13,8 +13,10 @@
 /** Who may use whom: the doors between the packages, as the architecture page lists them. */
 class LayoutTest {
 
-    private static final JavaClasses CLASSES = new ClassFileImporter()
-        .withImportOption(new ImportOption.DoNotIncludeTests()).importPackages("cresschute");
+    private static final JavaClasses CLASSES =
+            new ClassFileImporter()
+                    .withImportOption(new ImportOption.DoNotIncludeTests())
+                    .importPackages("cresschute");
     private static final String ALL = "cresschute..";
 
     /** Classes of these packages use nothing of the program's but what is in the others. */
@@ -22,9 +24,15 @@
         final String[] all = new String[packages.length + others.length];
         System.arraycopy(packages, 0, all, 0, packages.length);
         System.arraycopy(others, 0, all, packages.length, others.length);
-        final DescribedPredicate<JavaClass> foreign = JavaClass.Predicates.resideInAPackage(ALL)
-            .and(JavaClass.Predicates.resideOutsideOfPackages(all));
-        noClasses().that().resideInAnyPackage(packages).should().dependOnClassesThat(foreign).check(CLASSES);
+        final DescribedPredicate<JavaClass> foreign =
+                JavaClass.Predicates.resideInAPackage(ALL)
+                        .and(JavaClass.Predicates.resideOutsideOfPackages(all));
+        noClasses()
+                .that()
+                .resideInAnyPackage(packages)
+                .should()
+                .dependOnClassesThat(foreign)
+                .check(CLASSES);
     }
 
     private static String[] of(String... packages) {
@@ -33,8 +41,13 @@
 
     @Test
     void moduleUsesTheJdkAlone() {
-        noClasses().that().resideInAPackage("cresschute.dispatch").should().dependOnClassesThat()
-            .resideOutsideOfPackages("cresschute.dispatch", "java..").check(CLASSES);
+        noClasses()
+                .that()
+                .resideInAPackage("cresschute.dispatch")
+                .should()
+                .dependOnClassesThat()
+                .resideOutsideOfPackages("cresschute.dispatch", "java..")
+                .check(CLASSES);
     }
 
     @Test
@@ -44,84 +57,158 @@
         mayUse(of("cresschute.logs.structured.."), "cresschute.logs");
         mayUse(of("cresschute.settings.script.."));
         mayUse(of("cresschute.settings"), "cresschute.dispatch", "cresschute.settings.script");
-        mayUse(of("cresschute.node", "cresschute.node.http"), "cresschute.dispatch", "cresschute.simulator",
-            "cresschute.settings", "cresschute.logs", "cresschute.health", "cresschute.control..",
-            "cresschute.flow", "cresschute.peers..");
+        mayUse(
+                of("cresschute.node", "cresschute.node.http"),
+                "cresschute.dispatch",
+                "cresschute.simulator",
+                "cresschute.settings",
+                "cresschute.logs",
+                "cresschute.health",
+                "cresschute.control..",
+                "cresschute.flow",
+                "cresschute.peers..");
         mayUse(of("cresschute.peers"));
         mayUse(of("cresschute.peers.socket"), "cresschute.peers", "cresschute.logs");
         mayUse(of("cresschute.health"), "cresschute.dispatch");
         mayUse(of("cresschute.flow"));
         mayUse(of("cresschute.capacity"));
         mayUse(of("cresschute.control"), "cresschute.dispatch");
-        mayUse(of("cresschute.control.socket", "cresschute.control.files"), "cresschute.control",
-            "cresschute.logs");
+        mayUse(
+                of("cresschute.control.socket", "cresschute.control.files"),
+                "cresschute.control",
+                "cresschute.logs");
         mayUse(of("cresschute.console"), "cresschute.control");
-        mayUse(of("cresschute.testbed.."), "cresschute.dispatch", "cresschute.node", "cresschute.settings",
-            "cresschute.logs", "cresschute.peers");
+        mayUse(
+                of("cresschute.testbed.."),
+                "cresschute.dispatch",
+                "cresschute.node",
+                "cresschute.settings",
+                "cresschute.logs",
+                "cresschute.peers");
     }
 
-    /** The core has no protocol's types; the class that puts a node together names its HTTP parts. */
+    /**
+     * The core has no protocol's types; the class that puts a node together names its HTTP parts.
+     */
     @Test
     void coreKnowsNoProtocol() {
-        noClasses().that().resideInAPackage("cresschute.node")
-            .and().haveSimpleNameNotStartingWith("NodeServer")
-            .should().dependOnClassesThat().resideInAnyPackage("cresschute.node.http", "io.netty.handler..")
-            .check(CLASSES);
+        noClasses()
+                .that()
+                .resideInAPackage("cresschute.node")
+                .and()
+                .haveSimpleNameNotStartingWith("NodeServer")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage("cresschute.node.http", "io.netty.handler..")
+                .check(CLASSES);
     }
 
     @Test
     void nothingKnowsTheCommandLine() {
-        noClasses().that().resideOutsideOfPackage("cresschute.cli..").should().dependOnClassesThat()
-            .resideInAnyPackage("cresschute.cli..", "picocli..").check(CLASSES);
+        noClasses()
+                .that()
+                .resideOutsideOfPackage("cresschute.cli..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage("cresschute.cli..", "picocli..")
+                .check(CLASSES);
     }
 
     @Test
     void onlyTheCommandLineKnowsTheLab() {
-        noClasses().that().resideOutsideOfPackages("cresschute.testbed..", "cresschute.cli..").should()
-            .dependOnClassesThat().resideInAPackage("cresschute.testbed..").check(CLASSES);
+        noClasses()
+                .that()
+                .resideOutsideOfPackages("cresschute.testbed..", "cresschute.cli..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAPackage("cresschute.testbed..")
+                .check(CLASSES);
     }
 
     /**
-     * Pure packages: no sockets, files or threads. The settings read one file; the checker and reports none.
+     * Pure packages: no sockets, files or threads. The settings read one file; the checker and
+     * reports none.
      */
     @Test
     void pureClassesDoNoInputOrOutput() {
-        noClasses().that().resideInAnyPackage("cresschute.settings..", "cresschute.control",
-            "cresschute.health", "cresschute.flow", "cresschute.peers", "cresschute.capacity")
-            .and().doNotHaveSimpleName("SettingsFile")
-            .should().dependOnClassesThat().resideInAnyPackage("java.io", "java.nio.file", "io.netty..")
-            .check(CLASSES);
-        noClasses().that().haveSimpleName("RuleChecker").or().haveSimpleName("RequestOutcomes").and().resideInAPackage("cresschute.testbed").should()
-            .dependOnClassesThat().resideInAnyPackage("java.io", "java.nio..", "java.net", "io.netty..")
-            .check(CLASSES);
+        noClasses()
+                .that()
+                .resideInAnyPackage(
+                        "cresschute.settings..",
+                        "cresschute.control",
+                        "cresschute.health",
+                        "cresschute.flow",
+                        "cresschute.peers",
+                        "cresschute.capacity")
+                .and()
+                .doNotHaveSimpleName("SettingsFile")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage("java.io", "java.nio.file", "io.netty..")
+                .check(CLASSES);
+        noClasses()
+                .that()
+                .haveSimpleName("RuleChecker")
+                .or()
+                .haveSimpleName("RequestOutcomes")
+                .and()
+                .resideInAPackage("cresschute.testbed")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage("java.io", "java.nio..", "java.net", "io.netty..")
+                .check(CLASSES);
     }
 
-    /** The page's figures need the JDK and a library of statistics, and the node needs neither of them. */
+    /**
+     * The page's figures need the JDK and a library of statistics, and the node needs neither of
+     * them.
+     */
     @Test
     void capacityUsesStatisticsAlone() {
-        noClasses().that().resideInAPackage("cresschute.capacity..").should().dependOnClassesThat()
-            .resideOutsideOfPackages("cresschute.capacity..", "java..", "org.apache.commons.math3..")
-            .check(CLASSES);
-        noClasses().that().resideOutsideOfPackages("cresschute.capacity..", "cresschute.cli..").should()
-            .dependOnClassesThat().resideInAnyPackage("cresschute.capacity..", "org.apache.commons.math3..")
-            .check(CLASSES);
+        noClasses()
+                .that()
+                .resideInAPackage("cresschute.capacity..")
+                .should()
+                .dependOnClassesThat()
+                .resideOutsideOfPackages(
+                        "cresschute.capacity..", "java..", "org.apache.commons.math3..")
+                .check(CLASSES);
+        noClasses()
+                .that()
+                .resideOutsideOfPackages("cresschute.capacity..", "cresschute.cli..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage("cresschute.capacity..", "org.apache.commons.math3..")
+                .check(CLASSES);
     }
 
     /** The screen's parts that decide what is drawn know neither the terminal nor the socket. */
     @Test
     void screenIsDrawnWithoutInputOrOutput() {
-        noClasses().that().haveSimpleName("ScreenView").or().haveSimpleName("ScreenState")
-            .or().haveSimpleName("SiteModel").should().dependOnClassesThat()
-            .resideInAnyPackage("java.io", "java.nio..", "org.jline.terminal..").check(CLASSES);
+        noClasses()
+                .that()
+                .haveSimpleName("ScreenView")
+                .or()
+                .haveSimpleName("ScreenState")
+                .or()
+                .haveSimpleName("SiteModel")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage("java.io", "java.nio..", "org.jline.terminal..")
+                .check(CLASSES);
     }
 
     /** The structured log and its library are put in place by the command line alone. */
     @Test
     void structuredLogIsTheCommandLinesMatter() {
-        noClasses().that().resideOutsideOfPackages("cresschute.logs.structured..",
-            "cresschute.cli..").should()
-            .dependOnClassesThat().resideInAnyPackage("cresschute.logs.structured..", "ch.qos.logback..",
-                "org.slf4j..").check(CLASSES);
+        noClasses()
+                .that()
+                .resideOutsideOfPackages("cresschute.logs.structured..", "cresschute.cli..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage(
+                        "cresschute.logs.structured..", "ch.qos.logback..", "org.slf4j..")
+                .check(CLASSES);
     }
 
     @Test
--- a/src/test/java/cresschute/ProgramProcess.java
+++ b/src/test/java/cresschute/ProgramProcess.java
@@ -17,13 +17,15 @@
 import java.util.stream.Stream;
 
 /**
- * The program in a process of its own. Its standard output and error are read together, line by line, by a
- * thread of the test, so that the process never waits for its reader; every wait here has a bound.
+ * The program in a process of its own. Its standard output and error are read together, line by
+ * line, by a thread of the test, so that the process never waits for its reader; every wait here
+ * has a bound.
  */
 public final class ProgramProcess implements AutoCloseable {
 
     /** The longest that a test waits for a line or for the end of a process, s. */
     public static final long MAX_WAIT_S = 25;
+
     /** The end of the output, as a line that no program writes. */
     private static final String END = "\0";
 
@@ -43,9 +45,9 @@
     }
 
     /**
-     * The command line of the program on the test's class path. The process starts with the default action
-     * of SIGHUP and SIGINT whatever the tests run under: {@code nohup} and a shell's background jobs hand
-     * their children a signal that is ignored, which a JVM never hears.
+     * The command line of the program on the test's class path. The process starts with the default
+     * action of SIGHUP and SIGINT whatever the tests run under: {@code nohup} and a shell's
+     * background jobs hand their children a signal that is ignored, which a JVM never hears.
      */
     public static List<String> command(List<String> options, String... arguments) {
         return withDefaultSignals(java(options, System.getProperty("java.class.path"), arguments));
@@ -53,9 +55,13 @@
 
     /** The same with the libraries alone that the platform's node has on its class path. */
     public static List<String> platformCommand(List<String> options, String... arguments) {
-        final String needed = Arrays.stream(System.getProperty("java.class.path").split(":"))
-            .filter(each -> each.endsWith("/target/classes") || each.matches(".*/(netty|gson)[^/]*\\.jar"))
-            .collect(Collectors.joining(":"));
+        final String needed =
+                Arrays.stream(System.getProperty("java.class.path").split(":"))
+                        .filter(
+                                each ->
+                                        each.endsWith("/target/classes")
+                                                || each.matches(".*/(netty|gson)[^/]*\\.jar"))
+                        .collect(Collectors.joining(":"));
         return withDefaultSignals(java(options, needed, arguments));
     }
 
@@ -71,11 +77,18 @@
     }
 
     private static List<String> java(List<String> options, String classPath, String[] arguments) {
-        final List<String> command = new ArrayList<>(List.of(
-            Path.of(System.getProperty("java.home"), "bin", "java").toString()));
+        final List<String> command =
+                new ArrayList<>(
+                        List.of(
+                                Path.of(System.getProperty("java.home"), "bin", "java")
+                                        .toString()));
         command.addAll(options);
-        command.addAll(List.of("-Djava.util.logging.manager=cresschute.node.StayingLogManager", "-cp",
-            classPath, "cresschute.cli.Main"));
+        command.addAll(
+                List.of(
+                        "-Djava.util.logging.manager=cresschute.node.StayingLogManager",
+                        "-cp",
+                        classPath,
+                        "cresschute.cli.Main"));
         command.addAll(List.of(arguments));
         return command;
     }
@@ -98,7 +111,10 @@
             seen.add(line);
             line = lines.poll(untilNs - System.nanoTime(), TimeUnit.NANOSECONDS);
         }
-        assertThat(line).as("a line with '" + part + "' after " + seen).isNotNull().isNotEqualTo(END);
+        assertThat(line)
+                .as("a line with '" + part + "' after " + seen)
+                .isNotNull()
+                .isNotEqualTo(END);
         return line;
     }
 
@@ -134,14 +150,21 @@
 
     /** The exit code of a process that a test started, once it has ended. */
     public static int exitCode(Process process) throws InterruptedException {
-        assertThat(process.waitFor(MAX_WAIT_S, TimeUnit.SECONDS)).as("the process has ended").isTrue();
+        assertThat(process.waitFor(MAX_WAIT_S, TimeUnit.SECONDS))
+                .as("the process has ended")
+                .isTrue();
         return process.exitValue();
     }
 
     /** Sends a signal by its short name. */
     public void signal(String name) throws IOException, InterruptedException {
-        assertThat(exitCode(new ProcessBuilder("sh", "-c", "kill -" + name + " " + process.pid()).start()))
-            .as("kill -" + name).isZero();
+        assertThat(
+                        exitCode(
+                                new ProcessBuilder(
+                                                "sh", "-c", "kill -" + name + " " + process.pid())
+                                        .start()))
+                .as("kill -" + name)
+                .isZero();
     }
 
     /** Descriptors that the process holds open. */
@@ -154,8 +177,10 @@
     /** Descriptors that the process may hold open: the soft limit that is in force. */
     public int descriptorLimit() throws IOException {
         return Files.readAllLines(Path.of("/proc/" + process.pid() + "/limits")).stream()
-            .filter(line -> line.startsWith("Max open files"))
-            .mapToInt(line -> Integer.parseInt(line.split(" +")[3])).findFirst().orElseThrow();
+                .filter(line -> line.startsWith("Max open files"))
+                .mapToInt(line -> Integer.parseInt(line.split(" +")[3]))
+                .findFirst()
+                .orElseThrow();
     }
 
     /** The process itself. */
--- a/src/test/java/cresschute/capacity/CapacityModelTest.java
+++ b/src/test/java/cresschute/capacity/CapacityModelTest.java
@@ -11,19 +11,37 @@
 /** Needs reckoned from fits along several axes, and the points that are held out of them. */
 class CapacityModelTest {
 
-    private static final CapacityModel.Key CPU = new CapacityModel.Key(Role.DISPATCHER, "cpu_percent");
+    private static final CapacityModel.Key CPU =
+            new CapacityModel.Key(Role.DISPATCHER, "cpu_percent");
     private static final Sizes PLANNED = PlannedSize.OPERATORS.sizes();
-    private static final Sweep.Function LINEAR = sizes -> 3 + 0.01 * sizes.get(Axis.WORKERS)
-        + 0.2 * sizes.get(Axis.STARTS) - 24.5 / sizes.get(Axis.DISPATCHERS);
+    private static final Sweep.Function LINEAR =
+            sizes ->
+                    3
+                            + 0.01 * sizes.get(Axis.WORKERS)
+                            + 0.2 * sizes.get(Axis.STARTS)
+                            - 24.5 / sizes.get(Axis.DISPATCHERS);
 
     private static Sweep linearSweep() {
         final Sweep sweep = new Sweep();
         List.of(50.0, 100.0, 200.0, 400.0)
-            .forEach(size -> sweep.along(Axis.WORKERS, size, "dispatcher", "cpu_percent", LINEAR));
+                .forEach(
+                        size ->
+                                sweep.along(
+                                        Axis.WORKERS, size, "dispatcher", "cpu_percent", LINEAR));
         List.of(10.0, 50.0, 100.0)
-            .forEach(size -> sweep.along(Axis.STARTS, size, "dispatcher", "cpu_percent", LINEAR));
+                .forEach(
+                        size ->
+                                sweep.along(
+                                        Axis.STARTS, size, "dispatcher", "cpu_percent", LINEAR));
         List.of(1.0, 3.0, 5.0)
-            .forEach(size -> sweep.along(Axis.DISPATCHERS, size, "dispatcher", "cpu_percent", LINEAR));
+                .forEach(
+                        size ->
+                                sweep.along(
+                                        Axis.DISPATCHERS,
+                                        size,
+                                        "dispatcher",
+                                        "cpu_percent",
+                                        LINEAR));
         return sweep;
     }
 
@@ -42,29 +60,47 @@
     @Test
     void whatAllDispatchersCostTogetherGoesByTheirNumber() throws CsvFormatException {
         final Sweep sweep = new Sweep();
-        List.of(1.0, 3.0, 5.0).forEach(size -> sweep.along(Axis.DISPATCHERS, size, "worker",
-            "probes_per_second", sizes -> 0.1 + 0.05 * sizes.get(Axis.DISPATCHERS)));
+        List.of(1.0, 3.0, 5.0)
+                .forEach(
+                        size ->
+                                sweep.along(
+                                        Axis.DISPATCHERS,
+                                        size,
+                                        "worker",
+                                        "probes_per_second",
+                                        sizes -> 0.1 + 0.05 * sizes.get(Axis.DISPATCHERS)));
         final CapacityModel.Key probes = new CapacityModel.Key(Role.WORKER, "probes_per_second");
-        assertThat(new CapacityModel(sweep.measurements()).estimate(probes, PLANNED).orElseThrow().value())
-            .isCloseTo(0.45, within(1e-6));
+        assertThat(
+                        new CapacityModel(sweep.measurements())
+                                .estimate(probes, PLANNED)
+                                .orElseThrow()
+                                .value())
+                .isCloseTo(0.45, within(1e-6));
     }
 
     @Test
     void heldOutAndPartialValuesChangeNoFit() throws CsvFormatException {
         final Sweep sweep = linearSweep().full("dispatcher", "cpu_percent", sizes -> 1e6);
-        sweep.row(Axis.WORKERS.label(), false, Map.of(Axis.WORKERS, 400.0), "dispatcher", "cpu_percent",
-            sizes -> 1e6, true);
+        sweep.row(
+                Axis.WORKERS.label(),
+                false,
+                Map.of(Axis.WORKERS, 400.0),
+                "dispatcher",
+                "cpu_percent",
+                sizes -> 1e6,
+                true);
         final CapacityModel model = new CapacityModel(sweep.measurements());
-        assertThat(model.estimate(CPU, PLANNED)).map(Estimate::value).get()
-            .satisfies(value -> assertThat(value).isCloseTo(73.5, within(1e-6)));
+        assertThat(model.estimate(CPU, PLANNED))
+                .map(Estimate::value)
+                .get()
+                .satisfies(value -> assertThat(value).isCloseTo(73.5, within(1e-6)));
     }
 
     @Test
     void heldOutPointSaysHowFarTheFitsAreOff() throws CsvFormatException {
         final Sweep sweep = linearSweep().full("dispatcher", "cpu_percent", sizes -> 70);
         sweep.full("dispatcher", "heap_mb", sizes -> 20);
-        final List<HeldOutCheck> checks =
-            HeldOutCheck.of(new CapacityModel(sweep.measurements()));
+        final List<HeldOutCheck> checks = HeldOutCheck.of(new CapacityModel(sweep.measurements()));
         assertThat(checks).hasSize(1);
         assertThat(checks.get(0).measured()).isEqualTo(70);
         assertThat(checks.get(0).offPercent()).isCloseTo(5, within(1e-5));
@@ -75,13 +111,22 @@
     @Test
     void runThatVariesNothingIsInNoFit() throws CsvFormatException {
         final Sweep sweep = linearSweep();
-        sweep.row(Axis.NONE, false, PLANNED.values(), "dispatcher", "cpu_percent", sizes -> 1e6, false);
+        sweep.row(
+                Axis.NONE,
+                false,
+                PLANNED.values(),
+                "dispatcher",
+                "cpu_percent",
+                sizes -> 1e6,
+                false);
         final CapacityModel model = new CapacityModel(sweep.measurements());
-        assertThat(model.estimate(CPU, PLANNED).orElseThrow().value()).isCloseTo(73.5, within(1e-6));
-        sweep.row(Axis.NONE, true, PLANNED.values(), "dispatcher", "cpu_percent", sizes -> 70, false);
+        assertThat(model.estimate(CPU, PLANNED).orElseThrow().value())
+                .isCloseTo(73.5, within(1e-6));
+        sweep.row(
+                Axis.NONE, true, PLANNED.values(), "dispatcher", "cpu_percent", sizes -> 70, false);
         assertThat(HeldOutCheck.of(new CapacityModel(sweep.measurements()))).hasSize(1);
         assertThat(CapacityTables.of(sweep.measurements(), List.of()).get("runs"))
-            .contains("| none | ", "| full | ");
+                .contains("| none | ", "| full | ");
     }
 
     @Test
@@ -90,19 +135,25 @@
         final Map<Axis, Double> size = PLANNED.values();
         sweep.row(Axis.FULL, true, size, "dispatcher", "cpu_percent", sizes -> 10, true);
         assertThat(HeldOutCheck.of(new CapacityModel(sweep.measurements())).get(0))
-            .matches(HeldOutCheck::partial).matches(check -> check.measured() == 10);
+                .matches(HeldOutCheck::partial)
+                .matches(check -> check.measured() == 10);
         sweep.row(Axis.FULL, true, size, "dispatcher", "cpu_percent", sizes -> 70, false);
         final List<HeldOutCheck> checks = HeldOutCheck.of(new CapacityModel(sweep.measurements()));
         assertThat(checks).hasSize(1);
-        assertThat(checks.get(0)).matches(check -> !check.partial()).matches(check -> check.measured() == 70);
+        assertThat(checks.get(0))
+                .matches(check -> !check.partial())
+                .matches(check -> check.measured() == 70);
     }
 
     @Test
     void measureWithoutAFitHasNoEstimate() throws CsvFormatException {
-        final Sweep sweep = new Sweep().along(Axis.WORKERS, 100, "dispatcher", "heap_mb", sizes -> 1)
-            .along(Axis.WORKERS, 200, "dispatcher", "heap_mb", sizes -> 2);
+        final Sweep sweep =
+                new Sweep()
+                        .along(Axis.WORKERS, 100, "dispatcher", "heap_mb", sizes -> 1)
+                        .along(Axis.WORKERS, 200, "dispatcher", "heap_mb", sizes -> 2);
         final CapacityModel model = new CapacityModel(sweep.measurements());
-        assertThat(model.estimate(new CapacityModel.Key(Role.DISPATCHER, "heap_mb"), PLANNED)).isEmpty();
+        assertThat(model.estimate(new CapacityModel.Key(Role.DISPATCHER, "heap_mb"), PLANNED))
+                .isEmpty();
         assertThat(model.keys()).isEmpty();
         assertThat(new CapacityModel(List.of()).estimate(CPU, PLANNED)).isEmpty();
     }
@@ -118,8 +169,8 @@
     @Test
     void plannedSizeIsTheOperators() {
         assertThat(PlannedSize.OPERATORS.meanOpenSeconds()).isCloseTo(30.3, within(0.05));
-        assertThat(PlannedSize.OPERATORS.listChangesPerSecond()).isCloseTo((1_500 + 2 * 98) / 86_400.0,
-            within(1e-12));
+        assertThat(PlannedSize.OPERATORS.listChangesPerSecond())
+                .isCloseTo((1_500 + 2 * 98) / 86_400.0, within(1e-12));
         assertThat(PLANNED.on(Axis.DISPATCHERS)).isEqualTo(7);
         assertThat(PlannedSize.OPERATORS.doubled().sizes().on(Axis.WORKERS)).isEqualTo(2_800);
         assertThat(PlannedSize.OPERATORS.doubled().sizes().on(Axis.DISPATCHERS)).isEqualTo(7);
@@ -127,9 +178,10 @@
 
     @Test
     void sizesMustBeWholeAndNotNegative() {
-        assertThatThrownBy(() -> PLANNED.with(Axis.WORKERS, -1)).isInstanceOf(IllegalArgumentException.class);
+        assertThatThrownBy(() -> PLANNED.with(Axis.WORKERS, -1))
+                .isInstanceOf(IllegalArgumentException.class);
         assertThatThrownBy(() -> PLANNED.with(Axis.WORKERS, Double.NaN))
-            .isInstanceOf(IllegalArgumentException.class);
+                .isInstanceOf(IllegalArgumentException.class);
         assertThatThrownBy(() -> new Sizes(Map.of())).isInstanceOf(IllegalArgumentException.class);
     }
 
--- a/src/test/java/cresschute/capacity/CapacityTablesTest.java
+++ b/src/test/java/cresschute/capacity/CapacityTablesTest.java
@@ -33,36 +33,58 @@
         assertThat(tables.get("runs")).isEqualTo("No run has been measured yet.\n");
         assertThat(tables.get("held-out")).contains("**not measured**");
         assertThat(tables.get("fault-measurements")).contains("**not measured**");
-        assertThat(tables.get("fleet-model")).isEqualTo("No fleet has been played in the model yet.\n");
+        assertThat(tables.get("fleet-model"))
+                .isEqualTo("No fleet has been played in the model yet.\n");
         for (final Role role : EnumSet.complementOf(EnumSet.of(Role.MODEL))) {
-            assertThat(tables.get(role.label() + "-needs").lines().skip(2)).isNotEmpty()
-                .allMatch(line -> line.contains("**not measured**: "));
+            assertThat(tables.get(role.label() + "-needs").lines().skip(2))
+                    .isNotEmpty()
+                    .allMatch(line -> line.contains("**not measured**: "));
         }
     }
 
     @Test
     void needIsHeldAgainstItsLimit() throws CsvFormatException {
         final Sweep sweep = new Sweep();
-        List.of(100.0, 200.0, 400.0).forEach(size -> sweep.along(Axis.WORKERS, size, "worker",
-            "control_bytes_per_second", sizes -> 500 + sizes.get(Axis.WORKERS)));
+        List.of(100.0, 200.0, 400.0)
+                .forEach(
+                        size ->
+                                sweep.along(
+                                        Axis.WORKERS,
+                                        size,
+                                        "worker",
+                                        "control_bytes_per_second",
+                                        sizes -> 500 + sizes.get(Axis.WORKERS)));
         final Map<String, String> tables = CapacityTables.of(sweep.measurements(), List.of());
-        assertThat(tables.get("worker-needs")).contains(
-            "| 1,900 ± 0 (extrapolated) | 4,000 (operators: control) | 0.475 |");
-        assertThat(tables.get("worker-slopes")).contains("| workers | 100, 400 | 3 | 500 | 1 (1 to 1) | 1 |",
-            "`abc1234`, 7");
-        assertThat(tables.get("runs")).contains("| workers | `abc1234` | 2026-12-02T05:00:00Z | 7 | 3 | 3 |");
+        assertThat(tables.get("worker-needs"))
+                .contains("| 1,900 ± 0 (extrapolated) | 4,000 (operators: control) | 0.475 |");
+        assertThat(tables.get("worker-slopes"))
+                .contains("| workers | 100, 400 | 3 | 500 | 1 (1 to 1) | 1 |", "`abc1234`, 7");
+        assertThat(tables.get("runs"))
+                .contains("| workers | `abc1234` | 2026-12-02T05:00:00Z | 7 | 3 | 3 |");
     }
 
     @Test
     void worstRatioComesFirstAndTheUnmeasuredLast() throws CsvFormatException {
         final Sweep sweep = new Sweep();
-        List.of(100.0, 200.0, 400.0).forEach(size -> sweep.along(Axis.WORKERS, size, "dispatcher", "rss_mb",
-            sizes -> 100 * sizes.get(Axis.WORKERS)));
-        final List<String> ratios = CapacityTables.of(sweep.measurements(), List.of()).get("worst-ratios")
-            .lines().skip(2).map(line -> cells(line).get(0)).toList();
+        List.of(100.0, 200.0, 400.0)
+                .forEach(
+                        size ->
+                                sweep.along(
+                                        Axis.WORKERS,
+                                        size,
+                                        "dispatcher",
+                                        "rss_mb",
+                                        sizes -> 100 * sizes.get(Axis.WORKERS)));
+        final List<String> ratios =
+                CapacityTables.of(sweep.measurements(), List.of())
+                        .get("worst-ratios")
+                        .lines()
+                        .skip(2)
+                        .map(line -> cells(line).get(0))
+                        .toList();
         assertThat(ratios.get(0)).isEqualTo("547");
-        final List<Double> figures = ratios.stream().filter(ratio -> !ratio.equals("-"))
-            .map(Double::valueOf).toList();
+        final List<Double> figures =
+                ratios.stream().filter(ratio -> !ratio.equals("-")).map(Double::valueOf).toList();
         assertThat(figures).isSortedAccordingTo((a, b) -> Double.compare(b, a));
         assertThat(ratios.subList(figures.size(), ratios.size())).isNotEmpty().containsOnly("-");
     }
@@ -71,13 +93,27 @@
     @Test
     void standInsAndUnknownMeasuresAreLeftOut() throws CsvFormatException {
         final Sweep sweep = new Sweep();
-        List.of(100.0, 200.0, 400.0).forEach(size -> sweep
-            .along(Axis.WORKERS, size, "worker", "cpu_percent", sizes -> 90)
-            .along(Axis.WORKERS, size, "dispatcher", "colour", sizes -> 1));
+        List.of(100.0, 200.0, 400.0)
+                .forEach(
+                        size ->
+                                sweep.along(
+                                                Axis.WORKERS,
+                                                size,
+                                                "worker",
+                                                "cpu_percent",
+                                                sizes -> 90)
+                                        .along(
+                                                Axis.WORKERS,
+                                                size,
+                                                "dispatcher",
+                                                "colour",
+                                                sizes -> 1));
         sweep.full("worker", "cpu_percent", sizes -> 90).full("dispatcher", "colour", sizes -> 1);
         final Map<String, String> tables = CapacityTables.of(sweep.measurements(), List.of());
-        assertThat(tables.get("worker-needs")).contains(
-            "| `cpu_percent` | processor | % of a core | **missing** | **not measured**: ");
+        assertThat(tables.get("worker-needs"))
+                .contains(
+                        "| `cpu_percent` | processor | % of a core | **missing** | **not"
+                                + " measured**: ");
         assertThat(tables.get("worker-slopes")).isEqualTo("No slope: **not measured**.\n");
         assertThat(String.join("", tables.values())).doesNotContain("colour");
         assertThat(tables.get("held-out")).contains("**not measured**");
@@ -85,26 +121,42 @@
 
     @Test
     void faultsAreToldByTheirMedian() {
-        final List<FaultMeasurement> faults = Stream.of(5.0, 1.0, 3.0)
-            .map(value -> new FaultMeasurement("d", "abc1234", "2026-12-02", "3", FaultKind.ZONE_LOSS, 1,
-                "seconds_until_back", value, value == 5)).toList();
+        final List<FaultMeasurement> faults =
+                Stream.of(5.0, 1.0, 3.0)
+                        .map(
+                                value ->
+                                        new FaultMeasurement(
+                                                "d",
+                                                "abc1234",
+                                                "2026-12-02",
+                                                "3",
+                                                FaultKind.ZONE_LOSS,
+                                                1,
+                                                "seconds_until_back",
+                                                value,
+                                                value == 5))
+                        .toList();
         assertThat(CapacityTables.of(List.of(), faults).get("fault-measurements"))
-            .contains("| a zone goes | `seconds_until_back` | 3 | 1 to 5 | 3 (1 partial) | `abc1234`, 3 |");
+                .contains(
+                        "| a zone goes | `seconds_until_back` | 3 | 1 to 5 | 3 (1 partial) |"
+                                + " `abc1234`, 3 |");
     }
 
     @ParameterizedTest
-    @CsvSource(textBlock = """
-        0, 0
-        1e-15, 0
-        0.0123456, 0.0123
-        12.5, 12.5
-        120, 120
-        999.4, 999
-        999.6, '1,000'
-        1234.4, '1,234'
-        -2.346, -2.35
-        NaN, -
-        """)
+    @CsvSource(
+            textBlock =
+                    """
+                    0, 0
+                    1e-15, 0
+                    0.0123456, 0.0123
+                    12.5, 12.5
+                    120, 120
+                    999.4, 999
+                    999.6, '1,000'
+                    1234.4, '1,234'
+                    -2.346, -2.35
+                    NaN, -
+                    """)
     void figuresHaveThreeDigitsThatCount(double value, String text) {
         assertThat(Figures.number(value)).isEqualTo(text);
     }
@@ -120,22 +172,26 @@
         final String page = "text\n<!-- table: a -->\nold\n<!-- end table -->\nmore\n";
         final String written = place(page);
         assertThat(written)
-            .isEqualTo("text\n<!-- table: a -->\nnew\nlines\n<!-- end table -->\nmore\n");
+                .isEqualTo("text\n<!-- table: a -->\nnew\nlines\n<!-- end table -->\nmore\n");
         assertThat(place(written)).isEqualTo(written);
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', textBlock = """
-        no marker                                           | no marker for the tables a
-        <!-- table: a -->;old                               | the table a has no end
-        <!-- table: a -->;<!-- table: a -->                 | the table a has no end
-        <!-- table: b -->;<!-- end table -->                | there is no table b
-        <!-- end table -->                                  | an end of a table without its beginning
-        <!-- table: a -->;<!-- end table -->;<!-- table: a -->;<!-- end table --> | the table a comes twice
-        """)
+    @CsvSource(
+            delimiter = '|',
+            textBlock =
+                    """
+                    no marker                                           | no marker for the tables a
+                    <!-- table: a -->;old                               | the table a has no end
+                    <!-- table: a -->;<!-- table: a -->                 | the table a has no end
+                    <!-- table: b -->;<!-- end table -->                | there is no table b
+                    <!-- end table -->                                  | an end of a table without its beginning
+                    <!-- table: a -->;<!-- end table -->;<!-- table: a -->;<!-- end table --> | the table a comes twice
+                    """)
     void brokenMarkersAreNamed(String page, String message) {
         assertThatThrownBy(() -> place(page.replace(';', '\n') + "\n"))
-            .isInstanceOf(CapacityPage.MarkerException.class).hasMessage(message);
+                .isInstanceOf(CapacityPage.MarkerException.class)
+                .hasMessage(message);
     }
 
     // ---- Classes ----
@@ -143,8 +199,10 @@
     private static Set<String> classes() throws IOException {
         try (Stream<Path> files = Files.walk(Path.of("src/main/java"))) {
             final Set<String> names = new HashSet<>();
-            files.map(file -> file.getFileName().toString()).filter(name -> name.endsWith(".java"))
-                .forEach(name -> names.add(name.substring(0, name.length() - ".java".length())));
+            files.map(file -> file.getFileName().toString())
+                    .filter(name -> name.endsWith(".java"))
+                    .forEach(
+                            name -> names.add(name.substring(0, name.length() - ".java".length())));
             return names;
         }
     }
@@ -153,14 +211,24 @@
     @Test
     void mechanismsAreClassesOfTheProgram() throws IOException {
         final Set<String> classes = classes();
-        assertThat(Stream.of(TrackedMeasure.values()).map(TrackedMeasure::mechanism)
-            .filter(name -> !name.equals(Mechanism.MISSING))).isNotEmpty().allMatch(classes::contains);
-        assertThat(Stream.of(StatedBound.values()).map(StatedBound::mechanism)
-            .filter(name -> !name.equals(Mechanism.MISSING))).isNotEmpty().allMatch(classes::contains);
+        assertThat(
+                        Stream.of(TrackedMeasure.values())
+                                .map(TrackedMeasure::mechanism)
+                                .filter(name -> !name.equals(Mechanism.MISSING)))
+                .isNotEmpty()
+                .allMatch(classes::contains);
+        assertThat(
+                        Stream.of(StatedBound.values())
+                                .map(StatedBound::mechanism)
+                                .filter(name -> !name.equals(Mechanism.MISSING)))
+                .isNotEmpty()
+                .allMatch(classes::contains);
         final Matcher named = CLASS_NAME.matcher(Files.readString(Path.of("docs/CAPACITY.md")));
         try (Stream<Path> tests = Files.walk(Path.of("src/test/java"))) {
             tests.forEach(file -> classes.add(file.getFileName().toString().replace(".java", "")));
         }
-        assertThat(named.results().map(each -> each.group(1))).isNotEmpty().allMatch(classes::contains);
+        assertThat(named.results().map(each -> each.group(1)))
+                .isNotEmpty()
+                .allMatch(classes::contains);
     }
 }
--- a/src/test/java/cresschute/capacity/LinearFitTest.java
+++ b/src/test/java/cresschute/capacity/LinearFitTest.java
@@ -14,10 +14,13 @@
     private static final double[] NORRIS = {
         0.1, 0.2, 338.8, 337.4, 118.1, 118.2, 888.0, 884.6, 9.2, 10.1, 228.1, 226.5, 668.5, 666.3,
         998.5, 996.3, 449.1, 448.6, 778.9, 777.0, 559.2, 558.2, 0.3, 0.4, 0.1, 0.6, 778.1, 775.5,
-        668.8, 666.9, 339.3, 338.0, 448.9, 447.5, 10.8, 11.6, 557.7, 556.0, 228.3, 228.1, 998.0, 995.8,
+        668.8, 666.9, 339.3, 338.0, 448.9, 447.5, 10.8, 11.6, 557.7, 556.0, 228.3, 228.1, 998.0,
+                995.8,
         888.8, 887.6, 119.6, 120.2, 0.3, 0.3, 0.6, 0.3, 557.6, 556.8, 339.3, 339.1, 888.0, 887.2,
-        998.5, 999.0, 778.9, 779.0, 10.2, 11.1, 117.6, 118.3, 228.9, 229.2, 668.4, 669.1, 449.2, 448.9,
-        0.2, 0.5};
+        998.5, 999.0, 778.9, 779.0, 10.2, 11.1, 117.6, 118.3, 228.9, 229.2, 668.4, 669.1, 449.2,
+                448.9,
+        0.2, 0.5
+    };
 
     private static List<LinearFit.Point> points(double... sizesAndValues) {
         final List<LinearFit.Point> points = new ArrayList<>();
@@ -38,10 +41,13 @@
         assertThat(fit.intercept()).isCloseTo(-0.262323073774029, within(1e-10));
         assertThat(fit.slope()).isCloseTo(1.00211681802045, within(1e-12));
         assertThat(fit.rSquared()).isCloseTo(0.999993745883712, within(1e-12));
-        // The certified standard error of the slope times the 97.5 % quantile of Student's t, 34 degrees.
-        assertThat(fit.slopeHalfWidth()).isCloseTo(0.429796848199937e-3 * 2.0322445093, within(1e-11));
+        // The certified standard error of the slope times the 97.5 % quantile of Student's t, 34
+        // degrees.
+        assertThat(fit.slopeHalfWidth())
+                .isCloseTo(0.429796848199937e-3 * 2.0322445093, within(1e-11));
         // The certified residual standard deviation over the root of 36, times the same quantile.
-        assertThat(fit.meanHalfWidth()).isCloseTo(0.884796396144373 / 6 * 2.0322445093, within(1e-9));
+        assertThat(fit.meanHalfWidth())
+                .isCloseTo(0.884796396144373 / 6 * 2.0322445093, within(1e-9));
     }
 
     @Test
--- a/src/test/java/cresschute/capacity/MeasurementFileTest.java
+++ b/src/test/java/cresschute/capacity/MeasurementFileTest.java
@@ -14,12 +14,13 @@
 class MeasurementFileTest {
 
     private static final String HEAD =
-        MeasurementFile.VERSION_LINE + "\n" + String.join(",", MeasurementFile.COLUMNS) + "\n";
+            MeasurementFile.VERSION_LINE + "\n" + String.join(",", MeasurementFile.COLUMNS) + "\n";
     private static final String ROW =
-        "r1,abc1234,2026-12-02,7,workers,2,false,200,500,50,10,3,0,0.02,dispatcher,cpu_percent,12.5,false";
+            "r1,abc1234,2026-12-02,7,workers,2,false,200,500,50,10,3,0,0.02,dispatcher,cpu_percent,12.5,false";
 
     private static CsvFormatException failure(String text) {
-        return catchThrowableOfType(CsvFormatException.class, () -> MeasurementFile.parse("a.csv", text));
+        return catchThrowableOfType(
+                CsvFormatException.class, () -> MeasurementFile.parse("a.csv", text));
     }
 
     @Test
@@ -49,25 +50,28 @@
 
     /** One field of a row replaced by another, and what is said of it. */
     @ParameterizedTest
-    @CsvSource(delimiter = '|', textBlock = """
-        value             | 12.5       | NaN       | value: 'NaN' is not finite
-        value             | 12.5       | Infinity  | value: 'Infinity' is not finite
-        value             | 12.5       | 12.5x     | value: '12.5x' is no number
-        value             | 12.5       | ''        | value is empty
-        workers           | 200        | -200      | workers: '-200' is negative
-        running           | 500        | NaN       | running: 'NaN' is not finite
-        settings changes  | 0.02       | -0.02     | settings_changes_per_second: '-0.02' is negative
-        repetition        | ,2,        | ,1.5,     | repetition: '1.5' is no whole number
-        axis              | workers    | jobs      | axis: 'jobs' is unknown
-        full in the fits  | workers    | full      | a run at full size must be held out
-        held out          | 2,false    | 2,maybe   | held_out: 'maybe' is neither true nor false
-        role              | dispatcher | engine    | role: 'engine' is unknown
-        commit            | abc1234    | ''        | commit is empty
-        a field too few   | ,10,       | ,         | 17 fields where 18 are expected
-        """)
+    @CsvSource(
+            delimiter = '|',
+            textBlock =
+                    """
+                    value             | 12.5       | NaN       | value: 'NaN' is not finite
+                    value             | 12.5       | Infinity  | value: 'Infinity' is not finite
+                    value             | 12.5       | 12.5x     | value: '12.5x' is no number
+                    value             | 12.5       | ''        | value is empty
+                    workers           | 200        | -200      | workers: '-200' is negative
+                    running           | 500        | NaN       | running: 'NaN' is not finite
+                    settings changes  | 0.02       | -0.02     | settings_changes_per_second: '-0.02' is negative
+                    repetition        | ,2,        | ,1.5,     | repetition: '1.5' is no whole number
+                    axis              | workers    | jobs      | axis: 'jobs' is unknown
+                    full in the fits  | workers    | full      | a run at full size must be held out
+                    held out          | 2,false    | 2,maybe   | held_out: 'maybe' is neither true nor false
+                    role              | dispatcher | engine    | role: 'engine' is unknown
+                    commit            | abc1234    | ''        | commit is empty
+                    a field too few   | ,10,       | ,         | 17 fields where 18 are expected
+                    """)
     void badFieldIsToldWithItsLine(String name, String from, String to, String message) {
         final CsvFormatException failure =
-            failure(HEAD + ROW + "\n" + ROW.replaceFirst(from, to) + "\n");
+                failure(HEAD + ROW + "\n" + ROW.replaceFirst(from, to) + "\n");
         assertThat(failure).as(name).hasMessage("a.csv:4: " + message);
         assertThat(failure.file()).isEqualTo("a.csv");
         assertThat(failure.line()).isEqualTo(4);
@@ -75,18 +79,23 @@
 
     @Test
     void negativeValueIsNoError() throws CsvFormatException {
-        assertThat(MeasurementFile.parse("a.csv", HEAD + ROW.replace("12.5", "-1") + "\n").get(0).value())
-            .isEqualTo(-1);
+        assertThat(
+                        MeasurementFile.parse("a.csv", HEAD + ROW.replace("12.5", "-1") + "\n")
+                                .get(0)
+                                .value())
+                .isEqualTo(-1);
     }
 
     @Test
     void otherVersionAndOtherHeaderAreRefused() {
         assertThat(failure(HEAD.replace("version 1", "version 2") + ROW + "\n"))
-            .hasMessage("a.csv:1: the first line must be '" + MeasurementFile.VERSION_LINE + "'");
+                .hasMessage(
+                        "a.csv:1: the first line must be '" + MeasurementFile.VERSION_LINE + "'");
         assertThat(failure("")).hasMessageStartingWith("a.csv:1: the first line must be");
         assertThat(failure(MeasurementFile.VERSION_LINE + "\n" + ROW + "\n"))
-            .hasMessageStartingWith("a.csv:2: the header must be 'run,commit,");
-        assertThat(failure(MeasurementFile.VERSION_LINE + "\n")).hasMessageStartingWith("a.csv:2: ");
+                .hasMessageStartingWith("a.csv:2: the header must be 'run,commit,");
+        assertThat(failure(MeasurementFile.VERSION_LINE + "\n"))
+                .hasMessageStartingWith("a.csv:2: ");
     }
 
     /** Cut at any byte, a file is either refused or has only whole rows. */
@@ -100,22 +109,38 @@
                 final List<Measurement> read = MeasurementFile.parse("a.csv", cut);
                 assertThat(read).isEqualTo(rows.subList(0, read.size()));
             } else {
-                assertThatThrownBy(() -> MeasurementFile.parse("a.csv", cut)).as(cut)
-                    .isInstanceOf(CsvFormatException.class).hasMessageStartingWith("a.csv:");
+                assertThatThrownBy(() -> MeasurementFile.parse("a.csv", cut))
+                        .as(cut)
+                        .isInstanceOf(CsvFormatException.class)
+                        .hasMessageStartingWith("a.csv:");
             }
         }
-        assertThat(failure(HEAD + ROW)).hasMessage("a.csv:3: the file is cut: its last line has no end");
+        assertThat(failure(HEAD + ROW))
+                .hasMessage("a.csv:3: the file is cut: its last line has no end");
     }
 
     @Test
     void faultsHaveAFormatOfTheirOwn() throws CsvFormatException {
-        final String head = FaultFile.VERSION_LINE + "\n" + String.join(",", FaultFile.COLUMNS) + "\n";
-        final String text = head + "d1,abc1234,2026-12-02,3,zone-loss,1,seconds_until_back,41.5,false\n";
+        final String head =
+                FaultFile.VERSION_LINE + "\n" + String.join(",", FaultFile.COLUMNS) + "\n";
+        final String text =
+                head + "d1,abc1234,2026-12-02,3,zone-loss,1,seconds_until_back,41.5,false\n";
         assertThat(FaultFile.isOne(text)).isTrue();
         assertThat(FaultFile.isOne(HEAD)).isFalse();
-        assertThat(FaultFile.parse("f.csv", text)).containsExactly(new FaultMeasurement("d1", "abc1234",
-            "2026-12-02", "3", FaultKind.ZONE_LOSS, 1, "seconds_until_back", 41.5, false));
+        assertThat(FaultFile.parse("f.csv", text))
+                .containsExactly(
+                        new FaultMeasurement(
+                                "d1",
+                                "abc1234",
+                                "2026-12-02",
+                                "3",
+                                FaultKind.ZONE_LOSS,
+                                1,
+                                "seconds_until_back",
+                                41.5,
+                                false));
         assertThatThrownBy(() -> FaultFile.parse("f.csv", text.replace("zone-loss", "moon-loss")))
-            .isInstanceOf(CsvFormatException.class).hasMessage("f.csv:3: fault: 'moon-loss' is unknown");
+                .isInstanceOf(CsvFormatException.class)
+                .hasMessage("f.csv:3: fault: 'moon-loss' is unknown");
     }
 }
--- a/src/test/java/cresschute/capacity/Sweep.java
+++ b/src/test/java/cresschute/capacity/Sweep.java
@@ -14,11 +14,27 @@
         double at(Map<Axis, Double> sizes);
     }
 
-    private static final Map<Axis, Double> BASE = Map.of(Axis.WORKERS, 200.0, Axis.RUNNING, 500.0,
-        Axis.STARTS, 50.0, Axis.TENANTS, 10.0, Axis.DISPATCHERS, 3.0, Axis.LIST_CHANGES, 0.0,
-        Axis.SETTINGS_CHANGES, 0.0);
-    private final List<String> lines = new ArrayList<>(List.of(MeasurementFile.VERSION_LINE,
-        String.join(",", MeasurementFile.COLUMNS)));
+    private static final Map<Axis, Double> BASE =
+            Map.of(
+                    Axis.WORKERS,
+                    200.0,
+                    Axis.RUNNING,
+                    500.0,
+                    Axis.STARTS,
+                    50.0,
+                    Axis.TENANTS,
+                    10.0,
+                    Axis.DISPATCHERS,
+                    3.0,
+                    Axis.LIST_CHANGES,
+                    0.0,
+                    Axis.SETTINGS_CHANGES,
+                    0.0);
+    private final List<String> lines =
+            new ArrayList<>(
+                    List.of(
+                            MeasurementFile.VERSION_LINE,
+                            String.join(",", MeasurementFile.COLUMNS)));
     private int run;
 
     /** One row of a measurement along an axis, the others at the base. */
@@ -28,21 +44,43 @@
 
     /** One row at full size, held out. */
     Sweep full(String role, String measure, Function value) {
-        return row(Axis.FULL, true, PlannedSize.OPERATORS.sizes().values(), role, measure, value, false);
+        return row(
+                Axis.FULL,
+                true,
+                PlannedSize.OPERATORS.sizes().values(),
+                role,
+                measure,
+                value,
+                false);
     }
 
     /** One row with all that may be said of it. */
-    Sweep row(String axis, boolean heldOut, Map<Axis, Double> sizes, String role, String measure,
-        Function value, boolean partial) {
+    Sweep row(
+            String axis,
+            boolean heldOut,
+            Map<Axis, Double> sizes,
+            String role,
+            String measure,
+            Function value,
+            boolean partial) {
         final Map<Axis, Double> all = new EnumMap<>(BASE);
         all.putAll(sizes);
-        final StringBuilder line = new StringBuilder(
-            "r" + ++run + ",abc1234,2026-12-02T05:00:00Z,7," + axis + ",1," + heldOut);
+        final StringBuilder line =
+                new StringBuilder(
+                        "r" + ++run + ",abc1234,2026-12-02T05:00:00Z,7," + axis + ",1," + heldOut);
         for (final Axis each : Axis.values()) {
             line.append(',').append(all.get(each));
         }
-        lines.add(line + "," + role + "," + measure + ","
-            + String.format(Locale.ROOT, "%.9f", value.at(all)) + "," + partial);
+        lines.add(
+                line
+                        + ","
+                        + role
+                        + ","
+                        + measure
+                        + ","
+                        + String.format(Locale.ROOT, "%.9f", value.at(all))
+                        + ","
+                        + partial);
         return this;
     }
 
--- a/src/test/java/cresschute/cli/CapacityPageCommandTest.java
+++ b/src/test/java/cresschute/cli/CapacityPageCommandTest.java
@@ -13,15 +13,18 @@
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
 
-/** The page that is kept says what the measurements that are kept say; and how the command ends otherwise. */
+/**
+ * The page that is kept says what the measurements that are kept say; and how the command ends
+ * otherwise.
+ */
 class CapacityPageCommandTest {
 
     private static final Path PAGE = Path.of("docs/CAPACITY.md");
-    private static final String ROW = "r1,abc1234,2026-12-02,7,workers,1,false,%d,500,50,10,3,0,0,dispatcher,"
-        + "cpu_percent,%d,false\n";
+    private static final String ROW =
+            "r1,abc1234,2026-12-02,7,workers,1,false,%d,500,50,10,3,0,0,dispatcher,"
+                    + "cpu_percent,%d,false\n";
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
     private Path page;
 
     private record Ran(int code, String out, String err) {}
@@ -34,22 +37,40 @@
     private static Ran run(String... args) {
         final StringWriter out = new StringWriter();
         final StringWriter err = new StringWriter();
-        final CommandLine line = Commands.line().setOut(new PrintWriter(out, true))
-            .setErr(new PrintWriter(err, true));
+        final CommandLine line =
+                Commands.line()
+                        .setOut(new PrintWriter(out, true))
+                        .setErr(new PrintWriter(err, true));
         return new Ran(line.execute(args), out.toString(), err.toString());
     }
 
     private Ran page(String... more) {
         final String[] args = new String[6 + more.length];
-        System.arraycopy(new String[]{"lab", "capacity-page", "--page", page.toString(), "--measurements",
-            folder.toString()}, 0, args, 0, 6);
+        System.arraycopy(
+                new String[] {
+                    "lab",
+                    "capacity-page",
+                    "--page",
+                    page.toString(),
+                    "--measurements",
+                    folder.toString()
+                },
+                0,
+                args,
+                0,
+                6);
         System.arraycopy(more, 0, args, 6, more.length);
         return run(args);
     }
 
     private void measure(String name, String rows) throws IOException {
-        Files.writeString(folder.resolve(name), MeasurementFile.VERSION_LINE + "\n"
-            + String.join(",", MeasurementFile.COLUMNS) + "\n" + rows);
+        Files.writeString(
+                folder.resolve(name),
+                MeasurementFile.VERSION_LINE
+                        + "\n"
+                        + String.join(",", MeasurementFile.COLUMNS)
+                        + "\n"
+                        + rows);
     }
 
     @Test
@@ -59,24 +80,31 @@
 
     @Test
     void newMeasurementsChangeThePageAndOnlyIts() throws IOException {
-        measure("a.csv", String.format(ROW, 100, 2) + String.format(ROW, 200, 3) + String.format(ROW, 400,
-            5));
+        measure(
+                "a.csv",
+                String.format(ROW, 100, 2)
+                        + String.format(ROW, 200, 3)
+                        + String.format(ROW, 400, 5));
         final String before = Files.readString(page);
         final Ran checked = page("--check");
         assertThat(checked.code()).isEqualTo(1);
-        assertThat(checked.err()).matches(
-            "cresschute: .*page\\.md:\\d+: the page says something else than the measurements\\R");
+        assertThat(checked.err())
+                .matches(
+                        "cresschute: .*page\\.md:\\d+: the page says something else than the"
+                                + " measurements\\R");
         assertThat(Files.readString(page)).isEqualTo(before);
         assertThat(page().code()).isZero();
-        assertThat(Files.readString(page)).contains("| 15 ± 0 (extrapolated) | 100 (one event loop) | 0.15 |")
-            .contains("# Capacity\n");
+        assertThat(Files.readString(page))
+                .contains("| 15 ± 0 (extrapolated) | 100 (one event loop) | 0.15 |")
+                .contains("# Capacity\n");
         assertThat(page("--check").code()).isZero();
     }
 
     @Test
     void editedTableFailsTheCheck() throws IOException {
         assertThat(page().code()).isZero();
-        Files.writeString(page, Files.readString(page).replace("| workers | 1,400 |", "| workers | 1,300 |"));
+        Files.writeString(
+                page, Files.readString(page).replace("| workers | 1,400 |", "| workers | 1,300 |"));
         assertThat(page("--check").code()).isEqualTo(1);
     }
 
@@ -85,13 +113,21 @@
         measure("a.csv", String.format(ROW, -100, 2));
         final Ran ran = page();
         assertThat(ran.code()).isEqualTo(2);
-        assertThat(ran.err()).isEqualTo("cresschute: " + folder.resolve("a.csv")
-            + ":3: workers: '-100' is negative" + System.lineSeparator());
+        assertThat(ran.err())
+                .isEqualTo(
+                        "cresschute: "
+                                + folder.resolve("a.csv")
+                                + ":3: workers: '-100' is negative"
+                                + System.lineSeparator());
         Files.delete(folder.resolve("a.csv"));
         Files.writeString(page, "no markers\n");
         assertThat(page().err()).startsWith("cresschute: " + page + ": no marker for the tables ");
         Files.delete(page);
-        assertThat(page()).isEqualTo(new Ran(2, "",
-            "cresschute: " + page + ": no such file" + System.lineSeparator()));
+        assertThat(page())
+                .isEqualTo(
+                        new Ran(
+                                2,
+                                "",
+                                "cresschute: " + page + ": no such file" + System.lineSeparator()));
     }
 }
--- a/src/test/java/cresschute/cli/CapacityProgramTest.java
+++ b/src/test/java/cresschute/cli/CapacityProgramTest.java
@@ -8,8 +8,8 @@
 
 import com.google.gson.JsonObject;
 import cresschute.ProgramProcess;
-import cresschute.testbed.capacity.MeasurementFile;
 import cresschute.node.Json;
+import cresschute.testbed.capacity.MeasurementFile;
 import java.io.BufferedReader;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -32,11 +32,29 @@
 class CapacityProgramTest {
 
     private static final int DISPATCHERS = 2;
+
     /** Hollow workers, hollow clients and discovery. */
     private static final int PEERS = 3;
-    private static final List<String> SMALL = List.of("lab", "capacity", "--json", "--workers", "40",
-        "--running", "60", "--starts", "60", "--dispatchers", Integer.toString(DISPATCHERS), "--gang", "8",
-        "--list-changes", "2", "--changes-a-day", "86400");
+
+    private static final List<String> SMALL =
+            List.of(
+                    "lab",
+                    "capacity",
+                    "--json",
+                    "--workers",
+                    "40",
+                    "--running",
+                    "60",
+                    "--starts",
+                    "60",
+                    "--dispatchers",
+                    Integer.toString(DISPATCHERS),
+                    "--gang",
+                    "8",
+                    "--list-changes",
+                    "2",
+                    "--changes-a-day",
+                    "86400");
 
     private static Process small(String... more) throws Exception {
         final List<String> arguments = new ArrayList<>(SMALL);
@@ -45,7 +63,8 @@
     }
 
     /** All processes of the experiment, once it measures. */
-    private static List<ProcessHandle> processes(Process experiment, BufferedReader log) throws Exception {
+    private static List<ProcessHandle> processes(Process experiment, BufferedReader log)
+            throws Exception {
         assertThat(lineWith(log, "measured ")).isNotNull();
         final List<ProcessHandle> processes = experiment.descendants().toList();
         assertThat(processes).hasSize(DISPATCHERS + PEERS);
@@ -53,8 +72,9 @@
     }
 
     private static void noneIsLeft(List<ProcessHandle> processes) {
-        Awaitility.await().atMost(Duration.ofSeconds(10))
-            .until(() -> processes.stream().noneMatch(ProcessHandle::isAlive));
+        Awaitility.await()
+                .atMost(Duration.ofSeconds(10))
+                .until(() -> processes.stream().noneMatch(ProcessHandle::isAlive));
     }
 
     private static JsonObject lastLine(BufferedReader out) {
@@ -66,7 +86,8 @@
     void smallExperimentCountsWhatItSawAndLeavesNoProcess(@TempDir Path folder) throws Exception {
         final Path csv = folder.resolve("small.csv");
         final Process experiment = small("--seconds", "3", "--csv", csv.toString());
-        try (BufferedReader log = experiment.errorReader(); BufferedReader out = experiment.inputReader()) {
+        try (BufferedReader log = experiment.errorReader();
+                BufferedReader out = experiment.inputReader()) {
             final List<ProcessHandle> processes = processes(experiment, log);
             log.lines().forEach(later -> {});
             final JsonObject result = lastLine(out);
@@ -87,52 +108,84 @@
         assertThat(result.get("partial").getAsBoolean()).isFalse();
         assertThat(result.get("running").getAsInt()).isPositive();
         assertThat(result.get("starts_per_second").getAsDouble()).isPositive();
-        assertThat(result.getAsJsonObject("urgent_start_ms").keySet()).contains("p50", "p99", "p99.9");
-        assertThat(result.getAsJsonObject("gangs").keySet()).containsExactly("whole", "partly", "none");
-        assertThat(result.get("served_share").getAsDouble() + result.get("refused_share").getAsDouble())
-            .isBetween(0.0, 1.0 + 1e-9);
+        assertThat(result.getAsJsonObject("urgent_start_ms").keySet())
+                .contains("p50", "p99", "p99.9");
+        assertThat(result.getAsJsonObject("gangs").keySet())
+                .containsExactly("whole", "partly", "none");
+        assertThat(
+                        result.get("served_share").getAsDouble()
+                                + result.get("refused_share").getAsDouble())
+                .isBetween(0.0, 1.0 + 1e-9);
         final JsonObject roles = result.getAsJsonObject("roles");
         assertThat(roles.keySet()).containsExactly("dispatcher", "worker", "discovery", "client");
-        roles.entrySet().forEach(role -> assertThat(role.getValue().getAsJsonObject().keySet())
-            .contains("cpu_percent", "memory_mb", "control_bytes_per_second"));
+        roles.entrySet()
+                .forEach(
+                        role ->
+                                assertThat(role.getValue().getAsJsonObject().keySet())
+                                        .contains(
+                                                "cpu_percent",
+                                                "memory_mb",
+                                                "control_bytes_per_second"));
         final JsonObject dispatcher = roles.getAsJsonObject("dispatcher");
-        assertThat(dispatcher.get("control_bytes_per_second").getAsDouble()).isGreaterThanOrEqualTo(
-            dispatcher.get("probe_bytes_per_second").getAsDouble()
-                + dispatcher.get("list_bytes_per_second").getAsDouble()
-                + dispatcher.get("report_bytes_per_second").getAsDouble() - 0.1);
-        assertThat(dispatcher.get("cpu_percent_max").getAsDouble()).isGreaterThanOrEqualTo(
-            dispatcher.get("cpu_percent").getAsDouble());
+        assertThat(dispatcher.get("control_bytes_per_second").getAsDouble())
+                .isGreaterThanOrEqualTo(
+                        dispatcher.get("probe_bytes_per_second").getAsDouble()
+                                + dispatcher.get("list_bytes_per_second").getAsDouble()
+                                + dispatcher.get("report_bytes_per_second").getAsDouble()
+                                - 0.1);
+        assertThat(dispatcher.get("cpu_percent_max").getAsDouble())
+                .isGreaterThanOrEqualTo(dispatcher.get("cpu_percent").getAsDouble());
     }
 
     /** One row for each role and measure, with the size in each. */
     private static void readable(JsonObject result, List<String> lines) {
         assertThat(lines.get(0)).isEqualTo(MeasurementFile.FIRST_LINE);
         assertThat(lines.get(1)).isEqualTo(String.join(",", MeasurementFile.COLUMNS));
-        final List<Map<String, String>> rows = lines.subList(2, lines.size()).stream()
-            .map(line -> row(line.split(",", -1))).toList();
-        assertThat(rows).allMatch(row -> row.get("workers").equals("40") && row.get("running").equals("60")
-            && row.get("axis").equals("none") && row.get("partial").equals("false"));
+        final List<Map<String, String>> rows =
+                lines.subList(2, lines.size()).stream()
+                        .map(line -> row(line.split(",", -1)))
+                        .toList();
+        assertThat(rows)
+                .allMatch(
+                        row ->
+                                row.get("workers").equals("40")
+                                        && row.get("running").equals("60")
+                                        && row.get("axis").equals("none")
+                                        && row.get("partial").equals("false"));
         assertThat(rows.stream().map(row -> row.get("role") + " " + row.get("measure")))
-            .doesNotHaveDuplicates()
-            .contains("dispatcher heap_mb", "dispatcher descriptors", "worker probes_per_second",
-                "discovery calls_per_second", "client urgent_start_p999_ms", "client retries_per_request");
-        assertThat(rows).allSatisfy(row -> assertThat(Double.parseDouble(row.get("value"))).isFinite());
-        final String roles = rows.stream().map(row -> row.get("role")).distinct()
-            .collect(Collectors.joining(","));
+                .doesNotHaveDuplicates()
+                .contains(
+                        "dispatcher heap_mb",
+                        "dispatcher descriptors",
+                        "worker probes_per_second",
+                        "discovery calls_per_second",
+                        "client urgent_start_p999_ms",
+                        "client retries_per_request");
+        assertThat(rows)
+                .allSatisfy(row -> assertThat(Double.parseDouble(row.get("value"))).isFinite());
+        final String roles =
+                rows.stream()
+                        .map(row -> row.get("role"))
+                        .distinct()
+                        .collect(Collectors.joining(","));
         assertThat(roles).isEqualTo(String.join(",", result.getAsJsonObject("roles").keySet()));
     }
 
     private static Map<String, String> row(String[] fields) {
         assertThat(fields).hasSize(MeasurementFile.COLUMNS.size());
-        return MeasurementFile.COLUMNS.stream().collect(Collectors.toMap(name -> name,
-            name -> fields[MeasurementFile.COLUMNS.indexOf(name)]));
+        return MeasurementFile.COLUMNS.stream()
+                .collect(
+                        Collectors.toMap(
+                                name -> name,
+                                name -> fields[MeasurementFile.COLUMNS.indexOf(name)]));
     }
 
     /** Ctrl-C: what was measured until then is told as partial, and nothing goes on. */
     @Test
     void interruptedExperimentTellsWhatItMeasured() throws Exception {
         final Process experiment = small("--seconds", "600");
-        try (BufferedReader log = experiment.errorReader(); BufferedReader out = experiment.inputReader()) {
+        try (BufferedReader log = experiment.errorReader();
+                BufferedReader out = experiment.inputReader()) {
             final List<ProcessHandle> processes = processes(experiment, log);
             signal(experiment, "INT");
             final JsonObject result = lastLine(out);
@@ -150,12 +203,13 @@
     @Test
     void deathOfTheHollowWorkersEndsTheExperiment() throws Exception {
         final Process experiment = small("--seconds", "600");
-        try (BufferedReader log = experiment.errorReader(); BufferedReader out = experiment.inputReader()) {
+        try (BufferedReader log = experiment.errorReader();
+                BufferedReader out = experiment.inputReader()) {
             final List<ProcessHandle> processes = processes(experiment, log);
             assertThat(lineWith(log, "measured ")).isNotNull();
             for (final ProcessHandle each : processes) {
                 if (Files.readString(Path.of("/proc", Long.toString(each.pid()), "cmdline"))
-                    .contains("\0WORKERS\0")) {
+                        .contains("\0WORKERS\0")) {
                     each.destroyForcibly();
                 }
             }
@@ -164,9 +218,9 @@
             noneIsLeft(processes);
             assertThat(result.get("partial").getAsBoolean()).isTrue();
             assertThat(result.get("partial_because").getAsString())
-                .startsWith("the process of the hollow workers ended");
+                    .startsWith("the process of the hollow workers ended");
             assertThat(result.getAsJsonObject("roles").getAsJsonObject("dispatcher").keySet())
-                .contains("cpu_percent");
+                    .contains("cpu_percent");
         } finally {
             experiment.destroyForcibly();
         }
--- a/src/test/java/cresschute/cli/CommandsTest.java
+++ b/src/test/java/cresschute/cli/CommandsTest.java
@@ -28,44 +28,49 @@
     private static Ran run(String... args) {
         final StringWriter out = new StringWriter();
         final StringWriter err = new StringWriter();
-        final CommandLine line = Commands.line().setOut(new PrintWriter(out, true))
-            .setErr(new PrintWriter(err, true));
+        final CommandLine line =
+                Commands.line()
+                        .setOut(new PrintWriter(out, true))
+                        .setErr(new PrintWriter(err, true));
         final int code = line.execute(args);
         return new Ran(code, out.toString(), err.toString());
     }
 
     /** Words that cannot be used: one line with a hint, and 2. */
     @ParameterizedTest
-    @CsvSource(delimiter = '|', textBlock = """
-                                    | no command is given; try 'cresschute --help'
-        frobnicate                  | Unmatched argument at index 0: 'frobnicate'; try 'cresschute --help'
-        serve --setings x           | Unknown options: '--setings', 'x'; try 'cresschute serve --help'
-        serve --settings            | Missing required parameter for option '--settings' (FILE); try 'cresschute serve --help'
-        serve -x                    | Unknown option: '-x'; try 'cresschute serve --help'
-        check                       | no FILE is given; try 'cresschute check --help'
-        check a b                   | Unmatched argument at index 2: 'b'; try 'cresschute check --help'
-        demo --workers 0            | --workers: 0 is out of range; allowed: 1 to 1024; try 'cresschute demo --help'
-        demo --workers many         | Invalid value for option '--workers': 'many' is not an int; try 'cresschute demo --help'
-        demo --rate 0               | --rate: 0.0 is out of range; allowed: above 0, up to 2000; try 'cresschute demo --help'
-        demo --rate NaN             | --rate: NaN is out of range; allowed: above 0, up to 2000; try 'cresschute demo --help'
-        demo --for 5                | --for: '5' is no duration; allowed: a number and ms, s or m, such as 500ms; try 'cresschute demo --help'
-        demo --for 0s               | --for: '0s' is out of range; allowed: up to 60m; try 'cresschute demo --help'
-        demo --trouble slow:w9@1s   | --trouble: no worker is called 'w9'; there are w1 to w8; try 'cresschute demo --help'
-        lab capacity --workers -3   | --workers: -3 is out of range; allowed: 1 to 10000; try 'cresschute lab capacity --help'
-        lab capacity --workers 10001 | --workers: 10001 is out of range; allowed: 1 to 10000; try 'cresschute lab capacity --help'
-        lab capacity --workers many | Invalid value for option '--workers': 'many' is not an int; try 'cresschute lab capacity --help'
-        lab capacity --zones 1      | --zones: 1 zones cannot make 2 regions: a zone belongs to one region; try 'cresschute lab capacity --help'
-        lab capacity --tenants 0    | --tenants: 0 is out of range; allowed: 1 to 1000; try 'cresschute lab capacity --help'
-        lab capacity --dispatchers 8 | --dispatchers: 8 is out of range; allowed: 1 to 7; try 'cresschute lab capacity --help'
-        lab capacity --starts NaN   | --starts: NaN is out of range; allowed: 0.1 to 5000; try 'cresschute lab capacity --help'
-        lab capacity --starts 1     | --running: 9100 at 1 starts a second are jobs of 9100 s; allowed: 0.1 to 120 s; try 'cresschute lab capacity --help'
-        lab capacity --gang -1      | --gang: -1 is out of range; allowed: 0 to 1024; try 'cresschute lab capacity --help'
-        lab capacity --seconds 0    | --seconds: 0 is out of range; allowed: 1 to 900; try 'cresschute lab capacity --help'
-        lab capacity --memory-mb 8  | --memory-mb: 8 is out of range; allowed: 160 to 4096; try 'cresschute lab capacity --help'
-        lab capacity --repetitions 0 | --repetitions: 0 is out of range; allowed: 1 to 100; try 'cresschute lab capacity --help'
-        lab capacity --sweep speed  | --sweep: 'speed' is no axis; allowed: workers, running, starts, tenants, dispatchers, list-changes, settings-changes, all; try 'cresschute lab capacity --help'
-        lab capacity --csv no/x.csv | --csv: there is no folder no; try 'cresschute lab capacity --help'
-        """)
+    @CsvSource(
+            delimiter = '|',
+            textBlock =
+                    """
+                                                | no command is given; try 'cresschute --help'
+                    frobnicate                  | Unmatched argument at index 0: 'frobnicate'; try 'cresschute --help'
+                    serve --setings x           | Unknown options: '--setings', 'x'; try 'cresschute serve --help'
+                    serve --settings            | Missing required parameter for option '--settings' (FILE); try 'cresschute serve --help'
+                    serve -x                    | Unknown option: '-x'; try 'cresschute serve --help'
+                    check                       | no FILE is given; try 'cresschute check --help'
+                    check a b                   | Unmatched argument at index 2: 'b'; try 'cresschute check --help'
+                    demo --workers 0            | --workers: 0 is out of range; allowed: 1 to 1024; try 'cresschute demo --help'
+                    demo --workers many         | Invalid value for option '--workers': 'many' is not an int; try 'cresschute demo --help'
+                    demo --rate 0               | --rate: 0.0 is out of range; allowed: above 0, up to 2000; try 'cresschute demo --help'
+                    demo --rate NaN             | --rate: NaN is out of range; allowed: above 0, up to 2000; try 'cresschute demo --help'
+                    demo --for 5                | --for: '5' is no duration; allowed: a number and ms, s or m, such as 500ms; try 'cresschute demo --help'
+                    demo --for 0s               | --for: '0s' is out of range; allowed: up to 60m; try 'cresschute demo --help'
+                    demo --trouble slow:w9@1s   | --trouble: no worker is called 'w9'; there are w1 to w8; try 'cresschute demo --help'
+                    lab capacity --workers -3   | --workers: -3 is out of range; allowed: 1 to 10000; try 'cresschute lab capacity --help'
+                    lab capacity --workers 10001 | --workers: 10001 is out of range; allowed: 1 to 10000; try 'cresschute lab capacity --help'
+                    lab capacity --workers many | Invalid value for option '--workers': 'many' is not an int; try 'cresschute lab capacity --help'
+                    lab capacity --zones 1      | --zones: 1 zones cannot make 2 regions: a zone belongs to one region; try 'cresschute lab capacity --help'
+                    lab capacity --tenants 0    | --tenants: 0 is out of range; allowed: 1 to 1000; try 'cresschute lab capacity --help'
+                    lab capacity --dispatchers 8 | --dispatchers: 8 is out of range; allowed: 1 to 7; try 'cresschute lab capacity --help'
+                    lab capacity --starts NaN   | --starts: NaN is out of range; allowed: 0.1 to 5000; try 'cresschute lab capacity --help'
+                    lab capacity --starts 1     | --running: 9100 at 1 starts a second are jobs of 9100 s; allowed: 0.1 to 120 s; try 'cresschute lab capacity --help'
+                    lab capacity --gang -1      | --gang: -1 is out of range; allowed: 0 to 1024; try 'cresschute lab capacity --help'
+                    lab capacity --seconds 0    | --seconds: 0 is out of range; allowed: 1 to 900; try 'cresschute lab capacity --help'
+                    lab capacity --memory-mb 8  | --memory-mb: 8 is out of range; allowed: 160 to 4096; try 'cresschute lab capacity --help'
+                    lab capacity --repetitions 0 | --repetitions: 0 is out of range; allowed: 1 to 100; try 'cresschute lab capacity --help'
+                    lab capacity --sweep speed  | --sweep: 'speed' is no axis; allowed: workers, running, starts, tenants, dispatchers, list-changes, settings-changes, all; try 'cresschute lab capacity --help'
+                    lab capacity --csv no/x.csv | --csv: there is no folder no; try 'cresschute lab capacity --help'
+                    """)
     void unusableWordsAreToldInOneLine(String words, String message) {
         final Ran ran = run(words == null ? new String[0] : words.split(" +"));
         assertThat(ran.err()).isEqualTo("cresschute: " + message + System.lineSeparator());
@@ -84,19 +89,24 @@
     @Test
     void versionIsToldInBothForms() {
         assertThat(run("version").out()).startsWith("cresschute ").contains(" on Java 17");
-        assertThat(Json.object(run("version", "--json").out()).keySet()).containsExactly("version", "java");
+        assertThat(Json.object(run("version", "--json").out()).keySet())
+                .containsExactly("version", "java");
     }
 
     @Test
     void completionIsAScriptThatNamesEveryCommand() {
-        assertThat(run("completion").out()).contains("complete -F").contains("demo").contains("--trouble");
+        assertThat(run("completion").out())
+                .contains("complete -F")
+                .contains("demo")
+                .contains("--trouble");
     }
 
     @Test
     void soundFileIsToldInBothForms() {
-        assertThat(run("check", SAMPLE)).isEqualTo(new Ran(0, SAMPLE + ": 3 classes, 4 workers, no errors\n",
-            ""));
-        assertThat(run("check", "--show", SAMPLE).out()).startsWith("node(\n    name = \"desk-1\",\n");
+        assertThat(run("check", SAMPLE))
+                .isEqualTo(new Ran(0, SAMPLE + ": 3 classes, 4 workers, no errors\n", ""));
+        assertThat(run("check", "--show", SAMPLE).out())
+                .startsWith("node(\n    name = \"desk-1\",\n");
         final JsonObject json = Json.object(run("check", "--json", "--show", SAMPLE).out());
         assertThat(json.get("valid").getAsBoolean()).isTrue();
         assertThat(json.getAsJsonArray("errors")).isEmpty();
@@ -109,38 +119,59 @@
         Files.writeString(file, "node(name = \"n\")\nlimits(attemps = 2)\n");
         final Ran ran = run("check", file.toString());
         assertThat(ran.code()).isEqualTo(1);
-        assertThat(ran.err().lines()).contains(
-            file + ":1:1: node: listen is missing; required: an IP address with a port, such as "
-                + "\"127.0.0.1:9000\"",
-            file + ":2:18: limits has no field 'attemps'; did you mean 'attempts'?");
+        assertThat(ran.err().lines())
+                .contains(
+                        file
+                                + ":1:1: node: listen is missing; required: an IP address with a"
+                                + " port, such as \"127.0.0.1:9000\"",
+                        file + ":2:18: limits has no field 'attemps'; did you mean 'attempts'?");
         final Ran json = run("check", "--json", file.toString());
         assertThat(json.code()).isEqualTo(1);
-        final JsonObject error = Json.object(json.out()).getAsJsonArray("errors").get(3).getAsJsonObject();
-        assertThat(error.toString()).isEqualTo("{\"line\":2,\"column\":18,\"message\":"
-            + "\"limits has no field 'attemps'; did you mean 'attempts'?\"}");
+        final JsonObject error =
+                Json.object(json.out()).getAsJsonArray("errors").get(3).getAsJsonObject();
+        assertThat(error.toString())
+                .isEqualTo(
+                        "{\"line\":2,\"column\":18,\"message\":"
+                                + "\"limits has no field 'attemps'; did you mean 'attempts'?\"}");
     }
 
     @Test
     void missingFileIsToldInOneLine() {
-        assertThat(run("check", "none.star")).isEqualTo(new Ran(2, "",
-            "cresschute: cannot read none.star: there is no such file\n"));
-        assertThat(run("serve", "--settings", "none.star")).isEqualTo(new Ran(2, "",
-            "cresschute: cannot read none.star: there is no such file\n"));
+        assertThat(run("check", "none.star"))
+                .isEqualTo(
+                        new Ran(
+                                2,
+                                "",
+                                "cresschute: cannot read none.star: there is no such file\n"));
+        assertThat(run("serve", "--settings", "none.star"))
+                .isEqualTo(
+                        new Ran(
+                                2,
+                                "",
+                                "cresschute: cannot read none.star: there is no such file\n"));
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', nullValues = "-", textBlock = """
-        -   | -    | -     | true  | 80 | false
-        40  | xterm | -    | true  | 40 | true
-        20  | xterm | -    | true  | 40 | true
-        100 | xterm | 1    | true  | 100 | false
-        100 | xterm | -    | false | 100 | false
-        100 | dumb | -     | true  | 100 | false
-        x   | -    | -     | false | 80 | false
-        """)
-    void screenIsReadFromTheEnvironment(String columns, String term, String noColor, boolean terminal,
-        int width,
-        boolean color) {
+    @CsvSource(
+            delimiter = '|',
+            nullValues = "-",
+            textBlock =
+                    """
+                    -   | -    | -     | true  | 80 | false
+                    40  | xterm | -    | true  | 40 | true
+                    20  | xterm | -    | true  | 40 | true
+                    100 | xterm | 1    | true  | 100 | false
+                    100 | xterm | -    | false | 100 | false
+                    100 | dumb | -     | true  | 100 | false
+                    x   | -    | -     | false | 80 | false
+                    """)
+    void screenIsReadFromTheEnvironment(
+            String columns,
+            String term,
+            String noColor,
+            boolean terminal,
+            int width,
+            boolean color) {
         final Map<String, String> environment = new HashMap<>();
         environment.put("COLUMNS", columns == null ? "80" : columns);
         if (term != null) {
--- a/src/test/java/cresschute/cli/ConsoleProgramTest.java
+++ b/src/test/java/cresschute/cli/ConsoleProgramTest.java
@@ -5,11 +5,11 @@
 import com.google.gson.JsonObject;
 import cresschute.ControlPeer;
 import cresschute.ProgramProcess;
+import cresschute.node.Json;
 import cresschute.testbed.Fleet;
 import cresschute.testbed.FleetReport;
 import cresschute.testbed.InjectedFault;
 import cresschute.testbed.LargeFleet;
-import cresschute.node.Json;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.io.StringWriter;
@@ -33,12 +33,13 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import picocli.CommandLine;
 
-/** The person at the terminal: a screen on a pseudo-terminal, commands, and nodes that are killed. */
+/**
+ * The person at the terminal: a screen on a pseudo-terminal, commands, and nodes that are killed.
+ */
 @Timeout(120)
 class ConsoleProgramTest {
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
     private Path socket;
 
     @BeforeEach
@@ -47,19 +48,23 @@
     }
 
     private static List<String> program(String... args) {
-        return ProgramProcess.command(List.of("-ea", "-XX:TieredStopAtLevel=1", "-XX:+UseSerialGC"), args);
+        return ProgramProcess.command(
+                List.of("-ea", "-XX:TieredStopAtLevel=1", "-XX:+UseSerialGC"), args);
     }
 
     private Fleet fleet(String troubles) {
-        final Fleet fleet = new Fleet(new Fleet.Plan(5, 15, 1, InjectedFault.parse(troubles), socket.toString(),
-            null));
+        final Fleet fleet =
+                new Fleet(
+                        new Fleet.Plan(
+                                5, 15, 1, InjectedFault.parse(troubles), socket.toString(), null));
         fleet.start();
         return fleet;
     }
 
-    private VirtualScreen console(int columns, int rows, Map<String, String> environment) throws IOException {
-        return new VirtualScreen(columns, rows, environment, program("console", "--socket",
-            socket.toString()));
+    private VirtualScreen console(int columns, int rows, Map<String, String> environment)
+            throws IOException {
+        return new VirtualScreen(
+                columns, rows, environment, program("console", "--socket", socket.toString()));
     }
 
     private JsonObject worker(String id) throws IOException {
@@ -76,20 +81,25 @@
     }
 
     private static String row(VirtualScreen screen, String worker) {
-        return screen.lines().stream().filter(each -> each.length() > 1
-            && each.substring(1).startsWith(worker + " ")).findFirst().orElse("");
+        return screen.lines().stream()
+                .filter(each -> each.length() > 1 && each.substring(1).startsWith(worker + " "))
+                .findFirst()
+                .orElse("");
     }
 
     /**
-     * The whole session: look, drain the worker that was chosen, be cut off, come back, undo, leave. The
-     * drain holds within 400 ms of the node's taking it, as the workers saw it, and all others go on.
+     * The whole session: look, drain the worker that was chosen, be cut off, come back, undo,
+     * leave. The drain holds within 400 ms of the node's taking it, as the workers saw it, and all
+     * others go on.
      */
     @Test
     void sessionAtATerminalDrainsWhatItMeant() throws Exception {
         try (Fleet fleet = fleet("")) {
             try (VirtualScreen screen = console(80, 24, Map.of("USER", "wanjiru"))) {
                 screen.await("LIVE");
-                screen.await("all workers at work", text -> text.contains("w5 ") && !text.contains("  0.0 "));
+                screen.await(
+                        "all workers at work",
+                        text -> text.contains("w5 ") && !text.contains("  0.0 "));
                 screen.type("jj");
                 screen.await("the cursor on w3", text -> row(screen, "w3").startsWith(">"));
                 screen.type("d");
@@ -108,16 +118,21 @@
                 screen.type("jj");
                 screen.await("drained by wanjiru");
                 final Set<String> busy = new HashSet<>();
-                screen.await("work at all others", text -> {
-                    busy.addAll(fleet.sends(drainedUs + 400_000, Long.MAX_VALUE).keySet());
-                    return busy.size() >= 4;
-                });
+                screen.await(
+                        "work at all others",
+                        text -> {
+                            busy.addAll(fleet.sends(drainedUs + 400_000, Long.MAX_VALUE).keySet());
+                            return busy.size() >= 4;
+                        });
                 assertThat(busy).containsExactlyInAnyOrder("w1", "w2", "w4", "w5");
                 fleet.undrained("w3");
                 screen.type("u");
                 screen.await("w3 takes work again");
-                screen.await("it at work", text -> row(screen, "w3").contains("taking")
-                    || row(screen, "w3").contains("full"));
+                screen.await(
+                        "it at work",
+                        text ->
+                                row(screen, "w3").contains("taking")
+                                        || row(screen, "w3").contains("full"));
                 screen.type("q");
                 assertThat(screen.exitCode()).isZero();
             }
@@ -143,7 +158,10 @@
         }
     }
 
-    /** The node goes away and another run of it comes: old figures are not shown as new, then all is live. */
+    /**
+     * The node goes away and another run of it comes: old figures are not shown as new, then all is
+     * live.
+     */
     @Test
     void screenTellsThatItsPictureIsOldAndComesBack() throws Exception {
         try (VirtualScreen screen = console(40, 12, Map.of("NO_COLOR", "1"))) {
@@ -169,11 +187,14 @@
         }
     }
 
-    /** A thousand workers, 200 of which change in a second: the one that is meant is found and drained. */
+    /**
+     * A thousand workers, 200 of which change in a second: the one that is meant is found and
+     * drained.
+     */
     @Test
     void oneOfAThousandIsDrainedWhileTheListChangesUnderTheScreen() throws Exception {
         try (LargeFleet site = new LargeFleet(1_000, 1, socket);
-            VirtualScreen screen = console(100, 30, Map.of())) {
+                VirtualScreen screen = console(100, 30, Map.of())) {
             screen.await("1/1000");
             site.churn(200);
             screen.type("s");
@@ -181,8 +202,9 @@
             screen.type("/w512");
             screen.await("/w512_");
             screen.type("\r");
-            screen.await("w512 alone", text -> row(screen, "w512").startsWith(">")
-                && row(screen, "w513").isEmpty());
+            screen.await(
+                    "w512 alone",
+                    text -> row(screen, "w512").startsWith(">") && row(screen, "w513").isEmpty());
             screen.type("d");
             screen.await("Drain w512? ");
             screen.type("y");
@@ -215,48 +237,71 @@
         all.addAll(List.of("--socket", socket.toString()));
         final StringWriter out = new StringWriter();
         final StringWriter err = new StringWriter();
-        final CommandLine line = Commands.line().setOut(new PrintWriter(out, true))
-            .setErr(new PrintWriter(err, true));
-        return new Ran(line.execute(all.toArray(String[]::new)), out.toString().strip(),
-            err.toString().strip());
+        final CommandLine line =
+                Commands.line()
+                        .setOut(new PrintWriter(out, true))
+                        .setErr(new PrintWriter(err, true));
+        return new Ran(
+                line.execute(all.toArray(String[]::new)),
+                out.toString().strip(),
+                err.toString().strip());
     }
 
     @Test
     void commandsDrainAndShow() {
         try (Fleet fleet = fleet("")) {
             assertThat(run("workers").out().lines().map(each -> each.split(" +")[0]))
-                .containsExactly("WORKER", "w1", "w2", "w3", "w4", "w5");
+                    .containsExactly("WORKER", "w1", "w2", "w3", "w4", "w5");
             final JsonObject picture = Json.object(run("workers", "--json").out());
             assertThat(picture.keySet()).containsExactly("node", "workers", "classes");
             final Ran drain = run("drain", "w2", "--for", "2h", "--reason", "disk", "--wait");
             assertThat(drain.code()).isZero();
-            assertThat(drain.out()).matches("(?s)w2 is draining; [0-9]+ still out\\s+"
-                + "w2: nothing is out there any more");
+            assertThat(drain.out())
+                    .matches(
+                            "(?s)w2 is draining; [0-9]+ still out\\s+"
+                                    + "w2: nothing is out there any more");
             assertThat(run("drain", "w2").out()).startsWith("w2: drained by ").endsWith(": disk");
             assertThat(run("drain", "w2").code()).isZero();
-            assertThat(run("drain", "w9")).isEqualTo(new Ran(1, "",
-                "cresschute: no worker is called w9; --force drains it anyway"));
+            assertThat(run("drain", "w9"))
+                    .isEqualTo(
+                            new Ran(
+                                    1,
+                                    "",
+                                    "cresschute: no worker is called w9; --force drains it"
+                                            + " anyway"));
             assertThat(run("undrain", "w2", "--operation", "u1").out())
-                .isEqualTo("w2 is no longer drained by an operator");
+                    .isEqualTo("w2 is no longer drained by an operator");
             assertThat(run("undrain", "w2").out()).isEqualTo("w2: not drained by an operator");
-            assertThat(Json.object(run("undrain", "w2", "--operation", "u1", "--json").out()).get("outcome")
-                .getAsString()).isEqualTo("done");
-            assertThat(run("events").out()).contains("w2 drained by ", ": disk", "w2 no longer drained by ");
-            assertThat(run("events", "--json").out().lines().map(Json::object)
-                .map(each -> each.get("kind").getAsString())).contains("drained", "undrained");
+            assertThat(
+                            Json.object(run("undrain", "w2", "--operation", "u1", "--json").out())
+                                    .get("outcome")
+                                    .getAsString())
+                    .isEqualTo("done");
+            assertThat(run("events").out())
+                    .contains("w2 drained by ", ": disk", "w2 no longer drained by ");
+            assertThat(
+                            run("events", "--json")
+                                    .out()
+                                    .lines()
+                                    .map(Json::object)
+                                    .map(each -> each.get("kind").getAsString()))
+                    .contains("drained", "undrained");
             sound(fleet);
         }
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', textBlock = """
-        drain                | Missing required parameter: 'WORKER'; try 'cresschute drain --help'
-        drain w1 --for soon  | --for: 'soon' is no time; allowed: a whole number and ms, s, m, h or d, such as 2h; try 'cresschute drain --help'
-        drain w1 --for 0s    | --for: '0s' is no time; allowed: a whole number and ms, s, m, h or d, such as 2h; try 'cresschute drain --help'
-        drain w1             | no node answers at
-        workers              | no node answers at
-        events               | no node answers at
-        """)
+    @CsvSource(
+            delimiter = '|',
+            textBlock =
+                    """
+                    drain                | Missing required parameter: 'WORKER'; try 'cresschute drain --help'
+                    drain w1 --for soon  | --for: 'soon' is no time; allowed: a whole number and ms, s, m, h or d, such as 2h; try 'cresschute drain --help'
+                    drain w1 --for 0s    | --for: '0s' is no time; allowed: a whole number and ms, s, m, h or d, such as 2h; try 'cresschute drain --help'
+                    drain w1             | no node answers at
+                    workers              | no node answers at
+                    events               | no node answers at
+                    """)
     void wrongWordsAndAbsentNodesAreTold(String words, String message) {
         final Ran ran = run(words.split(" "));
         assertThat(ran.err()).startsWith("cresschute: " + message);
@@ -266,8 +311,10 @@
     @Test
     void socketMustBeNamed() {
         final StringWriter err = new StringWriter();
-        final int code = Commands.line().setErr(new PrintWriter(err, true)).execute("workers", "--settings",
-            "deploy/appliance.star");
+        final int code =
+                Commands.line()
+                        .setErr(new PrintWriter(err, true))
+                        .execute("workers", "--settings", "deploy/appliance.star");
         assertThat(err.toString()).contains("states no control(socket = ...)");
         assertThat(code).isEqualTo(2);
     }
@@ -275,39 +322,52 @@
     // ---- Kills ----
 
     private ProgramProcess serve(Path script) throws Exception {
-        final ProgramProcess node = ProgramProcess.start(new ProcessBuilder(program("serve", "--settings",
-            script.toString())));
+        final ProgramProcess node =
+                ProgramProcess.start(
+                        new ProcessBuilder(program("serve", "--settings", script.toString())));
         node.awaitLine(" listens on ");
         return node;
     }
 
     /**
-     * Killed at once after the drain was confirmed, or after it was asked for: a confirmed drain is there at
-     * the next start, before the first req, and asking for it again has no second effect either way.
+     * Killed at once after the drain was confirmed, or after it was asked for: a confirmed drain is
+     * there at the next start, before the first req, and asking for it again has no second effect
+     * either way.
      */
     @Test
     void killedNodeKeepsWhatItConfirmed() throws Exception {
         final Path script = folder.resolve("site.star");
         try (ServerSocket w1 = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-            ServerSocket w2 = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
+                ServerSocket w2 = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             final int port;
             try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
                 port = free.getLocalPort();
             }
-            Files.writeString(script, """
-                node(name = "n", listen = "127.0.0.1:%d", seed = 3)
-                worker(id = "w1", address = "127.0.0.1:%d")
-                worker(id = "w2", address = "127.0.0.1:%d")
-                job_class(name = "check", worth = 1, aim = 1 * s, deadline = 5 * s, effect = "safe")
-                control(socket = "%s")
-                state(folder = "%s")
-                """.formatted(port, w1.getLocalPort(), w2.getLocalPort(), socket, folder.resolve("state")));
+            Files.writeString(
+                    script,
+                    """
+                    node(name = "n", listen = "127.0.0.1:%d", seed = 3)
+                    worker(id = "w1", address = "127.0.0.1:%d")
+                    worker(id = "w2", address = "127.0.0.1:%d")
+                    job_class(name = "check", worth = 1, aim = 1 * s, deadline = 5 * s, effect = "safe")
+                    control(socket = "%s")
+                    state(folder = "%s")
+                    """
+                            .formatted(
+                                    port,
+                                    w1.getLocalPort(),
+                                    w2.getLocalPort(),
+                                    socket,
+                                    folder.resolve("state")));
             for (int round = 0; round < 4; round++) {
                 final String op = "round-" + round;
                 final boolean confirmed = round % 2 == 0;
                 final ProgramProcess first = serve(script);
                 try (ControlPeer peer = new ControlPeer(socket)) {
-                    peer.write("{\"v\":1,\"id\":\"1\"," + ControlPeer.operation("drain", op, "w1") + "}\n");
+                    peer.write(
+                            "{\"v\":1,\"id\":\"1\","
+                                    + ControlPeer.operation("drain", op, "w1")
+                                    + "}\n");
                     if (confirmed) {
                         assertThat(peer.read().get("outcome").getAsString()).isEqualTo("done");
                     }
@@ -339,9 +399,14 @@
             try (Socket client = new Socket()) {
                 client.setSoTimeout(8_000);
                 client.connect(new InetSocketAddress("127.0.0.1", port));
-                client.getOutputStream().write(("POST /check HTTP/1.1\r\nHost: n\r\nX-Request-Id: r" + i
-                    + "\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
-                    .getBytes(StandardCharsets.US_ASCII));
+                client.getOutputStream()
+                        .write(
+                                ("POST /check HTTP/1.1\r\nHost: n\r\nX-Request-Id: r"
+                                                + i
+                                                + "\r\n"
+                                                + "Connection: close\r\n"
+                                                + "Content-Length: 0\r\n\r\n")
+                                        .getBytes(StandardCharsets.US_ASCII));
                 worker.setSoTimeout(8_000);
                 try (Socket backend = worker.accept()) {
                     backend.setSoTimeout(8_000);
@@ -349,11 +414,20 @@
                     while (head.indexOf("\r\n\r\n") < 0) {
                         head.append((char) backend.getInputStream().read());
                     }
-                    final String line = "{\"id\":\"r" + i + "\",\"state\":\"done\",\"result\":\"yes\"}\n";
-                    backend.getOutputStream().write(("HTTP/1.1 200 OK\r\nContent-Length: " + line.length()
-                        + "\r\nConnection: close\r\n\r\n" + line).getBytes(StandardCharsets.US_ASCII));
-                    assertThat(new String(client.getInputStream().readAllBytes(), StandardCharsets.UTF_8))
-                        .endsWith("yes");
+                    final String line =
+                            "{\"id\":\"r" + i + "\",\"state\":\"done\",\"result\":\"yes\"}\n";
+                    backend.getOutputStream()
+                            .write(
+                                    ("HTTP/1.1 200 OK\r\nContent-Length: "
+                                                    + line.length()
+                                                    + "\r\nConnection: close\r\n\r\n"
+                                                    + line)
+                                            .getBytes(StandardCharsets.US_ASCII));
+                    assertThat(
+                                    new String(
+                                            client.getInputStream().readAllBytes(),
+                                            StandardCharsets.UTF_8))
+                            .endsWith("yes");
                 }
             }
         }
--- a/src/test/java/cresschute/cli/ProgramTest.java
+++ b/src/test/java/cresschute/cli/ProgramTest.java
@@ -32,6 +32,7 @@
 
     /** The words before the JVM's options on a command line: {@code env}, its option, the JVM. */
     private static final int OPTIONS_AT = 3;
+
     private static final int SOCKET_WAIT_MS = 20_000;
 
     private static ServerSocket listen() throws IOException {
@@ -42,18 +43,29 @@
 
     private static String script(int port, int worker, String logs) {
         return """
-            node(name = "n", listen = "127.0.0.1:%d", seed = 3)
-            worker(id = "w1", address = "127.0.0.1:%d")
-            job_class(name = "check", worth = 1, aim = 1 * s, deadline = 5 * s, effect = "safe")
-            logs(%s)
-            """.formatted(port, worker, logs);
+        node(name = "n", listen = "127.0.0.1:%d", seed = 3)
+        worker(id = "w1", address = "127.0.0.1:%d")
+        job_class(name = "check", worth = 1, aim = 1 * s, deadline = 5 * s, effect = "safe")
+        logs(%s)
+        """
+                .formatted(port, worker, logs);
     }
 
     /** The verdict of a seed is the same every time, and a program can read it. */
     @Test
     void demoKeepsAllRulesWithSeedOne() throws Exception {
-        final Process demo = start(program("demo", "--for", "3s", "--seed", "1", "--json", "--trouble",
-            "slow@500ms,reset@1s").redirectError(ProcessBuilder.Redirect.DISCARD));
+        final Process demo =
+                start(
+                        program(
+                                        "demo",
+                                        "--for",
+                                        "3s",
+                                        "--seed",
+                                        "1",
+                                        "--json",
+                                        "--trouble",
+                                        "slow@500ms,reset@1s")
+                                .redirectError(ProcessBuilder.Redirect.DISCARD));
         final String out = new String(demo.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         assertThat(ProgramProcess.exitCode(demo)).isZero();
         final JsonObject json = Json.object(out);
@@ -68,7 +80,8 @@
         final ProcessBuilder builder = program("demo", "--for", "10m", "--rate", "50", "--verbose");
         builder.environment().putAll(Map.of("COLUMNS", "40", "NO_COLOR", "1"));
         final Process demo = start(builder);
-        try (BufferedReader log = demo.errorReader(); BufferedReader out = demo.inputReader()) {
+        try (BufferedReader log = demo.errorReader();
+                BufferedReader out = demo.inputReader()) {
             assertThat(lineWith(log, "listens on")).isNotNull();
             signal(demo, "INT");
             final List<String> lines = out.lines().toList();
@@ -86,13 +99,14 @@
     void servesByAScriptAndRereadsIt(@TempDir Path folder) throws Exception {
         final Path file = folder.resolve("site.star");
         try (ServerSocket worker = listen()) {
-            Files.writeString(file, script(0, worker.getLocalPort(), "format = \"json\", level = \"debug\""));
+            Files.writeString(
+                    file, script(0, worker.getLocalPort(), "format = \"json\", level = \"debug\""));
             final Process node = start(program("serve", "--settings", file.toString()));
             try (BufferedReader log = node.errorReader()) {
                 final JsonObject listening = Json.object(lineWith(log, "\"listening\""));
-                assertThat(listening.keySet()).containsExactly("time", "message", "logger", "level", "event",
-                    "node",
-                    "address");
+                assertThat(listening.keySet())
+                        .containsExactly(
+                                "time", "message", "logger", "level", "event", "node", "address");
                 final String address = listening.get("address").getAsString();
                 serveOne(address, worker);
                 final JsonObject fetch = Json.object(lineWith(log, "\"fetch_ended\""));
@@ -102,17 +116,23 @@
                 assertThat(answered.get("class").getAsString()).isEqualTo("check");
                 assertThat(answered.get("outcome").getAsString()).isEqualTo("served");
                 assertThat(answered.get("fetches").getAsInt()).isEqualTo(1);
-                // Half written: it is refused whole, with the place of what is wrong, and all goes on.
+                // Half written: it is refused whole, with the place of what is wrong, and all goes
+                // on.
                 Files.writeString(file, "node(name = \"n\", listen = \"127.0.0.1:0\"\nworker(");
                 signal(node, "HUP");
-                assertThat(Json.object(lineWith(log, "\"reload_refused\"")).get("detail").getAsString())
-                    .isEqualTo(file + ":2:7: this '(' is never closed");
+                assertThat(
+                                Json.object(lineWith(log, "\"reload_refused\""))
+                                        .get("detail")
+                                        .getAsString())
+                        .isEqualTo(file + ":2:7: this '(' is never closed");
                 // A class that changes is in force for new reqs from the reload on.
-                Files.writeString(file, script(0, worker.getLocalPort(), "").replace("5 * s", "6 * s"));
+                Files.writeString(
+                        file, script(0, worker.getLocalPort(), "").replace("5 * s", "6 * s"));
                 signal(node, "HUP");
                 final JsonObject reloaded = Json.object(lineWith(log, "\"reloaded\""));
                 assertThat(reloaded.get("held").getAsString()).isEmpty();
-                assertThat(reloaded.get("message").getAsString()).contains("classes changed: check");
+                assertThat(reloaded.get("message").getAsString())
+                        .contains("classes changed: check");
                 serveOne(address, worker);
                 signal(node, "TERM");
                 assertThat(lineWith(log, "\"stopped\"")).isNotNull();
@@ -127,10 +147,15 @@
         final int colon = address.lastIndexOf(':');
         try (Socket client = new Socket()) {
             client.setSoTimeout(SOCKET_WAIT_MS);
-            client.connect(new InetSocketAddress(address.substring(0, colon),
-                Integer.parseInt(address.substring(colon + 1))));
-            client.getOutputStream().write(("POST /check HTTP/1.1\r\nHost: n\r\nX-Request-Id: r1\r\n"
-                + "Connection: close\r\nContent-Length: 0\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
+            client.connect(
+                    new InetSocketAddress(
+                            address.substring(0, colon),
+                            Integer.parseInt(address.substring(colon + 1))));
+            client.getOutputStream()
+                    .write(
+                            ("POST /check HTTP/1.1\r\nHost: n\r\nX-Request-Id: r1\r\n"
+                                            + "Connection: close\r\nContent-Length: 0\r\n\r\n")
+                                    .getBytes(StandardCharsets.US_ASCII));
             try (Socket backend = worker.accept()) {
                 backend.setSoTimeout(SOCKET_WAIT_MS);
                 final StringBuilder head = new StringBuilder();
@@ -138,10 +163,19 @@
                     head.append((char) backend.getInputStream().read());
                 }
                 final String line = "{\"id\":\"r1\",\"state\":\"done\",\"result\":\"yes\"}\n";
-                backend.getOutputStream().write(("HTTP/1.1 200 OK\r\nContent-Length: " + line.length()
-                    + "\r\nConnection: close\r\n\r\n" + line).getBytes(StandardCharsets.US_ASCII));
-                assertThat(new String(client.getInputStream().readAllBytes(), StandardCharsets.UTF_8))
-                    .startsWith("HTTP/1.1 200").endsWith("yes");
+                backend.getOutputStream()
+                        .write(
+                                ("HTTP/1.1 200 OK\r\nContent-Length: "
+                                                + line.length()
+                                                + "\r\nConnection: close\r\n\r\n"
+                                                + line)
+                                        .getBytes(StandardCharsets.US_ASCII));
+                assertThat(
+                                new String(
+                                        client.getInputStream().readAllBytes(),
+                                        StandardCharsets.UTF_8))
+                        .startsWith("HTTP/1.1 200")
+                        .endsWith("yes");
             }
         }
     }
@@ -152,9 +186,12 @@
         try (ServerSocket taken = listen()) {
             Files.writeString(file, script(taken.getLocalPort(), 1, ""));
             final Process node = start(program("serve", "--settings", file.toString()));
-            assertThat(node.errorReader().lines()).containsExactly(
-                "cresschute: cannot start: cannot listen on 127.0.0.1:" + taken.getLocalPort()
-                    + ": Address already in use; see who listens there, or give node another listen address");
+            assertThat(node.errorReader().lines())
+                    .containsExactly(
+                            "cresschute: cannot start: cannot listen on 127.0.0.1:"
+                                    + taken.getLocalPort()
+                                    + ": Address already in use; see who listens there, or give"
+                                    + " node another listen address");
             assertThat(ProgramProcess.exitCode(node)).isEqualTo(1);
         }
     }
@@ -164,9 +201,12 @@
         final Path file = folder.resolve("site.star");
         Files.writeString(file, script(0, 0, "format = 1, level = 2"));
         final Process node = start(program("serve", "--settings", file.toString()));
-        assertThat(node.errorReader().lines()).containsExactly(
-            file + ":4:15: logs: format is 1; allowed: \"text\" or \"json\"",
-            file + ":4:26: logs: level is 2; allowed: \"debug\" or \"info\" or \"warning\" or \"error\"");
+        assertThat(node.errorReader().lines())
+                .containsExactly(
+                        file + ":4:15: logs: format is 1; allowed: \"text\" or \"json\"",
+                        file
+                                + ":4:26: logs: level is 2; allowed: \"debug\" or \"info\" or"
+                                + " \"warning\" or \"error\"");
         assertThat(ProgramProcess.exitCode(node)).isEqualTo(2);
     }
 
@@ -180,11 +220,18 @@
         final List<String> lines = node.inputReader().lines().toList();
         assertThat(lines).anyMatch(line -> line.contains("BALANCER_CONFIG is not set"));
         assertThat(lines).anyMatch(line -> line.contains("cresschute.cli.Main "));
-        assertThat(lines).noneMatch(line -> line.contains(" picocli.") || line.contains(" ch.qos.logback")
-            || line.contains(" org.slf4j") || line.contains(" org.antlr"));
+        assertThat(lines)
+                .noneMatch(
+                        line ->
+                                line.contains(" picocli.")
+                                        || line.contains(" ch.qos.logback")
+                                        || line.contains(" org.slf4j")
+                                        || line.contains(" org.antlr"));
     }
 
-    /** Nor what is for an operator: the small node has no memory for a desk that nobody can come to. */
+    /**
+     * Nor what is for an operator: the small node has no memory for a desk that nobody can come to.
+     */
     @Test
     void platformNodeLoadsNothingOfTheOperators() throws Exception {
         final ProcessBuilder builder = program("serve");
@@ -200,10 +247,15 @@
             }
             assertThat(line).isNotNull();
             assertThat(lines).anyMatch(each -> each.contains("cresschute.node.NodeServer "));
-            assertThat(lines).noneMatch(each -> each.contains("cresschute.node.ControlService ")
-                || each.contains("cresschute.control.") || each.contains("cresschute.health.")
-                || each.contains("cresschute.peers.") || each.contains("cresschute.node.PeerLoads ")
-                || each.contains("org.HdrHistogram"));
+            assertThat(lines)
+                    .noneMatch(
+                            each ->
+                                    each.contains("cresschute.node.ControlService ")
+                                            || each.contains("cresschute.control.")
+                                            || each.contains("cresschute.health.")
+                                            || each.contains("cresschute.peers.")
+                                            || each.contains("cresschute.node.PeerLoads ")
+                                            || each.contains("org.HdrHistogram"));
         } finally {
             node.destroyForcibly();
         }
--- a/src/test/java/cresschute/cli/Programs.java
+++ b/src/test/java/cresschute/cli/Programs.java
@@ -23,14 +23,15 @@
     /** Starts it, and ends it in time: a blocked read of its output heeds no time limit. */
     static Process start(ProcessBuilder builder) throws IOException {
         final Process process = builder.start();
-        CompletableFuture.delayedExecutor(MAX_RUN_S, TimeUnit.SECONDS).execute(process::destroyForcibly);
+        CompletableFuture.delayedExecutor(MAX_RUN_S, TimeUnit.SECONDS)
+                .execute(process::destroyForcibly);
         return process;
     }
 
     /** Sends a signal by its name. */
     static void signal(Process process, String name) throws Exception {
-        ProgramProcess.exitCode(new ProcessBuilder("sh", "-c", "kill -" + name + " " + process.pid())
-            .start());
+        ProgramProcess.exitCode(
+                new ProcessBuilder("sh", "-c", "kill -" + name + " " + process.pid()).start());
     }
 
     /** The next line with this in it, or null at the end. */
--- a/src/test/java/cresschute/cli/VirtualScreen.java
+++ b/src/test/java/cresschute/cli/VirtualScreen.java
@@ -29,13 +29,18 @@
 
     /** Runs a command line on a terminal of this size; {@code script} is on every Debian. */
     VirtualScreen(int columns, int rows, Map<String, String> environment, List<String> command)
-        throws IOException {
+            throws IOException {
         this.columns = columns;
         this.rows = rows;
         terminal = new ScreenTerminal(columns, rows);
-        final String words = String.join(" ", command.stream().map(each -> "'" + each + "'").toList());
-        final ProcessBuilder builder = new ProcessBuilder("script", "-qfec",
-            "stty rows " + rows + " cols " + columns + "; exec " + words, "/dev/null");
+        final String words =
+                String.join(" ", command.stream().map(each -> "'" + each + "'").toList());
+        final ProcessBuilder builder =
+                new ProcessBuilder(
+                        "script",
+                        "-qfec",
+                        "stty rows " + rows + " cols " + columns + "; exec " + words,
+                        "/dev/null");
         builder.environment().putAll(Map.of("TERM", "xterm-256color", "LC_ALL", "C.UTF-8"));
         builder.environment().remove("COLUMNS");
         builder.environment().putAll(environment);
@@ -83,7 +88,9 @@
     /** Waits until the screen looks so. */
     void await(String what, Predicate<String> wanted) {
         try {
-            Awaitility.await().atMost(Duration.ofSeconds(PATIENCE_S)).until(() -> wanted.test(text()));
+            Awaitility.await()
+                    .atMost(Duration.ofSeconds(PATIENCE_S))
+                    .until(() -> wanted.test(text()));
         } catch (ConditionTimeoutException e) {
             throw new AssertionError("the screen never showed " + what + ":\n" + text(), e);
         }
@@ -100,16 +107,27 @@
 
     /** Another size; the program hears of it as of a window that is dragged. */
     void resize(int newColumns, int newRows) throws IOException, InterruptedException {
-        final ProcessHandle program = process.descendants()
-            .filter(each -> each.info().command().orElse("").endsWith("/java")).findFirst().orElseThrow();
+        final ProcessHandle program =
+                process.descendants()
+                        .filter(each -> each.info().command().orElse("").endsWith("/java"))
+                        .findFirst()
+                        .orElseThrow();
         final Path line = Files.readSymbolicLink(Path.of("/proc/" + program.pid() + "/fd/0"));
         synchronized (this) {
             columns = newColumns;
             rows = newRows;
             terminal.setSize(newColumns, newRows);
         }
-        ProgramProcess.exitCode(new ProcessBuilder("stty", "-F", line.toString(), "rows",
-            String.valueOf(newRows), "cols", String.valueOf(newColumns)).start());
+        ProgramProcess.exitCode(
+                new ProcessBuilder(
+                                "stty",
+                                "-F",
+                                line.toString(),
+                                "rows",
+                                String.valueOf(newRows),
+                                "cols",
+                                String.valueOf(newColumns))
+                        .start());
     }
 
     /** The line is cut, as when a connection to the box drops: the program gets a hang-up. */
--- a/src/test/java/cresschute/console/ScreenTest.java
+++ b/src/test/java/cresschute/console/ScreenTest.java
@@ -34,23 +34,36 @@
     private final ScreenState state = new ScreenState();
 
     private static String worker(String id, String condition, int out) {
-        return "\"w/" + id + "\":{\"id\":\"" + id + "\",\"state\":\"" + condition
-            + "\",\"why\":\"\",\"since_ms\":" + (NOW - 65_000)
-            + ",\"address\":\"127.0.0.1:9101\",\"kind\":\"std\",\"cell\":0,\"listed\":\"serving\","
-            + "\"in_flight\":" + out + ",\"in_flight_by_class\":{},\"rate\":1.25,\"failed\":0,\"p50_ms\":415,"
-            + "\"p99_ms\":12800,\"p50_ms_10m\":400,\"p99_ms_10m\":900,\"sparks\":[0,0,0,1,2,3,4,5,6,7,8,4],"
-            + "\"queue\":2,\"free\":-1,\"report_ms\":" + (NOW - 1_500) + "}";
+        return "\"w/"
+                + id
+                + "\":{\"id\":\""
+                + id
+                + "\",\"state\":\""
+                + condition
+                + "\",\"why\":\"\",\"since_ms\":"
+                + (NOW - 65_000)
+                + ",\"address\":\"127.0.0.1:9101\",\"kind\":\"std\",\"cell\":0,\"listed\":\"serving\","
+                + "\"in_flight\":"
+                + out
+                + ",\"in_flight_by_class\":{},\"rate\":1.25,\"failed\":0,\"p50_ms\":415,"
+                + "\"p99_ms\":12800,\"p50_ms_10m\":400,\"p99_ms_10m\":900,\"sparks\":[0,0,0,1,2,3,4,5,6,7,8,4],"
+                + "\"queue\":2,\"free\":-1,\"report_ms\":"
+                + (NOW - 1_500)
+                + "}";
     }
 
     private static String node(boolean stopping) {
-        return "\"node\":{\"name\":\"desk-1\",\"list_version\":41,\"list_ms\":" + (NOW - 2_300)
-            + ",\"fixed_list\":false,\"open\":12,\"worth_kept\":0.984,\"stopping\":" + stopping
-            + ",\"consoles\":1,\"broken\":0}";
+        return "\"node\":{\"name\":\"desk-1\",\"list_version\":41,\"list_ms\":"
+                + (NOW - 2_300)
+                + ",\"fixed_list\":false,\"open\":12,\"worth_kept\":0.984,\"stopping\":"
+                + stopping
+                + ",\"consoles\":1,\"broken\":0}";
     }
 
-    private static final String CLASS = "\"c/lookup\":{\"id\":\"lookup\",\"asked\":59,\"admitted\":0.97,"
-        + "\"served\":55,\"refused\":2,\"failed\":1,\"in_time\":54,\"in_flight\":3,\"p50_ms\":400,"
-        + "\"p99_ms\":1100,\"p50_ms_10m\":400,\"p99_ms_10m\":900}";
+    private static final String CLASS =
+            "\"c/lookup\":{\"id\":\"lookup\",\"asked\":59,\"admitted\":0.97,"
+                + "\"served\":55,\"refused\":2,\"failed\":1,\"in_time\":54,\"in_flight\":3,\"p50_ms\":400,"
+                + "\"p99_ms\":1100,\"p50_ms_10m\":400,\"p99_ms_10m\":900}";
 
     private static JsonObject line(String text) {
         return JsonParser.parseString(text).getAsJsonObject();
@@ -58,18 +71,30 @@
 
     private void load(String... rows) {
         model.connected(NOW);
-        model.take(line("{\"boot\":\"b\",\"number\":5,\"whole\":true,\"rows\":{" + String.join(",", rows)
-            + "},\"gone\":[]}"), NOW);
+        model.take(
+                line(
+                        "{\"boot\":\"b\",\"number\":5,\"whole\":true,\"rows\":{"
+                                + String.join(",", rows)
+                                + "},\"gone\":[]}"),
+                NOW);
     }
 
     private void change(String rows, String gone) {
-        model.take(line("{\"boot\":\"b\",\"number\":6,\"whole\":false,\"rows\":{" + rows
-            + "},\"gone\":[" + gone + "]}"), NOW);
+        model.take(
+                line(
+                        "{\"boot\":\"b\",\"number\":6,\"whole\":false,\"rows\":{"
+                                + rows
+                                + "},\"gone\":["
+                                + gone
+                                + "]}"),
+                NOW);
     }
 
     private List<String> screen(Look look) {
-        return ScreenView.draw(model, state, look, NOW).stream().map(AttributedString::toString)
-            .map(String::stripTrailing).toList();
+        return ScreenView.draw(model, state, look, NOW).stream()
+                .map(AttributedString::toString)
+                .map(String::stripTrailing)
+                .toList();
     }
 
     private Wish press(String keys) {
@@ -82,16 +107,27 @@
 
     @Test
     void usualScreen() {
-        load(worker("w1", "taking", 3), worker("w2", "silent", 10), worker("w10", "draining", 0), CLASS,
-            node(false));
-        model.take(line("{\"boot\":\"b\",\"missed\":0,\"events\":[{\"n\":1,\"at_ms\":" + NOW
-            + ",\"kind\":\"condition\",\"worker\":\"w2\",\"text\":\"w2 is silent\"}]}"), NOW);
-        assertThat(String.join("\n", screen(USUAL))).isEqualTo("""
-             desk-1 | open 12 | worth kept 98% | list 41, 2s ago                       LIVE
-             WORKER*      STATE     OUT    /S    P50    P99 QUEUE FREE REPORT
-            >w1           taking      3   1.3  415ms    13s     2    -     1s
-             w2           silent     10   1.3  415ms    13s     2    -     1s
-             w10          draining    0   1.3  415ms    13s     2    -     1s
+        load(
+                worker("w1", "taking", 3),
+                worker("w2", "silent", 10),
+                worker("w10", "draining", 0),
+                CLASS,
+                node(false));
+        model.take(
+                line(
+                        "{\"boot\":\"b\",\"missed\":0,\"events\":[{\"n\":1,\"at_ms\":"
+                                + NOW
+                                + ",\"kind\":\"condition\",\"worker\":\"w2\",\"text\":\"w2 is"
+                                + " silent\"}]}"),
+                NOW);
+        assertThat(String.join("\n", screen(USUAL)))
+                .isEqualTo(
+                        """
+                         desk-1 | open 12 | worth kept 98% | list 41, 2s ago                       LIVE
+                         WORKER*      STATE     OUT    /S    P50    P99 QUEUE FREE REPORT
+                        >w1           taking      3   1.3  415ms    13s     2    -     1s
+                         w2           silent     10   1.3  415ms    13s     2    -     1s
+                         w10          draining    0   1.3  415ms    13s     2    -     1s
 
 
 
@@ -103,35 +139,42 @@
 
 
 
-             w1: taking for 65s
-             CLASS          ASKED   ADMIT  SERVED REFUSED  FAILED  INTIME     P99
-             lookup            59     97%      55       2       1      54  1100ms
-             22:15:00 w2 is silent
+                         w1: taking for 65s
+                         CLASS          ASKED   ADMIT  SERVED REFUSED  FAILED  INTIME     P99
+                         lookup            59     97%      55       2       1      54  1100ms
+                         22:15:00 w2 is silent
 
 
 
-             d drain  u undo  / filter  s sort  ? help  q quit""");
+                         d drain  u undo  / filter  s sort  ? help  q quit\
+                        """);
     }
 
     @Test
     void narrowScreenKeepsNamesAndStates() {
-        load(worker("w1", "taking", 3), worker("a-worker-with-a-long-name", "slowing", 1), CLASS,
-            node(false));
-        assertThat(String.join("\n", screen(new Look(40, 14, false, false, ZoneOffset.UTC)))).isEqualTo("""
-             desk-1 | open 12 | worth kept 98% LIVE
-             WORKER*      STATE     OUT    P99
-            >a-worker-wi~ slowing     1    13s
-             w1           taking      3    13s
+        load(
+                worker("w1", "taking", 3),
+                worker("a-worker-with-a-long-name", "slowing", 1),
+                CLASS,
+                node(false));
+        assertThat(String.join("\n", screen(new Look(40, 14, false, false, ZoneOffset.UTC))))
+                .isEqualTo(
+                        """
+                         desk-1 | open 12 | worth kept 98% LIVE
+                         WORKER*      STATE     OUT    P99
+                        >a-worker-wi~ slowing     1    13s
+                         w1           taking      3    13s
 
 
 
 
 
 
-             a-worker-with-a-long-name: slowing for
-             CLASS          ASKED  SERVED REFUSED
-             lookup            59      55       2
-             d drain  u undo  ? help  q quit""");
+                         a-worker-with-a-long-name: slowing for
+                         CLASS          ASKED  SERVED REFUSED
+                         lookup            59      55       2
+                         d drain  u undo  ? help  q quit\
+                        """);
     }
 
     /** Every line is just as wide as the screen, and there are just as many as it is high. */
@@ -140,16 +183,31 @@
         final List<String> rows = new ArrayList<>(List.of(node(random.nextBoolean())));
         final int workers = random.nextInt(40);
         for (int i = 0; i < workers; i++) {
-            rows.add(worker((random.nextInt(5) == 0 ? "日本" : "w") + i,
-                List.of("taking", "full", "slowing", "silent", "cold", "draining", "gone")
-                    .get(random.nextInt(7)), random.nextInt(1_000)));
+            rows.add(
+                    worker(
+                            (random.nextInt(5) == 0 ? "日本" : "w") + i,
+                            List.of(
+                                            "taking",
+                                            "full",
+                                            "slowing",
+                                            "silent",
+                                            "cold",
+                                            "draining",
+                                            "gone")
+                                    .get(random.nextInt(7)),
+                            random.nextInt(1_000)));
         }
         load(rows.toArray(String[]::new));
         for (int i = 0; i < random.nextInt(30); i++) {
             press(String.valueOf("jkgGsd/?yn".charAt(random.nextInt(10))));
         }
-        final Look look = new Look(40 + random.nextInt(120), 6 + random.nextInt(60), random.nextBoolean(),
-            random.nextBoolean(), ZoneOffset.UTC);
+        final Look look =
+                new Look(
+                        40 + random.nextInt(120),
+                        6 + random.nextInt(60),
+                        random.nextBoolean(),
+                        random.nextBoolean(),
+                        ZoneOffset.UTC);
         final List<AttributedString> drawn = ScreenView.draw(model, state, look, NOW);
         assertThat(drawn).hasSize(look.rows());
         assertThat(drawn).allMatch(each -> each.columnLength() == look.columns());
@@ -158,14 +216,15 @@
     @Test
     void loadingStaleAndReconnectingAreNeverShownAsLive() {
         assertThat(model.freshness(NOW)).isEqualTo(Freshness.LOADING);
-        assertThat(String.join("\n", screen(USUAL))).contains("LOADING", "the node has told nothing yet");
+        assertThat(String.join("\n", screen(USUAL)))
+                .contains("LOADING", "the node has told nothing yet");
         model.connected(NOW);
         assertThat(model.freshness(NOW)).isEqualTo(Freshness.LOADING);
         load(worker("w1", "taking", 3), node(false));
         assertThat(model.freshness(NOW + SiteModel.STALE_AFTER_MS - 1)).isEqualTo(Freshness.LIVE);
         assertThat(model.freshness(NOW + SiteModel.STALE_AFTER_MS)).isEqualTo(Freshness.STALE);
         assertThat(ScreenView.draw(model, state, USUAL, NOW + 9_000).get(0).toString())
-            .endsWith("STALE since 22:15:00 ");
+                .endsWith("STALE since 22:15:00 ");
         model.disconnected();
         assertThat(screen(USUAL).get(0)).endsWith("RECONNECTING, STALE since 22:15:00");
         // The rows stay, as the last that is known.
@@ -181,7 +240,11 @@
     /** Workers join, leave and change their places while the cursor stands on one. */
     @Test
     void selectionFollowsTheWorker() {
-        load(worker("w2", "taking", 3), worker("w4", "taking", 1), worker("w6", "taking", 2), node(false));
+        load(
+                worker("w2", "taking", 3),
+                worker("w4", "taking", 1),
+                worker("w6", "taking", 2),
+                node(false));
         screen(USUAL);
         press("j");
         assertThat(state.selected()).isEqualTo("w4");
@@ -203,7 +266,10 @@
         assertThat(state.message()).isEqualTo("no worker is selected");
     }
 
-    /** The question names a worker, and that worker is drained, wherever the cursor has gone by then. */
+    /**
+     * The question names a worker, and that worker is drained, wherever the cursor has gone by
+     * then.
+     */
     @Test
     void confirmationIsAboutTheWorkerThatWasAskedFor() {
         load(worker("w1", "taking", 3), worker("w2", "taking", 7), node(false));
@@ -220,8 +286,8 @@
         assertThat(press("n")).isEqualTo(Wish.NOTHING);
         assertThat(state.message()).endsWith("is left as it is");
         state.offerForce("w2", "w2 is the last worker that may run file");
-        assertThat(screen(USUAL).get(23)).isEqualTo(
-            " w2 is the last worker that may run file. F drains it anyway");
+        assertThat(screen(USUAL).get(23))
+                .isEqualTo(" w2 is the last worker that may run file. F drains it anyway");
         assertThat(press("f")).isEqualTo(Wish.NOTHING);
         state.offerForce("w2", "w2 is the last worker that may run file");
         assertThat(press("F")).isEqualTo(Wish.FORCED_DRAIN);
@@ -229,7 +295,11 @@
 
     @Test
     void filterNarrowsAndEscapeWidens() {
-        load(worker("w1", "taking", 3), worker("w2", "silent", 7), worker("x1", "taking", 0), node(false));
+        load(
+                worker("w1", "taking", 3),
+                worker("w2", "silent", 7),
+                worker("x1", "taking", 0),
+                node(false));
         press("/SIL");
         assertThat(screen(USUAL).get(23)).isEqualTo("/SIL_");
         assertThat(state.rows(model)).hasSize(1);
@@ -240,7 +310,8 @@
         assertThat(state.rows(model)).hasSize(3);
         assertThat(state.selected()).isEqualTo("w2");
         press("/zz");
-        assertThat(String.join("\n", screen(USUAL))).contains("no worker matches 'zz'; Esc shows all");
+        assertThat(String.join("\n", screen(USUAL)))
+                .contains("no worker matches 'zz'; Esc shows all");
     }
 
     /** Names and reasons come from others: they must not move the cursor or turn the text round. */
@@ -254,8 +325,10 @@
     void colourIsLeftOutWhereItIsNotWanted() {
         load(worker("w1", "silent", 3), worker("w2", "silent", 3), node(false));
         final String plain = ScreenView.draw(model, state, USUAL, NOW).get(3).toAnsi();
-        final String colored = ScreenView.draw(model, state,
-            new Look(80, 24, true, true, ZoneOffset.UTC), NOW).get(3).toAnsi();
+        final String colored =
+                ScreenView.draw(model, state, new Look(80, 24, true, true, ZoneOffset.UTC), NOW)
+                        .get(3)
+                        .toAnsi();
         assertThat(plain).doesNotContain("[31").doesNotContain(";31");
         assertThat(colored).contains("31");
     }
@@ -264,45 +337,65 @@
     @Test
     void anotherRunOfTheNodeStartsThePictureAnew() {
         load(worker("w1", "taking", 3), node(false));
-        model.take(line("{\"boot\":\"b\",\"missed\":0,\"events\":[{\"n\":7,\"at_ms\":1,\"kind\":\"k\","
-            + "\"text\":\"old\"}]}"), NOW);
+        model.take(
+                line(
+                        "{\"boot\":\"b\",\"missed\":0,\"events\":[{\"n\":7,\"at_ms\":1,\"kind\":\"k\","
+                            + "\"text\":\"old\"}]}"),
+                NOW);
         assertThat(model.lastEvent()).isEqualTo(7);
-        model.take(line("{\"boot\":\"c\",\"number\":1,\"whole\":true,\"rows\":{" + worker("w9", "cold", 0)
-            + "},\"gone\":[]}"), NOW);
+        model.take(
+                line(
+                        "{\"boot\":\"c\",\"number\":1,\"whole\":true,\"rows\":{"
+                                + worker("w9", "cold", 0)
+                                + "},\"gone\":[]}"),
+                NOW);
         assertThat(model.lastEvent()).isZero();
         assertThat(model.events()).isEmpty();
         assertThat(model.workers()).hasSize(1);
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', ignoreLeadingAndTrailingWhitespace = true, textBlock = """
-        j            | CHAR
-        \u001b[A     | UP
-        \u001bOB     | DOWN
-        \u001b[5~    | PAGE_UP
-        \u001b[6~    | PAGE_DOWN
-        \u001b[H     | HOME
-        \u001b[1~    | HOME
-        \u001b[F     | END
-        \u001b[3~    | UNKNOWN
-        \u001b[1;5C  | UNKNOWN
-        \u001b       | ESCAPE
-        \u0003       | QUIT
-        \u0004       | QUIT
-        \u007f       | BACKSPACE
-        """)
+    @CsvSource(
+            delimiter = '|',
+            ignoreLeadingAndTrailingWhitespace = true,
+            textBlock =
+                    """
+                    j            | CHAR
+                    \u001b[A     | UP
+                    \u001bOB     | DOWN
+                    \u001b[5~    | PAGE_UP
+                    \u001b[6~    | PAGE_DOWN
+                    \u001b[H     | HOME
+                    \u001b[1~    | HOME
+                    \u001b[F     | END
+                    \u001b[3~    | UNKNOWN
+                    \u001b[1;5C  | UNKNOWN
+                    \u001b       | ESCAPE
+                    \u0003       | QUIT
+                    \u0004       | QUIT
+                    \u007f       | BACKSPACE
+                    """)
     void keysOfTerminals(String typed, Kind kind) throws IOException {
         // CsvSource trims control characters at the ends as blanks.
-        final String whole = typed == null ? String.valueOf((char) switch (kind) {
-            case ESCAPE -> 27;
-            case QUIT -> 3;
-            default -> 127;
-        }) : typed.charAt(0) == '[' || typed.charAt(0) == 'O' ? "\u001b" + typed : typed;
+        final String whole =
+                typed == null
+                        ? String.valueOf(
+                                (char)
+                                        switch (kind) {
+                                            case ESCAPE -> 27;
+                                            case QUIT -> 3;
+                                            default -> 127;
+                                        })
+                        : typed.charAt(0) == '[' || typed.charAt(0) == 'O'
+                                ? "\u001b" + typed
+                                : typed;
         final StringReader in = new StringReader(whole);
-        final Keys keys = new Keys(timeoutMs -> {
-            final int next = in.read();
-            return next < 0 && timeoutMs > 0 ? -2 : next;
-        });
+        final Keys keys =
+                new Keys(
+                        timeoutMs -> {
+                            final int next = in.read();
+                            return next < 0 && timeoutMs > 0 ? -2 : next;
+                        });
         assertThat(keys.next().kind()).isEqualTo(kind);
         assertThat(keys.next()).isNull();
     }
--- a/src/test/java/cresschute/control/SnapshotTest.java
+++ b/src/test/java/cresschute/control/SnapshotTest.java
@@ -15,9 +15,12 @@
 
     private static Snapshot some() {
         final DrainRegistry drains = new DrainRegistry();
-        drains.restore(List.of(new Drain("w1", 5, DrainRegistry.FOREVER, "ann", "d\u00efsk"),
-            new Drain("w2", 6, 99, "bob", "")));
-        drains.apply(new Operation("o1", false, "w2", DrainRegistry.FOREVER, "bob", "", false), null, 7);
+        drains.restore(
+                List.of(
+                        new Drain("w1", 5, DrainRegistry.FOREVER, "ann", "d\u00efsk"),
+                        new Drain("w2", 6, 99, "bob", "")));
+        drains.apply(
+                new Operation("o1", false, "w2", DrainRegistry.FOREVER, "bob", "", false), null, 7);
         return new Snapshot(41, drains.inForce(), drains.remembered());
     }
 
@@ -27,32 +30,43 @@
         assertThat(Snapshot.decode(bytes)).isEqualTo(some());
         for (int i = 0; i < bytes.length; i++) {
             final byte[] torn = Arrays.copyOf(bytes, i);
-            assertThatThrownBy(() -> Snapshot.decode(torn)).isInstanceOf(ChecksummedFile.DamagedFileException.class);
+            assertThatThrownBy(() -> Snapshot.decode(torn))
+                    .isInstanceOf(ChecksummedFile.DamagedFileException.class);
             for (int bit = 0; bit < 8; bit++) {
                 final byte[] flipped = bytes.clone();
                 flipped[i] ^= (byte) (1 << bit);
-                assertThatThrownBy(() -> Snapshot.decode(flipped)).isInstanceOf(ChecksummedFile.DamagedFileException.class);
+                assertThatThrownBy(() -> Snapshot.decode(flipped))
+                        .isInstanceOf(ChecksummedFile.DamagedFileException.class);
             }
         }
         assertThatThrownBy(() -> Snapshot.decode(Arrays.copyOf(bytes, bytes.length + 1)))
-            .hasMessageMatching("it holds [0-9]+ bytes of [0-9]+");
+                .hasMessageMatching("it holds [0-9]+ bytes of [0-9]+");
     }
 
     /** An older file that was given a newer number would undo what came after it. */
     @Test
     void generationIsUnderTheChecksum() {
         final String text = new String(some().encode(), StandardCharsets.UTF_8);
-        assertThatThrownBy(() -> Snapshot.decode(text.replace("generation=41", "generation=43")
-            .getBytes(StandardCharsets.UTF_8))).hasMessage("its checksum is not that of its content");
+        assertThatThrownBy(
+                        () ->
+                                Snapshot.decode(
+                                        text.replace("generation=41", "generation=43")
+                                                .getBytes(StandardCharsets.UTF_8)))
+                .hasMessage("its checksum is not that of its content");
     }
 
-    /** Operations are kept too: an undo that is sent again after a restart must not undo a later drain. */
+    /**
+     * Operations are kept too: an undo that is sent again after a restart must not undo a later
+     * drain.
+     */
     @Test
     void restartDoesNotForgetOperations() throws Exception {
         final Snapshot read = Snapshot.decode(some().encode());
         final DrainRegistry drains = new DrainRegistry();
-        drains.restore(List.of(new Drain("w2", 8, DrainRegistry.FOREVER, "ann", "")), read.operations());
-        drains.apply(new Operation("o1", false, "w2", DrainRegistry.FOREVER, "bob", "", false), null, 9);
+        drains.restore(
+                List.of(new Drain("w2", 8, DrainRegistry.FOREVER, "ann", "")), read.operations());
+        drains.apply(
+                new Operation("o1", false, "w2", DrainRegistry.FOREVER, "bob", "", false), null, 9);
         assertThat(drains.of("w2")).isNotNull();
     }
 }
--- a/src/test/java/cresschute/control/StoredSnapshotFormatTest.java
+++ b/src/test/java/cresschute/control/StoredSnapshotFormatTest.java
@@ -14,8 +14,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Files that an earlier version left on disks: each is read with its full meaning and written again byte by
- * byte. The literals are what that version wrote; they are never adapted to a renaming in the code.
+ * Files that an earlier version left on disks: each is read with its full meaning and written again
+ * byte by byte. The literals are what that version wrote; they are never adapted to a renaming in
+ * the code.
  */
 class StoredSnapshotFormatTest {
 
@@ -23,40 +24,52 @@
     private static final long DRAIN_ENDS_AT_US = 1_700_007_200_000_000L;
 
     /** A drain with an end, one without, and an operation of each outcome. */
-    private static final String DRAINS = """
-        cresschute-drains 1 generation=41 bytes=747 crc32c=5217b41d
-        {"drains":[{"worker":"w1","sinceUs":1700000000000000,"untilUs":1700007200000000,"who":"ann",\
-        "reason":"new disk"},{"worker":"w2","sinceUs":1700000001000000,"untilUs":9223372036854775807,\
-        "who":"bob","reason":""}],"operations":[{"operation":{"id":"op-1","start":true,"worker":"w1",\
-        "forUs":7200000000,"who":"ann","reason":"new disk","forced":false},\
-        "outcome":{"kind":"DONE","why":""}},{"operation":{"id":"op-2","start":true,"worker":"w1",\
-        "forUs":9223372036854775807,"who":"bob","reason":"","forced":true},\
-        "outcome":{"kind":"ALREADY","why":"drained by ann: new disk"}},{"operation":{"id":"op-3",\
-        "start":true,"worker":"w9","forUs":9223372036854775807,"who":"bob","reason":"","forced":false},\
-        "outcome":{"kind":"REFUSED","why":"no worker is called w9"}}]}""";
-
-    private static final String UNDRAINED = """
-        cresschute-drains 1 generation=42 bytes=286 crc32c=cb121916
-        {"drains":[{"worker":"w1","sinceUs":1700000000000000,"untilUs":1700007200000000,"who":"ann",\
-        "reason":"new disk"}],"operations":[{"operation":{"id":"op-4","start":false,"worker":"w2",\
-        "forUs":9223372036854775807,"who":"cy","reason":"","forced":false},\
-        "outcome":{"kind":"DONE","why":""}}]}""";
-
-    private static final String NO_DRAINS = """
-        cresschute-drains 1 generation=1 bytes=29 crc32c=3d720008
-        {"drains":[],"operations":[]}""";
-
-    private static final String BANNED = """
-        cresschute-operators 1 generation=7 bytes=38 crc32c=3e886c51
-        {"banned":["w1","w2"],"drained":false}""";
-
-    private static final String NODE_DRAINED = """
-        cresschute-operators 1 generation=8 bytes=28 crc32c=dc983a8d
-        {"banned":[],"drained":true}""";
-
-    private static final String BANNED_AND_DRAINED = """
-        cresschute-operators 1 generation=9 bytes=37 crc32c=c0834ade
-        {"banned":["w1","w2"],"drained":true}""";
+    private static final String DRAINS =
+            """
+            cresschute-drains 1 generation=41 bytes=747 crc32c=5217b41d
+            {"drains":[{"worker":"w1","sinceUs":1700000000000000,"untilUs":1700007200000000,"who":"ann",\
+            "reason":"new disk"},{"worker":"w2","sinceUs":1700000001000000,"untilUs":9223372036854775807,\
+            "who":"bob","reason":""}],"operations":[{"operation":{"id":"op-1","start":true,"worker":"w1",\
+            "forUs":7200000000,"who":"ann","reason":"new disk","forced":false},\
+            "outcome":{"kind":"DONE","why":""}},{"operation":{"id":"op-2","start":true,"worker":"w1",\
+            "forUs":9223372036854775807,"who":"bob","reason":"","forced":true},\
+            "outcome":{"kind":"ALREADY","why":"drained by ann: new disk"}},{"operation":{"id":"op-3",\
+            "start":true,"worker":"w9","forUs":9223372036854775807,"who":"bob","reason":"","forced":false},\
+            "outcome":{"kind":"REFUSED","why":"no worker is called w9"}}]}\
+            """;
+
+    private static final String UNDRAINED =
+            """
+            cresschute-drains 1 generation=42 bytes=286 crc32c=cb121916
+            {"drains":[{"worker":"w1","sinceUs":1700000000000000,"untilUs":1700007200000000,"who":"ann",\
+            "reason":"new disk"}],"operations":[{"operation":{"id":"op-4","start":false,"worker":"w2",\
+            "forUs":9223372036854775807,"who":"cy","reason":"","forced":false},\
+            "outcome":{"kind":"DONE","why":""}}]}\
+            """;
+
+    private static final String NO_DRAINS =
+            """
+            cresschute-drains 1 generation=1 bytes=29 crc32c=3d720008
+            {"drains":[],"operations":[]}\
+            """;
+
+    private static final String BANNED =
+            """
+            cresschute-operators 1 generation=7 bytes=38 crc32c=3e886c51
+            {"banned":["w1","w2"],"drained":false}\
+            """;
+
+    private static final String NODE_DRAINED =
+            """
+            cresschute-operators 1 generation=8 bytes=28 crc32c=dc983a8d
+            {"banned":[],"drained":true}\
+            """;
+
+    private static final String BANNED_AND_DRAINED =
+            """
+            cresschute-operators 1 generation=9 bytes=37 crc32c=c0834ade
+            {"banned":["w1","w2"],"drained":true}\
+            """;
 
     private static byte[] bytes(String text) {
         return text.getBytes(StandardCharsets.UTF_8);
@@ -72,17 +85,39 @@
         assertThat(read.generation()).isEqualTo(41);
         final DrainRegistry drains = new DrainRegistry();
         drains.restore(read.drains(), read.operations());
-        assertThat(drains.inForce()).containsExactly(
-            new Drain("w1", DRAINED_AT_US, DRAIN_ENDS_AT_US, "ann", "new disk"),
-            new Drain("w2", DRAINED_AT_US + 1_000_000, DrainRegistry.FOREVER, "bob", ""));
-        assertThat(drains.remembered()).containsExactly(
-            new Remembered(new Operation("op-1", true, "w1", 7_200_000_000L, "ann", "new disk", false),
-                new Outcome(Kind.DONE, "")),
-            new Remembered(new Operation("op-2", true, "w1", DrainRegistry.FOREVER, "bob", "", true),
-                new Outcome(Kind.ALREADY, "drained by ann: new disk")),
-            new Remembered(new Operation("op-3", true, "w9", DrainRegistry.FOREVER, "bob", "", false),
-                new Outcome(Kind.REFUSED, "no worker is called w9")));
-        assertThat(text(new Snapshot(41, drains.inForce(), drains.remembered()).encode())).isEqualTo(DRAINS);
+        assertThat(drains.inForce())
+                .containsExactly(
+                        new Drain("w1", DRAINED_AT_US, DRAIN_ENDS_AT_US, "ann", "new disk"),
+                        new Drain(
+                                "w2", DRAINED_AT_US + 1_000_000, DrainRegistry.FOREVER, "bob", ""));
+        assertThat(drains.remembered())
+                .containsExactly(
+                        new Remembered(
+                                new Operation(
+                                        "op-1",
+                                        true,
+                                        "w1",
+                                        7_200_000_000L,
+                                        "ann",
+                                        "new disk",
+                                        false),
+                                new Outcome(Kind.DONE, "")),
+                        new Remembered(
+                                new Operation(
+                                        "op-2", true, "w1", DrainRegistry.FOREVER, "bob", "", true),
+                                new Outcome(Kind.ALREADY, "drained by ann: new disk")),
+                        new Remembered(
+                                new Operation(
+                                        "op-3",
+                                        true,
+                                        "w9",
+                                        DrainRegistry.FOREVER,
+                                        "bob",
+                                        "",
+                                        false),
+                                new Outcome(Kind.REFUSED, "no worker is called w9")));
+        assertThat(text(new Snapshot(41, drains.inForce(), drains.remembered()).encode()))
+                .isEqualTo(DRAINS);
         assertThat(drains.expire(DRAIN_ENDS_AT_US - 1)).isEmpty();
         assertThat(drains.expire(DRAIN_ENDS_AT_US)).containsExactly("w1");
         assertThat(drains.expire(DrainRegistry.FOREVER - 1)).isEmpty();
@@ -91,10 +126,28 @@
     @Test
     void undrainOfAnEarlierVersionIsRemembered() throws Exception {
         final Snapshot read = Snapshot.decode(bytes(UNDRAINED));
-        assertThat(read).isEqualTo(new Snapshot(42,
-            List.of(new Drain("w1", DRAINED_AT_US, DRAIN_ENDS_AT_US, "ann", "new disk")),
-            List.of(new Remembered(new Operation("op-4", false, "w2", DrainRegistry.FOREVER, "cy", "", false),
-                new Outcome(Kind.DONE, "")))));
+        assertThat(read)
+                .isEqualTo(
+                        new Snapshot(
+                                42,
+                                List.of(
+                                        new Drain(
+                                                "w1",
+                                                DRAINED_AT_US,
+                                                DRAIN_ENDS_AT_US,
+                                                "ann",
+                                                "new disk")),
+                                List.of(
+                                        new Remembered(
+                                                new Operation(
+                                                        "op-4",
+                                                        false,
+                                                        "w2",
+                                                        DrainRegistry.FOREVER,
+                                                        "cy",
+                                                        "",
+                                                        false),
+                                                new Outcome(Kind.DONE, "")))));
         assertThat(text(read.encode())).isEqualTo(UNDRAINED);
     }
 
@@ -105,14 +158,14 @@
         assertThat(text(read.encode())).isEqualTo(NO_DRAINS);
     }
 
-    private static void assertOperatorsState(String stored, long generation, Set<String> banned,
-        boolean drained) throws Exception {
+    private static void assertOperatorsState(
+            String stored, long generation, Set<String> banned, boolean drained) throws Exception {
         final OperatorsState read = OperatorsState.decode(bytes(stored));
         assertThat(read.generation()).isEqualTo(generation);
         assertThat(read.banned()).isEqualTo(banned);
         assertThat(read.drained()).isEqualTo(drained);
         assertThat(text(new OperatorsState(generation, new TreeSet<>(banned), drained).encode()))
-            .isEqualTo(stored);
+                .isEqualTo(stored);
     }
 
     @Test
@@ -126,13 +179,17 @@
     @Test
     void callsOfOperatorsWriteWhatAnEarlierVersionWrote() throws Exception {
         OperatorsState state = OperatorsState.NONE.numbered(6);
-        state = state.after(ManagementCall.parse("disable-server w2")).numbered(6)
-            .after(ManagementCall.parse("disable-server w1"));
+        state =
+                state.after(ManagementCall.parse("disable-server w2"))
+                        .numbered(6)
+                        .after(ManagementCall.parse("disable-server w1"));
         assertThat(text(state.encode())).isEqualTo(BANNED);
         state = state.numbered(8).after(ManagementCall.parse("drain"));
         assertThat(text(state.encode())).isEqualTo(BANNED_AND_DRAINED);
-        state = state.numbered(6).after(ManagementCall.parse("enable-server w1"))
-            .after(ManagementCall.parse("enable-server w2"));
+        state =
+                state.numbered(6)
+                        .after(ManagementCall.parse("enable-server w1"))
+                        .after(ManagementCall.parse("enable-server w2"));
         assertThat(text(state.encode())).isEqualTo(NODE_DRAINED);
     }
 }
--- a/src/test/java/cresschute/control/VersionedTableTest.java
+++ b/src/test/java/cresschute/control/VersionedTableTest.java
@@ -98,9 +98,23 @@
         assertThat(ring.after(0).missed()).isEqualTo(10);
         assertThat(ring.after(0).happenings()).hasSize(EventRing.MAX);
         assertThat(ring.after(8).missed()).isEqualTo(2);
-        assertThat(ring.after(ring.last() - 2)).isEqualTo(new EventRing.Read(List.of(
-            new EventRing.Happening(EventRing.MAX + 9, EventRing.MAX + 9, "kind", null, "text"),
-            new EventRing.Happening(EventRing.MAX + 10, EventRing.MAX + 10, "kind", null, "text")), 0));
+        assertThat(ring.after(ring.last() - 2))
+                .isEqualTo(
+                        new EventRing.Read(
+                                List.of(
+                                        new EventRing.Happening(
+                                                EventRing.MAX + 9,
+                                                EventRing.MAX + 9,
+                                                "kind",
+                                                null,
+                                                "text"),
+                                        new EventRing.Happening(
+                                                EventRing.MAX + 10,
+                                                EventRing.MAX + 10,
+                                                "kind",
+                                                null,
+                                                "text")),
+                                0));
         assertThat(ring.after(ring.last() + 5).happenings()).isEmpty();
     }
 }
--- a/src/test/java/cresschute/control/files/SharedOperatorStateFormatTest.java
+++ b/src/test/java/cresschute/control/files/SharedOperatorStateFormatTest.java
@@ -18,31 +18,38 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Folders that an earlier version left: the names of the files, a torn file beside a whole one, and the
- * bytes that are written next. The literals are what that version wrote.
+ * Folders that an earlier version left: the names of the files, a torn file beside a whole one, and
+ * the bytes that are written next. The literals are what that version wrote.
  */
 @Timeout(30)
 class SharedOperatorStateFormatTest {
 
     private static final String OPERATORS_FILE = "cresschute-operators";
-    private static final String BANNED = """
-        cresschute-operators 1 generation=7 bytes=38 crc32c=3e886c51
-        {"banned":["w1","w2"],"drained":false}""";
-    private static final String GENERATION_8 = """
-        cresschute-drains 1 generation=8 bytes=110 crc32c=2e081903
-        {"drains":[{"worker":"w8","sinceUs":8,"untilUs":9223372036854775807,"who":"ann",\
-        "reason":""}],"operations":[]}""";
-    private static final String GENERATION_9 = """
-        cresschute-drains 1 generation=9 bytes=110 crc32c=9c8ddf39
-        {"drains":[{"worker":"w9","sinceUs":9,"untilUs":9223372036854775807,"who":"ann",\
-        "reason":""}],"operations":[]}""";
-
-    @TempDir
-    private Path folder;
+    private static final String BANNED =
+            """
+            cresschute-operators 1 generation=7 bytes=38 crc32c=3e886c51
+            {"banned":["w1","w2"],"drained":false}\
+            """;
+    private static final String GENERATION_8 =
+            """
+            cresschute-drains 1 generation=8 bytes=110 crc32c=2e081903
+            {"drains":[{"worker":"w8","sinceUs":8,"untilUs":9223372036854775807,"who":"ann",\
+            "reason":""}],"operations":[]}\
+            """;
+    private static final String GENERATION_9 =
+            """
+            cresschute-drains 1 generation=9 bytes=110 crc32c=9c8ddf39
+            {"drains":[{"worker":"w9","sinceUs":9,"untilUs":9223372036854775807,"who":"ann",\
+            "reason":""}],"operations":[]}\
+            """;
+
+    @TempDir private Path folder;
 
     private static Snapshot snapshot(long generation) {
-        return new Snapshot(generation, List.of(new Drain("w" + generation, generation, DrainRegistry.FOREVER,
-            "ann", "")), List.of());
+        return new Snapshot(
+                generation,
+                List.of(new Drain("w" + generation, generation, DrainRegistry.FOREVER, "ann", "")),
+                List.of());
     }
 
     private void write(String name, String text) throws IOException {
@@ -82,7 +89,7 @@
     @Test
     void snapshotsAreWrittenAsAnEarlierVersionWroteThem() throws IOException {
         try (StateFolder state = StateFolder.open(folder)) {
-            for (final long generation : new long[]{8, 9}) {
+            for (final long generation : new long[] {8, 9}) {
                 final CompletableFuture<IOException> done = new CompletableFuture<>();
                 state.keep(snapshot(generation), Runnable::run, done::complete);
                 assertThat(done.join()).isNull();
@@ -93,14 +100,16 @@
     }
 
     private OperatorsState openAndCall(OperatorsState[] found, String... calls) throws Exception {
-        final SharedOperatorState.Opened opened = SharedOperatorState.open(folder, Runnable::run, state -> {});
+        final SharedOperatorState.Opened opened =
+                SharedOperatorState.open(folder, Runnable::run, state -> {});
         found[0] = opened.found();
         OperatorsState last = opened.found();
         try (SharedOperatorState shared = opened.shared()) {
             for (final String call : calls) {
                 final ManagementCall parsed = ManagementCall.parse(call);
                 final CompletableFuture<OperatorsState> done = new CompletableFuture<>();
-                shared.change(state -> state.after(parsed), (written, failed) -> done.complete(written));
+                shared.change(
+                        state -> state.after(parsed), (written, failed) -> done.complete(written));
                 last = done.join();
             }
         }
@@ -117,9 +126,12 @@
         assertThat(found[0].generation()).isEqualTo(7);
         write(OPERATORS_FILE, BANNED);
         openAndCall(found, "resume", "drain");
-        assertThat(read(OPERATORS_FILE)).isEqualTo("""
-            cresschute-operators 1 generation=9 bytes=37 crc32c=c0834ade
-            {"banned":["w1","w2"],"drained":true}""");
+        assertThat(read(OPERATORS_FILE))
+                .isEqualTo(
+                        """
+                        cresschute-operators 1 generation=9 bytes=37 crc32c=c0834ade
+                        {"banned":["w1","w2"],"drained":true}\
+                        """);
     }
 
     /** It counts as no state, is put aside, and the next change starts anew. */
@@ -130,8 +142,11 @@
         openAndCall(found, "drain");
         assertThat(found[0]).isEqualTo(OperatorsState.NONE);
         assertThat(read(OPERATORS_FILE + ".refused")).isEqualTo(torn(BANNED));
-        assertThat(read(OPERATORS_FILE)).isEqualTo("""
-            cresschute-operators 1 generation=1 bytes=28 crc32c=8c18e857
-            {"banned":[],"drained":true}""");
+        assertThat(read(OPERATORS_FILE))
+                .isEqualTo(
+                        """
+                        cresschute-operators 1 generation=1 bytes=28 crc32c=8c18e857
+                        {"banned":[],"drained":true}\
+                        """);
     }
 }
--- a/src/test/java/cresschute/control/files/StateFolderTest.java
+++ b/src/test/java/cresschute/control/files/StateFolderTest.java
@@ -21,16 +21,17 @@
 @Timeout(30)
 class StateFolderTest {
 
-    @TempDir
-    private Path parent;
+    @TempDir private Path parent;
 
     private Path folder() {
         return parent.resolve("state");
     }
 
     private static Snapshot snapshot(long generation) {
-        return new Snapshot(generation, List.of(new Drain("w" + generation, generation, DrainRegistry.FOREVER, "ann",
-            "")), List.of());
+        return new Snapshot(
+                generation,
+                List.of(new Drain("w" + generation, generation, DrainRegistry.FOREVER, "ann", "")),
+                List.of());
     }
 
     private static IOException keep(StateFolder state, Snapshot snapshot) {
@@ -59,7 +60,7 @@
         keepTo(5);
         assertThat(load()).isEqualTo(snapshot(5));
         assertThat(PosixFilePermissions.toString(Files.getPosixFilePermissions(folder())))
-            .isEqualTo("rwx------");
+                .isEqualTo("rwx------");
     }
 
     @Test
@@ -78,7 +79,7 @@
     @Test
     void halfWrittenFileIsNotLookedAt() throws IOException {
         keepTo(2);
-        Files.write(folder().resolve("drains.new"), new byte[]{1, 2, 3});
+        Files.write(folder().resolve("drains.new"), new byte[] {1, 2, 3});
         assertThat(load()).isEqualTo(snapshot(2));
         try (StateFolder state = StateFolder.open(folder())) {
             assertThat(keep(state, snapshot(3))).isNull();
@@ -89,7 +90,7 @@
     @Test
     void bothDamagedStartsWithNothing() throws IOException {
         keepTo(2);
-        Files.write(folder().resolve("drains.0"), new byte[]{1});
+        Files.write(folder().resolve("drains.0"), new byte[] {1});
         Files.write(folder().resolve("drains.1"), new byte[0]);
         assertThat(load().drains()).isEmpty();
     }
@@ -98,7 +99,7 @@
     void folderIsOneNodesAlone() throws IOException {
         try (StateFolder state = StateFolder.open(folder())) {
             assertThatThrownBy(() -> StateFolder.open(folder()))
-                .hasMessage("another node uses the state folder " + folder());
+                    .hasMessage("another node uses the state folder " + folder());
             assertThat(keep(state, snapshot(1))).isNull();
         }
         assertThat(load()).isEqualTo(snapshot(1));
