--- a/src/test/java/cresschute/control/socket/ControlProtocolFormatTest.java
+++ b/src/test/java/cresschute/control/socket/ControlProtocolFormatTest.java
@@ -6,12 +6,12 @@
 import com.google.gson.JsonParser;
 import cresschute.ControlPeer;
 import cresschute.console.ControlLink;
-import cresschute.control.VersionedTable;
 import cresschute.control.ControlRequest;
 import cresschute.control.ControlRequest.What;
 import cresschute.control.DrainRegistry;
 import cresschute.control.DrainRegistry.Operation;
 import cresschute.control.EventRing;
+import cresschute.control.VersionedTable;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -28,23 +28,27 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The lines of the control socket as an earlier version wrote them, both ways: consoles and nodes of
- * different versions understand each other. The literals are never adapted to a renaming in the code.
+ * The lines of the control socket as an earlier version wrote them, both ways: consoles and nodes
+ * of different versions understand each other. The literals are never adapted to a renaming in the
+ * code.
  */
 @Timeout(30)
 class ControlProtocolFormatTest {
 
     private static final String WORKERS = "{\"v\":1,\"id\":\"1\",\"do\":\"workers\"}";
     private static final String SUBSCRIBE =
-        "{\"v\":1,\"id\":\"rows\",\"do\":\"subscribe\",\"from\":17,\"boot\":\"run-1\"}";
+            "{\"v\":1,\"id\":\"rows\",\"do\":\"subscribe\",\"from\":17,\"boot\":\"run-1\"}";
     private static final String EVENTS =
-        "{\"v\":1,\"id\":\"events\",\"do\":\"events\",\"after\":2,\"boot\":\"run-1\"}";
-    private static final String DRAIN = "{\"v\":1,\"id\":\"o1\",\"do\":\"drain\",\"op\":\"op-1\","
-        + "\"worker\":\"w1\",\"who\":\"ann\",\"reason\":\"new disk\",\"force\":true,\"for_ms\":7200000}";
-    private static final String UNDRAIN = "{\"v\":1,\"id\":\"o2\",\"do\":\"undrain\",\"op\":\"op-2\","
-        + "\"worker\":\"w1\",\"who\":\"ann\"}";
-
-    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+            "{\"v\":1,\"id\":\"events\",\"do\":\"events\",\"after\":2,\"boot\":\"run-1\"}";
+    private static final String DRAIN =
+            "{\"v\":1,\"id\":\"o1\",\"do\":\"drain\",\"op\":\"op-1\",\"worker\":\"w1\",\"who\":\"ann\",\"reason\":\"new"
+                + " disk\",\"force\":true,\"for_ms\":7200000}";
+    private static final String UNDRAIN =
+            "{\"v\":1,\"id\":\"o2\",\"do\":\"undrain\",\"op\":\"op-2\","
+                    + "\"worker\":\"w1\",\"who\":\"ann\"}";
+
+    private final EventLoopGroup group =
+            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final VersionedTable board = new VersionedTable();
     private final EventRing events = new EventRing();
@@ -52,8 +56,7 @@
     private ControlServer server;
     private Path socket;
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
 
     private final class KnownDesk implements ControlHandler {
 
@@ -80,7 +83,8 @@
         @Override
         public void carryOut(Operation operation, Consumer<JsonObject> answer) {
             carriedOut = operation;
-            answer.accept(JsonParser.parseString("{\"ok\":true,\"outcome\":\"done\"}").getAsJsonObject());
+            answer.accept(
+                    JsonParser.parseString("{\"ok\":true,\"outcome\":\"done\"}").getAsJsonObject());
         }
 
         @Override
@@ -131,36 +135,72 @@
     @Test
     void requestsOfAnEarlierConsoleAreUnderstood() throws Exception {
         assertThat(ControlRequest.parse(WORKERS))
-            .isEqualTo(new ControlRequest("1", What.WORKERS, 0, "", 0, null));
+                .isEqualTo(new ControlRequest("1", What.WORKERS, 0, "", 0, null));
         assertThat(ControlRequest.parse(SUBSCRIBE))
-            .isEqualTo(new ControlRequest("rows", What.SUBSCRIBE, 17, "run-1", 0, null));
+                .isEqualTo(new ControlRequest("rows", What.SUBSCRIBE, 17, "run-1", 0, null));
         assertThat(ControlRequest.parse(EVENTS))
-            .isEqualTo(new ControlRequest("events", What.EVENTS, 0, "run-1", 2, null));
-        assertThat(ControlRequest.parse(DRAIN)).isEqualTo(new ControlRequest("o1", What.DRAIN, 0, "", 0,
-            new Operation("op-1", true, "w1", 7_200_000_000L, "ann", "new disk", true)));
-        assertThat(ControlRequest.parse(UNDRAIN)).isEqualTo(new ControlRequest("o2", What.UNDRAIN, 0, "", 0,
-            new Operation("op-2", false, "w1", DrainRegistry.FOREVER, "ann", "", false)));
+                .isEqualTo(new ControlRequest("events", What.EVENTS, 0, "run-1", 2, null));
+        assertThat(ControlRequest.parse(DRAIN))
+                .isEqualTo(
+                        new ControlRequest(
+                                "o1",
+                                What.DRAIN,
+                                0,
+                                "",
+                                0,
+                                new Operation(
+                                        "op-1",
+                                        true,
+                                        "w1",
+                                        7_200_000_000L,
+                                        "ann",
+                                        "new disk",
+                                        true)));
+        assertThat(ControlRequest.parse(UNDRAIN))
+                .isEqualTo(
+                        new ControlRequest(
+                                "o2",
+                                What.UNDRAIN,
+                                0,
+                                "",
+                                0,
+                                new Operation(
+                                        "op-2",
+                                        false,
+                                        "w1",
+                                        DrainRegistry.FOREVER,
+                                        "ann",
+                                        "",
+                                        false)));
     }
 
     // ---- What nodes answer ----
 
     @Test
     void rowsAreAnsweredAsByAnEarlierNode() throws Exception {
-        assertThat(answer(WORKERS)).isEqualTo("{\"re\":\"1\",\"ok\":true,\"boot\":\"run-1\",\"number\":3,"
-            + "\"whole\":true,\"rows\":{\"w/w1\":{\"id\":\"w1\"}},\"gone\":[]}");
-        assertThat(answer("{\"v\":1,\"id\":\"s\",\"do\":\"subscribe\",\"from\":2,\"boot\":\"run-1\"}"))
-            .isEqualTo("{\"re\":\"s\",\"ok\":true,\"boot\":\"run-1\",\"number\":3,\"whole\":false,"
-                + "\"rows\":{},\"gone\":[\"w/w2\"]}");
+        assertThat(answer(WORKERS))
+                .isEqualTo(
+                        "{\"re\":\"1\",\"ok\":true,\"boot\":\"run-1\",\"number\":3,"
+                            + "\"whole\":true,\"rows\":{\"w/w1\":{\"id\":\"w1\"}},\"gone\":[]}");
+        assertThat(
+                        answer(
+                                "{\"v\":1,\"id\":\"s\",\"do\":\"subscribe\",\"from\":2,\"boot\":\"run-1\"}"))
+                .isEqualTo(
+                        "{\"re\":\"s\",\"ok\":true,\"boot\":\"run-1\",\"number\":3,\"whole\":false,"
+                                + "\"rows\":{},\"gone\":[\"w/w2\"]}");
     }
 
     @Test
     void eventsAreAnsweredAsByAnEarlierNode() throws Exception {
-        assertThat(answer("{\"v\":1,\"id\":\"e\",\"do\":\"events\",\"after\":0,\"boot\":\"run-1\"}"))
-            .isEqualTo("{\"re\":\"e\",\"ok\":true,\"boot\":\"run-1\",\"missed\":0,\"events\":["
-                + "{\"n\":1,\"at_ms\":1700000000123,\"kind\":\"drained\",\"worker\":\"w1\","
-                + "\"text\":\"w1 drained by ann\"},"
-                + "{\"n\":2,\"at_ms\":1700000001000,\"kind\":\"node_stopping\","
-                + "\"text\":\"the node is stopping\"}]}");
+        assertThat(
+                        answer(
+                                "{\"v\":1,\"id\":\"e\",\"do\":\"events\",\"after\":0,\"boot\":\"run-1\"}"))
+                .isEqualTo(
+                        "{\"re\":\"e\",\"ok\":true,\"boot\":\"run-1\",\"missed\":0,\"events\":["
+                            + "{\"n\":1,\"at_ms\":1700000000123,\"kind\":\"drained\",\"worker\":\"w1\",\"text\":\"w1"
+                            + " drained by ann\"},"
+                            + "{\"n\":2,\"at_ms\":1700000001000,\"kind\":\"node_stopping\",\"text\":\"the"
+                            + " node is stopping\"}]}");
     }
 
     /** News carry no {@code re}; the rest is as in an answer. */
@@ -169,15 +209,23 @@
         try (ControlPeer peer = new ControlPeer(socket)) {
             peer.ask("\"do\":\"subscribe\"");
             peer.ask("\"do\":\"events\"");
-            loop.submit(() -> {
-                board.put("w/w1", "{\"id\":\"w1\",\"n\":2}");
-                events.add(1_700_000_002_000_000L, "undrained", "w1", "w1 no longer drained by ann");
-                server.tell(1);
-            }).syncUninterruptibly();
-            assertThat(peer.read()).hasToString("{\"boot\":\"run-1\",\"number\":4,\"whole\":false,"
-                + "\"rows\":{\"w/w1\":{\"id\":\"w1\",\"n\":2}},\"gone\":[],\"missed\":0,\"events\":["
-                + "{\"n\":3,\"at_ms\":1700000002000,\"kind\":\"undrained\",\"worker\":\"w1\","
-                + "\"text\":\"w1 no longer drained by ann\"}]}");
+            loop.submit(
+                            () -> {
+                                board.put("w/w1", "{\"id\":\"w1\",\"n\":2}");
+                                events.add(
+                                        1_700_000_002_000_000L,
+                                        "undrained",
+                                        "w1",
+                                        "w1 no longer drained by ann");
+                                server.tell(1);
+                            })
+                    .syncUninterruptibly();
+            assertThat(peer.read())
+                    .hasToString(
+                            "{\"boot\":\"run-1\",\"number\":4,\"whole\":false,"
+                                + "\"rows\":{\"w/w1\":{\"id\":\"w1\",\"n\":2}},\"gone\":[],\"missed\":0,\"events\":["
+                                + "{\"n\":3,\"at_ms\":1700000002000,\"kind\":\"undrained\",\"worker\":\"w1\",\"text\":\"w1"
+                                + " no longer drained by ann\"}]}");
         }
     }
 
@@ -185,15 +233,18 @@
     void operationsAreAnsweredAsByAnEarlierNode() throws Exception {
         assertThat(answer(DRAIN)).isEqualTo("{\"re\":\"o1\",\"ok\":true,\"outcome\":\"done\"}");
         assertThat(carriedOut)
-            .isEqualTo(new Operation("op-1", true, "w1", 7_200_000_000L, "ann", "new disk", true));
+                .isEqualTo(
+                        new Operation("op-1", true, "w1", 7_200_000_000L, "ann", "new disk", true));
         assertThat(answer(UNDRAIN)).isEqualTo("{\"re\":\"o2\",\"ok\":true,\"outcome\":\"done\"}");
     }
 
     @Test
     void refusalsAreAnsweredAsByAnEarlierNode() throws Exception {
-        assertThat(answer("{\"v\":1,\"id\":\"x\",\"do\":\"fly\"}")).isEqualTo("{\"re\":\"x\",\"ok\":false,"
-            + "\"error\":\"do is 'fly'; there are workers, subscribe, events, drain, undrain\"}");
+        assertThat(answer("{\"v\":1,\"id\":\"x\",\"do\":\"fly\"}"))
+                .isEqualTo(
+                        "{\"re\":\"x\",\"ok\":false,\"error\":\"do is 'fly'; there are workers,"
+                                + " subscribe, events, drain, undrain\"}");
         assertThat(answer("{\"v\":1,\"do\":\"workers\"}"))
-            .isEqualTo("{\"ok\":false,\"error\":\"id is missing: the answer would carry it\"}");
+                .isEqualTo("{\"ok\":false,\"error\":\"id is missing: the answer would carry it\"}");
     }
 }
--- a/src/test/java/cresschute/control/socket/ControlServerTest.java
+++ b/src/test/java/cresschute/control/socket/ControlServerTest.java
@@ -4,10 +4,10 @@
 
 import com.google.gson.JsonObject;
 import cresschute.ControlPeer;
-import cresschute.control.VersionedTable;
 import cresschute.control.ControlRequest;
 import cresschute.control.DrainRegistry.Operation;
 import cresschute.control.EventRing;
+import cresschute.control.VersionedTable;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -29,15 +29,15 @@
 
     private static final int ROW = 300_000;
 
-    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final EventLoopGroup group =
+            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final AtomicInteger asked = new AtomicInteger();
     private final VersionedTable board = new VersionedTable();
     private ControlServer server;
     private Path socket;
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
 
     private final class LargeDesk implements ControlHandler {
 
@@ -87,8 +87,8 @@
     }
 
     /**
-     * Guards the heap: a few hundred requests in one packet, none of whose answers is read, once made the
-     * node hold every answer.
+     * Guards the heap: a few hundred requests in one packet, none of whose answers is read, once
+     * made the node hold every answer.
      */
     @Test
     void requestsAreAnsweredOnlyAsFastAsAnswersAreRead() throws Exception {
@@ -100,7 +100,8 @@
             }
             peer.write(all.toString());
             Awaitility.await().until(() -> asked.get() >= 2);
-            // Another console is served meanwhile, after which the loop has been through all there was.
+            // Another console is served meanwhile, after which the loop has been through all there
+            // was.
             try (ControlPeer other = new ControlPeer(socket)) {
                 other.ask("\"do\":\"events\"");
                 other.ask("\"do\":\"events\"");
@@ -114,7 +115,10 @@
         }
     }
 
-    /** News wait in the board and in no queue: whoever reads again is told the newest of each row, once. */
+    /**
+     * News wait in the board and in no queue: whoever reads again is told the newest of each row,
+     * once.
+     */
     @Test
     void consoleThatReadsAgainIsToldTheNewestOnly() throws Exception {
         try (ControlPeer peer = new ControlPeer(socket)) {
@@ -122,16 +126,25 @@
             final int changes = 200;
             for (int i = 1; i <= changes; i++) {
                 final int change = i;
-                loop.submit(() -> {
-                    board.put("w/w1", "{\"n\":" + change + ",\"text\":\"" + "x".repeat(ROW) + "\"}");
-                    server.tell(change);
-                }).syncUninterruptibly();
+                loop.submit(
+                                () -> {
+                                    board.put(
+                                            "w/w1",
+                                            "{\"n\":"
+                                                    + change
+                                                    + ",\"text\":\""
+                                                    + "x".repeat(ROW)
+                                                    + "\"}");
+                                    server.tell(change);
+                                })
+                        .syncUninterruptibly();
             }
             int told = 0;
             int newest = 0;
             while (newest < changes) {
                 final JsonObject news = peer.read();
-                final int next = news.getAsJsonObject("rows").getAsJsonObject("w/w1").get("n").getAsInt();
+                final int next =
+                        news.getAsJsonObject("rows").getAsJsonObject("w/w1").get("n").getAsInt();
                 assertThat(next).isGreaterThan(newest);
                 newest = next;
                 told++;
@@ -150,14 +163,24 @@
             final long startUs = 1_000_000;
             for (int i = 0; i < 40; i++) {
                 final int change = i;
-                loop.submit(() -> {
-                    board.put("w/w1", "{\"n\":" + change + ",\"text\":\"" + "x".repeat(ROW) + "\"}");
-                    server.tell(startUs);
-                }).syncUninterruptibly();
+                loop.submit(
+                                () -> {
+                                    board.put(
+                                            "w/w1",
+                                            "{\"n\":"
+                                                    + change
+                                                    + ",\"text\":\""
+                                                    + "x".repeat(ROW)
+                                                    + "\"}");
+                                    server.tell(startUs);
+                                })
+                        .syncUninterruptibly();
             }
-            loop.submit(() -> server.tell(startUs + ControlSession.STALLED_US - 1)).syncUninterruptibly();
+            loop.submit(() -> server.tell(startUs + ControlSession.STALLED_US - 1))
+                    .syncUninterruptibly();
             assertThat(loop.submit(server::sessions).get()).isEqualTo(1);
-            loop.submit(() -> server.tell(startUs + ControlSession.STALLED_US)).syncUninterruptibly();
+            loop.submit(() -> server.tell(startUs + ControlSession.STALLED_US))
+                    .syncUninterruptibly();
             Awaitility.await().until(() -> loop.submit(server::sessions).get() == 0);
         }
     }
--- a/src/test/java/cresschute/dispatch/AdmissionFillTest.java
+++ b/src/test/java/cresschute/dispatch/AdmissionFillTest.java
@@ -18,9 +18,25 @@
     private final WorkerGroup all = fleet.pool(Placement.ANYWHERE, WorkerGroup.ALL, 0);
     private final WorkerGroup kind = fleet.pool(ONE_KIND, WorkerGroup.ALL, 0);
 
-    private DemandBucket cell(double priorityWeight, double rate, double work, Placement placement) {
-        final DemandBucket cell = new DemandBucket(new ClassState(0, new RequestClass(priorityWeight, 1, 1, 1, Idempotency.SAFE,
-            DeduplicationScope.ALL, 0, placement), fleet, 0), 0, 1);
+    private DemandBucket cell(
+            double priorityWeight, double rate, double work, Placement placement) {
+        final DemandBucket cell =
+                new DemandBucket(
+                        new ClassState(
+                                0,
+                                new RequestClass(
+                                        priorityWeight,
+                                        1,
+                                        1,
+                                        1,
+                                        Idempotency.SAFE,
+                                        DeduplicationScope.ALL,
+                                        0,
+                                        placement),
+                                fleet,
+                                0),
+                        0,
+                        1);
         cell.rate = rate;
         cell.work = work;
         return cell;
@@ -32,7 +48,7 @@
         final DemandBucket poor = cell(1, 1, 1, Placement.ANYWHERE);
         final DemandBucket large = cell(10, 1, 20, Placement.ANYWHERE);
         all.left = 1.5 + Dispatcher.FLOOR * 20;
-        Dispatcher.fill(new DemandBucket[]{large, poor, rich}, 1);
+        Dispatcher.fill(new DemandBucket[] {large, poor, rich}, 1);
         assertThat(rich.admit).isCloseTo(1, within(1e-9));
         assertThat(poor.admit).isCloseTo(0.5, within(1e-9));
         assertThat(large.admit).isCloseTo(Dispatcher.FLOOR, within(1e-9));
@@ -44,7 +60,7 @@
         final DemandBucket free = cell(1, 1, 1, Placement.ANYWHERE);
         all.left = 100;
         kind.left = 0.25;
-        Dispatcher.fill(new DemandBucket[]{bound, free}, 1);
+        Dispatcher.fill(new DemandBucket[] {bound, free}, 1);
         assertThat(bound.admit).isCloseTo(0.25, within(1e-9));
         assertThat(free.admit).isCloseTo(1, within(1e-9));
     }
@@ -53,16 +69,16 @@
     void anOpenBudgetAdmitsEverything() {
         final DemandBucket cell = cell(1, 50, 3, Placement.ANYWHERE);
         all.left = Double.POSITIVE_INFINITY;
-        Dispatcher.fill(new DemandBucket[]{cell}, 1);
+        Dispatcher.fill(new DemandBucket[] {cell}, 1);
         assertThat(cell.admit).isEqualTo(1);
     }
 
     @Property(seed = "23", tries = 300)
     void floorsHoldTheBudgetHoldsAboveThemAndOrderIsByPriorityWeight(
-        @ForAll @Size(6) List<@DoubleRange(min = 0.1, max = 20) Double> worths,
-        @ForAll @Size(6) List<@DoubleRange(min = 0, max = 50) Double> rates,
-        @ForAll @Size(6) List<@DoubleRange(min = 0.01, max = 10) Double> works,
-        @ForAll @DoubleRange(min = 0, max = 500) double budget) {
+            @ForAll @Size(6) List<@DoubleRange(min = 0.1, max = 20) Double> worths,
+            @ForAll @Size(6) List<@DoubleRange(min = 0, max = 50) Double> rates,
+            @ForAll @Size(6) List<@DoubleRange(min = 0.01, max = 10) Double> works,
+            @ForAll @DoubleRange(min = 0, max = 500) double budget) {
         final DemandBucket[] cells = new DemandBucket[6];
         double floorWork = 0;
         for (int i = 0; i < cells.length; i++) {
--- a/src/test/java/cresschute/dispatch/PolicyFilesTest.java
+++ b/src/test/java/cresschute/dispatch/PolicyFilesTest.java
@@ -18,16 +18,23 @@
     private static final Path MODULE = Path.of("src/main/java/cresschute/dispatch");
 
     private static List<String> listedFiles() throws IOException {
-        final String policy = Files.readAllLines(DEPLOY_FILE).stream()
-            .filter(line -> line.startsWith("policy = ")).findFirst().orElseThrow();
-        return Pattern.compile("\"([^\"]+)\"").matcher(policy).results()
-            .map((MatchResult file) -> file.group(1)).toList();
+        final String policy =
+                Files.readAllLines(DEPLOY_FILE).stream()
+                        .filter(line -> line.startsWith("policy = "))
+                        .findFirst()
+                        .orElseThrow();
+        return Pattern.compile("\"([^\"]+)\"")
+                .matcher(policy)
+                .results()
+                .map((MatchResult file) -> file.group(1))
+                .toList();
     }
 
     @Test
     void policyListsEveryFileOfTheModule() throws IOException {
         try (Stream<Path> files = Files.walk(MODULE)) {
-            final List<String> sources = files.filter(Files::isRegularFile).map(Path::toString).toList();
+            final List<String> sources =
+                    files.filter(Files::isRegularFile).map(Path::toString).toList();
             assertThat(listedFiles()).containsExactlyInAnyOrderElementsOf(sources);
         }
     }
--- a/src/test/java/cresschute/dispatch/RecordingActions.java
+++ b/src/test/java/cresschute/dispatch/RecordingActions.java
@@ -27,7 +27,15 @@
     }
 
     static RequestClass job(double priorityWeight, Idempotency effect, DeduplicationScope scope) {
-        return new RequestClass(priorityWeight, 200_000, 2, 5 * SECOND, effect, scope, 3 * SECOND, Placement.ANYWHERE);
+        return new RequestClass(
+                priorityWeight,
+                200_000,
+                2,
+                5 * SECOND,
+                effect,
+                scope,
+                3 * SECOND,
+                Placement.ANYWHERE);
     }
 
     static RequestClass bound(Idempotency effect, DeduplicationScope scope, Placement placement) {
@@ -38,21 +46,43 @@
         return settings(classes, List.of(), 1, false);
     }
 
-    static DispatchSettings settings(List<RequestClass> classes, List<Tenant> tenants, int dispatchers, boolean ask) {
-        return settings(classes, tenants, dispatchers, ask, false, false, DispatchSettings.UNLIMITED);
+    static DispatchSettings settings(
+            List<RequestClass> classes, List<Tenant> tenants, int dispatchers, boolean ask) {
+        return settings(
+                classes, tenants, dispatchers, ask, false, false, DispatchSettings.UNLIMITED);
     }
 
-    static DispatchSettings settings(List<RequestClass> classes, boolean fullMayHaveRun, long closeOnDrainWithinUs) {
+    static DispatchSettings settings(
+            List<RequestClass> classes, boolean fullMayHaveRun, long closeOnDrainWithinUs) {
         return settings(classes, List.of(), 1, false, false, fullMayHaveRun, closeOnDrainWithinUs);
     }
 
     static DispatchSettings byWork(List<RequestClass> classes) {
         final DispatchSettings plain = settings(classes);
-        return new DispatchSettings(plain.dispatchers(), plain.zone(), plain.zones(), plain.kinds(), classes,
-            plain.tenants(), plain.overQuotaWeightFactor(), true, plain.limits(), plain.slowStart(), plain.objectiveWeights(),
-            plain.endpointListIsPolled(), plain.pollWithinUs(), plain.weightSource(), plain.reportsLoad(),
-            plain.reportsJobStart(), plain.progressUs(), plain.crossZonePrice(), plain.allowsLoadQueries(),
-            plain.allowsPeerMessages(), plain.dataTransferPrice(), plain.fullMayHaveRun(), plain.closeOnDrainWithinUs());
+        return new DispatchSettings(
+                plain.dispatchers(),
+                plain.zone(),
+                plain.zones(),
+                plain.kinds(),
+                classes,
+                plain.tenants(),
+                plain.overQuotaWeightFactor(),
+                true,
+                plain.limits(),
+                plain.slowStart(),
+                plain.objectiveWeights(),
+                plain.endpointListIsPolled(),
+                plain.pollWithinUs(),
+                plain.weightSource(),
+                plain.reportsLoad(),
+                plain.reportsJobStart(),
+                plain.progressUs(),
+                plain.crossZonePrice(),
+                plain.allowsLoadQueries(),
+                plain.allowsPeerMessages(),
+                plain.dataTransferPrice(),
+                plain.fullMayHaveRun(),
+                plain.closeOnDrainWithinUs());
     }
 
     static DispatchSettings probing(List<RequestClass> classes) {
@@ -60,46 +90,129 @@
     }
 
     static DispatchSettings probing(List<RequestClass> classes, int dispatchers) {
-        return settings(classes, List.of(), dispatchers, false, true, false, DispatchSettings.UNLIMITED);
+        return settings(
+                classes, List.of(), dispatchers, false, true, false, DispatchSettings.UNLIMITED);
     }
 
-    private static DispatchSettings settings(List<RequestClass> classes, List<Tenant> tenants, int dispatchers,
-        boolean ask, boolean probing, boolean fullMayHaveRun,
-        long closeOnDrainWithinUs) {
-        return new DispatchSettings(dispatchers, 0, 3, 2, classes, tenants, 0.05, false, new AttemptLimits(4, 0, false),
-            new SlowStartSettings(0.2, 20 * SECOND, 3, SECOND), new ObjectiveWeights(0.6, 0.2, 0.2, 0), ask, 10 * SECOND,
-            WeightSource.NOMINAL, true, true, 0, 0.02, probing, true, 0.1, fullMayHaveRun,
-            closeOnDrainWithinUs);
+    private static DispatchSettings settings(
+            List<RequestClass> classes,
+            List<Tenant> tenants,
+            int dispatchers,
+            boolean ask,
+            boolean probing,
+            boolean fullMayHaveRun,
+            long closeOnDrainWithinUs) {
+        return new DispatchSettings(
+                dispatchers,
+                0,
+                3,
+                2,
+                classes,
+                tenants,
+                0.05,
+                false,
+                new AttemptLimits(4, 0, false),
+                new SlowStartSettings(0.2, 20 * SECOND, 3, SECOND),
+                new ObjectiveWeights(0.6, 0.2, 0.2, 0),
+                ask,
+                10 * SECOND,
+                WeightSource.NOMINAL,
+                true,
+                true,
+                0,
+                0.02,
+                probing,
+                true,
+                0.1,
+                fullMayHaveRun,
+                closeOnDrainWithinUs);
     }
 
     /** Workers tell of progress each second, and a request may be out twice. */
     static DispatchSettings copying(List<RequestClass> classes) {
         final DispatchSettings plain = settings(classes);
-        return new DispatchSettings(plain.dispatchers(), plain.zone(), plain.zones(), plain.kinds(), classes,
-            plain.tenants(), plain.overQuotaWeightFactor(), false, new AttemptLimits(4, 0, true), plain.slowStart(),
-            plain.objectiveWeights(), plain.endpointListIsPolled(), plain.pollWithinUs(), plain.weightSource(),
-            plain.reportsLoad(), true, SECOND, plain.crossZonePrice(), plain.allowsLoadQueries(), plain.allowsPeerMessages(),
-            plain.dataTransferPrice(), plain.fullMayHaveRun(), plain.closeOnDrainWithinUs());
+        return new DispatchSettings(
+                plain.dispatchers(),
+                plain.zone(),
+                plain.zones(),
+                plain.kinds(),
+                classes,
+                plain.tenants(),
+                plain.overQuotaWeightFactor(),
+                false,
+                new AttemptLimits(4, 0, true),
+                plain.slowStart(),
+                plain.objectiveWeights(),
+                plain.endpointListIsPolled(),
+                plain.pollWithinUs(),
+                plain.weightSource(),
+                plain.reportsLoad(),
+                true,
+                SECOND,
+                plain.crossZonePrice(),
+                plain.allowsLoadQueries(),
+                plain.allowsPeerMessages(),
+                plain.dataTransferPrice(),
+                plain.fullMayHaveRun(),
+                plain.closeOnDrainWithinUs());
     }
 
     /** As {@link #copying}, and workers may be asked for their load. */
     static DispatchSettings copyingWhereAsked(List<RequestClass> classes) {
         final DispatchSettings plain = copying(classes);
-        return new DispatchSettings(plain.dispatchers(), plain.zone(), plain.zones(), plain.kinds(), classes,
-            plain.tenants(), plain.overQuotaWeightFactor(), false, plain.limits(), plain.slowStart(), plain.objectiveWeights(),
-            plain.endpointListIsPolled(), plain.pollWithinUs(), plain.weightSource(), true, true, SECOND,
-            plain.crossZonePrice(), true, plain.allowsPeerMessages(), plain.dataTransferPrice(), plain.fullMayHaveRun(),
-            plain.closeOnDrainWithinUs());
+        return new DispatchSettings(
+                plain.dispatchers(),
+                plain.zone(),
+                plain.zones(),
+                plain.kinds(),
+                classes,
+                plain.tenants(),
+                plain.overQuotaWeightFactor(),
+                false,
+                plain.limits(),
+                plain.slowStart(),
+                plain.objectiveWeights(),
+                plain.endpointListIsPolled(),
+                plain.pollWithinUs(),
+                plain.weightSource(),
+                true,
+                true,
+                SECOND,
+                plain.crossZonePrice(),
+                true,
+                plain.allowsPeerMessages(),
+                plain.dataTransferPrice(),
+                plain.fullMayHaveRun(),
+                plain.closeOnDrainWithinUs());
     }
 
     /** Clients are advised to come back after up to 0.2 s. */
     static DispatchSettings advising(List<RequestClass> classes) {
         final DispatchSettings plain = settings(classes);
-        return new DispatchSettings(plain.dispatchers(), plain.zone(), plain.zones(), plain.kinds(), classes,
-            plain.tenants(), plain.overQuotaWeightFactor(), false, new AttemptLimits(4, SECOND / 5, false),
-            plain.slowStart(), plain.objectiveWeights(), plain.endpointListIsPolled(), plain.pollWithinUs(),
-            plain.weightSource(), plain.reportsLoad(), true, 0, plain.crossZonePrice(), plain.allowsLoadQueries(),
-            plain.allowsPeerMessages(), plain.dataTransferPrice(), plain.fullMayHaveRun(), plain.closeOnDrainWithinUs());
+        return new DispatchSettings(
+                plain.dispatchers(),
+                plain.zone(),
+                plain.zones(),
+                plain.kinds(),
+                classes,
+                plain.tenants(),
+                plain.overQuotaWeightFactor(),
+                false,
+                new AttemptLimits(4, SECOND / 5, false),
+                plain.slowStart(),
+                plain.objectiveWeights(),
+                plain.endpointListIsPolled(),
+                plain.pollWithinUs(),
+                plain.weightSource(),
+                plain.reportsLoad(),
+                true,
+                0,
+                plain.crossZonePrice(),
+                plain.allowsLoadQueries(),
+                plain.allowsPeerMessages(),
+                plain.dataTransferPrice(),
+                plain.fullMayHaveRun(),
+                plain.closeOnDrainWithinUs());
     }
 
     static Worker worker(int id, int zone, int cell) {
--- a/src/test/java/cresschute/dispatch/RulesPropertyTest.java
+++ b/src/test/java/cresschute/dispatch/RulesPropertyTest.java
@@ -13,14 +13,16 @@
 import net.jqwik.api.Property;
 
 /**
- * Feeds the module random legal event sequences and holds every action against the rules as stated, without
- * looking into the module. It scripts events; it does not imitate servers.
+ * Feeds the module random legal event sequences and holds every action against the rules as stated,
+ * without looking into the module. It scripts events; it does not imitate servers.
  */
 class RulesPropertyTest {
 
     private static final long SECOND = 1_000_000;
     private static final int STEPS = 1500;
-    private static final EndpointListForm[] PUSHED = {EndpointListForm.CHANGES, EndpointListForm.FULL};
+    private static final EndpointListForm[] PUSHED = {
+        EndpointListForm.CHANGES, EndpointListForm.FULL
+    };
 
     /** What the checker knows of a request. */
     private static final class Owed {
@@ -65,19 +67,48 @@
             final List<RequestClass> classes = new ArrayList<>();
             for (final Idempotency effect : Idempotency.values()) {
                 final long latencyObjectiveUs = 50_000 + random.nextInt(2_000_000);
-                classes.add(new RequestClass(1 + random.nextInt(12), latencyObjectiveUs, random.nextInt(3),
-                    latencyObjectiveUs * (2 + random.nextInt(6)), effect, any(DeduplicationScope.values()),
-                    random.nextInt(3_000_000), new Placement(anyOf(3), anyOf(2))));
+                classes.add(
+                        new RequestClass(
+                                1 + random.nextInt(12),
+                                latencyObjectiveUs,
+                                random.nextInt(3),
+                                latencyObjectiveUs * (2 + random.nextInt(6)),
+                                effect,
+                                any(DeduplicationScope.values()),
+                                random.nextInt(3_000_000),
+                                new Placement(anyOf(3), anyOf(2))));
             }
-            return new DispatchSettings(1 + random.nextInt(40), random.nextInt(3), 3, 2, classes, List.of(), 0.1,
-                random.nextBoolean(),
-                new AttemptLimits(1 + random.nextInt(5), random.nextInt(2) * SECOND, random.nextBoolean()),
-                new SlowStartSettings(0.1 + random.nextDouble() / 2, 10 * SECOND, 2 + random.nextInt(3), SECOND),
-                new ObjectiveWeights(1, 0, 0, 0), random.nextBoolean(), 10 * SECOND, any(WeightSource.values()),
-                random.nextBoolean(), random.nextBoolean(),
-                random.nextInt(2) * SECOND, 0.03, random.nextBoolean(), random.nextBoolean(),
-                0.1, random.nextBoolean(),
-                random.nextBoolean() ? DispatchSettings.UNLIMITED : random.nextInt(1_000_000));
+            return new DispatchSettings(
+                    1 + random.nextInt(40),
+                    random.nextInt(3),
+                    3,
+                    2,
+                    classes,
+                    List.of(),
+                    0.1,
+                    random.nextBoolean(),
+                    new AttemptLimits(
+                            1 + random.nextInt(5),
+                            random.nextInt(2) * SECOND,
+                            random.nextBoolean()),
+                    new SlowStartSettings(
+                            0.1 + random.nextDouble() / 2,
+                            10 * SECOND,
+                            2 + random.nextInt(3),
+                            SECOND),
+                    new ObjectiveWeights(1, 0, 0, 0),
+                    random.nextBoolean(),
+                    10 * SECOND,
+                    any(WeightSource.values()),
+                    random.nextBoolean(),
+                    random.nextBoolean(),
+                    random.nextInt(2) * SECOND,
+                    0.03,
+                    random.nextBoolean(),
+                    random.nextBoolean(),
+                    0.1,
+                    random.nextBoolean(),
+                    random.nextBoolean() ? DispatchSettings.UNLIMITED : random.nextInt(1_000_000));
         }
 
         /** Some of the first numbers, or null for no bound. */
@@ -93,9 +124,16 @@
 
         private Worker randomWorker(int id) {
             final int state = random.nextInt(6);
-            return new Worker(id, id % 3, id % 2, id % 4,
-                state == 0 ? WorkerState.GONE : state == 1 ? WorkerState.DRAINING : WorkerState.READY,
-                0.5f + random.nextInt(4), random.nextInt(3) == 0 ? nowUs - random.nextInt(20_000_000) : 0);
+            return new Worker(
+                    id,
+                    id % 3,
+                    id % 2,
+                    id % 4,
+                    state == 0
+                            ? WorkerState.GONE
+                            : state == 1 ? WorkerState.DRAINING : WorkerState.READY,
+                    0.5f + random.nextInt(4),
+                    random.nextInt(3) == 0 ? nowUs - random.nextInt(20_000_000) : 0);
         }
 
         private void list(EndpointListForm form) {
@@ -112,13 +150,18 @@
                 entries.forEach(worker -> listed.put(worker.id(), worker));
             }
             closed.clear();
-            module.endpointListChanged(nowUs, form, form == EndpointListForm.FAILED ? List.of() : entries);
+            module.endpointListChanged(
+                    nowUs, form, form == EndpointListForm.FAILED ? List.of() : entries);
             if (form != EndpointListForm.FAILED) {
-                entries.forEach(entry -> mustBeClosed(entry.id(), entry.state() == WorkerState.DRAINING));
+                entries.forEach(
+                        entry -> mustBeClosed(entry.id(), entry.state() == WorkerState.DRAINING));
             }
         }
 
-        /** At a draining worker every idle connection is closed in the event that makes or finds it idle. */
+        /**
+         * At a draining worker every idle connection is closed in the event that makes or finds it
+         * idle.
+         */
         private void mustBeClosed(int worker, boolean draining) {
             if (draining && settings.closeOnDrainWithinUs() < DispatchSettings.UNLIMITED) {
                 assertThat(closed).as("idle connections to a draining worker").contains(worker);
@@ -130,10 +173,17 @@
             for (int step = 0; step < STEPS; step++) {
                 pass(random.nextInt(40_000));
                 switch (random.nextInt(20)) {
-                    case 0 -> list(any(settings.endpointListIsPolled() ? EndpointListForm.values() : PUSHED));
+                    case 0 ->
+                            list(
+                                    any(
+                                            settings.endpointListIsPolled()
+                                                    ? EndpointListForm.values()
+                                                    : PUSHED));
                     case 1 -> leave();
                     case 2 -> unknownNews();
-                    case 13 -> module.workerReportedUnresponsive(nowUs, random.nextInt(14), random.nextInt(5) - 1);
+                    case 13 ->
+                            module.workerReportedUnresponsive(
+                                    nowUs, random.nextInt(14), random.nextInt(5) - 1);
                     case 3 -> progress();
                     case 4, 5, 6, 7 -> answerProbe();
                     case 8, 9, 10, 11, 12 -> request();
@@ -141,7 +191,9 @@
                 }
             }
             pass(20 * SECOND);
-            assertThat(unanswered.values()).as("requests without their answer").allMatch(request -> request.closed);
+            assertThat(unanswered.values())
+                    .as("requests without their answer")
+                    .allMatch(request -> request.closed);
         }
 
         private void unknownNews() {
@@ -162,18 +214,24 @@
         }
 
         private long nextDeadlineUs() {
-            return unanswered.values().stream().filter(request -> !request.closed || !request.out.isEmpty())
-                .mapToLong(request -> request.deadlineUs).min().orElse(Long.MAX_VALUE);
+            return unanswered.values().stream()
+                    .filter(request -> !request.closed || !request.out.isEmpty())
+                    .mapToLong(request -> request.deadlineUs)
+                    .min()
+                    .orElse(Long.MAX_VALUE);
         }
 
         private void timeOut() {
-            unanswered.forEach((id, request) -> {
-                if (request.deadlineUs <= nowUs) {
-                    List.copyOf(request.out.keySet())
-                        .forEach(attempt -> end(id, request, attempt, Outcome.TIMED_OUT));
-                    assertThat(request.closed).as("answered by its deadline").isTrue();
-                }
-            });
+            unanswered.forEach(
+                    (id, request) -> {
+                        if (request.deadlineUs <= nowUs) {
+                            List.copyOf(request.out.keySet())
+                                    .forEach(
+                                            attempt ->
+                                                    end(id, request, attempt, Outcome.TIMED_OUT));
+                            assertThat(request.closed).as("answered by its deadline").isTrue();
+                        }
+                    });
         }
 
         private void request() {
@@ -181,56 +239,76 @@
             final RequestClass stated = settings.classes().get(type);
             final int id = requests++;
             unanswered.put(id, new Owed(stated, nowUs + stated.deadlineUs()));
-            final Job job = new Job(type, 0, 1 + random.nextInt(4),
-                random.nextInt(2) * random.nextInt(900_000), random.nextInt(3), false);
+            final Job job =
+                    new Job(
+                            type,
+                            0,
+                            1 + random.nextInt(4),
+                            random.nextInt(2) * random.nextInt(900_000),
+                            random.nextInt(3),
+                            false);
             module.requestArrived(nowUs, id, job, nowUs + stated.deadlineUs());
         }
 
         private Integer anyOut() {
-            final List<Integer> ids = unanswered.entrySet().stream()
-                .filter(entry -> !entry.getValue().out.isEmpty()).map(Map.Entry::getKey).toList();
+            final List<Integer> ids =
+                    unanswered.entrySet().stream()
+                            .filter(entry -> !entry.getValue().out.isEmpty())
+                            .map(Map.Entry::getKey)
+                            .toList();
             return ids.isEmpty() ? null : ids.get(random.nextInt(ids.size()));
         }
 
         private void end() {
             final Integer id = anyOut();
             if (id != null) {
-                end(id, unanswered.get(id), unanswered.get(id).out.keySet().iterator().next(), any(Outcome.values()));
+                end(
+                        id,
+                        unanswered.get(id),
+                        unanswered.get(id).out.keySet().iterator().next(),
+                        any(Outcome.values()));
             }
         }
 
         private void end(int id, Owed request, int attempt, Outcome outcome) {
             final int worker = request.out.remove(attempt);
-            final boolean proof = outcome == Outcome.CONNECT_FAILED || outcome == Outcome.NOT_SENT
-                || outcome == Outcome.FULL && !settings.fullMayHaveRun();
+            final boolean proof =
+                    outcome == Outcome.CONNECT_FAILED
+                            || outcome == Outcome.NOT_SENT
+                            || outcome == Outcome.FULL && !settings.fullMayHaveRun();
             if (!proof && request.ranAt == null) {
                 request.ranAt = listedAs(worker);
                 request.ranSinceUs = sentAtUs.get(id).get(attempt);
             }
             request.closed |= outcome == Outcome.SERVED;
             closed.remove(worker);
-            module.attemptEnded(nowUs, id, attempt, worker, outcome, 1000, request.closed,
-                anyReport());
+            module.attemptEnded(
+                    nowUs, id, attempt, worker, outcome, 1000, request.closed, anyReport());
             final Worker now = listed.get(worker);
             mustBeClosed(worker, now == null || now.state() != WorkerState.READY);
         }
 
         private LoadReport anyReport() {
-            return new LoadReport(random.nextInt(7) - 1, random.nextInt(10) - 1, random.nextInt(5) - 1);
+            return new LoadReport(
+                    random.nextInt(7) - 1, random.nextInt(10) - 1, random.nextInt(5) - 1);
         }
 
         private void answerProbe() {
             if (!probes.isEmpty()) {
                 final int worker = probes.remove(random.nextInt(probes.size()));
-                module.loadReported(nowUs, worker, random.nextInt(3) == 0 ? any(Outcome.values()) : Outcome.SERVED,
-                    anyReport());
+                module.loadReported(
+                        nowUs,
+                        worker,
+                        random.nextInt(3) == 0 ? any(Outcome.values()) : Outcome.SERVED,
+                        anyReport());
             }
         }
 
         private void progress() {
             final Integer id = anyOut();
             if (id != null) {
-                final Map.Entry<Integer, Integer> out = unanswered.get(id).out.entrySet().iterator().next();
+                final Map.Entry<Integer, Integer> out =
+                        unanswered.get(id).out.entrySet().iterator().next();
                 module.jobProgressed(nowUs, id, out.getKey(), out.getValue(), random.nextFloat());
             }
         }
@@ -248,34 +326,49 @@
             final Owed request = unanswered.get(requestId);
             final RequestClass stated = request.stated;
             assertThat(request.closed).as("sent after the final answer").isFalse();
-            assertThat(request.out).as("attempts at once")
-                .hasSizeLessThanOrEqualTo(settings.limits().allowsHedging() ? 1 : 0);
+            assertThat(request.out)
+                    .as("attempts at once")
+                    .hasSizeLessThanOrEqualTo(settings.limits().allowsHedging() ? 1 : 0);
             final Worker worker = listed.get(workerId);
             assertThat(worker).as("sent to a worker not listed").isNotNull();
-            assertThat(worker.state()).as("sent to a draining or gone worker").isEqualTo(WorkerState.READY);
+            assertThat(worker.state())
+                    .as("sent to a draining or gone worker")
+                    .isEqualTo(WorkerState.READY);
             final List<Integer> zones = stated.placement().zones();
             final List<Integer> kinds = stated.placement().kinds();
-            assertThat(zones == null || zones.contains(worker.zone())).as("zone open to the class").isTrue();
-            assertThat(kinds == null || kinds.contains(worker.kind())).as("kind open to the class").isTrue();
+            assertThat(zones == null || zones.contains(worker.zone()))
+                    .as("zone open to the class")
+                    .isTrue();
+            assertThat(kinds == null || kinds.contains(worker.kind()))
+                    .as("kind open to the class")
+                    .isTrue();
             assertThat(request.sent).isLessThan(settings.limits().maxAttempts());
             final Map.Entry<Integer, Integer> outOne =
-                request.out.entrySet().stream().findFirst().orElse(null);
+                    request.out.entrySet().stream().findFirst().orElse(null);
             final Integer outAt = outOne == null ? null : outOne.getValue();
             if (outAt != null && stated.idempotency() == Idempotency.KEYED) {
                 assertThat(group(stated, worker)).isEqualTo(group(stated, listedAs(outAt)));
-                // The window is that of the send that is out; an earlier one that never ran binds nothing.
-                assertThat(nowUs).as("a keyed copy within the window of the send that is out")
-                    .isLessThanOrEqualTo(sentAtUs.get(requestId).get(outOne.getKey())
-                        + stated.deduplicationWindowUs());
+                // The window is that of the send that is out; an earlier one that never ran binds
+                // nothing.
+                assertThat(nowUs)
+                        .as("a keyed copy within the window of the send that is out")
+                        .isLessThanOrEqualTo(
+                                sentAtUs.get(requestId).get(outOne.getKey())
+                                        + stated.deduplicationWindowUs());
             }
             if (request.ranAt != null || outAt != null) {
-                assertThat(stated.idempotency()).as("an effect may be doubled").isNotEqualTo(Idempotency.UNSAFE);
+                assertThat(stated.idempotency())
+                        .as("an effect may be doubled")
+                        .isNotEqualTo(Idempotency.UNSAFE);
                 if (stated.idempotency() == Idempotency.KEYED && request.ranAt != null) {
-                    assertThat(nowUs).isLessThanOrEqualTo(request.ranSinceUs + stated.deduplicationWindowUs());
+                    assertThat(nowUs)
+                            .isLessThanOrEqualTo(
+                                    request.ranSinceUs + stated.deduplicationWindowUs());
                     assertThat(group(stated, worker)).isEqualTo(group(stated, request.ranAt));
                 }
             }
-            sentAtUs.computeIfAbsent(requestId, id -> new LinkedHashMap<>()).put(request.sent, nowUs);
+            sentAtUs.computeIfAbsent(requestId, id -> new LinkedHashMap<>())
+                    .put(request.sent, nowUs);
             request.out.put(request.sent++, workerId);
         }
 
@@ -294,7 +387,9 @@
         private void answer(int requestId) {
             final Owed request = unanswered.get(requestId);
             assertThat(request.closed).as("answered twice").isFalse();
-            assertThat(nowUs).as("answered after the deadline").isLessThanOrEqualTo(request.deadlineUs);
+            assertThat(nowUs)
+                    .as("answered after the deadline")
+                    .isLessThanOrEqualTo(request.deadlineUs);
             request.closed = true;
         }
 
@@ -303,10 +398,12 @@
             answer(requestId);
             final Owed request = unanswered.get(requestId);
             final boolean mayRun = request.ranAt != null || !request.out.isEmpty();
-            final boolean dropped = request.stated.idempotency() == Idempotency.KEYED
-                && request.stated.deduplicationScope() == DeduplicationScope.ALL;
+            final boolean dropped =
+                    request.stated.idempotency() == Idempotency.KEYED
+                            && request.stated.deduplicationScope() == DeduplicationScope.ALL;
             assertThat(request.stated.idempotency() == Idempotency.SAFE || dropped || !mayRun)
-                .as("a refusal promises that a retry does no harm").isTrue();
+                    .as("a refusal promises that a retry does no harm")
+                    .isTrue();
             assertThat(retryAfterUs).isBetween(0L, settings.limits().maxRetryAfterUs());
         }
 
@@ -335,8 +432,9 @@
 
         @Override
         public void closeIdleConnections(int workerId) {
-            assertThat(settings.closeOnDrainWithinUs()).as("binds where stated")
-                .isLessThan(DispatchSettings.UNLIMITED);
+            assertThat(settings.closeOnDrainWithinUs())
+                    .as("binds where stated")
+                    .isLessThan(DispatchSettings.UNLIMITED);
             closed.add(workerId);
         }
 
--- a/src/test/java/cresschute/dispatch/SettingsChangeTest.java
+++ b/src/test/java/cresschute/dispatch/SettingsChangeTest.java
@@ -13,18 +13,40 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Settings changed while the module runs: new classes work at once, and attempts never grow under way. */
+/**
+ * Settings changed while the module runs: new classes work at once, and attempts never grow under
+ * way.
+ */
 class SettingsChangeTest {
 
     private static final RequestClass SAFE = job(1, Idempotency.SAFE, DeduplicationScope.ALL);
 
-    private static DispatchSettings with(DispatchSettings plain, List<RequestClass> classes, int attempts) {
-        return new DispatchSettings(plain.dispatchers(), plain.zone(), plain.zones(), plain.kinds(), classes,
-            plain.tenants(), plain.overQuotaWeightFactor(), plain.priorityWeightPerWork(), new AttemptLimits(attempts, 0, false),
-            plain.slowStart(), plain.objectiveWeights(), plain.endpointListIsPolled(), plain.pollWithinUs(),
-            plain.weightSource(), plain.reportsLoad(), plain.reportsJobStart(), plain.progressUs(),
-            plain.crossZonePrice(), plain.allowsLoadQueries(), plain.allowsPeerMessages(), plain.dataTransferPrice(),
-            plain.fullMayHaveRun(), plain.closeOnDrainWithinUs());
+    private static DispatchSettings with(
+            DispatchSettings plain, List<RequestClass> classes, int attempts) {
+        return new DispatchSettings(
+                plain.dispatchers(),
+                plain.zone(),
+                plain.zones(),
+                plain.kinds(),
+                classes,
+                plain.tenants(),
+                plain.overQuotaWeightFactor(),
+                plain.priorityWeightPerWork(),
+                new AttemptLimits(attempts, 0, false),
+                plain.slowStart(),
+                plain.objectiveWeights(),
+                plain.endpointListIsPolled(),
+                plain.pollWithinUs(),
+                plain.weightSource(),
+                plain.reportsLoad(),
+                plain.reportsJobStart(),
+                plain.progressUs(),
+                plain.crossZonePrice(),
+                plain.allowsLoadQueries(),
+                plain.allowsPeerMessages(),
+                plain.dataTransferPrice(),
+                plain.fullMayHaveRun(),
+                plain.closeOnDrainWithinUs());
     }
 
     private static Worker at(int id, int zone) {
@@ -34,13 +56,18 @@
     @Test
     void aNewClassWithANewPlacementIsSentWithinIt() {
         final DispatchSettings start = settings(List.of(SAFE));
-        final RecordingActions host = new RecordingActions(start).list(EndpointListForm.CACHED, at(1, 0), at(2, 1), at(3, 1));
-        final RequestClass second = bound(Idempotency.UNSAFE, DeduplicationScope.ALL, new Placement(List.of(1), null));
+        final RecordingActions host =
+                new RecordingActions(start)
+                        .list(EndpointListForm.CACHED, at(1, 0), at(2, 1), at(3, 1));
+        final RequestClass second =
+                bound(Idempotency.UNSAFE, DeduplicationScope.ALL, new Placement(List.of(1), null));
         host.module.settingsChanged(host.nowUs, with(start, List.of(SAFE, second), 4));
         for (int id = 1; id <= 20; id++) {
             host.request(id, 1);
         }
-        assertThat(host.sends).hasSize(20).allMatch(send -> send.worker() == 2 || send.worker() == 3);
+        assertThat(host.sends)
+                .hasSize(20)
+                .allMatch(send -> send.worker() == 2 || send.worker() == 3);
         host.request(21, 0);
         assertThat(host.sends).hasSize(21);
         // A worker that comes after the change joins the new class's pool as well.
@@ -56,8 +83,9 @@
     @Test
     void fewerAttemptsHoldForRequestsUnderWayAndMoreOnlyForLaterOnes() {
         final DispatchSettings start = settings(List.of(SAFE));
-        final RecordingActions fewer = new RecordingActions(with(start, List.of(SAFE), 4)).list(EndpointListForm.CACHED, at(1, 0),
-            at(2, 0));
+        final RecordingActions fewer =
+                new RecordingActions(with(start, List.of(SAFE), 4))
+                        .list(EndpointListForm.CACHED, at(1, 0), at(2, 0));
         fewer.request(1, 0);
         fewer.module.settingsChanged(fewer.nowUs, with(start, List.of(SAFE), 1));
         fewer.end(1, 0, fewer.lastSend().worker(), Outcome.FULL);
@@ -65,8 +93,9 @@
         assertThat(fewer.sends).hasSize(1);
         assertThat(fewer.refused).containsExactly(1);
 
-        final RecordingActions more = new RecordingActions(with(start, List.of(SAFE), 1)).list(EndpointListForm.CACHED, at(1, 0),
-            at(2, 0));
+        final RecordingActions more =
+                new RecordingActions(with(start, List.of(SAFE), 1))
+                        .list(EndpointListForm.CACHED, at(1, 0), at(2, 0));
         more.request(1, 0);
         more.module.settingsChanged(more.nowUs, with(start, List.of(SAFE), 4));
         more.end(1, 0, more.lastSend().worker(), Outcome.FULL);
@@ -78,16 +107,29 @@
         assertThat(more.sends).hasSize(3);
     }
 
-    /** A copy that the file read at SIGHUP allows was sent for requests taken while there was to be none. */
+    /**
+     * A copy that the file read at SIGHUP allows was sent for requests taken while there was to be
+     * none.
+     */
     @ParameterizedTest(name = "copies before {0}, after {1}")
     @CsvSource({"false, true", "true, false"})
     void aSecondCopyNeedsBothTheSettingsOfItsTakingAndThoseInForce(boolean before, boolean after) {
-        final List<RequestClass> classes = List.of(new RequestClass(1, SECOND, 2, 5 * SECOND, Idempotency.SAFE,
-            DeduplicationScope.ALL, 0, Placement.ANYWHERE));
+        final List<RequestClass> classes =
+                List.of(
+                        new RequestClass(
+                                1,
+                                SECOND,
+                                2,
+                                5 * SECOND,
+                                Idempotency.SAFE,
+                                DeduplicationScope.ALL,
+                                0,
+                                Placement.ANYWHERE));
         final DispatchSettings with = RecordingActions.copying(classes);
         final DispatchSettings without = copies(with, false);
-        final RecordingActions host = new RecordingActions(before ? with : without).list(EndpointListForm.CACHED, at(1, 0), at(2, 0),
-            at(3, 0), at(4, 0));
+        final RecordingActions host =
+                new RecordingActions(before ? with : without)
+                        .list(EndpointListForm.CACHED, at(1, 0), at(2, 0), at(3, 0), at(4, 0));
         host.request(1, 0);
         host.module.settingsChanged(host.nowUs, after ? with : without);
         host.pass(SECOND * 5 / 2);
@@ -99,12 +141,30 @@
     }
 
     private static DispatchSettings copies(DispatchSettings plain, boolean allowed) {
-        return new DispatchSettings(plain.dispatchers(), plain.zone(), plain.zones(), plain.kinds(), plain.classes(),
-            plain.tenants(), plain.overQuotaWeightFactor(), plain.priorityWeightPerWork(), new AttemptLimits(4, 0, allowed),
-            plain.slowStart(), plain.objectiveWeights(), plain.endpointListIsPolled(), plain.pollWithinUs(),
-            plain.weightSource(), plain.reportsLoad(), plain.reportsJobStart(), plain.progressUs(),
-            plain.crossZonePrice(), plain.allowsLoadQueries(), plain.allowsPeerMessages(), plain.dataTransferPrice(),
-            plain.fullMayHaveRun(), plain.closeOnDrainWithinUs());
+        return new DispatchSettings(
+                plain.dispatchers(),
+                plain.zone(),
+                plain.zones(),
+                plain.kinds(),
+                plain.classes(),
+                plain.tenants(),
+                plain.overQuotaWeightFactor(),
+                plain.priorityWeightPerWork(),
+                new AttemptLimits(4, 0, allowed),
+                plain.slowStart(),
+                plain.objectiveWeights(),
+                plain.endpointListIsPolled(),
+                plain.pollWithinUs(),
+                plain.weightSource(),
+                plain.reportsLoad(),
+                plain.reportsJobStart(),
+                plain.progressUs(),
+                plain.crossZonePrice(),
+                plain.allowsLoadQueries(),
+                plain.allowsPeerMessages(),
+                plain.dataTransferPrice(),
+                plain.fullMayHaveRun(),
+                plain.closeOnDrainWithinUs());
     }
 
     @Test
@@ -112,7 +172,10 @@
         final DispatchSettings start = settings(List.of(SAFE));
         final RecordingActions host = new RecordingActions(start);
         final RequestClass changed = job(2, Idempotency.SAFE, DeduplicationScope.ALL);
-        assertThatThrownBy(() -> host.module.settingsChanged(host.nowUs, with(start, List.of(changed), 4)))
-            .isInstanceOf(IllegalArgumentException.class);
+        assertThatThrownBy(
+                        () ->
+                                host.module.settingsChanged(
+                                        host.nowUs, with(start, List.of(changed), 4)))
+                .isInstanceOf(IllegalArgumentException.class);
     }
 }
--- a/src/test/java/cresschute/dispatch/WorkerVisits.java
+++ b/src/test/java/cresschute/dispatch/WorkerVisits.java
@@ -10,7 +10,10 @@
 import java.util.Map;
 import java.util.RandomAccess;
 
-/** Counts how often a module looks at one of its workers, by instrumented collections in their place. */
+/**
+ * Counts how often a module looks at one of its workers, by instrumented collections in their
+ * place.
+ */
 public final class WorkerVisits {
 
     private long count;
@@ -21,7 +24,8 @@
     public static WorkerVisits of(Dispatcher module, int zones) {
         final WorkerVisits visits = new WorkerVisits();
         try {
-            final WorkerIndex fleet = (WorkerIndex) fieldOfType(Dispatcher.class, WorkerIndex.class).get(module);
+            final WorkerIndex fleet =
+                    (WorkerIndex) fieldOfType(Dispatcher.class, WorkerIndex.class).get(module);
             final Field nodes = WorkerIndex.class.getDeclaredField("nodes");
             nodes.setAccessible(true);
             nodes.set(fleet, visits.new CountingMap(fleet.nodes));
--- a/src/test/java/cresschute/flow/BodyTest.java
+++ b/src/test/java/cresschute/flow/BodyTest.java
@@ -13,7 +13,9 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** Bodies in pieces: in order and whole, sent anew while that can be, and held within their room. */
+/**
+ * Bodies in pieces: in order and whole, sent anew while that can be, and held within their room.
+ */
 class BodyTest {
 
     private final Budget budget = new Budget(100, 20, 80, 1, 100);
@@ -23,8 +25,10 @@
     private final Body<String> body = body(budget, 10);
 
     private Body<String> body(Budget of, long spoolBound) {
-        return new Body<>(of.open("c", () -> {}).account(), spoolBound,
-            piece -> assertThat(released.add(piece)).as("released once: " + piece).isTrue());
+        return new Body<>(
+                of.open("c", () -> {}).account(),
+                spoolBound,
+                piece -> assertThat(released.add(piece)).as("released once: " + piece).isTrue());
     }
 
     private void add(String piece) {
@@ -74,7 +78,10 @@
         assertThat(sender.isDone()).isTrue();
     }
 
-    /** The hedged request of a request whose body outgrows its spool: who is behind is cut off, and told so. */
+    /**
+     * The hedged request of a request whose body outgrows its spool: who is behind is cut off, and
+     * told so.
+     */
     @Test
     void furthestSenderGoesOnAloneBeyondTheSpool() {
         final List<String> behindTold = new ArrayList<>();
@@ -106,7 +113,9 @@
         assertThat(body.send(news)).isNull();
     }
 
-    /** Kept for a further attempt, but in the way of this one: it goes on and cannot be sent anew. */
+    /**
+     * Kept for a further attempt, but in the way of this one: it goes on and cannot be sent anew.
+     */
     @Test
     void spoolGivesWayWhereNothingElseCould() {
         final Budget small = new Budget(8, 8, 0, 1, 8);
@@ -137,15 +146,16 @@
     }
 
     /**
-     * Any interleaving of credit, data, sending, further senders, end and break at several bodies of one
-     * budget: each sender gets the pieces from the first on and in order, what is held is within the budget,
-     * and at the end everything is released once and all room is free.
+     * Any interleaving of credit, data, sending, further senders, end and break at several bodies
+     * of one budget: each sender gets the pieces from the first on and in order, what is held is
+     * within the budget, and at the end everything is released once and all room is free.
      */
     @Property(tries = 400, seed = "92")
     void anyInterleavingKeepsOrderAndBounds(@ForAll Random random) {
         final long window = 1 + random.nextInt(12);
         final long total = window * (1 + random.nextInt(4)) + random.nextInt(20);
-        final Budget shared = new Budget(total, window, random.nextInt(30), 1 + random.nextInt(8), total);
+        final Budget shared =
+                new Budget(total, window, random.nextInt(30), 1 + random.nextInt(8), total);
         final List<Played> bodies = new ArrayList<>();
         for (int step = 0; step < 300; step++) {
             if (bodies.isEmpty() || random.nextInt(20) == 0) {
@@ -163,7 +173,8 @@
                 }
             }
             assertThat(shared.inUse()).isLessThanOrEqualTo(total);
-            assertThat(bodies.stream().mapToLong(Played::heldBytes).sum()).isLessThanOrEqualTo(total);
+            assertThat(bodies.stream().mapToLong(Played::heldBytes).sum())
+                    .isLessThanOrEqualTo(total);
         }
         // Whoever is left can go on to the end while nobody else moves: nobody waits for ever.
         for (final Played played : bodies) {
@@ -181,8 +192,11 @@
         private final List<Way> ways = new ArrayList<>();
 
         Played(Budget.Account account, long spoolBound) {
-            body = new Body<>(account, spoolBound, piece -> assertThat(gone.add(piece)).as("released once")
-                .isTrue());
+            body =
+                    new Body<>(
+                            account,
+                            spoolBound,
+                            piece -> assertThat(gone.add(piece)).as("released once").isTrue());
         }
 
         long heldBytes() {
@@ -247,8 +261,12 @@
             body.whole();
             sendAll();
             assertThat(ways.stream().filter(each -> each.sender.isDone()).count())
-                .isEqualTo(body.state() != State.WHOLE ? 0
-                    : ways.stream().filter(each -> each.sender.isCurrent()).count());
+                    .isEqualTo(
+                            body.state() != State.WHOLE
+                                    ? 0
+                                    : ways.stream()
+                                            .filter(each -> each.sender.isCurrent())
+                                            .count());
             body.close();
         }
 
--- a/src/test/java/cresschute/flow/BudgetTest.java
+++ b/src/test/java/cresschute/flow/BudgetTest.java
@@ -50,7 +50,9 @@
         assertThat(budget.waiting()).isZero();
     }
 
-    /** Bodies that stand still with all that they were lent leave room for the windows of others. */
+    /**
+     * Bodies that stand still with all that they were lent leave room for the windows of others.
+     */
     @Test
     void theLessIsFreeTheLessEachIsLent() {
         final Budget budget = new Budget(1_000, 10, 500, 10, 1_000);
@@ -91,16 +93,25 @@
         assertThat(one.take(1)).isZero();
         assertThat(two.take(40)).isEqualTo(40);
         assertThatThrownBy(() -> two.give(41)).hasMessage("gives back 41 of 40");
-        assertThatThrownBy(() -> new Budget(10, 20, 0, 1, 20)).isInstanceOf(IllegalArgumentException.class);
+        assertThatThrownBy(() -> new Budget(10, 20, 0, 1, 20))
+                .isInstanceOf(IllegalArgumentException.class);
     }
 
-    /** Any order of opening, taking, giving and closing: a plain sum beside it agrees, and nobody starves. */
+    /**
+     * Any order of opening, taking, giving and closing: a plain sum beside it agrees, and nobody
+     * starves.
+     */
     @Property(tries = 500, seed = "91")
     void neverMoreThanThereIsAndNobodyStarves(@ForAll Random random) {
         final long window = 1 + random.nextInt(20);
         final long total = window + random.nextInt(200);
-        final Budget budget = new Budget(total, window, random.nextInt(60), 1 + random.nextInt(8),
-            window * (1 + random.nextInt(5)));
+        final Budget budget =
+                new Budget(
+                        total,
+                        window,
+                        random.nextInt(60),
+                        1 + random.nextInt(8),
+                        window * (1 + random.nextInt(5)));
         final List<Account> open = new ArrayList<>();
         for (int step = 0; step < 200; step++) {
             final int choice = random.nextInt(10);
@@ -117,7 +128,8 @@
                     final long taken = account.take(wanted);
                     assertThat(taken).isBetween(0L, wanted);
                     // What is left of its window is always there for it.
-                    assertThat(taken).isGreaterThanOrEqualTo(Math.min(wanted, Math.max(0, window - before)));
+                    assertThat(taken)
+                            .isGreaterThanOrEqualTo(Math.min(wanted, Math.max(0, window - before)));
                 } else if (choice < 9) {
                     account.give(account.held() == 0 ? 0 : random.nextLong(account.held() + 1));
                 } else {
--- a/src/test/java/cresschute/health/HealthTrackerTest.java
+++ b/src/test/java/cresschute/health/HealthTrackerTest.java
@@ -5,10 +5,10 @@
 import cresschute.dispatch.LoadReport;
 import cresschute.dispatch.Outcome;
 import cresschute.dispatch.WorkerState;
-import cresschute.health.HealthTracker.LatencyObjective;
 import cresschute.health.HealthTracker.Answer;
 import cresschute.health.HealthTracker.Change;
 import cresschute.health.HealthTracker.Job;
+import cresschute.health.HealthTracker.LatencyObjective;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -21,8 +21,10 @@
     private static final long S = 1_000 * MS;
     private static final long LOOK = 250 * MS;
 
-    private final HealthTracker book = new HealthTracker(Thresholds.usual(S, 8 * S),
-        List.of(new LatencyObjective(2, S, 2), new LatencyObjective(5, 4 * S, 2)));
+    private final HealthTracker book =
+            new HealthTracker(
+                    Thresholds.usual(S, 8 * S),
+                    List.of(new LatencyObjective(2, S, 2), new LatencyObjective(5, 4 * S, 2)));
     private final List<String> changes = new ArrayList<>();
     private long nowUs = 1_000 * S;
 
@@ -101,7 +103,8 @@
         pass(2 * S);
         assertThat(condition(1)).isEqualTo(Condition.SILENT);
         job.ended(nowUs, Outcome.TIMED_OUT, LoadReport.NONE);
-        // A time-out is no word of the worker's; with nothing out, it stays what it was for a while.
+        // A time-out is no word of the worker's; with nothing out, it stays what it was for a
+        // while.
         pass(5 * S);
         assertThat(condition(1)).isEqualTo(Condition.SILENT);
         pass(30 * S);
@@ -131,7 +134,8 @@
         }
         pass(S);
         assertThat(condition(3)).isEqualTo(Condition.SLOWING);
-        assertThat(book.view(nowUs, 3).why()).matches("jobs run [3-5]\\.[0-9] times as long as elsewhere");
+        assertThat(book.view(nowUs, 3).why())
+                .matches("jobs run [3-5]\\.[0-9] times as long as elsewhere");
         assertThat(condition(0)).isEqualTo(Condition.TAKING);
         for (int i = 0; i < 20; i++) {
             serve(3, 200 * MS);
@@ -220,7 +224,8 @@
         look();
         book.listed(nowUs, 0, WorkerState.READY, false, nowUs);
         look();
-        assertThat(changes).containsExactly("0:draining", "0:taking", "0:draining", "0:gone", "0:cold");
+        assertThat(changes)
+                .containsExactly("0:draining", "0:taking", "0:draining", "0:gone", "0:cold");
         pass(11 * S);
         assertThat(condition(0)).isEqualTo(Condition.TAKING);
     }
@@ -266,14 +271,19 @@
         assertThat(book.weightedServedFraction(nowUs)).isEqualTo(2.0 / 9);
         final HealthTracker.ClassView view = book.classView(nowUs, 0);
         assertThat(List.of(view.asked(), view.admitted(), view.served(), view.inTime()))
-            .containsExactly(1, 2, 2, 1);
+                .containsExactly(1, 2, 2, 1);
     }
 
     /** A thousand workers, each with every slice of time in use, as the class comment states. */
     @Test
     void memoryOfAThousandWorkersIsBounded() {
-        final HealthTracker large = new HealthTracker(Thresholds.usual(S, 0), List.of(new LatencyObjective(1, S, 2),
-            new LatencyObjective(1, S, 2), new LatencyObjective(1, S, 2)));
+        final HealthTracker large =
+                new HealthTracker(
+                        Thresholds.usual(S, 0),
+                        List.of(
+                                new LatencyObjective(1, S, 2),
+                                new LatencyObjective(1, S, 2),
+                                new LatencyObjective(1, S, 2)));
         final long before = used();
         for (long at = 0; at < 600; at += 5) {
             for (int worker = 0; worker < 1_000; worker++) {
--- a/src/test/java/cresschute/logs/structured/StructuredLogTest.java
+++ b/src/test/java/cresschute/logs/structured/StructuredLogTest.java
@@ -19,13 +19,20 @@
     private static List<String> written(boolean json, Level least) {
         final ByteArrayOutputStream out = new ByteArrayOutputStream();
         try (StructuredLog log = new StructuredLog(json, least, out)) {
-            log.log("cresschute.test", Level.WARNING, LogEvent.of("odd_peer", "odd {} peer").with("count", 3)
-                .with("peer", "1.2.3.4:5\n\"x").with("late", true));
+            log.log(
+                    "cresschute.test",
+                    Level.WARNING,
+                    LogEvent.of("odd_peer", "odd {} peer")
+                            .with("count", 3)
+                            .with("peer", "1.2.3.4:5\n\"x")
+                            .with("late", true));
             if (log.isLoggable("cresschute.test", Level.DEBUG)) {
                 log.log("cresschute.test", Level.DEBUG, LogEvent.of("detail", "a detail"));
             }
-            log.log("cresschute.test", Level.ERROR, LogEvent.of("broke", "it broke")
-                .because(new IllegalStateException("why")));
+            log.log(
+                    "cresschute.test",
+                    Level.ERROR,
+                    LogEvent.of("broke", "it broke").because(new IllegalStateException("why")));
         }
         return out.toString(StandardCharsets.UTF_8).lines().toList();
     }
@@ -35,18 +42,22 @@
         final List<String> lines = written(true, Level.INFO);
         assertThat(lines).hasSize(2);
         final JsonObject first = Json.object(lines.get(0));
-        assertThat(first.remove("time").getAsString()).matches("\\d{4}-\\d\\d-\\d\\dT\\d\\d:\\d\\d:\\d\\d.*");
-        assertThat(first.toString()).isEqualTo("{\"message\":\"odd {} peer\",\"logger\":\"cresschute.test\","
-            + "\"level\":\"WARN\",\"event\":\"odd_peer\",\"count\":3,"
-            + "\"peer\":\"1.2.3.4:5\\n\\\"x\",\"late\":true}");
+        assertThat(first.remove("time").getAsString())
+                .matches("\\d{4}-\\d\\d-\\d\\dT\\d\\d:\\d\\d:\\d\\d.*");
+        assertThat(first.toString())
+                .isEqualTo(
+                        "{\"message\":\"odd {} peer\",\"logger\":\"cresschute.test\","
+                                + "\"level\":\"WARN\",\"event\":\"odd_peer\",\"count\":3,"
+                                + "\"peer\":\"1.2.3.4:5\\n\\\"x\",\"late\":true}");
         assertThat(Json.object(lines.get(1)).get("trace").getAsString())
-            .contains("IllegalStateException: why");
+                .contains("IllegalStateException: why");
     }
 
     @Test
     void textIsForPeople() {
         final List<String> lines = written(false, Level.DEBUG);
-        assertThat(lines.get(0)).matches("\\d{4}-\\d\\d-\\d\\dT\\S+ WARN cresschute.test odd \\{\\} peer");
+        assertThat(lines.get(0))
+                .matches("\\d{4}-\\d\\d-\\d\\dT\\S+ WARN cresschute.test odd \\{\\} peer");
         assertThat(lines.get(1)).endsWith(" DEBUG cresschute.test a detail");
         assertThat(lines.get(2)).endsWith(" ERROR cresschute.test it broke");
         assertThat(lines.get(3)).contains("IllegalStateException: why");
@@ -67,9 +78,17 @@
         } finally {
             LogFinder.usePlain();
         }
-        assertThat(out.toString(StandardCharsets.UTF_8).lines().map(line -> Json.object(line).get("event")
-            .getAsString() + " "
-            + Json.object(line).get("message").getAsString()))
-            .containsExactly("plain plain 7", "plain with braces {0}", "plain thrown", "named by name");
+        assertThat(
+                        out.toString(StandardCharsets.UTF_8)
+                                .lines()
+                                .map(
+                                        line ->
+                                                Json.object(line).get("event").getAsString()
+                                                        + " "
+                                                        + Json.object(line)
+                                                                .get("message")
+                                                                .getAsString()))
+                .containsExactly(
+                        "plain plain 7", "plain with braces {0}", "plain thrown", "named by name");
     }
 }
--- a/src/test/java/cresschute/node/AnsweringWorker.java
+++ b/src/test/java/cresschute/node/AnsweringWorker.java
@@ -10,7 +10,9 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** A worker that serves each job at once, or holds all of them, with a thread for each connection. */
+/**
+ * A worker that serves each job at once, or holds all of them, with a thread for each connection.
+ */
 final class AnsweringWorker implements Closeable {
 
     private static final int BACKLOG = 256;
@@ -57,8 +59,13 @@
                 jobs.incrementAndGet();
                 if (!holding) {
                     final Matcher id = ID.matcher(request);
-                    peer.write(TestNode.answer("200 OK", "", "{\"id\":\"" + (id.find() ? id.group(1) : "")
-                        + "\",\"state\":\"done\",\"result\":\"yes\"}\n"));
+                    peer.write(
+                            TestNode.answer(
+                                    "200 OK",
+                                    "",
+                                    "{\"id\":\""
+                                            + (id.find() ? id.group(1) : "")
+                                            + "\",\"state\":\"done\",\"result\":\"yes\"}\n"));
                 }
             }
         } catch (IOException | AssertionError e) {
--- a/src/test/java/cresschute/node/ClassTableTest.java
+++ b/src/test/java/cresschute/node/ClassTableTest.java
@@ -3,20 +3,30 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
+import cresschute.dispatch.DeduplicationScope;
 import cresschute.dispatch.Idempotency;
 import cresschute.dispatch.Placement;
-import cresschute.dispatch.DeduplicationScope;
 import cresschute.dispatch.RequestClass;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** A class keeps its number for good; what changes or goes is retired, and changed ones come anew. */
+/**
+ * A class keeps its number for good; what changes or goes is retired, and changed ones come anew.
+ */
 class ClassTableTest {
 
     private static RequestClass of(Idempotency effect, double priorityWeight) {
-        return new RequestClass(priorityWeight, 400_000, 2, 5_000_000, effect, DeduplicationScope.ALL, 0, Placement.ANYWHERE);
+        return new RequestClass(
+                priorityWeight,
+                400_000,
+                2,
+                5_000_000,
+                effect,
+                DeduplicationScope.ALL,
+                0,
+                Placement.ANYWHERE);
     }
 
     private static final RequestClass PURE = of(Idempotency.SAFE, 2);
@@ -48,7 +58,8 @@
         assertThat(next.classes()).containsExactly(PURE, KEYED, ONCE);
         assertThat(next.changesFrom(start)).isEqualTo("changed: file");
         assertThat(next.live()).isEqualTo(Map.of("check", 0, "file", 2));
-        // And back again: the old meaning is a new number too, for the retired one may have requests under way.
+        // And back again: the old meaning is a new number too, for the retired one may have
+        // requests under way.
         final ClassTable back = next.after(List.of("check", "file"), List.of(PURE, KEYED));
         assertThat(back.live()).isEqualTo(Map.of("check", 0, "file", 3));
     }
@@ -56,7 +67,7 @@
     @Test
     void refusesANameTwiceAndMoreNumbersThanItGivesOut() {
         assertThatThrownBy(() -> start.after(List.of("check", "check"), List.of(PURE, KEYED)))
-            .hasMessageContaining("named twice");
+                .hasMessageContaining("named twice");
         ClassTable table = start;
         final List<String> names = new ArrayList<>();
         final List<RequestClass> classes = new ArrayList<>();
@@ -67,6 +78,6 @@
         }
         final ClassTable full = table;
         assertThatThrownBy(() -> full.after(List.of("more"), List.of(PURE)))
-            .hasMessageContaining("more than " + ClassTable.MAX);
+                .hasMessageContaining("more than " + ClassTable.MAX);
     }
 }
--- a/src/test/java/cresschute/node/ControlServiceFormatTest.java
+++ b/src/test/java/cresschute/node/ControlServiceFormatTest.java
@@ -4,9 +4,9 @@
 
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
-import cresschute.dispatch.DispatcherEvents;
 import cresschute.control.DrainRegistry;
 import cresschute.control.DrainRegistry.Operation;
+import cresschute.dispatch.DispatcherEvents;
 import io.netty.channel.embedded.EmbeddedChannel;
 import java.lang.reflect.Proxy;
 import java.net.ServerSocket;
@@ -16,8 +16,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The rows and answers that a node shows to consoles, key by key as an earlier version wrote them. The
- * literals are never adapted to a renaming in the code.
+ * The rows and answers that a node shows to consoles, key by key as an earlier version wrote them.
+ * The literals are never adapted to a renaming in the code.
  */
 class ControlServiceFormatTest {
 
@@ -26,14 +26,34 @@
     private final EmbeddedChannel loop = new EmbeddedChannel();
 
     private ControlService handler(ServerSocket at) throws Exception {
-        final NodeConfig config = NodeConfig.parse(TestNode.config(at, TestNode.list(1, true,
-            TestNode.entry("s-1", at, "SERVING") + "," + TestNode.entry("s-2", at, "SERVING") + ","
-                + TestNode.entry("s-3", at, "DRAINING"))), Map.of());
+        final NodeConfig config =
+                NodeConfig.parse(
+                        TestNode.config(
+                                at,
+                                TestNode.list(
+                                        1,
+                                        true,
+                                        TestNode.entry("s-1", at, "SERVING")
+                                                + ","
+                                                + TestNode.entry("s-2", at, "SERVING")
+                                                + ","
+                                                + TestNode.entry("s-3", at, "DRAINING"))),
+                        Map.of());
         final ControlService handler = new ControlService(config, loop.eventLoop(), () -> NOW_US);
-        final DispatcherEvents module = (DispatcherEvents) Proxy.newProxyInstance(getClass().getClassLoader(),
-            new Class<?>[]{DispatcherEvents.class}, (proxy, method, args) -> null);
-        final RequestLifecycle core = new RequestLifecycle(config, loop.eventLoop(), () -> NOW_US,
-            new RateLimitedLog(System.getLogger("test"), () -> NOW_US), handler, actions -> module);
+        final DispatcherEvents module =
+                (DispatcherEvents)
+                        Proxy.newProxyInstance(
+                                getClass().getClassLoader(),
+                                new Class<?>[] {DispatcherEvents.class},
+                                (proxy, method, args) -> null);
+        final RequestLifecycle core =
+                new RequestLifecycle(
+                        config,
+                        loop.eventLoop(),
+                        () -> NOW_US,
+                        new RateLimitedLog(System.getLogger("test"), () -> NOW_US),
+                        handler,
+                        actions -> module);
         handler.open(core);
         core.start(null, () -> {}, config.known());
         return handler;
@@ -54,14 +74,17 @@
     void outcomesAreAnsweredAsByAnEarlierNode() throws Exception {
         try (ServerSocket at = Peer.listen()) {
             final ControlService handler = handler(at);
-            assertThat(operate(handler, drain("op-1", "s-1", 7_200_000_000L))).isEqualTo(
-                "{\"ok\":true,\"outcome\":\"done\",\"why\":\"\",\"worker\":\"s-1\",\"in_flight\":0}");
-            assertThat(operate(handler, drain("op-2", "s-1", DrainRegistry.FOREVER))).isEqualTo(
-                "{\"ok\":true,\"outcome\":\"already\",\"why\":\"drained by ann: new disk\","
-                    + "\"worker\":\"s-1\",\"in_flight\":0}");
-            assertThat(operate(handler, drain("op-3", "s-9", DrainRegistry.FOREVER))).isEqualTo(
-                "{\"ok\":true,\"outcome\":\"refused\",\"why\":\"no worker is called s-9\","
-                    + "\"worker\":\"s-9\",\"in_flight\":0}");
+            assertThat(operate(handler, drain("op-1", "s-1", 7_200_000_000L)))
+                    .isEqualTo(
+                            "{\"ok\":true,\"outcome\":\"done\",\"why\":\"\",\"worker\":\"s-1\",\"in_flight\":0}");
+            assertThat(operate(handler, drain("op-2", "s-1", DrainRegistry.FOREVER)))
+                    .isEqualTo(
+                            "{\"ok\":true,\"outcome\":\"already\",\"why\":\"drained by ann: new"
+                                    + " disk\",\"worker\":\"s-1\",\"in_flight\":0}");
+            assertThat(operate(handler, drain("op-3", "s-9", DrainRegistry.FOREVER)))
+                    .isEqualTo(
+                            "{\"ok\":true,\"outcome\":\"refused\",\"why\":\"no worker is called"
+                                    + " s-9\",\"worker\":\"s-9\",\"in_flight\":0}");
         }
     }
 
@@ -76,39 +99,60 @@
             operate(handler, drain("op-1", "s-1", 7_200_000_000L));
             handler.look();
             final Map<String, String> rows = handler.board().since(0).rows();
-            assertThat(rows).containsOnlyKeys("w/s-1", "w/s-2", "w/s-3", "c/check", "c/file", "node");
+            assertThat(rows)
+                    .containsOnlyKeys("w/s-1", "w/s-2", "w/s-3", "c/check", "c/file", "node");
             final String port = ":" + at.getLocalPort();
             rows.replaceAll((key, row) -> row.replace(port, ":PORT"));
-            assertRow(rows, "w/s-1", """
-                {"id":"s-1","state":"draining",\
-                "why":"by an operator; nothing is out there","since_ms":1700000000000,\
-                "address":"127.0.0.1:PORT","kind":"m1","cell":0,"listed":"serving",\
-                "drain":{"who":"ann","reason":"new disk","since_ms":1700000000000,\
-                "until_ms":1700007200000},"in_flight":0,"in_flight_by_class":{},\
-                "rate":0.0,"failed":0,"p50_ms":-1,"p99_ms":-1,"p50_ms_10m":-1,\
-                "p99_ms_10m":-1,"sparks":[0,0,0,0,0,0,0,0,0,0,0,0],"queue":-1.0,\
-                "free":-1.0,"report_ms":0}""");
-            assertRow(rows, "w/s-2", """
-                {"id":"s-2","state":"taking","why":"","since_ms":1700000000000,\
-                "address":"127.0.0.1:PORT","kind":"m1","cell":0,"listed":"serving",\
-                "in_flight":0,"in_flight_by_class":{},"rate":0.0,"failed":0,\
-                "p50_ms":-1,"p99_ms":-1,"p50_ms_10m":-1,"p99_ms_10m":-1,"sparks":[0,0,\
-                0,0,0,0,0,0,0,0,0,0],"queue":-1.0,"free":-1.0,"report_ms":0}""");
-            assertRow(rows, "w/s-3", """
-                {"id":"s-3","state":"draining",\
-                "why":"by the list; nothing is out there","since_ms":1700000000000,\
-                "address":"127.0.0.1:PORT","kind":"m1","cell":0,"listed":"draining",\
-                "in_flight":0,"in_flight_by_class":{},"rate":0.0,"failed":0,\
-                "p50_ms":-1,"p99_ms":-1,"p50_ms_10m":-1,"p99_ms_10m":-1,"sparks":[0,0,\
-                0,0,0,0,0,0,0,0,0,0],"queue":-1.0,"free":-1.0,"report_ms":0}""");
-            assertRow(rows, "c/check", """
-                {"id":"check","asked":0,"admitted":-1.0,"served":0,"refused":0,\
-                "failed":0,"in_time":0,"in_flight":0,"p50_ms":-1,"p99_ms":-1,\
-                "p50_ms_10m":-1,"p99_ms_10m":-1}""");
-            assertRow(rows, "node", """
-                {"name":"n0","list_version":1,"list_ms":1700000000000,\
-                "fixed_list":false,"open":0,"worth_kept":-1.0,"stopping":false,\
-                "consoles":0,"broken":0}""");
+            assertRow(
+                    rows,
+                    "w/s-1",
+                    """
+                    {"id":"s-1","state":"draining",\
+                    "why":"by an operator; nothing is out there","since_ms":1700000000000,\
+                    "address":"127.0.0.1:PORT","kind":"m1","cell":0,"listed":"serving",\
+                    "drain":{"who":"ann","reason":"new disk","since_ms":1700000000000,\
+                    "until_ms":1700007200000},"in_flight":0,"in_flight_by_class":{},\
+                    "rate":0.0,"failed":0,"p50_ms":-1,"p99_ms":-1,"p50_ms_10m":-1,\
+                    "p99_ms_10m":-1,"sparks":[0,0,0,0,0,0,0,0,0,0,0,0],"queue":-1.0,\
+                    "free":-1.0,"report_ms":0}\
+                    """);
+            assertRow(
+                    rows,
+                    "w/s-2",
+                    """
+                    {"id":"s-2","state":"taking","why":"","since_ms":1700000000000,\
+                    "address":"127.0.0.1:PORT","kind":"m1","cell":0,"listed":"serving",\
+                    "in_flight":0,"in_flight_by_class":{},"rate":0.0,"failed":0,\
+                    "p50_ms":-1,"p99_ms":-1,"p50_ms_10m":-1,"p99_ms_10m":-1,"sparks":[0,0,\
+                    0,0,0,0,0,0,0,0,0,0],"queue":-1.0,"free":-1.0,"report_ms":0}\
+                    """);
+            assertRow(
+                    rows,
+                    "w/s-3",
+                    """
+                    {"id":"s-3","state":"draining",\
+                    "why":"by the list; nothing is out there","since_ms":1700000000000,\
+                    "address":"127.0.0.1:PORT","kind":"m1","cell":0,"listed":"draining",\
+                    "in_flight":0,"in_flight_by_class":{},"rate":0.0,"failed":0,\
+                    "p50_ms":-1,"p99_ms":-1,"p50_ms_10m":-1,"p99_ms_10m":-1,"sparks":[0,0,\
+                    0,0,0,0,0,0,0,0,0,0],"queue":-1.0,"free":-1.0,"report_ms":0}\
+                    """);
+            assertRow(
+                    rows,
+                    "c/check",
+                    """
+                    {"id":"check","asked":0,"admitted":-1.0,"served":0,"refused":0,\
+                    "failed":0,"in_time":0,"in_flight":0,"p50_ms":-1,"p99_ms":-1,\
+                    "p50_ms_10m":-1,"p99_ms_10m":-1}\
+                    """);
+            assertRow(
+                    rows,
+                    "node",
+                    """
+                    {"name":"n0","list_version":1,"list_ms":1700000000000,\
+                    "fixed_list":false,"open":0,"worth_kept":-1.0,"stopping":false,\
+                    "consoles":0,"broken":0}\
+                    """);
         }
     }
 }
--- a/src/test/java/cresschute/node/ControlServiceTest.java
+++ b/src/test/java/cresschute/node/ControlServiceTest.java
@@ -23,20 +23,39 @@
     void rowOfAForgottenWorkerGoes() throws Exception {
         final NodeConfig config;
         try (ServerSocket free = Peer.listen()) {
-            config = NodeConfig.parse(TestNode.config(free, TestNode.list(1, true,
-                TestNode.entry("s-1", free, "SERVING") + "," + TestNode.entry("s-2", free, "SERVING"))),
-                Map.of());
+            config =
+                    NodeConfig.parse(
+                            TestNode.config(
+                                    free,
+                                    TestNode.list(
+                                            1,
+                                            true,
+                                            TestNode.entry("s-1", free, "SERVING")
+                                                    + ","
+                                                    + TestNode.entry("s-2", free, "SERVING"))),
+                            Map.of());
         }
         final ControlService handler = new ControlService(config, loop.eventLoop(), () -> nowUs);
-        final DispatcherEvents module = (DispatcherEvents) Proxy.newProxyInstance(getClass().getClassLoader(),
-            new Class<?>[]{DispatcherEvents.class}, (proxy, method, args) -> null);
-        final RequestLifecycle core = new RequestLifecycle(config, loop.eventLoop(), () -> nowUs,
-            new RateLimitedLog(System.getLogger("test"), () -> nowUs), handler, actions -> module);
+        final DispatcherEvents module =
+                (DispatcherEvents)
+                        Proxy.newProxyInstance(
+                                getClass().getClassLoader(),
+                                new Class<?>[] {DispatcherEvents.class},
+                                (proxy, method, args) -> null);
+        final RequestLifecycle core =
+                new RequestLifecycle(
+                        config,
+                        loop.eventLoop(),
+                        () -> nowUs,
+                        new RateLimitedLog(System.getLogger("test"), () -> nowUs),
+                        handler,
+                        actions -> module);
         handler.open(core);
         core.start(null, () -> {}, config.known());
         handler.look();
         assertThat(handler.board().since(0).rows()).containsKeys("w/s-1", "w/s-2");
-        core.endpointListReceived(new EndpointList(2, true, List.of(config.known().entries().get(0))));
+        core.endpointListReceived(
+                new EndpointList(2, true, List.of(config.known().entries().get(0))));
         handler.look();
         assertThat(handler.board().since(0).rows().get("w/s-2")).contains("\"state\":\"gone\"");
         final long before = handler.board().number();
--- a/src/test/java/cresschute/node/DescriptorLimitTest.java
+++ b/src/test/java/cresschute/node/DescriptorLimitTest.java
@@ -19,23 +19,26 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A node in a process of its own under a real limit of descriptors, which its clients do all to fill. The
- * watch of discovery, new connections to workers, the management listener and the log keep what they need.
+ * A node in a process of its own under a real limit of descriptors, which its clients do all to
+ * fill. The watch of discovery, new connections to workers, the management listener and the log
+ * keep what they need.
  */
 @Timeout(120)
 class DescriptorLimitTest {
 
     /** Descriptors that the process may hold, the same as its configuration states. */
     private static final int DESCRIPTORS = 200;
+
     /** What the management listener, clients and workers may take of these, by the page. */
     private static final DescriptorShares SHARES = DescriptorShares.of(DESCRIPTORS, true);
+
     /** Operators that call at a time, more than are held. */
     private static final int CALLERS = 40;
+
     private static final int WORKERS = 40;
     private static final Duration MAX_WAIT = Duration.ofSeconds(20);
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
 
     private ProgramProcess node;
     private InetSocketAddress address;
@@ -46,23 +49,31 @@
     private void start(int discovery, String known) throws Exception {
         final Path config = folder.resolve("config.json");
         try (ServerSocket none = Peer.listen()) {
-            Files.writeString(config, TestNode.config(none, known)
-                .replace("\"limits\":{\"sockets\":200}", "\"limits\":{\"sockets\":" + DESCRIPTORS + "}"));
+            Files.writeString(
+                    config,
+                    TestNode.config(none, known)
+                            .replace(
+                                    "\"limits\":{\"sockets\":200}",
+                                    "\"limits\":{\"sockets\":" + DESCRIPTORS + "}"));
         }
-        final List<String> command = new ArrayList<>(List.of("sh", "-c",
-            "ulimit -n " + DESCRIPTORS + "; exec \"$@\"", "sh"));
-        command.addAll(ProgramProcess.platformCommand(List.of("-XX:+UseSerialGC",
-            "-XX:TieredStopAtLevel=1"), "serve"));
+        final List<String> command =
+                new ArrayList<>(
+                        List.of("sh", "-c", "ulimit -n " + DESCRIPTORS + "; exec \"$@\"", "sh"));
+        command.addAll(
+                ProgramProcess.platformCommand(
+                        List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1"), "serve"));
         final ProcessBuilder builder = new ProcessBuilder(command);
         builder.environment().put("BALANCER_CONFIG", config.toString());
         builder.environment().put("BALANCER_DISCOVERY", "127.0.0.1:" + discovery);
         builder.environment().put("BALANCER_MANAGEMENT", "127.0.0.1:0");
         builder.environment().put("TMPDIR", folder.toString());
         node = ProgramProcess.start(builder);
-        management = new InetSocketAddress("127.0.0.1",
-            ProgramProcess.portIn(node.awaitLine("operators call at ")));
-        address = new InetSocketAddress("127.0.0.1",
-            ProgramProcess.portIn(node.awaitLine(" listens on ")));
+        management =
+                new InetSocketAddress(
+                        "127.0.0.1", ProgramProcess.portIn(node.awaitLine("operators call at ")));
+        address =
+                new InetSocketAddress(
+                        "127.0.0.1", ProgramProcess.portIn(node.awaitLine(" listens on ")));
         assertThat(node.descriptorLimit()).isEqualTo(DESCRIPTORS);
     }
 
@@ -117,7 +128,7 @@
             port = discovery.getLocalPort();
         }
         try (AnsweringWorker first = new AnsweringWorker(false);
-            AnsweringWorker second = new AnsweringWorker(false)) {
+                AnsweringWorker second = new AnsweringWorker(false)) {
             start(port, known(first));
             try {
                 rest();
@@ -134,9 +145,17 @@
                     final Peer watch = Peer.accept(discovery);
                     assertThat(watch.read()).startsWith("GET /registry/instances");
                     rest();
-                    watch.write(TestNode.answer("200 OK", "", TestNode.list(2, true,
-                        TestNode.entry("s-1", first.server, "DRAINING") + ","
-                            + TestNode.entry("s-2", second.server, "SERVING"))));
+                    watch.write(
+                            TestNode.answer(
+                                    "200 OK",
+                                    "",
+                                    TestNode.list(
+                                            2,
+                                            true,
+                                            TestNode.entry("s-1", first.server, "DRAINING")
+                                                    + ","
+                                                    + TestNode.entry(
+                                                            "s-2", second.server, "SERVING"))));
                     assertThat(watch.read()).contains("since=2&");
                     rest();
                     // A worker that was never connected to: its connection is a new one.
@@ -145,7 +164,8 @@
                     rest();
                     operatorsAreAnswered();
                 }
-                assertThat(node.linesSoFar()).noneMatch(line -> line.contains("Too many open files"));
+                assertThat(node.linesSoFar())
+                        .noneMatch(line -> line.contains("Too many open files"));
                 assertThat(node.process().isAlive()).isTrue();
             } finally {
                 stop();
@@ -157,19 +177,22 @@
     @Test
     void unusedConnectionsAreReleasedInTime() throws Exception {
         try (ServerSocket discovery = Peer.listen();
-            AnsweringWorker worker = new AnsweringWorker(false)) {
+                AnsweringWorker worker = new AnsweringWorker(false)) {
             start(discovery.getLocalPort(), known(worker));
             try {
                 final int before = node.openDescriptors();
                 for (int i = 0; i < SHARES.clients() - 1; i++) {
                     clients.add(Peer.connect(address));
                 }
-                Awaitility.await().atMost(MAX_WAIT).until(() -> node.openDescriptors() > before
-                    + SHARES.clients() / 2);
+                Awaitility.await()
+                        .atMost(MAX_WAIT)
+                        .until(() -> node.openDescriptors() > before + SHARES.clients() / 2);
                 for (final Peer each : clients) {
                     assertThat(each.isClosedByOther()).isTrue();
                 }
-                Awaitility.await().atMost(MAX_WAIT).until(() -> node.openDescriptors() <= before + 2);
+                Awaitility.await()
+                        .atMost(MAX_WAIT)
+                        .until(() -> node.openDescriptors() <= before + 2);
             } finally {
                 stop();
             }
@@ -180,11 +203,20 @@
     @Test
     void everyPartAtItsBoundLeavesDescriptors() throws Exception {
         try (ServerSocket discovery = Peer.listen();
-            AnsweringWorker worker = new AnsweringWorker(true)) {
-            final String known = TestNode.list(1, true, IntStream.rangeClosed(1, WORKERS)
-                .mapToObj(i -> TestNode.entry("s-" + i, worker.server, "SERVING")
-                    .replace("127.0.0.1", "127.0.1." + i))
-                .collect(Collectors.joining(",")));
+                AnsweringWorker worker = new AnsweringWorker(true)) {
+            final String known =
+                    TestNode.list(
+                            1,
+                            true,
+                            IntStream.rangeClosed(1, WORKERS)
+                                    .mapToObj(
+                                            i ->
+                                                    TestNode.entry(
+                                                                    "s-" + i,
+                                                                    worker.server,
+                                                                    "SERVING")
+                                                            .replace("127.0.0.1", "127.0.1." + i))
+                                    .collect(Collectors.joining(",")));
             start(discovery.getLocalPort(), known);
             try {
                 final Peer watch = Peer.accept(discovery);
@@ -194,19 +226,24 @@
                 for (int i = 0; i < SHARES.clients(); i++) {
                     clients.add(Peer.connect(address).write(TestNode.request("r" + i, "", "")));
                 }
-                Awaitility.await().atMost(MAX_WAIT).until(() -> {
-                    count();
-                    return worker.jobs() >= SHARES.workers() / 2;
-                });
+                Awaitility.await()
+                        .atMost(MAX_WAIT)
+                        .until(
+                                () -> {
+                                    count();
+                                    return worker.jobs() >= SHARES.workers() / 2;
+                                });
                 rest();
                 // The watch breaks, and comes again.
                 watch.reset();
                 final Peer again = Peer.accept(discovery);
                 assertThat(again.read()).startsWith("GET /registry/instances");
                 count();
-                assertThat(node.linesSoFar()).noneMatch(line -> line.contains("Too many open files"));
+                assertThat(node.linesSoFar())
+                        .noneMatch(line -> line.contains("Too many open files"));
                 // So full it was: all but a part of what is in no share.
-                assertThat(maxOpen).isGreaterThan(SHARES.clients() + SHARES.workers() + SHARES.callers());
+                assertThat(maxOpen)
+                        .isGreaterThan(SHARES.clients() + SHARES.workers() + SHARES.callers());
             } finally {
                 stop();
             }
--- a/src/test/java/cresschute/node/DescriptorSharesTest.java
+++ b/src/test/java/cresschute/node/DescriptorSharesTest.java
@@ -22,10 +22,14 @@
     @ParameterizedTest
     @ValueSource(ints = {64, 100, 200, 640, 1024, 65_536})
     void sharesAndReserveFitTheLimit(int descriptors) {
-        for (final boolean hasManagement : new boolean[]{false, true}) {
+        for (final boolean hasManagement : new boolean[] {false, true}) {
             final DescriptorShares shares = DescriptorShares.of(descriptors, hasManagement);
-            assertThat(shares.clients() + shares.workers() + shares.callers()
-                + DescriptorShares.RESERVED_DESCRIPTORS).isEqualTo(descriptors);
+            assertThat(
+                            shares.clients()
+                                    + shares.workers()
+                                    + shares.callers()
+                                    + DescriptorShares.RESERVED_DESCRIPTORS)
+                    .isEqualTo(descriptors);
         }
     }
 
--- a/src/test/java/cresschute/node/FleetSizeTest.java
+++ b/src/test/java/cresschute/node/FleetSizeTest.java
@@ -15,29 +15,43 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The program under the deploy file's bounds of memory: one of 1,024 dispatchers before 1,024 workers. */
+/**
+ * The program under the deploy file's bounds of memory: one of 1,024 dispatchers before 1,024
+ * workers.
+ */
 @Timeout(60)
 class FleetSizeTest {
 
     private static final int MANY = 1_024;
+
     /** The least memory of a scored day that was seen, KiB. */
     private static final long MIN_MEMORY_KIB = 144 * 1024;
 
     /** Every flag of the run line that bounds memory. */
     private static List<String> memoryFlags() throws Exception {
-        final String run = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
-            .filter(line -> line.startsWith("run = ")).findFirst().orElseThrow();
-        final List<String> flags = Arrays.stream(run.split(" "))
-            .filter(word -> word.matches("-X.*(SerialGC|TieredStopAtLevel=1|[0-9][mk])")).toList();
+        final String run =
+                Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
+                        .filter(line -> line.startsWith("run = "))
+                        .findFirst()
+                        .orElseThrow();
+        final List<String> flags =
+                Arrays.stream(run.split(" "))
+                        .filter(
+                                word ->
+                                        word.matches(
+                                                "-X.*(SerialGC|TieredStopAtLevel=1|[0-9][mk])"))
+                        .toList();
         assertThat(flags).anyMatch(flag -> flag.startsWith("-Xmx"));
         return flags;
     }
 
     private static String entries(ServerSocket workerServer, int first, String state) {
         return IntStream.range(first, first + MANY)
-            .mapToObj(i -> TestNode.entry("s-" + i, workerServer, state)
-                .replace("\"cell\":0", "\"cell\":" + i / 6))
-            .collect(Collectors.joining(","));
+                .mapToObj(
+                        i ->
+                                TestNode.entry("s-" + i, workerServer, state)
+                                        .replace("\"cell\":0", "\"cell\":" + i / 6))
+                .collect(Collectors.joining(","));
     }
 
     /** The same JSON, a value a line and far to the right, as lists may come. */
@@ -48,19 +62,34 @@
     @Test
     void listsOfManyWorkersAndDispatchersAreServedFrom(@TempDir Path folder) throws Exception {
         final Path config = folder.resolve("config.json");
-        try (ServerSocket workerServer = Peer.listen(); ServerSocket discovery = Peer.listen()) {
-            Files.writeString(config, TestNode.config(discovery,
-                indented(TestNode.list(1, true, entries(workerServer, 0, "SERVING"))))
-                .replace("\"balancers\":1", "\"balancers\":" + MANY));
-            final ProcessBuilder builder = new ProcessBuilder(ProgramProcess.command(memoryFlags(), "serve"));
+        try (ServerSocket workerServer = Peer.listen();
+                ServerSocket discovery = Peer.listen()) {
+            Files.writeString(
+                    config,
+                    TestNode.config(
+                                    discovery,
+                                    indented(
+                                            TestNode.list(
+                                                    1, true, entries(workerServer, 0, "SERVING"))))
+                            .replace("\"balancers\":1", "\"balancers\":" + MANY));
+            final ProcessBuilder builder =
+                    new ProcessBuilder(ProgramProcess.command(memoryFlags(), "serve"));
             builder.environment().put("BALANCER_CONFIG", config.toString());
             try (ProgramProcess node = ProgramProcess.start(builder)) {
                 final int port = ProgramProcess.portIn(node.awaitLine("listens on"));
                 final Peer watch = Peer.accept(discovery);
                 assertThat(watch.read()).contains("since=1&");
-                // Half of the first workers go and as many new ones come, in a list cut at odd places.
-                final String next = TestNode.answer("200 OK", "", indented(
-                    TestNode.list(2, true, entries(workerServer, MANY / 2, "SERVING"))));
+                // Half of the first workers go and as many new ones come, in a list cut at odd
+                // places.
+                final String next =
+                        TestNode.answer(
+                                "200 OK",
+                                "",
+                                indented(
+                                        TestNode.list(
+                                                2,
+                                                true,
+                                                entries(workerServer, MANY / 2, "SERVING"))));
                 for (int at = 0; at < next.length(); at += 9_973) {
                     watch.write(next.substring(at, Math.min(next.length(), at + 9_973)));
                 }
@@ -70,13 +99,20 @@
                         client.write(TestNode.request("r" + i, "", ""));
                         try (Peer worker = Peer.accept(workerServer)) {
                             worker.read();
-                            worker.write(TestNode.answer("200 OK", "Connection: close\r\n",
-                                "{\"id\":\"r" + i + "\",\"state\":\"done\",\"result\":\"yes\"}\n"));
+                            worker.write(
+                                    TestNode.answer(
+                                            "200 OK",
+                                            "Connection: close\r\n",
+                                            "{\"id\":\"r"
+                                                    + i
+                                                    + "\",\"state\":\"done\",\"result\":\"yes\"}\n"));
                             assertThat(client.read()).endsWith("\r\n\r\nyes");
                         }
                     }
                 }
-                assertThat(memoryKib(node.process().pid())).as("memory, KiB").isLessThan(MIN_MEMORY_KIB);
+                assertThat(memoryKib(node.process().pid()))
+                        .as("memory, KiB")
+                        .isLessThan(MIN_MEMORY_KIB);
                 assertThat(node.process().isAlive()).isTrue();
             }
         }
@@ -84,8 +120,9 @@
 
     private static long memoryKib(long pid) throws Exception {
         return Files.readAllLines(Path.of("/proc/" + pid + "/status")).stream()
-            .filter(line -> line.startsWith("VmRSS"))
-            .mapToLong(line -> Long.parseLong(line.replaceAll("\\D", "")))
-            .findFirst().orElseThrow();
+                .filter(line -> line.startsWith("VmRSS"))
+                .mapToLong(line -> Long.parseLong(line.replaceAll("\\D", "")))
+                .findFirst()
+                .orElseThrow();
     }
 }
--- a/src/test/java/cresschute/node/LongBodyNode.java
+++ b/src/test/java/cresschute/node/LongBodyNode.java
@@ -8,14 +8,18 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 
-/** What the tests of long bodies and of long results share: limits, heads, and what a node holds. */
+/**
+ * What the tests of long bodies and of long results share: limits, heads, and what a node holds.
+ */
 final class LongBodyNode {
 
     static final int KIB = 1024;
     static final int MIB = KIB * KIB;
     static final long BUDGET = 16 * MIB;
+
     /** What one body, or one result, may hold: its window and what it may be lent. */
     static final long MAX_OF_ONE = 256 * KIB;
+
     static final long PATIENT_US = 20_000_000;
 
     private static final long WINDOW = 128 * KIB;
@@ -29,7 +33,8 @@
     private LongBodyNode() {}
 
     static Bodies bodies(ClassBodies each) {
-        return new Bodies(BUDGET, WINDOW, MAX_OF_ONE - WINDOW, SPOOL, 3 * WINDOW, List.of(each, each));
+        return new Bodies(
+                BUDGET, WINDOW, MAX_OF_ONE - WINDOW, SPOOL, 3 * WINDOW, List.of(each, each));
     }
 
     static TestNode bodies(long stallUs, int sends) throws Exception {
@@ -37,23 +42,29 @@
     }
 
     static TestNode results(long stallUs, boolean deadlineToFirst) throws Exception {
-        return new TestNode(bodies(new ClassBodies(64 * MIB, KIB, stallUs, true, deadlineToFirst)), 1);
+        return new TestNode(
+                bodies(new ClassBodies(64 * MIB, KIB, stallUs, true, deadlineToFirst)), 1);
     }
 
     /** The head of a request with a body of this length, or in chunks where it is below 0. */
     static String head(String id, long length, String headers) {
-        return "POST /check?obj=2a HTTP/1.1\r\nHost: api\r\nX-Request-Id: " + id + "\r\n" + headers
-            + (length < 0 ? "Transfer-Encoding: chunked" : "Content-Length: " + length) + "\r\n\r\n";
+        return "POST /check?obj=2a HTTP/1.1\r\nHost: api\r\nX-Request-Id: "
+                + id
+                + "\r\n"
+                + headers
+                + (length < 0 ? "Transfer-Encoding: chunked" : "Content-Length: " + length)
+                + "\r\n\r\n";
     }
 
     static CompletableFuture<Void> beside(Play play) {
-        return CompletableFuture.runAsync(() -> {
-            try {
-                play.run();
-            } catch (IOException e) {
-                throw new UncheckedIOException(e);
-            }
-        });
+        return CompletableFuture.runAsync(
+                () -> {
+                    try {
+                        play.run();
+                    } catch (IOException e) {
+                        throw new UncheckedIOException(e);
+                    }
+                });
     }
 
     /** Bytes that long bodies hold or own. */
--- a/src/test/java/cresschute/node/LongBodyRulesTest.java
+++ b/src/test/java/cresschute/node/LongBodyRulesTest.java
@@ -1,8 +1,8 @@
 package cresschute.node;
 
 import static cresschute.node.LongBodyNode.KIB;
-import static cresschute.node.LongBodyNode.MIB;
 import static cresschute.node.LongBodyNode.MAX_OF_ONE;
+import static cresschute.node.LongBodyNode.MIB;
 import static cresschute.node.LongBodyNode.PATIENT_US;
 import static cresschute.node.LongBodyNode.beside;
 import static cresschute.node.LongBodyNode.bodies;
@@ -26,7 +26,7 @@
 class LongBodyRulesTest {
 
     private static final String DONE =
-        answer("200 OK", "", "{\"id\":\"r1\",\"state\":\"done\",\"result\":\"yes\"}\n");
+            answer("200 OK", "", "{\"id\":\"r1\",\"state\":\"done\",\"result\":\"yes\"}\n");
 
     private static TestNode node(int sends) throws Exception {
         return bodies(PATIENT_US, sends);
@@ -34,11 +34,13 @@
 
     @Test
     void passesOnWhatHasComeBeforeTheRestIsThere() throws Exception {
-        try (TestNode node = node(1); Peer client = node.client()) {
+        try (TestNode node = node(1);
+                Peer client = node.client()) {
             client.write(head("r1", MIB, "")).writeBytes(0, MIB / 2);
             try (Peer worker = node.worker()) {
-                assertThat(worker.readHead()).startsWith("POST /check?obj=2a HTTP/1.1\r\n")
-                    .containsIgnoringCase("Content-Length: " + MIB + "\r\n");
+                assertThat(worker.readHead())
+                        .startsWith("POST /check?obj=2a HTTP/1.1\r\n")
+                        .containsIgnoringCase("Content-Length: " + MIB + "\r\n");
                 worker.readBytes(0, MIB / 2 - 32 * KIB);
                 // The worker's slot is held from here on, and the module is told so.
                 assertThat(node.event()).startsWith("requested 1");
@@ -47,7 +49,8 @@
                 worker.readBytes(MIB / 2 - 32 * KIB, MIB / 2 + 32 * KIB);
                 worker.write(DONE);
                 assertThat(client.read()).startsWith("HTTP/1.1 200 OK\r\n").endsWith("yes");
-                // The connection goes on with the next request, a short one, and so does the worker's.
+                // The connection goes on with the next request, a short one, and so does the
+                // worker's.
                 client.write(request("r1", "", "short"));
                 assertThat(worker.read()).endsWith("short");
                 worker.write(DONE);
@@ -60,19 +63,24 @@
     /** Its length is told by nobody: it becomes long on its way, and goes on in chunks. */
     @Test
     void takesChunkedBodyThatOutgrowsWhatIsHeldWhole() throws Exception {
-        try (TestNode node = node(1); Peer client = node.client()) {
+        try (TestNode node = node(1);
+                Peer client = node.client()) {
             final int chunk = 10_000;
             client.write(head("r1", -1, ""));
-            final CompletableFuture<Void> writing = beside(() -> {
-                for (int i = 0; i < 100; i++) {
-                    // Extensions and a trailer are read past.
-                    client.write(Integer.toHexString(chunk) + ";note=" + i + "\r\n")
-                        .writeBytes((long) i * chunk, chunk).write("\r\n");
-                }
-                client.write("0\r\nX-Sum: 1\r\n\r\n");
-            });
+            final CompletableFuture<Void> writing =
+                    beside(
+                            () -> {
+                                for (int i = 0; i < 100; i++) {
+                                    // Extensions and a trailer are read past.
+                                    client.write(Integer.toHexString(chunk) + ";note=" + i + "\r\n")
+                                            .writeBytes((long) i * chunk, chunk)
+                                            .write("\r\n");
+                                }
+                                client.write("0\r\nX-Sum: 1\r\n\r\n");
+                            });
             try (Peer worker = node.worker()) {
-                assertThat(worker.readHead()).containsIgnoringCase("Transfer-Encoding: chunked\r\n");
+                assertThat(worker.readHead())
+                        .containsIgnoringCase("Transfer-Encoding: chunked\r\n");
                 worker.readChunks(100L * chunk);
                 worker.write(DONE);
                 assertThat(client.read()).startsWith("HTTP/1.1 200 OK\r\n");
@@ -85,15 +93,19 @@
     @Test
     void holdsNoMoreThanItsBoundWhileTheWorkerReadsNothing() throws Exception {
         final long length = 24L * MIB;
-        try (TestNode node = node(1); Peer client = node.client()) {
+        try (TestNode node = node(1);
+                Peer client = node.client()) {
             client.write(head("r1", length, ""));
-            final CompletableFuture<Void> writing = beside(() -> {
-                client.writeBytes(0, length);
-            });
+            final CompletableFuture<Void> writing =
+                    beside(
+                            () -> {
+                                client.writeBytes(0, length);
+                            });
             try (Peer worker = node.worker()) {
                 worker.readHead();
                 long held = 0;
-                // Its window and what it may be lent, as nobody else wants any: then reading has stopped.
+                // Its window and what it may be lent, as nobody else wants any: then reading has
+                // stopped.
                 while (held <= MAX_OF_ONE - 64 * KIB) {
                     held = held(node);
                     assertThat(held).isLessThanOrEqualTo(MAX_OF_ONE);
@@ -113,7 +125,8 @@
     /** A body that is kept goes to a further attempt from its first byte. */
     @Test
     void sendsKeptBodyAnewAfterABreak() throws Exception {
-        try (TestNode node = node(2); Peer client = node.client()) {
+        try (TestNode node = node(2);
+                Peer client = node.client()) {
             client.write(head("r1", 100 * KIB, "")).writeBytes(0, 100 * KIB);
             try (Peer first = node.worker()) {
                 first.readHead();
@@ -132,7 +145,8 @@
     /** A hedged request has all of a body that is kept, beside the first, each at its own pace. */
     @Test
     void secondCopyOfAKeptBodyHasAllOfIt() throws Exception {
-        try (TestNode node = node(1); Peer client = node.client()) {
+        try (TestNode node = node(1);
+                Peer client = node.client()) {
             client.write(head("r1", 100 * KIB, "")).writeBytes(0, 100 * KIB);
             assertThat(node.event()).startsWith("requested 1");
             try (Peer first = node.worker()) {
@@ -154,7 +168,8 @@
     /** A body that is partly gone goes to no second worker, and that counts for no loss there. */
     @Test
     void secondCopyBeyondTheSpoolIsNotBegun() throws Exception {
-        try (TestNode node = node(1); Peer client = node.client()) {
+        try (TestNode node = node(1);
+                Peer client = node.client()) {
             client.write(head("r1", MIB, "")).writeBytes(0, MIB / 2);
             assertThat(node.event()).startsWith("requested 1");
             try (Peer worker = node.worker()) {
@@ -162,15 +177,19 @@
                 worker.readBytes(0, MIB / 2 - 32 * KIB);
                 node.act(actions -> actions.send(1, 0, Long.MAX_VALUE));
                 assertThat(node.eventBesideProgress()).isEqualTo("listed FAILED");
-                assertThat(node.eventBesideProgress()).startsWith("ended 1 1 CANCELLED closed false");
+                assertThat(node.eventBesideProgress())
+                        .startsWith("ended 1 1 CANCELLED closed false");
             }
         }
     }
 
-    /** Beyond the spool nothing is sent again; as the last byte never went out, it cannot have run. */
+    /**
+     * Beyond the spool nothing is sent again; as the last byte never went out, it cannot have run.
+     */
     @Test
     void refusesWhatBrokeBeyondItsSpool() throws Exception {
-        try (TestNode node = node(2); Peer client = node.client()) {
+        try (TestNode node = node(2);
+                Peer client = node.client()) {
             client.write(head("r1", MIB, "")).writeBytes(0, MIB / 2);
             assertThat(node.eventBesideProgress()).startsWith("requested 1");
             try (Peer worker = node.worker()) {
@@ -178,9 +197,12 @@
                 worker.readBytes(0, MIB / 2 - 32 * KIB);
                 worker.reset();
             }
-            assertThat(node.eventBesideProgress()).startsWith("ended 1 0 CONNECT_FAILED closed true");
-            assertThat(client.read()).startsWith("HTTP/1.1 503 ").containsIgnoringCase("Retry-After: 1\r\n")
-                .containsIgnoringCase("Connection: close\r\n");
+            assertThat(node.eventBesideProgress())
+                    .startsWith("ended 1 0 CONNECT_FAILED closed true");
+            assertThat(client.read())
+                    .startsWith("HTTP/1.1 503 ")
+                    .containsIgnoringCase("Retry-After: 1\r\n")
+                    .containsIgnoringCase("Connection: close\r\n");
             untilFree(node);
         }
     }
@@ -196,7 +218,8 @@
                 client.close();
                 assertThat(node.eventBesideProgress()).startsWith("requested 1");
                 assertThat(node.eventBesideProgress()).isEqualTo("left 1");
-                assertThat(node.eventBesideProgress()).startsWith("ended 1 0 CANCELLED closed true");
+                assertThat(node.eventBesideProgress())
+                        .startsWith("ended 1 0 CANCELLED closed true");
                 untilFree(node);
             }
         }
@@ -206,16 +229,18 @@
     @Test
     void refusesBodyWithoutRoomAtOnce() throws Exception {
         try (TestNode node = node(1);
-            Peer first = node.client();
-            Peer second = node.client();
-            Peer third = node.client();
-            Peer fourth = node.client()) {
+                Peer first = node.client();
+                Peer second = node.client();
+                Peer third = node.client();
+                Peer fourth = node.client()) {
             for (final Peer each : List.of(first, second, third)) {
                 each.write(head("r" + each.hashCode(), MIB, "Expect: 100-continue\r\n"));
                 assertThat(each.read()).startsWith("HTTP/1.1 100 ");
             }
             fourth.write(head("r4", MIB, "Expect: 100-continue\r\n"));
-            assertThat(fourth.read()).startsWith("HTTP/1.1 503 ").containsIgnoringCase("Retry-After: 1\r\n");
+            assertThat(fourth.read())
+                    .startsWith("HTTP/1.1 503 ")
+                    .containsIgnoringCase("Retry-After: 1\r\n");
             assertThat(node.events).noneMatch(event -> event.startsWith("requested"));
             // Short bodies need none of that room.
             try (Peer other = node.client()) {
@@ -233,19 +258,21 @@
     void endsBodyThatGrowsBeyondItsClassWithItsAttempt() throws Exception {
         final ClassBodies small = new ClassBodies(300 * KIB, KIB, PATIENT_US, false, false);
         try (TestNode node = new TestNode(LongBodyNode.bodies(small), 1);
-            Peer client = node.client();
-            Peer told = node.client()) {
+                Peer client = node.client();
+                Peer told = node.client()) {
             told.write(head("r2", 300 * KIB + 1, ""));
             assertThat(told.read()).startsWith("HTTP/1.1 413 ").endsWith("body over 300 KiB\n");
-            client.write(head("r1", -1, "")).write(Integer.toHexString(MIB) + "\r\n")
-                .writeBytes(0, 290 * KIB);
+            client.write(head("r1", -1, ""))
+                    .write(Integer.toHexString(MIB) + "\r\n")
+                    .writeBytes(0, 290 * KIB);
             try (Peer worker = node.worker()) {
                 worker.readHead();
                 client.writeBytes(290 * KIB, 11 * KIB);
                 assertThat(client.read()).startsWith("HTTP/1.1 413 ");
                 assertThat(node.eventBesideProgress()).startsWith("requested 1");
                 assertThat(node.eventBesideProgress()).isEqualTo("left 1");
-                assertThat(node.eventBesideProgress()).startsWith("ended 1 0 CANCELLED closed true");
+                assertThat(node.eventBesideProgress())
+                        .startsWith("ended 1 0 CANCELLED closed true");
             }
             untilFree(node);
         }
@@ -254,7 +281,8 @@
     /** What is no chunk ends the body, and with it a request that was taken. */
     @Test
     void chunkExtensionWithoutEndIsNoBody() throws Exception {
-        try (TestNode node = node(1); Peer client = node.client()) {
+        try (TestNode node = node(1);
+                Peer client = node.client()) {
             client.write(head("r1", -1, "")).writeChunk(0, MIB / 2);
             assertThat(node.event()).startsWith("requested 1");
             try (Peer worker = node.worker()) {
@@ -262,7 +290,8 @@
                 client.write("5;" + "x".repeat(10_000));
                 assertThat(client.read()).startsWith("HTTP/1.1 400 ");
                 assertThat(node.eventBesideProgress()).isEqualTo("left 1");
-                assertThat(node.eventBesideProgress()).startsWith("ended 1 0 CANCELLED closed true");
+                assertThat(node.eventBesideProgress())
+                        .startsWith("ended 1 0 CANCELLED closed true");
             }
             untilFree(node);
         }
@@ -271,7 +300,8 @@
     /** What comes beyond a stated length is no part of the body, and as a request it is none. */
     @Test
     void bytesBeyondTheLengthAreNotPassedOn() throws Exception {
-        try (TestNode node = node(1); Peer client = node.client()) {
+        try (TestNode node = node(1);
+                Peer client = node.client()) {
             client.write(head("r1", MIB / 2, "")).writeBytes(0, MIB / 2).write("more\r\n\r\n");
             try (Peer worker = node.worker()) {
                 worker.readHead();
@@ -288,7 +318,8 @@
     /** Nothing for the longest stall, while it is the client's turn. */
     @Test
     void givesUpClientThatSendsNothing() throws Exception {
-        try (TestNode node = bodies(300_000, 1); Peer client = node.client()) {
+        try (TestNode node = bodies(300_000, 1);
+                Peer client = node.client()) {
             client.write(head("r1", MIB, "")).writeBytes(0, MIB / 4);
             assertThat(client.read()).startsWith("HTTP/1.1 408 ");
             untilFree(node);
@@ -299,13 +330,15 @@
     @Test
     void givesUpWorkerThatTakesNothing() throws Exception {
         final long length = 32L * MIB;
-        try (TestNode node = bodies(2_000_000, 1); Peer client = node.client()) {
+        try (TestNode node = bodies(2_000_000, 1);
+                Peer client = node.client()) {
             client.write(head("r1", length, ""));
             final CompletableFuture<Void> writing = beside(() -> client.writeBytes(0, length));
             assertThat(node.eventBesideProgress()).startsWith("requested 1");
             try (Peer worker = node.worker()) {
                 worker.readHead();
-                assertThat(node.eventBesideProgress()).startsWith("ended 1 0 CONNECT_FAILED closed true");
+                assertThat(node.eventBesideProgress())
+                        .startsWith("ended 1 0 CONNECT_FAILED closed true");
                 untilFree(node);
             }
             // The node may have answered and closed before all was written.
@@ -316,7 +349,8 @@
     /** Told to stop, the node carries what it took to its end. */
     @Test
     void stopWaitsForBodiesUnderWay() throws Exception {
-        try (TestNode node = node(1); Peer client = node.client()) {
+        try (TestNode node = node(1);
+                Peer client = node.client()) {
             client.write(head("r1", MIB, "")).writeBytes(0, MIB / 2);
             try (Peer worker = node.worker()) {
                 worker.readHead();
@@ -330,8 +364,9 @@
                 client.writeBytes(MIB / 2, MIB / 2);
                 worker.readBytes(MIB / 4, 3 * MIB / 4);
                 worker.write(DONE);
-                assertThat(client.read()).startsWith("HTTP/1.1 200 OK\r\n")
-                    .containsIgnoringCase("Connection: close\r\n");
+                assertThat(client.read())
+                        .startsWith("HTTP/1.1 200 OK\r\n")
+                        .containsIgnoringCase("Connection: close\r\n");
                 stopped.get(8, TimeUnit.SECONDS);
             }
         }
@@ -350,14 +385,17 @@
     @Test
     void floodOfSmallChunksStaysWithinTheBound() throws Exception {
         final int thousands = 400;
-        try (TestNode node = node(1); Peer client = node.client()) {
+        try (TestNode node = node(1);
+                Peer client = node.client()) {
             client.write(head("r1", -1, ""));
-            final CompletableFuture<Void> writing = beside(() -> {
-                for (int i = 0; i < thousands; i++) {
-                    client.write("1;x=y\r\na\r\n".repeat(1000));
-                }
-                client.write("0\r\n\r\n");
-            });
+            final CompletableFuture<Void> writing =
+                    beside(
+                            () -> {
+                                for (int i = 0; i < thousands; i++) {
+                                    client.write("1;x=y\r\na\r\n".repeat(1000));
+                                }
+                                client.write("0\r\n\r\n");
+                            });
             try (Peer worker = node.worker()) {
                 worker.readHead();
                 while (held(node) <= MAX_OF_ONE - 64 * KIB && !writing.isDone()) {
--- a/src/test/java/cresschute/node/LongResultRulesTest.java
+++ b/src/test/java/cresschute/node/LongResultRulesTest.java
@@ -1,8 +1,8 @@
 package cresschute.node;
 
 import static cresschute.node.LongBodyNode.KIB;
-import static cresschute.node.LongBodyNode.MIB;
 import static cresschute.node.LongBodyNode.MAX_OF_ONE;
+import static cresschute.node.LongBodyNode.MIB;
 import static cresschute.node.LongBodyNode.PATIENT_US;
 import static cresschute.node.LongBodyNode.beside;
 import static cresschute.node.LongBodyNode.held;
@@ -23,7 +23,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Long results over real sockets, one rule each: passed on as they are made, and never broken but whole. */
+/**
+ * Long results over real sockets, one rule each: passed on as they are made, and never broken but
+ * whole.
+ */
 @Timeout(60)
 class LongResultRulesTest {
 
@@ -35,7 +38,9 @@
     }
 
     private static String result(String rest) {
-        return CHUNKED + line("r1", "\"state\":\"started\"") + line("r1", "\"state\":\"result\"" + rest);
+        return CHUNKED
+                + line("r1", "\"state\":\"started\"")
+                + line("r1", "\"state\":\"result\"" + rest);
     }
 
     /** A client whose request is at the worker, which has read it. */
@@ -45,13 +50,15 @@
 
     @Test
     void passesOnWhatIsMadeBeforeTheRestIsThere() throws Exception {
-        try (TestNode node = results(PATIENT_US, false); Peer client = asked(node, "")) {
+        try (TestNode node = results(PATIENT_US, false);
+                Peer client = asked(node, "")) {
             try (Peer worker = node.worker()) {
                 worker.read();
                 worker.write(result(",\"type\":\"text/csv\"")).writeChunk(0, 40 * KIB);
-                assertThat(client.readHead()).startsWith("HTTP/1.1 200 OK\r\n")
-                    .containsIgnoringCase("content-type: text/csv\r\n")
-                    .containsIgnoringCase("transfer-encoding: chunked\r\n");
+                assertThat(client.readHead())
+                        .startsWith("HTTP/1.1 200 OK\r\n")
+                        .containsIgnoringCase("content-type: text/csv\r\n")
+                        .containsIgnoringCase("transfer-encoding: chunked\r\n");
                 assertThat(node.event()).startsWith("requested 1");
                 assertThat(node.event()).startsWith("progressed 1 0 0.0");
                 // For the module the job has run; its answer is still on its way.
@@ -62,7 +69,11 @@
                 // Both connections go on with the next request.
                 client.write(request("r1", "", "again"));
                 worker.read();
-                worker.write(answer("200 OK", "", "{\"id\":\"r1\",\"state\":\"done\",\"result\":\"y\"}\n"));
+                worker.write(
+                        answer(
+                                "200 OK",
+                                "",
+                                "{\"id\":\"r1\",\"state\":\"done\",\"result\":\"y\"}\n"));
                 assertThat(client.read()).startsWith("HTTP/1.1 200 OK\r\n").endsWith("y");
             }
         }
@@ -72,20 +83,24 @@
     @Test
     void holdsNoMoreThanItsBoundWhileTheClientReadsNothing() throws Exception {
         final long length = 24L * MIB;
-        try (TestNode node = results(PATIENT_US, false); Peer client = asked(node, "")) {
+        try (TestNode node = results(PATIENT_US, false);
+                Peer client = asked(node, "")) {
             try (Peer worker = node.worker()) {
                 worker.read();
                 worker.write(result(",\"length\":" + length));
-                final CompletableFuture<Void> writing = beside(() -> {
-                    for (long at = 0; at < length; at += MIB) {
-                        worker.writeChunk(at, MIB);
-                    }
-                    worker.write("0\r\n\r\n");
-                });
+                final CompletableFuture<Void> writing =
+                        beside(
+                                () -> {
+                                    for (long at = 0; at < length; at += MIB) {
+                                        worker.writeChunk(at, MIB);
+                                    }
+                                    worker.write("0\r\n\r\n");
+                                });
                 while (held(node) <= MAX_OF_ONE - 64 * KIB) {
                     Thread.onSpinWait();
                 }
-                assertThat(client.readHead()).containsIgnoringCase("content-length: " + length + "\r\n");
+                assertThat(client.readHead())
+                        .containsIgnoringCase("content-length: " + length + "\r\n");
                 for (long at = 0; at < length; at += MIB) {
                     client.readBytes(at, MIB);
                     assertThat(held(node)).isLessThanOrEqualTo(MAX_OF_ONE);
@@ -96,22 +111,26 @@
         }
     }
 
-    /** Whatever ends a result early: its client sees no end of it, or fewer bytes than were told. */
+    /**
+     * Whatever ends a result early: its client sees no end of it, or fewer bytes than were told.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"break", "0\r\n\r\n", "0\r\nX-Job-State: failed\r\n\r\n"})
     void brokenResultNeverLooksWhole(String end) throws Exception {
-        try (TestNode node = results(PATIENT_US, false); Peer client = asked(node, "")) {
+        try (TestNode node = results(PATIENT_US, false);
+                Peer client = asked(node, "")) {
             try (Peer worker = node.worker()) {
                 worker.read();
                 worker.write(result("")).writeChunk(0, 100);
-                assertThat(client.readHead()).containsIgnoringCase("transfer-encoding: chunked\r\n");
+                assertThat(client.readHead())
+                        .containsIgnoringCase("transfer-encoding: chunked\r\n");
                 if (end.equals("break")) {
                     worker.reset();
                 } else {
                     worker.write(end);
                 }
                 assertThat(new String(client.readToEnd(), StandardCharsets.ISO_8859_1))
-                    .doesNotEndWith("\r\n0\r\n\r\n");
+                        .doesNotEndWith("\r\n0\r\n\r\n");
                 untilFree(node);
             }
         }
@@ -120,12 +139,16 @@
     @ParameterizedTest
     @CsvSource({"100, 99", "100, 101"})
     void resultOfAnotherLengthThanToldIsBroken(int told, int came) throws Exception {
-        try (TestNode node = results(PATIENT_US, false); Peer client = asked(node, "")) {
+        try (TestNode node = results(PATIENT_US, false);
+                Peer client = asked(node, "")) {
             try (Peer worker = node.worker()) {
                 worker.read();
                 // Beside: the node hangs up as soon as it is too long, maybe before all is written.
-                beside(() -> worker.write(result(",\"length\":" + told)).writeChunk(0, came)
-                    .write("0\r\n\r\n"));
+                beside(
+                        () ->
+                                worker.write(result(",\"length\":" + told))
+                                        .writeChunk(0, came)
+                                        .write("0\r\n\r\n"));
                 client.readHead();
                 assertThat(client.readToEnd()).hasSizeLessThan(told);
                 untilFree(node);
@@ -137,7 +160,8 @@
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void oldClientSeesWhetherItIsWhole(boolean whole) throws Exception {
-        try (TestNode node = results(PATIENT_US, false); Peer client = node.client()) {
+        try (TestNode node = results(PATIENT_US, false);
+                Peer client = node.client()) {
             client.write(request("r1", "", "body").replace("HTTP/1.1", "HTTP/1.0"));
             try (Peer worker = node.worker()) {
                 worker.read();
@@ -153,10 +177,12 @@
     /** The first byte of one copy's result gives up the other copy, without blame on its worker. */
     @Test
     void firstResultGivesUpTheOtherCopy() throws Exception {
-        try (TestNode node = results(PATIENT_US, false); Peer client = asked(node, "")) {
+        try (TestNode node = results(PATIENT_US, false);
+                Peer client = asked(node, "")) {
             assertThat(node.event()).startsWith("requested 1");
             node.act(actions -> actions.send(1, 0, Long.MAX_VALUE));
-            try (Peer first = node.worker(); Peer second = node.worker()) {
+            try (Peer first = node.worker();
+                    Peer second = node.worker()) {
                 first.read();
                 second.read();
                 second.write(result("")).writeChunk(0, 100);
@@ -178,7 +204,8 @@
 
     @Test
     void clientThatLeavesEndsTheResult() throws Exception {
-        try (TestNode node = results(PATIENT_US, false); Peer client = asked(node, "")) {
+        try (TestNode node = results(PATIENT_US, false);
+                Peer client = asked(node, "")) {
             try (Peer worker = node.worker()) {
                 worker.read();
                 worker.write(result("")).writeChunk(0, 100);
@@ -191,13 +218,14 @@
     }
 
     /**
-     * A worker that begins its result before it has all of the body: its attempt has ended by that, and must
-     * not end again as the rest of the body is lost.
+     * A worker that begins its result before it has all of the body: its attempt has ended by that,
+     * and must not end again as the rest of the body is lost.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void resultBeforeTheBodysEndEndsItsAttemptOnce(boolean whole) throws Exception {
-        try (TestNode node = results(PATIENT_US, false); Peer client = node.client()) {
+        try (TestNode node = results(PATIENT_US, false);
+                Peer client = node.client()) {
             client.write(LongBodyNode.head("r1", MIB, "")).writeBytes(0, MIB / 2);
             try (Peer worker = node.worker()) {
                 worker.readHead();
@@ -209,7 +237,7 @@
                 } else {
                     worker.reset();
                     assertThat(new String(client.readToEnd(), StandardCharsets.ISO_8859_1))
-                        .doesNotEndWith("\r\n0\r\n\r\n");
+                            .doesNotEndWith("\r\n0\r\n\r\n");
                 }
                 untilFree(node);
             }
@@ -219,7 +247,8 @@
     /** A line of this kind from a worker of a class that has no long results is no answer. */
     @Test
     void longResultIsNoAnswerWhereNoneIsExpected() throws Exception {
-        try (TestNode node = LongBodyNode.bodies(PATIENT_US, 1); Peer client = asked(node, "")) {
+        try (TestNode node = LongBodyNode.bodies(PATIENT_US, 1);
+                Peer client = asked(node, "")) {
             try (Peer worker = node.worker()) {
                 worker.read();
                 worker.write(result(""));
@@ -232,18 +261,21 @@
     @Test
     void refusesWhereThereIsNoRoomForTheResult() throws Exception {
         try (TestNode node = results(PATIENT_US, false);
-            Peer first = asked(node, "");
-            Peer second = node.client();
-            Peer third = node.client();
-            Peer fourth = node.client()) {
+                Peer first = asked(node, "");
+                Peer second = node.client();
+                Peer third = node.client();
+                Peer fourth = node.client()) {
             second.write(request("r2", "", "body"));
             third.write(request("r3", "", "body"));
-            try (Peer one = node.worker(); Peer two = node.worker(); Peer three = node.worker()) {
+            try (Peer one = node.worker();
+                    Peer two = node.worker();
+                    Peer three = node.worker()) {
                 fourth.write(request("r4", "", "body"));
-                assertThat(fourth.read()).startsWith("HTTP/1.1 503 ")
-                    .containsIgnoringCase("Retry-After: 1\r\n");
+                assertThat(fourth.read())
+                        .startsWith("HTTP/1.1 503 ")
+                        .containsIgnoringCase("Retry-After: 1\r\n");
                 assertThat(List.of(one.read(), two.read(), three.read()))
-                    .allMatch(each -> each.endsWith("body"));
+                        .allMatch(each -> each.endsWith("body"));
                 // The connection stays, and there is room once another is answered.
                 one.reset();
                 assertThat(first.read()).startsWith("HTTP/1.1 503 ");
@@ -254,7 +286,8 @@
     /** Nothing comes for the longest stall, although there is room. */
     @Test
     void givesUpWorkerThatMakesNothingMore() throws Exception {
-        try (TestNode node = results(300_000, false); Peer client = asked(node, "")) {
+        try (TestNode node = results(300_000, false);
+                Peer client = asked(node, "")) {
             try (Peer worker = node.worker()) {
                 worker.read();
                 worker.write(result(",\"length\":1000")).writeChunk(0, 500);
@@ -268,17 +301,22 @@
     /** A client that takes nothing for the longest stall is given up, and the worker is free. */
     @Test
     void givesUpClientThatReadsNothing() throws Exception {
-        try (TestNode node = results(1_000_000, false); Peer client = asked(node, "")) {
+        try (TestNode node = results(1_000_000, false);
+                Peer client = asked(node, "")) {
             try (Peer worker = node.worker()) {
                 worker.read();
                 worker.write(result(""));
-                final CompletableFuture<Void> writing = beside(() -> {
-                    for (long at = 0; at < 64; at++) {
-                        worker.writeChunk(at * MIB, MIB);
-                    }
-                });
-                assertThat(writing.handle((done, broken) -> broken != null).get(20, TimeUnit.SECONDS))
-                    .isTrue();
+                final CompletableFuture<Void> writing =
+                        beside(
+                                () -> {
+                                    for (long at = 0; at < 64; at++) {
+                                        worker.writeChunk(at * MIB, MIB);
+                                    }
+                                });
+                assertThat(
+                                writing.handle((done, broken) -> broken != null)
+                                        .get(20, TimeUnit.SECONDS))
+                        .isTrue();
                 untilFree(node);
                 assertThat(client.readHead()).startsWith("HTTP/1.1 200 OK\r\n");
             }
@@ -290,7 +328,7 @@
     @ValueSource(booleans = {true, false})
     void deadlineCountsToTheByteThatTheClassSays(boolean toFirst) throws Exception {
         try (TestNode node = results(PATIENT_US, toFirst);
-            Peer client = asked(node, "X-Deadline: 500m\r\n")) {
+                Peer client = asked(node, "X-Deadline: 500m\r\n")) {
             try (Peer worker = node.worker()) {
                 worker.read();
                 worker.write(result(",\"length\":200")).writeChunk(0, 100);
@@ -310,15 +348,19 @@
     /** Answers keep the order of their requests, long or not. */
     @Test
     void answersBehindALongResultWaitForIt() throws Exception {
-        try (TestNode node = results(PATIENT_US, false); Peer client = asked(node, "")) {
+        try (TestNode node = results(PATIENT_US, false);
+                Peer client = asked(node, "")) {
             try (Peer first = node.worker()) {
                 first.read();
                 client.write(request("r2", "", "two"));
                 try (Peer second = node.worker()) {
                     assertThat(second.read()).endsWith("two");
-                    second.write(CHUNKED + line("r2", "\"state\":\"result\"")).writeChunk(0, 30)
-                        .write("0\r\nX-Job-State: done\r\n\r\n");
-                    first.write(result("")).writeChunk(0, 70).write("0\r\nX-Job-State: done\r\n\r\n");
+                    second.write(CHUNKED + line("r2", "\"state\":\"result\""))
+                            .writeChunk(0, 30)
+                            .write("0\r\nX-Job-State: done\r\n\r\n");
+                    first.write(result(""))
+                            .writeChunk(0, 70)
+                            .write("0\r\nX-Job-State: done\r\n\r\n");
                     client.readHead();
                     client.readChunks(70);
                     client.readHead();
@@ -332,7 +374,8 @@
     /** Told to stop, the node carries a result to its end. */
     @Test
     void stopWaitsForResultsUnderWay() throws Exception {
-        try (TestNode node = results(PATIENT_US, false); Peer client = asked(node, "")) {
+        try (TestNode node = results(PATIENT_US, false);
+                Peer client = asked(node, "")) {
             try (Peer worker = node.worker()) {
                 worker.read();
                 worker.write(result("")).writeChunk(0, 100);
@@ -342,7 +385,8 @@
                 assertThat(stopped).isNotDone();
                 worker.writeChunk(100, 100).write("0\r\nX-Job-State: done\r\n\r\n");
                 client.readChunks(200);
-                // A connection that carried it while the stop was told ends with the stop, or by its client.
+                // A connection that carried it while the stop was told ends with the stop, or by
+                // its client.
                 client.reset();
                 stopped.get(8, TimeUnit.SECONDS);
             }
--- a/src/test/java/cresschute/node/MainTest.java
+++ b/src/test/java/cresschute/node/MainTest.java
@@ -17,14 +17,15 @@
 @Timeout(30)
 class MainTest {
 
-    private static final String IGNORED = "SIGHUP is ignored, as this process was started with it ignored";
+    private static final String IGNORED =
+            "SIGHUP is ignored, as this process was started with it ignored";
 
     private static ProgramProcess serve(String config, String discovery) throws Exception {
         return serve(ProgramProcess.command(List.of(), "serve"), config, discovery);
     }
 
     private static ProgramProcess serve(List<String> command, String config, String discovery)
-        throws Exception {
+            throws Exception {
         final ProcessBuilder builder = new ProcessBuilder(command);
         builder.environment().put("BALANCER_CONFIG", config);
         builder.environment().put("BALANCER_DISCOVERY", discovery);
@@ -34,21 +35,27 @@
     @Test
     void endsWithOneLineAndTwoOnBadConfiguration() throws Exception {
         try (ProgramProcess node = serve("", "")) {
-            assertThat(node.remainingLines()).containsExactly("cresschute: BALANCER_CONFIG is not set");
+            assertThat(node.remainingLines())
+                    .containsExactly("cresschute: BALANCER_CONFIG is not set");
             assertThat(node.exitCode()).isEqualTo(2);
         }
     }
 
-    /** A hang-up ended the process. The environment names the old discovery service for ever; the file may not. */
+    /**
+     * A hang-up ended the process. The environment names the old discovery service for ever; the
+     * file may not.
+     */
     @Test
     void followsTheFilesDiscoveryOnSighup(@TempDir Path folder) throws Exception {
         final Path config = folder.resolve("config.json");
         try (ServerSocket workerServer = Peer.listen();
-            ServerSocket old = Peer.listen();
-            ServerSocket next = Peer.listen()) {
-            final String known = TestNode.list(1, true, TestNode.entry("s-1", workerServer, "SERVING"));
+                ServerSocket old = Peer.listen();
+                ServerSocket next = Peer.listen()) {
+            final String known =
+                    TestNode.list(1, true, TestNode.entry("s-1", workerServer, "SERVING"));
             Files.writeString(config, TestNode.config(old, known));
-            try (ProgramProcess node = serve(config.toString(), "127.0.0.1:" + old.getLocalPort())) {
+            try (ProgramProcess node =
+                    serve(config.toString(), "127.0.0.1:" + old.getLocalPort())) {
                 Peer.accept(old).read();
                 Files.writeString(config, "{\"name\":");
                 node.signal("HUP");
@@ -69,11 +76,16 @@
     @Test
     void saysWhereSighupIsIgnored(@TempDir Path folder) throws Exception {
         final Path config = folder.resolve("config.json");
-        try (ServerSocket workerServer = Peer.listen(); ServerSocket discovery = Peer.listen()) {
-            Files.writeString(config, TestNode.config(discovery,
-                TestNode.list(1, true, TestNode.entry("s-1", workerServer, "SERVING"))));
-            final List<String> command = new ArrayList<>(List.of("sh", "-c",
-                "trap '' HUP; exec \"$@\"", "sh"));
+        try (ServerSocket workerServer = Peer.listen();
+                ServerSocket discovery = Peer.listen()) {
+            Files.writeString(
+                    config,
+                    TestNode.config(
+                            discovery,
+                            TestNode.list(
+                                    1, true, TestNode.entry("s-1", workerServer, "SERVING"))));
+            final List<String> command =
+                    new ArrayList<>(List.of("sh", "-c", "trap '' HUP; exec \"$@\"", "sh"));
             command.addAll(ProgramProcess.commandInheritingSignals("serve"));
             try (ProgramProcess node = serve(command, config.toString(), "")) {
                 node.awaitLine(IGNORED);
@@ -86,8 +98,11 @@
                 watch.write(TestNode.answer("200 OK", "", TestNode.list(9, true, "")));
                 assertThat(watch.read()).startsWith("GET /registry/instances?since=9&");
                 node.signal("TERM");
-                assertThat(node.remainingLines()).noneMatch(line -> line.contains("reloaded"))
-                    .last().asString().contains("stopped: everything taken is answered");
+                assertThat(node.remainingLines())
+                        .noneMatch(line -> line.contains("reloaded"))
+                        .last()
+                        .asString()
+                        .contains("stopped: everything taken is answered");
                 assertThat(node.exitCode()).isEqualTo(143);
             }
         }
@@ -97,9 +112,14 @@
     @Test
     void answersWhatItTookAfterSigterm(@TempDir Path folder) throws Exception {
         final Path config = folder.resolve("config.json");
-        try (ServerSocket workerServer = Peer.listen(); ServerSocket discovery = Peer.listen()) {
-            Files.writeString(config, TestNode.config(discovery,
-                TestNode.list(1, true, TestNode.entry("s-1", workerServer, "SERVING"))));
+        try (ServerSocket workerServer = Peer.listen();
+                ServerSocket discovery = Peer.listen()) {
+            Files.writeString(
+                    config,
+                    TestNode.config(
+                            discovery,
+                            TestNode.list(
+                                    1, true, TestNode.entry("s-1", workerServer, "SERVING"))));
             try (ProgramProcess node = serve(config.toString(), "")) {
                 final int port = ProgramProcess.portIn(node.awaitLine("listens on"));
                 final Peer client = Peer.connect(new InetSocketAddress("127.0.0.1", port));
@@ -108,11 +128,16 @@
                 worker.read();
                 node.signal("TERM");
                 node.awaitLine("no longer accepting: 1 reqs");
-                worker.write(TestNode.answer("200 OK", "",
-                    "{\"id\":\"r1\",\"state\":\"done\",\"result\":\"yes\"}\n"));
+                worker.write(
+                        TestNode.answer(
+                                "200 OK",
+                                "",
+                                "{\"id\":\"r1\",\"state\":\"done\",\"result\":\"yes\"}\n"));
                 assertThat(client.read()).endsWith("\r\n\r\nyes");
-                assertThat(node.remainingLines()).last().asString()
-                    .contains("stopped: everything taken is answered");
+                assertThat(node.remainingLines())
+                        .last()
+                        .asString()
+                        .contains("stopped: everything taken is answered");
                 assertThat(node.exitCode()).isEqualTo(143);
             }
         }
--- a/src/test/java/cresschute/node/ManagementRulesTest.java
+++ b/src/test/java/cresschute/node/ManagementRulesTest.java
@@ -17,8 +17,7 @@
 
     private static final String READY = "GET /health/ready HTTP/1.1\r\nHost: api\r\n\r\n";
 
-    @TempDir
-    Path shared;
+    @TempDir Path shared;
 
     private static String done(String id) {
         return "{\"id\":\"" + id + "\",\"from\":\"s-1\",\"state\":\"done\",\"result\":\"yes\"}\n";
@@ -39,18 +38,22 @@
         try (TestNode node = new TestNode(shared, null)) {
             assertThat(node.call("ready")).isEqualTo("200 ready");
             assertThat(node.call("what")).startsWith("400 no call is named what");
-            assertThat(node.call("disable-server")).startsWith("400 disable-server takes one worker id");
-            assertThat(node.call("disable-server s-9")).startsWith("400 no list has named a worker s-9");
-            assertThat(node.call("enable-server s-9")).startsWith("400 no list has named a worker s-9");
-            assertThat(node.call("x".repeat(600))).startsWith("400 a call has 512 characters at most");
+            assertThat(node.call("disable-server"))
+                    .startsWith("400 disable-server takes one worker id");
+            assertThat(node.call("disable-server s-9"))
+                    .startsWith("400 no list has named a worker s-9");
+            assertThat(node.call("enable-server s-9"))
+                    .startsWith("400 no list has named a worker s-9");
+            assertThat(node.call("x".repeat(600)))
+                    .startsWith("400 a call has 512 characters at most");
         }
     }
 
     @Test
     void answersOthersWhileHalfACallAndSilenceWait() throws Exception {
         try (TestNode node = new TestNode(shared, null);
-            Peer silent = Peer.connect(node.server.managementAddress());
-            Peer half = Peer.connect(node.server.managementAddress()).write("disable-ser")) {
+                Peer silent = Peer.connect(node.server.managementAddress());
+                Peer half = Peer.connect(node.server.managementAddress()).write("disable-ser")) {
             assertThat(node.call("ready")).isEqualTo("200 ready");
             assertThat(half.readLine()).startsWith("400 incomplete call");
             assertThat(half.isClosedByOther()).isTrue();
@@ -76,7 +79,8 @@
             assertThat(old.call("disable-server s-1")).startsWith("200");
             try (TestNode next = new TestNode(shared, null)) {
                 // The new process starts with the ban laid over the list that it was given.
-                assertThat(next.events.poll(8, TimeUnit.SECONDS)).isEqualTo("listed CACHED 0DRAINING7000");
+                assertThat(next.events.poll(8, TimeUnit.SECONDS))
+                        .isEqualTo("listed CACHED 0DRAINING7000");
                 assertThat(next.call("enable-server s-1")).startsWith("200");
                 // The old one takes the call back from the file that both see.
                 assertThat(listEvent(old)).isEqualTo("listed CHANGES 0DRAINING7000");
@@ -89,8 +93,8 @@
     @Test
     void drainedNodeSaysNoAndLetsItsConnectionsGoUntilResumed() throws Exception {
         try (TestNode node = new TestNode(shared, null);
-            Peer idle = node.client();
-            Peer busy = node.client()) {
+                Peer idle = node.client();
+                Peer busy = node.client()) {
             assertThat(idle.write(READY).read()).startsWith("HTTP/1.1 200");
             busy.write(request("r1", "", ""));
             final Peer worker = node.worker();
@@ -103,12 +107,16 @@
             // The idle connection is closed; the busy one after its answer, which says so.
             assertThat(idle.readToEnd()).isNotNull().isEmpty();
             worker.write(answer("200 OK", "", done("r1")));
-            assertThat(busy.read()).startsWith("HTTP/1.1 200").contains("\r\nconnection: close\r\n");
+            assertThat(busy.read())
+                    .startsWith("HTTP/1.1 200")
+                    .contains("\r\nconnection: close\r\n");
             assertThat(busy.isClosedByOther()).isTrue();
             assertThat(node.call("resume")).startsWith("200 resumed");
             assertThat(node.call("ready")).isEqualTo("200 ready");
             try (Peer after = node.client()) {
-                assertThat(after.write(READY).read()).startsWith("HTTP/1.1 200").doesNotContain("close");
+                assertThat(after.write(READY).read())
+                        .startsWith("HTTP/1.1 200")
+                        .doesNotContain("close");
             }
         }
     }
--- a/src/test/java/cresschute/node/NodeConfigTest.java
+++ b/src/test/java/cresschute/node/NodeConfigTest.java
@@ -20,7 +20,8 @@
 
     @Test
     void readsWhatTheSettingsParserReads() throws Exception {
-        final NodeConfig config = NodeConfig.parse(good(), Map.of("BALANCER_LISTEN", "127.0.0.9:7"));
+        final NodeConfig config =
+                NodeConfig.parse(good(), Map.of("BALANCER_LISTEN", "127.0.0.9:7"));
         assertThat(config.listen().toString()).isEqualTo("/127.0.0.9:7");
         assertThat(config.classes()).containsExactly("check", "file");
         assertThat(config.settings().classes().get(1).idempotency()).isEqualTo(Idempotency.KEYED);
@@ -33,54 +34,81 @@
     void readsWhereOperatorsCallAndWhatAnUpgradeHandsOver() throws Exception {
         final NodeConfig none = NodeConfig.parse(good(), Map.of());
         assertThat(none.operators()).isEqualTo(NodeConfig.Operators.NONE);
-        final String named = good().replace("\"name\":\"n0\",",
-            "\"name\":\"n0\",\"management\":\"127.0.0.3:91\",");
+        final String named =
+                good().replace(
+                                "\"name\":\"n0\",",
+                                "\"name\":\"n0\",\"management\":\"127.0.0.3:91\",");
         assertThat(NodeConfig.parse(named, Map.of()).operators().management().toString())
-            .isEqualTo("/127.0.0.3:91");
-        final NodeConfig told = NodeConfig.parse(named, Map.of("BALANCER_MANAGEMENT", "127.0.0.4:92",
-            "BALANCER_PASSED_SOCKET", "0", "TMPDIR", "/run/n0"));
-        assertThat(told.operators()).isEqualTo(new NodeConfig.Operators(
-            Addresses.parse("127.0.0.4:92"), true, "/run/n0"));
+                .isEqualTo("/127.0.0.3:91");
+        final NodeConfig told =
+                NodeConfig.parse(
+                        named,
+                        Map.of(
+                                "BALANCER_MANAGEMENT",
+                                "127.0.0.4:92",
+                                "BALANCER_PASSED_SOCKET",
+                                "0",
+                                "TMPDIR",
+                                "/run/n0"));
+        assertThat(told.operators())
+                .isEqualTo(
+                        new NodeConfig.Operators(Addresses.parse("127.0.0.4:92"), true, "/run/n0"));
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', textBlock = """
-        BALANCER_PASSED_SOCKET | 3
-        BALANCER_PASSED_SOCKET | zero
-        BALANCER_MANAGEMENT    | localhost:91
-        BALANCER_MANAGEMENT    | 127.0.0.1
-        """)
+    @CsvSource(
+            delimiter = '|',
+            textBlock =
+                    """
+                    BALANCER_PASSED_SOCKET | 3
+                    BALANCER_PASSED_SOCKET | zero
+                    BALANCER_MANAGEMENT    | localhost:91
+                    BALANCER_MANAGEMENT    | 127.0.0.1
+                    """)
     void refusesAnEnvironmentItCannotUse(String variable, String value) throws Exception {
         assertThatThrownBy(() -> NodeConfig.parse(good(), Map.of(variable, value)))
-            .isInstanceOf(ConfigException.class).message().contains(value).hasLineCount(1);
+                .isInstanceOf(ConfigException.class)
+                .message()
+                .contains(value)
+                .hasLineCount(1);
     }
 
     @Test
     void flattensNestedSettings() {
-        assertThat(DeploymentSettingsParser.of(Json.object("""
-            {"a":{"b":1.5,"c":"free slots"},"d":[1,2],"e":[],"f":[{"g":true},{"g":"x,y"}],"h":null}""")))
-            .isEqualTo("a.b=1.5\na.c=free_slots\nd=1,2\ne=\nf.count=2\nf.0.g=true\nf.1.g=x_y\n");
+        assertThat(
+                        DeploymentSettingsParser.of(
+                                Json.object(
+                                        """
+                                        {"a":{"b":1.5,"c":"free slots"},"d":[1,2],"e":[],"f":[{"g":true},{"g":"x,y"}],"h":null}\
+                                        """)))
+                .isEqualTo(
+                        "a.b=1.5\na.c=free_slots\nd=1,2\ne=\nf.count=2\nf.0.g=true\nf.1.g=x_y\n");
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', textBlock = """
-        "seed":"92094eb940cf389a" | "seed":"none"
-        "seed":"92094eb940cf389a" | "seed":7
-        127.0.0.1:0               | localhost:0
-        127.0.0.1:0               | 127.0.0.1:70000
-        127.0.0.1:0               | 127.0.0.1
-        "classes"                 | "none"
-        "pure"                    | "odd"
-        "worth":2                 | "worth":-2
-        "limits":{"sockets":200}  | "limits":7
-        "servers":[]              | "servers":[{}]
-        "zones"                   | zones
-        "balancers":1             | "balancers":0
-        """)
+    @CsvSource(
+            delimiter = '|',
+            textBlock =
+                    """
+                    "seed":"92094eb940cf389a" | "seed":"none"
+                    "seed":"92094eb940cf389a" | "seed":7
+                    127.0.0.1:0               | localhost:0
+                    127.0.0.1:0               | 127.0.0.1:70000
+                    127.0.0.1:0               | 127.0.0.1
+                    "classes"                 | "none"
+                    "pure"                    | "odd"
+                    "worth":2                 | "worth":-2
+                    "limits":{"sockets":200}  | "limits":7
+                    "servers":[]              | "servers":[{}]
+                    "zones"                   | zones
+                    "balancers":1             | "balancers":0
+                    """)
     void refusesWhatItCannotUseInOneLine(String from, String to) throws Exception {
         final String text = good();
         assertThat(text).contains(from);
         assertThatThrownBy(() -> NodeConfig.parse(text.replace(from, to), Map.of()))
-            .isInstanceOf(ConfigException.class).message().hasLineCount(1);
+                .isInstanceOf(ConfigException.class)
+                .message()
+                .hasLineCount(1);
     }
 }
--- a/src/test/java/cresschute/node/Peer.java
+++ b/src/test/java/cresschute/node/Peer.java
@@ -14,7 +14,10 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** One end of a connection, driven by hand: writes text and reads HTTP messages; every wait is bounded. */
+/**
+ * One end of a connection, driven by hand: writes text and reads HTTP messages; every wait is
+ * bounded.
+ */
 final class Peer implements Closeable {
 
     static final int BACKLOG = 10;
@@ -35,9 +38,13 @@
         return new Peer(socket);
     }
 
-    /** A listener on a loopback port that is free; connections wait in its backlog for {@link #accept}. */
+    /**
+     * A listener on a loopback port that is free; connections wait in its backlog for {@link
+     * #accept}.
+     */
     static ServerSocket listen() throws IOException {
-        final ServerSocket server = new ServerSocket(0, BACKLOG, InetAddress.getByName("127.0.0.1"));
+        final ServerSocket server =
+                new ServerSocket(0, BACKLOG, InetAddress.getByName("127.0.0.1"));
         server.setSoTimeout(PATIENCE_MS);
         return server;
     }
@@ -67,8 +74,10 @@
     /** Reads so many bytes of that stream and checks each of them. */
     Peer readBytes(long from, long count) throws IOException {
         final byte[] bytes = new byte[BLOCK];
-        for (long at = from; at < from + count;) {
-            final int now = socket.getInputStream().read(bytes, 0, (int) Math.min(BLOCK, from + count - at));
+        for (long at = from; at < from + count; ) {
+            final int now =
+                    socket.getInputStream()
+                            .read(bytes, 0, (int) Math.min(BLOCK, from + count - at));
             assertThat(now).as("connection ended at byte " + at).isNotNegative();
             for (int i = 0; i < now; i++) {
                 if (bytes[i] != byteAt(at + i)) {
@@ -84,7 +93,7 @@
     Peer readChunks(long count) throws IOException {
         final InputStream in = socket.getInputStream();
         long at = 0;
-        for (int size = -1; size != 0;) {
+        for (int size = -1; size != 0; ) {
             final StringBuilder line = new StringBuilder();
             while (line.indexOf("\r\n") < 0) {
                 line.append((char) in.read());
@@ -119,7 +128,9 @@
     /** One line, its end aside; null where the other end closes first. */
     String readLine() throws IOException {
         final StringBuilder line = new StringBuilder();
-        for (int next = socket.getInputStream().read(); next != '\n'; next = socket.getInputStream().read()) {
+        for (int next = socket.getInputStream().read();
+                next != '\n';
+                next = socket.getInputStream().read()) {
             if (next < 0) {
                 return null;
             }
--- a/src/test/java/cresschute/node/PeerLoadsTest.java
+++ b/src/test/java/cresschute/node/PeerLoadsTest.java
@@ -38,7 +38,11 @@
 
     private static final Duration PATIENCE = Duration.ofSeconds(20);
     private static final int REQUESTS = 4;
-    /** A machine that stands still for 3 s makes a view incomplete; below 32 questions none is verified. */
+
+    /**
+     * A machine that stands still for 3 s makes a view incomplete; below 32 questions none is
+     * verified.
+     */
     private static final int MAX_REQUESTS = 8;
 
     /** A worker that counts what it is asked, and answers at once. */
@@ -48,7 +52,9 @@
         private final AtomicInteger jobs = new AtomicInteger();
 
         Worker() throws IOException {
-            server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
+            server =
+                    HttpServer.create(
+                            new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
             server.createContext("/", this::answer);
             server.start();
         }
@@ -57,9 +63,13 @@
             exchange.getRequestBody().readAllBytes();
             final boolean probe = exchange.getRequestMethod().equals("GET");
             (probe ? probes : jobs).incrementAndGet();
-            final byte[] body = (probe ? "{\"outstanding\":0}"
-                : "{\"id\":\"" + exchange.getRequestHeaders().getFirst("X-Request-Id")
-                    + "\",\"state\":\"done\",\"result\":\"yes\"}\n").getBytes(StandardCharsets.UTF_8);
+            final byte[] body =
+                    (probe
+                                    ? "{\"outstanding\":0}"
+                                    : "{\"id\":\""
+                                            + exchange.getRequestHeaders().getFirst("X-Request-Id")
+                                            + "\",\"state\":\"done\",\"result\":\"yes\"}\n")
+                            .getBytes(StandardCharsets.UTF_8);
             exchange.sendResponseHeaders(200, body.length);
             exchange.getResponseBody().write(body);
             exchange.close();
@@ -71,8 +81,7 @@
         }
     }
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
     private final DatagramSocket[] peers = new DatagramSocket[2];
     private Worker busy;
     private Worker idle;
@@ -90,25 +99,50 @@
         idle = new Worker();
         final Path key = Files.writeString(folder.resolve("key"), "the key of this test\n");
         codec = new LoadMessageCodec(SettingsFile.readKey(key.toString()));
-        final Peers exchange = new Peers(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-            List.of(at(peers[0]), at(peers[1])), key.toString(), 3_000);
+        final Peers exchange =
+                new Peers(
+                        new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                        List.of(at(peers[0]), at(peers[1])),
+                        key.toString(),
+                        3_000);
         final NodeConfig read = NodeConfig.of(settings(), 7);
-        node = new NodeServer(new NodeConfig(read.name(), read.listen(), read.discovery(), read.seed(),
-            read.settings(), read.classes(), read.zones(), read.kinds(), read.connectTimeoutUs(),
-            read.connIdleUs(), read.sockets(), read.known(), null, null, null, NodeConfig.Operators.NONE,
-            ConfigFingerprint.NONE, exchange));
+        node =
+                new NodeServer(
+                        new NodeConfig(
+                                read.name(),
+                                read.listen(),
+                                read.discovery(),
+                                read.seed(),
+                                read.settings(),
+                                read.classes(),
+                                read.zones(),
+                                read.kinds(),
+                                read.connectTimeoutUs(),
+                                read.connIdleUs(),
+                                read.sockets(),
+                                read.known(),
+                                null,
+                                null,
+                                null,
+                                NodeConfig.Operators.NONE,
+                                ConfigFingerprint.NONE,
+                                exchange));
         address = node.start();
     }
 
     private ApplianceSettings settings() {
-        return SettingsFile.parse("""
-            node(name = "n0", listen = "127.0.0.1:0", dispatchers = 3)
-            limits(probes = True)
-            job_class(name = "check", worth = 1, aim = 1 * s, deadline = 10 * s, effect = "safe")
-            worker(id = "busy", address = "127.0.0.1:%d")
-            worker(id = "idle", address = "127.0.0.1:%d")
-            """.formatted(busy.server.getAddress().getPort(), idle.server.getAddress().getPort()))
-            .settings();
+        return SettingsFile.parse(
+                        """
+                        node(name = "n0", listen = "127.0.0.1:0", dispatchers = 3)
+                        limits(probes = True)
+                        job_class(name = "check", worth = 1, aim = 1 * s, deadline = 10 * s, effect = "safe")
+                        worker(id = "busy", address = "127.0.0.1:%d")
+                        worker(id = "idle", address = "127.0.0.1:%d")
+                        """
+                                .formatted(
+                                        busy.server.getAddress().getPort(),
+                                        idle.server.getAddress().getPort()))
+                .settings();
     }
 
     private static InetSocketAddress at(DatagramSocket socket) {
@@ -129,15 +163,24 @@
     private void peersSpeak() throws IOException {
         sequence++;
         for (int i = 0; i < peers.length; i++) {
-            final byte[] bytes = codec.encode(new LoadMessage(WorkerKeys.hash("n" + (i + 1)), 1, sequence, 1,
-                false, KeyRange.EMPTY, List.of(new Entry(WorkerKeys.hash("busy"), 2))));
+            final byte[] bytes =
+                    codec.encode(
+                            new LoadMessage(
+                                    WorkerKeys.hash("n" + (i + 1)),
+                                    1,
+                                    sequence,
+                                    1,
+                                    false,
+                                    KeyRange.EMPTY,
+                                    List.of(new Entry(WorkerKeys.hash("busy"), 2))));
             peers[i].send(new DatagramPacket(bytes, bytes.length, node.peers().address()));
         }
     }
 
     private boolean isComplete() throws Exception {
-        return node.loop().submit(() -> node.peers().isComplete()).get(PATIENCE.toSeconds(),
-            TimeUnit.SECONDS);
+        return node.loop()
+                .submit(() -> node.peers().isComplete())
+                .get(PATIENCE.toSeconds(), TimeUnit.SECONDS);
     }
 
     private void request(String id) throws IOException {
@@ -164,7 +207,8 @@
             }
         }
         assertThat(seen).as("requests under a complete view").isEqualTo(REQUESTS);
-        // Both peers fall silent: the view is incomplete, and what is asked is asked at the workers.
+        // Both peers fall silent: the view is incomplete, and what is asked is asked at the
+        // workers.
         await().atMost(PATIENCE).until(() -> !isComplete());
         for (int i = 0; busy.probes.get() + idle.probes.get() == 0 && i < 20; i++) {
             request("s" + i);
--- a/src/test/java/cresschute/node/RequestLifecycleTest.java
+++ b/src/test/java/cresschute/node/RequestLifecycleTest.java
@@ -23,7 +23,8 @@
 class RequestLifecycleTest implements ResponseListener {
 
     private static final Job JOB = new Job(0, 0, 1, 0, 0, false);
-    private static final RequestContent CONTENT = new RequestContent("r1", "/check", null, new byte[0]);
+    private static final RequestContent CONTENT =
+            new RequestContent("r1", "/check", null, new byte[0]);
 
     private final EmbeddedChannel loop = new EmbeddedChannel();
     private final List<String> heard = new ArrayList<>();
@@ -41,61 +42,86 @@
     void start() throws Exception {
         final NodeConfig config;
         try (ServerSocket free = Peer.listen()) {
-            config = NodeConfig.parse(TestNode.config(free, TestNode.list(1, true,
-                TestNode.entry("s-1", free, "SERVING"))), Map.of());
+            config =
+                    NodeConfig.parse(
+                            TestNode.config(
+                                    free,
+                                    TestNode.list(1, true, TestNode.entry("s-1", free, "SERVING"))),
+                            Map.of());
         }
         loop.freezeTime();
-        core = new RequestLifecycle(config, loop.eventLoop(), () -> nowUs,
-            new RateLimitedLog(System.getLogger("test"), () -> nowUs), given -> {
-                actions = given;
-                return module();
-            });
-        core.start(new WorkerClient() {
-            @Override
-            public AttemptCall attempt(InetSocketAddress addr, RequestContent content, AttemptListener listener) {
-                attempts.add(listener);
-                if (connectionsThrow) {
-                    throw new IllegalStateException("no connections");
-                }
-                final int number = attempts.size() - 1;
-                return () -> {
-                    givenUp.add(number);
-                    return Outcome.TIMED_OUT;
-                };
-            }
+        core =
+                new RequestLifecycle(
+                        config,
+                        loop.eventLoop(),
+                        () -> nowUs,
+                        new RateLimitedLog(System.getLogger("test"), () -> nowUs),
+                        given -> {
+                            actions = given;
+                            return module();
+                        });
+        core.start(
+                new WorkerClient() {
+                    @Override
+                    public AttemptCall attempt(
+                            InetSocketAddress addr,
+                            RequestContent content,
+                            AttemptListener listener) {
+                        attempts.add(listener);
+                        if (connectionsThrow) {
+                            throw new IllegalStateException("no connections");
+                        }
+                        final int number = attempts.size() - 1;
+                        return () -> {
+                            givenUp.add(number);
+                            return Outcome.TIMED_OUT;
+                        };
+                    }
 
-            @Override
-            public void probe(InetSocketAddress addr, LoadQueryListener listener) {
-                heard.add("probe");
-            }
+                    @Override
+                    public void probe(InetSocketAddress addr, LoadQueryListener listener) {
+                        heard.add("probe");
+                    }
 
-            @Override
-            public void closeIdle(InetSocketAddress addr) {
-                heard.add("closeIdle");
-            }
-        }, () -> heard.add("watch"), config.known());
+                    @Override
+                    public void closeIdle(InetSocketAddress addr) {
+                        heard.add("closeIdle");
+                    }
+                },
+                () -> heard.add("watch"),
+                config.known());
         turn();
         heard.clear();
     }
 
-    /** Notes calls by name, request and outcome; sends each request, and again whatever ended unserved. */
+    /**
+     * Notes calls by name, request and outcome; sends each request, and again whatever ended
+     * unserved.
+     */
     private DispatcherEvents module() {
-        return (DispatcherEvents) Proxy.newProxyInstance(getClass().getClassLoader(), new Class<?>[]{DispatcherEvents.class},
-            (proxy, method, args) -> {
-                if (moduleThrows) {
-                    throw new IllegalStateException("the module is broken");
-                }
-                final boolean end = method.getName().equals("ended");
-                heard.add(method.getName() + (end ? " " + args[2] + " " + args[4] + " " + args[6] : ""));
-                if (method.getName().equals("requested")) {
-                    for (int copy = 0; copy < copies; copy++) {
-                        actions.send((Integer) args[1], 0, Long.MAX_VALUE);
-                    }
-                } else if (end && args[4] == Outcome.FULL) {
-                    actions.send((Integer) args[1], 0, Long.MAX_VALUE);
-                }
-                return null;
-            });
+        return (DispatcherEvents)
+                Proxy.newProxyInstance(
+                        getClass().getClassLoader(),
+                        new Class<?>[] {DispatcherEvents.class},
+                        (proxy, method, args) -> {
+                            if (moduleThrows) {
+                                throw new IllegalStateException("the module is broken");
+                            }
+                            final boolean end = method.getName().equals("ended");
+                            heard.add(
+                                    method.getName()
+                                            + (end
+                                                    ? " " + args[2] + " " + args[4] + " " + args[6]
+                                                    : ""));
+                            if (method.getName().equals("requested")) {
+                                for (int copy = 0; copy < copies; copy++) {
+                                    actions.send((Integer) args[1], 0, Long.MAX_VALUE);
+                                }
+                            } else if (end && args[4] == Outcome.FULL) {
+                                actions.send((Integer) args[1], 0, Long.MAX_VALUE);
+                            }
+                            return null;
+                        });
     }
 
     private void turn() {
@@ -151,15 +177,19 @@
         assertThat(attempts).hasSize(1);
     }
 
-    /** Once, the request was forgotten before the module heard of it, and the unsent second send got number 0. */
+    /**
+     * Once, the request was forgotten before the module heard of it, and the unsent second send got
+     * number 0.
+     */
     @Test
     void numbersTheSendThatCrossesAClientsLeaving() {
         final ClientRequest request = take();
         attempts.get(0).ended(Outcome.FULL, LoadReport.NONE, null);
         core.clientLeft(request);
         turn();
-        assertThat(heard).containsExactly("requested", "ended 0 FULL true", "clientLeft",
-            "ended 1 NOT_SENT true");
+        assertThat(heard)
+                .containsExactly(
+                        "requested", "ended 0 FULL true", "clientLeft", "ended 1 NOT_SENT true");
         assertThat(attempts).hasSize(1);
     }
 
@@ -180,7 +210,9 @@
         assertThat(core.unanswered()).isZero();
     }
 
-    /** zone+vast: a copy that waited in a queue ran on there for nobody once the other had answered. */
+    /**
+     * zone+vast: a copy that waited in a queue ran on there for nobody once the other had answered.
+     */
     @Test
     void givesUpTheOtherCopiesOnceOneServesWithoutBlame() {
         copies = 3;
@@ -189,8 +221,10 @@
         attempts.get(1).ended(Outcome.SERVED, LoadReport.NONE, "yes");
         turn();
         assertThat(givenUp).containsExactlyInAnyOrder(0, 2);
-        assertThat(heard).containsOnlyOnce("served yes").contains("ended 1 SERVED true",
-            "ended 0 CANCELLED true", "ended 2 CANCELLED true");
+        assertThat(heard)
+                .containsOnlyOnce("served yes")
+                .contains(
+                        "ended 1 SERVED true", "ended 0 CANCELLED true", "ended 2 CANCELLED true");
         assertThat(core.unanswered()).isZero();
     }
 
@@ -249,7 +283,7 @@
         take();
         attempts.get(0).ended(Outcome.BROKEN, LoadReport.NONE, null);
         assertThatThrownBy(() -> attempts.get(0).ended(Outcome.ERROR, LoadReport.NONE, null))
-            .hasMessageContaining("fetch ended twice");
+                .hasMessageContaining("fetch ended twice");
     }
 
     /** A keyed request that has been sent binds the cell that it went to, until it is answered. */
@@ -257,8 +291,11 @@
     void keyedRequestBindsItsCellWhileItIsOpen() {
         take();
         assertThat(core.boundCells()).isEmpty();
-        core.take(new RequestContent("r2", "/file", "key", new byte[0]), new Job(1, 0, 1, 0, 0, false), 100_000,
-            this);
+        core.take(
+                new RequestContent("r2", "/file", "key", new byte[0]),
+                new Job(1, 0, 1, 0, 0, false),
+                100_000,
+                this);
         turn();
         assertThat(core.boundCells()).containsExactly(0);
         attempts.get(1).ended(Outcome.SERVED, LoadReport.NONE, "yes");
--- a/src/test/java/cresschute/node/SettingsReloadRulesTest.java
+++ b/src/test/java/cresschute/node/SettingsReloadRulesTest.java
@@ -9,19 +9,31 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Settings changed at SIGHUP: classes come and go, requests under way keep theirs, broken files do nothing. */
+/**
+ * Settings changed at SIGHUP: classes come and go, requests under way keep theirs, broken files do
+ * nothing.
+ */
 @Timeout(30)
 class SettingsReloadRulesTest {
 
-    private static final String FILE_CLASS = """
-        {"name":"file","idempotency":"token","group":"cell","keyTtlUs":4000000,"goalTimeUs":400000,
-          "deadlineUs":5000000}""";
-    private static final String REPORT_CLASS = """
-        {"name":"report","idempotency":"side_effect","worth":1,"goalTimeUs":400000,"deadlineUs":5000000}""";
+    private static final String FILE_CLASS =
+            """
+            {"name":"file","idempotency":"token","group":"cell","keyTtlUs":4000000,"goalTimeUs":400000,
+              "deadlineUs":5000000}\
+            """;
+    private static final String REPORT_CLASS =
+            """
+            {"name":"report","idempotency":"side_effect","worth":1,"goalTimeUs":400000,"deadlineUs":5000000}\
+            """;
 
     private static String post(String path, String id) {
-        return "POST /" + path + "?obj=2a HTTP/1.1\r\nHost: api\r\nX-Request-Id: " + id
-            + "\r\nIdempotency-Key: k" + id + "\r\nContent-Length: 0\r\n\r\n";
+        return "POST /"
+                + path
+                + "?obj=2a HTTP/1.1\r\nHost: api\r\nX-Request-Id: "
+                + id
+                + "\r\nIdempotency-Key: k"
+                + id
+                + "\r\nContent-Length: 0\r\n\r\n";
     }
 
     private static String done(String id) {
@@ -35,17 +47,21 @@
     @Test
     void takesNewClassesAndFewerAttemptsWhileRequestsUnderWayKeepTheirClass() throws Exception {
         try (TestNode node = new TestNode();
-            Peer early = node.client();
-            Peer late = node.client();
-            Peer gone = node.client()) {
+                Peer early = node.client();
+                Peer late = node.client();
+                Peer gone = node.client()) {
             early.write(post("file", "r1"));
             assertThat(node.event()).isEqualTo("requested 1 class 1 key 42");
             final Peer worker = node.worker();
             assertThat(worker.read()).contains("POST /file");
             final String text = node.configText();
             assertThat(text).contains(FILE_CLASS.strip());
-            reload(node, text.replace(FILE_CLASS.strip(), REPORT_CLASS.strip())
-                .replace("\"retryAfter\":true", "\"retryAfter\":true,\"maxAttempts\":2"));
+            reload(
+                    node,
+                    text.replace(FILE_CLASS.strip(), REPORT_CLASS.strip())
+                            .replace(
+                                    "\"retryAfter\":true",
+                                    "\"retryAfter\":true,\"maxAttempts\":2"));
             assertThat(node.event()).isEqualTo("retuned 3 classes, attempts 2");
             late.write(post("report", "r2"));
             assertThat(node.event()).isEqualTo("requested 2 class 2 key 42");
@@ -57,20 +73,27 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', quoteCharacter = '\'', emptyValue = "", textBlock = """
-        empty             |                                            | ''
-        cut off           |                                            | '{"name":"n0","listen":"127.0.0.1:0",'
-        short of a key    | '"goalTimeUs":400000,"deadlineUs":5000000}' | '"goalTimeUs":400000}'
-        short of a block  | '"zones":["a"],'                            | ''
-        a key with a default | ',"membershipMode":"ask"'               | ''
-        a class's key     | '"group":"cell",'                           | ''
-        deadline under 0  | '"deadlineUs":5000000}'                     | '"deadlineUs":-5}'
-        deadline of 0     | '"deadlineUs":5000000}'                     | '"deadlineUs":0}'
-        no attempts       | '"retryAfter":true'                         | '"retryAfter":true,"maxAttempts":0'
-        a class twice     | '"name":"file"'                             | '"name":"check"'
-        """)
-    void keepsTheOldSettingsWholeWhereAFileIsBroken(String what, String from, String to) throws Exception {
-        try (TestNode node = new TestNode(); Peer client = node.client()) {
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '\'',
+            emptyValue = "",
+            textBlock =
+                    """
+                    empty             |                                            | ''
+                    cut off           |                                            | '{"name":"n0","listen":"127.0.0.1:0",'
+                    short of a key    | '"goalTimeUs":400000,"deadlineUs":5000000}' | '"goalTimeUs":400000}'
+                    short of a block  | '"zones":["a"],'                            | ''
+                    a key with a default | ',"membershipMode":"ask"'               | ''
+                    a class's key     | '"group":"cell",'                           | ''
+                    deadline under 0  | '"deadlineUs":5000000}'                     | '"deadlineUs":-5}'
+                    deadline of 0     | '"deadlineUs":5000000}'                     | '"deadlineUs":0}'
+                    no attempts       | '"retryAfter":true'                         | '"retryAfter":true,"maxAttempts":0'
+                    a class twice     | '"name":"file"'                             | '"name":"check"'
+                    """)
+    void keepsTheOldSettingsWholeWhereAFileIsBroken(String what, String from, String to)
+            throws Exception {
+        try (TestNode node = new TestNode();
+                Peer client = node.client()) {
             final String text = node.configText();
             assertThat(text).as(what).contains(from == null ? "" : from);
             reload(node, from == null ? to : text.replace(from, to));
