--- a/src/test/java/cresschute/testbed/FleetTest.java
+++ b/src/test/java/cresschute/testbed/FleetTest.java
@@ -25,7 +25,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The stand-ins round a real node, seed 1: each fault has its effect, and the rules hold in all of them.
+ * The stand-ins round a real node, seed 1: each fault has its effect, and the rules hold in all of
+ * them.
  */
 @Timeout(60)
 @Execution(ExecutionMode.CONCURRENT)
@@ -40,7 +41,9 @@
     }
 
     private static void await(Fleet fleet, Predicate<Observation> wanted) {
-        Awaitility.await().atMost(Duration.ofSeconds(30)).until(() -> fleet.seen().stream().anyMatch(wanted));
+        Awaitility.await()
+                .atMost(Duration.ofSeconds(30))
+                .until(() -> fleet.seen().stream().anyMatch(wanted));
     }
 
     /** Lets the run end: what was asked for is answered. */
@@ -80,10 +83,17 @@
             final FleetReport report = end(fleet);
             sound(report);
             assertThat(report.outcomes().ended(End.SERVED)).isEqualTo(report.outcomes().asked());
-            assertThat(report.json().keySet()).contains("asked", "served", "refused", "failed", "unanswered",
-                "rules_broken", "worth_kept");
+            assertThat(report.json().keySet())
+                    .contains(
+                            "asked",
+                            "served",
+                            "refused",
+                            "failed",
+                            "unanswered",
+                            "rules_broken",
+                            "worth_kept");
             assertThat(report.json().getAsJsonObject("classes").getAsJsonObject("lookup").keySet())
-                .contains("p50_ms", "p99_ms");
+                    .contains("p50_ms", "p99_ms");
         }
     }
 
@@ -93,16 +103,23 @@
     void failedAttemptsAreMadeGoodElsewhere(String fault) {
         try (Fleet fleet = fleet(fault)) {
             final Set<String> troubled = new HashSet<>();
-            await(fleet, seen -> {
-                if (seen instanceof SendCame send && send.worker().equals("w1")) {
-                    troubled.add(send.id());
-                }
-                return seen instanceof RequestAnswered answer && answer.status() == LoadClients.OK
-                    && troubled.contains(answer.id()) && !answer.body().startsWith("w1 ");
-            });
+            await(
+                    fleet,
+                    seen -> {
+                        if (seen instanceof SendCame send && send.worker().equals("w1")) {
+                            troubled.add(send.id());
+                        }
+                        return seen instanceof RequestAnswered answer
+                                && answer.status() == LoadClients.OK
+                                && troubled.contains(answer.id())
+                                && !answer.body().startsWith("w1 ");
+                    });
             sound(cut(fleet));
-            assertThat(fleet.seen()).noneMatch(seen -> seen instanceof RequestAnswered answer
-                && answer.body().startsWith("w1 "));
+            assertThat(fleet.seen())
+                    .noneMatch(
+                            seen ->
+                                    seen instanceof RequestAnswered answer
+                                            && answer.body().startsWith("w1 "));
         }
     }
 
@@ -110,15 +127,31 @@
     void slowWorkerTakesLonger() {
         try (Fleet fleet = fleet("slow:w1x20@0s+30s")) {
             await(fleet, seen -> seen instanceof RunStarted run && run.worker().equals("w1"));
-            final RunStarted run = fleet.seen().stream().filter(seen -> seen instanceof RunStarted start
-                && start.worker().equals("w1")).map(RunStarted.class::cast).findFirst().orElseThrow();
-            final long workUs = fleet.seen().stream().filter(seen -> seen instanceof RequestSent request
-                && request.id().equals(run.id())).map(seen -> ((RequestSent) seen).workUs()).findFirst()
-                .orElseThrow();
+            final RunStarted run =
+                    fleet.seen().stream()
+                            .filter(
+                                    seen ->
+                                            seen instanceof RunStarted start
+                                                    && start.worker().equals("w1"))
+                            .map(RunStarted.class::cast)
+                            .findFirst()
+                            .orElseThrow();
+            final long workUs =
+                    fleet.seen().stream()
+                            .filter(
+                                    seen ->
+                                            seen instanceof RequestSent request
+                                                    && request.id().equals(run.id()))
+                            .map(seen -> ((RequestSent) seen).workUs())
+                            .findFirst()
+                            .orElseThrow();
             Awaitility.await().until(() -> fleet.nowUs() > run.us() + 3 * workUs);
-            assertThat(fleet.seen()).noneMatch(seen -> seen instanceof RunDone done
-                && done.worker().equals("w1")
-                && done.id().equals(run.id()));
+            assertThat(fleet.seen())
+                    .noneMatch(
+                            seen ->
+                                    seen instanceof RunDone done
+                                            && done.worker().equals("w1")
+                                            && done.id().equals(run.id()));
             sound(cut(fleet));
         }
     }
@@ -128,8 +161,8 @@
         try (Fleet fleet = fleet("silent:w1@0s+4s")) {
             await(fleet, seen -> seen instanceof SendCame send && send.worker().equals("w1"));
             await(fleet, seen -> seen instanceof RunDone done && !done.worker().equals("w1"));
-            assertThat(fleet.seen()).noneMatch(seen -> seen instanceof RunDone done
-                && done.worker().equals("w1"));
+            assertThat(fleet.seen())
+                    .noneMatch(seen -> seen instanceof RunDone done && done.worker().equals("w1"));
             await(fleet, seen -> seen instanceof RunDone done && done.worker().equals("w1"));
             sound(cut(fleet));
         }
@@ -139,17 +172,31 @@
     @Test
     void crashedWorkerComesBackCold() {
         try (Fleet fleet = fleet("crash:w1@1s+1s")) {
-            await(fleet, seen -> seen instanceof WorkerTold told && told.worker().equals("w1")
-                && told.state().equals("DELETED"));
+            await(
+                    fleet,
+                    seen ->
+                            seen instanceof WorkerTold told
+                                    && told.worker().equals("w1")
+                                    && told.state().equals("DELETED"));
             await(fleet, seen -> seen instanceof WorkerBooted);
-            await(fleet, seen -> seen instanceof WorkerTold told && told.worker().equals("w1")
-                && told.startedMs() > 0);
+            await(
+                    fleet,
+                    seen ->
+                            seen instanceof WorkerTold told
+                                    && told.worker().equals("w1")
+                                    && told.startedMs() > 0);
             final int before = fleet.seen().size();
-            Awaitility.await().atMost(Duration.ofSeconds(20)).until(() -> {
-                final List<Observation> seen = fleet.seen();
-                return seen.subList(before, seen.size()).stream().anyMatch(
-                    each -> each instanceof SendCame send && send.worker().equals("w1"));
-            });
+            Awaitility.await()
+                    .atMost(Duration.ofSeconds(20))
+                    .until(
+                            () -> {
+                                final List<Observation> seen = fleet.seen();
+                                return seen.subList(before, seen.size()).stream()
+                                        .anyMatch(
+                                                each ->
+                                                        each instanceof SendCame send
+                                                                && send.worker().equals("w1"));
+                            });
             sound(cut(fleet));
         }
     }
@@ -157,16 +204,28 @@
     @Test
     void drainedWorkerGetsNothingNew() {
         try (Fleet fleet = fleet("drain:w1@500ms+30s")) {
-            await(fleet, seen -> seen instanceof WorkerTold told && told.state().equals("DRAINING"));
+            await(
+                    fleet,
+                    seen -> seen instanceof WorkerTold told && told.state().equals("DRAINING"));
             final int before = fleet.seen().size();
             Awaitility.await().until(() -> count(fleet, RequestSent.class) > 60);
-            final long toldUs = fleet.seen().stream().filter(seen -> seen instanceof WorkerTold told
-                && told.state().equals("DRAINING")).findFirst().orElseThrow().us();
+            final long toldUs =
+                    fleet.seen().stream()
+                            .filter(
+                                    seen ->
+                                            seen instanceof WorkerTold told
+                                                    && told.state().equals("DRAINING"))
+                            .findFirst()
+                            .orElseThrow()
+                            .us();
             sound(cut(fleet));
-            assertThat(fleet.seen().subList(before,
-                fleet.seen().size())).noneMatch(seen -> seen instanceof SendCame send
-                    && send.worker().equals("w1") && send.firstByteUs() > toldUs
-                        + RuleChecker.DRAIN_WITHIN_US);
+            assertThat(fleet.seen().subList(before, fleet.seen().size()))
+                    .noneMatch(
+                            seen ->
+                                    seen instanceof SendCame send
+                                            && send.worker().equals("w1")
+                                            && send.firstByteUs()
+                                                    > toldUs + RuleChecker.DRAIN_WITHIN_US);
         }
     }
 
@@ -184,11 +243,15 @@
     @Test
     void burstBringsMore() {
         try (Fleet calm = new Fleet(new Fleet.Plan(2, 20, SEED, List.of()));
-            Fleet burst = new Fleet(new Fleet.Plan(2, 20, SEED, InjectedFault.parse("burstx10@0s+30s")))) {
+                Fleet burst =
+                        new Fleet(
+                                new Fleet.Plan(
+                                        2, 20, SEED, InjectedFault.parse("burstx10@0s+30s")))) {
             calm.start();
             burst.start();
             Awaitility.await().until(() -> count(calm, RequestSent.class) >= 15);
-            assertThat(count(burst, RequestSent.class)).isGreaterThan(2 * count(calm, RequestSent.class));
+            assertThat(count(burst, RequestSent.class))
+                    .isGreaterThan(2 * count(calm, RequestSent.class));
             final FleetReport report = cut(burst);
             sound(report);
             assertThat(report.outcomes().ended(End.UNFINISHED)).isPositive();
@@ -197,17 +260,26 @@
 
     @Test
     void tailMakesSomeJobsHeavy() {
-        try (Fleet fleet = new Fleet(new Fleet.Plan(8, 100, SEED, InjectedFault.parse("tailx30@0s+30s")))) {
+        try (Fleet fleet =
+                new Fleet(new Fleet.Plan(8, 100, SEED, InjectedFault.parse("tailx30@0s+30s")))) {
             fleet.start();
-            await(fleet, seen -> seen instanceof RequestSent request && request.workUs() > 6 * 2_400_000);
+            await(
+                    fleet,
+                    seen ->
+                            seen instanceof RequestSent request
+                                    && request.workUs() > 6 * 2_400_000);
             sound(cut(fleet));
         }
     }
 
     @Test
     void faultOfNoWorkerIsToldAtOnce() {
-        assertThatThrownBy(() -> new Fleet(new Fleet.Plan(2, 1, SEED, InjectedFault.parse("slow:w9@1s"))))
-            .hasMessage("no worker is called 'w9'; there are w1 to w2");
+        assertThatThrownBy(
+                        () ->
+                                new Fleet(
+                                        new Fleet.Plan(
+                                                2, 1, SEED, InjectedFault.parse("slow:w9@1s"))))
+                .hasMessage("no worker is called 'w9'; there are w1 to w2");
     }
 
     @Test
@@ -215,8 +287,9 @@
         try (Fleet fleet = fleet("")) {
             await(fleet, FleetTest::serves);
             final FleetReport report = cut(fleet);
-            assertThat(report.table(40)).allMatch(line -> line.length() <= 40).anyMatch(line -> line.equals(
-                "one answer         kept"));
+            assertThat(report.table(40))
+                    .allMatch(line -> line.length() <= 40)
+                    .anyMatch(line -> line.equals("one answer         kept"));
             assertThat(report.table(80)).allMatch(line -> line.length() <= 80);
         }
     }
--- a/src/test/java/cresschute/testbed/LargeFleetTest.java
+++ b/src/test/java/cresschute/testbed/LargeFleetTest.java
@@ -15,21 +15,22 @@
 @Timeout(60)
 class LargeFleetTest {
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
 
     private static void take(Map<String, JsonObject> held, JsonObject line) {
         if (line.has("rows")) {
             line.getAsJsonArray("gone").forEach(each -> held.remove(each.getAsString()));
-            line.getAsJsonObject("rows").entrySet().forEach(each -> held.put(each.getKey(),
-                each.getValue().getAsJsonObject()));
+            line.getAsJsonObject("rows")
+                    .entrySet()
+                    .forEach(each -> held.put(each.getKey(), each.getValue().getAsJsonObject()));
         }
     }
 
     @Test
     void newsOfAThousandWorkersAddUp() throws Exception {
         final Path socket = folder.resolve("s");
-        try (LargeFleet site = new LargeFleet(1_000, 1, socket); ControlPeer peer = new ControlPeer(socket)) {
+        try (LargeFleet site = new LargeFleet(1_000, 1, socket);
+                ControlPeer peer = new ControlPeer(socket)) {
             final Map<String, JsonObject> held = new HashMap<>();
             take(held, peer.ask("\"do\":\"subscribe\""));
             while (held.size() < 1_002) {
@@ -41,9 +42,20 @@
                 final JsonObject news = peer.read();
                 // Changes, and never the whole picture again.
                 assertThat(news.has("whole") && news.get("whole").getAsBoolean()).isFalse();
-                drains += news.has("rows") ? (int) news.getAsJsonObject("rows").entrySet().stream()
-                    .filter(each -> each.getKey().startsWith("w/") && each.getValue().getAsJsonObject()
-                        .get("listed").getAsString().equals("draining")).count() : 0;
+                drains +=
+                        news.has("rows")
+                                ? (int)
+                                        news.getAsJsonObject("rows").entrySet().stream()
+                                                .filter(
+                                                        each ->
+                                                                each.getKey().startsWith("w/")
+                                                                        && each.getValue()
+                                                                                .getAsJsonObject()
+                                                                                .get("listed")
+                                                                                .getAsString()
+                                                                                .equals("draining"))
+                                                .count()
+                                : 0;
                 take(held, news);
             }
             assertThat(drains).isGreaterThan(50);
--- a/src/test/java/cresschute/testbed/RuleCheckerTest.java
+++ b/src/test/java/cresschute/testbed/RuleCheckerTest.java
@@ -2,9 +2,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cresschute.dispatch.SlowStartSettings;
-import cresschute.dispatch.Idempotency;
 import cresschute.dispatch.DeduplicationScope;
+import cresschute.dispatch.Idempotency;
+import cresschute.dispatch.SlowStartSettings;
 import cresschute.testbed.Observation.AnswerTooMany;
 import cresschute.testbed.Observation.EffectMade;
 import cresschute.testbed.Observation.OperatorDrained;
@@ -24,30 +24,37 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The checker is fed each way of breaking each rule, and what comes near to it without breaking it. */
+/**
+ * The checker is fed each way of breaking each rule, and what comes near to it without breaking it.
+ */
 class RuleCheckerTest {
 
     private static final long S = 1_000_000;
     private static final SlowStartSettings COLD = new SlowStartSettings(0.5, 10 * S, 2, S);
-    private static final List<JobClass> CLASSES = List.of(
-        jobClass("safe", Idempotency.SAFE, DeduplicationScope.ALL, 3), jobClass("keyed", Idempotency.KEYED, DeduplicationScope.CELL,
-            3),
-        jobClass("wide", Idempotency.KEYED, DeduplicationScope.ALL, 3), jobClass("unsafe", Idempotency.UNSAFE, DeduplicationScope.ALL,
-            3));
+    private static final List<JobClass> CLASSES =
+            List.of(
+                    jobClass("safe", Idempotency.SAFE, DeduplicationScope.ALL, 3),
+                            jobClass("keyed", Idempotency.KEYED, DeduplicationScope.CELL, 3),
+                    jobClass("wide", Idempotency.KEYED, DeduplicationScope.ALL, 3),
+                            jobClass("unsafe", Idempotency.UNSAFE, DeduplicationScope.ALL, 3));
 
     private final List<Observation> seen = new ArrayList<>();
 
-    private static JobClass jobClass(String name, Idempotency effect, DeduplicationScope scope, int sends) {
+    private static JobClass jobClass(
+            String name, Idempotency effect, DeduplicationScope scope, int sends) {
         return new JobClass(name, 2, S, 1, 5 * S, effect, scope, 4 * S, sends, 1, S);
     }
 
     private List<String> breaches() {
-        return RuleChecker.check(seen, CLASSES, COLD).stream().map(each -> each.rule() + ": "
-            + each.what()).toList();
+        return RuleChecker.check(seen, CLASSES, COLD).stream()
+                .map(each -> each.rule() + ": " + each.what())
+                .toList();
     }
 
     private void sent(String id, String className) {
-        seen.add(new RequestSent(0, id, id, className, className.equals("safe") ? null : "k", S, 1, 5 * S));
+        seen.add(
+                new RequestSent(
+                        0, id, id, className, className.equals("safe") ? null : "k", S, 1, 5 * S));
     }
 
     private void came(long us, String worker, int cell, String id) {
@@ -91,14 +98,15 @@
         sent("f", "safe");
         came(1, "w1", 0, "f");
         served("f", "w1 did e");
-        assertThat(breaches()).containsExactly(
-            "ONE_ANSWER: a second answer to a",
-            "ONE_ANSWER: an answer to x, which nobody sent",
-            "ONE_ANSWER: the connection of b ended without an answer",
-            "ONE_ANSWER: no answer to c",
-            "ONE_ANSWER: an answer where none was owed: d",
-            "ONE_ANSWER: e was served with what no worker made",
-            "ONE_ANSWER: f was served with what no worker made");
+        assertThat(breaches())
+                .containsExactly(
+                        "ONE_ANSWER: a second answer to a",
+                        "ONE_ANSWER: an answer to x, which nobody sent",
+                        "ONE_ANSWER: the connection of b ended without an answer",
+                        "ONE_ANSWER: no answer to c",
+                        "ONE_ANSWER: an answer where none was owed: d",
+                        "ONE_ANSWER: e was served with what no worker made",
+                        "ONE_ANSWER: f was served with what no worker made");
     }
 
     @Test
@@ -124,12 +132,13 @@
         came(1, "w1", 0, "f");
         came(2, "w1", 0, "f");
         came(3, "w1", 0, "g");
-        assertThat(breaches()).containsExactly(
-            "NO_EFFECT_TWICE: b was sent 4 times; 3 are allowed",
-            "NO_EFFECT_TWICE: c was sent to cell 0 and again to cell 1",
-            "NO_EFFECT_TWICE: d was sent again after its window",
-            "NO_EFFECT_TWICE: f is unsafe to repeat and was sent again",
-            "NO_EFFECT_TWICE: workers were sent g, which no client sent");
+        assertThat(breaches())
+                .containsExactly(
+                        "NO_EFFECT_TWICE: b was sent 4 times; 3 are allowed",
+                        "NO_EFFECT_TWICE: c was sent to cell 0 and again to cell 1",
+                        "NO_EFFECT_TWICE: d was sent again after its window",
+                        "NO_EFFECT_TWICE: f is unsafe to repeat and was sent again",
+                        "NO_EFFECT_TWICE: workers were sent g, which no client sent");
     }
 
     /** What a worker rejected never ran, so that it may go anywhere. */
@@ -147,7 +156,8 @@
         seen.add(new EffectMade(1, "w1", "a", "k1"));
         seen.add(new EffectMade(2, "w1", "b", "k2"));
         seen.add(new EffectMade(3, "w2", "again-a", "k1"));
-        assertThat(breaches()).containsExactly("NO_EFFECT_TWICE: key k1 took effect at w1 and again at w2");
+        assertThat(breaches())
+                .containsExactly("NO_EFFECT_TWICE: key k1 took effect at w1 and again at w2");
     }
 
     @Test
@@ -162,8 +172,9 @@
         seen.add(new SendCame(S + 900_000, S + 440_000, "w1", 0, "b", null, S));
         assertThat(breaches()).isEmpty();
         came(S + 451_000, "w1", 0, "c");
-        assertThat(breaches()).containsExactly(
-            "DRAINS_KEPT: w1 was sent c 451 ms after the list told that it leaves");
+        assertThat(breaches())
+                .containsExactly(
+                        "DRAINS_KEPT: w1 was sent c 451 ms after the list told that it leaves");
         seen.add(seen.size() - 1, new WorkerTold(S + 450_500, "w1", "SERVING", 0));
         assertThat(breaches()).isEmpty();
     }
@@ -176,8 +187,10 @@
         seen.add(new WorkerTold(S + 100_000, "w1", "DRAINING", 0));
         seen.add(new WorkerTold(S + 200_000, "w1", "SERVING", 0));
         came(S + 451_000, "w1", 0, "c");
-        assertThat(breaches()).containsExactly(
-            "DRAINS_KEPT: w1 was sent c 451 ms after an operator's drain was confirmed");
+        assertThat(breaches())
+                .containsExactly(
+                        "DRAINS_KEPT: w1 was sent c 451 ms after an operator's drain was"
+                                + " confirmed");
         seen.add(new OperatorDrained(S + 300_000, "w1", false));
         assertThat(breaches()).isEmpty();
     }
@@ -194,9 +207,10 @@
         assertThat(breaches()).isEmpty();
         sent("b", "safe");
         came(2_000, "w1", 0, "b");
-        assertThat(breaches()).containsExactly(
-            "COLD_STARTS_KEPT: w1 was sent 5000 ms of work within 1000 ms, 2 ms after its start; "
-                + "it can take 4001");
+        assertThat(breaches())
+                .containsExactly(
+                        "COLD_STARTS_KEPT: w1 was sent 5000 ms of work within 1000 ms, 2 ms after"
+                                + " its start; it can take 4001");
         seen.remove(seen.size() - 1);
         came(11 * S, "w1", 0, "b");
         assertThat(breaches()).isEmpty();
--- a/src/test/java/cresschute/testbed/StandInsTest.java
+++ b/src/test/java/cresschute/testbed/StandInsTest.java
@@ -4,13 +4,13 @@
 
 import com.google.gson.JsonObject;
 import cresschute.dispatch.SlowStartSettings;
+import cresschute.node.Json;
 import cresschute.testbed.Observation.EffectMade;
 import cresschute.testbed.Observation.RunDone;
 import cresschute.testbed.Observation.RunStarted;
 import cresschute.testbed.Observation.SendTurnedAway;
 import cresschute.testbed.Observation.WorkerFell;
 import cresschute.testbed.Observation.WorkerTold;
-import cresschute.node.Json;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -35,9 +35,11 @@
 @Timeout(30)
 class StandInsTest {
 
-    private static final SlowStartSettings COLD = new SlowStartSettings(0.5, 60_000_000, 2, 1_000_000);
+    private static final SlowStartSettings COLD =
+            new SlowStartSettings(0.5, 60_000_000, 2, 1_000_000);
 
-    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final EventLoopGroup group =
+            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final Recorder recorder = new Recorder();
     private final CellKeys keys = new CellKeys(40_000_000);
@@ -52,9 +54,14 @@
     }
 
     private WorkerStandIn worker(String id, int slots) {
-        final WorkerStandIn worker = new WorkerStandIn(loop, recorder,
-            RandomSource.XO_SHI_RO_256_PP.create(1L),
-            new WorkerStandIn.Make(id, 0, "local", "std", slots, 1), keys, COLD);
+        final WorkerStandIn worker =
+                new WorkerStandIn(
+                        loop,
+                        recorder,
+                        RandomSource.XO_SHI_RO_256_PP.create(1L),
+                        new WorkerStandIn.Make(id, 0, "local", "std", slots, 1),
+                        keys,
+                        COLD);
         worker.start();
         return worker;
     }
@@ -70,14 +77,19 @@
     private BufferedReader send(InetSocketAddress to, String text) throws IOException {
         final Socket socket = connect(to);
         socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
-        return new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
+        return new BufferedReader(
+                new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
     }
 
     private static String job(String id, String headers, long workUs) {
         final String body = "{\"work_us\":" + workUs + ",\"slots\":1}";
-        return "POST /x HTTP/1.1\r\nHost: w\r\n" + (id == null ? "" : "X-Request-Id: " + id + "\r\n")
-            + headers
-            + "Content-Length: " + body.length() + "\r\n\r\n" + body;
+        return "POST /x HTTP/1.1\r\nHost: w\r\n"
+                + (id == null ? "" : "X-Request-Id: " + id + "\r\n")
+                + headers
+                + "Content-Length: "
+                + body.length()
+                + "\r\n\r\n"
+                + body;
     }
 
     private static String get(String path) {
@@ -93,8 +105,9 @@
     }
 
     private void await(Class<? extends Observation> kind, int count) {
-        Awaitility.await().atMost(Duration.ofSeconds(20)).until(() -> recorder.seen().stream().filter(
-            kind::isInstance).count() >= count);
+        Awaitility.await()
+                .atMost(Duration.ofSeconds(20))
+                .until(() -> recorder.seen().stream().filter(kind::isInstance).count() >= count);
     }
 
     @Test
@@ -108,27 +121,43 @@
         assertThat(done.getAsJsonObject("load").keySet()).containsExactly("x0", "queue");
     }
 
-    /** In order of arrival, as slots allow; beyond eight waiting a slot it turns requests away unstarted. */
+    /**
+     * In order of arrival, as slots allow; beyond eight waiting a slot it turns requests away
+     * unstarted.
+     */
     @Test
     void workerQueuesAndTurnsAway() throws IOException {
         final WorkerStandIn worker = worker("w1", 1);
         for (int i = 0; i < 9; i++) {
             send(worker.address(), job("j" + i, "", i == 0 ? 3_000_000 : 50_000));
             final int sent = i + 1;
-            Awaitility.await().pollInterval(Duration.ofMillis(10)).until(() -> recorder.seen().stream()
-                .filter(Observation.SendCame.class::isInstance).count() == sent);
+            Awaitility.await()
+                    .pollInterval(Duration.ofMillis(10))
+                    .until(
+                            () ->
+                                    recorder.seen().stream()
+                                                    .filter(Observation.SendCame.class::isInstance)
+                                                    .count()
+                                            == sent);
         }
         final BufferedReader full = send(worker.address(), job("full", "", 1));
         assertThat(full.readLine()).isEqualTo("HTTP/1.1 503 Service Unavailable");
         assertThat(full.lines().takeWhile(line -> !line.isEmpty()).map(String::toLowerCase))
-            .contains("x-not-run: 1").anyMatch(line -> line.startsWith("x-load: x0="));
+                .contains("x-not-run: 1")
+                .anyMatch(line -> line.startsWith("x-load: x0="));
         await(SendTurnedAway.class, 1);
         await(RunStarted.class, 3);
-        assertThat(recorder.seen().stream().filter(RunStarted.class::isInstance)
-            .map(seen -> ((RunStarted) seen).id())).startsWith("j0", "j1", "j2");
+        assertThat(
+                        recorder.seen().stream()
+                                .filter(RunStarted.class::isInstance)
+                                .map(seen -> ((RunStarted) seen).id()))
+                .startsWith("j0", "j1", "j2");
     }
 
-    /** A repeat in the cell takes the first run's result, while it runs and afterwards, and has no effect. */
+    /**
+     * A repeat in the cell takes the first run's result, while it runs and afterwards, and has no
+     * effect.
+     */
     @Test
     void cellDropsRepeatsOfAKey() throws IOException {
         final String key = "Idempotency-Key: k\r\n";
@@ -160,23 +189,32 @@
     @Test
     void coldWorkerFallsOver() throws IOException {
         final WorkerStandIn worker = worker("w1", 2);
-        loop.submit(() -> {
-            worker.crash();
-            worker.boot();
-        }).syncUninterruptibly();
+        loop.submit(
+                        () -> {
+                            worker.crash();
+                            worker.boot();
+                        })
+                .syncUninterruptibly();
         final InetSocketAddress at = worker.address();
-        Awaitility.await().until(() -> {
-            try {
-                send(at, job("a", "", 900_000));
-                return true;
-            } catch (IOException e) {
-                // It does not listen yet.
-                return false;
-            }
-        });
+        Awaitility.await()
+                .until(
+                        () -> {
+                            try {
+                                send(at, job("a", "", 900_000));
+                                return true;
+                            } catch (IOException e) {
+                                // It does not listen yet.
+                                return false;
+                            }
+                        });
         send(at, job("b", "", 900_000));
-        Awaitility.await().until(() -> recorder.seen().stream()
-            .filter(Observation.SendCame.class::isInstance).count() == 2);
+        Awaitility.await()
+                .until(
+                        () ->
+                                recorder.seen().stream()
+                                                .filter(Observation.SendCame.class::isInstance)
+                                                .count()
+                                        == 2);
         assertThat(recorder.seen()).noneMatch(WorkerFell.class::isInstance);
         send(at, job("c", "", 900_000));
         await(WorkerFell.class, 1);
@@ -195,8 +233,10 @@
     }
 
     private String stats(WorkerStandIn worker) throws IOException {
-        final BufferedReader answer = send(worker.address(), get("/stats").replace("\r\n\r\n",
-            "\r\nConnection: close\r\n\r\n"));
+        final BufferedReader answer =
+                send(
+                        worker.address(),
+                        get("/stats").replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n"));
         String line = answer.readLine();
         while (!line.isEmpty()) {
             line = answer.readLine();
@@ -207,8 +247,8 @@
 
     @Test
     void workerAnswers404WithoutAnId() throws IOException {
-        assertThat(send(worker("w1", 1).address(), job(null, "",
-            1)).readLine()).isEqualTo("HTTP/1.1 404 Not Found");
+        assertThat(send(worker("w1", 1).address(), job(null, "", 1)).readLine())
+                .isEqualTo("HTTP/1.1 404 Not Found");
     }
 
     @Test
@@ -220,25 +260,33 @@
         Awaitility.await().until(() -> list(at, "").getAsJsonArray("servers").size() == 1);
         final long version = list(at, "").get("version").getAsLong();
         assertThat(list(at, "").get("full").getAsBoolean()).isTrue();
-        assertThat(list(at, "?since=" + version + "&timeout_ms=50").getAsJsonArray("servers")).isEmpty();
+        assertThat(list(at, "?since=" + version + "&timeout_ms=50").getAsJsonArray("servers"))
+                .isEmpty();
         loop.schedule(() -> discovery.set(worker, "DRAINING", 0), 100, TimeUnit.MILLISECONDS);
         final JsonObject changed = list(at, "?since=" + version + "&timeout_ms=20000");
         assertThat(changed.get("full").getAsBoolean()).isFalse();
         assertThat(changed.toString()).contains("\"state\":\"DRAINING\"");
         loop.submit(() -> discovery.set(worker, "DELETED", 0)).syncUninterruptibly();
-        assertThat(list(at, "?since=" + (version + 1) + "&timeout_ms=20000").toString()).contains("DELETED");
-        assertThat(recorder.seen().stream().filter(WorkerTold.class::isInstance)
-            .map(seen -> ((WorkerTold) seen).state())).contains("SERVING", "DRAINING", "DELETED");
+        assertThat(list(at, "?since=" + (version + 1) + "&timeout_ms=20000").toString())
+                .contains("DELETED");
+        assertThat(
+                        recorder.seen().stream()
+                                .filter(WorkerTold.class::isInstance)
+                                .map(seen -> ((WorkerTold) seen).state()))
+                .contains("SERVING", "DRAINING", "DELETED");
         loop.submit(() -> discovery.down(true)).syncUninterruptibly();
-        assertThat(send(at,
-            get("/registry/instances")).readLine()).isEqualTo("HTTP/1.1 503 Service Unavailable");
+        assertThat(send(at, get("/registry/instances")).readLine())
+                .isEqualTo("HTTP/1.1 503 Service Unavailable");
     }
 
     private JsonObject list(InetSocketAddress at, String query) throws IOException {
         final BufferedReader answer = send(at, get("/registry/instances" + query));
         int length = 0;
         for (String line = answer.readLine(); !line.isEmpty(); line = answer.readLine()) {
-            length = line.startsWith("content-length: ") ? Integer.parseInt(line.substring(16)) : length;
+            length =
+                    line.startsWith("content-length: ")
+                            ? Integer.parseInt(line.substring(16))
+                            : length;
         }
         final char[] body = new char[length];
         int read = 0;
--- a/src/test/java/cresschute/testbed/bodies/BodyPeersTest.java
+++ b/src/test/java/cresschute/testbed/bodies/BodyPeersTest.java
@@ -34,9 +34,17 @@
     void start(@TempDir Path folder) throws IOException {
         final Path script = folder.resolve("bodies.star");
         site.writeSettings(script, List.of());
-        node = new NodeServer(NodeConfig.of(SettingsFile.parse(Files.readString(script)
-            .replace("kinds = [\"quick\"]", "kinds = [\"long\"]").replace("stall = 20 * s", "stall = 1 * s"))
-            .settings(), 1));
+        node =
+                new NodeServer(
+                        NodeConfig.of(
+                                SettingsFile.parse(
+                                                Files.readString(script)
+                                                        .replace(
+                                                                "kinds = [\"quick\"]",
+                                                                "kinds = [\"long\"]")
+                                                        .replace("stall = 20 * s", "stall = 1 * s"))
+                                        .settings(),
+                                1));
         to = (InetSocketAddress) node.start();
     }
 
@@ -49,8 +57,16 @@
     }
 
     private BodyClient.Plan plan(String target, long upload) {
-        return new BodyClient.Plan(to, "b" + ++lastId, target, upload, false, LineSpeed.FULL, LineSpeed.FULL,
-            -1, false);
+        return new BodyClient.Plan(
+                to,
+                "b" + ++lastId,
+                target,
+                upload,
+                false,
+                LineSpeed.FULL,
+                LineSpeed.FULL,
+                -1,
+                false);
     }
 
     @Test
@@ -58,17 +74,36 @@
         final BodyClient.Came up = BodyClient.run(plan("/upload?in=20000000", 20 * MB));
         assertThat(up.status()).isEqualTo(200);
         assertThat(up.text()).startsWith(20 * MB + " ");
-        final BodyClient.Plan slowly = new BodyClient.Plan(to, "down", "/report?result=" + 20 * MB, 0, false,
-            LineSpeed.FULL, LineSpeed.of(20 * MB), -1, false);
+        final BodyClient.Plan slowly =
+                new BodyClient.Plan(
+                        to,
+                        "down",
+                        "/report?result=" + 20 * MB,
+                        0,
+                        false,
+                        LineSpeed.FULL,
+                        LineSpeed.of(20 * MB),
+                        -1,
+                        false);
         final BodyClient.Came down = BodyClient.run(slowly);
-        assertThat(down).extracting(BodyClient.Came::status, BodyClient.Came::whole, BodyClient.Came::bytes)
-            .containsExactly(200, true, 20L * MB);
+        assertThat(down)
+                .extracting(BodyClient.Came::status, BodyClient.Came::whole, BodyClient.Came::bytes)
+                .containsExactly(200, true, 20L * MB);
     }
 
     @Test
     void chunksAreABodyToo() {
-        final BodyClient.Plan plan = new BodyClient.Plan(to, "chunks", "/upload", 3 * MB, true,
-            LineSpeed.FULL, LineSpeed.FULL, -1, false);
+        final BodyClient.Plan plan =
+                new BodyClient.Plan(
+                        to,
+                        "chunks",
+                        "/upload",
+                        3 * MB,
+                        true,
+                        LineSpeed.FULL,
+                        LineSpeed.FULL,
+                        -1,
+                        false);
         assertThat(BodyClient.run(plan).text()).startsWith(3 * MB + " ");
         assertThat(site.ran("chunks")).isTrue();
     }
@@ -91,20 +126,41 @@
     void resultThatBreaksOrStallsIsNotWhole() {
         for (final String trouble : List.of("reset", "stall")) {
             final BodyClient.Came came =
-                BodyClient.run(plan("/report?result=" + 20 * MB + "&" + trouble + "=1000000", 0));
-            assertThat(came).as(trouble).extracting(BodyClient.Came::status, BodyClient.Came::whole)
-                .containsExactly(200, false);
+                    BodyClient.run(
+                            plan("/report?result=" + 20 * MB + "&" + trouble + "=1000000", 0));
+            assertThat(came)
+                    .as(trouble)
+                    .extracting(BodyClient.Came::status, BodyClient.Came::whole)
+                    .containsExactly(200, false);
         }
     }
 
     /** A client on a slow line is served; one that sends a byte now and then is not. */
     @Test
     void slowLineIsServedAndSlowLorisIsNot() {
-        final BodyClient.Plan line = new BodyClient.Plan(to, "line", "/upload", 100_000, false,
-            LineSpeed.of(40_000), LineSpeed.FULL, -1, false);
+        final BodyClient.Plan line =
+                new BodyClient.Plan(
+                        to,
+                        "line",
+                        "/upload",
+                        100_000,
+                        false,
+                        LineSpeed.of(40_000),
+                        LineSpeed.FULL,
+                        -1,
+                        false);
         assertThat(BodyClient.run(line).status()).isEqualTo(200);
-        final BodyClient.Plan loris = new BodyClient.Plan(to, "loris", "/upload", MB, false,
-            LineSpeed.of(40), LineSpeed.FULL, -1, false);
+        final BodyClient.Plan loris =
+                new BodyClient.Plan(
+                        to,
+                        "loris",
+                        "/upload",
+                        MB,
+                        false,
+                        LineSpeed.of(40),
+                        LineSpeed.FULL,
+                        -1,
+                        false);
         assertThat(BodyClient.run(loris).status()).isEqualTo(408);
         assertThat(site.ran("loris")).isFalse();
     }
@@ -112,8 +168,17 @@
     /** A client that reads at modem speed is no reason to hold more, or to end. */
     @Test
     void modemReaderLeavesWithoutTrace() {
-        final BodyClient.Plan modem = new BodyClient.Plan(to, "modem", "/report?result=" + 300 * MB, 0, false,
-            LineSpeed.FULL, LineSpeed.of(7_000), 14_000, false);
+        final BodyClient.Plan modem =
+                new BodyClient.Plan(
+                        to,
+                        "modem",
+                        "/report?result=" + 300 * MB,
+                        0,
+                        false,
+                        LineSpeed.FULL,
+                        LineSpeed.of(7_000),
+                        14_000,
+                        false);
         final BodyClient.Came came = BodyClient.run(modem);
         assertThat(came.status()).isEqualTo(200);
         assertThat(came.bytes()).isGreaterThanOrEqualTo(14_000);
--- a/src/test/java/cresschute/testbed/capacity/CapacityPlanTest.java
+++ b/src/test/java/cresschute/testbed/capacity/CapacityPlanTest.java
@@ -19,15 +19,18 @@
 /** Sizes, what follows from them, and what the machine must have for them. */
 class CapacityPlanTest {
 
-    static final CapacityPlan WHOLE = new CapacityPlan(1_400, 1_800, 9_100, 300, 54, 7, 7, 2, 128, 1_500, 0.5,
-        60, 1, 0);
+    static final CapacityPlan WHOLE =
+            new CapacityPlan(1_400, 1_800, 9_100, 300, 54, 7, 7, 2, 128, 1_500, 0.5, 60, 1, 0);
 
     @Test
     void siteHasTheAcceleratorsAndRoomForTheJobs() {
         final List<Make> workers = new Site(WHOLE).workers();
         assertThat(workers).hasSize(1_400);
-        final int accelerators = workers.stream().filter(each -> each.kind().equals("accelerated"))
-            .mapToInt(Make::slots).sum();
+        final int accelerators =
+                workers.stream()
+                        .filter(each -> each.kind().equals("accelerated"))
+                        .mapToInt(Make::slots)
+                        .sum();
         assertThat(accelerators).isEqualTo(1_800);
         assertThat(workers.stream().mapToInt(Make::slots).sum()).isGreaterThan(9_100);
         assertThat(workers.stream().map(Make::zone).distinct()).hasSize(7);
@@ -36,10 +39,13 @@
 
     @Test
     void classesShareAllJobs() {
-        assertThat(new Site(WHOLE).classes().stream().mapToDouble(JobClass::share).sum()).isBetween(0.999,
-            1.001);
-        assertThat(new Site(new CapacityPlan(10, 0, 20, 10, 1, 1, 1, 1, 0, 0, 0, 1, 1, 0)).classes())
-            .extracting(JobClass::name).doesNotContain("accelerated");
+        assertThat(new Site(WHOLE).classes().stream().mapToDouble(JobClass::share).sum())
+                .isBetween(0.999, 1.001);
+        assertThat(
+                        new Site(new CapacityPlan(10, 0, 20, 10, 1, 1, 1, 1, 0, 0, 0, 1, 1, 0))
+                                .classes())
+                .extracting(JobClass::name)
+                .doesNotContain("accelerated");
     }
 
     @Test
@@ -63,8 +69,10 @@
         final Sweep.Point last = points.get(points.size() - 1);
         assertThat(last.heldOut()).isTrue();
         assertThat(last.plan()).isEqualTo(WHOLE);
-        final Set<CapacityPlan> sizes = points.subList(0, 8).stream().map(each -> each.plan().withSeed(0))
-            .collect(Collectors.toCollection(HashSet::new));
+        final Set<CapacityPlan> sizes =
+                points.subList(0, 8).stream()
+                        .map(each -> each.plan().withSeed(0))
+                        .collect(Collectors.toCollection(HashSet::new));
         assertThat(sizes).hasSize(4);
         assertThat(points.subList(0, 8)).noneMatch(Sweep.Point::heldOut);
     }
@@ -73,17 +81,19 @@
     void orderOfAllAxesComesFromTheSeed() {
         final List<Sweep.Point> points = Sweep.along("all", WHOLE, 1);
         assertThat(points).hasSize(7 * 4 + 1).isEqualTo(Sweep.along("all", WHOLE, 1));
-        assertThat(Sweep.along("all", WHOLE.withSeed(2), 1).stream().map(each -> each.plan().withSeed(1)))
-            .isNotEqualTo(points.stream().map(Sweep.Point::plan).toList());
+        assertThat(
+                        Sweep.along("all", WHOLE.withSeed(2), 1).stream()
+                                .map(each -> each.plan().withSeed(1)))
+                .isNotEqualTo(points.stream().map(Sweep.Point::plan).toList());
     }
 
     @Test
     void lackOfDescriptorsNamesTheLimit() {
         Preflight.descriptors(WHOLE, 20_000);
-        assertThatThrownBy(() -> Preflight.descriptors(WHOLE, 4_096)).isInstanceOf(
-            MachineLimitException.class)
-            .hasMessageStartingWith("descriptors: one process needs ")
-            .hasMessageContaining("the hard limit (ulimit -Hn) is 4096");
+        assertThatThrownBy(() -> Preflight.descriptors(WHOLE, 4_096))
+                .isInstanceOf(MachineLimitException.class)
+                .hasMessageStartingWith("descriptors: one process needs ")
+                .hasMessageContaining("the hard limit (ulimit -Hn) is 4096");
     }
 
     /** Each worker is in one process, its cell with it. */
@@ -91,27 +101,40 @@
     void workersAreSpreadOverAsManyProcessesAsDescriptorsAsk() {
         assertThat(Preflight.workerProcesses(WHOLE, 1_000_000)).isEqualTo(1);
         assertThat(Preflight.workerProcesses(WHOLE, 20_000)).isEqualTo(2);
-        assertThat(new Site(WHOLE).workers().stream().collect(Collectors.groupingBy(Make::cell,
-            Collectors.mapping(make -> Site.partOf(make, 2), Collectors.toSet()))).values())
-            .allMatch(parts -> parts.size() == 1);
+        assertThat(
+                        new Site(WHOLE)
+                                .workers().stream()
+                                        .collect(
+                                                Collectors.groupingBy(
+                                                        Make::cell,
+                                                        Collectors.mapping(
+                                                                make -> Site.partOf(make, 2),
+                                                                Collectors.toSet())))
+                                        .values())
+                .allMatch(parts -> parts.size() == 1);
     }
 
     @Test
     void lackOfMemoryOrPortsIsToldInOneLine() {
-        assertThatThrownBy(() -> Preflight.memory(WHOLE, 500)).isInstanceOf(MachineLimitException.class)
-            .hasMessageMatching("memory: [0-9]+ MB are needed, 500 MB are available");
+        assertThatThrownBy(() -> Preflight.memory(WHOLE, 500))
+                .isInstanceOf(MachineLimitException.class)
+                .hasMessageMatching("memory: [0-9]+ MB are needed, 500 MB are available");
         assertThatThrownBy(() -> Preflight.ports(WHOLE, "32768\t33000"))
-            .isInstanceOf(MachineLimitException.class)
-            .hasMessageContaining("233 local ports (net.ipv4.ip_local_port_range)");
+                .isInstanceOf(MachineLimitException.class)
+                .hasMessageContaining("233 local ports (net.ipv4.ip_local_port_range)");
     }
 
     /** The dispatchers run as the platform runs them. */
     @Test
     void dispatchersHaveTheOptionsOfTheRunLine() throws Exception {
-        final String run = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
-            .filter(line -> line.startsWith("run = ")).findFirst().orElseThrow();
+        final String run =
+                Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
+                        .filter(line -> line.startsWith("run = "))
+                        .findFirst()
+                        .orElseThrow();
         final List<String> options = List.of(run.split("[ \"]+"));
-        assertThat(options).containsAll(DispatcherProcess.OPTIONS)
-            .containsAll(DispatcherProcess.MEMORY_OPTIONS);
+        assertThat(options)
+                .containsAll(DispatcherProcess.OPTIONS)
+                .containsAll(DispatcherProcess.MEMORY_OPTIONS);
     }
 }
--- a/src/test/java/cresschute/testbed/capacity/NeedChartTest.java
+++ b/src/test/java/cresschute/testbed/capacity/NeedChartTest.java
@@ -26,13 +26,16 @@
         System.setProperty("java.awt.headless", "true");
         final NeedChart chart = new NeedChart();
         Sweep.along("workers", CapacityPlanTest.WHOLE, 1)
-            .forEach(point -> chart.add(point, result(point.plan(), null)));
+                .forEach(point -> chart.add(point, result(point.plan(), null)));
         Sweep.along("tenants", CapacityPlanTest.WHOLE, 1)
-            .forEach(point -> chart.add(point, result(point.plan(), "interrupted")));
+                .forEach(point -> chart.add(point, result(point.plan(), "interrupted")));
         chart.draw(folder);
         try (Stream<Path> files = Files.list(folder)) {
-            assertThat(files.map(each -> each.getFileName().toString())).containsExactlyInAnyOrder(
-                "cpu_percent-workers.png", "rss_mb-workers.png", "control_bytes_per_second-workers.png");
+            assertThat(files.map(each -> each.getFileName().toString()))
+                    .containsExactlyInAnyOrder(
+                            "cpu_percent-workers.png",
+                            "rss_mb-workers.png",
+                            "control_bytes_per_second-workers.png");
         }
     }
 
@@ -47,9 +50,15 @@
         }
         final List<String> lines = Files.readAllLines(file);
         assertThat(lines).hasSize(2 + 3 + 3);
-        assertThat(lines.get(2)).startsWith("1,abc,").contains(",workers,1,false,").endsWith(",false");
-        assertThat(lines.get(7)).startsWith("2,abc,")
-            .endsWith(",none,1,true,1400,9100,300.0,54,7,0.5," + 1_500 / 86_400.0
-                + ",dispatcher,rss_mb,140.0,true");
+        assertThat(lines.get(2))
+                .startsWith("1,abc,")
+                .contains(",workers,1,false,")
+                .endsWith(",false");
+        assertThat(lines.get(7))
+                .startsWith("2,abc,")
+                .endsWith(
+                        ",none,1,true,1400,9100,300.0,54,7,0.5,"
+                                + 1_500 / 86_400.0
+                                + ",dispatcher,rss_mb,140.0,true");
     }
 }
--- a/src/test/java/cresschute/testbed/capacity/RequestOutcomesTest.java
+++ b/src/test/java/cresschute/testbed/capacity/RequestOutcomesTest.java
@@ -58,7 +58,10 @@
         assertThat(outcomes().refusedShare()).isZero();
     }
 
-    /** Also where the worker's word is older than the client's note, and only the first start counts. */
+    /**
+     * Also where the worker's word is older than the client's note, and only the first start
+     * counts.
+     */
     @Test
     void urgentStartCountsFromTheFirstTry() {
         sent(1_000, "a", "a", Site.URGENT);
@@ -73,8 +76,8 @@
 
     @Test
     void gangsAreCountedByTheirFirstTries() {
-        for (final String id : List.of("gang-1-1-x", "gang-1-2-x", "gang-2-3-x", "gang-2-4-x",
-            "gang-3-5-x")) {
+        for (final String id :
+                List.of("gang-1-1-x", "gang-1-2-x", "gang-2-3-x", "gang-2-4-x", "gang-3-5-x")) {
             sent(1, id, id, "batch");
         }
         answered(2, "gang-2-3-x", 503);
@@ -89,13 +92,13 @@
         final SendCame came = new SendCame(7, 6, "w1", 3, "a", null, 12);
         final RequestSent sent = new RequestSent(5, "a", "a", "batch", "key", 1, 1, 1);
         try (ObservationFile one = new ObservationFile(first);
-            ObservationFile two = new ObservationFile(
-                second)) {
+                ObservationFile two = new ObservationFile(second)) {
             one.accept(came);
             two.accept(sent);
         }
-        Files.writeString(second, Files.readString(second) + "{\"type\":\"RunDone\",\"us\":9,\"wor");
-        assertThat(ObservationFile.read(List.of(first, second, folder.resolve("none")))).containsExactly(sent,
-            came);
+        Files.writeString(
+                second, Files.readString(second) + "{\"type\":\"RunDone\",\"us\":9,\"wor");
+        assertThat(ObservationFile.read(List.of(first, second, folder.resolve("none"))))
+                .containsExactly(sent, came);
     }
 }
--- a/src/test/java/cresschute/testbed/model/FleetModelTest.java
+++ b/src/test/java/cresschute/testbed/model/FleetModelTest.java
@@ -2,16 +2,16 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cresschute.dispatch.SlowStartSettings;
+import cresschute.dispatch.AttemptLimits;
+import cresschute.dispatch.DeduplicationScope;
+import cresschute.dispatch.DispatchSettings;
+import cresschute.dispatch.Dispatcher;
 import cresschute.dispatch.Idempotency;
 import cresschute.dispatch.ObjectiveWeights;
-import cresschute.dispatch.AttemptLimits;
 import cresschute.dispatch.Placement;
-import cresschute.dispatch.DeduplicationScope;
 import cresschute.dispatch.RequestClass;
-import cresschute.dispatch.DispatchSettings;
+import cresschute.dispatch.SlowStartSettings;
 import cresschute.dispatch.WeightSource;
-import cresschute.dispatch.Dispatcher;
 import cresschute.testbed.model.FleetModel.ColdTally;
 import cresschute.testbed.model.FleetModel.Demand;
 import cresschute.testbed.model.FleetModel.Kind;
@@ -27,9 +27,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A fleet of 100 dispatchers that each see little traffic, in virtual time: every class keeps its service in
- * its own right while a third of the workers is lost and comes back cold, and while six in ten are replaced.
- * The seeds were not chosen for their results; a fleet's run is the same each time.
+ * A fleet of 100 dispatchers that each see little traffic, in virtual time: every class keeps its
+ * service in its own right while a third of the workers is lost and comes back cold, and while six
+ * in ten are replaced. The seeds were not chosen for their results; a fleet's run is the same each
+ * time.
  */
 class FleetModelTest {
 
@@ -37,30 +38,109 @@
     private static final int DISPATCHERS = 100;
     private static final int WORKERS = 60;
 
-    /** Short checks, longer reports and long keyed jobs; workers tell of their load and may be probed. */
-    private static final List<RequestClass> TOLD = List.of(
-        new RequestClass(2, 400_000, 2.5, 10 * SECOND, Idempotency.SAFE, DeduplicationScope.ALL, 0, Placement.ANYWHERE),
-        new RequestClass(1, 1_500_000, 2.5, 25 * SECOND, Idempotency.SAFE, DeduplicationScope.ALL, 0, Placement.ANYWHERE),
-        new RequestClass(5, 4 * SECOND, 2, 25 * SECOND, Idempotency.KEYED, DeduplicationScope.CELL, 40 * SECOND,
-            Placement.ANYWHERE));
-    private static final List<Demand> TOLD_WORK = List.of(new Demand(0.49, 830_000, 400_000, 0),
-        new Demand(0.27, 3_200_000, 1_400_000, 0.2), new Demand(0.24, 5_000_000, 2_500_000, 0.2));
+    /**
+     * Short checks, longer reports and long keyed jobs; workers tell of their load and may be
+     * probed.
+     */
+    private static final List<RequestClass> TOLD =
+            List.of(
+                    new RequestClass(
+                            2,
+                            400_000,
+                            2.5,
+                            10 * SECOND,
+                            Idempotency.SAFE,
+                            DeduplicationScope.ALL,
+                            0,
+                            Placement.ANYWHERE),
+                    new RequestClass(
+                            1,
+                            1_500_000,
+                            2.5,
+                            25 * SECOND,
+                            Idempotency.SAFE,
+                            DeduplicationScope.ALL,
+                            0,
+                            Placement.ANYWHERE),
+                    new RequestClass(
+                            5,
+                            4 * SECOND,
+                            2,
+                            25 * SECOND,
+                            Idempotency.KEYED,
+                            DeduplicationScope.CELL,
+                            40 * SECOND,
+                            Placement.ANYWHERE));
+
+    private static final List<Demand> TOLD_WORK =
+            List.of(
+                    new Demand(0.49, 830_000, 400_000, 0),
+                    new Demand(0.27, 3_200_000, 1_400_000, 0.2),
+                    new Demand(0.24, 5_000_000, 2_500_000, 0.2));
 
     /** Classes that may not be repeated, of very uneven work; nothing is told of load. */
-    private static final List<RequestClass> UNTOLD = List.of(
-        new RequestClass(5, 300_000, 2.5, 8 * SECOND, Idempotency.SAFE, DeduplicationScope.ALL, 0, Placement.ANYWHERE),
-        new RequestClass(5, 1_200_000, 2, 25 * SECOND, Idempotency.UNSAFE, DeduplicationScope.ALL, 0,
-            Placement.ANYWHERE),
-        new RequestClass(15, 2 * SECOND, 1.75, 25 * SECOND, Idempotency.UNSAFE, DeduplicationScope.ALL, 0,
-            Placement.ANYWHERE));
-    private static final List<Demand> UNTOLD_WORK = List.of(new Demand(0.46, 680_000, 1_500_000, 0),
-        new Demand(0.43, 2_750_000, 5_500_000, 0), new Demand(0.11, 4_100_000, 8_000_000, 0));
-
-    private static DispatchSettings settings(int dispatchers, List<RequestClass> classes, SlowStartSettings cold,
-        boolean told) {
-        return new DispatchSettings(dispatchers, 0, 3, 3, classes, List.of(), 1, false,
-            new AttemptLimits(5, 2 * SECOND, told), cold, new ObjectiveWeights(0.65, 0.15, 0.2, 0), false, 0,
-            WeightSource.NOMINAL, told, true, SECOND, 0, told, false, 0, false, DispatchSettings.UNLIMITED);
+    private static final List<RequestClass> UNTOLD =
+            List.of(
+                    new RequestClass(
+                            5,
+                            300_000,
+                            2.5,
+                            8 * SECOND,
+                            Idempotency.SAFE,
+                            DeduplicationScope.ALL,
+                            0,
+                            Placement.ANYWHERE),
+                    new RequestClass(
+                            5,
+                            1_200_000,
+                            2,
+                            25 * SECOND,
+                            Idempotency.UNSAFE,
+                            DeduplicationScope.ALL,
+                            0,
+                            Placement.ANYWHERE),
+                    new RequestClass(
+                            15,
+                            2 * SECOND,
+                            1.75,
+                            25 * SECOND,
+                            Idempotency.UNSAFE,
+                            DeduplicationScope.ALL,
+                            0,
+                            Placement.ANYWHERE));
+
+    private static final List<Demand> UNTOLD_WORK =
+            List.of(
+                    new Demand(0.46, 680_000, 1_500_000, 0),
+                    new Demand(0.43, 2_750_000, 5_500_000, 0),
+                    new Demand(0.11, 4_100_000, 8_000_000, 0));
+
+    private static DispatchSettings settings(
+            int dispatchers, List<RequestClass> classes, SlowStartSettings cold, boolean told) {
+        return new DispatchSettings(
+                dispatchers,
+                0,
+                3,
+                3,
+                classes,
+                List.of(),
+                1,
+                false,
+                new AttemptLimits(5, 2 * SECOND, told),
+                cold,
+                new ObjectiveWeights(0.65, 0.15, 0.2, 0),
+                false,
+                0,
+                WeightSource.NOMINAL,
+                told,
+                true,
+                SECOND,
+                0,
+                told,
+                false,
+                0,
+                false,
+                DispatchSettings.UNLIMITED);
     }
 
     private static FleetModel told(double load, long seed) {
@@ -69,18 +149,41 @@
 
     private static FleetModel told(int dispatchers, int workers, double load, long seed) {
         final SlowStartSettings cold = new SlowStartSettings(0.32, 8_800_000, 3, SECOND);
-        return new FleetModel(new Plan(settings(dispatchers, TOLD, cold, true), TOLD_WORK,
-            List.of(new Kind(5, 1.5, 0.31), new Kind(4, 0.97, 0.69)), workers, 6, load, 3, seed), Dispatcher::new);
+        return new FleetModel(
+                new Plan(
+                        settings(dispatchers, TOLD, cold, true),
+                        TOLD_WORK,
+                        List.of(new Kind(5, 1.5, 0.31), new Kind(4, 0.97, 0.69)),
+                        workers,
+                        6,
+                        load,
+                        3,
+                        seed),
+                Dispatcher::new);
     }
 
     private static FleetModel pendingEvents(double load, long seed) {
         final SlowStartSettings cold = new SlowStartSettings(0.13, 24 * SECOND, 3, 2 * SECOND);
-        return new FleetModel(new Plan(settings(DISPATCHERS, UNTOLD, cold, false), UNTOLD_WORK,
-            List.of(new Kind(3, 2, 0.31), new Kind(2, 1.2, 0.31), new Kind(2, 0.8, 0.38)),
-            WORKERS, 6, load, 3, seed), Dispatcher::new);
+        return new FleetModel(
+                new Plan(
+                        settings(DISPATCHERS, UNTOLD, cold, false),
+                        UNTOLD_WORK,
+                        List.of(
+                                new Kind(3, 2, 0.31),
+                                new Kind(2, 1.2, 0.31),
+                                new Kind(2, 0.8, 0.38)),
+                        WORKERS,
+                        6,
+                        load,
+                        3,
+                        seed),
+                Dispatcher::new);
     }
 
-    /** Some workers slow and some failing, a burst, and a zone lost in second 15 to 30, cold after it. */
+    /**
+     * Some workers slow and some failing, a burst, and a zone lost in second 15 to 30, cold after
+     * it.
+     */
     private static void loseAZone(FleetModel fleet) {
         fleet.slowDown(List.of(1, 9, 17, 25), 4);
         fleet.failPart(List.of(3, 11, 19), 0.7);
@@ -97,7 +200,10 @@
         fleet.drain();
     }
 
-    /** Six in ten workers replaced by cold ones in three steps within 7 s, from second 7 on, and a burst. */
+    /**
+     * Six in ten workers replaced by cold ones in three steps within 7 s, from second 7 on, and a
+     * burst.
+     */
     private static void replaceMost(FleetModel fleet) {
         fleet.pass(7 * SECOND);
         final List<Integer> all = new ArrayList<>(fleet.up());
@@ -135,19 +241,23 @@
         return (double) tally.inTime() / tally.asked();
     }
 
-    private static void everyClassKeeps(FleetModel fleet, double share, double shareAfter, double afterS) {
+    private static void everyClassKeeps(
+            FleetModel fleet, double share, double shareAfter, double afterS) {
         for (int requestClass = 0; requestClass < 3; requestClass++) {
-            assertThat(inTime(fleet, requestClass, 0, 45)).as("served of class %d", requestClass)
-                .isGreaterThan(share);
-            assertThat(inTime(fleet, requestClass, afterS, 45)).as("served of class %d after", requestClass)
-                .isGreaterThan(shareAfter);
+            assertThat(inTime(fleet, requestClass, 0, 45))
+                    .as("served of class %d", requestClass)
+                    .isGreaterThan(share);
+            assertThat(inTime(fleet, requestClass, afterS, 45))
+                    .as("served of class %d after", requestClass)
+                    .isGreaterThan(shareAfter);
         }
         assertThat(fleet.fallen()).as("cold workers pushed over").isZero();
     }
 
     @ParameterizedTest
     @CsvSource({"0.5, 0.75, 0.9, 1", "0.5, 0.75, 0.9, 2", "0.65, 0.6, 0.7, 3", "0.65, 0.6, 0.7, 4"})
-    void everyClassIsServedThroughTheLossOfAZone(double load, double share, double shareAfter, long seed) {
+    void everyClassIsServedThroughTheLossOfAZone(
+            double load, double share, double shareAfter, long seed) {
         final FleetModel fleet = told(load, seed);
         loseAZone(fleet);
         everyClassKeeps(fleet, share, shareAfter, 38);
@@ -156,7 +266,8 @@
 
     @ParameterizedTest
     @CsvSource({"0.5, 0.95, 0.95, 1", "0.65, 0.88, 0.92, 2"})
-    void everyClassIsServedThroughTheReplacementOfMost(double load, double share, double after, long seed) {
+    void everyClassIsServedThroughTheReplacementOfMost(
+            double load, double share, double after, long seed) {
         final FleetModel fleet = told(load, seed);
         replaceMost(fleet);
         everyClassKeeps(fleet, share, after, 22);
@@ -171,15 +282,19 @@
         final FleetModel replaced = pendingEvents(load, seed);
         replaceMost(replaced);
         for (int requestClass = 0; requestClass < 3; requestClass++) {
-            assertThat(inTime(lost, requestClass, 0, 45)).as("class %d", requestClass).isGreaterThan(share);
-            assertThat(inTime(replaced, requestClass, 0, 45)).as("class %d", requestClass)
-                .isGreaterThan(share);
+            assertThat(inTime(lost, requestClass, 0, 45))
+                    .as("class %d", requestClass)
+                    .isGreaterThan(share);
+            assertThat(inTime(replaced, requestClass, 0, 45))
+                    .as("class %d", requestClass)
+                    .isGreaterThan(share);
         }
     }
 
     /**
-     * Cold workers come in low load and a burst meets them halfway: what all dispatchers send to one of them
-     * together stays under what it bears, by number and by work, and jobs of every class still go to them.
+     * Cold workers come in low load and a burst meets them halfway: what all dispatchers send to
+     * one of them together stays under what it bears, by number and by work, and jobs of every
+     * class still go to them.
      */
     @ParameterizedTest
     @ValueSource(ints = {2, 20, 100})
@@ -188,9 +303,14 @@
         for (long seed = 11; seed <= 20; seed++) {
             final ColdTally tally = coldUnderBurst(dispatchers, WORKERS, 3, seed).coldTally();
             assertThat(tally.falls()).as("falls, seed %d", seed).isZero();
-            assertThat(tally.maxWorkRatio()).as("worst window by work, seed %d", seed).isLessThan(0.95);
-            assertThat(tally.maxCountRatio()).as("worst window by number, seed %d", seed).isLessThan(0.95);
-            Arrays.setAll(sends, requestClass -> sends[requestClass] + tally.sends().get(requestClass));
+            assertThat(tally.maxWorkRatio())
+                    .as("worst window by work, seed %d", seed)
+                    .isLessThan(0.95);
+            assertThat(tally.maxCountRatio())
+                    .as("worst window by number, seed %d", seed)
+                    .isLessThan(0.95);
+            Arrays.setAll(
+                    sends, requestClass -> sends[requestClass] + tally.sends().get(requestClass));
         }
         final double coldWorkers = 10 * (WORKERS / 3 + WORKERS / 10);
         assertThat(sends[0] / coldWorkers).as("short jobs a cold worker").isGreaterThan(2);
--- a/src/test/java/cresschute/testbed/model/ModelWorkerTest.java
+++ b/src/test/java/cresschute/testbed/model/ModelWorkerTest.java
@@ -3,8 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.within;
 
-import cresschute.dispatch.SlowStartSettings;
 import cresschute.dispatch.Outcome;
+import cresschute.dispatch.SlowStartSettings;
 import org.junit.jupiter.api.Test;
 
 /** What the model counts at a cold worker, against the rule's own figures. */
@@ -14,28 +14,34 @@
     private static final long MEAN_WORK_US = 100_000;
 
     private final EventQueue agenda = new EventQueue(SECOND);
-    // Half of 2 slots for a second, doubled: 20 jobs of 0.1 s; it hardly warms while it is looked at.
-    private final SlowStartSettings rule = new SlowStartSettings(0.5, 1_000_000 * SECOND, 2, SECOND);
-    private final ModelWorker worker = new ModelWorker(agenda, rule, 0, 0, 0, 0, 2, 1, MEAN_WORK_US);
+    // Half of 2 slots for a second, doubled: 20 jobs of 0.1 s; it hardly warms while it is looked
+    // at.
+    private final SlowStartSettings rule =
+            new SlowStartSettings(0.5, 1_000_000 * SECOND, 2, SECOND);
+    private final ModelWorker worker =
+            new ModelWorker(agenda, rule, 0, 0, 0, 0, 2, 1, MEAN_WORK_US);
 
     private void send(int jobs, long workUs) {
         for (int i = 0; i < jobs; i++) {
-            worker.take(workUs, 1, new ModelWorker.Sender() {
-                @Override
-                public void started() {
-                    // Only what the worker counts is looked at.
-                }
+            worker.take(
+                    workUs,
+                    1,
+                    new ModelWorker.Sender() {
+                        @Override
+                        public void started() {
+                            // Only what the worker counts is looked at.
+                        }
 
-                @Override
-                public void progressed(double fractionDone) {
-                    // Only what the worker counts is looked at.
-                }
+                        @Override
+                        public void progressed(double fractionDone) {
+                            // Only what the worker counts is looked at.
+                        }
 
-                @Override
-                public void ended(Outcome outcome) {
-                    // Only what the worker counts is looked at.
-                }
-            });
+                        @Override
+                        public void ended(Outcome outcome) {
+                            // Only what the worker counts is looked at.
+                        }
+                    });
         }
     }
 
