--- a/src/main/java/cresschute/capacity/MessagesTable.java
+++ b/src/main/java/cresschute/capacity/MessagesTable.java
@@ -18,7 +18,7 @@
 
     static String text(CapacityModel model) {
         final MessagesTable messages = new MessagesTable(model);
-        messages.row(Role.CLIENT, "requests", "ClientFront", "requests_per_second", null);
+        messages.row(Role.CLIENT, "requests", "ClientListener", "requests_per_second", null);
         messages.row(
                 Role.DISPATCHER,
                 "probes",
--- a/src/main/java/cresschute/capacity/TrackedMeasure.java
+++ b/src/main/java/cresschute/capacity/TrackedMeasure.java
@@ -9,7 +9,7 @@
 
     /** Requests that clients send. */
     CLIENT_REQUESTS(
-            Role.CLIENT, "requests_per_second", Kind.MESSAGES, "a second", null, "ClientFront"),
+            Role.CLIENT, "requests_per_second", Kind.MESSAGES, "a second", null, "ClientListener"),
     /** Requests refused. */
     CLIENT_REFUSED(Role.CLIENT, "refused_share", Kind.SERVICE, "share", null, "Dispatcher"),
     /** Requests without any answer. */
--- a/src/main/java/cresschute/node/NodeServer.java
+++ b/src/main/java/cresschute/node/NodeServer.java
@@ -5,7 +5,7 @@
 import cresschute.dispatch.DispatcherActions;
 import cresschute.dispatch.DispatcherEvents;
 import cresschute.logs.LogEvent;
-import cresschute.node.http.ClientFront;
+import cresschute.node.http.ClientListener;
 import cresschute.node.http.DiscoveryClient;
 import cresschute.node.http.WorkerConnectionPool;
 import io.netty.channel.ChannelFuture;
@@ -59,7 +59,7 @@
     private final CompletableFuture<Void> stopped = new CompletableFuture<>();
     private final NodeConfig config;
     private final RequestLifecycle core;
-    private final ClientFront front;
+    private final ClientListener front;
     private final WorkerConnectionPool workerClient;
     private final DiscoveryClient discovery;
 
@@ -132,7 +132,7 @@
                                 : operators != null ? operators : RequestListener.NONE,
                         peers != null ? peers : LoadKnowledge.NONE,
                         module);
-        front = new ClientFront(loop, core, config, shares.clients());
+        front = new ClientListener(loop, core, config, shares.clients());
         workerClient =
                 new WorkerConnectionPool(
                         loop,
@@ -406,7 +406,7 @@
                                                 + " reqs are owed an answer")
                                 .with("count", core.unanswered())
                                 .log(LOG, Level.INFO);
-                        front.stopReady();
+                        front.markNotReady();
                         if (controlService != null) {
                             controlService.stopping();
                         }
@@ -415,7 +415,7 @@
                             // said that it is
                             // ready, or nobody would stop this one. What is open here is still used
                             // for a while.
-                            front.stopAcceptingOnly();
+                            front.stopListening();
                         }
                         loop.schedule(this::stopAccepting, ACCEPT_GRACE_MS, TimeUnit.MILLISECONDS);
                         if (config.isOfThePlatform()) {
@@ -442,7 +442,7 @@
     /** Done once no client has a connection: each is closed when its last answer is written. */
     private void exitIfDone() {
         final long nowMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
-        if (front.open() > 0 && nowMs >= unansweredAtMs) {
+        if (front.openConnections() > 0 && nowMs >= unansweredAtMs) {
             // What a kill would cut off, told while there is time: the last such line is what it
             // cut.
             unansweredAtMs = nowMs + SHUTDOWN_ANSWER_MS;
@@ -451,13 +451,13 @@
                             "stopping: "
                                     + core.unanswered()
                                     + " reqs are still owed an answer, "
-                                    + front.open()
+                                    + front.openConnections()
                                     + " client connections open")
                     .with("count", core.unanswered())
-                    .with("client_connections", front.open())
+                    .with("client_connections", front.openConnections())
                     .log(LOG, Level.INFO);
         }
-        if (front.open() == 0 && !stopped.isDone() && (peers == null || peers.leave())) {
+        if (front.openConnections() == 0 && !stopped.isDone() && (peers == null || peers.leave())) {
             logStatus();
             LogEvent.of("stopped", "stopped: everything taken is answered").log(LOG, Level.INFO);
             if (controlService != null) {
@@ -519,7 +519,7 @@
         return operators == null ? null : operators.address();
     }
 
-    ClientFront front() {
+    ClientListener front() {
         return front;
     }
 
@@ -533,16 +533,16 @@
                         "status: "
                                 + core.unanswered()
                                 + " reqs open, "
-                                + front.open()
+                                + front.openConnections()
                                 + " client and "
-                                + workerClient.opened()
+                                + workerClient.openConnections()
                                 + " backend connections, "
                                 + front.bodyBytes()
                                 + " bytes of long bodies, list version "
                                 + core.listVersion())
                 .with("reqs", core.unanswered())
-                .with("client_connections", front.open())
-                .with("backend_connections", workerClient.opened())
+                .with("client_connections", front.openConnections())
+                .with("backend_connections", workerClient.openConnections())
                 .with("body_bytes", front.bodyBytes())
                 .with("list_version", core.listVersion())
                 .log(LOG, Level.INFO);
--- a/src/main/java/cresschute/node/http/BodyPump.java
+++ b/src/main/java/cresschute/node/http/BodyTransfer.java
@@ -12,7 +12,7 @@
  * Carries a long body to one peer, no faster than its connection takes it: what is not written
  * stays in the body, where it is counted. On the loop.
  */
-final class BodyPump {
+final class BodyTransfer {
 
     /** How it goes on and ends; of the ends at most one is called, once. */
     interface BodyEndpoints {
@@ -35,7 +35,7 @@
 
     private static final long TELL_US = 1_000_000;
 
-    private final LongStream body;
+    private final StreamedBody body;
     private final BodyEndpoints ends;
     private final Body<ByteBuf>.Sender sender;
     private final Pace peer;
@@ -46,7 +46,7 @@
     private boolean pumping;
     private boolean over;
 
-    BodyPump(LongStream body, BodyEndpoints ends) {
+    BodyTransfer(StreamedBody body, BodyEndpoints ends) {
         this.body = body;
         this.ends = ends;
         this.peer = body.newPace();
@@ -101,7 +101,7 @@
             channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT).addListener(this::sentLast);
         }
         pumping = false;
-        peer.turn(underWay > 0, LongStream.nowUs());
+        peer.turn(underWay > 0, StreamedBody.nowUs());
     }
 
     private void sent(Future<? super Void> done, int count) {
@@ -113,8 +113,8 @@
             channel.close();
             return;
         }
-        peer.moved(count, LongStream.nowUs());
-        peer.turn(underWay > 0, LongStream.nowUs());
+        peer.moved(count, StreamedBody.nowUs());
+        peer.turn(underWay > 0, StreamedBody.nowUs());
         tellFlow();
         sender.sent();
         body.sentSome();
@@ -134,7 +134,7 @@
     }
 
     private void tellFlow() {
-        final long nowUs = LongStream.nowUs();
+        final long nowUs = StreamedBody.nowUs();
         if (nowUs - toldUs >= TELL_US) {
             toldUs = nowUs;
             ends.flows();
@@ -143,7 +143,7 @@
 
     /** Gives up a peer that takes too little; called by the sweep. */
     void judge() {
-        if (!over && peer.isTooSlow(LongStream.nowUs())) {
+        if (!over && peer.isTooSlow(StreamedBody.nowUs())) {
             body.owner.tooSlow(String.valueOf(channel.remoteAddress()), "it took too little");
             stop();
             ends.tooSlow();
--- a/src/main/java/cresschute/node/http/ClientConnection.java
+++ b/src/main/java/cresschute/node/http/ClientConnection.java
@@ -64,7 +64,7 @@
     private static final byte[] NO_BODY = new byte[0];
     private static final String READY = "/health/ready";
 
-    private final ClientFront front;
+    private final ClientListener front;
     private final Deque<Answer> answers = new ArrayDeque<>();
 
     /**
@@ -85,7 +85,7 @@
     private int bodyBytes;
 
     /** The body that is being read where it is long, and whether a read of it is asked for. */
-    private LongBody longBody;
+    private StreamedRequestBody longBody;
 
     private boolean awaiting;
 
@@ -103,7 +103,7 @@
     /** When it became the client's turn; bytes that make no whole request do not count. */
     private long turnNs = System.nanoTime();
 
-    ClientConnection(ClientFront front) {
+    ClientConnection(ClientListener front) {
         this.front = front;
     }
 
@@ -651,7 +651,7 @@
      */
     void readNow() {
         if (longBody == null || awaiting) {
-            ReadNow.now(context.channel());
+            SocketReads.now(context.channel());
         }
     }
 
@@ -729,22 +729,22 @@
     }
 
     /** The answer to one request, in its place among those of this connection. */
-    private final class Answer implements ResponseListener, BodyPump.BodyEndpoints {
+    private final class Answer implements ResponseListener, BodyTransfer.BodyEndpoints {
 
         private final boolean isOld;
         private boolean keepAlive;
         private ClientRequest request;
 
         /** The request's body where it is long. */
-        private LongBody body;
+        private StreamedRequestBody body;
 
         /**
          * Room for its result where that may be long, whether that has begun, and what writes it.
          */
-        private LongResult result;
+        private StreamedResponseBody result;
 
         private boolean streams;
-        private BodyPump pump;
+        private BodyTransfer pump;
         private FullHttpResponse response;
 
         /** Of a client that does not know chunks, or of a usual one. */
@@ -913,7 +913,7 @@
             }
             if (retryAfterUs > 0) {
                 response.headers()
-                        .set(HttpHeaderNames.RETRY_AFTER, RetryAfter.format(retryAfterUs));
+                        .set(HttpHeaderNames.RETRY_AFTER, RetryAfterHeader.format(retryAfterUs));
             }
             if (body != null && body == longBody) {
                 // Answered before its last byte: what is left of it is read away, for a while.
--- a/src/main/java/cresschute/node/http/ClientFront.java
+++ b/src/main/java/cresschute/node/http/ClientListener.java
@@ -24,7 +24,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** The clients' way in over HTTP/1.1: accepts connections and keeps those that are open. */
-public final class ClientFront implements ReadinessSwitch {
+public final class ClientListener implements ReadinessSwitch {
 
     private static final int BACKLOG = 1024;
 
@@ -64,7 +64,7 @@
     private final int max;
 
     /** Null where bodies are short. */
-    private final LongBodies bodies;
+    private final StreamedBodies bodies;
 
     private final Set<ClientConnection> connections = new LinkedHashSet<>();
     private Channel server;
@@ -89,14 +89,14 @@
      *
      * @param max connections that it holds at a time
      */
-    public ClientFront(EventLoop loop, RequestLifecycle core, NodeConfig config, int max) {
+    public ClientListener(EventLoop loop, RequestLifecycle core, NodeConfig config, int max) {
         this.loop = loop;
         this.core = core;
         this.parser =
                 new RequestHead.RequestHeadParser(
                         config.classes(), config.settings().classes(), config.settings().tenants());
         this.max = max;
-        this.bodies = config.bodies() == null ? null : new LongBodies(config.bodies(), core);
+        this.bodies = config.bodies() == null ? null : new StreamedBodies(config.bodies(), core);
     }
 
     /**
@@ -127,7 +127,7 @@
         final ServerBootstrap bootstrap = new ServerBootstrap();
         bootstrap.childOption(
                 ChannelOption.RECVBUF_ALLOCATOR,
-                bodies != null ? LongStream.reads() : ReadNow.toTheEnd());
+                bodies != null ? StreamedBody.reads() : SocketReads.toTheEnd());
         bootstrap.group(group);
         if (passed == null) {
             bootstrap
@@ -145,7 +145,7 @@
                                 channel.pipeline()
                                         .addLast(
                                                 new HttpServerCodec(),
-                                                new ClientConnection(ClientFront.this));
+                                                new ClientConnection(ClientListener.this));
                             }
                         });
         // A passed listener is bound: registering it with the loop is all that is left.
@@ -155,13 +155,13 @@
     }
 
     /** Says that no new clients should come; those that do are served all the same. */
-    public void stopReady() {
+    public void markNotReady() {
         stopping = true;
     }
 
     /** Accepts no more, closes what is idle, and the rest once it is answered. */
     public void stopAccepting() {
-        stopAcceptingOnly();
+        stopListening();
         closeIdle();
     }
 
@@ -170,7 +170,7 @@
      * open, for the other process of an upgrade accepts on it: connections wait in its queue, and
      * none is refused.
      */
-    public void stopAcceptingOnly() {
+    public void stopListening() {
         closing = true;
         if (server == null) {
             return;
@@ -194,7 +194,7 @@
         for (int i = 0;
                 i < BACKLOG && !server.eventLoop().isShuttingDown();
                 i += ACCEPTED_AT_ONCE) {
-            ReadNow.now(server);
+            SocketReads.now(server);
         }
     }
 
@@ -271,7 +271,7 @@
     }
 
     /** The room for long bodies, or null where there is none. */
-    LongBodies bodies() {
+    StreamedBodies bodies() {
         return bodies;
     }
 
@@ -401,7 +401,7 @@
     }
 
     /** Connections from clients that are open. */
-    public int open() {
+    public int openConnections() {
         return connections.size();
     }
 }
--- a/src/main/java/cresschute/node/http/Deadline.java
+++ b/src/main/java/cresschute/node/http/DeadlineHeader.java
@@ -4,12 +4,12 @@
 import java.util.regex.Pattern;
 
 /** How long a client waits: a number and a unit, m for milliseconds or u for microseconds. */
-final class Deadline {
+final class DeadlineHeader {
 
     private static final Pattern FORM = Pattern.compile("([0-9]{1,12})(?:\\.([0-9]{1,9}))?([mu])");
     private static final long MAX_US = 3_600_000_000L;
 
-    private Deadline() {}
+    private DeadlineHeader() {}
 
     /** The time in microseconds, an hour at the most, or -1 where the text is none. */
     static long parseUs(String text) {
--- a/src/main/java/cresschute/node/http/Headers.java
+++ b/src/main/java/cresschute/node/http/HeaderNames.java
@@ -3,7 +3,7 @@
 import io.netty.util.AsciiString;
 
 /** Header names of the platform. */
-final class Headers {
+final class HeaderNames {
 
     static final AsciiString REQUEST_ID = AsciiString.cached("X-Request-Id");
     static final AsciiString DEADLINE = AsciiString.cached("X-Deadline");
@@ -17,5 +17,5 @@
     /** Behind a long result: whether it is whole. */
     static final AsciiString JOB_STATE = AsciiString.cached("X-Job-State");
 
-    private Headers() {}
+    private HeaderNames() {}
 }
--- a/src/main/java/cresschute/node/http/HttpAttempt.java
+++ b/src/main/java/cresschute/node/http/HttpAttempt.java
@@ -24,7 +24,7 @@
 
 /** An attempt: the request as the client sent it, and an answer that comes in lines. */
 final class HttpAttempt extends HttpExchange
-        implements AttemptCall, BodyPump.BodyEndpoints, LongResult.Source {
+        implements AttemptCall, BodyTransfer.BodyEndpoints, StreamedResponseBody.Source {
 
     private static final int OK = 200;
     private static final int UNAVAILABLE = 503;
@@ -37,10 +37,10 @@
     private ProgressLineReader lines = new ProgressLineReader();
 
     /** What carries a long body, or null. */
-    private final BodyPump pump;
+    private final BodyTransfer pump;
 
     /** A long result from its first byte on, or null. */
-    private LongResult result;
+    private StreamedResponseBody result;
 
     private boolean awaiting;
     private Outcome unstreamed;
@@ -59,7 +59,7 @@
         this.content = content;
         this.listener = listener;
         this.faults = faults;
-        this.pump = content.longBody() instanceof LongBody body ? body.pump(this) : null;
+        this.pump = content.longBody() instanceof StreamedRequestBody body ? body.pump(this) : null;
     }
 
     @Override
@@ -75,23 +75,25 @@
                                 Unpooled.wrappedBuffer(content.body()));
         request.headers()
                 .set(HttpHeaderNames.HOST, host)
-                .set(Headers.REQUEST_ID, content.requestId())
-                .set(Headers.DEADLINE, Deadline.format(listener.remainingUs()));
+                .set(HeaderNames.REQUEST_ID, content.requestId())
+                .set(HeaderNames.DEADLINE, DeadlineHeader.format(listener.remainingUs()));
         final long length =
-                content.longBody() instanceof LongBody body ? body.length() : content.body().length;
+                content.longBody() instanceof StreamedRequestBody body
+                        ? body.length()
+                        : content.body().length;
         if (length >= 0) {
             request.headers().set(HttpHeaderNames.CONTENT_LENGTH, length);
         } else {
             request.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
         }
         if (content.idempotencyKey() != null) {
-            request.headers().set(Headers.IDEMPOTENCY_KEY, content.idempotencyKey());
+            request.headers().set(HeaderNames.IDEMPOTENCY_KEY, content.idempotencyKey());
         }
         return request;
     }
 
     @Override
-    BodyPump body() {
+    BodyTransfer body() {
         return pump;
     }
 
@@ -145,7 +147,7 @@
     @Override
     void head(HttpResponse response) {
         try {
-            load = LoadReportParser.parseHeader(response.headers().get(Headers.LOAD));
+            load = LoadReportParser.parseHeader(response.headers().get(HeaderNames.LOAD));
         } catch (JsonParseException e) {
             bad(e);
             return;
@@ -154,7 +156,7 @@
         // Guards against taking any 503 for proof that nothing ran: only the worker's own mark is.
         final boolean notRun =
                 (status == UNAVAILABLE || status == GATEWAY_TIMEOUT)
-                        && "1".equals(response.headers().get(Headers.NOT_RUN));
+                        && "1".equals(response.headers().get(HeaderNames.NOT_RUN));
         final boolean unusable = response.status().codeClass() == HttpStatusClass.CLIENT_ERROR;
         unstreamed =
                 status == OK
@@ -195,7 +197,7 @@
                         line.result(),
                         line.follows(),
                         line.load() == LoadReport.NONE ? load : line.load());
-        if (begun instanceof LongResult ours) {
+        if (begun instanceof StreamedResponseBody ours) {
             result = ours;
             result.from(this);
             // From now on each read is asked for.
@@ -294,7 +296,7 @@
     @Override
     void last(HttpHeaders trailers) {
         if (result != null) {
-            final String state = trailers.get(Headers.JOB_STATE);
+            final String state = trailers.get(HeaderNames.JOB_STATE);
             endResult(
                     result.isAsLongAsStated()
                             && (state == null ? result.stated() >= 0 : state.equals("done")));
--- a/src/main/java/cresschute/node/http/HttpExchange.java
+++ b/src/main/java/cresschute/node/http/HttpExchange.java
@@ -27,7 +27,7 @@
     abstract HttpRequest request();
 
     /** What carries a body that is passed on as it arrives, or null. */
-    BodyPump body() {
+    BodyTransfer body() {
         return null;
     }
 
--- a/src/main/java/cresschute/node/http/HttpLoadQuery.java
+++ b/src/main/java/cresschute/node/http/HttpLoadQuery.java
@@ -72,7 +72,7 @@
     void last(HttpHeaders trailers) {
         final boolean alive = response.status().equals(HttpResponseStatus.OK);
         try {
-            final String header = response.headers().get(Headers.LOAD);
+            final String header = response.headers().get(HeaderNames.LOAD);
             final LoadReport load =
                     header != null
                             ? LoadReportParser.parseHeader(header)
--- a/src/main/java/cresschute/node/http/RequestHead.java
+++ b/src/main/java/cresschute/node/http/RequestHead.java
@@ -47,12 +47,12 @@
         private static final List<AsciiString> SAID_ONCE =
                 List.of(
                         HttpHeaderNames.HOST,
-                        Headers.REQUEST_ID,
-                        Headers.IDEMPOTENCY_KEY,
-                        Headers.DEADLINE,
-                        Headers.EXTRAS,
-                        Headers.RETRY,
-                        Headers.TENANT);
+                        HeaderNames.REQUEST_ID,
+                        HeaderNames.IDEMPOTENCY_KEY,
+                        HeaderNames.DEADLINE,
+                        HeaderNames.EXTRAS,
+                        HeaderNames.RETRY,
+                        HeaderNames.TENANT);
 
         private final Map<String, Integer> numbers = new HashMap<>();
         private final List<RequestClass> classes;
@@ -85,26 +85,26 @@
             }
             final HttpHeaders headers = request.headers();
             once(headers);
-            final String requestId = headers.get(Headers.REQUEST_ID, "").strip();
+            final String requestId = headers.get(HeaderNames.REQUEST_ID, "").strip();
             if (requestId.isEmpty()) {
                 throw bad("X-Request-Id is missing");
             }
             final RequestClass stated = classes.get(requestClass);
-            final String key = headers.get(Headers.IDEMPOTENCY_KEY);
+            final String key = headers.get(HeaderNames.IDEMPOTENCY_KEY);
             if (stated.idempotency() == Idempotency.KEYED && (key == null || key.isBlank())) {
                 throw bad("Idempotency-Key is missing");
             }
-            final String deadline = headers.get(Headers.DEADLINE);
+            final String deadline = headers.get(HeaderNames.DEADLINE);
             // Guards what the module learns of a class's clients: none waits longer than the
             // class's time.
             final long waitUs =
                     deadline == null
                             ? stated.deadlineUs()
-                            : Math.min(stated.deadlineUs(), Deadline.parseUs(deadline));
+                            : Math.min(stated.deadlineUs(), DeadlineHeader.parseUs(deadline));
             if (waitUs < 0) {
                 throw bad("X-Deadline is unusable");
             }
-            final Map<String, Double> extras = extras(headers.get(Headers.EXTRAS, ""));
+            final Map<String, Double> extras = extras(headers.get(HeaderNames.EXTRAS, ""));
             final List<String> objects = query.parameters().getOrDefault("obj", List.of());
             if (objects.size() > 1) {
                 throw bad("obj is given twice");
@@ -116,7 +116,7 @@
                             extras.getOrDefault("slots", 1.0),
                             0,
                             objects.isEmpty() ? 0 : keyNumber(objects.get(0)),
-                            "1".equals(headers.get(Headers.RETRY)));
+                            "1".equals(headers.get(HeaderNames.RETRY)));
             return new RequestHead(requestId, target, key, job, waitUs);
         }
 
@@ -146,7 +146,7 @@
                 return 0;
             }
             final String name =
-                    DeploymentSettingsParser.word(headers.get(Headers.TENANT, "").strip());
+                    DeploymentSettingsParser.word(headers.get(HeaderNames.TENANT, "").strip());
             for (int number = 0; number < tenants.size(); number++) {
                 if (tenants.get(number).name().equals(name)) {
                     return number;
--- a/src/main/java/cresschute/node/http/RetryAfter.java
+++ b/src/main/java/cresschute/node/http/RetryAfterHeader.java
@@ -1,11 +1,11 @@
 package cresschute.node.http;
 
 /** The header's form of a time: seconds, whole or decimal. */
-final class RetryAfter {
+final class RetryAfterHeader {
 
     private static final long MS = 1_000;
 
-    private RetryAfter() {}
+    private RetryAfterHeader() {}
 
     /** Rounded up to a millisecond, so that nobody comes back too early. */
     static String format(long us) {
--- a/src/main/java/cresschute/node/http/ReadNow.java
+++ b/src/main/java/cresschute/node/http/SocketReads.java
@@ -9,12 +9,12 @@
  * Reading a connection at a moment of one's own, and not only when the loop comes to it. On the
  * loop.
  */
-final class ReadNow {
+final class SocketReads {
 
     /** Reads of one connection in one pass of the loop, as Netty has it for sockets. */
     private static final int READS_A_PASS = 16;
 
-    private ReadNow() {}
+    private SocketReads() {}
 
     /**
      * For connections whose end is to be seen in the pass of the loop that reads what came before
--- a/src/main/java/cresschute/node/http/LongBodies.java
+++ b/src/main/java/cresschute/node/http/StreamedBodies.java
@@ -15,7 +15,7 @@
 /**
  * The long bodies of a node: the budget that they share, and what watches their pace. On the loop.
  */
-final class LongBodies {
+final class StreamedBodies {
 
     /**
      * With 40 bodies that stand still, each holds two to three windows, and there is room for 130
@@ -27,10 +27,10 @@
     private final Budget budget;
     private final long longest;
     private final RequestLifecycle core;
-    private final Set<BodyPump> pumps = new LinkedHashSet<>();
-    private final Set<LongResult> results = new LinkedHashSet<>();
+    private final Set<BodyTransfer> pumps = new LinkedHashSet<>();
+    private final Set<StreamedResponseBody> results = new LinkedHashSet<>();
 
-    LongBodies(Bodies settings, RequestLifecycle core) {
+    StreamedBodies(Bodies settings, RequestLifecycle core) {
         this.settings = settings;
         this.core = core;
         this.budget =
@@ -59,25 +59,28 @@
      * @param length what its head says, or -1
      * @param room told when more of it can be read than before
      */
-    LongBody open(String client, int requestClass, long length, Runnable room) {
+    StreamedRequestBody open(String client, int requestClass, long length, Runnable room) {
         final Account account = open(client, room);
         return account == null
                 ? null
-                : new LongBody(this, account, of(requestClass), settings.spool(), length, room);
+                : new StreamedRequestBody(
+                        this, account, of(requestClass), settings.spool(), length, room);
     }
 
     /** Opens the room for a result, or returns null where there is none. */
-    LongResult openResult(String client, int requestClass, ByteBufAllocator allocator) {
+    StreamedResponseBody openResult(String client, int requestClass, ByteBufAllocator allocator) {
         final Waker waker = new Waker();
         final Account account = open(client, waker);
         waker.result =
-                account == null ? null : new LongResult(this, account, of(requestClass), allocator);
+                account == null
+                        ? null
+                        : new StreamedResponseBody(this, account, of(requestClass), allocator);
         return waker.result;
     }
 
     /** An account tells of room from the start on, and a result needs its account to begin with. */
     private static final class Waker implements Runnable {
-        private LongResult result;
+        private StreamedResponseBody result;
 
         @Override
         public void run() {
@@ -107,26 +110,26 @@
         return budget.inUse();
     }
 
-    void add(BodyPump pump) {
+    void add(BodyTransfer pump) {
         pumps.add(pump);
     }
 
-    void remove(BodyPump pump) {
+    void remove(BodyTransfer pump) {
         pumps.remove(pump);
     }
 
-    void add(LongResult result) {
+    void add(StreamedResponseBody result) {
         results.add(result);
     }
 
-    void remove(LongResult result) {
+    void remove(StreamedResponseBody result) {
         results.remove(result);
     }
 
     /** Gives up what goes too slowly: peers that take too little, workers that make too little. */
     void sweep() {
-        List.copyOf(pumps).forEach(BodyPump::judge);
-        List.copyOf(results).forEach(LongResult::judge);
+        List.copyOf(pumps).forEach(BodyTransfer::judge);
+        List.copyOf(results).forEach(StreamedResponseBody::judge);
     }
 
     void tooSlow(String who, String what) {
--- a/src/main/java/cresschute/node/http/LongStream.java
+++ b/src/main/java/cresschute/node/http/StreamedBody.java
@@ -15,7 +15,7 @@
  * codec hands on, so that what is held is what is counted, however small the chunks; written by
  * pumps. On the loop.
  */
-abstract class LongStream {
+abstract class StreamedBody {
 
     /**
      * The most that is read at a time: half of it gives a fifth less throughput. Together with what
@@ -32,7 +32,7 @@
 
     private static final int MAX_COST = READ_BYTES + PIECE_BYTES;
 
-    final LongBodies owner;
+    final StreamedBodies owner;
     private final ClassBodies limits;
     private final Body<ByteBuf> body;
     private final Pace from;
@@ -46,7 +46,7 @@
      *
      * @param spool what is kept of it for a further sender, bytes
      */
-    LongStream(LongBodies owner, Budget.Account account, ClassBodies limits, long spool) {
+    StreamedBody(StreamedBodies owner, Budget.Account account, ClassBodies limits, long spool) {
         this.owner = owner;
         this.limits = limits;
         this.body = new Body<>(account, spool, ByteBuf::release);
@@ -160,9 +160,9 @@
     }
 
     /** A way on; it may find at its start that it cannot be begun any more. */
-    final BodyPump pump(BodyPump.BodyEndpoints ends) {
+    final BodyTransfer pump(BodyTransfer.BodyEndpoints ends) {
         pumps++;
-        final BodyPump pump = new BodyPump(this, ends);
+        final BodyTransfer pump = new BodyTransfer(this, ends);
         owner.add(pump);
         return pump;
     }
@@ -182,7 +182,7 @@
         }
     }
 
-    final void left(BodyPump pump) {
+    final void left(BodyTransfer pump) {
         owner.remove(pump);
         if (--pumps == 0 && retired) {
             close();
--- a/src/main/java/cresschute/node/http/LongBody.java
+++ b/src/main/java/cresschute/node/http/StreamedRequestBody.java
@@ -5,14 +5,14 @@
 import cresschute.settings.ApplianceSettings.ClassBodies;
 
 /** A request's long body on its way from its client's connection to its attempts. On the loop. */
-final class LongBody extends LongStream implements RequestBody {
+final class StreamedRequestBody extends StreamedBody implements RequestBody {
 
     private final long spool;
     private final long length;
     private final Runnable room;
 
-    LongBody(
-            LongBodies owner,
+    StreamedRequestBody(
+            StreamedBodies owner,
             Budget.Account account,
             ClassBodies limits,
             long spool,
--- a/src/main/java/cresschute/node/http/LongResult.java
+++ b/src/main/java/cresschute/node/http/StreamedResponseBody.java
@@ -10,7 +10,7 @@
  * owned from the time when the request is taken: a job that has run is never lost for want of it.
  * On the loop.
  */
-final class LongResult extends LongStream implements ResultStream {
+final class StreamedResponseBody extends StreamedBody implements ResultStream {
 
     /** Who makes it. */
     interface Source {
@@ -27,8 +27,8 @@
     private long stated = -1;
     private Source source;
 
-    LongResult(
-            LongBodies owner,
+    StreamedResponseBody(
+            StreamedBodies owner,
             Budget.Account account,
             ClassBodies limits,
             ByteBufAllocator allocator) {
--- a/src/main/java/cresschute/node/http/WorkerConnection.java
+++ b/src/main/java/cresschute/node/http/WorkerConnection.java
@@ -96,7 +96,7 @@
             exceptionCaught(null, e);
             return;
         }
-        final BodyPump body = next.body();
+        final BodyTransfer body = next.body();
         channel.writeAndFlush(request)
                 .addListener(
                         sent -> {
@@ -154,7 +154,7 @@
      * another one, or the end, is to be read first.
      */
     boolean isQuiet() {
-        ReadNow.now(channel);
+        SocketReads.now(channel);
         return channel.isActive();
     }
 
--- a/src/main/java/cresschute/node/http/WorkerConnectionPool.java
+++ b/src/main/java/cresschute/node/http/WorkerConnectionPool.java
@@ -40,7 +40,7 @@
     private final int max;
     private final Bootstrap bootstrap;
     private final Map<InetSocketAddress, Deque<WorkerConnection>> idle = new HashMap<>();
-    private int opened;
+    private int openConnections;
     private long freshUntilNs = System.nanoTime();
 
     /**
@@ -67,7 +67,7 @@
         applySettings(connectTimeoutUs, connIdleUs);
         bootstrap.option(
                 ChannelOption.RECVBUF_ALLOCATOR,
-                longResults ? LongStream.reads() : ReadNow.toTheEnd());
+                longResults ? StreamedBody.reads() : SocketReads.toTheEnd());
     }
 
     /**
@@ -112,12 +112,12 @@
                 return;
             }
         }
-        if (opened >= max && !closeOneIdle()) {
+        if (openConnections >= max && !closeOneIdle()) {
             faults.fault(PeerFault.NO_CONNECTION_LEFT, host(addr), "all are in use");
             loop.execute(exchange::broken);
             return;
         }
-        opened++;
+        openConnections++;
         connect(addr, exchange);
     }
 
@@ -138,7 +138,7 @@
         connecting.addListener(
                 done -> {
                     if (!done.isSuccess()) {
-                        opened--;
+                        openConnections--;
                         exchange.broken();
                     } else if (exchange.over || !exchange.mayBegin()) {
                         // Given up before it was up.
@@ -191,7 +191,7 @@
     }
 
     void closed(WorkerConnection connection) {
-        opened--;
+        openConnections--;
         final Deque<WorkerConnection> waiting = idle.get(connection.addr);
         if (waiting != null) {
             waiting.remove(connection);
@@ -214,7 +214,7 @@
     }
 
     /** Connections to workers that are open or coming up. */
-    public int opened() {
-        return opened;
+    public int openConnections() {
+        return openConnections;
     }
 }
--- a/src/test/java/cresschute/node/http/ParsersTest.java
+++ b/src/test/java/cresschute/node/http/ParsersTest.java
@@ -34,13 +34,13 @@
         "9999999999999m, -1"
     })
     void readsDeadlines(String text, long us) {
-        assertThat(Deadline.parseUs(text)).isEqualTo(us);
+        assertThat(DeadlineHeader.parseUs(text)).isEqualTo(us);
     }
 
     @ParameterizedTest
     @CsvSource({"2000000, 2", "1500000, 1.500", "1, 0.001", "1000001, 1.001", "20000, 0.020"})
     void writesAdvice(long us, String text) {
-        assertThat(RetryAfter.format(us)).isEqualTo(text);
+        assertThat(RetryAfterHeader.format(us)).isEqualTo(text);
     }
 
     @ParameterizedTest
