--- a/src/main/java/cresschute/node/http/BodyTransfer.java
+++ b/src/main/java/cresschute/node/http/BodyTransfer.java
@@ -9,157 +9,161 @@
 import io.netty.util.concurrent.Future;
 
 /**
- * Carries a long body to one peer, no faster than its connection takes it: what is not written
- * stays in the body, where it is counted. On the loop.
+ * Writes a streamed body to one peer with backpressure: no faster than the peer's connection takes
+ * it. What is not written stays in the body, where it is counted against the budget.
+ *
+ * <p>Created by {@link StreamedBody#newTransfer}, started on a channel to which the head was
+ * written, and over after one of the ends of its {@link BodyTransferListener} or {@link #stop}. It
+ * closes the channel where a write fails. Call from the event loop.
  */
 final class BodyTransfer {
 
-    /** How it goes on and ends; of the ends at most one is called, once. */
-    interface BodyEndpoints {
+    /** The least time between two notices of progress, us. */
+    private static final long PROGRESS_INTERVAL_US = 1_000_000;
 
-        /**
-         * It flows, or waits for whoever sends it: called with the first piece that is written, and
-         * again every second or so unless the peer is what it waits for.
-         */
-        default void flows() {}
+    /** Long before any time, us, so that the first piece is notified. */
+    private static final long NEVER_US = Long.MIN_VALUE / 2;
 
-        /** The last byte is written. */
-        void written();
+    private final StreamedBody body;
+    private final BodyTransferListener listener;
 
-        /** The rest will not come, or goes another way. */
-        void lost();
+    /** Null where the body could not be sent from its first byte any more. */
+    private final Body<ByteBuf>.Sender sender;
 
-        /** The peer takes too little. */
-        void tooSlow();
-    }
+    private final Pace peerPace;
+    private Channel channel;
 
-    private static final long TELL_US = 1_000_000;
+    /** Writes that are not completed. */
+    private int pendingWrites;
 
-    private final StreamedBody body;
-    private final BodyEndpoints ends;
-    private final Body<ByteBuf>.Sender sender;
-    private final Pace peer;
-    private Channel channel;
-    private int underWay;
-    private boolean lastIsOut;
-    private long toldUs = Long.MIN_VALUE / 2;
-    private boolean pumping;
+    private boolean lastWritten;
+    private long notifiedUs = NEVER_US;
+    private boolean writing;
     private boolean over;
 
-    BodyTransfer(StreamedBody body, BodyEndpoints ends) {
+    BodyTransfer(StreamedBody body, BodyTransferListener listener) {
         this.body = body;
-        this.ends = ends;
-        this.peer = body.newPace();
-        this.sender = body.send(this::news);
+        this.listener = listener;
+        this.peerPace = body.newPace();
+        this.sender = body.newSender(this::bodyChanged);
     }
 
-    /** Begins, on a connection to which the head was written. */
+    /** Starts on a channel to which the head was written. */
     void start(Channel to) {
         channel = to;
-        pump();
+        resume();
     }
 
-    private void news() {
+    private void bodyChanged() {
         if (channel == null) {
             return;
         }
-        if (isLost()) {
-            // Later: the news may come out of the end of another attempt of the same request.
-            channel.eventLoop().execute(this::pump);
+        if (isAborted()) {
+            // Later: the end of another attempt of the same request may have caused the change.
+            channel.eventLoop().execute(this::resume);
         } else {
-            pump();
+            resume();
         }
     }
 
-    private boolean isLost() {
-        return !lastIsOut && (sender == null || !sender.isCurrent() || body.isLost());
+    private boolean isAborted() {
+        return !lastWritten && (sender == null || !sender.isCurrent() || body.isLost());
     }
 
-    /** Writes what there is as long as the connection takes it. */
-    void pump() {
-        if (channel == null || over || pumping) {
+    /** Writes what there is, as long as the channel is writable. */
+    void resume() {
+        if (channel == null || over || writing) {
             return;
         }
-        if (isLost()) {
+        if (isAborted()) {
             stop();
-            ends.lost();
+            listener.transferAborted();
             return;
         }
-        pumping = true;
+        writing = true;
+        writePieces();
+        if (!over && !lastWritten && sender.hasTakenAll()) {
+            lastWritten = true;
+            channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT)
+                    .addListener(this::lastPieceWritten);
+        }
+        writing = false;
+        peerPace.turn(pendingWrites > 0, StreamedBody.nowUs());
+    }
+
+    private void writePieces() {
         while (channel.isWritable() && !over) {
             final ByteBuf piece = sender.next();
             if (piece == null) {
-                break;
+                return;
             }
-            underWay++;
+            pendingWrites++;
             final int count = piece.readableBytes();
             channel.writeAndFlush(new DefaultHttpContent(piece.retainedDuplicate()))
-                    .addListener(done -> sent(done, count));
-        }
-        if (!over && !lastIsOut && sender.hasTakenAll()) {
-            lastIsOut = true;
-            channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT).addListener(this::sentLast);
+                    .addListener(write -> pieceWritten(write, count));
         }
-        pumping = false;
-        peer.turn(underWay > 0, StreamedBody.nowUs());
     }
 
-    private void sent(Future<? super Void> done, int count) {
-        underWay--;
+    private void pieceWritten(Future<? super Void> write, int count) {
+        pendingWrites--;
         if (over) {
             return;
         }
-        if (!done.isSuccess()) {
+        if (!write.isSuccess()) {
             channel.close();
             return;
         }
-        peer.moved(count, StreamedBody.nowUs());
-        peer.turn(underWay > 0, StreamedBody.nowUs());
-        tellFlow();
+        peerPace.moved(count, StreamedBody.nowUs());
+        peerPace.turn(pendingWrites > 0, StreamedBody.nowUs());
+        notifyProgress();
         sender.sent();
-        body.sentSome();
-        pump();
+        body.pieceSent();
+        resume();
     }
 
-    private void sentLast(Future<? super Void> done) {
+    private void lastPieceWritten(Future<? super Void> write) {
         if (over) {
             return;
         }
         stop();
-        if (done.isSuccess()) {
-            ends.written();
+        if (write.isSuccess()) {
+            listener.transferCompleted();
         } else {
             channel.close();
         }
     }
 
-    private void tellFlow() {
+    private void notifyProgress() {
         final long nowUs = StreamedBody.nowUs();
-        if (nowUs - toldUs >= TELL_US) {
-            toldUs = nowUs;
-            ends.flows();
+        if (nowUs - notifiedUs >= PROGRESS_INTERVAL_US) {
+            notifiedUs = nowUs;
+            listener.transferProgressed();
         }
     }
 
-    /** Gives up a peer that takes too little; called by the sweep. */
-    void judge() {
-        if (!over && peer.isTooSlow(StreamedBody.nowUs())) {
-            body.owner.tooSlow(String.valueOf(channel.remoteAddress()), "it took too little");
+    /**
+     * Gives up a peer that takes too little; else notifies progress where the body's sender is what
+     * it waits for. Called by the sweep, a few times a second.
+     */
+    void checkPeerRate() {
+        if (!over && peerPace.isTooSlow(StreamedBody.nowUs())) {
+            body.owner()
+                    .reportTooSlow(String.valueOf(channel.remoteAddress()), "it took too little");
             stop();
-            ends.tooSlow();
-        } else if (!over && channel != null && underWay == 0) {
-            tellFlow();
+            listener.peerTooSlow();
+        } else if (!over && channel != null && pendingWrites == 0) {
+            notifyProgress();
         }
     }
 
-    /** Carries no more. Any number of times. */
+    /** Writes no more, and notifies no end. Any number of times. */
     void stop() {
         if (!over) {
             over = true;
             if (sender != null) {
                 sender.leave();
             }
-            body.left(this);
+            body.transferEnded(this);
         }
     }
 }
--- a/src/main/java/cresschute/node/http/ClientListener.java
+++ b/src/main/java/cresschute/node/http/ClientListener.java
@@ -16,127 +16,131 @@
 import io.netty.handler.codec.http.HttpServerCodec;
 import java.net.InetSocketAddress;
 import java.nio.channels.ServerSocketChannel;
-import java.util.Comparator;
-import java.util.LinkedHashSet;
+import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import java.util.concurrent.TimeUnit;
 
-/** The clients' way in over HTTP/1.1: accepts connections and keeps those that are open. */
+/**
+ * The listener for clients over HTTP/1.1: accepts connections, says whether the node is ready, and
+ * closes connections at a drain and at a shutdown.
+ *
+ * <p>Life cycle: created, {@link #listen}, then any number of {@link #drain} and {@link #resume},
+ * at a shutdown {@link #markNotReady}, {@link #stopListening} and {@link #closeIdle}. Owns the
+ * listening channel, the parser of the settings in force and the memory of queued requests and of
+ * streamed bodies; the connections are {@link ClientConnectionRegistry}'s. Call from the event
+ * loop, but for {@link #listen}.
+ */
 public final class ClientListener implements ReadinessSwitch {
 
     private static final int BACKLOG = 1024;
 
-    /** How many connections Netty accepts in one reading of a listener. */
-    private static final int ACCEPTED_AT_ONCE = 16;
+    /** Connections that Netty accepts in one read of a listening channel. */
+    private static final int ACCEPTED_PER_READ = 16;
 
-    /** What requests that wait behind others of their connections may take, all together, bytes. */
-    private static final int MAX_HELD_BYTES = 2 << 20;
+    /** What queued requests of all connections together may take, bytes. */
+    private static final int MAX_QUEUED_BYTES = 2 << 20;
 
     private static final long SWEEP_MS = 250;
 
     /**
-     * A connection that waits so long for a whole request is closed, unless it has brought one
-     * before. Usual clients send as soon as they are connected; one that does not is owed an end
-     * within 3 s.
+     * How long after a drain connections begin to be closed, ms. The platform checks every 100 ms
+     * whether the node is ready and sends no new connections 200 ms after a no: a connection closed
+     * before that may be opened here again at once.
      */
-    private static final long UNPROVEN_MS = 2_000;
-
-    /** The same where it has brought one, and where it has begun the next. */
-    private static final long QUIET_MS = 300_000;
-
-    private static final long PARTIAL_MS = 2_500;
-
-    /** The same once no more are accepted. */
-    private static final long CLOSING_MS = 2_000;
-
-    /**
-     * After a drain is asked for, connections are let go from then on, ms. The front asks every 100
-     * ms whether the node is ready and sends no new connections 200 ms after a no: a connection
-     * closed before that may come straight back.
-     */
-    static final long LET_GO_MS = 500;
+    static final long DRAIN_GRACE_MS = 500;
 
     private final EventLoop loop;
-    private final RequestLifecycle core;
-    private RequestHead.RequestHeadParser parser;
-    private final int max;
+    private final RequestLifecycle lifecycle;
+    private final ClientConnectionRegistry connections;
 
-    /** Null where bodies are short. */
+    /** Null where no class streams bodies. */
     private final StreamedBodies bodies;
 
-    private final Set<ClientConnection> connections = new LinkedHashSet<>();
-    private Channel server;
+    private RequestHeadParser parser;
+    private Channel serverChannel;
 
-    /** Whether the listener is the platform's, which is never closed here. */
+    /** Whether the listening socket is the platform's, which is never closed here. */
     private boolean passed;
 
-    private boolean stopping;
-    private boolean closing;
-    private int heldBytes;
-
-    /** Whether an operator drained the node, and since which of the drains asked for. */
+    private boolean notReady;
+    private boolean stoppedListening;
+    private int queuedBytes;
     private boolean draining;
 
-    private int drains;
+    /** Drains so far: a timer acts for its own drain alone. */
+    private int drainCount;
 
-    /** Whether connections are let go after their answers because of a drain. */
-    private boolean lettingGo;
+    /** Whether connections are closed after their responses because of a drain. */
+    private boolean closingForDrain;
 
     /**
-     * A front that does not listen yet.
+     * A listener that does not listen yet.
      *
-     * @param max connections that it holds at a time
+     * @param maxConnections connections that may be open at a time
      */
-    public ClientListener(EventLoop loop, RequestLifecycle core, NodeConfig config, int max) {
+    public ClientListener(
+            EventLoop loop, RequestLifecycle lifecycle, NodeConfig config, int maxConnections) {
         this.loop = loop;
-        this.core = core;
-        this.parser =
-                new RequestHead.RequestHeadParser(
-                        config.classes(), config.settings().classes(), config.settings().tenants());
-        this.max = max;
-        this.bodies = config.bodies() == null ? null : new StreamedBodies(config.bodies(), core);
+        this.lifecycle = lifecycle;
+        this.connections = new ClientConnectionRegistry(loop, this, maxConnections);
+        this.bodies =
+                config.bodies() == null ? null : new StreamedBodies(config.bodies(), lifecycle);
+        applySettings(
+                numbered(config.classes()),
+                config.settings().classes(),
+                config.settings().tenants());
+    }
+
+    private static Map<String, Integer> numbered(List<String> classNames) {
+        final Map<String, Integer> numbers = new HashMap<>();
+        classNames.forEach(name -> numbers.put(name, numbers.size()));
+        return numbers;
     }
 
     /**
-     * Reads requests of these classes from now on, on the loop: {@code live} gives the number of
-     * each class that new requests may be of, {@code classes} all of them by number, {@code
-     * tenants} the customers.
+     * Parses requests by these settings from now on.
+     *
+     * @param live the number of each class that new requests may be of, by name
+     * @param classes all classes by number
+     * @param tenants the tenants; empty where there are no quotas
      */
     public void applySettings(
             Map<String, Integer> live, List<RequestClass> classes, List<Tenant> tenants) {
-        parser = new RequestHead.RequestHeadParser(live, classes, tenants);
+        parser = new RequestHeadParser(live, classes, tenants);
     }
 
+    // ---- Listening ----
+
     /** Listens on this address only. */
     public ChannelFuture listen(EventLoopGroup group, InetSocketAddress addr) {
         return listen(group, addr, null);
     }
 
     /**
-     * Listens on this address only, or accepts on a listener that the platform holds and passed on.
+     * Listens on this address only, or accepts on a socket that the platform holds and passed on.
      *
-     * @param passed bound and listening already, or null; it is shared with the other process of an
-     *     upgrade
+     * @param passedSocket bound and listening already, or null; it is shared with the other process
+     *     of an upgrade
      */
     public ChannelFuture listen(
-            EventLoopGroup group, InetSocketAddress addr, ServerSocketChannel passed) {
+            EventLoopGroup group, InetSocketAddress addr, ServerSocketChannel passedSocket) {
         loop.scheduleWithFixedDelay(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
-        this.passed = passed != null;
-        final ServerBootstrap bootstrap = new ServerBootstrap();
-        bootstrap.childOption(
-                ChannelOption.RECVBUF_ALLOCATOR,
-                bodies != null ? StreamedBody.reads() : SocketReads.toTheEnd());
-        bootstrap.group(group);
-        if (passed == null) {
+        passed = passedSocket != null;
+        final ServerBootstrap bootstrap = new ServerBootstrap().group(group);
+        if (passed) {
+            bootstrap.channelFactory(() -> new NioServerSocketChannel(passedSocket));
+        } else {
             bootstrap
                     .channel(NioServerSocketChannel.class)
                     .option(ChannelOption.SO_BACKLOG, BACKLOG);
-        } else {
-            bootstrap.channelFactory(() -> new NioServerSocketChannel(passed));
         }
         bootstrap
+                .childOption(
+                        ChannelOption.RECVBUF_ALLOCATOR,
+                        bodies != null
+                                ? StreamedBody.boundedReads()
+                                : SocketReads.untilEndOfStream())
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(
                         new ChannelInitializer<Channel>() {
@@ -148,70 +152,101 @@
                                                 new ClientConnection(ClientListener.this));
                             }
                         });
-        // A passed listener is bound: registering it with the loop is all that is left.
-        final ChannelFuture bound = passed == null ? bootstrap.bind(addr) : bootstrap.register();
-        server = bound.channel();
+        // A passed socket is bound: registering it with the loop is all that is left.
+        final ChannelFuture bound = passed ? bootstrap.register() : bootstrap.bind(addr);
+        serverChannel = bound.channel();
         return bound;
     }
 
-    /** Says that no new clients should come; those that do are served all the same. */
+    /** Closes connections that take too long, and gives up streamed bodies that are too slow. */
+    private void sweep() {
+        if (bodies != null) {
+            bodies.sweep();
+        }
+        connections.sweep();
+    }
+
+    Channel serverChannel() {
+        return serverChannel;
+    }
+
+    /** Whether the clients' listening socket is the platform's, held over an upgrade. */
+    public boolean isPassed() {
+        return passed;
+    }
+
+    /** Connections from clients that are open. */
+    public int openConnections() {
+        return connections.size();
+    }
+
+    ClientConnectionRegistry connections() {
+        return connections;
+    }
+
+    // ---- Shutdown ----
+
+    /** Answers health checks with not ready; clients are served all the same. */
     public void markNotReady() {
-        stopping = true;
+        notReady = true;
     }
 
-    /** Accepts no more, closes what is idle, and the rest once it is answered. */
+    /** Accepts no more, and closes each connection once it is idle. */
     public void stopAccepting() {
         stopListening();
         closeIdle();
     }
 
     /**
-     * Accepts no more; each connection is closed after its next answer. A passed listener stays
-     * open, for the other process of an upgrade accepts on it: connections wait in its queue, and
+     * Accepts no more; each connection is closed after its next response. A passed socket stays
+     * open, as the other process of an upgrade accepts on it: connections wait in its backlog, and
      * none is refused.
      */
     public void stopListening() {
-        closing = true;
-        if (server == null) {
+        stoppedListening = true;
+        if (serverChannel == null) {
             return;
         }
         if (passed) {
             // Out of this loop's selector, which also keeps the loop's end from closing it.
-            server.config().setAutoRead(false);
-            server.deregister();
+            serverChannel.config().setAutoRead(false);
+            serverChannel.deregister();
         } else {
-            acceptAll();
-            server.close();
+            acceptBacklog();
+            serverChannel.close();
         }
     }
 
-    /**
-     * Guards those who are connected already and wait to be accepted: with the listener they are
-     * reset.
-     */
-    private void acceptAll() {
-        // Each reading of a listener accepts some; over the backlog's size, all that came are in.
-        for (int i = 0;
-                i < BACKLOG && !server.eventLoop().isShuttingDown();
-                i += ACCEPTED_AT_ONCE) {
-            SocketReads.now(server);
+    /** Accepts whoever is connected already: closing the socket would reset these connections. */
+    private void acceptBacklog() {
+        for (int accepted = 0;
+                accepted < BACKLOG && !serverChannel.eventLoop().isShuttingDown();
+                accepted += ACCEPTED_PER_READ) {
+            SocketReads.readNow(serverChannel);
         }
     }
 
     /** Closes the connections that wait for their client's next request. */
     public void closeIdle() {
-        List.copyOf(connections).forEach(ClientConnection::endIfIdle);
+        connections.closeIdle();
     }
 
-    /** Whether the clients' listener is the platform's, held over an upgrade. */
-    public boolean isPassed() {
-        return passed;
+    /** Whether no more connections are accepted. */
+    boolean isStoppedListening() {
+        return stoppedListening;
+    }
+
+    /** Whether connections are closed after their responses. */
+    boolean isClosing() {
+        return stoppedListening || closingForDrain;
     }
 
+    // ---- Readiness ----
+
     /**
-     * Says no to the front from now on; {@value #LET_GO_MS} ms later, closes what is idle and each
-     * other connection after its next answer. New connections are still accepted, and served the
-     * same way.
+     * Answers health checks with not ready from now on; {@value #DRAIN_GRACE_MS} ms later, closes
+     * idle connections, and each other one after its next response. New connections are still
+     * accepted, and served the same way.
      */
     @Override
     public void drain() {
@@ -219,15 +254,15 @@
             return;
         }
         draining = true;
-        final int drain = ++drains;
+        final int drain = ++drainCount;
         loop.schedule(
                 () -> {
-                    if (draining && drain == drains) {
-                        lettingGo = true;
+                    if (draining && drain == drainCount) {
+                        closingForDrain = true;
                         closeIdle();
                     }
                 },
-                LET_GO_MS,
+                DRAIN_GRACE_MS,
                 TimeUnit.MILLISECONDS);
     }
 
@@ -235,173 +270,78 @@
     @Override
     public void resume() {
         draining = false;
-        lettingGo = false;
+        closingForDrain = false;
     }
 
-    /**
-     * Whether the node says that it is ready: started, a worker known, neither stopping nor
-     * drained.
-     */
+    /** Whether health checks are answered with ready: workers known, not stopping, not drained. */
     @Override
     public boolean isReady() {
-        return !stopping && !draining && core.isReady();
+        return !notReady && !draining && lifecycle.isReady();
     }
 
-    /** Why it is not, in a few words. */
+    /** Why the node is not ready, in a few words. */
     @Override
     public String whyNotReady() {
-        return stopping
-                ? "stopping"
-                : draining
-                        ? "drained by an operator"
-                        : !core.isReady() ? "no worker is known yet" : "ready";
+        if (notReady) {
+            return "stopping";
+        }
+        if (draining) {
+            return "drained by an operator";
+        }
+        return lifecycle.isReady() ? "ready" : "no worker is known yet";
     }
 
-    /** Whether connections end after their answers. */
-    boolean isClosing() {
-        return closing || lettingGo;
-    }
+    // ---- What connections ask for ----
 
-    RequestLifecycle core() {
-        return core;
+    RequestLifecycle lifecycle() {
+        return lifecycle;
     }
 
-    RequestHead.RequestHeadParser parser() {
+    /** The parser by the settings in force. */
+    RequestHeadParser parser() {
         return parser;
     }
 
-    /** The room for long bodies, or null where there is none. */
+    /** The streamed bodies, or null where no class streams any. */
     StreamedBodies bodies() {
         return bodies;
     }
 
-    /** Bytes of the longest body that any class allows. */
-    long longestBody() {
-        return bodies == null ? ClientConnection.MAX_BODY_BYTES : bodies.longest();
+    /** The longest body that any class allows, bytes. */
+    long maxBodyBytes() {
+        return bodies == null ? RequestBodyBuffer.MAX_BYTES : bodies.maxBytes();
     }
 
-    /** Bytes of the longest body that a class allows. */
-    long longestBody(int requestClass) {
-        return bodies == null ? ClientConnection.MAX_BODY_BYTES : bodies.of(requestClass).longest();
+    /** The longest body that a class allows, bytes. */
+    long maxBodyBytes(int requestClass) {
+        return bodies == null ? RequestBodyBuffer.MAX_BYTES : bodies.limits(requestClass).longest();
     }
 
-    boolean hasLongResults(int requestClass) {
-        return bodies != null && bodies.of(requestClass).longResults();
+    /** Whether results of a class may be streamed. */
+    boolean allowsStreamedResults(int requestClass) {
+        return bodies != null && bodies.limits(requestClass).longResults();
     }
 
     /**
-     * Takes room for a request that waits behind others of its connection; false where there is
-     * none.
+     * Reserves memory for a queued request.
+     *
+     * @return false where the queues of all connections together would take too much
      */
-    boolean hold(int bytes) {
-        if (heldBytes + bytes > MAX_HELD_BYTES) {
+    boolean reserveQueued(int bytes) {
+        if (queuedBytes + bytes > MAX_QUEUED_BYTES) {
             return false;
         }
-        heldBytes += bytes;
+        queuedBytes += bytes;
         return true;
     }
 
-    /** Gives back such room. */
-    void letGo(int bytes) {
-        heldBytes -= bytes;
-    }
-
-    void opened(ClientConnection connection) {
-        connections.add(connection);
-        if (closing) {
-            // Accepted as the listener was closed: what it has sent is taken, and it is not waited
-            // for.
-            loop.execute(connection::endIfIdle);
-        }
-        if (connections.size() >= max && !makeRoom(connection)) {
-            server.config().setAutoRead(false);
-        }
-    }
-
-    /**
-     * Guards the descriptors, and usual clients against those that only hold connections: of those
-     * that owe the next word one makes room, the unproven first, but never the new one, which is
-     * about to send. What has come on a connection is read before it is closed: its request may lie
-     * unread. If there is none, further ones wait to be accepted until an answer makes one. Not
-     * from within the reading of a client's connection.
-     */
-    private boolean makeRoom(ClientConnection newest) {
-        final List<ClientConnection> candidates =
-                connections.stream()
-                        .filter(other -> other != newest && other.mayMakeRoom())
-                        .sorted(
-                                Comparator.comparing(ClientConnection::isProven)
-                                        .thenComparing(
-                                                Comparator.comparingLong(ClientConnection::waitedNs)
-                                                        .reversed()))
-                        .toList();
-        for (final ClientConnection candidate : candidates) {
-            candidate.readNow();
-            if (candidate.mayMakeRoom()) {
-                candidate.close();
-                return true;
-            }
-        }
-        return false;
-    }
-
-    /** An answer is written: its connection may be the first that can make room. */
-    void answered() {
-        if (isFull()) {
-            loop.execute(this::makeRoomForNext);
-        }
+    /** Returns such memory. */
+    void releaseQueued(int bytes) {
+        queuedBytes -= bytes;
     }
 
-    private void makeRoomForNext() {
-        if (isFull()) {
-            makeRoom(null);
-        }
-    }
-
-    private boolean isFull() {
-        return connections.size() >= max && !server.config().isAutoRead();
-    }
-
-    void closed(ClientConnection connection) {
-        connections.remove(connection);
-        if (connections.size() < max && server.isOpen() && !closing) {
-            server.config().setAutoRead(true);
-        }
-    }
-
-    /** Guards against clients that went silent: no wait for one is without end. */
-    private void sweep() {
-        if (bodies != null) {
-            bodies.sweep();
-        }
-        for (final ClientConnection connection : List.copyOf(connections)) {
-            if (connection.isStreaming()) {
-                continue;
-            }
-            if (connection.isInLongBody() && (!closing || connection.hasTakenWhatItReads())) {
-                connection.judgeBody();
-                continue;
-            }
-            final long limitMs =
-                    isClosing()
-                            ? CLOSING_MS
-                            : !connection.isProven()
-                                    ? UNPROVEN_MS
-                                    : connection.isIdle() ? QUIET_MS : PARTIAL_MS;
-            if (connection.isWaitingForClient()
-                    && connection.waitedNs() > TimeUnit.MILLISECONDS.toNanos(limitMs)) {
-                connection.close();
-            }
-        }
-    }
-
-    /** Bytes that long bodies hold, or own, of their budget. */
+    /** Bytes of the budget that streamed bodies hold, or own. */
     public long bodyBytes() {
-        return bodies == null ? 0 : bodies.inUse();
-    }
-
-    /** Connections from clients that are open. */
-    public int openConnections() {
-        return connections.size();
+        return bodies == null ? 0 : bodies.inUseBytes();
     }
 }
--- a/src/main/java/cresschute/node/http/DeadlineHeader.java
+++ b/src/main/java/cresschute/node/http/DeadlineHeader.java
@@ -3,26 +3,38 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** How long a client waits: a number and a unit, m for milliseconds or u for microseconds. */
+/**
+ * The value of {@code X-Deadline}: a number and its unit, m for milliseconds, u for microseconds.
+ */
 final class DeadlineHeader {
 
+    /** What {@link #parseUs} returns for a value that is no time. */
+    static final long INVALID = -1;
+
     private static final Pattern FORM = Pattern.compile("([0-9]{1,12})(?:\\.([0-9]{1,9}))?([mu])");
+
+    /** The longest time, us: an hour. */
     private static final long MAX_US = 3_600_000_000L;
 
     private DeadlineHeader() {}
 
-    /** The time in microseconds, an hour at the most, or -1 where the text is none. */
+    /**
+     * Parses a value.
+     *
+     * @return the time, us, from 0 to an hour; longer ones count as an hour; {@link #INVALID} where
+     *     the text is no time
+     */
     static long parseUs(String text) {
         final Matcher matcher = FORM.matcher(text.strip());
         if (!matcher.matches()) {
-            return -1;
+            return INVALID;
         }
         final String fraction = matcher.group(2) == null ? "0" : matcher.group(2);
         final double value = Double.parseDouble(matcher.group(1) + "." + fraction);
         return (long) Math.min(MAX_US, matcher.group(3).equals("m") ? value * 1000 : value);
     }
 
-    /** The header's form of a time. */
+    /** Formats a time, us; a negative one as 0. */
     static String format(long us) {
         return Math.max(0, us) + "u";
     }
--- a/src/main/java/cresschute/node/http/HttpAttempt.java
+++ b/src/main/java/cresschute/node/http/HttpAttempt.java
@@ -24,7 +24,7 @@
 
 /** An attempt: the request as the client sent it, and an answer that comes in lines. */
 final class HttpAttempt extends HttpExchange
-        implements AttemptCall, BodyTransfer.BodyEndpoints, StreamedResponseBody.Source {
+        implements AttemptCall, BodyTransferListener, StreamedResponseBody.Source {
 
     private static final int OK = 200;
     private static final int UNAVAILABLE = 503;
@@ -59,7 +59,10 @@
         this.content = content;
         this.listener = listener;
         this.faults = faults;
-        this.pump = content.longBody() instanceof StreamedRequestBody body ? body.pump(this) : null;
+        this.pump =
+                content.longBody() instanceof StreamedRequestBody body
+                        ? body.newTransfer(this)
+                        : null;
     }
 
     @Override
@@ -108,23 +111,23 @@
      * none.
      */
     @Override
-    public void flows() {
+    public void transferProgressed() {
         listener.progressed(0);
     }
 
     @Override
-    public void written() {
+    public void transferCompleted() {
         written = true;
     }
 
     /** No fault of the worker's, and it cannot have run: its last byte never went out. */
     @Override
-    public void lost() {
+    public void transferAborted() {
         unsent(Outcome.CANCELLED);
     }
 
     @Override
-    public void tooSlow() {
+    public void peerTooSlow() {
         unsent(Outcome.CONNECT_FAILED);
     }
 
@@ -139,7 +142,7 @@
     }
 
     @Override
-    public void makesTooLittle() {
+    public void sourceTooSlow() {
         faults.fault(PeerFault.BODY_TOO_SLOW, host, "it made too little of a result");
         breakOff();
     }
@@ -199,7 +202,7 @@
                         line.load() == LoadReport.NONE ? load : line.load());
         if (begun instanceof StreamedResponseBody ours) {
             result = ours;
-            result.from(this);
+            result.setSource(this);
             // From now on each read is asked for.
             awaiting = true;
             connection.readByHand(true);
@@ -211,7 +214,7 @@
     }
 
     private void pass(ByteBuf chunk) {
-        final long max = result.stated() < 0 ? Long.MAX_VALUE : result.stated();
+        final long max = result.statedLength() < 0 ? Long.MAX_VALUE : result.statedLength();
         if (!result.collect(chunk, connection.allocator(), max)) {
             faults.fault(PeerFault.BAD_BACKEND_ANSWER, host, "a result is longer than it said");
             breakOff();
@@ -223,13 +226,13 @@
         awaiting = false;
         if (result != null && !over) {
             result.endPiece(connection.allocator());
-            readOn();
+            resumeReading();
         }
     }
 
     @Override
-    public void readOn() {
-        if (!over && !awaiting && result.hasRoom()) {
+    public void resumeReading() {
+        if (!over && !awaiting && result.hasCapacity()) {
             awaiting = true;
             connection.read();
         }
@@ -299,7 +302,7 @@
             final String state = trailers.get(HeaderNames.JOB_STATE);
             endResult(
                     result.isAsLongAsStated()
-                            && (state == null ? result.stated() >= 0 : state.equals("done")));
+                            && (state == null ? result.statedLength() >= 0 : state.equals("done")));
             return;
         }
         broken();
--- a/src/main/java/cresschute/node/http/RetryAfterHeader.java
+++ b/src/main/java/cresschute/node/http/RetryAfterHeader.java
@@ -1,18 +1,20 @@
 package cresschute.node.http;
 
-/** The header's form of a time: seconds, whole or decimal. */
+/** The value of {@code Retry-After}: seconds, whole ones or with a fraction of three digits. */
 final class RetryAfterHeader {
 
-    private static final long MS = 1_000;
+    private static final long US_PER_MS = 1_000;
+    private static final long MS_PER_S = 1_000;
 
     private RetryAfterHeader() {}
 
-    /** Rounded up to a millisecond, so that nobody comes back too early. */
+    /** Formats a time, us, rounded up to a millisecond, so that no client returns too early. */
     static String format(long us) {
-        final long ms = (us + MS - 1) / MS;
-        final long rest = ms % MS;
-        return rest == 0
-                ? Long.toString(ms / MS)
-                : ms / MS + "." + Long.toString(MS + rest).substring(1);
+        final long ms = (us + US_PER_MS - 1) / US_PER_MS;
+        final long fractionMs = ms % MS_PER_S;
+        final long seconds = ms / MS_PER_S;
+        return fractionMs == 0
+                ? Long.toString(seconds)
+                : seconds + "." + Long.toString(MS_PER_S + fractionMs).substring(1);
     }
 }
--- a/src/main/java/cresschute/node/http/SocketReads.java
+++ b/src/main/java/cresschute/node/http/SocketReads.java
@@ -5,34 +5,30 @@
 import io.netty.channel.RecvByteBufAllocator;
 import io.netty.channel.nio.AbstractNioChannel;
 
-/**
- * Reading a connection at a moment of one's own, and not only when the loop comes to it. On the
- * loop.
- */
+/** How sockets are read beside Netty's default. Call from the channel's event loop. */
 final class SocketReads {
 
-    /** Reads of one connection in one pass of the loop, as Netty has it for sockets. */
-    private static final int READS_A_PASS = 16;
+    /** Reads of one connection in one pass of the event loop; Netty's default for sockets. */
+    private static final int MAX_READS_PER_PASS = 16;
 
     private SocketReads() {}
 
     /**
-     * For connections whose end is to be seen in the pass of the loop that reads what came before
-     * it: by default a read that leaves room in its buffer is the last one of the pass. Guards
-     * against sending a request whose client has left already, and against keeping a connection
-     * that has ended behind its answer.
+     * For connections whose close must be seen in the pass of the event loop that reads what came
+     * before it. By default a read that does not fill its buffer is the last one of its pass; then
+     * a request could be sent for a client that has closed, or a connection be kept that has ended.
      */
-    static RecvByteBufAllocator toTheEnd() {
+    static RecvByteBufAllocator untilEndOfStream() {
         final AdaptiveRecvByteBufAllocator reads = new AdaptiveRecvByteBufAllocator();
         reads.respectMaybeMoreData(false);
-        return reads.maxMessagesPerRead(READS_A_PASS);
+        return reads.maxMessagesPerRead(MAX_READS_PER_PASS);
     }
 
     /**
-     * Hands on what has come on this channel until now, its end included; nothing where nothing
-     * has. Not from within that channel's own reading.
+     * Reads what has arrived on this channel until now, its close included, and passes it through
+     * the pipeline. Not to be called while the channel is being read.
      */
-    static void now(Channel channel) {
+    static void readNow(Channel channel) {
         if (channel.isActive() && channel.unsafe() instanceof AbstractNioChannel.NioUnsafe nio) {
             nio.read();
         }
--- a/src/main/java/cresschute/node/http/StreamedBodies.java
+++ b/src/main/java/cresschute/node/http/StreamedBodies.java
@@ -13,85 +13,98 @@
 import java.util.Set;
 
 /**
- * The long bodies of a node: the budget that they share, and what watches their pace. On the loop.
+ * The streamed bodies of a node: the budget of memory that they take from, and the sweep that gives
+ * up those whose sender or receiver is too slow. Bodies add and remove themselves; each closes its
+ * own account. Call from the event loop.
  */
 final class StreamedBodies {
 
     /**
-     * With 40 bodies that stand still, each holds two to three windows, and there is room for 130
-     * more.
+     * A body is lent no more than what is free over this: of bodies that stand still each then
+     * holds two to three windows, and many more can be opened.
      */
-    private static final long LEND_SHARE = 64;
+    private static final long LEND_DIVISOR = 64;
 
     private final Bodies settings;
     private final Budget budget;
-    private final long longest;
-    private final RequestLifecycle core;
-    private final Set<BodyTransfer> pumps = new LinkedHashSet<>();
+    private final long maxBytes;
+    private final RequestLifecycle lifecycle;
+    private final Set<BodyTransfer> transfers = new LinkedHashSet<>();
     private final Set<StreamedResponseBody> results = new LinkedHashSet<>();
 
-    StreamedBodies(Bodies settings, RequestLifecycle core) {
+    /** An empty budget of the size that the settings state. */
+    StreamedBodies(Bodies settings, RequestLifecycle lifecycle) {
         this.settings = settings;
-        this.core = core;
+        this.lifecycle = lifecycle;
         this.budget =
                 new Budget(
                         settings.budget(),
                         settings.window(),
                         settings.lent(),
-                        LEND_SHARE,
+                        LEND_DIVISOR,
                         settings.ofAClient());
-        this.longest = settings.classes().stream().mapToLong(ClassBodies::longest).max().orElse(0);
+        this.maxBytes = settings.classes().stream().mapToLong(ClassBodies::longest).max().orElse(0);
     }
 
-    ClassBodies of(int requestClass) {
+    /** The limits of a class. */
+    ClassBodies limits(int requestClass) {
         return settings.classes().get(requestClass);
     }
 
-    /** The longest that any class allows, bytes. */
-    long longest() {
-        return longest;
+    /** The longest body that any class allows, bytes. */
+    long maxBytes() {
+        return maxBytes;
     }
 
     /**
-     * Opens a body, or returns null where there is no room for its window.
+     * Opens a request's body.
      *
-     * @param client the address that its client comes from
-     * @param length what its head says, or -1
-     * @param room told when more of it can be read than before
+     * @param client the address of its client's host
+     * @param length bytes that the head states, or {@link StreamedRequestBody#UNKNOWN_LENGTH}
+     * @param onCapacity called when more of it can be read than before
+     * @return null where the budget has no window for it; that is logged
      */
-    StreamedRequestBody open(String client, int requestClass, long length, Runnable room) {
-        final Account account = open(client, room);
+    StreamedRequestBody openRequestBody(
+            String client, int requestClass, long length, Runnable onCapacity) {
+        final Account account = openAccount(client, onCapacity);
         return account == null
                 ? null
                 : new StreamedRequestBody(
-                        this, account, of(requestClass), settings.spool(), length, room);
+                        this, account, limits(requestClass), settings.spool(), length, onCapacity);
     }
 
-    /** Opens the room for a result, or returns null where there is none. */
-    StreamedResponseBody openResult(String client, int requestClass, ByteBufAllocator allocator) {
-        final Waker waker = new Waker();
-        final Account account = open(client, waker);
-        waker.result =
+    /**
+     * Opens a result, of which nothing is there yet.
+     *
+     * @param client the address of the host of its request's client
+     * @return null where the budget has no window for it; that is logged
+     */
+    StreamedResponseBody openResponseBody(
+            String client, int requestClass, ByteBufAllocator allocator) {
+        final CapacityNotice notice = new CapacityNotice();
+        final Account account = openAccount(client, notice);
+        notice.result =
                 account == null
                         ? null
-                        : new StreamedResponseBody(this, account, of(requestClass), allocator);
-        return waker.result;
+                        : new StreamedResponseBody(this, account, limits(requestClass), allocator);
+        return notice.result;
     }
 
-    /** An account tells of room from the start on, and a result needs its account to begin with. */
-    private static final class Waker implements Runnable {
+    /** Passes an account's notices on to its result, which can be made only after the account. */
+    private static final class CapacityNotice implements Runnable {
         private StreamedResponseBody result;
 
         @Override
         public void run() {
-            result.hasRoomAgain();
+            result.capacityFreed();
         }
     }
 
-    private Account open(String client, Runnable room) {
-        final Admission admission = budget.open(client, room);
+    private Account openAccount(String client, Runnable onCapacity) {
+        final Admission admission = budget.open(client, onCapacity);
         if (admission.account() == null) {
-            core.faults()
+            lifecycle
+                    .faults()
                     .fault(
                             PeerFault.NO_ROOM_FOR_BODY,
                             client,
@@ -105,17 +118,17 @@
         return admission.account();
     }
 
-    /** Bytes in use of the budget. */
-    long inUse() {
+    /** Bytes of the budget in use. */
+    long inUseBytes() {
         return budget.inUse();
     }
 
-    void add(BodyTransfer pump) {
-        pumps.add(pump);
+    void add(BodyTransfer transfer) {
+        transfers.add(transfer);
     }
 
-    void remove(BodyTransfer pump) {
-        pumps.remove(pump);
+    void remove(BodyTransfer transfer) {
+        transfers.remove(transfer);
     }
 
     void add(StreamedResponseBody result) {
@@ -126,13 +139,18 @@
         results.remove(result);
     }
 
-    /** Gives up what goes too slowly: peers that take too little, workers that make too little. */
+    /** Gives up peers that take too little, and workers that send too little of a result. */
     void sweep() {
-        List.copyOf(pumps).forEach(BodyTransfer::judge);
-        List.copyOf(results).forEach(StreamedResponseBody::judge);
+        List.copyOf(transfers).forEach(BodyTransfer::checkPeerRate);
+        List.copyOf(results).forEach(StreamedResponseBody::checkSourceRate);
     }
 
-    void tooSlow(String who, String what) {
-        core.faults().fault(PeerFault.BODY_TOO_SLOW, who, what);
+    /**
+     * Logs that a side of a body was too slow.
+     *
+     * @param peer its address
+     */
+    void reportTooSlow(String peer, String detail) {
+        lifecycle.faults().fault(PeerFault.BODY_TOO_SLOW, peer, detail);
     }
 }
--- a/src/main/java/cresschute/node/http/StreamedResponseBody.java
+++ b/src/main/java/cresschute/node/http/StreamedResponseBody.java
@@ -6,27 +6,34 @@
 import io.netty.buffer.ByteBufAllocator;
 
 /**
- * A long result on its way from its attempt to the connection of its request's client. Its room is
- * owned from the time when the request is taken: a job that has run is never lost for want of it.
- * On the loop.
+ * A streamed result on its way from an attempt to its request's client. Its window of the budget is
+ * reserved when the request is submitted, so that a job that has run is never lost for want of
+ * capacity.
+ *
+ * <p>Opened with its request, begun by the attempt that brings the first byte, ended by {@link
+ * #finish}, closed by {@link #drop}. Call from the event loop.
  */
 final class StreamedResponseBody extends StreamedBody implements ResultStream {
 
-    /** Who makes it. */
+    /** The length of a result of which the worker states none. */
+    static final long UNKNOWN_LENGTH = -1;
+
+    /** The attempt that the result comes from. */
     interface Source {
 
-        /** There may be room for another read. */
-        void readOn();
+        /** There may be capacity for another read. */
+        void resumeReading();
 
-        /** The worker makes too little of it. */
-        void makesTooLittle();
+        /** The worker sends less than the least rate. */
+        void sourceTooSlow();
     }
 
     private final ByteBufAllocator allocator;
     private String type;
-    private long stated = -1;
+    private long statedLength = UNKNOWN_LENGTH;
     private Source source;
 
+    /** A result that has not begun. */
     StreamedResponseBody(
             StreamedBodies owner,
             Budget.Account account,
@@ -36,48 +43,59 @@
         this.allocator = allocator;
     }
 
-    /** Its first byte is about to come. */
+    /**
+     * Its first byte is about to come.
+     *
+     * @param contentType as the worker states it, or null
+     * @param length bytes that the worker states, or {@link #UNKNOWN_LENGTH}
+     */
     void begin(String contentType, long length) {
         type = contentType;
-        stated = length;
-        owner.add(this);
+        statedLength = length;
+        owner().add(this);
     }
 
-    void from(Source maker) {
-        source = maker;
+    /** The attempt that it comes from; notified until the result is finished or dropped. */
+    void setSource(Source attempt) {
+        source = attempt;
     }
 
-    /** What the worker calls its content, or null. */
+    /** The content type that the worker states, or null. */
     String type() {
         return type;
     }
 
-    /** Bytes that the worker tells, or -1. */
-    long stated() {
-        return stated;
+    /** Bytes that the worker states, or {@link #UNKNOWN_LENGTH}. */
+    long statedLength() {
+        return statedLength;
+    }
+
+    boolean hasStatedLength() {
+        return statedLength != UNKNOWN_LENGTH;
     }
 
-    /** Whether all has come that was told. */
+    /** Whether as many bytes were read as were stated. */
     boolean isAsLongAsStated() {
-        return stated < 0 || bytes() == stated;
+        return !hasStatedLength() || bytesRead() == statedLength;
     }
 
     @Override
-    void hasRoomAgain() {
+    void capacityFreed() {
         if (source != null) {
-            source.readOn();
+            source.resumeReading();
         }
     }
 
-    void judge() {
+    /** Notifies a source that sends too little; called by the sweep. */
+    void checkSourceRate() {
         if (source != null && isSenderTooSlow()) {
-            source.makesTooLittle();
+            source.sourceTooSlow();
         }
     }
 
     @Override
     public void finish(boolean isWhole) {
-        owner.remove(this);
+        owner().remove(this);
         source = null;
         if (isWhole) {
             whole(allocator);
@@ -86,9 +104,9 @@
         }
     }
 
-    /** Nobody wants it, or it is out. */
+    /** It is written, or not needed any more. */
     void drop() {
-        owner.remove(this);
+        owner().remove(this);
         source = null;
         retire();
     }
--- a/src/main/java/cresschute/node/http/WorkerConnection.java
+++ b/src/main/java/cresschute/node/http/WorkerConnection.java
@@ -134,7 +134,7 @@
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
         if (exchange != null && exchange.body() != null) {
-            exchange.body().pump();
+            exchange.body().resume();
         }
     }
 
@@ -154,7 +154,7 @@
      * another one, or the end, is to be read first.
      */
     boolean isQuiet() {
-        SocketReads.now(channel);
+        SocketReads.readNow(channel);
         return channel.isActive();
     }
 
--- a/src/main/java/cresschute/node/http/WorkerConnectionPool.java
+++ b/src/main/java/cresschute/node/http/WorkerConnectionPool.java
@@ -67,7 +67,7 @@
         applySettings(connectTimeoutUs, connIdleUs);
         bootstrap.option(
                 ChannelOption.RECVBUF_ALLOCATOR,
-                longResults ? StreamedBody.reads() : SocketReads.toTheEnd());
+                longResults ? StreamedBody.boundedReads() : SocketReads.untilEndOfStream());
     }
 
     /**
