--- a/src/test/java/cresschute/KnownFailuresTest.java
+++ b/src/test/java/cresschute/KnownFailuresTest.java
@@ -17,7 +17,8 @@
  */
 class KnownFailuresTest {
 
-    private static final String RED = "cresschute.node.MainTest#first, the cause, issue 7";
+    private static final String RED =
+            "cresschute.node.MainTest#first, mvn test -Dtest=MainTest seed 31, no answer, issue 7";
 
     @TempDir private Path folder;
 
@@ -111,11 +112,13 @@
         assertThat(run(0, 0)).endsWith("exit 1");
         known();
         assertThat(run(0, 0)).endsWith("exit 1");
-        known("cresschute.node.MainTest, a whole class, issue 7");
+        known("cresschute.node.MainTest, mvn test seed 31, a whole class, issue 7");
         assertThat(run(0, 0)).endsWith("exit 1");
-        known("cresschute.node.*#first, a pattern, issue 7");
+        known("cresschute.node.*#first, mvn test seed 31, a pattern, issue 7");
         assertThat(run(0, 0)).endsWith("exit 1");
-        known("cresschute.node.MainTest#first, no issue");
+        known("cresschute.node.MainTest#first, mvn test seed 31, no issue");
+        assertThat(run(0, 0)).endsWith("exit 1");
+        known("cresschute.node.MainTest#first, , no command, issue 7");
         assertThat(run(0, 0)).endsWith("exit 1");
         assertThat(calls()).isEmpty();
     }
