--- a/src/main/java/cresschute/settings/Schema.java
+++ b/src/main/java/cresschute/settings/Schema.java
@@ -54,12 +54,12 @@
                     List.of(NODE_NAME, LISTEN, SEED, DISPATCHERS, NODE_ZONE));
 
     static final Field<String> CLASS_NAME =
-            required("name", FieldType.name(), "the first part of the path of its reqs");
+            required("name", FieldType.name(), "the first part of the path of its requests");
     static final Field<Double> WORTH =
             required(
                     "worth",
                     FieldType.number(0, 1e6),
-                    "what a req answered in time is worth; only proportions count");
+                    "what a request answered in time is worth; only proportions count");
     static final Field<Long> AIM =
             required(
                     "aim",
@@ -95,26 +95,27 @@
                     "attempts",
                     FieldType.whole(1, MOST_ATTEMPTS),
                     (long) MOST_ATTEMPTS,
-                    "fetches for one req, second copies included; never more than `limits` allows");
+                    "attempts for one request, hedged requests included; never more than `limits`"
+                            + " allows");
     static final Field<List<String>> CLASS_ZONES =
             optional(
                     "zones",
                     FieldType.names(),
                     List.of(),
-                    "the only zones that its reqs are sent to; all of them if empty");
+                    "the only zones that its requests are sent to; all of them if empty");
     static final Field<List<String>> CLASS_KINDS =
             optional(
                     "kinds",
                     FieldType.names(),
                     List.of(),
-                    "the only kinds of worker that its reqs are sent to; all of them if empty");
+                    "the only kinds of worker that its requests are sent to; all of them if empty");
     static final Field<Long> LONGEST_BODY =
             optional(
                     "longest_body",
                     FieldType.size(64 * KIB, 1024 * GIB),
                     64 * KIB,
-                    "the longest body of its reqs; one beyond 64 KiB is passed on as it arrives,"
-                            + " see `bodies`");
+                    "the longest body of its requests; one beyond 64 KiB is passed on as it"
+                            + " arrives, see `bodies`");
     static final Field<Long> LEAST_RATE =
             optional(
                     "least_rate",
@@ -145,7 +146,7 @@
                     "job_class",
                     1,
                     64,
-                    "a class of reqs",
+                    "a class of requests",
                     List.of(
                             CLASS_NAME,
                             WORTH,
@@ -176,7 +177,7 @@
                     "cell",
                     FieldType.whole(0, 65_535),
                     0L,
-                    "the group within which it drops repeats of keyed reqs");
+                    "the group within which it drops repeats of keyed requests");
     static final Field<Double> WORKER_WEIGHT =
             optional("weight", FieldType.number(0, 1000), 1.0, "its nominal size");
     static final Block WORKER =
@@ -184,7 +185,7 @@
                     "worker",
                     0,
                     MANY,
-                    "a worker: the fixed list, or with a director the list to begin with",
+                    "a worker: the fixed list, or with a discovery service the list to begin with",
                     List.of(
                             WORKER_ID,
                             WORKER_ADDRESS,
@@ -214,13 +215,13 @@
                     "attempts",
                     FieldType.whole(1, MOST_ATTEMPTS),
                     (long) MOST_ATTEMPTS,
-                    "fetches for one req, of any class");
+                    "attempts for one request, of any class");
     static final Field<Boolean> SECOND_COPIES =
             optional(
                     "second_copies",
                     FieldType.truth(),
                     false,
-                    "whether a req may be out at two workers at a time");
+                    "whether a request may be out at two workers at a time");
     static final Field<Long> RETRY_AFTER =
             optional(
                     "retry_after",
@@ -283,8 +284,8 @@
                     "window",
                     FieldType.size(128 * KIB, GIB),
                     128 * KIB,
-                    "memory that each owns while its req is open; without room for it, the req is"
-                            + " refused");
+                    "memory that each owns while its request is open; without room for it, the"
+                            + " request is refused");
     static final Field<Long> LENT =
             optional(
                     "lent",
@@ -304,7 +305,7 @@
                     "of_a_client",
                     FieldType.size(128 * KIB, 64 * GIB),
                     8 * MIB,
-                    "memory that the reqs from one address may own so; not above `budget`");
+                    "memory that the requests from one address may own so; not above `budget`");
     static final Block BODIES =
             new Block(
                     "bodies",
@@ -345,7 +346,7 @@
                     List.of(FROM_SHARE, WARM_WITHIN, OVERLOAD, TIP_AFTER));
 
     static final Field<Double> WHOLE =
-            optional("whole", FieldType.number(0, 1e6), 0.65, "weight of all reqs");
+            optional("whole", FieldType.number(0, 1e6), 0.65, "weight of all requests");
     static final Field<Double> WORST_WINDOW =
             optional(
                     "worst_window",
