--- a/src/main/java/cresschute/cli/DemoCommand.java
+++ b/src/main/java/cresschute/cli/DemoCommand.java
@@ -1,6 +1,6 @@
 package cresschute.cli;
 
-import cresschute.logs.LogFinder;
+import cresschute.logs.RoutedLoggerFinder;
 import cresschute.logs.structured.StructuredLog;
 import cresschute.testbed.Durations;
 import cresschute.testbed.Fleet;
@@ -118,7 +118,7 @@
         final long forUs = forUs();
         // Set before anything of the node's is loaded: its log would run through the picture.
         final StructuredLog log = new StructuredLog(false, verbose ? Level.INFO : Level.ERROR);
-        LogFinder.use(log);
+        RoutedLoggerFinder.use(log);
         final CountDownLatch interrupted = new CountDownLatch(1);
         final CountDownLatch ended = new CountDownLatch(1);
         try (Fleet fleet = fleet()) {
--- a/src/main/java/cresschute/cli/ServeCommand.java
+++ b/src/main/java/cresschute/cli/ServeCommand.java
@@ -1,6 +1,6 @@
 package cresschute.cli;
 
-import cresschute.logs.LogFinder;
+import cresschute.logs.RoutedLoggerFinder;
 import cresschute.logs.structured.StructuredLog;
 import cresschute.node.ConfigException;
 import cresschute.node.NodeConfig;
@@ -60,7 +60,7 @@
                 new StructuredLog(
                         settings.logFormat().equals("json"),
                         Level.valueOf(settings.logLevel().toUpperCase(Locale.ROOT)));
-        LogFinder.use(log);
+        RoutedLoggerFinder.use(log);
         try {
             Serving.start(node(settings), () -> reread(file), log::close);
         } catch (ConfigException e) {
--- a/src/main/java/cresschute/cli/TrialCommand.java
+++ b/src/main/java/cresschute/cli/TrialCommand.java
@@ -4,7 +4,7 @@
 import cresschute.cli.NodeTalk.NoAnswer;
 import cresschute.console.ControlLink;
 import cresschute.console.ScreenCost;
-import cresschute.logs.LogFinder;
+import cresschute.logs.RoutedLoggerFinder;
 import cresschute.logs.structured.StructuredLog;
 import cresschute.testbed.Fleet;
 import cresschute.testbed.FleetReport;
@@ -122,7 +122,7 @@
     public Integer call() throws IOException, InterruptedException, NoAnswer {
         // Set before anything of the node's is loaded: its log would run through the tables.
         final StructuredLog log = new StructuredLog(false, Level.ERROR);
-        LogFinder.use(log);
+        RoutedLoggerFinder.use(log);
         final PrintWriter out = spec.commandLine().getOut();
         final Path folder = Files.createTempDirectory("cresschute-trial");
         try {
--- a/src/main/java/cresschute/flow/Body.java
+++ b/src/main/java/cresschute/flow/BodyBuffer.java
@@ -21,29 +21,29 @@
  *
  * @param <P> a piece, such as a buffer
  */
-public final class Body<P> {
+public final class BodyBuffer<P> {
 
     /** How far the body has come in. */
     public enum State {
         OPEN,
-        WHOLE,
-        BROKEN,
+        COMPLETE,
+        ABORTED,
         CLOSED
     }
 
     private record Piece<P>(P content, long cost) {}
 
-    private final Budget.Account account;
+    private final BufferBudget.Reservation account;
     private final long spoolBound;
     private final Consumer<P> release;
     private final List<Piece<P>> held = new ArrayList<>();
-    private final List<Sender> senders = new ArrayList<>();
+    private final List<Reader> senders = new ArrayList<>();
 
     /** Pieces let go of so far: the number of the first that is held. */
     private int letGo;
 
-    private long room;
-    private long read;
+    private long credit;
+    private long appendedCost;
     private boolean spooling = true;
     private State state = State.OPEN;
 
@@ -54,7 +54,7 @@
      * @param spoolBound cost up to which it can be sent anew; no more than its account can hold at
      *     all
      */
-    public Body(Budget.Account account, long spoolBound, Consumer<P> release) {
+    public BodyBuffer(BufferBudget.Reservation account, long spoolBound, Consumer<P> release) {
         this.account = Objects.requireNonNull(account);
         this.spoolBound = spoolBound;
         this.release = Objects.requireNonNull(release);
@@ -66,17 +66,17 @@
      * Room to read up to so much now. Without any, the account tells when there is some; what was
      * given and not used stays good.
      */
-    public long room(long wanted) {
+    public long credit(long wanted) {
         if (state != State.OPEN) {
             return 0;
         }
         takeRoom(wanted);
-        if (room < wanted && spooling && isStuck()) {
+        if (credit < wanted && spooling && isStuck()) {
             // Nothing can come free but what is kept for a further attempt: going on is worth more.
             stopSpooling();
             takeRoom(wanted);
         }
-        return Math.min(room, wanted);
+        return Math.min(credit, wanted);
     }
 
     /**
@@ -85,9 +85,9 @@
      */
     private void takeRoom(long wanted) {
         long more = Long.MAX_VALUE;
-        while (room < wanted && more > 0) {
-            more = account.take(wanted - room);
-            room += more;
+        while (credit < wanted && more > 0) {
+            more = account.acquire(wanted - credit);
+            credit += more;
         }
     }
 
@@ -96,43 +96,47 @@
      * on.
      */
     private boolean isStuck() {
-        return !held.isEmpty() && !senders.isEmpty() && furthest().sent == letGo + held.size();
+        return !held.isEmpty()
+                && !senders.isEmpty()
+                && furthest().acknowledge == letGo + held.size();
     }
 
-    private Sender furthest() {
-        return senders.stream().max(Comparator.comparingInt(each -> each.sent)).orElseThrow();
+    private Reader furthest() {
+        return senders.stream()
+                .max(Comparator.comparingInt(each -> each.acknowledge))
+                .orElseThrow();
     }
 
     /** A piece that was read, within the room that was given. */
-    public void add(P content, long cost) {
-        if (state != State.OPEN || cost > room) {
+    public void append(P content, long cost) {
+        if (state != State.OPEN || cost > credit) {
             throw new IllegalStateException(
-                    "a piece of " + cost + " with room for " + room + ", " + state);
+                    "a piece of " + cost + " with room for " + credit + ", " + state);
         }
         held.add(new Piece<>(content, cost));
-        room -= cost;
-        read += cost;
-        if (spooling && read > spoolBound) {
+        credit -= cost;
+        appendedCost += cost;
+        if (spooling && appendedCost > spoolBound) {
             stopSpooling();
         }
         tellSenders();
     }
 
     /** All of it has come. */
-    public void whole() {
-        end(State.WHOLE);
+    public void complete() {
+        end(State.COMPLETE);
     }
 
     /** No more of it will come, and it is not whole. */
-    public void broken() {
-        end(State.BROKEN);
+    public void abort() {
+        end(State.ABORTED);
     }
 
     private void end(State how) {
         if (state == State.OPEN) {
             state = how;
-            account.give(room);
-            room = 0;
+            account.release(credit);
+            credit = 0;
             tellSenders();
         }
     }
@@ -146,11 +150,11 @@
         if (senders.isEmpty()) {
             return;
         }
-        final Sender goesOn = furthest();
-        final List<Sender> cut = new ArrayList<>(senders);
+        final Reader goesOn = furthest();
+        final List<Reader> cut = new ArrayList<>(senders);
         cut.remove(goesOn);
         senders.retainAll(List.of(goesOn));
-        while (letGo < goesOn.sent) {
+        while (letGo < goesOn.acknowledge) {
             letGoOfFirst();
         }
         cut.forEach(each -> each.news.run());
@@ -160,13 +164,13 @@
         final Piece<P> first = held.remove(0);
         letGo++;
         release.accept(first.content());
-        account.give(first.cost());
+        account.release(first.cost());
     }
 
     // ---- Out ----
 
     /** Whether a new sender could begin at byte 0. */
-    public boolean canBeSentAnew() {
+    public boolean canReplay() {
         return state != State.CLOSED && (spooling || letGo == 0 && senders.isEmpty());
     }
 
@@ -176,64 +180,64 @@
      *
      * @param news told whenever there is more to send, no more will come, or the sender is cut off
      */
-    public Sender send(Runnable news) {
-        if (!canBeSentAnew()) {
+    public Reader openReader(Runnable news) {
+        if (!canReplay()) {
             return null;
         }
-        final Sender sender = new Sender(news);
+        final Reader sender = new Reader(news);
         senders.add(sender);
         return sender;
     }
 
     /** One way out. */
-    public final class Sender {
+    public final class Reader {
 
         private final Runnable news;
         private int next;
-        private int sent;
+        private int acknowledge;
 
-        private Sender(Runnable news) {
+        private Reader(Runnable news) {
             this.news = Objects.requireNonNull(news);
         }
 
         /** Whether it may go on: false once it left, was cut off, or the body is closed. */
-        public boolean isCurrent() {
+        public boolean isAttached() {
             return state != State.CLOSED && senders.contains(this);
         }
 
         /** The next piece, or null where none has come yet or it may not go on. */
         public P next() {
-            return isCurrent() && next < letGo + held.size()
+            return isAttached() && next < letGo + held.size()
                     ? held.get(next++ - letGo).content()
                     : null;
         }
 
         /** The first piece that was taken and not yet sent is written. */
-        public void sent() {
-            if (!isCurrent()) {
+        public void acknowledge() {
+            if (!isAttached()) {
                 return;
             }
-            if (sent >= next) {
+            if (acknowledge >= next) {
                 throw new IllegalStateException("more is sent than was taken");
             }
-            sent++;
+            acknowledge++;
             if (!spooling) {
                 letGoOfFirst();
             }
         }
 
         /** Whether all of the body has come and was taken by it. */
-        public boolean hasTakenAll() {
-            return isCurrent() && state == State.WHOLE && next == letGo + held.size();
+        public boolean hasReadAll() {
+            return isAttached() && state == State.COMPLETE && next == letGo + held.size();
         }
 
         /** Whether all of the body has come and is written. */
         public boolean isDone() {
-            return isCurrent() && state == State.WHOLE && sent == letGo + held.size();
+            return isAttached() && state == State.COMPLETE && acknowledge == letGo + held.size();
         }
 
         /** Goes no further. Any number of times. */
-        public void leave() {
+        public void detach() {
             senders.remove(this);
         }
     }
@@ -246,8 +250,8 @@
     }
 
     /** Cost of what has come in so far. */
-    public long read() {
-        return read;
+    public long appendedCost() {
+        return appendedCost;
     }
 
     /** Lets go of all of it, and of its room. Any number of times. */
@@ -256,7 +260,7 @@
             state = State.CLOSED;
             held.forEach(each -> release.accept(each.content()));
             held.clear();
-            room = 0;
+            credit = 0;
             account.close();
             tellSenders();
             senders.clear();
--- a/src/main/java/cresschute/flow/Budget.java
+++ b/src/main/java/cresschute/flow/BufferBudget.java
@@ -19,7 +19,7 @@
  *
  * <p>Pure: no clock, no I/O and no bytes, only their numbers. Its owner is one thread.
  */
-public final class Budget {
+public final class BufferBudget {
 
     private final long total;
     private final long window;
@@ -27,7 +27,7 @@
     private final long lendShare;
     private final long maxPerClient;
     private final Map<String, Long> windowsOfClients = new HashMap<>();
-    private final Deque<Account> waiting = new ArrayDeque<>();
+    private final Deque<Reservation> waiting = new ArrayDeque<>();
     private long inWindows;
     private long lent;
 
@@ -40,7 +40,7 @@
      * @param lendShare it is lent no more than what is free over this, 1 or above
      * @param maxPerClient bytes of windows of one client's bodies together
      */
-    public Budget(long total, long window, long maxLent, long lendShare, long maxPerClient) {
+    public BufferBudget(long total, long window, long maxLent, long lendShare, long maxPerClient) {
         if (window <= 0
                 || total < window
                 || maxLent < 0
@@ -56,33 +56,33 @@
     }
 
     /** Why a body is not admitted. */
-    public enum Refusal {
-        NODE_FULL,
-        CLIENT_FULL
+    public enum RejectionReason {
+        BUDGET_EXHAUSTED,
+        CLIENT_LIMIT_REACHED
     }
 
     /** Either an account or the reason why there is none. */
-    public record Admission(Account account, Refusal refusal) {}
+    public record Admission(Reservation reservation, RejectionReason rejection) {}
 
     /**
      * Opens an account for a body, if its window fits.
      *
-     * @param granted told whenever credit that was asked for in vain has come; may ask again at
+     * @param onCredit told whenever credit that was asked for in vain has come; may ask again at
      *     once
      */
-    public Admission open(String client, Runnable granted) {
+    public Admission reserve(String client, Runnable granted) {
         final long held = windowsOfClients.getOrDefault(client, 0L);
         if (held + window > maxPerClient) {
-            return new Admission(null, Refusal.CLIENT_FULL);
+            return new Admission(null, RejectionReason.CLIENT_LIMIT_REACHED);
         }
         // Lent bytes are somebody's and come back by themselves; a window must be there from the
         // start.
         if (inWindows + lent + window > total) {
-            return new Admission(null, Refusal.NODE_FULL);
+            return new Admission(null, RejectionReason.BUDGET_EXHAUSTED);
         }
         inWindows += window;
         windowsOfClients.put(client, held + window);
-        return new Admission(new Account(client, granted), null);
+        return new Admission(new Reservation(client, granted), null);
     }
 
     /** Bytes that are owned or lent now; never more than the total. */
@@ -103,10 +103,10 @@
         // Each of those that wait now is served once at the most: one that asks again goes behind
         // the others.
         for (int left = waiting.size(); left > 0 && !waiting.isEmpty() && lendable() > 0; left--) {
-            final Account next = waiting.pollFirst();
+            final Reservation next = waiting.pollFirst();
             if (next.lentHere() < lendable()) {
                 next.queued = false;
-                next.granted.run();
+                next.onCredit.run();
             } else {
                 waiting.addLast(next);
             }
@@ -114,17 +114,17 @@
     }
 
     /** What one body holds. */
-    public final class Account {
+    public final class Reservation {
 
         private final String client;
-        private final Runnable granted;
+        private final Runnable onCredit;
         private long held;
         private boolean queued;
         private boolean closed;
 
-        private Account(String client, Runnable granted) {
+        private Reservation(String client, Runnable granted) {
             this.client = client;
-            this.granted = Objects.requireNonNull(granted);
+            this.onCredit = Objects.requireNonNull(granted);
         }
 
         private long lentHere() {
@@ -135,7 +135,7 @@
          * Takes room for up to so many bytes and returns for how many there was. If there was none,
          * the body is told once there is.
          */
-        public long take(long wanted) {
+        public long acquire(long wanted) {
             if (closed || wanted <= 0) {
                 return 0;
             }
@@ -154,7 +154,7 @@
         }
 
         /** Gives room back: so many bytes are no longer held. */
-        public void give(long bytes) {
+        public void release(long bytes) {
             if (bytes < 0 || bytes > held) {
                 throw new IllegalArgumentException("gives back " + bytes + " of " + held);
             }
--- a/src/main/java/cresschute/flow/Pace.java
+++ b/src/main/java/cresschute/flow/TransferMonitor.java
@@ -9,7 +9,7 @@
  * rate over a span of the same length; both in time that was its own. Pure, times in microseconds;
  * owned by one thread.
  */
-public final class Pace {
+public final class TransferMonitor {
 
     private static final double US_A_S = 1e6;
 
@@ -22,20 +22,20 @@
     private long bytes;
 
     /** A side whose turn it is not yet. */
-    public Pace(long minBytesAs, long stallUs, long nowUs) {
+    public TransferMonitor(long minBytesAs, long stallUs, long nowUs) {
         this.minBytesAUs = minBytesAs / US_A_S;
         this.stallUs = stallUs;
         this.seenUs = nowUs;
     }
 
     /** From now on it is, or is not, this side's turn. */
-    public void turn(boolean nowMine, long nowUs) {
+    public void setActive(boolean nowMine, long nowUs) {
         count(nowUs);
         mine = nowMine;
     }
 
     /** So many bytes went by. */
-    public void moved(long count, long nowUs) {
+    public void transferred(long count, long nowUs) {
         count(nowUs);
         if (count > 0) {
             bytes += count;
--- a/src/main/java/cresschute/logs/RoutedLogger.java
+++ b/src/main/java/cresschute/logs/RoutedLogger.java
@@ -21,12 +21,12 @@
 
     @Override
     public boolean isLoggable(Level level) {
-        return LogFinder.backend().isLoggable(name, level);
+        return RoutedLoggerFinder.backend().isLoggable(name, level);
     }
 
     void log(Level level, LogEvent event) {
         if (isLoggable(level)) {
-            LogFinder.backend().log(name, level, event);
+            RoutedLoggerFinder.backend().log(name, level, event);
         }
     }
 
--- a/src/main/java/cresschute/logs/LogFinder.java
+++ b/src/main/java/cresschute/logs/RoutedLoggerFinder.java
@@ -4,13 +4,13 @@
  * Gives the loggers of {@link System#getLogger}, which finds it as a service. They write to the
  * JDK's own back end, which costs a small node nothing, until another one is put in its place.
  */
-public final class LogFinder extends System.LoggerFinder {
+public final class RoutedLoggerFinder extends System.LoggerFinder {
 
     private static final LogBackend PLAIN = new PlainBackend();
     private static volatile LogBackend backend = PLAIN;
 
     /** Called by the JDK. */
-    public LogFinder() {
+    public RoutedLoggerFinder() {
         super();
     }
 
--- a/src/main/java/cresschute/node/PeerLoads.java
+++ b/src/main/java/cresschute/node/PeerLoads.java
@@ -4,7 +4,7 @@
 import cresschute.peers.ExchangeSettings;
 import cresschute.peers.LoadExchange;
 import cresschute.peers.LoadMessageCodec;
-import cresschute.peers.socket.PeerLog;
+import cresschute.peers.socket.ExchangeLog;
 import cresschute.peers.socket.PeerSocket;
 import cresschute.settings.ApplianceSettings.Peers;
 import cresschute.settings.SettingsFile;
@@ -40,7 +40,7 @@
             throw new IOException("it has " + key.length + " bytes");
         }
         this.clock = clock;
-        final PeerLog log = new PeerLog(config.name());
+        final ExchangeLog log = new ExchangeLog(config.name());
         exchange =
                 new LoadExchange(
                         new ExchangeSettings(
@@ -95,22 +95,22 @@
 
     @Override
     public void listed(String worker) {
-        exchange.listed(worker);
+        exchange.workerListed(worker);
     }
 
     @Override
     public void started(String worker) {
-        exchange.started(worker);
+        exchange.attemptStarted(worker);
     }
 
     @Override
     public void ended(String worker) {
-        exchange.ended(worker);
+        exchange.attemptEnded(worker);
     }
 
     @Override
     public void reported(String worker, LoadReport report) {
-        exchange.reported(clock.nowUs(), worker, report.outstanding());
+        exchange.loadReported(clock.nowUs(), worker, report.outstanding());
     }
 
     @Override
--- a/src/main/java/cresschute/node/http/BodyPump.java
+++ b/src/main/java/cresschute/node/http/BodyPump.java
@@ -1,7 +1,7 @@
 package cresschute.node.http;
 
-import cresschute.flow.Body;
-import cresschute.flow.Pace;
+import cresschute.flow.BodyBuffer;
+import cresschute.flow.TransferMonitor;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
 import io.netty.handler.codec.http.DefaultHttpContent;
@@ -37,8 +37,8 @@
 
     private final LongStream body;
     private final BodyEndpoints ends;
-    private final Body<ByteBuf>.Sender sender;
-    private final Pace peer;
+    private final BodyBuffer<ByteBuf>.Reader sender;
+    private final TransferMonitor peer;
     private Channel channel;
     private int underWay;
     private boolean lastIsOut;
@@ -72,7 +72,7 @@
     }
 
     private boolean isLost() {
-        return !lastIsOut && (sender == null || !sender.isCurrent() || body.isLost());
+        return !lastIsOut && (sender == null || !sender.isAttached() || body.isLost());
     }
 
     /** Writes what there is as long as the connection takes it. */
@@ -96,12 +96,12 @@
             channel.writeAndFlush(new DefaultHttpContent(piece.retainedDuplicate()))
                     .addListener(done -> sent(done, count));
         }
-        if (!over && !lastIsOut && sender.hasTakenAll()) {
+        if (!over && !lastIsOut && sender.hasReadAll()) {
             lastIsOut = true;
             channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT).addListener(this::sentLast);
         }
         pumping = false;
-        peer.turn(underWay > 0, LongStream.nowUs());
+        peer.setActive(underWay > 0, LongStream.nowUs());
     }
 
     private void sent(Future<? super Void> done, int count) {
@@ -113,10 +113,10 @@
             channel.close();
             return;
         }
-        peer.moved(count, LongStream.nowUs());
-        peer.turn(underWay > 0, LongStream.nowUs());
+        peer.transferred(count, LongStream.nowUs());
+        peer.setActive(underWay > 0, LongStream.nowUs());
         tellFlow();
-        sender.sent();
+        sender.acknowledge();
         body.sentSome();
         pump();
     }
@@ -157,7 +157,7 @@
         if (!over) {
             over = true;
             if (sender != null) {
-                sender.leave();
+                sender.detach();
             }
             body.left(this);
         }
--- a/src/main/java/cresschute/node/http/LongBodies.java
+++ b/src/main/java/cresschute/node/http/LongBodies.java
@@ -1,8 +1,8 @@
 package cresschute.node.http;
 
-import cresschute.flow.Budget;
-import cresschute.flow.Budget.Account;
-import cresschute.flow.Budget.Admission;
+import cresschute.flow.BufferBudget;
+import cresschute.flow.BufferBudget.Admission;
+import cresschute.flow.BufferBudget.Reservation;
 import cresschute.node.PeerFault;
 import cresschute.node.RequestLifecycle;
 import cresschute.settings.ApplianceSettings.Bodies;
@@ -24,7 +24,7 @@
     private static final long LEND_SHARE = 64;
 
     private final Bodies settings;
-    private final Budget budget;
+    private final BufferBudget budget;
     private final long longest;
     private final RequestLifecycle core;
     private final Set<BodyPump> pumps = new LinkedHashSet<>();
@@ -34,7 +34,7 @@
         this.settings = settings;
         this.core = core;
         this.budget =
-                new Budget(
+                new BufferBudget(
                         settings.budget(),
                         settings.window(),
                         settings.lent(),
@@ -60,7 +60,7 @@
      * @param room told when more of it can be read than before
      */
     LongBody open(String client, int requestClass, long length, Runnable room) {
-        final Account account = open(client, room);
+        final Reservation account = open(client, room);
         return account == null
                 ? null
                 : new LongBody(this, account, of(requestClass), settings.spool(), length, room);
@@ -69,7 +69,7 @@
     /** Opens the room for a result, or returns null where there is none. */
     LongResult openResult(String client, int requestClass, ByteBufAllocator allocator) {
         final Waker waker = new Waker();
-        final Account account = open(client, waker);
+        final Reservation account = open(client, waker);
         waker.result =
                 account == null ? null : new LongResult(this, account, of(requestClass), allocator);
         return waker.result;
@@ -85,21 +85,21 @@
         }
     }
 
-    private Account open(String client, Runnable room) {
-        final Admission admission = budget.open(client, room);
-        if (admission.account() == null) {
+    private Reservation open(String client, Runnable room) {
+        final Admission admission = budget.reserve(client, room);
+        if (admission.reservation() == null) {
             core.faults()
                     .fault(
                             PeerFault.NO_ROOM_FOR_BODY,
                             client,
-                            switch (admission.refusal()) {
-                                case NODE_FULL ->
+                            switch (admission.rejection()) {
+                                case BUDGET_EXHAUSTED ->
                                         "the budget of " + settings.budget() + " bytes is in use";
-                                case CLIENT_FULL ->
+                                case CLIENT_LIMIT_REACHED ->
                                         "its bodies own " + settings.ofAClient() + " bytes already";
                             });
         }
-        return admission.account();
+        return admission.reservation();
     }
 
     /** Bytes in use of the budget. */
--- a/src/main/java/cresschute/node/http/LongBody.java
+++ b/src/main/java/cresschute/node/http/LongBody.java
@@ -1,6 +1,6 @@
 package cresschute.node.http;
 
-import cresschute.flow.Budget;
+import cresschute.flow.BufferBudget;
 import cresschute.node.RequestBody;
 import cresschute.settings.ApplianceSettings.ClassBodies;
 
@@ -13,7 +13,7 @@
 
     LongBody(
             LongBodies owner,
-            Budget.Account account,
+            BufferBudget.Reservation account,
             ClassBodies limits,
             long spool,
             long length,
--- a/src/main/java/cresschute/node/http/LongResult.java
+++ b/src/main/java/cresschute/node/http/LongResult.java
@@ -1,6 +1,6 @@
 package cresschute.node.http;
 
-import cresschute.flow.Budget;
+import cresschute.flow.BufferBudget;
 import cresschute.node.ResultStream;
 import cresschute.settings.ApplianceSettings.ClassBodies;
 import io.netty.buffer.ByteBufAllocator;
@@ -29,7 +29,7 @@
 
     LongResult(
             LongBodies owner,
-            Budget.Account account,
+            BufferBudget.Reservation account,
             ClassBodies limits,
             ByteBufAllocator allocator) {
         super(owner, account, limits, 0);
--- a/src/main/java/cresschute/node/http/LongStream.java
+++ b/src/main/java/cresschute/node/http/LongStream.java
@@ -1,8 +1,8 @@
 package cresschute.node.http;
 
-import cresschute.flow.Body;
-import cresschute.flow.Budget;
-import cresschute.flow.Pace;
+import cresschute.flow.BodyBuffer;
+import cresschute.flow.BufferBudget;
+import cresschute.flow.TransferMonitor;
 import cresschute.settings.ApplianceSettings.ClassBodies;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
@@ -34,8 +34,8 @@
 
     final LongBodies owner;
     private final ClassBodies limits;
-    private final Body<ByteBuf> body;
-    private final Pace from;
+    private final BodyBuffer<ByteBuf> body;
+    private final TransferMonitor from;
     private ByteBuf filling;
     private long bytes;
     private boolean retired;
@@ -46,10 +46,10 @@
      *
      * @param spool what is kept of it for a further sender, bytes
      */
-    LongStream(LongBodies owner, Budget.Account account, ClassBodies limits, long spool) {
+    LongStream(LongBodies owner, BufferBudget.Reservation account, ClassBodies limits, long spool) {
         this.owner = owner;
         this.limits = limits;
-        this.body = new Body<>(account, spool, ByteBuf::release);
+        this.body = new BodyBuffer<>(account, spool, ByteBuf::release);
         this.from = newPace();
     }
 
@@ -57,8 +57,8 @@
         return TimeUnit.NANOSECONDS.toMicros(System.nanoTime());
     }
 
-    final Pace newPace() {
-        return new Pace(limits.leastRate(), limits.stallUs(), nowUs());
+    final TransferMonitor newPace() {
+        return new TransferMonitor(limits.leastRate(), limits.stallUs(), nowUs());
     }
 
     /** Bytes that have come. */
@@ -78,11 +78,11 @@
     /** Takes in what was read; false where none may come, or more than the most. */
     final boolean collect(ByteBuf content, ByteBufAllocator allocator, long max) {
         final int count = content.readableBytes();
-        if (bytes + count > max || body.state() != Body.State.OPEN) {
+        if (bytes + count > max || body.state() != BodyBuffer.State.OPEN) {
             return false;
         }
         bytes += count;
-        from.moved(count, nowUs());
+        from.transferred(count, nowUs());
         while (content.isReadable()) {
             if (filling == null) {
                 filling = allocator.directBuffer(READ_BYTES, READ_BYTES);
@@ -102,7 +102,7 @@
         }
         ByteBuf piece = filling;
         filling = null;
-        if (body.state() != Body.State.OPEN) {
+        if (body.state() != BodyBuffer.State.OPEN) {
             piece.release();
             return;
         }
@@ -115,8 +115,8 @@
             piece = small;
         }
         final int cost = piece.capacity() + PIECE_BYTES;
-        body.room(cost);
-        body.add(piece, cost);
+        body.credit(cost);
+        body.append(piece, cost);
     }
 
     /**
@@ -124,8 +124,8 @@
      * have.
      */
     final boolean hasRoom() {
-        final boolean fits = body.room(MAX_COST) >= MAX_COST;
-        from.turn(fits, nowUs());
+        final boolean fits = body.credit(MAX_COST) >= MAX_COST;
+        from.setActive(fits, nowUs());
         return fits;
     }
 
@@ -134,29 +134,29 @@
 
     /** What it has come to cost so far. */
     final long read() {
-        return body.read();
+        return body.appendedCost();
     }
 
     /** Its last byte is here. */
     final void whole(ByteBufAllocator allocator) {
         endPiece(allocator);
-        body.whole();
+        body.complete();
     }
 
     /** The rest of it will not come. */
     final void broken() {
-        body.broken();
+        body.abort();
     }
 
     final boolean isSenderTooSlow() {
-        return body.state() == Body.State.OPEN && from.isTooSlow(nowUs());
+        return body.state() == BodyBuffer.State.OPEN && from.isTooSlow(nowUs());
     }
 
     // ---- Out ----
 
     /** Whether a further pump could begin at its first byte. */
     public final boolean canBeSentAnew() {
-        return body.canBeSentAnew();
+        return body.canReplay();
     }
 
     /** A way on; it may find at its start that it cannot be begun any more. */
@@ -167,17 +167,17 @@
         return pump;
     }
 
-    final Body<ByteBuf>.Sender send(Runnable news) {
-        return body.send(news);
+    final BodyBuffer<ByteBuf>.Reader send(Runnable news) {
+        return body.openReader(news);
     }
 
     final boolean isLost() {
-        return body.state() == Body.State.BROKEN || body.state() == Body.State.CLOSED;
+        return body.state() == BodyBuffer.State.ABORTED || body.state() == BodyBuffer.State.CLOSED;
     }
 
     /** A piece is out. */
     final void sentSome() {
-        if (body.state() == Body.State.OPEN) {
+        if (body.state() == BodyBuffer.State.OPEN) {
             hasRoomAgain();
         }
     }
@@ -195,7 +195,7 @@
      */
     final void retire() {
         retired = true;
-        if (pumps == 0 || body.state() != Body.State.WHOLE) {
+        if (pumps == 0 || body.state() != BodyBuffer.State.COMPLETE) {
             close();
         }
     }
--- a/src/main/java/cresschute/peers/InFlightCounts.java
+++ b/src/main/java/cresschute/peers/InFlightCounts.java
@@ -21,13 +21,13 @@
     private final Set<Integer> changed = new LinkedHashSet<>();
 
     /** An attempt at this worker began. */
-    public void started(int key) {
+    public void attemptStarted(int key) {
         counts.merge(key, 1, Integer::sum);
         noteChange(key);
     }
 
     /** An attempt at this worker ended. */
-    public void ended(int key) {
+    public void attemptEnded(int key) {
         counts.computeIfPresent(key, (same, count) -> count == 1 ? null : count - 1);
         noteChange(key);
     }
--- a/src/main/java/cresschute/peers/LoadExchange.java
+++ b/src/main/java/cresschute/peers/LoadExchange.java
@@ -37,18 +37,18 @@
     }
 
     /** The list names this worker. */
-    public void listed(String worker) {
+    public void workerListed(String worker) {
         keys.list(worker);
     }
 
     /** An attempt at this worker began. */
-    public void started(String worker) {
-        counts.started(keys.list(worker));
+    public void attemptStarted(String worker) {
+        counts.attemptStarted(keys.list(worker));
     }
 
     /** An attempt at this worker ended. */
-    public void ended(String worker) {
-        counts.ended(keys.list(worker));
+    public void attemptEnded(String worker) {
+        counts.attemptEnded(keys.list(worker));
     }
 
     /**
@@ -95,8 +95,8 @@
     }
 
     /** A worker reports that it holds so many requests; a negative number says nothing. */
-    public void reported(long nowUs, String worker, double outstanding) {
-        view.reported(nowUs, worker, outstanding);
+    public void loadReported(long nowUs, String worker, double outstanding) {
+        view.loadReported(nowUs, worker, outstanding);
     }
 
     /** The other dispatchers. */
--- a/src/main/java/cresschute/peers/PeerLoadView.java
+++ b/src/main/java/cresschute/peers/PeerLoadView.java
@@ -52,7 +52,7 @@
     }
 
     /** A worker reports that it holds so many requests. */
-    public void reported(long nowUs, String worker, double outstanding) {
+    public void loadReported(long nowUs, String worker, double outstanding) {
         final OptionalInt key = keys.unique(worker);
         if (key.isEmpty() || outstanding < 0 || !peers.isComplete(nowUs)) {
             return;
--- a/src/main/java/cresschute/peers/RejectedMessageException.java
+++ b/src/main/java/cresschute/peers/RejectedMessageException.java
@@ -5,16 +5,16 @@
 
     private static final long serialVersionUID = 1;
 
-    private final RejectionReason refusal;
+    private final RejectionReason reason;
 
     /** Without a stack trace, since the network decides how many there are. */
     public RejectedMessageException(RejectionReason refusal) {
         super(refusal.word(), null, false, false);
-        this.refusal = refusal;
+        this.reason = refusal;
     }
 
     /** The reason. */
-    public RejectionReason refusal() {
-        return refusal;
+    public RejectionReason reason() {
+        return reason;
     }
 }
--- a/src/main/java/cresschute/peers/socket/PeerLog.java
+++ b/src/main/java/cresschute/peers/socket/ExchangeLog.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 
 /** The log lines of the exchange; what the network can cause in numbers is logged now and then. */
-public final class PeerLog implements LoadExchange.Listener {
+public final class ExchangeLog implements LoadExchange.Listener {
 
     private static final Logger LOG = System.getLogger("cresschute.peers");
 
@@ -40,7 +40,7 @@
     private long takenMessages;
 
     /** A log of the exchange of the node with this name. */
-    public PeerLog(String node) {
+    public ExchangeLog(String node) {
         this.node = node;
     }
 
--- a/src/main/java/cresschute/peers/socket/PeerSocket.java
+++ b/src/main/java/cresschute/peers/socket/PeerSocket.java
@@ -38,7 +38,7 @@
     private final LongSupplier clockUs;
     private final LoadExchange exchange;
     private final LoadMessageCodec codec;
-    private final PeerLog log;
+    private final ExchangeLog log;
     private final Consumer<List<String>> refreshed;
     private List<InetSocketAddress> peers = List.of();
     private Channel channel;
@@ -54,7 +54,7 @@
             LongSupplier clockUs,
             LoadExchange exchange,
             LoadMessageCodec codec,
-            PeerLog log,
+            ExchangeLog log,
             Consumer<List<String>> refreshed) {
         this.loop = loop;
         this.clockUs = clockUs;
@@ -129,7 +129,7 @@
                                 if (!done.isSuccess()) {
                                     log.failed(
                                             clockUs.getAsLong(),
-                                            "message to " + PeerLog.text(peer) + " not sent",
+                                            "message to " + ExchangeLog.text(peer) + " not sent",
                                             done.cause());
                                 }
                             });
@@ -147,7 +147,7 @@
                 exchange.receive(nowUs, message);
                 log.taken(message.sender(), packet.sender());
             } catch (RejectedMessageException e) {
-                log.refused(nowUs, e.refusal(), packet.sender());
+                log.refused(nowUs, e.reason(), packet.sender());
             }
         }
 
--- a/src/main/java/cresschute/testbed/model/ExchangingModules.java
+++ b/src/main/java/cresschute/testbed/model/ExchangingModules.java
@@ -152,7 +152,7 @@
             if (exchange == null) {
                 start();
             }
-            entries.forEach(each -> exchange.listed(name(each.id())));
+            entries.forEach(each -> exchange.workerListed(name(each.id())));
             module.endpointListChanged(atUs, form, entries);
         }
 
@@ -186,8 +186,8 @@
                 boolean requestClosed,
                 LoadReport report) {
             nowUs = atUs;
-            exchange.ended(name(workerId));
-            exchange.reported(atUs, name(workerId), report.outstanding());
+            exchange.attemptEnded(name(workerId));
+            exchange.loadReported(atUs, name(workerId), report.outstanding());
             module.attemptEnded(
                     atUs, requestId, attempt, workerId, outcome, elapsedUs, requestClosed, report);
         }
@@ -195,7 +195,7 @@
         @Override
         public void loadReported(long atUs, int workerId, Outcome outcome, LoadReport report) {
             nowUs = atUs;
-            exchange.reported(atUs, name(workerId), report.outstanding());
+            exchange.loadReported(atUs, name(workerId), report.outstanding());
             module.loadReported(atUs, workerId, outcome, report);
         }
 
@@ -227,7 +227,7 @@
 
         @Override
         public void send(int requestId, int workerId, long deadlineUs) {
-            exchange.started(name(workerId));
+            exchange.attemptStarted(name(workerId));
             actions.send(requestId, workerId, deadlineUs);
         }
 
--- a/src/test/java/cresschute/flow/BodyTest.java
+++ b/src/test/java/cresschute/flow/BodyBufferTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import cresschute.flow.Body.State;
+import cresschute.flow.BodyBuffer.State;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -16,43 +16,43 @@
 /**
  * Bodies in pieces: in order and whole, sent anew while that can be, and held within their room.
  */
-class BodyTest {
+class BodyBufferTest {
 
-    private final Budget budget = new Budget(100, 20, 80, 1, 100);
+    private final BufferBudget budget = new BufferBudget(100, 20, 80, 1, 100);
     private final Set<String> released = new HashSet<>();
     private final List<String> told = new ArrayList<>();
     private final Runnable news = () -> told.add("news");
-    private final Body<String> body = body(budget, 10);
+    private final BodyBuffer<String> body = body(budget, 10);
 
-    private Body<String> body(Budget of, long spoolBound) {
-        return new Body<>(
-                of.open("c", () -> {}).account(),
+    private BodyBuffer<String> body(BufferBudget of, long spoolBound) {
+        return new BodyBuffer<>(
+                of.reserve("c", () -> {}).reservation(),
                 spoolBound,
                 piece -> assertThat(released.add(piece)).as("released once: " + piece).isTrue());
     }
 
     private void add(String piece) {
-        assertThat(body.room(piece.length())).isEqualTo(piece.length());
-        body.add(piece, piece.length());
+        assertThat(body.credit(piece.length())).isEqualTo(piece.length());
+        body.append(piece, piece.length());
     }
 
     @Test
     void bodyWithinItsSpoolIsSentAnewFromTheStart() {
         add("abc");
-        final Body<String>.Sender first = body.send(news);
+        final BodyBuffer<String>.Reader first = body.openReader(news);
         assertThat(first.next()).isEqualTo("abc");
-        first.sent();
+        first.acknowledge();
         add("def");
-        final Body<String>.Sender second = body.send(news);
+        final BodyBuffer<String>.Reader second = body.openReader(news);
         // The first one goes on beside it.
         assertThat(first.next()).isEqualTo("def");
         assertThat(second.next()).isEqualTo("abc");
         assertThat(second.next()).isEqualTo("def");
         assertThat(second.next()).isNull();
-        second.sent();
-        body.whole();
+        second.acknowledge();
+        body.complete();
         assertThat(second.isDone()).isFalse();
-        second.sent();
+        second.acknowledge();
         assertThat(second.isDone()).isTrue();
         assertThat(released).isEmpty();
         body.close();
@@ -62,19 +62,19 @@
 
     @Test
     void bodyBeyondItsSpoolCannotBeSentAnew() {
-        final Body<String>.Sender sender = body.send(news);
+        final BodyBuffer<String>.Reader sender = body.openReader(news);
         add("abcdef");
         sender.next();
-        sender.sent();
-        assertThat(body.canBeSentAnew()).isTrue();
+        sender.acknowledge();
+        assertThat(body.canReplay()).isTrue();
         add("ghijkl");
         // The bound is passed: what was sent is let go, and what was not is still to come.
         assertThat(released).containsExactly("abcdef");
-        assertThat(body.send(news)).isNull();
+        assertThat(body.openReader(news)).isNull();
         assertThat(sender.next()).isEqualTo("ghijkl");
-        sender.sent();
+        sender.acknowledge();
         assertThat(released).containsExactly("abcdef", "ghijkl");
-        body.whole();
+        body.complete();
         assertThat(sender.isDone()).isTrue();
     }
 
@@ -86,21 +86,21 @@
     void furthestSenderGoesOnAloneBeyondTheSpool() {
         final List<String> behindTold = new ArrayList<>();
         add("abcdef");
-        final Body<String>.Sender behind = body.send(() -> behindTold.add("news"));
-        final Body<String>.Sender ahead = body.send(news);
+        final BodyBuffer<String>.Reader behind = body.openReader(() -> behindTold.add("news"));
+        final BodyBuffer<String>.Reader ahead = body.openReader(news);
         behind.next();
         ahead.next();
-        ahead.sent();
+        ahead.acknowledge();
         add("ghijkl");
         assertThat(behindTold).containsExactly("news");
         assertThat(told).containsExactly("news");
-        assertThat(behind.isCurrent()).isFalse();
+        assertThat(behind.isAttached()).isFalse();
         assertThat(behind.next()).isNull();
-        behind.sent();
+        behind.acknowledge();
         assertThat(ahead.next()).isEqualTo("ghijkl");
         // Nobody may begin anew once the one that goes on is gone.
-        ahead.leave();
-        assertThat(body.canBeSentAnew()).isFalse();
+        ahead.detach();
+        assertThat(body.canReplay()).isFalse();
     }
 
     /** Nothing was sent yet, so nothing is gone, however much has come. */
@@ -108,9 +108,9 @@
     void bodyThatNobodyHasBegunToSendCanStillBeSent() {
         add("abcdef");
         add("ghijkl");
-        final Body<String>.Sender sender = body.send(news);
+        final BodyBuffer<String>.Reader sender = body.openReader(news);
         assertThat(sender.next()).isEqualTo("abcdef");
-        assertThat(body.send(news)).isNull();
+        assertThat(body.openReader(news)).isNull();
     }
 
     /**
@@ -118,31 +118,32 @@
      */
     @Test
     void spoolGivesWayWhereNothingElseCould() {
-        final Budget small = new Budget(8, 8, 0, 1, 8);
-        final Body<String> large = body(small, 1_000);
-        final Body<String>.Sender sender = large.send(() -> {});
-        assertThat(large.room(100)).isEqualTo(8);
-        large.add("abcdefgh", 8);
-        assertThat(large.room(100)).isZero();
-        assertThat(large.canBeSentAnew()).isTrue();
+        final BufferBudget small = new BufferBudget(8, 8, 0, 1, 8);
+        final BodyBuffer<String> large = body(small, 1_000);
+        final BodyBuffer<String>.Reader sender = large.openReader(() -> {});
+        assertThat(large.credit(100)).isEqualTo(8);
+        large.append("abcdefgh", 8);
+        assertThat(large.credit(100)).isZero();
+        assertThat(large.canReplay()).isTrue();
         sender.next();
-        sender.sent();
-        assertThat(large.room(100)).isEqualTo(8);
-        assertThat(large.canBeSentAnew()).isFalse();
+        sender.acknowledge();
+        assertThat(large.credit(100)).isEqualTo(8);
+        assertThat(large.canReplay()).isFalse();
     }
 
     @Test
     void piecesWithoutRoomAreAMistake() {
-        assertThat(body.room(5)).isEqualTo(5);
-        assertThatThrownBy(() -> body.add("abcdef", 6)).isInstanceOf(IllegalStateException.class);
-        body.broken();
-        assertThat(body.state()).isEqualTo(State.BROKEN);
-        assertThat(body.room(5)).isZero();
-        assertThatThrownBy(() -> body.add("a", 1)).isInstanceOf(IllegalStateException.class);
-        body.whole();
-        assertThat(body.state()).isEqualTo(State.BROKEN);
-        final Body<String>.Sender sender = body.send(news);
-        assertThatThrownBy(sender::sent).hasMessage("more is sent than was taken");
+        assertThat(body.credit(5)).isEqualTo(5);
+        assertThatThrownBy(() -> body.append("abcdef", 6))
+                .isInstanceOf(IllegalStateException.class);
+        body.abort();
+        assertThat(body.state()).isEqualTo(State.ABORTED);
+        assertThat(body.credit(5)).isZero();
+        assertThatThrownBy(() -> body.append("a", 1)).isInstanceOf(IllegalStateException.class);
+        body.complete();
+        assertThat(body.state()).isEqualTo(State.ABORTED);
+        final BodyBuffer<String>.Reader sender = body.openReader(news);
+        assertThatThrownBy(sender::acknowledge).hasMessage("more is sent than was taken");
     }
 
     /**
@@ -154,12 +155,13 @@
     void anyInterleavingKeepsOrderAndBounds(@ForAll Random random) {
         final long window = 1 + random.nextInt(12);
         final long total = window * (1 + random.nextInt(4)) + random.nextInt(20);
-        final Budget shared =
-                new Budget(total, window, random.nextInt(30), 1 + random.nextInt(8), total);
+        final BufferBudget shared =
+                new BufferBudget(total, window, random.nextInt(30), 1 + random.nextInt(8), total);
         final List<Played> bodies = new ArrayList<>();
         for (int step = 0; step < 300; step++) {
             if (bodies.isEmpty() || random.nextInt(20) == 0) {
-                final Budget.Account account = shared.open("c", () -> {}).account();
+                final BufferBudget.Reservation account =
+                        shared.reserve("c", () -> {}).reservation();
                 if (account != null) {
                     bodies.add(new Played(account, random.nextInt(40)));
                 }
@@ -188,12 +190,12 @@
     private static final class Played {
         private final List<Long> added = new ArrayList<>();
         private final Set<Integer> gone = new HashSet<>();
-        private final Body<Integer> body;
+        private final BodyBuffer<Integer> body;
         private final List<Way> ways = new ArrayList<>();
 
-        Played(Budget.Account account, long spoolBound) {
+        Played(BufferBudget.Reservation account, long spoolBound) {
             body =
-                    new Body<>(
+                    new BodyBuffer<>(
                             account,
                             spoolBound,
                             piece -> assertThat(gone.add(piece)).as("released once").isTrue());
@@ -215,8 +217,8 @@
                 case 10 -> begin(random);
                 default -> {
                     switch (random.nextInt(12)) {
-                        case 0 -> body.whole();
-                        case 1 -> body.broken();
+                        case 0 -> body.complete();
+                        case 1 -> body.abort();
                         case 2 -> body.close();
                         default -> {}
                     }
@@ -229,22 +231,22 @@
         }
 
         private void read(int wanted) {
-            final long room = body.room(wanted);
+            final long room = body.credit(wanted);
             if (room > 0) {
                 added.add(room);
-                body.add(added.size() - 1, room);
+                body.append(added.size() - 1, room);
             }
         }
 
         private void begin(Random random) {
-            final boolean can = body.canBeSentAnew();
-            final Body<Integer>.Sender next = body.send(() -> {});
+            final boolean can = body.canReplay();
+            final BodyBuffer<Integer>.Reader next = body.openReader(() -> {});
             assertThat(next != null).isEqualTo(can);
             if (next != null) {
                 // From byte 0, all of it: nothing may have gone.
                 assertThat(gone).isEmpty();
                 if (!ways.isEmpty() && random.nextBoolean()) {
-                    ways.remove(0).sender.leave();
+                    ways.remove(0).sender.detach();
                 }
                 ways.add(new Way(next));
             }
@@ -252,30 +254,32 @@
 
         void finish(Random random) {
             begin(random);
-            for (int i = 0; i < 200 && body.state() == State.OPEN && body.read() < 400; i++) {
-                final long before = body.read();
+            for (int i = 0;
+                    i < 200 && body.state() == State.OPEN && body.appendedCost() < 400;
+                    i++) {
+                final long before = body.appendedCost();
                 sendAll();
                 read(1 + random.nextInt(15));
-                assertThat(body.read()).as("it goes on").isGreaterThan(before);
+                assertThat(body.appendedCost()).as("it goes on").isGreaterThan(before);
             }
-            body.whole();
+            body.complete();
             sendAll();
             assertThat(ways.stream().filter(each -> each.sender.isDone()).count())
                     .isEqualTo(
-                            body.state() != State.WHOLE
+                            body.state() != State.COMPLETE
                                     ? 0
                                     : ways.stream()
-                                            .filter(each -> each.sender.isCurrent())
+                                            .filter(each -> each.sender.isAttached())
                                             .count());
             body.close();
         }
 
         private void sendAll() {
             for (final Way way : ways) {
-                while (way.sender.isCurrent() && way.taken < added.size()) {
+                while (way.sender.isAttached() && way.taken < added.size()) {
                     way.take();
                 }
-                while (way.sender.isCurrent() && way.sent < way.taken) {
+                while (way.sender.isAttached() && way.sent < way.taken) {
                     way.write();
                 }
             }
@@ -288,11 +292,11 @@
 
     /** One sender, with a plain account of how far it is. */
     private static final class Way {
-        private final Body<Integer>.Sender sender;
+        private final BodyBuffer<Integer>.Reader sender;
         private int taken;
         private int sent;
 
-        Way(Body<Integer>.Sender sender) {
+        Way(BodyBuffer<Integer>.Reader sender) {
             this.sender = sender;
         }
 
@@ -306,8 +310,8 @@
 
         void write() {
             if (sender != null && sent < taken) {
-                sender.sent();
-                sent += sender.isCurrent() ? 1 : 0;
+                sender.acknowledge();
+                sent += sender.isAttached() ? 1 : 0;
             }
         }
     }
--- a/src/test/java/cresschute/flow/PaceTest.java
+++ b/src/test/java/cresschute/flow/TransferMonitorTest.java
@@ -7,19 +7,19 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Who is slow and who is dead: by bytes in time of one's own. */
-class PaceTest {
+class TransferMonitorTest {
 
     private static final long S = 1_000_000;
-    private final Pace pace = new Pace(1_000, 10 * S, 0);
+    private final TransferMonitor pace = new TransferMonitor(1_000, 10 * S, 0);
 
     /** One byte a second is no stall, and is too slow all the same; a slow line is neither. */
     @ParameterizedTest
     @CsvSource({"1, 10", "999, 10", "1000, -1", "5000, -1"})
     void rateOverTheSpanDecides(long bytesEachSecond, int givenUpAtS) {
-        pace.turn(true, 0);
+        pace.setActive(true, 0);
         int givenUp = -1;
         for (int s = 1; s <= 60 && givenUp < 0; s++) {
-            pace.moved(bytesEachSecond, s * S);
+            pace.transferred(bytesEachSecond, s * S);
             givenUp = pace.isTooSlow(s * S) ? s : -1;
         }
         assertThat(givenUp).isEqualTo(givenUpAtS);
@@ -28,8 +28,8 @@
     /** However much went by before it. */
     @Test
     void stallDecidesAlone() {
-        pace.turn(true, 0);
-        pace.moved(1_000_000, S);
+        pace.setActive(true, 0);
+        pace.transferred(1_000_000, S);
         assertThat(pace.isTooSlow(11 * S)).isFalse();
         assertThat(pace.isTooSlow(11 * S + 1)).isTrue();
     }
@@ -37,10 +37,10 @@
     /** A side that waits for others is not at fault, however long that takes. */
     @Test
     void othersTimeIsNotItsOwn() {
-        pace.turn(true, 0);
-        pace.turn(false, 9 * S);
+        pace.setActive(true, 0);
+        pace.setActive(false, 9 * S);
         assertThat(pace.isTooSlow(500 * S)).isFalse();
-        pace.turn(true, 500 * S);
+        pace.setActive(true, 500 * S);
         assertThat(pace.isTooSlow(500 * S + S / 2)).isFalse();
         assertThat(pace.isTooSlow(502 * S)).isTrue();
     }
--- a/src/test/java/cresschute/logs/EventNamesTest.java
+++ b/src/test/java/cresschute/logs/EventNamesTest.java
@@ -15,7 +15,7 @@
 /** On-call staff find every kind of line on their page. */
 class EventNamesTest {
 
-    private static final Pattern NAMED = Pattern.compile("LogEvent\\.of\\(\"([a-z_]+)\"");
+    private static final Pattern NAMED = Pattern.compile("LogEvent\\.of\\(\\s*\"([a-z_]+)\"");
 
     @Test
     void pageListsEveryEvent() throws IOException {
--- a/src/test/java/cresschute/logs/structured/StructuredLogTest.java
+++ b/src/test/java/cresschute/logs/structured/StructuredLogTest.java
@@ -4,7 +4,7 @@
 
 import com.google.gson.JsonObject;
 import cresschute.logs.LogEvent;
-import cresschute.logs.LogFinder;
+import cresschute.logs.RoutedLoggerFinder;
 import cresschute.node.Json;
 import java.io.ByteArrayOutputStream;
 import java.lang.System.Logger;
@@ -69,14 +69,14 @@
         final Logger logger = System.getLogger("cresschute.test.routed");
         final ByteArrayOutputStream out = new ByteArrayOutputStream();
         try (StructuredLog log = new StructuredLog(true, Level.INFO, out)) {
-            LogFinder.use(log);
+            RoutedLoggerFinder.use(log);
             logger.log(Level.INFO, "plain {0}", 7);
             logger.log(Level.INFO, "with braces {0}");
             logger.log(Level.WARNING, "thrown", new IllegalStateException("x"));
             LogEvent.of("named", "by name").log(logger, Level.INFO);
             LogEvent.of("hidden", "below").log(logger, Level.DEBUG);
         } finally {
-            LogFinder.usePlain();
+            RoutedLoggerFinder.usePlain();
         }
         assertThat(
                         out.toString(StandardCharsets.UTF_8)
--- a/src/test/java/cresschute/peers/LoadGossiperTest.java
+++ b/src/test/java/cresschute/peers/LoadGossiperTest.java
@@ -45,7 +45,7 @@
     @Test
     void newsGoOutAfterAQuarterSecondAndHeartbeatsAfterOne() {
         final LoadGossiper announcer = announcer(2, 100_000, 60 * S);
-        counts.started(5);
+        counts.attemptStarted(5);
         final long startUs = nowUs;
         final LoadMessage news = next(announcer);
         assertThat(nowUs - startUs).isEqualTo(250 * MS);
@@ -56,8 +56,8 @@
         final LoadMessage heartbeat = next(announcer);
         assertThat(nowUs - newsUs).isEqualTo(S);
         assertThat(heartbeat.sequence()).isEqualTo(2);
-        counts.started(5);
-        counts.ended(5);
+        counts.attemptStarted(5);
+        counts.attemptEnded(5);
         next(announcer);
         assertThat(nowUs - newsUs).as("back to what was stated: no news").isEqualTo(2 * S);
     }
@@ -67,9 +67,9 @@
         // 100 bytes a second for one peer: a heartbeat leaves room for five entries.
         final LoadGossiper announcer = announcer(1, 100, 3_600 * S);
         for (int key = 20; key > 10; key--) {
-            counts.started(key);
+            counts.attemptStarted(key);
         }
-        counts.started(20);
+        counts.attemptStarted(20);
         final LoadMessage first = next(announcer);
         assertThat(first.entries()).first().isEqualTo(new Entry(20, 2));
         final List<Integer> stated = new ArrayList<>(keys(first));
@@ -89,7 +89,7 @@
         }
         open.add(KeyRange.MIN_KEY);
         open.add(KeyRange.MAX_KEY);
-        open.forEach(counts::started);
+        open.forEach(counts::attemptStarted);
         long cycle = 1;
         for (int cycles = 0; cycles < 3; cycles++) {
             final Set<Integer> swept = new TreeSet<>(Integer::compareUnsigned);
@@ -120,7 +120,7 @@
     void shortBudgetMakesCyclesLongerAndLosesNothing() {
         final LoadGossiper announcer = announcer(29, 3_000, 10 * S);
         for (int key = 0; key < 60; key++) {
-            counts.started(key * 1_000);
+            counts.attemptStarted(key * 1_000);
         }
         final Set<Integer> swept = new TreeSet<>();
         final long startUs = nowUs;
--- a/src/test/java/cresschute/peers/LoadMessageCodecTest.java
+++ b/src/test/java/cresschute/peers/LoadMessageCodecTest.java
@@ -38,7 +38,7 @@
             codec.decode(bytes);
             return null;
         } catch (RejectedMessageException e) {
-            return e.refusal();
+            return e.reason();
         }
     }
 
--- a/src/test/java/cresschute/peers/PeerLoadViewTest.java
+++ b/src/test/java/cresschute/peers/PeerLoadViewTest.java
@@ -60,7 +60,7 @@
     @Test
     void ownAndPeersCountsAreSummed() {
         states(1, 2, 1);
-        own.started(keys.list(worker(0)));
+        own.attemptStarted(keys.list(worker(0)));
         assertThat(view.outstanding(nowUs, worker(0))).hasValue(4);
         assertThat(view.outstanding(nowUs, "never listed")).isEmpty();
         nowUs += 3 * S;
@@ -91,7 +91,7 @@
         for (int i = 0; i < 100; i++) {
             nowUs += S / 10;
             states(4, 3, 10);
-            view.reported(nowUs, worker(i % 10), 5);
+            view.loadReported(nowUs, worker(i % 10), 5);
         }
         assertThat(distrusted).isEmpty();
         assertThat(view.outstanding(nowUs, worker(0))).as("an unusual claim is verified").isEmpty();
@@ -101,9 +101,9 @@
     @Test
     void contradictedWorkerIsAskedUntilAReportAgrees() {
         states(50, 0, 2);
-        view.reported(nowUs, worker(0), 1);
+        view.loadReported(nowUs, worker(0), 1);
         assertThat(view.outstanding(nowUs, worker(0))).isEmpty();
-        view.reported(nowUs, worker(0), 49);
+        view.loadReported(nowUs, worker(0), 49);
         states(50, 0, 2);
         assertThat(answeredOf(10)).isGreaterThan(0);
     }
@@ -122,7 +122,7 @@
         while (distrusted.isEmpty()) {
             nowUs += S / 10;
             states(30, 2, 40);
-            view.reported(nowUs, worker(reports++ % 40), 2);
+            view.loadReported(nowUs, worker(reports++ % 40), 2);
             assertThat(reports).isLessThanOrEqualTo(ClaimValidator.WINDOW);
         }
         assertThat(distrusted).containsExactly(LIAR);
@@ -148,7 +148,7 @@
         announce(HONEST, 2, 1);
         nowUs += S;
         assertThat(view.outstanding(nowUs, worker(0))).isEmpty();
-        view.reported(nowUs, worker(0), 3);
+        view.loadReported(nowUs, worker(0), 3);
         nowUs += S;
         assertThat(view.outstanding(nowUs, worker(0))).as("contradicted").isEmpty();
     }
--- a/src/test/java/cresschute/peers/PeerTableTest.java
+++ b/src/test/java/cresschute/peers/PeerTableTest.java
@@ -31,7 +31,7 @@
             table.receive(nowUs, message);
             return null;
         } catch (RejectedMessageException e) {
-            return e.refusal();
+            return e.reason();
         }
     }
 
--- a/src/test/java/cresschute/peers/SimulatedNetwork.java
+++ b/src/test/java/cresschute/peers/SimulatedNetwork.java
@@ -107,7 +107,7 @@
                             }
                         });
         for (int i = 0; i < workers; i++) {
-            booted.exchange.listed(worker(i));
+            booted.exchange.workerListed(worker(i));
         }
     }
 
@@ -122,12 +122,12 @@
 
     void start(int site, int worker) {
         sites.get(site).truth[worker]++;
-        sites.get(site).exchange.started(worker(worker));
+        sites.get(site).exchange.attemptStarted(worker(worker));
     }
 
     void end(int site, int worker) {
         sites.get(site).truth[worker]--;
-        sites.get(site).exchange.ended(worker(worker));
+        sites.get(site).exchange.attemptEnded(worker(worker));
     }
 
     void run(double seconds) {
--- a/src/test/java/cresschute/peers/socket/PeerSocketTest.java
+++ b/src/test/java/cresschute/peers/socket/PeerSocketTest.java
@@ -41,7 +41,7 @@
     private static final byte[] KEY = new byte[16];
     private static final String WORKER = "w-1";
 
-    private record Site(LoadExchange exchange, PeerSocket socket, PeerLog log) {}
+    private record Site(LoadExchange exchange, PeerSocket socket, ExchangeLog log) {}
 
     private final EventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -65,14 +65,14 @@
     @BeforeEach
     void start() {
         for (int i = 0; i < 3; i++) {
-            final PeerLog log = new PeerLog("n" + i);
+            final ExchangeLog log = new ExchangeLog("n" + i);
             final LoadExchange exchange =
                     new LoadExchange(
                             new ExchangeSettings(
                                     "n" + i, 2, 100_000, ExchangeSettings.DEFAULT_REFRESH_US),
                             nowUs(),
                             log);
-            exchange.listed(WORKER);
+            exchange.workerListed(WORKER);
             final PeerSocket socket =
                     new PeerSocket(
                             loop,
@@ -123,9 +123,9 @@
     void countsOfAllReachAllAndALeavingOneIsAbsent() {
         onLoop(
                 () -> {
-                    sites.get(0).exchange().started(WORKER);
-                    sites.get(1).exchange().started(WORKER);
-                    sites.get(2).exchange().started(WORKER);
+                    sites.get(0).exchange().attemptStarted(WORKER);
+                    sites.get(1).exchange().attemptStarted(WORKER);
+                    sites.get(2).exchange().attemptStarted(WORKER);
                     return null;
                 });
         await().atMost(PATIENCE)
@@ -172,7 +172,7 @@
         assertThat(isComplete(site)).isTrue();
     }
 
-    private static boolean refusedOnceOrTwice(PeerLog log) {
+    private static boolean refusedOnceOrTwice(ExchangeLog log) {
         return log.refused(RejectionReason.NOT_AUTHENTIC) == 1
                 && log.refused(RejectionReason.TOO_SHORT) == 2
                 && log.refused(RejectionReason.TOO_LONG) == 1
