--- a/src/test/java/cresschute/node/RequestLifecycleTest.java
+++ b/src/test/java/cresschute/node/RequestLifecycleTest.java
@@ -107,13 +107,13 @@
                             if (moduleThrows) {
                                 throw new IllegalStateException("the module is broken");
                             }
-                            final boolean end = method.getName().equals("ended");
+                            final boolean end = method.getName().equals("attemptEnded");
                             heard.add(
                                     method.getName()
                                             + (end
                                                     ? " " + args[2] + " " + args[4] + " " + args[6]
                                                     : ""));
-                            if (method.getName().equals("requested")) {
+                            if (method.getName().equals("requestArrived")) {
                                 for (int copy = 0; copy < copies; copy++) {
                                     actions.send((Integer) args[1], 0, Long.MAX_VALUE);
                                 }
@@ -173,7 +173,7 @@
         core.discoveryFailed();
         assertThat(heard).isEmpty();
         turn();
-        assertThat(heard).containsExactly("requested", "listed");
+        assertThat(heard).containsExactly("requestArrived", "endpointListChanged");
         assertThat(attempts).hasSize(1);
     }
 
@@ -189,7 +189,7 @@
         turn();
         assertThat(heard)
                 .containsExactly(
-                        "requested", "ended 0 FULL true", "clientLeft", "ended 1 NOT_SENT true");
+                        "requestArrived", "attemptEnded 0 FULL true", "clientLeft", "attemptEnded 1 NOT_SENT true");
         assertThat(attempts).hasSize(1);
     }
 
@@ -197,7 +197,7 @@
     void givesUpAttemptInTimeForTheAnswer() {
         take();
         pass(100_000 - RequestLifecycle.ANSWER_MARGIN_US);
-        assertThat(heard).containsExactly("requested", "ended 0 TIMED_OUT false");
+        assertThat(heard).containsExactly("requestArrived", "attemptEnded 0 TIMED_OUT false");
     }
 
     @Test
@@ -206,7 +206,7 @@
         attempts.get(0).ended(Outcome.SERVED, LoadReport.NONE, "yes");
         actions.fail(1);
         turn();
-        assertThat(heard).containsExactly("requested", "served yes", "ended 0 SERVED true");
+        assertThat(heard).containsExactly("requestArrived", "served yes", "attemptEnded 0 SERVED true");
         assertThat(core.unanswered()).isZero();
     }
 
@@ -224,7 +224,7 @@
         assertThat(heard)
                 .containsOnlyOnce("served yes")
                 .contains(
-                        "ended 1 SERVED true", "ended 0 CANCELLED true", "ended 2 CANCELLED true");
+                        "attemptEnded 1 SERVED true", "attemptEnded 0 CANCELLED true", "attemptEnded 2 CANCELLED true");
         assertThat(core.unanswered()).isZero();
     }
 
@@ -237,7 +237,7 @@
         core.discoveryFailed();
         turn();
         assertThat(attempts).hasSize(1);
-        assertThat(heard).containsExactly("requested", "listed", "ended 1 CANCELLED false");
+        assertThat(heard).containsExactly("requestArrived", "endpointListChanged", "attemptEnded 1 CANCELLED false");
         attempts.get(0).ended(Outcome.SERVED, LoadReport.NONE, "yes");
         assertThat(heard).contains("served yes");
     }
@@ -251,7 +251,7 @@
         assertThat(attempts.get(1).mayBegin()).isFalse();
         turn();
         assertThat(givenUp).containsExactly(1);
-        assertThat(heard).containsExactly("requested", "ended 1 CANCELLED false");
+        assertThat(heard).containsExactly("requestArrived", "attemptEnded 1 CANCELLED false");
     }
 
     @Test
@@ -275,7 +275,7 @@
         connectionsThrow = true;
         take();
         turn();
-        assertThat(heard).containsExactly("requested", "ended 0 CONNECT_FAILED false");
+        assertThat(heard).containsExactly("requestArrived", "attemptEnded 0 CONNECT_FAILED false");
     }
 
     @Test
