--- a/src/main/java/cresschute/node/Attempt.java
+++ b/src/main/java/cresschute/node/Attempt.java
@@ -19,7 +19,7 @@
 
     final long processStartedUs;
     RequestListener.AttemptObserver watch;
-    WorkerClient.AttemptCall call;
+    AttemptCall call;
     Future<?> giveUp;
     boolean ended;
 
--- /dev/null
+++ b/src/main/java/cresschute/node/AttemptListener.java
@@ -0,0 +1,65 @@
+package cresschute.node;
+
+import cresschute.dispatch.LoadReport;
+import cresschute.dispatch.Outcome;
+
+/**
+ * Receives the events of one attempt. Its end is reported exactly once, by {@link #ended} or by
+ * {@link #resultBegins}, unless {@link AttemptCall#giveUp} ended the attempt. All calls are on the
+ * event loop.
+ */
+public interface AttemptListener {
+
+    /**
+     * Asked once the connection is up and before the first byte is written. Not to be called from
+     * within the reading of a client's connection, which it may read itself.
+     *
+     * @return whether the first byte may be written; the attempt has ended if not
+     */
+    default boolean mayBegin() {
+        return true;
+    }
+
+    /**
+     * What is left of the attempt's time. Asked when the head is written: the connection may come
+     * up long after the worker was selected.
+     *
+     * @return microseconds, 0 once the time is over
+     */
+    long remainingUs();
+
+    /**
+     * The job has started, or reports progress.
+     *
+     * @param fractionDone how much of it is done, 0 to 1; 0 at its start
+     */
+    void progressed(double fractionDone);
+
+    /**
+     * The job produces a long result. This is the end of the attempt; only {@link #resultEnded}
+     * follows.
+     *
+     * @param type the content type that the worker states, or null
+     * @param length its length in bytes, or -1 if unknown
+     * @param report the worker's load report
+     * @return the stream to the client; {@link ResultStream#DISCARDING} if the client has left,
+     *     null if the request allows no long result
+     */
+    ResultStream resultBegins(String type, long length, LoadReport report);
+
+    /**
+     * A long result has ended.
+     *
+     * @param complete whether all of it was received
+     */
+    void resultEnded(boolean complete);
+
+    /**
+     * The attempt has ended.
+     *
+     * @param outcome how it ended
+     * @param report the worker's load report, or {@link LoadReport#NONE}
+     * @param result what the worker returned if the outcome is {@link Outcome#SERVED}, else null
+     */
+    void ended(Outcome outcome, LoadReport report, String result);
+}
--- a/src/main/java/cresschute/node/ClassTable.java
+++ b/src/main/java/cresschute/node/ClassTable.java
@@ -17,10 +17,10 @@
 final class ClassTable {
 
     /** Numbers that a node may give out since its start; each change of a class takes one. */
-    static final int MAX = 64;
+    static final int MAX_CLASSES = 64;
 
     /** A class under its number. */
-    record Entry(String name, RequestClass stated, boolean live) {}
+    record Entry(String name, RequestClass requestClass, boolean live) {}
 
     private final List<Entry> entries;
     private final Map<String, Integer> live;
@@ -52,7 +52,7 @@
      * @throws IllegalArgumentException where more than {@value #MOST} numbers would be given out
      *     since the start, or a name comes twice
      */
-    ClassTable after(List<String> names, List<RequestClass> classes) {
+    ClassTable updatedWith(List<String> names, List<RequestClass> classes) {
         if (names.stream().distinct().count() != names.size()) {
             throw new IllegalArgumentException("a class is named twice");
         }
@@ -60,13 +60,13 @@
         final List<Integer> kept = new ArrayList<>();
         for (int i = 0; i < names.size(); i++) {
             final Integer number = live.get(names.get(i));
-            if (number != null && entries.get(number).stated().equals(classes.get(i))) {
+            if (number != null && entries.get(number).requestClass().equals(classes.get(i))) {
                 kept.add(number);
             }
         }
         for (int number = 0; number < entries.size(); number++) {
             final Entry entry = entries.get(number);
-            next.add(new Entry(entry.name(), entry.stated(), kept.contains(number)));
+            next.add(new Entry(entry.name(), entry.requestClass(), kept.contains(number)));
         }
         for (int i = 0; i < names.size(); i++) {
             final Integer number = live.get(names.get(i));
@@ -74,10 +74,10 @@
                 next.add(new Entry(names.get(i), classes.get(i), true));
             }
         }
-        if (next.size() > MAX) {
+        if (next.size() > MAX_CLASSES) {
             throw new IllegalArgumentException(
                     "more than "
-                            + MAX
+                            + MAX_CLASSES
                             + " classes since the start; a restart "
                             + "takes this configuration");
         }
@@ -88,7 +88,7 @@
      * What the module is told: the new settings with these classes, and the zones and kinds of
      * before, which only a start changes.
      */
-    DispatchSettings told(DispatchSettings next, DispatchSettings before) {
+    DispatchSettings settingsFor(DispatchSettings next, DispatchSettings before) {
         return new DispatchSettings(
                 next.dispatchers(),
                 before.zone(),
@@ -117,7 +117,7 @@
 
     /** Every class by its number, retired ones too: what the module is told. */
     List<RequestClass> classes() {
-        return entries.stream().map(Entry::stated).toList();
+        return entries.stream().map(Entry::requestClass).toList();
     }
 
     /**
--- a/src/main/java/cresschute/node/ConfigFingerprint.java
+++ b/src/main/java/cresschute/node/ConfigKeys.java
@@ -18,19 +18,19 @@
  * @param classes the keys of each class, in the order of the file
  * @param names each class's name, in the same order, or an empty one
  */
-record ConfigFingerprint(Set<String> keys, List<Set<String>> classes, List<String> names) {
+record ConfigKeys(Set<String> keys, List<Set<String>> classes, List<String> names) {
 
     /** Of what is not read from a platform's file: nothing is asked of a file read again. */
-    static final ConfigFingerprint NONE = new ConfigFingerprint(Set.of(), List.of(), List.of());
+    static final ConfigKeys NONE = new ConfigKeys(Set.of(), List.of(), List.of());
 
-    ConfigFingerprint {
+    ConfigKeys {
         keys = Set.copyOf(keys);
         classes = classes.stream().map(Set::copyOf).toList();
         names = List.copyOf(names);
     }
 
     /** The shape of a whole file. */
-    static ConfigFingerprint of(JsonObject file) {
+    static ConfigKeys of(JsonObject file) {
         final Set<String> keys = new HashSet<>();
         walk("", file, keys);
         final List<Set<String>> classes = new ArrayList<>();
@@ -49,7 +49,7 @@
                 names.add(name != null && name.isJsonPrimitive() ? name.getAsString() : "");
             }
         }
-        return new ConfigFingerprint(keys, classes, names);
+        return new ConfigKeys(keys, classes, names);
     }
 
     private static void walk(String prefix, JsonObject object, Set<String> keys) {
@@ -67,7 +67,7 @@
      * same name, those that it has here; and of a new class those that every class here has. Each
      * class's by its number in the later file. Empty where it is whole.
      */
-    List<String> missingIn(ConfigFingerprint later) {
+    List<String> missingIn(ConfigKeys later) {
         final List<String> missing =
                 new ArrayList<>(
                         new TreeSet<>(keys)
--- a/src/main/java/cresschute/node/ControlService.java
+++ b/src/main/java/cresschute/node/ControlService.java
@@ -281,12 +281,12 @@
     // ---- What passes ----
 
     @Override
-    public WorkerState over(String worker, WorkerState listed) {
+    public WorkerState effectiveState(String worker, WorkerState listed) {
         return drains.over(worker, listed);
     }
 
     @Override
-    public void listed(long nowUs, List<Worker> told) {
+    public void endpointListChanged(long nowUs, List<Worker> told) {
         for (final Worker each : told) {
             heard(nowUs, each);
             final String name = core.registry().name(each.id());
@@ -318,12 +318,12 @@
     }
 
     @Override
-    public void asked(long nowUs, int requestClass) {
+    public void requestTaken(long nowUs, int requestClass) {
         health.asked(nowUs, requestClass);
     }
 
     @Override
-    public void answered(
+    public void requestEnded(
             long nowUs, int requestClass, Answer answer, int attempts, long waitedUs, long ranUs) {
         health.answered(nowUs, requestClass, healthAnswer(answer), attempts, waitedUs, ranUs);
     }
@@ -331,19 +331,19 @@
     private static HealthTracker.Answer healthAnswer(Answer answer) {
         return switch (answer) {
             case SERVED -> HealthTracker.Answer.SERVED;
-            case REFUSED -> HealthTracker.Answer.REFUSED;
+            case REJECTED -> HealthTracker.Answer.REFUSED;
             case FAILED -> HealthTracker.Answer.FAILED;
             case LEFT -> HealthTracker.Answer.LEFT;
         };
     }
 
     @Override
-    public AttemptObserver sent(long nowUs, int worker, int requestClass) {
+    public AttemptObserver attemptStarted(long nowUs, int worker, int requestClass) {
         final HealthTracker.Job job = health.sent(nowUs, worker, requestClass);
         changed.add(worker);
         return new AttemptObserver() {
             @Override
-            public void told(long atUs) {
+            public void progressed(long atUs) {
                 job.told(atUs);
             }
 
@@ -361,7 +361,7 @@
     }
 
     @Override
-    public void probed(long nowUs, int worker, LoadReport report) {
+    public void loadReported(long nowUs, int worker, LoadReport report) {
         health.probed(nowUs, worker, report);
         changed.add(worker);
     }
--- a/src/main/java/cresschute/node/DescriptorShares.java
+++ b/src/main/java/cresschute/node/DescriptorBudget.java
@@ -4,12 +4,12 @@
  * How a node divides the file descriptors that its process may hold, so that none of its parts can
  * take what another one needs.
  *
- * @param clients connections from clients at a time
- * @param workers connections to workers at a time
- * @param callers calls of the platform's operators at a time; 0 where there is no management
- *     listener
+ * @param clientConnections connections from clients at a time
+ * @param workerConnections connections to workers at a time
+ * @param managementCalls calls of the platform's operators at a time; 0 where there is no
+ *     management listener
  */
-record DescriptorShares(int clients, int workers, int callers) {
+record DescriptorBudget(int clientConnections, int workerConnections, int managementCalls) {
 
     /**
      * Descriptors that are in none of the shares. Of these a process holds 22 at rest: its standard
@@ -21,28 +21,32 @@
     static final int RESERVED_DESCRIPTORS = 48;
 
     /** The most calls of operators that are held at a time. */
-    static final int MAX_CALLERS = 32;
+    static final int MAX_MANAGEMENT_CALLS = 32;
 
     /**
      * Under a small limit, calls of operators may take one in so many of the descriptors to share.
      */
-    private static final int CALLERS_DIVISOR = 8;
+    private static final int MANAGEMENT_CALLS_DIVISOR = 8;
 
     /**
      * Clients' part of the rest: up to a third of all carry open requests, and so may the attempts.
      */
-    private static final double CLIENT_PART = 0.55;
+    private static final double CLIENT_FRACTION = 0.55;
 
     /** A client and a worker, where a limit leaves nothing to share. */
     private static final int MIN_CONNECTIONS = 2;
 
     /** The shares under a limit of the process's descriptors. */
-    static DescriptorShares of(int descriptors, boolean hasManagement) {
+    static DescriptorBudget of(int descriptors, boolean hasManagement) {
         final int shared = Math.max(MIN_CONNECTIONS, descriptors - RESERVED_DESCRIPTORS);
         final int callers =
-                hasManagement ? Math.max(1, Math.min(MAX_CALLERS, shared / CALLERS_DIVISOR)) : 0;
+                hasManagement
+                        ? Math.max(
+                                1,
+                                Math.min(MAX_MANAGEMENT_CALLS, shared / MANAGEMENT_CALLS_DIVISOR))
+                        : 0;
         final int connections = Math.max(MIN_CONNECTIONS, shared - callers);
-        final int clients = (int) (connections * CLIENT_PART);
-        return new DescriptorShares(clients, connections - clients, callers);
+        final int clients = (int) (connections * CLIENT_FRACTION);
+        return new DescriptorBudget(clients, connections - clients, callers);
     }
 }
--- a/src/main/java/cresschute/node/ManagementService.java
+++ b/src/main/java/cresschute/node/ManagementService.java
@@ -249,7 +249,7 @@
     // ---- What passes ----
 
     @Override
-    public WorkerState over(String worker, WorkerState listed) {
+    public WorkerState effectiveState(String worker, WorkerState listed) {
         return listed == WorkerState.READY && inForce.isBanned(worker)
                 ? WorkerState.DRAINING
                 : listed;
--- a/src/main/java/cresschute/node/NodeConfig.java
+++ b/src/main/java/cresschute/node/NodeConfig.java
@@ -36,7 +36,7 @@
  * @param stateFolder the folder for what outlives the process, or null
  * @param bodies the room for long bodies, or null where there are none
  * @param operators where the platform's operators call, and what an upgrade hands over
- * @param shape the keys of the platform's file, which a file read again must have too
+ * @param fileKeys the keys of the platform's file, which a file read again must have too
  * @param peers the other dispatchers to exchange counts with, or null where this node talks to none
  */
 public record NodeConfig(
@@ -56,7 +56,7 @@
         String stateFolder,
         Bodies bodies,
         Operators operators,
-        ConfigFingerprint shape,
+        ConfigKeys fileKeys,
         Peers peers) {
 
     /**
@@ -94,7 +94,7 @@
             String stateFolder,
             Bodies bodies,
             Operators operators,
-            ConfigFingerprint shape) {
+            ConfigKeys shape) {
         this(
                 name,
                 listen,
@@ -150,7 +150,7 @@
                 stateFolder,
                 bodies,
                 Operators.NONE,
-                ConfigFingerprint.NONE);
+                ConfigKeys.NONE);
     }
 
     /** A node with the platform's operators, of a file whose keys are not looked at again. */
@@ -188,16 +188,16 @@
                 stateFolder,
                 bodies,
                 operators,
-                ConfigFingerprint.NONE);
+                ConfigKeys.NONE);
     }
 
     /** The keys of this node's first file that a file read again lacks; empty where it is whole. */
     public List<String> missingIn(NodeConfig later) {
-        return shape.missingIn(later.shape);
+        return fileKeys.missingIn(later.fileKeys);
     }
 
     private static final String DISCOVERY = "BALANCER_DISCOVERY";
-    private static final String PASSED = "BALANCER_PASSED_SOCKET";
+    private static final String PASSED_SOCKET = "BALANCER_PASSED_SOCKET";
 
     /**
      * The one descriptor that the JVM hands over as a channel, by {@link System#inheritedChannel}.
@@ -243,7 +243,7 @@
                 settings.stateFolder(),
                 settings.bodies(),
                 Operators.NONE,
-                ConfigFingerprint.NONE,
+                ConfigKeys.NONE,
                 settings.peers());
     }
 
@@ -285,7 +285,7 @@
                     Addresses.parse(setting(environment, "BALANCER_LISTEN", json, "listen")),
                     Addresses.parse(setting(environment, DISCOVERY, json, "discovery")),
                     Long.parseUnsignedLong(Json.string(json, "seed"), 16),
-                    SettingsParser.parse(DeploymentSettingsParser.of(settings)),
+                    SettingsParser.parse(SettingsFlattener.flatten(settings)),
                     classNames(settings),
                     names(settings, "zones"),
                     names(settings, "hostTypes"),
@@ -297,7 +297,7 @@
                     null,
                     null,
                     operators(environment, json),
-                    ConfigFingerprint.of(json));
+                    ConfigKeys.of(json));
         } catch (JsonParseException | IllegalArgumentException e) {
             throw new ConfigException(
                     "configuration: "
@@ -309,10 +309,10 @@
     }
 
     private static Operators operators(Map<String, String> environment, JsonObject json) {
-        final String passed = environment.get(PASSED);
+        final String passed = environment.get(PASSED_SOCKET);
         if (passed != null && !passed.isBlank() && !passed.strip().equals(STANDARD_INPUT)) {
             throw new IllegalArgumentException(
-                    PASSED
+                    PASSED_SOCKET
                             + " is "
                             + passed
                             + ", but only descriptor "
@@ -335,7 +335,7 @@
      * end.
      */
     boolean isOfThePlatform() {
-        return shape != ConfigFingerprint.NONE;
+        return fileKeys != ConfigKeys.NONE;
     }
 
     /** Whether there is anything for an operator: without it, none of that is so much as loaded. */
@@ -346,7 +346,7 @@
     /**
      * The parts in which another configuration differs and that a running node cannot take over.
      */
-    List<String> changedFor(NodeConfig next) {
+    List<String> partsHeldUntilRestart(NodeConfig next) {
         final List<String> changed = new ArrayList<>();
         note(changed, "name", name.equals(next.name));
         note(changed, "listen", listen.equals(next.listen));
--- a/src/main/java/cresschute/node/NodeServer.java
+++ b/src/main/java/cresschute/node/NodeServer.java
@@ -118,8 +118,11 @@
                 config.hasControlService() ? new ControlService(config, loop, clock) : null;
         final boolean hasManagement =
                 controlService == null && config.operators().management() != null;
-        final DescriptorShares shares = DescriptorShares.of(config.sockets(), hasManagement);
-        operators = hasManagement ? new ManagementService(config, loop, shares.callers()) : null;
+        final DescriptorBudget shares = DescriptorBudget.of(config.sockets(), hasManagement);
+        operators =
+                hasManagement
+                        ? new ManagementService(config, loop, shares.managementCalls())
+                        : null;
         peers = config.peers() == null ? null : connectPeers(clock);
         core =
                 new RequestLifecycle(
@@ -132,14 +135,14 @@
                                 : operators != null ? operators : RequestListener.NONE,
                         peers != null ? peers : LoadKnowledge.NONE,
                         module);
-        front = new ClientFront(loop, core, config, shares.clients());
+        front = new ClientFront(loop, core, config, shares.clientConnections());
         workerClient =
                 new WorkerConnectionPool(
                         loop,
                         faults,
                         config.connectTimeoutUs(),
                         config.connIdleUs(),
-                        shares.workers(),
+                        shares.workerConnections(),
                         config.bodies() != null);
         discovery =
                 config.discovery() == null
@@ -316,7 +319,7 @@
                                                 ? config.discovery()
                                                 : next.discovery());
         // Told so that nobody takes a change for made that only the next start makes.
-        final List<String> held = new ArrayList<>(config.changedFor(next));
+        final List<String> held = new ArrayList<>(config.partsHeldUntilRestart(next));
         final String retuned = applySettings(next, held);
         LogEvent.of(
                         "reloaded",
@@ -351,7 +354,7 @@
         }
         final ClassTable table;
         try {
-            table = classTable.after(next.classes(), wanted.classes());
+            table = classTable.updatedWith(next.classes(), wanted.classes());
         } catch (IllegalArgumentException e) {
             held.add("classes (" + e.getMessage() + ")");
             return "";
@@ -363,7 +366,7 @@
             held.add("classes");
             return "";
         }
-        final DispatchSettings retold = table.told(wanted, now);
+        final DispatchSettings retold = table.settingsFor(wanted, now);
         if (!classesChange && retold.equals(now) || !retold.canReplace(now)) {
             return "";
         }
--- a/src/main/java/cresschute/node/PeerFault.java
+++ b/src/main/java/cresschute/node/PeerFault.java
@@ -6,15 +6,15 @@
 public enum PeerFault {
 
     /** A call to discovery brought no list. */
-    DIRECTOR_CALL_FAILED("director call failed"),
+    DISCOVERY_CALL_FAILED("discovery call failed"),
     /** A worker answered something that cannot be used. */
-    BAD_BACKEND_ANSWER("bad backend answer"),
+    BAD_WORKER_ANSWER("bad worker answer"),
     /** A connection to a worker failed otherwise than by breaking. */
-    BACKEND_CONNECTION("backend connection"),
+    WORKER_CONNECTION("worker connection"),
     /** A connection from a client did. */
     CLIENT_CONNECTION("client connection"),
     /** There was no room for a long body. */
-    NO_ROOM_FOR_BODY("no room for a long body"),
+    BODY_CAPACITY_EXCEEDED("no capacity for a long body"),
     /** One side of a long body moved too little. */
     BODY_TOO_SLOW("a long body was too slow"),
     /** All connections to workers are in use. */
--- a/src/main/java/cresschute/node/RequestBody.java
+++ b/src/main/java/cresschute/node/RequestBody.java
@@ -8,5 +8,5 @@
 public interface RequestBody {
 
     /** Whether an attempt could still begin at its first byte. */
-    boolean canBeSentAnew();
+    boolean isReplayable();
 }
--- a/src/main/java/cresschute/node/RequestContent.java
+++ b/src/main/java/cresschute/node/RequestContent.java
@@ -17,7 +17,7 @@
     }
 
     /** Whether an attempt of it could still begin at the body's first byte. */
-    boolean canBeSentAnew() {
-        return longBody == null || longBody.canBeSentAnew();
+    boolean isReplayable() {
+        return longBody == null || longBody.isReplayable();
     }
 }
--- a/src/main/java/cresschute/node/RequestLifecycle.java
+++ b/src/main/java/cresschute/node/RequestLifecycle.java
@@ -207,7 +207,7 @@
         open.put(request.id, request);
         openIds.add(content.requestId());
         unanswered++;
-        listener.asked(nowUs, request.requestClass);
+        listener.requestTaken(nowUs, request.requestClass);
         // Guards against a request that the module forgets or fails on: it is never left without an
         // answer.
         request.overdue =
@@ -220,7 +220,7 @@
         if (atItsEnd) {
             answer(
                     request,
-                    RequestListener.Answer.REFUSED,
+                    RequestListener.Answer.REJECTED,
                     0,
                     () -> client.localReply(retryAfterUs));
             return request;
@@ -252,7 +252,7 @@
 
     private void watched(ClientRequest request, RequestListener.Answer answer, long ranUs) {
         final long nowUs = clock.nowUs();
-        listener.answered(
+        listener.requestEnded(
                 nowUs,
                 request.requestClass,
                 answer,
@@ -333,7 +333,7 @@
 
     private boolean isAsSent(Attempt attempt) {
         final Worker now = registry.listed().get(attempt.worker);
-        return listener.over(registry.name(now.id()), now.state()) == WorkerState.READY
+        return listener.effectiveState(registry.name(now.id()), now.state()) == WorkerState.READY
                 && now.startedAtUs() == attempt.processStartedUs
                 && registry.address(now.id()).equals(attempt.addr);
     }
@@ -383,7 +383,7 @@
             if (harmless && request.streaming == null) {
                 answer(
                         request,
-                        RequestListener.Answer.REFUSED,
+                        RequestListener.Answer.REJECTED,
                         0,
                         () -> request.client.localReply(retryAfterUs));
             } else {
@@ -400,7 +400,7 @@
         if (!invariant.holds(request != null && addr != null, "send of or to nobody")) {
             return;
         }
-        if (!mayBegin(request) || !request.content.canBeSentAnew()) {
+        if (!mayBegin(request) || !request.content.isReplayable()) {
             // The client left, or was answered, in the turn in which the module chose: nothing is
             // sent. Nor
             // is a hedge whose body is partly gone, or whose client is not read; that is no loss of
@@ -433,7 +433,7 @@
                         Math.min(deadlineUs, request.deadlineUs));
         request.out.add(attempt);
         request.firstWorker = request.firstWorker < 0 ? worker : request.firstWorker;
-        attempt.watch = listener.sent(nowUs, worker, request.requestClass);
+        attempt.watch = listener.attemptStarted(nowUs, worker, request.requestClass);
         loads.started(registry.name(worker));
         attempt.giveUp =
                 after(
@@ -471,14 +471,16 @@
         final boolean paused = request.client.readPausedUs() > MAX_READ_PAUSE_US;
         if (paused && request.out.stream().noneMatch(attempt -> attempt.call.hasBegun())) {
             faults.fault(
-                    PeerFault.NO_ROOM_FOR_BODY, null, "not sent: reading its client is paused");
+                    PeerFault.BODY_CAPACITY_EXCEEDED,
+                    null,
+                    "not sent: reading its client is paused");
             answerWhatIsNotSentAnew(request);
         }
         return !paused;
     }
 
-    private WorkerClient.AttemptListener listenerOf(Attempt attempt) {
-        return new WorkerClient.AttemptListener() {
+    private AttemptListener listenerOf(Attempt attempt) {
+        return new AttemptListener() {
             @Override
             public boolean mayBegin() {
                 final boolean wanted = RequestLifecycle.this.mayBegin(attempt.request);
@@ -500,7 +502,7 @@
 
             @Override
             public void progressed(double fractionDone) {
-                attempt.watch.told(clock.nowUs());
+                attempt.watch.progressed(clock.nowUs());
                 gather(
                         attempt.request,
                         now ->
@@ -569,7 +571,7 @@
         if (!request.closed
                 && request.streaming == null
                 && request.out.isEmpty()
-                && !request.content.canBeSentAnew()) {
+                && !request.content.isReplayable()) {
             answerWhatIsNotSentAnew(request);
         }
         forgetIfDone(request);
@@ -617,9 +619,9 @@
         final ClientRequest request = attempt.request;
         if (request.closed) {
             end(attempt, Outcome.SERVED, report, null);
-            return ResultStream.NOWHERE;
+            return ResultStream.DISCARDING;
         }
-        request.result = request.client.streams(type, length);
+        request.result = request.client.resultBegins(type, length);
         if (request.result == null) {
             return null;
         }
@@ -672,7 +674,7 @@
         } else {
             answer(
                     request,
-                    RequestListener.Answer.REFUSED,
+                    RequestListener.Answer.REJECTED,
                     0,
                     () -> request.client.localReply(retryAfterUs));
         }
@@ -701,10 +703,10 @@
             gather(null, now -> module.loadReported(now, worker, Outcome.SERVED, report));
             return;
         }
-        workerClient.probe(
+        workerClient.queryLoad(
                 addr,
                 (outcome, report) -> {
-                    listener.probed(clock.nowUs(), worker, report);
+                    listener.loadReported(clock.nowUs(), worker, report);
                     loads.reported(registry.name(worker), report);
                     gather(null, now -> module.loadReported(now, worker, outcome, report));
                 });
@@ -728,13 +730,13 @@
     }
 
     private void publishList(EndpointListForm form, EndpointList list) {
-        final List<Worker> told = registry.take(list);
+        final List<Worker> told = registry.apply(list);
         told.forEach(each -> loads.listed(registry.name(each.id())));
         final List<Worker> workers = over(told);
         ready |= workers.stream().anyMatch(worker -> worker.state() == WorkerState.READY);
         listUpdatedAtUs = clock.nowUs();
         // A whole list says of those that it leaves out that they are gone.
-        listener.listed(listUpdatedAtUs, list.full() ? registry.listed() : told);
+        listener.endpointListChanged(listUpdatedAtUs, list.full() ? registry.listed() : told);
         gather(null, now -> module.endpointListChanged(now, form, workers));
         recallMisdirected();
     }
@@ -745,7 +747,7 @@
                 .map(
                         each -> {
                             final WorkerState state =
-                                    listener.over(registry.name(each.id()), each.state());
+                                    listener.effectiveState(registry.name(each.id()), each.state());
                             return state == each.state()
                                     ? each
                                     : new Worker(
@@ -907,7 +909,7 @@
                     () ->
                             answerOpen(
                                     requestId,
-                                    RequestListener.Answer.REFUSED,
+                                    RequestListener.Answer.REJECTED,
                                     client -> client.localReply(retryAfterUs)));
         }
 
--- a/src/main/java/cresschute/node/RequestListener.java
+++ b/src/main/java/cresschute/node/RequestListener.java
@@ -19,7 +19,7 @@
     /** How a request was answered. */
     enum Answer {
         SERVED("served"),
-        REFUSED("refused"),
+        REJECTED("refused"),
         FAILED("failed"),
         LEFT("left");
 
@@ -42,7 +42,7 @@
         AttemptObserver NONE = new AttemptObserver() {};
 
         /** Its start or its progress was told. */
-        default void told(long nowUs) {}
+        default void progressed(long nowUs) {}
 
         /** Its end, once. */
         default void ended(long nowUs, Outcome outcome, LoadReport report) {}
@@ -54,7 +54,7 @@
     }
 
     /** The state that the module is to hear of a worker; never a better one than the list's. */
-    default WorkerState over(String worker, WorkerState listed) {
+    default WorkerState effectiveState(String worker, WorkerState listed) {
         return listed;
     }
 
@@ -62,24 +62,24 @@
      * The roster has taken in a list or a change, perhaps an empty one; these have been told anew
      * by it.
      */
-    default void listed(long nowUs, List<Worker> told) {}
+    default void endpointListChanged(long nowUs, List<Worker> told) {}
 
     /** A request was taken. */
-    default void asked(long nowUs, int requestClass) {}
+    default void requestTaken(long nowUs, int requestClass) {}
 
     /**
      * A request was answered or left, once.
      *
      * @param ranUs how long the job ran that served it, or 0
      */
-    default void answered(
+    default void requestEnded(
             long nowUs, int requestClass, Answer answer, int attempts, long waitedUs, long ranUs) {}
 
     /** An attempt goes out. */
-    default AttemptObserver sent(long nowUs, int worker, int requestClass) {
+    default AttemptObserver attemptStarted(long nowUs, int worker, int requestClass) {
         return AttemptObserver.NONE;
     }
 
     /** A probe came back. */
-    default void probed(long nowUs, int worker, LoadReport report) {}
+    default void loadReported(long nowUs, int worker, LoadReport report) {}
 }
--- a/src/main/java/cresschute/node/ResponseListener.java
+++ b/src/main/java/cresschute/node/ResponseListener.java
@@ -34,7 +34,7 @@
      * @param type what the worker calls its content, or null
      * @param length its bytes, or -1 where that is not known
      */
-    ResultStream streams(String type, long length);
+    ResultStream resultBegins(String type, long length);
 
     /** A local reply: refused, a retry does no harm. Advice of 0 is none. */
     void localReply(long retryAfterUs);
--- a/src/main/java/cresschute/node/ResultStream.java
+++ b/src/main/java/cresschute/node/ResultStream.java
@@ -5,7 +5,7 @@
 public interface ResultStream {
 
     /** For a result whose client is gone. */
-    ResultStream NOWHERE = whole -> {};
+    ResultStream DISCARDING = whole -> {};
 
     /** No more comes: it is whole, or it must not look so to the client. */
     void finish(boolean whole);
--- a/src/main/java/cresschute/node/DeploymentSettingsParser.java
+++ b/src/main/java/cresschute/node/SettingsFlattener.java
@@ -7,14 +7,14 @@
 import java.util.StringJoiner;
 
 /** Flattens nested settings to the path=value lines that the settings parser reads. */
-public final class DeploymentSettingsParser {
+public final class SettingsFlattener {
 
     private final StringBuilder lines = new StringBuilder();
 
-    private DeploymentSettingsParser() {}
+    private SettingsFlattener() {}
 
-    static String of(JsonObject settings) {
-        final DeploymentSettingsParser flat = new DeploymentSettingsParser();
+    static String flatten(JsonObject settings) {
+        final SettingsFlattener flat = new SettingsFlattener();
         flat.object("", settings);
         return flat.lines.toString();
     }
--- a/src/main/java/cresschute/node/WorkerRegistry.java
+++ b/src/main/java/cresschute/node/WorkerRegistry.java
@@ -33,7 +33,7 @@
     /**
      * Takes in an answer and tells it in the module's terms; a changed address holds from now on.
      */
-    List<Worker> take(EndpointList list) {
+    List<Worker> apply(EndpointList list) {
         version = list.version();
         if (list.full()) {
             listed.replaceAll(
--- a/src/main/java/cresschute/node/http/ClientConnection.java
+++ b/src/main/java/cresschute/node/http/ClientConnection.java
@@ -808,7 +808,7 @@
         }
 
         @Override
-        public ResultStream streams(String type, long length) {
+        public ResultStream resultBegins(String type, long length) {
             if (result == null) {
                 return null;
             }
--- a/src/main/java/cresschute/node/http/DiscoveryClient.java
+++ b/src/main/java/cresschute/node/http/DiscoveryClient.java
@@ -175,7 +175,7 @@
             fail(why);
             return;
         }
-        faults.fault(PeerFault.DIRECTOR_CALL_FAILED, null, why + "; asked again at once");
+        faults.fault(PeerFault.DISCOVERY_CALL_FAILED, null, why + "; asked again at once");
         dropConnection();
         if (pauseMs.getAsLong() == 0) {
             call();
@@ -248,7 +248,7 @@
             return;
         }
         hangUp();
-        faults.fault(PeerFault.DIRECTOR_CALL_FAILED, null, why);
+        faults.fault(PeerFault.DISCOVERY_CALL_FAILED, null, why);
         core.discoveryFailed();
     }
 
--- a/src/main/java/cresschute/node/http/HttpAttempt.java
+++ b/src/main/java/cresschute/node/http/HttpAttempt.java
@@ -3,12 +3,12 @@
 import com.google.gson.JsonParseException;
 import cresschute.dispatch.LoadReport;
 import cresschute.dispatch.Outcome;
+import cresschute.node.AttemptCall;
+import cresschute.node.AttemptListener;
 import cresschute.node.PeerFault;
 import cresschute.node.RateLimitedLog;
 import cresschute.node.RequestContent;
 import cresschute.node.ResultStream;
-import cresschute.node.WorkerClient.AttemptCall;
-import cresschute.node.WorkerClient.AttemptListener;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
@@ -211,7 +211,7 @@
     private void pass(ByteBuf chunk) {
         final long max = result.stated() < 0 ? Long.MAX_VALUE : result.stated();
         if (!result.collect(chunk, connection.allocator(), max)) {
-            faults.fault(PeerFault.BAD_BACKEND_ANSWER, host, "a result is longer than it said");
+            faults.fault(PeerFault.BAD_WORKER_ANSWER, host, "a result is longer than it said");
             breakOff();
         }
     }
@@ -320,7 +320,7 @@
     }
 
     private void bad(JsonParseException e) {
-        faults.fault(PeerFault.BAD_BACKEND_ANSWER, host, e.getMessage());
+        faults.fault(PeerFault.BAD_WORKER_ANSWER, host, e.getMessage());
         end(Outcome.ERROR, LoadReport.NONE, null);
         drop();
     }
--- a/src/main/java/cresschute/node/http/HttpLoadQuery.java
+++ b/src/main/java/cresschute/node/http/HttpLoadQuery.java
@@ -3,9 +3,9 @@
 import com.google.gson.JsonParseException;
 import cresschute.dispatch.LoadReport;
 import cresschute.dispatch.Outcome;
+import cresschute.node.LoadQueryListener;
 import cresschute.node.PeerFault;
 import cresschute.node.RateLimitedLog;
-import cresschute.node.WorkerClient.LoadQueryListener;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
@@ -79,7 +79,7 @@
                             : alive ? LoadReportParser.parseBody(body.toString()) : LoadReport.NONE;
             end(alive ? Outcome.SERVED : Outcome.ERROR, load);
         } catch (JsonParseException e) {
-            faults.fault(PeerFault.BAD_BACKEND_ANSWER, host, "to a probe: " + e.getMessage());
+            faults.fault(PeerFault.BAD_WORKER_ANSWER, host, "to a probe: " + e.getMessage());
             end(Outcome.ERROR, LoadReport.NONE);
         }
     }
@@ -93,7 +93,7 @@
         if (!over) {
             over = true;
             timeout.cancel(false);
-            listener.probed(outcome, load);
+            listener.loadQueryEnded(outcome, load);
         }
     }
 }
--- a/src/main/java/cresschute/node/http/LongBodies.java
+++ b/src/main/java/cresschute/node/http/LongBodies.java
@@ -90,7 +90,7 @@
         if (admission.account() == null) {
             core.faults()
                     .fault(
-                            PeerFault.NO_ROOM_FOR_BODY,
+                            PeerFault.BODY_CAPACITY_EXCEEDED,
                             client,
                             switch (admission.refusal()) {
                                 case NODE_FULL ->
--- a/src/main/java/cresschute/node/http/LongStream.java
+++ b/src/main/java/cresschute/node/http/LongStream.java
@@ -155,8 +155,8 @@
     // ---- Out ----
 
     /** Whether a further pump could begin at its first byte. */
-    public final boolean canBeSentAnew() {
-        return body.canBeSentAnew();
+    public final boolean isReplayable() {
+        return body.isReplayable();
     }
 
     /** A way on; it may find at its start that it cannot be begun any more. */
--- a/src/main/java/cresschute/node/http/RequestHead.java
+++ b/src/main/java/cresschute/node/http/RequestHead.java
@@ -4,7 +4,7 @@
 import cresschute.dispatch.Job;
 import cresschute.dispatch.RequestClass;
 import cresschute.dispatch.Tenant;
-import cresschute.node.DeploymentSettingsParser;
+import cresschute.node.SettingsFlattener;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpMethod;
@@ -145,8 +145,7 @@
             if (tenants.isEmpty()) {
                 return 0;
             }
-            final String name =
-                    DeploymentSettingsParser.word(headers.get(Headers.TENANT, "").strip());
+            final String name = SettingsFlattener.word(headers.get(Headers.TENANT, "").strip());
             for (int number = 0; number < tenants.size(); number++) {
                 if (tenants.get(number).name().equals(name)) {
                     return number;
--- a/src/main/java/cresschute/node/http/WorkerConnectionPool.java
+++ b/src/main/java/cresschute/node/http/WorkerConnectionPool.java
@@ -1,5 +1,8 @@
 package cresschute.node.http;
 
+import cresschute.node.AttemptCall;
+import cresschute.node.AttemptListener;
+import cresschute.node.LoadQueryListener;
 import cresschute.node.PeerFault;
 import cresschute.node.RateLimitedLog;
 import cresschute.node.RequestContent;
@@ -94,7 +97,7 @@
     }
 
     @Override
-    public void probe(InetSocketAddress addr, LoadQueryListener listener) {
+    public void queryLoad(InetSocketAddress addr, LoadQueryListener listener) {
         final HttpLoadQuery probe = new HttpLoadQuery(host(addr), listener, faults);
         probe.endWith(loop.schedule(probe::timedOut, PROBE_MS, TimeUnit.MILLISECONDS));
         start(addr, probe);
@@ -203,13 +206,13 @@
 
     /** Bytes on a connection where none are due: it ends, and nothing that they say is heeded. */
     void unasked(InetSocketAddress addr) {
-        faults.fault(PeerFault.BAD_BACKEND_ANSWER, host(addr), "to nothing that was asked");
+        faults.fault(PeerFault.BAD_WORKER_ANSWER, host(addr), "to nothing that was asked");
     }
 
     /** A connection breaking is an outcome and no news; anything else is worth a line. */
     void troubled(InetSocketAddress addr, Throwable cause) {
         if (!(cause instanceof IOException)) {
-            faults.fault(PeerFault.BACKEND_CONNECTION, host(addr), String.valueOf(cause));
+            faults.fault(PeerFault.WORKER_CONNECTION, host(addr), String.valueOf(cause));
         }
     }
 
--- a/src/test/java/cresschute/node/ClassTableTest.java
+++ b/src/test/java/cresschute/node/ClassTableTest.java
@@ -37,7 +37,7 @@
 
     @Test
     void theSameClassesKeepTheirNumbers() {
-        final ClassTable again = start.after(List.of("file", "check"), List.of(KEYED, PURE));
+        final ClassTable again = start.updatedWith(List.of("file", "check"), List.of(KEYED, PURE));
         assertThat(again.isSameAs(start)).isTrue();
         assertThat(again.live()).isEqualTo(Map.of("check", 0, "file", 1));
         assertThat(again.changesFrom(start)).isEmpty();
@@ -45,7 +45,7 @@
 
     @Test
     void aNewClassIsAddedAndOneThatGoesIsRetired() {
-        final ClassTable next = start.after(List.of("check", "report"), List.of(PURE, ONCE));
+        final ClassTable next = start.updatedWith(List.of("check", "report"), List.of(PURE, ONCE));
         assertThat(next.classes()).containsExactly(PURE, KEYED, ONCE);
         assertThat(next.names()).containsExactly("check", "file", "report");
         assertThat(next.live()).isEqualTo(Map.of("check", 0, "report", 2));
@@ -54,30 +54,30 @@
 
     @Test
     void aChangedClassComesAnewUnderItsName() {
-        final ClassTable next = start.after(List.of("check", "file"), List.of(PURE, ONCE));
+        final ClassTable next = start.updatedWith(List.of("check", "file"), List.of(PURE, ONCE));
         assertThat(next.classes()).containsExactly(PURE, KEYED, ONCE);
         assertThat(next.changesFrom(start)).isEqualTo("changed: file");
         assertThat(next.live()).isEqualTo(Map.of("check", 0, "file", 2));
         // And back again: the old meaning is a new number too, for the retired one may have
         // requests under way.
-        final ClassTable back = next.after(List.of("check", "file"), List.of(PURE, KEYED));
+        final ClassTable back = next.updatedWith(List.of("check", "file"), List.of(PURE, KEYED));
         assertThat(back.live()).isEqualTo(Map.of("check", 0, "file", 3));
     }
 
     @Test
     void refusesANameTwiceAndMoreNumbersThanItGivesOut() {
-        assertThatThrownBy(() -> start.after(List.of("check", "check"), List.of(PURE, KEYED)))
+        assertThatThrownBy(() -> start.updatedWith(List.of("check", "check"), List.of(PURE, KEYED)))
                 .hasMessageContaining("named twice");
         ClassTable table = start;
         final List<String> names = new ArrayList<>();
         final List<RequestClass> classes = new ArrayList<>();
-        for (int i = 0; table.size() + 1 <= ClassTable.MAX; i++) {
+        for (int i = 0; table.size() + 1 <= ClassTable.MAX_CLASSES; i++) {
             names.add("c" + i);
             classes.add(PURE);
-            table = table.after(names, classes);
+            table = table.updatedWith(names, classes);
         }
         final ClassTable full = table;
-        assertThatThrownBy(() -> full.after(List.of("more"), List.of(PURE)))
-                .hasMessageContaining("more than " + ClassTable.MAX);
+        assertThatThrownBy(() -> full.updatedWith(List.of("more"), List.of(PURE)))
+                .hasMessageContaining("more than " + ClassTable.MAX_CLASSES);
     }
 }
--- a/src/test/java/cresschute/node/DescriptorLimitTest.java
+++ b/src/test/java/cresschute/node/DescriptorLimitTest.java
@@ -30,7 +30,7 @@
     private static final int DESCRIPTORS = 200;
 
     /** What the management listener, clients and workers may take of these, by the page. */
-    private static final DescriptorShares SHARES = DescriptorShares.of(DESCRIPTORS, true);
+    private static final DescriptorBudget SHARES = DescriptorBudget.of(DESCRIPTORS, true);
 
     /** Operators that call at a time, more than are held. */
     private static final int CALLERS = 40;
@@ -137,7 +137,7 @@
                 operatorsAreAnswered();
                 // Discovery is down: each call takes a descriptor and gives it back.
                 rest();
-                node.awaitLine("director call failed");
+                node.awaitLine("discovery call failed");
                 rest();
                 try (ServerSocket discovery = new ServerSocket()) {
                     discovery.setSoTimeout((int) MAX_WAIT.toMillis());
@@ -181,12 +181,15 @@
             start(discovery.getLocalPort(), known(worker));
             try {
                 final int before = node.openDescriptors();
-                for (int i = 0; i < SHARES.clients() - 1; i++) {
+                for (int i = 0; i < SHARES.clientConnections() - 1; i++) {
                     clients.add(Peer.connect(address));
                 }
                 Awaitility.await()
                         .atMost(MAX_WAIT)
-                        .until(() -> node.openDescriptors() > before + SHARES.clients() / 2);
+                        .until(
+                                () ->
+                                        node.openDescriptors()
+                                                > before + SHARES.clientConnections() / 2);
                 for (final Peer each : clients) {
                     assertThat(each.isClosedByOther()).isTrue();
                 }
@@ -223,7 +226,7 @@
                 for (int i = 0; i < CALLERS; i++) {
                     clients.add(Peer.connect(management));
                 }
-                for (int i = 0; i < SHARES.clients(); i++) {
+                for (int i = 0; i < SHARES.clientConnections(); i++) {
                     clients.add(Peer.connect(address).write(TestNode.request("r" + i, "", "")));
                 }
                 Awaitility.await()
@@ -231,7 +234,7 @@
                         .until(
                                 () -> {
                                     count();
-                                    return worker.jobs() >= SHARES.workers() / 2;
+                                    return worker.jobs() >= SHARES.workerConnections() / 2;
                                 });
                 rest();
                 // The watch breaks, and comes again.
@@ -243,7 +246,10 @@
                         .noneMatch(line -> line.contains("Too many open files"));
                 // So full it was: all but a part of what is in no share.
                 assertThat(maxOpen)
-                        .isGreaterThan(SHARES.clients() + SHARES.workers() + SHARES.callers());
+                        .isGreaterThan(
+                                SHARES.clientConnections()
+                                        + SHARES.workerConnections()
+                                        + SHARES.managementCalls());
             } finally {
                 stop();
             }
--- a/src/test/java/cresschute/node/NodeConfigTest.java
+++ b/src/test/java/cresschute/node/NodeConfigTest.java
@@ -76,7 +76,7 @@
     @Test
     void flattensNestedSettings() {
         assertThat(
-                        DeploymentSettingsParser.of(
+                        SettingsFlattener.flatten(
                                 Json.object(
                                         """
                                         {"a":{"b":1.5,"c":"free slots"},"d":[1,2],"e":[],"f":[{"g":true},{"g":"x,y"}],"h":null}\
--- a/src/test/java/cresschute/node/PeerLoadsTest.java
+++ b/src/test/java/cresschute/node/PeerLoadsTest.java
@@ -125,7 +125,7 @@
                                 null,
                                 null,
                                 NodeConfig.Operators.NONE,
-                                ConfigFingerprint.NONE,
+                                ConfigKeys.NONE,
                                 exchange));
         address = node.start();
     }
--- a/src/test/java/cresschute/node/RequestLifecycleTest.java
+++ b/src/test/java/cresschute/node/RequestLifecycleTest.java
@@ -28,7 +28,7 @@
 
     private final EmbeddedChannel loop = new EmbeddedChannel();
     private final List<String> heard = new ArrayList<>();
-    private final List<WorkerClient.AttemptListener> attempts = new ArrayList<>();
+    private final List<AttemptListener> attempts = new ArrayList<>();
     private final List<Integer> givenUp = new ArrayList<>();
     private long nowUs = 1_000_000;
     private boolean moduleThrows;
@@ -79,7 +79,7 @@
                     }
 
                     @Override
-                    public void probe(InetSocketAddress addr, LoadQueryListener listener) {
+                    public void queryLoad(InetSocketAddress addr, LoadQueryListener listener) {
                         heard.add("probe");
                     }
 
@@ -147,7 +147,7 @@
     }
 
     @Override
-    public ResultStream streams(String type, long length) {
+    public ResultStream resultBegins(String type, long length) {
         heard.add("streams " + type + " " + length);
         return whole -> heard.add(whole ? "whole" : "broken");
     }
@@ -189,7 +189,10 @@
         turn();
         assertThat(heard)
                 .containsExactly(
-                        "requestArrived", "attemptEnded 0 FULL true", "clientLeft", "attemptEnded 1 NOT_SENT true");
+                        "requestArrived",
+                        "attemptEnded 0 FULL true",
+                        "clientLeft",
+                        "attemptEnded 1 NOT_SENT true");
         assertThat(attempts).hasSize(1);
     }
 
@@ -206,7 +209,8 @@
         attempts.get(0).ended(Outcome.SERVED, LoadReport.NONE, "yes");
         actions.fail(1);
         turn();
-        assertThat(heard).containsExactly("requestArrived", "served yes", "attemptEnded 0 SERVED true");
+        assertThat(heard)
+                .containsExactly("requestArrived", "served yes", "attemptEnded 0 SERVED true");
         assertThat(core.unanswered()).isZero();
     }
 
@@ -224,7 +228,9 @@
         assertThat(heard)
                 .containsOnlyOnce("served yes")
                 .contains(
-                        "attemptEnded 1 SERVED true", "attemptEnded 0 CANCELLED true", "attemptEnded 2 CANCELLED true");
+                        "attemptEnded 1 SERVED true",
+                        "attemptEnded 0 CANCELLED true",
+                        "attemptEnded 2 CANCELLED true");
         assertThat(core.unanswered()).isZero();
     }
 
@@ -237,7 +243,9 @@
         core.discoveryFailed();
         turn();
         assertThat(attempts).hasSize(1);
-        assertThat(heard).containsExactly("requestArrived", "endpointListChanged", "attemptEnded 1 CANCELLED false");
+        assertThat(heard)
+                .containsExactly(
+                        "requestArrived", "endpointListChanged", "attemptEnded 1 CANCELLED false");
         attempts.get(0).ended(Outcome.SERVED, LoadReport.NONE, "yes");
         assertThat(heard).contains("served yes");
     }
--- a/src/test/java/cresschute/node/StartWithoutDiscoveryTest.java
+++ b/src/test/java/cresschute/node/StartWithoutDiscoveryTest.java
@@ -73,7 +73,7 @@
         try (AnsweringWorker worker = new AnsweringWorker(false);
                 ProgramProcess node = start(closed, worker)) {
             isReadyAndServes(node, worker);
-            node.awaitLine("director call failed");
+            node.awaitLine("discovery call failed");
         }
     }
 
--- a/src/test/java/cresschute/node/TestNode.java
+++ b/src/test/java/cresschute/node/TestNode.java
@@ -160,7 +160,7 @@
                                                 : new InetSocketAddress("127.0.0.1", 0),
                                         passed != null,
                                         shared == null ? null : shared.toString()),
-                                read.shape()),
+                                read.fileKeys()),
                         passed,
                         given -> {
                             actions = given;
--- a/src/test/java/cresschute/node/http/NotedEnds.java
+++ b/src/test/java/cresschute/node/http/NotedEnds.java
@@ -2,8 +2,8 @@
 
 import cresschute.dispatch.LoadReport;
 import cresschute.dispatch.Outcome;
+import cresschute.node.AttemptListener;
 import cresschute.node.ResultStream;
-import cresschute.node.WorkerClient.AttemptListener;
 import java.util.ArrayList;
 import java.util.List;
 
--- a/src/test/java/cresschute/scale/RequestLifecycleScaleTest.java
+++ b/src/test/java/cresschute/scale/RequestLifecycleScaleTest.java
@@ -9,7 +9,10 @@
 import cresschute.dispatch.Outcome;
 import cresschute.dispatch.Worker;
 import cresschute.dispatch.WorkerState;
+import cresschute.node.AttemptCall;
+import cresschute.node.AttemptListener;
 import cresschute.node.EndpointList;
+import cresschute.node.LoadQueryListener;
 import cresschute.node.NodeConfig;
 import cresschute.node.RateLimitedLog;
 import cresschute.node.RequestContent;
@@ -61,7 +64,7 @@
         }
 
         @Override
-        public ResultStream streams(String type, long length) {
+        public ResultStream resultBegins(String type, long length) {
             throw new IllegalStateException("no long results here");
         }
 
@@ -166,9 +169,9 @@
     }
 
     @Override
-    public void probe(InetSocketAddress addr, LoadQueryListener listener) {
+    public void queryLoad(InetSocketAddress addr, LoadQueryListener listener) {
         probes++;
-        listener.probed(Outcome.SERVED, new LoadReport(10, -1, 0));
+        listener.loadQueryEnded(Outcome.SERVED, new LoadReport(10, -1, 0));
     }
 
     @Override
