--- a/src/main/java/cresschute/flow/Body.java
+++ b/src/main/java/cresschute/flow/Body.java
@@ -166,7 +166,7 @@
     // ---- Out ----
 
     /** Whether a new sender could begin at byte 0. */
-    public boolean isReplayable() {
+    public boolean canBeSentAnew() {
         return state != State.CLOSED && (spooling || letGo == 0 && senders.isEmpty());
     }
 
@@ -177,7 +177,7 @@
      * @param news told whenever there is more to send, no more will come, or the sender is cut off
      */
     public Sender send(Runnable news) {
-        if (!isReplayable()) {
+        if (!canBeSentAnew()) {
             return null;
         }
         final Sender sender = new Sender(news);
--- a/src/main/java/cresschute/node/http/LongStream.java
+++ b/src/main/java/cresschute/node/http/LongStream.java
@@ -156,7 +156,7 @@
 
     /** Whether a further pump could begin at its first byte. */
     public final boolean isReplayable() {
-        return body.isReplayable();
+        return body.canBeSentAnew();
     }
 
     /** A way on; it may find at its start that it cannot be begun any more. */
--- a/src/test/java/cresschute/flow/BodyTest.java
+++ b/src/test/java/cresschute/flow/BodyTest.java
@@ -66,7 +66,7 @@
         add("abcdef");
         sender.next();
         sender.sent();
-        assertThat(body.isReplayable()).isTrue();
+        assertThat(body.canBeSentAnew()).isTrue();
         add("ghijkl");
         // The bound is passed: what was sent is let go, and what was not is still to come.
         assertThat(released).containsExactly("abcdef");
@@ -100,7 +100,7 @@
         assertThat(ahead.next()).isEqualTo("ghijkl");
         // Nobody may begin anew once the one that goes on is gone.
         ahead.leave();
-        assertThat(body.isReplayable()).isFalse();
+        assertThat(body.canBeSentAnew()).isFalse();
     }
 
     /** Nothing was sent yet, so nothing is gone, however much has come. */
@@ -124,11 +124,11 @@
         assertThat(large.room(100)).isEqualTo(8);
         large.add("abcdefgh", 8);
         assertThat(large.room(100)).isZero();
-        assertThat(large.isReplayable()).isTrue();
+        assertThat(large.canBeSentAnew()).isTrue();
         sender.next();
         sender.sent();
         assertThat(large.room(100)).isEqualTo(8);
-        assertThat(large.isReplayable()).isFalse();
+        assertThat(large.canBeSentAnew()).isFalse();
     }
 
     @Test
@@ -237,7 +237,7 @@
         }
 
         private void begin(Random random) {
-            final boolean can = body.isReplayable();
+            final boolean can = body.canBeSentAnew();
             final Body<Integer>.Sender next = body.send(() -> {});
             assertThat(next != null).isEqualTo(can);
             if (next != null) {
