--- a/src/main/java/cresschute/node/http/LongBodies.java
+++ b/src/main/java/cresschute/node/http/LongBodies.java
@@ -90,7 +90,7 @@
         if (admission.reservation() == null) {
             core.faults()
                     .fault(
-                            PeerFault.NO_ROOM_FOR_BODY,
+                            PeerFault.BODY_CAPACITY_EXCEEDED,
                             client,
                             switch (admission.rejection()) {
                                 case BUDGET_EXHAUSTED ->
--- a/src/main/java/cresschute/node/http/LongStream.java
+++ b/src/main/java/cresschute/node/http/LongStream.java
@@ -155,7 +155,7 @@
     // ---- Out ----
 
     /** Whether a further pump could begin at its first byte. */
-    public final boolean canBeSentAnew() {
+    public final boolean isReplayable() {
         return body.canReplay();
     }
 
