--- a/src/main/java/cresschute/dispatch/Attempt.java
+++ b/src/main/java/cresschute/dispatch/Attempt.java
@@ -1,34 +1,98 @@
 package cresschute.dispatch;
 
-/** One send that has not ended. */
+/** One attempt of a request at a worker, from its send to its end. */
 final class Attempt {
-    final int number;
-    final WorkerInstance node;
-    final long sentUs;
-    long startReportedAtUs;
-    double fractionDoneAtStartReport;
-    long lastProgressUs;
-    boolean late;
-    boolean silent;
-    boolean still;
+
+    /** Value of {@link #startReportedAtUs} before the first progress report; clocks are later. */
+    private static final long NOT_REPORTED = 0;
+
+    private final int number;
+    private final WorkerInstance worker;
+    private final long sentUs;
+    private long startReportedAtUs = NOT_REPORTED;
+    private double fractionDoneAtStartReport;
+    private long lastProgressUs;
+    private boolean late;
+    private boolean unresponsive;
+    private boolean stalled;
+
+    Attempt(int number, WorkerInstance worker, long sentUs) {
+        this.number = number;
+        this.worker = worker;
+        this.sentUs = sentUs;
+        this.lastProgressUs = sentUs;
+    }
+
+    /** Number of this attempt within its request, from 0. */
+    int number() {
+        return number;
+    }
+
+    WorkerInstance worker() {
+        return worker;
+    }
+
+    long sentUs() {
+        return sentUs;
+    }
 
     /**
-     * Notes a word of its progress: it is heard, and the first tells when it began and how far it
-     * got.
+     * Takes in a progress report; the first one also dates the start of the job.
+     *
+     * @param fractionDone part of the job that is done, from 0 to 1
      */
-    void heard(long nowUs, double fractionDone) {
+    void progressReported(long nowUs, double fractionDone) {
         lastProgressUs = nowUs;
-        still = false;
-        if (startReportedAtUs == 0) {
+        stalled = false;
+        if (startReportedAtUs == NOT_REPORTED) {
             startReportedAtUs = nowUs;
             fractionDoneAtStartReport = fractionDone;
         }
     }
 
-    Attempt(int number, WorkerInstance node, long sentUs) {
-        this.number = number;
-        this.node = node;
-        this.sentUs = sentUs;
-        this.lastProgressUs = sentUs;
+    boolean hasReportedStart() {
+        return startReportedAtUs != NOT_REPORTED;
+    }
+
+    /** Time of the first progress report, us; only where {@link #hasReportedStart}. */
+    long startReportedAtUs() {
+        return startReportedAtUs;
+    }
+
+    /** Part of the job that was done at the first progress report. */
+    double fractionDoneAtStartReport() {
+        return fractionDoneAtStartReport;
+    }
+
+    /** Time of the last progress report, or of the send before the first, us. */
+    long lastProgressUs() {
+        return lastProgressUs;
+    }
+
+    /** Whether the attempt was counted as late before its end. */
+    boolean isLate() {
+        return late;
+    }
+
+    void markLate() {
+        late = true;
+    }
+
+    /** Whether its worker was marked unresponsive for the class because of this attempt. */
+    boolean isUnresponsive() {
+        return unresponsive;
+    }
+
+    void markUnresponsive() {
+        unresponsive = true;
+    }
+
+    /** Whether its progress reports have stopped, as far as noticed. */
+    boolean isStalled() {
+        return stalled;
+    }
+
+    void markStalled() {
+        stalled = true;
     }
 }
--- a/src/main/java/cresschute/dispatch/DemandBuckets.java
+++ b/src/main/java/cresschute/dispatch/DemandBuckets.java
@@ -3,31 +3,51 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The cells of all classes, by size of job and side of the tenant's share; it decides nothing. */
+/**
+ * The demand buckets of all classes: for each class one a job size, within and beyond the quota. It
+ * decides nothing.
+ */
 final class DemandBuckets {
 
     /** Sizes of job told apart in the fill: 1, 2, 4 and more slots. */
     private static final int SIZES = 4;
 
-    final List<ClassState> classes = new ArrayList<>();
-    private final List<DemandBucket> all = new ArrayList<>();
+    private final List<ClassState> classes = new ArrayList<>();
+    private final List<DemandBucket> buckets = new ArrayList<>();
 
+    /** Adds the buckets of the next class. */
     void add(ClassState added, double overQuotaWeightFactor) {
         classes.add(added);
         for (int size = 0; size < SIZES; size++) {
-            all.add(new DemandBucket(added, size, 1));
-            all.add(new DemandBucket(added, size, overQuotaWeightFactor));
+            buckets.add(new DemandBucket(added, 1 << size, 1));
+            buckets.add(new DemandBucket(added, 1 << size, overQuotaWeightFactor));
         }
     }
 
-    /** The cell of a job that takes so many slots. */
+    /** How many classes there are. */
+    int classCount() {
+        return classes.size();
+    }
+
+    /** Least time that a job of any class may wait and be in time, us. */
+    double tightestSlackUs() {
+        return classes.stream().mapToDouble(ClassState::slackUs).min().orElse(0);
+    }
+
+    /**
+     * The bucket of a job.
+     *
+     * @param slots slots that it takes
+     * @param overQuota whether it is beyond its tenant's quota
+     */
     DemandBucket of(int requestClass, double slots, boolean overQuota) {
         final int size =
                 (int) Math.max(0, Math.min(SIZES - 1, Math.ceil(Math.log(slots) / Math.log(2))));
-        return all.get((requestClass * SIZES + size) * 2 + (overQuota ? 1 : 0));
+        return buckets.get((requestClass * SIZES + size) * 2 + (overQuota ? 1 : 0));
     }
 
+    /** A new array of all buckets, by class, size and side of the quota. */
     DemandBucket[] all() {
-        return all.toArray(DemandBucket[]::new);
+        return buckets.toArray(DemandBucket[]::new);
     }
 }
--- a/src/main/java/cresschute/dispatch/Dispatcher.java
+++ b/src/main/java/cresschute/dispatch/Dispatcher.java
@@ -6,6 +6,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.SplittableRandom;
 
 /**
@@ -29,51 +30,6 @@
      */
     private static final long SOLVE_US = 400_000;
 
-    /**
-     * Memory of arrival and finish rates, us: a few solves, so that a rare class's burst does not
-     * rule.
-     */
-    private static final double RATE_MEMORY_US = 1_500_000;
-
-    /** Memory of the share of bad endings, us. */
-    private static final double ENDINGS_MEMORY_US = 1_000_000;
-
-    /** Endings needed before their share is believed. */
-    private static final double ENDINGS_BELIEVED = 5;
-
-    /**
-     * Jobs finished within the memory of rates that make it steady; where they are fewer, it is
-     * longer.
-     */
-    private static final double STEADY_JOBS = 15;
-
-    /**
-     * Share of worth ending badly that is borne while all work is of one worth, and the least part
-     * of it.
-     */
-    private static final double BAD_SHARE_BORNE = 0.1;
-
-    private static final double MIN_MARGIN = 0.2;
-
-    /**
-     * How bad a 'full' is beside a late answer: it comes at once and another worker may have room.
-     */
-    private static final double FULL_WEIGHT = 0.1;
-
-    /** How far a solve narrows for each unit of bad share beyond that, and the most it narrows. */
-    private static final double NARROW_GAIN = 0.5;
-
-    private static final double MAX_DECREASE = 0.2;
-
-    /** Growth of a budget that binds, a solve, while no ending is bad. */
-    private static final double WIDEN = 0.05;
-
-    /**
-     * Share of the slots, as far as known, that a budget keeps busy at the least: a queue still
-     * drains.
-     */
-    private static final double DRAIN = 0.8;
-
     /** Share of every class admitted whatever the budget says, so that its estimates stay alive. */
     static final double FLOOR = 0.02;
 
@@ -154,12 +110,6 @@
      */
     private static final long ASK_AGAIN_US = 1_000_000;
 
-    /**
-     * An even part of a share times this is within it: traffic is not spread evenly over
-     * dispatchers.
-     */
-    private static final double SHARE_SLACK = 1.5;
-
     private DispatchSettings settings;
     private final DispatcherActions actions;
     private final SplittableRandom random;
@@ -192,7 +142,7 @@
      * meters.
      */
     private void addClasses(QuotaMeter[] kept) {
-        final int before = cells.classes.size();
+        final int before = cells.classCount();
         final int count = settings.classes().size();
         long tightestUs = 2 * MAX_TICK_US;
         for (int c = 0; c < count; c++) {
@@ -200,7 +150,7 @@
             tightestUs = Math.min(tightestUs, stated.latencyObjectiveUs());
             if (c >= before) {
                 final ClassState added = new ClassState(c, stated, fleet, settings.zone());
-                meanRunUs += before == 0 ? added.runUs / count : 0;
+                meanRunUs += before == 0 ? added.runningTimeUs() / count : 0;
                 meanPriorityWeight += before == 0 ? stated.priorityWeight() / count : 0;
                 cells.add(added, settings.overQuotaWeightFactor());
             }
@@ -210,13 +160,7 @@
                 kept != null
                         ? kept
                         : settings.tenants().stream()
-                                .map(
-                                        tenant ->
-                                                new QuotaMeter(
-                                                        SHARE_SLACK
-                                                                * tenant.quotaPerS()
-                                                                / settings.dispatchers()
-                                                                / 1e6))
+                                .map(tenant -> QuotaMeter.of(tenant, settings.dispatchers()))
                                 .toArray(QuotaMeter[]::new);
     }
 
@@ -244,10 +188,10 @@
             askAtUs = nowUs + ASK_AGAIN_US / 2 + random.nextLong(ASK_AGAIN_US);
             return;
         }
-        fleet.nodes.values().forEach(node -> node.unnamed = form != EndpointListForm.CHANGES);
+        fleet.workers().forEach(node -> node.setMissingFromList(form != EndpointListForm.CHANGES));
         entries.forEach(entry -> update(nowUs, entry));
-        fleet.nodes.values().stream().filter(node -> node.unnamed).forEach(this::dismiss);
-        fleet.nodes.values().removeIf(node -> !node.pooled);
+        fleet.workers().stream().filter(WorkerInstance::isMissingFromList).forEach(this::dismiss);
+        fleet.removeUndispatchable();
         if (solveAtUs == 0) {
             solvedAtUs = nowUs;
             solveAtUs = nowUs + SOLVE_US;
@@ -260,30 +204,28 @@
     }
 
     private void update(long nowUs, Worker entry) {
-        WorkerInstance node = fleet.nodes.get(entry.id());
-        if (node != null && !node.isSameRun(entry)) {
+        WorkerInstance node = fleet.find(entry.id());
+        if (node != null && !node.isSameIncarnation(entry)) {
             // A restart forgets what was learned of the process before it, but not the attempts
             // still out.
-            fleet.leave(node);
+            node.leaveGroups();
             node = null;
         }
         if (node == null) {
-            node = fleet.node(entry);
-            node.coldSinceUs = nowUs;
+            node = fleet.add(entry);
+            node.startWarmUp(nowUs);
             // Guards against all dispatchers sending at once: each begins at another point of a
             // mean job.
             coldTokens = coldTokens < 0 ? coldTokens : -random.nextDouble() * meanRunUs * meanSlots;
-            fleet.nodes.put(entry.id(), node);
         }
-        node.listed = entry;
-        node.unnamed = false;
+        node.listed(entry);
         if (entry.state() != WorkerState.READY) {
             dismiss(node);
             return;
         }
-        fleet.join(node);
+        node.joinGroups();
         if (settings.weightSource() == WeightSource.LIVE && entry.weight() > 0) {
-            learnOthers(node, nowUs, node.kind.heldAt(entry.weight()) * meanSlots);
+            node.slotsReported(node.kind().requestsAt(entry.weight()) * meanSlots, nowUs);
         }
     }
 
@@ -291,8 +233,8 @@
      * A draining, gone or unlisted worker leaves every pool at once: nothing new can be sent to it.
      */
     private void dismiss(WorkerInstance node) {
-        fleet.leave(node);
-        closeIdle(node.listed.id());
+        node.leaveGroups();
+        closeIdle(node.id());
     }
 
     /**
@@ -311,23 +253,23 @@
      */
     private void learnHealth(WorkerInstance node, long nowUs, Outcome outcome) {
         switch (outcome) {
-            case SERVED, FULL -> node.failures = 0;
+            case SERVED, FULL -> node.clearFailures();
             // A connection that breaks under a job is chance too: a process that dies refuses the
             // next one.
-            case ERROR, TIMED_OUT, BROKEN -> node.failures++;
-            case CONNECT_FAILED -> node.failures += ERRORS_BORNE;
+            case ERROR, TIMED_OUT, BROKEN -> node.addFailures(1);
+            case CONNECT_FAILED -> node.addFailures(ERRORS_BORNE);
             default -> {}
         }
-        final int times = Math.min(node.failures / ERRORS_BORNE, REST_TIMES);
+        final int times = Math.min(node.consecutiveFailures() / ERRORS_BORNE, REST_TIMES);
         final long fullUs = outcome == Outcome.FULL ? (long) meanRunUs : 0;
-        node.ejectedUntilUs = nowUs + (times == 0 ? fullUs : REST_US << times - 1);
+        node.ejectUntil(nowUs + (times == 0 ? fullUs : REST_US << times - 1));
     }
 
     /** The least share of its capacity that a worker has by now. */
     private double warmth(WorkerInstance node, long nowUs) {
         final SlowStartSettings cold = settings.slowStart();
-        final long ageUs = Math.max(0, nowUs - node.listed.startedAtUs());
-        final boolean isCold = node.listed.startedAtUs() > 0 && ageUs < cold.warmUpDurationUs();
+        final long ageUs = Math.max(0, nowUs - node.endpoint().startedAtUs());
+        final boolean isCold = node.endpoint().startedAtUs() > 0 && ageUs < cold.warmUpDurationUs();
         return isCold
                 ? cold.initialCapacityFraction()
                         + (1 - cold.initialCapacityFraction()) * ageUs / cold.warmUpDurationUs()
@@ -340,8 +282,8 @@
         return COLD_SAFETY
                 * cold.overloadFactor()
                 * warmth(node, nowUs)
-                * node.kind.slots()
-                / node.kind.runSlowness
+                * node.kind().slots()
+                / node.kind().runSlowness()
                 * cold.overloadAfterUs()
                 / settings.dispatchers();
     }
@@ -352,7 +294,8 @@
     private boolean coldAllows(WorkerInstance node, long nowUs, PendingRequest request) {
         final double work = request.cautiousWork();
         final double part = coldPart(node, nowUs);
-        final double own = node.coldTokens(nowUs, part, settings.slowStart().overloadAfterUs());
+        final double own =
+                node.refillWarmUpTokens(nowUs, part, settings.slowStart().overloadAfterUs());
         // The more share the budget, the less is a part beside a job: all count together, one job
         // ahead each.
         final double others = 1 - 1.0 / settings.dispatchers();
@@ -365,19 +308,10 @@
                         && work <= Math.max(COLD_LARGEST * all, COLD_LARGEST_BORNE * borne);
     }
 
-    private void learnOthers(WorkerInstance node, long nowUs, double slotsInUse) {
-        // A report is late: what was sent since the last one is not in it yet.
-        node.others = Math.max(0, slotsInUse - Math.min(node.ownSlots, node.ownSlotsAtReport));
-        node.ownSlotsAtReport = node.ownSlots;
-        node.othersAtUs = nowUs;
-        node.budgets.forEach(pool -> pool.learnBusy(slotsInUse, node.kind.slots()));
-        node.kind.learnOthers(node.others);
-    }
-
     private void learnReport(WorkerInstance node, long nowUs, LoadReport report) {
-        final double inUse = node.kind.inUseBy(report, meanSlots);
+        final double inUse = node.kind().slotsInUse(report, meanSlots);
         if (inUse >= 0) {
-            learnOthers(node, nowUs, inUse);
+            node.slotsReported(inUse, nowUs);
         }
     }
 
@@ -386,130 +320,102 @@
      * age.
      */
     private double slotsInUse(WorkerInstance node, long nowUs) {
-        final double trust = Math.exp((node.othersAtUs - nowUs) / meanRunUs);
-        return node.ownSlots
-                + node.kind.usualOthers
-                + trust * (node.others - node.kind.usualOthers);
+        final double trust = Math.exp((node.otherSlotsAtUs() - nowUs) / meanRunUs);
+        return node.ownSlots()
+                + node.kind().usualOtherSlots()
+                + trust * (node.otherSlots() - node.kind().usualOtherSlots());
     }
 
     private void learnRun(PendingRequest request, Attempt attempt, long nowUs, long elapsedUs) {
         // Guards against a start that was read only with the end: it tells of no time between them.
         final boolean told =
-                attempt.startReportedAtUs > 0
-                        && attempt.startReportedAtUs < nowUs
-                        && attempt.fractionDoneAtStartReport < 0.95;
+                attempt.startReportedAtUs() > 0
+                        && attempt.startReportedAtUs() < nowUs
+                        && attempt.fractionDoneAtStartReport() < 0.95;
         final double runUs =
                 told
-                        ? (nowUs - attempt.startReportedAtUs)
-                                / (1 - attempt.fractionDoneAtStartReport)
+                        ? (nowUs - attempt.startReportedAtUs())
+                                / (1 - attempt.fractionDoneAtStartReport())
                         : elapsedUs;
-        if (request.hintUs == 0) {
+        if (!request.hasRunningTimeHint()) {
             final double weight =
-                    RUN_WEIGHT * (told || runUs < request.runUs() ? 1 : WAITED_WEIGHT);
-            request.owner.learn(runUs, weight);
+                    RUN_WEIGHT * (told || runUs < request.runningTimeUs() ? 1 : WAITED_WEIGHT);
+            request.owner().learnRunningTime(runUs, weight);
         }
         meanRunUs += RUN_WEIGHT * (runUs - meanRunUs);
         if (told) {
-            final double ratio = Math.min(MAX_RATIO, runUs / request.runUs());
-            attempt.node.learnRun(ratio * warmth(attempt.node, nowUs));
+            final double ratio = Math.min(MAX_RATIO, runUs / request.runningTimeUs());
+            attempt.worker().learnRunningTime(ratio * warmth(attempt.worker(), nowUs));
         }
     }
 
     /** How long a job has waited at its worker, as far as start and progress notices tell. */
     private double waitedUs(PendingRequest request, Attempt attempt, long nowUs) {
-        if (attempt.startReportedAtUs > 0) {
+        if (attempt.startReportedAtUs() > 0) {
             final double ranUs =
-                    attempt.fractionDoneAtStartReport * request.runUs() * attempt.node.pace();
-            return attempt.startReportedAtUs - attempt.sentUs - ranUs;
+                    attempt.fractionDoneAtStartReport()
+                            * request.runningTimeUs()
+                            * attempt.worker().pace();
+            return attempt.startReportedAtUs() - attempt.sentUs() - ranUs;
         }
         final double silentUs =
-                settings.progressUs() > 0 ? settings.progressUs() : MAX_RATIO * request.runUs();
-        return nowUs - attempt.sentUs - (settings.reportsJobStart() ? 0 : silentUs);
-    }
-
-    /** One ending as evidence for every budget the worker belongs to, by its worth. */
-    private static void judge(WorkerInstance node, double priorityWeight, double bad) {
-        node.budgets.forEach(pool -> pool.end(priorityWeight, bad));
-    }
-
-    private void learnBudget(WorkerGroup pool, double fade, double tightestUs, double few) {
-        final double badShare =
-                pool.badEndings / Math.max(ENDINGS_BELIEVED * meanPriorityWeight, pool.endings);
-        // Guards against work of little worth making worthy jobs late: the less it brings, the
-        // sooner.
-        final double borne =
-                BAD_SHARE_BORNE * Math.max(MIN_MARGIN, Math.min(1, marginalPriorityWeight));
-        if (badShare > borne) {
-            // Guards against narrowing on the same endings for as many solves more as they are
-            // remembered.
-            final double cut = Math.min(MAX_DECREASE, NARROW_GAIN * (badShare - borne)) / few;
-            // Guards against closing far below capacity on bad endings that are not from load.
-            final double narrowed = Math.min(pool.budget, pool.offered) * (1 - cut);
-            final double drain = DRAIN * Math.min(1, tightestUs / (pool.backlog * meanRunUs));
-            pool.budget = Math.max(narrowed, drain * pool.finishedRate / pool.busyShare());
-        } else if (pool.offered > pool.budget) {
-            pool.budget *= 1 + WIDEN * (1 - badShare / borne);
-        }
-        pool.endings *= fade;
-        pool.badEndings *= fade;
+                settings.progressUs() > 0
+                        ? settings.progressUs()
+                        : MAX_RATIO * request.runningTimeUs();
+        return nowUs - attempt.sentUs() - (settings.reportsJobStart() ? 0 : silentUs);
     }
 
     private void solve(long nowUs) {
         final double elapsedUs = Math.max(1, nowUs - solvedAtUs);
         solvedAtUs = nowUs;
         solveAtUs = nowUs + SOLVE_US * 3 / 4 + random.nextLong(SOLVE_US / 2);
-        final double weight = 1 - Math.exp(-elapsedUs / RATE_MEMORY_US);
+        final double weight = 1 - Math.exp(-elapsedUs / CapacityEstimator.RATE_MEMORY_US);
         final double coldParts =
-                fleet.nodes.values().stream()
-                        .filter(node -> node.pooled)
+                fleet.workers().stream()
+                        .filter(WorkerInstance::isDispatchable)
                         .mapToDouble(node -> warmth(node, nowUs) < 1 ? coldPart(node, nowUs) : 0)
                         .sum();
         final double windows = elapsedUs / Math.max(1, settings.slowStart().overloadAfterUs());
         coldTokens = Math.min(coldParts, coldTokens + windows * coldParts);
-        fleet.budgets().forEach(pool -> pool.offered = 0);
+        fleet.capacities().forEach(CapacityEstimator::clearOffered);
         for (final DemandBucket cell : cells.all()) {
-            cell.rate += weight * (cell.arrivals / elapsedUs - cell.rate);
-            cell.arrivals = 0;
-            cell.work = cell.slots * cell.owner.runUs;
-            cell.priorityWeight =
-                    cell.owner.stated.priorityWeight()
-                            * cell.share
-                            * (settings.priorityWeightPerWork() ? cell.work / meanRunUs : 1);
-            cell.owner.budgets.forEach(pool -> pool.offered += cell.rate * cell.work);
-        }
-        final double tightestUs =
-                cells.classes.stream().mapToDouble(ClassState::mayWaitUs).min().orElse(0);
-        for (final WorkerGroup pool : fleet.budgets()) {
-            // Guards against lumps: where few jobs end, as with many dispatchers, they are
-            // remembered longer.
-            final double few = pool.learnFinished(elapsedUs, RATE_MEMORY_US, STEADY_JOBS);
-            learnBudget(pool, Math.exp(-elapsedUs / ENDINGS_MEMORY_US / few), tightestUs, few);
-            pool.left = pool.budget;
+            cell.updateDemand(elapsedUs, weight);
+            cell.scalePriorityWeight(
+                    settings.priorityWeightPerWork() ? cell.work() / meanRunUs : 1);
+            cell.offer();
+        }
+        final CapacityEstimator.Conditions conditions =
+                new CapacityEstimator.Conditions(
+                        meanPriorityWeight,
+                        marginalPriorityWeight,
+                        cells.tightestSlackUs(),
+                        meanRunUs);
+        for (final CapacityEstimator capacity : fleet.capacities()) {
+            capacity.adjust(elapsedUs, conditions);
         }
         marginalPriorityWeight = fill(cells.all(), marginalPriorityWeight);
     }
 
     /**
-     * Floors first, then cells by worth per work while budgets last; tells the last one's over the
-     * mean.
+     * Floors first, then cells by priority weight per work while budgets last; returns the last
+     * one's over the mean.
      */
     static double fill(DemandBucket[] cells, double otherwise) {
-        Arrays.sort(cells, Comparator.comparingDouble(cell -> -cell.priorityWeight / cell.work));
+        Arrays.sort(cells, Comparator.comparingDouble(cell -> -cell.weightPerWork()));
         for (final DemandBucket cell : cells) {
-            cell.admit = 0;
-            cell.take(FLOOR);
+            cell.close();
+            cell.admit(FLOOR);
         }
         double priorityWeight = 0;
         double work = 0;
         double marginal = otherwise;
         for (final DemandBucket cell : cells) {
-            final double wanted = Math.max(1e-9, cell.rate * cell.work);
-            final double part = Math.min(1 - FLOOR, cell.owner.room() / wanted);
-            cell.take(part);
-            priorityWeight += cell.admit * cell.rate * cell.priorityWeight;
-            work += cell.admit * cell.rate * cell.work;
-            if (part > 0 && cell.rate > 0) {
-                marginal = cell.priorityWeight / cell.work * work / priorityWeight;
+            final double part = Math.min(1 - FLOOR, cell.fittingPart());
+            cell.admit(part);
+            priorityWeight += cell.admitProbability() * cell.rate() * cell.priorityWeight();
+            work += cell.admitProbability() * cell.rate() * cell.work();
+            if (part > 0 && cell.rate() > 0) {
+                marginal = cell.weightPerWork() * work / priorityWeight;
             }
         }
         return marginal;
@@ -521,11 +427,11 @@
      */
     private double expectedUs(WorkerInstance node, long nowUs, PendingRequest request) {
         final double pace = node.pace() / warmth(node, nowUs);
-        final double width = node.kind.slots();
-        final double excess = slotsInUse(node, nowUs) + request.slots - width;
+        final double width = node.kind().slots();
+        final double excess = slotsInUse(node, nowUs) + request.slots() - width;
         // Others' sends are not seen: the nearer to full, the likelier a wait.
         final double waiting = (excess + Math.sqrt(excess * excess + 1)) / 2;
-        return pace * (request.runUs() + meanRunUs * waiting / width);
+        return pace * (request.runningTimeUs() + meanRunUs * waiting / width);
     }
 
     /**
@@ -534,27 +440,27 @@
      */
     private List<WorkerInstance> draw(PendingRequest request, long nowUs, int wanted) {
         // Guards against leaving a class's placement: these pools hold only workers open to it.
-        final WorkerGroup anywhere = request.bound == null ? request.owner.allowed : request.bound;
-        final WorkerGroup near = request.bound == null ? request.owner.near : anywhere;
+        final WorkerGroup anywhere = request.candidates();
+        final WorkerGroup near = request.preferredCandidates();
         final List<WorkerInstance> ready = new ArrayList<>(DRAWS);
         final List<WorkerInstance> resting = new ArrayList<>(DRAWS);
         int withRoom = 0;
-        long point = WorkerGroup.pointOf(request.dataKey);
-        request.home = null;
-        for (int draw = 0;
-                draw < DRAWS && withRoom < wanted && !anywhere.members.isEmpty();
-                draw++) {
-            final WorkerGroup pool = draw % 2 == 0 && !near.members.isEmpty() ? near : anywhere;
-            WorkerInstance node = pool.members.get(random.nextInt(pool.members.size()));
-            if (request.dataKey != 0) {
+        long point = WorkerGroup.pointOf(request.dataKey());
+        request.setDataHome(null);
+        for (int draw = 0; draw < DRAWS && withRoom < wanted && !anywhere.isEmpty(); draw++) {
+            final WorkerGroup pool = draw % 2 == 0 && !near.isEmpty() ? near : anywhere;
+            WorkerInstance node = pool.member(random.nextInt(pool.size()));
+            if (request.dataKey() != 0) {
                 // Where jobs need data that workers keep, draws follow the key's own order of
                 // workers.
                 final Map.Entry<Long, WorkerInstance> next = anywhere.next(point);
                 point = next.getKey() + 1;
                 node = next.getValue();
-                request.home = request.home == null ? node : request.home;
+                request.setDataHome(request.dataHome() == null ? node : request.dataHome());
             }
-            if (node == request.last || ready.contains(node) || !coldAllows(node, nowUs, request)) {
+            if (node == request.lastWorker()
+                    || ready.contains(node)
+                    || !coldAllows(node, nowUs, request)) {
                 continue;
             }
             withRoom += hasRoom(node, nowUs, request) ? 1 : 0;
@@ -567,23 +473,19 @@
     }
 
     private static boolean rests(WorkerInstance node, long nowUs, PendingRequest request) {
-        return Math.max(
-                        node.stalledUntilUs,
-                        Math.max(
-                                node.ejectedUntilUs, node.unresponsiveUntilUs[request.owner.index]))
-                > nowUs;
+        return node.isEjected(request.classIndex(), nowUs);
     }
 
     private boolean hasRoom(WorkerInstance node, long nowUs, PendingRequest request) {
         return !rests(node, nowUs, request)
-                && slotsInUse(node, nowUs) + request.slots <= node.kind.slots() + 0.5;
+                && slotsInUse(node, nowUs) + request.slots() <= node.kind().slots() + 0.5;
     }
 
     /** Expected time to the answer, longer by the prices that the choice of this worker brings. */
     private double cost(WorkerInstance node, long nowUs, PendingRequest request) {
         final double price =
-                (node.listed.zone() == settings.zone() ? 0 : settings.crossZonePrice())
-                        + (request.home == null || node == request.home
+                (node.endpoint().zone() == settings.zone() ? 0 : settings.crossZonePrice())
+                        + (request.dataHome() == null || node == request.dataHome()
                                 ? 0
                                 : settings.dataTransferPrice());
         return expectedUs(node, nowUs, request) * (1 + CROSSING * price);
@@ -591,45 +493,34 @@
 
     @Override
     public void requestArrived(long nowUs, int requestId, Job job, long deadlineUs) {
-        final double needed = job.slots() > 0 ? job.slots() : 1;
+        final double needed = PendingRequest.slotsOf(job);
         final boolean over =
                 job.tenant() < tenants.length
                         && !tenants[job.tenant()].take(nowUs, job.clientRetry() ? 0 : 1);
         final DemandBucket cell = cells.of(job.requestClass(), needed, over);
         if (job.runningTimeHintUs() > 0) {
-            cell.owner.learn(job.runningTimeHintUs(), RUN_WEIGHT);
+            cell.owner().learnRunningTime(job.runningTimeHintUs(), RUN_WEIGHT);
         }
         // What is missing of its time tells of its first try; more than two advised retries, of
         // impatience.
-        cell.owner.longestTryUs = Math.max(cell.owner.longestTryUs, deadlineUs - nowUs);
-        final long ageUs = cell.owner.longestTryUs - (deadlineUs - nowUs);
+        final long leftUs = deadlineUs - nowUs;
+        final long ageUs = cell.owner().learnTimeout(leftUs) - leftUs;
         final long retriesUs = 2 * settings.limits().maxRetryAfterUs();
         final boolean again =
-                job.clientRetry() || ageUs <= cell.owner.inTimeUs(cell.owner.runUs) + retriesUs;
+                job.clientRetry()
+                        || ageUs <= cell.owner().inTimeUs(cell.owner().runningTimeUs()) + retriesUs;
         final long firstUs = again ? nowUs - ageUs : nowUs;
         final PendingRequest request =
-                new PendingRequest(
-                        requestId,
-                        cell.owner,
-                        cell.priorityWeight,
-                        needed,
-                        job.runningTimeHintUs(),
-                        job.dataKey(),
-                        firstUs,
-                        deadlineUs,
-                        settings.limits());
+                new PendingRequest(requestId, cell, job, firstUs, deadlineUs, settings.limits());
         if (nowUs - firstUs > request.inTimeUs()) {
             giveUp(request, nowUs);
             return;
         }
-        cell.arrivals++;
         meanSlots += RUN_WEIGHT / 2 * (needed - meanSlots);
-        cell.credit += cell.admit;
-        if (cell.credit < 1) {
+        if (!cell.admitNext()) {
             giveUp(request, nowUs);
             return;
         }
-        cell.credit--;
         open.put(requestId, request);
         attempt(request, nowUs);
     }
@@ -640,9 +531,10 @@
             giveUp(request, nowUs);
             return;
         }
-        final WorkerInstance best = request.answered;
-        final boolean open = best != null && best.pooled && coldAllows(best, nowUs, request);
-        if (open && (request.rounds >= ROUNDS || hasRoom(best, nowUs, request))) {
+        final WorkerInstance best = request.bestReported();
+        final boolean open =
+                best != null && best.isDispatchable() && coldAllows(best, nowUs, request);
+        if (open && (request.queryRounds() >= ROUNDS || hasRoom(best, nowUs, request))) {
             send(request, best, nowUs);
             return;
         }
@@ -652,8 +544,9 @@
         final double oldUs = STALE_RUNS * meanRunUs / settings.dispatchers();
         if (settings.canQueryLoad()
                 && drawn.size() > 1
-                && request.rounds < ROUNDS
-                && nowUs - Math.min(drawn.get(0).othersAtUs, drawn.get(1).othersAtUs) > oldUs) {
+                && request.queryRounds() < ROUNDS
+                && nowUs - Math.min(drawn.get(0).otherSlotsAtUs(), drawn.get(1).otherSlotsAtUs())
+                        > oldUs) {
             ask(request, draw(request, nowUs, ASKED));
         } else if (open
                 && (drawn.isEmpty()
@@ -665,13 +558,14 @@
     }
 
     private void ask(PendingRequest request, List<WorkerInstance> drawn) {
-        request.ask(drawn.stream().limit(ASKED).toList());
-        request.asked.forEach(node -> actions.queryLoad(node.listed.id()));
+        final List<WorkerInstance> asked = drawn.subList(0, Math.min(ASKED, drawn.size()));
+        request.startQueries(asked);
+        asked.forEach(node -> actions.queryLoad(node.id()));
     }
 
     @Override
     public void loadReported(long nowUs, int workerId, Outcome outcome, LoadReport report) {
-        final WorkerInstance node = fleet.nodes.get(workerId);
+        final WorkerInstance node = fleet.find(workerId);
         if (node == null) {
             return;
         }
@@ -679,37 +573,35 @@
         if (outcome != Outcome.SERVED) {
             learnHealth(node, nowUs, outcome);
         }
-        final PendingRequest request = node.askers.poll();
-        if (request == null || !request.asked.remove(node)) {
+        final PendingRequest request = node.pollQueryingRequest();
+        if (request == null || !request.endQuery(node)) {
             return;
         }
         if (outcome == Outcome.SERVED
-                && (request.answered == null
-                        || cost(node, nowUs, request) < cost(request.answered, nowUs, request))) {
-            request.answered = node;
+                && (request.bestReported() == null
+                        || cost(node, nowUs, request)
+                                < cost(request.bestReported(), nowUs, request))) {
+            request.setBestReported(node);
         }
-        if (request.asked.isEmpty() && request.out.isEmpty()) {
+        if (!request.hasPendingQueries() && !request.hasAttemptInFlight()) {
             attempt(request, nowUs);
         }
     }
 
     private void send(PendingRequest request, WorkerInstance node, long nowUs) {
-        request.settle();
-        final Attempt attempt = new Attempt(request.sent++, node, nowUs);
-        request.out.add(attempt);
-        request.last = node;
-        node.ownSlots += request.slots;
-        node.coldTokens -= request.work();
+        request.startAttempt(node, nowUs);
+        node.reserveSlots(request.slots());
+        node.takeWarmUpTokens(request.work());
         coldTokens -= warmth(node, nowUs) < 1 ? request.work() : 0;
-        actions.send(request.id, node.listed.id(), request.deadlineUs);
+        actions.send(request.id(), node.id(), request.deadlineUs());
     }
 
     /** Guards against a doubled effect: what the class allows once an attempt may have run. */
     private static boolean mayRepeat(PendingRequest request, long nowUs) {
-        return switch (request.owner.stated.idempotency()) {
+        return switch (request.requestClass().idempotency()) {
             case SAFE -> true;
-            case KEYED -> !request.mayHaveRun || nowUs < request.repeatUntilUs;
-            case UNSAFE -> !request.mayHaveRun;
+            case KEYED -> !request.mayHaveRun() || nowUs < request.deduplicatedUntilUs();
+            case UNSAFE -> !request.mayHaveRun();
         };
     }
 
@@ -720,23 +612,22 @@
         close(request);
         final long adviceUs = settings.limits().maxRetryAfterUs();
         final boolean dropped =
-                request.owner.stated.idempotency() == Idempotency.KEYED
-                        && request.bound == null
-                        && nowUs + adviceUs < request.repeatUntilUs;
-        if (request.owner.stated.idempotency() == Idempotency.SAFE
-                || !request.mayHaveRun
+                request.requestClass().idempotency() == Idempotency.KEYED
+                        && !request.isBoundToGroup()
+                        && nowUs + adviceUs < request.deduplicatedUntilUs();
+        if (request.requestClass().idempotency() == Idempotency.SAFE
+                || !request.mayHaveRun()
                 || dropped) {
-            actions.reject(request.id, adviceUs);
+            actions.reject(request.id(), adviceUs);
         } else {
-            actions.fail(request.id);
+            actions.fail(request.id());
         }
     }
 
     private void close(PendingRequest request) {
-        request.closed = true;
-        request.settle();
-        if (request.out.isEmpty()) {
-            open.remove(request.id);
+        request.close();
+        if (!request.hasAttemptInFlight()) {
+            open.remove(request.id());
         }
     }
 
@@ -750,10 +641,11 @@
     @Override
     public void jobProgressed(
             long nowUs, int requestId, int attempt, int workerId, double fractionDone) {
-        final Attempt told = open.containsKey(requestId) ? open.get(requestId).find(attempt) : null;
+        final Attempt told =
+                open.containsKey(requestId) ? open.get(requestId).findAttempt(attempt) : null;
         if (told != null) {
-            told.heard(nowUs, fractionDone);
-            told.node.heard(nowUs);
+            told.progressReported(nowUs, fractionDone);
+            told.worker().progressReported(nowUs);
         }
     }
 
@@ -768,54 +660,60 @@
             boolean requestClosed,
             LoadReport report) {
         final PendingRequest request = open.get(requestId);
-        final Attempt attempt = request == null ? null : request.find(number);
+        final Attempt attempt = request == null ? null : request.findAttempt(number);
         if (attempt == null) {
             return;
         }
-        request.out.remove(attempt);
-        final WorkerInstance node = attempt.node;
+        request.endAttempt(attempt);
+        final WorkerInstance node = attempt.worker();
         final boolean served = outcome == Outcome.SERVED;
         final boolean full = outcome == Outcome.FULL;
-        node.ownSlots = Math.max(0, node.ownSlots - request.slots);
+        node.releaseSlots(request.slots());
         learnReport(node, nowUs, report);
         // Guards the workers' name against clients whose requests nobody can use, or that give up
         // early.
         final boolean unusable = outcome == Outcome.UNUSABLE;
         final boolean early =
                 outcome == Outcome.TIMED_OUT
-                        && request.deadlineUs < request.arrivedUs + request.inTimeUs();
+                        && request.deadlineUs() < request.firstSentUs() + request.inTimeUs();
         if (!unusable && !early) {
             learnHealth(node, nowUs, outcome);
         }
-        if (!fleet.nodes.containsKey(workerId)) {
+        if (!fleet.contains(workerId)) {
             closeIdle(workerId);
         }
         if (full) {
-            node.heard(nowUs);
-            learnOthers(node, nowUs, node.ownSlots + node.kind.slots());
+            node.progressReported(nowUs);
+            node.slotsReported(node.ownSlots() + node.kind().slots(), nowUs);
         } else if (served) {
-            node.heard(nowUs);
-            node.budgets.forEach(pool -> pool.finish(request.work()));
+            node.progressReported(nowUs);
+            node.jobFinished(request.work());
             learnRun(request, attempt, nowUs, elapsedUs);
         }
         // Guards against closing on errors and breaks: they tell of one worker, not of too much
         // work.
-        if (!attempt.late
+        if (!attempt.isLate()
                 && (served
                         || full
                         || outcome == Outcome.CONNECT_FAILED
                         || outcome == Outcome.TIMED_OUT && !requestClosed && !early)) {
-            judge(node, request.priorityWeight, served ? 0 : full ? FULL_WEIGHT : 1);
-        }
-        if (!neverRan(outcome) && !served && !request.mayHaveRun) {
+            node.addEvidence(
+                    served
+                            ? CapacityEstimator.Evidence.IN_TIME
+                            : full
+                                    ? CapacityEstimator.Evidence.REJECTED_AS_FULL
+                                    : CapacityEstimator.Evidence.OVERLOAD,
+                    request.priorityWeight());
+        }
+        if (!neverRan(outcome) && !served && !request.mayHaveRun()) {
             bind(request, attempt);
         }
-        if (requestClosed || request.closed) {
+        if (requestClosed || request.isClosed()) {
             close(request);
         } else if (unusable) {
             close(request);
-            actions.fail(request.id);
-        } else if (request.out.isEmpty()) {
+            actions.fail(request.id());
+        } else if (!request.hasAttemptInFlight()) {
             attempt(request, nowUs);
         }
     }
@@ -832,20 +730,19 @@
      * repeat.
      */
     private void bind(PendingRequest request, Attempt attempt) {
-        request.mayHaveRun = true;
-        final RequestClass stated = request.owner.stated;
-        request.repeatUntilUs = attempt.sentUs + stated.deduplicationWindowUs();
-        request.bound =
+        final RequestClass stated = request.requestClass();
+        request.markMayHaveRun(
+                attempt.sentUs() + stated.deduplicationWindowUs(),
                 stated.idempotency() == Idempotency.KEYED
-                        ? fleet.groupOf(stated, attempt.node.listed)
-                        : null;
+                        ? fleet.deduplicationGroup(stated, attempt.worker().endpoint())
+                        : Optional.empty());
     }
 
     @Override
     public void workerReportedUnresponsive(long nowUs, int workerId, int requestClass) {
-        final WorkerInstance node = fleet.nodes.get(workerId);
-        if (node != null && requestClass >= 0 && requestClass < node.unresponsiveUntilUs.length) {
-            node.unresponsiveUntilUs[requestClass] = nowUs + SILENT_REST_US;
+        final WorkerInstance node = fleet.find(workerId);
+        if (node != null) {
+            node.unresponsiveUntil(requestClass, nowUs + SILENT_REST_US);
         }
     }
 
@@ -860,10 +757,10 @@
             solve(nowUs);
         }
         for (final PendingRequest request : open.values().toArray(new PendingRequest[0])) {
-            if (request.out.isEmpty()) {
+            if (!request.hasAttemptInFlight()) {
                 attempt(request, nowUs);
             }
-            List.copyOf(request.out).forEach(attempt -> watch(request, attempt, nowUs));
+            request.attemptsInFlight().forEach(attempt -> watch(request, attempt, nowUs));
         }
     }
 
@@ -872,30 +769,30 @@
      * ends.
      */
     private void watch(PendingRequest request, Attempt attempt, long nowUs) {
-        final WorkerInstance node = attempt.node;
+        final WorkerInstance node = attempt.worker();
         final double waitedUs = waitedUs(request, attempt, nowUs);
-        final double waitUs = attempt.sentUs - request.arrivedUs + waitedUs;
-        final double mayWaitUs = request.inTimeUs() - request.runUs();
-        if (!attempt.late && waitUs > mayWaitUs) {
-            attempt.late = true;
-            if (!request.closed && node.stalledUntilUs <= nowUs) {
-                judge(node, request.priorityWeight, 1);
+        final double waitUs = attempt.sentUs() - request.firstSentUs() + waitedUs;
+        final double mayWaitUs = request.inTimeUs() - request.runningTimeUs();
+        if (!attempt.isLate() && waitUs > mayWaitUs) {
+            attempt.markLate();
+            if (!request.isClosed() && !node.isStalled(nowUs)) {
+                node.addEvidence(CapacityEstimator.Evidence.OVERLOAD, request.priorityWeight());
             }
             node.learnPace(MAX_RATIO * node.pace());
         }
         // Where slots seem free but no job of the class starts, others need not find out one by
         // one.
-        if (!attempt.silent
+        if (!attempt.isUnresponsive()
                 && settings.reportsJobStart()
-                && attempt.startReportedAtUs == 0
+                && attempt.startReportedAtUs() == 0
                 && waitedUs > SILENT_RUNS * meanRunUs
-                && slotsInUse(node, nowUs) < node.kind.slots()) {
-            attempt.silent = true;
+                && slotsInUse(node, nowUs) < node.kind().slots()) {
+            attempt.markUnresponsive();
             if (settings.allowsPeerMessages()
-                    && node.unresponsiveUntilUs[request.owner.index] <= nowUs) {
-                actions.reportUnresponsive(node.listed.id(), request.owner.index);
+                    && !node.isUnresponsive(request.classIndex(), nowUs)) {
+                actions.reportUnresponsive(node.id(), request.classIndex());
             }
-            workerReportedUnresponsive(nowUs, node.listed.id(), request.owner.index);
+            workerReportedUnresponsive(nowUs, node.id(), request.classIndex());
         }
         // Guards against a worker that hangs: one that tells of progress and has stopped to stands
         // still.
@@ -904,22 +801,24 @@
         final long sinceUs = (long) (nowUs - STILL_NOTES * settings.progressUs());
         final boolean pendingEvents =
                 settings.progressUs() > 0
-                        && attempt.lastProgressUs < sinceUs
-                        && (attempt.startReportedAtUs > 0 || node.lastProgressUs < attempt.sentUs);
-        if (pendingEvents && !attempt.still) {
-            attempt.still = true;
-            node.stalledUntilUs =
-                    node.lastProgressUs < sinceUs ? nowUs + SILENT_REST_US : node.stalledUntilUs;
+                        && attempt.lastProgressUs() < sinceUs
+                        && (attempt.startReportedAtUs() > 0
+                                || node.lastProgressUs() < attempt.sentUs());
+        if (pendingEvents && !attempt.isStalled()) {
+            attempt.markStalled();
+            if (node.lastProgressUs() < sinceUs) {
+                node.stalledUntil(nowUs + SILENT_REST_US);
+            }
         }
         // Guards against a wait behind others' jobs, which no dispatcher sees: the job may start
         // elsewhere.
         final boolean waits =
                 settings.reportsJobStart()
-                        && attempt.startReportedAtUs == 0
+                        && attempt.startReportedAtUs() == 0
                         && waitUs > UNSTARTED_COPY * mayWaitUs;
-        if ((pendingEvents || waits || node.stalledUntilUs > nowUs)
-                && !request.closed
-                && request.out.size() == 1) {
+        if ((pendingEvents || waits || node.isStalled(nowUs))
+                && !request.isClosed()
+                && request.hasOneAttemptInFlight()) {
             copy(request, attempt, nowUs);
         }
     }
@@ -930,11 +829,12 @@
      */
     private boolean isOver(PendingRequest request, long nowUs) {
         return !mayRepeat(request, nowUs)
-                || request.sent >= Math.min(settings.limits().maxAttempts(), request.maxAttempts)
+                || request.attemptsSent()
+                        >= Math.min(settings.limits().maxAttempts(), request.maxAttempts())
                 || nowUs
                         >= Math.min(
-                                request.arrivedUs + request.inTimeUs(),
-                                request.deadlineUs - 2 * tickUs);
+                                request.firstSentUs() + request.inTimeUs(),
+                                request.deadlineUs() - 2 * tickUs);
     }
 
     /**
@@ -942,34 +842,38 @@
      * in time.
      */
     private void copy(PendingRequest request, Attempt attempt, long nowUs) {
-        final RequestClass stated = request.owner.stated;
-        final boolean binds = stated.idempotency() == Idempotency.KEYED && !request.mayHaveRun;
+        final RequestClass stated = request.requestClass();
+        final boolean binds = stated.idempotency() == Idempotency.KEYED && !request.mayHaveRun();
         if (!settings.limits().allowsHedging()
-                || !request.mayHedge
+                || !request.allowsHedging()
                 || stated.idempotency() == Idempotency.UNSAFE
-                || binds && nowUs >= attempt.sentUs + stated.deduplicationWindowUs()
+                || binds && nowUs >= attempt.sentUs() + stated.deduplicationWindowUs()
                 || isOver(request, nowUs)) {
             return;
         }
-        WorkerInstance to = request.answered;
-        request.answered = null;
-        if (to == null && request.asked.isEmpty() && nowUs >= request.nextHedgeQueryUs) {
+        WorkerInstance to = request.bestReported();
+        request.setBestReported(null);
+        if (to == null && !request.hasPendingQueries() && nowUs >= request.nextHedgeQueryUs()) {
             // Guards against a doubled effect: the first copy may run yet, so a keyed one stays in
             // its group.
-            request.bound = binds ? fleet.groupOf(stated, attempt.node.listed) : request.bound;
+            if (binds) {
+                request.bindToGroup(fleet.deduplicationGroup(stated, attempt.worker().endpoint()));
+            }
             final List<WorkerInstance> drawn = draw(request, nowUs, 2);
-            request.bound = binds ? null : request.bound;
+            if (binds) {
+                request.bindToGroup(Optional.empty());
+            }
             // Guards against copies that crowd full workers: a report of before tells nothing of
             // room now.
             if (settings.canQueryLoad()) {
-                request.nextHedgeQueryUs = drawn.isEmpty() ? 0 : nowUs + (long) meanRunUs;
+                request.setNextHedgeQueryUs(drawn.isEmpty() ? 0 : nowUs + (long) meanRunUs);
                 ask(request, drawn);
             } else if (!drawn.isEmpty()) {
                 to = drawn.get(0);
             }
         }
         if (to != null
-                && to.pooled
+                && to.isDispatchable()
                 && hasRoom(to, nowUs, request)
                 && coldAllows(to, nowUs, request)) {
             if (binds) {
--- a/src/main/java/cresschute/dispatch/Job.java
+++ b/src/main/java/cresschute/dispatch/Job.java
@@ -15,4 +15,8 @@
         double slots,
         long runningTimeHintUs,
         long dataKey,
-        boolean clientRetry) {}
+        boolean clientRetry) {
+
+    /** The {@code dataKey} of a job that needs no data. */
+    public static final long NO_DATA = 0;
+}
--- a/src/main/java/cresschute/dispatch/PendingRequest.java
+++ b/src/main/java/cresschute/dispatch/PendingRequest.java
@@ -2,116 +2,314 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 
-/** A request that is owed an answer or has attempts out. */
+/**
+ * A request that is owed an answer or has attempts in flight. It keeps state for the rules and
+ * decides nothing.
+ */
 final class PendingRequest {
-    final int id;
-    final ClassState owner;
-    final double priorityWeight;
-    final double slots;
-    final double hintUs;
-    final long dataKey;
-    final long arrivedUs;
-    final long deadlineUs;
 
-    /** Attempts that the settings allowed at its arrival. */
-    final int maxAttempts;
+    private final int id;
+    private final ClassState owner;
+    private final double priorityWeight;
+    private final double slots;
+    private final double runningTimeHintUs;
+    private final long dataKey;
+    private final long firstSentUs;
+    private final long deadlineUs;
+    private final int maxAttempts;
+    private final boolean allowsHedging;
 
-    /** Whether they allowed a hedged request. */
-    final boolean mayHedge;
+    private final List<Attempt> inFlight = new ArrayList<>(1);
+    private int attemptsSent;
+    private WorkerInstance lastWorker;
 
-    final List<Attempt> out = new ArrayList<>(1);
-    int sent;
-    WorkerInstance last;
-    WorkerInstance home;
-    final List<WorkerInstance> asked = new ArrayList<>(2);
+    /** Where its data is, as far as the last selection saw; null where it needs none. */
+    private WorkerInstance dataHome;
 
-    /**
-     * The best of those that answered a probe, and how often some were asked, since the last send.
-     */
-    WorkerInstance answered;
+    private final List<WorkerInstance> queried = new ArrayList<>(2);
 
-    int rounds;
+    /** The best worker of those that answered a load query since the last send; null: none. */
+    private WorkerInstance bestReported;
 
-    /** When workers may be asked anew whether one has room for a copy. */
-    long nextHedgeQueryUs;
+    /** Rounds of load queries since the last send. */
+    private int queryRounds;
 
-    boolean closed;
-    boolean mayHaveRun;
-    long repeatUntilUs;
-    WorkerGroup bound;
+    private long nextHedgeQueryUs;
+    private boolean closed;
+    private boolean mayHaveRun;
+    private long deduplicatedUntilUs;
 
+    /** The only workers that drop a duplicate of it; null where that is no bound. */
+    private WorkerGroup deduplicationGroup;
+
+    /**
+     * A request of which nothing was sent yet.
+     *
+     * @param bucket whose priority weight of the moment it keeps
+     * @param firstSentUs when its client sent it first, us
+     * @param limits the limits in force at its arrival
+     */
     PendingRequest(
             int id,
-            ClassState owner,
-            double priorityWeight,
-            double slots,
-            double hintUs,
-            long dataKey,
-            long arrivedUs,
+            DemandBucket bucket,
+            Job job,
+            long firstSentUs,
             long deadlineUs,
             AttemptLimits limits) {
         this.id = id;
-        this.owner = owner;
-        this.priorityWeight = priorityWeight;
-        this.slots = slots;
-        this.hintUs = hintUs;
-        this.dataKey = dataKey;
-        this.arrivedUs = arrivedUs;
+        this.owner = bucket.owner();
+        this.priorityWeight = bucket.priorityWeight();
+        this.slots = slotsOf(job);
+        this.runningTimeHintUs = job.runningTimeHintUs();
+        this.dataKey = job.dataKey();
+        this.firstSentUs = firstSentUs;
         this.deadlineUs = deadlineUs;
-        this.maxAttempts = Math.min(limits.maxAttempts(), owner.stated.maxAttempts());
-        this.mayHedge = limits.allowsHedging();
+        this.maxAttempts = Math.min(limits.maxAttempts(), owner.requestClass().maxAttempts());
+        this.allowsHedging = limits.allowsHedging();
+    }
+
+    /** Slots that a job takes; 1 where none are stated. */
+    static double slotsOf(Job job) {
+        return job.slots() > 0 ? job.slots() : 1;
+    }
+
+    int id() {
+        return id;
+    }
+
+    ClassState owner() {
+        return owner;
+    }
+
+    RequestClass requestClass() {
+        return owner.requestClass();
+    }
+
+    int classIndex() {
+        return owner.index();
+    }
+
+    double priorityWeight() {
+        return priorityWeight;
+    }
+
+    double slots() {
+        return slots;
+    }
+
+    /** Whether its expected running time came with it. */
+    boolean hasRunningTimeHint() {
+        return runningTimeHintUs > 0;
+    }
+
+    /** What data it needs; {@link Job#NO_DATA} for none. */
+    long dataKey() {
+        return dataKey;
+    }
+
+    /** When its client sent it first, as far as known, us. */
+    long firstSentUs() {
+        return firstSentUs;
+    }
+
+    /** When it must be answered, us. */
+    long deadlineUs() {
+        return deadlineUs;
+    }
+
+    /** Attempts that the settings allowed at its arrival. */
+    int maxAttempts() {
+        return maxAttempts;
     }
 
-    /** Expected running time at the usual pace: what the host was told, or that of its class. */
-    double runUs() {
-        return hintUs > 0 ? hintUs : owner.runUs;
+    /** Whether the settings allowed a hedged request at its arrival. */
+    boolean allowsHedging() {
+        return allowsHedging;
     }
 
     /**
-     * The latest time since arrival at which an answer still counts, as far as its running time is
-     * known.
+     * Expected running time at the usual pace, us: its own hint, else the estimate of its class.
      */
+    double runningTimeUs() {
+        return hasRunningTimeHint() ? runningTimeHintUs : owner.runningTimeUs();
+    }
+
+    /** Latest time after its first send at which an answer is in time, us. */
     double inTimeUs() {
-        return owner.inTimeUs(runUs());
+        return owner.inTimeUs(runningTimeUs());
+    }
+
+    /** Time after its first send that it may spend waiting and be in time, us. */
+    double slackUs() {
+        return inTimeUs() - runningTimeUs();
     }
 
+    /** Expected work, slot-us. */
     double work() {
-        return slots * runUs();
+        return slots * runningTimeUs();
     }
 
-    /**
-     * Work that it may well turn out to have: the estimate and its error, large where few jobs were
-     * seen.
-     */
+    /** Expected work and its standard error, slot-us. */
     double cautiousWork() {
-        return work() * (hintUs > 0 || owner.samples == 0 ? 1 : 1 + 1 / Math.sqrt(owner.samples));
+        return work()
+                * (hasRunningTimeHint() || owner.samples() == 0
+                        ? 1
+                        : 1 + 1 / Math.sqrt(owner.samples()));
     }
 
-    /**
-     * Starts to wait for the answers of these to a probe, and for no others; the best so far is
-     * kept.
-     */
-    void ask(List<WorkerInstance> nodes) {
-        rounds++;
-        asked.clear();
-        asked.addAll(nodes);
-        nodes.forEach(node -> node.askers.add(this));
+    /** Starts its next attempt; reports to load queries are no longer waited for. */
+    Attempt startAttempt(WorkerInstance worker, long nowUs) {
+        cancelQueries();
+        final Attempt attempt = new Attempt(attemptsSent++, worker, nowUs);
+        inFlight.add(attempt);
+        lastWorker = worker;
+        return attempt;
+    }
+
+    /** Attempts sent so far. */
+    int attemptsSent() {
+        return attemptsSent;
+    }
+
+    /** The worker of the last attempt; null before the first. */
+    WorkerInstance lastWorker() {
+        return lastWorker;
+    }
+
+    boolean hasAttemptInFlight() {
+        return !inFlight.isEmpty();
+    }
+
+    /** Whether exactly one attempt is in flight. */
+    boolean hasOneAttemptInFlight() {
+        return inFlight.size() == 1;
     }
 
-    /** Waits for no answers any more, and forgets those that came. */
-    void settle() {
-        rounds = 0;
-        asked.clear();
-        answered = null;
+    /** A copy of the list of attempts in flight. */
+    List<Attempt> attemptsInFlight() {
+        return List.copyOf(inFlight);
     }
 
-    Attempt find(int number) {
-        for (final Attempt attempt : out) {
-            if (attempt.number == number) {
+    /** The attempt in flight of this number; null where there is none. */
+    Attempt findAttempt(int number) {
+        for (final Attempt attempt : inFlight) {
+            if (attempt.number() == number) {
                 return attempt;
             }
         }
         return null;
     }
+
+    void endAttempt(Attempt attempt) {
+        inFlight.remove(attempt);
+    }
+
+    /** Where its data is; null where it needs none or none was selected yet. */
+    WorkerInstance dataHome() {
+        return dataHome;
+    }
+
+    void setDataHome(WorkerInstance worker) {
+        dataHome = worker;
+    }
+
+    /** Starts a round of load queries; reports of the round before are no longer waited for. */
+    void startQueries(List<WorkerInstance> workers) {
+        queryRounds++;
+        queried.clear();
+        queried.addAll(workers);
+        for (final WorkerInstance worker : workers) {
+            worker.addQueryingRequest(this);
+        }
+    }
+
+    /** Takes in that a worker answered; false where its report is not waited for. */
+    boolean endQuery(WorkerInstance worker) {
+        return queried.remove(worker);
+    }
+
+    boolean hasPendingQueries() {
+        return !queried.isEmpty();
+    }
+
+    int queryRounds() {
+        return queryRounds;
+    }
+
+    /** Best worker of those that answered; null where none did. */
+    WorkerInstance bestReported() {
+        return bestReported;
+    }
+
+    void setBestReported(WorkerInstance worker) {
+        bestReported = worker;
+    }
+
+    private void cancelQueries() {
+        queryRounds = 0;
+        queried.clear();
+        bestReported = null;
+    }
+
+    /** When workers may be queried again for a hedged request, us. */
+    long nextHedgeQueryUs() {
+        return nextHedgeQueryUs;
+    }
+
+    void setNextHedgeQueryUs(long us) {
+        nextHedgeQueryUs = us;
+    }
+
+    /** Notes that no answer is owed any more. */
+    void close() {
+        closed = true;
+        cancelQueries();
+    }
+
+    boolean isClosed() {
+        return closed;
+    }
+
+    /**
+     * Notes that an attempt may have had its effect.
+     *
+     * @param deduplicatedUntil until when a duplicate is dropped, us
+     * @param group the workers that drop it; empty where all do
+     */
+    void markMayHaveRun(long deduplicatedUntil, Optional<WorkerGroup> group) {
+        mayHaveRun = true;
+        deduplicatedUntilUs = deduplicatedUntil;
+        deduplicationGroup = group.orElse(null);
+    }
+
+    /** Whether an attempt that ended, or that is hedged, may have had its effect. */
+    boolean mayHaveRun() {
+        return mayHaveRun;
+    }
+
+    /** Until when a duplicate is dropped, us; only where it may have run. */
+    long deduplicatedUntilUs() {
+        return deduplicatedUntilUs;
+    }
+
+    boolean isBoundToGroup() {
+        return deduplicationGroup != null;
+    }
+
+    /** Restricts its workers to a group for a while; empty: to those of its class. */
+    void bindToGroup(Optional<WorkerGroup> group) {
+        deduplicationGroup = group.orElse(null);
+    }
+
+    /** The workers to which its next attempt may go. */
+    WorkerGroup candidates() {
+        return deduplicationGroup == null ? owner.allWorkers() : deduplicationGroup;
+    }
+
+    /** The workers to prefer among them: those of the dispatcher's zone, unless it is bound. */
+    WorkerGroup preferredCandidates() {
+        return deduplicationGroup == null ? owner.zoneWorkers() : deduplicationGroup;
+    }
 }
--- a/src/main/java/cresschute/dispatch/WorkerGroup.java
+++ b/src/main/java/cresschute/dispatch/WorkerGroup.java
@@ -6,124 +6,110 @@
 import java.util.TreeMap;
 
 /**
- * Ready workers of one placement that share something; all of it together carry a budget of slot-us
- * a us.
+ * The dispatchable workers of one placement, of one of its zones or of one of its cells, and a
+ * consistent-hash ring over them. The group of a whole placement also carries the estimate of its
+ * capacity. It decides nothing.
  */
 final class WorkerGroup {
-    static final int ALL = 0;
-    static final int ZONE = 1;
-    static final int CELL = 2;
-    static final int TYPES = 3;
 
-    /** Points of each member on the ring: enough for even parts, few to keep up. */
-    private static final int POINTS = 16;
+    /** Which workers of a placement a group holds. */
+    enum Scope {
+        /** All of them; the only scope with a capacity of its own. */
+        ALL,
+        /** Those of one zone. */
+        ZONE,
+        /** Those of one cell. */
+        CELL;
 
-    /**
-     * Weight of one report in the busy share of the slots, and in the jobs that wait: queues grow
-     * fast.
-     */
-    private static final double BUSY_WEIGHT = 0.05;
+        private static final int COUNT = values().length;
 
-    private static final double BACKLOG_WEIGHT = 0.2;
+        /** How many groups a worker belongs to for each placement that allows it. */
+        static int count() {
+            return COUNT;
+        }
+    }
 
-    /** An empty fleet must not lift a floor without bound. */
-    private static final double MIN_BUSY = 0.1;
+    /** Points of each member on the ring: enough for even parts, few to keep up. */
+    private static final int POINTS = 16;
 
     private final int slot;
 
-    /**
-     * Only where jobs need data: 16 points of each of 1,024 members in each pool would be
-     * megabytes.
-     */
+    /** Built at first use: the points of large groups would be megabytes. */
     private TreeMap<Long, WorkerInstance> ring;
 
-    final List<WorkerInstance> members = new ArrayList<>();
-    double budget = Double.POSITIVE_INFINITY;
-    double offered;
-    double left;
-    double endings;
-    double badEndings;
-    private double finished;
-    private double jobs;
-    private double jobRate;
-    private double reportedInUse;
-
-    /** Jobs that wait for each slot, as reported lately. */
-    double backlog;
-
-    private double reportedSlots;
-    double finishedRate;
+    private final List<WorkerInstance> members = new ArrayList<>();
+    private final CapacityEstimator capacity;
 
+    /**
+     * An empty group.
+     *
+     * @param slot number of the placement and scope; a worker is in one group of each slot at most
+     */
     WorkerGroup(int slot) {
         this.slot = slot;
+        this.capacity =
+                slot % Scope.count() == Scope.ALL.ordinal() ? new CapacityEstimator() : null;
     }
 
-    void end(double priorityWeight, double bad) {
-        endings += priorityWeight;
-        badEndings += priorityWeight * bad;
+    /** Whether this is the group of a whole placement. */
+    boolean hasCapacity() {
+        return capacity != null;
     }
 
     /**
-     * Takes in what finished since the last time; tells how much longer than usual it is
-     * remembered.
+     * The capacity of a whole placement's group.
+     *
+     * @throws IllegalStateException if this is the group of a zone or cell
      */
-    double learnFinished(double elapsedUs, double memoryUs, double steadyJobs) {
-        jobRate += (1 - Math.exp(-elapsedUs / memoryUs)) * (jobs / elapsedUs - jobRate);
-        final double few = Math.max(1, steadyJobs / Math.max(1, jobRate * memoryUs));
-        finishedRate +=
-                (1 - Math.exp(-elapsedUs / memoryUs / few)) * (finished / elapsedUs - finishedRate);
-        finished = 0;
-        jobs = 0;
-        return few;
-    }
-
-    void finish(double work) {
-        finished += work;
-        jobs++;
+    CapacityEstimator capacity() {
+        if (capacity == null) {
+            throw new IllegalStateException("group of slot " + slot + " has no capacity estimate");
+        }
+        return capacity;
     }
 
-    void learnBusy(double inUse, double slots) {
-        backlog += BACKLOG_WEIGHT * (Math.max(0, inUse / slots - 1) - backlog);
-        reportedInUse += BUSY_WEIGHT * (Math.min(slots, inUse) - reportedInUse);
-        reportedSlots += BUSY_WEIGHT * (slots - reportedSlots);
+    boolean isEmpty() {
+        return members.isEmpty();
     }
 
-    /** Part of its slots in use as reported lately; all of them where nothing tells. */
-    double busyShare() {
-        return reportedSlots == 0 ? 1 : Math.max(MIN_BUSY, reportedInUse / reportedSlots);
+    int size() {
+        return members.size();
     }
 
-    boolean hasBudget() {
-        return slot % TYPES == ALL;
+    /** A member by its position, which changes as members leave. */
+    WorkerInstance member(int position) {
+        return members.get(position);
     }
 
-    void add(WorkerInstance node) {
-        node.place[slot] = members.size();
-        members.add(node);
+    void add(WorkerInstance worker) {
+        worker.setPosition(slot, members.size());
+        members.add(worker);
         if (ring != null) {
-            putOnRing(node);
+            putOnRing(worker);
         }
     }
 
-    private void putOnRing(WorkerInstance node) {
+    private void putOnRing(WorkerInstance worker) {
         for (int i = 0; i < POINTS; i++) {
-            ring.put(mix((long) node.listed.id() * POINTS + i), node);
+            ring.put(mix((long) worker.id() * POINTS + i), worker);
         }
     }
 
-    void remove(WorkerInstance node) {
+    /** Removes a member; the last one takes its position. */
+    void remove(WorkerInstance worker) {
         final WorkerInstance last = members.remove(members.size() - 1);
-        if (last != node) {
-            members.set(node.place[slot], last);
-            last.place[slot] = node.place[slot];
+        if (last != worker) {
+            members.set(worker.position(slot), last);
+            last.setPosition(slot, worker.position(slot));
         }
         for (int i = 0; ring != null && i < POINTS; i++) {
-            ring.remove(mix((long) node.listed.id() * POINTS + i), node);
+            ring.remove(mix((long) worker.id() * POINTS + i), worker);
         }
     }
 
     /**
-     * The member's point that follows on a ring which all dispatchers with the same members share.
+     * The member at or after a point of the ring, with its own point. All dispatchers with the same
+     * members have the same ring.
      */
     Map.Entry<Long, WorkerInstance> next(long point) {
         if (ring == null) {
@@ -134,17 +120,12 @@
         return next == null ? ring.firstEntry() : next;
     }
 
-    /**
-     * Where a key's search begins; mixed once more than the members' points, so that none coincide.
-     */
+    /** Where a key's search begins; mixed once more than the members' points, to be distinct. */
     static long pointOf(long key) {
         return mix(mix(key));
     }
 
-    /**
-     * Spreads neighbouring values evenly: the finaliser of SplitMix64 (Steele, Lea and Flood,
-     * 2014).
-     */
+    /** The finaliser of SplitMix64 (Steele, Lea and Flood, 2014). */
     private static long mix(long value) {
         long mixed = value + 0x9e3779b97f4a7c15L;
         mixed = (mixed ^ mixed >>> 30) * 0xbf58476d1ce4e5b9L;
--- a/src/main/java/cresschute/dispatch/WorkerIndex.java
+++ b/src/main/java/cresschute/dispatch/WorkerIndex.java
@@ -1,24 +1,30 @@
 package cresschute.dispatch;
 
 import java.util.ArrayList;
+import java.util.Collection;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.stream.IntStream;
+import java.util.Optional;
 import java.util.stream.Stream;
 
 /**
- * The workers that may be sent to, indexed for each placement by what they share. It keeps the
- * index; it decides nothing.
+ * The workers of the endpoint list, indexed by number and grouped by placement, zone and cell. It
+ * keeps the index up to date and decides nothing.
  */
 final class WorkerIndex {
 
-    final Map<Integer, WorkerInstance> nodes = new LinkedHashMap<>();
+    private final Map<Integer, WorkerInstance> workers = new LinkedHashMap<>();
     private int classes;
     private final List<Placement> placements;
-    private final Map<Long, WorkerGroup> pools = new LinkedHashMap<>();
+    private final Map<Long, WorkerGroup> groups = new LinkedHashMap<>();
     private final Map<Integer, WorkerKind> kinds = new LinkedHashMap<>();
 
+    /**
+     * An index without workers.
+     *
+     * @param stated the placement of each request class, in order
+     */
     WorkerIndex(List<Placement> stated) {
         classes = stated.size();
         placements =
@@ -26,61 +32,93 @@
                         Stream.concat(Stream.of(Placement.ANYWHERE), stated.stream())
                                 .distinct()
                                 .toList());
-        budgets(Placement.ANYWHERE);
+        capacitiesFor(Placement.ANYWHERE);
+    }
+
+    /** The worker of this number; null where it is not listed. */
+    WorkerInstance find(int id) {
+        return workers.get(id);
+    }
+
+    boolean contains(int id) {
+        return workers.containsKey(id);
     }
 
-    /** The ready workers of one group that a placement leaves open. */
-    WorkerGroup pool(Placement placement, int type, int group) {
-        final int slot = placements.indexOf(placement) * WorkerGroup.TYPES + type;
-        return pools.computeIfAbsent(
-                (long) slot << 32 | group & 0xffffffffL, key -> new WorkerGroup(slot));
+    /** All listed workers, in the order in which they were first listed. */
+    Collection<WorkerInstance> workers() {
+        return workers.values();
     }
 
-    /** The group of this worker, within a placement. */
-    WorkerGroup poolOf(Placement placement, int type, Worker worker) {
-        return pool(
+    /** Adds a new incarnation, in the place of the one before; it is not dispatchable yet. */
+    WorkerInstance add(Worker entry) {
+        final WorkerInstance worker =
+                new WorkerInstance(
+                        entry,
+                        kinds.computeIfAbsent(entry.kind(), k -> new WorkerKind()),
+                        memberships(entry),
+                        placements.size() * WorkerGroup.Scope.count(),
+                        classes);
+        workers.put(entry.id(), worker);
+        return worker;
+    }
+
+    /** Forgets the workers to which nothing may be sent. */
+    void removeUndispatchable() {
+        workers.values().removeIf(worker -> !worker.isDispatchable());
+    }
+
+    /**
+     * The group of a placement and scope.
+     *
+     * @param number number of the zone or cell; 0 for {@link WorkerGroup.Scope#ALL}
+     */
+    WorkerGroup group(Placement placement, WorkerGroup.Scope scope, int number) {
+        final int slot =
+                placements.indexOf(placement) * WorkerGroup.Scope.count() + scope.ordinal();
+        return groups.computeIfAbsent(
+                (long) slot << 32 | number & 0xffffffffL, key -> new WorkerGroup(slot));
+    }
+
+    /** The group of this scope that a worker of the placement belongs to. */
+    WorkerGroup groupOf(Placement placement, WorkerGroup.Scope scope, Worker worker) {
+        return group(
                 placement,
-                type,
-                switch (type) {
-                    case WorkerGroup.ZONE -> worker.zone();
-                    case WorkerGroup.CELL -> worker.cell();
-                    default -> 0;
+                scope,
+                switch (scope) {
+                    case ALL -> 0;
+                    case ZONE -> worker.zone();
+                    case CELL -> worker.cell();
                 });
     }
 
     /**
-     * Those open to a keyed class that drop a repeat of what this worker may have run; null: all
-     * do.
+     * The workers open to a class that drop a duplicate of what this worker may have run; empty
+     * where all workers do.
      */
-    WorkerGroup groupOf(RequestClass stated, Worker worker) {
-        return switch (stated.deduplicationScope()) {
-            case ALL -> null;
-            case ZONE -> poolOf(stated.placement(), WorkerGroup.ZONE, worker);
-            case CELL -> poolOf(stated.placement(), WorkerGroup.CELL, worker);
+    Optional<WorkerGroup> deduplicationGroup(RequestClass requestClass, Worker worker) {
+        return switch (requestClass.deduplicationScope()) {
+            case ALL -> Optional.empty();
+            case ZONE ->
+                    Optional.of(groupOf(requestClass.placement(), WorkerGroup.Scope.ZONE, worker));
+            case CELL ->
+                    Optional.of(groupOf(requestClass.placement(), WorkerGroup.Scope.CELL, worker));
         };
     }
 
-    /** The pools whose budgets govern work of a placement: its own and all wider ones. */
-    List<WorkerGroup> budgets(Placement placement) {
+    /** The capacities that work of a placement uses: its own and those of all that contain it. */
+    List<CapacityEstimator> capacitiesFor(Placement placement) {
         return placements.stream()
                 .filter(wider -> wider.contains(placement))
-                .map(wider -> pool(wider, WorkerGroup.ALL, 0))
+                .map(wider -> group(wider, WorkerGroup.Scope.ALL, 0).capacity())
                 .toList();
     }
 
-    /** All pools that carry a budget. */
-    List<WorkerGroup> budgets() {
-        return pools.values().stream().filter(WorkerGroup::hasBudget).toList();
-    }
-
-    /** One run of a worker process, not joined yet. */
-    WorkerInstance node(Worker entry) {
-        return new WorkerInstance(
-                entry,
-                kinds.computeIfAbsent(entry.kind(), k -> new WorkerKind()),
-                memberships(entry),
-                placements.size() * WorkerGroup.TYPES,
-                classes);
+    /** The capacities of all placements. */
+    List<CapacityEstimator> capacities() {
+        return groups.values().stream()
+                .filter(WorkerGroup::hasCapacity)
+                .map(WorkerGroup::capacity)
+                .toList();
     }
 
     private List<WorkerGroup> memberships(Worker entry) {
@@ -88,14 +126,16 @@
                 .filter(placement -> placement.allows(entry))
                 .flatMap(
                         placement ->
-                                IntStream.range(0, WorkerGroup.TYPES)
-                                        .mapToObj(type -> poolOf(placement, type, entry)))
+                                Stream.of(WorkerGroup.Scope.values())
+                                        .map(scope -> groupOf(placement, scope, entry)))
                 .toList();
     }
 
     /**
-     * Takes in classes that came after the start, {@code stated} being all of them in order:
-     * placements that are new get their pools, and every worker joins those that are open to it.
+     * Takes in classes that came after the start: new placements get their groups, and each worker
+     * joins those that are open to it.
+     *
+     * @param stated the placement of every request class, in order
      */
     void grow(List<Placement> stated) {
         classes = stated.size();
@@ -103,27 +143,16 @@
                 .filter(placement -> !placements.contains(placement))
                 .distinct()
                 .forEach(placements::add);
-        for (final WorkerInstance node : nodes.values()) {
-            final boolean pooled = node.pooled;
-            leave(node);
-            node.regroup(memberships(node.listed), placements.size() * WorkerGroup.TYPES, classes);
-            if (pooled) {
-                join(node);
+        for (final WorkerInstance worker : workers.values()) {
+            final boolean dispatchable = worker.isDispatchable();
+            worker.leaveGroups();
+            worker.regroup(
+                    memberships(worker.endpoint()),
+                    placements.size() * WorkerGroup.Scope.count(),
+                    classes);
+            if (dispatchable) {
+                worker.joinGroups();
             }
         }
     }
-
-    void join(WorkerInstance node) {
-        if (!node.pooled) {
-            node.pools.forEach(pool -> pool.add(node));
-            node.pooled = true;
-        }
-    }
-
-    void leave(WorkerInstance node) {
-        if (node.pooled) {
-            node.pools.forEach(pool -> pool.remove(node));
-            node.pooled = false;
-        }
-    }
 }
--- a/src/test/java/cresschute/dispatch/AdmissionFillTest.java
+++ b/src/test/java/cresschute/dispatch/AdmissionFillTest.java
@@ -15,8 +15,15 @@
     private static final Placement ONE_KIND = new Placement(null, List.of(0));
 
     private final WorkerIndex fleet = new WorkerIndex(List.of(ONE_KIND));
-    private final WorkerGroup all = fleet.pool(Placement.ANYWHERE, WorkerGroup.ALL, 0);
-    private final WorkerGroup kind = fleet.pool(ONE_KIND, WorkerGroup.ALL, 0);
+    private final CapacityEstimator all =
+            fleet.group(Placement.ANYWHERE, WorkerGroup.Scope.ALL, 0).capacity();
+    private final CapacityEstimator kind =
+            fleet.group(ONE_KIND, WorkerGroup.Scope.ALL, 0).capacity();
+
+    /** Leaves so much of a capacity to the fill; a new one is 0. */
+    private static void allocatable(CapacityEstimator capacity, double slots) {
+        capacity.allocate(capacity.unallocated() - slots);
+    }
 
     private DemandBucket cell(
             double priorityWeight, double rate, double work, Placement placement) {
@@ -35,10 +42,9 @@
                                         placement),
                                 fleet,
                                 0),
-                        0,
+                        1,
                         1);
-        cell.rate = rate;
-        cell.work = work;
+        cell.demand(rate, work);
         return cell;
     }
 
@@ -47,30 +53,30 @@
         final DemandBucket rich = cell(10, 1, 1, Placement.ANYWHERE);
         final DemandBucket poor = cell(1, 1, 1, Placement.ANYWHERE);
         final DemandBucket large = cell(10, 1, 20, Placement.ANYWHERE);
-        all.left = 1.5 + Dispatcher.FLOOR * 20;
+        allocatable(all, 1.5 + Dispatcher.FLOOR * 20);
         Dispatcher.fill(new DemandBucket[] {large, poor, rich}, 1);
-        assertThat(rich.admit).isCloseTo(1, within(1e-9));
-        assertThat(poor.admit).isCloseTo(0.5, within(1e-9));
-        assertThat(large.admit).isCloseTo(Dispatcher.FLOOR, within(1e-9));
+        assertThat(rich.admitProbability()).isCloseTo(1, within(1e-9));
+        assertThat(poor.admitProbability()).isCloseTo(0.5, within(1e-9));
+        assertThat(large.admitProbability()).isCloseTo(Dispatcher.FLOOR, within(1e-9));
     }
 
     @Test
     void aKindsOwnBudgetBindsItsClassesOnly() {
         final DemandBucket bound = cell(10, 1, 1, ONE_KIND);
         final DemandBucket free = cell(1, 1, 1, Placement.ANYWHERE);
-        all.left = 100;
-        kind.left = 0.25;
+        allocatable(all, 100);
+        allocatable(kind, 0.25);
         Dispatcher.fill(new DemandBucket[] {bound, free}, 1);
-        assertThat(bound.admit).isCloseTo(0.25, within(1e-9));
-        assertThat(free.admit).isCloseTo(1, within(1e-9));
+        assertThat(bound.admitProbability()).isCloseTo(0.25, within(1e-9));
+        assertThat(free.admitProbability()).isCloseTo(1, within(1e-9));
     }
 
     @Test
     void anOpenBudgetAdmitsEverything() {
         final DemandBucket cell = cell(1, 50, 3, Placement.ANYWHERE);
-        all.left = Double.POSITIVE_INFINITY;
+        allocatable(all, Double.POSITIVE_INFINITY);
         Dispatcher.fill(new DemandBucket[] {cell}, 1);
-        assertThat(cell.admit).isEqualTo(1);
+        assertThat(cell.admitProbability()).isEqualTo(1);
     }
 
     @Property(seed = "23", tries = 300)
@@ -85,14 +91,16 @@
             cells[i] = cell(worths.get(i), rates.get(i), works.get(i), Placement.ANYWHERE);
             floorWork += Dispatcher.FLOOR * rates.get(i) * works.get(i);
         }
-        all.left = budget;
+        allocatable(all, budget);
         Dispatcher.fill(cells, 1);
         double admittedWork = 0;
         for (int i = 0; i < cells.length; i++) {
-            assertThat(cells[i].admit).isBetween(Dispatcher.FLOOR - 1e-9, 1 + 1e-9);
-            admittedWork += cells[i].admit * cells[i].rate * cells[i].work;
-            if (i > 0 && cells[i].rate > 0 && cells[i].admit > Dispatcher.FLOOR + 1e-9) {
-                assertThat(cells[i - 1].admit).isCloseTo(1, within(1e-9));
+            assertThat(cells[i].admitProbability()).isBetween(Dispatcher.FLOOR - 1e-9, 1 + 1e-9);
+            admittedWork += cells[i].admitProbability() * cells[i].rate() * cells[i].work();
+            if (i > 0
+                    && cells[i].rate() > 0
+                    && cells[i].admitProbability() > Dispatcher.FLOOR + 1e-9) {
+                assertThat(cells[i - 1].admitProbability()).isCloseTo(1, within(1e-9));
             }
         }
         assertThat(admittedWork).isLessThanOrEqualTo(Math.max(budget, floorWork) + 1e-6);
--- a/src/test/java/cresschute/dispatch/WorkerVisits.java
+++ b/src/test/java/cresschute/dispatch/WorkerVisits.java
@@ -26,23 +26,33 @@
         try {
             final WorkerIndex fleet =
                     (WorkerIndex) fieldOfType(Dispatcher.class, WorkerIndex.class).get(module);
-            final Field nodes = WorkerIndex.class.getDeclaredField("nodes");
+            final Field nodes = WorkerIndex.class.getDeclaredField("workers");
             nodes.setAccessible(true);
-            nodes.set(fleet, visits.new CountingMap(fleet.nodes));
+            nodes.set(fleet, visits.new CountingMap(workersOf(nodes, fleet)));
             final Field members = WorkerGroup.class.getDeclaredField("members");
             members.setAccessible(true);
             for (int zone = 0; zone < zones; zone++) {
-                final WorkerGroup pool = fleet.pool(Placement.ANYWHERE, WorkerGroup.ZONE, zone);
-                members.set(pool, visits.new CountingList(pool.members));
+                visits.count(
+                        members, fleet.group(Placement.ANYWHERE, WorkerGroup.Scope.ZONE, zone));
             }
-            final WorkerGroup all = fleet.pool(Placement.ANYWHERE, WorkerGroup.ALL, 0);
-            members.set(all, visits.new CountingList(all.members));
+            visits.count(members, fleet.group(Placement.ANYWHERE, WorkerGroup.Scope.ALL, 0));
         } catch (ReflectiveOperationException e) {
             throw new IllegalStateException(e);
         }
         return visits;
     }
 
+    @SuppressWarnings("unchecked")
+    private static Map<Integer, WorkerInstance> workersOf(Field workers, WorkerIndex index)
+            throws IllegalAccessException {
+        return (Map<Integer, WorkerInstance>) workers.get(index);
+    }
+
+    @SuppressWarnings("unchecked")
+    private void count(Field members, WorkerGroup group) throws IllegalAccessException {
+        members.set(group, new CountingList((List<WorkerInstance>) members.get(group)));
+    }
+
     private static Field fieldOfType(Class<?> owner, Class<?> type) {
         for (final Field field : owner.getDeclaredFields()) {
             if (field.getType() == type) {
