--- a/src/main/java/cresschute/dispatch/Dispatcher.java
+++ b/src/main/java/cresschute/dispatch/Dispatcher.java
@@ -46,17 +46,6 @@
      */
     private static final int ROUNDS = 2;
 
-    /** Weight of one sample in the running time of a class. */
-    private static final double RUN_WEIGHT = 0.03;
-
-    /** Weight kept by a latency above the estimate where no start is told: it holds waiting too. */
-    private static final double WAITED_WEIGHT = 0.2;
-
-    /**
-     * Most that one long run says of a worker; runs until a job without notices counts as waiting.
-     */
-    private static final double MAX_RATIO = 3;
-
     /**
      * How much longer, for each unit of its price, an answer is reckoned to take that crosses
      * zones.
@@ -91,37 +80,23 @@
     /** Errors in a row that make a worker rest: fewer are chance. */
     private static final int ERRORS_BORNE = 3;
 
-    /**
-     * Part of the stated cold budget that is used: estimates of work and capacity may be off by
-     * this.
-     */
-    private static final double COLD_SAFETY = 0.4;
-
-    /**
-     * Largest job for a cold worker, by what all may send it and what it bears: jobs may be far
-     * larger.
-     */
-    private static final double COLD_LARGEST = 0.5;
-
-    private static final double COLD_LARGEST_BORNE = 0.18;
-
     /**
      * Pause before a failed list call is repeated, us, jittered; far inside the limit for asking.
      */
     private static final long ASK_AGAIN_US = 1_000_000;
 
-    private DispatchSettings settings;
+    private final CurrentSettings settings;
     private final DispatcherActions actions;
     private final SplittableRandom random;
     private long tickUs;
     private final DemandBuckets cells = new DemandBuckets();
     private QuotaMeter[] tenants;
     private final WorkerIndex fleet;
+    private final ServiceTimeEstimator serviceTimes;
+    private final WorkerLoadEstimator loads;
+    private final SlowStart slowStart;
     private final Map<Integer, PendingRequest> open = new LinkedHashMap<>();
-    private double meanRunUs;
     private double meanPriorityWeight;
-    private double meanSlots = 1;
-    private double coldTokens;
     private double marginalPriorityWeight = 1;
     private long solveAtUs;
     private long solvedAtUs;
@@ -129,11 +104,14 @@
 
     /** One instance for one dispatcher; {@code seed} feeds all its chance. */
     public Dispatcher(DispatchSettings settings, long seed, DispatcherActions actions) {
-        this.settings = settings;
+        this.settings = new CurrentSettings(settings);
         this.actions = actions;
         this.random = new SplittableRandom(seed);
         this.fleet =
                 new WorkerIndex(settings.classes().stream().map(RequestClass::placement).toList());
+        this.serviceTimes = new ServiceTimeEstimator(this.settings);
+        this.loads = new WorkerLoadEstimator(this.settings, serviceTimes);
+        this.slowStart = new SlowStart(this.settings, serviceTimes, random);
         addClasses(null);
     }
 
@@ -143,24 +121,26 @@
      */
     private void addClasses(QuotaMeter[] kept) {
         final int before = cells.classCount();
-        final int count = settings.classes().size();
+        final int count = settings.get().classes().size();
         long tightestUs = 2 * MAX_TICK_US;
         for (int c = 0; c < count; c++) {
-            final RequestClass stated = settings.classes().get(c);
+            final RequestClass stated = settings.get().classes().get(c);
             tightestUs = Math.min(tightestUs, stated.latencyObjectiveUs());
             if (c >= before) {
-                final ClassState added = new ClassState(c, stated, fleet, settings.zone());
-                meanRunUs += before == 0 ? added.runningTimeUs() / count : 0;
+                final ClassState added = new ClassState(c, stated, fleet, settings.get().zone());
+                if (before == 0) {
+                    serviceTimes.addInitialRunningTime(added.runningTimeUs() / count);
+                }
                 meanPriorityWeight += before == 0 ? stated.priorityWeight() / count : 0;
-                cells.add(added, settings.overQuotaWeightFactor());
+                cells.add(added, settings.get().overQuotaWeightFactor());
             }
         }
         tickUs = Math.max(MIN_TICK_US, tightestUs / 2);
         tenants =
                 kept != null
                         ? kept
-                        : settings.tenants().stream()
-                                .map(tenant -> QuotaMeter.of(tenant, settings.dispatchers()))
+                        : settings.get().tenants().stream()
+                                .map(tenant -> QuotaMeter.of(tenant, settings.get().dispatchers()))
                                 .toArray(QuotaMeter[]::new);
     }
 
@@ -170,14 +150,11 @@
      */
     @Override
     public void settingsChanged(long nowUs, DispatchSettings next) {
-        if (!next.canReplace(settings)) {
-            throw new IllegalArgumentException(
-                    "new settings keep the classes, zones and kinds told before");
-        }
+        final DispatchSettings before = settings.get();
+        settings.replace(next);
         final boolean sameTenants =
-                next.tenants().equals(settings.tenants())
-                        && next.dispatchers() == settings.dispatchers();
-        settings = next;
+                next.tenants().equals(before.tenants())
+                        && next.dispatchers() == before.dispatchers();
         fleet.grow(next.classes().stream().map(RequestClass::placement).toList());
         addClasses(sameTenants ? tenants : null);
     }
@@ -193,10 +170,11 @@
         fleet.workers().stream().filter(WorkerInstance::isMissingFromList).forEach(this::dismiss);
         fleet.removeUndispatchable();
         if (solveAtUs == 0) {
+            slowStart.started(nowUs);
             solvedAtUs = nowUs;
             solveAtUs = nowUs + SOLVE_US;
             askAtUs =
-                    settings.endpointListIsPolled()
+                    settings.get().endpointListIsPolled()
                             ? nowUs + random.nextLong(ASK_AGAIN_US)
                             : Long.MAX_VALUE;
             actions.startTimer(0, tickUs);
@@ -213,10 +191,7 @@
         }
         if (node == null) {
             node = fleet.add(entry);
-            node.startWarmUp(nowUs);
-            // Guards against all dispatchers sending at once: each begins at another point of a
-            // mean job.
-            coldTokens = coldTokens < 0 ? coldTokens : -random.nextDouble() * meanRunUs * meanSlots;
+            slowStart.workerAdded(node, nowUs);
         }
         node.listed(entry);
         if (entry.state() != WorkerState.READY) {
@@ -224,9 +199,7 @@
             return;
         }
         node.joinGroups();
-        if (settings.weightSource() == WeightSource.LIVE && entry.weight() > 0) {
-            node.slotsReported(node.kind().requestsAt(entry.weight()) * meanSlots, nowUs);
-        }
+        loads.weightListed(node, entry.weight(), nowUs);
     }
 
     /**
@@ -242,7 +215,7 @@
      * stated.
      */
     private void closeIdle(int workerId) {
-        if (settings.closeOnDrainWithinUs() < DispatchSettings.UNLIMITED) {
+        if (settings.get().closeOnDrainWithinUs() < DispatchSettings.UNLIMITED) {
             actions.closeIdleConnections(workerId);
         }
     }
@@ -261,127 +234,22 @@
             default -> {}
         }
         final int times = Math.min(node.consecutiveFailures() / ERRORS_BORNE, REST_TIMES);
-        final long fullUs = outcome == Outcome.FULL ? (long) meanRunUs : 0;
+        final long fullUs = outcome == Outcome.FULL ? (long) serviceTimes.meanRunningTimeUs() : 0;
         node.ejectUntil(nowUs + (times == 0 ? fullUs : REST_US << times - 1));
     }
 
-    /** The least share of its capacity that a worker has by now. */
-    private double warmth(WorkerInstance node, long nowUs) {
-        final SlowStartSettings cold = settings.slowStart();
-        final long ageUs = Math.max(0, nowUs - node.endpoint().startedAtUs());
-        final boolean isCold = node.endpoint().startedAtUs() > 0 && ageUs < cold.warmUpDurationUs();
-        return isCold
-                ? cold.initialCapacityFraction()
-                        + (1 - cold.initialCapacityFraction()) * ageUs / cold.warmUpDurationUs()
-                : 1;
-    }
-
-    /** Work that this dispatcher may send a cold worker in each window of the rule, slot-us. */
-    private double coldPart(WorkerInstance node, long nowUs) {
-        final SlowStartSettings cold = settings.slowStart();
-        return COLD_SAFETY
-                * cold.overloadFactor()
-                * warmth(node, nowUs)
-                * node.kind().slots()
-                / node.kind().runSlowness()
-                * cold.overloadAfterUs()
-                / settings.dispatchers();
-    }
-
-    /**
-     * Guards against pushing a cold worker over: this dispatcher's even part of the stated budget.
-     */
-    private boolean coldAllows(WorkerInstance node, long nowUs, PendingRequest request) {
-        final double work = request.cautiousWork();
-        final double part = coldPart(node, nowUs);
-        final double own =
-                node.refillWarmUpTokens(nowUs, part, settings.slowStart().overloadAfterUs());
-        // The more share the budget, the less is a part beside a job: all count together, one job
-        // ahead each.
-        final double others = 1 - 1.0 / settings.dispatchers();
-        final double mean = meanRunUs * meanSlots;
-        final double all = part * settings.dispatchers();
-        final double borne = mean * settings.slowStart().toleratedJobs(all / COLD_SAFETY / mean);
-        return warmth(node, nowUs) == 1
-                || coldTokens >= 0
-                        && own >= work - others * (work + mean)
-                        && work <= Math.max(COLD_LARGEST * all, COLD_LARGEST_BORNE * borne);
-    }
-
-    private void learnReport(WorkerInstance node, long nowUs, LoadReport report) {
-        final double inUse = node.kind().slotsInUse(report, meanSlots);
-        if (inUse >= 0) {
-            node.slotsReported(inUse, nowUs);
-        }
-    }
-
-    /**
-     * Slots of a worker in use or waited for: own ones known, others' from a report that fades with
-     * age.
-     */
-    private double slotsInUse(WorkerInstance node, long nowUs) {
-        final double trust = Math.exp((node.otherSlotsAtUs() - nowUs) / meanRunUs);
-        return node.ownSlots()
-                + node.kind().usualOtherSlots()
-                + trust * (node.otherSlots() - node.kind().usualOtherSlots());
-    }
-
-    private void learnRun(PendingRequest request, Attempt attempt, long nowUs, long elapsedUs) {
-        // Guards against a start that was read only with the end: it tells of no time between them.
-        final boolean told =
-                attempt.startReportedAtUs() > 0
-                        && attempt.startReportedAtUs() < nowUs
-                        && attempt.fractionDoneAtStartReport() < 0.95;
-        final double runUs =
-                told
-                        ? (nowUs - attempt.startReportedAtUs())
-                                / (1 - attempt.fractionDoneAtStartReport())
-                        : elapsedUs;
-        if (!request.hasRunningTimeHint()) {
-            final double weight =
-                    RUN_WEIGHT * (told || runUs < request.runningTimeUs() ? 1 : WAITED_WEIGHT);
-            request.owner().learnRunningTime(runUs, weight);
-        }
-        meanRunUs += RUN_WEIGHT * (runUs - meanRunUs);
-        if (told) {
-            final double ratio = Math.min(MAX_RATIO, runUs / request.runningTimeUs());
-            attempt.worker().learnRunningTime(ratio * warmth(attempt.worker(), nowUs));
-        }
-    }
-
-    /** How long a job has waited at its worker, as far as start and progress notices tell. */
-    private double waitedUs(PendingRequest request, Attempt attempt, long nowUs) {
-        if (attempt.startReportedAtUs() > 0) {
-            final double ranUs =
-                    attempt.fractionDoneAtStartReport()
-                            * request.runningTimeUs()
-                            * attempt.worker().pace();
-            return attempt.startReportedAtUs() - attempt.sentUs() - ranUs;
-        }
-        final double silentUs =
-                settings.progressUs() > 0
-                        ? settings.progressUs()
-                        : MAX_RATIO * request.runningTimeUs();
-        return nowUs - attempt.sentUs() - (settings.reportsJobStart() ? 0 : silentUs);
-    }
-
     private void solve(long nowUs) {
         final double elapsedUs = Math.max(1, nowUs - solvedAtUs);
         solvedAtUs = nowUs;
         solveAtUs = nowUs + SOLVE_US * 3 / 4 + random.nextLong(SOLVE_US / 2);
         final double weight = 1 - Math.exp(-elapsedUs / CapacityEstimator.RATE_MEMORY_US);
-        final double coldParts =
-                fleet.workers().stream()
-                        .filter(WorkerInstance::isDispatchable)
-                        .mapToDouble(node -> warmth(node, nowUs) < 1 ? coldPart(node, nowUs) : 0)
-                        .sum();
-        final double windows = elapsedUs / Math.max(1, settings.slowStart().overloadAfterUs());
-        coldTokens = Math.min(coldParts, coldTokens + windows * coldParts);
         fleet.capacities().forEach(CapacityEstimator::clearOffered);
         for (final DemandBucket cell : cells.all()) {
             cell.updateDemand(elapsedUs, weight);
             cell.scalePriorityWeight(
-                    settings.priorityWeightPerWork() ? cell.work() / meanRunUs : 1);
+                    settings.get().priorityWeightPerWork()
+                            ? cell.work() / serviceTimes.meanRunningTimeUs()
+                            : 1);
             cell.offer();
         }
         final CapacityEstimator.Conditions conditions =
@@ -389,7 +257,7 @@
                         meanPriorityWeight,
                         marginalPriorityWeight,
                         cells.tightestSlackUs(),
-                        meanRunUs);
+                        serviceTimes.meanRunningTimeUs());
         for (final CapacityEstimator capacity : fleet.capacities()) {
             capacity.adjust(elapsedUs, conditions);
         }
@@ -426,12 +294,13 @@
      * slots.
      */
     private double expectedUs(WorkerInstance node, long nowUs, PendingRequest request) {
-        final double pace = node.pace() / warmth(node, nowUs);
+        final double pace = node.pace() / slowStart.capacityFraction(node, nowUs);
         final double width = node.kind().slots();
-        final double excess = slotsInUse(node, nowUs) + request.slots() - width;
+        final double excess = loads.slotsInUse(node, nowUs) + request.slots() - width;
         // Others' sends are not seen: the nearer to full, the likelier a wait.
         final double waiting = (excess + Math.sqrt(excess * excess + 1)) / 2;
-        return pace * (request.runningTimeUs() + meanRunUs * waiting / width);
+        return pace
+                * (request.runningTimeUs() + serviceTimes.meanRunningTimeUs() * waiting / width);
     }
 
     /**
@@ -460,7 +329,7 @@
             }
             if (node == request.lastWorker()
                     || ready.contains(node)
-                    || !coldAllows(node, nowUs, request)) {
+                    || !slowStart.allows(node, request, nowUs)) {
                 continue;
             }
             withRoom += hasRoom(node, nowUs, request) ? 1 : 0;
@@ -478,16 +347,18 @@
 
     private boolean hasRoom(WorkerInstance node, long nowUs, PendingRequest request) {
         return !rests(node, nowUs, request)
-                && slotsInUse(node, nowUs) + request.slots() <= node.kind().slots() + 0.5;
+                && loads.slotsInUse(node, nowUs) + request.slots() <= node.kind().slots() + 0.5;
     }
 
     /** Expected time to the answer, longer by the prices that the choice of this worker brings. */
     private double cost(WorkerInstance node, long nowUs, PendingRequest request) {
         final double price =
-                (node.endpoint().zone() == settings.zone() ? 0 : settings.crossZonePrice())
+                (node.endpoint().zone() == settings.get().zone()
+                                ? 0
+                                : settings.get().crossZonePrice())
                         + (request.dataHome() == null || node == request.dataHome()
                                 ? 0
-                                : settings.dataTransferPrice());
+                                : settings.get().dataTransferPrice());
         return expectedUs(node, nowUs, request) * (1 + CROSSING * price);
     }
 
@@ -499,24 +370,25 @@
                         && !tenants[job.tenant()].take(nowUs, job.clientRetry() ? 0 : 1);
         final DemandBucket cell = cells.of(job.requestClass(), needed, over);
         if (job.runningTimeHintUs() > 0) {
-            cell.owner().learnRunningTime(job.runningTimeHintUs(), RUN_WEIGHT);
+            serviceTimes.hintReceived(cell.owner(), job.runningTimeHintUs());
         }
         // What is missing of its time tells of its first try; more than two advised retries, of
         // impatience.
         final long leftUs = deadlineUs - nowUs;
         final long ageUs = cell.owner().learnTimeout(leftUs) - leftUs;
-        final long retriesUs = 2 * settings.limits().maxRetryAfterUs();
+        final long retriesUs = 2 * settings.get().limits().maxRetryAfterUs();
         final boolean again =
                 job.clientRetry()
                         || ageUs <= cell.owner().inTimeUs(cell.owner().runningTimeUs()) + retriesUs;
         final long firstUs = again ? nowUs - ageUs : nowUs;
         final PendingRequest request =
-                new PendingRequest(requestId, cell, job, firstUs, deadlineUs, settings.limits());
+                new PendingRequest(
+                        requestId, cell, job, firstUs, deadlineUs, settings.get().limits());
         if (nowUs - firstUs > request.inTimeUs()) {
             giveUp(request, nowUs);
             return;
         }
-        meanSlots += RUN_WEIGHT / 2 * (needed - meanSlots);
+        serviceTimes.jobArrived(needed);
         if (!cell.admitNext()) {
             giveUp(request, nowUs);
             return;
@@ -533,7 +405,7 @@
         }
         final WorkerInstance best = request.bestReported();
         final boolean open =
-                best != null && best.isDispatchable() && coldAllows(best, nowUs, request);
+                best != null && best.isDispatchable() && slowStart.allows(best, request, nowUs);
         if (open && (request.queryRounds() >= ROUNDS || hasRoom(best, nowUs, request))) {
             send(request, best, nowUs);
             return;
@@ -541,8 +413,9 @@
         final List<WorkerInstance> drawn = draw(request, nowUs, 2);
         // Guards against old news: the sooner jobs end, and the more dispatchers send, the sooner
         // it is old.
-        final double oldUs = STALE_RUNS * meanRunUs / settings.dispatchers();
-        if (settings.canQueryLoad()
+        final double oldUs =
+                STALE_RUNS * serviceTimes.meanRunningTimeUs() / settings.get().dispatchers();
+        if (settings.get().canQueryLoad()
                 && drawn.size() > 1
                 && request.queryRounds() < ROUNDS
                 && nowUs - Math.min(drawn.get(0).otherSlotsAtUs(), drawn.get(1).otherSlotsAtUs())
@@ -569,7 +442,7 @@
         if (node == null) {
             return;
         }
-        learnReport(node, nowUs, report);
+        loads.reported(node, report, nowUs);
         if (outcome != Outcome.SERVED) {
             learnHealth(node, nowUs, outcome);
         }
@@ -591,8 +464,7 @@
     private void send(PendingRequest request, WorkerInstance node, long nowUs) {
         request.startAttempt(node, nowUs);
         node.reserveSlots(request.slots());
-        node.takeWarmUpTokens(request.work());
-        coldTokens -= warmth(node, nowUs) < 1 ? request.work() : 0;
+        slowStart.attemptSent(node, request, nowUs);
         actions.send(request.id(), node.id(), request.deadlineUs());
     }
 
@@ -610,7 +482,7 @@
      */
     private void giveUp(PendingRequest request, long nowUs) {
         close(request);
-        final long adviceUs = settings.limits().maxRetryAfterUs();
+        final long adviceUs = settings.get().limits().maxRetryAfterUs();
         final boolean dropped =
                 request.requestClass().idempotency() == Idempotency.KEYED
                         && !request.isBoundToGroup()
@@ -669,7 +541,7 @@
         final boolean served = outcome == Outcome.SERVED;
         final boolean full = outcome == Outcome.FULL;
         node.releaseSlots(request.slots());
-        learnReport(node, nowUs, report);
+        loads.reported(node, report, nowUs);
         // Guards the workers' name against clients whose requests nobody can use, or that give up
         // early.
         final boolean unusable = outcome == Outcome.UNUSABLE;
@@ -684,11 +556,12 @@
         }
         if (full) {
             node.progressReported(nowUs);
-            node.slotsReported(node.ownSlots() + node.kind().slots(), nowUs);
+            loads.rejectedAsFull(node, nowUs);
         } else if (served) {
             node.progressReported(nowUs);
             node.jobFinished(request.work());
-            learnRun(request, attempt, nowUs, elapsedUs);
+            serviceTimes.attemptServed(
+                    request, attempt, nowUs, elapsedUs, slowStart.capacityFraction(node, nowUs));
         }
         // Guards against closing on errors and breaks: they tell of one worker, not of too much
         // work.
@@ -722,7 +595,7 @@
     private boolean neverRan(Outcome outcome) {
         return outcome == Outcome.CONNECT_FAILED
                 || outcome == Outcome.NOT_SENT
-                || outcome == Outcome.FULL && !settings.fullMayHaveRun();
+                || outcome == Outcome.FULL && !settings.get().fullMayHaveRun();
     }
 
     /**
@@ -754,6 +627,7 @@
             actions.pollEndpointList();
         }
         if (nowUs >= solveAtUs) {
+            slowStart.refill(fleet.workers(), nowUs);
             solve(nowUs);
         }
         for (final PendingRequest request : open.values().toArray(new PendingRequest[0])) {
@@ -770,7 +644,7 @@
      */
     private void watch(PendingRequest request, Attempt attempt, long nowUs) {
         final WorkerInstance node = attempt.worker();
-        final double waitedUs = waitedUs(request, attempt, nowUs);
+        final double waitedUs = serviceTimes.waitedUs(request, attempt, nowUs);
         final double waitUs = attempt.sentUs() - request.firstSentUs() + waitedUs;
         final double mayWaitUs = request.inTimeUs() - request.runningTimeUs();
         if (!attempt.isLate() && waitUs > mayWaitUs) {
@@ -778,17 +652,17 @@
             if (!request.isClosed() && !node.isStalled(nowUs)) {
                 node.addEvidence(CapacityEstimator.Evidence.OVERLOAD, request.priorityWeight());
             }
-            node.learnPace(MAX_RATIO * node.pace());
+            serviceTimes.attemptLate(attempt);
         }
         // Where slots seem free but no job of the class starts, others need not find out one by
         // one.
         if (!attempt.isUnresponsive()
-                && settings.reportsJobStart()
+                && settings.get().reportsJobStart()
                 && attempt.startReportedAtUs() == 0
-                && waitedUs > SILENT_RUNS * meanRunUs
-                && slotsInUse(node, nowUs) < node.kind().slots()) {
+                && waitedUs > SILENT_RUNS * serviceTimes.meanRunningTimeUs()
+                && loads.slotsInUse(node, nowUs) < node.kind().slots()) {
             attempt.markUnresponsive();
-            if (settings.allowsPeerMessages()
+            if (settings.get().allowsPeerMessages()
                     && !node.isUnresponsive(request.classIndex(), nowUs)) {
                 actions.reportUnresponsive(node.id(), request.classIndex());
             }
@@ -798,9 +672,9 @@
         // still.
         // Guards against leaving out a worker that is well for one job's broken stream: others'
         // notes count.
-        final long sinceUs = (long) (nowUs - STILL_NOTES * settings.progressUs());
+        final long sinceUs = (long) (nowUs - STILL_NOTES * settings.get().progressUs());
         final boolean pendingEvents =
-                settings.progressUs() > 0
+                settings.get().progressUs() > 0
                         && attempt.lastProgressUs() < sinceUs
                         && (attempt.startReportedAtUs() > 0
                                 || node.lastProgressUs() < attempt.sentUs());
@@ -813,7 +687,7 @@
         // Guards against a wait behind others' jobs, which no dispatcher sees: the job may start
         // elsewhere.
         final boolean waits =
-                settings.reportsJobStart()
+                settings.get().reportsJobStart()
                         && attempt.startReportedAtUs() == 0
                         && waitUs > UNSTARTED_COPY * mayWaitUs;
         if ((pendingEvents || waits || node.isStalled(nowUs))
@@ -830,7 +704,7 @@
     private boolean isOver(PendingRequest request, long nowUs) {
         return !mayRepeat(request, nowUs)
                 || request.attemptsSent()
-                        >= Math.min(settings.limits().maxAttempts(), request.maxAttempts())
+                        >= Math.min(settings.get().limits().maxAttempts(), request.maxAttempts())
                 || nowUs
                         >= Math.min(
                                 request.firstSentUs() + request.inTimeUs(),
@@ -844,7 +718,7 @@
     private void copy(PendingRequest request, Attempt attempt, long nowUs) {
         final RequestClass stated = request.requestClass();
         final boolean binds = stated.idempotency() == Idempotency.KEYED && !request.mayHaveRun();
-        if (!settings.limits().allowsHedging()
+        if (!settings.get().limits().allowsHedging()
                 || !request.allowsHedging()
                 || stated.idempotency() == Idempotency.UNSAFE
                 || binds && nowUs >= attempt.sentUs() + stated.deduplicationWindowUs()
@@ -865,8 +739,9 @@
             }
             // Guards against copies that crowd full workers: a report of before tells nothing of
             // room now.
-            if (settings.canQueryLoad()) {
-                request.setNextHedgeQueryUs(drawn.isEmpty() ? 0 : nowUs + (long) meanRunUs);
+            if (settings.get().canQueryLoad()) {
+                request.setNextHedgeQueryUs(
+                        drawn.isEmpty() ? 0 : nowUs + (long) serviceTimes.meanRunningTimeUs());
                 ask(request, drawn);
             } else if (!drawn.isEmpty()) {
                 to = drawn.get(0);
@@ -875,7 +750,7 @@
         if (to != null
                 && to.isDispatchable()
                 && hasRoom(to, nowUs, request)
-                && coldAllows(to, nowUs, request)) {
+                && slowStart.allows(to, request, nowUs)) {
             if (binds) {
                 bind(request, attempt);
             }
--- /dev/null
+++ b/src/main/java/cresschute/dispatch/SlowStart.java
@@ -0,0 +1,144 @@
+package cresschute.dispatch;
+
+import java.util.Collection;
+import java.util.SplittableRandom;
+
+/**
+ * Decides whether a worker that is warming up may get a job: slow start.
+ *
+ * <p>Inputs: the worker's age in us, {@link SlowStartSettings}, the number of dispatchers, the
+ * expected work of the job and of a mean job in slot-us.
+ *
+ * <p>Rule: a worker of age a has the capacity fraction {@code f = f0 + (1 - f0) * a / d} until the
+ * warm-up duration d, then 1. In each window of {@code overloadAfterUs} this dispatcher may send it
+ * {@code part = }{@value #SAFETY}{@code * overloadFactor * f * slots / slowness * window /
+ * dispatchers}, kept as tokens of the worker, and the sum of the parts to all warming workers, kept
+ * as tokens of the dispatcher. A job is allowed where both buckets cover it, except for the jobs
+ * that others' parts do not hold at the same time, and where it is small beside what all
+ * dispatchers may send.
+ *
+ * <p>Reason: dispatchers do not see one another's sends, and a worker that gets more than it can
+ * take while it warms up falls over.
+ *
+ * <p>Never: it does not hold back a worker that is warm, and it does not let dispatchers that start
+ * together send their first jobs together.
+ *
+ * <p>Called on the dispatcher's thread alone.
+ */
+final class SlowStart {
+
+    /** Part of the stated limit that is used: work and capacity are estimates. */
+    private static final double SAFETY = 0.4;
+
+    /** Largest job, as a part of what all dispatchers may send in a window. */
+    private static final double MAX_JOB_FRACTION = 0.5;
+
+    /** Largest job, as a part of what the worker tolerates in a window. */
+    private static final double MAX_JOB_TOLERATED_FRACTION = 0.18;
+
+    private final CurrentSettings settings;
+    private final ServiceTimeEstimator serviceTimes;
+    private final SplittableRandom random;
+    private double tokens;
+    private long refilledAtUs;
+
+    SlowStart(
+            CurrentSettings settings, ServiceTimeEstimator serviceTimes, SplittableRandom random) {
+        this.settings = settings;
+        this.serviceTimes = serviceTimes;
+        this.random = random;
+    }
+
+    /** Starts the refill of the dispatcher's tokens. */
+    void started(long nowUs) {
+        refilledAtUs = nowUs;
+    }
+
+    /** Takes in a new worker: each dispatcher begins at a random point of a mean job. */
+    void workerAdded(WorkerInstance worker, long nowUs) {
+        worker.startWarmUp(nowUs);
+        if (tokens >= 0) {
+            tokens =
+                    -random.nextDouble()
+                            * serviceTimes.meanRunningTimeUs()
+                            * serviceTimes.meanSlots();
+        }
+    }
+
+    /** Least capacity fraction that a worker has now, in (0, 1]; 1 where it is warm. */
+    double capacityFraction(WorkerInstance worker, long nowUs) {
+        final SlowStartSettings stated = settings.get().slowStart();
+        final long startedAtUs = worker.endpoint().startedAtUs();
+        final long ageUs = Math.max(0, nowUs - startedAtUs);
+        final boolean isWarmingUp =
+                startedAtUs > Worker.STARTED_LONG_AGO && ageUs < stated.warmUpDurationUs();
+        return isWarmingUp
+                ? stated.initialCapacityFraction()
+                        + (1 - stated.initialCapacityFraction()) * ageUs / stated.warmUpDurationUs()
+                : 1;
+    }
+
+    boolean isWarmingUp(WorkerInstance worker, long nowUs) {
+        return capacityFraction(worker, nowUs) < 1;
+    }
+
+    /** Work that this dispatcher may send to a worker in each window, slot-us. */
+    private double workPerWindow(WorkerInstance worker, long nowUs) {
+        final SlowStartSettings stated = settings.get().slowStart();
+        return SAFETY
+                * stated.overloadFactor()
+                * capacityFraction(worker, nowUs)
+                * worker.kind().slots()
+                / worker.kind().runSlowness()
+                * stated.overloadAfterUs()
+                / settings.get().dispatchers();
+    }
+
+    /** Refills the dispatcher's tokens by the windows since the last refill. */
+    void refill(Collection<WorkerInstance> workers, long nowUs) {
+        final double elapsedUs = Math.max(1, nowUs - refilledAtUs);
+        refilledAtUs = nowUs;
+        final double perWindow =
+                workers.stream()
+                        .filter(WorkerInstance::isDispatchable)
+                        .mapToDouble(
+                                worker ->
+                                        isWarmingUp(worker, nowUs)
+                                                ? workPerWindow(worker, nowUs)
+                                                : 0)
+                        .sum();
+        final double windows =
+                elapsedUs / Math.max(1, settings.get().slowStart().overloadAfterUs());
+        tokens = Math.min(perWindow, tokens + windows * perWindow);
+    }
+
+    /** Whether a request's next attempt may go to a worker; refills the worker's tokens. */
+    boolean allows(WorkerInstance worker, PendingRequest request, long nowUs) {
+        final int dispatchers = settings.get().dispatchers();
+        final SlowStartSettings stated = settings.get().slowStart();
+        final double work = request.cautiousWork();
+        final double part = workPerWindow(worker, nowUs);
+        final double workerTokens =
+                worker.refillWarmUpTokens(nowUs, part, stated.overloadAfterUs());
+        if (!isWarmingUp(worker, nowUs)) {
+            return true;
+        }
+        // The more dispatchers divide the limit, the smaller is a part beside a job: each may be
+        // one job ahead of its part.
+        final double othersFraction = 1 - 1.0 / dispatchers;
+        final double meanWork = serviceTimes.meanRunningTimeUs() * serviceTimes.meanSlots();
+        final double all = part * dispatchers;
+        final double tolerated = meanWork * stated.toleratedJobs(all / SAFETY / meanWork);
+        return tokens >= 0
+                && workerTokens >= work - othersFraction * (work + meanWork)
+                && work <= Math.max(MAX_JOB_FRACTION * all, MAX_JOB_TOLERATED_FRACTION * tolerated);
+    }
+
+    /** Takes the tokens of an attempt that is sent. */
+    void attemptSent(WorkerInstance worker, PendingRequest request, long nowUs) {
+        worker.takeWarmUpTokens(request.work());
+        if (isWarmingUp(worker, nowUs)) {
+            tokens -= request.work();
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/cresschute/dispatch/WorkerLoadEstimator.java
@@ -0,0 +1,72 @@
+package cresschute.dispatch;
+
+/**
+ * Estimates how many slots of a worker are in use or queued for, by this dispatcher and the others.
+ *
+ * <p>Inputs: this dispatcher's attempts in flight in slots, load reports, live weights of the
+ * endpoint list, and the age of the last of them in us.
+ *
+ * <p>Rule: {@code own + usual + exp(-age / mean running time) * (reported - usual)}, where {@code
+ * reported} are the other dispatchers' slots of the last report and {@code usual} their mean over
+ * the worker's kind.
+ *
+ * <p>Reason: the own slots are exact, a report is old after about one running time, and between
+ * reports the mean of the kind is the best guess.
+ *
+ * <p>Never: it does not take a report without a load for an idle worker.
+ *
+ * <p>Called on the dispatcher's thread alone.
+ */
+final class WorkerLoadEstimator {
+
+    /** Slots beyond those of a worker that still count as free: estimates are not whole numbers. */
+    private static final double SLOT_TOLERANCE = 0.5;
+
+    private final CurrentSettings settings;
+    private final ServiceTimeEstimator serviceTimes;
+
+    WorkerLoadEstimator(CurrentSettings settings, ServiceTimeEstimator serviceTimes) {
+        this.settings = settings;
+        this.serviceTimes = serviceTimes;
+    }
+
+    /** Takes in a load report; {@link LoadReport#NONE} changes nothing. */
+    void reported(WorkerInstance worker, LoadReport report, long nowUs) {
+        final double slots = worker.kind().slotsInUse(report, serviceTimes.meanSlots());
+        if (slots >= 0) {
+            worker.slotsReported(slots, nowUs);
+        }
+    }
+
+    /** Takes in a weight of the endpoint list, where it is {@link WeightSource#LIVE}. */
+    void weightListed(WorkerInstance worker, double weight, long nowUs) {
+        if (settings.get().weightSource() == WeightSource.LIVE && weight > 0) {
+            worker.slotsReported(
+                    worker.kind().requestsAt(weight) * serviceTimes.meanSlots(), nowUs);
+        }
+    }
+
+    /** Takes in that a worker rejected an attempt as full: all its slots are others'. */
+    void rejectedAsFull(WorkerInstance worker, long nowUs) {
+        worker.slotsReported(worker.ownSlots() + worker.kind().slots(), nowUs);
+    }
+
+    /** Slots in use or queued for now. */
+    double slotsInUse(WorkerInstance worker, long nowUs) {
+        final double trust =
+                Math.exp((worker.otherSlotsAtUs() - nowUs) / serviceTimes.meanRunningTimeUs());
+        return worker.ownSlots()
+                + worker.kind().usualOtherSlots()
+                + trust * (worker.otherSlots() - worker.kind().usualOtherSlots());
+    }
+
+    /** Whether a job of so many slots would start at once. */
+    boolean hasFreeSlots(WorkerInstance worker, double slots, long nowUs) {
+        return slotsInUse(worker, nowUs) + slots <= worker.kind().slots() + SLOT_TOLERANCE;
+    }
+
+    /** Whether any slot seems free. */
+    boolean hasFreeSlot(WorkerInstance worker, long nowUs) {
+        return slotsInUse(worker, nowUs) < worker.kind().slots();
+    }
+}
