--- a/src/main/java/cresschute/node/http/BodyTransfer.java
+++ b/src/main/java/cresschute/node/http/BodyTransfer.java
@@ -1,7 +1,7 @@
 package cresschute.node.http;
 
-import cresschute.flow.Body;
-import cresschute.flow.Pace;
+import cresschute.flow.BodyBuffer;
+import cresschute.flow.TransferMonitor;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
 import io.netty.handler.codec.http.DefaultHttpContent;
@@ -28,9 +28,9 @@
     private final BodyTransferListener listener;
 
     /** Null where the body could not be sent from its first byte any more. */
-    private final Body<ByteBuf>.Sender sender;
+    private final BodyBuffer<ByteBuf>.Reader reader;
 
-    private final Pace peerPace;
+    private final TransferMonitor peerMonitor;
     private Channel channel;
 
     /** Writes that are not completed. */
@@ -44,8 +44,8 @@
     BodyTransfer(StreamedBody body, BodyTransferListener listener) {
         this.body = body;
         this.listener = listener;
-        this.peerPace = body.newPace();
-        this.sender = body.newSender(this::bodyChanged);
+        this.peerMonitor = body.newMonitor();
+        this.reader = body.newReader(this::bodyChanged);
     }
 
     /** Starts on a channel to which the head was written. */
@@ -67,7 +67,7 @@
     }
 
     private boolean isAborted() {
-        return !lastWritten && (sender == null || !sender.isCurrent() || body.isLost());
+        return !lastWritten && (reader == null || !reader.isAttached() || body.isLost());
     }
 
     /** Writes what there is, as long as the channel is writable. */
@@ -82,18 +82,18 @@
         }
         writing = true;
         writePieces();
-        if (!over && !lastWritten && sender.hasTakenAll()) {
+        if (!over && !lastWritten && reader.hasReadAll()) {
             lastWritten = true;
             channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT)
                     .addListener(this::lastPieceWritten);
         }
         writing = false;
-        peerPace.turn(pendingWrites > 0, StreamedBody.nowUs());
+        peerMonitor.setActive(pendingWrites > 0, StreamedBody.nowUs());
     }
 
     private void writePieces() {
         while (channel.isWritable() && !over) {
-            final ByteBuf piece = sender.next();
+            final ByteBuf piece = reader.next();
             if (piece == null) {
                 return;
             }
@@ -113,10 +113,10 @@
             channel.close();
             return;
         }
-        peerPace.moved(count, StreamedBody.nowUs());
-        peerPace.turn(pendingWrites > 0, StreamedBody.nowUs());
+        peerMonitor.transferred(count, StreamedBody.nowUs());
+        peerMonitor.setActive(pendingWrites > 0, StreamedBody.nowUs());
         notifyProgress();
-        sender.sent();
+        reader.acknowledge();
         body.pieceSent();
         resume();
     }
@@ -146,7 +146,7 @@
      * it waits for. Called by the sweep, a few times a second.
      */
     void checkPeerRate() {
-        if (!over && peerPace.isTooSlow(StreamedBody.nowUs())) {
+        if (!over && peerMonitor.isTooSlow(StreamedBody.nowUs())) {
             body.owner()
                     .reportTooSlow(String.valueOf(channel.remoteAddress()), "it took too little");
             stop();
@@ -160,8 +160,8 @@
     void stop() {
         if (!over) {
             over = true;
-            if (sender != null) {
-                sender.leave();
+            if (reader != null) {
+                reader.detach();
             }
             body.transferEnded(this);
         }
--- a/src/main/java/cresschute/node/http/PendingResponse.java
+++ b/src/main/java/cresschute/node/http/PendingResponse.java
@@ -266,7 +266,7 @@
     }
 
     @Override
-    public ResultStream streams(String type, long length) {
+    public ResultStream resultBegins(String type, long length) {
         if (result == null) {
             return null;
         }
--- a/src/main/java/cresschute/node/http/RequestHeadParser.java
+++ b/src/main/java/cresschute/node/http/RequestHeadParser.java
@@ -4,7 +4,7 @@
 import cresschute.dispatch.Job;
 import cresschute.dispatch.RequestClass;
 import cresschute.dispatch.Tenant;
-import cresschute.node.DeploymentSettingsParser;
+import cresschute.node.SettingsFlattener;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpMethod;
@@ -140,8 +140,7 @@
         if (tenants.isEmpty()) {
             return NO_TENANTS;
         }
-        final String name =
-                DeploymentSettingsParser.word(headers.get(HeaderNames.TENANT, "").strip());
+        final String name = SettingsFlattener.word(headers.get(HeaderNames.TENANT, "").strip());
         for (int number = 0; number < tenants.size(); number++) {
             if (tenants.get(number).name().equals(name)) {
                 return number;
--- a/src/main/java/cresschute/node/http/StreamedBodies.java
+++ b/src/main/java/cresschute/node/http/StreamedBodies.java
@@ -1,8 +1,8 @@
 package cresschute.node.http;
 
-import cresschute.flow.Budget;
-import cresschute.flow.Budget.Account;
-import cresschute.flow.Budget.Admission;
+import cresschute.flow.BufferBudget;
+import cresschute.flow.BufferBudget.Admission;
+import cresschute.flow.BufferBudget.Reservation;
 import cresschute.node.PeerFault;
 import cresschute.node.RequestLifecycle;
 import cresschute.settings.ApplianceSettings.Bodies;
@@ -26,7 +26,7 @@
     private static final long LEND_DIVISOR = 64;
 
     private final Bodies settings;
-    private final Budget budget;
+    private final BufferBudget budget;
     private final long maxBytes;
     private final RequestLifecycle lifecycle;
     private final Set<BodyTransfer> transfers = new LinkedHashSet<>();
@@ -37,7 +37,7 @@
         this.settings = settings;
         this.lifecycle = lifecycle;
         this.budget =
-                new Budget(
+                new BufferBudget(
                         settings.budget(),
                         settings.window(),
                         settings.lent(),
@@ -66,11 +66,16 @@
      */
     StreamedRequestBody openRequestBody(
             String client, int requestClass, long length, Runnable onCapacity) {
-        final Account account = openAccount(client, onCapacity);
-        return account == null
+        final Reservation reservation = reserve(client, onCapacity);
+        return reservation == null
                 ? null
                 : new StreamedRequestBody(
-                        this, account, limits(requestClass), settings.spool(), length, onCapacity);
+                        this,
+                        reservation,
+                        limits(requestClass),
+                        settings.spool(),
+                        length,
+                        onCapacity);
     }
 
     /**
@@ -82,15 +87,19 @@
     StreamedResponseBody openResponseBody(
             String client, int requestClass, ByteBufAllocator allocator) {
         final CapacityNotice notice = new CapacityNotice();
-        final Account account = openAccount(client, notice);
+        final Reservation reservation = reserve(client, notice);
         notice.result =
-                account == null
+                reservation == null
                         ? null
-                        : new StreamedResponseBody(this, account, limits(requestClass), allocator);
+                        : new StreamedResponseBody(
+                                this, reservation, limits(requestClass), allocator);
         return notice.result;
     }
 
-    /** Passes an account's notices on to its result, which can be made only after the account. */
+    /**
+     * Passes a reservation's notices on to its result, which can be made only after the
+     * reservation.
+     */
     private static final class CapacityNotice implements Runnable {
         private StreamedResponseBody result;
 
@@ -100,22 +109,22 @@
         }
     }
 
-    private Account openAccount(String client, Runnable onCapacity) {
-        final Admission admission = budget.open(client, onCapacity);
-        if (admission.account() == null) {
+    private Reservation reserve(String client, Runnable onCapacity) {
+        final Admission admission = budget.reserve(client, onCapacity);
+        if (admission.reservation() == null) {
             lifecycle
                     .faults()
                     .fault(
-                            PeerFault.NO_ROOM_FOR_BODY,
+                            PeerFault.BODY_CAPACITY_EXCEEDED,
                             client,
-                            switch (admission.refusal()) {
-                                case NODE_FULL ->
+                            switch (admission.rejection()) {
+                                case BUDGET_EXHAUSTED ->
                                         "the budget of " + settings.budget() + " bytes is in use";
-                                case CLIENT_FULL ->
+                                case CLIENT_LIMIT_REACHED ->
                                         "its bodies own " + settings.ofAClient() + " bytes already";
                             });
         }
-        return admission.account();
+        return admission.reservation();
     }
 
     /** Bytes of the budget in use. */
--- a/src/main/java/cresschute/node/http/StreamedBody.java
+++ b/src/main/java/cresschute/node/http/StreamedBody.java
@@ -1,8 +1,8 @@
 package cresschute.node.http;
 
-import cresschute.flow.Body;
-import cresschute.flow.Budget;
-import cresschute.flow.Pace;
+import cresschute.flow.BodyBuffer;
+import cresschute.flow.BufferBudget;
+import cresschute.flow.TransferMonitor;
 import cresschute.settings.ApplianceSettings.ClassBodies;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
@@ -15,7 +15,7 @@
  * are copied from what the codec passes on, so that the memory held is the memory counted however
  * small the chunks, and written by {@link BodyTransfer}s.
  *
- * <p>Owns its buffers and its account of the budget, and closes both once it is retired and its
+ * <p>Owns its buffers and its reservation of the budget, and closes both once it is retired and its
  * transfers have ended. Call from the event loop.
  */
 abstract class StreamedBody {
@@ -36,8 +36,8 @@
 
     private final StreamedBodies owner;
     private final ClassBodies limits;
-    private final Body<ByteBuf> body;
-    private final Pace senderPace;
+    private final BodyBuffer<ByteBuf> body;
+    private final TransferMonitor senderMonitor;
 
     /** The piece that is being filled, or null. */
     private ByteBuf filling;
@@ -54,11 +54,14 @@
      * @param spoolBytes what is kept of it for a further transfer
      */
     StreamedBody(
-            StreamedBodies owner, Budget.Account account, ClassBodies limits, long spoolBytes) {
+            StreamedBodies owner,
+            BufferBudget.Reservation reservation,
+            ClassBodies limits,
+            long spoolBytes) {
         this.owner = owner;
         this.limits = limits;
-        this.body = new Body<>(account, spoolBytes, ByteBuf::release);
-        this.senderPace = newPace();
+        this.body = new BodyBuffer<>(reservation, spoolBytes, ByteBuf::release);
+        this.senderMonitor = newMonitor();
     }
 
     /** The present, us, from an arbitrary origin. */
@@ -78,9 +81,9 @@
         return owner;
     }
 
-    /** The pace of one side of this body, by its class's limits. */
-    final Pace newPace() {
-        return new Pace(limits.leastRate(), limits.stallUs(), nowUs());
+    /** A monitor of one side of this body, by its class's limits. */
+    final TransferMonitor newMonitor() {
+        return new TransferMonitor(limits.leastRate(), limits.stallUs(), nowUs());
     }
 
     // ---- Reading ----
@@ -92,7 +95,7 @@
 
     /** What was read so far costs of the budget, all together, bytes. */
     final long costRead() {
-        return body.read();
+        return body.appendedCost();
     }
 
     /**
@@ -103,11 +106,11 @@
      */
     final boolean collect(ByteBuf content, ByteBufAllocator allocator, long maxBytes) {
         final int count = content.readableBytes();
-        if (bytesRead + count > maxBytes || body.state() != Body.State.OPEN) {
+        if (bytesRead + count > maxBytes || body.state() != BodyBuffer.State.OPEN) {
             return false;
         }
         bytesRead += count;
-        senderPace.moved(count, nowUs());
+        senderMonitor.transferred(count, nowUs());
         while (content.isReadable()) {
             if (filling == null) {
                 filling = allocator.directBuffer(READ_BYTES, READ_BYTES);
@@ -127,7 +130,7 @@
         }
         ByteBuf piece = filling;
         filling = null;
-        if (body.state() != Body.State.OPEN) {
+        if (body.state() != BodyBuffer.State.OPEN) {
             piece.release();
             return;
         }
@@ -136,8 +139,8 @@
             piece = copyToSize(piece, allocator);
         }
         final int cost = piece.capacity() + PIECE_BYTES;
-        body.room(cost);
-        body.add(piece, cost);
+        body.credit(cost);
+        body.append(piece, cost);
     }
 
     private static ByteBuf copyToSize(ByteBuf piece, ByteBufAllocator allocator) {
@@ -152,8 +155,8 @@
      * called once there may be some.
      */
     final boolean hasCapacity() {
-        final boolean fits = body.room(MAX_COST) >= MAX_COST;
-        senderPace.turn(fits, nowUs());
+        final boolean fits = body.credit(MAX_COST) >= MAX_COST;
+        senderMonitor.setActive(fits, nowUs());
         return fits;
     }
 
@@ -161,26 +164,26 @@
     abstract void capacityFreed();
 
     /** Its last byte was read. */
-    final void whole(ByteBufAllocator allocator) {
+    final void complete(ByteBufAllocator allocator) {
         endPiece(allocator);
-        body.whole();
+        body.complete();
     }
 
     /** No more of it will come, and it is incomplete. */
-    final void broken() {
-        body.broken();
+    final void abort() {
+        body.abort();
     }
 
     /** Whether its sender, while it is to send, sends less than the least rate. */
     final boolean isSenderTooSlow() {
-        return body.state() == Body.State.OPEN && senderPace.isTooSlow(nowUs());
+        return body.state() == BodyBuffer.State.OPEN && senderMonitor.isTooSlow(nowUs());
     }
 
     // ---- Writing ----
 
     /** Whether a further transfer could begin at its first byte. */
-    public final boolean canBeSentAnew() {
-        return body.canBeSentAnew();
+    public final boolean isReplayable() {
+        return body.canReplay();
     }
 
     /** A transfer of it to a peer; whether it can still begin shows when it is started. */
@@ -192,22 +195,22 @@
     }
 
     /**
-     * A sender for a transfer, or null where none can begin at the first byte.
+     * A reader for a transfer, or null where none can begin at the first byte.
      *
      * @param onChange called when there is more to send, or no more will come
      */
-    final Body<ByteBuf>.Sender newSender(Runnable onChange) {
-        return body.send(onChange);
+    final BodyBuffer<ByteBuf>.Reader newReader(Runnable onChange) {
+        return body.openReader(onChange);
     }
 
     /** Whether the rest of it will never come. */
     final boolean isLost() {
-        return body.state() == Body.State.BROKEN || body.state() == Body.State.CLOSED;
+        return body.state() == BodyBuffer.State.ABORTED || body.state() == BodyBuffer.State.CLOSED;
     }
 
     /** A transfer has written a piece, which may free capacity. */
     final void pieceSent() {
-        if (body.state() == Body.State.OPEN) {
+        if (body.state() == BodyBuffer.State.OPEN) {
             capacityFreed();
         }
     }
@@ -226,7 +229,7 @@
      */
     final void retire() {
         retired = true;
-        if (transfers == 0 || body.state() != Body.State.WHOLE) {
+        if (transfers == 0 || body.state() != BodyBuffer.State.COMPLETE) {
             close();
         }
     }
--- a/src/main/java/cresschute/node/http/StreamedBodyReceiver.java
+++ b/src/main/java/cresschute/node/http/StreamedBodyReceiver.java
@@ -70,7 +70,7 @@
 
     /** The body's last byte was read. */
     void complete() {
-        body.whole(channel.alloc());
+        body.complete(channel.alloc());
     }
 
     /** A read of the channel is over: passes on what it brought, and requests the next one. */
--- a/src/main/java/cresschute/node/http/StreamedRequestBody.java
+++ b/src/main/java/cresschute/node/http/StreamedRequestBody.java
@@ -1,6 +1,6 @@
 package cresschute.node.http;
 
-import cresschute.flow.Budget;
+import cresschute.flow.BufferBudget;
 import cresschute.node.RequestBody;
 import cresschute.settings.ApplianceSettings.ClassBodies;
 
@@ -27,12 +27,12 @@
      */
     StreamedRequestBody(
             StreamedBodies owner,
-            Budget.Account account,
+            BufferBudget.Reservation reservation,
             ClassBodies limits,
             long spoolBytes,
             long length,
             Runnable onCapacity) {
-        super(owner, account, limits, spoolBytes);
+        super(owner, reservation, limits, spoolBytes);
         this.length = length;
         this.spoolBytes = spoolBytes;
         this.onCapacity = onCapacity;
--- a/src/main/java/cresschute/node/http/StreamedResponseBody.java
+++ b/src/main/java/cresschute/node/http/StreamedResponseBody.java
@@ -1,6 +1,6 @@
 package cresschute.node.http;
 
-import cresschute.flow.Budget;
+import cresschute.flow.BufferBudget;
 import cresschute.node.ResultStream;
 import cresschute.settings.ApplianceSettings.ClassBodies;
 import io.netty.buffer.ByteBufAllocator;
@@ -36,10 +36,10 @@
     /** A result that has not begun. */
     StreamedResponseBody(
             StreamedBodies owner,
-            Budget.Account account,
+            BufferBudget.Reservation reservation,
             ClassBodies limits,
             ByteBufAllocator allocator) {
-        super(owner, account, limits, 0);
+        super(owner, reservation, limits, 0);
         this.allocator = allocator;
     }
 
@@ -94,13 +94,13 @@
     }
 
     @Override
-    public void finish(boolean isWhole) {
+    public void finish(boolean complete) {
         owner().remove(this);
         source = null;
-        if (isWhole) {
-            whole(allocator);
+        if (complete) {
+            complete(allocator);
         } else {
-            broken();
+            abort();
         }
     }
 
