--- a/src/main/java/cresschute/node/http/DiscoveryClient.java
+++ b/src/main/java/cresschute/node/http/DiscoveryClient.java
@@ -37,63 +37,77 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Watches discovery's list by one call after the other on one connection, until a call fails.
+ * Watches the endpoint list of the discovery service by long polls: one call after the other on one
+ * connection, until a call fails.
  *
- * <p>There is one call at a time, and one connection: what comes on an older one is not heard. A
- * call that falls silent, whose answer never ends or whose connection never comes up is repeated on
- * a new connection and so that discovery need not wait for news, by {@link DiscoveryCallSchedule},
- * which works out the bounds; only when the repeats are used up is the module told, as of any other
- * failure. It asks again 0.5 to 1.5 s later.
+ * <p>There is one call at a time, and one connection: what arrives on an older one is discarded. A
+ * call that falls silent, whose response never ends or whose connection is not established in time
+ * is repeated on a new connection, and asks for a response without a wait, by {@link
+ * DiscoveryCallSchedule}, which works out the bounds. Only when the repeats are used up is the
+ * failure reported, as any other failure is at once; {@link #watch} is then called again 0.5 to 1.5
+ * s later.
  *
- * <p>A list that is older than the one held is taken only from a discovery service at a new
- * address, or where the discovery says the same again when asked anew for its whole list: a stale
- * answer must not bring a drained worker back, and a discovery service that counts anew must not be
- * disbelieved for good.
+ * <p>A list that is older than the one held is accepted only from a service at a new address, or
+ * where the service responds the same when asked for its whole list: a stale response must not bring
+ * a drained worker back, and a service that counts anew must not be rejected for good.
+ *
+ * <p>Owns its connection and the timer of the call, and closes them in one place. Call from the
+ * event loop.
  */
 public final class DiscoveryClient implements Discovery {
 
-    private static final int CONNECT_MS = 1_000;
-    private static final int MAX_BYTES = 4 << 20;
+    private static final int CONNECT_TIMEOUT_MS = 1_000;
+    private static final int MAX_RESPONSE_BYTES = 4 << 20;
+    private static final String LIST_PATH = "/registry/instances";
 
     private final EventLoop loop;
-    private final RequestLifecycle core;
+    private final RequestLifecycle lifecycle;
     private final RateLimitedLog faults;
     private final Bootstrap bootstrap;
     private final DiscoveryCallSchedule schedule;
+    private InetSocketAddress address;
+
+    /** The connection in use, or being established; null while there is none. */
     private Channel channel;
 
-    /** When the call that is out is over, or the next repeat begins. */
+    /** Ends the call under way, or begins the next repeat. */
     private Future<?> timer;
 
-    private InetSocketAddress addr;
+    /** Whether a watch is open: calls go on until one fails. */
     private boolean watching;
-    private boolean asked;
-    private boolean newcomer;
 
-    /** Whether an older list was sent back, so that the whole list is asked for. */
-    private boolean doubted;
+    /** Whether a watch was ever asked for. */
+    private boolean watchRequested;
+
+    /** Whether the address is new, and its whole list not received. */
+    private boolean addressChanged;
+
+    /** Whether an older list was rejected, so that the whole list is asked for. */
+    private boolean olderListRejected;
 
     /**
-     * Does nothing until it is asked to watch; {@code random} spreads the repeats of many
-     * dispatchers.
+     * A client that does nothing until it is asked to watch.
+     *
+     * @param address where the discovery service listens
+     * @param random spreads the repeats of many dispatchers
      */
     public DiscoveryClient(
             EventLoop loop,
-            InetSocketAddress addr,
-            RequestLifecycle core,
+            InetSocketAddress address,
+            RequestLifecycle lifecycle,
             RateLimitedLog faults,
             RandomGenerator random) {
         this.loop = loop;
         this.schedule = new DiscoveryCallSchedule(random);
-        this.addr = addr;
-        this.core = core;
+        this.address = address;
+        this.lifecycle = lifecycle;
         this.faults = faults;
         this.bootstrap =
                 new Bootstrap()
                         .group(loop)
                         .channel(NioSocketChannel.class)
                         .option(ChannelOption.TCP_NODELAY, true)
-                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
+                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                         .handler(
                                 new ChannelInitializer<Channel>() {
                                     @Override
@@ -101,15 +115,16 @@
                                         opened.pipeline()
                                                 .addLast(
                                                         new HttpClientCodec(),
-                                                        new HttpObjectAggregator(MAX_BYTES),
-                                                        new Answers());
+                                                        new HttpObjectAggregator(
+                                                                MAX_RESPONSE_BYTES),
+                                                        new ResponseHandler());
                                     }
                                 });
     }
 
     @Override
     public void watch() {
-        asked = true;
+        watchRequested = true;
         if (!watching) {
             watching = true;
             call();
@@ -117,66 +132,83 @@
     }
 
     /**
-     * Turns to discovery at another address; a list that was asked for is asked for there at once.
+     * Turns to the service at another address. The call under way ends, which is no failure; if a
+     * watch was ever asked for, the whole list is asked for there at once.
      */
     public void moveTo(InetSocketAddress next) {
-        if (next.equals(addr)) {
+        if (next.equals(address)) {
             return;
         }
-        addr = next;
-        newcomer = true;
-        // Guards against waiting for an old address that says no more: its call is over, and none
-        // has failed.
-        hangUp();
-        if (asked) {
+        address = next;
+        addressChanged = true;
+        endWatch();
+        if (watchRequested) {
             watching = true;
             call();
         }
     }
 
+    // ---- One call ----
+
     private void call() {
-        // Guards against a discovery service that says nothing, not even a reset.
         timer =
                 loop.schedule(
-                        () -> fellSilent("no answer in time"),
-                        schedule.limitMs(asksForAll()),
+                        () -> callTimedOut("no answer in time"),
+                        schedule.limitMs(asksForWholeList()),
                         TimeUnit.MILLISECONDS);
         if (channel != null && channel.isActive()) {
-            send();
+            sendRequest();
             return;
         }
-        final ChannelFuture connecting = bootstrap.connect(addr);
+        final ChannelFuture connecting = bootstrap.connect(address);
         channel = connecting.channel();
         connecting.addListener(
                 done -> {
                     if (connecting.channel() != channel) {
                         connecting.channel().close();
                     } else if (done.isSuccess()) {
-                        send();
+                        sendRequest();
                     } else if (done.cause() instanceof ConnectTimeoutException) {
-                        fellSilent("no connection in time");
+                        callTimedOut("no connection in time");
                     } else {
                         fail("cannot connect: " + done.cause().getMessage());
                     }
                 });
     }
 
-    private boolean asksForAll() {
-        return core.listVersion() < 0 || newcomer || doubted;
-    }
-
     /**
-     * Guards what drains while discovery says nothing: one failure more would take the module's
-     * pause.
+     * Whether the next call asks for the whole list: the first one, and where changes since the
+     * version held would not do, at a new address or after an older list.
      */
-    private void fellSilent(String why) {
+    private boolean asksForWholeList() {
+        return lifecycle.listVersion() < 0 || addressChanged || olderListRejected;
+    }
+
+    private void sendRequest() {
+        final String path =
+                asksForWholeList()
+                        ? LIST_PATH
+                        : LIST_PATH
+                                + "?since="
+                                + lifecycle.listVersion()
+                                + "&timeout_ms="
+                                + schedule.waitMs();
+        final FullHttpRequest request =
+                new DefaultFullHttpRequest(
+                        HttpVersion.HTTP_1_1, HttpMethod.GET, path, Unpooled.EMPTY_BUFFER);
+        request.headers().set(HttpHeaderNames.HOST, NetUtil.toSocketAddressString(address));
+        channel.writeAndFlush(request);
+    }
+
+    /** The call brought nothing in time: repeats it, or reports a failure. */
+    private void callTimedOut(String reason) {
         final OptionalLong pauseMs = watching ? schedule.afterSilence() : OptionalLong.empty();
         if (pauseMs.isEmpty()) {
-            fail(why);
+            fail(reason);
             return;
         }
-        faults.fault(PeerFault.DISCOVERY_CALL_FAILED, null, why + "; asked again at once");
-        dropConnection();
+        faults.fault(PeerFault.DISCOVERY_CALL_FAILED, null, reason + "; asked again at once");
+        closeConnection();
         if (pauseMs.getAsLong() == 0) {
             call();
         } else {
@@ -184,25 +216,9 @@
         }
     }
 
-    private void send() {
-        // Guards against missing a change between two discovery services: the new one is asked for
-        // its whole list.
-        final String path =
-                "/registry/instances"
-                        + (asksForAll()
-                                ? ""
-                                : "?since="
-                                        + core.listVersion()
-                                        + "&timeout_ms="
-                                        + schedule.waitMs());
-        final FullHttpRequest request =
-                new DefaultFullHttpRequest(
-                        HttpVersion.HTTP_1_1, HttpMethod.GET, path, Unpooled.EMPTY_BUFFER);
-        request.headers().set(HttpHeaderNames.HOST, NetUtil.toSocketAddressString(addr));
-        channel.writeAndFlush(request);
-    }
+    // ---- Its response ----
 
-    private void told(FullHttpResponse response) {
+    private void responseReceived(FullHttpResponse response) {
         if (!response.status().equals(HttpResponseStatus.OK)) {
             fail("answered " + response.status());
             return;
@@ -216,49 +232,56 @@
             fail("bad list: " + e.getMessage());
             return;
         } catch (RuntimeException e) {
-            // Guards against a list that the reader trips over: one line, and the list in force
-            // goes on.
+            // Whatever the parser stumbles over, the list in force stays and the watch goes on.
             fail("unreadable list: " + e);
             return;
         }
-        if (list.version() < core.listVersion() && !newcomer && !(doubted && list.full())) {
-            final long held = core.listVersion();
+        if (isRejectedAsOlder(list)) {
+            final long held = lifecycle.listVersion();
             fail("version " + list.version() + " is older than " + held);
-            doubted = true;
+            olderListRejected = true;
             return;
         }
-        newcomer = false;
-        doubted = false;
+        addressChanged = false;
+        olderListRejected = false;
         schedule.restart();
-        // Before this call is over: should anything fail on the list, its deadline still opens a
-        // new watch.
-        core.endpointListReceived(list);
+        // The call's timer still runs: if the life cycle fails on the list, it opens a new watch.
+        lifecycle.endpointListReceived(list);
         timer.cancel(false);
         if (!HttpUtil.isKeepAlive(response)) {
             final Channel last = channel;
             channel = null;
             last.close();
         }
-        // Guards against the watch lapsing: it goes on only if the next call comes within 200 ms.
+        // At once: the service ends a watch whose next call does not come within 200 ms.
         call();
     }
 
-    private void fail(String why) {
+    private boolean isRejectedAsOlder(EndpointList list) {
+        return list.version() < lifecycle.listVersion()
+                && !addressChanged
+                && !(olderListRejected && list.full());
+    }
+
+    // ---- The end ----
+
+    /** Ends the watch and reports its failure, once. */
+    private void fail(String reason) {
         if (!watching) {
             return;
         }
-        hangUp();
-        faults.fault(PeerFault.DISCOVERY_CALL_FAILED, null, why);
-        core.discoveryFailed();
+        endWatch();
+        faults.fault(PeerFault.DISCOVERY_CALL_FAILED, null, reason);
+        lifecycle.discoveryFailed();
     }
 
-    private void hangUp() {
+    private void endWatch() {
         watching = false;
         schedule.restart();
-        dropConnection();
+        closeConnection();
     }
 
-    private void dropConnection() {
+    private void closeConnection() {
         if (timer != null) {
             timer.cancel(false);
         }
@@ -269,7 +292,8 @@
         }
     }
 
-    private final class Answers extends SimpleChannelInboundHandler<FullHttpResponse> {
+    /** Passes on what the connection in use brings; older ones are ignored. */
+    private final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
@@ -277,7 +301,7 @@
                 if (response.decoderResult().isFailure()) {
                     fail("malformed answer");
                 } else {
-                    told(response);
+                    responseReceived(response);
                 }
             }
         }
--- a/src/main/java/cresschute/node/http/HttpAttempt.java
+++ b/src/main/java/cresschute/node/http/HttpAttempt.java
@@ -22,53 +22,75 @@
 import io.netty.handler.codec.http.HttpStatusClass;
 import io.netty.handler.codec.http.HttpVersion;
 
-/** An attempt: the request as the client sent it, and an answer that comes in lines. */
+/**
+ * An attempt of a request at a worker: the request as its client sent it, and a response in lines
+ * ({@link ProgressLine}), which a streamed result may follow.
+ *
+ * <p>Ends once, and reports that to its {@link AttemptListener}: by a line, by the status of the
+ * response, by a break, or by {@link #giveUp}, which reports nothing. What has no end in its
+ * response is decided by the request's last byte: before that is written the job cannot have run,
+ * after that it may have.
+ *
+ * <p>Owns the transfer of a streamed body, and the connection's autoRead while it receives a
+ * streamed result. Call from the event loop.
+ */
 final class HttpAttempt extends HttpExchange
         implements AttemptCall, BodyTransferListener, StreamedResponseBody.Source {
 
     private static final int OK = 200;
     private static final int UNAVAILABLE = 503;
     private static final int GATEWAY_TIMEOUT = 504;
+    private static final String MARKED = "1";
+    private static final String DONE = "done";
 
     private final String host;
     private final RequestContent content;
     private final AttemptListener listener;
     private final RateLimitedLog faults;
+
+    /** What writes a streamed body, or null. */
+    private final BodyTransfer transfer;
+
     private ProgressLineReader lines = new ProgressLineReader();
 
-    /** What carries a long body, or null. */
-    private final BodyTransfer pump;
+    /** The load report of the response's head. */
+    private LoadReport headLoad = LoadReport.NONE;
+
+    /** The outcome that the response's status states; null where its lines do. */
+    private Outcome statusOutcome;
 
-    /** A long result from its first byte on, or null. */
+    /** Whether a line named another request where the response before may come twice. */
+    private boolean foreignResponse;
+
+    /** A streamed result from its first byte on, or null. */
     private StreamedResponseBody result;
 
-    private boolean awaiting;
-    private Outcome unstreamed;
+    /** Whether a read of the result was requested and is not over. */
+    private boolean readPending;
 
     /**
-     * Whether a line of this answer named another request, where the answer before may have come
-     * twice.
+     * An attempt that has not begun.
+     *
+     * @param host the worker's address as the Host header has it
      */
-    private boolean anothers;
-
-    private LoadReport load = LoadReport.NONE;
-
     HttpAttempt(
             String host, RequestContent content, AttemptListener listener, RateLimitedLog faults) {
         this.host = host;
         this.content = content;
         this.listener = listener;
         this.faults = faults;
-        this.pump =
+        this.transfer =
                 content.longBody() instanceof StreamedRequestBody body
                         ? body.newTransfer(this)
                         : null;
     }
 
+    // ---- The request ----
+
     @Override
     HttpRequest request() {
         final HttpRequest request =
-                pump != null
+                transfer != null
                         ? new DefaultHttpRequest(
                                 HttpVersion.HTTP_1_1, HttpMethod.POST, content.target())
                         : new DefaultFullHttpRequest(
@@ -80,14 +102,11 @@
                 .set(HttpHeaderNames.HOST, host)
                 .set(HeaderNames.REQUEST_ID, content.requestId())
                 .set(HeaderNames.DEADLINE, DeadlineHeader.format(listener.remainingUs()));
-        final long length =
-                content.longBody() instanceof StreamedRequestBody body
-                        ? body.length()
-                        : content.body().length;
-        if (length >= 0) {
-            request.headers().set(HttpHeaderNames.CONTENT_LENGTH, length);
-        } else {
+        final long length = bodyLength();
+        if (length == StreamedRequestBody.UNKNOWN_LENGTH) {
             request.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
+        } else {
+            request.headers().set(HttpHeaderNames.CONTENT_LENGTH, length);
         }
         if (content.idempotencyKey() != null) {
             request.headers().set(HeaderNames.IDEMPOTENCY_KEY, content.idempotencyKey());
@@ -95,9 +114,15 @@
         return request;
     }
 
+    private long bodyLength() {
+        return content.longBody() instanceof StreamedRequestBody body
+                ? body.length()
+                : content.body().length;
+    }
+
     @Override
-    BodyTransfer body() {
-        return pump;
+    BodyTransfer bodyTransfer() {
+        return transfer;
     }
 
     @Override
@@ -105,10 +130,14 @@
         return listener.mayBegin();
     }
 
+    @Override
+    public boolean hasBegun() {
+        return isBegun();
+    }
+
     /**
-     * The worker holds a slot for the job from here on. Guards its good name against clients that
-     * send a long body slowly: a job that does not start would be taken for a worker that starts
-     * none.
+     * The worker holds a slot for the job from here on. Reported as its start: a job whose client
+     * sends a long body slowly would else look like one that its worker does not start.
      */
     @Override
     public void transferProgressed() {
@@ -117,245 +146,243 @@
 
     @Override
     public void transferCompleted() {
-        written = true;
+        markWritten();
     }
 
-    /** No fault of the worker's, and it cannot have run: its last byte never went out. */
+    /** No fault of the worker's, and the job cannot have run: its last byte was never written. */
     @Override
     public void transferAborted() {
-        unsent(Outcome.CANCELLED);
+        endUnwritten(Outcome.CANCELLED);
     }
 
     @Override
     public void peerTooSlow() {
-        unsent(Outcome.CONNECT_FAILED);
+        endUnwritten(Outcome.CONNECT_FAILED);
     }
 
-    /** Guards against a second end: a worker may begin its result before it has all of the body. */
-    private void unsent(Outcome outcome) {
+    private void endUnwritten(Outcome outcome) {
         if (result != null) {
-            breakOff();
+            // A worker may begin its result before it has all of the body: the end was reported.
+            abortResult();
         } else {
             end(outcome, LoadReport.NONE, null);
-            drop();
+            cancel();
         }
     }
 
-    @Override
-    public void sourceTooSlow() {
-        faults.fault(PeerFault.BODY_TOO_SLOW, host, "it made too little of a result");
-        breakOff();
-    }
+    // ---- The response ----
 
     @Override
-    void head(HttpResponse response) {
+    void headReceived(HttpResponse response) {
         try {
-            load = LoadReportParser.parseHeader(response.headers().get(HeaderNames.LOAD));
+            headLoad = LoadReportParser.parseHeader(response.headers().get(HeaderNames.LOAD));
         } catch (JsonParseException e) {
-            bad(e);
+            endByBadResponse(e);
             return;
         }
+        statusOutcome = outcomeOf(response);
+    }
+
+    /** The outcome that a status states, or null where the lines do. */
+    private static Outcome outcomeOf(HttpResponse response) {
         final int status = response.status().code();
-        // Guards against taking any 503 for proof that nothing ran: only the worker's own mark is.
-        final boolean notRun =
-                (status == UNAVAILABLE || status == GATEWAY_TIMEOUT)
-                        && "1".equals(response.headers().get(HeaderNames.NOT_RUN));
-        final boolean unusable = response.status().codeClass() == HttpStatusClass.CLIENT_ERROR;
-        unstreamed =
-                status == OK
-                        ? null
-                        : notRun ? Outcome.FULL : unusable ? Outcome.UNUSABLE : Outcome.ERROR;
+        if (status == OK) {
+            return null;
+        }
+        // Only the worker's own mark proves that nothing ran; a proxy may send a 503 as well.
+        if ((status == UNAVAILABLE || status == GATEWAY_TIMEOUT)
+                && MARKED.equals(response.headers().get(HeaderNames.NOT_RUN))) {
+            return Outcome.FULL;
+        }
+        return response.status().codeClass() == HttpStatusClass.CLIENT_ERROR
+                ? Outcome.UNUSABLE
+                : Outcome.ERROR;
     }
 
     @Override
-    void content(ByteBuf chunk) {
-        if (over || unstreamed != null || anothers) {
+    void contentReceived(ByteBuf chunk) {
+        if (isOver() || statusOutcome != null || foreignResponse) {
             return;
         }
         if (result != null) {
-            pass(chunk);
-            return;
-        }
-        if (!lines.add(chunk)) {
-            bad(new JsonParseException("a line is too long"));
-            return;
+            passOn(chunk);
+        } else if (lines.add(chunk)) {
+            readLines();
+        } else {
+            endByBadResponse(new JsonParseException("a line is too long"));
         }
-        for (String line = lines.next(); line != null; line = lines.next()) {
-            line(line);
-            if (over || anothers) {
+    }
+
+    private void readLines() {
+        for (String line = lines.nextLine(); line != null; line = lines.nextLine()) {
+            lineReceived(line);
+            if (isOver() || foreignResponse) {
                 return;
             }
             if (result != null) {
-                pass(lines.rawRest());
+                passOn(lines.takeRemaining());
                 return;
             }
         }
     }
 
-    // ---- A long result ----
-
-    private void beginResult(ProgressLine line) {
-        final ResultStream begun =
-                listener.resultBegins(
-                        line.result(),
-                        line.follows(),
-                        line.load() == LoadReport.NONE ? load : line.load());
-        if (begun instanceof StreamedResponseBody ours) {
-            result = ours;
-            result.setSource(this);
-            // From now on each read is asked for.
-            awaiting = true;
-            connection.readByHand(true);
-        } else if (begun == null) {
-            bad(new JsonParseException("a long result of a class that has none"));
-        } else {
-            drop();
+    private void lineReceived(String text) {
+        try {
+            final ProgressLine line = ProgressLine.parse(text, content.requestId());
+            final LoadReport load = line.load() == LoadReport.NONE ? headLoad : line.load();
+            switch (line.kind()) {
+                case PROGRESS -> listener.progressed(line.fractionDone());
+                case RESULT_FOLLOWS -> beginResult(line.text(), line.resultLength(), load);
+                default -> end(line.outcome(), load, line.text());
+            }
+        } catch (ForeignLineException e) {
+            foreignResponse = connection().mayReceiveDuplicate();
+            if (!foreignResponse) {
+                endByBadResponse(e);
+            }
+        } catch (JsonParseException e) {
+            endByBadResponse(e);
         }
     }
 
-    private void pass(ByteBuf chunk) {
-        final long max = result.statedLength() < 0 ? Long.MAX_VALUE : result.statedLength();
-        if (!result.collect(chunk, connection.allocator(), max)) {
-            faults.fault(PeerFault.BAD_WORKER_ANSWER, host, "a result is longer than it said");
-            breakOff();
+    @Override
+    boolean isForeignResponse() {
+        if (!isOver() && statusOutcome == null && !foreignResponse && result == null) {
+            final String lastLine = lines.takeLastLine();
+            if (!lastLine.isEmpty()) {
+                lineReceived(lastLine);
+            }
         }
+        return foreignResponse;
     }
 
     @Override
-    void readComplete() {
-        awaiting = false;
-        if (result != null && !over) {
-            result.endPiece(connection.allocator());
-            resumeReading();
-        }
+    void foreignResponseEnded() {
+        foreignResponse = false;
+        headLoad = LoadReport.NONE;
+        lines = new ProgressLineReader();
     }
 
     @Override
-    public void resumeReading() {
-        if (!over && !awaiting && result.hasCapacity()) {
-            awaiting = true;
-            connection.read();
+    void responseCompleted(HttpHeaders trailers) {
+        if (result != null) {
+            endResult(isResultComplete(trailers.get(HeaderNames.JOB_STATE)));
+        } else {
+            connectionBroken();
         }
     }
 
-    private void breakOff() {
-        endResult(false);
-        drop();
-    }
-
-    private void endResult(boolean whole) {
-        if (!over) {
-            over = true;
-            stopPump();
-            if (connection != null) {
-                connection.readByHand(false);
-            }
-            listener.resultEnded(whole);
+    @Override
+    void connectionBroken() {
+        if (result != null) {
+            endResult(false);
+        } else if (statusOutcome != null) {
+            end(statusOutcome, headLoad, null);
+        } else {
+            end(isWritten() ? Outcome.BROKEN : Outcome.CONNECT_FAILED, headLoad, null);
         }
     }
 
-    // ---- Lines ----
+    // ---- A streamed result ----
 
-    private void line(String text) {
-        try {
-            final ProgressLine line = ProgressLine.parse(text, content.requestId());
-            if (line.follows() != null) {
-                beginResult(line);
-            } else if (line.outcome() == null) {
-                listener.progressed(line.share());
-            } else {
-                end(
-                        line.outcome(),
-                        line.load() == LoadReport.NONE ? load : line.load(),
-                        line.result());
-            }
-        } catch (ProgressLine.OtherRequestException e) {
-            anothers = connection.isInDoubt();
-            if (!anothers) {
-                bad(e);
-            }
-        } catch (JsonParseException e) {
-            bad(e);
+    private void beginResult(String type, long length, LoadReport load) {
+        final ResultStream stream = listener.resultBegins(type, length, load);
+        if (stream instanceof StreamedResponseBody body) {
+            result = body;
+            result.setSource(this);
+            // The read that is under way counts as the first one requested.
+            readPending = true;
+            connection().stopAutoRead();
+        } else if (stream == null) {
+            endByBadResponse(new JsonParseException("a long result of a class that has none"));
+        } else {
+            cancel();
         }
     }
 
-    @Override
-    boolean isAnothers() {
-        final String rest =
-                over || unstreamed != null || anothers || result != null ? "" : lines.rest();
-        if (!rest.isEmpty()) {
-            line(rest);
+    private void passOn(ByteBuf chunk) {
+        final long maxBytes = result.hasStatedLength() ? result.statedLength() : Long.MAX_VALUE;
+        if (!result.collect(chunk, connection().allocator(), maxBytes)) {
+            faults.fault(PeerFault.BAD_WORKER_ANSWER, host, "a result is longer than it said");
+            abortResult();
         }
-        return anothers;
     }
 
     @Override
-    void anothersEnded() {
-        anothers = false;
-        load = LoadReport.NONE;
-        lines = new ProgressLineReader();
+    void readCompleted() {
+        readPending = false;
+        if (result != null && !isOver()) {
+            result.endPiece(connection().allocator());
+            resumeReading();
+        }
     }
 
     @Override
-    void last(HttpHeaders trailers) {
-        if (result != null) {
-            final String state = trailers.get(HeaderNames.JOB_STATE);
-            endResult(
-                    result.isAsLongAsStated()
-                            && (state == null ? result.statedLength() >= 0 : state.equals("done")));
-            return;
+    public void resumeReading() {
+        if (!isOver() && !readPending && result.hasCapacity()) {
+            readPending = true;
+            connection().read();
         }
-        broken();
     }
 
-    /**
-     * Guards against guessing: what an answer's head says stands, else the request's last byte
-     * decides.
-     */
     @Override
-    void broken() {
-        if (result != null) {
-            endResult(false);
-            return;
+    public void sourceTooSlow() {
+        faults.fault(PeerFault.BODY_TOO_SLOW, host, "it made too little of a result");
+        abortResult();
+    }
+
+    /** Whether the response's end completes the result: by its trailer, or by its length. */
+    private boolean isResultComplete(String state) {
+        return result.isAsLongAsStated()
+                && (state == null ? result.hasStatedLength() : state.equals(DONE));
+    }
+
+    private void abortResult() {
+        endResult(false);
+        cancel();
+    }
+
+    private void endResult(boolean complete) {
+        if (!isOver()) {
+            markOver();
+            stopTransfer();
+            if (connection() != null) {
+                connection().resumeAutoRead();
+            }
+            listener.resultEnded(complete);
         }
-        end(
-                unstreamed != null ? unstreamed : written ? Outcome.BROKEN : Outcome.CONNECT_FAILED,
-                load,
-                null);
     }
 
-    private void bad(JsonParseException e) {
+    // ---- The end ----
+
+    private void endByBadResponse(JsonParseException e) {
         faults.fault(PeerFault.BAD_WORKER_ANSWER, host, e.getMessage());
         end(Outcome.ERROR, LoadReport.NONE, null);
-        drop();
+        cancel();
     }
 
-    private void end(Outcome outcome, LoadReport report, String result) {
-        if (!over) {
-            over = true;
-            stopPump();
-            listener.ended(outcome, report, result);
+    private void end(Outcome outcome, LoadReport load, String text) {
+        if (!isOver()) {
+            markOver();
+            stopTransfer();
+            listener.ended(outcome, load, text);
         }
     }
 
-    private void stopPump() {
-        if (pump != null) {
-            pump.stop();
+    private void stopTransfer() {
+        if (transfer != null) {
+            transfer.stop();
         }
     }
 
-    @Override
-    public boolean hasBegun() {
-        return begun;
-    }
-
     @Override
     public Outcome giveUp() {
-        drop();
-        stopPump();
-        // Guards workers' good name against clients that send a long body slowly.
-        return written
-                ? Outcome.TIMED_OUT
-                : pump != null ? Outcome.CANCELLED : Outcome.CONNECT_FAILED;
+        cancel();
+        stopTransfer();
+        if (isWritten()) {
+            return Outcome.TIMED_OUT;
+        }
+        // A client that sends a long body slowly is no fault of the worker's.
+        return transfer != null ? Outcome.CANCELLED : Outcome.CONNECT_FAILED;
     }
 }
--- a/src/main/java/cresschute/node/http/HttpLoadQuery.java
+++ b/src/main/java/cresschute/node/http/HttpLoadQuery.java
@@ -19,10 +19,17 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.Future;
 
-/** A probe: a sign of life, with the load report as its body where there are reports. */
+/**
+ * A load query: asks a worker for a sign of life, and for its load report as a header or as the
+ * body of the response. Ends once, with a response, a break or its timer, which it owns. Call from
+ * the event loop.
+ */
 final class HttpLoadQuery extends HttpExchange {
 
-    private static final int MAX_BYTES = 4096;
+    private static final String PATH = "/stats";
+
+    /** A body that is longer than this, bytes, is cut off. */
+    private static final int MAX_BODY_BYTES = 4096;
 
     private final String host;
     private final LoadQueryListener listener;
@@ -31,67 +38,76 @@
     private Future<?> timeout;
     private HttpResponse response;
 
+    /**
+     * A query that has not begun.
+     *
+     * @param host the worker's address as the Host header has it
+     */
     HttpLoadQuery(String host, LoadQueryListener listener, RateLimitedLog faults) {
         this.host = host;
         this.listener = listener;
         this.faults = faults;
     }
 
-    /** Ends with this timer, unless an answer comes before. */
-    void endWith(Future<?> timer) {
+    /** Sets the timer that calls {@link #timedOut}; it is cancelled at the end. */
+    void setTimeout(Future<?> timer) {
         timeout = timer;
     }
 
+    /** Its time is over. */
     void timedOut() {
         end(Outcome.TIMED_OUT, LoadReport.NONE);
-        drop();
+        cancel();
     }
 
     @Override
     FullHttpRequest request() {
         final FullHttpRequest request =
                 new DefaultFullHttpRequest(
-                        HttpVersion.HTTP_1_1, HttpMethod.GET, "/stats", Unpooled.EMPTY_BUFFER);
+                        HttpVersion.HTTP_1_1, HttpMethod.GET, PATH, Unpooled.EMPTY_BUFFER);
         request.headers().set(HttpHeaderNames.HOST, host);
         return request;
     }
 
     @Override
-    void head(HttpResponse head) {
+    void headReceived(HttpResponse head) {
         response = head;
     }
 
     @Override
-    void content(ByteBuf content) {
-        if (body.length() < MAX_BYTES) {
+    void contentReceived(ByteBuf content) {
+        if (body.length() < MAX_BODY_BYTES) {
             body.append(content.toString(StandardCharsets.UTF_8));
         }
     }
 
     @Override
-    void last(HttpHeaders trailers) {
-        final boolean alive = response.status().equals(HttpResponseStatus.OK);
+    void responseCompleted(HttpHeaders trailers) {
+        final boolean isOk = response.status().equals(HttpResponseStatus.OK);
         try {
-            final String header = response.headers().get(HeaderNames.LOAD);
-            final LoadReport load =
-                    header != null
-                            ? LoadReportParser.parseHeader(header)
-                            : alive ? LoadReportParser.parseBody(body.toString()) : LoadReport.NONE;
-            end(alive ? Outcome.SERVED : Outcome.ERROR, load);
+            end(isOk ? Outcome.SERVED : Outcome.ERROR, loadReport(isOk));
         } catch (JsonParseException e) {
-            faults.fault(PeerFault.BAD_WORKER_ANSWER, host, "to a probe: " + e.getMessage());
+            faults.fault(PeerFault.BAD_WORKER_ANSWER, host, "to a load query: " + e.getMessage());
             end(Outcome.ERROR, LoadReport.NONE);
         }
     }
 
+    private LoadReport loadReport(boolean isOk) {
+        final String header = response.headers().get(HeaderNames.LOAD);
+        if (header != null) {
+            return LoadReportParser.parseHeader(header);
+        }
+        return isOk ? LoadReportParser.parseBody(body.toString()) : LoadReport.NONE;
+    }
+
     @Override
-    void broken() {
-        end(written ? Outcome.BROKEN : Outcome.CONNECT_FAILED, LoadReport.NONE);
+    void connectionBroken() {
+        end(isWritten() ? Outcome.BROKEN : Outcome.CONNECT_FAILED, LoadReport.NONE);
     }
 
     private void end(Outcome outcome, LoadReport load) {
-        if (!over) {
-            over = true;
+        if (!isOver()) {
+            markOver();
             timeout.cancel(false);
             listener.loadQueryEnded(outcome, load);
         }
--- a/src/main/java/cresschute/node/http/LoadReportParser.java
+++ b/src/main/java/cresschute/node/http/LoadReportParser.java
@@ -5,12 +5,22 @@
 import cresschute.dispatch.LoadReport;
 import cresschute.node.Json;
 
-/** Load reports in their two forms: a header's name=value list and a JSON object. */
+/**
+ * Parses load reports in their two forms: a header's list of names with values, and a JSON object.
+ */
 final class LoadReportParser {
 
+    /** What a report has for a figure that the worker does not state. */
+    private static final double NOT_STATED = -1;
+
     private LoadReportParser() {}
 
-    /** Reads a header; null is no report, and what is not a name with a number is an error. */
+    /**
+     * Parses a header.
+     *
+     * @param header its value; null or blank for {@link LoadReport#NONE}
+     * @throws JsonParseException if a part of it is no name with a number
+     */
     static LoadReport parseHeader(String header) {
         if (header == null || header.isBlank()) {
             return LoadReport.NONE;
@@ -29,15 +39,26 @@
         return parse(fields);
     }
 
-    /** Reads an object; fields that it lacks count as not told. */
+    /**
+     * Parses an object; figures that it lacks count as not stated.
+     *
+     * @throws JsonParseException if a figure is no number
+     */
     static LoadReport parse(JsonObject fields) {
         final double outstanding =
-                Json.number(fields, "inflight", Json.number(fields, "outstanding", -1));
-        final double waiting = Json.number(fields, "queue", Json.number(fields, "backlog", -1));
-        return new LoadReport(Json.number(fields, "x0", -1), outstanding, waiting);
+                Json.number(
+                        fields, "inflight", Json.number(fields, "outstanding", NOT_STATED));
+        final double waiting =
+                Json.number(fields, "queue", Json.number(fields, "backlog", NOT_STATED));
+        final double freeSlots = Json.number(fields, "x0", NOT_STATED);
+        return new LoadReport(freeSlots, outstanding, waiting);
     }
 
-    /** Reads the body of an answer to a probe, in either form. */
+    /**
+     * Parses the body of a response to a load query, in either form.
+     *
+     * @throws JsonParseException if it is neither
+     */
     static LoadReport parseBody(String body) {
         return body.stripLeading().startsWith("{") ? parse(Json.object(body)) : parseHeader(body);
     }
--- a/src/main/java/cresschute/node/http/ProgressLine.java
+++ b/src/main/java/cresschute/node/http/ProgressLine.java
@@ -7,38 +7,66 @@
 import cresschute.node.Json;
 
 /**
- * One line of a worker's answer.
+ * One line of a worker's response. Immutable.
  *
- * @param outcome how the attempt ended, or null where it goes on
- * @param share how much is done, where it goes on
- * @param result what the client gets, where it is served; the type of what follows, where that is a
- *     result
- * @param follows bytes of the result that follows this line, -1 where that is not told; null where
- *     none does
+ * @param outcome how the attempt ended; null unless it is the end
+ * @param fractionDone how much of the job is done, 0 to 1
+ * @param load the worker's load report, or {@link LoadReport#NONE}
+ * @param text at the end of a job that is served, what its client gets; where a result follows, its
+ *     content type, or null; else null
+ * @param resultLength bytes of the result that follows, or {@link
+ *     StreamedResponseBody#UNKNOWN_LENGTH}
  */
-record ProgressLine(Outcome outcome, double share, LoadReport load, String result, Long follows) {
+record ProgressLine(
+        Kind kind,
+        Outcome outcome,
+        double fractionDone,
+        LoadReport load,
+        String text,
+        long resultLength) {
 
-    private static final double MAX_BYTES = 1L << 50;
+    /** What a line says of the attempt. */
+    enum Kind {
+        /** The job has started, or is so far. */
+        PROGRESS,
+        /** A streamed result follows this line. */
+        RESULT_FOLLOWS,
+        /** The attempt has ended. */
+        END
+    }
 
-    /** A line that names another request than the one that was asked about. */
-    static final class OtherRequestException extends JsonParseException {
+    private static final double MAX_RESULT_BYTES = 1L << 50;
 
-        private static final long serialVersionUID = 1L;
+    private static ProgressLine progress(double fractionDone, LoadReport load) {
+        return new ProgressLine(
+                Kind.PROGRESS,
+                null,
+                fractionDone,
+                load,
+                null,
+                StreamedResponseBody.UNKNOWN_LENGTH);
+    }
 
-        OtherRequestException() {
-            super("a line about another req");
-        }
+    private static ProgressLine resultFollows(String type, long length, LoadReport load) {
+        return new ProgressLine(Kind.RESULT_FOLLOWS, null, 1, load, type, length);
     }
 
-    ProgressLine(Outcome outcome, double share, LoadReport load, String result) {
-        this(outcome, share, load, result, null);
+    private static ProgressLine end(Outcome outcome, String text, LoadReport load) {
+        return new ProgressLine(
+                Kind.END, outcome, 1, load, text, StreamedResponseBody.UNKNOWN_LENGTH);
     }
 
-    /** Reads a line about this request; any flaw is a {@link JsonParseException}. */
-    static ProgressLine parse(String text, String requestId) {
-        final JsonObject json = Json.object(text);
+    /**
+     * Parses a line.
+     *
+     * @param requestId the request that was sent
+     * @throws ForeignLineException if the line names another request
+     * @throws JsonParseException if it is malformed in any other way
+     */
+    static ProgressLine parse(String line, String requestId) {
+        final JsonObject json = Json.object(line);
         if (!Json.string(json, "id").equals(requestId)) {
-            throw new OtherRequestException();
+            throw new ForeignLineException();
         }
         final LoadReport load =
                 json.has("load")
@@ -46,19 +74,19 @@
                         : LoadReport.NONE;
         final String state = Json.string(json, "state");
         return switch (state) {
-            case "started" -> new ProgressLine(null, 0, load, null);
-            case "running" -> new ProgressLine(null, share(json), load, null);
-            case "done" -> new ProgressLine(Outcome.SERVED, 1, load, Json.string(json, "result"));
-            case "result" -> new ProgressLine(null, 1, load, type(json), length(json));
-            case "failed" -> new ProgressLine(Outcome.ERROR, 0, load, null);
-            case "returned" -> new ProgressLine(Outcome.FULL, 0, load, null);
-            case "lost" -> new ProgressLine(Outcome.BROKEN, 0, load, null);
+            case "started" -> progress(0, load);
+            case "running" -> progress(fractionDone(json), load);
+            case "done" -> end(Outcome.SERVED, Json.string(json, "result"), load);
+            case "result" -> resultFollows(contentType(json), length(json), load);
+            case "failed" -> end(Outcome.ERROR, null, load);
+            case "returned" -> end(Outcome.FULL, null, load);
+            case "lost" -> end(Outcome.BROKEN, null, load);
             default -> throw new JsonParseException("unknown state " + state);
         };
     }
 
-    /** A type that can stand in a head. */
-    private static String type(JsonObject json) {
+    /** A content type of printable characters, which can stand in a head, or null. */
+    private static String contentType(JsonObject json) {
         final String type = json.has("type") ? Json.string(json, "type") : null;
         if (type != null && !type.chars().allMatch(each -> each >= ' ' && each <= '~')) {
             throw new JsonParseException("type is unusable");
@@ -67,15 +95,17 @@
     }
 
     private static long length(JsonObject json) {
+        if (!json.has("length")) {
+            return StreamedResponseBody.UNKNOWN_LENGTH;
+        }
         final double length = Json.number(json, "length", -1);
-        if (json.has("length")
-                && !(length >= 0 && length <= MAX_BYTES && length == Math.rint(length))) {
+        if (!(length >= 0 && length <= MAX_RESULT_BYTES && length == Math.rint(length))) {
             throw new JsonParseException("length is unusable");
         }
         return (long) length;
     }
 
-    private static double share(JsonObject json) {
+    private static double fractionDone(JsonObject json) {
         final double share = Json.number(json, "share", 0);
         if (!(share >= 0 && share <= 1)) {
             throw new JsonParseException("share is out of range");
--- a/src/main/java/cresschute/node/http/WorkerConnection.java
+++ b/src/main/java/cresschute/node/http/WorkerConnection.java
@@ -11,7 +11,6 @@
 import io.netty.handler.codec.http.HttpObject;
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpResponse;
-import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpStatusClass;
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.LastHttpContent;
@@ -20,54 +19,53 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A connection to a worker. It carries one exchange at a time and nothing is ever sent again on it.
+ * The channel handler of one connection to a worker. It carries one {@link HttpExchange} at a time;
+ * requests are not pipelined, and none is written a second time.
+ *
+ * <p>Life cycle: connected by {@link WorkerConnectionPool}, {@link #start}, then idle in the pool or
+ * closed; an idle one is started again, or closes itself when its time is over. Owns its channel,
+ * the idle timer and the timer for the end of a response; all are released when the channel closes.
+ * Call from the event loop.
  */
 final class WorkerConnection extends SimpleChannelInboundHandler<HttpObject> {
 
-    /**
-     * Time for the end of an answer whose outcome is told, before the connection is given up, ms.
-     */
-    private static final long TAIL_MS = 1_000;
+    /** How long a response may go on after its outcome, ms; then the connection is closed. */
+    private static final long RESPONSE_END_MS = 1_000;
 
-    /**
-     * How soon after an answer the next exchange on its connection may still meet that answer a
-     * second time, ms; what then names no request is believed once nothing has followed it for as
-     * long as the second figure says. A worker's own answer, or its 200 for a job taken, is there
-     * within a round trip or two.
-     */
-    private static final long DOUBT_WITHIN_MS = 100;
-
-    private static final long DOUBT_MS = 50;
-
-    final InetSocketAddress addr;
-    private final WorkerConnectionPool owner;
+    private final InetSocketAddress address;
+    private final WorkerConnectionPool pool;
+    private final DuplicateResponseDetector duplicates = new DuplicateResponseDetector();
     private Channel channel;
+
+    /** The exchange under way, or null while idle. */
     private HttpExchange exchange;
-    private boolean keepAlive;
 
-    /** Whether more answers have come than were asked for. */
-    private boolean outOfStep;
+    /** Whether the worker keeps the connection after the response under way. */
+    private boolean keepAlive;
 
+    /** Whether the response that is being read is an informational one, which is discarded. */
     private boolean informational;
-    private boolean kept;
+
+    /** Whether nothing was received since the connection was reused. */
+    private boolean reusedAndSilent;
+
+    /** Whether this side closes the connection. */
     private boolean closing;
-    private Future<?> retire;
-    private Future<?> tail;
-    private long idleSinceNs;
 
-    /**
-     * Whether the answer to the exchange before may come a second time and be taken for this one's.
-     */
-    private boolean doubtful;
+    private Future<?> idleTimer;
+    private Future<?> responseEndTimer;
 
-    /** A head that is not yet believed, and when it will be. */
-    private HttpResponse unbelieved;
+    /** When it became idle, by {@link System#nanoTime}. */
+    private long idleSinceNs;
 
-    private Future<?> belief;
+    /** A connection that is not established yet. */
+    WorkerConnection(InetSocketAddress address, WorkerConnectionPool pool) {
+        this.address = address;
+        this.pool = pool;
+    }
 
-    WorkerConnection(InetSocketAddress addr, WorkerConnectionPool owner) {
-        this.addr = addr;
-        this.owner = owner;
+    InetSocketAddress address() {
+        return address;
     }
 
     @Override
@@ -75,34 +73,38 @@
         channel = ctx.channel();
     }
 
-    /** Starts an exchange on this connection, which is up and idle. */
+    // ---- The request ----
+
+    /** Starts an exchange on this connection, which is established and idle. */
     void start(HttpExchange next) {
-        if (retire != null) {
-            retire.cancel(false);
-            retire = null;
-            kept = true;
-            doubtful =
-                    System.nanoTime() - idleSinceNs
-                            < TimeUnit.MILLISECONDS.toNanos(DOUBT_WITHIN_MS);
+        if (idleTimer != null) {
+            idleTimer.cancel(false);
+            idleTimer = null;
+            reusedAndSilent = true;
+            duplicates.exchangeBegins(System.nanoTime() - idleSinceNs);
         }
         exchange = next;
-        next.connection = this;
-        next.begun = true;
+        next.begin(this);
         final HttpRequest request;
         try {
             request = next.request();
         } catch (IllegalArgumentException e) {
-            // Guards against an attempt without an end: what cannot be put on the wire never runs.
+            // What cannot be encoded never runs; the attempt still needs an end.
             exceptionCaught(null, e);
             return;
         }
-        final BodyTransfer body = next.body();
+        write(next, request);
+    }
+
+    private void write(HttpExchange next, HttpRequest request) {
+        final BodyTransfer body = next.bodyTransfer();
         channel.writeAndFlush(request)
                 .addListener(
-                        sent -> {
-                            next.written = sent.isSuccess() && body == null;
-                            if (!sent.isSuccess()) {
+                        write -> {
+                            if (!write.isSuccess()) {
                                 channel.close();
+                            } else if (body == null) {
+                                next.markWritten();
                             }
                         });
         if (body != null) {
@@ -110,69 +112,22 @@
         }
     }
 
-    @Override
-    public void channelReadComplete(ChannelHandlerContext ctx) {
-        if (exchange != null) {
-            exchange.readComplete();
-        }
-        ctx.fireChannelReadComplete();
-    }
-
-    /** From now on each read is asked for, or it is read on whenever there is something. */
-    void readByHand(boolean byHand) {
-        channel.config().setAutoRead(!byHand);
-    }
-
-    void read() {
-        channel.read();
-    }
-
-    ByteBufAllocator allocator() {
-        return channel.alloc();
-    }
-
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-        if (exchange != null && exchange.body() != null) {
-            exchange.body().resume();
+        if (exchange != null && exchange.bodyTransfer() != null) {
+            exchange.bodyTransfer().resume();
         }
     }
 
-    /** Closes this connection after it has been idle for that long. */
-    void retireAfter(long idleUs) {
-        idleSinceNs = System.nanoTime();
-        retire = channel.eventLoop().schedule(this::close, idleUs, TimeUnit.MICROSECONDS);
-    }
-
-    boolean isUp() {
-        return channel != null && channel.isActive();
-    }
-
-    /**
-     * Takes in what has come while nothing was asked here: a close, or bytes that nobody is waiting
-     * for, end this connection now. Guards a request against being written where the answer to
-     * another one, or the end, is to be read first.
-     */
-    boolean isQuiet() {
-        SocketReads.readNow(channel);
-        return channel.isActive();
-    }
-
-    void close() {
-        closing = true;
-        if (channel != null) {
-            channel.close();
-        }
-    }
+    // ---- The response ----
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
-        kept = false;
+        reusedAndSilent = false;
         if (exchange == null) {
-            // Guards other workers against one that answers twice: that this one was kept tells
-            // nothing.
+            // A worker that responds twice proves nothing about how long workers keep connections.
             if (!closing) {
-                owner.unasked(addr);
+                pool.unexpectedBytes(address);
             }
             close();
             return;
@@ -182,125 +137,162 @@
             return;
         }
         if (message instanceof HttpResponse response) {
-            informational = response.status().codeClass() == HttpStatusClass.INFORMATIONAL;
-            if (!informational) {
-                disbelieve();
-                keepAlive = HttpUtil.isKeepAlive(response);
-                if (doubtful && !response.status().equals(HttpResponseStatus.OK)) {
-                    unbelieved = response;
-                } else {
-                    exchange.head(response);
-                }
-            }
+            headReceived(response);
         }
         if (message instanceof HttpContent content && !informational) {
-            if (unbelieved == null) {
-                content(content);
+            if (!duplicates.isHolding()) {
+                contentReceived(content);
             } else if (content instanceof LastHttpContent last) {
-                belief =
-                        channel.eventLoop()
-                                .schedule(
-                                        () -> believe(last.trailingHeaders()),
-                                        DOUBT_MS,
-                                        TimeUnit.MILLISECONDS);
+                duplicates.heldResponseEnded(
+                        channel.eventLoop(), () -> acceptHeldResponse(last.trailingHeaders()));
             }
         }
     }
 
-    /** Whether lines that name another request may be a second answer to the exchange before. */
-    boolean isInDoubt() {
-        return doubtful;
+    private void headReceived(HttpResponse response) {
+        informational = response.status().codeClass() == HttpStatusClass.INFORMATIONAL;
+        if (informational) {
+            return;
+        }
+        if (duplicates.nextHead()) {
+            pool.unexpectedBytes(address);
+        }
+        keepAlive = HttpUtil.isKeepAlive(response);
+        if (!duplicates.hold(response)) {
+            exchange.headReceived(response);
+        }
+    }
+
+    private void acceptHeldResponse(HttpHeaders trailers) {
+        exchange.headReceived(duplicates.accept());
+        contentReceived(new DefaultLastHttpContent(Unpooled.EMPTY_BUFFER, trailers));
     }
 
-    /** Another answer follows: the one before was not this exchange's, and proves nothing. */
-    private void disbelieve() {
-        if (unbelieved != null) {
-            unbelieved = null;
-            secondCame();
+    private void contentReceived(HttpContent content) {
+        final HttpExchange current = exchange;
+        final boolean wasOver = current.isOver();
+        current.contentReceived(content.content());
+        if (content instanceof LastHttpContent last) {
+            responseEnded(current, last.trailingHeaders());
+        } else if (current.isOver() && !wasOver) {
+            // The outcome is known, but the worker may never end its response.
+            responseEndTimer =
+                    channel.eventLoop()
+                            .schedule(this::close, RESPONSE_END_MS, TimeUnit.MILLISECONDS);
         }
-        if (belief != null) {
-            belief.cancel(false);
-            belief = null;
+    }
+
+    private void responseEnded(HttpExchange current, HttpHeaders trailers) {
+        if (current.isForeignResponse()) {
+            current.foreignResponseEnded();
+            duplicates.duplicateSeen();
+            pool.unexpectedBytes(address);
+            return;
+        }
+        cancelResponseEndTimer();
+        exchange = null;
+        current.responseCompleted(trailers);
+        current.leaveConnection();
+        if (keepAlive && current.isWritten() && !duplicates.hasSeenDuplicate()) {
+            pool.release(this);
+        } else {
+            close();
         }
     }
 
-    private void secondCame() {
-        doubtful = false;
-        outOfStep = true;
-        owner.unasked(addr);
+    /** The timer holds its exchange, with the request's body, in memory until it is cancelled. */
+    private void cancelResponseEndTimer() {
+        if (responseEndTimer != null) {
+            responseEndTimer.cancel(false);
+            responseEndTimer = null;
+        }
     }
 
-    /** Nothing followed it: it is this exchange's answer. */
-    private void believe(HttpHeaders trailers) {
-        final HttpResponse head = unbelieved;
-        unbelieved = null;
-        belief = null;
-        doubtful = false;
-        exchange.head(head);
-        content(new DefaultLastHttpContent(Unpooled.EMPTY_BUFFER, trailers));
+    /** Whether lines that name another request may be a duplicate of the response before. */
+    boolean mayReceiveDuplicate() {
+        return duplicates.isSuspicious();
     }
 
-    private void content(HttpContent content) {
-        final HttpExchange current = exchange;
-        final boolean wasOver = current.over;
-        current.content(content.content());
-        if (content instanceof LastHttpContent last) {
-            if (current.isAnothers()) {
-                current.anothersEnded();
-                secondCame();
-                return;
-            }
-            forgetTail();
-            exchange = null;
-            current.last(last.trailingHeaders());
-            current.connection = null;
-            if (keepAlive && current.written && !outOfStep) {
-                owner.idle(this);
-            } else {
-                close();
-            }
-        } else if (current.over && !wasOver) {
-            // Guards against a worker that tells the outcome and never ends its answer.
-            tail = channel.eventLoop().schedule(this::close, TAIL_MS, TimeUnit.MILLISECONDS);
+    @Override
+    public void channelReadComplete(ChannelHandlerContext ctx) {
+        if (exchange != null) {
+            exchange.readCompleted();
         }
+        ctx.fireChannelReadComplete();
+    }
+
+    /** From now on each read is requested by {@link #read}. */
+    void stopAutoRead() {
+        channel.config().setAutoRead(false);
+    }
+
+    /** From now on the connection is read whenever bytes arrive. */
+    void resumeAutoRead() {
+        channel.config().setAutoRead(true);
+    }
+
+    /** Requests one read. */
+    void read() {
+        channel.read();
+    }
+
+    ByteBufAllocator allocator() {
+        return channel.alloc();
+    }
+
+    // ---- Idle, and closed ----
+
+    /** It is idle from now on, and closes itself after so long, us. */
+    void closeAfterIdle(long idleUs) {
+        idleSinceNs = System.nanoTime();
+        idleTimer = channel.eventLoop().schedule(this::close, idleUs, TimeUnit.MICROSECONDS);
+    }
+
+    boolean isActive() {
+        return channel != null && channel.isActive();
     }
 
     /**
-     * Guards the heap: a timer left to run out holds its attempt, with the request's body, for a
-     * second.
+     * Reads what has arrived on this idle connection: a close, or bytes that were not requested,
+     * close it now, so that no request is written to it.
+     *
+     * @return whether it can be used
      */
-    private void forgetTail() {
-        if (tail != null) {
-            tail.cancel(false);
-            tail = null;
+    boolean isUsableAfterRead() {
+        SocketReads.readNow(channel);
+        return channel.isActive();
+    }
+
+    /** Closes the connection; an exchange under way is reported as broken. */
+    void close() {
+        closing = true;
+        if (channel != null) {
+            channel.close();
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        if (retire != null) {
-            retire.cancel(false);
-        }
-        forgetTail();
-        if (belief != null) {
-            // Whether it was this exchange's answer will not be known: it ends as broken, and may
-            // have run.
-            belief.cancel(false);
+        if (idleTimer != null) {
+            idleTimer.cancel(false);
         }
-        owner.closed(this);
-        if (!closing && (kept || exchange == null && keepAlive)) {
-            owner.keptOneBroke();
+        cancelResponseEndTimer();
+        // A response that is held is not known to be this exchange's: it ends as broken.
+        duplicates.cancel();
+        pool.closed(this);
+        if (!closing && (reusedAndSilent || exchange == null && keepAlive)) {
+            pool.idleConnectionBroke();
         }
         if (exchange != null) {
             final HttpExchange broken = exchange;
             exchange = null;
-            broken.broken();
+            broken.connectionBroken();
         }
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        owner.troubled(addr, cause);
+        pool.connectionFailed(address, cause);
         close();
     }
 }
--- a/src/main/java/cresschute/node/http/WorkerConnectionPool.java
+++ b/src/main/java/cresschute/node/http/WorkerConnectionPool.java
@@ -25,107 +25,143 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** All connections to workers: those in use and those idle, newest first, by address. */
+/**
+ * All connections to workers. An exchange takes the idle connection to its worker that was used
+ * last, or a new one; at the limit an idle connection to another worker is closed for it.
+ *
+ * <p>Owns the idle connections by address and the count of all; a connection under way is closed by
+ * its exchange. Lives as long as the node. Call from the event loop.
+ */
 public final class WorkerConnectionPool implements WorkerClient {
 
-    /** An idle connection is closed at this part of the time at which its worker would close it. */
-    private static final double RETIRE_AT = 0.75;
+    /** An idle connection is closed at this fraction of the time at which its worker closes it. */
+    private static final double IDLE_FRACTION = 0.75;
 
-    /** How long a probe may take, ms. */
-    private static final long PROBE_MS = 350;
+    /** How long a load query may take, ms. */
+    private static final long LOAD_QUERY_MS = 350;
 
-    /** How long none is kept after a kept one broke, s. */
-    private static final long FRESH_S = 15;
+    /** How long no connection is kept after an idle one was closed by its worker, s. */
+    private static final long NO_REUSE_S = 15;
+
+    private static final long US_PER_MS = 1_000;
 
     private final EventLoop loop;
     private final RateLimitedLog faults;
-    private long retireUs;
-    private final int max;
+    private final int maxConnections;
     private final Bootstrap bootstrap;
     private final Map<InetSocketAddress, Deque<WorkerConnection>> idle = new HashMap<>();
+
+    /** How long a connection is kept idle, us. */
+    private long maxIdleUs;
+
     private int openConnections;
-    private long freshUntilNs = System.nanoTime();
+
+    /** Until when no connection is kept, by {@link System#nanoTime}. */
+    private long noReuseUntilNs = System.nanoTime();
 
     /**
-     * None are open at first.
+     * An empty pool.
      *
-     * @param max how many may be open at a time
-     * @param longResults whether results may come that are passed on as they are made
+     * @param connectTimeoutUs how long a connection may take to be established, us
+     * @param connIdleUs how long workers keep an idle connection, us
+     * @param maxConnections connections that may be open at a time
+     * @param streamedResults whether results may be passed on as they are made
      */
     public WorkerConnectionPool(
             EventLoop loop,
             RateLimitedLog faults,
             long connectTimeoutUs,
             long connIdleUs,
-            int max,
-            boolean longResults) {
+            int maxConnections,
+            boolean streamedResults) {
         this.loop = loop;
         this.faults = faults;
-        this.max = max;
+        this.maxConnections = maxConnections;
         this.bootstrap =
                 new Bootstrap()
                         .group(loop)
                         .channel(NioSocketChannel.class)
-                        .option(ChannelOption.TCP_NODELAY, true);
+                        .option(ChannelOption.TCP_NODELAY, true)
+                        .option(
+                                ChannelOption.RECVBUF_ALLOCATOR,
+                                streamedResults
+                                        ? StreamedBody.boundedReads()
+                                        : SocketReads.untilEndOfStream());
         applySettings(connectTimeoutUs, connIdleUs);
-        bootstrap.option(
-                ChannelOption.RECVBUF_ALLOCATOR,
-                longResults ? StreamedBody.boundedReads() : SocketReads.untilEndOfStream());
     }
 
     /**
-     * Takes these limits for connections that are opened, or become idle, from now on; where idle
-     * ones may be kept less long than before, those that are idle now are closed.
+     * Takes these limits for connections that are opened, or become idle, from now on. Where idle
+     * ones are to be kept less long than before, those that are idle now are closed.
+     *
+     * @param connectTimeoutUs how long a connection may take to be established, us
+     * @param connIdleUs how long workers keep an idle connection, us
      */
     public void applySettings(long connectTimeoutUs, long connIdleUs) {
         bootstrap.option(
-                ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connectTimeoutUs / 1000));
-        final long before = retireUs;
-        retireUs = (long) (connIdleUs * RETIRE_AT);
-        if (retireUs < before) {
-            List.copyOf(idle.values())
-                    .forEach(kept -> List.copyOf(kept).forEach(WorkerConnection::close));
+                ChannelOption.CONNECT_TIMEOUT_MILLIS,
+                (int) Math.max(1, connectTimeoutUs / US_PER_MS));
+        final long before = maxIdleUs;
+        maxIdleUs = (long) (connIdleUs * IDLE_FRACTION);
+        if (maxIdleUs < before) {
+            closeAllIdle();
         }
     }
 
+    // ---- Exchanges ----
+
     @Override
     public AttemptCall attempt(
-            InetSocketAddress addr, RequestContent content, AttemptListener listener) {
-        final HttpAttempt attempt = new HttpAttempt(host(addr), content, listener, faults);
-        start(addr, attempt);
+            InetSocketAddress address, RequestContent content, AttemptListener listener) {
+        final HttpAttempt attempt = new HttpAttempt(host(address), content, listener, faults);
+        start(address, attempt);
         return attempt;
     }
 
     @Override
-    public void queryLoad(InetSocketAddress addr, LoadQueryListener listener) {
-        final HttpLoadQuery probe = new HttpLoadQuery(host(addr), listener, faults);
-        probe.endWith(loop.schedule(probe::timedOut, PROBE_MS, TimeUnit.MILLISECONDS));
-        start(addr, probe);
+    public void queryLoad(InetSocketAddress address, LoadQueryListener listener) {
+        final HttpLoadQuery query = new HttpLoadQuery(host(address), listener, faults);
+        query.setTimeout(loop.schedule(query::timedOut, LOAD_QUERY_MS, TimeUnit.MILLISECONDS));
+        start(address, query);
     }
 
-    private static String host(InetSocketAddress addr) {
-        return NetUtil.toSocketAddressString(addr);
+    private static String host(InetSocketAddress address) {
+        return NetUtil.toSocketAddressString(address);
     }
 
-    private void start(InetSocketAddress addr, HttpExchange exchange) {
-        final Deque<WorkerConnection> waiting = idle.getOrDefault(addr, new ArrayDeque<>(0));
-        for (WorkerConnection up = waiting.poll(); up != null; up = waiting.poll()) {
-            if (up.isUp() && up.isQuiet()) {
-                up.start(exchange);
-                return;
-            }
+    private void start(InetSocketAddress address, HttpExchange exchange) {
+        final WorkerConnection reused = takeIdle(address);
+        if (reused != null) {
+            reused.start(exchange);
+            return;
         }
-        if (openConnections >= max && !closeOneIdle()) {
-            faults.fault(PeerFault.NO_CONNECTION_LEFT, host(addr), "all are in use");
-            loop.execute(exchange::broken);
+        if (openConnections >= maxConnections && !closeOneIdle()) {
+            faults.fault(PeerFault.NO_CONNECTION_LEFT, host(address), "all are in use");
+            loop.execute(exchange::connectionBroken);
             return;
         }
         openConnections++;
-        connect(addr, exchange);
+        connect(address, exchange);
+    }
+
+    /** The idle connection that was used last and is still usable, or null. */
+    private WorkerConnection takeIdle(InetSocketAddress address) {
+        final Deque<WorkerConnection> connections = idle.get(address);
+        if (connections == null) {
+            return null;
+        }
+        for (WorkerConnection next = connections.poll();
+                next != null;
+                next = connections.poll()) {
+            if (next.isActive() && next.isUsableAfterRead()) {
+                return next;
+            }
+        }
+        return null;
     }
 
-    private void connect(InetSocketAddress addr, HttpExchange exchange) {
-        final WorkerConnection connection = new WorkerConnection(addr, this);
+    private void connect(InetSocketAddress address, HttpExchange exchange) {
+        final WorkerConnection connection = new WorkerConnection(address, this);
         final ChannelFuture connecting =
                 bootstrap
                         .clone()
@@ -137,14 +173,13 @@
                                                 .addLast(new HttpClientCodec(), connection);
                                     }
                                 })
-                        .connect(addr);
+                        .connect(address);
         connecting.addListener(
                 done -> {
                     if (!done.isSuccess()) {
                         openConnections--;
-                        exchange.broken();
-                    } else if (exchange.over || !exchange.mayBegin()) {
-                        // Given up before it was up.
+                        exchange.connectionBroken();
+                    } else if (exchange.isOver() || !exchange.mayBegin()) {
                         connecting.channel().close();
                     } else {
                         connection.start(exchange);
@@ -152,9 +187,11 @@
                 });
     }
 
+    // ---- Idle connections ----
+
     private boolean closeOneIdle() {
-        for (final Deque<WorkerConnection> waiting : idle.values()) {
-            final WorkerConnection oldest = waiting.pollLast();
+        for (final Deque<WorkerConnection> connections : idle.values()) {
+            final WorkerConnection oldest = connections.pollLast();
             if (oldest != null) {
                 oldest.close();
                 return true;
@@ -163,60 +200,67 @@
         return false;
     }
 
+    private void closeAllIdle() {
+        List.copyOf(idle.values())
+                .forEach(each -> List.copyOf(each).forEach(WorkerConnection::close));
+    }
+
     @Override
-    public void closeIdle(InetSocketAddress addr) {
-        final Deque<WorkerConnection> waiting = idle.get(addr);
-        if (waiting != null) {
-            List.copyOf(waiting).forEach(WorkerConnection::close);
+    public void closeIdle(InetSocketAddress address) {
+        final Deque<WorkerConnection> connections = idle.get(address);
+        if (connections != null) {
+            List.copyOf(connections).forEach(WorkerConnection::close);
         }
     }
 
     /** Takes back a connection whose exchange is over. */
-    void idle(WorkerConnection connection) {
-        if (System.nanoTime() < freshUntilNs) {
+    void release(WorkerConnection connection) {
+        if (System.nanoTime() < noReuseUntilNs) {
             connection.close();
-        } else if (connection.isUp()) {
-            connection.retireAfter(retireUs);
-            idle.computeIfAbsent(connection.addr, unseen -> new ArrayDeque<>()).push(connection);
+        } else if (connection.isActive()) {
+            connection.closeAfterIdle(maxIdleUs);
+            idle.computeIfAbsent(connection.address(), unseen -> new ArrayDeque<>())
+                    .push(connection);
         }
     }
 
     /**
-     * Guards against workers, or what lies before them, that drop kept connections well before the
-     * stated time: the request that meets this ends as a reset, and a keyed one is bound by it. A
-     * new connection costs milliseconds, so for a while no request goes out on a kept one,
-     * whichever its worker.
+     * A worker, or what lies before it, closed a kept connection before the stated time. A request
+     * that meets this ends as a reset, and a keyed one is then bound to its group, whereas a new
+     * connection costs milliseconds: so for a while no connection is kept, to any worker.
      */
-    void keptOneBroke() {
-        freshUntilNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(FRESH_S);
-        List.copyOf(idle.values())
-                .forEach(kept -> List.copyOf(kept).forEach(WorkerConnection::close));
+    void idleConnectionBroke() {
+        noReuseUntilNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(NO_REUSE_S);
+        closeAllIdle();
     }
 
+    /** A connection that was established is closed. */
     void closed(WorkerConnection connection) {
         openConnections--;
-        final Deque<WorkerConnection> waiting = idle.get(connection.addr);
-        if (waiting != null) {
-            waiting.remove(connection);
-            if (waiting.isEmpty()) {
-                idle.remove(connection.addr);
+        final Deque<WorkerConnection> connections = idle.get(connection.address());
+        if (connections != null) {
+            connections.remove(connection);
+            if (connections.isEmpty()) {
+                idle.remove(connection.address());
             }
         }
     }
 
-    /** Bytes on a connection where none are due: it ends, and nothing that they say is heeded. */
-    void unasked(InetSocketAddress addr) {
-        faults.fault(PeerFault.BAD_WORKER_ANSWER, host(addr), "to nothing that was asked");
+    // ---- Faults ----
+
+    /** Bytes were received that no request asked for; the connection that brought them ends. */
+    void unexpectedBytes(InetSocketAddress address) {
+        faults.fault(PeerFault.BAD_WORKER_ANSWER, host(address), "to nothing that was asked");
     }
 
-    /** A connection breaking is an outcome and no news; anything else is worth a line. */
-    void troubled(InetSocketAddress addr, Throwable cause) {
+    /** A connection failed; a break is an outcome of its exchange, anything else is logged. */
+    void connectionFailed(InetSocketAddress address, Throwable cause) {
         if (!(cause instanceof IOException)) {
-            faults.fault(PeerFault.WORKER_CONNECTION, host(addr), String.valueOf(cause));
+            faults.fault(PeerFault.WORKER_CONNECTION, host(address), String.valueOf(cause));
         }
     }
 
-    /** Connections to workers that are open or coming up. */
+    /** Connections to workers that are open or being established. */
     public int openConnections() {
         return openConnections;
     }
--- a/src/test/java/cresschute/node/http/HttpAttemptTest.java
+++ b/src/test/java/cresschute/node/http/HttpAttemptTest.java
@@ -23,21 +23,27 @@
                     noted,
                     new RateLimitedLog(System.getLogger("test"), () -> 0));
 
+    private void markWrittenIf(boolean written) {
+        if (written) {
+            attempt.markWritten();
+        }
+    }
+
     @ParameterizedTest
     @CsvSource({"false, CONNECT_FAILED", "true, BROKEN"})
     void tellsABreakByWhatWasWritten(boolean written, Outcome outcome) {
-        attempt.written = written;
-        attempt.broken();
-        attempt.broken();
+        markWrittenIf(written);
+        attempt.connectionBroken();
+        attempt.connectionBroken();
         assertThat(noted.ends).containsExactly(outcome);
     }
 
     @ParameterizedTest
     @CsvSource({"false, CONNECT_FAILED", "true, TIMED_OUT"})
     void tellsAGiveUpByWhatWasWrittenAndNothingAfterIt(boolean written, Outcome outcome) {
-        attempt.written = written;
+        markWrittenIf(written);
         assertThat(attempt.giveUp()).isEqualTo(outcome);
-        attempt.broken();
+        attempt.connectionBroken();
         assertThat(noted.ends).isEmpty();
     }
 }
--- a/src/test/java/cresschute/node/http/ParsersTest.java
+++ b/src/test/java/cresschute/node/http/ParsersTest.java
@@ -93,12 +93,12 @@
         for (int at = 0; at < bytes.length; at += size) {
             final int count = Math.min(size, bytes.length - at);
             assertThat(lines.add(Unpooled.wrappedBuffer(bytes, at, count))).isTrue();
-            for (String line = lines.next(); line != null; line = lines.next()) {
+            for (String line = lines.nextLine(); line != null; line = lines.nextLine()) {
                 cut.add(line);
             }
         }
         assertThat(cut).containsExactly("one", "two\u00e9", "long".repeat(400));
-        assertThat(lines.rest()).isEqualTo("rest");
+        assertThat(lines.takeLastLine()).isEqualTo("rest");
     }
 
     @Test
