--- a/src/main/java/cresschute/node/http/DiscoveryCallSchedule.java
+++ b/src/main/java/cresschute/node/http/DiscoveryCallSchedule.java
@@ -28,10 +28,10 @@
  * <td>7,500</td></tr>
  * </table>
  *
- * <p>Three silences in a row are outside the limit: discovery could not be reached for as long. Only
- * silence is repeated at once. A service that refuses is called again after the dispatcher's
- * jittered pause, so that dispatchers do not all return at once to one that has just restarted or is
- * too busy to respond.
+ * <p>Three silences in a row are outside the limit: discovery could not be reached for as long.
+ * Only silence is repeated at once. A service that refuses is called again after the dispatcher's
+ * jittered pause, so that dispatchers do not all return at once to one that has just restarted or
+ * is too busy to respond.
  */
 final class DiscoveryCallSchedule {
 
@@ -45,8 +45,8 @@
     static final long ANSWER_MS = 1_250;
 
     /**
-     * The longest that the response with a whole list may take, ms: it is long, and many dispatchers
-     * may call at once.
+     * The longest that the response with a whole list may take, ms: it is long, and many
+     * dispatchers may call at once.
      */
     static final long WHOLE_LIST_MS = 2_500;
 
--- a/src/main/java/cresschute/node/http/DiscoveryClient.java
+++ b/src/main/java/cresschute/node/http/DiscoveryClient.java
@@ -48,8 +48,8 @@
  * s later.
  *
  * <p>A list that is older than the one held is accepted only from a service at a new address, or
- * where the service responds the same when asked for its whole list: a stale response must not bring
- * a drained worker back, and a service that counts anew must not be rejected for good.
+ * where the service responds the same when asked for its whole list: a stale response must not
+ * bring a drained worker back, and a service that counts anew must not be rejected for good.
  *
  * <p>Owns its connection and the timer of the call, and closes them in one place. Call from the
  * event loop.
--- a/src/main/java/cresschute/node/http/DuplicateResponseDetector.java
+++ b/src/main/java/cresschute/node/http/DuplicateResponseDetector.java
@@ -12,11 +12,11 @@
  *
  * <p>Soon after a response, its connection may bring that response once more. Until then a response
  * that names no request, one with another status than 200, is held: if another response follows, it
- * was a duplicate; if none follows within {@value #ACCEPT_AFTER_MS} ms of its end, it is accepted as
- * the present exchange's. A response with status 200 names its request in its lines.
+ * was a duplicate; if none follows within {@value #ACCEPT_AFTER_MS} ms of its end, it is accepted
+ * as the present exchange's. A response with status 200 names its request in its lines.
  *
- * <p>One per connection, used for one exchange after the other; owns the timer of the held response.
- * Call from the connection's event loop.
+ * <p>One per connection, used for one exchange after the other; owns the timer of the held
+ * response. Call from the connection's event loop.
  */
 final class DuplicateResponseDetector {
 
--- a/src/main/java/cresschute/node/http/LoadReportParser.java
+++ b/src/main/java/cresschute/node/http/LoadReportParser.java
@@ -46,8 +46,7 @@
      */
     static LoadReport parse(JsonObject fields) {
         final double outstanding =
-                Json.number(
-                        fields, "inflight", Json.number(fields, "outstanding", NOT_STATED));
+                Json.number(fields, "inflight", Json.number(fields, "outstanding", NOT_STATED));
         final double waiting =
                 Json.number(fields, "queue", Json.number(fields, "backlog", NOT_STATED));
         final double freeSlots = Json.number(fields, "x0", NOT_STATED);
--- a/src/main/java/cresschute/node/http/ProgressLine.java
+++ b/src/main/java/cresschute/node/http/ProgressLine.java
@@ -39,12 +39,7 @@
 
     private static ProgressLine progress(double fractionDone, LoadReport load) {
         return new ProgressLine(
-                Kind.PROGRESS,
-                null,
-                fractionDone,
-                load,
-                null,
-                StreamedResponseBody.UNKNOWN_LENGTH);
+                Kind.PROGRESS, null, fractionDone, load, null, StreamedResponseBody.UNKNOWN_LENGTH);
     }
 
     private static ProgressLine resultFollows(String type, long length, LoadReport load) {
--- a/src/main/java/cresschute/node/http/WorkerConnection.java
+++ b/src/main/java/cresschute/node/http/WorkerConnection.java
@@ -22,10 +22,10 @@
  * The channel handler of one connection to a worker. It carries one {@link HttpExchange} at a time;
  * requests are not pipelined, and none is written a second time.
  *
- * <p>Life cycle: connected by {@link WorkerConnectionPool}, {@link #start}, then idle in the pool or
- * closed; an idle one is started again, or closes itself when its time is over. Owns its channel,
- * the idle timer and the timer for the end of a response; all are released when the channel closes.
- * Call from the event loop.
+ * <p>Life cycle: connected by {@link WorkerConnectionPool}, {@link #start}, then idle in the pool
+ * or closed; an idle one is started again, or closes itself when its time is over. Owns its
+ * channel, the idle timer and the timer for the end of a response; all are released when the
+ * channel closes. Call from the event loop.
  */
 final class WorkerConnection extends SimpleChannelInboundHandler<HttpObject> {
 
--- a/src/main/java/cresschute/node/http/WorkerConnectionPool.java
+++ b/src/main/java/cresschute/node/http/WorkerConnectionPool.java
@@ -150,9 +150,7 @@
         if (connections == null) {
             return null;
         }
-        for (WorkerConnection next = connections.poll();
-                next != null;
-                next = connections.poll()) {
+        for (WorkerConnection next = connections.poll(); next != null; next = connections.poll()) {
             if (next.isActive() && next.isUsableAfterRead()) {
                 return next;
             }
--- /dev/null
+++ b/src/test/java/cresschute/node/SettingsCrossingRulesTest.java
@@ -0,0 +1,170 @@
+package cresschute.node;
+
+import static cresschute.node.TestNode.request;
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.function.UnaryOperator;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** Events that cross with a change of the settings. See docs/results/crossings.md. */
+@Timeout(30)
+class SettingsCrossingRulesTest extends CrossingFixture {
+
+    /**
+     * A head read under the old settings whose last byte comes under the new ones is of the new
+     * ones.
+     */
+    @ParameterizedTest
+    @CsvSource(
+            delimiter = '|',
+            textBlock =
+                    """
+                    gone    | "name":"file"       | "name":"other"      | 404
+                    shorter | "deadlineUs":5000000 | "deadlineUs":4000000 | requested 1 class 3
+                    """)
+    void takesARequestByTheSettingsAtItsLastByte(String what, String from, String to, String then)
+            throws Exception {
+        try (TestNode node = new TestNode();
+                Peer client = node.client()) {
+            client.write(
+                    "POST /file HTTP/1.1\r\nX-Request-Id: r1\r\nIdempotency-Key: k\r\n"
+                            + "Expect: 100-continue\r\nContent-Length: 4\r\n\r\n");
+            assertThat(client.read()).as(what).startsWith("HTTP/1.1 100");
+            final String text = node.configText().replace(from, to);
+            node.server.reload(() -> NodeConfig.parse(text, java.util.Map.of()));
+            assertThat(node.event()).startsWith("retuned");
+            client.write("body");
+            if (then.startsWith("requested")) {
+                assertThat(node.event()).startsWith(then);
+            } else {
+                assertThat(client.read()).startsWith("HTTP/1.1 " + then);
+            }
+        }
+    }
+
+    /**
+     * Of two requests on one connection, each has what the settings said when it was taken, and no
+     * more.
+     */
+    @Test
+    void takesNothingOverFromTheRequestBeforeOnItsConnection() throws Exception {
+        try (TestNode node = new TestNode(HOLDS);
+                Peer client = node.client()) {
+            client.write(
+                    "POST /file?obj=2a HTTP/1.1\r\nX-Request-Id: r1\r\nIdempotency-Key: k\r\n"
+                            + "X-Deadline: 900m\r\nContent-Length: 4\r\n\r\nbody");
+            assertThat(node.event()).isEqualTo("requested 1 class 1 key 42");
+            final String text =
+                    node.configText()
+                            .replace("\"idempotency\":\"pure\"", "\"idempotency\":\"side_effect\"");
+            node.server.reload(() -> NodeConfig.parse(text, java.util.Map.of()));
+            assertThat(node.event()).startsWith("retuned");
+            client.write("POST /check HTTP/1.1\r\nX-Request-Id: r2\r\nContent-Length: 0\r\n\r\n");
+            assertThat(node.event()).isEqualTo("requested 2 class 2 key 0");
+            node.act(actions -> actions.send(2, 0, Long.MAX_VALUE));
+            assertThat(node.worker().read())
+                    .doesNotContainIgnoringCase("Idempotency-Key")
+                    .endsWith("\r\n\r\n")
+                    .containsPattern("(?i)X-Deadline: 4[0-9]{6}u\r\n");
+        }
+    }
+
+    /** Every request counted against the first customer's share, whoever had sent it. */
+    @Test
+    void countsEachRequestAgainstTheShareOfItsOwnCustomer() throws Exception {
+        try (TestNode node = TestNode.configured(SHARED, HOLDS);
+                Peer client = node.client()) {
+            client.write(
+                    request("r1", "X-Tenant: beta co\r\n", "")
+                            + request("r2", "X-Tenant: alpha\r\n", ""));
+            assertThat(node.event()).isEqualTo("requested 1 class 0 key 42 tenant 1");
+            assertThat(node.event()).isEqualTo("requested 2 class 0 key 42");
+            // The same name has another place, and no other setting has changed its meaning.
+            reload(node, text -> SHARED.apply(text).replace("alpha", "gamma"));
+            assertThat(node.event()).startsWith("retuned");
+            client.write(request("r3", "X-Tenant: gamma\r\n", ""));
+            assertThat(node.event()).isEqualTo("requested 3 class 0 key 42");
+        }
+    }
+
+    @ParameterizedTest
+    @ValueSource(
+            strings = {
+                "",
+                "X-Tenant: \r\n",
+                "X-Tenant: other\r\n",
+                "X-Tenant: alpha\r\nX-Tenant: beta co\r\n"
+            })
+    void answers400WhereARequestNamesNoCustomer(String headers) throws Exception {
+        try (TestNode node = TestNode.configured(SHARED, HOLDS);
+                Peer client = node.client()) {
+            client.write(request("r1", headers, ""));
+            assertThat(client.read()).startsWith("HTTP/1.1 400").containsIgnoringCase("X-Tenant");
+            client.write(request("r1", "X-Tenant: alpha\r\n", ""));
+            assertThat(node.event()).startsWith("requested 1");
+        }
+    }
+
+    /** Both limits held until a restart; what waits here waits for less than the old ones. */
+    @Test
+    void closesIdleConnectionsThatTheNewSettingsKeepLessLong() throws Exception {
+        try (TestNode node =
+                        TestNode.configured(
+                                text ->
+                                        text.replace(
+                                                "\"connIdleUs\":2000000",
+                                                "\"connIdleUs\":60000000"),
+                                SENDS);
+                Peer client = node.client()) {
+            final Peer worker = kept(node, client);
+            reload(node, text -> text.replace("\"connIdleUs\":2000000", "\"connIdleUs\":50000000"));
+            assertThat(worker.isClosedByOther()).isTrue();
+        }
+    }
+
+    @Test
+    void opensConnectionsByTheNewSettingsLimit() throws Exception {
+        final UnaryOperator<String> patient =
+                text -> text.replace("deadlineUs\":5000000", "deadlineUs\":60000000");
+        try (TestNode node =
+                        TestNode.configured(
+                                text -> patient.apply(text).replace("250000", "40000000"), SENDS);
+                Peer client = node.client()) {
+            fill(node.worker);
+            reload(node, patient);
+            client.write(request("r1", "", ""));
+            assertThat(eventStarting(node, "ended"))
+                    .startsWith("ended 1 0 CONNECT_FAILED closed false");
+        }
+    }
+
+    /**
+     * The longest waiting made room for the next client though its request lay unread, and got no
+     * answer.
+     */
+    @Test
+    void makesNoRoomByAClientWhoseRequestLiesUnread() throws Exception {
+        try (TestNode node = new TestNode(HOLDS);
+                Peer early = node.client()) {
+            // Of 200 descriptors 83 are for clients; the last of 82 is known to be accepted by its
+            // request.
+            for (int i = 2; i <= 82; i++) {
+                held.add(node.client());
+            }
+            held.get(held.size() - 1).write(request("last", "", ""));
+            assertThat(node.event()).startsWith("requested 1");
+            holding(
+                    node,
+                    actions -> {
+                        held.add(node.client());
+                        early.write(request("early", "", ""));
+                    });
+            assertThat(eventStarting(node, "requested")).startsWith("requested 2");
+            assertThat(held.get(0).isClosedByOther()).isTrue();
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/cresschute/node/ShutdownCrossingRulesTest.java
@@ -0,0 +1,144 @@
+package cresschute.node;
+
+import static cresschute.node.TestNode.list;
+import static cresschute.node.TestNode.request;
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.net.ServerSocket;
+import java.util.List;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.Future;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+
+/** Events that cross with a shutdown. See docs/results/crossings.md. */
+@Timeout(30)
+class ShutdownCrossingRulesTest extends CrossingFixture {
+
+    /** What waited to be accepted was reset with the listener. */
+    @Test
+    void acceptsWhoeverCameBeforeTheListenerCloses() throws Exception {
+        try (TestNode node = new TestNode()) {
+            holding(
+                    node,
+                    actions -> {
+                        held.add(node.client().write(request("r1", "", "")));
+                        held.add(node.client().write(request("r2", "", "")));
+                        node.server.front().stopAccepting();
+                    });
+            final Peer first = node.worker();
+            final Peer second = node.worker();
+            for (final Peer worker : List.of(first, second)) {
+                worker.write(done(worker.read().contains("X-Request-Id: r1") ? "r1" : "r2"));
+            }
+            assertThat(held.get(0).read()).endsWith("of r1");
+            assertThat(held.get(1).read()).endsWith("of r2");
+        }
+    }
+
+    /** A request that lay unread on an idle connection was reset by its closing. */
+    @Test
+    void takesWhatCameOnAnIdleConnectionBeforeItClosesIt() throws Exception {
+        try (TestNode node = new TestNode();
+                Peer client = node.client()) {
+            final Peer worker = kept(node, client);
+            holding(
+                    node,
+                    actions -> {
+                        client.write(request("r2", "", ""));
+                        node.server.front().stopAccepting();
+                    });
+            worker.read();
+            worker.write(done("r2"));
+            assertThat(client.read()).endsWith("of r2").contains("\r\nconnection: close\r\n");
+            assertThat(client.readToEnd()).isNotNull().isEmpty();
+        }
+    }
+
+    /**
+     * A close with the next request unread is a reset, and a reset can eat the answer just written.
+     */
+    @Test
+    void endsAfterTheLastAnswerWithoutAReset() throws Exception {
+        try (TestNode node = new TestNode(HOLDS);
+                Peer client = node.client()) {
+            client.write(request("r1", "", ""));
+            assertThat(node.event()).startsWith("requested 1");
+            holding(
+                    node,
+                    actions -> {
+                        node.server.front().stopAccepting();
+                        client.write(request("r2", "", ""));
+                        actions.reject(1, 0);
+                    });
+            assertThat(client.read())
+                    .startsWith("HTTP/1.1 503")
+                    .contains("\r\nconnection: close\r\n");
+            assertThat(client.readToEnd()).isNotNull().isEmpty();
+        }
+    }
+
+    /**
+     * A request taken late in a stop, at a worker that hangs, had no answer when the platform
+     * killed it.
+     */
+    @Test
+    void answersAllBeforeThePlatformKillsIt() throws Exception {
+        try (TestNode node = new TestNode();
+                Peer early = node.client();
+                Peer late = node.client()) {
+            early.write(request("r1", "", ""));
+            hang(node);
+            final String request = request("r2", "", "body");
+            late.write(request.substring(0, request.length() - 1));
+            final CompletableFuture<Void> stopped = node.server.stop();
+            final Future<?> killed =
+                    node.server.loop().schedule(() -> {}, 3_700, TimeUnit.MILLISECONDS);
+            assertThat(node.client().isClosedByOther()).isTrue();
+            late.write(request.substring(request.length() - 1));
+            hang(node);
+            assertThat(early.read()).startsWith("HTTP/1.1 503");
+            assertThat(late.read())
+                    .startsWith("HTTP/1.1 503")
+                    .contains("\r\nconnection: close\r\n");
+            assertThat(killed.isDone()).isFalse();
+            stopped.get(8, TimeUnit.SECONDS);
+        }
+    }
+
+    /**
+     * The signal comes while the node starts: whoever still gets in is let go, and the node ends.
+     */
+    @Test
+    void endsWhereItIsToldToBeforeItListens() throws Exception {
+        try (ServerSocket discovery = Peer.listen()) {
+            final NodeServer node =
+                    new NodeServer(
+                            NodeConfig.parse(
+                                    TestNode.config(discovery, list(1, true, "")),
+                                    java.util.Map.of()));
+            final CompletableFuture<Void> stopped = node.stop();
+            try (Peer client = Peer.connect(node.start())) {
+                assertThat(client.isClosedByOther()).isTrue();
+            }
+            stopped.get(8, TimeUnit.SECONDS);
+        }
+    }
+
+    /** What may have had its effect is failed then, and not refused. */
+    @Test
+    void failsWhatMayHaveRunBeforeThePlatformKillsIt() throws Exception {
+        try (TestNode node = new TestNode();
+                Peer client = node.client()) {
+            client.write(
+                    "POST /file HTTP/1.1\r\nX-Request-Id: r1\r\nIdempotency-Key: k\r\n"
+                            + "Content-Length: 0\r\n\r\n");
+            hang(node);
+            final CompletableFuture<Void> stopped = node.server.stop();
+            node.server.stop();
+            assertThat(client.read()).startsWith("HTTP/1.1 500");
+            stopped.get(8, TimeUnit.SECONDS);
+        }
+    }
+}
--- a/src/test/java/cresschute/node/http/HttpAttemptTest.java
+++ b/src/test/java/cresschute/node/http/HttpAttemptTest.java
@@ -14,13 +14,13 @@
  */
 class HttpAttemptTest {
 
-    private final NotedEnds noted = new NotedEnds();
+    private final RecordingAttemptListener recorded = new RecordingAttemptListener();
     private final RequestContent content = new RequestContent("r1", "/check", null, new byte[0]);
     private final HttpAttempt attempt =
             new HttpAttempt(
                     "127.0.0.1:9",
                     content,
-                    noted,
+                    recorded,
                     new RateLimitedLog(System.getLogger("test"), () -> 0));
 
     private void markWrittenIf(boolean written) {
@@ -35,7 +35,7 @@
         markWrittenIf(written);
         attempt.connectionBroken();
         attempt.connectionBroken();
-        assertThat(noted.ends).containsExactly(outcome);
+        assertThat(recorded.ends).containsExactly(outcome);
     }
 
     @ParameterizedTest
@@ -44,6 +44,6 @@
         markWrittenIf(written);
         assertThat(attempt.giveUp()).isEqualTo(outcome);
         attempt.connectionBroken();
-        assertThat(noted.ends).isEmpty();
+        assertThat(recorded.ends).isEmpty();
     }
 }
--- a/src/test/java/cresschute/node/http/NotedEnds.java
+++ b/src/test/java/cresschute/node/http/RecordingAttemptListener.java
@@ -7,8 +7,8 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Notes how an attempt ended, of which nothing else may come. */
-final class NotedEnds implements AttemptListener {
+/** Records how an attempt ended, and fails on any other event. */
+final class RecordingAttemptListener implements AttemptListener {
 
     final List<Outcome> ends = new ArrayList<>();
 
--- a/src/test/java/cresschute/node/http/WorkerConnectionTest.java
+++ b/src/test/java/cresschute/node/http/WorkerConnectionTest.java
@@ -25,7 +25,7 @@
     private static final long IDLE_US = 4_000_000;
     private static final InetSocketAddress ADDR = new InetSocketAddress("127.0.0.1", 9);
 
-    private final NotedEnds noted = new NotedEnds();
+    private final RecordingAttemptListener recorded = new RecordingAttemptListener();
     private final RateLimitedLog faults = new RateLimitedLog(System.getLogger("test"), () -> 0);
     private final EmbeddedChannel channel = new EmbeddedChannel();
     private final WorkerConnection connection =
@@ -41,7 +41,7 @@
                 new HttpAttempt(
                         "127.0.0.1:9",
                         new RequestContent("r1", "/check", null, new byte[0]),
-                        noted,
+                        recorded,
                         faults));
         channel.writeInbound(
                 new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK),
@@ -59,7 +59,7 @@
     /** Only the timer of the idle connection is left, which holds nothing of the attempt. */
     @Test
     void wholeAnswerLeavesNoTimerOfItsAttempt() {
-        assertThat(noted.ends).containsExactly(Outcome.SERVED);
+        assertThat(recorded.ends).containsExactly(Outcome.SERVED);
         channel.writeInbound(LastHttpContent.EMPTY_LAST_CONTENT);
         assertThat(untilNextTimerMs()).isEqualTo(3_000);
     }
