--- /dev/null
+++ b/src/test/java/cresschute/node/PipelinedBodyRulesTest.java
@@ -0,0 +1,61 @@
+package cresschute.node;
+
+import static cresschute.node.LongBodyNode.KIB;
+import static cresschute.node.LongBodyNode.MIB;
+import static cresschute.node.LongBodyNode.PATIENT_US;
+import static cresschute.node.LongBodyNode.bodies;
+import static cresschute.node.LongBodyNode.head;
+import static cresschute.node.LongBodyNode.held;
+import static cresschute.node.TestNode.request;
+import static org.assertj.core.api.Assertions.assertThat;
+
+import cresschute.settings.ApplianceSettings.ClassBodies;
+import java.util.function.UnaryOperator;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+
+/** Short and long bodies of pipelined requests on one connection. */
+@Timeout(30)
+class PipelinedBodyRulesTest {
+
+    private static final int MAX_IN_FLIGHT = 16;
+
+    private static String requested(TestNode node) throws InterruptedException {
+        String event = node.event();
+        while (event != null && !event.startsWith("requested")) {
+            event = node.event();
+        }
+        return event;
+    }
+
+    /** The request that waits is submitted while the long body behind it arrives. */
+    @Test
+    void aQueuedRequestKeepsItsOwnBodyWhileALongOneArrivesBehindIt() throws Exception {
+        try (TestNode node =
+                        TestNode.configured(
+                                UnaryOperator.identity(),
+                                (actions, request) -> {},
+                                bodies(
+                                        new ClassBodies(
+                                                64L * MIB, KIB, PATIENT_US, false, false)));
+                Peer client = node.client()) {
+            for (int i = 1; i <= MAX_IN_FLIGHT + 1; i++) {
+                client.write(request("r" + i, "", "body of r" + i));
+            }
+            client.write(head("r18", MIB, "")).writeBytes(0, 64 * KIB);
+            while (held(node) == 0) {
+                Thread.onSpinWait();
+            }
+            for (int i = 1; i <= MAX_IN_FLIGHT; i++) {
+                assertThat(requested(node)).startsWith("requested " + i + " ");
+            }
+            node.act(actions -> actions.reject(1, 0));
+            node.act(actions -> actions.reject(2, 0));
+            assertThat(requested(node)).startsWith("requested 17 ");
+            node.act(actions -> actions.send(17, 0, Long.MAX_VALUE));
+            assertThat(node.worker().read())
+                    .contains("X-Request-Id: r17")
+                    .endsWith("\r\n\r\nbody of r17");
+        }
+    }
+}
