--- a/src/main/java/cresschute/control/ChecksummedFile.java
+++ b/src/main/java/cresschute/control/ChecksummedFile.java
@@ -7,33 +7,23 @@
 import java.util.zip.CRC32C;
 
 /**
- * The form of what a node keeps in a file: one line that names the kind and tells generation,
- * length and a checksum of all the rest, and then the content. Whatever is torn, flipped or of
- * another kind is refused. Pure.
+ * The file format of a node's state: a header line with the kind, the generation, the length of the
+ * body and a checksum over generation and body; then the body. A file that is torn, changed or of
+ * another kind is rejected. Immutable by convention; pure.
  *
- * @param generation counts up with every write, over restarts and processes too
- * @param body the content after the first line
+ * @param generation increases with every write, over restarts and processes too
+ * @param body the bytes after the header line
  */
 public record ChecksummedFile(long generation, byte[] body) {
 
-    private static final Pattern HEAD =
+    private static final Pattern HEADER =
             Pattern.compile(
                     "([a-z-]{1,40} [0-9]{1,3}) generation=([0-9]{1,18}) bytes=([0-9]{1,9})"
                             + " crc32c=([0-9a-f]{8})");
 
-    /** A file that is not what was written; its message says in which way. */
-    public static final class DamagedFileException extends Exception {
-
-        private static final long serialVersionUID = 1L;
-
-        DamagedFileException(String message) {
-            super(message, null, false, false);
-        }
-    }
-
     /** The bytes of a file of this kind, such as {@code "cresschute-drains 1"}. */
     static byte[] encode(String kind, long generation, byte[] body) {
-        final byte[] head =
+        final byte[] header =
                 (kind
                                 + " generation="
                                 + generation
@@ -43,35 +33,47 @@
                                 + checksum(generation, body)
                                 + "\n")
                         .getBytes(StandardCharsets.US_ASCII);
-        final byte[] all = Arrays.copyOf(head, head.length + body.length);
-        System.arraycopy(body, 0, all, head.length, body.length);
-        return all;
+        final byte[] file = Arrays.copyOf(header, header.length + body.length);
+        System.arraycopy(body, 0, file, header.length, body.length);
+        return file;
     }
 
-    /** Reads a file of this kind whole. */
+    /**
+     * Reads a complete file of this kind.
+     *
+     * @throws DamagedFileException if it is torn, changed or of another kind
+     */
     static ChecksummedFile decode(String kind, byte[] bytes) throws DamagedFileException {
-        int end = 0;
-        while (end < bytes.length && bytes[end] != '\n') {
-            end++;
-        }
-        final Matcher head = HEAD.matcher(new String(bytes, 0, end, StandardCharsets.ISO_8859_1));
-        if (end == bytes.length || !head.matches() || !head.group(1).equals(kind)) {
+        final int headerLength = headerLength(bytes);
+        final Matcher header =
+                HEADER.matcher(new String(bytes, 0, headerLength, StandardCharsets.ISO_8859_1));
+        if (headerLength == bytes.length || !header.matches() || !header.group(1).equals(kind)) {
             throw new DamagedFileException("its first line is not that of a file of " + kind);
         }
-        final int length = Integer.parseInt(head.group(3));
-        if (bytes.length - end - 1 != length) {
+        final int bodyLength = bytes.length - headerLength - 1;
+        final int expectedLength = Integer.parseInt(header.group(3));
+        if (bodyLength != expectedLength) {
             throw new DamagedFileException(
-                    "it holds " + (bytes.length - end - 1) + " bytes of " + length);
+                    "it holds " + bodyLength + " bytes of " + expectedLength);
         }
-        final byte[] body = Arrays.copyOfRange(bytes, end + 1, bytes.length);
-        final long generation = Long.parseLong(head.group(2));
-        if (!checksum(generation, body).equals(head.group(4))) {
+        final byte[] body = Arrays.copyOfRange(bytes, headerLength + 1, bytes.length);
+        final long generation = Long.parseLong(header.group(2));
+        if (!checksum(generation, body).equals(header.group(4))) {
             throw new DamagedFileException("its checksum is not that of its content");
         }
         return new ChecksummedFile(generation, body);
     }
 
-    /** Over the generation too: an old file under a new number would undo what came after it. */
+    /** Bytes before the first line feed; all where there is none. */
+    private static int headerLength(byte[] bytes) {
+        int length = 0;
+        while (length < bytes.length && bytes[length] != '\n') {
+            length++;
+        }
+        return length;
+    }
+
+    /** Over the generation too: an old file under a newer one would undo later changes. */
     private static String checksum(long generation, byte[] body) {
         final CRC32C crc = new CRC32C();
         crc.update(Long.toString(generation).getBytes(StandardCharsets.US_ASCII));
--- a/src/main/java/cresschute/control/DrainRegistry.java
+++ b/src/main/java/cresschute/control/DrainRegistry.java
@@ -1,269 +1,212 @@
 package cresschute.control;
 
-import com.google.gson.annotations.SerializedName;
-import cresschute.dispatch.Placement;
 import cresschute.dispatch.Worker;
 import cresschute.dispatch.WorkerState;
-import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Objects;
-import java.util.Set;
+import java.util.Optional;
 
 /**
- * The operator's drains, laid over whatever the list says. Pure: the clock is passed in, and
- * nothing is read or written. Operations carry ids, so that one that is sent again after a cut has
- * no second effect. Not safe for several threads: its owner is the loop.
+ * The operators' drains in force, as an overlay on the endpoint list, and the operations that led
+ * to them.
+ *
+ * <p>Owned state: one {@link Drain} a worker, and the last {@value #MAX_COMPLETED} operations with
+ * their outcomes. Both live as long as the process; {@link #restore} takes up what a {@link
+ * DrainSnapshot} holds, and the owner stores a snapshot after each change.
+ *
+ * <p>Operations are idempotent by their id: one that is sent again, as after a broken connection,
+ * gets the first outcome and has no second effect.
+ *
+ * <p>Pure: the clock is passed in, nothing is read or written. Not thread-safe; it is used on the
+ * node's loop alone.
  */
 public final class DrainRegistry {
 
-    /** Operations whose outcome is remembered; an older one that is sent again counts as new. */
-    static final int MAX_REMEMBERED = 1_024;
+    /** Operations that are remembered; an older one that is sent again counts as new. */
+    static final int MAX_COMPLETED = 1_024;
 
-    /** Drains at a time; a site has fewer workers. */
+    /** Drains in force at a time; a site has fewer workers. */
     static final int MAX_DRAINS = 10_000;
 
-    /** A drain without an end of its own. */
-    public static final long FOREVER = Long.MAX_VALUE;
+    /** The end, or the duration, of a drain that does not end by itself. */
+    public static final long NO_END_US = Long.MAX_VALUE;
 
-    /**
-     * A drain that is in force.
-     *
-     * @param untilUs when it ends by itself, or {@link #FOREVER}
-     * @param who who asked for it, in the words of their console
-     */
-    public record Drain(
-            @SerializedName("worker") String worker,
-            @SerializedName("sinceUs") long sinceUs,
-            @SerializedName("untilUs") long untilUs,
-            @SerializedName("who") String who,
-            @SerializedName("reason") String reason) {}
-
-    /**
-     * What an operator asks for.
-     *
-     * @param id drawn by the console; the same operation sent again carries the same one
-     * @param start whether to drain, or else to undo a drain
-     * @param forUs how long, from when it is first heard; {@link #FOREVER} where it has no end
-     * @param forced whether to drain although work would have nowhere to go
-     */
-    public record Operation(
-            @SerializedName("id") String id,
-            @SerializedName("start") boolean start,
-            @SerializedName("worker") String worker,
-            @SerializedName("forUs") long forUs,
-            @SerializedName("who") String who,
-            @SerializedName("reason") String reason,
-            @SerializedName("forced") boolean forced) {
-        public Operation {
-            Objects.requireNonNull(id);
-            Objects.requireNonNull(worker);
-            if (forUs <= 0) {
-                throw new IllegalArgumentException("a drain lasts longer than no time");
-            }
-        }
-    }
-
-    /** How an operation ended: it changed something, found it so already, or was refused. */
-    public enum Kind {
-        @SerializedName("DONE")
-        DONE("done"),
-        @SerializedName("ALREADY")
-        ALREADY("already"),
-        @SerializedName("REFUSED")
-        REFUSED("refused");
-
-        private final String wireName;
-
-        Kind(String wireName) {
-            this.wireName = wireName;
-        }
-
-        /** The word in an answer to a console; a snapshot's word is the one that Gson is told. */
-        public String wireName() {
-            return wireName;
-        }
-    }
-
-    /** The outcome of an operation, with its reason where it is not done. */
-    public record Outcome(@SerializedName("kind") Kind kind, @SerializedName("why") String why) {
-
-        private static final Outcome DONE = new Outcome(Kind.DONE, "");
-
-        private static Outcome already(String why) {
-            return new Outcome(Kind.ALREADY, why);
-        }
-
-        private static Outcome refused(String why) {
-            return new Outcome(Kind.REFUSED, why);
-        }
-    }
-
-    /** A worker as the list has it, under its name. */
-    public record Listed(String name, Worker worker) {}
-
-    /** A class, and where its requests may be sent. */
-    public record ClassBound(String name, Placement placement) {}
+    private final Map<String, Drain> drains = new LinkedHashMap<>();
+    private final Map<String, CompletedOperation> completed = new LinkedHashMap<>();
 
     /**
-     * What a drain is judged by.
+     * Applies an operation, once.
      *
-     * @param workers the list without any overlay
-     * @param boundCells cells that keyed requests may only be repeated in, as their first sends are
-     *     out there
-     */
-    public record Site(List<Listed> workers, List<ClassBound> classes, Set<Integer> boundCells) {}
-
-    /**
-     * An operation that was carried out, and how it ended: what makes it harmless to send it again.
+     * @param operation what is asked
+     * @param fleet what a drain is judged by; an operation that ends a drain does not use it
+     * @param nowUs Unix time, us
+     * @return its outcome; the first one where the operation was applied before
      */
-    public record Remembered(
-            @SerializedName("operation") Operation operation,
-            @SerializedName("outcome") Outcome outcome) {}
-
-    private final Map<String, Drain> drains = new LinkedHashMap<>();
-    private final Map<String, Remembered> remembered = new LinkedHashMap<>();
-
-    /** Carries an operation out, once: the same one again is told the same and changes nothing. */
-    public Outcome apply(Operation operation, Site site, long nowUs) {
-        final Remembered before = remembered.get(operation.id());
+    public OperationOutcome apply(DrainOperation operation, FleetView fleet, long nowUs) {
+        final CompletedOperation before = completed.get(operation.id());
         if (before != null) {
             return before.operation().equals(operation)
                     ? before.outcome()
-                    : Outcome.refused("operation " + operation.id() + " was another one before");
-        }
-        final Outcome outcome =
-                operation.start() ? start(operation, site, nowUs) : cancel(operation);
-        remembered.put(operation.id(), new Remembered(operation, outcome));
-        if (remembered.size() > MAX_REMEMBERED) {
-            remembered.remove(remembered.keySet().iterator().next());
+                    : OperationOutcome.rejected(
+                            new DrainRejection.OperationIdReused(operation.id()));
         }
+        final OperationOutcome outcome =
+                operation.isDrain() ? startDrain(operation, fleet, nowUs) : endDrain(operation);
+        remember(new CompletedOperation(operation, outcome));
         return outcome;
     }
 
-    /** Whether an operation under this id was carried out and is still remembered. */
-    public boolean isRemembered(String operationId) {
-        return remembered.containsKey(operationId);
+    /** Whether an operation under this id was completed and is still remembered. */
+    public boolean isCompleted(String operationId) {
+        return completed.containsKey(operationId);
+    }
+
+    private void remember(CompletedOperation operation) {
+        completed.put(operation.operation().id(), operation);
+        if (completed.size() > MAX_COMPLETED) {
+            completed.remove(completed.keySet().iterator().next());
+        }
     }
 
-    private Outcome start(Operation operation, Site site, long nowUs) {
+    private OperationOutcome startDrain(DrainOperation operation, FleetView fleet, long nowUs) {
         final Drain inForce = drains.get(operation.worker());
         if (inForce != null) {
-            return Outcome.already(
+            return OperationOutcome.unchanged(
                     "drained by "
-                            + inForce.who()
+                            + inForce.operator()
                             + (inForce.reason().isEmpty() ? "" : ": " + inForce.reason()));
         }
-        if (drains.size() >= MAX_DRAINS) {
-            return Outcome.refused(MAX_DRAINS + " drains are in force; undo one first");
-        }
-        final String harm = operation.forced() ? null : harm(operation.worker(), site);
-        if (harm != null) {
-            return Outcome.refused(harm);
+        final Optional<DrainRejection> rejection = rejectionOf(operation, fleet);
+        if (rejection.isPresent()) {
+            return OperationOutcome.rejected(rejection.get());
         }
-        // Guards against a sum that wraps round for a drain of some hundred thousand years.
-        final long untilUs =
-                operation.forUs() > FOREVER - nowUs ? FOREVER : nowUs + operation.forUs();
         drains.put(
                 operation.worker(),
-                new Drain(operation.worker(), nowUs, untilUs, operation.who(), operation.reason()));
-        return Outcome.DONE;
+                new Drain(
+                        operation.worker(),
+                        nowUs,
+                        endOf(operation, nowUs),
+                        operation.operator(),
+                        operation.reason()));
+        return OperationOutcome.APPLIED;
     }
 
-    private Outcome cancel(Operation operation) {
+    /** The end of a drain that starts now; a sum that would overflow has no end. */
+    private static long endOf(DrainOperation operation, long nowUs) {
+        return operation.durationUs() > NO_END_US - nowUs
+                ? NO_END_US
+                : nowUs + operation.durationUs();
+    }
+
+    private OperationOutcome endDrain(DrainOperation operation) {
         return drains.remove(operation.worker()) != null
-                ? Outcome.DONE
-                : Outcome.already("not drained by an operator");
+                ? OperationOutcome.APPLIED
+                : OperationOutcome.unchanged("not drained by an operator");
     }
 
-    /** Why a drain would leave work without a place, or null. */
-    private String harm(String name, Site site) {
-        final Worker leaving =
-                site.workers().stream()
-                        .filter(each -> each.name().equals(name))
-                        .map(Listed::worker)
-                        .findFirst()
-                        .orElse(null);
-        if (leaving == null) {
-            return "no worker is called " + name;
+    private Optional<DrainRejection> rejectionOf(DrainOperation operation, FleetView fleet) {
+        if (drains.size() >= MAX_DRAINS) {
+            return Optional.of(new DrainRejection.DrainLimitReached(MAX_DRAINS));
         }
-        if (over(name, leaving.state()) != WorkerState.READY) {
-            // It takes nothing new as it is: a worker that is restarting just now comes back
-            // drained.
-            return null;
+        return operation.isForced()
+                ? Optional.empty()
+                : rejectionUnlessForced(operation.worker(), fleet);
+    }
+
+    /** Why a drain would leave work without a worker, if it would. */
+    private Optional<DrainRejection> rejectionUnlessForced(String name, FleetView fleet) {
+        final Optional<ListedWorker> listed =
+                fleet.workers().stream().filter(each -> each.name().equals(name)).findFirst();
+        if (listed.isEmpty()) {
+            return Optional.of(new DrainRejection.UnknownWorker(name));
         }
-        final List<Worker> left = new ArrayList<>();
-        for (final Listed each : site.workers()) {
-            if (!each.name().equals(name)
-                    && over(each.name(), each.worker().state()) == WorkerState.READY) {
-                left.add(each.worker());
-            }
+        if (!isReady(listed.get())) {
+            // It gets no new work as it is; a worker that is restarting comes back drained.
+            return Optional.empty();
         }
-        for (final ClassBound each : site.classes()) {
+        final Worker leaving = listed.get().worker();
+        final List<Worker> remaining =
+                fleet.workers().stream()
+                        .filter(each -> !each.name().equals(name) && isReady(each))
+                        .map(ListedWorker::worker)
+                        .toList();
+        for (final ClassPlacement each : fleet.classes()) {
             if (each.placement().allows(leaving)
-                    && left.stream().noneMatch(each.placement()::allows)) {
-                return name + " is the last worker that may run " + each.name();
+                    && remaining.stream().noneMatch(each.placement()::allows)) {
+                return Optional.of(new DrainRejection.OnlyWorkerOfClass(name, each.name()));
             }
         }
-        if (site.boundCells().contains(leaving.cell())
-                && left.stream().noneMatch(worker -> worker.cell() == leaving.cell())) {
-            return name + " is the last of cell " + leaving.cell() + ", where keyed jobs are out";
+        if (fleet.boundCells().contains(leaving.cell())
+                && remaining.stream().noneMatch(worker -> worker.cell() == leaving.cell())) {
+            return Optional.of(new DrainRejection.OnlyWorkerOfBoundCell(name, leaving.cell()));
         }
-        return null;
+        return Optional.empty();
     }
 
-    /** The state that the module hears: the worse of what the list and the operator say. */
-    public WorkerState over(String worker, WorkerState listed) {
+    private boolean isReady(ListedWorker listed) {
+        return effectiveState(listed.name(), listed.worker().state()) == WorkerState.READY;
+    }
+
+    /**
+     * The state of a worker for the dispatcher: the worse of what the endpoint list and the
+     * operators say.
+     *
+     * @param worker the worker's id in the endpoint list
+     * @param listed its state there
+     */
+    public WorkerState effectiveState(String worker, WorkerState listed) {
         return listed == WorkerState.READY && drains.containsKey(worker)
                 ? WorkerState.DRAINING
                 : listed;
     }
 
     /**
-     * Ends the drains whose time is up, and names their workers, whose state may have changed by
-     * it.
+     * Ends the drains whose end has come.
+     *
+     * @param nowUs Unix time, us
+     * @return their workers, whose effective state may have changed by it
      */
     public List<String> expire(long nowUs) {
         final List<String> ended =
                 drains.values().stream()
-                        .filter(each -> each.untilUs() <= nowUs)
+                        .filter(each -> each.endsAtUs() <= nowUs)
                         .map(Drain::worker)
                         .toList();
         ended.forEach(drains::remove);
         return ended;
     }
 
-    /** When the next drain ends by itself, or {@link #FOREVER}. */
+    /** When the next drain ends by itself, Unix time in us, or {@link #NO_END_US}. */
     public long nextEndUs() {
-        return drains.values().stream().mapToLong(Drain::untilUs).min().orElse(FOREVER);
+        return drains.values().stream().mapToLong(Drain::endsAtUs).min().orElse(NO_END_US);
     }
 
-    /** The drain of a worker, or null. */
-    public Drain of(String worker) {
-        return drains.get(worker);
+    /** The drain of a worker, if it has one. */
+    public Optional<Drain> drainOf(String worker) {
+        return Optional.ofNullable(drains.get(worker));
     }
 
-    /** The drains in force, oldest first: what a snapshot holds. */
+    /** The drains in force, oldest first, as a snapshot holds them. */
     public List<Drain> inForce() {
         return List.copyOf(drains.values());
     }
 
-    /** The operations that are remembered, oldest first: a snapshot holds them too. */
-    public List<Remembered> remembered() {
-        return List.copyOf(remembered.values());
+    /** The operations that are remembered, oldest first, as a snapshot holds them. */
+    public List<CompletedOperation> completed() {
+        return List.copyOf(completed.values());
     }
 
-    /** Drains of a snapshot, in place of all that were in force. */
-    public void restore(List<Drain> kept) {
-        restore(kept, List.of());
+    /** Replaces the drains in force, and forgets all operations. */
+    public void restore(List<Drain> stored) {
+        restore(stored, List.of());
     }
 
-    /** Drains and operations of a snapshot, in place of all that was known. */
-    public void restore(List<Drain> kept, List<Remembered> operations) {
+    /** Replaces the drains in force and the remembered operations by those of a snapshot. */
+    public void restore(List<Drain> stored, List<CompletedOperation> operations) {
         drains.clear();
-        kept.forEach(each -> drains.put(each.worker(), each));
-        remembered.clear();
-        operations.forEach(each -> remembered.put(each.operation().id(), each));
+        stored.forEach(each -> drains.put(each.worker(), each));
+        completed.clear();
+        operations.forEach(each -> completed.put(each.operation().id(), each));
     }
 }
--- a/src/main/java/cresschute/control/EventRing.java
+++ b/src/main/java/cresschute/control/EventRing.java
@@ -5,49 +5,40 @@
 import java.util.List;
 
 /**
- * The last things that happened at a site, numbered, in words for people. Old ones make room;
- * whoever reads on from a number is told how many it missed. Pure; its owner is the loop.
+ * The last {@value #MAX_EVENTS} events of a node, numbered in order; a new one replaces the oldest.
+ * They live as long as the process and are not stored. A reader passes the number that it has read
+ * up to, and learns how many events it missed.
+ *
+ * <p>Pure. Not thread-safe; it is used on the node's loop alone.
  */
 public final class EventRing {
 
-    /** Happenings that are kept. */
-    public static final int MAX = 1_000;
+    /** Events that are held. */
+    public static final int MAX_EVENTS = 1_000;
 
-    /**
-     * Something that happened.
-     *
-     * @param number counts from 1, without gaps
-     * @param atUs Unix time
-     * @param kind one lower-case word for programs
-     * @param worker whom it befell, or null
-     */
-    public record Happening(long number, long atUs, String kind, String worker, String text) {}
+    private final Deque<OperatorEvent> events = new ArrayDeque<>();
+    private long lastNumber;
 
-    /** What there is from some number on, and how many before it are not kept any more. */
-    public record Read(List<Happening> happenings, long missed) {}
-
-    private final Deque<Happening> kept = new ArrayDeque<>();
-    private long last;
-
-    /** Adds a happening under the next number. */
+    /** Adds an event under the next number; its parameters are those of {@link OperatorEvent}. */
     public void add(long atUs, String kind, String worker, String text) {
-        kept.addLast(new Happening(++last, atUs, kind, worker, text));
-        if (kept.size() > MAX) {
-            kept.pollFirst();
+        events.addLast(new OperatorEvent(++lastNumber, atUs, kind, worker, text));
+        if (events.size() > MAX_EVENTS) {
+            events.pollFirst();
         }
     }
 
-    /** The number of the newest, or 0 before the first. */
-    public long last() {
-        return last;
+    /** The number of the newest event, or 0 before the first. */
+    public long lastNumber() {
+        return lastNumber;
     }
 
-    /** What came after a number, oldest first. */
-    public Read after(long number) {
-        if (number >= last) {
-            return new Read(List.of(), 0);
+    /** The events after a number; none where the number is of the newest or of none yet. */
+    public EventBatch after(long number) {
+        if (number >= lastNumber) {
+            return new EventBatch(List.of(), 0);
         }
-        final List<Happening> read = kept.stream().filter(each -> each.number() > number).toList();
-        return new Read(read, Math.max(0, read.get(0).number() - 1 - Math.max(0, number)));
+        final List<OperatorEvent> newer =
+                events.stream().filter(each -> each.number() > number).toList();
+        return new EventBatch(newer, Math.max(0, newer.get(0).number() - 1 - Math.max(0, number)));
     }
 }
--- a/src/main/java/cresschute/control/VersionedTable.java
+++ b/src/main/java/cresschute/control/VersionedTable.java
@@ -7,82 +7,84 @@
 import java.util.Map;
 
 /**
- * What consoles see, as rows of text under a key, each with the number of the change that made it
- * what it is. A console that holds everything up to some number is told the rows that are newer,
- * whichever changes lay between: so what waits for a slow console is at most one version of each
- * row, and never a queue of changes. Rows that went away are remembered for a while; a console from
- * before that starts anew. Pure; its owner is the loop.
+ * The rows that consoles show, as text by key. Every change increases the version of the table, and
+ * each row has the version of its last change.
+ *
+ * <p>A reader that holds some version gets the rows that are newer, however many changes lie
+ * between: what is unsent to a slow reader is at most the newest text of each row, never a queue of
+ * changes. The last {@value #MAX_REMOVED} removals are held; a reader from before them gets all
+ * rows.
+ *
+ * <p>The table lives as long as the process and is not stored: versions of different runs of a node
+ * cannot be compared. Pure. Not thread-safe; it is used on the node's loop alone.
  */
 public final class VersionedTable {
 
-    /**
-     * Rows that went away and are remembered; a console from before the oldest needs a whole
-     * picture.
-     */
-    static final int MAX_GONE = 4_096;
+    /** Removals that are held. */
+    static final int MAX_REMOVED = 4_096;
 
-    private record Row(String text, long number) {}
+    private record Row(String text, long version) {}
 
-    private record Gone(String key, long number) {}
-
-    /**
-     * News from some number on.
-     *
-     * @param whole whether it holds everything, in place of what the console had
-     * @param number what the console holds up to once it has taken this in
-     * @param rows rows that are new or other, by key
-     * @param gone keys of rows that went away
-     */
-    public record Delta(boolean whole, long number, Map<String, String> rows, List<String> gone) {}
+    private record Removal(String key, long version) {}
 
     private final Map<String, Row> rows = new LinkedHashMap<>();
-    private final Deque<Gone> gone = new ArrayDeque<>();
-    private long number;
-    private long forgottenUpTo;
+    private final Deque<Removal> removed = new ArrayDeque<>();
+    private long version;
 
-    /** Sets a row; one that is the same already is no change. */
+    /** The oldest version whose later removals are all held. */
+    private long oldestKnownVersion;
+
+    /** Sets a row; a text that the row has already is no change. */
     public void put(String key, String text) {
         final Row old = rows.get(key);
         if (old == null || !old.text().equals(text)) {
-            rows.put(key, new Row(text, ++number));
+            rows.put(key, new Row(text, ++version));
         }
     }
 
-    /** Takes a row away, if it is there. */
+    /** Removes a row, if there is one. */
     public void remove(String key) {
         if (rows.remove(key) != null) {
-            gone.addLast(new Gone(key, ++number));
-            if (gone.size() > MAX_GONE) {
-                forgottenUpTo = gone.pollFirst().number();
+            removed.addLast(new Removal(key, ++version));
+            if (removed.size() > MAX_REMOVED) {
+                oldestKnownVersion = removed.pollFirst().version();
             }
         }
     }
 
-    /** The number of the newest change, or 0 before the first. */
-    public long number() {
-        return number;
+    /** The version of the newest change, or 0 before the first. */
+    public long version() {
+        return version;
     }
 
-    /** All that is newer than a number, whole where that can't be told any more. */
-    public Delta since(long from) {
-        final boolean whole = from <= 0 || from < forgottenUpTo || from > number;
+    /**
+     * The changes after a version.
+     *
+     * @param since the version that the reader holds; 0 or less for none. One that this table
+     *     cannot compare, as it is too old or of another run, counts as none
+     */
+    public TableDelta since(long since) {
+        if (since <= 0 || since < oldestKnownVersion || since > version) {
+            return new TableDelta(true, version, rowsAfter(0), List.of());
+        }
+        return new TableDelta(false, version, rowsAfter(since), removedAfter(since));
+    }
+
+    private Map<String, String> rowsAfter(long since) {
         final Map<String, String> newer = new LinkedHashMap<>();
         rows.forEach(
                 (key, row) -> {
-                    if (whole || row.number() > from) {
+                    if (row.version() > since) {
                         newer.put(key, row.text());
                     }
                 });
-        final List<String> left =
-                whole
-                        ? List.of()
-                        : gone.stream()
-                                .filter(
-                                        each ->
-                                                each.number() > from
-                                                        && !rows.containsKey(each.key()))
-                                .map(Gone::key)
-                                .toList();
-        return new Delta(whole, number, newer, left);
+        return newer;
+    }
+
+    private List<String> removedAfter(long since) {
+        return removed.stream()
+                .filter(each -> each.version() > since && !rows.containsKey(each.key()))
+                .map(Removal::key)
+                .toList();
     }
 }
--- /dev/null
+++ b/src/main/java/cresschute/control/files/NotDurableException.java
@@ -0,0 +1,19 @@
+package cresschute.control.files;
+
+import java.io.IOException;
+
+/**
+ * A change is in force in this process but could not be stored, so that a restart would lose it.
+ * Its message is that of the cause, which names the file.
+ */
+public final class NotDurableException extends IOException {
+
+    private static final long serialVersionUID = 1L;
+
+    /**
+     * @param cause why the change could not be stored
+     */
+    public NotDurableException(Exception cause) {
+        super(cause.getMessage(), cause);
+    }
+}
--- a/src/main/java/cresschute/control/files/PrivateFolder.java
+++ b/src/main/java/cresschute/control/files/PrivateFolder.java
@@ -5,20 +5,25 @@
 import java.nio.file.Path;
 import java.nio.file.attribute.PosixFilePermissions;
 
-/** Folders for what is nobody else's. */
+/** Makes folders that only the node's own user may use. Stateless; any thread. */
 public final class PrivateFolder {
 
+    private static final String OWNER_ONLY = "rwx------";
+
     private PrivateFolder() {}
 
     /**
-     * Makes a folder, and those above it, with mode 0700; one that is there stays as it is. Blocks.
+     * Makes a folder and its missing parents with mode 0700. A folder that exists keeps its mode.
+     * Blocks.
+     *
+     * @throws IOException if it cannot be made
      */
     public static void make(Path folder) throws IOException {
         if (!Files.isDirectory(folder)) {
             Files.createDirectories(
                     folder,
                     PosixFilePermissions.asFileAttribute(
-                            PosixFilePermissions.fromString("rwx------")));
+                            PosixFilePermissions.fromString(OWNER_ONLY)));
         }
     }
 }
--- a/src/main/java/cresschute/control/files/SharedOperatorState.java
+++ b/src/main/java/cresschute/control/files/SharedOperatorState.java
@@ -1,60 +1,61 @@
 package cresschute.control.files;
 
-import cresschute.control.ChecksummedFile.DamagedFileException;
-import cresschute.control.OperatorsState;
+import cresschute.control.DamagedFileException;
+import cresschute.control.OperatorState;
 import cresschute.logs.LogEvent;
 import java.io.IOException;
 import java.lang.System.Logger;
 import java.lang.System.Logger.Level;
-import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
 import java.nio.channels.FileLock;
 import java.nio.file.Files;
 import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
-import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
 import java.nio.file.attribute.BasicFileAttributes;
 import java.util.Objects;
+import java.util.Optional;
+import java.util.concurrent.ExecutionException;
 import java.util.concurrent.Executor;
 import java.util.concurrent.Executors;
 import java.util.concurrent.RejectedExecutionException;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
-import java.util.function.Consumer;
 import java.util.function.UnaryOperator;
 
 /**
- * The operators' state in a folder that several processes share, those of an upgrade: one file,
- * changed under a lock by whichever process is called, replaced whole by a rename, and looked at by
- * all of them every {@value #LOOK_MS} ms. Files are read and written by one thread of its own,
- * which hands what it found to the caller's executor; nothing else of the caller's is touched
- * there.
+ * The {@link OperatorState} in a folder that both processes of an upgrade share.
  *
- * <p>A file that is damaged counts as no state and is put aside, so that the next change starts
- * anew.
+ * <p>The file is an {@link AtomicFile}. A process changes it under a lock, from what it holds at
+ * that moment, and each process polls it every {@value #POLL_INTERVAL_MS} ms for changes of the
+ * other. A damaged file counts as no state and is put aside; generations increase all the same.
+ *
+ * <p>Life: from {@link #open} to {@link #close}. One thread of its own reads and writes; the
+ * listeners are notified on the owner's executor, and nothing else of the owner's is touched.
  */
 public final class SharedOperatorState implements AutoCloseable {
 
     /**
-     * How often the file is looked at for another process's change, ms: well within the 400 ms of a
-     * ban.
+     * How often the file is polled, ms: a ban by the other process is in force well within the 400
+     * ms that the platform allows.
      */
-    static final long LOOK_MS = 100;
+    static final long POLL_INTERVAL_MS = 100;
 
+    private static final long CLOSE_TIMEOUT_S = 1;
     private static final String FILE = "cresschute-operators";
     private static final Logger LOG = System.getLogger("cresschute.state");
 
     /**
-     * One change at a time in this JVM too: a file lock is the process's, and two of them would
-     * clash.
+     * Held with the file lock: a file lock belongs to the whole process, and a second one of
+     * another instance in it would fail.
      */
-    private static final Object IN_THIS_PROCESS = new Object();
+    private static final Object PROCESS_LOCK = new Object();
 
-    private final Path folder;
-    private final Executor back;
-    private final Consumer<OperatorsState> heard;
-    private final ScheduledExecutorService files =
+    private final Path lockFile;
+    private final AtomicFile file;
+    private final Executor owner;
+    private final SharedStateListener listener;
+    private final ScheduledExecutorService fileThread =
             Executors.newSingleThreadScheduledExecutor(
                     task -> {
                         final Thread thread = new Thread(task, "operators-state");
@@ -62,111 +63,123 @@
                         return thread;
                     });
 
-    /** What the file looked like when it was last read; only the thread of files touches these. */
-    private Object seenKey;
+    /** The file as it was last read or written; used on the file thread alone. */
+    private Optional<FileStamp> lastStamp = Optional.empty();
+
+    /** The newest generation read or written; used on the file thread alone. */
+    private long lastGeneration = -1;
 
-    private long seenModified = -1;
-    private long seenSize = -1;
-    private long seenGeneration = -1;
+    /** What tells one content of the file from another without reading it. */
+    private record FileStamp(Object fileKey, long modifiedMs, long size) {
 
-    private SharedOperatorState(Path folder, Executor back, Consumer<OperatorsState> heard) {
-        this.folder = folder;
-        this.back = back;
-        this.heard = heard;
+        static FileStamp of(Path file) throws IOException {
+            final BasicFileAttributes attributes =
+                    Files.readAttributes(file, BasicFileAttributes.class);
+            return new FileStamp(
+                    attributes.fileKey(),
+                    attributes.lastModifiedTime().toMillis(),
+                    attributes.size());
+        }
     }
 
     /**
-     * Opens the folder, reads what is there, and looks again and again from then on.
+     * A shared state and what it held when it was opened.
      *
-     * @param back where {@code heard} is called: the owner's loop
-     * @param heard a state that another process wrote, or one that this one's change made
-     * @return the state found now, on the caller's thread
-     * @throws IOException where the folder cannot be made or read
+     * @param shared is closed by the owner
      */
-    public static Opened open(Path folder, Executor back, Consumer<OperatorsState> heard)
+    public record Opened(SharedOperatorState shared, OperatorState found) {}
+
+    private SharedOperatorState(Path folder, Executor owner, SharedStateListener listener) {
+        this.lockFile = folder.resolve(FILE + ".lock");
+        this.file = new AtomicFile(folder.resolve(FILE), folder.resolve(FILE + ".new"));
+        this.owner = owner;
+        this.listener = listener;
+    }
+
+    /**
+     * Opens the folder, makes it where it is missing, reads the state and begins to poll. Blocks.
+     *
+     * @param owner where the listener is notified: the owner's loop
+     * @param listener is notified of changes by other processes
+     * @throws IOException if the folder cannot be made or read
+     */
+    public static Opened open(Path folder, Executor owner, SharedStateListener listener)
             throws IOException {
         Files.createDirectories(folder);
-        final SharedOperatorState shared = new SharedOperatorState(folder, back, heard);
-        final OperatorsState found;
+        final SharedOperatorState shared = new SharedOperatorState(folder, owner, listener);
+        final Optional<OperatorState> found;
         try {
-            found = shared.files.submit(shared::readIfChanged).get();
+            found = shared.fileThread.submit(shared::readIfChanged).get();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             shared.close();
             throw new IOException("interrupted while reading " + folder, e);
-        } catch (java.util.concurrent.ExecutionException e) {
+        } catch (ExecutionException e) {
             shared.close();
             throw e.getCause() instanceof IOException io ? io : new IOException(e.getCause());
         }
-        shared.files.scheduleWithFixedDelay(shared::look, LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
-        return new Opened(shared, found == null ? OperatorsState.NONE : found);
+        shared.fileThread.scheduleWithFixedDelay(
+                shared::poll, POLL_INTERVAL_MS, POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
+        return new Opened(shared, found.orElse(OperatorState.NONE));
     }
 
-    /** A shared state and what it held at the start. */
-    public record Opened(SharedOperatorState shared, OperatorsState found) {}
+    // ---- Changes by this process ----
 
     /**
-     * Changes the state in the file, under the lock, from what it holds then. {@code done} hears
-     * the state as written, or null and the error, on the owner's executor.
+     * Changes the state in the file. Does not block; changes are written in the order given.
+     *
+     * @param change is applied on the file thread to what the file holds then
+     * @param changeListener is notified once on the owner's executor; on the caller's thread after
+     *     {@link #close}
      */
-    public void change(UnaryOperator<OperatorsState> how, Done done) {
+    public void change(
+            UnaryOperator<OperatorState> change, SharedStateListener.Change changeListener) {
         try {
-            files.execute(
+            fileThread.execute(
                     () -> {
-                        OperatorsState written = null;
-                        Exception failed = null;
+                        Runnable notification;
                         try {
-                            written = changeNow(how);
+                            final OperatorState written = changeNow(change);
+                            notification = () -> changeListener.stored(written);
                         } catch (IOException | RuntimeException e) {
-                            failed = e;
+                            final NotDurableException failure = new NotDurableException(e);
+                            notification = () -> changeListener.notDurable(failure);
                         }
-                        final OperatorsState told = written;
-                        final Exception error = failed;
-                        tell(() -> done.changed(told, error));
+                        notifyOwner(notification);
                     });
         } catch (RejectedExecutionException e) {
-            done.changed(null, new IOException("the operators' state is closed"));
+            changeListener.notDurable(
+                    new NotDurableException(new IOException("the operators' state is closed")));
         }
     }
 
-    /** What a change came to. */
-    public interface Done {
-
-        /** On the owner's executor: the state as written, or null with what went wrong. */
-        void changed(OperatorsState written, Exception failed);
-    }
-
-    private OperatorsState changeNow(UnaryOperator<OperatorsState> how) throws IOException {
-        synchronized (IN_THIS_PROCESS) {
-            try (FileChannel lockFile =
+    private OperatorState changeNow(UnaryOperator<OperatorState> change) throws IOException {
+        synchronized (PROCESS_LOCK) {
+            try (FileChannel lockChannel =
                             FileChannel.open(
-                                    folder.resolve(FILE + ".lock"),
-                                    StandardOpenOption.CREATE,
-                                    StandardOpenOption.WRITE);
-                    FileLock lock = lockFile.lock()) {
+                                    lockFile, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+                    FileLock lock = lockChannel.lock()) {
                 Objects.requireNonNull(lock);
-                final OperatorsState now = read();
-                final OperatorsState next = how.apply(now == null ? OperatorsState.NONE : now);
-                // Generations only grow, also where the file was put aside.
-                final OperatorsState numbered =
-                        next.numbered(
+                final OperatorState current = read().orElse(OperatorState.NONE);
+                final OperatorState changed = change.apply(current);
+                final OperatorState next =
+                        changed.withGeneration(
                                 Math.max(
-                                        next.generation(),
-                                        Math.max(seenGeneration, now == null ? 0 : now.generation())
-                                                + 1));
-                write(numbered);
-                remember(numbered.generation());
-                return numbered;
+                                        changed.generation(),
+                                        Math.max(lastGeneration, current.generation()) + 1));
+                file.replace(next.encode());
+                lastGeneration = Math.max(lastGeneration, next.generation());
+                lastStamp = Optional.of(FileStamp.of(file.path()));
+                return next;
             }
         }
     }
 
-    private void look() {
+    // ---- Changes by other processes ----
+
+    private void poll() {
         try {
-            final OperatorsState found = readIfChanged();
-            if (found != null) {
-                tell(() -> heard.accept(found));
-            }
+            readIfChanged().ifPresent(found -> notifyOwner(() -> listener.stateFound(found)));
         } catch (IOException | RuntimeException e) {
             LogEvent.of(
                             "operators_state_unread",
@@ -176,99 +189,63 @@
         }
     }
 
-    /** The state in the file where it is newer than what was read before, or null. */
-    private OperatorsState readIfChanged() throws IOException {
-        final Path file = folder.resolve(FILE);
-        final BasicFileAttributes seen;
+    /** The state in the file, if it is newer than any that was read or written before. */
+    private Optional<OperatorState> readIfChanged() throws IOException {
+        final FileStamp stamp;
         try {
-            seen = Files.readAttributes(file, BasicFileAttributes.class);
+            stamp = FileStamp.of(file.path());
         } catch (NoSuchFileException e) {
-            return null;
-        }
-        if (Objects.equals(seen.fileKey(), seenKey)
-                && seen.lastModifiedTime().toMillis() == seenModified
-                && seen.size() == seenSize) {
-            return null;
+            return Optional.empty();
         }
-        seenKey = seen.fileKey();
-        seenModified = seen.lastModifiedTime().toMillis();
-        seenSize = seen.size();
-        final OperatorsState found = read();
-        if (found == null || found.generation() <= seenGeneration) {
-            return null;
+        if (lastStamp.isPresent() && lastStamp.get().equals(stamp)) {
+            return Optional.empty();
         }
-        seenGeneration = found.generation();
+        lastStamp = Optional.of(stamp);
+        final Optional<OperatorState> found =
+                read().filter(state -> state.generation() > lastGeneration);
+        found.ifPresent(state -> lastGeneration = state.generation());
         return found;
     }
 
-    private void remember(long generation) throws IOException {
-        seenGeneration = Math.max(seenGeneration, generation);
-        final BasicFileAttributes seen =
-                Files.readAttributes(folder.resolve(FILE), BasicFileAttributes.class);
-        seenKey = seen.fileKey();
-        seenModified = seen.lastModifiedTime().toMillis();
-        seenSize = seen.size();
-    }
-
-    private OperatorsState read() throws IOException {
-        final Path file = folder.resolve(FILE);
+    private Optional<OperatorState> read() throws IOException {
         try {
-            return OperatorsState.decode(Files.readAllBytes(file));
+            return Optional.of(OperatorState.decode(file.read()));
         } catch (NoSuchFileException e) {
-            return null;
+            return Optional.empty();
         } catch (DamagedFileException e) {
-            final Path aside = file.resolveSibling(FILE + ".refused");
-            Files.move(file, aside, StandardCopyOption.REPLACE_EXISTING);
+            final Path aside = file.putAside();
             LogEvent.of(
                             "operators_state_refused",
                             "the operators' state "
-                                    + file
+                                    + file.path()
                                     + " is refused and put aside as "
                                     + aside.getFileName()
                                     + ": "
                                     + e.getMessage())
                     .with("detail", e.getMessage())
                     .log(LOG, Level.ERROR);
-            return null;
-        }
-    }
-
-    private void write(OperatorsState state) throws IOException {
-        final Path aside = folder.resolve(FILE + ".new");
-        try (FileChannel out =
-                FileChannel.open(
-                        aside,
-                        StandardOpenOption.CREATE,
-                        StandardOpenOption.WRITE,
-                        StandardOpenOption.TRUNCATE_EXISTING)) {
-            final ByteBuffer bytes = ByteBuffer.wrap(state.encode());
-            while (bytes.hasRemaining()) {
-                out.write(bytes);
-            }
-            out.force(true);
+            return Optional.empty();
         }
-        Files.move(aside, folder.resolve(FILE), StandardCopyOption.ATOMIC_MOVE);
     }
 
-    private void tell(Runnable what) {
+    private void notifyOwner(Runnable notification) {
         try {
-            back.execute(what);
+            owner.execute(notification);
         } catch (RejectedExecutionException e) {
             // The owner ended meanwhile: what is written stays for the next process.
-            LogEvent.of("operators_state_unheard", "the operators' state changed as the node ended")
+            LogEvent.of(
+                            "operators_state_listener_ended",
+                            "the operators' state changed as the node ended")
                     .log(LOG, Level.DEBUG);
         }
     }
 
-    /**
-     * Stops looking; a change under way is finished first. Blocks for a moment; not on the owner's
-     * loop.
-     */
+    /** Ends polling; a change under way is finished first. Blocks; not on the owner's loop. */
     @Override
     public void close() {
-        files.shutdown();
+        fileThread.shutdown();
         try {
-            files.awaitTermination(1, TimeUnit.SECONDS);
+            fileThread.awaitTermination(CLOSE_TIMEOUT_S, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- /dev/null
+++ b/src/main/java/cresschute/control/files/SharedStateListener.java
@@ -0,0 +1,24 @@
+package cresschute.control.files;
+
+import cresschute.control.OperatorState;
+
+/**
+ * Is notified of changes of a {@link SharedOperatorState}, on the executor of its owner. Every
+ * {@link SharedOperatorState#change} is followed by exactly one {@link Change#stored} or {@link
+ * Change#notDurable}.
+ */
+public interface SharedStateListener {
+
+    /** A state newer than any before was found in the file, as another process wrote it. */
+    void stateFound(OperatorState found);
+
+    /** Is notified of the end of one change. */
+    interface Change {
+
+        /** The change is on the disk; {@code written} is the state with it. */
+        void stored(OperatorState written);
+
+        /** The change could not be written; the file is unchanged. */
+        void notDurable(NotDurableException failure);
+    }
+}
--- a/src/main/java/cresschute/control/files/StateFolder.java
+++ b/src/main/java/cresschute/control/files/StateFolder.java
@@ -1,39 +1,39 @@
 package cresschute.control.files;
 
-import cresschute.control.ChecksummedFile.DamagedFileException;
-import cresschute.control.Snapshot;
+import cresschute.control.DamagedFileException;
+import cresschute.control.DrainSnapshot;
 import cresschute.logs.LogEvent;
 import java.io.IOException;
 import java.lang.System.Logger;
 import java.lang.System.Logger.Level;
-import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
 import java.nio.channels.OverlappingFileLockException;
-import java.nio.file.Files;
 import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
-import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
-import java.util.List;
-import java.util.Objects;
+import java.util.Optional;
 import java.util.concurrent.Executor;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.RejectedExecutionException;
 import java.util.concurrent.TimeUnit;
-import java.util.function.Consumer;
-import java.util.stream.Stream;
 
 /**
- * Keeps snapshots in a folder: two files in turn, each written aside, synced and renamed over the
- * older one, so that at any moment the newest that was confirmed is there whole. Files are written
- * by one thread of its own, which hands its word back to the caller's executor. One process at a
- * time has the folder.
+ * The folder in which a node stores its {@link DrainSnapshot}s.
+ *
+ * <p>Two files take turns by generation, each an {@link AtomicFile}, so that the newest snapshot
+ * that was confirmed is always complete on the disk. A damaged file is put aside and the other one
+ * is used.
+ *
+ * <p>Life: {@link #open} locks the folder for this node, {@link #load} reads what an earlier run
+ * stored, {@link #close} writes what is queued and unlocks. Snapshots are written by one thread of
+ * its own, in the order given; that thread touches nothing of the caller's and notifies the
+ * caller's executor.
  */
 public final class StateFolder implements AutoCloseable {
 
     private static final int FILES = 2;
-    private static final long CLOSE_S = 5;
+    private static final long CLOSE_TIMEOUT_S = 5;
     private static final Logger LOG = System.getLogger("cresschute.state");
 
     private final Path folder;
@@ -52,7 +52,10 @@
     }
 
     /**
-     * Takes a folder, which is made if it is not there; one that another process has is an error.
+     * Locks a folder, and makes it where it is missing. Blocks.
+     *
+     * @throws StateFolderInUseException if another node has it
+     * @throws IOException if it cannot be made or locked
      */
     public static StateFolder open(Path folder) throws IOException {
         PrivateFolder.make(folder);
@@ -66,111 +69,100 @@
                 return new StateFolder(folder, channel);
             }
         } catch (OverlappingFileLockException e) {
-            // Another node of this very process has it: the same as another process.
+            // Another node of this process has it, which is the same as another process.
         }
         channel.close();
-        throw new IOException("another node uses the state folder " + folder);
+        throw new StateFolderInUseException(folder);
     }
 
-    private Path file(long generation) {
-        return folder.resolve("drains." + generation % FILES);
+    private AtomicFile file(long generation) {
+        return new AtomicFile(
+                folder.resolve("drains." + generation % FILES), folder.resolve("drains.new"));
     }
 
     /**
-     * The newest snapshot that is whole, or one of generation 0 with nothing in it. Reads files.
+     * The newest complete snapshot, or the empty one. Blocks.
+     *
+     * @throws IOException if a file that exists cannot be read or put aside
      */
-    public Snapshot load() throws IOException {
-        final Snapshot[] found = new Snapshot[FILES];
+    public DrainSnapshot load() throws IOException {
+        Optional<DrainSnapshot> newest = Optional.empty();
         for (int i = 0; i < FILES; i++) {
-            found[i] = read(file(i));
+            final Optional<DrainSnapshot> found = read(file(i));
+            if (found.isPresent()
+                    && (newest.isEmpty()
+                            || found.get().generation() >= newest.get().generation())) {
+                newest = found;
+            }
         }
-        return Stream.of(found)
-                .filter(Objects::nonNull)
-                .reduce((one, other) -> one.generation() > other.generation() ? one : other)
-                .orElse(new Snapshot(0, List.of(), List.of()));
+        return newest.orElse(DrainSnapshot.empty());
     }
 
-    private Snapshot read(Path file) throws IOException {
+    private static Optional<DrainSnapshot> read(AtomicFile file) throws IOException {
         try {
-            return Snapshot.decode(Files.readAllBytes(file));
+            return Optional.of(DrainSnapshot.decode(file.read()));
         } catch (NoSuchFileException e) {
-            return null;
+            return Optional.empty();
         } catch (DamagedFileException e) {
-            // Put aside and not lost: the next snapshot would be written over it.
-            final Path aside = file.resolveSibling(file.getFileName() + ".refused");
-            Files.move(file, aside, StandardCopyOption.REPLACE_EXISTING);
+            final Path aside = file.putAside();
             LogEvent.of(
                             "snapshot_refused",
                             "snapshot "
-                                    + file
+                                    + file.path()
                                     + " is refused and put aside as "
                                     + aside.getFileName()
                                     + ": "
                                     + e.getMessage())
                     .with("detail", e.getMessage())
                     .log(LOG, Level.ERROR);
-            return null;
+            return Optional.empty();
         }
     }
 
     /**
-     * Keeps a snapshot. {@code done} hears null once it is on the disk, or what went wrong, on the
-     * given executor. Snapshots are written in the order given.
+     * Stores a snapshot. Does not block; snapshots are written in the order given.
+     *
+     * @param snapshot of a generation one higher than the snapshot before
+     * @param executor where the listener is notified
+     * @param listener is notified once, unless the executor has ended
      */
-    public void keep(Snapshot snapshot, Executor back, Consumer<IOException> done) {
+    public void store(DrainSnapshot snapshot, Executor executor, SnapshotListener listener) {
         writer.execute(
                 () -> {
-                    IOException failed = null;
+                    Runnable notification;
                     try {
-                        write(snapshot);
+                        final AtomicFile file = file(snapshot.generation());
+                        file.replace(snapshot.encode());
+                        file.syncFolder();
+                        notification = listener::stored;
                     } catch (IOException e) {
-                        failed = e;
+                        final NotDurableException failure = new NotDurableException(e);
+                        notification = () -> listener.notDurable(failure);
                     }
-                    final IOException told = failed;
                     try {
-                        back.execute(() -> done.accept(told));
+                        executor.execute(notification);
                     } catch (RejectedExecutionException e) {
-                        // The node ended meanwhile: it is kept, and nobody waits for the word any
-                        // more.
-                        LogEvent.of("kept_unheard", "a snapshot was kept as the node ended")
+                        // The node ended meanwhile, and with it whoever waited for an answer.
+                        LogEvent.of(
+                                        "snapshot_listener_ended",
+                                        "a snapshot was written as the node ended")
                                 .with("generation", snapshot.generation())
                                 .log(LOG, Level.DEBUG);
                     }
                 });
     }
 
-    private void write(Snapshot snapshot) throws IOException {
-        final Path aside = folder.resolve("drains.new");
-        try (FileChannel out =
-                FileChannel.open(
-                        aside,
-                        StandardOpenOption.CREATE,
-                        StandardOpenOption.WRITE,
-                        StandardOpenOption.TRUNCATE_EXISTING)) {
-            final ByteBuffer bytes = ByteBuffer.wrap(snapshot.encode());
-            while (bytes.hasRemaining()) {
-                out.write(bytes);
-            }
-            out.force(true);
-        }
-        Files.move(aside, file(snapshot.generation()), StandardCopyOption.ATOMIC_MOVE);
-        // The name is on the disk once the folder is.
-        try (FileChannel names = FileChannel.open(folder, StandardOpenOption.READ)) {
-            names.force(true);
-        }
-    }
-
-    /** Writes what was given, then lets go of the folder. Blocks; not on the loop. */
+    /** Writes the snapshots that are queued, then unlocks the folder. Blocks; not on the loop. */
     @Override
     public void close() {
         writer.shutdown();
         try {
-            writer.awaitTermination(CLOSE_S, TimeUnit.SECONDS);
+            writer.awaitTermination(CLOSE_TIMEOUT_S, TimeUnit.SECONDS);
             lock.close();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (IOException e) {
-            LogEvent.of("state_folder", "the lock of " + folder + " could not be let go")
+            LogEvent.of("state_folder", "the lock of " + folder + " could not be released")
                     .because(e)
                     .log(LOG, Level.WARNING);
         }
--- a/src/main/java/cresschute/control/socket/ControlHandler.java
+++ b/src/main/java/cresschute/control/socket/ControlHandler.java
@@ -2,32 +2,41 @@
 
 import com.google.gson.JsonObject;
 import cresschute.control.ControlRequest;
-import cresschute.control.DrainRegistry.Operation;
+import cresschute.control.DrainOperation;
 import cresschute.control.EventRing;
 import cresschute.control.VersionedTable;
 import java.util.function.Consumer;
 
-/** What the control socket stands before: the node's own part. All calls are on the loop. */
+/** The node's side of the control socket. All methods are called on the node's loop. */
 public interface ControlHandler {
 
     /**
-     * The run of the node: another one after each start, so that numbers of different runs do not
-     * mix.
+     * Identifies this run of the node: table versions and event numbers of different runs cannot be
+     * compared.
      */
-    String boot();
+    String incarnation();
 
-    /** What is to be seen; {@link #look} brings it up to date. */
-    VersionedTable board();
+    /** The rows for consoles, as of the last {@link #refresh}. */
+    VersionedTable table();
 
-    /** What has happened. */
+    /** The events for consoles. */
     EventRing events();
 
-    /** Brings the board up to date now. */
-    void look();
+    /** Brings all rows of the table up to date now. */
+    void refresh();
 
-    /** Carries an operation out; the answer's fields come once what it changed is kept. */
-    void carryOut(Operation operation, Consumer<JsonObject> answer);
+    /**
+     * Executes an operation.
+     *
+     * @param answer is called once with the answer's fields, after the change is stored or could
+     *     not be stored
+     */
+    void execute(DrainOperation operation, Consumer<JsonObject> answer);
 
-    /** Notes what a console asked for in the log. */
+    /**
+     * Logs a request before it is executed.
+     *
+     * @param session the number of the console's session
+     */
     void audit(long session, ControlRequest request);
 }
--- a/src/main/java/cresschute/control/socket/ControlServer.java
+++ b/src/main/java/cresschute/control/socket/ControlServer.java
@@ -29,19 +29,24 @@
 import java.util.Set;
 
 /**
- * The Unix domain socket at which consoles connect. The file's mode is the permission: 0600 in a
- * folder of 0700. All of it happens on the node's loop, save {@link #listen}, which looks at files.
+ * The Unix domain socket at which consoles connect. It owns the socket file, the listening channel
+ * and the sessions.
+ *
+ * <p>The file's mode is the permission: 0600 in a folder of 0700. Life: {@link #listen} once,
+ * {@link #close} once. All of it is on the node's loop, save {@link #listen}, which blocks.
  */
 public final class ControlServer {
 
     /** Sessions at a time. */
     public static final int MAX_SESSIONS = 16;
 
-    /** Bytes that may wait for a console before it is told nothing more until it has read them. */
-    static final int MAX_WAITING = 512 * 1024;
+    /** Bytes that may wait for a console; above it, nothing is read from it and no update sent. */
+    static final int MAX_UNREAD_BYTES = 512 * 1024;
 
-    private static final int LESS_WAITING = 64 * 1024;
-    private static final Set<PosixFilePermission> OTHERS =
+    /** Bytes below which a console that was above {@link #MAX_UNREAD_BYTES} is served again. */
+    private static final int LOW_UNREAD_BYTES = 64 * 1024;
+
+    private static final Set<PosixFilePermission> PERMISSIONS_OF_OTHERS =
             EnumSet.of(
                     PosixFilePermission.GROUP_READ,
                     PosixFilePermission.GROUP_WRITE,
@@ -65,31 +70,27 @@
         this.handler = handler;
     }
 
-    /** Listens; the error of one that cannot says why. Blocks, so not on the loop. */
+    /**
+     * Listens. Blocks, so not on the loop.
+     *
+     * @throws ControlSocketInUseException if another node listens there
+     * @throws IOException if the folder is open to others, or the socket cannot be made
+     */
     public void listen() throws IOException {
-        final Path folder = file.toAbsolutePath().getParent();
-        PrivateFolder.make(folder);
-        final Set<PosixFilePermission> open = EnumSet.copyOf(OTHERS);
-        open.retainAll(Files.getPosixFilePermissions(folder));
-        if (!open.isEmpty()) {
-            throw new IOException(
-                    "the folder of the control socket, "
-                            + folder
-                            + ", is open to others; chmod 700 it or name another");
-        }
-        removeStale();
+        makePrivateFolder();
+        removeStaleSocket();
         final ChannelFuture bound =
                 new ServerBootstrap()
                         .group(loop)
                         .channel(NioServerDomainSocketChannel.class)
                         .childOption(
                                 ChannelOption.WRITE_BUFFER_WATER_MARK,
-                                new WriteBufferWaterMark(LESS_WAITING, MAX_WAITING))
+                                new WriteBufferWaterMark(LOW_UNREAD_BYTES, MAX_UNREAD_BYTES))
                         .childHandler(
                                 new ChannelInitializer<Channel>() {
                                     @Override
                                     protected void initChannel(Channel channel) {
-                                        open(channel);
+                                        accept(channel);
                                     }
                                 })
                         .bind(UnixDomainSocketAddress.of(file))
@@ -103,15 +104,28 @@
                     bound.cause());
         }
         server = bound.channel();
-        // Nobody else could come before this: the folder keeps them out.
+        // Between bind and this the mode of the folder keeps others out.
         Files.setPosixFilePermissions(file, PosixFilePermissions.fromString("rw-------"));
         LogEvent.of("control_listening", "consoles can connect at " + file)
                 .with("file", file)
                 .log(LOG, Level.INFO);
     }
 
-    /** A killed node leaves its socket behind; one that answers is another node's. */
-    private void removeStale() throws IOException {
+    private void makePrivateFolder() throws IOException {
+        final Path folder = file.toAbsolutePath().getParent();
+        PrivateFolder.make(folder);
+        final Set<PosixFilePermission> granted = EnumSet.copyOf(PERMISSIONS_OF_OTHERS);
+        granted.retainAll(Files.getPosixFilePermissions(folder));
+        if (!granted.isEmpty()) {
+            throw new IOException(
+                    "the folder of the control socket, "
+                            + folder
+                            + ", is open to others; chmod 700 it or name another");
+        }
+    }
+
+    /** Removes the socket of a node that was killed; one that answers is another node's. */
+    private void removeStaleSocket() throws IOException {
         if (!Files.exists(file, LinkOption.NOFOLLOW_LINKS)) {
             return;
         }
@@ -122,7 +136,7 @@
                             + " socket");
         }
         if (isAnswered()) {
-            throw new IOException("another node listens on the control socket " + file);
+            throw new ControlSocketInUseException(file);
         }
         Files.delete(file);
     }
@@ -136,42 +150,45 @@
         }
     }
 
-    private void open(Channel channel) {
+    private void accept(Channel channel) {
         final ControlSession session = new ControlSession(++lastSession, channel, handler);
         if (sessions.size() >= MAX_SESSIONS) {
-            session.refuse("there are " + MAX_SESSIONS + " consoles already; close one first");
+            session.reject("there are " + MAX_SESSIONS + " consoles already; close one first");
             return;
         }
         sessions.add(session);
         channel.closeFuture().addListener(closed -> sessions.remove(session));
-        // The flow control guards the heap: one read brings many short requests, and without it
-        // each of them
-        // would be answered in full, however little of that is taken.
+        // One read can bring many short requests: the flow control passes them on one by one, so
+        // that none is answered while too much of the earlier answers is unread.
         channel.pipeline()
                 .addLast(
-                        new LineBasedFrameDecoder(ControlRequest.MAX_LINE),
+                        new LineBasedFrameDecoder(ControlRequest.MAX_LINE_LENGTH),
                         new FlowControlHandler(),
                         session);
     }
 
-    /** Whether anybody follows what the board shows. */
-    public boolean isFollowed() {
-        return sessions.stream().anyMatch(ControlSession::followsRows);
+    /** Whether any console subscribed to rows. */
+    public boolean hasSubscribers() {
+        return sessions.stream().anyMatch(ControlSession::isSubscribed);
     }
 
-    /** Consoles that are connected. */
+    /** The number of connected consoles. */
     public int sessions() {
         return sessions.size();
     }
 
-    /** Tells each console what is new to it, as far as it reads; a few times a second. */
-    public void tell(long nowUs) {
+    /**
+     * Sends each console what changed for it, as far as it reads; called a few times a second.
+     *
+     * @param nowUs the loop's clock, us
+     */
+    public void publish(long nowUs) {
         for (final ControlSession session : new ArrayList<>(sessions)) {
-            session.tell(nowUs);
+            session.publish(nowUs);
         }
     }
 
-    /** Ends all sessions and takes the socket away. On the loop. */
+    /** Closes the listener and all sessions, and removes the socket file. On the loop. */
     public void close() {
         if (server != null) {
             server.close();
@@ -179,7 +196,7 @@
             try {
                 Files.deleteIfExists(file);
             } catch (IOException e) {
-                // The next start finds that nobody listens there and removes it.
+                // The next start finds that nobody listens there, and removes it.
                 LogEvent.of("control_file_left", "the control socket " + file + " was left behind")
                         .because(e)
                         .log(LOG, Level.WARNING);
--- a/src/main/java/cresschute/control/socket/ControlSession.java
+++ b/src/main/java/cresschute/control/socket/ControlSession.java
@@ -1,13 +1,9 @@
 package cresschute.control.socket;
 
-import com.google.gson.Gson;
-import com.google.gson.JsonArray;
-import com.google.gson.JsonObject;
 import cresschute.control.ControlRequest;
-import cresschute.control.ControlRequest.InvalidRequestException;
-import cresschute.control.EventRing;
-import cresschute.control.EventRing.Happening;
-import cresschute.control.VersionedTable;
+import cresschute.control.EventBatch;
+import cresschute.control.InvalidControlRequestException;
+import cresschute.control.TableDelta;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFutureListener;
@@ -15,56 +11,56 @@
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.handler.codec.TooLongFrameException;
 import java.nio.charset.StandardCharsets;
-import java.util.Map;
+import java.util.Optional;
 
 /**
- * One console's connection. It is read only while what was written to it is taken, and it is told
- * news only then: a console that stops reading costs a bounded piece of memory, and the newest
- * state once it reads again. All on the loop.
+ * One console's connection: answers its requests, and sends the changes that it subscribed to.
+ *
+ * <p>Backpressure: nothing is read from the console and no change is sent to it while {@link
+ * ControlServer#MAX_UNREAD_BYTES} wait for it. A console that stops reading costs a bounded amount
+ * of memory, is closed after {@link #STALL_TIMEOUT_US}, and gets the newest state if it reads again
+ * before.
+ *
+ * <p>Life: from the accepted connection to its close. All of it is on the node's loop.
  */
 final class ControlSession extends SimpleChannelInboundHandler<ByteBuf> {
 
-    /** A console that has not read for so long is let go, us. */
-    static final long STALLED_US = 30_000_000;
+    /** A console that reads nothing for so long is closed, us. */
+    static final long STALL_TIMEOUT_US = 30_000_000;
 
-    /** A console that follows rows hears at least this often that its picture holds, us. */
-    private static final long BEAT_US = 1_000_000;
+    /** A subscribed console gets a line at least this often, also if nothing changed, us. */
+    private static final long HEARTBEAT_INTERVAL_US = 1_000_000;
 
-    private static final Gson GSON = new Gson();
+    private static final long NOT_STALLED = 0;
 
     private final long number;
     private final Channel channel;
     private final ControlHandler handler;
-    private boolean rows;
-    private boolean events;
-    private long toldRows;
-    private long toldEvents;
-    private long stalledSinceUs;
-    private long startReportedAtUs;
-
+    private boolean subscribed;
+    private boolean eventsFollowed;
+    private long sentVersion;
+    private long sentEvent;
+    private long stalledSinceUs = NOT_STALLED;
+    private long lastUpdateUs;
+
+    /**
+     * @param number counts the sessions of the node, for the log
+     */
     ControlSession(long number, Channel channel, ControlHandler handler) {
         this.number = number;
         this.channel = channel;
         this.handler = handler;
     }
 
-    boolean followsRows() {
-        return rows;
+    /** Whether the console subscribed to rows. */
+    boolean isSubscribed() {
+        return subscribed;
     }
 
-    /** Says why and ends. */
-    void refuse(String why) {
-        channel.writeAndFlush(line(error(null, why))).addListener(ChannelFutureListener.CLOSE);
-    }
-
-    private static String error(String re, String why) {
-        final JsonObject answer = new JsonObject();
-        if (re != null) {
-            answer.addProperty("re", re);
-        }
-        answer.addProperty("ok", false);
-        answer.addProperty("error", why);
-        return answer.toString();
+    /** Sends the reason and closes. */
+    void reject(String reason) {
+        channel.writeAndFlush(line(ControlMessages.error(Optional.empty(), reason)))
+                .addListener(ChannelFutureListener.CLOSE);
     }
 
     void close() {
@@ -80,138 +76,111 @@
                     ControlRequest.parse(bytes.toString(StandardCharsets.UTF_8));
             handler.audit(number, request);
             answer(request);
-        } catch (InvalidRequestException e) {
-            write(error(e.id(), e.getMessage()));
+        } catch (InvalidControlRequestException e) {
+            write(ControlMessages.error(e.id(), e.getMessage()));
         }
     }
 
     private void answer(ControlRequest request) {
-        switch (request.what()) {
+        switch (request.command()) {
             case WORKERS -> {
-                handler.look();
-                write(news(request.id(), handler.board().since(0), null));
-            }
-            case SUBSCRIBE -> {
-                handler.look();
-                // A number of another run of the node means nothing here.
-                final VersionedTable.Delta news =
-                        handler.board()
-                                .since(request.boot().equals(handler.boot()) ? request.from() : 0);
-                rows = true;
-                toldRows = news.number();
-                write(news(request.id(), news, null));
-            }
-            case EVENTS -> {
-                // Nor does one of another run's events; a script that names no run means this one.
-                final EventRing.Read read =
-                        handler.events()
-                                .after(
-                                        request.boot().isEmpty()
-                                                        || request.boot().equals(handler.boot())
-                                                ? request.after()
-                                                : 0);
-                events = true;
-                toldEvents = handler.events().last();
-                write(news(request.id(), null, read));
+                handler.refresh();
+                answerRows(request, handler.table().since(0));
             }
+            case SUBSCRIBE -> subscribe(request);
+            case EVENTS -> followEvents(request);
             case DRAIN, UNDRAIN ->
-                    handler.carryOut(
+                    handler.execute(
                             request.operation(),
-                            fields -> {
-                                final JsonObject answer = new JsonObject();
-                                answer.addProperty("re", request.id());
-                                fields.entrySet()
-                                        .forEach(
-                                                each -> answer.add(each.getKey(), each.getValue()));
-                                write(answer.toString());
-                            });
+                            fields -> write(ControlMessages.answer(request.id(), fields)));
         }
     }
 
-    // ---- News ----
+    private void answerRows(ControlRequest request, TableDelta rows) {
+        write(
+                ControlMessages.answer(
+                        request.id(), handler.incarnation(), Optional.of(rows), Optional.empty()));
+    }
+
+    private void subscribe(ControlRequest request) {
+        handler.refresh();
+        // A version of another run of the node cannot be compared.
+        final boolean isComparable = request.incarnation().equals(handler.incarnation());
+        final TableDelta rows = handler.table().since(isComparable ? request.sinceVersion() : 0);
+        subscribed = true;
+        sentVersion = rows.version();
+        answerRows(request, rows);
+    }
 
-    /** Tells what is new, if the console has taken what it was told before. */
-    void tell(long nowUs) {
+    private void followEvents(ControlRequest request) {
+        // A request that names no run means this one.
+        final boolean isComparable =
+                request.incarnation().isEmpty()
+                        || request.incarnation().equals(handler.incarnation());
+        final EventBatch events = handler.events().after(isComparable ? request.afterEvent() : 0);
+        eventsFollowed = true;
+        sentEvent = handler.events().lastNumber();
+        write(
+                ControlMessages.answer(
+                        request.id(),
+                        handler.incarnation(),
+                        Optional.empty(),
+                        Optional.of(events)));
+    }
+
+    // ---- Updates ----
+
+    /**
+     * Sends what changed since the last line, or a heartbeat where that is due, if the console has
+     * read enough of what was sent before; closes a console that is stalled for too long.
+     *
+     * @param nowUs the loop's clock, us
+     */
+    void publish(long nowUs) {
         if (!channel.isWritable()) {
-            stalledSinceUs = stalledSinceUs == 0 ? nowUs : stalledSinceUs;
-            if (nowUs - stalledSinceUs >= STALLED_US) {
+            stalledSinceUs = stalledSinceUs == NOT_STALLED ? nowUs : stalledSinceUs;
+            if (nowUs - stalledSinceUs >= STALL_TIMEOUT_US) {
                 channel.close();
             }
             return;
         }
-        stalledSinceUs = 0;
-        final VersionedTable.Delta news =
-                rows && handler.board().number() != toldRows
-                        ? handler.board().since(toldRows)
-                        : null;
-        final EventRing.Read read =
-                events && handler.events().last() != toldEvents
-                        ? handler.events().after(toldEvents)
-                        : null;
-        if (news != null || read != null || rows && nowUs - startReportedAtUs >= BEAT_US) {
-            startReportedAtUs = nowUs;
-            toldRows = news == null ? toldRows : news.number();
-            toldEvents = handler.events().last();
-            write(news(null, news, read));
+        stalledSinceUs = NOT_STALLED;
+        final Optional<TableDelta> rows = unsentRows();
+        final Optional<EventBatch> events = unsentEvents();
+        final boolean heartbeatDue = subscribed && nowUs - lastUpdateUs >= HEARTBEAT_INTERVAL_US;
+        if (rows.isPresent() || events.isPresent() || heartbeatDue) {
+            lastUpdateUs = nowUs;
+            sentVersion = rows.map(TableDelta::version).orElse(sentVersion);
+            sentEvent = handler.events().lastNumber();
+            write(ControlMessages.update(handler.incarnation(), rows, events));
         }
     }
 
-    /** Rows are text already: they are put in as they are. */
-    private String news(String re, VersionedTable.Delta news, EventRing.Read read) {
-        final StringBuilder out = new StringBuilder("{");
-        if (re != null) {
-            out.append("\"re\":").append(GSON.toJson(re)).append(",\"ok\":true,");
-        }
-        out.append("\"boot\":").append(GSON.toJson(handler.boot()));
-        if (news != null) {
-            out.append(",\"number\":")
-                    .append(news.number())
-                    .append(",\"whole\":")
-                    .append(news.whole())
-                    .append(",\"rows\":{");
-            String comma = "";
-            for (final Map.Entry<String, String> row : news.rows().entrySet()) {
-                out.append(comma)
-                        .append(GSON.toJson(row.getKey()))
-                        .append(':')
-                        .append(row.getValue());
-                comma = ",";
-            }
-            out.append("},\"gone\":").append(GSON.toJson(news.gone()));
-        }
-        if (read != null) {
-            final JsonArray list = new JsonArray();
-            read.happenings().forEach(each -> list.add(json(each)));
-            out.append(",\"missed\":").append(read.missed()).append(",\"events\":").append(list);
-        }
-        return out.append('}').toString();
+    private Optional<TableDelta> unsentRows() {
+        return subscribed && handler.table().version() != sentVersion
+                ? Optional.of(handler.table().since(sentVersion))
+                : Optional.empty();
     }
 
-    private static JsonObject json(Happening happening) {
-        final JsonObject json = new JsonObject();
-        json.addProperty("n", happening.number());
-        json.addProperty("at_ms", happening.atUs() / 1_000);
-        json.addProperty("kind", happening.kind());
-        if (happening.worker() != null) {
-            json.addProperty("worker", happening.worker());
-        }
-        json.addProperty("text", happening.text());
-        return json;
+    private Optional<EventBatch> unsentEvents() {
+        return eventsFollowed && handler.events().lastNumber() != sentEvent
+                ? Optional.of(handler.events().after(sentEvent))
+                : Optional.empty();
     }
 
     // ---- The connection ----
 
-    private void write(String text) {
-        channel.writeAndFlush(line(text));
+    private void write(String message) {
+        channel.writeAndFlush(line(message));
         if (!channel.isWritable()) {
-            // Guards the heap: whoever does not read its answers cannot ask for more.
+            // Bounds the memory: a console that does not read its answers cannot ask for more.
             channel.config().setAutoRead(false);
         }
     }
 
-    private ByteBuf line(String text) {
-        final ByteBuf bytes = channel.alloc().buffer(text.length() + 1);
-        bytes.writeCharSequence(text, StandardCharsets.UTF_8);
+    private ByteBuf line(String message) {
+        final ByteBuf bytes = channel.alloc().buffer(message.length() + 1);
+        bytes.writeCharSequence(message, StandardCharsets.UTF_8);
         return bytes.writeByte('\n');
     }
 
@@ -226,7 +195,7 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (cause instanceof TooLongFrameException) {
-            refuse("a line is longer than " + ControlRequest.MAX_LINE + " bytes");
+            reject("a line is longer than " + ControlRequest.MAX_LINE_LENGTH + " bytes");
         } else {
             ctx.close();
         }
--- /dev/null
+++ b/src/main/java/cresschute/control/socket/ManagementSession.java
@@ -0,0 +1,150 @@
+package cresschute.control.socket;
+
+import cresschute.control.InvalidManagementCallException;
+import cresschute.control.ManagementCall;
+import cresschute.logs.LogEvent;
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.Unpooled;
+import io.netty.channel.ChannelFutureListener;
+import io.netty.channel.ChannelHandler;
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.ChannelInboundHandlerAdapter;
+import io.netty.channel.EventLoop;
+import io.netty.handler.codec.TooLongFrameException;
+import io.netty.util.concurrent.ScheduledFuture;
+import java.lang.System.Logger;
+import java.lang.System.Logger.Level;
+import java.nio.charset.StandardCharsets;
+import java.util.concurrent.TimeUnit;
+
+/**
+ * One operator's connection: reads one call, writes one answer and closes. It owns its two timers;
+ * a caller that sends nothing, or half a call, holds one connection and delays nobody.
+ *
+ * <p>Life: from the accepted connection to its close. All of it is on the node's loop.
+ */
+final class ManagementSession extends ChannelInboundHandlerAdapter {
+
+    /** A call whose end of line has not come by then is answered as incomplete, ms. */
+    static final long INCOMPLETE_CALL_TIMEOUT_MS = 2_000;
+
+    /** A connection without an answer is closed by then, ms. */
+    static final long IDLE_TIMEOUT_MS = 5_000;
+
+    private static final Logger LOG = System.getLogger("cresschute.management");
+
+    private final EventLoop loop;
+    private final ManagementHandler handler;
+    private boolean hasBytes;
+    private boolean answered;
+    private ScheduledFuture<?> incompleteCallTimer;
+    private ScheduledFuture<?> idleTimer;
+
+    ManagementSession(EventLoop loop, ManagementHandler handler) {
+        this.loop = loop;
+        this.handler = handler;
+    }
+
+    /** The bytes of an answer: one line. */
+    static ByteBuf line(String text) {
+        return Unpooled.copiedBuffer(
+                text.replace('\n', ' ').replace('\r', ' ') + "\n", StandardCharsets.UTF_8);
+    }
+
+    /** A handler that stands before the line decoder and notes that a call has begun. */
+    ChannelHandler firstBytesDetector() {
+        return new ChannelInboundHandlerAdapter() {
+            @Override
+            public void channelRead(ChannelHandlerContext ctx, Object message) {
+                hasBytes = true;
+                ctx.fireChannelRead(message);
+            }
+        };
+    }
+
+    @Override
+    public void channelActive(ChannelHandlerContext ctx) {
+        incompleteCallTimer =
+                loop.schedule(
+                        () -> answerIncompleteCall(ctx),
+                        INCOMPLETE_CALL_TIMEOUT_MS,
+                        TimeUnit.MILLISECONDS);
+        idleTimer = loop.schedule(() -> closeIfIdle(ctx), IDLE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+        ctx.fireChannelActive();
+    }
+
+    private void answerIncompleteCall(ChannelHandlerContext ctx) {
+        if (hasBytes && !answered) {
+            answer(
+                    ctx,
+                    "400 incomplete call: no end of line came within "
+                            + INCOMPLETE_CALL_TIMEOUT_MS
+                            + " ms");
+        }
+    }
+
+    private void closeIfIdle(ChannelHandlerContext ctx) {
+        if (!answered) {
+            answered = true;
+            ctx.close();
+        }
+    }
+
+    @Override
+    public void channelRead(ChannelHandlerContext ctx, Object message) {
+        final ByteBuf frame = (ByteBuf) message;
+        try {
+            if (!answered) {
+                read(ctx, frame.toString(StandardCharsets.UTF_8));
+            }
+        } finally {
+            frame.release();
+        }
+    }
+
+    private void read(ChannelHandlerContext ctx, String line) {
+        final ManagementCall call;
+        try {
+            call = ManagementCall.parse(line);
+        } catch (InvalidManagementCallException e) {
+            answer(ctx, "400 " + e.getMessage());
+            return;
+        }
+        // The handler answers, perhaps later: the timers end and further lines are ignored.
+        answered = true;
+        LogEvent.of("operators_called", "operators call: " + line.strip())
+                .with("call", call.command().word())
+                .with("worker", String.valueOf(call.worker()))
+                .log(LOG, Level.INFO);
+        handler.call(call, answer -> write(ctx, answer));
+    }
+
+    @Override
+    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+        if (cause instanceof TooLongFrameException) {
+            answer(ctx, "400 a call has " + ManagementCall.MAX_LINE_LENGTH + " characters at most");
+        } else {
+            answered = true;
+            ctx.close();
+        }
+    }
+
+    @Override
+    public void channelInactive(ChannelHandlerContext ctx) {
+        answered = true;
+        incompleteCallTimer.cancel(false);
+        idleTimer.cancel(false);
+        ctx.fireChannelInactive();
+    }
+
+    private void answer(ChannelHandlerContext ctx, String text) {
+        answered = true;
+        write(ctx, text);
+    }
+
+    private static void write(ChannelHandlerContext ctx, String text) {
+        if (ctx.channel().isActive()) {
+            ctx.writeAndFlush(line(text)).addListener(ChannelFutureListener.CLOSE);
+        }
+    }
+}
--- a/src/main/java/cresschute/node/ControlService.java
+++ b/src/main/java/cresschute/node/ControlService.java
@@ -2,17 +2,20 @@
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
+import cresschute.control.ClassPlacement;
 import cresschute.control.ControlRequest;
+import cresschute.control.Drain;
+import cresschute.control.DrainOperation;
 import cresschute.control.DrainRegistry;
-import cresschute.control.DrainRegistry.ClassBound;
-import cresschute.control.DrainRegistry.Drain;
-import cresschute.control.DrainRegistry.Listed;
-import cresschute.control.DrainRegistry.Operation;
-import cresschute.control.DrainRegistry.Outcome;
-import cresschute.control.DrainRegistry.Site;
+import cresschute.control.DrainSnapshot;
 import cresschute.control.EventRing;
-import cresschute.control.Snapshot;
+import cresschute.control.FleetView;
+import cresschute.control.ListedWorker;
+import cresschute.control.OperationOutcome;
+import cresschute.control.OperationResult;
 import cresschute.control.VersionedTable;
+import cresschute.control.files.NotDurableException;
+import cresschute.control.files.SnapshotListener;
 import cresschute.control.files.StateFolder;
 import cresschute.control.socket.ControlHandler;
 import cresschute.control.socket.ControlServer;
@@ -116,10 +119,10 @@
         core = watched;
         if (config.stateFolder() != null) {
             state = StateFolder.open(Path.of(config.stateFolder()));
-            final Snapshot kept = state.load();
+            final DrainSnapshot kept = state.load();
             generation = kept.generation();
             keptUpTo = generation;
-            drains.restore(kept.drains(), kept.operations());
+            drains.restore(kept.drains(), kept.completed());
             LogEvent.of(
                             "drains_restored",
                             "drains taken up from "
@@ -168,20 +171,20 @@
     // ---- Operations ----
 
     @Override
-    public void carryOut(Operation operation, Consumer<JsonObject> answer) {
+    public void execute(DrainOperation operation, Consumer<JsonObject> answer) {
         expire();
         // One that was carried out before is only answered again: nothing is told or kept a second
         // time.
-        final boolean again = drains.isRemembered(operation.id());
-        final Outcome outcome = drains.apply(operation, site(), clock.nowUs());
-        if (outcome.kind() == DrainRegistry.Kind.DONE && !again) {
+        final boolean again = drains.isCompleted(operation.id());
+        final OperationOutcome outcome = drains.apply(operation, site(), clock.nowUs());
+        if (outcome.result() == OperationResult.APPLIED && !again) {
             note(
-                    operation.start() ? "drained" : "undrained",
+                    operation.isDrain() ? "drained" : "undrained",
                     operation.worker(),
                     operation.worker()
-                            + (operation.start() ? " drained" : " no longer drained")
+                            + (operation.isDrain() ? " drained" : " no longer drained")
                             + " by "
-                            + operation.who()
+                            + operation.operator()
                             + (operation.reason().isEmpty() ? "" : ": " + operation.reason()));
             overlayChanged(List.of(operation.worker()));
             keep();
@@ -191,11 +194,11 @@
         afterKept(() -> answer.accept(answer(operation, outcome)));
     }
 
-    private JsonObject answer(Operation operation, Outcome outcome) {
+    private JsonObject answer(DrainOperation operation, OperationOutcome outcome) {
         final JsonObject json = new JsonObject();
         json.addProperty("ok", true);
-        json.addProperty("outcome", outcome.kind().wireName());
-        json.addProperty("why", outcome.why());
+        json.addProperty("outcome", outcome.result().wireName());
+        json.addProperty("why", outcome.reason());
         json.addProperty("worker", operation.worker());
         final int number = core.registry().number(operation.worker());
         json.addProperty("in_flight", number < 0 ? 0 : health.inFlight(number));
@@ -210,19 +213,19 @@
         return json;
     }
 
-    private Site site() {
-        final List<Listed> workers =
+    private FleetView site() {
+        final List<ListedWorker> workers =
                 core.registry().listed().stream()
-                        .map(each -> new Listed(core.registry().name(each.id()), each))
+                        .map(each -> new ListedWorker(core.registry().name(each.id()), each))
                         .toList();
-        final List<ClassBound> classes = new ArrayList<>();
+        final List<ClassPlacement> classes = new ArrayList<>();
         for (int i = 0; i < config.classes().size(); i++) {
             classes.add(
-                    new ClassBound(
+                    new ClassPlacement(
                             config.classes().get(i),
                             config.settings().classes().get(i).placement()));
         }
-        return new Site(workers, classes, core.boundCells());
+        return new FleetView(workers, classes, core.boundCells());
     }
 
     private void overlayChanged(List<String> workers) {
@@ -253,23 +256,35 @@
             return;
         }
         final long mine = ++generation;
-        state.keep(
-                new Snapshot(mine, drains.inForce(), drains.remembered()),
+        state.store(
+                new DrainSnapshot(mine, drains.inForce(), drains.completed()),
                 loop,
-                failed -> {
-                    keptUpTo = mine;
-                    keepFailed = failed;
-                    if (failed != null) {
-                        LogEvent.of("snapshot_failed", "drains could not be kept: " + failed)
-                                .with("detail", failed)
-                                .log(LOG, Level.ERROR);
+                new SnapshotListener() {
+                    @Override
+                    public void stored() {
+                        finish(mine, null);
                     }
-                    while (!waiting.isEmpty() && waiting.peekFirst().generation() <= keptUpTo) {
-                        waiting.pollFirst().answer().run();
+
+                    @Override
+                    public void notDurable(NotDurableException failure) {
+                        finish(mine, failure);
                     }
                 });
     }
 
+    private void finish(long finished, NotDurableException failed) {
+        keptUpTo = finished;
+        keepFailed = failed;
+        if (failed != null) {
+            LogEvent.of("snapshot_failed", "drains could not be kept: " + failed.getCause())
+                    .with("detail", failed.getCause())
+                    .log(LOG, Level.ERROR);
+        }
+        while (!waiting.isEmpty() && waiting.peekFirst().generation() <= keptUpTo) {
+            waiting.pollFirst().answer().run();
+        }
+    }
+
     private void afterKept(Runnable answer) {
         if (state == null || keptUpTo >= generation) {
             answer.run();
@@ -282,7 +297,7 @@
 
     @Override
     public WorkerState over(String worker, WorkerState listed) {
-        return drains.over(worker, listed);
+        return drains.effectiveState(worker, listed);
     }
 
     @Override
@@ -312,7 +327,7 @@
                 nowUs,
                 worker.id(),
                 worker.state(),
-                drains.of(core.registry().name(worker.id())) != null,
+                drains.drainOf(core.registry().name(worker.id())).isPresent(),
                 worker.startedAtUs());
         changed.add(worker.id());
     }
@@ -372,10 +387,10 @@
         expire();
         lookAtConditions();
         if (server != null) {
-            if (server.isFollowed()) {
+            if (server.hasSubscribers()) {
                 show(false);
             }
-            server.tell(clock.nowUs());
+            server.publish(clock.nowUs());
         }
     }
 
@@ -413,7 +428,7 @@
     }
 
     @Override
-    public void look() {
+    public void refresh() {
         lookAtConditions();
         show(true);
     }
@@ -456,14 +471,14 @@
         row.addProperty(
                 "listed",
                 listed.state() == WorkerState.READY ? "serving" : listed.state().wireName());
-        final Drain drain = drains.of(core.registry().name(worker));
+        final Drain drain = drains.drainOf(core.registry().name(worker)).orElse(null);
         if (drain != null) {
             final JsonObject shown = new JsonObject();
-            shown.addProperty("who", drain.who());
+            shown.addProperty("who", drain.operator());
             shown.addProperty("reason", drain.reason());
-            shown.addProperty("since_ms", drain.sinceUs() / US_A_MS);
-            if (drain.untilUs() != DrainRegistry.FOREVER) {
-                shown.addProperty("until_ms", drain.untilUs() / US_A_MS);
+            shown.addProperty("since_ms", drain.startedAtUs() / US_A_MS);
+            if (drain.endsAtUs() != DrainRegistry.NO_END_US) {
+                shown.addProperty("until_ms", drain.endsAtUs() / US_A_MS);
             }
             row.add("drain", shown);
         }
@@ -534,12 +549,12 @@
     }
 
     @Override
-    public String boot() {
+    public String incarnation() {
         return boot;
     }
 
     @Override
-    public VersionedTable board() {
+    public VersionedTable table() {
         return board;
     }
 
@@ -556,22 +571,22 @@
                                 "console "
                                         + session
                                         + " asks: "
-                                        + request.what().wireName()
+                                        + request.command().wireName()
                                         + (request.operation() == null
                                                 ? ""
                                                 : " "
                                                         + request.operation().worker()
                                                         + " by "
-                                                        + request.operation().who()))
+                                                        + request.operation().operator()))
                         .with("session", session)
-                        .with("what", request.what().wireName());
+                        .with("what", request.command().wireName());
         if (request.operation() != null) {
-            final Operation asked = request.operation();
+            final DrainOperation asked = request.operation();
             event.with("worker", asked.worker())
                     .with("operation", asked.id())
-                    .with("who", asked.who())
+                    .with("who", asked.operator())
                     .with("reason", asked.reason())
-                    .with("forced", asked.forced());
+                    .with("forced", asked.isForced());
         }
         event.log(LOG, Level.INFO);
     }
--- a/src/main/java/cresschute/node/ManagementService.java
+++ b/src/main/java/cresschute/node/ManagementService.java
@@ -1,8 +1,12 @@
 package cresschute.node;
 
+import cresschute.control.BanLimitReachedException;
 import cresschute.control.ManagementCall;
-import cresschute.control.OperatorsState;
+import cresschute.control.OperatorState;
+import cresschute.control.files.NotDurableException;
 import cresschute.control.files.SharedOperatorState;
+import cresschute.control.files.SharedStateListener;
+import cresschute.control.socket.ManagementHandler;
 import cresschute.control.socket.ManagementServer;
 import cresschute.dispatch.WorkerState;
 import cresschute.logs.LogEvent;
@@ -11,76 +15,92 @@
 import java.io.IOException;
 import java.lang.System.Logger;
 import java.lang.System.Logger.Level;
+import java.net.SocketAddress;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
-import java.util.TreeSet;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
 /**
- * The platform operators' place in a node: their calls, the bans of workers laid over the list, and
- * the node's own drain. What they ask is kept in the folder that both processes of an upgrade
- * share, and what the other process writes there is taken up within a look of the file. It chooses
- * no worker: a ban reaches the module as a worker that drains. All of it is on the loop, save
- * {@link #open} and {@link #close}.
+ * Executes the calls of the platform's operators: bans of workers, as an overlay on the endpoint
+ * list, and the node's own drain. It selects no worker: to the dispatcher a banned worker is
+ * draining.
  *
- * <p>What is in force is the last state read or written, with the calls of this process laid over
- * it that are not yet written: a look that comes between a call and its write undoes nothing.
+ * <p>Owned state: the {@link OperatorState} in force. It is the newest state read from or written
+ * to the file that both processes of an upgrade share, with the calls of this process that are not
+ * yet written applied on top, so that a poll of the file between a call and its write undoes
+ * nothing. Without a shared folder it lives as long as the process.
+ *
+ * <p>A call takes effect in this order: in force, stored, answered; a call whose change is not
+ * stored within {@value #MAX_ANSWER_DELAY_MS} ms is answered all the same.
+ *
+ * <p>Life: {@link #open}, {@link #listen}, {@link #closeServer}, {@link #close}. All of it is on
+ * the loop, save {@link #open} and {@link #close}, which block.
  */
-final class ManagementService implements RequestListener, ManagementServer.ManagementHandler {
+final class ManagementService implements RequestListener, ManagementHandler, SharedStateListener {
 
-    /**
-     * A call whose change is not yet written is answered all the same by then, ms; it is in force.
-     */
-    static final long ANSWER_WITHIN_MS = 500;
+    /** By when a call is answered whose change is not yet stored, ms. */
+    static final long MAX_ANSWER_DELAY_MS = 500;
 
     private static final Logger LOG = System.getLogger("cresschute.management");
 
     private final NodeConfig config;
     private final EventLoop loop;
     private final int maxCallers;
-    private final List<ManagementCall> pending = new ArrayList<>();
-    private RequestLifecycle core;
+
+    /** Calls that are in force and not yet stored, oldest first. */
+    private final List<ManagementCall> unstored = new ArrayList<>();
+
+    private RequestLifecycle lifecycle;
     private ReadinessSwitch readiness;
     private SharedOperatorState shared;
     private ManagementServer server;
 
-    /** The last state read or written. */
-    private OperatorsState kept = OperatorsState.NONE;
+    /** The newest state that was read or written. */
+    private OperatorState stored = OperatorState.NONE;
 
-    /** That, with the calls that are not yet written laid over it. */
-    private OperatorsState inForce = OperatorsState.NONE;
+    /** {@link #stored} with the calls of {@link #unstored} applied. */
+    private OperatorState inForce = OperatorState.NONE;
 
-    /** Nobody can call yet; {@code maxCallers} is how many may at a time. */
+    /**
+     * A service that nobody can call yet.
+     *
+     * @param maxCallers connections at a time
+     */
     ManagementService(NodeConfig config, EventLoop loop, int maxCallers) {
         this.config = config;
         this.loop = loop;
         this.maxCallers = maxCallers;
     }
 
-    /** Takes up what operators asked before this process began. Reads files, so not on the loop. */
-    void open(RequestLifecycle watched, ReadinessSwitch readinessSwitch) throws IOException {
-        core = watched;
+    // ---- Start and stop ----
+
+    /**
+     * Takes up the state that an earlier or the other process stored, before the first endpoint
+     * list. Blocks, so not on the loop.
+     *
+     * @throws IOException if the shared folder cannot be made or read
+     */
+    void open(RequestLifecycle requestLifecycle, ReadinessSwitch readinessSwitch)
+            throws IOException {
+        lifecycle = requestLifecycle;
         readiness = readinessSwitch;
-        if (config.operators().shared() != null) {
-            final SharedOperatorState.Opened opened =
-                    SharedOperatorState.open(
-                            Path.of(config.operators().shared()), loop, this::heard);
-            shared = opened.shared();
-            kept = opened.found();
-            inForce = kept;
-            if (!kept.banned().isEmpty() || kept.drained()) {
-                LogEvent.of("operators_restored", "taken up from before: " + describe(kept))
-                        .with("banned", String.join(",", kept.banned()))
-                        .with("drained", kept.drained())
-                        .log(LOG, Level.INFO);
-            }
+        if (config.operators().shared() == null) {
+            return;
+        }
+        final SharedOperatorState.Opened opened =
+                SharedOperatorState.open(Path.of(config.operators().shared()), loop, this);
+        shared = opened.shared();
+        stored = opened.found();
+        inForce = stored;
+        if (!stored.banned().isEmpty() || stored.drained()) {
+            logState("operators_restored", "taken up from before: ", stored);
         }
     }
 
-    /** Lets operators call; the future fails where the address cannot be had. */
+    /** Lets operators call. The future fails if the address cannot be listened on. */
     ChannelFuture listen() {
         server = new ManagementServer(loop, config.operators().management(), maxCallers, this);
         if (inForce.drained()) {
@@ -89,19 +109,19 @@
         return server.listen();
     }
 
-    /** Where operators call, once it listens. */
-    java.net.SocketAddress address() {
+    /** The address that operators call, once it listens. */
+    SocketAddress address() {
         return server.localAddress();
     }
 
-    /** Ends the calls. On the loop. */
+    /** Closes the listener and its connections. On the loop. */
     void closeServer() {
         if (server != null) {
             server.close();
         }
     }
 
-    /** Stops looking at the shared file. Blocks for a moment, so not on the loop. */
+    /** Ends polling of the shared file, after a write under way. Blocks, so not on the loop. */
     void close() {
         if (shared != null) {
             shared.close();
@@ -112,77 +132,97 @@
 
     @Override
     public void call(ManagementCall call, Consumer<String> answer) {
-        switch (call.verb()) {
+        switch (call.command()) {
             case READY ->
                     answer.accept(
                             readiness.isReady()
                                     ? "200 ready"
                                     : "400 not ready: " + readiness.whyNotReady());
             case DISABLE_SERVER, ENABLE_SERVER -> {
-                if (!isKnown(call.worker())) {
+                if (isKnown(call.worker())) {
+                    change(call, answer);
+                } else {
                     answer.accept("400 no list has named a worker " + call.worker());
-                    return;
                 }
-                change(call, answer);
             }
             case DRAIN, RESUME -> change(call, answer);
-            default -> answer.accept("400 " + call.verb().word() + " is not carried out here");
+            default -> answer.accept("400 " + call.command().word() + " is not carried out here");
         }
     }
 
     private boolean isKnown(String worker) {
-        return core.registry().number(worker) >= 0 || inForce.isBanned(worker);
+        return lifecycle.registry().number(worker) >= 0 || inForce.isBanned(worker);
     }
 
     private void change(ManagementCall call, Consumer<String> answer) {
-        final OperatorsState next;
+        final OperatorState next;
         try {
-            next = inForce.after(call);
-        } catch (IllegalStateException e) {
+            next = inForce.apply(call);
+        } catch (BanLimitReachedException e) {
             answer.accept("400 " + e.getMessage());
             return;
         }
-        pending.add(call);
-        // In force at once: the grace of a ban counts from the call, before anything is on a disk.
-        become(next);
-        final String done = "200 " + said(call);
+        putInForce(next);
+        final String confirmation = "200 " + confirmation(call);
         if (shared == null) {
-            pending.remove(call);
-            answer.accept(done);
+            answer.accept(confirmation);
             return;
         }
-        final boolean[] told = {false};
-        final Runnable once =
-                () -> {
-                    if (!told[0]) {
-                        told[0] = true;
-                        answer.accept(done);
-                    }
-                };
-        loop.schedule(once, ANSWER_WITHIN_MS, TimeUnit.MILLISECONDS);
-        shared.change(
-                state -> state.after(call),
-                (written, failed) -> {
-                    pending.remove(call);
-                    if (failed != null) {
-                        LogEvent.of(
-                                        "operators_state_unkept",
-                                        "in force, but an upgrade would not know it: "
-                                                + said(call)
-                                                + ": "
-                                                + failed.getMessage())
-                                .with("detail", String.valueOf(failed.getMessage()))
-                                .log(LOG, Level.ERROR);
-                    } else if (written.generation() > kept.generation()) {
-                        kept = written;
-                    }
-                    become(overlaid());
-                    once.run();
-                });
+        unstored.add(call);
+        final PendingAnswer pending = new PendingAnswer(call, confirmation, answer);
+        loop.schedule(pending::send, MAX_ANSWER_DELAY_MS, TimeUnit.MILLISECONDS);
+        shared.change(state -> state.apply(call), pending);
+    }
+
+    /** The answer to one call: sent once, when its change is stored or after the delay. */
+    private final class PendingAnswer implements SharedStateListener.Change {
+
+        private final ManagementCall call;
+        private final String confirmation;
+        private final Consumer<String> answer;
+        private boolean sent;
+
+        PendingAnswer(ManagementCall call, String confirmation, Consumer<String> answer) {
+            this.call = call;
+            this.confirmation = confirmation;
+            this.answer = answer;
+        }
+
+        @Override
+        public void stored(OperatorState written) {
+            unstored.remove(call);
+            if (written.generation() > stored.generation()) {
+                stored = written;
+            }
+            putInForce(storedWithUnstoredCalls());
+            send();
+        }
+
+        @Override
+        public void notDurable(NotDurableException failure) {
+            unstored.remove(call);
+            LogEvent.of(
+                            "operators_state_not_durable",
+                            "in force, but an upgrade would not know it: "
+                                    + ManagementService.confirmation(call)
+                                    + ": "
+                                    + failure.getMessage())
+                    .with("detail", String.valueOf(failure.getMessage()))
+                    .log(LOG, Level.ERROR);
+            putInForce(storedWithUnstoredCalls());
+            send();
+        }
+
+        void send() {
+            if (!sent) {
+                sent = true;
+                answer.accept(confirmation);
+            }
+        }
     }
 
-    private static String said(ManagementCall call) {
-        return switch (call.verb()) {
+    private static String confirmation(ManagementCall call) {
+        return switch (call.command()) {
             case DISABLE_SERVER -> call.worker() + " is out: nothing new goes to it";
             case ENABLE_SERVER -> call.worker() + " is in again";
             case DRAIN -> "draining: the node says it is not ready and lets its connections go";
@@ -191,46 +231,43 @@
         };
     }
 
-    /** What another process wrote, or what this one wrote, as the file's look found it. */
-    private void heard(OperatorsState found) {
-        if (found.generation() <= kept.generation()) {
+    // ---- The state in force ----
+
+    @Override
+    public void stateFound(OperatorState found) {
+        if (found.generation() <= stored.generation()) {
             return;
         }
-        kept = found;
-        final OperatorsState next = overlaid();
-        if (!next.bannedChangedFrom(inForce).isEmpty() || next.drained() != inForce.drained()) {
-            LogEvent.of(
-                            "operators_heard",
-                            "another process of this node changed: " + describe(next))
-                    .with("banned", String.join(",", next.banned()))
-                    .with("drained", next.drained())
-                    .log(LOG, Level.INFO);
+        stored = found;
+        final OperatorState next = storedWithUnstoredCalls();
+        if (!next.banDifference(inForce).isEmpty() || next.drained() != inForce.drained()) {
+            logState("operators_state_changed", "another process of this node changed: ", next);
         }
-        become(next);
+        putInForce(next);
     }
 
-    private OperatorsState overlaid() {
-        OperatorsState state = kept;
-        for (final ManagementCall call : pending) {
-            state = state.after(call);
+    private OperatorState storedWithUnstoredCalls() {
+        OperatorState state = stored;
+        for (final ManagementCall call : unstored) {
+            state = state.apply(call);
         }
         return state;
     }
 
-    private void become(OperatorsState next) {
-        final OperatorsState before = inForce;
+    private void putInForce(OperatorState next) {
+        final OperatorState before = inForce;
         inForce = next;
-        final Set<String> changed = next.bannedChangedFrom(before);
-        if (!changed.isEmpty()) {
-            core.republish(changed);
+        final Set<String> changedWorkers = next.banDifference(before);
+        if (!changedWorkers.isEmpty()) {
+            lifecycle.republish(changedWorkers);
         }
         if (next.drained() && !before.drained()) {
             LogEvent.of(
                             "node_draining",
                             "drained by an operator: not ready, connections are let go; "
-                                    + core.unanswered()
-                                    + " reqs are owed an answer")
-                    .with("count", core.unanswered())
+                                    + lifecycle.unanswered()
+                                    + " requests are owed an answer")
+                    .with("count", lifecycle.unanswered())
                     .log(LOG, Level.INFO);
             readiness.drain();
         } else if (!next.drained() && before.drained()) {
@@ -239,14 +276,19 @@
         }
     }
 
-    private static String describe(OperatorsState state) {
-        return (state.banned().isEmpty()
-                        ? "no worker is out"
-                        : "out: " + String.join(", ", state.banned()))
-                + (state.drained() ? "; the node is drained" : "");
+    private static void logState(String event, String introduction, OperatorState state) {
+        final String text =
+                (state.banned().isEmpty()
+                                ? "no worker is out"
+                                : "out: " + String.join(", ", state.banned()))
+                        + (state.drained() ? "; the node is drained" : "");
+        LogEvent.of(event, introduction + text)
+                .with("banned", String.join(",", state.banned()))
+                .with("drained", state.drained())
+                .log(LOG, Level.INFO);
     }
 
-    // ---- What passes ----
+    // ---- The overlay on the endpoint list ----
 
     @Override
     public WorkerState over(String worker, WorkerState listed) {
@@ -254,14 +296,4 @@
                 ? WorkerState.DRAINING
                 : listed;
     }
-
-    /** Workers out now, for the log. */
-    Set<String> banned() {
-        return new TreeSet<>(inForce.banned());
-    }
-
-    /** Whether the node is drained now. */
-    boolean isDrained() {
-        return inForce.drained();
-    }
 }
--- a/src/test/java/cresschute/control/ControlRequestTest.java
+++ b/src/test/java/cresschute/control/ControlRequestTest.java
@@ -3,8 +3,6 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import cresschute.control.ControlRequest.What;
-import cresschute.control.DrainRegistry.Operation;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -40,16 +38,16 @@
                     """)
     void unusableLinesAreTold(String line, String error) {
         assertThatThrownBy(() -> ControlRequest.parse(line))
-                .isInstanceOf(ControlRequest.InvalidRequestException.class)
+                .isInstanceOf(InvalidControlRequestException.class)
                 .hasMessageContaining(error);
     }
 
     @Test
     void deepNestingIsNoDanger() {
-        assertThatThrownBy(() -> ControlRequest.parse("[".repeat(ControlRequest.MAX_LINE)))
-                .isInstanceOf(ControlRequest.InvalidRequestException.class);
+        assertThatThrownBy(() -> ControlRequest.parse("[".repeat(ControlRequest.MAX_LINE_LENGTH)))
+                .isInstanceOf(InvalidControlRequestException.class);
         assertThatThrownBy(() -> ControlRequest.parse("{\"a\":".repeat(3_000)))
-                .isInstanceOf(ControlRequest.InvalidRequestException.class);
+                .isInstanceOf(InvalidControlRequestException.class);
     }
 
     @Test
@@ -58,19 +56,20 @@
                 ControlRequest.parse(
                         "{\"v\":1,\"id\":\"1\",\"do\":\"drain\",\"op\":\"o\","
                             + "\"worker\":\"w1\",\"for_ms\":2000,\"who\":\"ann\",\"reason\":\"disk\",\"force\":true}");
-        assertThat(drain.what()).isEqualTo(What.DRAIN);
+        assertThat(drain.command()).isEqualTo(ControlCommand.DRAIN);
         assertThat(drain.operation())
-                .isEqualTo(new Operation("o", true, "w1", 2_000_000, "ann", "disk", true));
+                .isEqualTo(new DrainOperation("o", true, "w1", 2_000_000, "ann", "disk", true));
         final ControlRequest undrain =
                 ControlRequest.parse(
                         "{\"v\":1,\"id\":\"1\",\"do\":\"undrain\",\"op\":\"o\",\"worker\":\"w1\"}");
         assertThat(undrain.operation())
                 .isEqualTo(
-                        new Operation(
-                                "o", false, "w1", DrainRegistry.FOREVER, "somebody", "", false));
+                        new DrainOperation(
+                                "o", false, "w1", DrainRegistry.NO_END_US, "somebody", "", false));
         final ControlRequest follow =
                 ControlRequest.parse(
                         "{\"v\":1,\"id\":\"s\",\"do\":\"subscribe\",\"from\":9,\"boot\":\"b\"}");
-        assertThat(follow).isEqualTo(new ControlRequest("s", What.SUBSCRIBE, 9, "b", 0, null));
+        assertThat(follow)
+                .isEqualTo(new ControlRequest("s", ControlCommand.SUBSCRIBE, 9, "b", 0, null));
     }
 }
--- a/src/test/java/cresschute/control/DrainRegistryTest.java
+++ b/src/test/java/cresschute/control/DrainRegistryTest.java
@@ -3,12 +3,6 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import cresschute.control.DrainRegistry.ClassBound;
-import cresschute.control.DrainRegistry.Kind;
-import cresschute.control.DrainRegistry.Listed;
-import cresschute.control.DrainRegistry.Operation;
-import cresschute.control.DrainRegistry.Outcome;
-import cresschute.control.DrainRegistry.Site;
 import cresschute.dispatch.Placement;
 import cresschute.dispatch.Worker;
 import cresschute.dispatch.WorkerState;
@@ -26,38 +20,43 @@
 class DrainRegistryTest {
 
     private static final long S = 1_000_000;
-    private static final Site SITE =
-            new Site(
+    private static final FleetView SITE =
+            new FleetView(
                     List.of(worker("a", 0, 1), worker("b", 0, 1), worker("c", 1, 2)),
                     List.of(
-                            new ClassBound("any", Placement.ANYWHERE),
-                            new ClassBound("big", new Placement(null, List.of(1)))),
+                            new ClassPlacement("any", Placement.ANYWHERE),
+                            new ClassPlacement("big", new Placement(null, List.of(1)))),
                     Set.of());
 
     private final DrainRegistry drains = new DrainRegistry();
 
-    private static Listed worker(String name, int kind, int cell) {
-        return new Listed(name, new Worker(name.charAt(0), 0, kind, cell, WorkerState.READY, 1, 0));
+    private static ListedWorker worker(String name, int kind, int cell) {
+        return new ListedWorker(
+                name, new Worker(name.charAt(0), 0, kind, cell, WorkerState.READY, 1, 0));
     }
 
-    private static Operation drain(String id, String worker) {
-        return new Operation(id, true, worker, DrainRegistry.FOREVER, "ann", "disk", false);
+    private static DrainOperation drain(String id, String worker) {
+        return new DrainOperation(id, true, worker, DrainRegistry.NO_END_US, "ann", "disk", false);
     }
 
-    private static Operation undo(String id, String worker) {
-        return new Operation(id, false, worker, DrainRegistry.FOREVER, "ann", "", false);
+    private static DrainOperation undo(String id, String worker) {
+        return new DrainOperation(id, false, worker, DrainRegistry.NO_END_US, "ann", "", false);
     }
 
     @Test
     void overlayMakesAStateWorseAndNeverBetter() {
-        assertThat(drains.apply(drain("1", "a"), SITE, 0).kind()).isEqualTo(Kind.DONE);
-        assertThat(drains.over("a", WorkerState.READY)).isEqualTo(WorkerState.DRAINING);
-        assertThat(drains.over("a", WorkerState.DRAINING)).isEqualTo(WorkerState.DRAINING);
-        assertThat(drains.over("a", WorkerState.GONE)).isEqualTo(WorkerState.GONE);
-        assertThat(drains.over("b", WorkerState.READY)).isEqualTo(WorkerState.READY);
-        assertThat(drains.apply(undo("2", "a"), SITE, 0).kind()).isEqualTo(Kind.DONE);
-        assertThat(drains.over("a", WorkerState.DRAINING)).isEqualTo(WorkerState.DRAINING);
-        assertThat(drains.over("a", WorkerState.READY)).isEqualTo(WorkerState.READY);
+        assertThat(drains.apply(drain("1", "a"), SITE, 0).result())
+                .isEqualTo(OperationResult.APPLIED);
+        assertThat(drains.effectiveState("a", WorkerState.READY)).isEqualTo(WorkerState.DRAINING);
+        assertThat(drains.effectiveState("a", WorkerState.DRAINING))
+                .isEqualTo(WorkerState.DRAINING);
+        assertThat(drains.effectiveState("a", WorkerState.GONE)).isEqualTo(WorkerState.GONE);
+        assertThat(drains.effectiveState("b", WorkerState.READY)).isEqualTo(WorkerState.READY);
+        assertThat(drains.apply(undo("2", "a"), SITE, 0).result())
+                .isEqualTo(OperationResult.APPLIED);
+        assertThat(drains.effectiveState("a", WorkerState.DRAINING))
+                .isEqualTo(WorkerState.DRAINING);
+        assertThat(drains.effectiveState("a", WorkerState.READY)).isEqualTo(WorkerState.READY);
     }
 
     /**
@@ -65,47 +64,64 @@
      */
     @Test
     void operationSentAgainDoesNothing() {
-        final Outcome first = drains.apply(drain("1", "a"), SITE, 0);
+        final OperationOutcome first = drains.apply(drain("1", "a"), SITE, 0);
         drains.apply(undo("2", "a"), SITE, 1);
         assertThat(drains.apply(drain("1", "a"), SITE, 2)).isEqualTo(first);
         assertThat(drains.inForce()).isEmpty();
         assertThat(drains.apply(drain("1", "b"), SITE, 3))
-                .isEqualTo(new Outcome(Kind.REFUSED, "operation 1 was another one before"));
+                .isEqualTo(
+                        new OperationOutcome(
+                                OperationResult.REJECTED,
+                                "operation \"1\" was sent before with other contents"));
     }
 
     @Test
     void secondConsoleHearsWhoDrained() {
         drains.apply(drain("1", "a"), SITE, 5);
-        assertThat(drains.apply(new Operation("2", true, "a", S, "bob", "", false), SITE, 9))
-                .isEqualTo(new Outcome(Kind.ALREADY, "drained by ann: disk"));
+        assertThat(drains.apply(new DrainOperation("2", true, "a", S, "bob", "", false), SITE, 9))
+                .isEqualTo(new OperationOutcome(OperationResult.UNCHANGED, "drained by ann: disk"));
         assertThat(drains.inForce())
-                .containsExactly(
-                        new DrainRegistry.Drain("a", 5, DrainRegistry.FOREVER, "ann", "disk"));
+                .containsExactly(new Drain("a", 5, DrainRegistry.NO_END_US, "ann", "disk"));
         assertThat(drains.apply(undo("3", "b"), SITE, 9))
-                .isEqualTo(new Outcome(Kind.ALREADY, "not drained by an operator"));
+                .isEqualTo(
+                        new OperationOutcome(
+                                OperationResult.UNCHANGED, "not drained by an operator"));
     }
 
     @Test
     void lastWorkerOfAClassIsKeptUnlessForced() {
         assertThat(drains.apply(drain("1", "c"), SITE, 0))
-                .isEqualTo(new Outcome(Kind.REFUSED, "c is the last worker that may run big"));
-        assertThat(drains.apply(drain("2", "a"), SITE, 0).kind()).isEqualTo(Kind.DONE);
-        assertThat(drains.apply(new Operation("3", true, "c", S, "ann", "", true), SITE, 0).kind())
-                .isEqualTo(Kind.DONE);
+                .isEqualTo(
+                        new OperationOutcome(
+                                OperationResult.REJECTED, "c is the last worker that may run big"));
+        assertThat(drains.apply(drain("2", "a"), SITE, 0).result())
+                .isEqualTo(OperationResult.APPLIED);
+        assertThat(
+                        drains.apply(
+                                        new DrainOperation("3", true, "c", S, "ann", "", true),
+                                        SITE,
+                                        0)
+                                .result())
+                .isEqualTo(OperationResult.APPLIED);
         // What drains already does not count as left.
         assertThat(drains.apply(drain("4", "b"), SITE, 0))
-                .isEqualTo(new Outcome(Kind.REFUSED, "b is the last worker that may run any"));
+                .isEqualTo(
+                        new OperationOutcome(
+                                OperationResult.REJECTED, "b is the last worker that may run any"));
     }
 
     @Test
     void lastOfABoundCellIsKept() {
-        final Site bound = new Site(SITE.workers(), List.of(), Set.of(1));
-        assertThat(drains.apply(drain("1", "a"), bound, 0).kind()).isEqualTo(Kind.DONE);
+        final FleetView bound = new FleetView(SITE.workers(), List.of(), Set.of(1));
+        assertThat(drains.apply(drain("1", "a"), bound, 0).result())
+                .isEqualTo(OperationResult.APPLIED);
         assertThat(drains.apply(drain("2", "b"), bound, 0))
                 .isEqualTo(
-                        new Outcome(
-                                Kind.REFUSED, "b is the last of cell 1, where keyed jobs are out"));
-        assertThat(drains.apply(drain("3", "c"), bound, 0).kind()).isEqualTo(Kind.DONE);
+                        new OperationOutcome(
+                                OperationResult.REJECTED,
+                                "b is the last of cell 1, where keyed jobs are out"));
+        assertThat(drains.apply(drain("3", "c"), bound, 0).result())
+                .isEqualTo(OperationResult.APPLIED);
     }
 
     /**
@@ -114,35 +130,37 @@
     @Test
     void unknownWorkerNeedsForce() {
         assertThat(drains.apply(drain("1", "x"), SITE, 0))
-                .isEqualTo(new Outcome(Kind.REFUSED, "no worker is called x"));
-        drains.apply(new Operation("2", true, "x", S, "ann", "", true), SITE, 0);
-        assertThat(drains.over("x", WorkerState.READY)).isEqualTo(WorkerState.DRAINING);
+                .isEqualTo(new OperationOutcome(OperationResult.REJECTED, "no worker is called x"));
+        drains.apply(new DrainOperation("2", true, "x", S, "ann", "", true), SITE, 0);
+        assertThat(drains.effectiveState("x", WorkerState.READY)).isEqualTo(WorkerState.DRAINING);
     }
 
     @Test
     void drainsEndWhenTheirTimeIsUp() {
-        drains.apply(new Operation("1", true, "a", 3 * S, "ann", "", false), SITE, S);
+        drains.apply(new DrainOperation("1", true, "a", 3 * S, "ann", "", false), SITE, S);
         assertThat(drains.nextEndUs()).isEqualTo(4 * S);
         assertThat(drains.expire(4 * S - 1)).isEmpty();
         assertThat(drains.expire(4 * S)).containsExactly("a");
-        assertThat(drains.nextEndUs()).isEqualTo(DrainRegistry.FOREVER);
+        assertThat(drains.nextEndUs()).isEqualTo(DrainRegistry.NO_END_US);
         drains.apply(
-                new Operation("2", true, "a", DrainRegistry.FOREVER - 1, "ann", "", false),
+                new DrainOperation("2", true, "a", DrainRegistry.NO_END_US - 1, "ann", "", false),
                 SITE,
                 S);
-        assertThat(drains.nextEndUs()).isEqualTo(DrainRegistry.FOREVER);
-        assertThatThrownBy(() -> new Operation("3", true, "a", 0, "ann", "", false))
+        assertThat(drains.nextEndUs()).isEqualTo(DrainRegistry.NO_END_US);
+        assertThatThrownBy(() -> new DrainOperation("3", true, "a", 0, "ann", "", false))
                 .hasMessage("a drain lasts longer than no time");
     }
 
     @Test
     void memoryOfOperationsIsBounded() {
-        for (int i = 0; i <= DrainRegistry.MAX_REMEMBERED; i++) {
+        for (int i = 0; i <= DrainRegistry.MAX_COMPLETED; i++) {
             drains.apply(undo("u" + i, "a"), SITE, 0);
         }
         // The oldest is forgotten: under its id another operation is a new one.
-        assertThat(drains.apply(drain("u0", "a"), SITE, 0).kind()).isEqualTo(Kind.DONE);
-        assertThat(drains.apply(drain("u2", "b"), SITE, 0).kind()).isEqualTo(Kind.REFUSED);
+        assertThat(drains.apply(drain("u0", "a"), SITE, 0).result())
+                .isEqualTo(OperationResult.APPLIED);
+        assertThat(drains.apply(drain("u2", "b"), SITE, 0).result())
+                .isEqualTo(OperationResult.REJECTED);
     }
 
     /**
@@ -160,25 +178,25 @@
             final String worker = List.of("a", "b", "c").get(random.nextInt(3));
             final boolean start = random.nextInt(3) > 0;
             final long forUs = (1 + random.nextInt(20)) * S;
-            final Operation operation =
-                    new Operation(
+            final DrainOperation operation =
+                    new DrainOperation(
                             "o" + step, start, worker, forUs, "ann", "", random.nextInt(4) == 0);
             model.values().removeIf(untilUs -> untilUs <= nowUs);
             tested.expire(nowUs);
             final int copies = 1 + random.nextInt(3);
-            Outcome first = null;
+            OperationOutcome first = null;
             for (int copy = 0; copy < copies; copy++) {
-                final Outcome outcome = tested.apply(operation, SITE, nowUs);
+                final OperationOutcome outcome = tested.apply(operation, SITE, nowUs);
                 first = first == null ? outcome : first;
                 assertThat(outcome).isEqualTo(first);
             }
-            if (heard.add(operation.id()) && first.kind() == Kind.DONE) {
+            if (heard.add(operation.id()) && first.result() == OperationResult.APPLIED) {
                 if (start) {
                     model.put(worker, nowUs + forUs);
                 } else {
                     model.remove(worker);
                 }
-                if (start && !operation.forced()) {
+                if (start && !operation.isForced()) {
                     assertThat(worker).isNotEqualTo("c");
                     assertThat(model).hasSizeLessThan(3);
                 }
@@ -188,8 +206,8 @@
                 restarted.restore(tested.inForce());
                 tested = restarted;
             }
-            for (final Listed each : SITE.workers()) {
-                assertThat(tested.over(each.name(), WorkerState.READY))
+            for (final ListedWorker each : SITE.workers()) {
+                assertThat(tested.effectiveState(each.name(), WorkerState.READY))
                         .isEqualTo(
                                 model.containsKey(each.name())
                                         ? WorkerState.DRAINING
--- a/src/test/java/cresschute/control/StoredSnapshotFormatTest.java
+++ b/src/test/java/cresschute/control/DrainSnapshotFormatTest.java
@@ -2,11 +2,6 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cresschute.control.DrainRegistry.Drain;
-import cresschute.control.DrainRegistry.Kind;
-import cresschute.control.DrainRegistry.Operation;
-import cresschute.control.DrainRegistry.Outcome;
-import cresschute.control.DrainRegistry.Remembered;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Set;
@@ -18,7 +13,7 @@
  * byte by byte. The literals are what that version wrote; they are never adapted to a renaming in
  * the code.
  */
-class StoredSnapshotFormatTest {
+class DrainSnapshotFormatTest {
 
     private static final long DRAINED_AT_US = 1_700_000_000_000_000L;
     private static final long DRAIN_ENDS_AT_US = 1_700_007_200_000_000L;
@@ -81,19 +76,23 @@
 
     @Test
     void drainsAndOperationsOfAnEarlierVersionAreInForce() throws Exception {
-        final Snapshot read = Snapshot.decode(bytes(DRAINS));
+        final DrainSnapshot read = DrainSnapshot.decode(bytes(DRAINS));
         assertThat(read.generation()).isEqualTo(41);
         final DrainRegistry drains = new DrainRegistry();
-        drains.restore(read.drains(), read.operations());
+        drains.restore(read.drains(), read.completed());
         assertThat(drains.inForce())
                 .containsExactly(
                         new Drain("w1", DRAINED_AT_US, DRAIN_ENDS_AT_US, "ann", "new disk"),
                         new Drain(
-                                "w2", DRAINED_AT_US + 1_000_000, DrainRegistry.FOREVER, "bob", ""));
-        assertThat(drains.remembered())
+                                "w2",
+                                DRAINED_AT_US + 1_000_000,
+                                DrainRegistry.NO_END_US,
+                                "bob",
+                                ""));
+        assertThat(drains.completed())
                 .containsExactly(
-                        new Remembered(
-                                new Operation(
+                        new CompletedOperation(
+                                new DrainOperation(
                                         "op-1",
                                         true,
                                         "w1",
@@ -101,34 +100,42 @@
                                         "ann",
                                         "new disk",
                                         false),
-                                new Outcome(Kind.DONE, "")),
-                        new Remembered(
-                                new Operation(
-                                        "op-2", true, "w1", DrainRegistry.FOREVER, "bob", "", true),
-                                new Outcome(Kind.ALREADY, "drained by ann: new disk")),
-                        new Remembered(
-                                new Operation(
+                                new OperationOutcome(OperationResult.APPLIED, "")),
+                        new CompletedOperation(
+                                new DrainOperation(
+                                        "op-2",
+                                        true,
+                                        "w1",
+                                        DrainRegistry.NO_END_US,
+                                        "bob",
+                                        "",
+                                        true),
+                                new OperationOutcome(
+                                        OperationResult.UNCHANGED, "drained by ann: new disk")),
+                        new CompletedOperation(
+                                new DrainOperation(
                                         "op-3",
                                         true,
                                         "w9",
-                                        DrainRegistry.FOREVER,
+                                        DrainRegistry.NO_END_US,
                                         "bob",
                                         "",
                                         false),
-                                new Outcome(Kind.REFUSED, "no worker is called w9")));
-        assertThat(text(new Snapshot(41, drains.inForce(), drains.remembered()).encode()))
+                                new OperationOutcome(
+                                        OperationResult.REJECTED, "no worker is called w9")));
+        assertThat(text(new DrainSnapshot(41, drains.inForce(), drains.completed()).encode()))
                 .isEqualTo(DRAINS);
         assertThat(drains.expire(DRAIN_ENDS_AT_US - 1)).isEmpty();
         assertThat(drains.expire(DRAIN_ENDS_AT_US)).containsExactly("w1");
-        assertThat(drains.expire(DrainRegistry.FOREVER - 1)).isEmpty();
+        assertThat(drains.expire(DrainRegistry.NO_END_US - 1)).isEmpty();
     }
 
     @Test
     void undrainOfAnEarlierVersionIsRemembered() throws Exception {
-        final Snapshot read = Snapshot.decode(bytes(UNDRAINED));
+        final DrainSnapshot read = DrainSnapshot.decode(bytes(UNDRAINED));
         assertThat(read)
                 .isEqualTo(
-                        new Snapshot(
+                        new DrainSnapshot(
                                 42,
                                 List.of(
                                         new Drain(
@@ -138,33 +145,34 @@
                                                 "ann",
                                                 "new disk")),
                                 List.of(
-                                        new Remembered(
-                                                new Operation(
+                                        new CompletedOperation(
+                                                new DrainOperation(
                                                         "op-4",
                                                         false,
                                                         "w2",
-                                                        DrainRegistry.FOREVER,
+                                                        DrainRegistry.NO_END_US,
                                                         "cy",
                                                         "",
                                                         false),
-                                                new Outcome(Kind.DONE, "")))));
+                                                new OperationOutcome(
+                                                        OperationResult.APPLIED, "")))));
         assertThat(text(read.encode())).isEqualTo(UNDRAINED);
     }
 
     @Test
     void emptySnapshotOfAnEarlierVersionIsRead() throws Exception {
-        final Snapshot read = Snapshot.decode(bytes(NO_DRAINS));
-        assertThat(read).isEqualTo(new Snapshot(1, List.of(), List.of()));
+        final DrainSnapshot read = DrainSnapshot.decode(bytes(NO_DRAINS));
+        assertThat(read).isEqualTo(new DrainSnapshot(1, List.of(), List.of()));
         assertThat(text(read.encode())).isEqualTo(NO_DRAINS);
     }
 
     private static void assertOperatorsState(
             String stored, long generation, Set<String> banned, boolean drained) throws Exception {
-        final OperatorsState read = OperatorsState.decode(bytes(stored));
+        final OperatorState read = OperatorState.decode(bytes(stored));
         assertThat(read.generation()).isEqualTo(generation);
         assertThat(read.banned()).isEqualTo(banned);
         assertThat(read.drained()).isEqualTo(drained);
-        assertThat(text(new OperatorsState(generation, new TreeSet<>(banned), drained).encode()))
+        assertThat(text(new OperatorState(generation, new TreeSet<>(banned), drained).encode()))
                 .isEqualTo(stored);
     }
 
@@ -178,18 +186,18 @@
     /** The calls of operators lead to these very files. */
     @Test
     void callsOfOperatorsWriteWhatAnEarlierVersionWrote() throws Exception {
-        OperatorsState state = OperatorsState.NONE.numbered(6);
+        OperatorState state = OperatorState.NONE.withGeneration(6);
         state =
-                state.after(ManagementCall.parse("disable-server w2"))
-                        .numbered(6)
-                        .after(ManagementCall.parse("disable-server w1"));
+                state.apply(ManagementCall.parse("disable-server w2"))
+                        .withGeneration(6)
+                        .apply(ManagementCall.parse("disable-server w1"));
         assertThat(text(state.encode())).isEqualTo(BANNED);
-        state = state.numbered(8).after(ManagementCall.parse("drain"));
+        state = state.withGeneration(8).apply(ManagementCall.parse("drain"));
         assertThat(text(state.encode())).isEqualTo(BANNED_AND_DRAINED);
         state =
-                state.numbered(6)
-                        .after(ManagementCall.parse("enable-server w1"))
-                        .after(ManagementCall.parse("enable-server w2"));
+                state.withGeneration(6)
+                        .apply(ManagementCall.parse("enable-server w1"))
+                        .apply(ManagementCall.parse("enable-server w2"));
         assertThat(text(state.encode())).isEqualTo(NODE_DRAINED);
     }
 }
--- a/src/test/java/cresschute/control/ManagementCallTest.java
+++ b/src/test/java/cresschute/control/ManagementCallTest.java
@@ -3,7 +3,6 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import cresschute.control.ManagementCall.Verb;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -25,7 +24,7 @@
                     'enable-server   s-1'         | ENABLE_SERVER  | s-1
                     'Disable-Server\ts-2'         | DISABLE_SERVER | s-2
                     """)
-    void readsEachCall(String line, Verb verb, String worker) throws Exception {
+    void readsEachCall(String line, ManagementCommand verb, String worker) throws Exception {
         assertThat(ManagementCall.parse(line)).isEqualTo(new ManagementCall(verb, worker));
     }
 
@@ -44,7 +43,7 @@
                     """)
     void refusesWhatItCannotUse(String line, String why) {
         assertThatThrownBy(() -> ManagementCall.parse(line))
-                .isInstanceOf(ManagementCall.InvalidCallException.class)
+                .isInstanceOf(InvalidManagementCallException.class)
                 .hasMessageContaining(why)
                 .message()
                 .hasLineCount(1);
@@ -60,6 +59,6 @@
     @CsvSource({"201", "513"})
     void boundsTheLengthOfIdsAndCalls(int length) {
         assertThatThrownBy(() -> ManagementCall.parse("disable-server " + "s".repeat(length)))
-                .isInstanceOf(ManagementCall.InvalidCallException.class);
+                .isInstanceOf(InvalidManagementCallException.class);
     }
 }
--- a/src/test/java/cresschute/control/VersionedTableTest.java
+++ b/src/test/java/cresschute/control/VersionedTableTest.java
@@ -13,11 +13,11 @@
 /** What consoles are told of a board adds up to the board, whichever changes they slept through. */
 class VersionedTableTest {
 
-    private static void take(Map<String, String> held, VersionedTable.Delta news) {
-        if (news.whole()) {
+    private static void take(Map<String, String> held, TableDelta news) {
+        if (news.isComplete()) {
             held.clear();
         }
-        news.gone().forEach(held::remove);
+        news.removed().forEach(held::remove);
         held.putAll(news.rows());
     }
 
@@ -40,11 +40,11 @@
                 model.put(key, text);
             }
             take(quick, board.since(quickAt));
-            quickAt = board.number();
+            quickAt = board.version();
             assertThat(quick).isEqualTo(model);
             if (random.nextInt(20) == 0) {
                 take(slow, board.since(slowAt));
-                slowAt = board.number();
+                slowAt = board.version();
                 assertThat(slow).isEqualTo(model);
             }
         }
@@ -55,7 +55,7 @@
         final VersionedTable board = new VersionedTable();
         board.put("w", "1");
         board.put("w", "1");
-        assertThat(board.number()).isEqualTo(1);
+        assertThat(board.version()).isEqualTo(1);
         assertThat(board.since(1).rows()).isEmpty();
     }
 
@@ -63,20 +63,20 @@
     void consoleFromTooLongAgoStartsAnew() {
         final VersionedTable board = new VersionedTable();
         board.put("stays", "1");
-        for (int i = 0; i <= VersionedTable.MAX_GONE; i++) {
+        for (int i = 0; i <= VersionedTable.MAX_REMOVED; i++) {
             board.put("w" + i, "1");
         }
-        final long before = board.number();
-        for (int i = 0; i < VersionedTable.MAX_GONE; i++) {
+        final long before = board.version();
+        for (int i = 0; i < VersionedTable.MAX_REMOVED; i++) {
             board.remove("w" + i);
         }
-        assertThat(board.since(before).whole()).isFalse();
-        assertThat(board.since(before).gone()).hasSize(VersionedTable.MAX_GONE);
-        board.remove("w" + VersionedTable.MAX_GONE);
-        final VersionedTable.Delta news = board.since(before);
-        assertThat(news.whole()).isTrue();
+        assertThat(board.since(before).isComplete()).isFalse();
+        assertThat(board.since(before).removed()).hasSize(VersionedTable.MAX_REMOVED);
+        board.remove("w" + VersionedTable.MAX_REMOVED);
+        final TableDelta news = board.since(before);
+        assertThat(news.isComplete()).isTrue();
         assertThat(news.rows()).containsOnlyKeys("stays");
-        assertThat(board.since(before + 1).whole()).isFalse();
+        assertThat(board.since(before + 1).isComplete()).isFalse();
     }
 
     /** A number that this board has never given is of another run of the node. */
@@ -84,37 +84,37 @@
     void numberFromTheFutureMeansNothing() {
         final VersionedTable board = new VersionedTable();
         board.put("w", "1");
-        assertThat(board.since(99).whole()).isTrue();
-        assertThat(board.since(-1).whole()).isTrue();
+        assertThat(board.since(99).isComplete()).isTrue();
+        assertThat(board.since(-1).isComplete()).isTrue();
     }
 
     @Test
     void eventsTellHowManyWereMissed() {
         final EventRing ring = new EventRing();
-        assertThat(ring.after(0).happenings()).isEmpty();
-        for (int i = 1; i <= EventRing.MAX + 10; i++) {
+        assertThat(ring.after(0).events()).isEmpty();
+        for (int i = 1; i <= EventRing.MAX_EVENTS + 10; i++) {
             ring.add(i, "kind", null, "text");
         }
         assertThat(ring.after(0).missed()).isEqualTo(10);
-        assertThat(ring.after(0).happenings()).hasSize(EventRing.MAX);
+        assertThat(ring.after(0).events()).hasSize(EventRing.MAX_EVENTS);
         assertThat(ring.after(8).missed()).isEqualTo(2);
-        assertThat(ring.after(ring.last() - 2))
+        assertThat(ring.after(ring.lastNumber() - 2))
                 .isEqualTo(
-                        new EventRing.Read(
+                        new EventBatch(
                                 List.of(
-                                        new EventRing.Happening(
-                                                EventRing.MAX + 9,
-                                                EventRing.MAX + 9,
+                                        new OperatorEvent(
+                                                EventRing.MAX_EVENTS + 9,
+                                                EventRing.MAX_EVENTS + 9,
                                                 "kind",
                                                 null,
                                                 "text"),
-                                        new EventRing.Happening(
-                                                EventRing.MAX + 10,
-                                                EventRing.MAX + 10,
+                                        new OperatorEvent(
+                                                EventRing.MAX_EVENTS + 10,
+                                                EventRing.MAX_EVENTS + 10,
                                                 "kind",
                                                 null,
                                                 "text")),
                                 0));
-        assertThat(ring.after(ring.last() + 5).happenings()).isEmpty();
+        assertThat(ring.after(ring.lastNumber() + 5).events()).isEmpty();
     }
 }
--- a/src/test/java/cresschute/control/files/SharedOperatorStateFormatTest.java
+++ b/src/test/java/cresschute/control/files/SharedOperatorStateFormatTest.java
@@ -2,11 +2,11 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import cresschute.control.Drain;
 import cresschute.control.DrainRegistry;
-import cresschute.control.DrainRegistry.Drain;
+import cresschute.control.DrainSnapshot;
 import cresschute.control.ManagementCall;
-import cresschute.control.OperatorsState;
-import cresschute.control.Snapshot;
+import cresschute.control.OperatorState;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -45,10 +45,12 @@
 
     @TempDir private Path folder;
 
-    private static Snapshot snapshot(long generation) {
-        return new Snapshot(
+    private static DrainSnapshot snapshot(long generation) {
+        return new DrainSnapshot(
                 generation,
-                List.of(new Drain("w" + generation, generation, DrainRegistry.FOREVER, "ann", "")),
+                List.of(
+                        new Drain(
+                                "w" + generation, generation, DrainRegistry.NO_END_US, "ann", "")),
                 List.of());
     }
 
@@ -64,7 +66,7 @@
         return text.substring(0, text.length() * 2 / 3);
     }
 
-    private Snapshot load() throws IOException {
+    private DrainSnapshot load() throws IOException {
         try (StateFolder state = StateFolder.open(folder)) {
             return state.load();
         }
@@ -90,27 +92,40 @@
     void snapshotsAreWrittenAsAnEarlierVersionWroteThem() throws IOException {
         try (StateFolder state = StateFolder.open(folder)) {
             for (final long generation : new long[] {8, 9}) {
-                final CompletableFuture<IOException> done = new CompletableFuture<>();
-                state.keep(snapshot(generation), Runnable::run, done::complete);
-                assertThat(done.join()).isNull();
+                assertThat(StateFolderTest.store(state, snapshot(generation))).isNull();
             }
         }
         assertThat(read("drains.0")).isEqualTo(GENERATION_8);
         assertThat(read("drains.1")).isEqualTo(GENERATION_9);
     }
 
-    private OperatorsState openAndCall(OperatorsState[] found, String... calls) throws Exception {
+    private static OperatorState change(SharedOperatorState shared, ManagementCall call) {
+        final CompletableFuture<OperatorState> ended = new CompletableFuture<>();
+        shared.change(
+                state -> state.apply(call),
+                new SharedStateListener.Change() {
+                    @Override
+                    public void stored(OperatorState written) {
+                        ended.complete(written);
+                    }
+
+                    @Override
+                    public void notDurable(NotDurableException failure) {
+                        ended.completeExceptionally(failure);
+                    }
+                });
+        return ended.join();
+    }
+
+    private OperatorState openAndCall(OperatorState[] found, String... calls) throws Exception {
         final SharedOperatorState.Opened opened =
                 SharedOperatorState.open(folder, Runnable::run, state -> {});
         found[0] = opened.found();
-        OperatorsState last = opened.found();
+        OperatorState last = opened.found();
         try (SharedOperatorState shared = opened.shared()) {
             for (final String call : calls) {
                 final ManagementCall parsed = ManagementCall.parse(call);
-                final CompletableFuture<OperatorsState> done = new CompletableFuture<>();
-                shared.change(
-                        state -> state.after(parsed), (written, failed) -> done.complete(written));
-                last = done.join();
+                last = change(shared, parsed);
             }
         }
         return last;
@@ -119,7 +134,7 @@
     @Test
     void operatorsStateIsTakenUpAndWrittenOn() throws Exception {
         write(OPERATORS_FILE, BANNED);
-        final OperatorsState[] found = new OperatorsState[1];
+        final OperatorState[] found = new OperatorState[1];
         openAndCall(found, "ready");
         assertThat(found[0].banned()).containsExactly("w1", "w2");
         assertThat(found[0].drained()).isFalse();
@@ -138,9 +153,9 @@
     @Test
     void tornOperatorsStateIsPutAside() throws Exception {
         write(OPERATORS_FILE, torn(BANNED));
-        final OperatorsState[] found = new OperatorsState[1];
+        final OperatorState[] found = new OperatorState[1];
         openAndCall(found, "drain");
-        assertThat(found[0]).isEqualTo(OperatorsState.NONE);
+        assertThat(found[0]).isEqualTo(OperatorState.NONE);
         assertThat(read(OPERATORS_FILE + ".refused")).isEqualTo(torn(BANNED));
         assertThat(read(OPERATORS_FILE))
                 .isEqualTo(
--- a/src/test/java/cresschute/control/files/StateFolderTest.java
+++ b/src/test/java/cresschute/control/files/StateFolderTest.java
@@ -3,9 +3,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
+import cresschute.control.Drain;
 import cresschute.control.DrainRegistry;
-import cresschute.control.DrainRegistry.Drain;
-import cresschute.control.Snapshot;
+import cresschute.control.DrainSnapshot;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -27,28 +27,44 @@
         return parent.resolve("state");
     }
 
-    private static Snapshot snapshot(long generation) {
-        return new Snapshot(
+    private static DrainSnapshot snapshot(long generation) {
+        return new DrainSnapshot(
                 generation,
-                List.of(new Drain("w" + generation, generation, DrainRegistry.FOREVER, "ann", "")),
+                List.of(
+                        new Drain(
+                                "w" + generation, generation, DrainRegistry.NO_END_US, "ann", "")),
                 List.of());
     }
 
-    private static IOException keep(StateFolder state, Snapshot snapshot) {
-        final CompletableFuture<IOException> done = new CompletableFuture<>();
-        state.keep(snapshot, Runnable::run, done::complete);
-        return done.join();
+    /** The failure of the store, or null where the snapshot was stored. */
+    static NotDurableException store(StateFolder state, DrainSnapshot snapshot) {
+        final CompletableFuture<NotDurableException> ended = new CompletableFuture<>();
+        state.store(
+                snapshot,
+                Runnable::run,
+                new SnapshotListener() {
+                    @Override
+                    public void stored() {
+                        ended.complete(null);
+                    }
+
+                    @Override
+                    public void notDurable(NotDurableException failure) {
+                        ended.complete(failure);
+                    }
+                });
+        return ended.join();
     }
 
-    private void keepTo(long generation) throws IOException {
+    private void storeUpTo(long generation) throws IOException {
         try (StateFolder state = StateFolder.open(folder())) {
             for (long each = 1; each <= generation; each++) {
-                assertThat(keep(state, snapshot(each))).isNull();
+                assertThat(store(state, snapshot(each))).isNull();
             }
         }
     }
 
-    private Snapshot load() throws IOException {
+    private DrainSnapshot load() throws IOException {
         try (StateFolder state = StateFolder.open(folder())) {
             return state.load();
         }
@@ -57,7 +73,7 @@
     @Test
     void newestIsLoadedAfterEachWrite() throws IOException {
         assertThat(load().generation()).isZero();
-        keepTo(5);
+        storeUpTo(5);
         assertThat(load()).isEqualTo(snapshot(5));
         assertThat(PosixFilePermissions.toString(Files.getPosixFilePermissions(folder())))
                 .isEqualTo("rwx------");
@@ -65,7 +81,7 @@
 
     @Test
     void olderOneIsUsedWhereTheNewestIsDamaged() throws IOException {
-        keepTo(5);
+        storeUpTo(5);
         final Path newest = folder().resolve("drains.1");
         final byte[] bytes = Files.readAllBytes(newest);
         Files.write(newest, Arrays.copyOf(bytes, bytes.length / 2));
@@ -77,42 +93,47 @@
 
     /** A process that died while it wrote aside: what was confirmed before stands. */
     @Test
-    void halfWrittenFileIsNotLookedAt() throws IOException {
-        keepTo(2);
+    void halfWrittenFileIsIgnored() throws IOException {
+        storeUpTo(2);
         Files.write(folder().resolve("drains.new"), new byte[] {1, 2, 3});
         assertThat(load()).isEqualTo(snapshot(2));
         try (StateFolder state = StateFolder.open(folder())) {
-            assertThat(keep(state, snapshot(3))).isNull();
+            assertThat(store(state, snapshot(3))).isNull();
         }
         assertThat(load()).isEqualTo(snapshot(3));
     }
 
     @Test
     void bothDamagedStartsWithNothing() throws IOException {
-        keepTo(2);
+        storeUpTo(2);
         Files.write(folder().resolve("drains.0"), new byte[] {1});
         Files.write(folder().resolve("drains.1"), new byte[0]);
         assertThat(load().drains()).isEmpty();
     }
 
     @Test
-    void folderIsOneNodesAlone() throws IOException {
+    void folderBelongsToOneNode() throws IOException {
         try (StateFolder state = StateFolder.open(folder())) {
             assertThatThrownBy(() -> StateFolder.open(folder()))
+                    .isInstanceOf(StateFolderInUseException.class)
                     .hasMessage("another node uses the state folder " + folder());
-            assertThat(keep(state, snapshot(1))).isNull();
+            assertThat(store(state, snapshot(1))).isNull();
         }
         assertThat(load()).isEqualTo(snapshot(1));
     }
 
-    /** What cannot be written is told, and the generations before it stay. */
+    /** What cannot be written is reported, and the generations before it stay. */
     @Test
-    void failedWriteIsTold() throws IOException {
-        keepTo(2);
+    void failedWriteIsReported() throws IOException {
+        storeUpTo(2);
         // A folder in the way of the file that is written aside: also root cannot write there.
         Files.createDirectory(folder().resolve("drains.new"));
         try (StateFolder state = StateFolder.open(folder())) {
-            assertThat(keep(state, snapshot(3))).isInstanceOf(IOException.class);
+            final NotDurableException failure = store(state, snapshot(3));
+            assertThat(failure).hasCauseInstanceOf(IOException.class);
+            assertThat(failure.getMessage())
+                    .isEqualTo(failure.getCause().getMessage())
+                    .contains("drains.new");
         }
         assertThat(load()).isEqualTo(snapshot(2));
     }
--- a/src/test/java/cresschute/control/socket/ControlProtocolFormatTest.java
+++ b/src/test/java/cresschute/control/socket/ControlProtocolFormatTest.java
@@ -6,10 +6,10 @@
 import com.google.gson.JsonParser;
 import cresschute.ControlPeer;
 import cresschute.console.ControlLink;
+import cresschute.control.ControlCommand;
 import cresschute.control.ControlRequest;
-import cresschute.control.ControlRequest.What;
+import cresschute.control.DrainOperation;
 import cresschute.control.DrainRegistry;
-import cresschute.control.DrainRegistry.Operation;
 import cresschute.control.EventRing;
 import cresschute.control.VersionedTable;
 import io.netty.channel.EventLoop;
@@ -52,7 +52,7 @@
     private final EventLoop loop = group.next();
     private final VersionedTable board = new VersionedTable();
     private final EventRing events = new EventRing();
-    private Operation carriedOut;
+    private DrainOperation carriedOut;
     private ControlServer server;
     private Path socket;
 
@@ -61,12 +61,12 @@
     private final class KnownDesk implements ControlHandler {
 
         @Override
-        public String boot() {
+        public String incarnation() {
             return "run-1";
         }
 
         @Override
-        public VersionedTable board() {
+        public VersionedTable table() {
             return board;
         }
 
@@ -76,12 +76,12 @@
         }
 
         @Override
-        public void look() {
+        public void refresh() {
             // What is shown does not change by itself.
         }
 
         @Override
-        public void carryOut(Operation operation, Consumer<JsonObject> answer) {
+        public void execute(DrainOperation operation, Consumer<JsonObject> answer) {
             carriedOut = operation;
             answer.accept(
                     JsonParser.parseString("{\"ok\":true,\"outcome\":\"done\"}").getAsJsonObject());
@@ -135,20 +135,22 @@
     @Test
     void requestsOfAnEarlierConsoleAreUnderstood() throws Exception {
         assertThat(ControlRequest.parse(WORKERS))
-                .isEqualTo(new ControlRequest("1", What.WORKERS, 0, "", 0, null));
+                .isEqualTo(new ControlRequest("1", ControlCommand.WORKERS, 0, "", 0, null));
         assertThat(ControlRequest.parse(SUBSCRIBE))
-                .isEqualTo(new ControlRequest("rows", What.SUBSCRIBE, 17, "run-1", 0, null));
+                .isEqualTo(
+                        new ControlRequest("rows", ControlCommand.SUBSCRIBE, 17, "run-1", 0, null));
         assertThat(ControlRequest.parse(EVENTS))
-                .isEqualTo(new ControlRequest("events", What.EVENTS, 0, "run-1", 2, null));
+                .isEqualTo(
+                        new ControlRequest("events", ControlCommand.EVENTS, 0, "run-1", 2, null));
         assertThat(ControlRequest.parse(DRAIN))
                 .isEqualTo(
                         new ControlRequest(
                                 "o1",
-                                What.DRAIN,
+                                ControlCommand.DRAIN,
                                 0,
                                 "",
                                 0,
-                                new Operation(
+                                new DrainOperation(
                                         "op-1",
                                         true,
                                         "w1",
@@ -160,15 +162,15 @@
                 .isEqualTo(
                         new ControlRequest(
                                 "o2",
-                                What.UNDRAIN,
+                                ControlCommand.UNDRAIN,
                                 0,
                                 "",
                                 0,
-                                new Operation(
+                                new DrainOperation(
                                         "op-2",
                                         false,
                                         "w1",
-                                        DrainRegistry.FOREVER,
+                                        DrainRegistry.NO_END_US,
                                         "ann",
                                         "",
                                         false)));
@@ -217,7 +219,7 @@
                                         "undrained",
                                         "w1",
                                         "w1 no longer drained by ann");
-                                server.tell(1);
+                                server.publish(1);
                             })
                     .syncUninterruptibly();
             assertThat(peer.read())
@@ -234,7 +236,8 @@
         assertThat(answer(DRAIN)).isEqualTo("{\"re\":\"o1\",\"ok\":true,\"outcome\":\"done\"}");
         assertThat(carriedOut)
                 .isEqualTo(
-                        new Operation("op-1", true, "w1", 7_200_000_000L, "ann", "new disk", true));
+                        new DrainOperation(
+                                "op-1", true, "w1", 7_200_000_000L, "ann", "new disk", true));
         assertThat(answer(UNDRAIN)).isEqualTo("{\"re\":\"o2\",\"ok\":true,\"outcome\":\"done\"}");
     }
 
--- a/src/test/java/cresschute/control/socket/ControlServerTest.java
+++ b/src/test/java/cresschute/control/socket/ControlServerTest.java
@@ -5,7 +5,7 @@
 import com.google.gson.JsonObject;
 import cresschute.ControlPeer;
 import cresschute.control.ControlRequest;
-import cresschute.control.DrainRegistry.Operation;
+import cresschute.control.DrainOperation;
 import cresschute.control.EventRing;
 import cresschute.control.VersionedTable;
 import io.netty.channel.EventLoop;
@@ -42,12 +42,12 @@
     private final class LargeDesk implements ControlHandler {
 
         @Override
-        public String boot() {
+        public String incarnation() {
             return "b";
         }
 
         @Override
-        public VersionedTable board() {
+        public VersionedTable table() {
             return board;
         }
 
@@ -57,12 +57,12 @@
         }
 
         @Override
-        public void look() {
+        public void refresh() {
             // Its one row does not change by itself.
         }
 
         @Override
-        public void carryOut(Operation operation, Consumer<JsonObject> answer) {
+        public void execute(DrainOperation operation, Consumer<JsonObject> answer) {
             answer.accept(new JsonObject());
         }
 
@@ -135,7 +135,7 @@
                                                     + ",\"text\":\""
                                                     + "x".repeat(ROW)
                                                     + "\"}");
-                                    server.tell(change);
+                                    server.publish(change);
                                 })
                         .syncUninterruptibly();
             }
@@ -148,7 +148,7 @@
                 assertThat(next).isGreaterThan(newest);
                 newest = next;
                 told++;
-                loop.submit(() -> server.tell(changes)).syncUninterruptibly();
+                loop.submit(() -> server.publish(changes)).syncUninterruptibly();
             }
             assertThat(told).isLessThan(20);
         }
@@ -159,7 +159,7 @@
     void consoleThatNeverReadsIsLetGo() throws Exception {
         try (ControlPeer peer = new ControlPeer(socket)) {
             peer.write("{\"v\":1,\"id\":\"1\",\"do\":\"subscribe\"}\n");
-            Awaitility.await().until(() -> loop.submit(server::isFollowed).get());
+            Awaitility.await().until(() -> loop.submit(server::hasSubscribers).get());
             final long startUs = 1_000_000;
             for (int i = 0; i < 40; i++) {
                 final int change = i;
@@ -172,14 +172,14 @@
                                                     + ",\"text\":\""
                                                     + "x".repeat(ROW)
                                                     + "\"}");
-                                    server.tell(startUs);
+                                    server.publish(startUs);
                                 })
                         .syncUninterruptibly();
             }
-            loop.submit(() -> server.tell(startUs + ControlSession.STALLED_US - 1))
+            loop.submit(() -> server.publish(startUs + ControlSession.STALL_TIMEOUT_US - 1))
                     .syncUninterruptibly();
             assertThat(loop.submit(server::sessions).get()).isEqualTo(1);
-            loop.submit(() -> server.tell(startUs + ControlSession.STALLED_US))
+            loop.submit(() -> server.publish(startUs + ControlSession.STALL_TIMEOUT_US))
                     .syncUninterruptibly();
             Awaitility.await().until(() -> loop.submit(server::sessions).get() == 0);
         }
--- a/src/test/java/cresschute/node/ControlServiceFormatTest.java
+++ b/src/test/java/cresschute/node/ControlServiceFormatTest.java
@@ -4,8 +4,8 @@
 
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
+import cresschute.control.DrainOperation;
 import cresschute.control.DrainRegistry;
-import cresschute.control.DrainRegistry.Operation;
 import cresschute.dispatch.DispatcherEvents;
 import io.netty.channel.embedded.EmbeddedChannel;
 import java.lang.reflect.Proxy;
@@ -59,15 +59,15 @@
         return handler;
     }
 
-    private static String operate(ControlService handler, Operation operation) {
+    private static String operate(ControlService handler, DrainOperation operation) {
         final List<JsonObject> answers = new ArrayList<>();
-        handler.carryOut(operation, answers::add);
+        handler.execute(operation, answers::add);
         assertThat(answers).hasSize(1);
         return answers.get(0).toString();
     }
 
-    private static Operation drain(String id, String worker, long forUs) {
-        return new Operation(id, true, worker, forUs, "ann", "new disk", false);
+    private static DrainOperation drain(String id, String worker, long forUs) {
+        return new DrainOperation(id, true, worker, forUs, "ann", "new disk", false);
     }
 
     @Test
@@ -77,11 +77,11 @@
             assertThat(operate(handler, drain("op-1", "s-1", 7_200_000_000L)))
                     .isEqualTo(
                             "{\"ok\":true,\"outcome\":\"done\",\"why\":\"\",\"worker\":\"s-1\",\"in_flight\":0}");
-            assertThat(operate(handler, drain("op-2", "s-1", DrainRegistry.FOREVER)))
+            assertThat(operate(handler, drain("op-2", "s-1", DrainRegistry.NO_END_US)))
                     .isEqualTo(
                             "{\"ok\":true,\"outcome\":\"already\",\"why\":\"drained by ann: new"
                                     + " disk\",\"worker\":\"s-1\",\"in_flight\":0}");
-            assertThat(operate(handler, drain("op-3", "s-9", DrainRegistry.FOREVER)))
+            assertThat(operate(handler, drain("op-3", "s-9", DrainRegistry.NO_END_US)))
                     .isEqualTo(
                             "{\"ok\":true,\"outcome\":\"refused\",\"why\":\"no worker is called"
                                     + " s-9\",\"worker\":\"s-9\",\"in_flight\":0}");
@@ -97,8 +97,8 @@
         try (ServerSocket at = Peer.listen()) {
             final ControlService handler = handler(at);
             operate(handler, drain("op-1", "s-1", 7_200_000_000L));
-            handler.look();
-            final Map<String, String> rows = handler.board().since(0).rows();
+            handler.refresh();
+            final Map<String, String> rows = handler.table().since(0).rows();
             assertThat(rows)
                     .containsOnlyKeys("w/s-1", "w/s-2", "w/s-3", "c/check", "c/file", "node");
             final String port = ":" + at.getLocalPort();
--- a/src/test/java/cresschute/node/ControlServiceTest.java
+++ b/src/test/java/cresschute/node/ControlServiceTest.java
@@ -52,16 +52,16 @@
                         actions -> module);
         handler.open(core);
         core.start(null, () -> {}, config.known());
-        handler.look();
-        assertThat(handler.board().since(0).rows()).containsKeys("w/s-1", "w/s-2");
+        handler.refresh();
+        assertThat(handler.table().since(0).rows()).containsKeys("w/s-1", "w/s-2");
         core.endpointListReceived(
                 new EndpointList(2, true, List.of(config.known().entries().get(0))));
-        handler.look();
-        assertThat(handler.board().since(0).rows().get("w/s-2")).contains("\"state\":\"gone\"");
-        final long before = handler.board().number();
+        handler.refresh();
+        assertThat(handler.table().since(0).rows().get("w/s-2")).contains("\"state\":\"gone\"");
+        final long before = handler.table().version();
         nowUs += TEN_MINUTES_US;
-        handler.look();
-        assertThat(handler.board().since(0).rows()).containsKey("w/s-1").doesNotContainKey("w/s-2");
-        assertThat(handler.board().since(before).gone()).containsExactly("w/s-2");
+        handler.refresh();
+        assertThat(handler.table().since(0).rows()).containsKey("w/s-1").doesNotContainKey("w/s-2");
+        assertThat(handler.table().since(before).removed()).containsExactly("w/s-2");
     }
 }
