--- a/src/main/java/cresschute/node/ManagementService.java
+++ b/src/main/java/cresschute/node/ManagementService.java
@@ -291,7 +291,7 @@
     // ---- The overlay on the endpoint list ----
 
     @Override
-    public WorkerState over(String worker, WorkerState listed) {
+    public WorkerState effectiveState(String worker, WorkerState listed) {
         return listed == WorkerState.READY && inForce.isBanned(worker)
                 ? WorkerState.DRAINING
                 : listed;
--- a/src/main/java/cresschute/node/http/LongBodies.java
+++ b/src/main/java/cresschute/node/http/StreamedBodies.java
@@ -1,8 +1,8 @@
 package cresschute.node.http;
 
-import cresschute.flow.Budget;
-import cresschute.flow.Budget.Account;
-import cresschute.flow.Budget.Admission;
+import cresschute.flow.BufferBudget;
+import cresschute.flow.BufferBudget.Admission;
+import cresschute.flow.BufferBudget.Reservation;
 import cresschute.node.PeerFault;
 import cresschute.node.RequestLifecycle;
 import cresschute.settings.ApplianceSettings.Bodies;
@@ -15,7 +15,7 @@
 /**
  * The long bodies of a node: the budget that they share, and what watches their pace. On the loop.
  */
-final class LongBodies {
+final class StreamedBodies {
 
     /**
      * With 40 bodies that stand still, each holds two to three windows, and there is room for 130
@@ -24,17 +24,17 @@
     private static final long LEND_SHARE = 64;
 
     private final Bodies settings;
-    private final Budget budget;
+    private final BufferBudget budget;
     private final long longest;
     private final RequestLifecycle core;
-    private final Set<BodyPump> pumps = new LinkedHashSet<>();
-    private final Set<LongResult> results = new LinkedHashSet<>();
+    private final Set<BodyTransfer> pumps = new LinkedHashSet<>();
+    private final Set<StreamedResponseBody> results = new LinkedHashSet<>();
 
-    LongBodies(Bodies settings, RequestLifecycle core) {
+    StreamedBodies(Bodies settings, RequestLifecycle core) {
         this.settings = settings;
         this.core = core;
         this.budget =
-                new Budget(
+                new BufferBudget(
                         settings.budget(),
                         settings.window(),
                         settings.lent(),
@@ -59,25 +59,28 @@
      * @param length what its head says, or -1
      * @param room told when more of it can be read than before
      */
-    LongBody open(String client, int requestClass, long length, Runnable room) {
-        final Account account = open(client, room);
+    StreamedRequestBody open(String client, int requestClass, long length, Runnable room) {
+        final Reservation account = open(client, room);
         return account == null
                 ? null
-                : new LongBody(this, account, of(requestClass), settings.spool(), length, room);
+                : new StreamedRequestBody(
+                        this, account, of(requestClass), settings.spool(), length, room);
     }
 
     /** Opens the room for a result, or returns null where there is none. */
-    LongResult openResult(String client, int requestClass, ByteBufAllocator allocator) {
+    StreamedResponseBody openResult(String client, int requestClass, ByteBufAllocator allocator) {
         final Waker waker = new Waker();
-        final Account account = open(client, waker);
+        final Reservation account = open(client, waker);
         waker.result =
-                account == null ? null : new LongResult(this, account, of(requestClass), allocator);
+                account == null
+                        ? null
+                        : new StreamedResponseBody(this, account, of(requestClass), allocator);
         return waker.result;
     }
 
     /** An account tells of room from the start on, and a result needs its account to begin with. */
     private static final class Waker implements Runnable {
-        private LongResult result;
+        private StreamedResponseBody result;
 
         @Override
         public void run() {
@@ -85,21 +88,21 @@
         }
     }
 
-    private Account open(String client, Runnable room) {
-        final Admission admission = budget.open(client, room);
-        if (admission.account() == null) {
+    private Reservation open(String client, Runnable room) {
+        final Admission admission = budget.reserve(client, room);
+        if (admission.reservation() == null) {
             core.faults()
                     .fault(
-                            PeerFault.NO_ROOM_FOR_BODY,
+                            PeerFault.BODY_CAPACITY_EXCEEDED,
                             client,
-                            switch (admission.refusal()) {
-                                case NODE_FULL ->
+                            switch (admission.rejection()) {
+                                case BUDGET_EXHAUSTED ->
                                         "the budget of " + settings.budget() + " bytes is in use";
-                                case CLIENT_FULL ->
+                                case CLIENT_LIMIT_REACHED ->
                                         "its bodies own " + settings.ofAClient() + " bytes already";
                             });
         }
-        return admission.account();
+        return admission.reservation();
     }
 
     /** Bytes in use of the budget. */
@@ -107,26 +110,26 @@
         return budget.inUse();
     }
 
-    void add(BodyPump pump) {
+    void add(BodyTransfer pump) {
         pumps.add(pump);
     }
 
-    void remove(BodyPump pump) {
+    void remove(BodyTransfer pump) {
         pumps.remove(pump);
     }
 
-    void add(LongResult result) {
+    void add(StreamedResponseBody result) {
         results.add(result);
     }
 
-    void remove(LongResult result) {
+    void remove(StreamedResponseBody result) {
         results.remove(result);
     }
 
     /** Gives up what goes too slowly: peers that take too little, workers that make too little. */
     void sweep() {
-        List.copyOf(pumps).forEach(BodyPump::judge);
-        List.copyOf(results).forEach(LongResult::judge);
+        List.copyOf(pumps).forEach(BodyTransfer::judge);
+        List.copyOf(results).forEach(StreamedResponseBody::judge);
     }
 
     void tooSlow(String who, String what) {
