--- /dev/null
+++ b/src/main/java/cresschute/node/ConsoleRows.java
@@ -0,0 +1,149 @@
+package cresschute.node;
+
+import com.google.gson.JsonArray;
+import com.google.gson.JsonObject;
+import cresschute.control.Drain;
+import cresschute.dispatch.Worker;
+import cresschute.dispatch.WorkerState;
+import cresschute.health.HealthTracker;
+import io.netty.util.NetUtil;
+
+/**
+ * The rows of consoles as JSON texts, in the words of the protocol in {@code docs/console.md}.
+ * Times there are Unix milliseconds, and -1 is not known. It owns no state; used on the loop.
+ */
+final class ConsoleRows {
+
+    private static final long US_PER_MS = 1_000;
+    private static final double UNKNOWN = -1;
+
+    private final ControlContext node;
+    private final DurableDrains drains;
+    private final HealthTracker health;
+
+    ConsoleRows(ControlContext node, DurableDrains drains, HealthTracker health) {
+        this.node = node;
+        this.drains = drains;
+        this.health = health;
+    }
+
+    /**
+     * The row of a worker.
+     *
+     * @param worker its number, which the health tracker knows
+     */
+    String worker(long nowUs, int worker) {
+        final HealthTracker.View view = health.view(nowUs, worker);
+        final WorkerRegistry workers = node.workers();
+        final Worker listed = workers.listed().get(worker);
+        final JsonObject row = new JsonObject();
+        row.addProperty("id", workers.name(worker));
+        row.addProperty("state", view.condition().word());
+        row.addProperty("why", view.why());
+        row.addProperty("since_ms", view.sinceUs() / US_PER_MS);
+        row.addProperty("address", NetUtil.toSocketAddressString(workers.address(worker)));
+        row.addProperty("kind", workers.kind(listed.kind()));
+        row.addProperty("cell", listed.cell());
+        row.addProperty(
+                "listed",
+                listed.state() == WorkerState.READY ? "serving" : listed.state().wireName());
+        drains.drainOf(workers.name(worker)).ifPresent(drain -> row.add("drain", drain(drain)));
+        row.addProperty("in_flight", view.inFlight());
+        row.add("in_flight_by_class", inFlightByClass(view));
+        row.addProperty("rate", Math.round(view.ratePerS() * 100) / 100.0);
+        row.addProperty("failed", view.failed());
+        addQuantiles(row, view.minute(), view.tenMinutes());
+        row.add("sparks", sparks(view));
+        row.addProperty("queue", view.queue());
+        row.addProperty("free", view.free());
+        row.addProperty("report_ms", view.reportUs() / US_PER_MS);
+        return row.toString();
+    }
+
+    private static JsonObject drain(Drain drain) {
+        final JsonObject json = new JsonObject();
+        json.addProperty("who", drain.operator());
+        json.addProperty("reason", drain.reason());
+        json.addProperty("since_ms", drain.startedAtUs() / US_PER_MS);
+        if (drain.hasEnd()) {
+            json.addProperty("until_ms", drain.endsAtUs() / US_PER_MS);
+        }
+        return json;
+    }
+
+    private JsonObject inFlightByClass(HealthTracker.View view) {
+        final JsonObject json = new JsonObject();
+        for (int i = 0; i < view.inFlightByClass().length; i++) {
+            if (view.inFlightByClass()[i] > 0) {
+                json.addProperty(node.config().classes().get(i), view.inFlightByClass()[i]);
+            }
+        }
+        return json;
+    }
+
+    private static JsonArray sparks(HealthTracker.View view) {
+        final JsonArray json = new JsonArray();
+        for (final int spark : view.sparks()) {
+            json.add(spark);
+        }
+        return json;
+    }
+
+    private static void addQuantiles(
+            JsonObject row, HealthTracker.Times minute, HealthTracker.Times tenMinutes) {
+        row.addProperty("p50_ms", minute.p50Ms());
+        row.addProperty("p99_ms", minute.p99Ms());
+        row.addProperty("p50_ms_10m", tenMinutes.p50Ms());
+        row.addProperty("p99_ms_10m", tenMinutes.p99Ms());
+    }
+
+    /**
+     * The row of a request class.
+     *
+     * @param requestClass its number in the settings
+     */
+    String requestClass(long nowUs, int requestClass) {
+        final HealthTracker.ClassView view = health.classView(nowUs, requestClass);
+        final int answered = view.served() + view.refused() + view.failed();
+        final JsonObject row = new JsonObject();
+        row.addProperty("id", node.config().classes().get(requestClass));
+        row.addProperty("asked", view.asked());
+        row.addProperty(
+                "admitted",
+                answered == 0
+                        ? UNKNOWN
+                        : Math.min(1, Math.round(view.admitted() * 1000.0 / answered) / 1000.0));
+        row.addProperty("served", view.served());
+        row.addProperty("refused", view.refused());
+        row.addProperty("failed", view.failed());
+        row.addProperty("in_time", view.inTime());
+        row.addProperty("in_flight", view.inFlight());
+        addQuantiles(row, view.minute(), view.tenMinutes());
+        return row.toString();
+    }
+
+    /**
+     * The row of the node itself.
+     *
+     * @param stopping whether its shutdown has begun
+     * @param consoles how many are connected
+     */
+    String node(long nowUs, boolean stopping, int consoles) {
+        final RequestLifecycle lifecycle = node.lifecycle();
+        final boolean hasDiscovery = node.config().discovery() != null;
+        final double servedFraction = health.weightedServedFraction(nowUs);
+        final JsonObject row = new JsonObject();
+        row.addProperty("name", node.config().name());
+        row.addProperty("list_version", lifecycle.listVersion());
+        row.addProperty("list_ms", hasDiscovery ? lifecycle.listUpdatedAtUs() / US_PER_MS : 0);
+        row.addProperty("fixed_list", !hasDiscovery);
+        row.addProperty("open", lifecycle.unanswered());
+        row.addProperty(
+                "worth_kept",
+                servedFraction < 0 ? UNKNOWN : Math.round(servedFraction * 1000) / 1000.0);
+        row.addProperty("stopping", stopping);
+        row.addProperty("consoles", consoles);
+        row.addProperty("broken", lifecycle.invariant().total());
+        return row.toString();
+    }
+}
--- /dev/null
+++ b/src/main/java/cresschute/node/ConsoleTable.java
@@ -0,0 +1,105 @@
+package cresschute.node;
+
+import cresschute.control.VersionedTable;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import java.util.function.IntPredicate;
+
+/**
+ * Keeps the rows of consoles up to date: one a worker, one a class and one of the node.
+ *
+ * <p>A worker's row is drawn anew when it changed, and its figures, which change with time alone,
+ * at every {@value #REFRESHES_PER_FIGURE}th refresh, a part of the workers each time.
+ *
+ * <p>It owns the {@link VersionedTable}, which lives as long as the process and is not stored. Used
+ * on the loop alone.
+ */
+final class ConsoleTable {
+
+    /** In how many refreshes the rows of all unchanged workers are drawn once. */
+    private static final int REFRESHES_PER_FIGURE = 4;
+
+    private static final String WORKER_KEY = "w/";
+    private static final String CLASS_KEY = "c/";
+    private static final String NODE_KEY = "node";
+
+    private final VersionedTable table = new VersionedTable();
+    private final ControlContext node;
+    private final WorkerHealthMonitor health;
+    private final ConsoleRows rows;
+
+    /** Workers that have a row. */
+    private Set<Integer> shownWorkers = Set.of();
+
+    private int refreshes;
+    private boolean stopping;
+
+    ConsoleTable(ControlContext node, WorkerHealthMonitor health, DurableDrains drains) {
+        this.node = node;
+        this.health = health;
+        this.rows = new ConsoleRows(node, drains, health.tracker());
+    }
+
+    /** The rows as of the last refresh. */
+    VersionedTable table() {
+        return table;
+    }
+
+    /** The node's row shows from the next refresh on that its shutdown has begun. */
+    void nodeStopping() {
+        stopping = true;
+    }
+
+    /**
+     * Draws all rows.
+     *
+     * @param consoles how many are connected
+     */
+    void refreshAll(int consoles) {
+        refresh(worker -> true, consoles);
+    }
+
+    /**
+     * Draws the rows of workers that changed, those whose turn it is, and all others.
+     *
+     * @param consoles how many are connected
+     */
+    void refreshChanged(int consoles) {
+        refresh(worker -> health.changedWorkers().contains(worker) || isTurnOf(worker), consoles);
+    }
+
+    private boolean isTurnOf(int worker) {
+        return worker % REFRESHES_PER_FIGURE == refreshes % REFRESHES_PER_FIGURE;
+    }
+
+    private void refresh(IntPredicate isDue, int consoles) {
+        final long nowUs = node.nowUs();
+        refreshes++;
+        final Set<Integer> known = new HashSet<>(health.tracker().workers());
+        for (final int worker : known) {
+            if (isDue.test(worker)) {
+                table.put(workerKey(worker), rows.worker(nowUs, worker));
+            }
+        }
+        health.clearChangedWorkers();
+        removeAllBut(known);
+        final List<String> classes = node.config().classes();
+        for (int i = 0; i < classes.size(); i++) {
+            table.put(CLASS_KEY + classes.get(i), rows.requestClass(nowUs, i));
+        }
+        table.put(NODE_KEY, rows.node(nowUs, stopping, consoles));
+    }
+
+    /** A worker that the health tracker has forgotten has no change of its own. */
+    private void removeAllBut(Set<Integer> known) {
+        shownWorkers.stream()
+                .filter(worker -> !known.contains(worker))
+                .forEach(worker -> table.remove(workerKey(worker)));
+        shownWorkers = known;
+    }
+
+    private String workerKey(int worker) {
+        return WORKER_KEY + node.workers().name(worker);
+    }
+}
--- /dev/null
+++ b/src/main/java/cresschute/node/ControlRequestHandler.java
@@ -0,0 +1,139 @@
+package cresschute.node;
+
+import com.google.gson.JsonObject;
+import cresschute.control.ControlRequest;
+import cresschute.control.DrainOperation;
+import cresschute.control.EventRing;
+import cresschute.control.OperationOutcome;
+import cresschute.control.VersionedTable;
+import cresschute.control.files.NotDurableException;
+import cresschute.control.socket.ControlHandler;
+import cresschute.logs.LogEvent;
+import java.lang.System.Logger;
+import java.lang.System.Logger.Level;
+import java.util.Optional;
+import java.util.UUID;
+import java.util.function.Consumer;
+import java.util.function.IntSupplier;
+
+/**
+ * Answers the requests of consoles from the parts of the {@link ControlService}. It owns nothing
+ * but the name of this run of the node; used on the loop.
+ */
+final class ControlRequestHandler implements ControlHandler {
+
+    private static final Logger LOG = System.getLogger("cresschute.control");
+
+    private final String incarnation = UUID.randomUUID().toString();
+    private final ControlContext node;
+    private final DurableDrains drains;
+    private final WorkerHealthMonitor health;
+    private final ConsoleTable consoleTable;
+    private IntSupplier consoles = () -> 0;
+
+    ControlRequestHandler(
+            ControlContext node,
+            DurableDrains drains,
+            WorkerHealthMonitor health,
+            ConsoleTable consoleTable) {
+        this.node = node;
+        this.drains = drains;
+        this.health = health;
+        this.consoleTable = consoleTable;
+    }
+
+    /**
+     * @param connected counts the connected consoles; none without this
+     */
+    void countConsolesBy(IntSupplier connected) {
+        consoles = connected;
+    }
+
+    @Override
+    public String incarnation() {
+        return incarnation;
+    }
+
+    @Override
+    public VersionedTable table() {
+        return consoleTable.table();
+    }
+
+    @Override
+    public EventRing events() {
+        return node.events().events();
+    }
+
+    @Override
+    public void refresh() {
+        health.updateConditions();
+        consoleTable.refreshAll(consoles.getAsInt());
+    }
+
+    /** Draws the rows that changed or are due, for consoles that are subscribed. */
+    void refreshChanged() {
+        consoleTable.refreshChanged(consoles.getAsInt());
+    }
+
+    @Override
+    public void execute(DrainOperation operation, Consumer<JsonObject> answer) {
+        drains.expire(node.nowUs());
+        drains.apply(
+                operation,
+                node.fleetView(),
+                node.nowUs(),
+                (outcome, failure) -> answer.accept(answer(operation, outcome, failure)));
+    }
+
+    private JsonObject answer(
+            DrainOperation operation,
+            OperationOutcome outcome,
+            Optional<NotDurableException> failure) {
+        final JsonObject fields = new JsonObject();
+        fields.addProperty("ok", true);
+        fields.addProperty("outcome", outcome.result().wireName());
+        fields.addProperty("why", outcome.reason());
+        fields.addProperty("worker", operation.worker());
+        fields.addProperty("in_flight", health.inFlight(operation.worker()));
+        if (drains.hasStateFolder()) {
+            fields.addProperty("kept", failure.isEmpty());
+        }
+        failure.ifPresent(
+                each ->
+                        fields.addProperty(
+                                "keep_error",
+                                "in force, but a restart would forget it: " + each.getMessage()));
+        return fields;
+    }
+
+    @Override
+    public void audit(long session, ControlRequest request) {
+        final String command = request.command().wireName();
+        final Optional<DrainOperation> operation = Optional.ofNullable(request.operation());
+        final LogEvent event =
+                LogEvent.of(
+                                "console_asked",
+                                "console "
+                                        + session
+                                        + " asks: "
+                                        + command
+                                        + operation
+                                                .map(
+                                                        each ->
+                                                                " "
+                                                                        + each.worker()
+                                                                        + " by "
+                                                                        + each.operator())
+                                                .orElse(""))
+                        .with("session", session)
+                        .with("command", command);
+        operation.ifPresent(
+                each ->
+                        event.with("worker", each.worker())
+                                .with("operation", each.id())
+                                .with("operator", each.operator())
+                                .with("reason", each.reason())
+                                .with("forced", each.isForced()));
+        event.log(LOG, Level.INFO);
+    }
+}
--- /dev/null
+++ b/src/main/java/cresschute/node/OperatorEventLog.java
@@ -0,0 +1,47 @@
+package cresschute.node;
+
+import cresschute.control.EventRing;
+import cresschute.logs.LogEvent;
+import java.lang.System.Logger;
+import java.lang.System.Logger.Level;
+
+/**
+ * Records what operators are to know, both for consoles and in the log. It owns the {@link
+ * EventRing}, which lives as long as the process. Used on the node's loop alone.
+ */
+final class OperatorEventLog {
+
+    private static final Logger LOG = System.getLogger("cresschute.control");
+
+    private final EventRing events = new EventRing();
+    private final Clock clock;
+
+    OperatorEventLog(Clock clock) {
+        this.clock = clock;
+    }
+
+    /** Records an event of the whole node. */
+    void record(OperatorEventKind kind, String text) {
+        events.add(clock.nowUs(), kind.wireName(), null, text);
+        logged(kind, text).log(LOG, Level.INFO);
+    }
+
+    /**
+     * Records an event of one worker.
+     *
+     * @param worker its id in the endpoint list
+     */
+    void record(OperatorEventKind kind, String worker, String text) {
+        events.add(clock.nowUs(), kind.wireName(), worker, text);
+        logged(kind, text).with("worker", worker).log(LOG, Level.INFO);
+    }
+
+    private static LogEvent logged(OperatorEventKind kind, String text) {
+        return LogEvent.of("operator_event", text).with("kind", kind.wireName());
+    }
+
+    /** The newest events, for consoles. */
+    EventRing events() {
+        return events;
+    }
+}
--- /dev/null
+++ b/src/main/java/cresschute/node/WorkerHealthMonitor.java
@@ -0,0 +1,207 @@
+package cresschute.node;
+
+import cresschute.dispatch.LoadReport;
+import cresschute.dispatch.Outcome;
+import cresschute.dispatch.RequestClass;
+import cresschute.dispatch.Worker;
+import cresschute.dispatch.WorkerState;
+import cresschute.health.Condition;
+import cresschute.health.HealthTracker;
+import cresschute.health.Thresholds;
+import java.util.Collections;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+
+/**
+ * Feeds the {@link HealthTracker} with what passes through the node, and records changes of the
+ * endpoint list and of conditions as events for operators. It describes workers and selects none.
+ *
+ * <p>Owned state: the tracker, the last listed state of each worker, and which workers changed
+ * since their rows were last drawn. All of it lives as long as the process and is used on the loop
+ * alone.
+ */
+final class WorkerHealthMonitor implements RequestListener {
+
+    private final ControlContext node;
+    private final DurableDrains drains;
+    private final HealthTracker tracker;
+    private final Map<String, WorkerState> lastListed = new HashMap<>();
+    private final Set<Integer> changedWorkers = new HashSet<>();
+
+    WorkerHealthMonitor(ControlContext node, DurableDrains drains) {
+        this.node = node;
+        this.drains = drains;
+        this.tracker = tracker(node.config());
+    }
+
+    private static HealthTracker tracker(NodeConfig config) {
+        return new HealthTracker(
+                Thresholds.usual(
+                        config.settings().progressUs(),
+                        config.settings().slowStart().warmUpDurationUs()),
+                config.settings().classes().stream()
+                        .map(WorkerHealthMonitor::latencyObjective)
+                        .toList());
+    }
+
+    private static HealthTracker.LatencyObjective latencyObjective(RequestClass requestClass) {
+        return new HealthTracker.LatencyObjective(
+                requestClass.priorityWeight(),
+                requestClass.latencyObjectiveUs(),
+                requestClass.latencyObjectiveStretch());
+    }
+
+    // ---- What passes ----
+
+    @Override
+    public void endpointListChanged(long nowUs, List<Worker> workers) {
+        for (final Worker each : workers) {
+            workerChanged(nowUs, each);
+            final String name = node.workers().name(each.id());
+            final WorkerState before = lastListed.put(name, each.state());
+            if (before != null && before != each.state()) {
+                node.events()
+                        .record(
+                                OperatorEventKind.ENDPOINT_CHANGED,
+                                name,
+                                "the list says " + name + " is " + listedWord(each.state()));
+            }
+        }
+    }
+
+    private static String listedWord(WorkerState state) {
+        return switch (state) {
+            case READY -> "serving";
+            case DRAINING -> "draining";
+            case GONE -> "gone";
+        };
+    }
+
+    /** Takes in the state of workers anew after their drains changed. */
+    void drainsChanged(List<String> names) {
+        final long nowUs = node.nowUs();
+        for (final String name : names) {
+            final int number = node.workers().number(name);
+            if (number >= 0) {
+                workerChanged(nowUs, node.workers().listed().get(number));
+            }
+        }
+    }
+
+    private void workerChanged(long nowUs, Worker worker) {
+        tracker.listed(
+                nowUs,
+                worker.id(),
+                worker.state(),
+                drains.drainOf(node.workers().name(worker.id())).isPresent(),
+                worker.startedAtUs());
+        changedWorkers.add(worker.id());
+    }
+
+    @Override
+    public void requestTaken(long nowUs, int requestClass) {
+        tracker.asked(nowUs, requestClass);
+    }
+
+    @Override
+    public void requestEnded(
+            long nowUs, int requestClass, Answer answer, int attempts, long waitedUs, long ranUs) {
+        tracker.answered(nowUs, requestClass, healthAnswer(answer), attempts, waitedUs, ranUs);
+    }
+
+    private static HealthTracker.Answer healthAnswer(Answer answer) {
+        return switch (answer) {
+            case SERVED -> HealthTracker.Answer.SERVED;
+            case REJECTED -> HealthTracker.Answer.REFUSED;
+            case FAILED -> HealthTracker.Answer.FAILED;
+            case LEFT -> HealthTracker.Answer.LEFT;
+        };
+    }
+
+    @Override
+    public AttemptObserver attemptStarted(long nowUs, int worker, int requestClass) {
+        final HealthTracker.Job job = tracker.sent(nowUs, worker, requestClass);
+        changedWorkers.add(worker);
+        return new AttemptObserver() {
+            @Override
+            public void progressed(long atUs) {
+                job.told(atUs);
+            }
+
+            @Override
+            public void ended(long atUs, Outcome outcome, LoadReport report) {
+                job.ended(atUs, outcome, report);
+                changedWorkers.add(worker);
+            }
+
+            @Override
+            public long ranUs(long atUs) {
+                return job.ranUs(atUs);
+            }
+        };
+    }
+
+    @Override
+    public void loadReported(long nowUs, int worker, LoadReport report) {
+        tracker.probed(nowUs, worker, report);
+        changedWorkers.add(worker);
+    }
+
+    // ---- Conditions ----
+
+    /** Judges all workers anew, and records the changes that operators are to know. */
+    void updateConditions() {
+        for (final HealthTracker.Change each : tracker.look(node.nowUs())) {
+            changedWorkers.add(each.worker());
+            if (isRecorded(each)) {
+                final String name = node.workers().name(each.worker());
+                node.events()
+                        .record(
+                                OperatorEventKind.CONDITION_CHANGED,
+                                name,
+                                name
+                                        + " is "
+                                        + each.to().word()
+                                        + (each.why().isEmpty() ? "" : ": " + each.why()));
+            }
+        }
+    }
+
+    /**
+     * Whether a change is an event of its own. Changes of the endpoint list and drains are recorded
+     * as such, and a worker that fills up and empties is doing its work.
+     */
+    private static boolean isRecorded(HealthTracker.Change change) {
+        return change.from() != null
+                && change.to() != Condition.GONE
+                && change.to() != Condition.DRAINING
+                && !(change.from().compareTo(Condition.FULL) <= 0
+                        && change.to().compareTo(Condition.FULL) <= 0);
+    }
+
+    // ---- Views ----
+
+    /** The figures of workers and classes. */
+    HealthTracker tracker() {
+        return tracker;
+    }
+
+    /** The workers that changed since {@link #clearChangedWorkers}. */
+    Set<Integer> changedWorkers() {
+        return Collections.unmodifiableSet(changedWorkers);
+    }
+
+    /** Is called once their rows are drawn. */
+    void clearChangedWorkers() {
+        changedWorkers.clear();
+    }
+
+    /** Attempts in flight at a worker; 0 where no list has named it. */
+    int inFlight(String worker) {
+        final int number = node.workers().number(worker);
+        return number < 0 ? 0 : tracker.inFlight(number);
+    }
+}
--- a/src/test/java/cresschute/control/DrainRegistryTest.java
+++ b/src/test/java/cresschute/control/DrainRegistryTest.java
@@ -16,11 +16,11 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** The operator's overlay: operations once, refusals with reasons, and a plain model beside it. */
+/** Operations are applied once, rejections name their reason, and drains agree with a model. */
 class DrainRegistryTest {
 
     private static final long S = 1_000_000;
-    private static final FleetView SITE =
+    private static final FleetView FLEET =
             new FleetView(
                     List.of(worker("a", 0, 1), worker("b", 0, 1), worker("c", 1, 2)),
                     List.of(
@@ -45,14 +45,14 @@
 
     @Test
     void overlayMakesAStateWorseAndNeverBetter() {
-        assertThat(drains.apply(drain("1", "a"), SITE, 0).result())
+        assertThat(drains.apply(drain("1", "a"), FLEET, 0).result())
                 .isEqualTo(OperationResult.APPLIED);
         assertThat(drains.effectiveState("a", WorkerState.READY)).isEqualTo(WorkerState.DRAINING);
         assertThat(drains.effectiveState("a", WorkerState.DRAINING))
                 .isEqualTo(WorkerState.DRAINING);
         assertThat(drains.effectiveState("a", WorkerState.GONE)).isEqualTo(WorkerState.GONE);
         assertThat(drains.effectiveState("b", WorkerState.READY)).isEqualTo(WorkerState.READY);
-        assertThat(drains.apply(undo("2", "a"), SITE, 0).result())
+        assertThat(drains.apply(undo("2", "a"), FLEET, 0).result())
                 .isEqualTo(OperationResult.APPLIED);
         assertThat(drains.effectiveState("a", WorkerState.DRAINING))
                 .isEqualTo(WorkerState.DRAINING);
@@ -64,11 +64,11 @@
      */
     @Test
     void operationSentAgainDoesNothing() {
-        final OperationOutcome first = drains.apply(drain("1", "a"), SITE, 0);
-        drains.apply(undo("2", "a"), SITE, 1);
-        assertThat(drains.apply(drain("1", "a"), SITE, 2)).isEqualTo(first);
+        final OperationOutcome first = drains.apply(drain("1", "a"), FLEET, 0);
+        drains.apply(undo("2", "a"), FLEET, 1);
+        assertThat(drains.apply(drain("1", "a"), FLEET, 2)).isEqualTo(first);
         assertThat(drains.inForce()).isEmpty();
-        assertThat(drains.apply(drain("1", "b"), SITE, 3))
+        assertThat(drains.apply(drain("1", "b"), FLEET, 3))
                 .isEqualTo(
                         new OperationOutcome(
                                 OperationResult.REJECTED,
@@ -76,43 +76,43 @@
     }
 
     @Test
-    void secondConsoleHearsWhoDrained() {
-        drains.apply(drain("1", "a"), SITE, 5);
-        assertThat(drains.apply(new DrainOperation("2", true, "a", S, "bob", "", false), SITE, 9))
+    void secondConsoleIsNotifiedWhoDrained() {
+        drains.apply(drain("1", "a"), FLEET, 5);
+        assertThat(drains.apply(new DrainOperation("2", true, "a", S, "bob", "", false), FLEET, 9))
                 .isEqualTo(new OperationOutcome(OperationResult.UNCHANGED, "drained by ann: disk"));
         assertThat(drains.inForce())
                 .containsExactly(new Drain("a", 5, DrainRegistry.NO_END_US, "ann", "disk"));
-        assertThat(drains.apply(undo("3", "b"), SITE, 9))
+        assertThat(drains.apply(undo("3", "b"), FLEET, 9))
                 .isEqualTo(
                         new OperationOutcome(
                                 OperationResult.UNCHANGED, "not drained by an operator"));
     }
 
     @Test
-    void lastWorkerOfAClassIsKeptUnlessForced() {
-        assertThat(drains.apply(drain("1", "c"), SITE, 0))
+    void lastWorkerOfAClassIsDrainedOnlyByForce() {
+        assertThat(drains.apply(drain("1", "c"), FLEET, 0))
                 .isEqualTo(
                         new OperationOutcome(
                                 OperationResult.REJECTED, "c is the last worker that may run big"));
-        assertThat(drains.apply(drain("2", "a"), SITE, 0).result())
+        assertThat(drains.apply(drain("2", "a"), FLEET, 0).result())
                 .isEqualTo(OperationResult.APPLIED);
         assertThat(
                         drains.apply(
                                         new DrainOperation("3", true, "c", S, "ann", "", true),
-                                        SITE,
+                                        FLEET,
                                         0)
                                 .result())
                 .isEqualTo(OperationResult.APPLIED);
         // What drains already does not count as left.
-        assertThat(drains.apply(drain("4", "b"), SITE, 0))
+        assertThat(drains.apply(drain("4", "b"), FLEET, 0))
                 .isEqualTo(
                         new OperationOutcome(
                                 OperationResult.REJECTED, "b is the last worker that may run any"));
     }
 
     @Test
-    void lastOfABoundCellIsKept() {
-        final FleetView bound = new FleetView(SITE.workers(), List.of(), Set.of(1));
+    void lastWorkerOfABoundCellIsNotDrained() {
+        final FleetView bound = new FleetView(FLEET.workers(), List.of(), Set.of(1));
         assertThat(drains.apply(drain("1", "a"), bound, 0).result())
                 .isEqualTo(OperationResult.APPLIED);
         assertThat(drains.apply(drain("2", "b"), bound, 0))
@@ -129,37 +129,50 @@
      */
     @Test
     void unknownWorkerNeedsForce() {
-        assertThat(drains.apply(drain("1", "x"), SITE, 0))
+        assertThat(drains.apply(drain("1", "x"), FLEET, 0))
                 .isEqualTo(new OperationOutcome(OperationResult.REJECTED, "no worker is called x"));
-        drains.apply(new DrainOperation("2", true, "x", S, "ann", "", true), SITE, 0);
+        drains.apply(new DrainOperation("2", true, "x", S, "ann", "", true), FLEET, 0);
         assertThat(drains.effectiveState("x", WorkerState.READY)).isEqualTo(WorkerState.DRAINING);
     }
 
     @Test
     void drainsEndWhenTheirTimeIsUp() {
-        drains.apply(new DrainOperation("1", true, "a", 3 * S, "ann", "", false), SITE, S);
+        drains.apply(new DrainOperation("1", true, "a", 3 * S, "ann", "", false), FLEET, S);
         assertThat(drains.nextEndUs()).isEqualTo(4 * S);
         assertThat(drains.expire(4 * S - 1)).isEmpty();
         assertThat(drains.expire(4 * S)).containsExactly("a");
         assertThat(drains.nextEndUs()).isEqualTo(DrainRegistry.NO_END_US);
         drains.apply(
                 new DrainOperation("2", true, "a", DrainRegistry.NO_END_US - 1, "ann", "", false),
-                SITE,
+                FLEET,
                 S);
         assertThat(drains.nextEndUs()).isEqualTo(DrainRegistry.NO_END_US);
         assertThatThrownBy(() -> new DrainOperation("3", true, "a", 0, "ann", "", false))
                 .hasMessage("a drain lasts longer than no time");
     }
 
+    @Test
+    void drainsAreLimited() {
+        for (int i = 0; i < DrainRegistry.MAX_DRAINS; i++) {
+            drains.apply(new DrainOperation("o" + i, true, "w" + i, S, "ann", "", true), FLEET, 0);
+        }
+        final DrainRejection limit = new DrainRejection.DrainLimitReached(DrainRegistry.MAX_DRAINS);
+        assertThat(drains.apply(new DrainOperation("x", true, "a", S, "ann", "", true), FLEET, 0))
+                .isEqualTo(OperationOutcome.rejected(limit));
+        assertThat(limit.message())
+                .isEqualTo("10000 drains are in force, the limit; undo one first");
+        assertThat(limit.canBeForced()).isFalse();
+    }
+
     @Test
     void memoryOfOperationsIsBounded() {
         for (int i = 0; i <= DrainRegistry.MAX_COMPLETED; i++) {
-            drains.apply(undo("u" + i, "a"), SITE, 0);
+            drains.apply(undo("u" + i, "a"), FLEET, 0);
         }
         // The oldest is forgotten: under its id another operation is a new one.
-        assertThat(drains.apply(drain("u0", "a"), SITE, 0).result())
+        assertThat(drains.apply(drain("u0", "a"), FLEET, 0).result())
                 .isEqualTo(OperationResult.APPLIED);
-        assertThat(drains.apply(drain("u2", "b"), SITE, 0).result())
+        assertThat(drains.apply(drain("u2", "b"), FLEET, 0).result())
                 .isEqualTo(OperationResult.REJECTED);
     }
 
@@ -172,7 +185,7 @@
     void agreesWithAPlainModel(@ForAll Random random) {
         DrainRegistry tested = new DrainRegistry();
         final Map<String, Long> model = new HashMap<>();
-        final Set<String> heard = new HashSet<>();
+        final Set<String> applied = new HashSet<>();
         for (int step = 0; step < 60; step++) {
             final long nowUs = step * S;
             final String worker = List.of("a", "b", "c").get(random.nextInt(3));
@@ -183,14 +196,14 @@
                             "o" + step, start, worker, forUs, "ann", "", random.nextInt(4) == 0);
             model.values().removeIf(untilUs -> untilUs <= nowUs);
             tested.expire(nowUs);
-            final int copies = 1 + random.nextInt(3);
+            final int sends = 1 + random.nextInt(3);
             OperationOutcome first = null;
-            for (int copy = 0; copy < copies; copy++) {
-                final OperationOutcome outcome = tested.apply(operation, SITE, nowUs);
+            for (int send = 0; send < sends; send++) {
+                final OperationOutcome outcome = tested.apply(operation, FLEET, nowUs);
                 first = first == null ? outcome : first;
                 assertThat(outcome).isEqualTo(first);
             }
-            if (heard.add(operation.id()) && first.result() == OperationResult.APPLIED) {
+            if (applied.add(operation.id()) && first.result() == OperationResult.APPLIED) {
                 if (start) {
                     model.put(worker, nowUs + forUs);
                 } else {
@@ -206,7 +219,7 @@
                 restarted.restore(tested.inForce());
                 tested = restarted;
             }
-            for (final ListedWorker each : SITE.workers()) {
+            for (final ListedWorker each : FLEET.workers()) {
                 assertThat(tested.effectiveState(each.name(), WorkerState.READY))
                         .isEqualTo(
                                 model.containsKey(each.name())
--- a/src/test/java/cresschute/node/ControlServiceFormatTest.java
+++ b/src/test/java/cresschute/node/ControlServiceFormatTest.java
@@ -6,6 +6,7 @@
 import com.google.gson.JsonParser;
 import cresschute.control.DrainOperation;
 import cresschute.control.DrainRegistry;
+import cresschute.control.socket.ControlHandler;
 import cresschute.dispatch.DispatcherEvents;
 import io.netty.channel.embedded.EmbeddedChannel;
 import java.lang.reflect.Proxy;
@@ -25,7 +26,7 @@
 
     private final EmbeddedChannel loop = new EmbeddedChannel();
 
-    private ControlService handler(ServerSocket at) throws Exception {
+    private ControlService service(ServerSocket at) throws Exception {
         final NodeConfig config =
                 NodeConfig.parse(
                         TestNode.config(
@@ -39,7 +40,7 @@
                                                 + ","
                                                 + TestNode.entry("s-3", at, "DRAINING"))),
                         Map.of());
-        final ControlService handler = new ControlService(config, loop.eventLoop(), () -> NOW_US);
+        final ControlService service = new ControlService(config, loop.eventLoop(), () -> NOW_US);
         final DispatcherEvents module =
                 (DispatcherEvents)
                         Proxy.newProxyInstance(
@@ -52,14 +53,14 @@
                         loop.eventLoop(),
                         () -> NOW_US,
                         new RateLimitedLog(System.getLogger("test"), () -> NOW_US),
-                        handler,
+                        service,
                         actions -> module);
-        handler.open(core);
+        service.open(core);
         core.start(null, () -> {}, config.known());
-        return handler;
+        return service;
     }
 
-    private static String operate(ControlService handler, DrainOperation operation) {
+    private static String operate(ControlHandler handler, DrainOperation operation) {
         final List<JsonObject> answers = new ArrayList<>();
         handler.execute(operation, answers::add);
         assertThat(answers).hasSize(1);
@@ -73,7 +74,7 @@
     @Test
     void outcomesAreAnsweredAsByAnEarlierNode() throws Exception {
         try (ServerSocket at = Peer.listen()) {
-            final ControlService handler = handler(at);
+            final ControlHandler handler = service(at).handler();
             assertThat(operate(handler, drain("op-1", "s-1", 7_200_000_000L)))
                     .isEqualTo(
                             "{\"ok\":true,\"outcome\":\"done\",\"why\":\"\",\"worker\":\"s-1\",\"in_flight\":0}");
@@ -95,7 +96,7 @@
     @Test
     void rowsAreShownAsByAnEarlierNode() throws Exception {
         try (ServerSocket at = Peer.listen()) {
-            final ControlService handler = handler(at);
+            final ControlHandler handler = service(at).handler();
             operate(handler, drain("op-1", "s-1", 7_200_000_000L));
             handler.refresh();
             final Map<String, String> rows = handler.table().since(0).rows();
--- a/src/test/java/cresschute/node/ControlServiceTest.java
+++ b/src/test/java/cresschute/node/ControlServiceTest.java
@@ -2,6 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import cresschute.control.socket.ControlHandler;
 import cresschute.dispatch.DispatcherEvents;
 import io.netty.channel.embedded.EmbeddedChannel;
 import java.lang.reflect.Proxy;
@@ -10,7 +11,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The operator's place in a node, on a clock that is turned by hand. */
+/** The service for consoles as a whole, on a clock that the test advances. */
 class ControlServiceTest {
 
     private static final long TEN_MINUTES_US = 600_000_000;
@@ -18,9 +19,9 @@
     private final EmbeddedChannel loop = new EmbeddedChannel();
     private long nowUs = 1_700_000_000_000_000L;
 
-    /** Guards the screen and the heap: rows of workers that are long gone once stayed for good. */
+    /** Neither the screen nor the memory fills with workers that are long gone. */
     @Test
-    void rowOfAForgottenWorkerGoes() throws Exception {
+    void rowOfAForgottenWorkerIsRemoved() throws Exception {
         final NodeConfig config;
         try (ServerSocket free = Peer.listen()) {
             config =
@@ -35,7 +36,7 @@
                                                     + TestNode.entry("s-2", free, "SERVING"))),
                             Map.of());
         }
-        final ControlService handler = new ControlService(config, loop.eventLoop(), () -> nowUs);
+        final ControlService service = new ControlService(config, loop.eventLoop(), () -> nowUs);
         final DispatcherEvents module =
                 (DispatcherEvents)
                         Proxy.newProxyInstance(
@@ -48,10 +49,11 @@
                         loop.eventLoop(),
                         () -> nowUs,
                         new RateLimitedLog(System.getLogger("test"), () -> nowUs),
-                        handler,
+                        service,
                         actions -> module);
-        handler.open(core);
+        service.open(core);
         core.start(null, () -> {}, config.known());
+        final ControlHandler handler = service.handler();
         handler.refresh();
         assertThat(handler.table().since(0).rows()).containsKeys("w/s-1", "w/s-2");
         core.endpointListReceived(
