--- a/src/main/java/cresschute/control/DrainRejection.java
+++ b/src/main/java/cresschute/control/DrainRejection.java
@@ -1,18 +1,15 @@
 package cresschute.control;
 
 /**
- * Why a drain operation was rejected, by type: not found, conflict, limit reached, or work that
- * would be left without a worker. Immutable. The message goes to the operator, who may send the
- * operation again with {@link DrainOperation#isForced} where {@link #canBeForced}.
+ * Why a drain operation was rejected, by type: conflict, limit reached, not found, or work that
+ * would be left without a worker. A forced drain ({@link DrainOperation#isForced}) is rejected for
+ * the first two alone. Immutable; the message goes to the operator.
  */
 public sealed interface DrainRejection {
 
     /** The reason in words, which names the worker, operation or limit in question. */
     String message();
 
-    /** Whether the same drain would be applied if it were forced. */
-    boolean canBeForced();
-
     /**
      * Not found: the endpoint list names no such worker.
      *
@@ -23,11 +20,6 @@
         public String message() {
             return "no worker is called " + worker;
         }
-
-        @Override
-        public boolean canBeForced() {
-            return true;
-        }
     }
 
     /**
@@ -40,11 +32,6 @@
         public String message() {
             return "operation \"" + operationId + "\" was sent before with other contents";
         }
-
-        @Override
-        public boolean canBeForced() {
-            return false;
-        }
     }
 
     /**
@@ -57,11 +44,6 @@
         public String message() {
             return maxDrains + " drains are in force, the limit; undo one first";
         }
-
-        @Override
-        public boolean canBeForced() {
-            return false;
-        }
     }
 
     /**
@@ -75,11 +57,6 @@
         public String message() {
             return worker + " is the last worker that may run " + requestClass;
         }
-
-        @Override
-        public boolean canBeForced() {
-            return true;
-        }
     }
 
     /**
@@ -94,10 +71,5 @@
         public String message() {
             return worker + " is the last of cell " + cell + ", where keyed jobs are out";
         }
-
-        @Override
-        public boolean canBeForced() {
-            return true;
-        }
     }
 }
--- a/src/main/java/cresschute/control/files/SharedOperatorState.java
+++ b/src/main/java/cresschute/control/files/SharedOperatorState.java
@@ -46,8 +46,8 @@
     private static final Logger LOG = System.getLogger("cresschute.state");
 
     /**
-     * Held with the file lock: a file lock belongs to the whole process, and a second one of
-     * another instance in it would fail.
+     * Held with the file lock: a file lock belongs to the process, and a second one by another
+     * instance in it would fail.
      */
     private static final Object PROCESS_LOCK = new Object();
 
@@ -69,7 +69,7 @@
     /** The newest generation read or written; used on the file thread alone. */
     private long lastGeneration = -1;
 
-    /** What tells one content of the file from another without reading it. */
+    /** Attributes by which a change of the file is detected without reading it. */
     private record FileStamp(Object fileKey, long modifiedMs, long size) {
 
         static FileStamp of(Path file) throws IOException {
--- a/src/main/java/cresschute/node/PassedListener.java
+++ b/src/main/java/cresschute/node/PassedListener.java
@@ -5,19 +5,21 @@
 import java.nio.channels.ServerSocketChannel;
 
 /**
- * The clients' listening socket as the platform hands it over: descriptor 0, inherited by every
- * process of an upgrade, so that connections wait in one queue for whichever process accepts next
- * and none is refused.
+ * Takes over the clients' listening socket that the platform passes on as descriptor 0. Every
+ * process of an upgrade inherits the same socket, so that new connections wait in one queue for
+ * whichever process accepts next, and none is refused.
+ *
+ * <p>Stateless. The channel belongs to the caller, who closes it.
  */
 public final class PassedListener {
 
     private PassedListener() {}
 
     /**
-     * The inherited listener; called once a process, from its main thread, before any loop runs.
+     * Takes over the inherited listener. Called once a process, on its main thread, before any loop
+     * runs.
      *
-     * @throws ConfigException where descriptor 0 is no listening TCP socket, or cannot be read as
-     *     one
+     * @throws ConfigException if descriptor 0 is not a listening TCP socket or cannot be taken over
      */
     public static ServerSocketChannel take() throws ConfigException {
         final Channel inherited;
--- a/src/main/java/cresschute/node/ReadinessSwitch.java
+++ b/src/main/java/cresschute/node/ReadinessSwitch.java
@@ -1,23 +1,20 @@
 package cresschute.node;
 
 /**
- * A front as operators see it: whether it says that it is ready, and their drain of it. All calls
- * are on the loop.
+ * The readiness of the node as the {@link ManagementService} reads and changes it; the client front
+ * implements it. Its state lives as long as the process. All calls are on the loop.
  */
 public interface ReadinessSwitch {
 
-    /** Whether the process serves: started, a worker known, not stopping and not drained. */
+    /** Whether the node is ready: started, a worker known, not stopping and not drained. */
     boolean isReady();
 
-    /** Why it is not, in a few words. */
+    /** Why the node is not ready, in a few words. */
     String whyNotReady();
 
-    /**
-     * Says no to whoever asks whether it is ready from now on, and lets the clients' connections
-     * go.
-     */
+    /** Makes the node not ready from now on, and closes the clients' connections gracefully. */
     void drain();
 
-    /** Says yes again and keeps connections as before. */
+    /** Ends the drain: the node is ready, and connections stay open as before. */
     void resume();
 }
--- a/src/test/java/cresschute/control/DrainRegistryTest.java
+++ b/src/test/java/cresschute/control/DrainRegistryTest.java
@@ -161,7 +161,6 @@
                 .isEqualTo(OperationOutcome.rejected(limit));
         assertThat(limit.message())
                 .isEqualTo("10000 drains are in force, the limit; undo one first");
-        assertThat(limit.canBeForced()).isFalse();
     }
 
     @Test
@@ -189,12 +188,18 @@
         for (int step = 0; step < 60; step++) {
             final long nowUs = step * S;
             final String worker = List.of("a", "b", "c").get(random.nextInt(3));
-            final boolean start = random.nextInt(3) > 0;
-            final long forUs = (1 + random.nextInt(20)) * S;
+            final boolean isDrain = random.nextInt(3) > 0;
+            final long durationUs = (1 + random.nextInt(20)) * S;
             final DrainOperation operation =
                     new DrainOperation(
-                            "o" + step, start, worker, forUs, "ann", "", random.nextInt(4) == 0);
-            model.values().removeIf(untilUs -> untilUs <= nowUs);
+                            "o" + step,
+                            isDrain,
+                            worker,
+                            durationUs,
+                            "ann",
+                            "",
+                            random.nextInt(4) == 0);
+            model.values().removeIf(endsAtUs -> endsAtUs <= nowUs);
             tested.expire(nowUs);
             final int sends = 1 + random.nextInt(3);
             OperationOutcome first = null;
@@ -204,12 +209,12 @@
                 assertThat(outcome).isEqualTo(first);
             }
             if (applied.add(operation.id()) && first.result() == OperationResult.APPLIED) {
-                if (start) {
-                    model.put(worker, nowUs + forUs);
+                if (isDrain) {
+                    model.put(worker, nowUs + durationUs);
                 } else {
                     model.remove(worker);
                 }
-                if (start && !operation.isForced()) {
+                if (isDrain && !operation.isForced()) {
                     assertThat(worker).isNotEqualTo("c");
                     assertThat(model).hasSizeLessThan(3);
                 }
--- a/src/test/java/cresschute/control/DrainSnapshotTest.java
+++ b/src/test/java/cresschute/control/DrainSnapshotTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What is read is what was written, and anything else is refused. */
+/** A snapshot is read as it was written, and anything else is rejected. */
 class DrainSnapshotTest {
 
     private static DrainSnapshot some() {
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void snapshotIsReadWholeOrNotAtAll() throws Exception {
+    void snapshotIsReadCompleteOrNotAtAll() throws Exception {
         final byte[] bytes = some().encode();
         assertThat(DrainSnapshot.decode(bytes)).isEqualTo(some());
         for (int i = 0; i < bytes.length; i++) {
@@ -56,7 +56,7 @@
     }
 
     /**
-     * Operations are kept too: an undo that is sent again after a restart must not undo a later
+     * Operations are stored too: an undo that is sent again after a restart must not undo a later
      * drain.
      */
     @Test
--- a/src/test/java/cresschute/control/ManagementCallTest.java
+++ b/src/test/java/cresschute/control/ManagementCallTest.java
@@ -24,8 +24,8 @@
                     'enable-server   s-1'         | ENABLE_SERVER  | s-1
                     'Disable-Server\ts-2'         | DISABLE_SERVER | s-2
                     """)
-    void readsEachCall(String line, ManagementCommand verb, String worker) throws Exception {
-        assertThat(ManagementCall.parse(line)).isEqualTo(new ManagementCall(verb, worker));
+    void readsEachCall(String line, ManagementCommand command, String worker) throws Exception {
+        assertThat(ManagementCall.parse(line)).isEqualTo(new ManagementCall(command, worker));
     }
 
     @ParameterizedTest
@@ -41,7 +41,7 @@
                     disable-server                | disable-server takes one worker id
                     'enable-server a b'           | enable-server takes one worker id
                     """)
-    void refusesWhatItCannotUse(String line, String why) {
+    void rejectsInvalidCalls(String line, String why) {
         assertThatThrownBy(() -> ManagementCall.parse(line))
                 .isInstanceOf(InvalidManagementCallException.class)
                 .hasMessageContaining(why)
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void refusesAnIdThatNoListHolds() {
+    void rejectsAnIdThatNoListHolds() {
         assertThatThrownBy(() -> ManagementCall.parse("disable-server s\u00071"))
                 .hasMessageContaining("no list names a worker s?1");
     }
--- a/src/test/java/cresschute/control/VersionedTableTest.java
+++ b/src/test/java/cresschute/control/VersionedTableTest.java
@@ -10,86 +10,86 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** What consoles are told of a board adds up to the board, whichever changes they slept through. */
+/** The deltas that a reader applies add up to the table, however rarely it reads. */
 class VersionedTableTest {
 
-    private static void take(Map<String, String> held, TableDelta news) {
-        if (news.isComplete()) {
-            held.clear();
+    private static void apply(Map<String, String> rows, TableDelta delta) {
+        if (delta.isComplete()) {
+            rows.clear();
         }
-        news.removed().forEach(held::remove);
-        held.putAll(news.rows());
+        delta.removed().forEach(rows::remove);
+        rows.putAll(delta.rows());
     }
 
     @Property(tries = 300, seed = "82")
-    void newsAddUpToTheBoard(@ForAll Random random) {
-        final VersionedTable board = new VersionedTable();
+    void deltasAddUpToTheTable(@ForAll Random random) {
+        final VersionedTable table = new VersionedTable();
         final Map<String, String> model = new HashMap<>();
-        final Map<String, String> quick = new HashMap<>();
-        final Map<String, String> slow = new HashMap<>();
-        long quickAt = 0;
-        long slowAt = 0;
+        final Map<String, String> fastRows = new HashMap<>();
+        final Map<String, String> slowRows = new HashMap<>();
+        long fastVersion = 0;
+        long slowVersion = 0;
         for (int step = 0; step < 200; step++) {
             final String key = "w" + random.nextInt(8);
             if (random.nextInt(4) == 0) {
-                board.remove(key);
+                table.remove(key);
                 model.remove(key);
             } else {
                 final String text = String.valueOf(random.nextInt(3));
-                board.put(key, text);
+                table.put(key, text);
                 model.put(key, text);
             }
-            take(quick, board.since(quickAt));
-            quickAt = board.version();
-            assertThat(quick).isEqualTo(model);
+            apply(fastRows, table.since(fastVersion));
+            fastVersion = table.version();
+            assertThat(fastRows).isEqualTo(model);
             if (random.nextInt(20) == 0) {
-                take(slow, board.since(slowAt));
-                slowAt = board.version();
-                assertThat(slow).isEqualTo(model);
+                apply(slowRows, table.since(slowVersion));
+                slowVersion = table.version();
+                assertThat(slowRows).isEqualTo(model);
             }
         }
     }
 
     @Test
     void sameRowIsNoChange() {
-        final VersionedTable board = new VersionedTable();
-        board.put("w", "1");
-        board.put("w", "1");
-        assertThat(board.version()).isEqualTo(1);
-        assertThat(board.since(1).rows()).isEmpty();
+        final VersionedTable table = new VersionedTable();
+        table.put("w", "1");
+        table.put("w", "1");
+        assertThat(table.version()).isEqualTo(1);
+        assertThat(table.since(1).rows()).isEmpty();
     }
 
     @Test
-    void consoleFromTooLongAgoStartsAnew() {
-        final VersionedTable board = new VersionedTable();
-        board.put("stays", "1");
+    void readerOfATooOldVersionGetsAllRows() {
+        final VersionedTable table = new VersionedTable();
+        table.put("stays", "1");
         for (int i = 0; i <= VersionedTable.MAX_REMOVED; i++) {
-            board.put("w" + i, "1");
+            table.put("w" + i, "1");
         }
-        final long before = board.version();
+        final long before = table.version();
         for (int i = 0; i < VersionedTable.MAX_REMOVED; i++) {
-            board.remove("w" + i);
+            table.remove("w" + i);
         }
-        assertThat(board.since(before).isComplete()).isFalse();
-        assertThat(board.since(before).removed()).hasSize(VersionedTable.MAX_REMOVED);
-        board.remove("w" + VersionedTable.MAX_REMOVED);
-        final TableDelta news = board.since(before);
-        assertThat(news.isComplete()).isTrue();
-        assertThat(news.rows()).containsOnlyKeys("stays");
-        assertThat(board.since(before + 1).isComplete()).isFalse();
+        assertThat(table.since(before).isComplete()).isFalse();
+        assertThat(table.since(before).removed()).hasSize(VersionedTable.MAX_REMOVED);
+        table.remove("w" + VersionedTable.MAX_REMOVED);
+        final TableDelta delta = table.since(before);
+        assertThat(delta.isComplete()).isTrue();
+        assertThat(delta.rows()).containsOnlyKeys("stays");
+        assertThat(table.since(before + 1).isComplete()).isFalse();
     }
 
-    /** A number that this board has never given is of another run of the node. */
+    /** A version that this table never had is of another run of the node. */
     @Test
-    void numberFromTheFutureMeansNothing() {
-        final VersionedTable board = new VersionedTable();
-        board.put("w", "1");
-        assertThat(board.since(99).isComplete()).isTrue();
-        assertThat(board.since(-1).isComplete()).isTrue();
+    void unknownVersionGetsAllRows() {
+        final VersionedTable table = new VersionedTable();
+        table.put("w", "1");
+        assertThat(table.since(99).isComplete()).isTrue();
+        assertThat(table.since(-1).isComplete()).isTrue();
     }
 
     @Test
-    void eventsTellHowManyWereMissed() {
+    void readerOfEventsLearnsHowManyItMissed() {
         final EventRing ring = new EventRing();
         assertThat(ring.after(0).events()).isEmpty();
         for (int i = 1; i <= EventRing.MAX_EVENTS + 10; i++) {
--- a/src/test/java/cresschute/control/files/SharedOperatorStateFormatTest.java
+++ b/src/test/java/cresschute/control/files/SharedOperatorStateFormatTest.java
@@ -18,8 +18,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Folders that an earlier version left: the names of the files, a torn file beside a whole one, and
- * the bytes that are written next. The literals are what that version wrote.
+ * Folders that an earlier version left: the names of the files, a torn file beside a complete one,
+ * and the bytes that are written next. The literals are what that version wrote.
  */
 @Timeout(30)
 class SharedOperatorStateFormatTest {
@@ -73,14 +73,14 @@
     }
 
     @Test
-    void newerOfTwoWholeSnapshotsIsInForce() throws IOException {
+    void newerOfTwoCompleteSnapshotsIsInForce() throws IOException {
         write("drains.0", GENERATION_8);
         write("drains.1", GENERATION_9);
         assertThat(load()).isEqualTo(snapshot(9));
     }
 
     @Test
-    void wholeSnapshotIsInForceBesideATornOne() throws IOException {
+    void completeSnapshotIsInForceBesideATornOne() throws IOException {
         write("drains.0", GENERATION_8);
         write("drains.1", torn(GENERATION_9));
         assertThat(load()).isEqualTo(snapshot(8));
--- a/src/test/java/cresschute/control/socket/ControlProtocolFormatTest.java
+++ b/src/test/java/cresschute/control/socket/ControlProtocolFormatTest.java
@@ -50,15 +50,15 @@
     private final EventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final VersionedTable board = new VersionedTable();
+    private final VersionedTable table = new VersionedTable();
     private final EventRing events = new EventRing();
-    private DrainOperation carriedOut;
+    private DrainOperation executed;
     private ControlServer server;
     private Path socket;
 
     @TempDir private Path folder;
 
-    private final class KnownDesk implements ControlHandler {
+    private final class FixedHandler implements ControlHandler {
 
         @Override
         public String incarnation() {
@@ -67,7 +67,7 @@
 
         @Override
         public VersionedTable table() {
-            return board;
+            return table;
         }
 
         @Override
@@ -77,12 +77,12 @@
 
         @Override
         public void refresh() {
-            // What is shown does not change by itself.
+            // The rows do not change by themselves.
         }
 
         @Override
         public void execute(DrainOperation operation, Consumer<JsonObject> answer) {
-            carriedOut = operation;
+            executed = operation;
             answer.accept(
                     JsonParser.parseString("{\"ok\":true,\"outcome\":\"done\"}").getAsJsonObject());
         }
@@ -96,12 +96,12 @@
     @BeforeEach
     void listen() throws Exception {
         socket = folder.resolve("s");
-        board.put("w/w1", "{\"id\":\"w1\"}");
-        board.put("w/w2", "{\"id\":\"w2\"}");
-        board.remove("w/w2");
+        table.put("w/w1", "{\"id\":\"w1\"}");
+        table.put("w/w2", "{\"id\":\"w2\"}");
+        table.remove("w/w2");
         events.add(1_700_000_000_123_456L, "drained", "w1", "w1 drained by ann");
         events.add(1_700_000_001_000_000L, "node_stopping", null, "the node is stopping");
-        server = new ControlServer(loop, socket, new KnownDesk());
+        server = new ControlServer(loop, socket, new FixedHandler());
         server.listen();
     }
 
@@ -205,15 +205,15 @@
                             + " node is stopping\"}]}");
     }
 
-    /** News carry no {@code re}; the rest is as in an answer. */
+    /** Updates carry no {@code re}; all else is as in an answer. */
     @Test
-    void newsAreToldAsByAnEarlierNode() throws Exception {
+    void updatesAreSentAsByAnEarlierNode() throws Exception {
         try (ControlPeer peer = new ControlPeer(socket)) {
             peer.ask("\"do\":\"subscribe\"");
             peer.ask("\"do\":\"events\"");
             loop.submit(
                             () -> {
-                                board.put("w/w1", "{\"id\":\"w1\",\"n\":2}");
+                                table.put("w/w1", "{\"id\":\"w1\",\"n\":2}");
                                 events.add(
                                         1_700_000_002_000_000L,
                                         "undrained",
@@ -234,7 +234,7 @@
     @Test
     void operationsAreAnsweredAsByAnEarlierNode() throws Exception {
         assertThat(answer(DRAIN)).isEqualTo("{\"re\":\"o1\",\"ok\":true,\"outcome\":\"done\"}");
-        assertThat(carriedOut)
+        assertThat(executed)
                 .isEqualTo(
                         new DrainOperation(
                                 "op-1", true, "w1", 7_200_000_000L, "ann", "new disk", true));
@@ -242,7 +242,7 @@
     }
 
     @Test
-    void refusalsAreAnsweredAsByAnEarlierNode() throws Exception {
+    void rejectionsAreAnsweredAsByAnEarlierNode() throws Exception {
         assertThat(answer("{\"v\":1,\"id\":\"x\",\"do\":\"fly\"}"))
                 .isEqualTo(
                         "{\"re\":\"x\",\"ok\":false,\"error\":\"do is 'fly'; there are workers,"
--- a/src/test/java/cresschute/control/socket/ControlServerTest.java
+++ b/src/test/java/cresschute/control/socket/ControlServerTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The control socket by itself, before a desk whose one row is large. */
+/** The control socket by itself, with a handler whose one row is large. */
 @Timeout(30)
 class ControlServerTest {
 
@@ -32,14 +32,14 @@
     private final EventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final AtomicInteger asked = new AtomicInteger();
-    private final VersionedTable board = new VersionedTable();
+    private final AtomicInteger requestsRead = new AtomicInteger();
+    private final VersionedTable table = new VersionedTable();
     private ControlServer server;
     private Path socket;
 
     @TempDir private Path folder;
 
-    private final class LargeDesk implements ControlHandler {
+    private final class LargeRowHandler implements ControlHandler {
 
         @Override
         public String incarnation() {
@@ -48,7 +48,7 @@
 
         @Override
         public VersionedTable table() {
-            return board;
+            return table;
         }
 
         @Override
@@ -68,15 +68,15 @@
 
         @Override
         public void audit(long session, ControlRequest request) {
-            asked.incrementAndGet();
+            requestsRead.incrementAndGet();
         }
     }
 
     @BeforeEach
     void listen() throws Exception {
         socket = folder.resolve("s");
-        board.put("w/w1", "{\"text\":\"" + "x".repeat(ROW) + "\"}");
-        server = new ControlServer(loop, socket, new LargeDesk());
+        table.put("w/w1", "{\"text\":\"" + "x".repeat(ROW) + "\"}");
+        server = new ControlServer(loop, socket, new LargeRowHandler());
         server.listen();
     }
 
@@ -87,8 +87,8 @@
     }
 
     /**
-     * Guards the heap: a few hundred requests in one packet, none of whose answers is read, once
-     * made the node hold every answer.
+     * A few hundred requests in one packet, none of whose answers is read, do not make the node
+     * hold every answer.
      */
     @Test
     void requestsAreAnsweredOnlyAsFastAsAnswersAreRead() throws Exception {
@@ -99,7 +99,7 @@
                 all.append("{\"v\":1,\"id\":\"").append(i).append("\",\"do\":\"workers\"}\n");
             }
             peer.write(all.toString());
-            Awaitility.await().until(() -> asked.get() >= 2);
+            Awaitility.await().until(() -> requestsRead.get() >= 2);
             // Another console is served meanwhile, after which the loop has been through all there
             // was.
             try (ControlPeer other = new ControlPeer(socket)) {
@@ -107,20 +107,20 @@
                 other.ask("\"do\":\"events\"");
             }
             // What fits below the mark and in the kernel's buffers, and no more.
-            assertThat(asked.get()).isLessThan(12);
+            assertThat(requestsRead.get()).isLessThan(12);
             for (int i = 0; i < requests; i++) {
                 assertThat(peer.read().get("re").getAsString()).isEqualTo(String.valueOf(i));
             }
-            assertThat(asked.get()).isEqualTo(requests + 2);
+            assertThat(requestsRead.get()).isEqualTo(requests + 2);
         }
     }
 
     /**
-     * News wait in the board and in no queue: whoever reads again is told the newest of each row,
-     * once.
+     * Changes wait in the table and in no queue: a console that reads again gets the newest text of
+     * each row, once.
      */
     @Test
-    void consoleThatReadsAgainIsToldTheNewestOnly() throws Exception {
+    void consoleThatReadsAgainGetsTheNewestOnly() throws Exception {
         try (ControlPeer peer = new ControlPeer(socket)) {
             peer.ask("\"do\":\"subscribe\"");
             final int changes = 200;
@@ -128,7 +128,7 @@
                 final int change = i;
                 loop.submit(
                                 () -> {
-                                    board.put(
+                                    table.put(
                                             "w/w1",
                                             "{\"n\":"
                                                     + change
@@ -139,24 +139,24 @@
                                 })
                         .syncUninterruptibly();
             }
-            int told = 0;
+            int updates = 0;
             int newest = 0;
             while (newest < changes) {
-                final JsonObject news = peer.read();
+                final JsonObject update = peer.read();
                 final int next =
-                        news.getAsJsonObject("rows").getAsJsonObject("w/w1").get("n").getAsInt();
+                        update.getAsJsonObject("rows").getAsJsonObject("w/w1").get("n").getAsInt();
                 assertThat(next).isGreaterThan(newest);
                 newest = next;
-                told++;
+                updates++;
                 loop.submit(() -> server.publish(changes)).syncUninterruptibly();
             }
-            assertThat(told).isLessThan(20);
+            assertThat(updates).isLessThan(20);
         }
     }
 
-    /** It holds what was told and takes no more, for so long that it is let go. */
+    /** A console that has stopped reading is closed after the stall timeout. */
     @Test
-    void consoleThatNeverReadsIsLetGo() throws Exception {
+    void consoleThatNeverReadsIsClosed() throws Exception {
         try (ControlPeer peer = new ControlPeer(socket)) {
             peer.write("{\"v\":1,\"id\":\"1\",\"do\":\"subscribe\"}\n");
             Awaitility.await().until(() -> loop.submit(server::hasSubscribers).get());
@@ -165,7 +165,7 @@
                 final int change = i;
                 loop.submit(
                                 () -> {
-                                    board.put(
+                                    table.put(
                                             "w/w1",
                                             "{\"n\":"
                                                     + change
--- a/src/test/java/cresschute/node/ControlServiceFormatTest.java
+++ b/src/test/java/cresschute/node/ControlServiceFormatTest.java
@@ -67,8 +67,8 @@
         return answers.get(0).toString();
     }
 
-    private static DrainOperation drain(String id, String worker, long forUs) {
-        return new DrainOperation(id, true, worker, forUs, "ann", "new disk", false);
+    private static DrainOperation drain(String id, String worker, long durationUs) {
+        return new DrainOperation(id, true, worker, durationUs, "ann", "new disk", false);
     }
 
     @Test
--- a/src/test/java/cresschute/node/UpgradeRulesTest.java
+++ b/src/test/java/cresschute/node/UpgradeRulesTest.java
@@ -39,11 +39,11 @@
                                 .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
                 TestNode old = new TestNode(platform)) {
             final SocketAddress addr = platform.getLocalAddress();
-            final Peer kept = Peer.connect(addr).write(request("r1", "", ""));
+            final Peer idle = Peer.connect(addr).write(request("r1", "", ""));
             final Peer first = old.worker();
             assertThat(first.read()).contains("X-Request-Id: r1");
             first.write(answer("200 OK", "", done("r1")));
-            assertThat(kept.read()).startsWith("HTTP/1.1 200");
+            assertThat(idle.read()).startsWith("HTTP/1.1 200");
             try (TestNode next = new TestNode(platform)) {
                 final CompletableFuture<Void> stopped = old.server.stop();
                 settle(old);
@@ -55,16 +55,16 @@
                 assertThat(late.read()).startsWith("HTTP/1.1 200");
                 // The old process ends its idle connection with a close, never a reset, and then
                 // itself.
-                assertThat(kept.readToEnd()).isNotNull().isEmpty();
+                assertThat(idle.readToEnd()).isNotNull().isEmpty();
                 stopped.get(8, TimeUnit.SECONDS);
                 final Peer after = Peer.connect(addr).write(request("r3", "", ""));
-                // On the kept connection to the worker: the new process goes on alone.
+                // On the open connection to the worker: the new process goes on alone.
                 assertThat(second.read()).contains("X-Request-Id: r3");
                 assertThat(platform.isOpen()).isTrue();
                 after.close();
                 late.close();
             }
-            kept.close();
+            idle.close();
         }
     }
 }
