--- a/src/main/java/cresschute/capacity/StatedBound.java
+++ b/src/main/java/cresschute/capacity/StatedBound.java
@@ -29,7 +29,7 @@
             "connections of one dispatcher to workers",
             size -> (double) size.running() / size.dispatchers(),
             440,
-            "DescriptorShares",
+            "DescriptorBudget",
             "45 % of 1,024 descriptors less 48, no management listener; `limits.sockets`: up to"
                     + " 1,000,000"),
     /** How much more than its quota a tenant may take. */
