--- a/src/main/java/cresschute/node/http/StreamedBody.java
+++ b/src/main/java/cresschute/node/http/StreamedBody.java
@@ -46,7 +46,11 @@
      *
      * @param spool what is kept of it for a further sender, bytes
      */
-    StreamedBody(StreamedBodies owner, BufferBudget.Reservation account, ClassBodies limits, long spool) {
+    StreamedBody(
+            StreamedBodies owner,
+            BufferBudget.Reservation account,
+            ClassBodies limits,
+            long spool) {
         this.owner = owner;
         this.limits = limits;
         this.body = new BodyBuffer<>(account, spool, ByteBuf::release);
