--- a/src/main/java/cresschute/dispatch/Dispatcher.java
+++ b/src/main/java/cresschute/dispatch/Dispatcher.java
@@ -1,6 +1,5 @@
 package cresschute.dispatch;
 
-import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Comparator;
 import java.util.LinkedHashMap;
@@ -33,58 +32,19 @@
     /** Share of every class admitted whatever the budget says, so that its estimates stay alive. */
     static final double FLOOR = 0.02;
 
-    /**
-     * Age of old news in a report, in mean running times over the dispatchers; how many are asked
-     * anew.
-     */
-    private static final double STALE_RUNS = 6;
-
-    private static final int ASKED = 3;
-
-    /**
-     * How often workers are asked for room, answered or not, before a job goes where it must wait.
-     */
-    private static final int ROUNDS = 2;
-
-    /**
-     * How much longer, for each unit of its price, an answer is reckoned to take that crosses
-     * zones.
-     */
-    private static final double CROSSING = 20;
-
-    /** Draws at the most in search of two workers with room. */
-    private static final int DRAWS = 8;
-
-    /** Rest after a failed connection, us; doubled each time in a row up to the longest. */
-    private static final long REST_US = 500_000;
-
-    private static final int REST_TIMES = 5;
-
-    /**
-     * Wait that makes a job's class silent there, in mean running times, and the rest that follows,
-     * us.
-     */
-    private static final double SILENT_RUNS = 4;
-
-    private static final long SILENT_REST_US = 3_000_000;
-
-    /** Progress notes that must be missing before a worker stands still. */
-    private static final double STILL_NOTES = 1.8;
-
     /**
      * Share of the time that a job may wait which it spends unstarted before it is also sent
      * elsewhere.
      */
     private static final double UNSTARTED_COPY = 0.5;
 
-    /** Errors in a row that make a worker rest: fewer are chance. */
-    private static final int ERRORS_BORNE = 3;
-
     /**
      * Pause before a failed list call is repeated, us, jittered; far inside the limit for asking.
      */
     private static final long ASK_AGAIN_US = 1_000_000;
 
+    private static final int WANTED = 2;
+
     private final CurrentSettings settings;
     private final DispatcherActions actions;
     private final SplittableRandom random;
@@ -95,6 +55,9 @@
     private final ServiceTimeEstimator serviceTimes;
     private final WorkerLoadEstimator loads;
     private final SlowStart slowStart;
+    private final OutlierDetector outliers;
+    private final WorkerSelector selector;
+    private final LoadQueryPolicy loadQueries;
     private final Map<Integer, PendingRequest> open = new LinkedHashMap<>();
     private double meanPriorityWeight;
     private double marginalPriorityWeight = 1;
@@ -112,6 +75,10 @@
         this.serviceTimes = new ServiceTimeEstimator(this.settings);
         this.loads = new WorkerLoadEstimator(this.settings, serviceTimes);
         this.slowStart = new SlowStart(this.settings, serviceTimes, random);
+        this.outliers = new OutlierDetector(this.settings, serviceTimes, loads);
+        this.selector =
+                new WorkerSelector(this.settings, serviceTimes, loads, slowStart, outliers, random);
+        this.loadQueries = new LoadQueryPolicy(this.settings, serviceTimes);
         addClasses(null);
     }
 
@@ -220,24 +187,6 @@
         }
     }
 
-    /**
-     * Guards against sending in vain: a worker rests after failed connections, errors in a row or
-     * 'full'.
-     */
-    private void learnHealth(WorkerInstance node, long nowUs, Outcome outcome) {
-        switch (outcome) {
-            case SERVED, FULL -> node.clearFailures();
-            // A connection that breaks under a job is chance too: a process that dies refuses the
-            // next one.
-            case ERROR, TIMED_OUT, BROKEN -> node.addFailures(1);
-            case CONNECT_FAILED -> node.addFailures(ERRORS_BORNE);
-            default -> {}
-        }
-        final int times = Math.min(node.consecutiveFailures() / ERRORS_BORNE, REST_TIMES);
-        final long fullUs = outcome == Outcome.FULL ? (long) serviceTimes.meanRunningTimeUs() : 0;
-        node.ejectUntil(nowUs + (times == 0 ? fullUs : REST_US << times - 1));
-    }
-
     private void solve(long nowUs) {
         final double elapsedUs = Math.max(1, nowUs - solvedAtUs);
         solvedAtUs = nowUs;
@@ -289,79 +238,6 @@
         return marginal;
     }
 
-    /**
-     * Expected time to the answer of one more job: run at the learned speed and wait beyond the
-     * slots.
-     */
-    private double expectedUs(WorkerInstance node, long nowUs, PendingRequest request) {
-        final double pace = node.pace() / slowStart.capacityFraction(node, nowUs);
-        final double width = node.kind().slots();
-        final double excess = loads.slotsInUse(node, nowUs) + request.slots() - width;
-        // Others' sends are not seen: the nearer to full, the likelier a wait.
-        final double waiting = (excess + Math.sqrt(excess * excess + 1)) / 2;
-        return pace
-                * (request.runningTimeUs() + serviceTimes.meanRunningTimeUs() * waiting / width);
-    }
-
-    /**
-     * Sampled ready workers, as many with room as wanted if found, best first; resting ones only by
-     * need.
-     */
-    private List<WorkerInstance> draw(PendingRequest request, long nowUs, int wanted) {
-        // Guards against leaving a class's placement: these pools hold only workers open to it.
-        final WorkerGroup anywhere = request.candidates();
-        final WorkerGroup near = request.preferredCandidates();
-        final List<WorkerInstance> ready = new ArrayList<>(DRAWS);
-        final List<WorkerInstance> resting = new ArrayList<>(DRAWS);
-        int withRoom = 0;
-        long point = WorkerGroup.pointOf(request.dataKey());
-        request.setDataHome(null);
-        for (int draw = 0; draw < DRAWS && withRoom < wanted && !anywhere.isEmpty(); draw++) {
-            final WorkerGroup pool = draw % 2 == 0 && !near.isEmpty() ? near : anywhere;
-            WorkerInstance node = pool.member(random.nextInt(pool.size()));
-            if (request.dataKey() != 0) {
-                // Where jobs need data that workers keep, draws follow the key's own order of
-                // workers.
-                final Map.Entry<Long, WorkerInstance> next = anywhere.next(point);
-                point = next.getKey() + 1;
-                node = next.getValue();
-                request.setDataHome(request.dataHome() == null ? node : request.dataHome());
-            }
-            if (node == request.lastWorker()
-                    || ready.contains(node)
-                    || !slowStart.allows(node, request, nowUs)) {
-                continue;
-            }
-            withRoom += hasRoom(node, nowUs, request) ? 1 : 0;
-            (rests(node, nowUs, request) ? resting : ready).add(node);
-        }
-        // Guards against fault of all alike: where every worker drawn rests, resting tells nothing.
-        final List<WorkerInstance> drawn = ready.isEmpty() ? resting : ready;
-        drawn.sort(Comparator.comparingDouble(node -> cost(node, nowUs, request)));
-        return drawn;
-    }
-
-    private static boolean rests(WorkerInstance node, long nowUs, PendingRequest request) {
-        return node.isEjected(request.classIndex(), nowUs);
-    }
-
-    private boolean hasRoom(WorkerInstance node, long nowUs, PendingRequest request) {
-        return !rests(node, nowUs, request)
-                && loads.slotsInUse(node, nowUs) + request.slots() <= node.kind().slots() + 0.5;
-    }
-
-    /** Expected time to the answer, longer by the prices that the choice of this worker brings. */
-    private double cost(WorkerInstance node, long nowUs, PendingRequest request) {
-        final double price =
-                (node.endpoint().zone() == settings.get().zone()
-                                ? 0
-                                : settings.get().crossZonePrice())
-                        + (request.dataHome() == null || node == request.dataHome()
-                                ? 0
-                                : settings.get().dataTransferPrice());
-        return expectedUs(node, nowUs, request) * (1 + CROSSING * price);
-    }
-
     @Override
     public void requestArrived(long nowUs, int requestId, Job job, long deadlineUs) {
         final double needed = PendingRequest.slotsOf(job);
@@ -406,24 +282,19 @@
         final WorkerInstance best = request.bestReported();
         final boolean open =
                 best != null && best.isDispatchable() && slowStart.allows(best, request, nowUs);
-        if (open && (request.queryRounds() >= ROUNDS || hasRoom(best, nowUs, request))) {
+        if (open
+                && (!loadQueries.allowsAnotherRound(request)
+                        || selector.hasCapacity(best, request, nowUs))) {
             send(request, best, nowUs);
             return;
         }
-        final List<WorkerInstance> drawn = draw(request, nowUs, 2);
-        // Guards against old news: the sooner jobs end, and the more dispatchers send, the sooner
-        // it is old.
-        final double oldUs =
-                STALE_RUNS * serviceTimes.meanRunningTimeUs() / settings.get().dispatchers();
-        if (settings.get().canQueryLoad()
-                && drawn.size() > 1
-                && request.queryRounds() < ROUNDS
-                && nowUs - Math.min(drawn.get(0).otherSlotsAtUs(), drawn.get(1).otherSlotsAtUs())
-                        > oldUs) {
-            ask(request, draw(request, nowUs, ASKED));
+        final List<WorkerInstance> drawn = selector.select(request, WANTED, nowUs);
+        if (loadQueries.shouldQuery(request, drawn, nowUs)) {
+            ask(request, selector.select(request, loadQueries.workersWanted(), nowUs));
         } else if (open
                 && (drawn.isEmpty()
-                        || cost(best, nowUs, request) < cost(drawn.get(0), nowUs, request))) {
+                        || selector.cost(best, request, nowUs)
+                                < selector.cost(drawn.get(0), request, nowUs))) {
             send(request, best, nowUs);
         } else if (!drawn.isEmpty()) {
             send(request, drawn.get(0), nowUs);
@@ -431,7 +302,7 @@
     }
 
     private void ask(PendingRequest request, List<WorkerInstance> drawn) {
-        final List<WorkerInstance> asked = drawn.subList(0, Math.min(ASKED, drawn.size()));
+        final List<WorkerInstance> asked = loadQueries.toQuery(drawn);
         request.startQueries(asked);
         asked.forEach(node -> actions.queryLoad(node.id()));
     }
@@ -444,7 +315,7 @@
         }
         loads.reported(node, report, nowUs);
         if (outcome != Outcome.SERVED) {
-            learnHealth(node, nowUs, outcome);
+            outliers.ended(node, outcome, nowUs);
         }
         final PendingRequest request = node.pollQueryingRequest();
         if (request == null || !request.endQuery(node)) {
@@ -452,8 +323,8 @@
         }
         if (outcome == Outcome.SERVED
                 && (request.bestReported() == null
-                        || cost(node, nowUs, request)
-                                < cost(request.bestReported(), nowUs, request))) {
+                        || selector.cost(node, request, nowUs)
+                                < selector.cost(request.bestReported(), request, nowUs))) {
             request.setBestReported(node);
         }
         if (!request.hasPendingQueries() && !request.hasAttemptInFlight()) {
@@ -549,7 +420,7 @@
                 outcome == Outcome.TIMED_OUT
                         && request.deadlineUs() < request.firstSentUs() + request.inTimeUs();
         if (!unusable && !early) {
-            learnHealth(node, nowUs, outcome);
+            outliers.ended(node, outcome, nowUs);
         }
         if (!fleet.contains(workerId)) {
             closeIdle(workerId);
@@ -615,7 +486,7 @@
     public void workerReportedUnresponsive(long nowUs, int workerId, int requestClass) {
         final WorkerInstance node = fleet.find(workerId);
         if (node != null) {
-            node.unresponsiveUntil(requestClass, nowUs + SILENT_REST_US);
+            outliers.ejectUnresponsive(node, requestClass, nowUs);
         }
     }
 
@@ -656,12 +527,7 @@
         }
         // Where slots seem free but no job of the class starts, others need not find out one by
         // one.
-        if (!attempt.isUnresponsive()
-                && settings.get().reportsJobStart()
-                && attempt.startReportedAtUs() == 0
-                && waitedUs > SILENT_RUNS * serviceTimes.meanRunningTimeUs()
-                && loads.slotsInUse(node, nowUs) < node.kind().slots()) {
-            attempt.markUnresponsive();
+        if (outliers.detectUnresponsive(attempt, waitedUs, nowUs)) {
             if (settings.get().allowsPeerMessages()
                     && !node.isUnresponsive(request.classIndex(), nowUs)) {
                 actions.reportUnresponsive(node.id(), request.classIndex());
@@ -672,18 +538,7 @@
         // still.
         // Guards against leaving out a worker that is well for one job's broken stream: others'
         // notes count.
-        final long sinceUs = (long) (nowUs - STILL_NOTES * settings.get().progressUs());
-        final boolean pendingEvents =
-                settings.get().progressUs() > 0
-                        && attempt.lastProgressUs() < sinceUs
-                        && (attempt.startReportedAtUs() > 0
-                                || node.lastProgressUs() < attempt.sentUs());
-        if (pendingEvents && !attempt.isStalled()) {
-            attempt.markStalled();
-            if (node.lastProgressUs() < sinceUs) {
-                node.stalledUntil(nowUs + SILENT_REST_US);
-            }
-        }
+        final boolean pendingEvents = outliers.detectStalled(attempt, nowUs);
         // Guards against a wait behind others' jobs, which no dispatcher sees: the job may start
         // elsewhere.
         final boolean waits =
@@ -733,15 +588,14 @@
             if (binds) {
                 request.bindToGroup(fleet.deduplicationGroup(stated, attempt.worker().endpoint()));
             }
-            final List<WorkerInstance> drawn = draw(request, nowUs, 2);
+            final List<WorkerInstance> drawn = selector.select(request, WANTED, nowUs);
             if (binds) {
                 request.bindToGroup(Optional.empty());
             }
             // Guards against copies that crowd full workers: a report of before tells nothing of
             // room now.
-            if (settings.get().canQueryLoad()) {
-                request.setNextHedgeQueryUs(
-                        drawn.isEmpty() ? 0 : nowUs + (long) serviceTimes.meanRunningTimeUs());
+            if (loadQueries.isAllowed()) {
+                request.setNextHedgeQueryUs(loadQueries.nextHedgeQueryUs(drawn, nowUs));
                 ask(request, drawn);
             } else if (!drawn.isEmpty()) {
                 to = drawn.get(0);
@@ -749,7 +603,7 @@
         }
         if (to != null
                 && to.isDispatchable()
-                && hasRoom(to, nowUs, request)
+                && selector.hasCapacity(to, request, nowUs)
                 && slowStart.allows(to, request, nowUs)) {
             if (binds) {
                 bind(request, attempt);
