--- a/src/main/java/cresschute/dispatch/Dispatcher.java
+++ b/src/main/java/cresschute/dispatch/Dispatcher.java
@@ -1,7 +1,5 @@
 package cresschute.dispatch;
 
-import java.util.Arrays;
-import java.util.Comparator;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -9,387 +7,250 @@
 import java.util.SplittableRandom;
 
 /**
- * All decisions of one dispatcher: a learned capacity budget is filled above floors in order of
- * worth per work, what does not fit is refused unsent, the rest goes to the faster of two sampled
- * ready workers.
+ * One dispatcher: takes the host's events, asks the rules and emits actions. It holds the pending
+ * requests and decides nothing itself.
+ *
+ * <p>A request arrives, is admitted ({@link AdmissionController}) and attempted: a worker is
+ * selected ({@link WorkerSelector}), perhaps after load queries ({@link LoadQueryPolicy}). When an
+ * attempt ends, the estimates and the worker's health learn from it, and the request is closed or
+ * attempted again ({@link RetryPolicy}) until it is given up ({@link DeadlinePolicy}). A timer
+ * checks the pending requests for late and stalled attempts ({@link OutlierDetector}) and hedges
+ * them ({@link HedgingPolicy}).
+ *
+ * <p>Life cycle: it starts with the first {@link #endpointListChanged} and has no end. All calls
+ * come on one thread; actions are called on it from within an event. The same seed and events give
+ * the same actions.
  */
 public final class Dispatcher implements DispatcherEvents {
 
-    /**
-     * Bounds of the pause between looks at open requests, us: half the tightest latency objective
-     * within them.
-     */
-    private static final long MAX_TICK_US = 50_000;
-
-    private static final long MIN_TICK_US = 5_000;
-
-    /**
-     * Time between solves, us: long enough for some endings, short beside a burst; jittered by a
-     * quarter.
-     */
-    private static final long SOLVE_US = 400_000;
+    /** The token of the only timer. */
+    private static final long CHECK_TIMER = 0;
 
-    /** Share of every class admitted whatever the budget says, so that its estimates stay alive. */
-    static final double FLOOR = 0.02;
-
-    /**
-     * Share of the time that a job may wait which it spends unstarted before it is also sent
-     * elsewhere.
-     */
-    private static final double UNSTARTED_COPY = 0.5;
-
-    /**
-     * Pause before a failed list call is repeated, us, jittered; far inside the limit for asking.
-     */
-    private static final long ASK_AGAIN_US = 1_000_000;
-
-    private static final int WANTED = 2;
-
-    private final CurrentSettings settings;
     private final DispatcherActions actions;
-    private final SplittableRandom random;
-    private long tickUs;
-    private final DemandBuckets cells = new DemandBuckets();
-    private QuotaMeter[] tenants;
-    private final WorkerIndex fleet;
+    private final CurrentSettings settings;
+    private final WorkerIndex workers;
     private final ServiceTimeEstimator serviceTimes;
     private final WorkerLoadEstimator loads;
     private final SlowStart slowStart;
     private final OutlierDetector outliers;
     private final WorkerSelector selector;
     private final LoadQueryPolicy loadQueries;
-    private final Map<Integer, PendingRequest> open = new LinkedHashMap<>();
-    private double meanPriorityWeight;
-    private double marginalPriorityWeight = 1;
-    private long solveAtUs;
-    private long solvedAtUs;
-    private long askAtUs = Long.MAX_VALUE;
-
-    /** One instance for one dispatcher; {@code seed} feeds all its chance. */
+    private final AdmissionController admission;
+    private final DeadlinePolicy deadlines;
+    private final RetryPolicy retries;
+    private final HedgingPolicy hedging;
+    private final EndpointListPoller poller;
+    private final Map<Integer, PendingRequest> pending = new LinkedHashMap<>();
+
+    /**
+     * A dispatcher that has not started.
+     *
+     * @param seed of all its random numbers
+     */
     public Dispatcher(DispatchSettings settings, long seed, DispatcherActions actions) {
-        this.settings = new CurrentSettings(settings);
+        final SplittableRandom random = new SplittableRandom(seed);
         this.actions = actions;
-        this.random = new SplittableRandom(seed);
-        this.fleet =
-                new WorkerIndex(settings.classes().stream().map(RequestClass::placement).toList());
-        this.serviceTimes = new ServiceTimeEstimator(this.settings);
-        this.loads = new WorkerLoadEstimator(this.settings, serviceTimes);
-        this.slowStart = new SlowStart(this.settings, serviceTimes, random);
-        this.outliers = new OutlierDetector(this.settings, serviceTimes, loads);
-        this.selector =
+        this.settings = new CurrentSettings(settings);
+        workers = new WorkerIndex(placements(settings));
+        serviceTimes = new ServiceTimeEstimator(this.settings);
+        loads = new WorkerLoadEstimator(this.settings, serviceTimes);
+        slowStart = new SlowStart(this.settings, serviceTimes, random);
+        outliers = new OutlierDetector(this.settings, serviceTimes, loads);
+        selector =
                 new WorkerSelector(this.settings, serviceTimes, loads, slowStart, outliers, random);
-        this.loadQueries = new LoadQueryPolicy(this.settings, serviceTimes);
-        addClasses(null);
+        loadQueries = new LoadQueryPolicy(this.settings, serviceTimes);
+        admission = new AdmissionController(this.settings, workers, serviceTimes, random);
+        deadlines = new DeadlinePolicy(this.settings);
+        retries = new RetryPolicy(this.settings, workers, deadlines);
+        hedging = new HedgingPolicy(this.settings, retries);
+        poller = new EndpointListPoller(this.settings, random);
     }
 
-    /**
-     * Takes in classes that it has no state of yet, and what follows from them all; keeps such
-     * meters.
-     */
-    private void addClasses(QuotaMeter[] kept) {
-        final int before = cells.classCount();
-        final int count = settings.get().classes().size();
-        long tightestUs = 2 * MAX_TICK_US;
-        for (int c = 0; c < count; c++) {
-            final RequestClass stated = settings.get().classes().get(c);
-            tightestUs = Math.min(tightestUs, stated.latencyObjectiveUs());
-            if (c >= before) {
-                final ClassState added = new ClassState(c, stated, fleet, settings.get().zone());
-                if (before == 0) {
-                    serviceTimes.addInitialRunningTime(added.runningTimeUs() / count);
-                }
-                meanPriorityWeight += before == 0 ? stated.priorityWeight() / count : 0;
-                cells.add(added, settings.get().overQuotaWeightFactor());
-            }
-        }
-        tickUs = Math.max(MIN_TICK_US, tightestUs / 2);
-        tenants =
-                kept != null
-                        ? kept
-                        : settings.get().tenants().stream()
-                                .map(tenant -> QuotaMeter.of(tenant, settings.get().dispatchers()))
-                                .toArray(QuotaMeter[]::new);
+    private static List<Placement> placements(DispatchSettings settings) {
+        return settings.classes().stream().map(RequestClass::placement).toList();
     }
 
-    /**
-     * What was learned stays; new classes start as at a start; customers' shares go on where
-     * unchanged.
-     */
     @Override
     public void settingsChanged(long nowUs, DispatchSettings next) {
         final DispatchSettings before = settings.get();
         settings.replace(next);
-        final boolean sameTenants =
-                next.tenants().equals(before.tenants())
-                        && next.dispatchers() == before.dispatchers();
-        fleet.grow(next.classes().stream().map(RequestClass::placement).toList());
-        addClasses(sameTenants ? tenants : null);
+        workers.grow(placements(next));
+        admission.settingsChanged(before);
+        deadlines.settingsChanged();
     }
 
     @Override
     public void endpointListChanged(long nowUs, EndpointListForm form, List<Worker> entries) {
         if (form == EndpointListForm.FAILED) {
-            askAtUs = nowUs + ASK_AGAIN_US / 2 + random.nextLong(ASK_AGAIN_US);
+            poller.failed(nowUs);
             return;
         }
-        fleet.workers().forEach(node -> node.setMissingFromList(form != EndpointListForm.CHANGES));
-        entries.forEach(entry -> update(nowUs, entry));
-        fleet.workers().stream().filter(WorkerInstance::isMissingFromList).forEach(this::dismiss);
-        fleet.removeUndispatchable();
-        if (solveAtUs == 0) {
-            slowStart.started(nowUs);
-            solvedAtUs = nowUs;
-            solveAtUs = nowUs + SOLVE_US;
-            askAtUs =
-                    settings.get().endpointListIsPolled()
-                            ? nowUs + random.nextLong(ASK_AGAIN_US)
-                            : Long.MAX_VALUE;
-            actions.startTimer(0, tickUs);
+        final boolean isWholeList = form != EndpointListForm.CHANGES;
+        workers.workers().forEach(worker -> worker.setMissingFromList(isWholeList));
+        entries.forEach(entry -> update(entry, nowUs));
+        workers.workers().stream()
+                .filter(WorkerInstance::isMissingFromList)
+                .forEach(this::withdraw);
+        workers.removeUndispatchable();
+        if (!admission.isStarted()) {
+            start(nowUs);
         }
     }
 
-    private void update(long nowUs, Worker entry) {
-        WorkerInstance node = fleet.find(entry.id());
-        if (node != null && !node.isSameIncarnation(entry)) {
-            // A restart forgets what was learned of the process before it, but not the attempts
-            // still out.
-            node.leaveGroups();
-            node = null;
-        }
-        if (node == null) {
-            node = fleet.add(entry);
-            slowStart.workerAdded(node, nowUs);
-        }
-        node.listed(entry);
-        if (entry.state() != WorkerState.READY) {
-            dismiss(node);
-            return;
-        }
-        node.joinGroups();
-        loads.weightListed(node, entry.weight(), nowUs);
+    private void start(long nowUs) {
+        slowStart.started(nowUs);
+        admission.start(nowUs);
+        poller.started(nowUs);
+        actions.startTimer(CHECK_TIMER, deadlines.checkIntervalUs());
     }
 
-    /**
-     * A draining, gone or unlisted worker leaves every pool at once: nothing new can be sent to it.
-     */
-    private void dismiss(WorkerInstance node) {
-        node.leaveGroups();
-        closeIdle(node.id());
+    private void update(Worker entry, long nowUs) {
+        final WorkerInstance worker = incarnationOf(entry, nowUs);
+        worker.listed(entry);
+        if (entry.state() == WorkerState.READY) {
+            worker.joinGroups();
+            loads.weightListed(worker, entry.weight(), nowUs);
+        } else {
+            withdraw(worker);
+        }
     }
 
     /**
-     * Guards against holding up a drain by idle connections, also after late endings; where it is
-     * stated.
+     * The worker of an entry; one that restarted is a new one, and its attempts in flight go on.
      */
-    private void closeIdle(int workerId) {
-        if (settings.get().closeOnDrainWithinUs() < DispatchSettings.UNLIMITED) {
-            actions.closeIdleConnections(workerId);
+    private WorkerInstance incarnationOf(Worker entry, long nowUs) {
+        final WorkerInstance known = workers.find(entry.id());
+        if (known != null && known.isSameIncarnation(entry)) {
+            return known;
         }
+        if (known != null) {
+            known.leaveGroups();
+        }
+        final WorkerInstance added = workers.add(entry);
+        slowStart.workerAdded(added, nowUs);
+        return added;
     }
 
-    private void solve(long nowUs) {
-        final double elapsedUs = Math.max(1, nowUs - solvedAtUs);
-        solvedAtUs = nowUs;
-        solveAtUs = nowUs + SOLVE_US * 3 / 4 + random.nextLong(SOLVE_US / 2);
-        final double weight = 1 - Math.exp(-elapsedUs / CapacityEstimator.RATE_MEMORY_US);
-        fleet.capacities().forEach(CapacityEstimator::clearOffered);
-        for (final DemandBucket cell : cells.all()) {
-            cell.updateDemand(elapsedUs, weight);
-            cell.scalePriorityWeight(
-                    settings.get().priorityWeightPerWork()
-                            ? cell.work() / serviceTimes.meanRunningTimeUs()
-                            : 1);
-            cell.offer();
-        }
-        final CapacityEstimator.Conditions conditions =
-                new CapacityEstimator.Conditions(
-                        meanPriorityWeight,
-                        marginalPriorityWeight,
-                        cells.tightestSlackUs(),
-                        serviceTimes.meanRunningTimeUs());
-        for (final CapacityEstimator capacity : fleet.capacities()) {
-            capacity.adjust(elapsedUs, conditions);
-        }
-        marginalPriorityWeight = fill(cells.all(), marginalPriorityWeight);
+    /** No new attempt goes to a worker that is draining, gone or no longer listed. */
+    private void withdraw(WorkerInstance worker) {
+        worker.leaveGroups();
+        closeIdleConnections(worker.id());
     }
 
-    /**
-     * Floors first, then cells by priority weight per work while budgets last; returns the last
-     * one's over the mean.
-     */
-    static double fill(DemandBucket[] cells, double otherwise) {
-        Arrays.sort(cells, Comparator.comparingDouble(cell -> -cell.weightPerWork()));
-        for (final DemandBucket cell : cells) {
-            cell.close();
-            cell.admit(FLOOR);
-        }
-        double priorityWeight = 0;
-        double work = 0;
-        double marginal = otherwise;
-        for (final DemandBucket cell : cells) {
-            final double part = Math.min(1 - FLOOR, cell.fittingPart());
-            cell.admit(part);
-            priorityWeight += cell.admitProbability() * cell.rate() * cell.priorityWeight();
-            work += cell.admitProbability() * cell.rate() * cell.work();
-            if (part > 0 && cell.rate() > 0) {
-                marginal = cell.weightPerWork() * work / priorityWeight;
-            }
+    private void closeIdleConnections(int workerId) {
+        if (settings.get().closeOnDrainWithinUs() < DispatchSettings.UNLIMITED) {
+            actions.closeIdleConnections(workerId);
         }
-        return marginal;
     }
 
     @Override
     public void requestArrived(long nowUs, int requestId, Job job, long deadlineUs) {
-        final double needed = PendingRequest.slotsOf(job);
-        final boolean over =
-                job.tenant() < tenants.length
-                        && !tenants[job.tenant()].take(nowUs, job.clientRetry() ? 0 : 1);
-        final DemandBucket cell = cells.of(job.requestClass(), needed, over);
-        if (job.runningTimeHintUs() > 0) {
-            serviceTimes.hintReceived(cell.owner(), job.runningTimeHintUs());
-        }
-        // What is missing of its time tells of its first try; more than two advised retries, of
-        // impatience.
-        final long leftUs = deadlineUs - nowUs;
-        final long ageUs = cell.owner().learnTimeout(leftUs) - leftUs;
-        final long retriesUs = 2 * settings.get().limits().maxRetryAfterUs();
-        final boolean again =
-                job.clientRetry()
-                        || ageUs <= cell.owner().inTimeUs(cell.owner().runningTimeUs()) + retriesUs;
-        final long firstUs = again ? nowUs - ageUs : nowUs;
+        final DemandBucket bucket = admission.bucketOf(job, nowUs);
+        if (job.runningTimeHintUs() > Job.NO_HINT) {
+            serviceTimes.hintReceived(bucket.owner(), job.runningTimeHintUs());
+        }
+        final long firstSentUs = deadlines.firstSentUs(bucket.owner(), job, deadlineUs, nowUs);
         final PendingRequest request =
                 new PendingRequest(
-                        requestId, cell, job, firstUs, deadlineUs, settings.get().limits());
-        if (nowUs - firstUs > request.inTimeUs()) {
+                        requestId, bucket, job, firstSentUs, deadlineUs, settings.get().limits());
+        if (deadlines.isTooOld(request, nowUs)) {
             giveUp(request, nowUs);
             return;
         }
-        serviceTimes.jobArrived(needed);
-        if (!cell.admitNext()) {
+        serviceTimes.jobArrived(request.slots());
+        if (bucket.admitNext()) {
+            pending.put(requestId, request);
+            attempt(request, nowUs);
+        } else {
             giveUp(request, nowUs);
-            return;
         }
-        open.put(requestId, request);
-        attempt(request, nowUs);
     }
 
-    /** Sends the request's next attempt if it may and can; ends or holds it otherwise. */
+    /** Sends the next attempt or queries loads before it; else gives up or holds the request. */
     private void attempt(PendingRequest request, long nowUs) {
-        if (isOver(request, nowUs)) {
+        if (!retries.allowsAttempt(request, nowUs)) {
             giveUp(request, nowUs);
             return;
         }
-        final WorkerInstance best = request.bestReported();
-        final boolean open =
-                best != null && best.isDispatchable() && slowStart.allows(best, request, nowUs);
-        if (open
+        final WorkerInstance reported = request.bestReported();
+        final boolean mayUseReported =
+                reported != null
+                        && reported.isDispatchable()
+                        && slowStart.allows(reported, request, nowUs);
+        if (mayUseReported
                 && (!loadQueries.allowsAnotherRound(request)
-                        || selector.hasCapacity(best, request, nowUs))) {
-            send(request, best, nowUs);
+                        || selector.hasCapacity(reported, request, nowUs))) {
+            send(request, reported, nowUs);
             return;
         }
-        final List<WorkerInstance> drawn = selector.select(request, WANTED, nowUs);
-        if (loadQueries.shouldQuery(request, drawn, nowUs)) {
-            ask(request, selector.select(request, loadQueries.workersWanted(), nowUs));
-        } else if (open
-                && (drawn.isEmpty()
-                        || selector.cost(best, request, nowUs)
-                                < selector.cost(drawn.get(0), request, nowUs))) {
-            send(request, best, nowUs);
-        } else if (!drawn.isEmpty()) {
-            send(request, drawn.get(0), nowUs);
+        final List<WorkerInstance> selected = selector.select(request, nowUs);
+        if (loadQueries.shouldQuery(request, selected, nowUs)) {
+            queryLoad(request, selector.select(request, loadQueries.workersWanted(), nowUs));
+        } else if (mayUseReported
+                && (selected.isEmpty()
+                        || selector.cost(reported, request, nowUs)
+                                < selector.cost(selected.get(0), request, nowUs))) {
+            send(request, reported, nowUs);
+        } else if (!selected.isEmpty()) {
+            send(request, selected.get(0), nowUs);
+        }
+    }
+
+    private void queryLoad(PendingRequest request, List<WorkerInstance> selected) {
+        final List<WorkerInstance> queried = loadQueries.toQuery(selected);
+        request.startQueries(queried);
+        for (final WorkerInstance worker : queried) {
+            actions.queryLoad(worker.id());
         }
     }
 
-    private void ask(PendingRequest request, List<WorkerInstance> drawn) {
-        final List<WorkerInstance> asked = loadQueries.toQuery(drawn);
-        request.startQueries(asked);
-        asked.forEach(node -> actions.queryLoad(node.id()));
+    private void send(PendingRequest request, WorkerInstance worker, long nowUs) {
+        request.startAttempt(worker, nowUs);
+        worker.reserveSlots(request.slots());
+        slowStart.attemptSent(worker, request, nowUs);
+        actions.send(request.id(), worker.id(), request.deadlineUs());
     }
 
     @Override
     public void loadReported(long nowUs, int workerId, Outcome outcome, LoadReport report) {
-        final WorkerInstance node = fleet.find(workerId);
-        if (node == null) {
+        final WorkerInstance worker = workers.find(workerId);
+        if (worker == null) {
             return;
         }
-        loads.reported(node, report, nowUs);
+        loads.reported(worker, report, nowUs);
         if (outcome != Outcome.SERVED) {
-            outliers.ended(node, outcome, nowUs);
+            outliers.ended(worker, outcome, nowUs);
         }
-        final PendingRequest request = node.pollQueryingRequest();
-        if (request == null || !request.endQuery(node)) {
+        final PendingRequest request = worker.pollQueryingRequest();
+        if (request == null || !request.endQuery(worker)) {
             return;
         }
-        if (outcome == Outcome.SERVED
-                && (request.bestReported() == null
-                        || selector.cost(node, request, nowUs)
-                                < selector.cost(request.bestReported(), request, nowUs))) {
-            request.setBestReported(node);
+        if (outcome == Outcome.SERVED && isBestReported(worker, request, nowUs)) {
+            request.setBestReported(worker);
         }
         if (!request.hasPendingQueries() && !request.hasAttemptInFlight()) {
             attempt(request, nowUs);
         }
     }
 
-    private void send(PendingRequest request, WorkerInstance node, long nowUs) {
-        request.startAttempt(node, nowUs);
-        node.reserveSlots(request.slots());
-        slowStart.attemptSent(node, request, nowUs);
-        actions.send(request.id(), node.id(), request.deadlineUs());
-    }
-
-    /** Guards against a doubled effect: what the class allows once an attempt may have run. */
-    private static boolean mayRepeat(PendingRequest request, long nowUs) {
-        return switch (request.requestClass().idempotency()) {
-            case SAFE -> true;
-            case KEYED -> !request.mayHaveRun() || nowUs < request.deduplicatedUntilUs();
-            case UNSAFE -> !request.mayHaveRun();
-        };
-    }
-
-    /**
-     * The one final answer, at once: refused where a retry as advised can do no harm, else failed.
-     */
-    private void giveUp(PendingRequest request, long nowUs) {
-        close(request);
-        final long adviceUs = settings.get().limits().maxRetryAfterUs();
-        final boolean dropped =
-                request.requestClass().idempotency() == Idempotency.KEYED
-                        && !request.isBoundToGroup()
-                        && nowUs + adviceUs < request.deduplicatedUntilUs();
-        if (request.requestClass().idempotency() == Idempotency.SAFE
-                || !request.mayHaveRun()
-                || dropped) {
-            actions.reject(request.id(), adviceUs);
-        } else {
-            actions.fail(request.id());
-        }
-    }
-
-    private void close(PendingRequest request) {
-        request.close();
-        if (!request.hasAttemptInFlight()) {
-            open.remove(request.id());
-        }
+    private boolean isBestReported(WorkerInstance worker, PendingRequest request, long nowUs) {
+        return request.bestReported() == null
+                || selector.cost(worker, request, nowUs)
+                        < selector.cost(request.bestReported(), request, nowUs);
     }
 
     @Override
-    public void clientLeft(long nowUs, int requestId) {
-        if (open.containsKey(requestId)) {
-            close(open.get(requestId));
+    public void jobProgressed(
+            long nowUs, int requestId, int number, int workerId, double fractionDone) {
+        final Attempt attempt = findAttempt(pending.get(requestId), number);
+        if (attempt != null) {
+            attempt.progressReported(nowUs, fractionDone);
+            attempt.worker().progressReported(nowUs);
         }
     }
 
-    @Override
-    public void jobProgressed(
-            long nowUs, int requestId, int attempt, int workerId, double fractionDone) {
-        final Attempt told =
-                open.containsKey(requestId) ? open.get(requestId).findAttempt(attempt) : null;
-        if (told != null) {
-            told.progressReported(nowUs, fractionDone);
-            told.worker().progressReported(nowUs);
-        }
+    private static Attempt findAttempt(PendingRequest request, int number) {
+        return request == null ? null : request.findAttempt(number);
     }
 
     @Override
@@ -402,59 +263,32 @@
             long elapsedUs,
             boolean requestClosed,
             LoadReport report) {
-        final PendingRequest request = open.get(requestId);
-        final Attempt attempt = request == null ? null : request.findAttempt(number);
+        final PendingRequest request = pending.get(requestId);
+        final Attempt attempt = findAttempt(request, number);
         if (attempt == null) {
             return;
         }
+        final WorkerInstance worker = attempt.worker();
         request.endAttempt(attempt);
-        final WorkerInstance node = attempt.worker();
-        final boolean served = outcome == Outcome.SERVED;
-        final boolean full = outcome == Outcome.FULL;
-        node.releaseSlots(request.slots());
-        loads.reported(node, report, nowUs);
-        // Guards the workers' name against clients whose requests nobody can use, or that give up
-        // early.
-        final boolean unusable = outcome == Outcome.UNUSABLE;
-        final boolean early =
-                outcome == Outcome.TIMED_OUT
-                        && request.deadlineUs() < request.firstSentUs() + request.inTimeUs();
-        if (!unusable && !early) {
-            outliers.ended(node, outcome, nowUs);
-        }
-        if (!fleet.contains(workerId)) {
-            closeIdle(workerId);
-        }
-        if (full) {
-            node.progressReported(nowUs);
-            loads.rejectedAsFull(node, nowUs);
-        } else if (served) {
-            node.progressReported(nowUs);
-            node.jobFinished(request.work());
-            serviceTimes.attemptServed(
-                    request, attempt, nowUs, elapsedUs, slowStart.capacityFraction(node, nowUs));
-        }
-        // Guards against closing on errors and breaks: they tell of one worker, not of too much
-        // work.
-        if (!attempt.isLate()
-                && (served
-                        || full
-                        || outcome == Outcome.CONNECT_FAILED
-                        || outcome == Outcome.TIMED_OUT && !requestClosed && !early)) {
-            node.addEvidence(
-                    served
-                            ? CapacityEstimator.Evidence.IN_TIME
-                            : full
-                                    ? CapacityEstimator.Evidence.REJECTED_AS_FULL
-                                    : CapacityEstimator.Evidence.OVERLOAD,
-                    request.priorityWeight());
-        }
-        if (!neverRan(outcome) && !served && !request.mayHaveRun()) {
-            bind(request, attempt);
+        worker.releaseSlots(request.slots());
+        loads.reported(worker, report, nowUs);
+        final boolean impatient = outcome == Outcome.TIMED_OUT && deadlines.isImpatient(request);
+        if (outcome != Outcome.UNUSABLE && !impatient) {
+            outliers.ended(worker, outcome, nowUs);
+        }
+        if (!workers.contains(workerId)) {
+            closeIdleConnections(workerId);
+        }
+        learn(request, attempt, outcome, elapsedUs, nowUs);
+        if (!attempt.isLate()) {
+            addEvidence(request, worker, outcome, !requestClosed && !impatient);
+        }
+        if (outcome != Outcome.SERVED && !request.mayHaveRun() && retries.mayHaveRun(outcome)) {
+            retries.markMayHaveRun(request, attempt);
         }
         if (requestClosed || request.isClosed()) {
             close(request);
-        } else if (unusable) {
+        } else if (outcome == Outcome.UNUSABLE) {
             close(request);
             actions.fail(request.id());
         } else if (!request.hasAttemptInFlight()) {
@@ -462,153 +296,161 @@
         }
     }
 
-    /** Guards against taking 'full' as proof where a worker may shed what it had begun. */
-    private boolean neverRan(Outcome outcome) {
-        return outcome == Outcome.CONNECT_FAILED
-                || outcome == Outcome.NOT_SENT
-                || outcome == Outcome.FULL && !settings.get().fullMayHaveRun();
+    private void learn(
+            PendingRequest request, Attempt attempt, Outcome outcome, long elapsedUs, long nowUs) {
+        final WorkerInstance worker = attempt.worker();
+        if (outcome == Outcome.FULL) {
+            worker.progressReported(nowUs);
+            loads.rejectedAsFull(worker, nowUs);
+        } else if (outcome == Outcome.SERVED) {
+            worker.progressReported(nowUs);
+            worker.jobFinished(request.work());
+            serviceTimes.attemptServed(
+                    request, attempt, nowUs, elapsedUs, slowStart.capacityFraction(worker, nowUs));
+        }
     }
 
-    /**
-     * From now on it may have had its effect: a keyed one stays among those who would drop a
-     * repeat.
-     */
-    private void bind(PendingRequest request, Attempt attempt) {
-        final RequestClass stated = request.requestClass();
-        request.markMayHaveRun(
-                attempt.sentUs() + stated.deduplicationWindowUs(),
-                stated.idempotency() == Idempotency.KEYED
-                        ? fleet.deduplicationGroup(stated, attempt.worker().endpoint())
-                        : Optional.empty());
+    /** Counts an outcome for the worker's capacities; errors of one worker are no overload. */
+    private static void addEvidence(
+            PendingRequest request, WorkerInstance worker, Outcome outcome, boolean timeoutCounts) {
+        switch (outcome) {
+            case SERVED ->
+                    worker.addEvidence(
+                            CapacityEstimator.Evidence.IN_TIME, request.priorityWeight());
+            case FULL ->
+                    worker.addEvidence(
+                            CapacityEstimator.Evidence.REJECTED_AS_FULL, request.priorityWeight());
+            case CONNECT_FAILED ->
+                    worker.addEvidence(
+                            CapacityEstimator.Evidence.OVERLOAD, request.priorityWeight());
+            case TIMED_OUT -> {
+                if (timeoutCounts) {
+                    worker.addEvidence(
+                            CapacityEstimator.Evidence.OVERLOAD, request.priorityWeight());
+                }
+            }
+            default -> {}
+        }
+    }
+
+    /** Sends the one final answer. */
+    private void giveUp(PendingRequest request, long nowUs) {
+        close(request);
+        switch (deadlines.replyTo(request, nowUs)) {
+            case REJECTED -> actions.reject(request.id(), deadlines.retryAfterUs());
+            case FAILED -> actions.fail(request.id());
+        }
+    }
+
+    private void close(PendingRequest request) {
+        request.close();
+        if (!request.hasAttemptInFlight()) {
+            pending.remove(request.id());
+        }
+    }
+
+    @Override
+    public void clientLeft(long nowUs, int requestId) {
+        final PendingRequest request = pending.get(requestId);
+        if (request != null) {
+            close(request);
+        }
     }
 
     @Override
     public void workerReportedUnresponsive(long nowUs, int workerId, int requestClass) {
-        final WorkerInstance node = fleet.find(workerId);
-        if (node != null) {
-            outliers.ejectUnresponsive(node, requestClass, nowUs);
+        final WorkerInstance worker = workers.find(workerId);
+        if (worker != null) {
+            outliers.ejectUnresponsive(worker, requestClass, nowUs);
         }
     }
 
     @Override
     public void timerFired(long nowUs, long token) {
-        actions.startTimer(0, tickUs);
-        if (nowUs >= askAtUs) {
-            askAtUs = Long.MAX_VALUE;
+        actions.startTimer(CHECK_TIMER, deadlines.checkIntervalUs());
+        if (poller.takeDue(nowUs)) {
             actions.pollEndpointList();
         }
-        if (nowUs >= solveAtUs) {
-            slowStart.refill(fleet.workers(), nowUs);
-            solve(nowUs);
+        if (admission.isFillDue(nowUs)) {
+            slowStart.refill(workers.workers(), nowUs);
+            admission.refill(nowUs);
         }
-        for (final PendingRequest request : open.values().toArray(new PendingRequest[0])) {
+        for (final PendingRequest request : pending.values().toArray(new PendingRequest[0])) {
             if (!request.hasAttemptInFlight()) {
                 attempt(request, nowUs);
             }
-            request.attemptsInFlight().forEach(attempt -> watch(request, attempt, nowUs));
+            for (final Attempt attempt : request.attemptsInFlight()) {
+                check(request, attempt, nowUs);
+            }
         }
     }
 
-    /**
-     * Guards against slow and silent workers: a late job counts, also against its worker, before it
-     * ends.
-     */
-    private void watch(PendingRequest request, Attempt attempt, long nowUs) {
-        final WorkerInstance node = attempt.worker();
+    /** Looks for a late, unresponsive or stalled attempt before it ends. */
+    private void check(PendingRequest request, Attempt attempt, long nowUs) {
         final double waitedUs = serviceTimes.waitedUs(request, attempt, nowUs);
         final double waitUs = attempt.sentUs() - request.firstSentUs() + waitedUs;
-        final double mayWaitUs = request.inTimeUs() - request.runningTimeUs();
-        if (!attempt.isLate() && waitUs > mayWaitUs) {
-            attempt.markLate();
-            if (!request.isClosed() && !node.isStalled(nowUs)) {
-                node.addEvidence(CapacityEstimator.Evidence.OVERLOAD, request.priorityWeight());
-            }
-            serviceTimes.attemptLate(attempt);
+        if (!attempt.isLate() && waitUs > request.slackUs()) {
+            attemptLate(request, attempt, nowUs);
         }
-        // Where slots seem free but no job of the class starts, others need not find out one by
-        // one.
         if (outliers.detectUnresponsive(attempt, waitedUs, nowUs)) {
-            if (settings.get().allowsPeerMessages()
-                    && !node.isUnresponsive(request.classIndex(), nowUs)) {
-                actions.reportUnresponsive(node.id(), request.classIndex());
-            }
-            workerReportedUnresponsive(nowUs, node.id(), request.classIndex());
-        }
-        // Guards against a worker that hangs: one that tells of progress and has stopped to stands
-        // still.
-        // Guards against leaving out a worker that is well for one job's broken stream: others'
-        // notes count.
-        final boolean pendingEvents = outliers.detectStalled(attempt, nowUs);
-        // Guards against a wait behind others' jobs, which no dispatcher sees: the job may start
-        // elsewhere.
-        final boolean waits =
-                settings.get().reportsJobStart()
-                        && attempt.startReportedAtUs() == 0
-                        && waitUs > UNSTARTED_COPY * mayWaitUs;
-        if ((pendingEvents || waits || node.isStalled(nowUs))
-                && !request.isClosed()
-                && request.hasOneAttemptInFlight()) {
-            copy(request, attempt, nowUs);
+            reportUnresponsive(attempt.worker(), request.classIndex(), nowUs);
+        }
+        final boolean stalled = outliers.detectStalled(attempt, nowUs);
+        if (hedging.isDue(request, attempt, waitUs, stalled, nowUs)
+                && hedging.isAllowed(request, attempt, nowUs)) {
+            hedge(request, attempt, nowUs);
         }
     }
 
-    /**
-     * Whether no more may be sent for it; fewer attempts allowed hold for those under way, more
-     * never.
-     */
-    private boolean isOver(PendingRequest request, long nowUs) {
-        return !mayRepeat(request, nowUs)
-                || request.attemptsSent()
-                        >= Math.min(settings.get().limits().maxAttempts(), request.maxAttempts())
-                || nowUs
-                        >= Math.min(
-                                request.firstSentUs() + request.inTimeUs(),
-                                request.deadlineUs() - 2 * tickUs);
+    private void attemptLate(PendingRequest request, Attempt attempt, long nowUs) {
+        attempt.markLate();
+        if (!request.isClosed() && !attempt.worker().isStalled(nowUs)) {
+            attempt.worker()
+                    .addEvidence(CapacityEstimator.Evidence.OVERLOAD, request.priorityWeight());
+        }
+        serviceTimes.attemptLate(attempt);
     }
 
-    /**
-     * Sends a hedged request to where there is room now, if the class allows it and it can still be
-     * in time.
-     */
-    private void copy(PendingRequest request, Attempt attempt, long nowUs) {
-        final RequestClass stated = request.requestClass();
-        final boolean binds = stated.idempotency() == Idempotency.KEYED && !request.mayHaveRun();
-        if (!settings.get().limits().allowsHedging()
-                || !request.allowsHedging()
-                || stated.idempotency() == Idempotency.UNSAFE
-                || binds && nowUs >= attempt.sentUs() + stated.deduplicationWindowUs()
-                || isOver(request, nowUs)) {
-            return;
+    private void reportUnresponsive(WorkerInstance worker, int requestClass, long nowUs) {
+        if (settings.get().allowsPeerMessages() && !worker.isUnresponsive(requestClass, nowUs)) {
+            actions.reportUnresponsive(worker.id(), requestClass);
         }
-        WorkerInstance to = request.bestReported();
+        workerReportedUnresponsive(nowUs, worker.id(), requestClass);
+    }
+
+    /** Sends a hedged request to a worker with capacity, or queries loads to find one. */
+    private void hedge(PendingRequest request, Attempt attempt, long nowUs) {
+        WorkerInstance worker = request.bestReported();
         request.setBestReported(null);
-        if (to == null && !request.hasPendingQueries() && nowUs >= request.nextHedgeQueryUs()) {
-            // Guards against a doubled effect: the first copy may run yet, so a keyed one stays in
-            // its group.
-            if (binds) {
-                request.bindToGroup(fleet.deduplicationGroup(stated, attempt.worker().endpoint()));
-            }
-            final List<WorkerInstance> drawn = selector.select(request, WANTED, nowUs);
-            if (binds) {
-                request.bindToGroup(Optional.empty());
-            }
-            // Guards against copies that crowd full workers: a report of before tells nothing of
-            // room now.
+        if (worker == null && !request.hasPendingQueries() && nowUs >= request.nextHedgeQueryUs()) {
+            final List<WorkerInstance> selected = selectForHedge(request, attempt, nowUs);
             if (loadQueries.isAllowed()) {
-                request.setNextHedgeQueryUs(loadQueries.nextHedgeQueryUs(drawn, nowUs));
-                ask(request, drawn);
-            } else if (!drawn.isEmpty()) {
-                to = drawn.get(0);
+                request.setNextHedgeQueryUs(loadQueries.nextHedgeQueryUs(selected, nowUs));
+                queryLoad(request, selected);
+            } else if (!selected.isEmpty()) {
+                worker = selected.get(0);
             }
         }
-        if (to != null
-                && to.isDispatchable()
-                && selector.hasCapacity(to, request, nowUs)
-                && slowStart.allows(to, request, nowUs)) {
-            if (binds) {
-                bind(request, attempt);
+        if (worker != null
+                && worker.isDispatchable()
+                && selector.hasCapacity(worker, request, nowUs)
+                && slowStart.allows(worker, request, nowUs)) {
+            if (hedging.needsDeduplication(request)) {
+                retries.markMayHaveRun(request, attempt);
             }
-            send(request, to, nowUs);
+            send(request, worker, nowUs);
+        }
+    }
+
+    /** Selects among those that drop a duplicate of the attempt, where that is needed. */
+    private List<WorkerInstance> selectForHedge(
+            PendingRequest request, Attempt attempt, long nowUs) {
+        if (!hedging.needsDeduplication(request)) {
+            return selector.select(request, nowUs);
         }
+        request.bindToGroup(retries.deduplicationGroup(request, attempt));
+        final List<WorkerInstance> selected = selector.select(request, nowUs);
+        request.bindToGroup(Optional.empty());
+        return selected;
     }
 }
--- a/src/main/java/cresschute/dispatch/Job.java
+++ b/src/main/java/cresschute/dispatch/Job.java
@@ -19,4 +19,7 @@
 
     /** The {@code dataKey} of a job that needs no data. */
     public static final long NO_DATA = 0;
+
+    /** The {@code runningTimeHintUs} of a job whose running time nothing says. */
+    public static final long NO_HINT = 0;
 }
--- a/src/main/java/cresschute/dispatch/WorkerSelector.java
+++ b/src/main/java/cresschute/dispatch/WorkerSelector.java
@@ -40,6 +40,9 @@
     /** Increase of the expected latency for each unit of price. */
     private static final double PRICE_WEIGHT = 20;
 
+    /** Workers with capacity that end a search. */
+    private static final int CHOICES = 2;
+
     /** Draws in search of workers with capacity. */
     private static final int MAX_DRAWS = 8;
 
@@ -65,8 +68,14 @@
         this.random = random;
     }
 
+    /** Draws workers for a request's next attempt: the search ends with two that have capacity. */
+    List<WorkerInstance> select(PendingRequest request, long nowUs) {
+        return select(request, CHOICES, nowUs);
+    }
+
     /**
-     * Draws workers for a request's next attempt.
+     * Draws workers for a request's next attempt. Every draw takes one random number, whether the
+     * job needs data or not.
      *
      * @param wanted how many with capacity end the search
      * @return the workers drawn, least cost first; empty where none may be sent to
@@ -82,7 +91,6 @@
         for (int draw = 0;
                 draw < MAX_DRAWS && withCapacity < wanted && !anywhere.isEmpty();
                 draw++) {
-            // A job with a data key draws a random worker too, to keep the sequence of chance.
             final WorkerGroup group = draw % 2 == 0 && !preferred.isEmpty() ? preferred : anywhere;
             WorkerInstance worker = group.member(random.nextInt(group.size()));
             if (request.dataKey() != Job.NO_DATA) {
--- a/src/test/java/cresschute/dispatch/AdmissionFillTest.java
+++ b/src/test/java/cresschute/dispatch/AdmissionFillTest.java
@@ -53,11 +53,11 @@
         final DemandBucket rich = cell(10, 1, 1, Placement.ANYWHERE);
         final DemandBucket poor = cell(1, 1, 1, Placement.ANYWHERE);
         final DemandBucket large = cell(10, 1, 20, Placement.ANYWHERE);
-        allocatable(all, 1.5 + Dispatcher.FLOOR * 20);
-        Dispatcher.fill(new DemandBucket[] {large, poor, rich}, 1);
+        allocatable(all, 1.5 + AdmissionController.FLOOR * 20);
+        AdmissionController.fill(new DemandBucket[] {large, poor, rich}, 1);
         assertThat(rich.admitProbability()).isCloseTo(1, within(1e-9));
         assertThat(poor.admitProbability()).isCloseTo(0.5, within(1e-9));
-        assertThat(large.admitProbability()).isCloseTo(Dispatcher.FLOOR, within(1e-9));
+        assertThat(large.admitProbability()).isCloseTo(AdmissionController.FLOOR, within(1e-9));
     }
 
     @Test
@@ -66,7 +66,7 @@
         final DemandBucket free = cell(1, 1, 1, Placement.ANYWHERE);
         allocatable(all, 100);
         allocatable(kind, 0.25);
-        Dispatcher.fill(new DemandBucket[] {bound, free}, 1);
+        AdmissionController.fill(new DemandBucket[] {bound, free}, 1);
         assertThat(bound.admitProbability()).isCloseTo(0.25, within(1e-9));
         assertThat(free.admitProbability()).isCloseTo(1, within(1e-9));
     }
@@ -75,7 +75,7 @@
     void anOpenBudgetAdmitsEverything() {
         final DemandBucket cell = cell(1, 50, 3, Placement.ANYWHERE);
         allocatable(all, Double.POSITIVE_INFINITY);
-        Dispatcher.fill(new DemandBucket[] {cell}, 1);
+        AdmissionController.fill(new DemandBucket[] {cell}, 1);
         assertThat(cell.admitProbability()).isEqualTo(1);
     }
 
@@ -89,17 +89,18 @@
         double floorWork = 0;
         for (int i = 0; i < cells.length; i++) {
             cells[i] = cell(worths.get(i), rates.get(i), works.get(i), Placement.ANYWHERE);
-            floorWork += Dispatcher.FLOOR * rates.get(i) * works.get(i);
+            floorWork += AdmissionController.FLOOR * rates.get(i) * works.get(i);
         }
         allocatable(all, budget);
-        Dispatcher.fill(cells, 1);
+        AdmissionController.fill(cells, 1);
         double admittedWork = 0;
         for (int i = 0; i < cells.length; i++) {
-            assertThat(cells[i].admitProbability()).isBetween(Dispatcher.FLOOR - 1e-9, 1 + 1e-9);
+            assertThat(cells[i].admitProbability())
+                    .isBetween(AdmissionController.FLOOR - 1e-9, 1 + 1e-9);
             admittedWork += cells[i].admitProbability() * cells[i].rate() * cells[i].work();
             if (i > 0
                     && cells[i].rate() > 0
-                    && cells[i].admitProbability() > Dispatcher.FLOOR + 1e-9) {
+                    && cells[i].admitProbability() > AdmissionController.FLOOR + 1e-9) {
                 assertThat(cells[i - 1].admitProbability()).isCloseTo(1, within(1e-9));
             }
         }
