--- /dev/null
+++ b/src/main/java/cresschute/health/ClassHealthSnapshot.java
@@ -0,0 +1,26 @@
+package cresschute.health;
+
+/**
+ * How a request class was served in the last minute.
+ *
+ * @param arrived requests that arrived
+ * @param admitted requests that ended after at least one attempt
+ * @param served requests that a worker served
+ * @param rejected requests that were rejected
+ * @param failed requests that failed
+ * @param withinObjective served requests that met their latency objective, as measured at the
+ *     dispatcher
+ * @param inFlight attempts in flight now
+ * @param lastMinute latency of requests served in the last minute
+ * @param lastTenMinutes latency of requests served in the last ten minutes
+ */
+public record ClassHealthSnapshot(
+        int arrived,
+        int admitted,
+        int served,
+        int rejected,
+        int failed,
+        int withinObjective,
+        int inFlight,
+        LatencyPercentiles lastMinute,
+        LatencyPercentiles lastTenMinutes) {}
--- /dev/null
+++ b/src/main/java/cresschute/health/ConditionRules.java
@@ -0,0 +1,169 @@
+package cresschute.health;
+
+import java.util.Optional;
+
+/**
+ * Assesses the condition of a worker from what was observed of it. Each rule has a method, which
+ * returns the reason if the rule holds; the first one that does decides:
+ *
+ * <ol>
+ *   <li>REMOVED: the endpoint list does not contain the worker.
+ *   <li>DRAINING: an operator or the endpoint list drains it.
+ *   <li>UNRESPONSIVE: connections fail, or nothing is received about the jobs it holds.
+ *   <li>WARMING_UP: its process started a short while ago.
+ *   <li>SLOW: most of its running jobs are held up, or its jobs run longer than elsewhere.
+ *   <li>OVERLOADED: it reports a queue and no free slot, or it rejected a job.
+ *   <li>HEALTHY: none of these.
+ * </ol>
+ *
+ * <p>The order goes from what makes the later rules meaningless to what is mildest. Without state;
+ * {@link ConditionTracker} says when an assessment comes into force. Reasons are shown to people
+ * and are part of console rows.
+ */
+final class ConditionRules {
+
+    private static final long US_PER_S = 1_000_000;
+
+    /** How long a worker that holds no job stays unresponsive, and failed connections count. */
+    private static final long UNTRIED_US = 30 * US_PER_S;
+
+    /** The shortest time for which jobs that only wait may be without a sign. */
+    private static final long MIN_QUEUED_SILENCE_US = 10 * US_PER_S;
+
+    /** Fewer than two may be heavy jobs, which say nothing of their worker. */
+    private static final int MIN_HELD_UP = 2;
+
+    private final HealthThresholds thresholds;
+
+    ConditionRules(HealthThresholds thresholds) {
+        this.thresholds = thresholds;
+    }
+
+    /** The condition by the first rule that holds. */
+    Assessment assess(long nowUs, WorkerHealth worker) {
+        return removed(worker)
+                .or(() -> draining(worker))
+                .or(() -> unresponsive(nowUs, worker))
+                .or(() -> warmingUp(nowUs, worker))
+                .or(() -> slow(nowUs, worker))
+                .or(() -> overloaded(nowUs, worker))
+                .orElseGet(() -> new Assessment(WorkerCondition.HEALTHY, ""));
+    }
+
+    private static Optional<Assessment> holds(WorkerCondition condition, String reason) {
+        return Optional.of(new Assessment(condition, reason));
+    }
+
+    private static Optional<Assessment> removed(WorkerHealth worker) {
+        return worker.isRemoved()
+                ? holds(
+                        WorkerCondition.REMOVED,
+                        "not on the list" + (worker.isIdle() ? "" : "; " + stillOut(worker)))
+                : Optional.empty();
+    }
+
+    private static Optional<Assessment> draining(WorkerHealth worker) {
+        return worker.isDraining()
+                ? holds(
+                        WorkerCondition.DRAINING,
+                        (worker.isDrainedByOperator() ? "by an operator" : "by the list")
+                                + "; "
+                                + (worker.isIdle() ? "nothing is out there" : stillOut(worker)))
+                : Optional.empty();
+    }
+
+    private static String stillOut(WorkerHealth worker) {
+        return worker.attempts().size() + " still out";
+    }
+
+    private Optional<Assessment> unresponsive(long nowUs, WorkerHealth worker) {
+        if (worker.connectFailures() >= thresholds.maxConnectFailures()
+                && nowUs - worker.lastConnectFailureUs() < UNTRIED_US) {
+            return holds(
+                    WorkerCondition.UNRESPONSIVE,
+                    worker.connectFailures() + " connections in a row failed");
+        }
+        return worker.isIdle() ? stillUnresponsive(nowUs, worker) : withoutSign(nowUs, worker);
+    }
+
+    /** A worker without jobs cannot give a sign, so it stays unresponsive for a while. */
+    private static Optional<Assessment> stillUnresponsive(long nowUs, WorkerHealth worker) {
+        final ConditionTracker before = worker.condition();
+        return before.is(WorkerCondition.UNRESPONSIVE)
+                        && worker.lastSignUs() <= before.sinceUs()
+                        && nowUs - before.sinceUs() < UNTRIED_US
+                ? holds(WorkerCondition.UNRESPONSIVE, before.reason())
+                : Optional.empty();
+    }
+
+    /** Jobs that only wait give no sign: jobs of other dispatchers may be before them. */
+    private Optional<Assessment> withoutSign(long nowUs, WorkerHealth worker) {
+        final boolean reportsProgress =
+                thresholds.progressIntervalUs() > 0
+                        && worker.attempts().stream().anyMatch(TrackedAttempt::isStarted);
+        final long maxSilenceUs =
+                reportsProgress
+                        ? thresholds.unresponsiveAfterUs()
+                        : Math.max(thresholds.unresponsiveAfterUs(), MIN_QUEUED_SILENCE_US);
+        final long oldestUs =
+                worker.attempts().stream().mapToLong(TrackedAttempt::sentUs).min().orElse(nowUs);
+        final long silenceUs = nowUs - Math.max(worker.lastSignUs(), oldestUs);
+        return silenceUs >= maxSilenceUs
+                ? holds(
+                        WorkerCondition.UNRESPONSIVE,
+                        "nothing heard of its " + worker.attempts().size() + " jobs")
+                : Optional.empty();
+    }
+
+    private Optional<Assessment> warmingUp(long nowUs, WorkerHealth worker) {
+        return worker.isStartedWithin(nowUs, thresholds.warmUpUs())
+                ? holds(WorkerCondition.WARMING_UP, "started a short while ago")
+                : Optional.empty();
+    }
+
+    private Optional<Assessment> slow(long nowUs, WorkerHealth worker) {
+        return mostJobsHeldUp(nowUs, worker).or(() -> longerThanElsewhere(worker));
+    }
+
+    private static Optional<Assessment> mostJobsHeldUp(long nowUs, WorkerHealth worker) {
+        int comparable = 0;
+        int heldUp = 0;
+        for (final TrackedAttempt attempt : worker.attempts()) {
+            if (attempt.isComparable()) {
+                comparable++;
+                heldUp += attempt.isHeldUp(nowUs) ? 1 : 0;
+            }
+        }
+        return heldUp >= MIN_HELD_UP && 2 * heldUp > comparable
+                ? holds(
+                        WorkerCondition.SLOW,
+                        heldUp + " of " + comparable + " running jobs are held up")
+                : Optional.empty();
+    }
+
+    private Optional<Assessment> longerThanElsewhere(WorkerHealth worker) {
+        final double limit =
+                worker.condition().is(WorkerCondition.SLOW)
+                        ? thresholds.slowUntilFactor()
+                        : thresholds.slowFromFactor();
+        return worker.slowness().isAtLeast(limit)
+                ? holds(
+                        WorkerCondition.SLOW,
+                        "jobs run "
+                                + Math.round(worker.slowness().factor() * 10) / 10.0
+                                + " times as long as elsewhere")
+                : Optional.empty();
+    }
+
+    private Optional<Assessment> overloaded(long nowUs, WorkerHealth worker) {
+        final ReportedLoad load = worker.load();
+        if (load.isFresh(nowUs, thresholds.reportMaxAgeUs()) && load.isFull()) {
+            return holds(
+                    WorkerCondition.OVERLOADED,
+                    "no free slot and " + (int) load.queued() + " waiting");
+        }
+        return nowUs - worker.lastRejectionUs() < thresholds.reportMaxAgeUs()
+                ? holds(WorkerCondition.OVERLOADED, "it turned jobs away")
+                : Optional.empty();
+    }
+}
--- a/src/main/java/cresschute/node/ControlService.java
+++ b/src/main/java/cresschute/node/ControlService.java
@@ -20,9 +20,17 @@
 import cresschute.dispatch.RequestClass;
 import cresschute.dispatch.Worker;
 import cresschute.dispatch.WorkerState;
-import cresschute.health.Condition;
+import cresschute.health.ClassHealthSnapshot;
+import cresschute.health.ConditionChange;
+import cresschute.health.HealthThresholds;
 import cresschute.health.HealthTracker;
-import cresschute.health.Thresholds;
+import cresschute.health.LatencyObjective;
+import cresschute.health.LatencyPercentiles;
+import cresschute.health.RequestResult;
+import cresschute.health.TrackedAttempt;
+import cresschute.health.WorkerCondition;
+import cresschute.health.WorkerHealthSnapshot;
+import cresschute.health.WorkerListing;
 import cresschute.logs.LogEvent;
 import io.netty.channel.EventLoop;
 import io.netty.util.NetUtil;
@@ -37,6 +45,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.OptionalDouble;
 import java.util.Set;
 import java.util.UUID;
 import java.util.concurrent.TimeUnit;
@@ -90,20 +99,20 @@
         this.config = config;
         this.loop = loop;
         this.clock = clock;
-        final List<HealthTracker.LatencyObjective> aims = new ArrayList<>();
+        final List<LatencyObjective> objectives = new ArrayList<>();
         for (final RequestClass each : config.settings().classes()) {
-            aims.add(
-                    new HealthTracker.LatencyObjective(
+            objectives.add(
+                    new LatencyObjective(
                             each.priorityWeight(),
                             each.latencyObjectiveUs(),
                             each.latencyObjectiveStretch()));
         }
         health =
                 new HealthTracker(
-                        Thresholds.usual(
+                        HealthThresholds.defaults(
                                 config.settings().progressUs(),
                                 config.settings().slowStart().warmUpDurationUs()),
-                        aims);
+                        objectives);
     }
 
     // ---- Start and stop ----
@@ -308,61 +317,62 @@
     }
 
     private void heard(long nowUs, Worker worker) {
-        health.listed(
+        health.workerListed(
                 nowUs,
                 worker.id(),
-                worker.state(),
-                drains.of(core.registry().name(worker.id())) != null,
-                worker.startedAtUs());
+                new WorkerListing(
+                        worker.state(),
+                        drains.of(core.registry().name(worker.id())) != null,
+                        worker.startedAtUs()));
         changed.add(worker.id());
     }
 
     @Override
     public void asked(long nowUs, int requestClass) {
-        health.asked(nowUs, requestClass);
+        health.requestArrived(nowUs, requestClass);
     }
 
     @Override
     public void answered(
             long nowUs, int requestClass, Answer answer, int attempts, long waitedUs, long ranUs) {
-        health.answered(nowUs, requestClass, healthAnswer(answer), attempts, waitedUs, ranUs);
+        health.requestEnded(nowUs, requestClass, requestResult(answer), attempts, waitedUs, ranUs);
     }
 
-    private static HealthTracker.Answer healthAnswer(Answer answer) {
+    private static RequestResult requestResult(Answer answer) {
         return switch (answer) {
-            case SERVED -> HealthTracker.Answer.SERVED;
-            case REFUSED -> HealthTracker.Answer.REFUSED;
-            case FAILED -> HealthTracker.Answer.FAILED;
-            case LEFT -> HealthTracker.Answer.LEFT;
+            case SERVED -> RequestResult.SERVED;
+            case REFUSED -> RequestResult.REJECTED;
+            case FAILED -> RequestResult.FAILED;
+            case LEFT -> RequestResult.CLIENT_LEFT;
         };
     }
 
     @Override
     public AttemptObserver sent(long nowUs, int worker, int requestClass) {
-        final HealthTracker.Job job = health.sent(nowUs, worker, requestClass);
+        final TrackedAttempt attempt = health.attemptSent(nowUs, worker, requestClass);
         changed.add(worker);
         return new AttemptObserver() {
             @Override
             public void told(long atUs) {
-                job.told(atUs);
+                attempt.progressReported(atUs);
             }
 
             @Override
             public void ended(long atUs, cresschute.dispatch.Outcome outcome, LoadReport report) {
-                job.ended(atUs, outcome, report);
+                attempt.ended(atUs, outcome, report);
                 changed.add(worker);
             }
 
             @Override
             public long ranUs(long atUs) {
-                return job.ranUs(atUs);
+                return attempt.runTimeUs(atUs);
             }
         };
     }
 
     @Override
     public void probed(long nowUs, int worker, LoadReport report) {
-        health.probed(nowUs, worker, report);
+        health.loadReported(nowUs, worker, report);
         changed.add(worker);
     }
 
@@ -380,7 +390,7 @@
     }
 
     private void lookAtConditions() {
-        for (final HealthTracker.Change each : health.look(clock.nowUs())) {
+        for (final ConditionChange each : health.evaluate(clock.nowUs())) {
             changed.add(each.worker());
             if (isNews(each)) {
                 note(
@@ -389,7 +399,7 @@
                         core.registry().name(each.worker())
                                 + " is "
                                 + each.to().word()
-                                + (each.why().isEmpty() ? "" : ": " + each.why()));
+                                + (each.reason().isEmpty() ? "" : ": " + each.reason()));
             }
         }
     }
@@ -398,12 +408,12 @@
      * What the list says is noted as it is heard, and a worker that fills up and empties is at
      * work.
      */
-    private static boolean isNews(HealthTracker.Change change) {
-        return change.from() != null
-                && change.to() != Condition.GONE
-                && change.to() != Condition.DRAINING
-                && !(change.from().compareTo(Condition.FULL) <= 0
-                        && change.to().compareTo(Condition.FULL) <= 0);
+    private static boolean isNews(ConditionChange change) {
+        return change.from().isPresent()
+                && change.to() != WorkerCondition.REMOVED
+                && change.to() != WorkerCondition.DRAINING
+                && !(change.from().get().compareTo(WorkerCondition.OVERLOADED) <= 0
+                        && change.to().compareTo(WorkerCondition.OVERLOADED) <= 0);
     }
 
     private void note(String kind, String worker, String text) {
@@ -443,12 +453,12 @@
     }
 
     private String row(long nowUs, int worker) {
-        final HealthTracker.View view = health.view(nowUs, worker);
+        final WorkerHealthSnapshot view = health.worker(nowUs, worker).orElseThrow();
         final Worker listed = core.registry().listed().get(worker);
         final JsonObject row = new JsonObject();
         row.addProperty("id", core.registry().name(worker));
         row.addProperty("state", view.condition().word());
-        row.addProperty("why", view.why());
+        row.addProperty("why", view.reason());
         row.addProperty("since_ms", view.sinceUs() / US_A_MS);
         row.addProperty("address", NetUtil.toSocketAddressString(core.registry().address(worker)));
         row.addProperty("kind", core.registry().kind(listed.kind()));
@@ -475,22 +485,22 @@
             }
         }
         row.add("in_flight_by_class", byClass);
-        row.addProperty("rate", Math.round(view.ratePerS() * 100) / 100.0);
+        row.addProperty("rate", Math.round(view.servedPerS() * 100) / 100.0);
         row.addProperty("failed", view.failed());
-        times(row, view.minute(), view.tenMinutes());
+        times(row, view.lastMinute(), view.lastTenMinutes());
         final JsonArray sparks = new JsonArray();
-        for (final int spark : view.sparks()) {
+        for (final int spark : view.servedPerSlice()) {
             sparks.add(spark);
         }
         row.add("sparks", sparks);
-        row.addProperty("queue", view.queue());
-        row.addProperty("free", view.free());
-        row.addProperty("report_ms", view.reportUs() / US_A_MS);
+        row.addProperty("queue", view.load().queued());
+        row.addProperty("free", view.load().freeSlots());
+        row.addProperty("report_ms", view.load().receivedUs() / US_A_MS);
         return row.toString();
     }
 
     private static void times(
-            JsonObject row, HealthTracker.Times minute, HealthTracker.Times tenMinutes) {
+            JsonObject row, LatencyPercentiles minute, LatencyPercentiles tenMinutes) {
         row.addProperty("p50_ms", minute.p50Ms());
         row.addProperty("p99_ms", minute.p99Ms());
         row.addProperty("p50_ms_10m", tenMinutes.p50Ms());
@@ -498,22 +508,22 @@
     }
 
     private String classRow(long nowUs, int number) {
-        final HealthTracker.ClassView view = health.classView(nowUs, number);
+        final ClassHealthSnapshot view = health.requestClass(nowUs, number);
         final JsonObject row = new JsonObject();
         row.addProperty("id", config.classes().get(number));
-        row.addProperty("asked", view.asked());
-        final int answered = view.served() + view.refused() + view.failed();
+        row.addProperty("asked", view.arrived());
+        final int answered = view.served() + view.rejected() + view.failed();
         row.addProperty(
                 "admitted",
                 answered == 0
                         ? -1
                         : Math.min(1, Math.round(view.admitted() * 1000.0 / answered) / 1000.0));
         row.addProperty("served", view.served());
-        row.addProperty("refused", view.refused());
+        row.addProperty("refused", view.rejected());
         row.addProperty("failed", view.failed());
-        row.addProperty("in_time", view.inTime());
+        row.addProperty("in_time", view.withinObjective());
         row.addProperty("in_flight", view.inFlight());
-        times(row, view.minute(), view.tenMinutes());
+        times(row, view.lastMinute(), view.lastTenMinutes());
         return row.toString();
     }
 
@@ -525,8 +535,9 @@
                 "list_ms", config.discovery() == null ? 0 : core.listUpdatedAtUs() / US_A_MS);
         row.addProperty("fixed_list", config.discovery() == null);
         row.addProperty("open", core.unanswered());
-        final double kept = health.weightedServedFraction(nowUs);
-        row.addProperty("worth_kept", kept < 0 ? -1 : Math.round(kept * 1000) / 1000.0);
+        final OptionalDouble kept = health.weightedServedFraction(nowUs);
+        row.addProperty(
+                "worth_kept", kept.isEmpty() ? -1 : Math.round(kept.getAsDouble() * 1000) / 1000.0);
         row.addProperty("stopping", stopping);
         row.addProperty("consoles", server == null ? 0 : server.sessions());
         row.addProperty("broken", core.invariant().total());
--- a/src/test/java/cresschute/health/HealthTrackerTest.java
+++ b/src/test/java/cresschute/health/HealthTrackerTest.java
@@ -5,272 +5,271 @@
 import cresschute.dispatch.LoadReport;
 import cresschute.dispatch.Outcome;
 import cresschute.dispatch.WorkerState;
-import cresschute.health.HealthTracker.Answer;
-import cresschute.health.HealthTracker.Change;
-import cresschute.health.HealthTracker.Job;
-import cresschute.health.HealthTracker.LatencyObjective;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Who is well, told by what passes: each condition, its end, and that none of them flaps. */
+/** Every condition, how it ends, and that no condition changes to and fro. */
 class HealthTrackerTest {
 
     private static final long MS = 1_000;
     private static final long S = 1_000 * MS;
-    private static final long LOOK = 250 * MS;
+    private static final long EVALUATION_US = 250 * MS;
 
-    private final HealthTracker book =
+    private final HealthTracker tracker =
             new HealthTracker(
-                    Thresholds.usual(S, 8 * S),
+                    HealthThresholds.defaults(S, 8 * S),
                     List.of(new LatencyObjective(2, S, 2), new LatencyObjective(5, 4 * S, 2)));
     private final List<String> changes = new ArrayList<>();
     private long nowUs = 1_000 * S;
 
     HealthTrackerTest() {
         for (int worker = 0; worker < 4; worker++) {
-            book.listed(nowUs, worker, WorkerState.READY, false, 0);
+            tracker.workerListed(nowUs, worker, new WorkerListing(WorkerState.READY, false, 0));
         }
-        look();
+        evaluate();
     }
 
-    private void look() {
-        for (final Change each : book.look(nowUs)) {
-            if (each.from() != null) {
+    private void evaluate() {
+        for (final ConditionChange each : tracker.evaluate(nowUs)) {
+            if (each.from().isPresent()) {
                 changes.add(each.worker() + ":" + each.to().word());
             }
         }
     }
 
     private void pass(long us) {
-        for (long left = us; left > 0; left -= LOOK) {
-            nowUs += Math.min(left, LOOK);
-            look();
+        for (long left = us; left > 0; left -= EVALUATION_US) {
+            nowUs += Math.min(left, EVALUATION_US);
+            evaluate();
         }
     }
 
-    private Job start(int worker) {
-        final Job job = book.sent(nowUs, worker, 0);
-        job.told(nowUs);
-        return job;
+    private TrackedAttempt start(int worker) {
+        final TrackedAttempt attempt = tracker.attemptSent(nowUs, worker, 0);
+        attempt.progressReported(nowUs);
+        return attempt;
     }
 
     private void serve(int worker, long ranUs) {
-        final Job job = start(worker);
+        final TrackedAttempt attempt = start(worker);
         nowUs += ranUs;
-        job.ended(nowUs, Outcome.SERVED, LoadReport.NONE);
+        attempt.ended(nowUs, Outcome.SERVED, LoadReport.NONE);
     }
 
-    private Condition condition(int worker) {
-        return book.view(nowUs, worker).condition();
+    private WorkerHealthSnapshot snapshot(int worker) {
+        return tracker.worker(nowUs, worker).orElseThrow();
     }
 
-    /** The fleet's usual speed, so that there is something to be slow against. */
-    private void calm() {
+    private WorkerCondition condition(int worker) {
+        return snapshot(worker).condition();
+    }
+
+    /** Gives the class a median running time of 200 ms, to be slow against. */
+    private void serveAtUsualSpeed() {
         for (int i = 0; i < 40; i++) {
             serve(i % 4, 200 * MS);
         }
-        look();
+        evaluate();
     }
 
     @Test
-    void silentWhenNothingIsHeardOfRunningJobs() {
-        calm();
-        final Job job = start(1);
+    void unresponsiveWhenRunningJobsReportNoProgress() {
+        serveAtUsualSpeed();
+        final TrackedAttempt attempt = start(1);
         pass(2 * S);
-        job.told(nowUs);
+        attempt.progressReported(nowUs);
         pass(2 * S);
-        assertThat(condition(1)).isEqualTo(Condition.TAKING);
+        assertThat(condition(1)).isEqualTo(WorkerCondition.HEALTHY);
         pass(2 * S);
-        assertThat(condition(1)).isEqualTo(Condition.SILENT);
-        assertThat(book.view(nowUs, 1).why()).isEqualTo("nothing heard of its 1 jobs");
-        job.told(nowUs);
+        assertThat(condition(1)).isEqualTo(WorkerCondition.UNRESPONSIVE);
+        assertThat(snapshot(1).reason()).isEqualTo("nothing heard of its 1 jobs");
+        attempt.progressReported(nowUs);
         pass(S);
-        // Better counts later than worse does.
-        assertThat(condition(1)).isEqualTo(Condition.SILENT);
-        job.told(nowUs);
+        // A better condition comes into force later than a worse one does.
+        assertThat(condition(1)).isEqualTo(WorkerCondition.UNRESPONSIVE);
+        attempt.progressReported(nowUs);
         pass(2 * S);
         assertThat(changes).containsExactly("1:silent", "1:taking");
     }
 
-    /** Jobs of other nodes may be before them in the queue. */
+    /** Jobs of other dispatchers may be before them in the queue. */
     @Test
-    void jobsThatOnlyWaitAreGivenMoreTime() {
-        final Job job = book.sent(nowUs, 1, 0);
+    void queuedJobsMayBeWithoutProgressForLonger() {
+        final TrackedAttempt attempt = tracker.attemptSent(nowUs, 1, 0);
         pass(9 * S);
-        assertThat(condition(1)).isEqualTo(Condition.TAKING);
+        assertThat(condition(1)).isEqualTo(WorkerCondition.HEALTHY);
         pass(2 * S);
-        assertThat(condition(1)).isEqualTo(Condition.SILENT);
-        job.ended(nowUs, Outcome.TIMED_OUT, LoadReport.NONE);
-        // A time-out is no word of the worker's; with nothing out, it stays what it was for a
-        // while.
+        assertThat(condition(1)).isEqualTo(WorkerCondition.UNRESPONSIVE);
+        attempt.ended(nowUs, Outcome.TIMED_OUT, LoadReport.NONE);
+        // A time-out is no sign of the worker; without attempts it stays unresponsive for a while.
         pass(5 * S);
-        assertThat(condition(1)).isEqualTo(Condition.SILENT);
+        assertThat(condition(1)).isEqualTo(WorkerCondition.UNRESPONSIVE);
         pass(30 * S);
-        assertThat(condition(1)).isEqualTo(Condition.TAKING);
+        assertThat(condition(1)).isEqualTo(WorkerCondition.HEALTHY);
     }
 
     @Test
-    void silentWhenItCannotBeConnectedTo() {
+    void unresponsiveWhenConnectionsFail() {
         for (int i = 0; i < 3; i++) {
-            book.sent(nowUs, 2, 0).ended(nowUs, Outcome.CONNECT_FAILED, LoadReport.NONE);
+            tracker.attemptSent(nowUs, 2, 0).ended(nowUs, Outcome.CONNECT_FAILED, LoadReport.NONE);
         }
         pass(S);
-        assertThat(condition(2)).isEqualTo(Condition.SILENT);
-        assertThat(book.view(nowUs, 2).why()).isEqualTo("3 connections in a row failed");
+        assertThat(condition(2)).isEqualTo(WorkerCondition.UNRESPONSIVE);
+        assertThat(snapshot(2).reason()).isEqualTo("3 connections in a row failed");
         serve(2, 100 * MS);
         pass(3 * S);
-        assertThat(condition(2)).isEqualTo(Condition.TAKING);
+        assertThat(condition(2)).isEqualTo(WorkerCondition.HEALTHY);
     }
 
     @Test
-    void slowingAgainstTheOthersAndWellAgainBelowALowerBound() {
-        calm();
+    void slowComparedWithOtherWorkersUntilBelowALowerLimit() {
+        serveAtUsualSpeed();
         for (int i = 0; i < 12; i++) {
             serve(3, 900 * MS);
             serve(0, 200 * MS);
-            look();
+            evaluate();
         }
         pass(S);
-        assertThat(condition(3)).isEqualTo(Condition.SLOWING);
-        assertThat(book.view(nowUs, 3).why())
+        assertThat(condition(3)).isEqualTo(WorkerCondition.SLOW);
+        assertThat(snapshot(3).reason())
                 .matches("jobs run [3-5]\\.[0-9] times as long as elsewhere");
-        assertThat(condition(0)).isEqualTo(Condition.TAKING);
+        assertThat(condition(0)).isEqualTo(WorkerCondition.HEALTHY);
         for (int i = 0; i < 20; i++) {
             serve(3, 200 * MS);
-            look();
+            evaluate();
         }
         pass(3 * S);
         assertThat(changes).containsExactly("3:slowing", "3:taking");
     }
 
-    /** Between the two bounds nothing changes, whichever way it came. */
+    /** Between the two limits of slowness the condition stays what it was. */
     @Test
-    void nothingFlapsBetweenTheBounds() {
-        calm();
+    void conditionIsStableBetweenTheLimits() {
+        serveAtUsualSpeed();
         for (int i = 0; i < 60; i++) {
             serve(3, i % 2 == 0 ? 330 * MS : 390 * MS);
             serve(0, 200 * MS);
             serve(1, 200 * MS);
-            look();
+            evaluate();
         }
         assertThat(changes).isEmpty();
     }
 
     @Test
-    void oneHeavyJobMakesNoSlowWorker() {
-        calm();
-        final Job heavy = start(1);
+    void oneHeavyJobDoesNotMakeItsWorkerSlow() {
+        serveAtUsualSpeed();
+        final TrackedAttempt heavy = start(1);
         for (int i = 0; i < 10; i++) {
             nowUs += S;
-            heavy.told(nowUs);
-            look();
+            heavy.progressReported(nowUs);
+            evaluate();
         }
         heavy.ended(nowUs, Outcome.SERVED, LoadReport.NONE);
         pass(3 * S);
         assertThat(changes).isEmpty();
-        // Two of two that are held up are the worker's doing.
-        final List<Job> heldUp = List.of(start(1), start(1));
+        // Two of two held up are caused by the worker.
+        final List<TrackedAttempt> heldUp = List.of(start(1), start(1));
         for (int i = 0; i < 4; i++) {
             nowUs += S;
-            heldUp.forEach(each -> each.told(nowUs));
-            look();
+            heldUp.forEach(each -> each.progressReported(nowUs));
+            evaluate();
         }
-        assertThat(condition(1)).isEqualTo(Condition.SLOWING);
+        assertThat(condition(1)).isEqualTo(WorkerCondition.SLOW);
     }
 
     @Test
-    void fullByReportWhileItIsFresh() {
-        final Job job = start(0);
+    void overloadedByItsReportWhileThatIsFresh() {
+        final TrackedAttempt attempt = start(0);
         for (int i = 0; i < 4; i++) {
             nowUs += S;
-            job.told(nowUs);
-            book.probed(nowUs, 0, new LoadReport(0, -1, 3));
-            look();
+            attempt.progressReported(nowUs);
+            tracker.loadReported(nowUs, 0, new LoadReport(0, -1, 3));
+            evaluate();
         }
-        assertThat(condition(0)).isEqualTo(Condition.FULL);
-        assertThat(book.view(nowUs, 0).why()).isEqualTo("no free slot and 3 waiting");
-        job.ended(nowUs, Outcome.SERVED, LoadReport.NONE);
+        assertThat(condition(0)).isEqualTo(WorkerCondition.OVERLOADED);
+        assertThat(snapshot(0).reason()).isEqualTo("no free slot and 3 waiting");
+        attempt.ended(nowUs, Outcome.SERVED, LoadReport.NONE);
         pass(8 * S);
-        assertThat(condition(0)).isEqualTo(Condition.TAKING);
-        assertThat(book.view(nowUs, 0).queue()).isEqualTo(3);
+        assertThat(condition(0)).isEqualTo(WorkerCondition.HEALTHY);
+        assertThat(snapshot(0).load().queued()).isEqualTo(3);
     }
 
     @Test
-    void fullWhenItTurnsJobsAway() {
+    void overloadedWhenItRejectsJobs() {
         for (int i = 0; i < 12; i++) {
-            book.sent(nowUs, 0, 0).ended(nowUs, Outcome.FULL, LoadReport.NONE);
-            pass(LOOK);
+            tracker.attemptSent(nowUs, 0, 0).ended(nowUs, Outcome.FULL, LoadReport.NONE);
+            pass(EVALUATION_US);
         }
-        assertThat(condition(0)).isEqualTo(Condition.FULL);
-        assertThat(book.view(nowUs, 0).failed()).isEqualTo(12);
+        assertThat(condition(0)).isEqualTo(WorkerCondition.OVERLOADED);
+        assertThat(snapshot(0).failed()).isEqualTo(12);
     }
 
     @Test
-    void listAndOperatorCountAtOnce() {
-        final Job job = start(0);
-        book.listed(nowUs, 0, WorkerState.READY, true, 0);
-        look();
-        assertThat(book.view(nowUs, 0).why()).isEqualTo("by an operator; 1 still out");
-        book.listed(nowUs, 0, WorkerState.READY, false, 0);
-        look();
-        book.listed(nowUs, 0, WorkerState.DRAINING, false, 0);
-        look();
-        job.ended(nowUs, Outcome.SERVED, LoadReport.NONE);
-        look();
-        assertThat(book.view(nowUs, 0).why()).isEqualTo("by the list; nothing is out there");
-        book.listed(nowUs, 0, WorkerState.GONE, false, 0);
-        look();
-        book.listed(nowUs, 0, WorkerState.READY, false, nowUs);
-        look();
+    void endpointListAndOperatorTakeEffectAtOnce() {
+        final TrackedAttempt attempt = start(0);
+        tracker.workerListed(nowUs, 0, new WorkerListing(WorkerState.READY, true, 0));
+        evaluate();
+        assertThat(snapshot(0).reason()).isEqualTo("by an operator; 1 still out");
+        tracker.workerListed(nowUs, 0, new WorkerListing(WorkerState.READY, false, 0));
+        evaluate();
+        tracker.workerListed(nowUs, 0, new WorkerListing(WorkerState.DRAINING, false, 0));
+        evaluate();
+        attempt.ended(nowUs, Outcome.SERVED, LoadReport.NONE);
+        evaluate();
+        assertThat(snapshot(0).reason()).isEqualTo("by the list; nothing is out there");
+        tracker.workerListed(nowUs, 0, new WorkerListing(WorkerState.GONE, false, 0));
+        evaluate();
+        tracker.workerListed(nowUs, 0, new WorkerListing(WorkerState.READY, false, nowUs));
+        evaluate();
         assertThat(changes)
                 .containsExactly("0:draining", "0:taking", "0:draining", "0:gone", "0:cold");
         pass(11 * S);
-        assertThat(condition(0)).isEqualTo(Condition.TAKING);
+        assertThat(condition(0)).isEqualTo(WorkerCondition.HEALTHY);
     }
 
     @Test
-    void goneWorkersAreForgottenOnceNothingIsOutThere() {
-        final Job job = start(0);
-        book.listed(nowUs, 0, WorkerState.GONE, false, 0);
-        pass(HealthTracker.GONE_SHOWN_US + S);
-        assertThat(book.view(nowUs, 0).why()).isEqualTo("not on the list; 1 still out");
-        job.ended(nowUs, Outcome.SERVED, LoadReport.NONE);
-        look();
-        assertThat(book.workers()).containsExactly(1, 2, 3);
+    void removedWorkersAreDroppedOnceNoAttemptIsInFlight() {
+        final TrackedAttempt attempt = start(0);
+        tracker.workerListed(nowUs, 0, new WorkerListing(WorkerState.GONE, false, 0));
+        pass(HealthTracker.REMOVED_KEPT_US + S);
+        assertThat(snapshot(0).reason()).isEqualTo("not on the list; 1 still out");
+        attempt.ended(nowUs, Outcome.SERVED, LoadReport.NONE);
+        evaluate();
+        assertThat(tracker.workers()).containsExactly(1, 2, 3);
     }
 
     @Test
-    void figuresAreOfTheLastMinuteAndTen() {
+    void figuresCoverTheLastMinuteAndTenMinutes() {
         for (int i = 0; i < 30; i++) {
             serve(0, 100 * MS);
         }
         serve(0, 3 * S);
-        final HealthTracker.View busy = book.view(nowUs, 0);
-        assertThat(busy.ratePerS()).isBetween(0.5, 0.53);
-        assertThat(busy.minute().p50Ms()).isBetween(95L, 106L);
-        assertThat(busy.minute().p99Ms()).isBetween(2_800L, 3_200L);
-        assertThat(Arrays.stream(busy.sparks()).sum()).isEqualTo(31);
+        final WorkerHealthSnapshot busy = snapshot(0);
+        assertThat(busy.servedPerS()).isBetween(0.5, 0.53);
+        assertThat(busy.lastMinute().p50Ms()).isBetween(95L, 106L);
+        assertThat(busy.lastMinute().p99Ms()).isBetween(2_800L, 3_200L);
+        assertThat(Arrays.stream(busy.servedPerSlice()).sum()).isEqualTo(31);
         pass(70 * S);
-        assertThat(book.view(nowUs, 0).ratePerS()).isZero();
-        assertThat(book.view(nowUs, 0).minute()).isEqualTo(new HealthTracker.Times(-1, -1));
-        assertThat(book.view(nowUs, 0).tenMinutes().p50Ms()).isBetween(95L, 106L);
+        assertThat(snapshot(0).servedPerS()).isZero();
+        assertThat(snapshot(0).lastMinute()).isEqualTo(new LatencyPercentiles(-1, -1));
+        assertThat(snapshot(0).lastTenMinutes().p50Ms()).isBetween(95L, 106L);
         pass(601 * S);
-        assertThat(book.view(nowUs, 0).tenMinutes().p50Ms()).isEqualTo(-1);
+        assertThat(snapshot(0).lastTenMinutes().p50Ms()).isEqualTo(-1);
     }
 
     @Test
-    void priorityWeightKeptCountsWhatCameInTime() {
-        assertThat(book.weightedServedFraction(nowUs)).isEqualTo(-1);
-        book.asked(nowUs, 0);
-        book.answered(nowUs, 0, Answer.SERVED, 1, 2 * S, 500 * MS);
-        book.answered(nowUs, 0, Answer.SERVED, 1, 2 * S + 1, 500 * MS);
-        book.answered(nowUs, 1, Answer.REFUSED, 0, 0, 0);
-        book.answered(nowUs, 1, Answer.LEFT, 1, 0, 0);
-        assertThat(book.weightedServedFraction(nowUs)).isEqualTo(2.0 / 9);
-        final HealthTracker.ClassView view = book.classView(nowUs, 0);
-        assertThat(List.of(view.asked(), view.admitted(), view.served(), view.inTime()))
+    void weightedServedFractionCountsRequestsWithinTheirObjective() {
+        assertThat(tracker.weightedServedFraction(nowUs)).isEmpty();
+        tracker.requestArrived(nowUs, 0);
+        tracker.requestEnded(nowUs, 0, RequestResult.SERVED, 1, 2 * S, 500 * MS);
+        tracker.requestEnded(nowUs, 0, RequestResult.SERVED, 1, 2 * S + 1, 500 * MS);
+        tracker.requestEnded(nowUs, 1, RequestResult.REJECTED, 0, 0, 0);
+        tracker.requestEnded(nowUs, 1, RequestResult.CLIENT_LEFT, 1, 0, 0);
+        assertThat(tracker.weightedServedFraction(nowUs)).hasValue(2.0 / 9);
+        final ClassHealthSnapshot view = tracker.requestClass(nowUs, 0);
+        assertThat(List.of(view.arrived(), view.admitted(), view.served(), view.withinObjective()))
                 .containsExactly(1, 2, 2, 1);
     }
 
@@ -279,7 +278,7 @@
     void memoryOfAThousandWorkersIsBounded() {
         final HealthTracker large =
                 new HealthTracker(
-                        Thresholds.usual(S, 0),
+                        HealthThresholds.defaults(S, 0),
                         List.of(
                                 new LatencyObjective(1, S, 2),
                                 new LatencyObjective(1, S, 2),
@@ -287,13 +286,13 @@
         final long before = used();
         for (long at = 0; at < 600; at += 5) {
             for (int worker = 0; worker < 1_000; worker++) {
-                final Job job = large.sent(at * S, worker, worker % 3);
-                job.ended(at * S + 25 * S, Outcome.SERVED, new LoadReport(1, 1, 1));
+                final TrackedAttempt attempt = large.attemptSent(at * S, worker, worker % 3);
+                attempt.ended(at * S + 25 * S, Outcome.SERVED, new LoadReport(1, 1, 1));
             }
         }
         final long each = (used() - before) / 1_000;
         System.out.println("health: " + each + " bytes a worker at 1,000 workers");
-        // Other tests in this process live and die meanwhile, so that the figure is rough.
+        // Other tests run in this process, so the figure is rough.
         assertThat(each).isLessThan(40_000L);
         assertThat(large.workers()).hasSize(1_000);
     }
