--- a/src/main/java/cresschute/node/http/StreamedBodies.java
+++ b/src/main/java/cresschute/node/http/StreamedBodies.java
@@ -3,6 +3,7 @@
 import cresschute.flow.BufferBudget;
 import cresschute.flow.BufferBudget.Admission;
 import cresschute.flow.BufferBudget.Reservation;
+import cresschute.flow.BufferLimits;
 import cresschute.node.PeerFault;
 import cresschute.node.RequestLifecycle;
 import cresschute.settings.ApplianceSettings.Bodies;
@@ -38,11 +39,12 @@
         this.lifecycle = lifecycle;
         this.budget =
                 new BufferBudget(
-                        settings.budget(),
-                        settings.window(),
-                        settings.lent(),
-                        LEND_DIVISOR,
-                        settings.ofAClient());
+                        new BufferLimits(
+                                settings.budget(),
+                                settings.window(),
+                                settings.lent(),
+                                LEND_DIVISOR,
+                                settings.ofAClient()));
         this.maxBytes = settings.classes().stream().mapToLong(ClassBodies::longest).max().orElse(0);
     }
 
@@ -111,20 +113,20 @@
 
     private Reservation reserve(String client, Runnable onCapacity) {
         final Admission admission = budget.reserve(client, onCapacity);
-        if (admission.reservation() == null) {
+        if (admission.rejection().isPresent()) {
             lifecycle
                     .faults()
                     .fault(
                             PeerFault.BODY_CAPACITY_EXCEEDED,
                             client,
-                            switch (admission.rejection()) {
+                            switch (admission.rejection().get()) {
                                 case BUDGET_EXHAUSTED ->
                                         "the budget of " + settings.budget() + " bytes is in use";
                                 case CLIENT_LIMIT_REACHED ->
                                         "its bodies own " + settings.ofAClient() + " bytes already";
                             });
         }
-        return admission.reservation();
+        return admission.reservation().orElse(null);
     }
 
     /** Bytes of the budget in use. */
