--- a/src/main/java/cresschute/node/Attempt.java
+++ b/src/main/java/cresschute/node/Attempt.java
@@ -1,41 +1,173 @@
 package cresschute.node;
 
+import cresschute.dispatch.LoadReport;
+import cresschute.dispatch.Outcome;
 import cresschute.dispatch.Worker;
 import java.net.InetSocketAddress;
 import java.util.concurrent.Future;
 
-/** One attempt of a request at a worker. */
-final class Attempt {
-    final ClientRequest request;
-    final int number;
-    final int worker;
-    final long sentUs;
+/**
+ * One attempt of a request at a worker, from its start to its one end. Owns its call, its timeout
+ * and its observer; passes the events of the call to {@link AttemptController}. Call from the event
+ * loop.
+ */
+final class Attempt implements AttemptListener {
 
-    /** When its time is up, us. */
-    final long deadlineUs;
-
-    /** Where it goes, and the process that was listed there when it was sent. */
-    final InetSocketAddress addr;
-
-    final long processStartedUs;
-    RequestListener.AttemptObserver watch;
-    AttemptCall call;
-    Future<?> giveUp;
-    boolean ended;
+    private final AttemptController controller;
+    private final ClientRequest request;
+    private final int number;
+    private final int worker;
+    private final InetSocketAddress address;
+    private final long workerStartedUs;
+    private final long startedUs;
+    private final long deadlineUs;
+    private RequestListener.AttemptObserver observer = RequestListener.AttemptObserver.NONE;
+    private AttemptCall call;
+    private Future<?> timeout;
+    private boolean ended;
 
+    /**
+     * An attempt that is about to start.
+     *
+     * @param controller receives its events
+     * @param request the request, which numbers the attempt
+     * @param target the worker as listed now
+     * @param address where the worker listens now
+     * @param startedUs the time now, microseconds
+     * @param deadlineUs when its time is over, microseconds
+     */
     Attempt(
+            AttemptController controller,
             ClientRequest request,
-            int number,
-            Worker worker,
-            InetSocketAddress addr,
-            long sentUs,
+            Worker target,
+            InetSocketAddress address,
+            long startedUs,
             long deadlineUs) {
+        this.controller = controller;
         this.request = request;
-        this.number = number;
-        this.worker = worker.id();
-        this.addr = addr;
-        this.processStartedUs = worker.startedAtUs();
-        this.sentUs = sentUs;
+        this.number = request.nextAttemptNumber();
+        this.worker = target.id();
+        this.address = address;
+        this.workerStartedUs = target.startedAtUs();
+        this.startedUs = startedUs;
         this.deadlineUs = deadlineUs;
     }
+
+    /** Its request. */
+    ClientRequest request() {
+        return request;
+    }
+
+    /** Its number among the attempts of its request, counted from 0. */
+    int number() {
+        return number;
+    }
+
+    /** The number of its worker. */
+    int worker() {
+        return worker;
+    }
+
+    /** When it started, microseconds. */
+    long startedUs() {
+        return startedUs;
+    }
+
+    /** Whether it is for the process that listens there as listed now. */
+    boolean isFor(Worker listed, InetSocketAddress listedAddress) {
+        return listed.startedAtUs() == workerStartedUs && listedAddress.equals(address);
+    }
+
+    /** Sets who follows it, before it starts. */
+    void observeBy(RequestListener.AttemptObserver newObserver) {
+        observer = newObserver;
+    }
+
+    /** Follows it. */
+    RequestListener.AttemptObserver observer() {
+        return observer;
+    }
+
+    /** Sets the timer that ends it at its deadline. */
+    void limitBy(Future<?> newTimeout) {
+        timeout = newTimeout;
+    }
+
+    /** Starts the call; events may come before this returns. */
+    void start(WorkerClient workers) {
+        call = workers.attempt(address, request.content(), this);
+    }
+
+    /** Whether a byte of it may be on the wire. Not before {@link #start} has returned. */
+    boolean hasBegun() {
+        return call.hasBegun();
+    }
+
+    /** Whether it is in flight and no byte of it can be on the wire. */
+    boolean isUnsent() {
+        return !ended && call != null && !call.hasBegun();
+    }
+
+    /** Whether it has ended. */
+    boolean isEnded() {
+        return ended;
+    }
+
+    /** Notes its end, and stops its timeout. */
+    void markEnded() {
+        ended = true;
+        timeout.cancel(false);
+    }
+
+    /**
+     * Cancels the call alone; no end is reported.
+     *
+     * @return how the attempt ends by this
+     */
+    Outcome cancelCall() {
+        return call.giveUp();
+    }
+
+    /** Cancels the call and ends with this outcome. */
+    void cancel(Outcome outcome) {
+        call.giveUp();
+        controller.end(this, outcome, LoadReport.NONE, null);
+    }
+
+    /** Its time is over: cancels the call and ends with the outcome that follows from that. */
+    void timeOut() {
+        controller.end(this, call.giveUp(), LoadReport.NONE, null);
+    }
+
+    // ---- Events of the call ----
+
+    @Override
+    public boolean mayBegin() {
+        return controller.mayBegin(this);
+    }
+
+    @Override
+    public long remainingUs() {
+        return Math.max(0, deadlineUs - controller.nowUs());
+    }
+
+    @Override
+    public void progressed(double fractionDone) {
+        controller.progressed(this, fractionDone);
+    }
+
+    @Override
+    public ResultStream resultBegins(String type, long length, LoadReport report) {
+        return controller.resultBegins(this, type, length, report);
+    }
+
+    @Override
+    public void resultEnded(boolean complete) {
+        controller.resultEnded(this, complete);
+    }
+
+    @Override
+    public void ended(Outcome outcome, LoadReport report, String result) {
+        controller.end(this, outcome, report, result);
+    }
 }
--- /dev/null
+++ b/src/main/java/cresschute/node/DispatcherTurn.java
@@ -0,0 +1,138 @@
+package cresschute.node;
+
+import cresschute.logs.LogEvent;
+import java.lang.System.Logger;
+import java.lang.System.Logger.Level;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.Executor;
+import java.util.function.LongConsumer;
+
+/**
+ * Gathers what happens during one pass of the event loop and runs the turn that follows: all events
+ * are reported to the dispatcher in their order and at one clock reading, then the actions that it
+ * asked for are carried out in their order. Owns the events and the actions that are pending. Lives
+ * as long as the node; call from the event loop.
+ */
+final class DispatcherTurn {
+
+    private static final Logger LOG = System.getLogger("cresschute.requests");
+
+    private final Executor loop;
+    private final Clock clock;
+    private final Invariant invariant;
+    private final List<Runnable> actions = new ArrayList<>();
+    private List<Event> events = new ArrayList<>();
+    private boolean scheduled;
+
+    /**
+     * An event that is pending.
+     *
+     * @param request the request that the event is about, or null
+     * @param report reports the event to the dispatcher, at the turn's clock reading in
+     *     microseconds
+     */
+    private record Event(ClientRequest request, LongConsumer report) {
+
+        void failed() {
+            if (request != null) {
+                request.dispatcherFailed();
+            }
+        }
+
+        void reported() {
+            if (request != null) {
+                request.eventReported();
+            }
+        }
+    }
+
+    /**
+     * A turn without events.
+     *
+     * @param loop runs the turns
+     * @param clock read once for each turn
+     * @param invariant counts exceptions of the dispatcher and of actions
+     */
+    DispatcherTurn(Executor loop, Clock clock, Invariant invariant) {
+        this.loop = loop;
+        this.clock = clock;
+        this.invariant = invariant;
+    }
+
+    /**
+     * Gathers an event that is about no request.
+     *
+     * @param report reports it to the dispatcher, given the time in microseconds
+     */
+    void gather(LongConsumer report) {
+        add(new Event(null, report));
+    }
+
+    /**
+     * Gathers an event of a request, which is not forgotten before the dispatcher knows the event.
+     *
+     * @param request the request
+     * @param report reports the event to the dispatcher, given the time in microseconds
+     */
+    void gather(ClientRequest request, LongConsumer report) {
+        request.eventGathered();
+        add(new Event(request, report));
+    }
+
+    private void add(Event event) {
+        events.add(event);
+        if (!scheduled) {
+            scheduled = true;
+            loop.execute(this::run);
+        }
+    }
+
+    /**
+     * Keeps an action that the dispatcher asks for until all events of the turn are reported.
+     *
+     * @param action carries it out
+     */
+    void carryOut(Runnable action) {
+        actions.add(action);
+    }
+
+    private void run() {
+        scheduled = false;
+        final List<Event> due = events;
+        events = new ArrayList<>();
+        report(due);
+        carryOutActions();
+        due.forEach(Event::reported);
+    }
+
+    private void report(List<Event> due) {
+        final long nowUs = clock.nowUs();
+        for (final Event event : due) {
+            try {
+                event.report().accept(nowUs);
+            } catch (RuntimeException e) {
+                LogEvent.of("module_failed", "the module failed on an event")
+                        .because(e)
+                        .log(LOG, Level.ERROR);
+                event.failed();
+                invariant.holds(false, "module failed");
+            }
+        }
+    }
+
+    private void carryOutActions() {
+        final List<Runnable> due = List.copyOf(actions);
+        actions.clear();
+        for (final Runnable action : due) {
+            try {
+                action.run();
+            } catch (RuntimeException e) {
+                LogEvent.of("action_failed", "an action of the module failed")
+                        .because(e)
+                        .log(LOG, Level.ERROR);
+                invariant.holds(false, "action failed");
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/cresschute/node/LoadQueries.java
@@ -0,0 +1,73 @@
+package cresschute.node;
+
+import cresschute.dispatch.LoadReport;
+import cresschute.dispatch.Outcome;
+import cresschute.dispatch.WorkerState;
+import java.net.InetSocketAddress;
+import java.util.Collection;
+import java.util.OptionalInt;
+
+/**
+ * Answers the dispatcher's load queries: from what is known of a worker's load, else by asking the
+ * worker. Owns no state but the way to the workers. Lives as long as the node; call from the event
+ * loop.
+ */
+final class LoadQueries {
+
+    private static final int NOT_REPORTED = -1;
+
+    private final LoopContext context;
+    private final WorkerRegistry registry;
+    private WorkerClient workers;
+
+    /** Queries the registered workers, once started. */
+    LoadQueries(LoopContext context, WorkerRegistry registry) {
+        this.context = context;
+        this.registry = registry;
+    }
+
+    /** Queries by this client from now on. */
+    void start(WorkerClient client) {
+        workers = client;
+    }
+
+    /** Reports the load of these workers, which is known anew, to the dispatcher unasked. */
+    void refreshed(Collection<String> names) {
+        names.stream()
+                .map(registry::number)
+                .filter(number -> number >= 0 && isReady(number))
+                .forEach(this::query);
+    }
+
+    private boolean isReady(int worker) {
+        return registry.listed().get(worker).state() == WorkerState.READY;
+    }
+
+    /** Reports the load of a worker to the dispatcher, by its number. */
+    void query(int worker) {
+        final InetSocketAddress address = registry.address(worker);
+        if (!context.invariant().holds(address != null, "load query of nobody")) {
+            return;
+        }
+        final String name = registry.name(worker);
+        final OptionalInt known = context.loads().outstanding(name);
+        if (known.isPresent()) {
+            report(
+                    worker,
+                    Outcome.SERVED,
+                    new LoadReport(NOT_REPORTED, known.getAsInt(), NOT_REPORTED));
+            return;
+        }
+        workers.queryLoad(
+                address,
+                (outcome, load) -> {
+                    context.listener().loadReported(context.nowUs(), worker, load);
+                    context.loads().reported(name, load);
+                    report(worker, outcome, load);
+                });
+    }
+
+    private void report(int worker, Outcome outcome, LoadReport load) {
+        context.turn().gather(now -> context.dispatcher().loadReported(now, worker, outcome, load));
+    }
+}
--- a/src/main/java/cresschute/node/WorkerRegistry.java
+++ b/src/main/java/cresschute/node/WorkerRegistry.java
@@ -10,87 +10,104 @@
 import java.util.Map;
 
 /**
- * The workers that discovery has named so far, under numbers that hold for the life of the process.
+ * The workers that discovery has ever listed, under numbers that hold for the life of the process:
+ * their names, addresses and states, and the version of the list. Lives as long as the node; {@link
+ * EndpointListPublisher} alone changes it. Call from the event loop.
  */
 final class WorkerRegistry {
 
-    private final Map<String, Integer> idNumbers = new HashMap<>();
+    private static final long US_PER_MS = 1_000;
+    private static final int UNKNOWN = -1;
+
+    private final Map<String, Integer> numbers = new HashMap<>();
     private final List<InetSocketAddress> addresses = new ArrayList<>();
-    private final List<String> ids = new ArrayList<>();
+    private final List<String> names = new ArrayList<>();
 
-    /** As last listed, by number; one that a whole list leaves out is gone. */
+    /** As last listed, by number; one that a full list leaves out is gone. */
     private final List<Worker> listed = new ArrayList<>();
 
     private final Map<String, Integer> zones = new HashMap<>();
     private final Map<String, Integer> kinds = new HashMap<>();
     private long version = -1;
 
+    /**
+     * No workers yet.
+     *
+     * @param zones the names of the settings' zones, by number
+     * @param kinds the names of the settings' kinds of machines, by number
+     */
     WorkerRegistry(List<String> zones, List<String> kinds) {
-        zones.forEach(zone -> number(this.zones, zone));
-        kinds.forEach(kind -> number(this.kinds, kind));
+        zones.forEach(zone -> numberOf(this.zones, zone));
+        kinds.forEach(kind -> numberOf(this.kinds, kind));
     }
 
     /**
-     * Takes in an answer and tells it in the module's terms; a changed address holds from now on.
+     * Applies an answer of discovery; a changed address holds from now on.
+     *
+     * @return the workers that the answer names, as the dispatcher knows them
      */
     List<Worker> apply(EndpointList list) {
         version = list.version();
         if (list.full()) {
-            listed.replaceAll(
-                    each ->
-                            new Worker(
-                                    each.id(),
-                                    each.zone(),
-                                    each.kind(),
-                                    each.cell(),
-                                    WorkerState.GONE,
-                                    each.weight(),
-                                    each.startedAtUs()));
+            listed.replaceAll(each -> withState(each, WorkerState.GONE));
         }
         final List<Worker> workers = new ArrayList<>();
         for (final EndpointList.Endpoint entry : list.entries()) {
-            final int id = number(idNumbers, entry.id());
-            if (id == addresses.size()) {
-                addresses.add(entry.addr());
-                ids.add(entry.id());
-            } else {
-                addresses.set(id, entry.addr());
-            }
-            final Worker worker =
-                    new Worker(
-                            id,
-                            number(zones, entry.zone()),
-                            number(kinds, entry.kind()),
-                            entry.cell(),
-                            entry.state(),
-                            entry.weight(),
-                            entry.startedMs() * 1000);
-            if (id == listed.size()) {
-                listed.add(worker);
-            } else {
-                listed.set(id, worker);
-            }
-            workers.add(worker);
+            workers.add(apply(entry));
         }
         return workers;
     }
 
+    private Worker apply(EndpointList.Endpoint entry) {
+        final int number = numberOf(numbers, entry.id());
+        final Worker worker =
+                new Worker(
+                        number,
+                        numberOf(zones, entry.zone()),
+                        numberOf(kinds, entry.kind()),
+                        entry.cell(),
+                        entry.state(),
+                        entry.weight(),
+                        entry.startedMs() * US_PER_MS);
+        if (number == listed.size()) {
+            addresses.add(entry.addr());
+            names.add(entry.id());
+            listed.add(worker);
+        } else {
+            addresses.set(number, entry.addr());
+            listed.set(number, worker);
+        }
+        return worker;
+    }
+
+    /** The same worker in another state. */
+    static Worker withState(Worker worker, WorkerState state) {
+        return new Worker(
+                worker.id(),
+                worker.zone(),
+                worker.kind(),
+                worker.cell(),
+                state,
+                worker.weight(),
+                worker.startedAtUs());
+    }
+
     /** Names are opaque: each new one gets the next number. */
-    private static int number(Map<String, Integer> numbers, String name) {
+    private static int numberOf(Map<String, Integer> numbers, String name) {
         return numbers.computeIfAbsent(name, unseen -> numbers.size());
     }
 
-    /** Every worker that was ever named, as last listed; its number is its place. */
+    /** Every worker that was ever listed, as last listed; its number is its index. Read only. */
     List<Worker> listed() {
         return Collections.unmodifiableList(listed);
     }
 
-    /** The number of a worker, or -1 where no list has named it. */
-    int number(String id) {
-        return idNumbers.getOrDefault(id, -1);
+    /** The number of a worker, or -1 if no list has named it. */
+    int number(String name) {
+        return numbers.getOrDefault(name, UNKNOWN);
     }
 
-    /** The name of a kind of machine. */
+    /** The name of a kind of machine; empty for an unknown number. */
     String kind(int number) {
         return kinds.entrySet().stream()
                 .filter(each -> each.getValue() == number)
@@ -100,13 +117,17 @@
     }
 
     /** Where a worker listens, or null for a number that no list has named. */
-    InetSocketAddress address(int id) {
-        return id >= 0 && id < addresses.size() ? addresses.get(id) : null;
+    InetSocketAddress address(int number) {
+        return isKnown(number) ? addresses.get(number) : null;
+    }
+
+    /** Discovery's name of a worker, or the number itself if no list has named it. */
+    String name(int number) {
+        return isKnown(number) ? names.get(number) : Integer.toString(number);
     }
 
-    /** Discovery's name of a worker, or its number where no list has named it. */
-    String name(int id) {
-        return id >= 0 && id < ids.size() ? ids.get(id) : Integer.toString(id);
+    private boolean isKnown(int number) {
+        return number >= 0 && number < listed.size();
     }
 
     /** Version of the newest list, or -1 before the first. */
--- a/src/test/java/cresschute/cli/ProgramTest.java
+++ b/src/test/java/cresschute/cli/ProgramTest.java
@@ -109,13 +109,13 @@
                                 "time", "message", "logger", "level", "event", "node", "address");
                 final String address = listening.get("address").getAsString();
                 serveOne(address, worker);
-                final JsonObject fetch = Json.object(lineWith(log, "\"fetch_ended\""));
-                assertThat(fetch.get("backend").getAsString()).isEqualTo("w1");
-                final JsonObject answered = Json.object(lineWith(log, "\"req_answered\""));
-                assertThat(answered.get("req").getAsString()).isEqualTo("r1");
+                final JsonObject attempt = Json.object(lineWith(log, "\"attempt_ended\""));
+                assertThat(attempt.get("worker").getAsString()).isEqualTo("w1");
+                final JsonObject answered = Json.object(lineWith(log, "\"request_answered\""));
+                assertThat(answered.get("request").getAsString()).isEqualTo("r1");
                 assertThat(answered.get("class").getAsString()).isEqualTo("check");
                 assertThat(answered.get("outcome").getAsString()).isEqualTo("served");
-                assertThat(answered.get("fetches").getAsInt()).isEqualTo(1);
+                assertThat(answered.get("attempts").getAsInt()).isEqualTo(1);
                 // Half written: it is refused whole, with the place of what is wrong, and all goes
                 // on.
                 Files.writeString(file, "node(name = \"n\", listen = \"127.0.0.1:0\"\nworker(");
--- a/src/test/java/cresschute/logs/EventNamesTest.java
+++ b/src/test/java/cresschute/logs/EventNamesTest.java
@@ -28,7 +28,7 @@
                 }
             }
         }
-        assertThat(names).contains("listening", "req_answered");
+        assertThat(names).contains("listening", "request_answered");
         final String page = Files.readString(Path.of("docs/on-call.md"));
         assertThat(names).allMatch(name -> page.contains("`" + name + "`"));
     }
--- a/src/test/java/cresschute/node/RequestLifecycleTest.java
+++ b/src/test/java/cresschute/node/RequestLifecycleTest.java
@@ -291,7 +291,7 @@
         take();
         attempts.get(0).ended(Outcome.BROKEN, LoadReport.NONE, null);
         assertThatThrownBy(() -> attempts.get(0).ended(Outcome.ERROR, LoadReport.NONE, null))
-                .hasMessageContaining("fetch ended twice");
+                .hasMessageContaining("attempt ended twice");
     }
 
     /** A keyed request that has been sent binds the cell that it went to, until it is answered. */
