--- a/src/main/java/cresschute/node/http/LongStream.java
+++ b/src/main/java/cresschute/node/http/StreamedBody.java
@@ -1,8 +1,8 @@
 package cresschute.node.http;
 
-import cresschute.flow.Body;
-import cresschute.flow.Budget;
-import cresschute.flow.Pace;
+import cresschute.flow.BodyBuffer;
+import cresschute.flow.BufferBudget;
+import cresschute.flow.TransferMonitor;
 import cresschute.settings.ApplianceSettings.ClassBodies;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
@@ -15,7 +15,7 @@
  * codec hands on, so that what is held is what is counted, however small the chunks; written by
  * pumps. On the loop.
  */
-abstract class LongStream {
+abstract class StreamedBody {
 
     /**
      * The most that is read at a time: half of it gives a fifth less throughput. Together with what
@@ -32,10 +32,10 @@
 
     private static final int MAX_COST = READ_BYTES + PIECE_BYTES;
 
-    final LongBodies owner;
+    final StreamedBodies owner;
     private final ClassBodies limits;
-    private final Body<ByteBuf> body;
-    private final Pace from;
+    private final BodyBuffer<ByteBuf> body;
+    private final TransferMonitor from;
     private ByteBuf filling;
     private long bytes;
     private boolean retired;
@@ -46,10 +46,14 @@
      *
      * @param spool what is kept of it for a further sender, bytes
      */
-    LongStream(LongBodies owner, Budget.Account account, ClassBodies limits, long spool) {
+    StreamedBody(
+            StreamedBodies owner,
+            BufferBudget.Reservation account,
+            ClassBodies limits,
+            long spool) {
         this.owner = owner;
         this.limits = limits;
-        this.body = new Body<>(account, spool, ByteBuf::release);
+        this.body = new BodyBuffer<>(account, spool, ByteBuf::release);
         this.from = newPace();
     }
 
@@ -57,8 +61,8 @@
         return TimeUnit.NANOSECONDS.toMicros(System.nanoTime());
     }
 
-    final Pace newPace() {
-        return new Pace(limits.leastRate(), limits.stallUs(), nowUs());
+    final TransferMonitor newPace() {
+        return new TransferMonitor(limits.leastRate(), limits.stallUs(), nowUs());
     }
 
     /** Bytes that have come. */
@@ -78,11 +82,11 @@
     /** Takes in what was read; false where none may come, or more than the most. */
     final boolean collect(ByteBuf content, ByteBufAllocator allocator, long max) {
         final int count = content.readableBytes();
-        if (bytes + count > max || body.state() != Body.State.OPEN) {
+        if (bytes + count > max || body.state() != BodyBuffer.State.OPEN) {
             return false;
         }
         bytes += count;
-        from.moved(count, nowUs());
+        from.transferred(count, nowUs());
         while (content.isReadable()) {
             if (filling == null) {
                 filling = allocator.directBuffer(READ_BYTES, READ_BYTES);
@@ -102,7 +106,7 @@
         }
         ByteBuf piece = filling;
         filling = null;
-        if (body.state() != Body.State.OPEN) {
+        if (body.state() != BodyBuffer.State.OPEN) {
             piece.release();
             return;
         }
@@ -115,8 +119,8 @@
             piece = small;
         }
         final int cost = piece.capacity() + PIECE_BYTES;
-        body.room(cost);
-        body.add(piece, cost);
+        body.credit(cost);
+        body.append(piece, cost);
     }
 
     /**
@@ -124,8 +128,8 @@
      * have.
      */
     final boolean hasRoom() {
-        final boolean fits = body.room(MAX_COST) >= MAX_COST;
-        from.turn(fits, nowUs());
+        final boolean fits = body.credit(MAX_COST) >= MAX_COST;
+        from.setActive(fits, nowUs());
         return fits;
     }
 
@@ -134,55 +138,55 @@
 
     /** What it has come to cost so far. */
     final long read() {
-        return body.read();
+        return body.appendedCost();
     }
 
     /** Its last byte is here. */
     final void whole(ByteBufAllocator allocator) {
         endPiece(allocator);
-        body.whole();
+        body.complete();
     }
 
     /** The rest of it will not come. */
     final void broken() {
-        body.broken();
+        body.abort();
     }
 
     final boolean isSenderTooSlow() {
-        return body.state() == Body.State.OPEN && from.isTooSlow(nowUs());
+        return body.state() == BodyBuffer.State.OPEN && from.isTooSlow(nowUs());
     }
 
     // ---- Out ----
 
     /** Whether a further pump could begin at its first byte. */
     public final boolean isReplayable() {
-        return body.canBeSentAnew();
+        return body.canReplay();
     }
 
     /** A way on; it may find at its start that it cannot be begun any more. */
-    final BodyPump pump(BodyPump.BodyEndpoints ends) {
+    final BodyTransfer pump(BodyTransfer.BodyEndpoints ends) {
         pumps++;
-        final BodyPump pump = new BodyPump(this, ends);
+        final BodyTransfer pump = new BodyTransfer(this, ends);
         owner.add(pump);
         return pump;
     }
 
-    final Body<ByteBuf>.Sender send(Runnable news) {
-        return body.send(news);
+    final BodyBuffer<ByteBuf>.Reader send(Runnable news) {
+        return body.openReader(news);
     }
 
     final boolean isLost() {
-        return body.state() == Body.State.BROKEN || body.state() == Body.State.CLOSED;
+        return body.state() == BodyBuffer.State.ABORTED || body.state() == BodyBuffer.State.CLOSED;
     }
 
     /** A piece is out. */
     final void sentSome() {
-        if (body.state() == Body.State.OPEN) {
+        if (body.state() == BodyBuffer.State.OPEN) {
             hasRoomAgain();
         }
     }
 
-    final void left(BodyPump pump) {
+    final void left(BodyTransfer pump) {
         owner.remove(pump);
         if (--pumps == 0 && retired) {
             close();
@@ -195,7 +199,7 @@
      */
     final void retire() {
         retired = true;
-        if (pumps == 0 || body.state() != Body.State.WHOLE) {
+        if (pumps == 0 || body.state() != BodyBuffer.State.COMPLETE) {
             close();
         }
     }
--- a/src/main/java/cresschute/node/http/LongBody.java
+++ b/src/main/java/cresschute/node/http/StreamedRequestBody.java
@@ -1,19 +1,19 @@
 package cresschute.node.http;
 
-import cresschute.flow.Budget;
+import cresschute.flow.BufferBudget;
 import cresschute.node.RequestBody;
 import cresschute.settings.ApplianceSettings.ClassBodies;
 
 /** A request's long body on its way from its client's connection to its attempts. On the loop. */
-final class LongBody extends LongStream implements RequestBody {
+final class StreamedRequestBody extends StreamedBody implements RequestBody {
 
     private final long spool;
     private final long length;
     private final Runnable room;
 
-    LongBody(
-            LongBodies owner,
-            Budget.Account account,
+    StreamedRequestBody(
+            StreamedBodies owner,
+            BufferBudget.Reservation account,
             ClassBodies limits,
             long spool,
             long length,
--- a/src/main/java/cresschute/node/http/LongResult.java
+++ b/src/main/java/cresschute/node/http/StreamedResponseBody.java
@@ -1,6 +1,6 @@
 package cresschute.node.http;
 
-import cresschute.flow.Budget;
+import cresschute.flow.BufferBudget;
 import cresschute.node.ResultStream;
 import cresschute.settings.ApplianceSettings.ClassBodies;
 import io.netty.buffer.ByteBufAllocator;
@@ -10,7 +10,7 @@
  * owned from the time when the request is taken: a job that has run is never lost for want of it.
  * On the loop.
  */
-final class LongResult extends LongStream implements ResultStream {
+final class StreamedResponseBody extends StreamedBody implements ResultStream {
 
     /** Who makes it. */
     interface Source {
@@ -27,9 +27,9 @@
     private long stated = -1;
     private Source source;
 
-    LongResult(
-            LongBodies owner,
-            Budget.Account account,
+    StreamedResponseBody(
+            StreamedBodies owner,
+            BufferBudget.Reservation account,
             ClassBodies limits,
             ByteBufAllocator allocator) {
         super(owner, account, limits, 0);
