--- a/src/main/java/cresschute/node/ConsoleRows.java
+++ b/src/main/java/cresschute/node/ConsoleRows.java
@@ -5,8 +5,12 @@
 import cresschute.control.Drain;
 import cresschute.dispatch.Worker;
 import cresschute.dispatch.WorkerState;
+import cresschute.health.ClassHealthSnapshot;
 import cresschute.health.HealthTracker;
+import cresschute.health.LatencyPercentiles;
+import cresschute.health.WorkerHealthSnapshot;
 import io.netty.util.NetUtil;
+import java.util.OptionalDouble;
 
 /**
  * The rows of consoles as JSON texts, in the words of the protocol in {@code docs/console.md}.
@@ -33,13 +37,13 @@
      * @param worker its number, which the health tracker knows
      */
     String worker(long nowUs, int worker) {
-        final HealthTracker.View view = health.view(nowUs, worker);
+        final WorkerHealthSnapshot view = health.worker(nowUs, worker).orElseThrow();
         final WorkerRegistry workers = node.workers();
         final Worker listed = workers.listed().get(worker);
         final JsonObject row = new JsonObject();
         row.addProperty("id", workers.name(worker));
         row.addProperty("state", view.condition().word());
-        row.addProperty("why", view.why());
+        row.addProperty("why", view.reason());
         row.addProperty("since_ms", view.sinceUs() / US_PER_MS);
         row.addProperty("address", NetUtil.toSocketAddressString(workers.address(worker)));
         row.addProperty("kind", workers.kind(listed.kind()));
@@ -50,13 +54,13 @@
         drains.drainOf(workers.name(worker)).ifPresent(drain -> row.add("drain", drain(drain)));
         row.addProperty("in_flight", view.inFlight());
         row.add("in_flight_by_class", inFlightByClass(view));
-        row.addProperty("rate", Math.round(view.ratePerS() * 100) / 100.0);
+        row.addProperty("rate", Math.round(view.servedPerS() * 100) / 100.0);
         row.addProperty("failed", view.failed());
-        addQuantiles(row, view.minute(), view.tenMinutes());
+        addPercentiles(row, view.lastMinute(), view.lastTenMinutes());
         row.add("sparks", sparks(view));
-        row.addProperty("queue", view.queue());
-        row.addProperty("free", view.free());
-        row.addProperty("report_ms", view.reportUs() / US_PER_MS);
+        row.addProperty("queue", view.load().queued());
+        row.addProperty("free", view.load().freeSlots());
+        row.addProperty("report_ms", view.load().receivedUs() / US_PER_MS);
         return row.toString();
     }
 
@@ -71,7 +75,7 @@
         return json;
     }
 
-    private JsonObject inFlightByClass(HealthTracker.View view) {
+    private JsonObject inFlightByClass(WorkerHealthSnapshot view) {
         final JsonObject json = new JsonObject();
         for (int i = 0; i < view.inFlightByClass().length; i++) {
             if (view.inFlightByClass()[i] > 0) {
@@ -81,16 +85,16 @@
         return json;
     }
 
-    private static JsonArray sparks(HealthTracker.View view) {
+    private static JsonArray sparks(WorkerHealthSnapshot view) {
         final JsonArray json = new JsonArray();
-        for (final int spark : view.sparks()) {
+        for (final int spark : view.servedPerSlice()) {
             json.add(spark);
         }
         return json;
     }
 
-    private static void addQuantiles(
-            JsonObject row, HealthTracker.Times minute, HealthTracker.Times tenMinutes) {
+    private static void addPercentiles(
+            JsonObject row, LatencyPercentiles minute, LatencyPercentiles tenMinutes) {
         row.addProperty("p50_ms", minute.p50Ms());
         row.addProperty("p99_ms", minute.p99Ms());
         row.addProperty("p50_ms_10m", tenMinutes.p50Ms());
@@ -103,22 +107,22 @@
      * @param requestClass its number in the settings
      */
     String requestClass(long nowUs, int requestClass) {
-        final HealthTracker.ClassView view = health.classView(nowUs, requestClass);
-        final int answered = view.served() + view.refused() + view.failed();
+        final ClassHealthSnapshot view = health.requestClass(nowUs, requestClass);
+        final int answered = view.served() + view.rejected() + view.failed();
         final JsonObject row = new JsonObject();
         row.addProperty("id", node.config().classes().get(requestClass));
-        row.addProperty("asked", view.asked());
+        row.addProperty("asked", view.arrived());
         row.addProperty(
                 "admitted",
                 answered == 0
                         ? UNKNOWN
                         : Math.min(1, Math.round(view.admitted() * 1000.0 / answered) / 1000.0));
         row.addProperty("served", view.served());
-        row.addProperty("refused", view.refused());
+        row.addProperty("refused", view.rejected());
         row.addProperty("failed", view.failed());
-        row.addProperty("in_time", view.inTime());
+        row.addProperty("in_time", view.withinObjective());
         row.addProperty("in_flight", view.inFlight());
-        addQuantiles(row, view.minute(), view.tenMinutes());
+        addPercentiles(row, view.lastMinute(), view.lastTenMinutes());
         return row.toString();
     }
 
@@ -131,7 +135,7 @@
     String node(long nowUs, boolean stopping, int consoles) {
         final RequestLifecycle lifecycle = node.lifecycle();
         final boolean hasDiscovery = node.config().discovery() != null;
-        final double servedFraction = health.weightedServedFraction(nowUs);
+        final OptionalDouble servedFraction = health.weightedServedFraction(nowUs);
         final JsonObject row = new JsonObject();
         row.addProperty("name", node.config().name());
         row.addProperty("list_version", lifecycle.listVersion());
@@ -140,7 +144,9 @@
         row.addProperty("open", lifecycle.unanswered());
         row.addProperty(
                 "worth_kept",
-                servedFraction < 0 ? UNKNOWN : Math.round(servedFraction * 1000) / 1000.0);
+                servedFraction.isPresent()
+                        ? Math.round(servedFraction.getAsDouble() * 1000) / 1000.0
+                        : UNKNOWN);
         row.addProperty("stopping", stopping);
         row.addProperty("consoles", consoles);
         row.addProperty("broken", lifecycle.invariant().total());
--- a/src/main/java/cresschute/node/WorkerHealthMonitor.java
+++ b/src/main/java/cresschute/node/WorkerHealthMonitor.java
@@ -5,9 +5,14 @@
 import cresschute.dispatch.RequestClass;
 import cresschute.dispatch.Worker;
 import cresschute.dispatch.WorkerState;
-import cresschute.health.Condition;
+import cresschute.health.ConditionChange;
+import cresschute.health.HealthThresholds;
 import cresschute.health.HealthTracker;
-import cresschute.health.Thresholds;
+import cresschute.health.LatencyObjective;
+import cresschute.health.RequestResult;
+import cresschute.health.TrackedAttempt;
+import cresschute.health.WorkerCondition;
+import cresschute.health.WorkerListing;
 import java.util.Collections;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -39,7 +44,7 @@
 
     private static HealthTracker tracker(NodeConfig config) {
         return new HealthTracker(
-                Thresholds.usual(
+                HealthThresholds.defaults(
                         config.settings().progressUs(),
                         config.settings().slowStart().warmUpDurationUs()),
                 config.settings().classes().stream()
@@ -47,8 +52,8 @@
                         .toList());
     }
 
-    private static HealthTracker.LatencyObjective latencyObjective(RequestClass requestClass) {
-        return new HealthTracker.LatencyObjective(
+    private static LatencyObjective latencyObjective(RequestClass requestClass) {
+        return new LatencyObjective(
                 requestClass.priorityWeight(),
                 requestClass.latencyObjectiveUs(),
                 requestClass.latencyObjectiveStretch());
@@ -92,61 +97,62 @@
     }
 
     private void workerChanged(long nowUs, Worker worker) {
-        tracker.listed(
+        tracker.workerListed(
                 nowUs,
                 worker.id(),
-                worker.state(),
-                drains.drainOf(node.workers().name(worker.id())).isPresent(),
-                worker.startedAtUs());
+                new WorkerListing(
+                        worker.state(),
+                        drains.drainOf(node.workers().name(worker.id())).isPresent(),
+                        worker.startedAtUs()));
         changedWorkers.add(worker.id());
     }
 
     @Override
     public void requestTaken(long nowUs, int requestClass) {
-        tracker.asked(nowUs, requestClass);
+        tracker.requestArrived(nowUs, requestClass);
     }
 
     @Override
     public void requestEnded(
             long nowUs, int requestClass, Answer answer, int attempts, long waitedUs, long ranUs) {
-        tracker.answered(nowUs, requestClass, healthAnswer(answer), attempts, waitedUs, ranUs);
+        tracker.requestEnded(nowUs, requestClass, resultOf(answer), attempts, waitedUs, ranUs);
     }
 
-    private static HealthTracker.Answer healthAnswer(Answer answer) {
+    private static RequestResult resultOf(Answer answer) {
         return switch (answer) {
-            case SERVED -> HealthTracker.Answer.SERVED;
-            case REJECTED -> HealthTracker.Answer.REFUSED;
-            case FAILED -> HealthTracker.Answer.FAILED;
-            case LEFT -> HealthTracker.Answer.LEFT;
+            case SERVED -> RequestResult.SERVED;
+            case REJECTED -> RequestResult.REJECTED;
+            case FAILED -> RequestResult.FAILED;
+            case LEFT -> RequestResult.CLIENT_LEFT;
         };
     }
 
     @Override
     public AttemptObserver attemptStarted(long nowUs, int worker, int requestClass) {
-        final HealthTracker.Job job = tracker.sent(nowUs, worker, requestClass);
+        final TrackedAttempt attempt = tracker.attemptSent(nowUs, worker, requestClass);
         changedWorkers.add(worker);
         return new AttemptObserver() {
             @Override
             public void progressed(long atUs) {
-                job.told(atUs);
+                attempt.progressReported(atUs);
             }
 
             @Override
             public void ended(long atUs, Outcome outcome, LoadReport report) {
-                job.ended(atUs, outcome, report);
+                attempt.ended(atUs, outcome, report);
                 changedWorkers.add(worker);
             }
 
             @Override
             public long ranUs(long atUs) {
-                return job.ranUs(atUs);
+                return attempt.runTimeUs(atUs);
             }
         };
     }
 
     @Override
     public void loadReported(long nowUs, int worker, LoadReport report) {
-        tracker.probed(nowUs, worker, report);
+        tracker.loadReported(nowUs, worker, report);
         changedWorkers.add(worker);
     }
 
@@ -154,7 +160,7 @@
 
     /** Judges all workers anew, and records the changes that operators are to know. */
     void updateConditions() {
-        for (final HealthTracker.Change each : tracker.look(node.nowUs())) {
+        for (final ConditionChange each : tracker.evaluate(node.nowUs())) {
             changedWorkers.add(each.worker());
             if (isRecorded(each)) {
                 final String name = node.workers().name(each.worker());
@@ -165,7 +171,7 @@
                                 name
                                         + " is "
                                         + each.to().word()
-                                        + (each.why().isEmpty() ? "" : ": " + each.why()));
+                                        + (each.reason().isEmpty() ? "" : ": " + each.reason()));
             }
         }
     }
@@ -174,12 +180,15 @@
      * Whether a change is an event of its own. Changes of the endpoint list and drains are recorded
      * as such, and a worker that fills up and empties is doing its work.
      */
-    private static boolean isRecorded(HealthTracker.Change change) {
-        return change.from() != null
-                && change.to() != Condition.GONE
-                && change.to() != Condition.DRAINING
-                && !(change.from().compareTo(Condition.FULL) <= 0
-                        && change.to().compareTo(Condition.FULL) <= 0);
+    private static boolean isRecorded(ConditionChange change) {
+        return change.from().isPresent()
+                && change.to() != WorkerCondition.REMOVED
+                && change.to() != WorkerCondition.DRAINING
+                && !(isWorking(change.from().get()) && isWorking(change.to()));
+    }
+
+    private static boolean isWorking(WorkerCondition condition) {
+        return condition.compareTo(WorkerCondition.OVERLOADED) <= 0;
     }
 
     // ---- Views ----
