--- a/src/main/java/cresschute/node/ConsoleTable.java
+++ b/src/main/java/cresschute/node/ConsoleTable.java
@@ -5,6 +5,7 @@
 import java.util.List;
 import java.util.Set;
 import java.util.function.IntPredicate;
+import java.util.function.IntSupplier;
 
 /**
  * Keeps the rows of consoles up to date: one a worker, one a class and one of the node.
@@ -28,6 +29,7 @@
     private final ControlContext node;
     private final WorkerHealthMonitor health;
     private final ConsoleRows rows;
+    private final IntSupplier consoles;
 
     /** Workers that have a row. */
     private Set<Integer> shownWorkers = Set.of();
@@ -35,9 +37,17 @@
     private int refreshes;
     private boolean stopping;
 
-    ConsoleTable(ControlContext node, WorkerHealthMonitor health, DurableDrains drains) {
+    /**
+     * @param consoles counts the connected consoles
+     */
+    ConsoleTable(
+            ControlContext node,
+            WorkerHealthMonitor health,
+            DurableDrains drains,
+            IntSupplier consoles) {
         this.node = node;
         this.health = health;
+        this.consoles = consoles;
         this.rows = new ConsoleRows(node, drains, health.tracker());
     }
 
@@ -51,29 +61,21 @@
         stopping = true;
     }
 
-    /**
-     * Draws all rows.
-     *
-     * @param consoles how many are connected
-     */
-    void refreshAll(int consoles) {
-        refresh(worker -> true, consoles);
+    /** Draws all rows. */
+    void refreshAll() {
+        refresh(worker -> true);
     }
 
-    /**
-     * Draws the rows of workers that changed, those whose turn it is, and all others.
-     *
-     * @param consoles how many are connected
-     */
-    void refreshChanged(int consoles) {
-        refresh(worker -> health.changedWorkers().contains(worker) || isTurnOf(worker), consoles);
+    /** Draws the rows of workers that changed or whose turn it is, of classes and of the node. */
+    void refreshChanged() {
+        refresh(worker -> health.changedWorkers().contains(worker) || isTurnOf(worker));
     }
 
     private boolean isTurnOf(int worker) {
         return worker % REFRESHES_PER_FIGURE == refreshes % REFRESHES_PER_FIGURE;
     }
 
-    private void refresh(IntPredicate isDue, int consoles) {
+    private void refresh(IntPredicate isDue) {
         final long nowUs = node.nowUs();
         refreshes++;
         final Set<Integer> known = new HashSet<>(health.tracker().workers());
@@ -88,7 +90,7 @@
         for (int i = 0; i < classes.size(); i++) {
             table.put(CLASS_KEY + classes.get(i), rows.requestClass(nowUs, i));
         }
-        table.put(NODE_KEY, rows.node(nowUs, stopping, consoles));
+        table.put(NODE_KEY, rows.node(nowUs, stopping, consoles.getAsInt()));
     }
 
     /** A worker that the health tracker has forgotten has no change of its own. */
--- a/src/main/java/cresschute/node/ControlRequestHandler.java
+++ b/src/main/java/cresschute/node/ControlRequestHandler.java
@@ -14,7 +14,6 @@
 import java.util.Optional;
 import java.util.UUID;
 import java.util.function.Consumer;
-import java.util.function.IntSupplier;
 
 /**
  * Answers the requests of consoles from the parts of the {@link ControlService}. It owns nothing
@@ -29,7 +28,6 @@
     private final DurableDrains drains;
     private final WorkerHealthMonitor health;
     private final ConsoleTable consoleTable;
-    private IntSupplier consoles = () -> 0;
 
     ControlRequestHandler(
             ControlContext node,
@@ -42,13 +40,6 @@
         this.consoleTable = consoleTable;
     }
 
-    /**
-     * @param connected counts the connected consoles; none without this
-     */
-    void countConsolesBy(IntSupplier connected) {
-        consoles = connected;
-    }
-
     @Override
     public String incarnation() {
         return incarnation;
@@ -67,12 +58,7 @@
     @Override
     public void refresh() {
         health.updateConditions();
-        consoleTable.refreshAll(consoles.getAsInt());
-    }
-
-    /** Draws the rows that changed or are due, for consoles that are subscribed. */
-    void refreshChanged() {
-        consoleTable.refreshChanged(consoles.getAsInt());
+        consoleTable.refreshAll();
     }
 
     @Override
--- a/src/main/java/cresschute/node/ControlService.java
+++ b/src/main/java/cresschute/node/ControlService.java
@@ -62,16 +62,13 @@
         lifecycle = requestLifecycle;
         final ControlContext node = new ControlContext(config, lifecycle, clock, events);
         health = new WorkerHealthMonitor(node, drains);
-        table = new ConsoleTable(node, health, drains);
+        table = new ConsoleTable(node, health, drains, this::consoles);
         handler = new ControlRequestHandler(node, drains, health, table);
         if (config.stateFolder() != null) {
             drains.open(Path.of(config.stateFolder()));
         }
         if (config.controlSocket() != null) {
-            final ControlServer made =
-                    new ControlServer(loop, Path.of(config.controlSocket()), handler);
-            handler.countConsolesBy(made::sessions);
-            server = Optional.of(made);
+            server = Optional.of(new ControlServer(loop, Path.of(config.controlSocket()), handler));
         }
     }
 
@@ -114,7 +111,7 @@
 
     private void updateConsoles(ControlServer consoles) {
         if (consoles.hasSubscribers()) {
-            handler.refreshChanged();
+            table.refreshChanged();
         }
         consoles.publish(clock.nowUs());
     }
@@ -189,6 +186,10 @@
         health.loadReported(nowUs, worker, report);
     }
 
+    private int consoles() {
+        return server.map(ControlServer::sessions).orElse(0);
+    }
+
     /** Answers requests of consoles, once open. */
     ControlHandler handler() {
         return handler;
--- /dev/null
+++ b/src/test/java/cresschute/node/ConsoleTableTest.java
@@ -0,0 +1,69 @@
+package cresschute.node;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import cresschute.dispatch.LoadReport;
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** Which rows are drawn at a refresh. */
+class ConsoleTableTest {
+
+    private final IdleLifecycle idle;
+    private final ConsoleTable table;
+    private int consoles;
+
+    ConsoleTableTest() throws Exception {
+        idle = new IdleLifecycle().started();
+        table = new ConsoleTable(idle.node, idle.health, idle.drains, () -> consoles);
+        table.refreshAll();
+    }
+
+    private List<String> keysChangedBy(Runnable refresh) {
+        final long before = table.table().version();
+        refresh.run();
+        return List.copyOf(table.table().since(before).rows().keySet());
+    }
+
+    @Test
+    void allRowsAreThereAfterTheFirstRefresh() {
+        assertThat(table.table().since(0).rows())
+                .containsOnlyKeys("w/s-1", "w/s-2", "c/check", "c/file", "node");
+    }
+
+    @Test
+    void rowsThatAreTheSameAreNoChange() {
+        assertThat(keysChangedBy(table::refreshAll)).isEmpty();
+    }
+
+    @Test
+    void workerThatChangedIsDrawnAtOnce() {
+        idle.health.loadReported(idle.nowUs, 1, new LoadReport(3, 5, 2));
+        assertThat(keysChangedBy(table::refreshChanged)).containsExactly("w/s-2");
+    }
+
+    /** Figures change with time alone: each worker has its turn once in four refreshes. */
+    @Test
+    void unchangedWorkersHaveTheirTurns() {
+        final List<List<String>> drawn = new ArrayList<>();
+        for (int i = 0; i < 4; i++) {
+            // A load report straight to the tracker marks no worker as changed.
+            idle.health.tracker().loadReported(idle.nowUs, 0, new LoadReport(i + 1, 0, 0));
+            idle.health.tracker().loadReported(idle.nowUs, 1, new LoadReport(i + 1, 0, 0));
+            drawn.add(keysChangedBy(table::refreshChanged));
+        }
+        assertThat(drawn)
+                .containsExactlyInAnyOrder(
+                        List.of("w/s-1"), List.of("w/s-2"), List.of(), List.of());
+    }
+
+    @Test
+    void rowOfTheNodeShowsConsolesAndShutdown() {
+        consoles = 2;
+        table.nodeStopping();
+        assertThat(keysChangedBy(table::refreshChanged)).containsExactly("node");
+        assertThat(table.table().since(0).rows().get("node"))
+                .contains("\"stopping\":true,\"consoles\":2");
+    }
+}
--- a/src/test/java/cresschute/node/ManagementRulesTest.java
+++ b/src/test/java/cresschute/node/ManagementRulesTest.java
@@ -23,7 +23,7 @@
         return "{\"id\":\"" + id + "\",\"from\":\"s-1\",\"state\":\"done\",\"result\":\"yes\"}\n";
     }
 
-    /** The next event that is not a note of progress or a request's. */
+    /** The next event of the endpoint list. */
     private static String listEvent(TestNode node) throws InterruptedException {
         for (String event = node.event(); event != null; event = node.event()) {
             if (event.startsWith("listed")) {
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void bansAWorkerUntilItIsCalledBackAndRepeatsAreHarmless() throws Exception {
+    void banHoldsUntilItIsEndedAndRepeatsAreHarmless() throws Exception {
         try (TestNode node = new TestNode(shared, null)) {
             assertThat(node.call("disable-server s-1")).startsWith("200 s-1 is out");
             assertThat(listEvent(node)).isEqualTo("listed CHANGES 0DRAINING7000");
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void keepsABanOverAnUpgradeBothWays() throws Exception {
+    void banHoldsOverAnUpgradeBothWays() throws Exception {
         try (TestNode old = new TestNode(shared, null)) {
             assertThat(old.call("disable-server s-1")).startsWith("200");
             try (TestNode next = new TestNode(shared, null)) {
@@ -90,8 +90,19 @@
         assertThat(Files.list(shared)).isNotEmpty();
     }
 
+    /** An operator must be able to act also where the disk is full. */
     @Test
-    void drainedNodeSaysNoAndLetsItsConnectionsGoUntilResumed() throws Exception {
+    void banThatCannotBeStoredIsInForceAndAnswered() throws Exception {
+        // A folder in the way of the file that is written aside: also root cannot write there.
+        Files.createDirectory(shared.resolve("cresschute-operators.new"));
+        try (TestNode node = new TestNode(shared, null)) {
+            assertThat(node.call("disable-server s-1")).startsWith("200 s-1 is out");
+            assertThat(listEvent(node)).isEqualTo("listed CHANGES 0DRAINING7000");
+        }
+    }
+
+    @Test
+    void drainedNodeIsNotReadyAndClosesItsConnectionsUntilResumed() throws Exception {
         try (TestNode node = new TestNode(shared, null);
                 Peer idle = node.client();
                 Peer busy = node.client()) {
