--- a/src/main/java/cresschute/capacity/StatedBound.java
+++ b/src/main/java/cresschute/capacity/StatedBound.java
@@ -72,7 +72,7 @@
             "bans at a time, if every change of a day is one that stays",
             PlannedSize::configurationChangesPerDay,
             10_000,
-            "OperatorsState",
+            "OperatorState",
             "10,000; more are refused"),
     /** All requests of a gang or none. */
     GANG_ADMISSION("a gang admitted whole or not at all"),
