--- a/src/main/java/cresschute/dispatch/AttemptLimits.java
+++ b/src/main/java/cresschute/dispatch/AttemptLimits.java
@@ -1,10 +1,20 @@
 package cresschute.dispatch;
 
 /**
- * What the host allows. {@code maxRetryAfterUs} is 0 where clients take no advice; {@code
- * allowsHedging} tells whether a request may be out twice at a time.
+ * Limits on the attempts of every request.
+ *
+ * @param maxAttempts attempts of one request, at least 1
+ * @param maxRetryAfterUs longest pause that a rejected client may be advised, us; 0 where clients
+ *     take no advice
+ * @param allowsHedging whether a request may have two attempts in flight
  */
 public record AttemptLimits(int maxAttempts, long maxRetryAfterUs, boolean allowsHedging) {
+
+    /**
+     * Checks the limits.
+     *
+     * @throws IllegalArgumentException if {@code maxAttempts} is below 1 or the pause negative
+     */
     public AttemptLimits {
         Preconditions.require(maxAttempts >= 1, "limits maxAttempts");
         Preconditions.require(maxRetryAfterUs >= 0, "limits maxRetryAfterUs");
--- a/src/main/java/cresschute/dispatch/EndpointListForm.java
+++ b/src/main/java/cresschute/dispatch/EndpointListForm.java
@@ -1,12 +1,13 @@
 package cresschute.dispatch;
 
-/**
- * What a piece of list news holds; {@code FAILED} means a watch or attempt failed and the list
- * stands.
- */
+/** What a watch event of the endpoint list holds. */
 public enum EndpointListForm {
+    /** The entries that changed; all others stand. */
     CHANGES,
+    /** All entries, from discovery. */
     FULL,
+    /** All entries, as cached from an earlier run or list. */
     CACHED,
+    /** None: a watch or poll failed, and the list stands. */
     FAILED
 }
--- a/src/main/java/cresschute/dispatch/Job.java
+++ b/src/main/java/cresschute/dispatch/Job.java
@@ -3,11 +3,12 @@
 /**
  * What is known of a request when it arrives.
  *
- * @param tenant ignored where there are none
- * @param slots slots that it takes while it runs
- * @param runningTimeHintUs expected running time at speed 1, or 0 where nothing tells
- * @param dataKey what it concerns; jobs of one key need the same data at their worker. 0: nothing
- * @param clientRetry set where clients mark their retries
+ * @param requestClass number of its class in {@link DispatchSettings#classes}
+ * @param tenant number of its tenant in {@link DispatchSettings#tenants}; ignored where it has none
+ * @param slots slots that it takes while it runs; 1 is taken where it is not above 0
+ * @param runningTimeHintUs expected running time at the usual pace, us, or {@link #NO_HINT}
+ * @param dataKey what data it needs, the same for all jobs on the same data, or {@link #NO_DATA}
+ * @param clientRetry whether its client marked it as a retry
  */
 public record Job(
         int requestClass,
@@ -20,6 +21,6 @@
     /** The {@code dataKey} of a job that needs no data. */
     public static final long NO_DATA = 0;
 
-    /** The {@code runningTimeHintUs} of a job whose running time nothing says. */
+    /** The {@code runningTimeHintUs} of a job without a hint. */
     public static final long NO_HINT = 0;
 }
--- a/src/main/java/cresschute/dispatch/LoadReport.java
+++ b/src/main/java/cresschute/dispatch/LoadReport.java
@@ -1,14 +1,14 @@
 package cresschute.dispatch;
 
 /**
- * What came along of a worker's load, some while old. A negative value was not told.
+ * A worker's load, as it reported it some time ago. A negative value was not reported.
  *
- * @param freeSlots slots that no job held
- * @param outstanding requests that it held, waiting ones included
- * @param waiting requests that waited for a slot
+ * @param freeSlots slots without a job
+ * @param outstanding requests at the worker, waiting ones included
+ * @param waiting requests that wait for a slot
  */
 public record LoadReport(double freeSlots, double outstanding, double waiting) {
 
-    /** Nothing came along. */
+    /** The report of a worker that reported nothing. */
     public static final LoadReport NONE = new LoadReport(-1, -1, -1);
 }
--- a/src/main/java/cresschute/dispatch/Placement.java
+++ b/src/main/java/cresschute/dispatch/Placement.java
@@ -3,16 +3,21 @@
 import java.util.List;
 
 /**
- * Where a class may be sent, at every attempt. A list that is null sets no bound.
+ * The workers that a class may be sent to, at every attempt. A list that is null sets no bound.
  *
- * @param zones the only zones open to it
- * @param kinds the only kinds of worker open to it
+ * @param zones the only zones open to it, at least one; null for all
+ * @param kinds the only kinds of worker open to it, at least one; null for all
  */
 public record Placement(List<Integer> zones, List<Integer> kinds) {
 
     /** No bound. */
     public static final Placement ANYWHERE = new Placement(null, null);
 
+    /**
+     * Checks and sorts the lists.
+     *
+     * @throws IllegalArgumentException if a list is empty
+     */
     public Placement {
         Preconditions.require(zones == null || !zones.isEmpty(), "placement zones");
         Preconditions.require(kinds == null || !kinds.isEmpty(), "placement kinds");
@@ -20,13 +25,13 @@
         kinds = sorted(kinds);
     }
 
-    /** Whether the bounds leave this worker open. */
+    /** Whether the class may be sent to this worker. */
     public boolean allows(Worker worker) {
         return (zones == null || zones.contains(worker.zone()))
                 && (kinds == null || kinds.contains(worker.kind()));
     }
 
-    /** Whether all that the other leaves open is open here too. */
+    /** Whether every worker of the other placement is one of this placement too. */
     public boolean contains(Placement other) {
         return (zones == null || other.zones != null && zones.containsAll(other.zones))
                 && (kinds == null || other.kinds != null && kinds.containsAll(other.kinds));
@@ -36,6 +41,7 @@
         return bound == null ? null : bound.stream().sorted().distinct().toList();
     }
 
+    /** Whether all zones and kinds named exist. */
     boolean isWithin(int zoneCount, int kindCount) {
         return (zones == null || zones.get(0) >= 0 && zones.get(zones.size() - 1) < zoneCount)
                 && (kinds == null || kinds.get(0) >= 0 && kinds.get(kinds.size() - 1) < kindCount);
--- a/src/main/java/cresschute/dispatch/Preconditions.java
+++ b/src/main/java/cresschute/dispatch/Preconditions.java
@@ -8,7 +8,7 @@
     /**
      * Requires that a condition holds.
      *
-     * @throws IllegalArgumentException naming the setting, where it does not
+     * @throws IllegalArgumentException naming the setting, if it does not
      */
     static void require(boolean holds, String field) {
         if (!holds) {
--- a/src/main/java/cresschute/dispatch/RequestClass.java
+++ b/src/main/java/cresschute/dispatch/RequestClass.java
@@ -3,15 +3,17 @@
 /**
  * A class of requests.
  *
- * @param priorityWeight value of one request answered in time
+ * @param priorityWeight value of one request answered in time, at least 0
  * @param latencyObjectiveUs an answer is in time within this plus {@code latencyObjectiveStretch}
- *     times the job's running time
- * @param deadlineUs when clients give up
- * @param deduplicationWindowUs keyed: how long repeats are dropped, from the first send that might
- *     have run
- * @param placement the only workers that it may be sent to
- * @param maxAttempts sends for one request at the most, within those that {@link AttemptLimits}
- *     allow
+ *     times the job's running time, us; above 0
+ * @param latencyObjectiveStretch at least 0
+ * @param deadlineUs when clients give up, us after their send; above 0
+ * @param idempotency what a duplicate may do
+ * @param deduplicationScope the workers among which a duplicate of a keyed request is dropped
+ * @param deduplicationWindowUs how long it is dropped, us from the first send that may have run; at
+ *     least 0
+ * @param placement the only workers that requests may be sent to
+ * @param maxAttempts attempts of one request, within those of {@link AttemptLimits}; at least 1
  */
 public record RequestClass(
         double priorityWeight,
@@ -24,28 +26,33 @@
         Placement placement,
         int maxAttempts) {
 
-    /** A class with no bound of its own on attempts. */
+    /** A class without a limit of its own on attempts. */
     public RequestClass(
             double priorityWeight,
             long latencyObjectiveUs,
             double latencyObjectiveStretch,
             long deadlineUs,
-            Idempotency effect,
-            DeduplicationScope scope,
-            long repeatWindowUs,
+            Idempotency idempotency,
+            DeduplicationScope deduplicationScope,
+            long deduplicationWindowUs,
             Placement placement) {
         this(
                 priorityWeight,
                 latencyObjectiveUs,
                 latencyObjectiveStretch,
                 deadlineUs,
-                effect,
-                scope,
-                repeatWindowUs,
+                idempotency,
+                deduplicationScope,
+                deduplicationWindowUs,
                 placement,
                 Integer.MAX_VALUE);
     }
 
+    /**
+     * Checks the values.
+     *
+     * @throws IllegalArgumentException naming the first value that is missing or out of bounds
+     */
     public RequestClass {
         Preconditions.require(maxAttempts >= 1, "class maxAttempts");
         Preconditions.require(priorityWeight >= 0, "class worth");
--- a/src/main/java/cresschute/dispatch/SlowStartSettings.java
+++ b/src/main/java/cresschute/dispatch/SlowStartSettings.java
@@ -1,8 +1,13 @@
 package cresschute.dispatch;
 
 /**
- * The stated behaviour of a worker that has just started: sent more than {@code overloadFactor}
- * times its capacity of the moment for {@code overloadAfterUs}, it falls over.
+ * The behaviour of a worker that is warming up: sent more than {@code overloadFactor} times its
+ * capacity of the moment for {@code overloadAfterUs}, it falls over.
+ *
+ * @param initialCapacityFraction fraction of its capacity at its start, in (0, 1]
+ * @param warmUpDurationUs time until it has its whole capacity, us; at least 0
+ * @param overloadFactor above 0
+ * @param overloadAfterUs length of the window in which overload counts, us; at least 0
  */
 public record SlowStartSettings(
         double initialCapacityFraction,
@@ -10,11 +15,14 @@
         double overloadFactor,
         long overloadAfterUs) {
 
-    /**
-     * Slack for chance in the bound of a cold worker: roots of the stated jobs, and jobs besides.
-     */
+    /** Slack for chance, in standard errors of the jobs in a window. */
     private static final double CHANCE_SLACK = 2;
 
+    /**
+     * Checks the values.
+     *
+     * @throws IllegalArgumentException naming the first value that is out of bounds
+     */
     public SlowStartSettings {
         Preconditions.require(
                 initialCapacityFraction > 0 && initialCapacityFraction <= 1, "coldStart fromShare");
@@ -24,10 +32,10 @@
     }
 
     /**
-     * Jobs of mean work within {@code overloadAfterUs} beyond which a cold worker falls, with the
-     * slack for chance.
+     * Jobs of mean work within {@code overloadAfterUs} that a warming worker takes, chance
+     * included.
      *
-     * @param stated how many of them {@code overloadFactor} times its capacity of the moment are
+     * @param stated how many jobs {@code overloadFactor} times its capacity of the moment are
      */
     public double toleratedJobs(double stated) {
         return stated + CHANCE_SLACK * (Math.sqrt(stated) + 1);
--- a/src/main/java/cresschute/dispatch/Tenant.java
+++ b/src/main/java/cresschute/dispatch/Tenant.java
@@ -1,7 +1,18 @@
 package cresschute.dispatch;
 
-/** A customer's share: requests a second within it, over all dispatchers together. */
+/**
+ * A customer with a quota.
+ *
+ * @param name its name
+ * @param quotaPerS requests a second within its quota, over all dispatchers together; at least 0
+ */
 public record Tenant(String name, double quotaPerS) {
+
+    /**
+     * Checks the values.
+     *
+     * @throws IllegalArgumentException if the name is missing or the quota negative
+     */
     public Tenant {
         Preconditions.require(name != null, "tenant name");
         Preconditions.require(quotaPerS >= 0, "tenant quotaPerS");
--- a/src/main/java/cresschute/dispatch/WeightSource.java
+++ b/src/main/java/cresschute/dispatch/WeightSource.java
@@ -1,11 +1,13 @@
 package cresschute.dispatch;
 
-/**
- * Meaning of a worker's weight. {@code LIVE} is its size over one plus the requests held by a core.
- */
+/** What the weight of a worker in the endpoint list means. */
 public enum WeightSource {
+    /** Nothing. */
     NONE,
+    /** Its nominal size. */
     NOMINAL,
+    /** A rough guess of its size. */
     ROUGH,
+    /** Its size over one plus the requests in flight per core, at the time of the list. */
     LIVE
 }
