--- a/src/main/java/cresschute/dispatch/Dispatcher.java
+++ b/src/main/java/cresschute/dispatch/Dispatcher.java
@@ -31,6 +31,7 @@
     private final WorkerIndex workers;
     private final ServiceTimeEstimator serviceTimes;
     private final WorkerLoadEstimator loads;
+    private final EndpointListUpdater endpointList;
     private final SlowStart slowStart;
     private final OutlierDetector outliers;
     private final WorkerSelector selector;
@@ -40,6 +41,7 @@
     private final RetryPolicy retries;
     private final HedgingPolicy hedging;
     private final EndpointListPoller poller;
+    private final AttemptFeedback feedback;
     private final Map<Integer, PendingRequest> pending = new LinkedHashMap<>();
 
     /**
@@ -55,6 +57,7 @@
         serviceTimes = new ServiceTimeEstimator(this.settings);
         loads = new WorkerLoadEstimator(this.settings, serviceTimes);
         slowStart = new SlowStart(this.settings, serviceTimes, random);
+        endpointList = new EndpointListUpdater(this.settings, workers, loads, slowStart, actions);
         outliers = new OutlierDetector(this.settings, serviceTimes, loads);
         selector =
                 new WorkerSelector(this.settings, serviceTimes, loads, slowStart, outliers, random);
@@ -64,6 +67,7 @@
         retries = new RetryPolicy(this.settings, workers, deadlines);
         hedging = new HedgingPolicy(this.settings, retries);
         poller = new EndpointListPoller(this.settings, random);
+        feedback = new AttemptFeedback(serviceTimes, loads, slowStart, outliers, deadlines);
     }
 
     private static List<Placement> placements(DispatchSettings settings) {
@@ -85,13 +89,7 @@
             poller.failed(nowUs);
             return;
         }
-        final boolean isWholeList = form != EndpointListForm.CHANGES;
-        workers.workers().forEach(worker -> worker.setMissingFromList(isWholeList));
-        entries.forEach(entry -> update(entry, nowUs));
-        workers.workers().stream()
-                .filter(WorkerInstance::isMissingFromList)
-                .forEach(this::withdraw);
-        workers.removeUndispatchable();
+        endpointList.apply(form, entries, nowUs);
         if (!admission.isStarted()) {
             start(nowUs);
         }
@@ -104,45 +102,6 @@
         actions.startTimer(CHECK_TIMER, deadlines.checkIntervalUs());
     }
 
-    private void update(Worker entry, long nowUs) {
-        final WorkerInstance worker = incarnationOf(entry, nowUs);
-        worker.listed(entry);
-        if (entry.state() == WorkerState.READY) {
-            worker.joinGroups();
-            loads.weightListed(worker, entry.weight(), nowUs);
-        } else {
-            withdraw(worker);
-        }
-    }
-
-    /**
-     * The worker of an entry; one that restarted is a new one, and its attempts in flight go on.
-     */
-    private WorkerInstance incarnationOf(Worker entry, long nowUs) {
-        final WorkerInstance known = workers.find(entry.id());
-        if (known != null && known.isSameIncarnation(entry)) {
-            return known;
-        }
-        if (known != null) {
-            known.leaveGroups();
-        }
-        final WorkerInstance added = workers.add(entry);
-        slowStart.workerAdded(added, nowUs);
-        return added;
-    }
-
-    /** No new attempt goes to a worker that is draining, gone or no longer listed. */
-    private void withdraw(WorkerInstance worker) {
-        worker.leaveGroups();
-        closeIdleConnections(worker.id());
-    }
-
-    private void closeIdleConnections(int workerId) {
-        if (settings.get().closeOnDrainWithinUs() < DispatchSettings.UNLIMITED) {
-            actions.closeIdleConnections(workerId);
-        }
-    }
-
     @Override
     public void requestArrived(long nowUs, int requestId, Job job, long deadlineUs) {
         final DemandBucket bucket = admission.bucketOf(job, nowUs);
@@ -271,18 +230,10 @@
         final WorkerInstance worker = attempt.worker();
         request.endAttempt(attempt);
         worker.releaseSlots(request.slots());
-        loads.reported(worker, report, nowUs);
-        final boolean impatient = outcome == Outcome.TIMED_OUT && deadlines.isImpatient(request);
-        if (outcome != Outcome.UNUSABLE && !impatient) {
-            outliers.ended(worker, outcome, nowUs);
-        }
-        if (!workers.contains(workerId)) {
-            closeIdleConnections(workerId);
-        }
-        learn(request, attempt, outcome, elapsedUs, nowUs);
-        if (!attempt.isLate()) {
-            addEvidence(request, worker, outcome, !requestClosed && !impatient);
-        }
+        feedback.endedAt(worker, request, outcome, report, nowUs);
+        endpointList.attemptEnded(workerId);
+        feedback.learn(request, attempt, outcome, elapsedUs, nowUs);
+        feedback.addEvidence(request, attempt, outcome, requestClosed);
         if (outcome != Outcome.SERVED && !request.mayHaveRun() && retries.mayHaveRun(outcome)) {
             retries.markMayHaveRun(request, attempt);
         }
@@ -296,43 +247,6 @@
         }
     }
 
-    private void learn(
-            PendingRequest request, Attempt attempt, Outcome outcome, long elapsedUs, long nowUs) {
-        final WorkerInstance worker = attempt.worker();
-        if (outcome == Outcome.FULL) {
-            worker.progressReported(nowUs);
-            loads.rejectedAsFull(worker, nowUs);
-        } else if (outcome == Outcome.SERVED) {
-            worker.progressReported(nowUs);
-            worker.jobFinished(request.work());
-            serviceTimes.attemptServed(
-                    request, attempt, nowUs, elapsedUs, slowStart.capacityFraction(worker, nowUs));
-        }
-    }
-
-    /** Counts an outcome for the worker's capacities; errors of one worker are no overload. */
-    private static void addEvidence(
-            PendingRequest request, WorkerInstance worker, Outcome outcome, boolean timeoutCounts) {
-        switch (outcome) {
-            case SERVED ->
-                    worker.addEvidence(
-                            CapacityEstimator.Evidence.IN_TIME, request.priorityWeight());
-            case FULL ->
-                    worker.addEvidence(
-                            CapacityEstimator.Evidence.REJECTED_AS_FULL, request.priorityWeight());
-            case CONNECT_FAILED ->
-                    worker.addEvidence(
-                            CapacityEstimator.Evidence.OVERLOAD, request.priorityWeight());
-            case TIMED_OUT -> {
-                if (timeoutCounts) {
-                    worker.addEvidence(
-                            CapacityEstimator.Evidence.OVERLOAD, request.priorityWeight());
-                }
-            }
-            default -> {}
-        }
-    }
-
     /** Sends the one final answer. */
     private void giveUp(PendingRequest request, long nowUs) {
         close(request);
@@ -390,7 +304,7 @@
         final double waitedUs = serviceTimes.waitedUs(request, attempt, nowUs);
         final double waitUs = attempt.sentUs() - request.firstSentUs() + waitedUs;
         if (!attempt.isLate() && waitUs > request.slackUs()) {
-            attemptLate(request, attempt, nowUs);
+            feedback.late(request, attempt, nowUs);
         }
         if (outliers.detectUnresponsive(attempt, waitedUs, nowUs)) {
             reportUnresponsive(attempt.worker(), request.classIndex(), nowUs);
@@ -402,15 +316,6 @@
         }
     }
 
-    private void attemptLate(PendingRequest request, Attempt attempt, long nowUs) {
-        attempt.markLate();
-        if (!request.isClosed() && !attempt.worker().isStalled(nowUs)) {
-            attempt.worker()
-                    .addEvidence(CapacityEstimator.Evidence.OVERLOAD, request.priorityWeight());
-        }
-        serviceTimes.attemptLate(attempt);
-    }
-
     private void reportUnresponsive(WorkerInstance worker, int requestClass, long nowUs) {
         if (settings.get().allowsPeerMessages() && !worker.isUnresponsive(requestClass, nowUs)) {
             actions.reportUnresponsive(worker.id(), requestClass);
