--- /dev/null
+++ b/src/test/java/cresschute/dispatch/DispatchSettingsTest.java
@@ -0,0 +1,29 @@
+package cresschute.dispatch;
+
+import static cresschute.dispatch.TestSettings.settings;
+import static org.assertj.core.api.Assertions.assertThatThrownBy;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** Settings are checked by name. */
+class DispatchSettingsTest {
+
+    @Test
+    void rejectsContradictorySettingsByName() {
+        assertThatThrownBy(() -> settings(List.of())).hasMessageContaining("classes");
+        assertThatThrownBy(() -> new Tenant("a", -1)).hasMessageContaining("quotaPerS");
+        assertThatThrownBy(
+                        () ->
+                                new RequestClass(
+                                        1,
+                                        0,
+                                        2,
+                                        5,
+                                        Idempotency.SAFE,
+                                        DeduplicationScope.ALL,
+                                        0,
+                                        Placement.ANYWHERE))
+                .hasMessageContaining("aimUs");
+    }
+}
--- /dev/null
+++ b/src/test/java/cresschute/dispatch/DispatcherDeadlineTest.java
@@ -0,0 +1,71 @@
+package cresschute.dispatch;
+
+import static cresschute.dispatch.DispatcherHosts.twoSafeWorkers;
+import static cresschute.dispatch.RecordingActions.SECOND;
+import static cresschute.dispatch.RecordingActions.worker;
+import static cresschute.dispatch.TestSettings.requestClass;
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/** When a request counts as a late retry. */
+class DispatcherDeadlineTest {
+
+    @Test
+    void rejectsARetryWhoseLatencyObjectiveHasPassed() {
+        final RecordingActions host = twoSafeWorkers();
+        host.request(1, 0);
+        host.end(1, 0, host.lastSend().worker(), Outcome.SERVED);
+        host.dispatcher.requestArrived(
+                host.nowUs, 2, new Job(0, 0, 1, 0, 0, true), host.nowUs + 2 * SECOND);
+        assertThat(host.sends).hasSize(1);
+        assertThat(host.rejected).containsExactly(2);
+    }
+
+    /** Advised retries come after 0.4 s at most, and a request may be in time for 1 s. */
+    @ParameterizedTest(name = "{0} ms of the time are missing, marked as retry: {1}")
+    @CsvSource({
+        "0, false, 2",
+        "900, false, 2",
+        "1200, false, 1",
+        "1500, false, 2",
+        "4000, false, 2",
+        "1200, true, 1",
+        "4000, true, 1"
+    })
+    void takesNoImpatientClientForARetry(long missingMs, boolean marked, int sends) {
+        final RecordingActions host =
+                new RecordingActions(
+                                TestSettings.advisingRetries(
+                                        List.of(
+                                                requestClass(
+                                                        1,
+                                                        Idempotency.SAFE,
+                                                        DeduplicationScope.ALL))))
+                        .list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 0, 0));
+        host.request(1, 0);
+        host.dispatcher.requestArrived(
+                host.nowUs,
+                2,
+                new Job(0, 0, 1, 0, 0, marked),
+                host.nowUs + 5 * SECOND - missingMs * 1000);
+        assertThat(host.sends).hasSize(sends);
+    }
+
+    @Test
+    void learnsNoRunningTimeFromAStartReportedWithTheEnd() {
+        final RecordingActions host = twoSafeWorkers();
+        host.request(1, 0);
+        host.pass(SECOND / 10);
+        host.dispatcher.jobProgressed(host.nowUs, 1, 0, host.lastSend().worker(), 0);
+        host.end(1, 0, host.lastSend().worker(), Outcome.SERVED);
+        // 0.1 s of running and a latency objective of 0.2 s: it may wait for 0.3 s of the 0.4 s and
+        // is not rejected.
+        host.dispatcher.requestArrived(
+                host.nowUs, 2, new Job(0, 0, 1, 0, 0, true), host.nowUs + 4_700_000);
+        assertThat(host.sends).hasSize(2);
+    }
+}
--- /dev/null
+++ b/src/test/java/cresschute/dispatch/DispatcherEndpointListTest.java
@@ -0,0 +1,110 @@
+package cresschute.dispatch;
+
+import static cresschute.dispatch.DispatcherHosts.hostWith;
+import static cresschute.dispatch.DispatcherHosts.twoSafeWorkers;
+import static cresschute.dispatch.RecordingActions.SECOND;
+import static cresschute.dispatch.RecordingActions.worker;
+import static cresschute.dispatch.RecordingActions.workerIn;
+import static cresschute.dispatch.TestSettings.requestClass;
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** What follows from the endpoint list, and when it is polled. */
+class DispatcherEndpointListTest {
+
+    private static RecordingActions hostThatClosesIdleConnections(long withinUs) {
+        return new RecordingActions(
+                new TestSettings(List.of(requestClass(1, Idempotency.SAFE, DeduplicationScope.ALL)))
+                        .closeOnDrainWithinUs(withinUs)
+                        .build());
+    }
+
+    @Test
+    void closesIdleConnectionsOnADrainNoticeAndAfterEachLaterOutcome() {
+        final RecordingActions host =
+                hostThatClosesIdleConnections(800_000)
+                        .list(EndpointListForm.CACHED, worker(1, 0, 0));
+        host.request(1, 0);
+        host.request(2, 0);
+        assertThat(host.idleClosed).isEmpty();
+        host.list(EndpointListForm.CHANGES, workerIn(WorkerState.DRAINING, 1, 0));
+        assertThat(host.idleClosed).containsExactly(1);
+        host.end(1, 0, 1, Outcome.SERVED);
+        assertThat(host.idleClosed).containsExactly(1, 1);
+        host.list(EndpointListForm.FULL, worker(2, 0, 0));
+        host.idleClosed.clear();
+        host.end(2, 0, 1, Outcome.SERVED);
+        assertThat(host.idleClosed).containsExactly(1);
+    }
+
+    @Test
+    void closesIdleConnectionsToAWorkerFirstListedAsDraining() {
+        final RecordingActions host =
+                hostThatClosesIdleConnections(0)
+                        .list(EndpointListForm.CACHED, workerIn(WorkerState.DRAINING, 1, 0));
+        assertThat(host.idleClosed).containsExactly(1);
+    }
+
+    @Test
+    void closesNothingWhereNoTimeIsStated() {
+        final RecordingActions host =
+                hostThatClosesIdleConnections(DispatchSettings.UNLIMITED)
+                        .list(EndpointListForm.CACHED, worker(1, 0, 0));
+        host.request(1, 0);
+        host.list(EndpointListForm.CHANGES, workerIn(WorkerState.DRAINING, 1, 0));
+        host.end(1, 0, 1, Outcome.SERVED);
+        assertThat(host.idleClosed).isEmpty();
+    }
+
+    /** The index must not lose count of its groups' members. */
+    @Test
+    void takesAWorkerWithAnotherZoneForANewIncarnation() {
+        final RecordingActions host =
+                hostWith(Idempotency.SAFE, DeduplicationScope.ALL)
+                        .list(EndpointListForm.CACHED, worker(1, 0, 0));
+        host.list(EndpointListForm.CHANGES, worker(1, 1, 1));
+        host.list(EndpointListForm.CHANGES, new Worker(1, 2, 1, 2, WorkerState.GONE, 1, 0));
+        host.request(1, 0);
+        assertThat(host.sends).isEmpty();
+    }
+
+    @Test
+    void sendsNothingToADrainingGoneOrUnlistedWorker() {
+        final RecordingActions host = twoSafeWorkers();
+        host.list(EndpointListForm.CHANGES, workerIn(WorkerState.DRAINING, 1, 0));
+        host.request(1, 0);
+        host.list(EndpointListForm.CHANGES, workerIn(WorkerState.READY, 1, 0));
+        host.list(EndpointListForm.CHANGES, workerIn(WorkerState.GONE, 1, 0));
+        host.request(2, 0);
+        host.list(EndpointListForm.FULL, worker(2, 1, 1));
+        host.request(3, 0);
+        assertThat(host.sends).extracting(RecordingActions.Send::worker).containsOnly(2).hasSize(3);
+    }
+
+    @Test
+    void keepsTheListAfterAFailedPollAndRepeatsItInTime() {
+        final RecordingActions host =
+                new RecordingActions(
+                        new TestSettings(
+                                        List.of(
+                                                requestClass(
+                                                        1,
+                                                        Idempotency.SAFE,
+                                                        DeduplicationScope.ALL)))
+                                .polled()
+                                .build());
+        host.list(EndpointListForm.CACHED, worker(1, 0, 0));
+        host.pass(2 * SECOND);
+        assertThat(host.polls).isEqualTo(1);
+        host.list(EndpointListForm.FAILED);
+        host.request(1, 0);
+        assertThat(host.sends).hasSize(1);
+        host.pass(2 * SECOND);
+        assertThat(host.polls).isEqualTo(2);
+        host.list(EndpointListForm.CHANGES);
+        host.pass(20 * SECOND);
+        assertThat(host.polls).isEqualTo(2);
+    }
+}
--- /dev/null
+++ b/src/test/java/cresschute/dispatch/DispatcherHedgingTest.java
@@ -0,0 +1,132 @@
+package cresschute.dispatch;
+
+import static cresschute.dispatch.DispatcherHosts.hostWithARunningJob;
+import static cresschute.dispatch.RecordingActions.SECOND;
+import static cresschute.dispatch.RecordingActions.worker;
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.EnumSource;
+
+/** When a request is sent to a second worker beside its attempt in flight. */
+class DispatcherHedgingTest {
+
+    /** The stalled worker gets no new jobs either. */
+    @ParameterizedTest
+    @EnumSource
+    void hedgesAJobWhoseProgressReportsStopWhereItsClassAllows(Idempotency idempotency) {
+        final RecordingActions host = hostWithARunningJob(idempotency);
+        final int first = host.lastSend().worker();
+        host.pass(SECOND * 3 / 2);
+        assertThat(host.sends).hasSize(1);
+        host.pass(SECOND);
+        assertThat(host.sends).hasSize(idempotency == Idempotency.UNSAFE ? 1 : 2);
+        if (idempotency == Idempotency.KEYED) {
+            assertThat((host.lastSend().worker() - 1) / 2).isEqualTo((first - 1) / 2);
+        }
+        host.sends.clear();
+        for (int id = 2; id < 20; id++) {
+            host.request(id, 0);
+        }
+        assertThat(host.sends)
+                .hasSize(18)
+                .extracting(RecordingActions.Send::worker)
+                .doesNotContain(first);
+    }
+
+    @ParameterizedTest(name = "{0}, start reported: {1}")
+    @CsvSource({"SAFE, false, 2", "SAFE, true, 1", "KEYED, false, 2", "UNSAFE, false, 1"})
+    void hedgesAJobThatHasNotStartedAfterHalfItsSlack(
+            Idempotency idempotency, boolean started, int sends) {
+        final RequestClass patient =
+                new RequestClass(
+                        1,
+                        SECOND,
+                        2,
+                        5 * SECOND,
+                        idempotency,
+                        DeduplicationScope.CELL,
+                        SECOND * 4,
+                        Placement.ANYWHERE);
+        final RecordingActions host =
+                new RecordingActions(TestSettings.hedging(List.of(patient)))
+                        .list(
+                                EndpointListForm.CACHED,
+                                worker(1, 0, 0),
+                                worker(2, 0, 0),
+                                worker(3, 0, 1),
+                                worker(4, 0, 1));
+        host.request(1, 0);
+        final int first = host.lastSend().worker();
+        if (started) {
+            host.dispatcher.jobProgressed(host.nowUs, 1, 0, first, 0);
+        }
+        // It may wait for the objective of 1 s and the 2 s that the stretch adds to its running
+        // time: the hedge is due after half of these 3 s.
+        host.pass(SECOND * 14 / 10);
+        assertThat(host.sends).hasSize(1);
+        host.pass(SECOND * 2 / 10);
+        assertThat(host.sends).hasSize(sends);
+        if (sends == 2) {
+            assertThat(host.lastSend().worker()).isNotEqualTo(first);
+        }
+        if (sends == 2 && idempotency == Idempotency.KEYED) {
+            assertThat((host.lastSend().worker() - 1) / 2).isEqualTo((first - 1) / 2);
+        }
+    }
+
+    /** A report from before the hedge was due is too old: it says nothing of free slots now. */
+    @ParameterizedTest(name = "{0} free slots")
+    @CsvSource({"0, 1", "3, 2"})
+    void hedgesOnlyAtAWorkerThatReportsFreeSlots(int free, int sends) {
+        final RequestClass patient =
+                new RequestClass(
+                        1,
+                        SECOND,
+                        2,
+                        5 * SECOND,
+                        Idempotency.SAFE,
+                        DeduplicationScope.ALL,
+                        0,
+                        Placement.ANYWHERE);
+        final RecordingActions host =
+                new RecordingActions(TestSettings.hedgingWithLoadQueries(List.of(patient)))
+                        .list(
+                                EndpointListForm.CACHED,
+                                worker(1, 0, 0),
+                                worker(2, 0, 0),
+                                worker(3, 0, 0));
+        host.request(1, 0);
+        for (int worker = 1; worker <= 3; worker++) {
+            host.dispatcher.loadReported(
+                    host.nowUs, worker, Outcome.SERVED, new LoadReport(4, -1, 0));
+        }
+        final int first = host.lastSend().worker();
+        host.queried.clear();
+        host.pass(2 * SECOND);
+        assertThat(host.sends).as("sent by the reports from before").hasSize(1);
+        assertThat(host.queried).doesNotContain(first).hasSize(2);
+        host.queried.forEach(
+                worker ->
+                        host.dispatcher.loadReported(
+                                host.nowUs,
+                                worker,
+                                Outcome.SERVED,
+                                new LoadReport(free, -1, 4 - free)));
+        host.pass(SECOND / 10);
+        assertThat(host.sends).hasSize(sends);
+    }
+
+    @Test
+    void doesNotHedgeAJobThatReportsProgress() {
+        final RecordingActions host = hostWithARunningJob(Idempotency.SAFE);
+        for (int second = 1; second <= 4; second++) {
+            host.pass(SECOND);
+            host.dispatcher.jobProgressed(host.nowUs, 1, 0, host.lastSend().worker(), 0.2 * second);
+        }
+        assertThat(host.sends).hasSize(1);
+    }
+}
--- /dev/null
+++ b/src/test/java/cresschute/dispatch/DispatcherRetryTest.java
@@ -0,0 +1,246 @@
+package cresschute.dispatch;
+
+import static cresschute.dispatch.DispatcherHosts.hostWith;
+import static cresschute.dispatch.DispatcherHosts.twoSafeWorkers;
+import static cresschute.dispatch.RecordingActions.SECOND;
+import static cresschute.dispatch.RecordingActions.worker;
+import static cresschute.dispatch.TestSettings.placedClass;
+import static cresschute.dispatch.TestSettings.requestClass;
+import static cresschute.dispatch.TestSettings.settings;
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.List;
+import java.util.Set;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.EnumSource;
+
+/** What may be sent again, where and how often. */
+class DispatcherRetryTest {
+
+    private static final Placement WEST = new Placement(List.of(1), null);
+
+    @ParameterizedTest
+    @EnumSource(names = {"FULL", "CONNECT_FAILED", "NOT_SENT"})
+    void retriesElsewhereWhatNeverRanForEveryIdempotency(Outcome outcome) {
+        for (final Idempotency idempotency : Idempotency.values()) {
+            final RecordingActions host =
+                    hostWith(idempotency, DeduplicationScope.CELL)
+                            .list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 1, 1));
+            host.request(1, 0);
+            final int first = host.lastSend().worker();
+            host.end(1, 0, first, outcome);
+            host.pass(SECOND / 2);
+            assertThat(host.sends).hasSize(2);
+            assertThat(host.lastSend().worker()).isNotEqualTo(first);
+        }
+    }
+
+    @ParameterizedTest
+    @EnumSource(names = {"ERROR", "TIMED_OUT", "BROKEN", "CANCELLED"})
+    void failsAnUnsafeRequestThatMayHaveRunAndNeverRejectsIt(Outcome outcome) {
+        final RecordingActions host =
+                hostWith(Idempotency.UNSAFE, DeduplicationScope.ALL)
+                        .list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 1, 1));
+        host.request(1, 0);
+        host.end(1, 0, host.lastSend().worker(), outcome);
+        host.pass(5 * SECOND);
+        assertThat(host.log).hasSize(2).last().isEqualTo("fail 1");
+    }
+
+    @ParameterizedTest
+    @EnumSource(names = {"CELL", "ZONE"})
+    void keepsAKeyedRequestThatMayHaveRunInItsDeduplicationGroup(DeduplicationScope scope) {
+        final RecordingActions host = hostWith(Idempotency.KEYED, scope);
+        host.list(
+                EndpointListForm.CACHED,
+                worker(1, 0, 0),
+                worker(2, 0, 0),
+                worker(3, 1, 1),
+                worker(4, 1, 1),
+                worker(5, 2, 2),
+                worker(6, 2, 2));
+        for (int id = 1; id <= 50; id++) {
+            host.request(id, 0);
+            final int first = host.lastSend().worker();
+            host.end(id, 0, first, Outcome.CANCELLED);
+            host.pass(SECOND / 10);
+            final int second = host.lastSend().worker();
+            assertThat(host.lastSend().request()).isEqualTo(id);
+            assertThat((second - 1) / 2).isEqualTo((first - 1) / 2);
+            host.end(id, 1, second, Outcome.SERVED);
+        }
+    }
+
+    @Test
+    void doesNotRetryAKeyedRequestAfterItsDeduplicationWindow() {
+        final RequestClass brief =
+                new RequestClass(
+                        1,
+                        4 * SECOND,
+                        2,
+                        5 * SECOND,
+                        Idempotency.KEYED,
+                        DeduplicationScope.ALL,
+                        SECOND,
+                        Placement.ANYWHERE);
+        final RecordingActions host = new RecordingActions(settings(List.of(brief)));
+        host.list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 1, 1)).request(1, 0);
+        host.pass(SECOND + 1);
+        host.end(1, 0, host.lastSend().worker(), Outcome.BROKEN);
+        host.pass(SECOND);
+        assertThat(host.sends).hasSize(1);
+        assertThat(host.failed).containsExactly(1);
+    }
+
+    @Test
+    void staysWithinTheLimitOfAttempts() {
+        final RecordingActions host = twoSafeWorkers();
+        host.request(1, 0);
+        for (int attempt = 0; attempt < 8; attempt++) {
+            host.end(1, attempt, host.lastSend().worker(), Outcome.FULL);
+        }
+        assertThat(host.sends).hasSize(4);
+        assertThat(host.rejected).containsExactly(1);
+    }
+
+    /** The lower limit holds for retries and for hedged requests. */
+    @ParameterizedTest
+    @CsvSource({"1, 1", "2, 2", "4, 4", "9, 4"})
+    void staysWithinTheLowerLimitOfClassAndSettings(int ofClass, int sent) {
+        final RequestClass bounded =
+                new RequestClass(
+                        1,
+                        SECOND,
+                        2,
+                        5 * SECOND,
+                        Idempotency.SAFE,
+                        DeduplicationScope.ALL,
+                        0,
+                        Placement.ANYWHERE,
+                        ofClass);
+        final RecordingActions host =
+                new RecordingActions(settings(List.of(bounded)))
+                        .list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 0, 1));
+        host.request(1, 0);
+        for (int attempt = 0; attempt < 8; attempt++) {
+            host.end(1, attempt, host.lastSend().worker(), Outcome.FULL);
+        }
+        assertThat(host.sends).hasSize(sent);
+        assertThat(host.rejected).containsExactly(1);
+        final RecordingActions hedging =
+                new RecordingActions(TestSettings.hedging(List.of(bounded)))
+                        .list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 0, 1));
+        hedging.request(1, 0);
+        hedging.dispatcher.jobProgressed(hedging.nowUs, 1, 0, hedging.lastSend().worker(), 0);
+        hedging.pass(SECOND * 5 / 2);
+        assertThat(hedging.sends).hasSize(Math.min(2, ofClass));
+    }
+
+    /** All workers drop a duplicate of it within the window: so long the rejection holds true. */
+    @Test
+    void rejectsAKeyedRequestThatAllWorkersDropOnlyWithinItsWindow() {
+        final RecordingActions host = hostWith(Idempotency.KEYED, DeduplicationScope.ALL);
+        host.list(EndpointListForm.CACHED, worker(1, 0, 0)).request(1, 0);
+        host.pass(2 * SECOND);
+        host.end(1, 0, 1, Outcome.BROKEN);
+        host.request(2, 0);
+        host.pass(4 * SECOND);
+        host.end(2, 0, 1, Outcome.BROKEN);
+        assertThat(host.rejected).containsExactly(1);
+        assertThat(host.failed).containsExactly(2);
+    }
+
+    @Test
+    void retriesWithinDeduplicationGroupAndPlacement() {
+        final RecordingActions host =
+                new RecordingActions(
+                        settings(
+                                List.of(
+                                        placedClass(
+                                                Idempotency.KEYED,
+                                                DeduplicationScope.CELL,
+                                                WEST))));
+        host.list(
+                EndpointListForm.CACHED,
+                worker(1, 0, 7),
+                worker(2, 0, 7),
+                worker(3, 1, 7),
+                worker(4, 1, 7),
+                worker(5, 1, 8),
+                worker(6, 1, 8));
+        for (int id = 1; id <= 50; id++) {
+            host.request(id, 0);
+            final int first = host.lastSend().worker();
+            host.end(id, 0, first, Outcome.CANCELLED);
+            host.pass(SECOND / 10);
+            assertThat(host.lastSend().request()).isEqualTo(id);
+            assertThat(Set.of(first, host.lastSend().worker())).isIn(Set.of(3, 4), Set.of(5, 6));
+            host.end(id, 1, host.lastSend().worker(), Outcome.SERVED);
+        }
+    }
+
+    @Test
+    void failsAnUnsafeRequestAfterFullWhereFullMayHaveRun() {
+        final RecordingActions host =
+                new RecordingActions(
+                        new TestSettings(
+                                        List.of(
+                                                requestClass(
+                                                        1,
+                                                        Idempotency.UNSAFE,
+                                                        DeduplicationScope.ALL)))
+                                .fullMayHaveRun()
+                                .build());
+        host.list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 1, 1)).request(1, 0);
+        host.end(1, 0, host.lastSend().worker(), Outcome.FULL);
+        assertThat(host.log).hasSize(2).last().isEqualTo("fail 1");
+    }
+
+    @Test
+    void keepsAKeyedRequestInItsGroupAfterFullWhereFullMayHaveRun() {
+        final RecordingActions host =
+                new RecordingActions(
+                        new TestSettings(
+                                        List.of(
+                                                requestClass(
+                                                        1,
+                                                        Idempotency.KEYED,
+                                                        DeduplicationScope.CELL)))
+                                .fullMayHaveRun()
+                                .build());
+        host.list(
+                EndpointListForm.CACHED,
+                worker(1, 0, 0),
+                worker(2, 0, 0),
+                worker(3, 1, 1),
+                worker(4, 1, 1));
+        for (int id = 1; id <= 30; id++) {
+            host.request(id, 0);
+            final int first = host.lastSend().worker();
+            host.end(id, 0, first, Outcome.FULL);
+            host.pass(SECOND / 10);
+            assertThat(Set.of(first, host.lastSend().worker())).isIn(Set.of(1, 2), Set.of(3, 4));
+            host.end(id, 1, host.lastSend().worker(), Outcome.SERVED);
+        }
+    }
+
+    /** What was not sent says nothing of any worker, and its worker is selected anew. */
+    @ParameterizedTest
+    @EnumSource
+    void retriesAnAttemptThatWasNotSentAndKeepsTheBudget(Idempotency idempotency) {
+        final RecordingActions host = hostWith(idempotency, DeduplicationScope.ALL);
+        host.list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 0, 0));
+        for (int id = 1; id <= 200; id++) {
+            host.request(id, 0);
+            host.end(id, 0, host.lastSend().worker(), Outcome.NOT_SENT);
+            assertThat(host.lastSend().request()).isEqualTo(id);
+            host.end(id, 1, host.lastSend().worker(), Outcome.SERVED);
+            host.pass(SECOND / 50);
+        }
+        assertThat(host.sends).hasSize(400);
+        assertThat(host.rejected).isEmpty();
+        assertThat(host.failed).isEmpty();
+    }
+}
--- a/src/test/java/cresschute/dispatch/RecordingActions.java
+++ b/src/test/java/cresschute/dispatch/RecordingActions.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A module under test: feeds it events and records what it asks for. */
+/** The host of a dispatcher under test: feeds it events with a clock and records its actions. */
 final class RecordingActions implements DispatcherActions {
 
     record Send(int request, int worker) {}
@@ -11,220 +11,31 @@
     static final long SECOND = 1_000_000;
 
     final List<Send> sends = new ArrayList<>();
-    final List<Integer> refused = new ArrayList<>();
+    final List<Integer> rejected = new ArrayList<>();
     final List<Integer> failed = new ArrayList<>();
-    final List<Integer> probed = new ArrayList<>();
-    final List<Integer> told = new ArrayList<>();
-    final List<Integer> closed = new ArrayList<>();
+    final List<Integer> queried = new ArrayList<>();
+    final List<Integer> reportedUnresponsive = new ArrayList<>();
+    final List<Integer> idleClosed = new ArrayList<>();
     final List<String> log = new ArrayList<>();
-    int watches;
-    final Dispatcher module;
+    int polls;
+    final Dispatcher dispatcher;
     long nowUs = SECOND;
-    private long wakeAtUs = Long.MAX_VALUE;
+    private long timerAtUs = Long.MAX_VALUE;
 
     RecordingActions(DispatchSettings settings) {
-        module = new Dispatcher(settings, 7, this);
-    }
-
-    static RequestClass job(double priorityWeight, Idempotency effect, DeduplicationScope scope) {
-        return new RequestClass(
-                priorityWeight,
-                200_000,
-                2,
-                5 * SECOND,
-                effect,
-                scope,
-                3 * SECOND,
-                Placement.ANYWHERE);
-    }
-
-    static RequestClass bound(Idempotency effect, DeduplicationScope scope, Placement placement) {
-        return new RequestClass(1, 200_000, 2, 5 * SECOND, effect, scope, 3 * SECOND, placement);
-    }
-
-    static DispatchSettings settings(List<RequestClass> classes) {
-        return settings(classes, List.of(), 1, false);
-    }
-
-    static DispatchSettings settings(
-            List<RequestClass> classes, List<Tenant> tenants, int dispatchers, boolean ask) {
-        return settings(
-                classes, tenants, dispatchers, ask, false, false, DispatchSettings.UNLIMITED);
-    }
-
-    static DispatchSettings settings(
-            List<RequestClass> classes, boolean fullMayHaveRun, long closeOnDrainWithinUs) {
-        return settings(classes, List.of(), 1, false, false, fullMayHaveRun, closeOnDrainWithinUs);
-    }
-
-    static DispatchSettings byWork(List<RequestClass> classes) {
-        final DispatchSettings plain = settings(classes);
-        return new DispatchSettings(
-                plain.dispatchers(),
-                plain.zone(),
-                plain.zones(),
-                plain.kinds(),
-                classes,
-                plain.tenants(),
-                plain.overQuotaWeightFactor(),
-                true,
-                plain.limits(),
-                plain.slowStart(),
-                plain.objectiveWeights(),
-                plain.endpointListIsPolled(),
-                plain.pollWithinUs(),
-                plain.weightSource(),
-                plain.reportsLoad(),
-                plain.reportsJobStart(),
-                plain.progressUs(),
-                plain.crossZonePrice(),
-                plain.allowsLoadQueries(),
-                plain.allowsPeerMessages(),
-                plain.dataTransferPrice(),
-                plain.fullMayHaveRun(),
-                plain.closeOnDrainWithinUs());
-    }
-
-    static DispatchSettings probing(List<RequestClass> classes) {
-        return probing(classes, 1);
-    }
-
-    static DispatchSettings probing(List<RequestClass> classes, int dispatchers) {
-        return settings(
-                classes, List.of(), dispatchers, false, true, false, DispatchSettings.UNLIMITED);
-    }
-
-    private static DispatchSettings settings(
-            List<RequestClass> classes,
-            List<Tenant> tenants,
-            int dispatchers,
-            boolean ask,
-            boolean probing,
-            boolean fullMayHaveRun,
-            long closeOnDrainWithinUs) {
-        return new DispatchSettings(
-                dispatchers,
-                0,
-                3,
-                2,
-                classes,
-                tenants,
-                0.05,
-                false,
-                new AttemptLimits(4, 0, false),
-                new SlowStartSettings(0.2, 20 * SECOND, 3, SECOND),
-                new ObjectiveWeights(0.6, 0.2, 0.2, 0),
-                ask,
-                10 * SECOND,
-                WeightSource.NOMINAL,
-                true,
-                true,
-                0,
-                0.02,
-                probing,
-                true,
-                0.1,
-                fullMayHaveRun,
-                closeOnDrainWithinUs);
-    }
-
-    /** Workers tell of progress each second, and a request may be out twice. */
-    static DispatchSettings copying(List<RequestClass> classes) {
-        final DispatchSettings plain = settings(classes);
-        return new DispatchSettings(
-                plain.dispatchers(),
-                plain.zone(),
-                plain.zones(),
-                plain.kinds(),
-                classes,
-                plain.tenants(),
-                plain.overQuotaWeightFactor(),
-                false,
-                new AttemptLimits(4, 0, true),
-                plain.slowStart(),
-                plain.objectiveWeights(),
-                plain.endpointListIsPolled(),
-                plain.pollWithinUs(),
-                plain.weightSource(),
-                plain.reportsLoad(),
-                true,
-                SECOND,
-                plain.crossZonePrice(),
-                plain.allowsLoadQueries(),
-                plain.allowsPeerMessages(),
-                plain.dataTransferPrice(),
-                plain.fullMayHaveRun(),
-                plain.closeOnDrainWithinUs());
-    }
-
-    /** As {@link #copying}, and workers may be asked for their load. */
-    static DispatchSettings copyingWhereAsked(List<RequestClass> classes) {
-        final DispatchSettings plain = copying(classes);
-        return new DispatchSettings(
-                plain.dispatchers(),
-                plain.zone(),
-                plain.zones(),
-                plain.kinds(),
-                classes,
-                plain.tenants(),
-                plain.overQuotaWeightFactor(),
-                false,
-                plain.limits(),
-                plain.slowStart(),
-                plain.objectiveWeights(),
-                plain.endpointListIsPolled(),
-                plain.pollWithinUs(),
-                plain.weightSource(),
-                true,
-                true,
-                SECOND,
-                plain.crossZonePrice(),
-                true,
-                plain.allowsPeerMessages(),
-                plain.dataTransferPrice(),
-                plain.fullMayHaveRun(),
-                plain.closeOnDrainWithinUs());
-    }
-
-    /** Clients are advised to come back after up to 0.2 s. */
-    static DispatchSettings advising(List<RequestClass> classes) {
-        final DispatchSettings plain = settings(classes);
-        return new DispatchSettings(
-                plain.dispatchers(),
-                plain.zone(),
-                plain.zones(),
-                plain.kinds(),
-                classes,
-                plain.tenants(),
-                plain.overQuotaWeightFactor(),
-                false,
-                new AttemptLimits(4, SECOND / 5, false),
-                plain.slowStart(),
-                plain.objectiveWeights(),
-                plain.endpointListIsPolled(),
-                plain.pollWithinUs(),
-                plain.weightSource(),
-                plain.reportsLoad(),
-                true,
-                0,
-                plain.crossZonePrice(),
-                plain.allowsLoadQueries(),
-                plain.allowsPeerMessages(),
-                plain.dataTransferPrice(),
-                plain.fullMayHaveRun(),
-                plain.closeOnDrainWithinUs());
+        dispatcher = new Dispatcher(settings, 7, this);
     }
 
     static Worker worker(int id, int zone, int cell) {
         return new Worker(id, zone, 0, cell, WorkerState.READY, 1, 0);
     }
 
-    static Worker in(WorkerState state, int id, long startedAtUs) {
+    static Worker workerIn(WorkerState state, int id, long startedAtUs) {
         return new Worker(id, 0, 0, 0, state, 1, startedAtUs);
     }
 
     RecordingActions list(EndpointListForm form, Worker... workers) {
-        module.endpointListChanged(nowUs, form, List.of(workers));
+        dispatcher.endpointListChanged(nowUs, form, List.of(workers));
         return this;
     }
 
@@ -237,20 +48,21 @@
     }
 
     void request(int id, Job job) {
-        module.requestArrived(nowUs, id, job, nowUs + 5 * SECOND);
+        dispatcher.requestArrived(nowUs, id, job, nowUs + 5 * SECOND);
     }
 
     void end(int id, int attempt, int worker, Outcome outcome) {
         final boolean served = outcome == Outcome.SERVED;
-        module.attemptEnded(nowUs, id, attempt, worker, outcome, 100_000, served, LoadReport.NONE);
+        dispatcher.attemptEnded(
+                nowUs, id, attempt, worker, outcome, 100_000, served, LoadReport.NONE);
     }
 
-    /** Lets time pass, with the module's own timer and nothing else. */
+    /** Lets time pass, with the dispatcher's own timer and nothing else. */
     void pass(long us) {
         final long untilUs = nowUs + us;
-        while (wakeAtUs <= untilUs) {
-            nowUs = wakeAtUs;
-            module.timerFired(nowUs, 0);
+        while (timerAtUs <= untilUs) {
+            nowUs = timerAtUs;
+            dispatcher.timerFired(nowUs, 0);
         }
         nowUs = untilUs;
     }
@@ -267,8 +79,8 @@
 
     @Override
     public void reject(int requestId, long retryAfterUs) {
-        refused.add(requestId);
-        log.add("refuse " + requestId);
+        rejected.add(requestId);
+        log.add("reject " + requestId);
     }
 
     @Override
@@ -279,30 +91,30 @@
 
     @Override
     public void startTimer(long token, long delayUs) {
-        wakeAtUs = nowUs + delayUs;
+        timerAtUs = nowUs + delayUs;
     }
 
     @Override
     public void pollEndpointList() {
-        watches++;
-        log.add("watch");
+        polls++;
+        log.add("poll");
     }
 
     @Override
     public void queryLoad(int workerId) {
-        probed.add(workerId);
-        log.add("probe " + workerId);
+        queried.add(workerId);
+        log.add("query " + workerId);
     }
 
     @Override
     public void reportUnresponsive(int workerId, int requestClass) {
-        told.add(workerId);
-        log.add("silent " + workerId + " " + requestClass);
+        reportedUnresponsive.add(workerId);
+        log.add("unresponsive " + workerId + " " + requestClass);
     }
 
     @Override
     public void closeIdleConnections(int workerId) {
-        closed.add(workerId);
+        idleClosed.add(workerId);
         log.add("close " + workerId);
     }
 }
--- a/src/test/java/cresschute/dispatch/RulesPropertyTest.java
+++ b/src/test/java/cresschute/dispatch/RulesPropertyTest.java
@@ -13,8 +13,8 @@
 import net.jqwik.api.Property;
 
 /**
- * Feeds the module random legal event sequences and holds every action against the rules as stated,
- * without looking into the module. It scripts events; it does not imitate servers.
+ * Feeds a dispatcher random legal sequences of events and checks every action against the rules,
+ * without looking into it. It scripts events and does not imitate workers.
  */
 class RulesPropertyTest {
 
@@ -25,16 +25,16 @@
     };
 
     /** What the checker knows of a request. */
-    private static final class Owed {
+    private static final class OpenRequest {
         private final RequestClass stated;
         private final long deadlineUs;
-        private final Map<Integer, Integer> out = new LinkedHashMap<>();
+        private final Map<Integer, Integer> attempts = new LinkedHashMap<>();
         private int sent;
         private boolean closed;
-        private Worker ranAt;
-        private long ranSinceUs;
+        private Worker mayHaveRunAt;
+        private long mayHaveRunSinceUs;
 
-        Owed(RequestClass stated, long deadlineUs) {
+        OpenRequest(RequestClass stated, long deadlineUs) {
             this.stated = stated;
             this.deadlineUs = deadlineUs;
         }
@@ -43,20 +43,20 @@
     private static final class Checker implements DispatcherActions {
         private final Random random;
         private final DispatchSettings settings;
-        private final Dispatcher module;
+        private final Dispatcher dispatcher;
         private final Map<Integer, Worker> listed = new LinkedHashMap<>();
-        private final Map<Integer, Owed> unanswered = new LinkedHashMap<>();
+        private final Map<Integer, OpenRequest> unanswered = new LinkedHashMap<>();
         private final Map<Integer, Map<Integer, Long>> sentAtUs = new LinkedHashMap<>();
-        private final List<Integer> probes = new ArrayList<>();
+        private final List<Integer> loadQueries = new ArrayList<>();
         private final Set<Integer> closed = new LinkedHashSet<>();
         private long nowUs = 5 * SECOND;
-        private long wakeAtUs = Long.MAX_VALUE;
+        private long timerAtUs = Long.MAX_VALUE;
         private int requests;
 
         Checker(long seed) {
             random = new Random(seed);
             settings = randomSettings();
-            module = new Dispatcher(settings, seed, this);
+            dispatcher = new Dispatcher(settings, seed, this);
         }
 
         private <T> T any(T[] values) {
@@ -65,7 +65,7 @@
 
         private DispatchSettings randomSettings() {
             final List<RequestClass> classes = new ArrayList<>();
-            for (final Idempotency effect : Idempotency.values()) {
+            for (final Idempotency idempotency : Idempotency.values()) {
                 final long latencyObjectiveUs = 50_000 + random.nextInt(2_000_000);
                 classes.add(
                         new RequestClass(
@@ -73,7 +73,7 @@
                                 latencyObjectiveUs,
                                 random.nextInt(3),
                                 latencyObjectiveUs * (2 + random.nextInt(6)),
-                                effect,
+                                idempotency,
                                 any(DeduplicationScope.values()),
                                 random.nextInt(3_000_000),
                                 new Placement(anyOf(3), anyOf(2))));
@@ -150,11 +150,13 @@
                 entries.forEach(worker -> listed.put(worker.id(), worker));
             }
             closed.clear();
-            module.endpointListChanged(
+            dispatcher.endpointListChanged(
                     nowUs, form, form == EndpointListForm.FAILED ? List.of() : entries);
             if (form != EndpointListForm.FAILED) {
                 entries.forEach(
-                        entry -> mustBeClosed(entry.id(), entry.state() == WorkerState.DRAINING));
+                        entry ->
+                                assertIdleClosed(
+                                        entry.id(), entry.state() == WorkerState.DRAINING));
             }
         }
 
@@ -162,7 +164,7 @@
          * At a draining worker every idle connection is closed in the event that makes or finds it
          * idle.
          */
-        private void mustBeClosed(int worker, boolean draining) {
+        private void assertIdleClosed(int worker, boolean draining) {
             if (draining && settings.closeOnDrainWithinUs() < DispatchSettings.UNLIMITED) {
                 assertThat(closed).as("idle connections to a draining worker").contains(worker);
             }
@@ -180,12 +182,12 @@
                                                     ? EndpointListForm.values()
                                                     : PUSHED));
                     case 1 -> leave();
-                    case 2 -> unknownNews();
+                    case 2 -> unknownAttemptEnds();
                     case 13 ->
-                            module.workerReportedUnresponsive(
+                            dispatcher.workerReportedUnresponsive(
                                     nowUs, random.nextInt(14), random.nextInt(5) - 1);
                     case 3 -> progress();
-                    case 4, 5, 6, 7 -> answerProbe();
+                    case 4, 5, 6, 7 -> reportLoad();
                     case 8, 9, 10, 11, 12 -> request();
                     default -> end();
                 }
@@ -196,17 +198,17 @@
                     .allMatch(request -> request.closed);
         }
 
-        private void unknownNews() {
+        private void unknownAttemptEnds() {
             final int id = random.nextInt(requests + 1);
-            module.attemptEnded(nowUs, id, 9, 3, Outcome.BROKEN, 1, false, LoadReport.NONE);
+            dispatcher.attemptEnded(nowUs, id, 9, 3, Outcome.BROKEN, 1, false, LoadReport.NONE);
         }
 
         private void pass(long us) {
             final long untilUs = nowUs + us;
-            while (wakeAtUs <= untilUs || nextDeadlineUs() <= untilUs) {
-                nowUs = Math.max(nowUs, Math.min(wakeAtUs, nextDeadlineUs()));
-                if (wakeAtUs <= nowUs) {
-                    module.timerFired(nowUs, 0);
+            while (timerAtUs <= untilUs || nextDeadlineUs() <= untilUs) {
+                nowUs = Math.max(nowUs, Math.min(timerAtUs, nextDeadlineUs()));
+                if (timerAtUs <= nowUs) {
+                    dispatcher.timerFired(nowUs, 0);
                 }
                 timeOut();
             }
@@ -215,7 +217,7 @@
 
         private long nextDeadlineUs() {
             return unanswered.values().stream()
-                    .filter(request -> !request.closed || !request.out.isEmpty())
+                    .filter(request -> !request.closed || !request.attempts.isEmpty())
                     .mapToLong(request -> request.deadlineUs)
                     .min()
                     .orElse(Long.MAX_VALUE);
@@ -225,7 +227,7 @@
             unanswered.forEach(
                     (id, request) -> {
                         if (request.deadlineUs <= nowUs) {
-                            List.copyOf(request.out.keySet())
+                            List.copyOf(request.attempts.keySet())
                                     .forEach(
                                             attempt ->
                                                     end(id, request, attempt, Outcome.TIMED_OUT));
@@ -238,7 +240,7 @@
             final int type = random.nextInt(settings.classes().size());
             final RequestClass stated = settings.classes().get(type);
             final int id = requests++;
-            unanswered.put(id, new Owed(stated, nowUs + stated.deadlineUs()));
+            unanswered.put(id, new OpenRequest(stated, nowUs + stated.deadlineUs()));
             final Job job =
                     new Job(
                             type,
@@ -247,45 +249,45 @@
                             random.nextInt(2) * random.nextInt(900_000),
                             random.nextInt(3),
                             false);
-            module.requestArrived(nowUs, id, job, nowUs + stated.deadlineUs());
+            dispatcher.requestArrived(nowUs, id, job, nowUs + stated.deadlineUs());
         }
 
-        private Integer anyOut() {
+        private Integer anyRequestInFlight() {
             final List<Integer> ids =
                     unanswered.entrySet().stream()
-                            .filter(entry -> !entry.getValue().out.isEmpty())
+                            .filter(entry -> !entry.getValue().attempts.isEmpty())
                             .map(Map.Entry::getKey)
                             .toList();
             return ids.isEmpty() ? null : ids.get(random.nextInt(ids.size()));
         }
 
         private void end() {
-            final Integer id = anyOut();
+            final Integer id = anyRequestInFlight();
             if (id != null) {
                 end(
                         id,
                         unanswered.get(id),
-                        unanswered.get(id).out.keySet().iterator().next(),
+                        unanswered.get(id).attempts.keySet().iterator().next(),
                         any(Outcome.values()));
             }
         }
 
-        private void end(int id, Owed request, int attempt, Outcome outcome) {
-            final int worker = request.out.remove(attempt);
-            final boolean proof =
+        private void end(int id, OpenRequest request, int attempt, Outcome outcome) {
+            final int worker = request.attempts.remove(attempt);
+            final boolean neverRan =
                     outcome == Outcome.CONNECT_FAILED
                             || outcome == Outcome.NOT_SENT
                             || outcome == Outcome.FULL && !settings.fullMayHaveRun();
-            if (!proof && request.ranAt == null) {
-                request.ranAt = listedAs(worker);
-                request.ranSinceUs = sentAtUs.get(id).get(attempt);
+            if (!neverRan && request.mayHaveRunAt == null) {
+                request.mayHaveRunAt = workerOf(worker);
+                request.mayHaveRunSinceUs = sentAtUs.get(id).get(attempt);
             }
             request.closed |= outcome == Outcome.SERVED;
             closed.remove(worker);
-            module.attemptEnded(
+            dispatcher.attemptEnded(
                     nowUs, id, attempt, worker, outcome, 1000, request.closed, anyReport());
             final Worker now = listed.get(worker);
-            mustBeClosed(worker, now == null || now.state() != WorkerState.READY);
+            assertIdleClosed(worker, now == null || now.state() != WorkerState.READY);
         }
 
         private LoadReport anyReport() {
@@ -293,10 +295,10 @@
                     random.nextInt(7) - 1, random.nextInt(10) - 1, random.nextInt(5) - 1);
         }
 
-        private void answerProbe() {
-            if (!probes.isEmpty()) {
-                final int worker = probes.remove(random.nextInt(probes.size()));
-                module.loadReported(
+        private void reportLoad() {
+            if (!loadQueries.isEmpty()) {
+                final int worker = loadQueries.remove(random.nextInt(loadQueries.size()));
+                dispatcher.loadReported(
                         nowUs,
                         worker,
                         random.nextInt(3) == 0 ? any(Outcome.values()) : Outcome.SERVED,
@@ -305,11 +307,12 @@
         }
 
         private void progress() {
-            final Integer id = anyOut();
+            final Integer id = anyRequestInFlight();
             if (id != null) {
-                final Map.Entry<Integer, Integer> out =
-                        unanswered.get(id).out.entrySet().iterator().next();
-                module.jobProgressed(nowUs, id, out.getKey(), out.getValue(), random.nextFloat());
+                final Map.Entry<Integer, Integer> attempts =
+                        unanswered.get(id).attempts.entrySet().iterator().next();
+                dispatcher.jobProgressed(
+                        nowUs, id, attempts.getKey(), attempts.getValue(), random.nextFloat());
             }
         }
 
@@ -317,17 +320,17 @@
             if (requests > 0) {
                 final int id = random.nextInt(requests);
                 unanswered.get(id).closed = true;
-                module.clientLeft(nowUs, id);
+                dispatcher.clientLeft(nowUs, id);
             }
         }
 
         @Override
         public void send(int requestId, int workerId, long deadlineUs) {
-            final Owed request = unanswered.get(requestId);
+            final OpenRequest request = unanswered.get(requestId);
             final RequestClass stated = request.stated;
             assertThat(request.closed).as("sent after the final answer").isFalse();
-            assertThat(request.out)
-                    .as("attempts at once")
+            assertThat(request.attempts)
+                    .as("attempts in flight")
                     .hasSizeLessThanOrEqualTo(settings.limits().allowsHedging() ? 1 : 0);
             final Worker worker = listed.get(workerId);
             assertThat(worker).as("sent to a worker not listed").isNotNull();
@@ -343,36 +346,36 @@
                     .as("kind open to the class")
                     .isTrue();
             assertThat(request.sent).isLessThan(settings.limits().maxAttempts());
-            final Map.Entry<Integer, Integer> outOne =
-                    request.out.entrySet().stream().findFirst().orElse(null);
-            final Integer outAt = outOne == null ? null : outOne.getValue();
-            if (outAt != null && stated.idempotency() == Idempotency.KEYED) {
-                assertThat(group(stated, worker)).isEqualTo(group(stated, listedAs(outAt)));
-                // The window is that of the send that is out; an earlier one that never ran binds
-                // nothing.
+            final Map.Entry<Integer, Integer> inFlight =
+                    request.attempts.entrySet().stream().findFirst().orElse(null);
+            final Integer inFlightAt = inFlight == null ? null : inFlight.getValue();
+            if (inFlightAt != null && stated.idempotency() == Idempotency.KEYED) {
+                assertThat(group(stated, worker)).isEqualTo(group(stated, workerOf(inFlightAt)));
+                // The window is that of the attempt in flight: one before it never ran.
                 assertThat(nowUs)
-                        .as("a keyed copy within the window of the send that is out")
+                        .as("a keyed request is hedged within the window of its attempt in flight")
                         .isLessThanOrEqualTo(
-                                sentAtUs.get(requestId).get(outOne.getKey())
+                                sentAtUs.get(requestId).get(inFlight.getKey())
                                         + stated.deduplicationWindowUs());
             }
-            if (request.ranAt != null || outAt != null) {
+            if (request.mayHaveRunAt != null || inFlightAt != null) {
                 assertThat(stated.idempotency())
                         .as("an effect may be doubled")
                         .isNotEqualTo(Idempotency.UNSAFE);
-                if (stated.idempotency() == Idempotency.KEYED && request.ranAt != null) {
+                if (stated.idempotency() == Idempotency.KEYED && request.mayHaveRunAt != null) {
                     assertThat(nowUs)
                             .isLessThanOrEqualTo(
-                                    request.ranSinceUs + stated.deduplicationWindowUs());
-                    assertThat(group(stated, worker)).isEqualTo(group(stated, request.ranAt));
+                                    request.mayHaveRunSinceUs + stated.deduplicationWindowUs());
+                    assertThat(group(stated, worker))
+                            .isEqualTo(group(stated, request.mayHaveRunAt));
                 }
             }
             sentAtUs.computeIfAbsent(requestId, id -> new LinkedHashMap<>())
                     .put(request.sent, nowUs);
-            request.out.put(request.sent++, workerId);
+            request.attempts.put(request.sent++, workerId);
         }
 
-        private static Worker listedAs(int worker) {
+        private static Worker workerOf(int worker) {
             return new Worker(worker, worker % 3, worker % 2, worker % 4, WorkerState.READY, 1, 0);
         }
 
@@ -385,7 +388,7 @@
         }
 
         private void answer(int requestId) {
-            final Owed request = unanswered.get(requestId);
+            final OpenRequest request = unanswered.get(requestId);
             assertThat(request.closed).as("answered twice").isFalse();
             assertThat(nowUs)
                     .as("answered after the deadline")
@@ -396,13 +399,13 @@
         @Override
         public void reject(int requestId, long retryAfterUs) {
             answer(requestId);
-            final Owed request = unanswered.get(requestId);
-            final boolean mayRun = request.ranAt != null || !request.out.isEmpty();
+            final OpenRequest request = unanswered.get(requestId);
+            final boolean mayRun = request.mayHaveRunAt != null || !request.attempts.isEmpty();
             final boolean dropped =
                     request.stated.idempotency() == Idempotency.KEYED
                             && request.stated.deduplicationScope() == DeduplicationScope.ALL;
             assertThat(request.stated.idempotency() == Idempotency.SAFE || dropped || !mayRun)
-                    .as("a refusal promises that a retry does no harm")
+                    .as("a rejection promises that a retry does no harm")
                     .isTrue();
             assertThat(retryAfterUs).isBetween(0L, settings.limits().maxRetryAfterUs());
         }
@@ -415,14 +418,14 @@
         @Override
         public void startTimer(long token, long delayUs) {
             assertThat(delayUs).isPositive();
-            wakeAtUs = nowUs + delayUs;
+            timerAtUs = nowUs + delayUs;
         }
 
         @Override
         public void queryLoad(int workerId) {
-            assertThat(settings.allowsLoadQueries()).as("probes only where allowed").isTrue();
-            assertThat(listed).as("probes only of listed workers").containsKey(workerId);
-            probes.add(workerId);
+            assertThat(settings.allowsLoadQueries()).as("load queries only where allowed").isTrue();
+            assertThat(listed).as("load queries only of listed workers").containsKey(workerId);
+            loadQueries.add(workerId);
         }
 
         @Override
@@ -433,7 +436,7 @@
         @Override
         public void closeIdleConnections(int workerId) {
             assertThat(settings.closeOnDrainWithinUs())
-                    .as("binds where stated")
+                    .as("closes only where a time is stated")
                     .isLessThan(DispatchSettings.UNLIMITED);
             closed.add(workerId);
         }
@@ -445,7 +448,7 @@
     }
 
     @Property(seed = "31", tries = 150)
-    void rulesHoldUnderAnyOrderOfEvents(@ForAll long seed) {
+    void holdsTheRulesUnderAnyOrderOfEvents(@ForAll long seed) {
         new Checker(seed).run();
     }
 }
--- a/src/test/java/cresschute/dispatch/SettingsChangeTest.java
+++ b/src/test/java/cresschute/dispatch/SettingsChangeTest.java
@@ -1,9 +1,9 @@
 package cresschute.dispatch;
 
 import static cresschute.dispatch.RecordingActions.SECOND;
-import static cresschute.dispatch.RecordingActions.bound;
-import static cresschute.dispatch.RecordingActions.job;
-import static cresschute.dispatch.RecordingActions.settings;
+import static cresschute.dispatch.TestSettings.placedClass;
+import static cresschute.dispatch.TestSettings.requestClass;
+import static cresschute.dispatch.TestSettings.settings;
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
@@ -14,39 +14,15 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Settings changed while the module runs: new classes work at once, and attempts never grow under
- * way.
+ * Settings that change while a dispatcher runs hold at once, and never add attempts to a request.
  */
 class SettingsChangeTest {
 
-    private static final RequestClass SAFE = job(1, Idempotency.SAFE, DeduplicationScope.ALL);
+    private static final RequestClass SAFE =
+            requestClass(1, Idempotency.SAFE, DeduplicationScope.ALL);
 
-    private static DispatchSettings with(
-            DispatchSettings plain, List<RequestClass> classes, int attempts) {
-        return new DispatchSettings(
-                plain.dispatchers(),
-                plain.zone(),
-                plain.zones(),
-                plain.kinds(),
-                classes,
-                plain.tenants(),
-                plain.overQuotaWeightFactor(),
-                plain.priorityWeightPerWork(),
-                new AttemptLimits(attempts, 0, false),
-                plain.slowStart(),
-                plain.objectiveWeights(),
-                plain.endpointListIsPolled(),
-                plain.pollWithinUs(),
-                plain.weightSource(),
-                plain.reportsLoad(),
-                plain.reportsJobStart(),
-                plain.progressUs(),
-                plain.crossZonePrice(),
-                plain.allowsLoadQueries(),
-                plain.allowsPeerMessages(),
-                plain.dataTransferPrice(),
-                plain.fullMayHaveRun(),
-                plain.closeOnDrainWithinUs());
+    private static DispatchSettings with(List<RequestClass> classes, int attempts) {
+        return new TestSettings(classes).limits(new AttemptLimits(attempts, 0, false)).build();
     }
 
     private static Worker at(int id, int zone) {
@@ -54,14 +30,17 @@
     }
 
     @Test
-    void aNewClassWithANewPlacementIsSentWithinIt() {
+    void sendsANewClassWithinItsNewPlacement() {
         final DispatchSettings start = settings(List.of(SAFE));
         final RecordingActions host =
                 new RecordingActions(start)
                         .list(EndpointListForm.CACHED, at(1, 0), at(2, 1), at(3, 1));
         final RequestClass second =
-                bound(Idempotency.UNSAFE, DeduplicationScope.ALL, new Placement(List.of(1), null));
-        host.module.settingsChanged(host.nowUs, with(start, List.of(SAFE, second), 4));
+                placedClass(
+                        Idempotency.UNSAFE,
+                        DeduplicationScope.ALL,
+                        new Placement(List.of(1), null));
+        host.dispatcher.settingsChanged(host.nowUs, with(List.of(SAFE, second), 4));
         for (int id = 1; id <= 20; id++) {
             host.request(id, 1);
         }
@@ -70,7 +49,7 @@
                 .allMatch(send -> send.worker() == 2 || send.worker() == 3);
         host.request(21, 0);
         assertThat(host.sends).hasSize(21);
-        // A worker that comes after the change joins the new class's pool as well.
+        // A worker that comes after the change joins the new class's group as well.
         host.list(EndpointListForm.CHANGES, at(4, 1));
         final List<Integer> later = new ArrayList<>();
         for (int id = 22; id <= 60; id++) {
@@ -81,23 +60,22 @@
     }
 
     @Test
-    void fewerAttemptsHoldForRequestsUnderWayAndMoreOnlyForLaterOnes() {
-        final DispatchSettings start = settings(List.of(SAFE));
+    void appliesALowerLimitToPendingRequestsAndAHigherOneOnlyToLaterOnes() {
         final RecordingActions fewer =
-                new RecordingActions(with(start, List.of(SAFE), 4))
+                new RecordingActions(with(List.of(SAFE), 4))
                         .list(EndpointListForm.CACHED, at(1, 0), at(2, 0));
         fewer.request(1, 0);
-        fewer.module.settingsChanged(fewer.nowUs, with(start, List.of(SAFE), 1));
+        fewer.dispatcher.settingsChanged(fewer.nowUs, with(List.of(SAFE), 1));
         fewer.end(1, 0, fewer.lastSend().worker(), Outcome.FULL);
         fewer.pass(SECOND);
         assertThat(fewer.sends).hasSize(1);
-        assertThat(fewer.refused).containsExactly(1);
+        assertThat(fewer.rejected).containsExactly(1);
 
         final RecordingActions more =
-                new RecordingActions(with(start, List.of(SAFE), 1))
+                new RecordingActions(with(List.of(SAFE), 1))
                         .list(EndpointListForm.CACHED, at(1, 0), at(2, 0));
         more.request(1, 0);
-        more.module.settingsChanged(more.nowUs, with(start, List.of(SAFE), 4));
+        more.dispatcher.settingsChanged(more.nowUs, with(List.of(SAFE), 4));
         more.end(1, 0, more.lastSend().worker(), Outcome.FULL);
         more.pass(SECOND);
         assertThat(more.sends).hasSize(1);
@@ -107,13 +85,10 @@
         assertThat(more.sends).hasSize(3);
     }
 
-    /**
-     * A copy that the file read at SIGHUP allows was sent for requests taken while there was to be
-     * none.
-     */
-    @ParameterizedTest(name = "copies before {0}, after {1}")
+    /** A request is hedged only where it was allowed at its arrival and is allowed now. */
+    @ParameterizedTest(name = "hedging allowed before {0}, after {1}")
     @CsvSource({"false, true", "true, false"})
-    void aSecondCopyNeedsBothTheSettingsOfItsTakingAndThoseInForce(boolean before, boolean after) {
+    void hedgesOnlyWhereSettingsAtArrivalAndInForceAllowIt(boolean before, boolean after) {
         final List<RequestClass> classes =
                 List.of(
                         new RequestClass(
@@ -125,57 +100,30 @@
                                 DeduplicationScope.ALL,
                                 0,
                                 Placement.ANYWHERE));
-        final DispatchSettings with = RecordingActions.copying(classes);
-        final DispatchSettings without = copies(with, false);
+        final DispatchSettings with = TestSettings.hedging(classes);
+        final DispatchSettings without = new TestSettings(classes).progressUs(SECOND).build();
         final RecordingActions host =
                 new RecordingActions(before ? with : without)
                         .list(EndpointListForm.CACHED, at(1, 0), at(2, 0), at(3, 0), at(4, 0));
         host.request(1, 0);
-        host.module.settingsChanged(host.nowUs, after ? with : without);
+        host.dispatcher.settingsChanged(host.nowUs, after ? with : without);
         host.pass(SECOND * 5 / 2);
         assertThat(host.sends).hasSize(1);
-        host.module.settingsChanged(host.nowUs, with);
+        host.dispatcher.settingsChanged(host.nowUs, with);
         host.request(2, 0);
         host.pass(SECOND * 5 / 2);
         assertThat(host.sends.stream().filter(send -> send.request() == 2)).hasSize(2);
     }
 
-    private static DispatchSettings copies(DispatchSettings plain, boolean allowed) {
-        return new DispatchSettings(
-                plain.dispatchers(),
-                plain.zone(),
-                plain.zones(),
-                plain.kinds(),
-                plain.classes(),
-                plain.tenants(),
-                plain.overQuotaWeightFactor(),
-                plain.priorityWeightPerWork(),
-                new AttemptLimits(4, 0, allowed),
-                plain.slowStart(),
-                plain.objectiveWeights(),
-                plain.endpointListIsPolled(),
-                plain.pollWithinUs(),
-                plain.weightSource(),
-                plain.reportsLoad(),
-                plain.reportsJobStart(),
-                plain.progressUs(),
-                plain.crossZonePrice(),
-                plain.allowsLoadQueries(),
-                plain.allowsPeerMessages(),
-                plain.dataTransferPrice(),
-                plain.fullMayHaveRun(),
-                plain.closeOnDrainWithinUs());
-    }
-
     @Test
-    void refusesSettingsThatChangeAClassToldBefore() {
+    void rejectsSettingsThatChangeAClassInForce() {
         final DispatchSettings start = settings(List.of(SAFE));
         final RecordingActions host = new RecordingActions(start);
-        final RequestClass changed = job(2, Idempotency.SAFE, DeduplicationScope.ALL);
+        final RequestClass changed = requestClass(2, Idempotency.SAFE, DeduplicationScope.ALL);
         assertThatThrownBy(
                         () ->
-                                host.module.settingsChanged(
-                                        host.nowUs, with(start, List.of(changed), 4)))
+                                host.dispatcher.settingsChanged(
+                                        host.nowUs, with(List.of(changed), 4)))
                 .isInstanceOf(IllegalArgumentException.class);
     }
 }
