--- a/src/main/java/cresschute/peers/ExchangeSettings.java
+++ b/src/main/java/cresschute/peers/ExchangeSettings.java
@@ -1,27 +1,30 @@
 package cresschute.peers;
 
 /**
- * What the exchange of one dispatcher goes by.
+ * Settings of the exchange of one dispatcher.
  *
- * @param name this dispatcher's name, which no other has
- * @param peers how many other dispatchers there are
- * @param bytesPerS bytes a second to all peers together, with the heads of IP and UDP
- * @param refreshUs the time of a cycle, in which every open number is stated, us
+ * @param name this dispatcher's name, unique among the dispatchers of the site
+ * @param peers number of other dispatchers, 1 or more
+ * @param bytesPerS bytes per second to all peers together, with the headers of IP and UDP; at least
+ *     {@link #MIN_BYTES_PER_S_PER_PEER} for each peer
+ * @param refreshUs length of a refresh cycle, in which every count above 0 is stated, microseconds
  */
 public record ExchangeSettings(String name, int peers, long bytesPerS, long refreshUs) {
 
-    /** A cycle, where nothing else is stated, us. */
+    /** Default of {@link #refreshUs}, microseconds. */
     public static final long DEFAULT_REFRESH_US = 60_000_000;
 
-    /** Bytes a second, where nothing else is stated. */
+    /** Default of {@link #bytesPerS}. */
     public static final long DEFAULT_BYTES_PER_S = 3_000;
 
-    /**
-     * What a peer costs at the least, bytes a second: one message without entries, and room for a
-     * few.
-     */
+    /** Minimum of bytes per second and peer: a message without entries, and a few entries. */
     public static final long MIN_BYTES_PER_S_PER_PEER = 100;
 
+    /**
+     * Checks the settings.
+     *
+     * @throws IllegalArgumentException if a number is out of its bounds
+     */
     public ExchangeSettings {
         if (peers < 1 || refreshUs <= 0 || bytesPerS < MIN_BYTES_PER_S_PER_PEER * peers) {
             throw new IllegalArgumentException(
--- a/src/main/java/cresschute/peers/InFlightCounts.java
+++ b/src/main/java/cresschute/peers/InFlightCounts.java
@@ -2,7 +2,6 @@
 
 import java.util.ArrayList;
 import java.util.HashMap;
-import java.util.Iterator;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
@@ -10,64 +9,64 @@
 import java.util.TreeMap;
 
 /**
- * This dispatcher's number of open attempts by worker key, and the keys whose number differs from
- * the one stated last, oldest change first. A number that returns to the stated one is no news any
- * more.
+ * This dispatcher's attempts in flight by worker key, and the keys whose count differs from the one
+ * advertised last, in the order of their changes. A count that returns to the advertised one is no
+ * change any more. Not thread-safe: owned by the exchange's thread.
  */
 public final class InFlightCounts {
 
     private final TreeMap<Integer, Integer> counts = new TreeMap<>(Integer::compareUnsigned);
-    private final Map<Integer, Integer> stated = new HashMap<>();
+    private final Map<Integer, Integer> advertised = new HashMap<>();
     private final Set<Integer> changed = new LinkedHashSet<>();
 
-    /** An attempt at this worker began. */
+    /** An attempt at this worker started. */
     public void attemptStarted(int key) {
         counts.merge(key, 1, Integer::sum);
-        noteChange(key);
+        updateChanged(key);
     }
 
     /** An attempt at this worker ended. */
     public void attemptEnded(int key) {
         counts.computeIfPresent(key, (same, count) -> count == 1 ? null : count - 1);
-        noteChange(key);
+        updateChanged(key);
     }
 
-    private void noteChange(int key) {
-        if (count(key) == stated.getOrDefault(key, 0)) {
+    private void updateChanged(int key) {
+        if (count(key) == advertised.getOrDefault(key, 0)) {
             changed.remove(key);
         } else {
             changed.add(key);
         }
     }
 
-    /** Open attempts at this worker. */
+    /** Attempts in flight at this worker. */
     public int count(int key) {
         return counts.getOrDefault(key, 0);
     }
 
-    /** Whether some number differs from the one stated last. */
+    /** Whether some count differs from the one advertised last. */
     boolean hasChanges() {
         return !changed.isEmpty();
     }
 
-    /** Keys whose number differs from the one stated last, oldest change first. */
-    Iterator<Integer> changes() {
-        return List.copyOf(changed).iterator();
+    /** Keys whose count differs from the one advertised last, the oldest change first. */
+    List<Integer> changedKeys() {
+        return List.copyOf(changed);
     }
 
-    /** The number of this worker goes out in a message. */
-    void stated(int key) {
+    /** The count of this worker is part of a message. */
+    void advertised(int key) {
         final int count = count(key);
         if (count == 0) {
-            stated.remove(key);
+            advertised.remove(key);
         } else {
-            stated.put(key, count);
+            advertised.put(key, count);
         }
         changed.remove(key);
     }
 
-    /** Keys with open attempts from this one on, in unsigned order. */
-    List<Integer> openFrom(int key) {
+    /** Keys with attempts in flight from this one on, in unsigned order. */
+    List<Integer> inFlightKeysFrom(int key) {
         return new ArrayList<>(counts.tailMap(key, true).keySet());
     }
 }
--- a/src/main/java/cresschute/peers/LoadExchange.java
+++ b/src/main/java/cresschute/peers/LoadExchange.java
@@ -8,71 +8,79 @@
 import java.util.OptionalInt;
 
 /**
- * One dispatcher's part in the exchange: counts its own attempts, says when to send what, takes in
- * what others send, and gives workers' load. It has no clock, thread or socket: a driver calls it,
- * with a time that never runs backwards.
+ * One dispatcher's end of the gossip protocol by which the dispatchers of a site learn each other's
+ * attempts in flight: it counts its own, says when to send which message, receives the messages of
+ * others, and answers how many requests a worker has from all of them.
+ *
+ * <p>Life cycle: created at the start of the process, whose time is its incarnation; polled a few
+ * times each 250 ms; {@link #leave} sends the last message. Not thread-safe, and without clock,
+ * thread or socket: a driver makes all calls on one thread, with a time in microseconds that never
+ * goes backwards.
  */
 public final class LoadExchange {
 
-    /** Notified of what operators should know. */
-    public interface Listener extends PeerLoadView.DistrustListener {
-
-        /** Two listed workers have the same key: the load of both is asked by probe. */
-        void keyCollision(String worker, String other);
-    }
-
     private final WorkerKeys keys;
     private final InFlightCounts counts = new InFlightCounts();
-    private final LoadGossiper announcer;
+    private final LoadGossiper gossiper;
     private final PeerTable peers;
     private final PeerLoadView view;
+
+    /** Names by key of listed workers about which messages came, in the order of the first one. */
     private final Map<Integer, String> refreshed = new LinkedHashMap<>();
 
-    /** A dispatcher that starts now; {@code nowUs}, us of Unix time, is its incarnation. */
-    public LoadExchange(ExchangeSettings settings, long nowUs, Listener listener) {
+    /**
+     * Creates the exchange of a dispatcher that starts now.
+     *
+     * @param nowUs its incarnation, microseconds of Unix time
+     */
+    public LoadExchange(ExchangeSettings settings, long nowUs, ExchangeListener listener) {
         keys = new WorkerKeys(listener::keyCollision);
-        announcer = new LoadGossiper(settings, counts, nowUs);
+        gossiper = new LoadGossiper(settings, counts, nowUs);
         peers = new PeerTable(settings.name(), settings.peers(), nowUs);
         view = new PeerLoadView(keys, counts, peers, listener);
     }
 
-    /** The list names this worker. */
+    /** The endpoint list contains this worker. */
     public void workerListed(String worker) {
-        keys.list(worker);
+        keys.register(worker);
     }
 
-    /** An attempt at this worker began. */
+    /** An attempt at this worker started. */
     public void attemptStarted(String worker) {
-        counts.attemptStarted(keys.list(worker));
+        counts.attemptStarted(keys.register(worker));
     }
 
     /** An attempt at this worker ended. */
     public void attemptEnded(String worker) {
-        counts.attemptEnded(keys.list(worker));
+        counts.attemptEnded(keys.register(worker));
     }
 
-    /**
-     * The message that is due now, if one is, for every peer; to be asked a few times each 250 ms.
-     */
+    /** The message that is due now, if one is, for every peer. */
     public Optional<LoadMessage> poll(long nowUs) {
-        return announcer.poll(nowUs);
+        return gossiper.poll(nowUs);
     }
 
-    /** The last message, as this dispatcher stops. */
+    /**
+     * The last message: this dispatcher stops. Empty where the byte budget does not hold it now.
+     */
     public Optional<LoadMessage> leave(long nowUs) {
-        return announcer.leave(nowUs);
+        return gossiper.leave(nowUs);
     }
 
-    /** Takes an authentic message in, or says why it changes nothing. */
+    /**
+     * Receives an authentic message.
+     *
+     * @throws RejectedMessageException if it changes nothing, with the reason
+     */
     public void receive(long nowUs, LoadMessage message) throws RejectedMessageException {
         for (final int key : peers.receive(nowUs, message)) {
-            keys.name(key).ifPresent(name -> refreshed.put(key, name));
+            keys.nameOf(key).ifPresent(name -> refreshed.put(key, name));
         }
     }
 
     /**
-     * Workers about which messages came since the last call and for which the view may answer.
-     * Whoever chooses workers should learn their load anew by {@link #outstanding}.
+     * Workers about which messages came since the last call and for which the view may answer; a
+     * driver then takes their load from {@link #outstanding}.
      */
     public List<String> takeRefreshed(long nowUs) {
         final List<String> names = new ArrayList<>();
@@ -87,14 +95,18 @@
     }
 
     /**
-     * Requests that all dispatchers have out at a worker, or empty where the worker has to be
-     * asked.
+     * Requests that all dispatchers have in flight at a worker; empty where its load has to be
+     * queried.
      */
     public OptionalInt outstanding(long nowUs, String worker) {
         return view.outstanding(nowUs, worker);
     }
 
-    /** A worker reports that it holds so many requests; a negative number says nothing. */
+    /**
+     * A worker reports its load.
+     *
+     * @param outstanding requests that it holds; negative where the report does not say
+     */
     public void loadReported(long nowUs, String worker, double outstanding) {
         view.loadReported(nowUs, worker, outstanding);
     }
--- a/src/main/java/cresschute/peers/LoadGossiper.java
+++ b/src/main/java/cresschute/peers/LoadGossiper.java
@@ -1,41 +1,42 @@
 package cresschute.peers;
 
-import cresschute.peers.LoadMessage.Entry;
-import cresschute.peers.LoadMessage.KeyRange;
 import java.util.ArrayList;
 import java.util.HashSet;
-import java.util.Iterator;
 import java.util.List;
 import java.util.Optional;
 import java.util.Set;
 
 /**
- * Decides when this dispatcher sends a message and what is in it. The same message goes to every
- * peer.
+ * Decides when this dispatcher sends a gossip message and what it contains. Every peer gets the
+ * same message; a token bucket limits the bytes to all of them together.
  *
  * <ul>
- *   <li>Changed numbers go out oldest change first, within 250 ms where the budget holds all of
- *       them.
- *   <li>A message goes out at least once a second, with as much as the budget holds, also where
- *       nothing has changed: it is the sign that this dispatcher lives. Only where the budget does
- *       not hold so much as an empty message does it wait longer.
- *   <li>The sweep states all open numbers in the order of their keys once a cycle. It has up to
- *       half of a message's room before changes have any. Where the budget is short, a cycle takes
- *       longer; the next one begins only when all keys were stated.
+ *   <li>Changes: changed counts go out in the order of their changes, within 250 ms where the
+ *       budget holds all of them.
+ *   <li>Heartbeat: a message goes out at least once a second, with as many changes as the budget
+ *       holds, even where nothing has changed. It is later only where the budget does not hold an
+ *       empty message.
+ *   <li>Refresh: once a cycle, all counts above 0 are stated in the order of their keys, spread
+ *       evenly over the cycle. The refresh has up to half of a message's entry bytes before changes
+ *       have any. Where the budget is short, a cycle takes longer; the next one begins only after
+ *       all keys were covered.
  * </ul>
+ *
+ * <p>Not thread-safe: called on the exchange's thread, with a clock in microseconds that never goes
+ * backwards.
  */
 public final class LoadGossiper {
 
-    /** The shortest time between two messages, us. */
+    /** The shortest time between two messages, microseconds. */
     public static final long MIN_INTERVAL_US = 250_000;
 
-    /** The longest time between two messages where the budget allows it, us. */
+    /** The longest time between two messages where the budget allows it, microseconds. */
     public static final long HEARTBEAT_US = 1_000_000;
 
-    /** Heads of IPv4 and UDP, bytes for each datagram. */
+    /** Headers of IPv4 and UDP, bytes per datagram. */
     public static final int HEADER_BYTES = 28;
 
-    private static final long LAST_KEY = Integer.toUnsignedLong(KeyRange.MAX_KEY);
+    private static final long MAX_UNSIGNED_KEY = Integer.toUnsignedLong(KeyRange.MAX_KEY);
 
     private final InFlightCounts counts;
     private final ExchangeSettings settings;
@@ -43,139 +44,153 @@
     private final long incarnation;
     private final TokenBucket bucket;
     private long sequence;
-    private long sentUs;
+    private long lastSentUs;
     private long cycle = 1;
     private long cycleStartUs;
-    private int sweptInCycle;
+    private int refreshedInCycle;
 
-    /**
-     * The first key that the sweep has not passed, unsigned; past the highest key where it passed
-     * all.
-     */
+    /** The first key not refreshed in this cycle, unsigned; above the highest key after all. */
     private long nextKey;
 
+    /** Whether the message in preparation is the last one of its cycle. */
     private boolean cycleEnds;
 
-    /** An announcer of these numbers; {@code nowUs}, the time of its start, is its incarnation. */
+    /**
+     * Creates the gossiper of a dispatcher that starts now.
+     *
+     * @param nowUs its incarnation, microseconds of Unix time
+     */
     public LoadGossiper(ExchangeSettings settings, InFlightCounts counts, long nowUs) {
         this.settings = settings;
         this.counts = counts;
         this.sender = WorkerKeys.hash(settings.name());
         this.incarnation = nowUs;
         this.bucket = new TokenBucket(settings.bytesPerS(), nowUs);
-        this.sentUs = nowUs;
+        this.lastSentUs = nowUs;
         this.cycleStartUs = nowUs;
     }
 
     /** The message that is due now, if one is; it counts as sent to every peer. */
     public Optional<LoadMessage> poll(long nowUs) {
-        final long sinceUs = nowUs - sentUs;
-        if (sinceUs < MIN_INTERVAL_US) {
+        final long sinceLastUs = nowUs - lastSentUs;
+        if (sinceLastUs < MIN_INTERVAL_US) {
             return Optional.empty();
         }
-        final int room = room(nowUs);
-        final boolean heartbeat = sinceUs >= HEARTBEAT_US && room >= 0;
-        if (!heartbeat && !(counts.hasChanges() && room >= changeBytes(room))) {
+        final int entryBytes = availableEntryBytes(nowUs);
+        final boolean heartbeatDue = sinceLastUs >= HEARTBEAT_US && entryBytes >= 0;
+        if (!heartbeatDue && !(counts.hasChanges() && allChangesFit(entryBytes))) {
             return Optional.empty();
         }
-        final List<Entry> entries = new ArrayList<>();
-        final KeyRange range = sweep(nowUs, room / 2, entries);
-        addChanges(room, entries);
-        return Optional.of(message(nowUs, range, entries, false));
+        final List<LoadEntry> entries = new ArrayList<>();
+        final KeyRange range = addRefresh(nowUs, entryBytes / 2, entries);
+        addChanges(entryBytes, entries);
+        return Optional.of(send(nowUs, range, entries, false));
     }
 
-    /** The last message: this dispatcher stops. Empty where the budget does not hold it. */
+    /** The last message: this dispatcher stops. Empty where the budget does not hold it now. */
     public Optional<LoadMessage> leave(long nowUs) {
-        return room(nowUs) < 0
+        return availableEntryBytes(nowUs) < 0
                 ? Optional.empty()
-                : Optional.of(message(nowUs, KeyRange.EMPTY, List.of(), true));
+                : Optional.of(send(nowUs, KeyRange.EMPTY, List.of(), true));
     }
 
-    private LoadMessage message(long nowUs, KeyRange range, List<Entry> entries, boolean leaving) {
-        final long ofCycle = cycle;
+    private LoadMessage send(long nowUs, KeyRange range, List<LoadEntry> entries, boolean leaving) {
+        final long cycleOfMessage = cycle;
         if (cycleEnds) {
-            cycle++;
-            cycleStartUs = nowUs;
-            sweptInCycle = 0;
-            nextKey = 0;
-            cycleEnds = false;
+            startCycle(nowUs);
         }
         final LoadMessage message =
-                new LoadMessage(sender, incarnation, ++sequence, ofCycle, leaving, range, entries);
-        bucket.take(cost(LoadMessageCodec.messageBytes(message)));
-        sentUs = nowUs;
+                new LoadMessage(
+                        sender, incarnation, ++sequence, cycleOfMessage, leaving, range, entries);
+        bucket.take(costInBytes(LoadMessageCodec.messageBytes(message)));
+        lastSentUs = nowUs;
         return message;
     }
 
-    /** Bytes that a message costs, all peers together. */
-    private long cost(int messageBytes) {
+    private void startCycle(long nowUs) {
+        cycle++;
+        cycleStartUs = nowUs;
+        refreshedInCycle = 0;
+        nextKey = 0;
+        cycleEnds = false;
+    }
+
+    /** Bytes that a message takes of the budget, for all peers together. */
+    private long costInBytes(int messageBytes) {
         return (long) (messageBytes + HEADER_BYTES) * settings.peers();
     }
 
-    /** Bytes of entries that the budget and a datagram hold; negative where not even none do. */
-    private int room(long nowUs) {
-        final long ofBudget = bucket.available(nowUs) / settings.peers() - HEADER_BYTES;
-        return (int) Math.min(ofBudget, LoadMessageCodec.MAX_MESSAGE_BYTES)
+    /**
+     * Bytes of entries for which both the budget and a datagram have space; negative where there is
+     * none for an empty message.
+     */
+    private int availableEntryBytes(long nowUs) {
+        final long budgetBytes = bucket.available(nowUs) / settings.peers() - HEADER_BYTES;
+        return (int) Math.min(budgetBytes, LoadMessageCodec.MAX_MESSAGE_BYTES)
                 - LoadMessageCodec.MIN_MESSAGE_BYTES;
     }
 
-    /** Bytes of all changes, or one more than {@code max}. */
-    private int changeBytes(int max) {
+    private boolean allChangesFit(int entryBytes) {
         int bytes = 0;
-        for (final Iterator<Integer> keys = counts.changes(); keys.hasNext() && bytes <= max; ) {
-            bytes += LoadMessageCodec.entryBytes(counts.count(keys.next()));
+        for (final int key : counts.changedKeys()) {
+            bytes += LoadMessageCodec.entryBytes(counts.count(key));
+            if (bytes > entryBytes) {
+                return false;
+            }
         }
-        return Math.min(bytes, Math.max(0, max) + 1);
+        return true;
     }
 
-    private void addChanges(int room, List<Entry> entries) {
-        int left = room;
-        final Set<Integer> there = new HashSet<>();
-        for (final Entry entry : entries) {
+    private void addChanges(int entryBytes, List<LoadEntry> entries) {
+        int left = entryBytes;
+        final Set<Integer> included = new HashSet<>();
+        for (final LoadEntry entry : entries) {
             left -= LoadMessageCodec.entryBytes(entry.count());
-            there.add(entry.key());
+            included.add(entry.key());
         }
-        for (final Iterator<Integer> keys = counts.changes(); keys.hasNext(); ) {
-            final int key = keys.next();
+        for (final int key : counts.changedKeys()) {
             final int bytes = LoadMessageCodec.entryBytes(counts.count(key));
             if (bytes > left) {
                 return;
             }
-            if (there.add(key)) {
+            if (included.add(key)) {
                 left -= bytes;
-                entries.add(new Entry(key, counts.count(key)));
+                entries.add(new LoadEntry(key, counts.count(key)));
             }
-            counts.stated(key);
+            counts.advertised(key);
         }
     }
 
     /**
-     * Adds the open numbers that are due by the time passed in the cycle; returns the keys covered.
+     * Adds the counts whose refresh is due by the elapsed fraction of the cycle.
+     *
+     * @return the keys that the message covers
      */
-    private KeyRange sweep(long nowUs, int room, List<Entry> entries) {
-        final List<Integer> open = nextKey > LAST_KEY ? List.of() : counts.openFrom((int) nextKey);
-        final double passed = Math.min(1, (double) (nowUs - cycleStartUs) / settings.refreshUs());
-        final int due = (int) ((sweptInCycle + open.size()) * passed) - sweptInCycle;
-        int left = room;
-        for (final int key : open.subList(0, Math.max(0, Math.min(due, open.size())))) {
+    private KeyRange addRefresh(long nowUs, int entryBytes, List<LoadEntry> entries) {
+        final List<Integer> remaining =
+                nextKey > MAX_UNSIGNED_KEY ? List.of() : counts.inFlightKeysFrom((int) nextKey);
+        final double elapsed = Math.min(1, (double) (nowUs - cycleStartUs) / settings.refreshUs());
+        final int due = (int) ((refreshedInCycle + remaining.size()) * elapsed) - refreshedInCycle;
+        int left = entryBytes;
+        for (final int key : remaining.subList(0, Math.max(0, Math.min(due, remaining.size())))) {
             left -= LoadMessageCodec.entryBytes(counts.count(key));
             if (left < 0) {
                 break;
             }
-            entries.add(new Entry(key, counts.count(key)));
-            counts.stated(key);
+            entries.add(new LoadEntry(key, counts.count(key)));
+            counts.advertised(key);
         }
-        sweptInCycle += entries.size();
-        cycleEnds = passed >= 1 && entries.size() == open.size();
-        return covered(entries);
+        refreshedInCycle += entries.size();
+        cycleEnds = elapsed >= 1 && entries.size() == remaining.size();
+        return advanceRange(entries);
     }
 
-    private KeyRange covered(List<Entry> swept) {
+    private KeyRange advanceRange(List<LoadEntry> refreshed) {
         final long first = nextKey;
         if (cycleEnds) {
-            nextKey = LAST_KEY + 1;
-        } else if (!swept.isEmpty()) {
-            nextKey = Integer.toUnsignedLong(swept.get(swept.size() - 1).key()) + 1;
+            nextKey = MAX_UNSIGNED_KEY + 1;
+        } else if (!refreshed.isEmpty()) {
+            nextKey = Integer.toUnsignedLong(refreshed.get(refreshed.size() - 1).key()) + 1;
         }
         return nextKey == first ? KeyRange.EMPTY : new KeyRange((int) first, (int) (nextKey - 1));
     }
--- a/src/main/java/cresschute/peers/LoadMessageCodec.java
+++ b/src/main/java/cresschute/peers/LoadMessageCodec.java
@@ -1,7 +1,5 @@
 package cresschute.peers;
 
-import cresschute.peers.LoadMessage.Entry;
-import cresschute.peers.LoadMessage.KeyRange;
 import java.nio.BufferUnderflowException;
 import java.nio.ByteBuffer;
 import java.security.GeneralSecurityException;
@@ -13,26 +11,27 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * The form of a message on the wire, big-endian: version (1 byte), flags (1), sender (4),
- * incarnation (8), sequence (4), cycle (4), first and last key of the range (4 each), then for each
- * entry its key (4) and its count (a varint), and at the end the first 16 bytes of the HMAC-SHA-256
- * of all that with the shared key. Not for several threads at a time.
+ * Encodes messages to datagrams and decodes them. The format is big-endian: version (1 byte), flags
+ * (1), sender (4), incarnation (8), sequence (4), cycle (4), first and last key of the range (4
+ * each), then for each entry its key (4) and its count (a varint), and at the end an authentication
+ * tag: the first 16 bytes of the HMAC-SHA-256 of all bytes before it with the shared key. Not
+ * thread-safe.
  */
 public final class LoadMessageCodec {
 
-    /** The longest message, bytes: a datagram of it is not fragmented on any usual path. */
+    /** The longest message, bytes: its datagram is not fragmented on usual paths. */
     public static final int MAX_MESSAGE_BYTES = 1_200;
 
-    /** The shortest key, bytes. */
+    /** The shortest key of the authentication tag, bytes. */
     public static final int MIN_KEY_BYTES = 16;
 
     static final int VERSION = 1;
     private static final int FLAG_LEAVING = 1;
-    private static final int HEAD_BYTES = 1 + 1 + 4 + 8 + 4 + 4 + 4 + 4;
-    private static final int CODE_BYTES = 16;
+    private static final int HEADER_BYTES = 1 + 1 + 4 + 8 + 4 + 4 + 4 + 4;
+    private static final int TAG_BYTES = 16;
 
     /** A message without entries, bytes. */
-    public static final int MIN_MESSAGE_BYTES = HEAD_BYTES + CODE_BYTES;
+    public static final int MIN_MESSAGE_BYTES = HEADER_BYTES + TAG_BYTES;
 
     private static final long UNSIGNED_INT = 0xffff_ffffL;
     private static final int VARINT_BITS = 7;
@@ -42,7 +41,12 @@
 
     private final Mac mac;
 
-    /** A codec for messages under this key. */
+    /**
+     * Creates a codec.
+     *
+     * @param key the key that all dispatchers of the site have
+     * @throws IllegalArgumentException if it has less than {@link #MIN_KEY_BYTES}
+     */
     public LoadMessageCodec(byte[] key) {
         if (key.length < MIN_KEY_BYTES) {
             throw new IllegalArgumentException("a key has at least " + MIN_KEY_BYTES + " bytes");
@@ -55,22 +59,26 @@
         }
     }
 
-    /** Bytes of an entry on the wire. */
+    /** Length of an entry in a datagram, bytes. */
     static int entryBytes(int count) {
         int bytes = Integer.BYTES + 1;
-        for (int rest = count >>> VARINT_BITS; rest != 0; rest >>>= VARINT_BITS) {
+        for (int remaining = count >>> VARINT_BITS; remaining != 0; remaining >>>= VARINT_BITS) {
             bytes++;
         }
         return bytes;
     }
 
-    /** Bytes of a message on the wire. */
+    /** Length of a message in a datagram, bytes. */
     public static int messageBytes(LoadMessage message) {
         return MIN_MESSAGE_BYTES
                 + message.entries().stream().mapToInt(each -> entryBytes(each.count())).sum();
     }
 
-    /** The bytes of a message. */
+    /**
+     * Encodes a message.
+     *
+     * @throws IllegalArgumentException if it is longer than {@link #MAX_MESSAGE_BYTES}
+     */
     public byte[] encode(LoadMessage message) {
         final int size = messageBytes(message);
         if (size > MAX_MESSAGE_BYTES) {
@@ -85,15 +93,19 @@
                 .putInt((int) message.cycle())
                 .putInt(message.range().first())
                 .putInt(message.range().last());
-        for (final Entry entry : message.entries()) {
+        for (final LoadEntry entry : message.entries()) {
             out.putInt(entry.key());
             putVarint(out, entry.count());
         }
-        out.put(code(out.array(), size - CODE_BYTES));
+        out.put(tag(out.array(), size - TAG_BYTES));
         return out.array();
     }
 
-    /** The message of a datagram's bytes. */
+    /**
+     * Decodes a message.
+     *
+     * @throws RejectedMessageException if the bytes are no authentic message of this version
+     */
     public LoadMessage decode(byte[] bytes) throws RejectedMessageException {
         if (bytes.length < MIN_MESSAGE_BYTES) {
             throw new RejectedMessageException(RejectionReason.TOO_SHORT);
@@ -104,13 +116,14 @@
         if (bytes[0] != VERSION) {
             throw new RejectedMessageException(RejectionReason.OTHER_VERSION);
         }
-        final int signed = bytes.length - CODE_BYTES;
+        final int authenticated = bytes.length - TAG_BYTES;
         if (!MessageDigest.isEqual(
-                code(bytes, signed), Arrays.copyOfRange(bytes, signed, bytes.length))) {
+                tag(bytes, authenticated),
+                Arrays.copyOfRange(bytes, authenticated, bytes.length))) {
             throw new RejectedMessageException(RejectionReason.NOT_AUTHENTIC);
         }
         try {
-            return read(ByteBuffer.wrap(bytes, 1, signed - 1));
+            return read(ByteBuffer.wrap(bytes, 1, authenticated - 1));
         } catch (BufferUnderflowException e) {
             throw new RejectedMessageException(RejectionReason.MALFORMED);
         }
@@ -123,9 +136,9 @@
         final long sequence = in.getInt() & UNSIGNED_INT;
         final long cycle = in.getInt() & UNSIGNED_INT;
         final KeyRange range = new KeyRange(in.getInt(), in.getInt());
-        final List<Entry> entries = new ArrayList<>();
+        final List<LoadEntry> entries = new ArrayList<>();
         while (in.hasRemaining()) {
-            entries.add(new Entry(in.getInt(), varint(in)));
+            entries.add(new LoadEntry(in.getInt(), varint(in)));
         }
         if ((flags & ~FLAG_LEAVING) != 0 || incarnation < 0 || sequence == 0 || cycle == 0) {
             throw new RejectedMessageException(RejectionReason.MALFORMED);
@@ -134,18 +147,18 @@
                 sender, incarnation, sequence, cycle, flags == FLAG_LEAVING, range, entries);
     }
 
-    private byte[] code(byte[] bytes, int length) {
+    private byte[] tag(byte[] bytes, int length) {
         mac.update(bytes, 0, length);
-        return Arrays.copyOf(mac.doFinal(), CODE_BYTES);
+        return Arrays.copyOf(mac.doFinal(), TAG_BYTES);
     }
 
     private static void putVarint(ByteBuffer out, int value) {
-        int rest = value;
-        while (rest >>> VARINT_BITS != 0) {
-            out.put((byte) (rest | VARINT_MORE));
-            rest >>>= VARINT_BITS;
+        int remaining = value;
+        while (remaining >>> VARINT_BITS != 0) {
+            out.put((byte) (remaining | VARINT_MORE));
+            remaining >>>= VARINT_BITS;
         }
-        out.put((byte) rest);
+        out.put((byte) remaining);
     }
 
     private static int varint(ByteBuffer in) throws RejectedMessageException {
--- a/src/main/java/cresschute/peers/Peer.java
+++ b/src/main/java/cresschute/peers/Peer.java
@@ -1,6 +1,5 @@
 package cresschute.peers;
 
-import cresschute.peers.LoadMessage.Entry;
 import java.util.HashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -8,31 +7,36 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 
-/** One other dispatcher as its messages show it. */
+/**
+ * The state of one peer, as its messages show it: its counts, its {@link PeerState} by the rules of
+ * {@link PeerTable}, and how long it is distrusted. Nothing happens by itself: the time is an
+ * argument, microseconds. Not thread-safe: owned by its table.
+ */
 final class Peer {
 
     private final Map<Integer, Integer> counts = new HashMap<>();
     private long incarnation;
-    private long sequence;
+    private long lastSequence;
     private long cycle;
     private long lastMessageUs;
+
+    /** Whether its last message said that it stops. */
     private boolean left;
-    private boolean joined;
 
-    /**
-     * Whether the cycle was received from its beginning, the sequence number there, and messages
-     * since.
-     */
+    /** Whether all of its counts are known: ALIVE rather than JOINING. */
+    private boolean countsKnown;
+
+    /** Whether the cycle was received from its beginning on, so that its loss can be measured. */
     private boolean cycleFromStart;
 
     private long cycleFirstSequence;
     private long receivedInCycle;
-    private long distrustUs;
+    private long distrustPeriodUs;
     private long distrustedUntilUs;
 
-    /** A peer of which this is the first message, not taken yet. */
+    /** Creates a peer that sends its first message, which is still to be received. */
     Peer(long nowUs, LoadMessage message) {
-        begin(nowUs, message);
+        startIncarnation(nowUs, message);
     }
 
     PeerState state(long nowUs) {
@@ -47,73 +51,77 @@
         if (idleUs >= PeerTable.SUSPECT_AFTER_US) {
             return PeerState.SUSPECT;
         }
-        return joined ? PeerState.ALIVE : PeerState.JOINING;
+        return countsKnown ? PeerState.ALIVE : PeerState.JOINING;
     }
 
-    /** Open attempts that it states at a worker. */
+    /** Attempts in flight that it claims at a worker; 0 while it is absent. */
     int count(long nowUs, int key) {
         return stateByMessages(nowUs) == PeerState.ABSENT ? 0 : counts.getOrDefault(key, 0);
     }
 
     /**
-     * Takes a message in; returns the workers that it is about. One that is not new changes
-     * nothing.
+     * Receives a message.
+     *
+     * @return keys of the workers whose count it states or drops
+     * @throws RejectedMessageException if it is not newer than the last one or has too many
+     *     entries; nothing changes then
      */
-    Set<Integer> take(long nowUs, LoadMessage message) throws RejectedMessageException {
+    Set<Integer> receive(long nowUs, LoadMessage message) throws RejectedMessageException {
         if (message.incarnation() < incarnation) {
             throw new RejectedMessageException(RejectionReason.OLD_INCARNATION);
         }
-        if (message.incarnation() == incarnation && message.sequence() <= sequence) {
+        if (message.incarnation() == incarnation && message.sequence() <= lastSequence) {
             throw new RejectedMessageException(RejectionReason.OLD_SEQUENCE);
         }
         if (counts.size() + message.entries().size() > PeerTable.MAX_ENTRIES_PER_PEER) {
             throw new RejectedMessageException(RejectionReason.TOO_MANY_ENTRIES);
         }
         if (message.incarnation() > incarnation) {
-            begin(nowUs, message);
+            startIncarnation(nowUs, message);
         }
-        noteGap(nowUs, message);
-        noteCycle(message);
-        sequence = message.sequence();
+        checkGap(nowUs, message);
+        trackCycle(message);
+        lastSequence = message.sequence();
         lastMessageUs = nowUs;
         left = message.leaving();
         return apply(message);
     }
 
-    private void begin(long nowUs, LoadMessage message) {
+    private void startIncarnation(long nowUs, LoadMessage message) {
         counts.clear();
         incarnation = message.incarnation();
-        sequence = message.sequence() - 1;
+        lastSequence = message.sequence() - 1;
         cycle = message.cycle();
         lastMessageUs = nowUs;
         left = false;
-        // From its first message on, all that it has is received.
-        joined = message.sequence() == 1;
-        cycleFromStart = joined;
+        // An incarnation received from its first message on has no unknown counts.
+        countsKnown = message.sequence() == 1;
+        cycleFromStart = countsKnown;
         cycleFirstSequence = message.sequence();
         receivedInCycle = 0;
     }
 
-    /** What was missed while it was suspect is not known before a whole cycle was received. */
-    private void noteGap(long nowUs, LoadMessage message) {
+    /** After a gap with lost messages, counts are unknown until a complete cycle was received. */
+    private void checkGap(long nowUs, LoadMessage message) {
         final PeerState before = stateByMessages(nowUs);
         if (before == PeerState.ABSENT) {
             counts.clear();
         }
         if (before == PeerState.ABSENT
-                || before == PeerState.SUSPECT && message.sequence() > sequence + 1) {
-            joined = false;
+                || before == PeerState.SUSPECT && message.sequence() > lastSequence + 1) {
+            countsKnown = false;
             cycleFromStart = false;
         }
     }
 
-    private void noteCycle(LoadMessage message) {
+    /** Judges the cycle before by its loss when a message of another cycle comes. */
+    private void trackCycle(LoadMessage message) {
         if (message.cycle() != cycle) {
             if (cycleFromStart) {
                 final long sent = message.sequence() - cycleFirstSequence;
-                joined =
+                countsKnown =
                         message.cycle() == cycle + 1
-                                && sent - receivedInCycle <= sent * PeerTable.MAX_MISSING_SHARE;
+                                && sent - receivedInCycle <= sent * PeerTable.MAX_LOSS_FRACTION;
             }
             cycle = message.cycle();
             cycleFromStart = true;
@@ -126,20 +134,20 @@
     private Set<Integer> apply(LoadMessage message) {
         final Set<Integer> concerned =
                 message.entries().stream()
-                        .map(Entry::key)
+                        .map(LoadEntry::key)
                         .collect(Collectors.toCollection(LinkedHashSet::new));
         if (!message.range().isEmpty()) {
-            final List<Integer> closed =
+            final List<Integer> dropped =
                     counts.keySet().stream()
                             .filter(
                                     key ->
                                             message.range().contains(key)
                                                     && !concerned.contains(key))
                             .toList();
-            closed.forEach(counts::remove);
-            concerned.addAll(closed);
+            dropped.forEach(counts::remove);
+            concerned.addAll(dropped);
         }
-        for (final Entry entry : message.entries()) {
+        for (final LoadEntry entry : message.entries()) {
             if (entry.count() == 0) {
                 counts.remove(entry.key());
             } else {
@@ -150,17 +158,19 @@
     }
 
     /**
-     * Concludes nothing from its numbers for a while, twice as long as the last time if that is
-     * recent.
+     * Distrusts it: for the minimum period, or twice as long as the last time where that ended
+     * within the maximum period, up to that.
+     *
+     * @return for how long, microseconds
      */
     long distrust(long nowUs) {
         final boolean recent =
-                distrustUs > 0 && nowUs - distrustedUntilUs < PeerTable.MAX_DISTRUST_US;
-        distrustUs =
+                distrustPeriodUs > 0 && nowUs - distrustedUntilUs < PeerTable.MAX_DISTRUST_US;
+        distrustPeriodUs =
                 recent
-                        ? Math.min(PeerTable.MAX_DISTRUST_US, 2 * distrustUs)
+                        ? Math.min(PeerTable.MAX_DISTRUST_US, 2 * distrustPeriodUs)
                         : PeerTable.MIN_DISTRUST_US;
-        distrustedUntilUs = nowUs + distrustUs;
-        return distrustUs;
+        distrustedUntilUs = nowUs + distrustPeriodUs;
+        return distrustPeriodUs;
     }
 }
--- a/src/main/java/cresschute/peers/PeerLoadView.java
+++ b/src/main/java/cresschute/peers/PeerLoadView.java
@@ -3,27 +3,25 @@
 import java.util.OptionalInt;
 
 /**
- * Requests that all dispatchers together have out at a worker. It answers only while what is known
- * is all there is ({@link PeerTable#isComplete}) and nothing speaks against it ({@link
- * ClaimValidator}); otherwise the worker has to be asked.
+ * The requests that all dispatchers together have in flight at a worker: own counts and those that
+ * peers claim. It answers only while the known counts are complete ({@link PeerTable#isComplete})
+ * and no report contradicts them ({@link ClaimValidator}); otherwise the worker's load has to be
+ * queried. Not thread-safe: used on the exchange's thread.
  */
 public final class PeerLoadView {
 
-    /** Notified that a peer is distrusted. */
-    @FunctionalInterface
-    public interface DistrustListener {
-
-        /** The peer with this hash of its name is distrusted for so long, us. */
-        void distrusted(int sender, long forUs);
-    }
-
     private final WorkerKeys keys;
     private final InFlightCounts own;
     private final PeerTable peers;
     private final DistrustListener listener;
-    private final ClaimValidator check = new ClaimValidator();
+    private final ClaimValidator validator = new ClaimValidator();
 
-    /** A view of what this dispatcher counts and its peers state. */
+    /**
+     * Creates a view.
+     *
+     * @param own what this dispatcher has in flight
+     * @param peers what the others claim
+     */
     public PeerLoadView(
             WorkerKeys keys, InFlightCounts own, PeerTable peers, DistrustListener listener) {
         this.keys = keys;
@@ -32,33 +30,37 @@
         this.listener = listener;
     }
 
-    /** Requests out at a worker, or empty where the worker has to be asked. */
+    /** Requests in flight at a worker; empty where its load has to be queried. */
     public OptionalInt outstanding(long nowUs, String worker) {
-        final OptionalInt key = keys.unique(worker);
-        if (key.isEmpty()
-                || !peers.isComplete(nowUs)
-                || check.isContradicted(nowUs, key.getAsInt())) {
+        final OptionalInt key = keys.keyOf(worker);
+        if (key.isEmpty() || !answersFor(nowUs, key.getAsInt())) {
             return OptionalInt.empty();
         }
         final int claimed = peers.count(nowUs, key.getAsInt());
-        return check.verifies(nowUs, key.getAsInt(), claimed)
+        return validator.shouldVerify(nowUs, key.getAsInt(), claimed)
                 ? OptionalInt.empty()
-                : OptionalInt.of(sum(own.count(key.getAsInt()), claimed));
+                : OptionalInt.of(saturatedSum(own.count(key.getAsInt()), claimed));
     }
 
     /** Whether the view may answer for the worker with this key. */
     boolean answersFor(long nowUs, int key) {
-        return peers.isComplete(nowUs) && !check.isContradicted(nowUs, key);
+        return peers.isComplete(nowUs) && !validator.isContradicted(nowUs, key);
     }
 
-    /** A worker reports that it holds so many requests. */
+    /**
+     * A worker reports its load.
+     *
+     * @param outstanding requests that it holds; negative where the report does not say
+     */
     public void loadReported(long nowUs, String worker, double outstanding) {
-        final OptionalInt key = keys.unique(worker);
+        final OptionalInt key = keys.keyOf(worker);
         if (key.isEmpty() || outstanding < 0 || !peers.isComplete(nowUs)) {
             return;
         }
-        final int viewed = sum(own.count(key.getAsInt()), peers.count(nowUs, key.getAsInt()));
-        check.compare(
+        final int viewed =
+                saturatedSum(own.count(key.getAsInt()), peers.count(nowUs, key.getAsInt()));
+        validator
+                .compare(
                         nowUs,
                         key.getAsInt(),
                         viewed,
@@ -67,7 +69,7 @@
                 .ifPresent(sender -> listener.distrusted(sender, peers.distrust(nowUs, sender)));
     }
 
-    private static int sum(int first, int second) {
+    private static int saturatedSum(int first, int second) {
         return (int) Math.min(Integer.MAX_VALUE, (long) first + second);
     }
 }
--- a/src/main/java/cresschute/peers/PeerState.java
+++ b/src/main/java/cresschute/peers/PeerState.java
@@ -1,22 +1,26 @@
 package cresschute.peers;
 
-import java.util.Locale;
-
-/** What is known of another dispatcher; {@link PeerTable} says how it changes. */
+/** The state of a peer; {@link PeerTable} says how it changes. */
 public enum PeerState {
-    /** Sends, but was not received for a whole cycle yet: numbers may be missing. */
-    JOINING,
-    /** All of its open numbers are known, some while old. */
-    ALIVE,
-    /** No message for a short while: its last numbers stay. */
-    SUSPECT,
-    /** Stopped, or no message for long: its numbers are dropped. */
-    ABSENT,
-    /** Its numbers exceeded what workers report: nothing is concluded from them for a while. */
-    DISTRUSTED;
+    /** It sends, but no complete cycle was received yet: counts may be missing. */
+    JOINING("joining"),
+    /** All of its counts are known, some of them old. */
+    ALIVE("alive"),
+    /** No message came for a short while; its last counts stay. */
+    SUSPECT("suspect"),
+    /** It stopped, or no message came for long; its counts are dropped. */
+    ABSENT("absent"),
+    /** Its counts exceeded what workers report: they are not used for a while. */
+    DISTRUSTED("distrusted");
+
+    private final String word;
+
+    PeerState(String word) {
+        this.word = word;
+    }
 
-    /** The word in logs. */
+    /** The word for it in logs. */
     public String word() {
-        return name().toLowerCase(Locale.ROOT);
+        return word;
     }
 }
--- a/src/main/java/cresschute/peers/PeerTable.java
+++ b/src/main/java/cresschute/peers/PeerTable.java
@@ -6,63 +6,71 @@
 import java.util.TreeMap;
 
 /**
- * The other dispatchers and what each stated last. Nothing happens by itself: every question
- * carries the time, and states follow from it.
+ * The other dispatchers and the counts that each of them stated last, with a failure detector by
+ * the age of messages. Nothing happens by itself: every query carries the time, and the state of a
+ * peer follows from it.
  *
  * <ul>
- *   <li>JOINING: from the first message received of an incarnation until a whole cycle was received
- *       with at most 5 % of its messages missing. An incarnation received from its first message on
- *       is ALIVE at once. A peer that sent nothing since this dispatcher's start counts as JOINING
- *       for 60 s, and then as ABSENT.
- *   <li>ALIVE: a message came within 3 s. A cycle with more than 5 % missing makes it JOINING.
- *   <li>SUSPECT: no message for 3 s. Its counts stay. With the next one it is what it was where
- *       none was missed in between, else JOINING.
- *   <li>ABSENT: no message for 60 s, or it said that it stops. Its counts are dropped; with the
- *       next message it is JOINING.
- *   <li>DISTRUSTED: its counts exceeded what workers report ({@link ClaimValidator}), for 60 s and
- *       each time twice as long, up to 1 h; an hour without makes it 60 s again. Its messages are
- *       taken in meanwhile, and after that it is what they make it.
+ *   <li>JOINING: from the first message of an incarnation that was received, until a complete cycle
+ *       was received of which at most 5 % of the messages were lost. An incarnation received from
+ *       its first message on is ALIVE at once. A peer that has sent nothing since this dispatcher
+ *       started counts as JOINING for 60 s, and as ABSENT after that.
+ *   <li>ALIVE: a message came within 3 s. A cycle with more than 5 % loss makes it JOINING.
+ *   <li>SUSPECT: no message for 3 s. Its counts stay. The next message makes it what it was before
+ *       if none was lost in between, and JOINING otherwise.
+ *   <li>ABSENT: no message for 60 s, or it said that it stops. Its counts are dropped; the next
+ *       message makes it JOINING.
+ *   <li>DISTRUSTED: its counts exceeded what workers report ({@link ClaimValidator}): for 60 s, and
+ *       twice as long each time, up to 1 h; after an hour without, for 60 s again. Its messages are
+ *       received meanwhile, and decide on its state afterwards.
  * </ul>
  *
- * A newer incarnation forgets the counts of the older one, and messages of an older one are
- * refused.
+ * <p>A newer incarnation drops the counts of the older one, and messages of an older incarnation
+ * are rejected. Not thread-safe: used on the exchange's thread, with a clock in microseconds that
+ * never goes backwards.
  */
 public final class PeerTable {
 
-    /** Time without a message after which a peer is SUSPECT, us. */
+    /** Time without a message after which a peer is SUSPECT, microseconds. */
     public static final long SUSPECT_AFTER_US = 3_000_000;
 
-    /** Time without a message after which a peer is ABSENT, us. */
+    /** Time without a message after which a peer is ABSENT, microseconds. */
     public static final long ABSENT_AFTER_US = 60_000_000;
 
-    /** The part of a cycle's messages that may be missing. */
-    static final double MAX_MISSING_SHARE = 0.05;
+    /** The fraction of a cycle's messages that may be lost. */
+    static final double MAX_LOSS_FRACTION = 0.05;
 
-    /** The first time for which a peer is distrusted, and the longest, us. */
+    /** The first period for which a peer is distrusted, microseconds. */
     static final long MIN_DISTRUST_US = 60_000_000;
 
+    /** The longest period for which a peer is distrusted, microseconds. */
     static final long MAX_DISTRUST_US = 3_600_000_000L;
 
-    /**
-     * Workers of which one peer may state a number: bounds the memory that a faulty peer can take.
-     */
+    /** Workers for which one peer may state counts: bounds the memory a faulty peer can take. */
     static final int MAX_ENTRIES_PER_PEER = 16_384;
 
     private final int self;
-    private final int peers;
+    private final int peerCount;
     private final long startUs;
     private final Map<Integer, Peer> bySender = new HashMap<>();
 
-    /** A table for so many other dispatchers, of which none has sent anything yet. */
-    public PeerTable(String ownName, int peers, long nowUs) {
+    /**
+     * Creates a table of peers of which none has sent anything yet.
+     *
+     * @param ownName name of this dispatcher
+     * @param peerCount number of other dispatchers
+     */
+    public PeerTable(String ownName, int peerCount, long nowUs) {
         this.self = WorkerKeys.hash(ownName);
-        this.peers = peers;
+        this.peerCount = peerCount;
         this.startUs = nowUs;
     }
 
     /**
-     * Takes an authentic message in and returns the workers it is about, or says why it changes
-     * nothing.
+     * Receives an authentic message.
+     *
+     * @return keys of the workers whose count it states or drops
+     * @throws RejectedMessageException if it changes nothing, with the reason
      */
     public Set<Integer> receive(long nowUs, LoadMessage message) throws RejectedMessageException {
         if (message.sender() == self) {
@@ -70,36 +78,37 @@
         }
         Peer peer = bySender.get(message.sender());
         if (peer == null) {
-            makeRoom(nowUs);
+            evictAbsentIfFull(nowUs);
             peer = new Peer(nowUs, message);
             bySender.put(message.sender(), peer);
         }
-        return peer.take(nowUs, message);
+        return peer.receive(nowUs, message);
     }
 
-    /** A dispatcher under a new name takes the place of one that is absent. */
-    private void makeRoom(long nowUs) throws RejectedMessageException {
-        if (bySender.size() >= peers
+    /** A dispatcher under a new name takes the place of absent ones. */
+    private void evictAbsentIfFull(long nowUs) throws RejectedMessageException {
+        if (bySender.size() >= peerCount
                 && !bySender.values().removeIf(peer -> peer.state(nowUs) == PeerState.ABSENT)) {
             throw new RejectedMessageException(RejectionReason.TOO_MANY_SENDERS);
         }
     }
 
-    /** The state of every peer that sent a message, by the hash of its name. */
+    /** The state of every peer that has sent a message, by the hash of its name. */
     public Map<Integer, PeerState> states(long nowUs) {
         final Map<Integer, PeerState> states = new TreeMap<>(Integer::compareUnsigned);
         bySender.forEach((sender, peer) -> states.put(sender, peer.state(nowUs)));
         return states;
     }
 
-    /** Peers that have sent no message yet. */
+    /** Number of peers that have sent no message yet. */
     public int missing() {
-        return Math.max(0, peers - bySender.size());
+        return Math.max(0, peerCount - bySender.size());
     }
 
     /**
-     * Whether what is known is all there is: no peer is JOINING, SUSPECT or DISTRUSTED, and a
-     * majority of all dispatchers, this one included, is ALIVE.
+     * Whether the known counts are all there are: no peer is JOINING, SUSPECT or DISTRUSTED, and a
+     * majority of all dispatchers, this one included, is ALIVE. A minority of a partition cannot
+     * know what the majority does, so it is never complete.
      */
     public boolean isComplete(long nowUs) {
         if (missing() > 0 && nowUs - startUs < ABSENT_AFTER_US) {
@@ -114,10 +123,10 @@
                 return false;
             }
         }
-        return 2 * alive > peers + 1;
+        return 2 * alive > peerCount + 1;
     }
 
-    /** Open attempts that all peers together state at a worker. */
+    /** Attempts in flight that all peers together claim at a worker. */
     public int count(long nowUs, int key) {
         long sum = 0;
         for (final Peer peer : bySender.values()) {
@@ -126,7 +135,7 @@
         return (int) Math.min(Integer.MAX_VALUE, sum);
     }
 
-    /** What each peer states at a worker, those without open attempts left out. */
+    /** What each peer claims at a worker, by the hash of its name; claims of 0 are left out. */
     Map<Integer, Integer> claims(long nowUs, int key) {
         final Map<Integer, Integer> claims = new HashMap<>();
         bySender.forEach(
@@ -139,7 +148,11 @@
         return claims;
     }
 
-    /** Distrusts a peer; returns for how long, us. */
+    /**
+     * Distrusts a peer.
+     *
+     * @return for how long, microseconds
+     */
     long distrust(long nowUs, int sender) {
         return bySender.get(sender).distrust(nowUs);
     }
--- a/src/main/java/cresschute/peers/WorkerKeys.java
+++ b/src/main/java/cresschute/peers/WorkerKeys.java
@@ -14,8 +14,8 @@
 
 /**
  * Short keys of workers' names, the same at every dispatcher: the first four bytes of the name's
- * SHA-256. Two listed names with one key make the load of both unknown, since a message could mean
- * either of them.
+ * SHA-256. Two listed names with the same key have no usable key, since a message could mean either
+ * of them. Not thread-safe: used on the exchange's thread.
  */
 public final class WorkerKeys {
 
@@ -24,7 +24,11 @@
     private final Set<Integer> ambiguous = new HashSet<>();
     private final BiConsumer<String, String> onCollision;
 
-    /** Reports each pair of listed names with one key to {@code onCollision}, once. */
+    /**
+     * Creates a registry without names.
+     *
+     * @param onCollision notified once of each pair of listed names with the same key
+     */
     public WorkerKeys(BiConsumer<String, String> onCollision) {
         this.onCollision = onCollision;
     }
@@ -41,13 +45,13 @@
         }
     }
 
-    /** Notes a listed name and returns its key. */
-    public int list(String name) {
-        return list(name, hash(name));
+    /** Registers a listed name, perhaps again, and returns its key. */
+    public int register(String name) {
+        return register(name, hash(name));
     }
 
-    /** The same with a given key, so that tests need no collision of SHA-256. */
-    int list(String name, int key) {
+    /** The same with a given key, for tests of collisions. */
+    int register(String name, int key) {
         final Integer known = keys.putIfAbsent(name, key);
         if (known != null) {
             return known;
@@ -60,13 +64,13 @@
         return key;
     }
 
-    /** The listed name with a key, or empty where there is none or more than one. */
-    Optional<String> name(int key) {
+    /** The listed name with a key; empty where there is none or more than one. */
+    Optional<String> nameOf(int key) {
         return ambiguous.contains(key) ? Optional.empty() : Optional.ofNullable(names.get(key));
     }
 
-    /** The key of a listed name, or empty where the name is not listed or shares its key. */
-    public OptionalInt unique(String name) {
+    /** The key of a listed name; empty where it is not listed or another name has the same key. */
+    public OptionalInt keyOf(String name) {
         final Integer key = keys.get(name);
         return key == null || ambiguous.contains(key) ? OptionalInt.empty() : OptionalInt.of(key);
     }
--- a/src/main/java/cresschute/peers/socket/ExchangeLog.java
+++ b/src/main/java/cresschute/peers/socket/ExchangeLog.java
@@ -1,7 +1,7 @@
 package cresschute.peers.socket;
 
 import cresschute.logs.LogEvent;
-import cresschute.peers.LoadExchange;
+import cresschute.peers.ExchangeListener;
 import cresschute.peers.PeerState;
 import cresschute.peers.PeerTable;
 import cresschute.peers.RejectionReason;
@@ -11,129 +11,145 @@
 import java.util.EnumMap;
 import java.util.HashMap;
 import java.util.Map;
+import java.util.Optional;
 
-/** The log lines of the exchange; what the network can cause in numbers is logged now and then. */
-public final class ExchangeLog implements LoadExchange.Listener {
+/**
+ * Logs what operators should know about the exchange. Lines that the network can cause in any
+ * number are rate-limited and state a count. Used on the event loop.
+ */
+public final class ExchangeLog implements ExchangeListener {
 
     private static final Logger LOG = System.getLogger("cresschute.peers");
 
-    /** The shortest time between two lines of one refusal, us. */
-    static final long REFUSAL_INTERVAL_US = 60_000_000;
+    /** The shortest time between two lines of one kind that the network causes, microseconds. */
+    static final long MIN_INTERVAL_US = 60_000_000;
 
-    /** How often the figures are logged, us. */
+    /** Time between two status lines, microseconds. */
     static final long STATUS_INTERVAL_US = 60_000_000;
 
-    private static final class Count {
+    /** Counts occurrences and says which of them to log. */
+    private static final class RateLimitedCount {
         private long count;
-        private long loggedUs;
+        private long lastLoggedUs;
+
+        /** Counts one more; whether it is to be logged. */
+        private boolean increment(long nowUs) {
+            count++;
+            if (count > 1 && nowUs - lastLoggedUs < MIN_INTERVAL_US) {
+                return false;
+            }
+            lastLoggedUs = nowUs;
+            return true;
+        }
+
+        private long count() {
+            return count;
+        }
     }
 
     private final String node;
-    private final Map<RejectionReason, Count> refusals = new EnumMap<>(RejectionReason.class);
-    private final Count failures = new Count();
+    private final Map<RejectionReason, RateLimitedCount> rejections =
+            new EnumMap<>(RejectionReason.class);
+    private final RateLimitedCount failures = new RateLimitedCount();
     private Map<Integer, PeerState> states = new HashMap<>();
     private final Map<Integer, InetSocketAddress> addresses = new HashMap<>();
-    private Boolean complete;
-    private long statusUs;
+    private Optional<Boolean> complete = Optional.empty();
+    private long lastStatusUs;
     private long sentMessages;
     private long sentBytes;
-    private long takenMessages;
+    private long receivedMessages;
 
-    /** A log of the exchange of the node with this name. */
+    /**
+     * Creates a log.
+     *
+     * @param node name of this node
+     */
     public ExchangeLog(String node) {
         this.node = node;
     }
 
-    /** Datagrams refused for this reason so far. */
-    public long refused(RejectionReason refusal) {
-        final Count counted = refusals.get(refusal);
-        return counted == null ? 0 : counted.count;
+    /** Datagrams rejected for this reason so far. */
+    public long rejected(RejectionReason reason) {
+        final RateLimitedCount counted = rejections.get(reason);
+        return counted == null ? 0 : counted.count();
     }
 
-    private long refusedInAll() {
-        return refusals.values().stream().mapToLong(each -> each.count).sum();
+    private long rejectedInAll() {
+        return rejections.values().stream().mapToLong(each -> each.count()).sum();
     }
 
-    void refused(long nowUs, RejectionReason refusal, InetSocketAddress from) {
-        final Count counted = refusals.computeIfAbsent(refusal, unseen -> new Count());
-        if (isDue(counted, nowUs)) {
+    void rejected(long nowUs, RejectionReason reason, InetSocketAddress from) {
+        final RateLimitedCount counted =
+                rejections.computeIfAbsent(reason, unseen -> new RateLimitedCount());
+        if (counted.increment(nowUs)) {
             LogEvent.of(
                             "peer_message_refused",
                             "message from "
                                     + text(from)
                                     + " refused: "
-                                    + refusal.word()
+                                    + reason.word()
                                     + " ("
-                                    + counted.count
+                                    + counted.count()
                                     + " so far)")
-                    .with("reason", refusal.word())
+                    .with("reason", reason.word())
                     .with("from", text(from))
-                    .with("count", counted.count)
+                    .with("count", counted.count())
                     .log(LOG, Level.WARNING);
         }
     }
 
-    /** The socket itself failed. */
-    void failed(long nowUs, String what, Throwable cause) {
-        if (isDue(failures, nowUs)) {
+    /** The socket failed to send or receive. */
+    void socketFailed(long nowUs, String what, Throwable cause) {
+        if (failures.increment(nowUs)) {
             LogEvent.of(
                             "peer_socket_failed",
-                            what + ": " + cause.getMessage() + " (" + failures.count + " so far)")
+                            what + ": " + cause.getMessage() + " (" + failures.count() + " so far)")
                     .with("detail", String.valueOf(cause.getMessage()))
-                    .with("count", failures.count)
+                    .with("count", failures.count())
                     .log(LOG, Level.WARNING);
         }
     }
 
-    /** Counts one more; whether it is to be logged. */
-    private static boolean isDue(Count counted, long nowUs) {
-        counted.count++;
-        if (counted.count > 1 && nowUs - counted.loggedUs < REFUSAL_INTERVAL_US) {
-            return false;
-        }
-        counted.loggedUs = nowUs;
-        return true;
-    }
-
-    void sent(long bytes) {
+    void messageSent(long bytes) {
         sentMessages++;
         sentBytes += bytes;
     }
 
-    void taken(int sender, InetSocketAddress from) {
-        takenMessages++;
+    void messageReceived(int sender, InetSocketAddress from) {
+        receivedMessages++;
         addresses.put(sender, from);
     }
 
-    /** Logs what has changed since the last look. */
-    void look(long nowUs, PeerTable peers) {
+    /** Logs what has changed since the last call, and the status once a minute. */
+    void logChanges(long nowUs, PeerTable peers) {
         final Map<Integer, PeerState> now = peers.states(nowUs);
         now.forEach(
                 (sender, state) -> {
                     if (states.get(sender) != state) {
-                        peerState(sender, states.get(sender), state);
+                        logState(sender, states.get(sender), state);
                     }
                 });
         states = now;
         addresses.keySet().retainAll(now.keySet());
         final boolean isComplete = peers.isComplete(nowUs);
-        if (complete == null || complete != isComplete) {
-            complete = isComplete;
+        if (!complete.equals(Optional.of(isComplete))) {
+            complete = Optional.of(isComplete);
             LogEvent.of(
                             "peer_view",
                             isComplete
-                                    ? "peers' counts are whole: workers are not probed"
-                                    : "peers' counts are not whole: workers are probed")
+                                    ? "peers' counts are complete: workers are not queried for load"
+                                    : "peers' counts are not complete: workers are queried for"
+                                            + " load")
                     .with("complete", isComplete)
                     .with("missing", peers.missing())
                     .log(LOG, Level.INFO);
         }
-        if (nowUs - statusUs >= STATUS_INTERVAL_US) {
-            status(nowUs, peers);
+        if (nowUs - lastStatusUs >= STATUS_INTERVAL_US) {
+            logStatus(nowUs, peers);
         }
     }
 
-    private void peerState(int sender, PeerState before, PeerState state) {
+    private void logState(int sender, PeerState before, PeerState state) {
         LogEvent.of("peer_state", "peer " + name(sender) + " is " + state.word())
                 .with("peer", name(sender))
                 .with("address", text(addresses.get(sender)))
@@ -146,8 +162,8 @@
                                 : Level.WARNING);
     }
 
-    private void status(long nowUs, PeerTable peers) {
-        statusUs = nowUs;
+    private void logStatus(long nowUs, PeerTable peers) {
+        lastStatusUs = nowUs;
         LogEvent.of(
                         "peer_status",
                         "node "
@@ -157,16 +173,16 @@
                                 + " messages and "
                                 + sentBytes
                                 + " bytes sent, "
-                                + takenMessages
+                                + receivedMessages
                                 + " messages taken, "
-                                + refusedInAll()
+                                + rejectedInAll()
                                 + " refused, "
                                 + peers.missing()
                                 + " peers missing")
                 .with("messages_sent", sentMessages)
                 .with("bytes_sent", sentBytes)
-                .with("messages_taken", takenMessages)
-                .with("refused", refusedInAll())
+                .with("messages_taken", receivedMessages)
+                .with("refused", rejectedInAll())
                 .with("missing", peers.missing())
                 .log(LOG, Level.INFO);
     }
@@ -179,25 +195,25 @@
                                 + worker
                                 + " and "
                                 + other
-                                + " have the same key: both are probed")
+                                + " have the same key: both are queried for load")
                 .with("worker", worker)
                 .with("other", other)
                 .log(LOG, Level.WARNING);
     }
 
     @Override
-    public void distrusted(int sender, long forUs) {
+    public void distrusted(int sender, long durationUs) {
         LogEvent.of(
                         "peer_distrusted",
                         "peer "
                                 + name(sender)
                                 + " states more than workers report; "
                                 + "distrusted for "
-                                + forUs / 1_000_000
+                                + durationUs / 1_000_000
                                 + " s")
                 .with("peer", name(sender))
                 .with("address", text(addresses.get(sender)))
-                .with("seconds", forUs / 1_000_000)
+                .with("seconds", durationUs / 1_000_000)
                 .log(LOG, Level.WARNING);
     }
 
--- a/src/main/java/cresschute/peers/socket/PeerSocket.java
+++ b/src/main/java/cresschute/peers/socket/PeerSocket.java
@@ -19,19 +19,24 @@
 import java.net.InetSocketAddress;
 import java.net.SocketAddress;
 import java.util.List;
+import java.util.OptionalLong;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 
 /**
- * The exchange's datagrams on the node's own event loop: sends what is due, takes in what comes.
+ * The UDP socket of an exchange: sends the messages that are due to all peers, and receives theirs.
+ *
+ * <p>Life cycle: {@link #listen} binds it, {@link #sendTo} starts the timer, {@link #leave} sends
+ * the last message; the channel is closed with its event loop. All methods are called on that event
+ * loop, but {@link #listen}, and {@link #address} once it is bound.
  */
 public final class PeerSocket {
 
-    /** How often it is seen whether a message is due, ms. */
-    private static final long POLL_MS = 50;
+    /** Time between two polls of the exchange, milliseconds. */
+    private static final long POLL_INTERVAL_MS = 50;
 
-    /** The longest that a stop waits for the budget to hold the last message, us. */
+    /** The longest time for which a stop waits for budget for the last message, microseconds. */
     private static final long MAX_LEAVE_US = 1_000_000;
 
     private final EventLoop loop;
@@ -39,15 +44,17 @@
     private final LoadExchange exchange;
     private final LoadMessageCodec codec;
     private final ExchangeLog log;
-    private final Consumer<List<String>> refreshed;
+    private final Consumer<List<String>> onRefresh;
     private List<InetSocketAddress> peers = List.of();
     private Channel channel;
-    private long leavingSinceUs = -1;
-    private boolean left;
+    private OptionalLong leavingSinceUs = OptionalLong.empty();
+    private boolean leaveSent;
 
     /**
-     * A socket that is not bound yet; {@code clockUs} is the exchange's clock, and {@code
-     * refreshed} is given the workers whose load is known anew.
+     * Creates a socket that is not bound yet.
+     *
+     * @param clockUs the exchange's clock, microseconds
+     * @param onRefresh notified of the workers about which messages came
      */
     public PeerSocket(
             EventLoop loop,
@@ -55,16 +62,16 @@
             LoadExchange exchange,
             LoadMessageCodec codec,
             ExchangeLog log,
-            Consumer<List<String>> refreshed) {
+            Consumer<List<String>> onRefresh) {
         this.loop = loop;
         this.clockUs = clockUs;
         this.exchange = exchange;
         this.codec = codec;
         this.log = log;
-        this.refreshed = refreshed;
+        this.onRefresh = onRefresh;
     }
 
-    /** Binds and takes in what comes; the future fails where the address cannot be had. */
+    /** Binds and begins to receive; the future fails where the address cannot be bound. */
     public ChannelFuture listen(SocketAddress address) {
         final ChannelFuture bound =
                 new Bootstrap()
@@ -82,42 +89,46 @@
         return bound;
     }
 
-    /** Begins to send to these, once it listens. On the loop. */
+    /** Begins to send to these peers; once it is bound. */
     public void sendTo(List<InetSocketAddress> addresses) {
         peers = List.copyOf(addresses);
-        loop.scheduleWithFixedDelay(this::tick, 0, POLL_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(this::poll, 0, POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Where it takes datagrams, once it listens. */
+    /** The address that it is bound to. */
     public InetSocketAddress address() {
         return (InetSocketAddress) channel.localAddress();
     }
 
-    private void tick() {
-        if (channel.isOpen() && leavingSinceUs < 0) {
+    private void poll() {
+        if (channel.isOpen() && leavingSinceUs.isEmpty()) {
             final long nowUs = clockUs.getAsLong();
             exchange.poll(nowUs).ifPresent(this::send);
-            log.look(nowUs, exchange.peers());
-            refreshed.accept(exchange.takeRefreshed(nowUs));
+            log.logChanges(nowUs, exchange.peers());
+            onRefresh.accept(exchange.takeRefreshed(nowUs));
         }
     }
 
     /**
-     * Says that this dispatcher stops, as soon as the budget holds it; to be called until it
-     * returns true. Nothing is sent after that. On the loop.
+     * Stops gossip: sends that this dispatcher leaves, as soon as the byte budget holds the
+     * message. To be called until it returns true; nothing else is sent from the first call on.
+     *
+     * @return whether the message was sent, or a second has passed
      */
     public boolean leave() {
         final long nowUs = clockUs.getAsLong();
-        leavingSinceUs = leavingSinceUs < 0 ? nowUs : leavingSinceUs;
-        if (!left) {
+        if (leavingSinceUs.isEmpty()) {
+            leavingSinceUs = OptionalLong.of(nowUs);
+        }
+        if (!leaveSent) {
             exchange.leave(nowUs)
                     .ifPresent(
                             message -> {
                                 send(message);
-                                left = true;
+                                leaveSent = true;
                             });
         }
-        return left || nowUs - leavingSinceUs >= MAX_LEAVE_US;
+        return leaveSent || nowUs - leavingSinceUs.getAsLong() >= MAX_LEAVE_US;
     }
 
     private void send(LoadMessage message) {
@@ -127,14 +138,14 @@
                     .addListener(
                             done -> {
                                 if (!done.isSuccess()) {
-                                    log.failed(
+                                    log.socketFailed(
                                             clockUs.getAsLong(),
                                             "message to " + ExchangeLog.text(peer) + " not sent",
                                             done.cause());
                                 }
                             });
         }
-        log.sent((long) (bytes.length + LoadGossiper.HEADER_BYTES) * peers.size());
+        log.messageSent((long) (bytes.length + LoadGossiper.HEADER_BYTES) * peers.size());
     }
 
     private final class Receiver extends SimpleChannelInboundHandler<DatagramPacket> {
@@ -145,19 +156,16 @@
             try {
                 final LoadMessage message = codec.decode(ByteBufUtil.getBytes(packet.content()));
                 exchange.receive(nowUs, message);
-                log.taken(message.sender(), packet.sender());
+                log.messageReceived(message.sender(), packet.sender());
             } catch (RejectedMessageException e) {
-                log.refused(nowUs, e.reason(), packet.sender());
+                log.rejected(nowUs, e.reason(), packet.sender());
             }
         }
 
-        /**
-         * Guards the exchange against a receive that fails, such as a port unreachable reported by
-         * ICMP.
-         */
+        /** A receive failed, for example by a port unreachable of ICMP; the socket goes on. */
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            log.failed(clockUs.getAsLong(), "no message received", cause);
+            log.socketFailed(clockUs.getAsLong(), "no message received", cause);
         }
     }
 }
--- a/src/main/java/cresschute/testbed/model/ExchangingModules.java
+++ b/src/main/java/cresschute/testbed/model/ExchangingModules.java
@@ -8,6 +8,7 @@
 import cresschute.dispatch.LoadReport;
 import cresschute.dispatch.Outcome;
 import cresschute.dispatch.Worker;
+import cresschute.peers.ExchangeListener;
 import cresschute.peers.ExchangeSettings;
 import cresschute.peers.LoadExchange;
 import cresschute.peers.LoadGossiper;
@@ -108,7 +109,7 @@
                             new ExchangeSettings(
                                     name, peers, bytesPerS, ExchangeSettings.DEFAULT_REFRESH_US),
                             nowUs,
-                            new LoadExchange.Listener() {
+                            new ExchangeListener() {
                                 @Override
                                 public void keyCollision(String worker, String other) {
                                     // Their load is probed; that is all there is to it here.
--- a/src/test/java/cresschute/node/PeerLoadsTest.java
+++ b/src/test/java/cresschute/node/PeerLoadsTest.java
@@ -5,9 +5,9 @@
 
 import com.sun.net.httpserver.HttpExchange;
 import com.sun.net.httpserver.HttpServer;
+import cresschute.peers.KeyRange;
+import cresschute.peers.LoadEntry;
 import cresschute.peers.LoadMessage;
-import cresschute.peers.LoadMessage.Entry;
-import cresschute.peers.LoadMessage.KeyRange;
 import cresschute.peers.LoadMessageCodec;
 import cresschute.peers.WorkerKeys;
 import cresschute.settings.ApplianceSettings;
@@ -172,7 +172,7 @@
                                     1,
                                     false,
                                     KeyRange.EMPTY,
-                                    List.of(new Entry(WorkerKeys.hash("busy"), 2))));
+                                    List.of(new LoadEntry(WorkerKeys.hash("busy"), 2))));
             peers[i].send(new DatagramPacket(bytes, bytes.length, node.peers().address()));
         }
     }
--- a/src/test/java/cresschute/peers/ExchangeOverNetworkTest.java
+++ b/src/test/java/cresschute/peers/ExchangeOverNetworkTest.java
@@ -33,14 +33,14 @@
         network.run(30);
         network.freeze();
         network.run(2);
-        assertThat(network.wrong()).isZero();
+        assertThat(network.wrongCounts()).isZero();
         assertThat(network.seenCountOfOthers(0, 0)).isEqualTo(network.trueCountOfOthers(0, 0));
     }
 
     @Test
     void workersOfMessagesAreRefreshedWhileTheViewIsWhole() {
         final SimulatedNetwork network = new SimulatedNetwork(11, 3, 40, 20_000, CYCLE_US);
-        final LoadExchange exchange = network.sites.get(0).exchange;
+        final LoadExchange exchange = network.nodes.get(0).exchange;
         network.run(2);
         assertThat(exchange.takeRefreshed(network.nowUs)).isEmpty();
         network.start(1, 4);
@@ -73,7 +73,7 @@
         network.jitterUs = 0;
         // What is under way, the rest of the running cycle, then one whole cycle.
         network.run(1 + 2.0 * CYCLE_US / S + 1);
-        assertThat(network.wrong()).as("seed " + seed).isZero();
+        assertThat(network.wrongCounts()).as("seed " + seed).isZero();
         network.run(2.0 * CYCLE_US / S);
         for (int i = 0; i < 4; i++) {
             assertThat(network.isComplete(i)).as("n" + i + ", seed " + seed).isTrue();
@@ -98,7 +98,7 @@
         assertThat(network.isComplete(0)).isTrue();
         network.freeze();
         network.run(2);
-        assertThat(network.wrong()).isZero();
+        assertThat(network.wrongCounts()).isZero();
     }
 
     @Test
@@ -117,7 +117,7 @@
         network.run(58);
         assertThat(network.state(0, 1)).isEqualTo(PeerState.ABSENT);
         assertThat(network.isComplete(0)).isTrue();
-        assertThat(network.wrong()).isZero();
+        assertThat(network.wrongCounts()).isZero();
     }
 
     @Test
@@ -128,7 +128,7 @@
         network.run(0.1);
         assertThat(network.state(0, 2)).isEqualTo(PeerState.ABSENT);
         assertThat(network.isComplete(0)).isTrue();
-        network.boot(2);
+        network.restart(2);
         network.run(2);
         assertThat(network.state(0, 2)).isEqualTo(PeerState.ALIVE);
         assertThat(network.isComplete(0)).isTrue();
@@ -149,13 +149,13 @@
                 .isEqualTo(network.trueCountOfOthers(0, 3))
                 .isPositive();
         network.crash(1);
-        network.boot(1);
+        network.restart(1);
         network.run(2);
-        assertThat(network.wrongAt(0)).isZero();
-        assertThat(network.wrongAt(2)).isZero();
+        assertThat(network.wrongCountsAt(0)).isZero();
+        assertThat(network.wrongCountsAt(2)).isZero();
         // The new run itself knows what the others have after a whole cycle of them.
         network.run(2.0 * CYCLE_US / S + 1);
-        assertThat(network.wrong()).isZero();
+        assertThat(network.wrongCounts()).isZero();
     }
 
     @Test
@@ -180,7 +180,7 @@
         }
         network.freeze();
         network.run(2.0 * CYCLE_US / S + 2);
-        assertThat(network.wrong()).isZero();
+        assertThat(network.wrongCounts()).isZero();
     }
 
     @Test
@@ -198,7 +198,7 @@
     void recordedDatagramsChangeNothing() {
         final SimulatedNetwork network = network(10, 3);
         network.start(1, 5);
-        final SimulatedNetwork.Site sender = network.sites.get(1);
+        final SimulatedNetwork.Node sender = network.nodes.get(1);
         network.nowUs += S;
         final byte[] recorded =
                 sender.codec.encode(sender.exchange.poll(network.nowUs).orElseThrow());
@@ -207,12 +207,12 @@
         network.end(1, 5);
         network.run(2);
         assertThat(network.inject(0, recorded)).as("of an older sequence number").isFalse();
-        network.boot(1);
+        network.restart(1);
         network.run(2);
         assertThat(network.inject(0, recorded)).as("of an older incarnation").isFalse();
         network.freeze();
         network.run(2.0 * CYCLE_US / S + 1);
-        assertThat(network.wrong()).isZero();
+        assertThat(network.wrongCounts()).isZero();
     }
 
     /** Bytes of every dispatcher up to any time are within its rate, at a constant total load. */
@@ -228,10 +228,10 @@
         network.startsPerS = 299;
         network.meanRunS = 3;
         for (int second = 1; second <= 20; second++) {
-            final long[] before = network.sites.stream().mapToLong(site -> site.bytes).toArray();
+            final long[] before = network.nodes.stream().mapToLong(node -> node.bytes).toArray();
             network.run(1);
             for (int i = 0; i < dispatchers; i++) {
-                final long bytes = network.sites.get(i).bytes;
+                final long bytes = network.nodes.get(i).bytes;
                 assertThat(bytes)
                         .as("up to " + second + " s, " + dispatchers + " dispatchers")
                         .isLessThanOrEqualTo(second * ExchangeSettings.DEFAULT_BYTES_PER_S);
@@ -241,7 +241,7 @@
             }
         }
         // A sign of life a second also at the largest number.
-        assertThat(network.sites).allMatch(site -> site.messages >= 18);
+        assertThat(network.nodes).allMatch(node -> node.messages >= 18);
         assertThat(network.isComplete(0)).isTrue();
     }
 }
--- a/src/test/java/cresschute/peers/LoadGossiperTest.java
+++ b/src/test/java/cresschute/peers/LoadGossiperTest.java
@@ -2,8 +2,6 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cresschute.peers.LoadMessage.Entry;
-import cresschute.peers.LoadMessage.KeyRange;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
@@ -21,20 +19,20 @@
     private final InFlightCounts counts = new InFlightCounts();
     private long nowUs = 100 * S;
 
-    private LoadGossiper announcer(int peers, long bytesPerS, long refreshUs) {
+    private LoadGossiper gossiper(int peers, long bytesPerS, long refreshUs) {
         return new LoadGossiper(
                 new ExchangeSettings("n0", peers, bytesPerS, refreshUs), counts, nowUs);
     }
 
     private static List<Integer> keys(LoadMessage message) {
-        return message.entries().stream().map(Entry::key).toList();
+        return message.entries().stream().map(LoadEntry::key).toList();
     }
 
     /** The next message and the time passed until it. */
-    private LoadMessage next(LoadGossiper announcer) {
+    private LoadMessage next(LoadGossiper gossiper) {
         for (int i = 0; i < 1_000; i++) {
             nowUs += 10 * MS;
-            final Optional<LoadMessage> message = announcer.poll(nowUs);
+            final Optional<LoadMessage> message = gossiper.poll(nowUs);
             if (message.isPresent()) {
                 return message.get();
             }
@@ -44,37 +42,37 @@
 
     @Test
     void newsGoOutAfterAQuarterSecondAndHeartbeatsAfterOne() {
-        final LoadGossiper announcer = announcer(2, 100_000, 60 * S);
+        final LoadGossiper gossiper = gossiper(2, 100_000, 60 * S);
         counts.attemptStarted(5);
         final long startUs = nowUs;
-        final LoadMessage news = next(announcer);
+        final LoadMessage news = next(gossiper);
         assertThat(nowUs - startUs).isEqualTo(250 * MS);
-        assertThat(news.entries()).containsExactly(new Entry(5, 1));
+        assertThat(news.entries()).containsExactly(new LoadEntry(5, 1));
         assertThat(news.sequence()).isEqualTo(1);
         assertThat(news.incarnation()).isEqualTo(startUs);
         final long newsUs = nowUs;
-        final LoadMessage heartbeat = next(announcer);
+        final LoadMessage heartbeat = next(gossiper);
         assertThat(nowUs - newsUs).isEqualTo(S);
         assertThat(heartbeat.sequence()).isEqualTo(2);
         counts.attemptStarted(5);
         counts.attemptEnded(5);
-        next(announcer);
+        next(gossiper);
         assertThat(nowUs - newsUs).as("back to what was stated: no news").isEqualTo(2 * S);
     }
 
     @Test
     void oneWorkersChangesAreOneEntryAndTheOldestChangeIsFirst() {
         // 100 bytes a second for one peer: a heartbeat leaves room for five entries.
-        final LoadGossiper announcer = announcer(1, 100, 3_600 * S);
+        final LoadGossiper gossiper = gossiper(1, 100, 3_600 * S);
         for (int key = 20; key > 10; key--) {
             counts.attemptStarted(key);
         }
         counts.attemptStarted(20);
-        final LoadMessage first = next(announcer);
-        assertThat(first.entries()).first().isEqualTo(new Entry(20, 2));
+        final LoadMessage first = next(gossiper);
+        assertThat(first.entries()).first().isEqualTo(new LoadEntry(20, 2));
         final List<Integer> stated = new ArrayList<>(keys(first));
         while (stated.size() < 10) {
-            stated.addAll(keys(next(announcer)));
+            stated.addAll(keys(next(gossiper)));
         }
         assertThat(stated.stream().distinct().toList())
                 .containsExactly(20, 19, 18, 17, 16, 15, 14, 13, 12, 11);
@@ -82,7 +80,7 @@
 
     @Test
     void oneCycleStatesEveryOpenNumberInRangesThatCoverAllKeys() {
-        final LoadGossiper announcer = announcer(2, 50_000, 10 * S);
+        final LoadGossiper gossiper = gossiper(2, 50_000, 10 * S);
         final Set<Integer> open = new TreeSet<>(Integer::compareUnsigned);
         for (int i = 0; i < 100; i++) {
             open.add(i * 0x2345_6789);
@@ -96,7 +94,7 @@
             long first = 0;
             final long startUs = nowUs;
             while (first <= 0xffff_ffffL) {
-                final LoadMessage message = next(announcer);
+                final LoadMessage message = next(gossiper);
                 assertThat(message.cycle()).isEqualTo(cycle);
                 if (!message.range().isEmpty()) {
                     assertThat(Integer.toUnsignedLong(message.range().first())).isEqualTo(first);
@@ -118,15 +116,13 @@
 
     @Test
     void shortBudgetMakesCyclesLongerAndLosesNothing() {
-        final LoadGossiper announcer = announcer(29, 3_000, 10 * S);
+        final LoadGossiper gossiper = gossiper(29, 3_000, 10 * S);
         for (int key = 0; key < 60; key++) {
             counts.attemptStarted(key * 1_000);
         }
         final Set<Integer> swept = new TreeSet<>();
         final long startUs = nowUs;
-        for (LoadMessage message = next(announcer);
-                message.cycle() == 1;
-                message = next(announcer)) {
+        for (LoadMessage message = next(gossiper); message.cycle() == 1; message = next(gossiper)) {
             swept.addAll(keys(message));
         }
         assertThat(swept).hasSize(60);
@@ -135,10 +131,10 @@
 
     @Test
     void leavingIsSaidOnce() {
-        final LoadGossiper announcer = announcer(2, 1_000, 60 * S);
-        assertThat(announcer.leave(nowUs)).as("no budget yet").isEmpty();
+        final LoadGossiper gossiper = gossiper(2, 1_000, 60 * S);
+        assertThat(gossiper.leave(nowUs)).as("no budget yet").isEmpty();
         nowUs += S;
-        final LoadMessage message = announcer.leave(nowUs).orElseThrow();
+        final LoadMessage message = gossiper.leave(nowUs).orElseThrow();
         assertThat(message.leaving()).isTrue();
         assertThat(message.entries()).isEmpty();
     }
--- a/src/test/java/cresschute/peers/LoadMessageCodecTest.java
+++ b/src/test/java/cresschute/peers/LoadMessageCodecTest.java
@@ -3,8 +3,6 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import cresschute.peers.LoadMessage.Entry;
-import cresschute.peers.LoadMessage.KeyRange;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -22,7 +20,7 @@
             "0123456789abcdef".getBytes(java.nio.charset.StandardCharsets.UTF_8);
     private final LoadMessageCodec codec = new LoadMessageCodec(KEY);
 
-    private static LoadMessage message(Entry... entries) {
+    private static LoadMessage message(LoadEntry... entries) {
         return new LoadMessage(
                 0xfedc_ba98,
                 1_700_000_000_000_000L,
@@ -33,7 +31,7 @@
                 List.of(entries));
     }
 
-    private RejectionReason refusal(byte[] bytes) {
+    private RejectionReason rejection(byte[] bytes) {
         try {
             codec.decode(bytes);
             return null;
@@ -50,12 +48,12 @@
             @ForAll boolean leaving)
             throws RejectedMessageException {
         final Random random = new Random(seed);
-        final List<Entry> entries = new ArrayList<>();
+        final List<LoadEntry> entries = new ArrayList<>();
         IntStream.range(0, size)
                 .forEach(
                         i ->
                                 entries.add(
-                                        new Entry(
+                                        new LoadEntry(
                                                 random.nextInt(),
                                                 random.nextInt() >>> 17 + random.nextInt(15))));
         final LoadMessage message =
@@ -76,18 +74,18 @@
     void largestCountsComeOut() throws RejectedMessageException {
         final LoadMessage message =
                 message(
-                        new Entry(-1, Integer.MAX_VALUE),
-                        new Entry(0, 0),
-                        new Entry(1, 127),
-                        new Entry(2, 128));
+                        new LoadEntry(-1, Integer.MAX_VALUE),
+                        new LoadEntry(0, 0),
+                        new LoadEntry(1, 127),
+                        new LoadEntry(2, 128));
         assertThat(codec.decode(codec.encode(message))).isEqualTo(message);
     }
 
     @Test
     void cutAnywhereItIsRefused() {
-        final byte[] whole = codec.encode(message(new Entry(1, 300), new Entry(2, 2)));
-        for (int length = 0; length < whole.length; length++) {
-            assertThat(refusal(Arrays.copyOf(whole, length)))
+        final byte[] encoded = codec.encode(message(new LoadEntry(1, 300), new LoadEntry(2, 2)));
+        for (int length = 0; length < encoded.length; length++) {
+            assertThat(rejection(Arrays.copyOf(encoded, length)))
                     .as("cut to " + length)
                     .isEqualTo(
                             length < LoadMessageCodec.MIN_MESSAGE_BYTES
@@ -98,11 +96,11 @@
 
     @Test
     void withAnyBitFlippedItIsRefused() {
-        final byte[] whole = codec.encode(message(new Entry(1, 300), new Entry(2, 2)));
-        for (int bit = 0; bit < 8 * whole.length; bit++) {
-            final byte[] flipped = whole.clone();
+        final byte[] encoded = codec.encode(message(new LoadEntry(1, 300), new LoadEntry(2, 2)));
+        for (int bit = 0; bit < 8 * encoded.length; bit++) {
+            final byte[] flipped = encoded.clone();
             flipped[bit / 8] ^= (byte) (1 << bit % 8);
-            assertThat(refusal(flipped))
+            assertThat(rejection(flipped))
                     .as("bit " + bit)
                     .isEqualTo(
                             bit < 8
@@ -113,13 +111,13 @@
 
     @Test
     void lengthenedOrOfAnotherKeyItIsRefused() {
-        final byte[] whole = codec.encode(message());
-        assertThat(refusal(Arrays.copyOf(whole, whole.length + 1)))
+        final byte[] encoded = codec.encode(message());
+        assertThat(rejection(Arrays.copyOf(encoded, encoded.length + 1)))
                 .isEqualTo(RejectionReason.NOT_AUTHENTIC);
-        assertThat(refusal(new byte[LoadMessageCodec.MAX_MESSAGE_BYTES + 1]))
+        assertThat(rejection(new byte[LoadMessageCodec.MAX_MESSAGE_BYTES + 1]))
                 .isEqualTo(RejectionReason.TOO_LONG);
         assertThat(
-                        refusal(
+                        rejection(
                                 new LoadMessageCodec(
                                                 "another key of 24 bytes!"
                                                         .getBytes(
@@ -132,27 +130,27 @@
     @Test
     void authenticBytesOutOfFormAreMalformed() {
         assertThat(
-                        refusal(
+                        rejection(
                                 codec.encode(
                                         new LoadMessage(
                                                 1, -5, 1, 1, false, KeyRange.EMPTY, List.of()))))
                 .as("negative incarnation")
                 .isEqualTo(RejectionReason.MALFORMED);
         assertThat(
-                        refusal(
+                        rejection(
                                 codec.encode(
                                         new LoadMessage(
                                                 1, 5, 0, 1, false, KeyRange.EMPTY, List.of()))))
                 .as("sequence 0")
                 .isEqualTo(RejectionReason.MALFORMED);
         assertThat(
-                        refusal(
+                        rejection(
                                 codec.encode(
                                         new LoadMessage(
                                                 1, 5, 1, 0, false, KeyRange.EMPTY, List.of()))))
                 .as("cycle 0")
                 .isEqualTo(RejectionReason.MALFORMED);
-        assertThat(refusal(codec.encode(message(new Entry(1, -1)))))
+        assertThat(rejection(codec.encode(message(new LoadEntry(1, -1)))))
                 .as("count beyond 31 bits")
                 .isEqualTo(RejectionReason.MALFORMED);
     }
@@ -161,8 +159,10 @@
     void shortKeysAndLongMessagesAreRefusedAtTheSender() {
         assertThatThrownBy(() -> new LoadMessageCodec(new byte[15]))
                 .isInstanceOf(IllegalArgumentException.class);
-        final Entry[] many =
-                IntStream.range(0, 300).mapToObj(i -> new Entry(i, 1)).toArray(Entry[]::new);
+        final LoadEntry[] many =
+                IntStream.range(0, 300)
+                        .mapToObj(i -> new LoadEntry(i, 1))
+                        .toArray(LoadEntry[]::new);
         assertThatThrownBy(() -> codec.encode(message(many)))
                 .isInstanceOf(IllegalArgumentException.class);
     }
--- a/src/test/java/cresschute/peers/PeerLoadViewTest.java
+++ b/src/test/java/cresschute/peers/PeerLoadViewTest.java
@@ -2,8 +2,6 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cresschute.peers.LoadMessage.Entry;
-import cresschute.peers.LoadMessage.KeyRange;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.IntStream;
@@ -32,7 +30,7 @@
     }
 
     /** Both peers state numbers at all workers. */
-    private void states(int liars, int honest, int workers) {
+    private void receive(int liars, int honest, int workers) {
         sequence++;
         announce(LIAR, liars, workers);
         announce(HONEST, honest, workers);
@@ -50,7 +48,7 @@
                             false,
                             KeyRange.EMPTY,
                             IntStream.range(0, workers)
-                                    .mapToObj(i -> new Entry(keys.list(worker(i)), count))
+                                    .mapToObj(i -> new LoadEntry(keys.register(worker(i)), count))
                                     .toList()));
         } catch (RejectedMessageException e) {
             throw new AssertionError(e);
@@ -59,8 +57,8 @@
 
     @Test
     void ownAndPeersCountsAreSummed() {
-        states(1, 2, 1);
-        own.attemptStarted(keys.list(worker(0)));
+        receive(1, 2, 1);
+        own.attemptStarted(keys.register(worker(0)));
         assertThat(view.outstanding(nowUs, worker(0))).hasValue(4);
         assertThat(view.outstanding(nowUs, "never listed")).isEmpty();
         nowUs += 3 * S;
@@ -69,11 +67,11 @@
 
     @Test
     void workersOfOneKeyAreUnknownAndSaidOnce() {
-        states(0, 0, 0);
-        keys.list("x", 42);
+        receive(0, 0, 0);
+        keys.register("x", 42);
         assertThat(view.outstanding(nowUs, "x")).hasValue(0);
-        keys.list("y", 42);
-        keys.list("y", 42);
+        keys.register("y", 42);
+        keys.register("y", 42);
         assertThat(view.outstanding(nowUs, "x")).isEmpty();
         assertThat(view.outstanding(nowUs, "y")).isEmpty();
         assertThat(collisions).containsExactly("x=y");
@@ -87,10 +85,10 @@
 
     @Test
     void reportsWithinTheMarginDistrustNobody() {
-        states(4, 3, 10);
+        receive(4, 3, 10);
         for (int i = 0; i < 100; i++) {
             nowUs += S / 10;
-            states(4, 3, 10);
+            receive(4, 3, 10);
             view.loadReported(nowUs, worker(i % 10), 5);
         }
         assertThat(distrusted).isEmpty();
@@ -100,11 +98,11 @@
 
     @Test
     void contradictedWorkerIsAskedUntilAReportAgrees() {
-        states(50, 0, 2);
+        receive(50, 0, 2);
         view.loadReported(nowUs, worker(0), 1);
         assertThat(view.outstanding(nowUs, worker(0))).isEmpty();
         view.loadReported(nowUs, worker(0), 49);
-        states(50, 0, 2);
+        receive(50, 0, 2);
         assertThat(answeredOf(10)).isGreaterThan(0);
     }
 
@@ -121,15 +119,15 @@
         int reports = 0;
         while (distrusted.isEmpty()) {
             nowUs += S / 10;
-            states(30, 2, 40);
+            receive(30, 2, 40);
             view.loadReported(nowUs, worker(reports++ % 40), 2);
-            assertThat(reports).isLessThanOrEqualTo(ClaimValidator.WINDOW);
+            assertThat(reports).isLessThanOrEqualTo(ClaimValidator.WINDOW_SIZE);
         }
         assertThat(distrusted).containsExactly(LIAR);
         assertThat(peers.isComplete(nowUs)).isFalse();
         for (int i = 0; i < 61; i++) {
             nowUs += S;
-            states(0, 2, 40);
+            receive(0, 2, 40);
         }
         assertThat(peers.isComplete(nowUs)).isTrue();
     }
@@ -137,10 +135,10 @@
     /** A worker that is avoided sends no reports, so it is asked itself. */
     @Test
     void unusualClaimIsVerifiedAtTheWorkerAtOnce() {
-        states(2, 2, 20);
+        receive(2, 2, 20);
         for (int i = 0; i < 200; i++) {
             nowUs += S / 10;
-            states(2, 2, 20);
+            receive(2, 2, 20);
             view.outstanding(nowUs, worker(1 + i % 19));
         }
         sequence++;
@@ -159,7 +157,7 @@
         for (int i = 0; i < 6_000; i++) {
             nowUs += S / 100;
             if (i % 100 == 0) {
-                states(2, 2, 20);
+                receive(2, 2, 20);
             }
             asked += view.outstanding(nowUs, worker(i % 20)).isEmpty() ? 1 : 0;
         }
--- a/src/test/java/cresschute/peers/PeerTableTest.java
+++ b/src/test/java/cresschute/peers/PeerTableTest.java
@@ -2,8 +2,6 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cresschute.peers.LoadMessage.Entry;
-import cresschute.peers.LoadMessage.KeyRange;
 import java.util.List;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
@@ -20,7 +18,7 @@
     private long nowUs = START_US;
 
     private static LoadMessage message(
-            int sender, long incarnation, long sequence, long cycle, Entry... entries) {
+            int sender, long incarnation, long sequence, long cycle, LoadEntry... entries) {
         return new LoadMessage(
                 sender, incarnation, sequence, cycle, false, KeyRange.EMPTY, List.of(entries));
     }
@@ -41,10 +39,10 @@
 
     @Test
     void peerReceivedFromItsFirstMessageIsAlive() {
-        assertThat(receive(message(A, 1, 1, 1, new Entry(5, 2)))).isNull();
+        assertThat(receive(message(A, 1, 1, 1, new LoadEntry(5, 2)))).isNull();
         assertThat(state(A)).isEqualTo(PeerState.ALIVE);
         assertThat(table.isComplete(nowUs)).as("the other one is missing").isFalse();
-        receive(message(B, 1, 1, 1, new Entry(5, 3)));
+        receive(message(B, 1, 1, 1, new LoadEntry(5, 3)));
         assertThat(table.isComplete(nowUs)).isTrue();
         assertThat(table.count(nowUs, 5)).isEqualTo(5);
     }
@@ -95,7 +93,7 @@
 
     @Test
     void pauseWithoutLossLeavesItAliveAndWithLossItJoinsAnew() {
-        receive(message(A, 1, 1, 1, new Entry(5, 2)));
+        receive(message(A, 1, 1, 1, new LoadEntry(5, 2)));
         nowUs += 4 * S;
         assertThat(state(A)).isEqualTo(PeerState.SUSPECT);
         assertThat(table.count(nowUs, 5)).isEqualTo(2);
@@ -108,7 +106,7 @@
 
     @Test
     void absentPeersCountsAreDroppedAlsoWhenItSendsAgain() {
-        receive(message(A, 1, 1, 1, new Entry(5, 2)));
+        receive(message(A, 1, 1, 1, new LoadEntry(5, 2)));
         nowUs += 60 * S;
         assertThat(state(A)).isEqualTo(PeerState.ABSENT);
         assertThat(table.count(nowUs, 5)).isZero();
@@ -119,8 +117,18 @@
 
     @Test
     void rangeDropsWhatTheMessageLeavesOut() {
-        receive(message(A, 1, 1, 1, new Entry(5, 2), new Entry(6, 1), new Entry(-2, 4)));
-        receive(new LoadMessage(A, 1, 2, 1, false, new KeyRange(0, 5), List.of(new Entry(3, 1))));
+        receive(
+                message(
+                        A,
+                        1,
+                        1,
+                        1,
+                        new LoadEntry(5, 2),
+                        new LoadEntry(6, 1),
+                        new LoadEntry(-2, 4)));
+        receive(
+                new LoadMessage(
+                        A, 1, 2, 1, false, new KeyRange(0, 5), List.of(new LoadEntry(3, 1))));
         assertThat(table.count(nowUs, 5)).isZero();
         assertThat(table.count(nowUs, 3)).isEqualTo(1);
         assertThat(table.count(nowUs, 6)).isEqualTo(1);
@@ -146,9 +154,9 @@
     @Test
     void onePeerCannotFillTheMemory() {
         int sequence = 0;
-        RejectionReason refusal = null;
-        for (int from = 0; refusal == null; from += 200) {
-            refusal =
+        RejectionReason rejection = null;
+        for (int from = 0; rejection == null; from += 200) {
+            rejection =
                     receive(
                             message(
                                     A,
@@ -156,10 +164,10 @@
                                     ++sequence,
                                     1,
                                     IntStream.range(from, from + 200)
-                                            .mapToObj(key -> new Entry(key, 1))
-                                            .toArray(Entry[]::new)));
+                                            .mapToObj(key -> new LoadEntry(key, 1))
+                                            .toArray(LoadEntry[]::new)));
         }
-        assertThat(refusal).isEqualTo(RejectionReason.TOO_MANY_ENTRIES);
+        assertThat(rejection).isEqualTo(RejectionReason.TOO_MANY_ENTRIES);
         assertThat(200 * sequence).isLessThanOrEqualTo(PeerTable.MAX_ENTRIES_PER_PEER + 200);
     }
 
--- a/src/test/java/cresschute/peers/SimulatedNetwork.java
+++ b/src/test/java/cresschute/peers/SimulatedNetwork.java
@@ -24,7 +24,7 @@
     private static final byte[] KEY = new byte[32];
 
     /** One dispatcher, its true counts and what it has sent. */
-    static final class Site {
+    static final class Node {
         final String name;
         final LoadMessageCodec codec = new LoadMessageCodec(KEY);
         final int[] truth;
@@ -34,7 +34,7 @@
         long messages;
         final List<Integer> distrusted = new ArrayList<>();
 
-        Site(String name, int workers) {
+        Node(String name, int workers) {
             this.name = name;
             this.truth = new int[workers];
         }
@@ -42,7 +42,7 @@
 
     private record Datagram(long atUs, long order, int from, int to, byte[] bytes) {}
 
-    final List<Site> sites = new ArrayList<>();
+    final List<Node> nodes = new ArrayList<>();
     final Random random;
     private final int workers;
     private final long bytesPerS;
@@ -74,10 +74,10 @@
         this.bytesPerS = bytesPerS;
         this.refreshUs = refreshUs;
         for (int i = 0; i < dispatchers; i++) {
-            sites.add(new Site("n" + i, workers));
+            nodes.add(new Node("n" + i, workers));
         }
         for (int i = 0; i < dispatchers; i++) {
-            boot(i);
+            restart(i);
         }
     }
 
@@ -86,48 +86,49 @@
     }
 
     /** A new run of the dispatcher's process, with nothing open. */
-    void boot(int site) {
-        final Site booted = sites.get(site);
-        Arrays.fill(booted.truth, 0);
-        ends.removeIf(each -> each[1] == site);
-        booted.up = true;
-        booted.exchange =
+    void restart(int node) {
+        final Node restarted = nodes.get(node);
+        Arrays.fill(restarted.truth, 0);
+        ends.removeIf(each -> each[1] == node);
+        restarted.up = true;
+        restarted.exchange =
                 new LoadExchange(
-                        new ExchangeSettings(booted.name, sites.size() - 1, bytesPerS, refreshUs),
+                        new ExchangeSettings(
+                                restarted.name, nodes.size() - 1, bytesPerS, refreshUs),
                         nowUs,
-                        new LoadExchange.Listener() {
+                        new ExchangeListener() {
                             @Override
                             public void keyCollision(String worker, String other) {
                                 throw new IllegalStateException(worker + " and " + other);
                             }
 
                             @Override
-                            public void distrusted(int sender, long forUs) {
-                                booted.distrusted.add(sender);
+                            public void distrusted(int sender, long durationUs) {
+                                restarted.distrusted.add(sender);
                             }
                         });
         for (int i = 0; i < workers; i++) {
-            booted.exchange.workerListed(worker(i));
+            restarted.exchange.workerListed(worker(i));
         }
     }
 
-    void crash(int site) {
-        sites.get(site).up = false;
+    void crash(int node) {
+        nodes.get(node).up = false;
     }
 
-    void leave(int site) {
-        sites.get(site).exchange.leave(nowUs).ifPresent(message -> transmit(site, message));
-        crash(site);
+    void leave(int node) {
+        nodes.get(node).exchange.leave(nowUs).ifPresent(message -> transmit(node, message));
+        crash(node);
     }
 
-    void start(int site, int worker) {
-        sites.get(site).truth[worker]++;
-        sites.get(site).exchange.attemptStarted(worker(worker));
+    void start(int node, int worker) {
+        nodes.get(node).truth[worker]++;
+        nodes.get(node).exchange.attemptStarted(worker(worker));
     }
 
-    void end(int site, int worker) {
-        sites.get(site).truth[worker]--;
-        sites.get(site).exchange.attemptEnded(worker(worker));
+    void end(int node, int worker) {
+        nodes.get(node).truth[worker]--;
+        nodes.get(node).exchange.attemptEnded(worker(worker));
     }
 
     void run(double seconds) {
@@ -136,11 +137,11 @@
             nowUs += TICK_US;
             load();
             deliver();
-            for (int i = 0; i < sites.size(); i++) {
-                final Site site = sites.get(i);
-                if (site.up) {
+            for (int i = 0; i < nodes.size(); i++) {
+                final Node node = nodes.get(i);
+                if (node.up) {
                     final int from = i;
-                    final Optional<LoadMessage> message = site.exchange.poll(nowUs);
+                    final Optional<LoadMessage> message = node.exchange.poll(nowUs);
                     message.ifPresent(each -> transmit(from, each));
                 }
             }
@@ -149,17 +150,17 @@
 
     private void load() {
         for (startsDue += startsPerS * TICK_US / S; startsDue >= 1; startsDue--) {
-            final int site = random.nextInt(sites.size());
-            if (sites.get(site).up) {
+            final int node = random.nextInt(nodes.size());
+            if (nodes.get(node).up) {
                 final int worker = random.nextInt(workers);
-                start(site, worker);
+                start(node, worker);
                 final double runS = -Math.log(1 - random.nextDouble()) * meanRunS;
-                ends.add(new long[] {nowUs + (long) (runS * S), site, worker});
+                ends.add(new long[] {nowUs + (long) (runS * S), node, worker});
             }
         }
         while (!ends.isEmpty() && ends.peek()[0] <= nowUs) {
             final long[] due = ends.poll();
-            if (sites.get((int) due[1]).up) {
+            if (nodes.get((int) due[1]).up) {
                 end((int) due[1], (int) due[2]);
             }
         }
@@ -172,20 +173,22 @@
     }
 
     private void transmit(int from, LoadMessage message) {
-        final Site site = sites.get(from);
-        final byte[] bytes = site.codec.encode(message);
+        final Node node = nodes.get(from);
+        final byte[] bytes = node.codec.encode(message);
         assertThat(bytes).hasSizeLessThanOrEqualTo(LoadMessageCodec.MAX_MESSAGE_BYTES);
-        site.messages++;
-        for (int to = 0; to < sites.size(); to++) {
+        node.messages++;
+        for (int to = 0; to < nodes.size(); to++) {
             if (to != from) {
-                site.bytes += bytes.length + LoadGossiper.HEADER_BYTES;
+                node.bytes += bytes.length + LoadGossiper.HEADER_BYTES;
                 send(from, to, bytes);
             }
         }
     }
 
     private void send(int from, int to, byte[] bytes) {
-        for (int copies = random.nextDouble() < duplication ? 2 : 1; copies > 0; copies--) {
+        for (int duplicates = random.nextDouble() < duplication ? 2 : 1;
+                duplicates > 0;
+                duplicates--) {
             if (random.nextDouble() >= loss) {
                 final long extraUs = jitterUs == 0 ? 0 : (long) (random.nextDouble() * jitterUs);
                 wire.add(new Datagram(nowUs + delayUs + extraUs, sent++, from, to, bytes));
@@ -196,8 +199,8 @@
     private void deliver() {
         while (!wire.isEmpty() && wire.peek().atUs() <= nowUs) {
             final Datagram datagram = wire.poll();
-            final Site site = sites.get(datagram.to());
-            if (site.up && connected.test(datagram.from(), datagram.to())) {
+            final Node node = nodes.get(datagram.to());
+            if (node.up && connected.test(datagram.from(), datagram.to())) {
                 inject(datagram.to(), datagram.bytes());
             }
         }
@@ -205,54 +208,54 @@
 
     /** Hands bytes to a dispatcher as its socket would; whether they were taken in. */
     boolean inject(int to, byte[] bytes) {
-        final Site site = sites.get(to);
+        final Node node = nodes.get(to);
         try {
-            site.exchange.receive(nowUs, site.codec.decode(bytes));
+            node.exchange.receive(nowUs, node.codec.decode(bytes));
             return true;
         } catch (RejectedMessageException e) {
             return false;
         }
     }
 
-    boolean isComplete(int site) {
-        return sites.get(site).exchange.peers().isComplete(nowUs);
+    boolean isComplete(int node) {
+        return nodes.get(node).exchange.peers().isComplete(nowUs);
     }
 
     PeerState state(int at, int of) {
-        return sites.get(at)
+        return nodes.get(at)
                 .exchange
                 .peers()
                 .states(nowUs)
-                .get(WorkerKeys.hash(sites.get(of).name));
+                .get(WorkerKeys.hash(nodes.get(of).name));
     }
 
     /** Open attempts at a worker, all others than this one that are up together. */
-    int trueCountOfOthers(int site, int worker) {
+    int trueCountOfOthers(int node, int worker) {
         int sum = 0;
-        for (int i = 0; i < sites.size(); i++) {
-            sum += i != site && sites.get(i).up ? sites.get(i).truth[worker] : 0;
+        for (int i = 0; i < nodes.size(); i++) {
+            sum += i != node && nodes.get(i).up ? nodes.get(i).truth[worker] : 0;
         }
         return sum;
     }
 
-    int seenCountOfOthers(int site, int worker) {
-        return sites.get(site).exchange.peers().count(nowUs, WorkerKeys.hash(worker(worker)));
+    int seenCountOfOthers(int node, int worker) {
+        return nodes.get(node).exchange.peers().count(nowUs, WorkerKeys.hash(worker(worker)));
     }
 
     /** Workers at which this dispatcher's table is not what is true. */
-    int wrongAt(int site) {
+    int wrongCountsAt(int node) {
         int wrong = 0;
         for (int worker = 0; worker < workers; worker++) {
-            wrong += seenCountOfOthers(site, worker) == trueCountOfOthers(site, worker) ? 0 : 1;
+            wrong += seenCountOfOthers(node, worker) == trueCountOfOthers(node, worker) ? 0 : 1;
         }
         return wrong;
     }
 
     /** The same of all dispatchers that are up. */
-    int wrong() {
+    int wrongCounts() {
         int wrong = 0;
-        for (int i = 0; i < sites.size(); i++) {
-            wrong += sites.get(i).up ? wrongAt(i) : 0;
+        for (int i = 0; i < nodes.size(); i++) {
+            wrong += nodes.get(i).up ? wrongCountsAt(i) : 0;
         }
         return wrong;
     }
--- a/src/test/java/cresschute/peers/socket/PeerSocketTest.java
+++ b/src/test/java/cresschute/peers/socket/PeerSocketTest.java
@@ -4,10 +4,10 @@
 import static org.awaitility.Awaitility.await;
 
 import cresschute.peers.ExchangeSettings;
+import cresschute.peers.KeyRange;
+import cresschute.peers.LoadEntry;
 import cresschute.peers.LoadExchange;
 import cresschute.peers.LoadMessage;
-import cresschute.peers.LoadMessage.Entry;
-import cresschute.peers.LoadMessage.KeyRange;
 import cresschute.peers.LoadMessageCodec;
 import cresschute.peers.PeerState;
 import cresschute.peers.RejectionReason;
@@ -41,13 +41,13 @@
     private static final byte[] KEY = new byte[16];
     private static final String WORKER = "w-1";
 
-    private record Site(LoadExchange exchange, PeerSocket socket, ExchangeLog log) {}
+    private record Node(LoadExchange exchange, PeerSocket socket, ExchangeLog log) {}
 
     private final EventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final long startNs = System.nanoTime();
-    private final List<Site> sites = new ArrayList<>();
+    private final List<Node> nodes = new ArrayList<>();
     private final List<String> refreshed = new CopyOnWriteArrayList<>();
 
     private long nowUs() {
@@ -83,21 +83,21 @@
                             refreshed::addAll);
             socket.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
                     .syncUninterruptibly();
-            sites.add(new Site(exchange, socket, log));
+            nodes.add(new Node(exchange, socket, log));
         }
         onLoop(
                 () -> {
-                    for (final Site site : sites) {
-                        site.socket()
+                    for (final Node node : nodes) {
+                        node.socket()
                                 .sendTo(
-                                        sites.stream()
-                                                .filter(other -> other != site)
+                                        nodes.stream()
+                                                .filter(other -> other != node)
                                                 .map(other -> other.socket().address())
                                                 .toList());
                     }
                     return null;
                 });
-        await().atMost(PATIENCE).until(() -> sites.stream().allMatch(this::isComplete));
+        await().atMost(PATIENCE).until(() -> nodes.stream().allMatch(this::isComplete));
     }
 
     @AfterEach
@@ -105,15 +105,15 @@
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
     }
 
-    private boolean isComplete(Site site) {
-        return onLoop(() -> site.exchange().peers().isComplete(nowUs()));
+    private boolean isComplete(Node node) {
+        return onLoop(() -> node.exchange().peers().isComplete(nowUs()));
     }
 
-    private OptionalInt outstanding(Site site) {
-        return onLoop(() -> site.exchange().outstanding(nowUs(), WORKER));
+    private OptionalInt outstanding(Node node) {
+        return onLoop(() -> node.exchange().outstanding(nowUs(), WORKER));
     }
 
-    private void send(byte[] bytes, Site to) throws Exception {
+    private void send(byte[] bytes, Node to) throws Exception {
         try (DatagramSocket socket = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             socket.send(new DatagramPacket(bytes, bytes.length, to.socket().address()));
         }
@@ -123,30 +123,30 @@
     void countsOfAllReachAllAndALeavingOneIsAbsent() {
         onLoop(
                 () -> {
-                    sites.get(0).exchange().attemptStarted(WORKER);
-                    sites.get(1).exchange().attemptStarted(WORKER);
-                    sites.get(2).exchange().attemptStarted(WORKER);
+                    nodes.get(0).exchange().attemptStarted(WORKER);
+                    nodes.get(1).exchange().attemptStarted(WORKER);
+                    nodes.get(2).exchange().attemptStarted(WORKER);
                     return null;
                 });
         await().atMost(PATIENCE)
                 .until(
                         () ->
-                                sites.stream()
+                                nodes.stream()
                                         .allMatch(
-                                                site ->
-                                                        outstanding(site)
+                                                node ->
+                                                        outstanding(node)
                                                                 .equals(OptionalInt.of(3))));
         await().atMost(PATIENCE).until(() -> refreshed.contains(WORKER));
-        await().atMost(PATIENCE).until(() -> onLoop(() -> sites.get(2).socket().leave()));
-        await().atMost(PATIENCE).until(() -> outstanding(sites.get(0)).equals(OptionalInt.of(2)));
-        assertThat(onLoop(() -> sites.get(0).exchange().peers().states(nowUs())))
+        await().atMost(PATIENCE).until(() -> onLoop(() -> nodes.get(2).socket().leave()));
+        await().atMost(PATIENCE).until(() -> outstanding(nodes.get(0)).equals(OptionalInt.of(2)));
+        assertThat(onLoop(() -> nodes.get(0).exchange().peers().states(nowUs())))
                 .containsEntry(WorkerKeys.hash("n2"), PeerState.ABSENT);
     }
 
     @Test
     void forgedCutAndOversizedDatagramsChangeNothing() throws Exception {
-        final Site site = sites.get(0);
-        final LoadMessage lie =
+        final Node node = nodes.get(0);
+        final LoadMessage forgedMessage =
                 new LoadMessage(
                         WorkerKeys.hash("n1"),
                         Long.MAX_VALUE,
@@ -154,28 +154,28 @@
                         9,
                         false,
                         new KeyRange(KeyRange.MIN_KEY, KeyRange.MAX_KEY),
-                        List.of(new Entry(WorkerKeys.hash(WORKER), 1_000)));
+                        List.of(new LoadEntry(WorkerKeys.hash(WORKER), 1_000)));
         final byte[] forged =
                 new LoadMessageCodec(
                                 "not the right key"
                                         .getBytes(java.nio.charset.StandardCharsets.UTF_8))
-                        .encode(lie);
-        send(forged, site);
-        send(Arrays.copyOf(forged, 20), site);
-        send(new byte[0], site);
-        send(new byte[2_000], site);
-        final byte[] other = new LoadMessageCodec(KEY).encode(lie);
+                        .encode(forgedMessage);
+        send(forged, node);
+        send(Arrays.copyOf(forged, 20), node);
+        send(new byte[0], node);
+        send(new byte[2_000], node);
+        final byte[] other = new LoadMessageCodec(KEY).encode(forgedMessage);
         other[0] = 2;
-        send(other, site);
-        await().atMost(PATIENCE).until(() -> onLoop(() -> refusedOnceOrTwice(site.log())));
-        assertThat(outstanding(site)).hasValue(0);
-        assertThat(isComplete(site)).isTrue();
+        send(other, node);
+        await().atMost(PATIENCE).until(() -> onLoop(() -> refusedOnceOrTwice(node.log())));
+        assertThat(outstanding(node)).hasValue(0);
+        assertThat(isComplete(node)).isTrue();
     }
 
     private static boolean refusedOnceOrTwice(ExchangeLog log) {
-        return log.refused(RejectionReason.NOT_AUTHENTIC) == 1
-                && log.refused(RejectionReason.TOO_SHORT) == 2
-                && log.refused(RejectionReason.TOO_LONG) == 1
-                && log.refused(RejectionReason.OTHER_VERSION) == 1;
+        return log.rejected(RejectionReason.NOT_AUTHENTIC) == 1
+                && log.rejected(RejectionReason.TOO_SHORT) == 2
+                && log.rejected(RejectionReason.TOO_LONG) == 1
+                && log.rejected(RejectionReason.OTHER_VERSION) == 1;
     }
 }
