--- a/src/main/java/cresschute/logs/PlainBackend.java
+++ b/src/main/java/cresschute/logs/JdkLogSink.java
@@ -6,30 +6,30 @@
 import java.util.logging.Logger;
 
 /**
- * The light back end, which the JDK has: {@link java.util.logging}, as its own properties configure
- * it.
+ * Writes messages by {@link java.util.logging}, as its own properties configure it. Needs no
+ * library, so a small node that does not log structured events loads none. Thread-safe.
  */
-final class PlainBackend implements LogBackend {
+final class JdkLogSink implements LogSink {
 
-    /** Held here, as the JDK itself forgets loggers that nobody holds. */
+    /** Referenced here, since the JDK holds loggers by weak references only. */
     private final Map<String, Logger> loggers = new ConcurrentHashMap<>();
 
     @Override
     public boolean isLoggable(String logger, Level level) {
-        return logger(logger).isLoggable(plain(level));
+        return logger(logger).isLoggable(toJdk(level));
     }
 
     @Override
     public void log(String logger, Level level, LogEvent event) {
-        // With a source told, the JDK does not walk the stack for one.
-        logger(logger).logp(plain(level), null, null, event.text(), event.thrown());
+        // With class and method given, even as null, the JDK does not walk the stack for them.
+        logger(logger).logp(toJdk(level), null, null, event.text(), event.cause());
     }
 
     private Logger logger(String name) {
         return loggers.computeIfAbsent(name, Logger::getLogger);
     }
 
-    private static java.util.logging.Level plain(Level level) {
+    private static java.util.logging.Level toJdk(Level level) {
         return switch (level) {
             case ALL -> java.util.logging.Level.ALL;
             case TRACE -> java.util.logging.Level.FINER;
--- a/src/main/java/cresschute/logs/LogEvent.java
+++ b/src/main/java/cresschute/logs/LogEvent.java
@@ -7,31 +7,40 @@
 import java.util.List;
 
 /**
- * One line of the log: the name of its kind, a text for people, and fields for programs. The text
- * alone is what a plain back end writes; a structured one writes the name and the fields too. The
- * on-call page lists all names. Used by one thread at a time and not after it is logged.
+ * A log event: its name, a message for people, and fields for programs. The JDK's sink writes the
+ * message alone, a structured one also the name and the fields. The on-call page lists all names.
+ * Not thread-safe: built by one thread, and not changed after it is logged.
  */
 public final class LogEvent {
 
-    /** A field; its value is a text, a number or a truth value. */
+    /**
+     * A field.
+     *
+     * @param value a string, a number or a boolean
+     */
     public record Field(String name, Object value) {}
 
     private final String name;
     private final String text;
     private final List<Field> fields = new ArrayList<>(4);
-    private Throwable thrown;
+    private Throwable cause;
 
     private LogEvent(String name, String text) {
         this.name = name;
         this.text = text;
     }
 
-    /** An event without fields yet; names are lower case with underscores. */
+    /**
+     * Creates an event without fields.
+     *
+     * @param name lower case with underscores
+     * @param text the message for people
+     */
     public static LogEvent of(String name, String text) {
         return new LogEvent(name, text);
     }
 
-    /** Adds a field. What is no number or truth value is written as its text. */
+    /** Adds a field; a value that is neither number nor boolean is written as its string. */
     public LogEvent with(String field, Object value) {
         fields.add(
                 new Field(
@@ -42,27 +51,27 @@
         return this;
     }
 
-    /** Adds what was thrown; its trace follows the line. */
+    /** Adds the cause; its stack trace follows the message. */
     public LogEvent because(Throwable cause) {
-        thrown = cause;
+        this.cause = cause;
         return this;
     }
 
-    /** Logs it. Any thread. */
+    /** Logs it. */
     public void log(Logger logger, Level level) {
         if (logger instanceof RoutedLogger routed) {
             routed.log(level, this);
         } else {
-            logger.log(level, text, thrown);
+            logger.log(level, text, cause);
         }
     }
 
-    /** The name of its kind. */
+    /** The name of the event. */
     public String name() {
         return name;
     }
 
-    /** The text for people. */
+    /** The message for people. */
     public String text() {
         return text;
     }
@@ -72,9 +81,9 @@
         return Collections.unmodifiableList(fields);
     }
 
-    /** What was thrown, or null. */
-    public Throwable thrown() {
-        return thrown;
+    /** The cause, or null. */
+    public Throwable cause() {
+        return cause;
     }
 
     @Override
--- /dev/null
+++ b/src/main/java/cresschute/logs/LogSink.java
@@ -0,0 +1,13 @@
+package cresschute.logs;
+
+import java.lang.System.Logger.Level;
+
+/** Writes log events. Thread-safe: called from any thread. */
+public interface LogSink {
+
+    /** Whether an event of this logger at this level would be written. */
+    boolean isLoggable(String logger, Level level);
+
+    /** Writes an event, unless its level is not loggable. */
+    void log(String logger, Level level, LogEvent event);
+}
--- a/src/main/java/cresschute/logs/RoutedLogger.java
+++ b/src/main/java/cresschute/logs/RoutedLogger.java
@@ -5,7 +5,7 @@
 import java.util.MissingResourceException;
 import java.util.ResourceBundle;
 
-/** A logger that writes to whatever back end is in use when a line comes. */
+/** A logger that writes to the sink in use at the time of each event. Thread-safe. */
 final class RoutedLogger implements Logger {
 
     private final String name;
@@ -21,12 +21,12 @@
 
     @Override
     public boolean isLoggable(Level level) {
-        return RoutedLoggerFinder.backend().isLoggable(name, level);
+        return RoutedLoggerFinder.sink().isLoggable(name, level);
     }
 
     void log(Level level, LogEvent event) {
         if (isLoggable(level)) {
-            RoutedLoggerFinder.backend().log(name, level, event);
+            RoutedLoggerFinder.sink().log(name, level, event);
         }
     }
 
--- a/src/main/java/cresschute/logs/RoutedLoggerFinder.java
+++ b/src/main/java/cresschute/logs/RoutedLoggerFinder.java
@@ -1,13 +1,13 @@
 package cresschute.logs;
 
 /**
- * Gives the loggers of {@link System#getLogger}, which finds it as a service. They write to the
- * JDK's own back end, which costs a small node nothing, until another one is put in its place.
+ * Provides the loggers of {@link System#getLogger}; the JDK finds it as a service. The loggers
+ * write to the sink in use, which is {@link JdkLogSink} until another one is set. Thread-safe.
  */
 public final class RoutedLoggerFinder extends System.LoggerFinder {
 
-    private static final LogBackend PLAIN = new PlainBackend();
-    private static volatile LogBackend backend = PLAIN;
+    private static final LogSink JDK_SINK = new JdkLogSink();
+    private static volatile LogSink sink = JDK_SINK;
 
     /** Called by the JDK. */
     public RoutedLoggerFinder() {
@@ -19,17 +19,17 @@
         return new RoutedLogger(name);
     }
 
-    static LogBackend backend() {
-        return backend;
+    static LogSink sink() {
+        return sink;
     }
 
-    /** Puts a back end in place, for loggers that were given out before as well. Any thread. */
-    public static void use(LogBackend next) {
-        backend = next;
+    /** Sets the sink, also for loggers that were provided before. */
+    public static void use(LogSink next) {
+        sink = next;
     }
 
-    /** Puts the JDK's own back end in place again. Any thread. */
-    public static void usePlain() {
-        backend = PLAIN;
+    /** Sets the JDK's sink again. */
+    public static void useJdkSink() {
+        sink = JDK_SINK;
     }
 }
--- a/src/main/java/cresschute/logs/structured/StructuredLog.java
+++ b/src/main/java/cresschute/logs/structured/StructuredLog.java
@@ -9,8 +9,8 @@
 import ch.qos.logback.core.ConsoleAppender;
 import ch.qos.logback.core.OutputStreamAppender;
 import ch.qos.logback.core.encoder.Encoder;
-import cresschute.logs.LogBackend;
 import cresschute.logs.LogEvent;
+import cresschute.logs.LogSink;
 import java.io.OutputStream;
 import java.lang.System.Logger.Level;
 import java.nio.charset.StandardCharsets;
@@ -18,14 +18,16 @@
 import org.slf4j.spi.LoggingEventBuilder;
 
 /**
- * The structured back end, on Logback: lines of text, or JSON objects with the event's name and
- * fields. Lines are written by a thread of its own, so that a reader that stops reading the log
- * never stops the node; lines that find no room then are lost.
+ * Writes events by Logback: lines of text, or JSON objects with the event's name and fields.
+ *
+ * <p>Life cycle: writes from its creation until {@link #close}. Thread-safe: events are queued and
+ * written by a thread of its own, so that a reader that stops reading the log never blocks the
+ * node; events that come while the queue is full are lost.
  */
-public final class StructuredLog implements LogBackend, AutoCloseable {
+public final class StructuredLog implements LogSink, AutoCloseable {
 
-    private static final int MOST_WAITING = 4096;
-    private static final int FLUSH_MS = 1_000;
+    private static final int MAX_QUEUED_LINES = 4096;
+    private static final int MAX_FLUSH_MS = 1_000;
 
     private final LoggerContext context = new LoggerContext();
 
@@ -33,7 +35,7 @@
      * Writes to standard error.
      *
      * @param json whether lines are JSON objects
-     * @param level the least that is written
+     * @param level the lowest level that is written
      */
     public StructuredLog(boolean json, Level level) {
         this(json, level, null);
@@ -42,8 +44,7 @@
     /** Writes to a stream, or to standard error where it is null. */
     StructuredLog(boolean json, Level level, OutputStream out) {
         context.setName("cresschute");
-        // Guards against losing every line: a context of its own has none, and each line asks for
-        // it.
+        // A context that is created here has no MDC adapter, and events fail without one.
         context.setMDCAdapter(new LogbackMDCAdapter());
         final Encoder<ILoggingEvent> encoder = json ? json() : text();
         encoder.setContext(context);
@@ -64,14 +65,14 @@
         appender.start();
         final AsyncAppender async = new AsyncAppender();
         async.setContext(context);
-        async.setQueueSize(MOST_WAITING);
+        async.setQueueSize(MAX_QUEUED_LINES);
         async.setDiscardingThreshold(0);
         async.setNeverBlock(true);
-        async.setMaxFlushTime(FLUSH_MS);
+        async.setMaxFlushTime(MAX_FLUSH_MS);
         async.addAppender(appender);
         async.start();
         final Logger root = context.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME);
-        root.setLevel(ch.qos.logback.classic.Level.convertAnSLF4JLevel(slf4j(level)));
+        root.setLevel(ch.qos.logback.classic.Level.convertAnSLF4JLevel(toSlf4j(level)));
         root.addAppender(async);
         context.start();
     }
@@ -94,7 +95,7 @@
         return encoder;
     }
 
-    private static org.slf4j.event.Level slf4j(Level level) {
+    private static org.slf4j.event.Level toSlf4j(Level level) {
         return switch (level) {
             case ALL, TRACE -> org.slf4j.event.Level.TRACE;
             case DEBUG -> org.slf4j.event.Level.DEBUG;
@@ -106,24 +107,26 @@
 
     @Override
     public boolean isLoggable(String logger, Level level) {
-        return level != Level.OFF && context.getLogger(logger).isEnabledForLevel(slf4j(level));
+        return level != Level.OFF && context.getLogger(logger).isEnabledForLevel(toSlf4j(level));
     }
 
     @Override
     public void log(String logger, Level level, LogEvent event) {
         LoggingEventBuilder line =
-                context.getLogger(logger).atLevel(slf4j(level)).addKeyValue("event", event.name());
+                context.getLogger(logger)
+                        .atLevel(toSlf4j(level))
+                        .addKeyValue("event", event.name());
         for (final LogEvent.Field field : event.fields()) {
             line = line.addKeyValue(field.name(), field.value());
         }
-        if (event.thrown() != null) {
-            line = line.setCause(event.thrown());
+        if (event.cause() != null) {
+            line = line.setCause(event.cause());
         }
-        // Not as a format: a text of a peer's may hold what looks like a place for a value.
+        // Not as a format: a message may contain braces that a peer sent.
         line.log(event.text());
     }
 
-    /** Writes what waits, for a second at the most; nothing is written after that. */
+    /** Writes the queued events, for one second at most; nothing is written after that. */
     @Override
     public void close() {
         context.stop();
--- a/src/main/java/cresschute/node/LoadKnowledge.java
+++ b/src/main/java/cresschute/node/LoadKnowledge.java
@@ -4,29 +4,30 @@
 import java.util.OptionalInt;
 
 /**
- * What is known of workers' load without asking them. The core notifies it of attempts, lists and
- * reports, and asks it before each probe. All calls are on the loop; workers go by their names.
+ * Knowledge of workers' load that makes load queries unnecessary. The request lifecycle notifies it
+ * of attempts, endpoint lists and load reports, and consults it before each load query. Workers are
+ * identified by name. All calls are on the event loop.
  */
 interface LoadKnowledge {
 
-    /** Nothing is known: every probe goes out. */
+    /** Knows nothing, so that every load query is sent. */
     LoadKnowledge NONE = new LoadKnowledge() {};
 
-    /** The list names a worker, perhaps again. */
+    /** The endpoint list contains a worker, perhaps as before. */
     default void listed(String worker) {}
 
-    /** An attempt at a worker began. */
+    /** An attempt at a worker started. */
     default void started(String worker) {}
 
-    /** An attempt at a worker ended, once for each that began. */
+    /** An attempt at a worker ended, once for each that started. */
     default void ended(String worker) {}
 
     /** A worker reported its load, or {@link LoadReport#NONE}. */
     default void reported(String worker, LoadReport report) {}
 
     /**
-     * Requests that all dispatchers together have out at a worker, or empty where it has to be
-     * asked.
+     * Requests that all dispatchers together have in flight at a worker; empty where its load has
+     * to be queried.
      */
     default OptionalInt outstanding(String worker) {
         return OptionalInt.empty();
--- a/src/main/java/cresschute/node/PeerLoads.java
+++ b/src/main/java/cresschute/node/PeerLoads.java
@@ -18,9 +18,10 @@
 import java.util.function.Consumer;
 
 /**
- * Workers' load as the dispatchers of one site announce it to each other: the exchange, its socket
- * and its log, put together for one node. A node whose settings name no peers has none, and loads
- * none of its classes.
+ * Knowledge of workers' load by gossip among the dispatchers of a site: assembles the exchange, its
+ * socket and its log for one node. Only a node whose settings name peers creates it, so that others
+ * do not load its classes. Life cycle: {@link #onRefresh}, {@link #listen}, {@link #leave}; all but
+ * the constructor on the event loop, or before it runs.
  */
 final class PeerLoads implements LoadKnowledge {
 
@@ -31,7 +32,9 @@
     private Consumer<List<String>> onRefresh = workers -> {};
 
     /**
-     * Reads the key file, so not on the loop; a key that cannot be used is an {@code IOException}.
+     * Creates it, bound to nothing yet. Reads the key file, so it must not run on the event loop.
+     *
+     * @throws IOException if the key file cannot be read, or its key is too short
      */
     PeerLoads(NodeConfig config, EventLoop loop, Clock clock) throws IOException {
         final Peers peers = config.peers();
@@ -61,7 +64,7 @@
         addresses = peers.addresses();
     }
 
-    /** Begins to exchange; the future fails where the address cannot be had. */
+    /** Binds the socket and starts gossip; the future fails where the address cannot be bound. */
     ChannelFuture listen(SocketAddress address) {
         final ChannelFuture bound = socket.listen(address);
         bound.addListener(
@@ -73,22 +76,26 @@
         return bound;
     }
 
-    /** Says that this dispatcher stops; whether that is done or given up. On the loop. */
+    /**
+     * Stops gossip and notifies the peers; to be called until it returns true.
+     *
+     * @return whether the peers were notified, or the time for it has passed
+     */
     boolean leave() {
         return socket.leave();
     }
 
-    /** Gives the workers whose load is known anew to this from now on. Before it listens. */
+    /** Sets the listener that is notified of workers whose load has changed; before it listens. */
     void onRefresh(Consumer<List<String>> listener) {
         onRefresh = listener;
     }
 
-    /** Whether its view is complete now. On the loop. */
+    /** Whether the counts of all peers are known now. */
     boolean isComplete() {
         return exchange.peers().isComplete(clock.nowUs());
     }
 
-    /** Where it takes datagrams, once it listens. */
+    /** The address of its socket, once it is bound. */
     InetSocketAddress address() {
         return socket.address();
     }
--- a/src/test/java/cresschute/logs/structured/StructuredLogTest.java
+++ b/src/test/java/cresschute/logs/structured/StructuredLogTest.java
@@ -13,12 +13,12 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** One event, in both forms. */
+/** Events as text and as JSON. */
 class StructuredLogTest {
 
-    private static List<String> written(boolean json, Level least) {
+    private static List<String> written(boolean json, Level minLevel) {
         final ByteArrayOutputStream out = new ByteArrayOutputStream();
-        try (StructuredLog log = new StructuredLog(json, least, out)) {
+        try (StructuredLog log = new StructuredLog(json, minLevel, out)) {
             log.log(
                     "cresschute.test",
                     Level.WARNING,
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void jsonHasFieldsAsFields() {
+    void jsonLinesHaveEventAndFields() {
         final List<String> lines = written(true, Level.INFO);
         assertThat(lines).hasSize(2);
         final JsonObject first = Json.object(lines.get(0));
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void textIsForPeople() {
+    void textLinesHaveTimeLevelLoggerAndMessage() {
         final List<String> lines = written(false, Level.DEBUG);
         assertThat(lines.get(0))
                 .matches("\\d{4}-\\d\\d-\\d\\dT\\S+ WARN cresschute.test odd \\{\\} peer");
@@ -63,9 +63,9 @@
         assertThat(lines.get(3)).contains("IllegalStateException: why");
     }
 
-    /** Loggers that were given out before write to the back end of the moment. */
+    /** Loggers that were provided before a sink was set write to it as well. */
     @Test
-    void loggersFollowTheBackEnd() {
+    void loggersWriteToTheSinkInUse() {
         final Logger logger = System.getLogger("cresschute.test.routed");
         final ByteArrayOutputStream out = new ByteArrayOutputStream();
         try (StructuredLog log = new StructuredLog(true, Level.INFO, out)) {
@@ -76,7 +76,7 @@
             LogEvent.of("named", "by name").log(logger, Level.INFO);
             LogEvent.of("hidden", "below").log(logger, Level.DEBUG);
         } finally {
-            RoutedLoggerFinder.usePlain();
+            RoutedLoggerFinder.useJdkSink();
         }
         assertThat(
                         out.toString(StandardCharsets.UTF_8)
--- a/src/test/java/cresschute/node/PeerLoadsTest.java
+++ b/src/test/java/cresschute/node/PeerLoadsTest.java
@@ -32,7 +32,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A real node with the real module, two workers, and two peers driven by hand. */
+/** A node with its dispatcher, two workers, and two peers whose messages the test sends. */
 @Timeout(60)
 class PeerLoadsTest {
 
@@ -40,15 +40,15 @@
     private static final int REQUESTS = 4;
 
     /**
-     * A machine that stands still for 3 s makes a view incomplete; below 32 questions none is
-     * verified.
+     * More than needed, since a machine that stalls for 3 s makes the view incomplete; below 32
+     * lookups none is verified at the worker.
      */
     private static final int MAX_REQUESTS = 8;
 
-    /** A worker that counts what it is asked, and answers at once. */
+    /** A worker that counts its load queries and jobs, and answers at once. */
     private static final class Worker implements AutoCloseable {
         private final HttpServer server;
-        private final AtomicInteger probes = new AtomicInteger();
+        private final AtomicInteger loadQueries = new AtomicInteger();
         private final AtomicInteger jobs = new AtomicInteger();
 
         Worker() throws IOException {
@@ -61,10 +61,10 @@
 
         private void answer(HttpExchange exchange) throws IOException {
             exchange.getRequestBody().readAllBytes();
-            final boolean probe = exchange.getRequestMethod().equals("GET");
-            (probe ? probes : jobs).incrementAndGet();
+            final boolean loadQuery = exchange.getRequestMethod().equals("GET");
+            (loadQuery ? loadQueries : jobs).incrementAndGet();
             final byte[] body =
-                    (probe
+                    (loadQuery
                                     ? "{\"outstanding\":0}"
                                     : "{\"id\":\""
                                             + exchange.getRequestHeaders().getFirst("X-Request-Id")
@@ -105,22 +105,22 @@
                         List.of(at(peers[0]), at(peers[1])),
                         key.toString(),
                         3_000);
-        final NodeConfig read = NodeConfig.of(settings(), 7);
+        final NodeConfig config = NodeConfig.of(settings(), 7);
         node =
                 new NodeServer(
                         new NodeConfig(
-                                read.name(),
-                                read.listen(),
-                                read.discovery(),
-                                read.seed(),
-                                read.settings(),
-                                read.classes(),
-                                read.zones(),
-                                read.kinds(),
-                                read.connectTimeoutUs(),
-                                read.connIdleUs(),
-                                read.sockets(),
-                                read.known(),
+                                config.name(),
+                                config.listen(),
+                                config.discovery(),
+                                config.seed(),
+                                config.settings(),
+                                config.classes(),
+                                config.zones(),
+                                config.kinds(),
+                                config.connectTimeoutUs(),
+                                config.connIdleUs(),
+                                config.sockets(),
+                                config.known(),
                                 null,
                                 null,
                                 null,
@@ -159,8 +159,8 @@
         }
     }
 
-    /** Each peer states two requests at the busy worker. */
-    private void peersSpeak() throws IOException {
+    /** Each peer claims two requests at the busy worker. */
+    private void sendPeerMessages() throws IOException {
         sequence++;
         for (int i = 0; i < peers.length; i++) {
             final byte[] bytes =
@@ -191,33 +191,34 @@
     }
 
     @Test
-    void workersAreChosenByTheViewWithoutProbesUntilAPeerDies() throws Exception {
-        int seen = 0;
-        for (int i = 0; seen < REQUESTS && i < MAX_REQUESTS; i++) {
-            peersSpeak();
+    void workersAreSelectedByTheViewWithoutLoadQueriesUntilAPeerDies() throws Exception {
+        int completeRequests = 0;
+        for (int i = 0; completeRequests < REQUESTS && i < MAX_REQUESTS; i++) {
+            sendPeerMessages();
             await().atMost(PATIENCE).until(this::isComplete);
-            final int probes = busy.probes.get() + idle.probes.get();
+            final int loadQueries = busy.loadQueries.get() + idle.loadQueries.get();
             final int jobs = idle.jobs.get();
             request("r" + i);
-            // Still complete, and no message came meanwhile: it was complete all the time.
+            // Still complete, and no message came meanwhile, so it was complete all the time.
             if (isComplete()) {
-                assertThat(busy.probes.get() + idle.probes.get()).as("probes").isEqualTo(probes);
+                assertThat(busy.loadQueries.get() + idle.loadQueries.get())
+                        .as("probes")
+                        .isEqualTo(loadQueries);
                 assertThat(idle.jobs.get()).as("jobs at the idle worker").isEqualTo(jobs + 1);
-                seen++;
+                completeRequests++;
             }
         }
-        assertThat(seen).as("requests under a complete view").isEqualTo(REQUESTS);
-        // Both peers fall silent: the view is incomplete, and what is asked is asked at the
-        // workers.
+        assertThat(completeRequests).as("requests under a complete view").isEqualTo(REQUESTS);
+        // Both peers send nothing: the view becomes incomplete, and workers are queried.
         await().atMost(PATIENCE).until(() -> !isComplete());
-        for (int i = 0; busy.probes.get() + idle.probes.get() == 0 && i < 20; i++) {
+        for (int i = 0; busy.loadQueries.get() + idle.loadQueries.get() == 0 && i < 20; i++) {
             request("s" + i);
         }
-        assertThat(busy.probes.get() + idle.probes.get()).as("probes").isPositive();
+        assertThat(busy.loadQueries.get() + idle.loadQueries.get()).as("probes").isPositive();
     }
 
     @Test
-    void nodeTellsItsOwnRequestsToItsPeers() throws Exception {
+    void nodeSendsItsOwnCountsToItsPeers() throws Exception {
         peers[0].setSoTimeout((int) PATIENCE.toMillis());
         final DatagramPacket packet = new DatagramPacket(new byte[2_000], 2_000);
         peers[0].receive(packet);
--- a/src/test/java/cresschute/peers/ExchangeOverNetworkTest.java
+++ b/src/test/java/cresschute/peers/ExchangeOverNetworkTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Whole exchanges over a network that loses, doubles, overtakes, cuts and is lied over. */
+/** Exchanges over a network with loss, duplicates, reordering, partitions and replayed messages. */
 class ExchangeOverNetworkTest {
 
     private static final long CYCLE_US = 10 * S;
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void viewsAreCompleteSoonAfterAStartAndExactOnceLoadStands() {
+    void viewsAreCompleteSoonAfterAStartAndExactUnderConstantLoad() {
         final SimulatedNetwork network = network(1, 4);
         network.run(2);
         for (int i = 0; i < 4; i++) {
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void workersOfMessagesAreRefreshedWhileTheViewIsWhole() {
+    void workersOfMessagesAreRefreshedWhileTheViewIsComplete() {
         final SimulatedNetwork network = new SimulatedNetwork(11, 3, 40, 20_000, CYCLE_US);
         final LoadExchange exchange = network.nodes.get(0).exchange;
         network.run(2);
@@ -71,7 +71,7 @@
         network.loss = 0;
         network.duplication = 0;
         network.jitterUs = 0;
-        // What is under way, the rest of the running cycle, then one whole cycle.
+        // What is in transit, the remainder of the running cycle, then one complete cycle.
         network.run(1 + 2.0 * CYCLE_US / S + 1);
         assertThat(network.wrongCounts()).as("seed " + seed).isZero();
         network.run(2.0 * CYCLE_US / S);
@@ -91,7 +91,7 @@
     }
 
     @Test
-    void duplicatesAndRareOvertakingChangeNothing() {
+    void duplicatesAndReorderingChangeNothing() {
         final SimulatedNetwork network = network(4, 3);
         network.duplication = 1;
         network.run(60);
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void crashedPeerIsSuspectThenAbsentAndItsCountsGo() {
+    void crashedPeerIsSuspectThenAbsentAndItsCountsAreDropped() {
         final SimulatedNetwork network = network(5, 4);
         network.start(1, 7);
         network.run(5);
@@ -121,7 +121,7 @@
     }
 
     @Test
-    void peerThatStopsIsAbsentAtOnceAndItsNextRunIsAliveAtOnce() {
+    void stoppedPeerIsAbsentAtOnceAndItsNextIncarnationAliveAtOnce() {
         final SimulatedNetwork network = network(6, 4);
         network.run(5);
         network.leave(2);
@@ -132,14 +132,14 @@
         network.run(2);
         assertThat(network.state(0, 2)).isEqualTo(PeerState.ALIVE);
         assertThat(network.isComplete(0)).isTrue();
-        // The new run has to receive a whole cycle of the others.
+        // The new incarnation has to receive a complete cycle of the others.
         assertThat(network.isComplete(2)).isFalse();
         network.run(2.0 * CYCLE_US / S + 2);
         assertThat(network.isComplete(2)).isTrue();
     }
 
     @Test
-    void restartForgetsTheCountsOfTheRunBefore() {
+    void restartDropsTheCountsOfThePreviousIncarnation() {
         final SimulatedNetwork network = network(7, 3);
         network.start(1, 3);
         network.start(1, 3);
@@ -153,13 +153,13 @@
         network.run(2);
         assertThat(network.wrongCountsAt(0)).isZero();
         assertThat(network.wrongCountsAt(2)).isZero();
-        // The new run itself knows what the others have after a whole cycle of them.
+        // The new incarnation itself knows the counts of the others after a complete cycle.
         network.run(2.0 * CYCLE_US / S + 1);
         assertThat(network.wrongCounts()).isZero();
     }
 
     @Test
-    void minorityOfAPartitionProbesAndTheMajorityGoesOnOnceTheOthersAreAbsent() {
+    void minorityOfAPartitionIsIncompleteAndTheMajorityCompleteOnceTheOthersAreAbsent() {
         final SimulatedNetwork network = network(8, 5);
         network.run(5);
         network.connected = (from, to) -> from < 3 == to < 3;
@@ -195,7 +195,7 @@
     }
 
     @Test
-    void recordedDatagramsChangeNothing() {
+    void replayedDatagramsChangeNothing() {
         final SimulatedNetwork network = network(10, 3);
         network.start(1, 5);
         final SimulatedNetwork.Node sender = network.nodes.get(1);
@@ -240,7 +240,7 @@
                         .isLessThanOrEqualTo(2 * ExchangeSettings.DEFAULT_BYTES_PER_S);
             }
         }
-        // A sign of life a second also at the largest number.
+        // A heartbeat per second even with the largest number of dispatchers.
         assertThat(network.nodes).allMatch(node -> node.messages >= 18);
         assertThat(network.isComplete(0)).isTrue();
     }
--- a/src/test/java/cresschute/peers/LoadGossiperTest.java
+++ b/src/test/java/cresschute/peers/LoadGossiperTest.java
@@ -41,28 +41,28 @@
     }
 
     @Test
-    void newsGoOutAfterAQuarterSecondAndHeartbeatsAfterOne() {
+    void changesGoOutAfter250MsAndHeartbeatsAfterASecond() {
         final LoadGossiper gossiper = gossiper(2, 100_000, 60 * S);
         counts.attemptStarted(5);
         final long startUs = nowUs;
-        final LoadMessage news = next(gossiper);
+        final LoadMessage change = next(gossiper);
         assertThat(nowUs - startUs).isEqualTo(250 * MS);
-        assertThat(news.entries()).containsExactly(new LoadEntry(5, 1));
-        assertThat(news.sequence()).isEqualTo(1);
-        assertThat(news.incarnation()).isEqualTo(startUs);
-        final long newsUs = nowUs;
+        assertThat(change.entries()).containsExactly(new LoadEntry(5, 1));
+        assertThat(change.sequence()).isEqualTo(1);
+        assertThat(change.incarnation()).isEqualTo(startUs);
+        final long changeUs = nowUs;
         final LoadMessage heartbeat = next(gossiper);
-        assertThat(nowUs - newsUs).isEqualTo(S);
+        assertThat(nowUs - changeUs).isEqualTo(S);
         assertThat(heartbeat.sequence()).isEqualTo(2);
         counts.attemptStarted(5);
         counts.attemptEnded(5);
         next(gossiper);
-        assertThat(nowUs - newsUs).as("back to what was stated: no news").isEqualTo(2 * S);
+        assertThat(nowUs - changeUs).as("back to what was advertised: no change").isEqualTo(2 * S);
     }
 
     @Test
-    void oneWorkersChangesAreOneEntryAndTheOldestChangeIsFirst() {
-        // 100 bytes a second for one peer: a heartbeat leaves room for five entries.
+    void changesOfAWorkerAreOneEntryAndTheOldestChangeIsFirst() {
+        // 100 bytes per second for one peer: a heartbeat has space for five entries.
         final LoadGossiper gossiper = gossiper(1, 100, 3_600 * S);
         for (int key = 20; key > 10; key--) {
             counts.attemptStarted(key);
@@ -79,18 +79,18 @@
     }
 
     @Test
-    void oneCycleStatesEveryOpenNumberInRangesThatCoverAllKeys() {
+    void oneCycleStatesEveryCountInRangesThatCoverAllKeys() {
         final LoadGossiper gossiper = gossiper(2, 50_000, 10 * S);
-        final Set<Integer> open = new TreeSet<>(Integer::compareUnsigned);
+        final Set<Integer> inFlight = new TreeSet<>(Integer::compareUnsigned);
         for (int i = 0; i < 100; i++) {
-            open.add(i * 0x2345_6789);
+            inFlight.add(i * 0x2345_6789);
         }
-        open.add(KeyRange.MIN_KEY);
-        open.add(KeyRange.MAX_KEY);
-        open.forEach(counts::attemptStarted);
+        inFlight.add(KeyRange.MIN_KEY);
+        inFlight.add(KeyRange.MAX_KEY);
+        inFlight.forEach(counts::attemptStarted);
         long cycle = 1;
         for (int cycles = 0; cycles < 3; cycles++) {
-            final Set<Integer> swept = new TreeSet<>(Integer::compareUnsigned);
+            final Set<Integer> refreshed = new TreeSet<>(Integer::compareUnsigned);
             long first = 0;
             final long startUs = nowUs;
             while (first <= 0xffff_ffffL) {
@@ -102,35 +102,35 @@
                     final Set<Integer> stated = Set.copyOf(keys(message));
                     assertThat(stated)
                             .containsAll(
-                                    open.stream()
+                                    inFlight.stream()
                                             .filter(message.range()::contains)
                                             .collect(Collectors.toSet()));
-                    swept.addAll(stated);
+                    refreshed.addAll(stated);
                 }
             }
             cycle++;
-            assertThat(swept).isEqualTo(open);
+            assertThat(refreshed).isEqualTo(inFlight);
             assertThat(nowUs - startUs).isBetween(8 * S, 11 * S);
         }
     }
 
     @Test
-    void shortBudgetMakesCyclesLongerAndLosesNothing() {
+    void shortBudgetMakesCyclesLongerAndLosesNoCount() {
         final LoadGossiper gossiper = gossiper(29, 3_000, 10 * S);
         for (int key = 0; key < 60; key++) {
             counts.attemptStarted(key * 1_000);
         }
-        final Set<Integer> swept = new TreeSet<>();
+        final Set<Integer> refreshed = new TreeSet<>();
         final long startUs = nowUs;
         for (LoadMessage message = next(gossiper); message.cycle() == 1; message = next(gossiper)) {
-            swept.addAll(keys(message));
+            refreshed.addAll(keys(message));
         }
-        assertThat(swept).hasSize(60);
+        assertThat(refreshed).hasSize(60);
         assertThat(nowUs - startUs).isGreaterThan(15 * S);
     }
 
     @Test
-    void leavingIsSaidOnce() {
+    void leaveMessageWaitsForTheBudget() {
         final LoadGossiper gossiper = gossiper(2, 1_000, 60 * S);
         assertThat(gossiper.leave(nowUs)).as("no budget yet").isEmpty();
         nowUs += S;
--- a/src/test/java/cresschute/peers/LoadMessageCodecTest.java
+++ b/src/test/java/cresschute/peers/LoadMessageCodecTest.java
@@ -13,7 +13,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** The form on the wire: what goes in comes out, and nothing that was touched does. */
+/** Messages are decoded as they were encoded, and altered ones are rejected. */
 class LoadMessageCodecTest {
 
     private static final byte[] KEY =
@@ -41,7 +41,7 @@
     }
 
     @Property(tries = 300, seed = "7")
-    void whatGoesInComesOut(
+    void decodesWhatItEncoded(
             @ForAll int sender,
             @ForAll @IntRange(max = 180) int size,
             @ForAll long seed,
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void largestCountsComeOut() throws RejectedMessageException {
+    void decodesTheLargestCounts() throws RejectedMessageException {
         final LoadMessage message =
                 message(
                         new LoadEntry(-1, Integer.MAX_VALUE),
@@ -82,11 +82,11 @@
     }
 
     @Test
-    void cutAnywhereItIsRefused() {
+    void truncatedMessagesAreRejected() {
         final byte[] encoded = codec.encode(message(new LoadEntry(1, 300), new LoadEntry(2, 2)));
         for (int length = 0; length < encoded.length; length++) {
             assertThat(rejection(Arrays.copyOf(encoded, length)))
-                    .as("cut to " + length)
+                    .as("truncated to " + length)
                     .isEqualTo(
                             length < LoadMessageCodec.MIN_MESSAGE_BYTES
                                     ? RejectionReason.TOO_SHORT
@@ -95,7 +95,7 @@
     }
 
     @Test
-    void withAnyBitFlippedItIsRefused() {
+    void messagesWithAFlippedBitAreRejected() {
         final byte[] encoded = codec.encode(message(new LoadEntry(1, 300), new LoadEntry(2, 2)));
         for (int bit = 0; bit < 8 * encoded.length; bit++) {
             final byte[] flipped = encoded.clone();
@@ -110,7 +110,7 @@
     }
 
     @Test
-    void lengthenedOrOfAnotherKeyItIsRefused() {
+    void longerMessagesAndOtherKeysAreRejected() {
         final byte[] encoded = codec.encode(message());
         assertThat(rejection(Arrays.copyOf(encoded, encoded.length + 1)))
                 .isEqualTo(RejectionReason.NOT_AUTHENTIC);
@@ -128,7 +128,7 @@
     }
 
     @Test
-    void authenticBytesOutOfFormAreMalformed() {
+    void authenticBytesInAnotherFormatAreMalformed() {
         assertThat(
                         rejection(
                                 codec.encode(
@@ -156,7 +156,7 @@
     }
 
     @Test
-    void shortKeysAndLongMessagesAreRefusedAtTheSender() {
+    void shortKeysAndLongMessagesAreRejectedAtTheSender() {
         assertThatThrownBy(() -> new LoadMessageCodec(new byte[15]))
                 .isInstanceOf(IllegalArgumentException.class);
         final LoadEntry[] many =
--- a/src/test/java/cresschute/peers/PeerLoadViewTest.java
+++ b/src/test/java/cresschute/peers/PeerLoadViewTest.java
@@ -7,12 +7,12 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** What the view answers, and what a peer that lies can do. */
+/** What the view answers, and what a faulty peer can do to it. */
 class PeerLoadViewTest {
 
     private static final long S = 1_000_000;
-    private static final int LIAR = WorkerKeys.hash("liar");
-    private static final int HONEST = WorkerKeys.hash("honest");
+    private static final int FAULTY = WorkerKeys.hash("liar");
+    private static final int CORRECT = WorkerKeys.hash("honest");
 
     private final List<String> collisions = new ArrayList<>();
     private final List<Integer> distrusted = new ArrayList<>();
@@ -29,14 +29,14 @@
         return "w-" + number;
     }
 
-    /** Both peers state numbers at all workers. */
-    private void receive(int liars, int honest, int workers) {
+    /** Both peers claim counts at all workers. */
+    private void receive(int faulty, int correct, int workers) {
         sequence++;
-        announce(LIAR, liars, workers);
-        announce(HONEST, honest, workers);
+        receiveFrom(FAULTY, faulty, workers);
+        receiveFrom(CORRECT, correct, workers);
     }
 
-    private void announce(int sender, int count, int workers) {
+    private void receiveFrom(int sender, int count, int workers) {
         try {
             peers.receive(
                     nowUs,
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void workersOfOneKeyAreUnknownAndSaidOnce() {
+    void workersWithTheSameKeyAreUnknownAndReportedOnce() {
         receive(0, 0, 0);
         keys.register("x", 42);
         assertThat(view.outstanding(nowUs, "x")).hasValue(0);
@@ -78,13 +78,13 @@
     }
 
     @Test
-    void keyIsTheBeginningOfTheHash() {
-        // The beginning of the SHA-256 of "abc", as its standard gives it.
+    void keyIsThePrefixOfTheHash() {
+        // The first four bytes of the SHA-256 of "abc", as in its standard.
         assertThat(WorkerKeys.hash("abc")).isEqualTo(0xba78_16bf);
     }
 
     @Test
-    void reportsWithinTheMarginDistrustNobody() {
+    void reportsWithinTheMarginDistrustNoPeer() {
         receive(4, 3, 10);
         for (int i = 0; i < 100; i++) {
             nowUs += S / 10;
@@ -97,25 +97,25 @@
     }
 
     @Test
-    void contradictedWorkerIsAskedUntilAReportAgrees() {
+    void contradictedWorkerIsQueriedUntilAReportAgrees() {
         receive(50, 0, 2);
         view.loadReported(nowUs, worker(0), 1);
         assertThat(view.outstanding(nowUs, worker(0))).isEmpty();
         view.loadReported(nowUs, worker(0), 49);
         receive(50, 0, 2);
-        assertThat(answeredOf(10)).isGreaterThan(0);
+        assertThat(answersAmong(10)).isGreaterThan(0);
     }
 
-    /** Answers among so many questions: some are verified at the worker. */
-    private long answeredOf(int questions) {
-        return IntStream.range(0, questions)
+    /** Answers among so many lookups, of which some are verified at the worker. */
+    private long answersAmong(int lookups) {
+        return IntStream.range(0, lookups)
                 .filter(i -> view.outstanding(nowUs, worker(0)).isPresent())
                 .count();
     }
 
-    /** A peer that claims much at every worker, as it lies or is stuck, is out after 16 reports. */
+    /** A peer that claims too much at every worker is distrusted after 16 reports. */
     @Test
-    void liarIsDistrustedAndViewsAreIncompleteMeanwhile() {
+    void faultyPeerIsDistrustedAndTheViewIncompleteMeanwhile() {
         int reports = 0;
         while (distrusted.isEmpty()) {
             nowUs += S / 10;
@@ -123,7 +123,7 @@
             view.loadReported(nowUs, worker(reports++ % 40), 2);
             assertThat(reports).isLessThanOrEqualTo(ClaimValidator.WINDOW_SIZE);
         }
-        assertThat(distrusted).containsExactly(LIAR);
+        assertThat(distrusted).containsExactly(FAULTY);
         assertThat(peers.isComplete(nowUs)).isFalse();
         for (int i = 0; i < 61; i++) {
             nowUs += S;
@@ -132,7 +132,7 @@
         assertThat(peers.isComplete(nowUs)).isTrue();
     }
 
-    /** A worker that is avoided sends no reports, so it is asked itself. */
+    /** A worker that gets no requests sends no reports, so its load is queried. */
     @Test
     void unusualClaimIsVerifiedAtTheWorkerAtOnce() {
         receive(2, 2, 20);
@@ -142,8 +142,8 @@
             view.outstanding(nowUs, worker(1 + i % 19));
         }
         sequence++;
-        announce(LIAR, 1_000, 1);
-        announce(HONEST, 2, 1);
+        receiveFrom(FAULTY, 1_000, 1);
+        receiveFrom(CORRECT, 2, 1);
         nowUs += S;
         assertThat(view.outstanding(nowUs, worker(0))).isEmpty();
         view.loadReported(nowUs, worker(0), 3);
@@ -152,16 +152,16 @@
     }
 
     @Test
-    void fewQuestionsAreVerified() {
-        int asked = 0;
+    void fewLookupsAreVerified() {
+        int queried = 0;
         for (int i = 0; i < 6_000; i++) {
             nowUs += S / 100;
             if (i % 100 == 0) {
                 receive(2, 2, 20);
             }
-            asked += view.outstanding(nowUs, worker(i % 20)).isEmpty() ? 1 : 0;
+            queried += view.outstanding(nowUs, worker(i % 20)).isEmpty() ? 1 : 0;
         }
-        // 60 s: one a second at the most.
-        assertThat(asked).isBetween(1, 61);
+        // 60 s: one per second at most.
+        assertThat(queried).isBetween(1, 61);
     }
 }
--- a/src/test/java/cresschute/peers/PeerTableTest.java
+++ b/src/test/java/cresschute/peers/PeerTableTest.java
@@ -23,7 +23,7 @@
                 sender, incarnation, sequence, cycle, false, KeyRange.EMPTY, List.of(entries));
     }
 
-    /** The reason for which it is refused, or null. */
+    /** The reason for which it is rejected, or null. */
     private RejectionReason receive(LoadMessage message) {
         try {
             table.receive(nowUs, message);
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void peerReceivedFromTheMiddleJoinsAfterAWholeCycle() {
+    void peerReceivedFromTheMiddleIsAliveAfterACompleteCycle() {
         long sequence = 500;
         for (long cycle = 7; cycle < 9; cycle++) {
             for (int i = 0; i < 60; i++) {
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void cycleWithMoreThanOneInTwentyMissingMakesItJoining() {
+    void cycleWithMoreThanFivePercentLossMakesItJoining() {
         receive(message(A, 1, 1, 1));
         long sequence = 2;
         for (int i = 0; i < 59; i++) {
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void pauseWithoutLossLeavesItAliveAndWithLossItJoinsAnew() {
+    void pauseWithoutLossKeepsItAliveAndWithLossItIsJoining() {
         receive(message(A, 1, 1, 1, new LoadEntry(5, 2)));
         nowUs += 4 * S;
         assertThat(state(A)).isEqualTo(PeerState.SUSPECT);
@@ -116,7 +116,7 @@
     }
 
     @Test
-    void rangeDropsWhatTheMessageLeavesOut() {
+    void rangeDropsCountsThatTheMessageLeavesOut() {
         receive(
                 message(
                         A,
@@ -136,7 +136,7 @@
     }
 
     @Test
-    void oldMessagesOwnOnesAndTooManySendersAreRefused() {
+    void oldMessagesOwnOnesAndTooManySendersAreRejected() {
         assertThat(receive(message(WorkerKeys.hash("self"), 1, 1, 1)))
                 .isEqualTo(RejectionReason.OWN_NAME);
         receive(message(A, 5, 3, 1));
@@ -152,7 +152,7 @@
     }
 
     @Test
-    void onePeerCannotFillTheMemory() {
+    void entriesOfOnePeerAreBounded() {
         int sequence = 0;
         RejectionReason rejection = null;
         for (int from = 0; rejection == null; from += 200) {
@@ -172,7 +172,7 @@
     }
 
     @Test
-    void distrustDoublesUpToAnHourAndIsForgottenAfterOne() {
+    void distrustDoublesUpToAnHourAndRestartsAfterAnHour() {
         receive(message(A, 1, 1, 1));
         long expectedUs = 60 * S;
         for (int i = 0; i < 9; i++) {
--- a/src/test/java/cresschute/peers/SimulatedNetwork.java
+++ b/src/test/java/cresschute/peers/SimulatedNetwork.java
@@ -12,9 +12,9 @@
 import java.util.function.BiPredicate;
 
 /**
- * Dispatchers that exchange their counts over a network in virtual time, which loses, doubles,
- * delays and cuts as set. The same seed is the same run. What is true is known, so that views can
- * be compared.
+ * Dispatchers that exchange their counts over a network in virtual time, with loss, duplicates,
+ * delays and partitions as set. The same seed gives the same run. The true counts are known, so
+ * that views can be compared with them.
  */
 final class SimulatedNetwork {
 
@@ -60,10 +60,12 @@
     /** Whether a datagram from one to another arrives. */
     BiPredicate<Integer, Integer> connected = (from, to) -> true;
 
-    /** Starts a second, all dispatchers together, and the mean time of an attempt. */
+    /** Starts per second, all dispatchers together. */
     double startsPerS;
 
+    /** Mean duration of an attempt, seconds. */
     double meanRunS = 10;
+
     private double startsDue;
     private final PriorityQueue<long[]> ends =
             new PriorityQueue<>(Comparator.comparingLong(each -> each[0]));
@@ -85,7 +87,7 @@
         return "w-" + number;
     }
 
-    /** A new run of the dispatcher's process, with nothing open. */
+    /** Starts a new process of the dispatcher, with nothing in flight. */
     void restart(int node) {
         final Node restarted = nodes.get(node);
         Arrays.fill(restarted.truth, 0);
@@ -166,7 +168,7 @@
         }
     }
 
-    /** All load stops: what is open stays open. */
+    /** Stops all load; attempts in flight stay in flight. */
     void freeze() {
         startsPerS = 0;
         ends.clear();
@@ -206,7 +208,7 @@
         }
     }
 
-    /** Hands bytes to a dispatcher as its socket would; whether they were taken in. */
+    /** Delivers bytes to a dispatcher as its socket would; whether they were accepted. */
     boolean inject(int to, byte[] bytes) {
         final Node node = nodes.get(to);
         try {
@@ -229,7 +231,7 @@
                 .get(WorkerKeys.hash(nodes.get(of).name));
     }
 
-    /** Open attempts at a worker, all others than this one that are up together. */
+    /** Attempts in flight at a worker of all other dispatchers that are up. */
     int trueCountOfOthers(int node, int worker) {
         int sum = 0;
         for (int i = 0; i < nodes.size(); i++) {
@@ -242,7 +244,7 @@
         return nodes.get(node).exchange.peers().count(nowUs, WorkerKeys.hash(worker(worker)));
     }
 
-    /** Workers at which this dispatcher's table is not what is true. */
+    /** Workers at which this dispatcher's table differs from the true counts. */
     int wrongCountsAt(int node) {
         int wrong = 0;
         for (int worker = 0; worker < workers; worker++) {
@@ -251,7 +253,7 @@
         return wrong;
     }
 
-    /** The same of all dispatchers that are up. */
+    /** The same, for all dispatchers that are up. */
     int wrongCounts() {
         int wrong = 0;
         for (int i = 0; i < nodes.size(); i++) {
--- a/src/test/java/cresschute/peers/socket/PeerSocketTest.java
+++ b/src/test/java/cresschute/peers/socket/PeerSocketTest.java
@@ -120,7 +120,7 @@
     }
 
     @Test
-    void countsOfAllReachAllAndALeavingOneIsAbsent() {
+    void countsReachAllPeersAndALeavingPeerIsAbsent() {
         onLoop(
                 () -> {
                     nodes.get(0).exchange().attemptStarted(WORKER);
@@ -144,7 +144,7 @@
     }
 
     @Test
-    void forgedCutAndOversizedDatagramsChangeNothing() throws Exception {
+    void forgedTruncatedAndOversizedDatagramsChangeNothing() throws Exception {
         final Node node = nodes.get(0);
         final LoadMessage forgedMessage =
                 new LoadMessage(
@@ -167,12 +167,12 @@
         final byte[] other = new LoadMessageCodec(KEY).encode(forgedMessage);
         other[0] = 2;
         send(other, node);
-        await().atMost(PATIENCE).until(() -> onLoop(() -> refusedOnceOrTwice(node.log())));
+        await().atMost(PATIENCE).until(() -> onLoop(() -> allAreRejected(node.log())));
         assertThat(outstanding(node)).hasValue(0);
         assertThat(isComplete(node)).isTrue();
     }
 
-    private static boolean refusedOnceOrTwice(ExchangeLog log) {
+    private static boolean allAreRejected(ExchangeLog log) {
         return log.rejected(RejectionReason.NOT_AUTHENTIC) == 1
                 && log.rejected(RejectionReason.TOO_SHORT) == 2
                 && log.rejected(RejectionReason.TOO_LONG) == 1
