--- a/src/main/java/cresschute/node/Addresses.java
+++ b/src/main/java/cresschute/node/Addresses.java
@@ -3,15 +3,24 @@
 import io.netty.util.NetUtil;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
+import java.net.SocketAddress;
 import java.net.UnknownHostException;
 
-/** Addresses as configured and listed: an IP literal and a port, for there is no DNS. */
+/** Parses and formats addresses: an IP literal and a port, as no names are resolved. Any thread. */
 final class Addresses {
 
     private static final int MAX_PORT = 65_535;
+    private static final int UNUSABLE_PORT = -1;
 
     private Addresses() {}
 
+    /**
+     * Parses an address.
+     *
+     * @param text an IP literal, a colon and a port
+     * @return the address
+     * @throws IllegalArgumentException if it is none; the message names the text
+     */
     static InetSocketAddress parse(String text) {
         final int colon = text.lastIndexOf(':');
         final byte[] ip =
@@ -19,7 +28,8 @@
                         ? null
                         : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
         try {
-            final int port = ip == null ? -1 : Integer.parseInt(text.substring(colon + 1));
+            final int port =
+                    ip == null ? UNUSABLE_PORT : Integer.parseInt(text.substring(colon + 1));
             if (port < 0 || port > MAX_PORT) {
                 throw unusable(text);
             }
@@ -32,4 +42,11 @@
     private static IllegalArgumentException unusable(String text) {
         return new IllegalArgumentException("not an IP address with a port: " + text);
     }
+
+    /** An address as the log shows it: an IP literal and a port, where it is of this kind. */
+    static String format(SocketAddress address) {
+        return address instanceof InetSocketAddress ip && !ip.isUnresolved()
+                ? NetUtil.toSocketAddressString(ip)
+                : String.valueOf(address);
+    }
 }
--- /dev/null
+++ b/src/main/java/cresschute/node/ConfigReloader.java
@@ -0,0 +1,179 @@
+package cresschute.node;
+
+import cresschute.dispatch.DispatchSettings;
+import cresschute.logs.LogEvent;
+import java.lang.System.Logger;
+import java.lang.System.Logger.Level;
+import java.net.InetSocketAddress;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.Callable;
+import java.util.concurrent.Executor;
+
+/**
+ * Reads a configuration again at SIGHUP and puts in force what a running node can take: the address
+ * of discovery, the times of connections, the request classes and the dispatcher's settings. A
+ * configuration that cannot be used changes nothing. Owns the classes since the start and the
+ * settings that the dispatcher was notified of last; both are used on the event loop only.
+ */
+final class ConfigReloader {
+
+    /** Missing keys that are named in the log. */
+    private static final int MAX_NAMED_KEYS = 5;
+
+    private static final Logger LOG = System.getLogger("cresschute.node");
+
+    private final NodeConfig first;
+    private final Executor loop;
+    private final Target target;
+    private ClassTable classes;
+    private DispatchSettings settings;
+
+    /** What a reload changes in a running node. Called on the event loop. */
+    interface Target {
+
+        /** Whether the classes of the start are kept: something is counted by their numbers. */
+        boolean keepsClasses();
+
+        /** Watches the endpoint list at this address from now on. */
+        void moveDiscovery(InetSocketAddress address);
+
+        /** Applies the times of new connections to workers. */
+        void applyConnectionTimes(NodeConfig next);
+
+        /** Applies classes and settings, of requests that are taken from now on. */
+        void applySettings(ClassTable classes, DispatchSettings settings);
+    }
+
+    /**
+     * Reloads a node that was started with a configuration.
+     *
+     * @param first the configuration of the start
+     * @param loop the event loop
+     * @param target the node
+     */
+    ConfigReloader(NodeConfig first, Executor loop, Target target) {
+        this.first = first;
+        this.loop = loop;
+        this.target = target;
+        this.classes = ClassTable.of(first.classes(), first.settings().classes());
+        this.settings = first.settings();
+    }
+
+    /**
+     * Reads a configuration, on the caller's thread as that may take a while, and hands it to the
+     * event loop. One that is cut, broken or unusable is logged and changes nothing.
+     *
+     * @param source reads the configuration
+     */
+    synchronized void reload(Callable<NodeConfig> source) {
+        try {
+            final NodeConfig next = source.call();
+            requireComplete(next);
+            loop.execute(() -> apply(next));
+        } catch (Exception e) {
+            LogEvent.of(
+                            "reload_refused",
+                            "not reloaded, the old configuration stays: " + e.getMessage())
+                    .with("detail", e.getMessage())
+                    .log(LOG, Level.ERROR);
+        }
+    }
+
+    private void requireComplete(NodeConfig next) throws ConfigException {
+        final List<String> missing = first.missingIn(next);
+        if (!missing.isEmpty()) {
+            throw new ConfigException(
+                    "the file lacks what the first one had: "
+                            + String.join(
+                                    ", ",
+                                    missing.subList(0, Math.min(MAX_NAMED_KEYS, missing.size())))
+                            + (missing.size() > MAX_NAMED_KEYS ? ", ..." : ""));
+        }
+    }
+
+    private void apply(NodeConfig next) {
+        if (first.discovery() != null && next.discovery() != null) {
+            target.moveDiscovery(next.discovery());
+        }
+        // Logged, so that nobody takes a change to be in force that only a restart puts in force.
+        final List<String> held = new ArrayList<>(first.partsHeldUntilRestart(next));
+        final String changes = applySettings(next, held);
+        LogEvent.of(
+                        "reloaded",
+                        "reloaded: "
+                                + describeDiscovery(next)
+                                + changes
+                                + (held.isEmpty()
+                                        ? ""
+                                        : "; changed, but in force from the next start only: "
+                                                + String.join(", ", held)))
+                .with("held", String.join(",", held))
+                .with("classes", String.join(",", classes.live().keySet()))
+                .log(LOG, Level.INFO);
+    }
+
+    private String describeDiscovery(NodeConfig next) {
+        if (first.discovery() == null) {
+            return "the list of workers is fixed";
+        }
+        return "discovery is at "
+                + Addresses.format(next.discovery() == null ? first.discovery() : next.discovery());
+    }
+
+    /**
+     * Applies the classes and settings of a new configuration where a running node can: requests in
+     * flight keep their class, and new ones are read by the new classes.
+     *
+     * @param next the new configuration
+     * @param held the parts that wait for a restart; what cannot be applied is added
+     * @return what changed, for the log
+     */
+    private String applySettings(NodeConfig next, List<String> held) {
+        target.applyConnectionTimes(next);
+        if (zonesOrKindsDiffer(next)) {
+            held.add("zones and kinds");
+            return "";
+        }
+        final ClassTable updated;
+        try {
+            updated = classes.updatedWith(next.classes(), next.settings().classes());
+        } catch (IllegalArgumentException e) {
+            held.add("classes (" + e.getMessage() + ")");
+            return "";
+        }
+        final boolean classesChange = !updated.isSameAs(classes);
+        if (classesChange && target.keepsClasses()) {
+            held.add("classes");
+            return "";
+        }
+        final DispatchSettings before = settings;
+        final DispatchSettings wanted = updated.settingsFor(next.settings(), before);
+        if (!classesChange && wanted.equals(before) || !wanted.canReplace(before)) {
+            return "";
+        }
+        final String classChanges = updated.changesFrom(classes);
+        classes = updated;
+        settings = wanted;
+        target.applySettings(updated, wanted);
+        return describe(classChanges, before, wanted);
+    }
+
+    private boolean zonesOrKindsDiffer(NodeConfig next) {
+        final DispatchSettings wanted = next.settings();
+        return wanted.zone() != settings.zone()
+                || wanted.zones() != settings.zones()
+                || wanted.kinds() != settings.kinds()
+                || !next.zones().equals(first.zones())
+                || !next.kinds().equals(first.kinds());
+    }
+
+    private static String describe(
+            String classChanges, DispatchSettings before, DispatchSettings now) {
+        return "; settings in force"
+                + (classChanges.isEmpty() ? "" : ", classes " + classChanges)
+                + (now.limits().equals(before.limits())
+                        ? ""
+                        : ", attempts at most " + now.limits().maxAttempts());
+    }
+}
--- a/src/main/java/cresschute/node/NodeConfig.java
+++ b/src/main/java/cresschute/node/NodeConfig.java
@@ -343,6 +343,11 @@
         return controlSocket != null || stateFolder != null;
     }
 
+    /** Whether the platform's operators call this node. */
+    boolean hasManagementService() {
+        return !hasControlService() && operators.management() != null;
+    }
+
     /**
      * The parts in which another configuration differs and that a running node cannot take over.
      */
--- a/src/main/java/cresschute/node/NodeServer.java
+++ b/src/main/java/cresschute/node/NodeServer.java
@@ -13,7 +13,6 @@
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
-import io.netty.util.NetUtil;
 import java.io.IOException;
 import java.lang.System.Logger;
 import java.lang.System.Logger.Level;
@@ -21,70 +20,53 @@
 import java.net.InetSocketAddress;
 import java.net.SocketAddress;
 import java.nio.channels.ServerSocketChannel;
-import java.util.ArrayList;
-import java.util.List;
+import java.util.OptionalLong;
 import java.util.SplittableRandom;
 import java.util.concurrent.Callable;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
 
-/** A running node: puts its parts together on one loop, starts them and stops them. */
+/**
+ * A node: creates its parts on one event loop, starts them, reloads them at SIGHUP ({@link
+ * ConfigReloader}) and shuts them down at SIGTERM ({@link GracefulShutdown}). Owns the event loop.
+ * Started once and stopped once; its methods may be called from any thread but the event loop's,
+ * save where stated.
+ */
 public final class NodeServer {
 
-    /** How long after a stop is asked for clients may still come and send, ms. */
-    private static final long ACCEPT_GRACE_MS = 550;
-
-    /**
-     * When a stopping node may be killed: after its longest deadline, of which so much counts at
-     * the most, and so much more, us ("The figures" of the platform's protocol). All is answered so
-     * long before that.
-     */
-    private static final long MAX_DEADLINE_US = 3_000_000;
-
-    private static final long TO_END_US = 700_000;
-    private static final long BEFORE_END_US = 250_000;
-
-    /** How often a stopping node tells what is still owed, ms. */
-    private static final long SHUTDOWN_ANSWER_MS = 500;
-
-    /** How often the state is looked at for the log, s. */
-    private static final long STATUS_S = 10;
+    /** How often the status is logged, seconds. */
+    private static final long STATUS_INTERVAL_S = 10;
 
     private static final Logger LOG = System.getLogger("cresschute.node");
 
     private final EventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final CompletableFuture<Void> stopped = new CompletableFuture<>();
     private final NodeConfig config;
-    private final RequestLifecycle core;
+    private final OperatorServices operators;
+    private final RequestLifecycle lifecycle;
     private final ClientListener front;
-    private final WorkerConnectionPool workerClient;
-    private final DiscoveryClient discovery;
+    private final WorkerConnectionPool workers;
+    private final StatusLog statusLog;
+    private final ConfigReloader reloader;
+    private final GracefulShutdown shutdown;
 
-    /** The operator's place, or null where nobody can connect. */
-    private final ControlService controlService;
-
-    /** The platform operators' place, or null where they do not call. */
-    private final ManagementService operators;
+    /** Watches the endpoint list, or null where it is fixed. */
+    private final DiscoveryClient discovery;
 
-    /** Workers' load as peers announce it, or null where the settings name no peers. */
+    /** Exchanges workers' load with peers, or null where the settings name none. */
     private final PeerLoads peers;
 
-    /** The platform's listener, or null. */
+    /** The clients' listener that the platform passed on, or null. */
     private final ServerSocketChannel passed;
 
-    private boolean stopping;
-    private long breachesLogged;
-    private long unansweredAtMs;
-
-    /** The classes since the start, and the settings that the module was told last. */
-    private ClassTable classTable;
-
-    private DispatchSettings told;
-
-    /** A node that does not listen yet. */
+    /**
+     * A node that binds its own listener, and does not listen yet.
+     *
+     * @param config its configuration
+     * @throws NodeStartException if the key for the exchange with peers cannot be used
+     */
     public NodeServer(NodeConfig config) {
         this(config, (ServerSocketChannel) null);
     }
@@ -92,424 +74,290 @@
     /**
      * A node that does not accept yet.
      *
+     * @param config its configuration
      * @param passed the clients' listener as the platform passed it on, or null where the node
      *     binds its own
+     * @throws NodeStartException if the key for the exchange with peers cannot be used
      */
     public NodeServer(NodeConfig config, ServerSocketChannel passed) {
         this(config, passed, actions -> new Dispatcher(config.settings(), config.seed(), actions));
     }
 
-    NodeServer(NodeConfig config, Function<DispatcherActions, DispatcherEvents> module) {
-        this(config, (ServerSocketChannel) null, module);
+    /** A node with a dispatcher of the caller's. */
+    NodeServer(NodeConfig config, Function<DispatcherActions, DispatcherEvents> dispatcher) {
+        this(config, (ServerSocketChannel) null, dispatcher);
     }
 
+    /** The same, on a listener that the platform passed on, or null. */
     NodeServer(
             NodeConfig config,
             ServerSocketChannel passed,
-            Function<DispatcherActions, DispatcherEvents> module) {
+            Function<DispatcherActions, DispatcherEvents> dispatcher) {
         this.config = config;
         this.passed = passed;
-        this.classTable = ClassTable.of(config.classes(), config.settings().classes());
-        this.told = config.settings();
         final Clock clock = Clock.system();
         final RateLimitedLog faults =
-                new RateLimitedLog(System.getLogger("cresschute.trouble"), clock);
-        controlService =
-                config.hasControlService() ? new ControlService(config, loop, clock) : null;
-        final boolean hasManagement =
-                controlService == null && config.operators().management() != null;
-        final DescriptorBudget shares = DescriptorBudget.of(config.sockets(), hasManagement);
-        operators =
-                hasManagement
-                        ? new ManagementService(config, loop, shares.managementCalls())
-                        : null;
-        peers = config.peers() == null ? null : connectPeers(clock);
-        core =
+                new RateLimitedLog(System.getLogger("cresschute.fault"), clock);
+        final DescriptorBudget descriptors =
+                DescriptorBudget.of(config.sockets(), config.hasManagementService());
+        operators = new OperatorServices(config, loop, clock, descriptors);
+        peers = config.peers() == null ? null : createPeers(clock);
+        lifecycle =
                 new RequestLifecycle(
                         config,
                         loop,
                         clock,
                         faults,
-                        controlService != null
-                                ? controlService
-                                : operators != null ? operators : RequestListener.NONE,
+                        operators.requestListener(),
                         peers != null ? peers : LoadKnowledge.NONE,
-                        module);
-        front = new ClientListener(loop, core, config, shares.clientConnections());
-        workerClient =
+                        dispatcher);
+        front = new ClientListener(loop, lifecycle, config, descriptors.clientConnections());
+        workers =
                 new WorkerConnectionPool(
                         loop,
                         faults,
                         config.connectTimeoutUs(),
                         config.connIdleUs(),
-                        shares.workerConnections(),
+                        descriptors.workerConnections(),
                         config.bodies() != null);
-        discovery =
-                config.discovery() == null
-                        ? null
-                        : new DiscoveryClient(
-                                loop,
-                                config.discovery(),
-                                core,
-                                faults,
-                                new SplittableRandom(config.seed()));
+        discovery = config.discovery() == null ? null : createDiscovery(faults);
+        statusLog = new StatusLog(this::status, lifecycle.invariant());
+        reloader = new ConfigReloader(config, loop, new ReloadTarget());
+        shutdown = new GracefulShutdown(loop, new ShutdownSteps());
     }
 
-    private PeerLoads connectPeers(Clock clock) {
+    private PeerLoads createPeers(Clock clock) {
         try {
             return new PeerLoads(config, loop, clock);
         } catch (IOException e) {
             halt();
-            throw new IllegalStateException(
+            throw new NodeStartException(
                     "the key in " + config.peers().keyFile() + " cannot be used: " + e.getMessage(),
                     e);
         }
     }
 
-    private void listenToPeers() {
-        final ChannelFuture bound = peers.listen(config.peers().listen()).awaitUninterruptibly();
-        if (!bound.isSuccess()) {
+    private DiscoveryClient createDiscovery(RateLimitedLog faults) {
+        return new DiscoveryClient(
+                loop, config.discovery(), lifecycle, faults, new SplittableRandom(config.seed()));
+    }
+
+    // ---- Start ----
+
+    /**
+     * Starts all parts.
+     *
+     * @return where clients can connect, which they can from now on
+     * @throws NodeStartException if an address or a stored state cannot be used; all is closed then
+     */
+    public SocketAddress start() {
+        try {
+            return startParts();
+        } catch (NodeStartException e) {
             halt();
-            closeControlService();
-            throw new IllegalStateException(
-                    "cannot listen for peers on "
-                            + text(config.peers().listen())
-                            + ": "
-                            + bound.cause().getMessage(),
-                    bound.cause());
+            operators.close();
+            throw e;
         }
     }
 
-    /** Starts all of it; returns, with the address, once clients can connect. */
-    public SocketAddress start() {
-        openControlService();
+    private SocketAddress startParts() {
+        // Before the first endpoint list: a worker that an operator drained gets no work.
+        operators.open(lifecycle, front);
         if (peers != null) {
-            peers.onRefresh(core::loadsRefreshed);
-            listenToPeers();
+            peers.onRefresh(lifecycle::loadsRefreshed);
+            requireBound(
+                    peers.listen(config.peers().listen()), "for peers ", config.peers().listen());
         }
         loop.execute(
                 () ->
-                        core.start(
-                                workerClient,
-                                discovery == null ? () -> {} : discovery,
-                                config.known()));
-        final ChannelFuture bound =
-                front.listen(group, config.listen(), passed).awaitUninterruptibly();
-        if (!bound.isSuccess()) {
-            halt();
-            closeControlService();
-            throw new IllegalStateException(
-                    "cannot listen on " + text(config.listen()) + ": " + bound.cause().getMessage(),
-                    bound.cause());
-        }
-        if (controlService != null) {
-            try {
-                controlService.listen();
-            } catch (IOException e) {
-                halt();
-                closeControlService();
-                throw new IllegalStateException(e.getMessage(), e);
-            }
-        }
-        if (operators != null) {
-            final ChannelFuture called = operators.listen().awaitUninterruptibly();
-            if (!called.isSuccess()) {
-                halt();
-                closeControlService();
-                throw new IllegalStateException(
-                        "cannot listen for operators on "
-                                + text(config.operators().management())
-                                + ": "
-                                + called.cause().getMessage(),
-                        called.cause());
-            }
-            LogEvent.of(
-                            "management_listening",
-                            "operators call at " + called.channel().localAddress())
-                    .with("address", text(called.channel().localAddress()))
-                    .log(LOG, Level.INFO);
-        }
-        loop.scheduleWithFixedDelay(this::logStatus, STATUS_S, STATUS_S, TimeUnit.SECONDS);
-        LogEvent.of(
-                        "listening",
-                        "node " + config.name() + " listens on " + bound.channel().localAddress())
+                        lifecycle.start(
+                                workers, discovery == null ? () -> {} : discovery, config.known()));
+        final ChannelFuture bound = front.listen(group, config.listen(), passed);
+        requireBound(bound, "", config.listen());
+        operators.listen();
+        loop.scheduleWithFixedDelay(
+                statusLog::log, STATUS_INTERVAL_S, STATUS_INTERVAL_S, TimeUnit.SECONDS);
+        final SocketAddress address = bound.channel().localAddress();
+        LogEvent.of("listening", "node " + config.name() + " listens on " + address)
                 .with("node", config.name())
-                .with("address", text(bound.channel().localAddress()))
+                .with("address", Addresses.format(address))
                 .log(LOG, Level.INFO);
-        return bound.channel().localAddress();
+        return address;
     }
 
-    /** Before the first list is told: no worker that an operator drained gets work at a start. */
-    private void openControlService() {
-        if (operators != null) {
-            try {
-                operators.open(core, front);
-            } catch (IOException e) {
-                halt();
-                throw new IllegalStateException(
-                        "the operators' state in "
-                                + config.operators().shared()
-                                + " cannot be used: "
-                                + e.getMessage(),
-                        e);
-            }
-        }
-        if (controlService == null) {
-            return;
-        }
-        try {
-            controlService.open(core);
-        } catch (IOException e) {
-            halt();
-            closeControlService();
-            throw new IllegalStateException(
-                    "the state folder "
-                            + config.stateFolder()
-                            + " cannot be used: "
-                            + e.getMessage(),
-                    e);
+    private static void requireBound(ChannelFuture bound, String whom, InetSocketAddress address) {
+        if (!bound.awaitUninterruptibly().isSuccess()) {
+            throw new NodeStartException(
+                    "cannot listen "
+                            + whom
+                            + "on "
+                            + Addresses.format(address)
+                            + ": "
+                            + bound.cause().getMessage(),
+                    bound.cause());
         }
     }
 
-    private void closeControlService() {
-        if (controlService != null) {
-            controlService.close();
-        }
-        if (operators != null) {
-            operators.close();
-        }
-    }
+    // ---- Reload ----
 
     /**
-     * Reads a configuration anew and follows its discovery; one that cannot be used changes
-     * nothing. The reading is done on the caller's thread, for it may take a while; the loop is
-     * handed what was read.
+     * Reads a configuration again and puts in force what a running node can take; one that cannot
+     * be used is logged and changes nothing. The reading is done on the caller's thread.
+     *
+     * @param source reads the configuration
      */
-    public synchronized void reload(Callable<NodeConfig> source) {
-        try {
-            final NodeConfig next = source.call();
-            final List<String> missing = config.missingIn(next);
-            if (!missing.isEmpty()) {
-                throw new ConfigException(
-                        "the file lacks what the first one had: "
-                                + String.join(", ", missing.subList(0, Math.min(5, missing.size())))
-                                + (missing.size() > 5 ? ", ..." : ""));
-            }
-            loop.execute(() -> follow(next));
-        } catch (Exception e) {
-            // Guards against a file that is half written or wrong: what is in force goes on.
-            LogEvent.of(
-                            "reload_refused",
-                            "not reloaded, the old configuration stays: " + e.getMessage())
-                    .with("detail", e.getMessage())
-                    .log(LOG, Level.ERROR);
-        }
+    public void reload(Callable<NodeConfig> source) {
+        reloader.reload(source);
     }
 
-    private void follow(NodeConfig next) {
-        if (discovery != null && next.discovery() != null) {
-            discovery.moveTo(next.discovery());
-        }
-        final String where =
-                discovery == null
-                        ? "the list of workers is fixed"
-                        : "the director is at "
-                                + text(
-                                        next.discovery() == null
-                                                ? config.discovery()
-                                                : next.discovery());
-        // Told so that nobody takes a change for made that only the next start makes.
-        final List<String> held = new ArrayList<>(config.partsHeldUntilRestart(next));
-        final String retuned = applySettings(next, held);
-        LogEvent.of(
-                        "reloaded",
-                        "reloaded: "
-                                + where
-                                + retuned
-                                + (held.isEmpty()
-                                        ? ""
-                                        : "; changed, but in force from the next start only: "
-                                                + String.join(", ", held)))
-                .with("held", String.join(",", held))
-                .with("classes", String.join(",", classTable.live().keySet()))
-                .log(LOG, Level.INFO);
-    }
+    /** Applies a reload to the parts. */
+    private final class ReloadTarget implements ConfigReloader.Target {
 
-    /**
-     * Takes the classes and the module's settings of a new configuration, where a running node can:
-     * requests under way keep their class, and new ones are read by the new classes from this turn
-     * on. What cannot be taken is added to {@code held}. Says what changed, for the log.
-     */
-    private String applySettings(NodeConfig next, List<String> held) {
-        workerClient.applySettings(next.connectTimeoutUs(), next.connIdleUs());
-        final DispatchSettings now = told;
-        final DispatchSettings wanted = next.settings();
-        if (wanted.zone() != now.zone()
-                || wanted.zones() != now.zones()
-                || wanted.kinds() != now.kinds()
-                || !next.zones().equals(config.zones())
-                || !next.kinds().equals(config.kinds())) {
-            held.add("zones and kinds");
-            return "";
+        /** Consoles' figures and the capacity for long bodies are counted by class number. */
+        @Override
+        public boolean keepsClasses() {
+            return operators.hasControlService() || config.bodies() != null;
         }
-        final ClassTable table;
-        try {
-            table = classTable.updatedWith(next.classes(), wanted.classes());
-        } catch (IllegalArgumentException e) {
-            held.add("classes (" + e.getMessage() + ")");
-            return "";
+
+        @Override
+        public void moveDiscovery(InetSocketAddress address) {
+            discovery.moveTo(address);
         }
-        final boolean classesChange = !table.isSameAs(classTable);
-        if (classesChange && (controlService != null || config.bodies() != null)) {
-            // A console's figures and the room for long bodies are counted by the classes of the
-            // start.
-            held.add("classes");
-            return "";
+
+        @Override
+        public void applyConnectionTimes(NodeConfig next) {
+            workers.applySettings(next.connectTimeoutUs(), next.connIdleUs());
         }
-        final DispatchSettings retold = table.settingsFor(wanted, now);
-        if (!classesChange && retold.equals(now) || !retold.canReplace(now)) {
-            return "";
+
+        @Override
+        public void applySettings(ClassTable classes, DispatchSettings settings) {
+            lifecycle.applySettings(classes.names(), settings);
+            front.applySettings(classes.live(), classes.classes(), settings.tenants());
         }
-        final String changes = table.changesFrom(classTable);
-        classTable = table;
-        told = retold;
-        core.applySettings(table.names(), retold);
-        front.applySettings(table.live(), table.classes(), retold.tenants());
-        return "; settings in force"
-                + (changes.isEmpty() ? "" : ", classes " + changes)
-                + (retold.limits().equals(now.limits())
-                        ? ""
-                        : ", attempts at most " + retold.limits().maxAttempts());
     }
 
-    private static String text(SocketAddress address) {
-        return address instanceof InetSocketAddress ip && !ip.isUnresolved()
-                ? NetUtil.toSocketAddressString(ip)
-                : String.valueOf(address);
-    }
+    // ---- Stop ----
 
     /**
-     * Stops: serves on for a while, then answers all that was taken; done when all of it is
-     * answered.
+     * Stops gracefully: accepts for a while longer, and answers all that was taken.
+     *
+     * @return completed once all of it is answered and closed
      */
     public CompletableFuture<Void> stop() {
         if (group.isShuttingDown()) {
-            // It could not be started: nothing was taken.
-            stopped.complete(null);
-            return stopped;
+            // It could not be started, or was halted: nothing is owed.
+            shutdown.stopped().complete(null);
+        } else {
+            loop.execute(shutdown::begin);
         }
-        loop.execute(
-                () -> {
-                    if (!stopping) {
-                        stopping = true;
-                        LogEvent.of(
-                                        "stopping",
-                                        "stopping: "
-                                                + core.unanswered()
-                                                + " reqs are owed an answer")
-                                .with("count", core.unanswered())
-                                .log(LOG, Level.INFO);
-                        front.markNotReady();
-                        if (controlService != null) {
-                            controlService.stopping();
-                        }
-                        if (front.isPassed()) {
-                            // The other process of an upgrade accepts on the same listener: it has
-                            // said that it is
-                            // ready, or nobody would stop this one. What is open here is still used
-                            // for a while.
-                            front.stopListening();
-                        }
-                        loop.schedule(this::stopAccepting, ACCEPT_GRACE_MS, TimeUnit.MILLISECONDS);
-                        if (config.isOfThePlatform()) {
-                            core.answerAllAfter(
-                                    Math.min(core.longestDeadlineUs(), MAX_DEADLINE_US)
-                                            + TO_END_US
-                                            - BEFORE_END_US);
-                        }
-                    }
-                });
-        return stopped;
+        return shutdown.stopped();
     }
 
-    private void stopAccepting() {
-        front.stopAccepting();
-        LogEvent.of(
-                        "not_accepting",
-                        "no longer accepting: " + core.unanswered() + " reqs are owed an answer")
-                .with("count", core.unanswered())
-                .log(LOG, Level.INFO);
-        loop.scheduleWithFixedDelay(this::exitIfDone, 0, 20, TimeUnit.MILLISECONDS);
+    /** Ends all work at once: what is owed an answer gets none. */
+    public void halt() {
+        group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
     }
 
-    /** Done once no client has a connection: each is closed when its last answer is written. */
-    private void exitIfDone() {
-        final long nowMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
-        if (front.openConnections() > 0 && nowMs >= unansweredAtMs) {
-            // What a kill would cut off, told while there is time: the last such line is what it
-            // cut.
-            unansweredAtMs = nowMs + SHUTDOWN_ANSWER_MS;
-            LogEvent.of(
-                            "still_owed",
-                            "stopping: "
-                                    + core.unanswered()
-                                    + " reqs are still owed an answer, "
-                                    + front.openConnections()
-                                    + " client connections open")
-                    .with("count", core.unanswered())
-                    .with("client_connections", front.openConnections())
-                    .log(LOG, Level.INFO);
+    /** Shuts down the parts. */
+    private final class ShutdownSteps implements GracefulShutdown.Steps {
+
+        @Override
+        public int unanswered() {
+            return lifecycle.unanswered();
         }
-        if (front.openConnections() == 0 && !stopped.isDone() && (peers == null || peers.leave())) {
-            logStatus();
-            LogEvent.of("stopped", "stopped: everything taken is answered").log(LOG, Level.INFO);
-            if (controlService != null) {
-                controlService.closeSocket();
-            }
-            if (operators != null) {
-                operators.closeServer();
+
+        @Override
+        public int clientConnections() {
+            return front.openConnections();
+        }
+
+        @Override
+        public void becomeNotReady() {
+            front.markNotReady();
+            operators.notifyStopping();
+            if (front.isPassed()) {
+                // The other process of an upgrade accepts on the same listener: it is ready, or
+                // nobody would stop this one. Open connections are served for a while longer.
+                front.stopListening();
             }
+        }
+
+        @Override
+        public OptionalLong longestDeadlineUs() {
+            return config.isOfThePlatform()
+                    ? OptionalLong.of(lifecycle.longestDeadlineUs())
+                    : OptionalLong.empty();
+        }
+
+        @Override
+        public void answerAllAfter(long delayUs) {
+            lifecycle.answerAllAfter(delayUs);
+        }
+
+        @Override
+        public void stopAccepting() {
+            front.stopAccepting();
+        }
+
+        @Override
+        public boolean leavePeers() {
+            return peers == null || peers.leave();
+        }
+
+        @Override
+        public void logStatus() {
+            statusLog.log();
+        }
+
+        @Override
+        public void close(CompletableFuture<Void> closed) {
+            operators.closeListener();
             halt();
-            if (controlService == null && operators == null) {
-                stopped.complete(null);
-            } else {
-                // What is still being written is waited for elsewhere than on the loop.
-                group.terminationFuture()
-                        .addListener(
-                                ended -> {
-                                    closeControlService();
-                                    stopped.complete(null);
-                                });
+            if (operators.isEmpty()) {
+                closed.complete(null);
+                return;
             }
+            // What is still being written is waited for on another thread than the event loop.
+            group.terminationFuture()
+                    .addListener(
+                            ended -> {
+                                operators.close();
+                                closed.complete(null);
+                            });
         }
     }
 
-    /**
-     * CPU time that the loop has used, ns, by which the lab measures; blocks, so not on the loop.
-     */
+    // ---- What it holds ----
+
+    private StatusLog.Status status() {
+        return new StatusLog.Status(
+                lifecycle.unanswered(),
+                front.openConnections(),
+                workers.openConnections(),
+                front.bodyBytes(),
+                lifecycle.listVersion());
+    }
+
+    /** CPU time that the event loop has used, nanoseconds; blocks. */
     public long loopCpuNs() {
         return CompletableFuture.supplyAsync(
                         () -> ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime(), loop)
                 .join();
     }
 
-    /** How often something did not hold that must; any thread, and a moment old. */
+    /** How many invariants were broken so far; may be a moment old. */
     public long invariantBreaches() {
-        return core.invariant().total();
-    }
-
-    /** Ends all work at once: what is owed an answer gets none. */
-    public void halt() {
-        group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
+        return lifecycle.invariant().total();
     }
 
-    /** Bytes that long bodies hold now; on the loop. */
+    /** Bytes that long bodies hold now. Call from the event loop. */
     long bodyBytes() {
         return front.bodyBytes();
     }
 
-    RequestLifecycle core() {
-        return core;
+    /** The life cycle of its requests. */
+    RequestLifecycle lifecycle() {
+        return lifecycle;
     }
 
     /** The exchange with peers, or null where the settings name none. */
@@ -517,44 +365,18 @@
         return peers;
     }
 
-    /** Where operators call, once started; null where they do not. */
+    /** Where the platform's operators call, once started; null where they do not. */
     SocketAddress managementAddress() {
-        return operators == null ? null : operators.address();
+        return operators.managementAddress();
     }
 
+    /** The front of its clients. */
     ClientListener front() {
         return front;
     }
 
+    /** Its event loop. */
     EventLoop loop() {
         return loop;
     }
-
-    private void logStatus() {
-        LogEvent.of(
-                        "status",
-                        "status: "
-                                + core.unanswered()
-                                + " reqs open, "
-                                + front.openConnections()
-                                + " client and "
-                                + workerClient.openConnections()
-                                + " backend connections, "
-                                + front.bodyBytes()
-                                + " bytes of long bodies, list version "
-                                + core.listVersion())
-                .with("reqs", core.unanswered())
-                .with("client_connections", front.openConnections())
-                .with("backend_connections", workerClient.openConnections())
-                .with("body_bytes", front.bodyBytes())
-                .with("list_version", core.listVersion())
-                .log(LOG, Level.INFO);
-        if (core.invariant().total() > breachesLogged) {
-            breachesLogged = core.invariant().total();
-            LogEvent.of("invariants_broken", "invariants broken so far: " + core.invariant())
-                    .with("count", breachesLogged)
-                    .with("names", core.invariant())
-                    .log(LOG, Level.ERROR);
-        }
-    }
 }
--- /dev/null
+++ b/src/main/java/cresschute/node/StatusLog.java
@@ -0,0 +1,71 @@
+package cresschute.node;
+
+import cresschute.logs.LogEvent;
+import java.lang.System.Logger;
+import java.lang.System.Logger.Level;
+import java.util.function.Supplier;
+
+/**
+ * Logs the status of a node, and the broken invariants whenever there are more of them. Owns the
+ * count that was logged last. Call from the event loop.
+ */
+final class StatusLog {
+
+    private static final Logger LOG = System.getLogger("cresschute.node");
+
+    private final Supplier<Status> status;
+    private final Invariant invariant;
+    private long breachesLogged;
+
+    /**
+     * What a node holds at one moment.
+     *
+     * @param requests requests that are owed an answer
+     * @param clientConnections connections from clients
+     * @param workerConnections connections to workers
+     * @param bodyBytes bytes of long bodies
+     * @param listVersion version of the endpoint list, or -1
+     */
+    record Status(
+            int requests,
+            int clientConnections,
+            int workerConnections,
+            long bodyBytes,
+            long listVersion) {}
+
+    /** Logs what these give. */
+    StatusLog(Supplier<Status> status, Invariant invariant) {
+        this.status = status;
+        this.invariant = invariant;
+    }
+
+    /** Logs the status now. */
+    void log() {
+        final Status now = status.get();
+        LogEvent.of(
+                        "status",
+                        "status: "
+                                + now.requests()
+                                + " requests open, "
+                                + now.clientConnections()
+                                + " client and "
+                                + now.workerConnections()
+                                + " worker connections, "
+                                + now.bodyBytes()
+                                + " bytes of long bodies, list version "
+                                + now.listVersion())
+                .with("requests", now.requests())
+                .with("client_connections", now.clientConnections())
+                .with("worker_connections", now.workerConnections())
+                .with("body_bytes", now.bodyBytes())
+                .with("list_version", now.listVersion())
+                .log(LOG, Level.INFO);
+        if (invariant.total() > breachesLogged) {
+            breachesLogged = invariant.total();
+            LogEvent.of("invariants_broken", "invariants broken so far: " + invariant)
+                    .with("count", breachesLogged)
+                    .with("names", invariant)
+                    .log(LOG, Level.ERROR);
+        }
+    }
+}
--- a/src/test/java/cresschute/LayoutTest.java
+++ b/src/test/java/cresschute/LayoutTest.java
@@ -8,6 +8,7 @@
 import com.tngtech.archunit.core.domain.JavaClasses;
 import com.tngtech.archunit.core.importer.ClassFileImporter;
 import com.tngtech.archunit.core.importer.ImportOption;
+import cresschute.node.NodeServer;
 import org.junit.jupiter.api.Test;
 
 /** Who may use whom: the doors between the packages, as the architecture page lists them. */
@@ -96,7 +97,7 @@
                 .that()
                 .resideInAPackage("cresschute.node")
                 .and()
-                .haveSimpleNameNotStartingWith("NodeServer")
+                .doNotBelongToAnyOf(NodeServer.class)
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage("cresschute.node.http", "io.netty.handler..")
--- a/src/test/java/cresschute/node/MainTest.java
+++ b/src/test/java/cresschute/node/MainTest.java
@@ -127,7 +127,7 @@
                 final Peer worker = Peer.accept(workerServer);
                 worker.read();
                 node.signal("TERM");
-                node.awaitLine("no longer accepting: 1 reqs");
+                node.awaitLine("no longer accepting: 1 requests");
                 worker.write(
                         TestNode.answer(
                                 "200 OK",
--- a/src/test/java/cresschute/node/TestNode.java
+++ b/src/test/java/cresschute/node/TestNode.java
@@ -242,7 +242,7 @@
                         () -> {
                             action.accept(actions);
                             // Any event makes the loop carry actions out.
-                            server.core().discoveryFailed();
+                            server.lifecycle().discoveryFailed();
                         });
     }
 
@@ -270,7 +270,7 @@
         server.halt();
         worker.close();
         discovery.close();
-        assertThat(server.core().invariant().total()).isZero();
+        assertThat(server.lifecycle().invariant().total()).isZero();
     }
 
     private final class Notes implements DispatcherEvents {
