--- a/src/main/java/cresschute/node/ControlService.java
+++ b/src/main/java/cresschute/node/ControlService.java
@@ -2,17 +2,20 @@
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
+import cresschute.control.ClassPlacement;
 import cresschute.control.ControlRequest;
+import cresschute.control.Drain;
+import cresschute.control.DrainOperation;
 import cresschute.control.DrainRegistry;
-import cresschute.control.DrainRegistry.ClassBound;
-import cresschute.control.DrainRegistry.Drain;
-import cresschute.control.DrainRegistry.Listed;
-import cresschute.control.DrainRegistry.Operation;
-import cresschute.control.DrainRegistry.Outcome;
-import cresschute.control.DrainRegistry.Site;
+import cresschute.control.DrainSnapshot;
 import cresschute.control.EventRing;
-import cresschute.control.Snapshot;
+import cresschute.control.FleetView;
+import cresschute.control.ListedWorker;
+import cresschute.control.OperationOutcome;
+import cresschute.control.OperationResult;
 import cresschute.control.VersionedTable;
+import cresschute.control.files.NotDurableException;
+import cresschute.control.files.SnapshotListener;
 import cresschute.control.files.StateFolder;
 import cresschute.control.socket.ControlHandler;
 import cresschute.control.socket.ControlServer;
@@ -20,9 +23,17 @@
 import cresschute.dispatch.RequestClass;
 import cresschute.dispatch.Worker;
 import cresschute.dispatch.WorkerState;
-import cresschute.health.Condition;
+import cresschute.health.ClassHealthSnapshot;
+import cresschute.health.ConditionChange;
+import cresschute.health.HealthThresholds;
 import cresschute.health.HealthTracker;
-import cresschute.health.Thresholds;
+import cresschute.health.LatencyObjective;
+import cresschute.health.LatencyPercentiles;
+import cresschute.health.RequestResult;
+import cresschute.health.TrackedAttempt;
+import cresschute.health.WorkerCondition;
+import cresschute.health.WorkerHealthSnapshot;
+import cresschute.health.WorkerListing;
 import cresschute.logs.LogEvent;
 import io.netty.channel.EventLoop;
 import io.netty.util.NetUtil;
@@ -37,6 +48,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.OptionalDouble;
 import java.util.Set;
 import java.util.UUID;
 import java.util.concurrent.TimeUnit;
@@ -90,20 +102,20 @@
         this.config = config;
         this.loop = loop;
         this.clock = clock;
-        final List<HealthTracker.LatencyObjective> aims = new ArrayList<>();
+        final List<LatencyObjective> objectives = new ArrayList<>();
         for (final RequestClass each : config.settings().classes()) {
-            aims.add(
-                    new HealthTracker.LatencyObjective(
+            objectives.add(
+                    new LatencyObjective(
                             each.priorityWeight(),
                             each.latencyObjectiveUs(),
                             each.latencyObjectiveStretch()));
         }
         health =
                 new HealthTracker(
-                        Thresholds.usual(
+                        HealthThresholds.defaults(
                                 config.settings().progressUs(),
                                 config.settings().slowStart().warmUpDurationUs()),
-                        aims);
+                        objectives);
     }
 
     // ---- Start and stop ----
@@ -116,10 +128,10 @@
         core = watched;
         if (config.stateFolder() != null) {
             state = StateFolder.open(Path.of(config.stateFolder()));
-            final Snapshot kept = state.load();
+            final DrainSnapshot kept = state.load();
             generation = kept.generation();
             keptUpTo = generation;
-            drains.restore(kept.drains(), kept.operations());
+            drains.restore(kept.drains(), kept.completed());
             LogEvent.of(
                             "drains_restored",
                             "drains taken up from "
@@ -168,20 +180,20 @@
     // ---- Operations ----
 
     @Override
-    public void carryOut(Operation operation, Consumer<JsonObject> answer) {
+    public void execute(DrainOperation operation, Consumer<JsonObject> answer) {
         expire();
         // One that was carried out before is only answered again: nothing is told or kept a second
         // time.
-        final boolean again = drains.isRemembered(operation.id());
-        final Outcome outcome = drains.apply(operation, site(), clock.nowUs());
-        if (outcome.kind() == DrainRegistry.Kind.DONE && !again) {
+        final boolean again = drains.isCompleted(operation.id());
+        final OperationOutcome outcome = drains.apply(operation, site(), clock.nowUs());
+        if (outcome.result() == OperationResult.APPLIED && !again) {
             note(
-                    operation.start() ? "drained" : "undrained",
+                    operation.isDrain() ? "drained" : "undrained",
                     operation.worker(),
                     operation.worker()
-                            + (operation.start() ? " drained" : " no longer drained")
+                            + (operation.isDrain() ? " drained" : " no longer drained")
                             + " by "
-                            + operation.who()
+                            + operation.operator()
                             + (operation.reason().isEmpty() ? "" : ": " + operation.reason()));
             overlayChanged(List.of(operation.worker()));
             keep();
@@ -191,11 +203,11 @@
         afterKept(() -> answer.accept(answer(operation, outcome)));
     }
 
-    private JsonObject answer(Operation operation, Outcome outcome) {
+    private JsonObject answer(DrainOperation operation, OperationOutcome outcome) {
         final JsonObject json = new JsonObject();
         json.addProperty("ok", true);
-        json.addProperty("outcome", outcome.kind().wireName());
-        json.addProperty("why", outcome.why());
+        json.addProperty("outcome", outcome.result().wireName());
+        json.addProperty("why", outcome.reason());
         json.addProperty("worker", operation.worker());
         final int number = core.registry().number(operation.worker());
         json.addProperty("in_flight", number < 0 ? 0 : health.inFlight(number));
@@ -210,19 +222,19 @@
         return json;
     }
 
-    private Site site() {
-        final List<Listed> workers =
+    private FleetView site() {
+        final List<ListedWorker> workers =
                 core.registry().listed().stream()
-                        .map(each -> new Listed(core.registry().name(each.id()), each))
+                        .map(each -> new ListedWorker(core.registry().name(each.id()), each))
                         .toList();
-        final List<ClassBound> classes = new ArrayList<>();
+        final List<ClassPlacement> classes = new ArrayList<>();
         for (int i = 0; i < config.classes().size(); i++) {
             classes.add(
-                    new ClassBound(
+                    new ClassPlacement(
                             config.classes().get(i),
                             config.settings().classes().get(i).placement()));
         }
-        return new Site(workers, classes, core.boundCells());
+        return new FleetView(workers, classes, core.boundCells());
     }
 
     private void overlayChanged(List<String> workers) {
@@ -253,23 +265,35 @@
             return;
         }
         final long mine = ++generation;
-        state.keep(
-                new Snapshot(mine, drains.inForce(), drains.remembered()),
+        state.store(
+                new DrainSnapshot(mine, drains.inForce(), drains.completed()),
                 loop,
-                failed -> {
-                    keptUpTo = mine;
-                    keepFailed = failed;
-                    if (failed != null) {
-                        LogEvent.of("snapshot_failed", "drains could not be kept: " + failed)
-                                .with("detail", failed)
-                                .log(LOG, Level.ERROR);
+                new SnapshotListener() {
+                    @Override
+                    public void stored() {
+                        finish(mine, null);
                     }
-                    while (!waiting.isEmpty() && waiting.peekFirst().generation() <= keptUpTo) {
-                        waiting.pollFirst().answer().run();
+
+                    @Override
+                    public void notDurable(NotDurableException failure) {
+                        finish(mine, failure);
                     }
                 });
     }
 
+    private void finish(long finished, NotDurableException failed) {
+        keptUpTo = finished;
+        keepFailed = failed;
+        if (failed != null) {
+            LogEvent.of("snapshot_failed", "drains could not be kept: " + failed.getCause())
+                    .with("detail", failed.getCause())
+                    .log(LOG, Level.ERROR);
+        }
+        while (!waiting.isEmpty() && waiting.peekFirst().generation() <= keptUpTo) {
+            waiting.pollFirst().answer().run();
+        }
+    }
+
     private void afterKept(Runnable answer) {
         if (state == null || keptUpTo >= generation) {
             answer.run();
@@ -282,7 +306,7 @@
 
     @Override
     public WorkerState effectiveState(String worker, WorkerState listed) {
-        return drains.over(worker, listed);
+        return drains.effectiveState(worker, listed);
     }
 
     @Override
@@ -308,61 +332,62 @@
     }
 
     private void heard(long nowUs, Worker worker) {
-        health.listed(
+        health.workerListed(
                 nowUs,
                 worker.id(),
-                worker.state(),
-                drains.of(core.registry().name(worker.id())) != null,
-                worker.startedAtUs());
+                new WorkerListing(
+                        worker.state(),
+                        drains.drainOf(core.registry().name(worker.id())).isPresent(),
+                        worker.startedAtUs()));
         changed.add(worker.id());
     }
 
     @Override
     public void requestTaken(long nowUs, int requestClass) {
-        health.asked(nowUs, requestClass);
+        health.requestArrived(nowUs, requestClass);
     }
 
     @Override
     public void requestEnded(
             long nowUs, int requestClass, Answer answer, int attempts, long waitedUs, long ranUs) {
-        health.answered(nowUs, requestClass, healthAnswer(answer), attempts, waitedUs, ranUs);
+        health.requestEnded(nowUs, requestClass, requestResult(answer), attempts, waitedUs, ranUs);
     }
 
-    private static HealthTracker.Answer healthAnswer(Answer answer) {
+    private static RequestResult requestResult(Answer answer) {
         return switch (answer) {
-            case SERVED -> HealthTracker.Answer.SERVED;
-            case REJECTED -> HealthTracker.Answer.REFUSED;
-            case FAILED -> HealthTracker.Answer.FAILED;
-            case LEFT -> HealthTracker.Answer.LEFT;
+            case SERVED -> RequestResult.SERVED;
+            case REJECTED -> RequestResult.REJECTED;
+            case FAILED -> RequestResult.FAILED;
+            case LEFT -> RequestResult.CLIENT_LEFT;
         };
     }
 
     @Override
     public AttemptObserver attemptStarted(long nowUs, int worker, int requestClass) {
-        final HealthTracker.Job job = health.sent(nowUs, worker, requestClass);
+        final TrackedAttempt attempt = health.attemptSent(nowUs, worker, requestClass);
         changed.add(worker);
         return new AttemptObserver() {
             @Override
             public void progressed(long atUs) {
-                job.told(atUs);
+                attempt.progressReported(atUs);
             }
 
             @Override
             public void ended(long atUs, cresschute.dispatch.Outcome outcome, LoadReport report) {
-                job.ended(atUs, outcome, report);
+                attempt.ended(atUs, outcome, report);
                 changed.add(worker);
             }
 
             @Override
             public long ranUs(long atUs) {
-                return job.ranUs(atUs);
+                return attempt.runTimeUs(atUs);
             }
         };
     }
 
     @Override
     public void loadReported(long nowUs, int worker, LoadReport report) {
-        health.probed(nowUs, worker, report);
+        health.loadReported(nowUs, worker, report);
         changed.add(worker);
     }
 
@@ -372,15 +397,15 @@
         expire();
         lookAtConditions();
         if (server != null) {
-            if (server.isFollowed()) {
+            if (server.hasSubscribers()) {
                 show(false);
             }
-            server.tell(clock.nowUs());
+            server.publish(clock.nowUs());
         }
     }
 
     private void lookAtConditions() {
-        for (final HealthTracker.Change each : health.look(clock.nowUs())) {
+        for (final ConditionChange each : health.evaluate(clock.nowUs())) {
             changed.add(each.worker());
             if (isNews(each)) {
                 note(
@@ -389,7 +414,7 @@
                         core.registry().name(each.worker())
                                 + " is "
                                 + each.to().word()
-                                + (each.why().isEmpty() ? "" : ": " + each.why()));
+                                + (each.reason().isEmpty() ? "" : ": " + each.reason()));
             }
         }
     }
@@ -398,12 +423,12 @@
      * What the list says is noted as it is heard, and a worker that fills up and empties is at
      * work.
      */
-    private static boolean isNews(HealthTracker.Change change) {
-        return change.from() != null
-                && change.to() != Condition.GONE
-                && change.to() != Condition.DRAINING
-                && !(change.from().compareTo(Condition.FULL) <= 0
-                        && change.to().compareTo(Condition.FULL) <= 0);
+    private static boolean isNews(ConditionChange change) {
+        return change.from().isPresent()
+                && change.to() != WorkerCondition.REMOVED
+                && change.to() != WorkerCondition.DRAINING
+                && !(change.from().get().compareTo(WorkerCondition.OVERLOADED) <= 0
+                        && change.to().compareTo(WorkerCondition.OVERLOADED) <= 0);
     }
 
     private void note(String kind, String worker, String text) {
@@ -413,7 +438,7 @@
     }
 
     @Override
-    public void look() {
+    public void refresh() {
         lookAtConditions();
         show(true);
     }
@@ -443,12 +468,12 @@
     }
 
     private String row(long nowUs, int worker) {
-        final HealthTracker.View view = health.view(nowUs, worker);
+        final WorkerHealthSnapshot view = health.worker(nowUs, worker).orElseThrow();
         final Worker listed = core.registry().listed().get(worker);
         final JsonObject row = new JsonObject();
         row.addProperty("id", core.registry().name(worker));
         row.addProperty("state", view.condition().word());
-        row.addProperty("why", view.why());
+        row.addProperty("why", view.reason());
         row.addProperty("since_ms", view.sinceUs() / US_A_MS);
         row.addProperty("address", NetUtil.toSocketAddressString(core.registry().address(worker)));
         row.addProperty("kind", core.registry().kind(listed.kind()));
@@ -456,14 +481,14 @@
         row.addProperty(
                 "listed",
                 listed.state() == WorkerState.READY ? "serving" : listed.state().wireName());
-        final Drain drain = drains.of(core.registry().name(worker));
+        final Drain drain = drains.drainOf(core.registry().name(worker)).orElse(null);
         if (drain != null) {
             final JsonObject shown = new JsonObject();
-            shown.addProperty("who", drain.who());
+            shown.addProperty("who", drain.operator());
             shown.addProperty("reason", drain.reason());
-            shown.addProperty("since_ms", drain.sinceUs() / US_A_MS);
-            if (drain.untilUs() != DrainRegistry.FOREVER) {
-                shown.addProperty("until_ms", drain.untilUs() / US_A_MS);
+            shown.addProperty("since_ms", drain.startedAtUs() / US_A_MS);
+            if (drain.endsAtUs() != DrainRegistry.NO_END_US) {
+                shown.addProperty("until_ms", drain.endsAtUs() / US_A_MS);
             }
             row.add("drain", shown);
         }
@@ -475,22 +500,22 @@
             }
         }
         row.add("in_flight_by_class", byClass);
-        row.addProperty("rate", Math.round(view.ratePerS() * 100) / 100.0);
+        row.addProperty("rate", Math.round(view.servedPerS() * 100) / 100.0);
         row.addProperty("failed", view.failed());
-        times(row, view.minute(), view.tenMinutes());
+        times(row, view.lastMinute(), view.lastTenMinutes());
         final JsonArray sparks = new JsonArray();
-        for (final int spark : view.sparks()) {
+        for (final int spark : view.servedPerSlice()) {
             sparks.add(spark);
         }
         row.add("sparks", sparks);
-        row.addProperty("queue", view.queue());
-        row.addProperty("free", view.free());
-        row.addProperty("report_ms", view.reportUs() / US_A_MS);
+        row.addProperty("queue", view.load().queued());
+        row.addProperty("free", view.load().freeSlots());
+        row.addProperty("report_ms", view.load().receivedUs() / US_A_MS);
         return row.toString();
     }
 
     private static void times(
-            JsonObject row, HealthTracker.Times minute, HealthTracker.Times tenMinutes) {
+            JsonObject row, LatencyPercentiles minute, LatencyPercentiles tenMinutes) {
         row.addProperty("p50_ms", minute.p50Ms());
         row.addProperty("p99_ms", minute.p99Ms());
         row.addProperty("p50_ms_10m", tenMinutes.p50Ms());
@@ -498,22 +523,22 @@
     }
 
     private String classRow(long nowUs, int number) {
-        final HealthTracker.ClassView view = health.classView(nowUs, number);
+        final ClassHealthSnapshot view = health.requestClass(nowUs, number);
         final JsonObject row = new JsonObject();
         row.addProperty("id", config.classes().get(number));
-        row.addProperty("asked", view.asked());
-        final int answered = view.served() + view.refused() + view.failed();
+        row.addProperty("asked", view.arrived());
+        final int answered = view.served() + view.rejected() + view.failed();
         row.addProperty(
                 "admitted",
                 answered == 0
                         ? -1
                         : Math.min(1, Math.round(view.admitted() * 1000.0 / answered) / 1000.0));
         row.addProperty("served", view.served());
-        row.addProperty("refused", view.refused());
+        row.addProperty("refused", view.rejected());
         row.addProperty("failed", view.failed());
-        row.addProperty("in_time", view.inTime());
+        row.addProperty("in_time", view.withinObjective());
         row.addProperty("in_flight", view.inFlight());
-        times(row, view.minute(), view.tenMinutes());
+        times(row, view.lastMinute(), view.lastTenMinutes());
         return row.toString();
     }
 
@@ -525,8 +550,9 @@
                 "list_ms", config.discovery() == null ? 0 : core.listUpdatedAtUs() / US_A_MS);
         row.addProperty("fixed_list", config.discovery() == null);
         row.addProperty("open", core.unanswered());
-        final double kept = health.weightedServedFraction(nowUs);
-        row.addProperty("worth_kept", kept < 0 ? -1 : Math.round(kept * 1000) / 1000.0);
+        final OptionalDouble kept = health.weightedServedFraction(nowUs);
+        row.addProperty(
+                "worth_kept", kept.isEmpty() ? -1 : Math.round(kept.getAsDouble() * 1000) / 1000.0);
         row.addProperty("stopping", stopping);
         row.addProperty("consoles", server == null ? 0 : server.sessions());
         row.addProperty("broken", core.invariant().total());
@@ -534,12 +560,12 @@
     }
 
     @Override
-    public String boot() {
+    public String incarnation() {
         return boot;
     }
 
     @Override
-    public VersionedTable board() {
+    public VersionedTable table() {
         return board;
     }
 
@@ -556,22 +582,22 @@
                                 "console "
                                         + session
                                         + " asks: "
-                                        + request.what().wireName()
+                                        + request.command().wireName()
                                         + (request.operation() == null
                                                 ? ""
                                                 : " "
                                                         + request.operation().worker()
                                                         + " by "
-                                                        + request.operation().who()))
+                                                        + request.operation().operator()))
                         .with("session", session)
-                        .with("what", request.what().wireName());
+                        .with("what", request.command().wireName());
         if (request.operation() != null) {
-            final Operation asked = request.operation();
+            final DrainOperation asked = request.operation();
             event.with("worker", asked.worker())
                     .with("operation", asked.id())
-                    .with("who", asked.who())
+                    .with("who", asked.operator())
                     .with("reason", asked.reason())
-                    .with("forced", asked.forced());
+                    .with("forced", asked.isForced());
         }
         event.log(LOG, Level.INFO);
     }
