--- a/src/test/java/cresschute/LayoutTest.java
+++ b/src/test/java/cresschute/LayoutTest.java
@@ -8,6 +8,8 @@
 import com.tngtech.archunit.core.domain.JavaClasses;
 import com.tngtech.archunit.core.importer.ClassFileImporter;
 import com.tngtech.archunit.core.importer.ImportOption;
+import cresschute.dispatch.Dispatcher;
+import cresschute.dispatch.DispatcherEvents;
 import org.junit.jupiter.api.Test;
 
 /** Who may use whom: the doors between the packages, as the architecture page lists them. */
@@ -50,6 +52,31 @@
                 .check(CLASSES);
     }
 
+    /**
+     * No other package decides: the test bed's baseline and its exchange beside a dispatcher are
+     * the only other receivers of a dispatcher's events.
+     */
+    @Test
+    void decisionsAreMadeInTheDispatchPackageAlone() {
+        noClasses()
+                .that()
+                .resideOutsideOfPackages("cresschute.dispatch", "cresschute.testbed..")
+                .should()
+                .implement(DispatcherEvents.class)
+                .check(CLASSES);
+        noClasses()
+                .that()
+                .resideOutsideOfPackages(
+                        "cresschute.dispatch",
+                        "cresschute.node",
+                        "cresschute.simulator",
+                        "cresschute.testbed..")
+                .should()
+                .dependOnClassesThat()
+                .belongToAnyOf(Dispatcher.class)
+                .check(CLASSES);
+    }
+
     @Test
     void everyPackageUsesOnlyWhatItMay() {
         mayUse(of("cresschute.simulator.."), "cresschute.dispatch");
--- /dev/null
+++ b/src/test/java/cresschute/dispatch/AttemptFeedbackTest.java
@@ -0,0 +1,101 @@
+package cresschute.dispatch;
+
+import static cresschute.dispatch.Rules.SECOND;
+import static org.assertj.core.api.Assertions.assertThat;
+
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.EnumSource;
+
+/** What the estimators learn from an attempt. */
+class AttemptFeedbackTest {
+
+    private static final long NOW = 100 * SECOND;
+
+    private final Rules rules = Rules.ofSafeClass();
+    private final WorkerInstance worker = rules.ready(1, 0, 0);
+    private final CapacityEstimator capacity = rules.workers.capacities().get(0);
+
+    /** Whether the budget decreased after 100 attempts. */
+    private boolean isOverload(Outcome outcome, long timeoutUs, boolean requestClosed) {
+        for (int id = 0; id < 100; id++) {
+            final PendingRequest request = rules.request(id, NOW, NOW + timeoutUs);
+            final Attempt attempt = request.startAttempt(worker, NOW);
+            rules.feedback.addEvidence(request, attempt, outcome, requestClosed);
+        }
+        return adjusted();
+    }
+
+    private boolean adjusted() {
+        capacity.addOffered(10);
+        capacity.adjust(400_000, new CapacityEstimator.Conditions(1, 1, 500_000, 400_000));
+        return Double.isFinite(capacity.budget());
+    }
+
+    @ParameterizedTest
+    @CsvSource({
+        "SERVED, false",
+        "ERROR, false",
+        "BROKEN, false",
+        "CANCELLED, false",
+        "NOT_SENT, false",
+        "UNUSABLE, false",
+        "FULL, false",
+        "TIMED_OUT, true",
+        "CONNECT_FAILED, true"
+    })
+    void takesTimeoutsAndFailedConnectionsForOverload(Outcome outcome, boolean overload) {
+        assertThat(isOverload(outcome, 5 * SECOND, false)).isEqualTo(overload);
+    }
+
+    @Test
+    void takesNoTimeoutOfAnImpatientClientForOverload() {
+        assertThat(isOverload(Outcome.TIMED_OUT, SECOND / 2, false)).isFalse();
+    }
+
+    @Test
+    void takesNoTimeoutOfAClosedRequestForOverload() {
+        assertThat(isOverload(Outcome.TIMED_OUT, 5 * SECOND, true)).isFalse();
+    }
+
+    @Test
+    void countsALateAttemptBeforeItsEnd() {
+        for (int id = 0; id < 100; id++) {
+            final PendingRequest request = rules.request(id, NOW);
+            rules.feedback.late(request, request.startAttempt(worker, NOW), NOW);
+        }
+        assertThat(adjusted()).isTrue();
+    }
+
+    @Test
+    void doesNotCountTheEndOfALateAttemptAgain() {
+        for (int id = 0; id < 100; id++) {
+            final PendingRequest request = rules.request(id, NOW);
+            final Attempt attempt = request.startAttempt(worker, NOW);
+            attempt.markLate();
+            rules.feedback.addEvidence(request, attempt, Outcome.TIMED_OUT, false);
+        }
+        assertThat(adjusted()).isFalse();
+    }
+
+    @Test
+    void takesNoLateAttemptAtAStalledWorkerForOverload() {
+        worker.stalledUntil(NOW + SECOND);
+        for (int id = 0; id < 100; id++) {
+            final PendingRequest request = rules.request(id, NOW);
+            rules.feedback.late(request, request.startAttempt(worker, NOW), NOW);
+        }
+        assertThat(adjusted()).isFalse();
+    }
+
+    @ParameterizedTest
+    @EnumSource(names = {"UNUSABLE", "TIMED_OUT"})
+    void doesNotCountAgainstTheWorkerWhatItCouldNotServe(Outcome outcome) {
+        for (int id = 0; id < 10; id++) {
+            final PendingRequest request = rules.request(id, NOW, NOW + SECOND / 2);
+            rules.feedback.endedAt(worker, request, outcome, LoadReport.NONE, NOW);
+        }
+        assertThat(rules.outliers.isEjected(worker, 0, NOW)).isFalse();
+    }
+}
--- /dev/null
+++ b/src/test/java/cresschute/dispatch/DeadlinePolicyTest.java
@@ -0,0 +1,119 @@
+package cresschute.dispatch;
+
+import static cresschute.dispatch.Rules.SECOND;
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/** When a request is given up, and how. */
+class DeadlinePolicyTest {
+
+    private static final long NOW = 100 * SECOND;
+
+    /** An answer is in time for 0.2 s and twice the running time of 0.4 s. */
+    private static final long IN_TIME_US = SECOND;
+
+    private static Rules withObjective(long latencyObjectiveUs) {
+        return new Rules(
+                TestSettings.settings(
+                        List.of(
+                                new RequestClass(
+                                        1,
+                                        latencyObjectiveUs,
+                                        2,
+                                        5 * SECOND,
+                                        Idempotency.SAFE,
+                                        DeduplicationScope.ALL,
+                                        0,
+                                        Placement.ANYWHERE))));
+    }
+
+    @ParameterizedTest(name = "objective {0} us: every {1} us")
+    @CsvSource({"1000, 5000", "20000, 10000", "99000, 49500", "2000000, 50000"})
+    void checksAtHalfTheTightestObjectiveWithinBounds(long objectiveUs, long intervalUs) {
+        assertThat(withObjective(objectiveUs).deadlines.checkIntervalUs()).isEqualTo(intervalUs);
+    }
+
+    @Test
+    void isOverOnceAnAnswerIsLate() {
+        final Rules rules = Rules.ofSafeClass();
+        final PendingRequest request = rules.request(1, NOW);
+        assertThat(rules.deadlines.isOver(request, NOW + IN_TIME_US - 1)).isFalse();
+        assertThat(rules.deadlines.isOver(request, NOW + IN_TIME_US)).isTrue();
+        assertThat(rules.deadlines.isTooOld(request, NOW + IN_TIME_US)).isFalse();
+        assertThat(rules.deadlines.isTooOld(request, NOW + IN_TIME_US + 1)).isTrue();
+    }
+
+    @Test
+    void isOverTwoCheckIntervalsBeforeTheDeadline() {
+        final Rules rules = Rules.ofSafeClass();
+        final PendingRequest request = rules.request(1, NOW, NOW + SECOND / 2);
+        assertThat(rules.deadlines.isOver(request, NOW + SECOND / 2 - 100_001)).isFalse();
+        assertThat(rules.deadlines.isOver(request, NOW + SECOND / 2 - 100_000)).isTrue();
+    }
+
+    @Test
+    void isImpatientWhereTheDeadlineComesBeforeTheAnswerIsLate() {
+        final Rules rules = Rules.ofSafeClass();
+        final DeadlinePolicy deadlines = rules.deadlines;
+        assertThat(deadlines.isImpatient(rules.request(1, NOW, NOW + IN_TIME_US - 1))).isTrue();
+        assertThat(deadlines.isImpatient(rules.request(1, NOW, NOW + IN_TIME_US))).isFalse();
+    }
+
+    @ParameterizedTest(name = "{0} {1}, may have run: {2}")
+    @CsvSource({
+        "SAFE, ALL, false, REJECTED",
+        "SAFE, ALL, true, REJECTED",
+        "KEYED, ALL, false, REJECTED",
+        "KEYED, ALL, true, REJECTED",
+        "KEYED, CELL, true, FAILED",
+        "UNSAFE, ALL, false, REJECTED",
+        "UNSAFE, ALL, true, FAILED"
+    })
+    void rejectsOnlyWhereARetryDoesNoHarm(
+            Idempotency idempotency,
+            DeduplicationScope scope,
+            boolean mayHaveRun,
+            DeadlinePolicy.FinalReply reply) {
+        final Rules rules = Rules.of(idempotency, scope);
+        final PendingRequest request = rules.request(1, NOW);
+        final Attempt attempt = request.startAttempt(rules.ready(1, 0, 0), NOW);
+        if (mayHaveRun) {
+            rules.retries.markMayHaveRun(request, attempt);
+        }
+        assertThat(rules.deadlines.replyTo(request, NOW)).isEqualTo(reply);
+    }
+
+    @Test
+    void failsAKeyedRequestOnceTheWindowEnds() {
+        final Rules rules = Rules.of(Idempotency.KEYED, DeduplicationScope.ALL);
+        final PendingRequest request = rules.request(1, NOW);
+        rules.retries.markMayHaveRun(request, request.startAttempt(rules.ready(1, 0, 0), NOW));
+        assertThat(rules.deadlines.replyTo(request, NOW + 3 * SECOND - 1))
+                .isEqualTo(DeadlinePolicy.FinalReply.REJECTED);
+        assertThat(rules.deadlines.replyTo(request, NOW + 3 * SECOND))
+                .isEqualTo(DeadlinePolicy.FinalReply.FAILED);
+    }
+
+    @ParameterizedTest(name = "{0} ms missing, marked: {1}")
+    @CsvSource({
+        "0, false, true",
+        "1000, false, true",
+        "1001, false, false",
+        "1001, true, true",
+        "4000, true, true"
+    })
+    void datesTheFirstSendOfARetryByWhatIsMissingOfItsTime(
+            long missingMs, boolean marked, boolean isRetry) {
+        final Rules rules = Rules.ofSafeClass();
+        final ClassState owner = rules.request(1, NOW).owner();
+        owner.learnTimeout(5 * SECOND);
+        final Job job = new Job(0, 0, 1, Job.NO_HINT, Job.NO_DATA, marked);
+        final long deadlineUs = NOW + 5 * SECOND - missingMs * 1000;
+        assertThat(rules.deadlines.firstSentUs(owner, job, deadlineUs, NOW))
+                .isEqualTo(isRetry ? NOW - missingMs * 1000 : NOW);
+    }
+}
--- /dev/null
+++ b/src/test/java/cresschute/dispatch/EndpointListPollerTest.java
@@ -0,0 +1,58 @@
+package cresschute.dispatch;
+
+import static cresschute.dispatch.Rules.SECOND;
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.List;
+import java.util.stream.LongStream;
+import org.junit.jupiter.api.Test;
+
+/** When the endpoint list is polled. */
+class EndpointListPollerTest {
+
+    private static EndpointListPoller poller(long seed) {
+        final List<RequestClass> classes =
+                List.of(TestSettings.requestClass(1, Idempotency.SAFE, DeduplicationScope.ALL));
+        return new Rules(new TestSettings(classes).polled().build(), seed).poller;
+    }
+
+    @Test
+    void pollsOnceWithinOneBackoffOfTheFirstList() {
+        final EndpointListPoller poller = poller(Rules.SEED);
+        assertThat(poller.takeDue(5 * SECOND)).isFalse();
+        poller.started(5 * SECOND);
+        assertThat(poller.takeDue(6 * SECOND)).isTrue();
+        assertThat(poller.takeDue(60 * SECOND)).isFalse();
+    }
+
+    @Test
+    void neverPollsWhereTheHostSendsChangesByItself() {
+        final EndpointListPoller poller = Rules.ofSafeClass().poller;
+        poller.started(SECOND);
+        assertThat(poller.takeDue(3_600 * SECOND)).isFalse();
+    }
+
+    @Test
+    void repeatsAFailedPollAfterHalfToOneAndAHalfBackoffs() {
+        for (long seed = 0; seed < 50; seed++) {
+            final EndpointListPoller poller = poller(seed);
+            poller.failed(5 * SECOND);
+            assertThat(poller.takeDue(5 * SECOND + SECOND / 2 - 1)).isFalse();
+            assertThat(poller.takeDue(5 * SECOND + SECOND * 3 / 2)).isTrue();
+        }
+    }
+
+    @Test
+    void spreadsThePollsOfManyDispatchers() {
+        final long early =
+                LongStream.range(0, 100)
+                        .filter(
+                                seed -> {
+                                    final EndpointListPoller poller = poller(seed);
+                                    poller.failed(5 * SECOND);
+                                    return poller.takeDue(6 * SECOND);
+                                })
+                        .count();
+        assertThat(early).isBetween(30L, 70L);
+    }
+}
--- /dev/null
+++ b/src/test/java/cresschute/dispatch/HedgingPolicyTest.java
@@ -0,0 +1,106 @@
+package cresschute.dispatch;
+
+import static cresschute.dispatch.Rules.SECOND;
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/** Whether a request is hedged. */
+class HedgingPolicyTest {
+
+    private static final long NOW = 100 * SECOND;
+
+    /** A latency objective of 1 s and jobs of 2 s: a job may wait for 3 s. */
+    private static Rules rules(Idempotency idempotency) {
+        return new Rules(
+                TestSettings.hedging(
+                        List.of(
+                                new RequestClass(
+                                        1,
+                                        SECOND,
+                                        2,
+                                        60 * SECOND,
+                                        idempotency,
+                                        DeduplicationScope.CELL,
+                                        SECOND,
+                                        Placement.ANYWHERE))));
+    }
+
+    private static PendingRequest request(Rules rules) {
+        return rules.request(1, NOW, NOW + 60 * SECOND);
+    }
+
+    @Test
+    void isDueWhereAJobHasNotStartedAfterHalfItsSlack() {
+        final Rules rules = rules(Idempotency.SAFE);
+        final PendingRequest request = request(rules);
+        final Attempt attempt = request.startAttempt(rules.ready(1, 0, 0), NOW);
+        assertThat(rules.hedging.isDue(request, attempt, 1_500_000, false, NOW)).isFalse();
+        assertThat(rules.hedging.isDue(request, attempt, 1_500_001, false, NOW)).isTrue();
+        attempt.progressReported(NOW, 0);
+        assertThat(rules.hedging.isDue(request, attempt, 9_000_000, false, NOW)).isFalse();
+    }
+
+    @Test
+    void isDueWhereTheAttemptOrItsWorkerIsStalled() {
+        final Rules rules = rules(Idempotency.SAFE);
+        final PendingRequest request = request(rules);
+        final WorkerInstance worker = rules.ready(1, 0, 0);
+        final Attempt attempt = request.startAttempt(worker, NOW);
+        attempt.progressReported(NOW, 0);
+        assertThat(rules.hedging.isDue(request, attempt, 0, true, NOW)).isTrue();
+        worker.stalledUntil(NOW + SECOND);
+        assertThat(rules.hedging.isDue(request, attempt, 0, false, NOW)).isTrue();
+        assertThat(rules.hedging.isDue(request, attempt, 0, false, NOW + SECOND)).isFalse();
+    }
+
+    @Test
+    void isNeverDueBesideASecondAttemptOrForAClosedRequest() {
+        final Rules rules = rules(Idempotency.SAFE);
+        final PendingRequest request = request(rules);
+        final Attempt attempt = request.startAttempt(rules.ready(1, 0, 0), NOW);
+        request.startAttempt(rules.ready(2, 0, 0), NOW);
+        assertThat(rules.hedging.isDue(request, attempt, 9_000_000, true, NOW)).isFalse();
+        request.endAttempt(attempt);
+        request.close();
+        assertThat(rules.hedging.isDue(request, attempt, 9_000_000, true, NOW)).isFalse();
+    }
+
+    @ParameterizedTest(name = "{0} after {1} ms: {2}")
+    @CsvSource({
+        "SAFE, 0, true",
+        "SAFE, 2000, true",
+        "KEYED, 999, true",
+        "KEYED, 1000, false",
+        "UNSAFE, 0, false"
+    })
+    void isAllowedByIdempotencyAndWindow(Idempotency idempotency, long afterMs, boolean allowed) {
+        final Rules rules = rules(idempotency);
+        final PendingRequest request = request(rules);
+        final Attempt attempt = request.startAttempt(rules.ready(1, 0, 0), NOW);
+        assertThat(rules.hedging.isAllowed(request, attempt, NOW + afterMs * 1000))
+                .isEqualTo(allowed);
+    }
+
+    @Test
+    void isAllowedOnlyWhereTheSettingsAllowHedging() {
+        final Rules rules = Rules.ofSafeClass();
+        final PendingRequest request = rules.request(1, NOW);
+        final Attempt attempt = request.startAttempt(rules.ready(1, 0, 0), NOW);
+        assertThat(rules.hedging.isAllowed(request, attempt, NOW)).isFalse();
+    }
+
+    @Test
+    void needsDeduplicationForTheFirstAttemptOfAKeyedRequest() {
+        final Rules rules = rules(Idempotency.KEYED);
+        final PendingRequest request = request(rules);
+        final Attempt attempt = request.startAttempt(rules.ready(1, 0, 0), NOW);
+        assertThat(rules.hedging.needsDeduplication(request)).isTrue();
+        rules.retries.markMayHaveRun(request, attempt);
+        assertThat(rules.hedging.needsDeduplication(request)).isFalse();
+        assertThat(rules.hedging.needsDeduplication(request(rules(Idempotency.SAFE)))).isFalse();
+    }
+}
--- /dev/null
+++ b/src/test/java/cresschute/dispatch/OutlierDetectorTest.java
@@ -0,0 +1,144 @@
+package cresschute.dispatch;
+
+import static cresschute.dispatch.Rules.SECOND;
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.List;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.EnumSource;
+
+/** Which workers are ejected, and for how long. */
+class OutlierDetectorTest {
+
+    private static final long NOW = 100 * SECOND;
+
+    private Rules rules;
+    private OutlierDetector outliers;
+    private WorkerInstance worker;
+
+    @BeforeEach
+    void createRules() {
+        rules =
+                new Rules(
+                        TestSettings.hedging(
+                                List.of(
+                                        TestSettings.requestClass(
+                                                1, Idempotency.SAFE, DeduplicationScope.ALL))));
+        outliers = rules.outliers;
+        worker = rules.ready(1, 0, 0);
+    }
+
+    private boolean isEjected(long nowUs) {
+        return outliers.isEjected(worker, 0, nowUs);
+    }
+
+    private Attempt attempt(WorkerInstance at, long nowUs) {
+        return rules.request(1, nowUs).startAttempt(at, nowUs);
+    }
+
+    @ParameterizedTest
+    @EnumSource(names = {"ERROR", "TIMED_OUT", "BROKEN"})
+    void ejectsAtTheThirdFailureInARow(Outcome outcome) {
+        outliers.ended(worker, outcome, NOW);
+        outliers.ended(worker, outcome, NOW);
+        assertThat(isEjected(NOW)).isFalse();
+        outliers.ended(worker, outcome, NOW);
+        assertThat(isEjected(NOW + SECOND / 2 - 1)).isTrue();
+        assertThat(isEjected(NOW + SECOND / 2)).isFalse();
+    }
+
+    @ParameterizedTest(name = "{0} failed connections: {1} ms")
+    @CsvSource({"1, 500", "2, 1000", "3, 2000", "4, 4000", "5, 8000", "6, 8000"})
+    void doublesTheEjectionForEachFailedConnectionUpToFiveSteps(int failures, long ejectedMs) {
+        for (int i = 0; i < failures; i++) {
+            outliers.ended(worker, Outcome.CONNECT_FAILED, NOW);
+        }
+        assertThat(isEjected(NOW + ejectedMs * 1000 - 1)).isTrue();
+        assertThat(isEjected(NOW + ejectedMs * 1000)).isFalse();
+    }
+
+    @Test
+    void endsTheEjectionAtTheFirstServedAttempt() {
+        outliers.ended(worker, Outcome.CONNECT_FAILED, NOW);
+        outliers.ended(worker, Outcome.SERVED, NOW);
+        assertThat(isEjected(NOW)).isFalse();
+        outliers.ended(worker, Outcome.ERROR, NOW);
+        outliers.ended(worker, Outcome.ERROR, NOW);
+        assertThat(isEjected(NOW)).isFalse();
+    }
+
+    @Test
+    void ejectsAFullWorkerForOneMeanRunningTime() {
+        outliers.ended(worker, Outcome.FULL, NOW);
+        final long meanUs = (long) rules.serviceTimes.meanRunningTimeUs();
+        assertThat(meanUs).isEqualTo(400_000);
+        assertThat(isEjected(NOW + meanUs - 1)).isTrue();
+        assertThat(isEjected(NOW + meanUs)).isFalse();
+    }
+
+    @ParameterizedTest
+    @EnumSource(names = {"CANCELLED", "NOT_SENT"})
+    void doesNotCountWhatTheHostEnded(Outcome outcome) {
+        for (int i = 0; i < 10; i++) {
+            outliers.ended(worker, outcome, NOW);
+        }
+        assertThat(isEjected(NOW)).isFalse();
+    }
+
+    @Test
+    void ejectsAnUnresponsiveWorkerForOneClassAlone() {
+        final RequestClass safe =
+                TestSettings.requestClass(1, Idempotency.SAFE, DeduplicationScope.ALL);
+        final Rules twoClasses = new Rules(TestSettings.settings(List.of(safe, safe)));
+        final WorkerInstance other = twoClasses.ready(1, 0, 0);
+        twoClasses.outliers.ejectUnresponsive(other, 1, NOW);
+        assertThat(twoClasses.outliers.isEjected(other, 1, NOW + 3 * SECOND - 1)).isTrue();
+        assertThat(twoClasses.outliers.isEjected(other, 1, NOW + 3 * SECOND)).isFalse();
+        assertThat(twoClasses.outliers.isEjected(other, 0, NOW)).isFalse();
+        twoClasses.outliers.ejectUnresponsive(other, 99, NOW);
+        assertThat(twoClasses.outliers.isEjected(other, 0, NOW)).isFalse();
+    }
+
+    @Test
+    void detectsAnUnresponsiveWorkerOnceForAnAttempt() {
+        final Attempt attempt = attempt(worker, NOW);
+        assertThat(outliers.detectUnresponsive(attempt, 1_600_000, NOW)).isFalse();
+        assertThat(outliers.detectUnresponsive(attempt, 1_600_001, NOW)).isTrue();
+        assertThat(outliers.detectUnresponsive(attempt, 9_000_000, NOW)).isFalse();
+    }
+
+    @Test
+    void takesNoWorkerWithoutFreeSlotsForUnresponsive() {
+        worker.reserveSlots(1);
+        assertThat(outliers.detectUnresponsive(attempt(worker, NOW), 9_000_000, NOW)).isFalse();
+    }
+
+    @Test
+    void takesNoStartedJobForUnresponsive() {
+        final Attempt attempt = attempt(worker, NOW);
+        attempt.progressReported(NOW, 0);
+        assertThat(outliers.detectUnresponsive(attempt, 9_000_000, NOW)).isFalse();
+    }
+
+    @Test
+    void ejectsAWorkerThatReportsProgressOfNoJob() {
+        final Attempt attempt = attempt(worker, NOW);
+        assertThat(outliers.detectStalled(attempt, NOW + 1_800_000)).isFalse();
+        assertThat(outliers.detectStalled(attempt, NOW + 1_800_001)).isTrue();
+        assertThat(isEjected(NOW + 1_800_001 + 3 * SECOND - 1)).isTrue();
+        worker.progressReported(NOW + 2 * SECOND);
+        assertThat(isEjected(NOW + 2 * SECOND)).isFalse();
+    }
+
+    @Test
+    void doesNotEjectAWorkerThatReportsProgressOfOtherJobs() {
+        final Attempt attempt = attempt(worker, NOW);
+        attempt.progressReported(NOW, 0);
+        worker.progressReported(NOW + 2 * SECOND);
+        assertThat(outliers.detectStalled(attempt, NOW + 2 * SECOND)).isTrue();
+        assertThat(isEjected(NOW + 2 * SECOND)).isFalse();
+    }
+}
--- a/src/test/java/cresschute/dispatch/QuotaMeterTest.java
+++ b/src/test/java/cresschute/dispatch/QuotaMeterTest.java
@@ -17,4 +17,29 @@
         }
         assertThat(meter.take(60 * SECOND, 1)).isFalse();
     }
+
+    @Test
+    void refillsAtTheQuotaUpToTwoSeconds() {
+        final QuotaMeter meter = new QuotaMeter(10 / 1e6);
+        assertThat(meter.take(3_600 * SECOND, 20)).isTrue();
+        assertThat(meter.take(3_600 * SECOND, 1)).isFalse();
+        assertThat(meter.take(3_600 * SECOND + 99_999, 1)).isFalse();
+        assertThat(meter.take(3_600 * SECOND + 100_001, 1)).isTrue();
+        assertThat(meter.take(3_600 * SECOND + 100_001, 1)).isFalse();
+    }
+
+    @Test
+    void givesEachDispatcherOneAndAHalfTimesItsEvenPart() {
+        final QuotaMeter meter = QuotaMeter.of(new Tenant("a", 40), 3);
+        assertThat(meter.take(3_600 * SECOND, 40)).isTrue();
+        assertThat(meter.take(3_600 * SECOND, 1)).isFalse();
+    }
+
+    @Test
+    void takesNothingForARetryWithinTheQuota() {
+        final QuotaMeter meter = new QuotaMeter(0.5 / 1e6);
+        for (int i = 0; i < 10; i++) {
+            assertThat(meter.take(3_600 * SECOND, 0)).isTrue();
+        }
+    }
 }
--- /dev/null
+++ b/src/test/java/cresschute/dispatch/RetryPolicyTest.java
@@ -0,0 +1,111 @@
+package cresschute.dispatch;
+
+import static cresschute.dispatch.Rules.SECOND;
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.EnumSource;
+
+/** Whether another attempt may be sent. */
+class RetryPolicyTest {
+
+    private static final long NOW = 100 * SECOND;
+
+    private static PendingRequest ran(Rules rules) {
+        final PendingRequest request = rules.request(1, NOW);
+        final Attempt attempt = request.startAttempt(rules.ready(1, 0, 0), NOW);
+        rules.retries.markMayHaveRun(request, attempt);
+        return request;
+    }
+
+    @ParameterizedTest
+    @CsvSource({"SAFE, true", "KEYED, true", "UNSAFE, false"})
+    void allowsARetryOfWhatMayHaveRunByIdempotency(Idempotency idempotency, boolean allowed) {
+        final Rules rules = Rules.of(idempotency, DeduplicationScope.ALL);
+        assertThat(rules.retries.allowsAttempt(ran(rules), NOW)).isEqualTo(allowed);
+    }
+
+    @ParameterizedTest
+    @EnumSource
+    void allowsARetryOfWhatNeverRanForEveryIdempotency(Idempotency idempotency) {
+        final Rules rules = Rules.of(idempotency, DeduplicationScope.ALL);
+        final PendingRequest request = rules.request(1, NOW);
+        request.startAttempt(rules.ready(1, 0, 0), NOW);
+        assertThat(rules.retries.allowsAttempt(request, NOW)).isTrue();
+    }
+
+    @Test
+    void allowsNoRetryOfAKeyedRequestAfterItsWindow() {
+        final List<RequestClass> patient =
+                List.of(
+                        new RequestClass(
+                                1,
+                                4 * SECOND,
+                                2,
+                                60 * SECOND,
+                                Idempotency.KEYED,
+                                DeduplicationScope.ALL,
+                                SECOND,
+                                Placement.ANYWHERE));
+        final Rules rules = new Rules(TestSettings.settings(patient));
+        final PendingRequest request = ran(rules);
+        assertThat(rules.retries.allowsAttempt(request, NOW + SECOND - 1)).isTrue();
+        assertThat(rules.retries.allowsAttempt(request, NOW + SECOND)).isFalse();
+    }
+
+    @ParameterizedTest(name = "{0}, full may have run: {1}")
+    @CsvSource({
+        "CONNECT_FAILED, false, false",
+        "CONNECT_FAILED, true, false",
+        "NOT_SENT, true, false",
+        "FULL, false, false",
+        "FULL, true, true",
+        "ERROR, false, true",
+        "TIMED_OUT, false, true",
+        "BROKEN, false, true",
+        "CANCELLED, false, true",
+        "UNUSABLE, false, true"
+    })
+    void takesFullForProofOnlyWhereWorkersShedNothingBegun(
+            Outcome outcome, boolean fullMayHaveRun, boolean mayHaveRun) {
+        final TestSettings settings =
+                new TestSettings(
+                        List.of(
+                                TestSettings.requestClass(
+                                        1, Idempotency.SAFE, DeduplicationScope.ALL)));
+        final Rules rules =
+                new Rules(fullMayHaveRun ? settings.fullMayHaveRun().build() : settings.build());
+        assertThat(rules.retries.mayHaveRun(outcome)).isEqualTo(mayHaveRun);
+    }
+
+    @Test
+    void staysWithinTheLowerLimitOfArrivalAndNow() {
+        final List<RequestClass> classes =
+                List.of(TestSettings.requestClass(1, Idempotency.SAFE, DeduplicationScope.ALL));
+        final Rules rules = new Rules(limited(classes, 3));
+        final PendingRequest request = rules.request(1, NOW);
+        final WorkerInstance worker = rules.ready(1, 0, 0);
+        request.startAttempt(worker, NOW);
+        rules.settings.replace(limited(classes, 1));
+        assertThat(rules.retries.allowsAttempt(request, NOW)).isFalse();
+        rules.settings.replace(limited(classes, 9));
+        request.startAttempt(worker, NOW);
+        assertThat(rules.retries.allowsAttempt(request, NOW)).isTrue();
+        request.startAttempt(worker, NOW);
+        assertThat(rules.retries.allowsAttempt(request, NOW)).isFalse();
+    }
+
+    private static DispatchSettings limited(List<RequestClass> classes, int maxAttempts) {
+        return new TestSettings(classes).limits(new AttemptLimits(maxAttempts, 0, false)).build();
+    }
+
+    @ParameterizedTest
+    @CsvSource({"ALL, false", "ZONE, true", "CELL, true"})
+    void bindsAKeyedRequestToItsDeduplicationGroup(DeduplicationScope scope, boolean bound) {
+        assertThat(ran(Rules.of(Idempotency.KEYED, scope)).isBoundToGroup()).isEqualTo(bound);
+        assertThat(ran(Rules.of(Idempotency.SAFE, scope)).isBoundToGroup()).isFalse();
+    }
+}
--- /dev/null
+++ b/src/test/java/cresschute/dispatch/Rules.java
@@ -0,0 +1,88 @@
+package cresschute.dispatch;
+
+import java.util.List;
+import java.util.SplittableRandom;
+
+/** The rules of one dispatcher, put together as it does it, for tests of one of them. */
+final class Rules {
+
+    static final long SECOND = 1_000_000;
+    static final long SEED = 7;
+
+    final CurrentSettings settings;
+    final WorkerIndex workers;
+    final ServiceTimeEstimator serviceTimes;
+    final WorkerLoadEstimator loads;
+    final SlowStart slowStart;
+    final OutlierDetector outliers;
+    final WorkerSelector selector;
+    final LoadQueryPolicy loadQueries;
+    final AdmissionController admission;
+    final DeadlinePolicy deadlines;
+    final RetryPolicy retries;
+    final HedgingPolicy hedging;
+    final EndpointListPoller poller;
+    final AttemptFeedback feedback;
+
+    Rules(DispatchSettings stated) {
+        this(stated, SEED);
+    }
+
+    Rules(DispatchSettings stated, long seed) {
+        final SplittableRandom random = new SplittableRandom(seed);
+        settings = new CurrentSettings(stated);
+        workers = new WorkerIndex(stated.classes().stream().map(RequestClass::placement).toList());
+        serviceTimes = new ServiceTimeEstimator(settings);
+        loads = new WorkerLoadEstimator(settings, serviceTimes);
+        slowStart = new SlowStart(settings, serviceTimes, random);
+        outliers = new OutlierDetector(settings, serviceTimes, loads);
+        selector = new WorkerSelector(settings, serviceTimes, loads, slowStart, outliers, random);
+        loadQueries = new LoadQueryPolicy(settings, serviceTimes);
+        admission = new AdmissionController(settings, workers, serviceTimes, random);
+        deadlines = new DeadlinePolicy(settings);
+        retries = new RetryPolicy(settings, workers, deadlines);
+        hedging = new HedgingPolicy(settings, retries);
+        poller = new EndpointListPoller(settings, random);
+        feedback = new AttemptFeedback(serviceTimes, loads, slowStart, outliers, deadlines);
+    }
+
+    /** The rules of one class of {@link TestSettings#requestClass} and plain settings. */
+    static Rules of(Idempotency idempotency, DeduplicationScope scope) {
+        return new Rules(
+                TestSettings.settings(List.of(TestSettings.requestClass(1, idempotency, scope))));
+    }
+
+    static Rules ofSafeClass() {
+        return of(Idempotency.SAFE, DeduplicationScope.ALL);
+    }
+
+    /** A dispatchable worker that started long ago. */
+    WorkerInstance ready(int id, int zone, int cell) {
+        return ready(RecordingActions.worker(id, zone, cell));
+    }
+
+    WorkerInstance ready(Worker entry) {
+        final WorkerInstance worker = workers.add(entry);
+        worker.joinGroups();
+        return worker;
+    }
+
+    /** A request of the first class that arrives now and is due in 5 s. */
+    PendingRequest request(int id, long nowUs) {
+        return request(id, nowUs, nowUs + 5 * SECOND);
+    }
+
+    PendingRequest request(int id, long nowUs, long deadlineUs) {
+        return request(id, nowUs, deadlineUs, new Job(0, 0, 1, Job.NO_HINT, Job.NO_DATA, false));
+    }
+
+    PendingRequest request(int id, long nowUs, long deadlineUs, Job job) {
+        return new PendingRequest(
+                id,
+                admission.bucketOf(job, nowUs),
+                job,
+                nowUs,
+                deadlineUs,
+                settings.get().limits());
+    }
+}
