--- a/src/main/java/cresschute/capacity/TrackedMeasure.java
+++ b/src/main/java/cresschute/capacity/TrackedMeasure.java
@@ -44,7 +44,12 @@
             Role.CLIENT, "gangs_refused", Kind.SERVICE, "gangs", null, Mechanism.MISSING),
     /** Retries by clients. */
     CLIENT_RETRIES(
-            Role.CLIENT, "retries_per_request", Kind.SERVICE, "a request", null, "RetryAfterHeader"),
+            Role.CLIENT,
+            "retries_per_request",
+            Kind.SERVICE,
+            "a request",
+            null,
+            "RetryAfterHeader"),
 
     /** All processor time of a dispatcher. */
     DISPATCHER_CPU(
--- a/src/main/java/cresschute/cli/Main.java
+++ b/src/main/java/cresschute/cli/Main.java
@@ -1,7 +1,7 @@
 package cresschute.cli;
 
 import cresschute.node.ConfigException;
-import cresschute.node.NodeConfig;
+import cresschute.node.NodeConfigParser;
 import io.netty.util.internal.logging.InternalLoggerFactory;
 import io.netty.util.internal.logging.JdkLoggerFactory;
 
@@ -41,8 +41,8 @@
     private static void serveOnPlatform() {
         try {
             Serving.start(
-                    NodeConfig.load(System.getenv()),
-                    () -> NodeConfig.reload(System.getenv()),
+                    NodeConfigParser.load(System.getenv()),
+                    () -> NodeConfigParser.reload(System.getenv()),
                     () -> {});
         } catch (ConfigException e) {
             exit(ExitCodes.UNUSABLE, e.getMessage());
--- /dev/null
+++ b/src/main/java/cresschute/node/NodeConfigParser.java
@@ -0,0 +1,154 @@
+package cresschute.node;
+
+import com.google.gson.JsonElement;
+import com.google.gson.JsonObject;
+import com.google.gson.JsonParseException;
+import cresschute.simulator.SettingsParser;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.InvalidPathException;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * Parses the configuration that the platform gives a node: a JSON file, and an environment whose
+ * addresses and name go before the file's. Stateless; any thread.
+ */
+public final class NodeConfigParser {
+
+    private static final String DISCOVERY = "BALANCER_DISCOVERY";
+    private static final String PASSED_SOCKET = "BALANCER_PASSED_SOCKET";
+
+    /**
+     * The one descriptor that the JVM hands over as a channel, by {@link System#inheritedChannel}.
+     */
+    private static final String STANDARD_INPUT = "0";
+
+    private static final long DEFAULT_CONNECT_TIMEOUT_US = 250_000;
+    private static final long DEFAULT_CONN_IDLE_US = 10_000_000;
+    private static final int DEFAULT_SOCKETS = 1024;
+
+    private NodeConfigParser() {}
+
+    /** Reads the environment and the file that it names. */
+    public static NodeConfig load(Map<String, String> environment) throws ConfigException {
+        final String file = variable(environment, "BALANCER_CONFIG");
+        final String text;
+        try {
+            text = Files.readString(Path.of(file));
+        } catch (IOException | InvalidPathException e) {
+            throw new ConfigException("BALANCER_CONFIG: cannot read " + file + ": " + e);
+        }
+        return parse(text, environment);
+    }
+
+    /**
+     * Reads it all anew: the file has changed since the environment was set, so its discovery
+     * counts.
+     */
+    public static NodeConfig reload(Map<String, String> environment) throws ConfigException {
+        final Map<String, String> kept = new HashMap<>(environment);
+        kept.remove(DISCOVERY);
+        return load(kept);
+    }
+
+    /** Reads a configuration; the environment's addresses and name go before the file's. */
+    static NodeConfig parse(String text, Map<String, String> environment) throws ConfigException {
+        try {
+            final JsonObject json = Json.object(text);
+            final JsonObject settings = Json.child(json, "settings");
+            final JsonObject limits = optional(settings, "limits");
+            final JsonObject machine = optional(json, "limits");
+            final EndpointList known =
+                    json.has("known")
+                            ? EndpointList.parse(Json.child(json, "known"))
+                            : new EndpointList(-1, true, List.of());
+            return new NodeConfig(
+                    setting(environment, "BALANCER_NAME", json, "name"),
+                    Addresses.parse(setting(environment, "BALANCER_LISTEN", json, "listen")),
+                    Addresses.parse(setting(environment, DISCOVERY, json, "discovery")),
+                    Long.parseUnsignedLong(Json.string(json, "seed"), 16),
+                    SettingsParser.parse(SettingsFlattener.flatten(settings)),
+                    classNames(settings),
+                    names(settings, "zones"),
+                    names(settings, "hostTypes"),
+                    (long) Json.number(limits, "connectTimeoutUs", DEFAULT_CONNECT_TIMEOUT_US),
+                    (long) Json.number(limits, "connIdleUs", DEFAULT_CONN_IDLE_US),
+                    (int) Json.number(machine, "sockets", DEFAULT_SOCKETS),
+                    known,
+                    null,
+                    null,
+                    null,
+                    operators(environment, json),
+                    ConfigKeys.of(json));
+        } catch (JsonParseException | IllegalArgumentException e) {
+            throw new ConfigException(
+                    "configuration: "
+                            + String.valueOf(e.getMessage())
+                                    .lines()
+                                    .findFirst()
+                                    .orElse("unusable"));
+        }
+    }
+
+    private static OperatorSettings operators(Map<String, String> environment, JsonObject json) {
+        final String passed = environment.get(PASSED_SOCKET);
+        if (passed != null && !passed.isBlank() && !passed.strip().equals(STANDARD_INPUT)) {
+            throw new IllegalArgumentException(
+                    PASSED_SOCKET
+                            + " is "
+                            + passed
+                            + ", but only descriptor "
+                            + STANDARD_INPUT
+                            + " can be taken over");
+        }
+        final String management =
+                environment.getOrDefault(
+                        "BALANCER_MANAGEMENT",
+                        json.has("management") ? Json.string(json, "management") : null);
+        final String shared = environment.get("TMPDIR");
+        return new OperatorSettings(
+                management == null || management.isBlank() ? null : Addresses.parse(management),
+                passed != null && !passed.isBlank(),
+                shared == null || shared.isBlank() ? null : shared);
+    }
+
+    private static JsonObject optional(JsonObject object, String name) {
+        return object.has(name) ? Json.child(object, name) : new JsonObject();
+    }
+
+    private static String variable(Map<String, String> environment, String name)
+            throws ConfigException {
+        final String value = environment.get(name);
+        if (value == null || value.isBlank()) {
+            throw new ConfigException(name + " is not set");
+        }
+        return value;
+    }
+
+    private static String setting(
+            Map<String, String> environment, String variable, JsonObject json, String name) {
+        final String value = environment.get(variable);
+        return value == null || value.isBlank() ? Json.string(json, name) : value;
+    }
+
+    private static List<String> classNames(JsonObject settings) {
+        final List<String> names = new ArrayList<>();
+        Json.array(settings, "classes")
+                .forEach(element -> names.add(Json.string(element.getAsJsonObject(), "name")));
+        return List.copyOf(names);
+    }
+
+    private static List<String> names(JsonObject settings, String key) {
+        final List<String> names = new ArrayList<>();
+        if (settings.has(key)) {
+            for (final JsonElement element : Json.array(settings, key)) {
+                names.add(element.getAsString());
+            }
+        }
+        return List.copyOf(names);
+    }
+}
--- a/src/test/java/cresschute/node/ControlServiceFormatTest.java
+++ b/src/test/java/cresschute/node/ControlServiceFormatTest.java
@@ -27,7 +27,7 @@
 
     private ControlService handler(ServerSocket at) throws Exception {
         final NodeConfig config =
-                NodeConfig.parse(
+                NodeConfigParser.parse(
                         TestNode.config(
                                 at,
                                 TestNode.list(
--- a/src/test/java/cresschute/node/ControlServiceTest.java
+++ b/src/test/java/cresschute/node/ControlServiceTest.java
@@ -24,7 +24,7 @@
         final NodeConfig config;
         try (ServerSocket free = Peer.listen()) {
             config =
-                    NodeConfig.parse(
+                    NodeConfigParser.parse(
                             TestNode.config(
                                     free,
                                     TestNode.list(
--- a/src/test/java/cresschute/node/CrossingRulesTest.java
+++ b/src/test/java/cresschute/node/CrossingRulesTest.java
@@ -885,7 +885,7 @@
         try (ServerSocket discovery = Peer.listen()) {
             final NodeServer node =
                     new NodeServer(
-                            NodeConfig.parse(
+                            NodeConfigParser.parse(
                                     TestNode.config(discovery, list(1, true, "")),
                                     java.util.Map.of()));
             final CompletableFuture<Void> stopped = node.stop();
@@ -935,7 +935,7 @@
                             + "Expect: 100-continue\r\nContent-Length: 4\r\n\r\n");
             assertThat(client.read()).as(what).startsWith("HTTP/1.1 100");
             final String text = node.configText().replace(from, to);
-            node.server.reload(() -> NodeConfig.parse(text, java.util.Map.of()));
+            node.server.reload(() -> NodeConfigParser.parse(text, java.util.Map.of()));
             assertThat(node.event()).startsWith("retuned");
             client.write("body");
             if (then.startsWith("requested")) {
@@ -961,7 +961,7 @@
             final String text =
                     node.configText()
                             .replace("\"idempotency\":\"pure\"", "\"idempotency\":\"side_effect\"");
-            node.server.reload(() -> NodeConfig.parse(text, java.util.Map.of()));
+            node.server.reload(() -> NodeConfigParser.parse(text, java.util.Map.of()));
             assertThat(node.event()).startsWith("retuned");
             client.write("POST /check HTTP/1.1\r\nX-Request-Id: r2\r\nContent-Length: 0\r\n\r\n");
             assertThat(node.event()).isEqualTo("requested 2 class 2 key 0");
@@ -1019,7 +1019,7 @@
     /** Takes this configuration in place of the node's own; it is in force when this returns. */
     private static void reload(TestNode node, UnaryOperator<String> change) throws Exception {
         final String text = change.apply(node.configText());
-        node.server.reload(() -> NodeConfig.parse(text, java.util.Map.of()));
+        node.server.reload(() -> NodeConfigParser.parse(text, java.util.Map.of()));
         node.server.loop().submit(() -> {}).get(8, TimeUnit.SECONDS);
     }
 
@@ -1198,7 +1198,7 @@
                             .replace(
                                     ":" + node.discovery.getLocalPort() + "\"",
                                     ":" + next.getLocalPort() + "\"");
-            final NodeConfig moved = NodeConfig.parse(text, java.util.Map.of());
+            final NodeConfig moved = NodeConfigParser.parse(text, java.util.Map.of());
             holding(
                     node,
                     actions -> {
--- a/src/test/java/cresschute/node/NodeConfigTest.java
+++ b/src/test/java/cresschute/node/NodeConfigTest.java
@@ -21,7 +21,7 @@
     @Test
     void readsWhatTheSettingsParserReads() throws Exception {
         final NodeConfig config =
-                NodeConfig.parse(good(), Map.of("BALANCER_LISTEN", "127.0.0.9:7"));
+                NodeConfigParser.parse(good(), Map.of("BALANCER_LISTEN", "127.0.0.9:7"));
         assertThat(config.listen().toString()).isEqualTo("/127.0.0.9:7");
         assertThat(config.classes()).containsExactly("check", "file");
         assertThat(config.settings().classes().get(1).idempotency()).isEqualTo(Idempotency.KEYED);
@@ -32,16 +32,16 @@
 
     @Test
     void readsWhereOperatorsCallAndWhatAnUpgradeHandsOver() throws Exception {
-        final NodeConfig none = NodeConfig.parse(good(), Map.of());
-        assertThat(none.operators()).isEqualTo(NodeConfig.Operators.NONE);
+        final NodeConfig none = NodeConfigParser.parse(good(), Map.of());
+        assertThat(none.operators()).isEqualTo(OperatorSettings.NONE);
         final String named =
                 good().replace(
                                 "\"name\":\"n0\",",
                                 "\"name\":\"n0\",\"management\":\"127.0.0.3:91\",");
-        assertThat(NodeConfig.parse(named, Map.of()).operators().management().toString())
+        assertThat(NodeConfigParser.parse(named, Map.of()).operators().management().toString())
                 .isEqualTo("/127.0.0.3:91");
         final NodeConfig told =
-                NodeConfig.parse(
+                NodeConfigParser.parse(
                         named,
                         Map.of(
                                 "BALANCER_MANAGEMENT",
@@ -51,8 +51,7 @@
                                 "TMPDIR",
                                 "/run/n0"));
         assertThat(told.operators())
-                .isEqualTo(
-                        new NodeConfig.Operators(Addresses.parse("127.0.0.4:92"), true, "/run/n0"));
+                .isEqualTo(new OperatorSettings(Addresses.parse("127.0.0.4:92"), true, "/run/n0"));
     }
 
     @ParameterizedTest
@@ -66,7 +65,7 @@
                     BALANCER_MANAGEMENT    | 127.0.0.1
                     """)
     void refusesAnEnvironmentItCannotUse(String variable, String value) throws Exception {
-        assertThatThrownBy(() -> NodeConfig.parse(good(), Map.of(variable, value)))
+        assertThatThrownBy(() -> NodeConfigParser.parse(good(), Map.of(variable, value)))
                 .isInstanceOf(ConfigException.class)
                 .message()
                 .contains(value)
@@ -106,7 +105,7 @@
     void refusesWhatItCannotUseInOneLine(String from, String to) throws Exception {
         final String text = good();
         assertThat(text).contains(from);
-        assertThatThrownBy(() -> NodeConfig.parse(text.replace(from, to), Map.of()))
+        assertThatThrownBy(() -> NodeConfigParser.parse(text.replace(from, to), Map.of()))
                 .isInstanceOf(ConfigException.class)
                 .message()
                 .hasLineCount(1);
--- a/src/test/java/cresschute/node/PeerLoadsTest.java
+++ b/src/test/java/cresschute/node/PeerLoadsTest.java
@@ -124,7 +124,7 @@
                                 null,
                                 null,
                                 null,
-                                NodeConfig.Operators.NONE,
+                                OperatorSettings.NONE,
                                 ConfigKeys.NONE,
                                 exchange));
         address = node.start();
--- a/src/test/java/cresschute/node/RequestLifecycleTest.java
+++ b/src/test/java/cresschute/node/RequestLifecycleTest.java
@@ -43,7 +43,7 @@
         final NodeConfig config;
         try (ServerSocket free = Peer.listen()) {
             config =
-                    NodeConfig.parse(
+                    NodeConfigParser.parse(
                             TestNode.config(
                                     free,
                                     TestNode.list(1, true, TestNode.entry("s-1", free, "SERVING"))),
--- a/src/test/java/cresschute/node/SettingsReloadRulesTest.java
+++ b/src/test/java/cresschute/node/SettingsReloadRulesTest.java
@@ -41,7 +41,7 @@
     }
 
     private static void reload(TestNode node, String text) {
-        node.server.reload(() -> NodeConfig.parse(text, Map.of()));
+        node.server.reload(() -> NodeConfigParser.parse(text, Map.of()));
     }
 
     @Test
--- a/src/test/java/cresschute/node/TestNode.java
+++ b/src/test/java/cresschute/node/TestNode.java
@@ -135,7 +135,8 @@
             UnaryOperator<String> change)
             throws IOException, ConfigException {
         final String list = list(1, true, known ? entry("s-1", worker, "SERVING") : "");
-        final NodeConfig read = NodeConfig.parse(change.apply(config(discovery, list)), Map.of());
+        final NodeConfig read =
+                NodeConfigParser.parse(change.apply(config(discovery, list)), Map.of());
         server =
                 new NodeServer(
                         new NodeConfig(
@@ -154,7 +155,7 @@
                                 null,
                                 null,
                                 bodies,
-                                new NodeConfig.Operators(
+                                new OperatorSettings(
                                         shared == null
                                                 ? null
                                                 : new InetSocketAddress("127.0.0.1", 0),
