--- a/src/test/java/cresschute/node/ControlServiceFormatTest.java
+++ b/src/test/java/cresschute/node/ControlServiceFormatTest.java
@@ -28,7 +28,7 @@
 
     private ControlService service(ServerSocket at) throws Exception {
         final NodeConfig config =
-                NodeConfig.parse(
+                NodeConfigParser.parse(
                         TestNode.config(
                                 at,
                                 TestNode.list(
--- a/src/test/java/cresschute/peers/PeerTableTest.java
+++ b/src/test/java/cresschute/peers/PeerTableTest.java
@@ -2,8 +2,6 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cresschute.peers.LoadMessage.Entry;
-import cresschute.peers.LoadMessage.KeyRange;
 import java.util.List;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
@@ -20,12 +18,12 @@
     private long nowUs = START_US;
 
     private static LoadMessage message(
-            int sender, long incarnation, long sequence, long cycle, Entry... entries) {
+            int sender, long incarnation, long sequence, long cycle, LoadEntry... entries) {
         return new LoadMessage(
                 sender, incarnation, sequence, cycle, false, KeyRange.EMPTY, List.of(entries));
     }
 
-    /** The reason for which it is refused, or null. */
+    /** The reason for which it is rejected, or null. */
     private RejectionReason receive(LoadMessage message) {
         try {
             table.receive(nowUs, message);
@@ -41,10 +39,10 @@
 
     @Test
     void peerReceivedFromItsFirstMessageIsAlive() {
-        assertThat(receive(message(A, 1, 1, 1, new Entry(5, 2)))).isNull();
+        assertThat(receive(message(A, 1, 1, 1, new LoadEntry(5, 2)))).isNull();
         assertThat(state(A)).isEqualTo(PeerState.ALIVE);
         assertThat(table.isComplete(nowUs)).as("the other one is missing").isFalse();
-        receive(message(B, 1, 1, 1, new Entry(5, 3)));
+        receive(message(B, 1, 1, 1, new LoadEntry(5, 3)));
         assertThat(table.isComplete(nowUs)).isTrue();
         assertThat(table.count(nowUs, 5)).isEqualTo(5);
     }
@@ -59,7 +57,7 @@
     }
 
     @Test
-    void peerReceivedFromTheMiddleJoinsAfterAWholeCycle() {
+    void peerReceivedFromTheMiddleIsAliveAfterACompleteCycle() {
         long sequence = 500;
         for (long cycle = 7; cycle < 9; cycle++) {
             for (int i = 0; i < 60; i++) {
@@ -73,7 +71,7 @@
     }
 
     @Test
-    void cycleWithMoreThanOneInTwentyMissingMakesItJoining() {
+    void cycleWithMoreThanFivePercentLossMakesItJoining() {
         receive(message(A, 1, 1, 1));
         long sequence = 2;
         for (int i = 0; i < 59; i++) {
@@ -94,8 +92,8 @@
     }
 
     @Test
-    void pauseWithoutLossLeavesItAliveAndWithLossItJoinsAnew() {
-        receive(message(A, 1, 1, 1, new Entry(5, 2)));
+    void pauseWithoutLossKeepsItAliveAndWithLossItIsJoining() {
+        receive(message(A, 1, 1, 1, new LoadEntry(5, 2)));
         nowUs += 4 * S;
         assertThat(state(A)).isEqualTo(PeerState.SUSPECT);
         assertThat(table.count(nowUs, 5)).isEqualTo(2);
@@ -108,7 +106,7 @@
 
     @Test
     void absentPeersCountsAreDroppedAlsoWhenItSendsAgain() {
-        receive(message(A, 1, 1, 1, new Entry(5, 2)));
+        receive(message(A, 1, 1, 1, new LoadEntry(5, 2)));
         nowUs += 60 * S;
         assertThat(state(A)).isEqualTo(PeerState.ABSENT);
         assertThat(table.count(nowUs, 5)).isZero();
@@ -118,9 +116,19 @@
     }
 
     @Test
-    void rangeDropsWhatTheMessageLeavesOut() {
-        receive(message(A, 1, 1, 1, new Entry(5, 2), new Entry(6, 1), new Entry(-2, 4)));
-        receive(new LoadMessage(A, 1, 2, 1, false, new KeyRange(0, 5), List.of(new Entry(3, 1))));
+    void rangeDropsCountsThatTheMessageLeavesOut() {
+        receive(
+                message(
+                        A,
+                        1,
+                        1,
+                        1,
+                        new LoadEntry(5, 2),
+                        new LoadEntry(6, 1),
+                        new LoadEntry(-2, 4)));
+        receive(
+                new LoadMessage(
+                        A, 1, 2, 1, false, new KeyRange(0, 5), List.of(new LoadEntry(3, 1))));
         assertThat(table.count(nowUs, 5)).isZero();
         assertThat(table.count(nowUs, 3)).isEqualTo(1);
         assertThat(table.count(nowUs, 6)).isEqualTo(1);
@@ -128,7 +136,7 @@
     }
 
     @Test
-    void oldMessagesOwnOnesAndTooManySendersAreRefused() {
+    void oldMessagesOwnOnesAndTooManySendersAreRejected() {
         assertThat(receive(message(WorkerKeys.hash("self"), 1, 1, 1)))
                 .isEqualTo(RejectionReason.OWN_NAME);
         receive(message(A, 5, 3, 1));
@@ -144,11 +152,11 @@
     }
 
     @Test
-    void onePeerCannotFillTheMemory() {
+    void entriesOfOnePeerAreBounded() {
         int sequence = 0;
-        RejectionReason refusal = null;
-        for (int from = 0; refusal == null; from += 200) {
-            refusal =
+        RejectionReason rejection = null;
+        for (int from = 0; rejection == null; from += 200) {
+            rejection =
                     receive(
                             message(
                                     A,
@@ -156,15 +164,15 @@
                                     ++sequence,
                                     1,
                                     IntStream.range(from, from + 200)
-                                            .mapToObj(key -> new Entry(key, 1))
-                                            .toArray(Entry[]::new)));
+                                            .mapToObj(key -> new LoadEntry(key, 1))
+                                            .toArray(LoadEntry[]::new)));
         }
-        assertThat(refusal).isEqualTo(RejectionReason.TOO_MANY_ENTRIES);
+        assertThat(rejection).isEqualTo(RejectionReason.TOO_MANY_ENTRIES);
         assertThat(200 * sequence).isLessThanOrEqualTo(PeerTable.MAX_ENTRIES_PER_PEER + 200);
     }
 
     @Test
-    void distrustDoublesUpToAnHourAndIsForgottenAfterOne() {
+    void distrustDoublesUpToAnHourAndRestartsAfterAnHour() {
         receive(message(A, 1, 1, 1));
         long expectedUs = 60 * S;
         for (int i = 0; i < 9; i++) {
