--- a/src/main/java/cresschute/node/DurableDrains.java
+++ b/src/main/java/cresschute/node/DurableDrains.java
@@ -167,7 +167,7 @@
                             public void notDurable(NotDurableException failure) {
                                 LogEvent.of(
                                                 "snapshot_failed",
-                                                "drains could not be stored: " + failure.getCause())
+                                                "drains could not be kept: " + failure.getCause())
                                         .with("detail", failure.getCause())
                                         .log(LOG, Level.ERROR);
                                 finished(stored, Optional.of(failure));
--- a/src/test/java/cresschute/node/IdleLifecycle.java
+++ b/src/test/java/cresschute/node/IdleLifecycle.java
@@ -40,10 +40,6 @@
 
     /** Workers {@code s-1} and {@code s-2} are listed as serving. */
     IdleLifecycle() throws IOException, ConfigException {
-        this(RequestListener.NONE);
-    }
-
-    IdleLifecycle(RequestListener listener) throws IOException, ConfigException {
         config = config();
         final DispatcherEvents dispatcher =
                 (DispatcherEvents)
@@ -57,7 +53,7 @@
                         loop.eventLoop(),
                         () -> nowUs,
                         new RateLimitedLog(System.getLogger("test"), () -> nowUs),
-                        listener,
+                        RequestListener.NONE,
                         actions -> dispatcher);
         node = new ControlContext(config, lifecycle, () -> nowUs, events);
         health = new WorkerHealthMonitor(node, drains);
@@ -65,7 +61,7 @@
 
     private static NodeConfig config() throws IOException, ConfigException {
         try (ServerSocket free = Peer.listen()) {
-            return NodeConfig.parse(
+            return NodeConfigParser.parse(
                     TestNode.config(
                             free,
                             TestNode.list(
