--- a/src/main/java/cresschute/capacity/Axis.java
+++ b/src/main/java/cresschute/capacity/Axis.java
@@ -6,19 +6,19 @@
 /** A dimension of size along which a sweep measures, with the column that holds its value. */
 public enum Axis {
 
-    /** Workers in the list. */
+    /** Workers on the endpoint list. */
     WORKERS("workers", "workers", "workers"),
-    /** Requests open at once, over all dispatchers. */
+    /** Requests in flight, over all dispatchers. */
     RUNNING("running", "running", "open requests"),
-    /** Attempts a second, over all dispatchers. */
+    /** Attempts per second, over all dispatchers. */
     STARTS("starts", "starts_per_second", "starts a second"),
     /** Tenants with a quota. */
     TENANTS("tenants", "tenants", "tenants"),
-    /** Dispatchers that share the traffic. */
+    /** Dispatchers among which the traffic is divided. */
     DISPATCHERS("dispatchers", "dispatchers", "dispatchers"),
-    /** Changes of the worker list a second. */
+    /** Changes of the endpoint list per second. */
     LIST_CHANGES("list-changes", "list_changes_per_second", "list changes a second"),
-    /** Settings reloads a second. */
+    /** Settings reloads per second. */
     SETTINGS_CHANGES(
             "settings-changes", "settings_changes_per_second", "settings changes a second");
 
--- a/src/main/java/cresschute/capacity/CapacityModel.java
+++ b/src/main/java/cresschute/capacity/CapacityModel.java
@@ -9,24 +9,16 @@
 import java.util.stream.Collectors;
 
 /**
- * Straight lines through the measurements of each measure, one along each axis, and values reckoned
- * from them: the value where the sweep varied nothing, and for each axis its slope times the
- * distance from there.
+ * A linear cost model: for each measure one least-squares fit along each axis. The estimate for
+ * given sizes is the value at the base of the sweep, where no axis was varied, plus for each axis
+ * its slope times the distance from the base.
  */
 public final class CapacityModel {
 
-    /**
-     * A measure of a role.
-     *
-     * @param role whose it is
-     * @param measure its name in the measurement files
-     */
-    public record Key(Role role, String measure) {}
-
     private record Series(Map<Axis, LinearFit> fits, Map<Axis, Double> base) {}
 
     private final List<Measurement> all;
-    private final Map<Key, Series> series = new LinkedHashMap<>();
+    private final Map<MeasureKey, Series> series = new LinkedHashMap<>();
 
     /** Fits all measurements along an axis that are neither held out nor partial. */
     public CapacityModel(List<Measurement> measurements) {
@@ -35,7 +27,7 @@
                 .filter(CapacityModel::isFitted)
                 .collect(
                         Collectors.groupingBy(
-                                each -> new Key(each.role(), each.measure()),
+                                each -> new MeasureKey(each.role(), each.measure()),
                                 LinkedHashMap::new,
                                 Collectors.toList()))
                 .forEach((key, rows) -> series.put(key, series(rows)));
@@ -64,7 +56,7 @@
         return new Series(fits, base);
     }
 
-    /** The size along an axis while others are varied, or its mean where no other is. */
+    /** The mean size along an axis while other axes were varied, or over all where none was. */
     private static double base(List<Measurement> rows, Axis axis) {
         final List<Measurement> others =
                 rows.stream().filter(row -> !row.axis().equals(Optional.of(axis))).toList();
@@ -76,8 +68,8 @@
     }
 
     /**
-     * Whether a role's measures go by the reciprocal of the size along an axis: what one dispatcher
-     * does is its even part of what all of them do.
+     * Whether a role's measures are linear in the reciprocal of the size along an axis: one of n
+     * dispatchers does an n-th of the work of all.
      */
     static boolean isReciprocal(Role role, Axis axis) {
         return role == Role.DISPATCHER && axis == Axis.DISPATCHERS;
@@ -93,7 +85,7 @@
     }
 
     /** The measures that have at least one fit. */
-    public List<Key> keys() {
+    public List<MeasureKey> keys() {
         return series.entrySet().stream()
                 .filter(each -> !each.getValue().fits().isEmpty())
                 .map(Map.Entry::getKey)
@@ -101,14 +93,14 @@
     }
 
     /** The fits of a measure, by axis. */
-    public Map<Axis, LinearFit> fits(Key key) {
+    public Map<Axis, LinearFit> fits(MeasureKey key) {
         return series.containsKey(key)
                 ? Collections.unmodifiableMap(series.get(key).fits())
                 : Map.of();
     }
 
-    /** The value of a measure at these sizes; nothing where it has no fit. */
-    public Optional<Estimate> estimate(Key key, Sizes sizes) {
+    /** The estimate of a measure at these sizes; empty where it has no fit. */
+    public Optional<Estimate> estimate(MeasureKey key, Sizes sizes) {
         final Map<Axis, LinearFit> fits = fits(key);
         if (fits.isEmpty()) {
             return Optional.empty();
--- a/src/main/java/cresschute/capacity/CapacityPage.java
+++ b/src/main/java/cresschute/capacity/CapacityPage.java
@@ -6,19 +6,9 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Writes tables into a page, between the markers that name them. */
+/** Inserts tables into a page, between the markers that name them. */
 public final class CapacityPage {
 
-    /** A page whose markers are not those of the tables. */
-    public static final class MarkerException extends Exception {
-
-        private static final long serialVersionUID = 1;
-
-        private MarkerException(String message) {
-            super(message);
-        }
-    }
-
     private static final String BEGIN = "<!-- table: ";
     private static final String BEGIN_END = " -->";
     private static final String END = "<!-- end table -->";
@@ -26,7 +16,7 @@
     private CapacityPage() {}
 
     /**
-     * The page with each table in its place.
+     * Replaces what is between the markers by the tables.
      *
      * @param page the page's text
      * @param tables the text of each table, by the name in its marker
@@ -55,7 +45,7 @@
                 lines.add(line);
             }
         }
-        checkWhole(open, tables.keySet(), written);
+        checkComplete(open, tables.keySet(), written);
         return String.join("\n", lines) + "\n";
     }
 
@@ -70,7 +60,7 @@
         return tables.get(name);
     }
 
-    private static void checkWhole(String open, Set<String> names, Set<String> written)
+    private static void checkComplete(String open, Set<String> names, Set<String> written)
             throws MarkerException {
         if (open != null) {
             throw new MarkerException("the table " + open + " has no end");
--- a/src/main/java/cresschute/capacity/CsvFormatException.java
+++ b/src/main/java/cresschute/capacity/CsvFormatException.java
@@ -1,8 +1,6 @@
 package cresschute.capacity;
 
-/**
- * A measurement file that cannot be used; the message is one line that names the file and the line.
- */
+/** A measurement file is malformed; the message is one line that names the file and the line. */
 public final class CsvFormatException extends Exception {
 
     private static final long serialVersionUID = 1;
--- a/src/main/java/cresschute/capacity/CsvTable.java
+++ b/src/main/java/cresschute/capacity/CsvTable.java
@@ -9,7 +9,7 @@
 final class CsvTable {
 
     /** The lines before the first row: the version and the header. */
-    private static final int HEAD_LINES = 2;
+    private static final int HEADER_LINES = 2;
 
     /** One row, with typed access to its fields; a field that cannot be read names its line. */
     static final class Row {
@@ -98,7 +98,7 @@
             throw new CsvFormatException(
                     file, lines.size(), "the file is cut: its last line has no end");
         }
-        for (int i = HEAD_LINES; i < lines.size(); i++) {
+        for (int i = HEADER_LINES; i < lines.size(); i++) {
             final String[] fields = lines.get(i).split(",", -1);
             if (fields.length != columns.size()) {
                 throw new CsvFormatException(
@@ -114,9 +114,10 @@
         if (lines.isEmpty() || !lines.get(0).strip().equals(versionLine)) {
             throw new CsvFormatException(file, 1, "the first line must be '" + versionLine + "'");
         }
-        if (lines.size() < HEAD_LINES || !lines.get(1).strip().equals(String.join(",", columns))) {
+        if (lines.size() < HEADER_LINES
+                || !lines.get(1).strip().equals(String.join(",", columns))) {
             throw new CsvFormatException(
-                    file, HEAD_LINES, "the header must be '" + String.join(",", columns) + "'");
+                    file, HEADER_LINES, "the header must be '" + String.join(",", columns) + "'");
         }
     }
 
--- a/src/main/java/cresschute/capacity/FaultTable.java
+++ b/src/main/java/cresschute/capacity/FaultTable.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** What was measured over faults: the median of each value, with its least and greatest. */
+/** Measurements of faults: the median of each measure, with its minimum and maximum. */
 final class FaultTable {
 
     private record Group(FaultKind fault, String measure, String commit) {}
--- a/src/main/java/cresschute/capacity/Figures.java
+++ b/src/main/java/cresschute/capacity/Figures.java
@@ -5,22 +5,22 @@
 import java.math.RoundingMode;
 import java.util.Locale;
 
-/** Numbers as the page writes them. */
+/** Formats numbers for the page. */
 final class Figures {
 
     static final String NOT_MEASURED = "not measured";
     private static final String NONE = "-";
     private static final int DIGITS = 3;
 
-    /** From here on, what rounds to a thousand, all digits before the point are written. */
-    private static final double WHOLE_FROM = 999.5;
+    /** From here on numbers are written as integers: they round to 1,000 or more. */
+    private static final double INTEGER_FROM = 999.5;
 
     /** Below this a figure is rounding error of the arithmetic. */
     private static final double ZERO_BELOW = 1e-12;
 
     private Figures() {}
 
-    /** Three digits that count, or a whole number where that has more. */
+    /** Three significant digits, or all digits of an integer from 1,000 on. */
     static String number(double value) {
         if (Double.isNaN(value)) {
             return NONE;
@@ -28,7 +28,7 @@
         if (Math.abs(value) < ZERO_BELOW) {
             return "0";
         }
-        if (Math.abs(value) >= WHOLE_FROM) {
+        if (Math.abs(value) >= INTEGER_FROM) {
             return String.format(Locale.ROOT, "%,d", Math.round(value));
         }
         final BigDecimal rounded =
@@ -38,7 +38,7 @@
         return rounded.scale() < 0 ? rounded.setScale(0).toPlainString() : rounded.toPlainString();
     }
 
-    /** A need over its limit. */
+    /** A cost divided by its limit. */
     static String ratio(double ratio) {
         return Double.isInfinite(ratio) ? "over a limit of 0" : number(ratio);
     }
--- a/src/main/java/cresschute/capacity/FleetModelTable.java
+++ b/src/main/java/cresschute/capacity/FleetModelTable.java
@@ -6,7 +6,7 @@
 import java.util.OptionalDouble;
 import java.util.stream.Collectors;
 
-/** What the fleet in virtual time gave: one row for each policy and size, no fits. */
+/** Results of the fleet model in virtual time: one row for each policy and size. */
 final class FleetModelTable {
 
     private static final String RUN_PREFIX = "model-";
--- a/src/main/java/cresschute/capacity/HeldOutCheck.java
+++ b/src/main/java/cresschute/capacity/HeldOutCheck.java
@@ -7,30 +7,30 @@
 import java.util.stream.Collectors;
 
 /**
- * How far the fits are off at a point that they do not use.
+ * Validates the fits by a point that they do not use.
  *
  * @param key the measure
  * @param runs the runs that measured the point
  * @param points how many measurements of it there are
  * @param partial whether any of them is partial
  * @param measured their mean
- * @param predicted what the fits say, at their size
+ * @param predicted the estimate of the fits at the same sizes
  */
 public record HeldOutCheck(
-        CapacityModel.Key key,
+        MeasureKey key,
         String runs,
         int points,
         boolean partial,
         double measured,
         Estimate predicted) {
 
-    private record Group(CapacityModel.Key key, Optional<Axis> axis, Sizes sizes) {}
+    private record Group(MeasureKey key, Optional<Axis> axis, Sizes sizes) {}
 
     private static final double PERCENT = 100;
 
     /**
-     * The checks of all points held out, for measures that have fits; of whole values, if there are
-     * any.
+     * Checks all points held out of measures that have fits; partial values count only where there
+     * are no others.
      */
     public static List<HeldOutCheck> of(CapacityModel model) {
         final List<HeldOutCheck> checks = new ArrayList<>();
@@ -41,7 +41,7 @@
                                 HeldOutCheck::group, LinkedHashMap::new, Collectors.toList()))
                 .forEach(
                         (group, rows) -> {
-                            final List<Measurement> used = wholeOnes(rows);
+                            final List<Measurement> used = completeOnes(rows);
                             model.estimate(group.key(), group.sizes())
                                     .ifPresent(
                                             predicted -> checks.add(check(group, used, predicted)));
@@ -49,13 +49,13 @@
         return List.copyOf(checks);
     }
 
-    private static List<Measurement> wholeOnes(List<Measurement> rows) {
-        final List<Measurement> whole = rows.stream().filter(row -> !row.partial()).toList();
-        return whole.isEmpty() ? rows : whole;
+    private static List<Measurement> completeOnes(List<Measurement> rows) {
+        final List<Measurement> complete = rows.stream().filter(row -> !row.partial()).toList();
+        return complete.isEmpty() ? rows : complete;
     }
 
     private static Group group(Measurement row) {
-        return new Group(new CapacityModel.Key(row.role(), row.measure()), row.axis(), row.sizes());
+        return new Group(new MeasureKey(row.role(), row.measure()), row.axis(), row.sizes());
     }
 
     private static HeldOutCheck check(Group group, List<Measurement> rows, Estimate predicted) {
@@ -68,10 +68,8 @@
                 predicted);
     }
 
-    /**
-     * How far the prediction is above the measured value, in per cent of that; NaN where that is 0.
-     */
-    public double offPercent() {
+    /** Error of the prediction in per cent of the measured value; NaN where that is 0. */
+    public double errorPercent() {
         return measured == 0
                 ? Double.NaN
                 : PERCENT * (predicted.value() - measured) / Math.abs(measured);
--- a/src/main/java/cresschute/capacity/HeldOutTable.java
+++ b/src/main/java/cresschute/capacity/HeldOutTable.java
@@ -1,6 +1,6 @@
 package cresschute.capacity;
 
-/** How far the fits are off at the points that they do not use. */
+/** Errors of the fits at the points that they do not use. */
 final class HeldOutTable {
 
     private HeldOutTable() {}
@@ -27,7 +27,7 @@
                                         Figures.number(check.points()),
                                         Figures.estimate(check.predicted()),
                                         Figures.number(check.measured()),
-                                        off(check),
+                                        error(check),
                                         check.withinInterval() ? "yes" : "no"));
         return table.textOr(
                 "No point is held out yet: how far the fits are off is **"
@@ -35,9 +35,9 @@
                         + "**.");
     }
 
-    private static String off(HeldOutCheck check) {
-        return Double.isNaN(check.offPercent())
+    private static String error(HeldOutCheck check) {
+        return Double.isNaN(check.errorPercent())
                 ? Figures.number(check.predicted().value()) + " where 0 was measured"
-                : Figures.number(check.offPercent()) + " %";
+                : Figures.number(check.errorPercent()) + " %";
     }
 }
--- a/src/main/java/cresschute/capacity/Limit.java
+++ b/src/main/java/cresschute/capacity/Limit.java
@@ -1,14 +1,14 @@
 package cresschute.capacity;
 
 /**
- * A bound that a need is held against.
+ * The limit of a cost.
  *
- * @param value the bound, in the unit of the need
+ * @param value in the unit of the cost
  * @param source who states it
  */
 public record Limit(double value, String source) {
 
-    /** Need over limit; infinite where a need is held against a limit of 0. */
+    /** Cost divided by limit; infinite where the limit is 0 and the cost is not. */
     public double ratio(double need) {
         if (value > 0) {
             return need / value;
--- a/src/main/java/cresschute/capacity/LinearFit.java
+++ b/src/main/java/cresschute/capacity/LinearFit.java
@@ -5,17 +5,18 @@
 import org.apache.commons.math3.stat.regression.SimpleRegression;
 
 /**
- * A straight line through measured points, by least squares.
+ * A line fitted to measured points by least squares.
  *
  * @param intercept the value at size 0
  * @param slope the change of the value for one unit of the size
  * @param slopeHalfWidth half the width of the slope's 95 % confidence interval, by Student's
  *     distribution
  * @param meanHalfWidth half the width of the 95 % confidence interval of the line at the mean size
- * @param rSquared the share of the values' variance that the line explains; NaN where there is none
- * @param points how many points it goes through
- * @param minSize the least size that was measured
- * @param maxSize the greatest size that was measured
+ * @param rSquared the fraction of the values' variance that the line explains; NaN where there is
+ *     none
+ * @param points number of points
+ * @param minSize the smallest size that was measured
+ * @param maxSize the largest size that was measured
  */
 public record LinearFit(
         double intercept,
@@ -27,18 +28,16 @@
         double minSize,
         double maxSize) {
 
-    /** The chance that a slope lies outside its interval. */
+    /** Probability that a slope lies outside its confidence interval. */
     private static final double SIGNIFICANCE = 0.05;
 
-    /** Points below which the slope has no interval: two of them fix the line. */
+    /** Minimum number of points: with two, the slope has no confidence interval. */
     private static final int MIN_POINTS = 3;
 
     /** One measured value at one size. */
     public record Point(double size, double value) {}
 
-    /**
-     * The line through these points; nothing where they are fewer than three or all of one size.
-     */
+    /** Fits a line; empty where there are fewer than three points or all have the same size. */
     public static Optional<LinearFit> of(List<Point> points) {
         if (points.size() < MIN_POINTS
                 || points.stream().mapToDouble(Point::size).distinct().count() < 2) {
--- /dev/null
+++ b/src/main/java/cresschute/capacity/MarkerException.java
@@ -0,0 +1,11 @@
+package cresschute.capacity;
+
+/** The markers of a page do not match the tables; the message names the table. */
+public final class MarkerException extends Exception {
+
+    private static final long serialVersionUID = 1;
+
+    MarkerException(String message) {
+        super(message);
+    }
+}
--- a/src/main/java/cresschute/capacity/Mechanism.java
+++ b/src/main/java/cresschute/capacity/Mechanism.java
@@ -1,9 +1,9 @@
 package cresschute.capacity;
 
-/** How the page writes what carries a need: the simple name of a class, or that nothing does. */
+/** How the page names what causes or bounds a cost: the simple name of a class, or missing. */
 public final class Mechanism {
 
-    /** Nothing carries it. */
+    /** No class does. */
     public static final String MISSING = "missing";
 
     private Mechanism() {}
--- a/src/main/java/cresschute/capacity/MessagesTable.java
+++ b/src/main/java/cresschute/capacity/MessagesTable.java
@@ -2,9 +2,7 @@
 
 import java.util.Optional;
 
-/**
- * The messages of each role by kind: how many a second, their bytes a second and the bytes of one.
- */
+/** The messages of each role by kind: number per second, bytes per second and bytes of one. */
 final class MessagesTable {
 
     private final CapacityModel model;
@@ -96,8 +94,7 @@
     private Optional<Estimate> estimate(Role role, String measure) {
         return measure == null
                 ? Optional.empty()
-                : model.estimate(
-                        new CapacityModel.Key(role, measure), PlannedSize.OPERATORS.sizes());
+                : model.estimate(new MeasureKey(role, measure), PlannedSize.OPERATORS.sizes());
     }
 
     private static String cell(Optional<Estimate> estimate) {
--- a/src/main/java/cresschute/capacity/PlannedSize.java
+++ b/src/main/java/cresschute/capacity/PlannedSize.java
@@ -11,13 +11,14 @@
  * @param jobsPerDay jobs a day
  * @param startsPerSecond attempts a second at the peak, over all dispatchers
  * @param running requests open at once, over all dispatchers
- * @param gangSize the most requests of one tenant that are of use only together
+ * @param gangSize maximum number of requests of one tenant that are useful only together
  * @param tenants tenants with a quota
- * @param urgentStartMs within which a request of the class of most value starts, in ms
+ * @param urgentStartMs time within which a request of the most urgent class starts, milliseconds
  * @param regions sets of zones that can lose each other
  * @param zones zones over all regions
  * @param configurationChangesPerDay changes of settings, drains, bans and of the list, a day
- * @param configurationDelayMs within which such a change is in force at every dispatcher, in ms
+ * @param configurationDelayMs time within which such a change is in force at every dispatcher,
+ *     milliseconds
  * @param failuresPerDay machines that fail on an ordinary day
  * @param replacementsPerDay machines that are restarted or replaced on an ordinary day
  * @param dispatchers dispatcher processes, one on each machine set aside for control
--- a/src/main/java/cresschute/capacity/RatioRow.java
+++ b/src/main/java/cresschute/capacity/RatioRow.java
@@ -6,13 +6,13 @@
 import java.util.Optional;
 
 /**
- * A need beside its limit.
+ * A cost beside its limit.
  *
- * @param need the need in words
- * @param amount how much is needed, as the page writes it
+ * @param need the cost in words
+ * @param amount the cost, as the page writes it
  * @param limit the limit, as the page writes it
- * @param ratio need over limit, or nothing where there is no figure
- * @param mechanism what carries it
+ * @param ratio cost divided by limit; empty where there is no figure
+ * @param mechanism the class that causes or bounds it
  * @param source where the figure comes from, or why there is none
  */
 record RatioRow(
@@ -23,10 +23,7 @@
         String mechanism,
         String source) {
 
-    /**
-     * All needs that have a limit, at a size: the greatest ratio first, those without a figure
-     * last.
-     */
+    /** All costs that have a limit, at a size: by falling ratio, those without a figure last. */
     static List<RatioRow> of(CapacityModel model, PlannedSize size) {
         final List<RatioRow> rows = new ArrayList<>();
         for (final TrackedMeasure measure : TrackedMeasure.values()) {
--- a/src/main/java/cresschute/capacity/Role.java
+++ b/src/main/java/cresschute/capacity/Role.java
@@ -6,17 +6,17 @@
 /** A part of an installation whose cost is measured on its own. */
 public enum Role {
 
-    /** Whoever sends requests and waits for their answers. */
+    /** A program that sends requests. */
     CLIENT("client"),
     /** One dispatcher process; figures are means over all of them. */
     DISPATCHER("dispatcher"),
     /** One worker's machine; figures are means over all listed workers. */
     WORKER("worker"),
-    /** The service that tells dispatchers of the workers. */
+    /** The service that provides dispatchers with the endpoint list. */
     DISCOVERY("discovery"),
     /** The operators' console and the management listener. */
     CONSOLE("console"),
-    /** A whole fleet played in virtual time: no part of an installation, and in no fit. */
+    /** A simulated fleet in virtual time: no part of an installation, and in no fit. */
     MODEL("model");
 
     private final String label;
--- a/src/main/java/cresschute/capacity/RoleTables.java
+++ b/src/main/java/cresschute/capacity/RoleTables.java
@@ -6,7 +6,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 
-/** What a role needs at the planned size, and the fits that say so. */
+/** The costs of a role at the planned size, and the fits they are estimated from. */
 final class RoleTables {
 
     private RoleTables() {}
@@ -90,8 +90,8 @@
         return table.textOr("No slope: **" + Figures.NOT_MEASURED + "**.");
     }
 
-    /** The commits and seeds of the measurements that a fit goes through. */
-    private static String run(CapacityModel model, CapacityModel.Key key, Axis axis) {
+    /** The commits and seeds of the measurements of a fit. */
+    private static String run(CapacityModel model, MeasureKey key, Axis axis) {
         final Map<String, String> seeds =
                 model.measurements().stream()
                         .filter(
@@ -124,9 +124,12 @@
         return Stream.of(TrackedMeasure.values()).filter(measure -> measure.role() == role);
     }
 
-    /** Whether the page tells of a measure; others that a file brings are left out. */
-    static boolean isTracked(CapacityModel.Key key) {
+    /** Whether the measure is on the page; others in the measurement files are left out. */
+    static boolean isTracked(MeasureKey key) {
         return of(key.role())
-                .anyMatch(each -> each.measure().equals(key.measure()) && !each.isOfAStandIn());
+                .anyMatch(
+                        each ->
+                                each.measure().equals(key.measure())
+                                        && !each.isMeasuredAtStandIn());
     }
 }
--- a/src/main/java/cresschute/capacity/Sizes.java
+++ b/src/main/java/cresschute/capacity/Sizes.java
@@ -10,17 +10,21 @@
  */
 public record Sizes(Map<Axis, Double> values) {
 
-    /** Copies the values; refuses a missing, negative or infinite one. */
+    /**
+     * Copies the values.
+     *
+     * @throws IllegalArgumentException if one is missing, negative or infinite
+     */
     public Sizes {
-        final Map<Axis, Double> copy = new EnumMap<>(Axis.class);
+        final Map<Axis, Double> checked = new EnumMap<>(Axis.class);
         for (final Axis axis : Axis.values()) {
             final Double value = values.get(axis);
             if (value == null || !(value >= 0) || value.isInfinite()) {
                 throw new IllegalArgumentException("size along " + axis.label() + " is " + value);
             }
-            copy.put(axis, value);
+            checked.put(axis, value);
         }
-        values = Map.copyOf(copy);
+        values = Map.copyOf(checked);
     }
 
     /** The size along one axis. */
--- a/src/main/java/cresschute/capacity/StateTable.java
+++ b/src/main/java/cresschute/capacity/StateTable.java
@@ -3,13 +3,13 @@
 import java.util.Optional;
 
 /**
- * What each role holds in memory: entries at the planned size, bytes of one from the slope of the
+ * State in memory by role: entries at the planned size, and bytes of an entry by the slope of the
  * heap.
  */
 final class StateTable {
 
     private static final double BYTES_PER_MB = 1e6;
-    private static final CapacityModel.Key HEAP = new CapacityModel.Key(Role.DISPATCHER, "heap_mb");
+    private static final MeasureKey HEAP = new MeasureKey(Role.DISPATCHER, "heap_mb");
 
     private final CapacityModel model;
     private final MarkdownTable table =
--- a/src/main/java/cresschute/capacity/StatedBound.java
+++ b/src/main/java/cresschute/capacity/StatedBound.java
@@ -4,8 +4,7 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Needs whose limit the code itself states, so that arithmetic holds them against it, and needs
- * that nothing carries.
+ * Costs with a limit in the code, which arithmetic compares with it, and needs that no class meets.
  */
 public enum StatedBound {
 
@@ -24,7 +23,7 @@
             64,
             "ClassTable",
             "64 numbers from a start to the next"),
-    /** Connections to workers, one for each open request. */
+    /** Connections to workers, one for each request in flight. */
     WORKER_CONNECTIONS(
             "connections of one dispatcher to workers",
             size -> (double) size.running() / size.dispatchers(),
@@ -32,7 +31,7 @@
             "DescriptorShares",
             "45 % of 1,024 descriptors less 48, no management listener; `limits.sockets`: up to"
                     + " 1,000,000"),
-    /** How much more than its quota a tenant may take. */
+    /** How much more than its quota a tenant may use. */
     QUOTA_SLACK(
             "traffic of a tenant that counts as within its quota, in quotas",
             size -> 1.5,
@@ -46,14 +45,14 @@
             120,
             "ClientConnection",
             "one more than 120 without an answer closes the connection"),
-    /** A change of the worker list. */
+    /** A change of the endpoint list. */
     LIST_CHANGE(
             "ms until a change of the list is in force, two calls in a row having fallen silent",
             size -> 6_000,
             PlannedSize.OPERATORS.configurationDelayMs(),
             "DiscoveryClient",
             "2 + 1.25 + 1.25 + 0.2 s for what two calls miss, stated as 6 s"),
-    /** The size of the worker list. */
+    /** The size of the endpoint list. */
     LIST_SIZE(
             "workers in one list",
             PlannedSize::workers,
@@ -83,9 +82,9 @@
             "a settings file carried to every dispatcher, and known to be in force there"),
     /** Drains and bans at all dispatchers. */
     BAN_EVERYWHERE("a drain or ban carried to every dispatcher"),
-    /** Open requests of a dispatcher that is lost. */
+    /** Takeover of the requests in flight of a failed dispatcher. */
     DISPATCHER_LOSS("open requests of a dispatcher that fails, taken over by another"),
-    /** Discovery that outlives its machine. */
+    /** Failover of discovery to another machine. */
     DISCOVERY_LOSS("a second discovery service where one is lost"),
     /** Regions as such. */
     REGIONS("regions: zones that are lost, or cut off, together");
@@ -114,22 +113,22 @@
         this.mechanism = Mechanism.MISSING;
     }
 
-    /** The need in words, with its unit. */
+    /** The cost in words, with its unit. */
     public String need() {
         return need;
     }
 
-    /** How much is needed at a size; NaN where nothing carries it. */
+    /** The cost at a size; NaN where no class meets the need. */
     public double amount(PlannedSize size) {
         return amount.applyAsDouble(size);
     }
 
-    /** The bound in the code, where something carries the need. */
+    /** The limit in the code; empty where no class meets the need. */
     public Optional<Limit> limit() {
         return Optional.ofNullable(limit);
     }
 
-    /** The class that carries it, or {@link Mechanism#MISSING}. */
+    /** The class that states the limit, or {@link Mechanism#MISSING}. */
     public String mechanism() {
         return mechanism;
     }
--- a/src/main/java/cresschute/capacity/TrackedMeasure.java
+++ b/src/main/java/cresschute/capacity/TrackedMeasure.java
@@ -3,86 +3,125 @@
 import java.util.Optional;
 
 /**
- * What the page says of each role: the measure, its limit where one is stated, and what carries it.
+ * The measures on the capacity page: whose cost each one is, its unit, its limit where one is
+ * stated, and the class that causes or bounds it.
  */
 public enum TrackedMeasure {
 
     /** Requests that clients send. */
     CLIENT_REQUESTS(
-            Role.CLIENT, "requests_per_second", Kind.MESSAGES, "a second", null, "ClientFront"),
-    /** Requests refused. */
-    CLIENT_REFUSED(Role.CLIENT, "refused_share", Kind.SERVICE, "share", null, "Dispatcher"),
-    /** Requests without any answer. */
+            Role.CLIENT,
+            "requests_per_second",
+            MeasureKind.MESSAGES,
+            "a second",
+            null,
+            "ClientFront"),
+    /** Fraction of the requests that was rejected. */
+    CLIENT_REJECTED_FRACTION(
+            Role.CLIENT, "refused_share", MeasureKind.SERVICE, "share", null, "Dispatcher"),
+    /** Requests without an answer. */
     CLIENT_UNANSWERED(
             Role.CLIENT,
             "unanswered",
-            Kind.SERVICE,
+            MeasureKind.SERVICE,
             "requests",
             Limits.NONE_MAY,
             "RequestLifecycle"),
     /** Median start of urgent requests. */
     CLIENT_URGENT_P50(
-            Role.CLIENT, "urgent_start_p50_ms", Kind.SERVICE, "ms", Limits.URGENT, "Dispatcher"),
+            Role.CLIENT,
+            "urgent_start_p50_ms",
+            MeasureKind.SERVICE,
+            "ms",
+            Limits.URGENT,
+            "Dispatcher"),
     /** Start of urgent requests, 99th percentile. */
     CLIENT_URGENT_P99(
-            Role.CLIENT, "urgent_start_p99_ms", Kind.SERVICE, "ms", Limits.URGENT, "Dispatcher"),
+            Role.CLIENT,
+            "urgent_start_p99_ms",
+            MeasureKind.SERVICE,
+            "ms",
+            Limits.URGENT,
+            "Dispatcher"),
     /** Start of urgent requests, 99.9th percentile. */
     CLIENT_URGENT_P999(
-            Role.CLIENT, "urgent_start_p999_ms", Kind.SERVICE, "ms", Limits.URGENT, "Dispatcher"),
+            Role.CLIENT,
+            "urgent_start_p999_ms",
+            MeasureKind.SERVICE,
+            "ms",
+            Limits.URGENT,
+            "Dispatcher"),
     /** Gangs of which all requests were admitted. */
-    CLIENT_GANGS_WHOLE(Role.CLIENT, "gangs_whole", Kind.SERVICE, "gangs", null, Mechanism.MISSING),
-    /** Gangs of which some requests were admitted, which are of no use. */
+    CLIENT_GANGS_COMPLETE(
+            Role.CLIENT, "gangs_whole", MeasureKind.SERVICE, "gangs", null, Mechanism.MISSING),
+    /** Gangs of which only some requests were admitted: useless work. */
     CLIENT_GANGS_PARTIAL(
             Role.CLIENT,
             "gangs_partial",
-            Kind.SERVICE,
+            MeasureKind.SERVICE,
             "gangs",
             Limits.NONE_MAY,
             Mechanism.MISSING),
     /** Gangs of which no request was admitted. */
-    CLIENT_GANGS_REFUSED(
-            Role.CLIENT, "gangs_refused", Kind.SERVICE, "gangs", null, Mechanism.MISSING),
+    CLIENT_GANGS_REJECTED(
+            Role.CLIENT, "gangs_refused", MeasureKind.SERVICE, "gangs", null, Mechanism.MISSING),
     /** Retries by clients. */
     CLIENT_RETRIES(
-            Role.CLIENT, "retries_per_request", Kind.SERVICE, "a request", null, "RetryAfter"),
+            Role.CLIENT,
+            "retries_per_request",
+            MeasureKind.SERVICE,
+            "a request",
+            null,
+            "RetryAfter"),
 
-    /** All processor time of a dispatcher. */
+    /** Processor time of a dispatcher. */
     DISPATCHER_CPU(
             Role.DISPATCHER,
             "cpu_percent",
-            Kind.PROCESSOR,
+            MeasureKind.PROCESSOR,
             "% of a core",
             Limits.ONE_CORE,
             "NodeServer"),
-    /** Processor time of a dispatcher without any request. */
+    /** Processor time of a dispatcher without requests. */
     DISPATCHER_CONTROL_CPU(
             Role.DISPATCHER,
             "cpu_percent",
-            Kind.PROCESSOR_WITHOUT_REQUESTS,
+            MeasureKind.PROCESSOR_WITHOUT_REQUESTS,
             "% of a core",
             Limits.CONTROL_CPU,
             "NodeServer"),
-    /** Processor time of the dispatcher that takes most. */
+    /** Processor time of the dispatcher that uses most. */
     DISPATCHER_CPU_MAX(
             Role.DISPATCHER,
             "cpu_percent_max",
-            Kind.PROCESSOR,
+            MeasureKind.PROCESSOR,
             "% of a core",
             Limits.ONE_CORE,
             "NodeServer"),
     /** Heap in use. */
-    DISPATCHER_HEAP(Role.DISPATCHER, "heap_mb", Kind.MEMORY, "MB", Limits.HEAP, "RequestLifecycle"),
+    DISPATCHER_HEAP(
+            Role.DISPATCHER, "heap_mb", MeasureKind.MEMORY, "MB", Limits.HEAP, "RequestLifecycle"),
     /** Resident memory of the process. */
     DISPATCHER_RSS(
-            Role.DISPATCHER, "rss_mb", Kind.MEMORY, "MB", Limits.CONTROL_MEMORY, "NodeServer"),
-    /** Resident memory of the dispatcher that takes most. */
+            Role.DISPATCHER,
+            "rss_mb",
+            MeasureKind.MEMORY,
+            "MB",
+            Limits.CONTROL_MEMORY,
+            "NodeServer"),
+    /** Resident memory of the dispatcher that uses most. */
     DISPATCHER_RSS_MAX(
-            Role.DISPATCHER, "rss_mb_max", Kind.MEMORY, "MB", Limits.CONTROL_MEMORY, "NodeServer"),
+            Role.DISPATCHER,
+            "rss_mb_max",
+            MeasureKind.MEMORY,
+            "MB",
+            Limits.CONTROL_MEMORY,
+            "NodeServer"),
     /** Open descriptors. */
     DISPATCHER_DESCRIPTORS(
             Role.DISPATCHER,
             "descriptors",
-            Kind.MEMORY,
+            MeasureKind.MEMORY,
             "descriptors",
             Limits.DESCRIPTORS,
             "WorkerConnectionPool"),
@@ -90,34 +129,39 @@
     DISPATCHER_CONTROL_BYTES(
             Role.DISPATCHER,
             "control_bytes_per_second",
-            Kind.MESSAGES,
+            MeasureKind.MESSAGES,
             "bytes a second",
             Limits.CONTROL_BYTES,
             "WorkerConnectionPool"),
-    /** Bytes of probes and their answers. */
-    DISPATCHER_PROBE_BYTES(
+    /** Bytes of load queries and their answers. */
+    DISPATCHER_LOAD_QUERY_BYTES(
             Role.DISPATCHER,
             "probe_bytes_per_second",
-            Kind.MESSAGES,
+            MeasureKind.MESSAGES,
             "bytes a second",
             null,
             "HttpLoadQuery"),
-    /** Probes sent. */
-    DISPATCHER_PROBES(
-            Role.DISPATCHER, "probes_per_second", Kind.MESSAGES, "a second", null, "HttpLoadQuery"),
+    /** Load queries sent. */
+    DISPATCHER_LOAD_QUERIES(
+            Role.DISPATCHER,
+            "probes_per_second",
+            MeasureKind.MESSAGES,
+            "a second",
+            null,
+            "HttpLoadQuery"),
     /** Connections opened. */
     DISPATCHER_HANDSHAKES(
             Role.DISPATCHER,
             "handshake_per_second",
-            Kind.MESSAGES,
+            MeasureKind.MESSAGES,
             "a second",
             null,
             "WorkerConnectionPool"),
-    /** Bytes of the worker list. */
+    /** Bytes of the endpoint list. */
     DISPATCHER_LIST_BYTES(
             Role.DISPATCHER,
             "list_bytes_per_second",
-            Kind.MESSAGES,
+            MeasureKind.MESSAGES,
             "bytes a second",
             null,
             "DiscoveryClient"),
@@ -125,7 +169,7 @@
     DISPATCHER_REPORT_BYTES(
             Role.DISPATCHER,
             "report_bytes_per_second",
-            Kind.MESSAGES,
+            MeasureKind.MESSAGES,
             "bytes a second",
             null,
             "LoadReportParser"),
@@ -133,7 +177,7 @@
     DISPATCHER_ATTEMPTS(
             Role.DISPATCHER,
             "attempts_per_second",
-            Kind.MESSAGES,
+            MeasureKind.MESSAGES,
             "a second",
             null,
             "WorkerConnectionPool"),
@@ -141,51 +185,58 @@
     DISPATCHER_REQUEST_BYTES(
             Role.DISPATCHER,
             "request_bytes_per_second",
-            Kind.MESSAGES,
+            MeasureKind.MESSAGES,
             "bytes a second",
             null,
             "WorkerConnectionPool"),
-    /** Bytes of lines that tell of a start. */
+    /** Bytes of progress lines that report a start. */
     DISPATCHER_START_BYTES(
             Role.DISPATCHER,
             "start_line_bytes_per_second",
-            Kind.MESSAGES,
+            MeasureKind.MESSAGES,
             "bytes a second",
             null,
             "ProgressLine"),
-    /** Bytes of lines that tell of progress. */
+    /** Bytes of progress lines that report progress. */
     DISPATCHER_PROGRESS_BYTES(
             Role.DISPATCHER,
             "progress_line_bytes_per_second",
-            Kind.MESSAGES,
+            MeasureKind.MESSAGES,
             "bytes a second",
             null,
             "ProgressLine"),
-    /** Bytes of lines with a result. */
+    /** Bytes of progress lines with a result. */
     DISPATCHER_RESULT_BYTES(
             Role.DISPATCHER,
             "result_line_bytes_per_second",
-            Kind.MESSAGES,
+            MeasureKind.MESSAGES,
             "bytes a second",
             null,
             "ProgressLine"),
 
-    /** Probes that a worker answers. */
-    WORKER_PROBES(
-            Role.WORKER, "probes_per_second", Kind.MESSAGES, "a second", null, "HttpLoadQuery"),
+    /** Load queries that a worker answers. */
+    WORKER_LOAD_QUERIES(
+            Role.WORKER,
+            "probes_per_second",
+            MeasureKind.MESSAGES,
+            "a second",
+            null,
+            "HttpLoadQuery"),
     /** Connections that a worker accepts. */
     WORKER_HANDSHAKES(
             Role.WORKER,
             "handshakes_per_second",
-            Kind.MESSAGES,
+            MeasureKind.MESSAGES,
             "a second",
             null,
             "WorkerConnectionPool"),
-    /** Bytes at a worker of probes, request heads, handshakes and reports, of all dispatchers. */
+    /**
+     * Bytes at a worker of load queries, request heads, handshakes and reports, all dispatchers.
+     */
     WORKER_CONTROL_BYTES(
             Role.WORKER,
             "control_bytes_per_second",
-            Kind.MESSAGES,
+            MeasureKind.MESSAGES,
             "bytes a second",
             Limits.CONTROL_BYTES,
             "WorkerConnectionPool"),
@@ -193,22 +244,32 @@
     WORKER_CPU(
             Role.WORKER,
             "cpu_percent",
-            Kind.PROCESSOR,
+            MeasureKind.PROCESSOR,
             "% of a core",
             Limits.CONTROL_CPU,
             Mechanism.MISSING),
     /** Memory of the worker's side. */
     WORKER_MEMORY(
-            Role.WORKER, "rss_mb", Kind.MEMORY, "MB", Limits.CONTROL_MEMORY, Mechanism.MISSING),
+            Role.WORKER,
+            "rss_mb",
+            MeasureKind.MEMORY,
+            "MB",
+            Limits.CONTROL_MEMORY,
+            Mechanism.MISSING),
 
-    /** Calls of dispatchers for the list. */
+    /** Calls of dispatchers for the endpoint list. */
     DISCOVERY_CALLS(
-            Role.DISCOVERY, "calls_per_second", Kind.MESSAGES, "a second", null, "DiscoveryClient"),
+            Role.DISCOVERY,
+            "calls_per_second",
+            MeasureKind.MESSAGES,
+            "a second",
+            null,
+            "DiscoveryClient"),
     /** Bytes of these calls and their answers. */
     DISCOVERY_BYTES(
             Role.DISCOVERY,
             "bytes_per_second",
-            Kind.MESSAGES,
+            MeasureKind.MESSAGES,
             "bytes a second",
             null,
             "DiscoveryClient"),
@@ -216,59 +277,44 @@
     DISCOVERY_CPU(
             Role.DISCOVERY,
             "cpu_percent",
-            Kind.PROCESSOR,
+            MeasureKind.PROCESSOR,
             "% of a core",
             Limits.CONTROL_CPU,
             Mechanism.MISSING),
     /** Memory of the discovery service. */
     DISCOVERY_MEMORY(
-            Role.DISCOVERY, "rss_mb", Kind.MEMORY, "MB", Limits.CONTROL_MEMORY, Mechanism.MISSING),
+            Role.DISCOVERY,
+            "rss_mb",
+            MeasureKind.MEMORY,
+            "MB",
+            Limits.CONTROL_MEMORY,
+            Mechanism.MISSING),
 
     /** Processor time that a console costs a dispatcher. */
     CONSOLE_CPU(
             Role.CONSOLE,
             "cpu_percent",
-            Kind.PROCESSOR,
+            MeasureKind.PROCESSOR,
             "% of a core",
             Limits.CONTROL_CPU,
             "ControlServer"),
     /** Memory that a console costs a dispatcher. */
     CONSOLE_MEMORY(
-            Role.CONSOLE, "heap_mb", Kind.MEMORY, "MB", Limits.CONTROL_MEMORY, "HealthTracker"),
+            Role.CONSOLE,
+            "heap_mb",
+            MeasureKind.MEMORY,
+            "MB",
+            Limits.CONTROL_MEMORY,
+            "HealthTracker"),
     /** Bytes that a console is sent. */
     CONSOLE_BYTES(
             Role.CONSOLE,
             "bytes_per_second",
-            Kind.MESSAGES,
+            MeasureKind.MESSAGES,
             "bytes a second",
             Limits.CONTROL_BYTES,
             "VersionedTable");
 
-    /** What kind of need a measure tells of. */
-    public enum Kind {
-        /** Messages and their bytes. */
-        MESSAGES("messages"),
-        /** Processor time. */
-        PROCESSOR("processor"),
-        /** Processor time that is left where no request comes and none is open. */
-        PROCESSOR_WITHOUT_REQUESTS("processor, no requests"),
-        /** Memory and descriptors. */
-        MEMORY("memory"),
-        /** What clients get. */
-        SERVICE("service");
-
-        private final String label;
-
-        Kind(String label) {
-            this.label = label;
-        }
-
-        /** The kind in words. */
-        public String label() {
-            return label;
-        }
-    }
-
     private static final class Limits {
         private static final ControlLimits CONTROL = ControlLimits.OPERATORS;
         private static final Limit NONE_MAY = new Limit(0, "none may");
@@ -287,13 +333,18 @@
 
     private final Role role;
     private final String measure;
-    private final Kind kind;
+    private final MeasureKind kind;
     private final String unit;
     private final Limit limit;
     private final String mechanism;
 
     TrackedMeasure(
-            Role role, String measure, Kind kind, String unit, Limit limit, String mechanism) {
+            Role role,
+            String measure,
+            MeasureKind kind,
+            String unit,
+            Limit limit,
+            String mechanism) {
         this.role = role;
         this.measure = measure;
         this.kind = kind;
@@ -302,7 +353,7 @@
         this.mechanism = mechanism;
     }
 
-    /** Whose need it is. */
+    /** Whose cost it is. */
     public Role role() {
         return role;
     }
@@ -312,8 +363,8 @@
         return measure;
     }
 
-    /** The kind of need. */
-    public Kind kind() {
+    /** The kind of cost. */
+    public MeasureKind kind() {
         return kind;
     }
 
@@ -322,40 +373,40 @@
         return unit;
     }
 
-    /** The bound that it is held against, where one is stated. */
+    /** Its limit, where one is stated. */
     public Optional<Limit> limit() {
         return Optional.ofNullable(limit);
     }
 
-    /** The class that carries it, or {@link Mechanism#MISSING}. */
+    /** The class that causes or bounds it, or {@link Mechanism#MISSING}. */
     public String mechanism() {
         return mechanism;
     }
 
-    /** What it comes to in an installation of these sizes; nothing where it is not measured. */
+    /** Its estimate for an installation of these sizes; empty where it is not measured. */
     Optional<Estimate> estimate(CapacityModel model, Sizes sizes) {
-        return isOfAStandIn()
+        return isMeasuredAtStandIn()
                 ? Optional.empty()
-                : model.estimate(new CapacityModel.Key(role, measure), wantedAt(sizes));
+                : model.estimate(new MeasureKey(role, measure), evaluatedAt(sizes));
     }
 
-    /** The sizes at which this measure is wanted for an installation of these sizes. */
-    public Sizes wantedAt(Sizes sizes) {
-        return kind == Kind.PROCESSOR_WITHOUT_REQUESTS
+    /** The sizes at which this measure is evaluated for an installation of these sizes. */
+    public Sizes evaluatedAt(Sizes sizes) {
+        return kind == MeasureKind.PROCESSOR_WITHOUT_REQUESTS
                 ? sizes.with(Axis.STARTS, 0).with(Axis.RUNNING, 0)
                 : sizes;
     }
 
     /**
-     * Whether the sweep's peer in this role is a stand-in, so that its processor and memory say
-     * nothing.
+     * Whether a stand-in plays this role in the sweep, so that its processor time and memory are
+     * not those of the real program.
      */
-    public boolean isOfAStandIn() {
+    public boolean isMeasuredAtStandIn() {
         return (role == Role.WORKER || role == Role.DISCOVERY)
-                && (kind == Kind.PROCESSOR || kind == Kind.MEMORY);
+                && (kind == MeasureKind.PROCESSOR || kind == MeasureKind.MEMORY);
     }
 
-    /** Why it has no figure, where the sweep brings none. */
+    /** Why it has no figure, where the sweep did not measure it. */
     public String reasonNotMeasured() {
         return switch (role) {
             case WORKER -> "the sweep's workers are stand-ins";
--- a/src/main/java/cresschute/cli/CapacityPageCommand.java
+++ b/src/main/java/cresschute/cli/CapacityPageCommand.java
@@ -5,6 +5,7 @@
 import cresschute.capacity.CsvFormatException;
 import cresschute.capacity.FaultFile;
 import cresschute.capacity.FaultMeasurement;
+import cresschute.capacity.MarkerException;
 import cresschute.capacity.Measurement;
 import cresschute.capacity.MeasurementFile;
 import java.io.IOException;
@@ -73,7 +74,7 @@
         } catch (CsvFormatException e) {
             err.println("cresschute: " + e.getMessage());
             return ExitCodes.UNUSABLE;
-        } catch (CapacityPage.MarkerException e) {
+        } catch (MarkerException e) {
             err.println("cresschute: " + page + ": " + e.getMessage());
             return ExitCodes.UNUSABLE;
         } catch (NoSuchFileException e) {
--- a/src/test/java/cresschute/capacity/CapacityModelTest.java
+++ b/src/test/java/cresschute/capacity/CapacityModelTest.java
@@ -11,8 +11,7 @@
 /** Needs reckoned from fits along several axes, and the points that are held out of them. */
 class CapacityModelTest {
 
-    private static final CapacityModel.Key CPU =
-            new CapacityModel.Key(Role.DISPATCHER, "cpu_percent");
+    private static final MeasureKey CPU = new MeasureKey(Role.DISPATCHER, "cpu_percent");
     private static final Sizes PLANNED = PlannedSize.OPERATORS.sizes();
     private static final Sweep.Function LINEAR =
             sizes ->
@@ -69,7 +68,7 @@
                                         "worker",
                                         "probes_per_second",
                                         sizes -> 0.1 + 0.05 * sizes.get(Axis.DISPATCHERS)));
-        final CapacityModel.Key probes = new CapacityModel.Key(Role.WORKER, "probes_per_second");
+        final MeasureKey probes = new MeasureKey(Role.WORKER, "probes_per_second");
         assertThat(
                         new CapacityModel(sweep.measurements())
                                 .estimate(probes, PLANNED)
@@ -103,7 +102,7 @@
         final List<HeldOutCheck> checks = HeldOutCheck.of(new CapacityModel(sweep.measurements()));
         assertThat(checks).hasSize(1);
         assertThat(checks.get(0).measured()).isEqualTo(70);
-        assertThat(checks.get(0).offPercent()).isCloseTo(5, within(1e-5));
+        assertThat(checks.get(0).errorPercent()).isCloseTo(5, within(1e-5));
         assertThat(checks.get(0).withinInterval()).isFalse();
         assertThat(checks.get(0).partial()).isFalse();
     }
@@ -152,8 +151,7 @@
                         .along(Axis.WORKERS, 100, "dispatcher", "heap_mb", sizes -> 1)
                         .along(Axis.WORKERS, 200, "dispatcher", "heap_mb", sizes -> 2);
         final CapacityModel model = new CapacityModel(sweep.measurements());
-        assertThat(model.estimate(new CapacityModel.Key(Role.DISPATCHER, "heap_mb"), PLANNED))
-                .isEmpty();
+        assertThat(model.estimate(new MeasureKey(Role.DISPATCHER, "heap_mb"), PLANNED)).isEmpty();
         assertThat(model.keys()).isEmpty();
         assertThat(new CapacityModel(List.of()).estimate(CPU, PLANNED)).isEmpty();
     }
@@ -161,7 +159,7 @@
     @Test
     void processorTimeWithoutRequestsLeavesOutWhatTheseCost() throws CsvFormatException {
         final CapacityModel model = new CapacityModel(linearSweep().measurements());
-        final Sizes wanted = TrackedMeasure.DISPATCHER_CONTROL_CPU.wantedAt(PLANNED);
+        final Sizes wanted = TrackedMeasure.DISPATCHER_CONTROL_CPU.evaluatedAt(PLANNED);
         assertThat(wanted.on(Axis.STARTS)).isZero();
         assertThat(model.estimate(CPU, wanted).orElseThrow().value()).isCloseTo(13.5, within(1e-6));
     }
--- a/src/test/java/cresschute/capacity/CapacityTablesTest.java
+++ b/src/test/java/cresschute/capacity/CapacityTablesTest.java
@@ -163,12 +163,12 @@
 
     // ---- Places in a page ----
 
-    private static String place(String page) throws CapacityPage.MarkerException {
+    private static String place(String page) throws MarkerException {
         return CapacityPage.write(page, Map.of("a", "new\nlines\n"));
     }
 
     @Test
-    void tableTakesThePlaceOfWhatWasThere() throws CapacityPage.MarkerException {
+    void tableTakesThePlaceOfWhatWasThere() throws MarkerException {
         final String page = "text\n<!-- table: a -->\nold\n<!-- end table -->\nmore\n";
         final String written = place(page);
         assertThat(written)
@@ -190,7 +190,7 @@
                     """)
     void brokenMarkersAreNamed(String page, String message) {
         assertThatThrownBy(() -> place(page.replace(';', '\n') + "\n"))
-                .isInstanceOf(CapacityPage.MarkerException.class)
+                .isInstanceOf(MarkerException.class)
                 .hasMessage(message);
     }
 
--- a/src/test/java/cresschute/capacity/MeasurementFileTest.java
+++ b/src/test/java/cresschute/capacity/MeasurementFileTest.java
@@ -101,16 +101,16 @@
     /** Cut at any byte, a file is either refused or has only whole rows. */
     @Test
     void cutFileNeverGivesAnotherRow() throws CsvFormatException {
-        final String whole = HEAD + ROW + "\n" + ROW + "\n";
-        final List<Measurement> rows = MeasurementFile.parse("a.csv", whole);
-        for (int length = 0; length < whole.length(); length++) {
-            final String cut = whole.substring(0, length);
-            if (cut.equals(HEAD) || cut.equals(HEAD + ROW + "\n")) {
-                final List<Measurement> read = MeasurementFile.parse("a.csv", cut);
+        final String file = HEAD + ROW + "\n" + ROW + "\n";
+        final List<Measurement> rows = MeasurementFile.parse("a.csv", file);
+        for (int length = 0; length < file.length(); length++) {
+            final String truncated = file.substring(0, length);
+            if (truncated.equals(HEAD) || truncated.equals(HEAD + ROW + "\n")) {
+                final List<Measurement> read = MeasurementFile.parse("a.csv", truncated);
                 assertThat(read).isEqualTo(rows.subList(0, read.size()));
             } else {
-                assertThatThrownBy(() -> MeasurementFile.parse("a.csv", cut))
-                        .as(cut)
+                assertThatThrownBy(() -> MeasurementFile.parse("a.csv", truncated))
+                        .as(truncated)
                         .isInstanceOf(CsvFormatException.class)
                         .hasMessageStartingWith("a.csv:");
             }
