--- a/src/main/java/cresschute/capacity/StatedBound.java
+++ b/src/main/java/cresschute/capacity/StatedBound.java
@@ -28,7 +28,7 @@
             "connections of one dispatcher to workers",
             size -> (double) size.running() / size.dispatchers(),
             440,
-            "DescriptorShares",
+            "DescriptorBudget",
             "45 % of 1,024 descriptors less 48, no management listener; `limits.sockets`: up to"
                     + " 1,000,000"),
     /** How much more than its quota a tenant may use. */
@@ -71,7 +71,7 @@
             "bans at a time, if every change of a day is one that stays",
             PlannedSize::configurationChangesPerDay,
             10_000,
-            "OperatorsState",
+            "OperatorState",
             "10,000; more are refused"),
     /** All requests of a gang or none. */
     GANG_ADMISSION("a gang admitted whole or not at all"),
--- a/src/main/java/cresschute/capacity/TrackedMeasure.java
+++ b/src/main/java/cresschute/capacity/TrackedMeasure.java
@@ -1,5 +1,11 @@
 package cresschute.capacity;
 
+import static cresschute.capacity.MeasureKind.MEMORY;
+import static cresschute.capacity.MeasureKind.MESSAGES;
+import static cresschute.capacity.MeasureKind.PROCESSOR;
+import static cresschute.capacity.MeasureKind.PROCESSOR_WITHOUT_REQUESTS;
+import static cresschute.capacity.MeasureKind.SERVICE;
+
 import java.util.Optional;
 
 /**
@@ -10,75 +16,37 @@
 
     /** Requests that clients send. */
     CLIENT_REQUESTS(
-            Role.CLIENT,
-            "requests_per_second",
-            MeasureKind.MESSAGES,
-            "a second",
-            null,
-            "ClientFront"),
+            Role.CLIENT, "requests_per_second", MESSAGES, "a second", null, "ClientListener"),
     /** Fraction of the requests that was rejected. */
-    CLIENT_REJECTED_FRACTION(
-            Role.CLIENT, "refused_share", MeasureKind.SERVICE, "share", null, "Dispatcher"),
+    CLIENT_REJECTED_FRACTION(Role.CLIENT, "refused_share", SERVICE, "share", null, "Dispatcher"),
     /** Requests without an answer. */
     CLIENT_UNANSWERED(
-            Role.CLIENT,
-            "unanswered",
-            MeasureKind.SERVICE,
-            "requests",
-            Limits.NONE_MAY,
-            "RequestLifecycle"),
+            Role.CLIENT, "unanswered", SERVICE, "requests", Limits.NONE_MAY, "RequestLifecycle"),
     /** Median start of urgent requests. */
     CLIENT_URGENT_P50(
-            Role.CLIENT,
-            "urgent_start_p50_ms",
-            MeasureKind.SERVICE,
-            "ms",
-            Limits.URGENT,
-            "Dispatcher"),
+            Role.CLIENT, "urgent_start_p50_ms", SERVICE, "ms", Limits.URGENT, "Dispatcher"),
     /** Start of urgent requests, 99th percentile. */
     CLIENT_URGENT_P99(
-            Role.CLIENT,
-            "urgent_start_p99_ms",
-            MeasureKind.SERVICE,
-            "ms",
-            Limits.URGENT,
-            "Dispatcher"),
+            Role.CLIENT, "urgent_start_p99_ms", SERVICE, "ms", Limits.URGENT, "Dispatcher"),
     /** Start of urgent requests, 99.9th percentile. */
     CLIENT_URGENT_P999(
-            Role.CLIENT,
-            "urgent_start_p999_ms",
-            MeasureKind.SERVICE,
-            "ms",
-            Limits.URGENT,
-            "Dispatcher"),
+            Role.CLIENT, "urgent_start_p999_ms", SERVICE, "ms", Limits.URGENT, "Dispatcher"),
     /** Gangs of which all requests were admitted. */
-    CLIENT_GANGS_COMPLETE(
-            Role.CLIENT, "gangs_whole", MeasureKind.SERVICE, "gangs", null, Mechanism.MISSING),
+    CLIENT_GANGS_COMPLETE(Role.CLIENT, "gangs_whole", SERVICE, "gangs", null, Mechanism.MISSING),
     /** Gangs of which only some requests were admitted: useless work. */
     CLIENT_GANGS_PARTIAL(
-            Role.CLIENT,
-            "gangs_partial",
-            MeasureKind.SERVICE,
-            "gangs",
-            Limits.NONE_MAY,
-            Mechanism.MISSING),
+            Role.CLIENT, "gangs_partial", SERVICE, "gangs", Limits.NONE_MAY, Mechanism.MISSING),
     /** Gangs of which no request was admitted. */
-    CLIENT_GANGS_REJECTED(
-            Role.CLIENT, "gangs_refused", MeasureKind.SERVICE, "gangs", null, Mechanism.MISSING),
+    CLIENT_GANGS_REJECTED(Role.CLIENT, "gangs_refused", SERVICE, "gangs", null, Mechanism.MISSING),
     /** Retries by clients. */
     CLIENT_RETRIES(
-            Role.CLIENT,
-            "retries_per_request",
-            MeasureKind.SERVICE,
-            "a request",
-            null,
-            "RetryAfter"),
+            Role.CLIENT, "retries_per_request", SERVICE, "a request", null, "RetryAfterHeader"),
 
     /** Processor time of a dispatcher. */
     DISPATCHER_CPU(
             Role.DISPATCHER,
             "cpu_percent",
-            MeasureKind.PROCESSOR,
+            PROCESSOR,
             "% of a core",
             Limits.ONE_CORE,
             "NodeServer"),
@@ -86,7 +54,7 @@
     DISPATCHER_CONTROL_CPU(
             Role.DISPATCHER,
             "cpu_percent",
-            MeasureKind.PROCESSOR_WITHOUT_REQUESTS,
+            PROCESSOR_WITHOUT_REQUESTS,
             "% of a core",
             Limits.CONTROL_CPU,
             "NodeServer"),
@@ -94,34 +62,22 @@
     DISPATCHER_CPU_MAX(
             Role.DISPATCHER,
             "cpu_percent_max",
-            MeasureKind.PROCESSOR,
+            PROCESSOR,
             "% of a core",
             Limits.ONE_CORE,
             "NodeServer"),
     /** Heap in use. */
-    DISPATCHER_HEAP(
-            Role.DISPATCHER, "heap_mb", MeasureKind.MEMORY, "MB", Limits.HEAP, "RequestLifecycle"),
+    DISPATCHER_HEAP(Role.DISPATCHER, "heap_mb", MEMORY, "MB", Limits.HEAP, "RequestLifecycle"),
     /** Resident memory of the process. */
-    DISPATCHER_RSS(
-            Role.DISPATCHER,
-            "rss_mb",
-            MeasureKind.MEMORY,
-            "MB",
-            Limits.CONTROL_MEMORY,
-            "NodeServer"),
+    DISPATCHER_RSS(Role.DISPATCHER, "rss_mb", MEMORY, "MB", Limits.CONTROL_MEMORY, "NodeServer"),
     /** Resident memory of the dispatcher that uses most. */
     DISPATCHER_RSS_MAX(
-            Role.DISPATCHER,
-            "rss_mb_max",
-            MeasureKind.MEMORY,
-            "MB",
-            Limits.CONTROL_MEMORY,
-            "NodeServer"),
+            Role.DISPATCHER, "rss_mb_max", MEMORY, "MB", Limits.CONTROL_MEMORY, "NodeServer"),
     /** Open descriptors. */
     DISPATCHER_DESCRIPTORS(
             Role.DISPATCHER,
             "descriptors",
-            MeasureKind.MEMORY,
+            MEMORY,
             "descriptors",
             Limits.DESCRIPTORS,
             "WorkerConnectionPool"),
@@ -129,7 +85,7 @@
     DISPATCHER_CONTROL_BYTES(
             Role.DISPATCHER,
             "control_bytes_per_second",
-            MeasureKind.MESSAGES,
+            MESSAGES,
             "bytes a second",
             Limits.CONTROL_BYTES,
             "WorkerConnectionPool"),
@@ -137,23 +93,18 @@
     DISPATCHER_LOAD_QUERY_BYTES(
             Role.DISPATCHER,
             "probe_bytes_per_second",
-            MeasureKind.MESSAGES,
+            MESSAGES,
             "bytes a second",
             null,
             "HttpLoadQuery"),
     /** Load queries sent. */
     DISPATCHER_LOAD_QUERIES(
-            Role.DISPATCHER,
-            "probes_per_second",
-            MeasureKind.MESSAGES,
-            "a second",
-            null,
-            "HttpLoadQuery"),
+            Role.DISPATCHER, "probes_per_second", MESSAGES, "a second", null, "HttpLoadQuery"),
     /** Connections opened. */
     DISPATCHER_HANDSHAKES(
             Role.DISPATCHER,
             "handshake_per_second",
-            MeasureKind.MESSAGES,
+            MESSAGES,
             "a second",
             null,
             "WorkerConnectionPool"),
@@ -161,7 +112,7 @@
     DISPATCHER_LIST_BYTES(
             Role.DISPATCHER,
             "list_bytes_per_second",
-            MeasureKind.MESSAGES,
+            MESSAGES,
             "bytes a second",
             null,
             "DiscoveryClient"),
@@ -169,7 +120,7 @@
     DISPATCHER_REPORT_BYTES(
             Role.DISPATCHER,
             "report_bytes_per_second",
-            MeasureKind.MESSAGES,
+            MESSAGES,
             "bytes a second",
             null,
             "LoadReportParser"),
@@ -177,7 +128,7 @@
     DISPATCHER_ATTEMPTS(
             Role.DISPATCHER,
             "attempts_per_second",
-            MeasureKind.MESSAGES,
+            MESSAGES,
             "a second",
             null,
             "WorkerConnectionPool"),
@@ -185,7 +136,7 @@
     DISPATCHER_REQUEST_BYTES(
             Role.DISPATCHER,
             "request_bytes_per_second",
-            MeasureKind.MESSAGES,
+            MESSAGES,
             "bytes a second",
             null,
             "WorkerConnectionPool"),
@@ -193,7 +144,7 @@
     DISPATCHER_START_BYTES(
             Role.DISPATCHER,
             "start_line_bytes_per_second",
-            MeasureKind.MESSAGES,
+            MESSAGES,
             "bytes a second",
             null,
             "ProgressLine"),
@@ -201,7 +152,7 @@
     DISPATCHER_PROGRESS_BYTES(
             Role.DISPATCHER,
             "progress_line_bytes_per_second",
-            MeasureKind.MESSAGES,
+            MESSAGES,
             "bytes a second",
             null,
             "ProgressLine"),
@@ -209,24 +160,19 @@
     DISPATCHER_RESULT_BYTES(
             Role.DISPATCHER,
             "result_line_bytes_per_second",
-            MeasureKind.MESSAGES,
+            MESSAGES,
             "bytes a second",
             null,
             "ProgressLine"),
 
     /** Load queries that a worker answers. */
     WORKER_LOAD_QUERIES(
-            Role.WORKER,
-            "probes_per_second",
-            MeasureKind.MESSAGES,
-            "a second",
-            null,
-            "HttpLoadQuery"),
+            Role.WORKER, "probes_per_second", MESSAGES, "a second", null, "HttpLoadQuery"),
     /** Connections that a worker accepts. */
     WORKER_HANDSHAKES(
             Role.WORKER,
             "handshakes_per_second",
-            MeasureKind.MESSAGES,
+            MESSAGES,
             "a second",
             null,
             "WorkerConnectionPool"),
@@ -236,7 +182,7 @@
     WORKER_CONTROL_BYTES(
             Role.WORKER,
             "control_bytes_per_second",
-            MeasureKind.MESSAGES,
+            MESSAGES,
             "bytes a second",
             Limits.CONTROL_BYTES,
             "WorkerConnectionPool"),
@@ -244,32 +190,21 @@
     WORKER_CPU(
             Role.WORKER,
             "cpu_percent",
-            MeasureKind.PROCESSOR,
+            PROCESSOR,
             "% of a core",
             Limits.CONTROL_CPU,
             Mechanism.MISSING),
     /** Memory of the worker's side. */
-    WORKER_MEMORY(
-            Role.WORKER,
-            "rss_mb",
-            MeasureKind.MEMORY,
-            "MB",
-            Limits.CONTROL_MEMORY,
-            Mechanism.MISSING),
+    WORKER_MEMORY(Role.WORKER, "rss_mb", MEMORY, "MB", Limits.CONTROL_MEMORY, Mechanism.MISSING),
 
     /** Calls of dispatchers for the endpoint list. */
     DISCOVERY_CALLS(
-            Role.DISCOVERY,
-            "calls_per_second",
-            MeasureKind.MESSAGES,
-            "a second",
-            null,
-            "DiscoveryClient"),
+            Role.DISCOVERY, "calls_per_second", MESSAGES, "a second", null, "DiscoveryClient"),
     /** Bytes of these calls and their answers. */
     DISCOVERY_BYTES(
             Role.DISCOVERY,
             "bytes_per_second",
-            MeasureKind.MESSAGES,
+            MESSAGES,
             "bytes a second",
             null,
             "DiscoveryClient"),
@@ -277,40 +212,29 @@
     DISCOVERY_CPU(
             Role.DISCOVERY,
             "cpu_percent",
-            MeasureKind.PROCESSOR,
+            PROCESSOR,
             "% of a core",
             Limits.CONTROL_CPU,
             Mechanism.MISSING),
     /** Memory of the discovery service. */
     DISCOVERY_MEMORY(
-            Role.DISCOVERY,
-            "rss_mb",
-            MeasureKind.MEMORY,
-            "MB",
-            Limits.CONTROL_MEMORY,
-            Mechanism.MISSING),
+            Role.DISCOVERY, "rss_mb", MEMORY, "MB", Limits.CONTROL_MEMORY, Mechanism.MISSING),
 
     /** Processor time that a console costs a dispatcher. */
     CONSOLE_CPU(
             Role.CONSOLE,
             "cpu_percent",
-            MeasureKind.PROCESSOR,
+            PROCESSOR,
             "% of a core",
             Limits.CONTROL_CPU,
             "ControlServer"),
     /** Memory that a console costs a dispatcher. */
-    CONSOLE_MEMORY(
-            Role.CONSOLE,
-            "heap_mb",
-            MeasureKind.MEMORY,
-            "MB",
-            Limits.CONTROL_MEMORY,
-            "HealthTracker"),
+    CONSOLE_MEMORY(Role.CONSOLE, "heap_mb", MEMORY, "MB", Limits.CONTROL_MEMORY, "HealthTracker"),
     /** Bytes that a console is sent. */
     CONSOLE_BYTES(
             Role.CONSOLE,
             "bytes_per_second",
-            MeasureKind.MESSAGES,
+            MESSAGES,
             "bytes a second",
             Limits.CONTROL_BYTES,
             "VersionedTable");
@@ -392,7 +316,7 @@
 
     /** The sizes at which this measure is evaluated for an installation of these sizes. */
     public Sizes evaluatedAt(Sizes sizes) {
-        return kind == MeasureKind.PROCESSOR_WITHOUT_REQUESTS
+        return kind == PROCESSOR_WITHOUT_REQUESTS
                 ? sizes.with(Axis.STARTS, 0).with(Axis.RUNNING, 0)
                 : sizes;
     }
@@ -403,7 +327,7 @@
      */
     public boolean isMeasuredAtStandIn() {
         return (role == Role.WORKER || role == Role.DISCOVERY)
-                && (kind == MeasureKind.PROCESSOR || kind == MeasureKind.MEMORY);
+                && (kind == PROCESSOR || kind == MEMORY);
     }
 
     /** Why it has no figure, where the sweep did not measure it. */
--- /dev/null
+++ b/src/main/java/cresschute/node/http/BodyTransfer.java
@@ -0,0 +1,169 @@
+package cresschute.node.http;
+
+import cresschute.flow.BodyBuffer;
+import cresschute.flow.TransferMonitor;
+import io.netty.buffer.ByteBuf;
+import io.netty.channel.Channel;
+import io.netty.handler.codec.http.DefaultHttpContent;
+import io.netty.handler.codec.http.LastHttpContent;
+import io.netty.util.concurrent.Future;
+
+/**
+ * Writes a streamed body to one peer with backpressure: no faster than the peer's connection takes
+ * it. What is not written stays in the body, where it is counted against the budget.
+ *
+ * <p>Created by {@link StreamedBody#newTransfer}, started on a channel to which the head was
+ * written, and over after one of the ends of its {@link BodyTransferListener} or {@link #stop}. It
+ * closes the channel where a write fails. Call from the event loop.
+ */
+final class BodyTransfer {
+
+    /** The least time between two notices of progress, us. */
+    private static final long PROGRESS_INTERVAL_US = 1_000_000;
+
+    /** Long before any time, us, so that the first piece is notified. */
+    private static final long NEVER_US = Long.MIN_VALUE / 2;
+
+    private final StreamedBody body;
+    private final BodyTransferListener listener;
+
+    /** Null where the body could not be sent from its first byte any more. */
+    private final BodyBuffer<ByteBuf>.Reader reader;
+
+    private final TransferMonitor peerMonitor;
+    private Channel channel;
+
+    /** Writes that are not completed. */
+    private int pendingWrites;
+
+    private boolean lastWritten;
+    private long notifiedUs = NEVER_US;
+    private boolean writing;
+    private boolean over;
+
+    BodyTransfer(StreamedBody body, BodyTransferListener listener) {
+        this.body = body;
+        this.listener = listener;
+        this.peerMonitor = body.newMonitor();
+        this.reader = body.newReader(this::bodyChanged);
+    }
+
+    /** Starts on a channel to which the head was written. */
+    void start(Channel to) {
+        channel = to;
+        resume();
+    }
+
+    private void bodyChanged() {
+        if (channel == null) {
+            return;
+        }
+        if (isAborted()) {
+            // Later: the end of another attempt of the same request may have caused the change.
+            channel.eventLoop().execute(this::resume);
+        } else {
+            resume();
+        }
+    }
+
+    private boolean isAborted() {
+        return !lastWritten && (reader == null || !reader.isAttached() || body.isLost());
+    }
+
+    /** Writes what there is, as long as the channel is writable. */
+    void resume() {
+        if (channel == null || over || writing) {
+            return;
+        }
+        if (isAborted()) {
+            stop();
+            listener.transferAborted();
+            return;
+        }
+        writing = true;
+        writePieces();
+        if (!over && !lastWritten && reader.hasReadAll()) {
+            lastWritten = true;
+            channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT)
+                    .addListener(this::lastPieceWritten);
+        }
+        writing = false;
+        peerMonitor.setActive(pendingWrites > 0, StreamedBody.nowUs());
+    }
+
+    private void writePieces() {
+        while (channel.isWritable() && !over) {
+            final ByteBuf piece = reader.next();
+            if (piece == null) {
+                return;
+            }
+            pendingWrites++;
+            final int count = piece.readableBytes();
+            channel.writeAndFlush(new DefaultHttpContent(piece.retainedDuplicate()))
+                    .addListener(write -> pieceWritten(write, count));
+        }
+    }
+
+    private void pieceWritten(Future<? super Void> write, int count) {
+        pendingWrites--;
+        if (over) {
+            return;
+        }
+        if (!write.isSuccess()) {
+            channel.close();
+            return;
+        }
+        peerMonitor.transferred(count, StreamedBody.nowUs());
+        peerMonitor.setActive(pendingWrites > 0, StreamedBody.nowUs());
+        notifyProgress();
+        reader.acknowledge();
+        body.pieceSent();
+        resume();
+    }
+
+    private void lastPieceWritten(Future<? super Void> write) {
+        if (over) {
+            return;
+        }
+        stop();
+        if (write.isSuccess()) {
+            listener.transferCompleted();
+        } else {
+            channel.close();
+        }
+    }
+
+    private void notifyProgress() {
+        final long nowUs = StreamedBody.nowUs();
+        if (nowUs - notifiedUs >= PROGRESS_INTERVAL_US) {
+            notifiedUs = nowUs;
+            listener.transferProgressed();
+        }
+    }
+
+    /**
+     * Gives up a peer that takes too little; else notifies progress where the body's sender is what
+     * it waits for. Called by the sweep, a few times a second.
+     */
+    void checkPeerRate() {
+        if (!over && peerMonitor.isTooSlow(StreamedBody.nowUs())) {
+            body.owner()
+                    .reportTooSlow(String.valueOf(channel.remoteAddress()), "it took too little");
+            stop();
+            listener.peerTooSlow();
+        } else if (!over && channel != null && pendingWrites == 0) {
+            notifyProgress();
+        }
+    }
+
+    /** Writes no more, and notifies no end. Any number of times. */
+    void stop() {
+        if (!over) {
+            over = true;
+            if (reader != null) {
+                reader.detach();
+            }
+            body.transferEnded(this);
+        }
+    }
+}
--- a/src/main/java/cresschute/node/http/WorkerConnectionPool.java
+++ b/src/main/java/cresschute/node/http/WorkerConnectionPool.java
@@ -1,5 +1,8 @@
 package cresschute.node.http;
 
+import cresschute.node.AttemptCall;
+import cresschute.node.AttemptListener;
+import cresschute.node.LoadQueryListener;
 import cresschute.node.PeerFault;
 import cresschute.node.RateLimitedLog;
 import cresschute.node.RequestContent;
@@ -40,7 +43,7 @@
     private final int max;
     private final Bootstrap bootstrap;
     private final Map<InetSocketAddress, Deque<WorkerConnection>> idle = new HashMap<>();
-    private int opened;
+    private int openConnections;
     private long freshUntilNs = System.nanoTime();
 
     /**
@@ -67,7 +70,7 @@
         applySettings(connectTimeoutUs, connIdleUs);
         bootstrap.option(
                 ChannelOption.RECVBUF_ALLOCATOR,
-                longResults ? LongStream.reads() : ReadNow.toTheEnd());
+                longResults ? StreamedBody.boundedReads() : SocketReads.untilEndOfStream());
     }
 
     /**
@@ -94,7 +97,7 @@
     }
 
     @Override
-    public void probe(InetSocketAddress addr, LoadQueryListener listener) {
+    public void queryLoad(InetSocketAddress addr, LoadQueryListener listener) {
         final HttpLoadQuery probe = new HttpLoadQuery(host(addr), listener, faults);
         probe.endWith(loop.schedule(probe::timedOut, PROBE_MS, TimeUnit.MILLISECONDS));
         start(addr, probe);
@@ -112,12 +115,12 @@
                 return;
             }
         }
-        if (opened >= max && !closeOneIdle()) {
+        if (openConnections >= max && !closeOneIdle()) {
             faults.fault(PeerFault.NO_CONNECTION_LEFT, host(addr), "all are in use");
             loop.execute(exchange::broken);
             return;
         }
-        opened++;
+        openConnections++;
         connect(addr, exchange);
     }
 
@@ -138,7 +141,7 @@
         connecting.addListener(
                 done -> {
                     if (!done.isSuccess()) {
-                        opened--;
+                        openConnections--;
                         exchange.broken();
                     } else if (exchange.over || !exchange.mayBegin()) {
                         // Given up before it was up.
@@ -191,7 +194,7 @@
     }
 
     void closed(WorkerConnection connection) {
-        opened--;
+        openConnections--;
         final Deque<WorkerConnection> waiting = idle.get(connection.addr);
         if (waiting != null) {
             waiting.remove(connection);
@@ -203,18 +206,18 @@
 
     /** Bytes on a connection where none are due: it ends, and nothing that they say is heeded. */
     void unasked(InetSocketAddress addr) {
-        faults.fault(PeerFault.BAD_BACKEND_ANSWER, host(addr), "to nothing that was asked");
+        faults.fault(PeerFault.BAD_WORKER_ANSWER, host(addr), "to nothing that was asked");
     }
 
     /** A connection breaking is an outcome and no news; anything else is worth a line. */
     void troubled(InetSocketAddress addr, Throwable cause) {
         if (!(cause instanceof IOException)) {
-            faults.fault(PeerFault.BACKEND_CONNECTION, host(addr), String.valueOf(cause));
+            faults.fault(PeerFault.WORKER_CONNECTION, host(addr), String.valueOf(cause));
         }
     }
 
     /** Connections to workers that are open or coming up. */
-    public int opened() {
-        return opened;
+    public int openConnections() {
+        return openConnections;
     }
 }
--- a/src/test/java/cresschute/node/TestNode.java
+++ b/src/test/java/cresschute/node/TestNode.java
@@ -160,7 +160,7 @@
                                                 : new InetSocketAddress("127.0.0.1", 0),
                                         passed != null,
                                         shared == null ? null : shared.toString()),
-                                read.shape()),
+                                read.fileKeys()),
                         passed,
                         given -> {
                             actions = given;
@@ -242,7 +242,7 @@
                         () -> {
                             action.accept(actions);
                             // Any event makes the loop carry actions out.
-                            server.core().discoveryFailed();
+                            server.lifecycle().discoveryFailed();
                         });
     }
 
@@ -270,7 +270,7 @@
         server.halt();
         worker.close();
         discovery.close();
-        assertThat(server.core().invariant().total()).isZero();
+        assertThat(server.lifecycle().invariant().total()).isZero();
     }
 
     private final class Notes implements DispatcherEvents {
