--- a/src/main/java/cresschute/node/ClassTable.java
+++ b/src/main/java/cresschute/node/ClassTable.java
@@ -8,18 +8,23 @@
 import java.util.Map;
 
 /**
- * The classes of a node since its start, under the numbers by which the module knows them. A class
- * keeps its number for good. One that a new configuration no longer names, or names with another
- * meaning, is retired: requests under way keep it, and no new request is taken for it. A changed
- * one comes back under a new number, so that nothing under way changes its meaning. Pure and
- * immutable.
+ * The request classes of a node since its start, under the numbers by which the dispatcher knows
+ * them. A class keeps its number for good. One that a new configuration no longer names, or defines
+ * otherwise, is retired: requests in flight keep it, and no new request is taken for it. A changed
+ * class gets a new number. Immutable.
  */
 final class ClassTable {
 
-    /** Numbers that a node may give out since its start; each change of a class takes one. */
+    /** Numbers that a node may assign since its start; each change of a class takes one. */
     static final int MAX_CLASSES = 64;
 
-    /** A class under its number. */
+    /**
+     * A class under its number.
+     *
+     * @param name its name
+     * @param requestClass what the dispatcher knows of it
+     * @param live whether new requests may be of it
+     */
     record Entry(String name, RequestClass requestClass, boolean live) {}
 
     private final List<Entry> entries;
@@ -46,10 +51,12 @@
     }
 
     /**
-     * The table under a new configuration's classes: the same class under the same name keeps its
-     * number, a new or changed one is added, and what is not named any more is retired.
+     * The table with a new configuration's classes: an unchanged class keeps its number, a new or
+     * changed one is added, and one that is no longer named is retired.
      *
-     * @throws IllegalArgumentException where more than {@value #MOST} numbers would be given out
+     * @param names the names of the new classes
+     * @param classes the new classes, in the same order
+     * @throws IllegalArgumentException if more than {@value #MAX_CLASSES} numbers would be assigned
      *     since the start, or a name comes twice
      */
     ClassTable updatedWith(List<String> names, List<RequestClass> classes) {
@@ -85,8 +92,11 @@
     }
 
     /**
-     * What the module is told: the new settings with these classes, and the zones and kinds of
-     * before, which only a start changes.
+     * The settings that the dispatcher is notified of: the new ones with the classes of this table,
+     * and with the zones and kinds from before, which only a restart changes.
+     *
+     * @param next the settings of the new configuration
+     * @param before the settings in force
      */
     DispatchSettings settingsFor(DispatchSettings next, DispatchSettings before) {
         return new DispatchSettings(
@@ -115,15 +125,12 @@
                 next.closeOnDrainWithinUs());
     }
 
-    /** Every class by its number, retired ones too: what the module is told. */
+    /** Every class by its number, retired ones included. */
     List<RequestClass> classes() {
         return entries.stream().map(Entry::requestClass).toList();
     }
 
-    /**
-     * Every class's name by its number, retired ones too: for what the log says of requests under
-     * way.
-     */
+    /** The name of every class by its number, retired ones included. */
     List<String> names() {
         return entries.stream().map(Entry::name).toList();
     }
@@ -133,19 +140,21 @@
         return live;
     }
 
-    /** How many numbers are given out. */
+    /** How many numbers are assigned. */
     int size() {
         return entries.size();
     }
 
-    /** Whether another table means the same. */
+    /** Whether another table has the same entries. */
     boolean isSameAs(ClassTable other) {
         return entries.equals(other.entries);
     }
 
     /**
-     * The names of the classes that are new here and retired here, against an older table, for the
-     * log.
+     * The classes that are new, changed and retired here.
+     *
+     * @param before an earlier table of this node
+     * @return their names, for the log; empty if there are none
      */
     String changesFrom(ClassTable before) {
         final List<String> added = new ArrayList<>();
--- a/src/main/java/cresschute/node/Clock.java
+++ b/src/main/java/cresschute/node/Clock.java
@@ -1,13 +1,13 @@
 package cresschute.node;
 
 /**
- * The module's clock: Unix time, us, as it was at the start, run on by a clock that never goes
- * back.
+ * The dispatcher's clock: Unix time as it was at the start, run on by a clock that never goes back.
+ * Any thread.
  */
 @FunctionalInterface
 public interface Clock {
 
-    /** Time now, us. */
+    /** The time now, microseconds. */
     long nowUs();
 
     /** A clock that starts at the system's Unix time, so that discovery's times need no shift. */
--- a/src/main/java/cresschute/node/ConfigException.java
+++ b/src/main/java/cresschute/node/ConfigException.java
@@ -5,6 +5,11 @@
 
     private static final long serialVersionUID = 1L;
 
+    /**
+     * A configuration that cannot be used.
+     *
+     * @param message one line that names what is wrong
+     */
     public ConfigException(String message) {
         super(message);
     }
--- a/src/main/java/cresschute/node/ConfigKeys.java
+++ b/src/main/java/cresschute/node/ConfigKeys.java
@@ -11,8 +11,8 @@
 
 /**
  * The keys that a configuration file holds. The platform writes every file of a node in one form,
- * so a file read again that lacks a key of the first one is cut or broken, even where a default
- * would stand in for the key: it is refused rather than half taken. Pure.
+ * so a file that is read again and lacks a key of the first one is cut or broken, even where the
+ * key has a default: it is refused. Immutable.
  *
  * @param keys the paths of all keys, objects followed down and arrays taken whole
  * @param classes the keys of each class, in the order of the file
@@ -20,7 +20,7 @@
  */
 record ConfigKeys(Set<String> keys, List<Set<String>> classes, List<String> names) {
 
-    /** Of what is not read from a platform's file: nothing is asked of a file read again. */
+    /** For a configuration that is not read from a platform's file: no keys are required. */
     static final ConfigKeys NONE = new ConfigKeys(Set.of(), List.of(), List.of());
 
     ConfigKeys {
@@ -29,7 +29,7 @@
         names = List.copyOf(names);
     }
 
-    /** The shape of a whole file. */
+    /** The keys of a file. */
     static ConfigKeys of(JsonObject file) {
         final Set<String> keys = new HashSet<>();
         walk("", file, keys);
@@ -42,10 +42,10 @@
                         : null;
         if (listed != null && listed.isJsonArray()) {
             for (final JsonElement each : listed.getAsJsonArray()) {
-                final JsonObject stated =
+                final JsonObject requestClass =
                         each.isJsonObject() ? each.getAsJsonObject() : new JsonObject();
-                classes.add(stated.keySet());
-                final JsonElement name = stated.get("name");
+                classes.add(requestClass.keySet());
+                final JsonElement name = requestClass.get("name");
                 names.add(name != null && name.isJsonPrimitive() ? name.getAsString() : "");
             }
         }
@@ -63,9 +63,11 @@
     }
 
     /**
-     * The keys of this shape that a later file lacks: its own; of a class that is here under the
-     * same name, those that it has here; and of a new class those that every class here has. Each
-     * class's by its number in the later file. Empty where it is whole.
+     * The required keys that a later file lacks: all keys of this one; of a class that this one
+     * names too, its keys here; of a new class, the keys that every class has here.
+     *
+     * @param later the keys of the later file
+     * @return paths, with a class under its index in the later file; empty if it is complete
      */
     List<String> missingIn(ConfigKeys later) {
         final List<String> missing =
--- a/src/main/java/cresschute/node/EndpointList.java
+++ b/src/main/java/cresschute/node/EndpointList.java
@@ -9,13 +9,26 @@
 import java.util.List;
 
 /**
- * One answer of discovery: the whole list or changes to it.
+ * One answer of discovery: the full list, or changes to it. Immutable.
  *
- * @param full whether it holds the whole list
+ * @param version the version of the list after it, or -1 where none is known
+ * @param full whether it is the full list
+ * @param entries the workers that it states
  */
 public record EndpointList(long version, boolean full, List<Endpoint> entries) {
 
-    /** One worker as listed; {@code startedMs} is Unix time, or 0 for long ago. */
+    /**
+     * One worker as listed.
+     *
+     * @param id its name
+     * @param addr where it listens
+     * @param zone the name of its zone
+     * @param kind the name of its kind of machine
+     * @param cell the number of its cell
+     * @param state whether it takes work
+     * @param weight its capacity against others of its kind
+     * @param startedMs when its process started, milliseconds of Unix time; 0 for long ago
+     */
     public record Endpoint(
             String id,
             InetSocketAddress addr,
@@ -26,7 +39,13 @@
             double weight,
             long startedMs) {}
 
-    /** Reads an answer whole; any flaw in it is a {@link JsonParseException}. */
+    /**
+     * Parses an answer.
+     *
+     * @param json the answer
+     * @return the list or the changes
+     * @throws JsonParseException if any part of it is missing or of the wrong form
+     */
     public static EndpointList parse(JsonObject json) {
         final List<Endpoint> entries = new ArrayList<>();
         for (final JsonElement element : Json.array(json, "servers")) {
--- a/src/main/java/cresschute/node/Invariant.java
+++ b/src/main/java/cresschute/node/Invariant.java
@@ -4,17 +4,23 @@
 import java.util.TreeMap;
 
 /**
- * What must hold: asserted in debug builds (java -ea), counted in release builds. Used on the loop
- * only.
+ * Checks what must hold: asserted where assertions are enabled ({@code java -ea}), else counted by
+ * name. Owns the counts. Call from the event loop, save where stated.
  */
 public final class Invariant {
 
     private final Map<String, Long> breaches = new TreeMap<>();
 
-    /** Written on the loop alone; read from other threads as well. */
+    /** Written on the event loop alone; read from other threads as well. */
     private volatile long total;
 
-    /** Tells whether it holds; otherwise the breach is counted under this name. */
+    /**
+     * Checks a condition.
+     *
+     * @param condition what must hold
+     * @param name the name under which a breach is counted
+     * @return the condition
+     */
     public boolean holds(boolean condition, String name) {
         if (!condition) {
             total = total + 1;
@@ -24,11 +30,12 @@
         return condition;
     }
 
-    /** Breaches so far, all names together. */
+    /** Breaches so far, of all names together. Any thread. */
     public long total() {
         return total;
     }
 
+    /** The breaches by name. */
     @Override
     public String toString() {
         return breaches.toString();
--- a/src/main/java/cresschute/node/Json.java
+++ b/src/main/java/cresschute/node/Json.java
@@ -11,12 +11,16 @@
 import java.io.IOException;
 import java.io.StringReader;
 
-/** Strict reading of JSON objects; whatever is wrong with one is a {@link JsonParseException}. */
+/** Strict reading of JSON objects. Stateless; any thread. */
 public final class Json {
 
     private Json() {}
 
-    /** The one object that the text holds. */
+    /**
+     * Parses a text that holds one object.
+     *
+     * @throws JsonParseException if it holds anything else
+     */
     public static JsonObject object(String text) {
         final JsonReader reader = new JsonReader(new StringReader(text));
         reader.setStrictness(Strictness.STRICT);
@@ -31,7 +35,11 @@
         }
     }
 
-    /** A string that must be there. */
+    /**
+     * The string under a name.
+     *
+     * @throws JsonParseException if it is missing or no string
+     */
     public static String string(JsonObject object, String name) {
         final JsonElement element = object.get(name);
         if (element == null
@@ -42,7 +50,11 @@
         return element.getAsString();
     }
 
-    /** A number, or the other value where it is absent. */
+    /**
+     * The number under a name, or the other value if it is absent or null.
+     *
+     * @throws JsonParseException if it is no number
+     */
     public static double number(JsonObject object, String name, double otherwise) {
         final JsonElement element = object.get(name);
         if (element == null || element.isJsonNull()) {
@@ -54,7 +66,11 @@
         return element.getAsDouble();
     }
 
-    /** An object that must be there. */
+    /**
+     * The object under a name.
+     *
+     * @throws JsonParseException if it is missing or no object
+     */
     public static JsonObject child(JsonObject object, String name) {
         final JsonElement element = object.get(name);
         if (element == null || !element.isJsonObject()) {
@@ -63,7 +79,11 @@
         return element.getAsJsonObject();
     }
 
-    /** An array that must be there. */
+    /**
+     * The array under a name.
+     *
+     * @throws JsonParseException if it is missing or no array
+     */
     public static JsonArray array(JsonObject object, String name) {
         final JsonElement element = object.get(name);
         if (element == null || !element.isJsonArray()) {
--- a/src/main/java/cresschute/node/PeerFault.java
+++ b/src/main/java/cresschute/node/PeerFault.java
@@ -2,20 +2,20 @@
 
 import java.util.Locale;
 
-/** Faults with peers, which come in numbers: each kind is counted, and logged once in a while. */
+/** The kinds of faults of clients, workers and discovery that {@link RateLimitedLog} counts. */
 public enum PeerFault {
 
-    /** A call to discovery brought no list. */
+    /** A call to discovery returned no list. */
     DISCOVERY_CALL_FAILED("discovery call failed"),
-    /** A worker answered something that cannot be used. */
+    /** A worker sent something that cannot be used. */
     BAD_WORKER_ANSWER("bad worker answer"),
-    /** A connection to a worker failed otherwise than by breaking. */
+    /** A connection to a worker failed otherwise than by being reset. */
     WORKER_CONNECTION("worker connection"),
-    /** A connection from a client did. */
+    /** A connection from a client failed otherwise than by being reset. */
     CLIENT_CONNECTION("client connection"),
-    /** There was no room for a long body. */
+    /** There was no capacity for a long body. */
     BODY_CAPACITY_EXCEEDED("no capacity for a long body"),
-    /** One side of a long body moved too little. */
+    /** One side of a long body was too slow. */
     BODY_TOO_SLOW("a long body was too slow"),
     /** All connections to workers are in use. */
     NO_CONNECTION_LEFT("no connection left");
@@ -26,12 +26,12 @@
         this.text = text;
     }
 
-    /** What the log calls it. */
+    /** The text of its log lines. */
     String text() {
         return text;
     }
 
-    /** The name of its kind of line. */
+    /** The event name of its log lines. */
     String event() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/src/main/java/cresschute/node/RateLimitedLog.java
+++ b/src/main/java/cresschute/node/RateLimitedLog.java
@@ -6,29 +6,39 @@
 import java.util.EnumMap;
 import java.util.Map;
 
-/** Counts faults by kind and logs the first of each kind in an interval, with the count so far. */
+/**
+ * Counts faults by kind and logs the first of each kind in an interval, with the count so far. Owns
+ * the counts. Call from the event loop.
+ */
 public final class RateLimitedLog {
 
+    /** At most one line of a kind in this time, microseconds. */
     private static final long INTERVAL_US = 5_000_000;
 
     private final Logger log;
     private final Clock clock;
-    private final Map<PeerFault, Kind> kinds = new EnumMap<>(PeerFault.class);
+    private final Map<PeerFault, Counter> kinds = new EnumMap<>(PeerFault.class);
 
-    /** Writes to this logger. */
+    /**
+     * Nothing is counted yet.
+     *
+     * @param log where lines are written
+     * @param clock by which intervals are measured
+     */
     public RateLimitedLog(Logger log, Clock clock) {
         this.log = log;
         this.clock = clock;
     }
 
     /**
-     * Counts one fault; its detail is logged unless its kind was logged a short while ago. On the
-     * loop.
+     * Counts one fault, and logs it unless its kind was logged within the interval.
      *
+     * @param kind the kind of fault
      * @param peer the address of the other side, or null where there is none
+     * @param detail what was seen
      */
     public void fault(PeerFault kind, String peer, String detail) {
-        final Kind counted = kinds.computeIfAbsent(kind, unseen -> new Kind());
+        final Counter counted = kinds.computeIfAbsent(kind, unseen -> new Counter());
         counted.count++;
         final long nowUs = clock.nowUs();
         if (counted.count == 1 || nowUs - counted.loggedUs >= INTERVAL_US) {
@@ -48,7 +58,7 @@
         }
     }
 
-    private static final class Kind {
+    private static final class Counter {
         private long count;
         private long loggedUs;
     }
--- a/src/main/java/cresschute/node/ReloadSignal.java
+++ b/src/main/java/cresschute/node/ReloadSignal.java
@@ -4,19 +4,20 @@
 import java.lang.reflect.Proxy;
 
 /**
- * SIGHUP, heard through the JVM's own signal handling. That is reached by reflection, for javac
- * warns of its direct use in a way that cannot be suppressed, and here a warning ends the build.
+ * Handles SIGHUP by the JVM's own signal handling, which is reached by reflection: javac warns of
+ * its direct use in a way that cannot be suppressed, and a warning fails the build. Stateless.
  */
 public final class ReloadSignal {
 
     private ReloadSignal() {}
 
     /**
-     * Calls this, on a thread of the JVM, whenever the signal comes; by its default action it would
-     * end the process. A process that was started with the signal ignored, as {@code nohup} starts
-     * it, never gets it: the JVM leaves that as it is.
+     * Replaces the default action of the signal, which ends the process. A process that was started
+     * with the signal ignored, as {@code nohup} starts it, never receives it.
      *
+     * @param call runs on a thread of the JVM at each signal
      * @return whether the signal is received; false where the process ignores it
+     * @throws IllegalStateException if the JVM does not pass on the signal
      */
     public static boolean onEach(Runnable call) {
         try {
--- a/src/main/java/cresschute/node/RequestBody.java
+++ b/src/main/java/cresschute/node/RequestBody.java
@@ -1,12 +1,9 @@
 package cresschute.node;
 
-/**
- * A request's body that is passed on as it arrives, as far as the core must know of it. On the
- * loop.
- */
+/** A request's body that is passed on as it arrives. Call from the event loop. */
 @FunctionalInterface
 public interface RequestBody {
 
-    /** Whether an attempt could still begin at its first byte. */
+    /** Whether an attempt can still begin at the first byte. */
     boolean isReplayable();
 }
--- a/src/main/java/cresschute/node/RequestListener.java
+++ b/src/main/java/cresschute/node/RequestListener.java
@@ -7,20 +7,24 @@
 import java.util.List;
 
 /**
- * Hears what passes through the core, and may lay drains over the list before the module hears it.
- * It never chooses, answers or sends. All calls are on the loop, at the loop's clock in
- * microseconds.
+ * Follows requests, attempts and the endpoint list, and may lay drains over the list before the
+ * dispatcher is notified of it. It never selects a worker, answers or sends. All calls are on the
+ * event loop; all times are microseconds of the dispatcher's clock.
  */
 interface RequestListener {
 
-    /** Nobody: what a node has that no console can connect to. */
+    /** Follows nothing: for a node without operators' services. */
     RequestListener NONE = new RequestListener() {};
 
-    /** How a request was answered. */
+    /** How a request ended. */
     enum Answer {
+        /** With a worker's result. */
         SERVED("served"),
+        /** With a local reply; a retry does no harm. */
         REJECTED("refused"),
+        /** As failed; it may have run. */
         FAILED("failed"),
+        /** Without an answer, as its client left. */
         LEFT("left");
 
         private final String wireName;
@@ -29,57 +33,75 @@
             this.wireName = wireName;
         }
 
-        /** The word in the log. */
+        /** The word for it in the log. */
         public String wireName() {
             return wireName;
         }
     }
 
-    /** What becomes of one attempt. */
+    /** Follows one attempt. Called on the event loop. */
     interface AttemptObserver {
 
-        /** Of no interest. */
+        /** Follows nothing. */
         AttemptObserver NONE = new AttemptObserver() {};
 
-        /** Its start or its progress was told. */
+        /** The worker has reported the job's start or progress. */
         default void progressed(long nowUs) {}
 
-        /** Its end, once. */
+        /** The attempt has ended; called once. */
         default void ended(long nowUs, Outcome outcome, LoadReport report) {}
 
-        /** How long its job has run; from its send on where no start was told. */
+        /**
+         * How long the job has run.
+         *
+         * @return microseconds since its start, or since the attempt's if no start was reported
+         */
         default long ranUs(long nowUs) {
             return 0;
         }
     }
 
-    /** The state that the module is to hear of a worker; never a better one than the list's. */
+    /**
+     * The state of a worker that the dispatcher is notified of.
+     *
+     * @param worker discovery's name of the worker
+     * @param listed its state as listed
+     * @return the same state, or one in which it takes less work; never more
+     */
     default WorkerState effectiveState(String worker, WorkerState listed) {
         return listed;
     }
 
     /**
-     * The roster has taken in a list or a change, perhaps an empty one; these have been told anew
-     * by it.
+     * The registry has taken in a list or a change.
+     *
+     * @param workers the workers that it states; all of them for a full list; perhaps none
      */
-    default void endpointListChanged(long nowUs, List<Worker> told) {}
+    default void endpointListChanged(long nowUs, List<Worker> workers) {}
 
     /** A request was taken. */
     default void requestTaken(long nowUs, int requestClass) {}
 
     /**
-     * A request was answered or left, once.
+     * A request was answered, or its client left; called once for each.
      *
+     * @param answer how it ended
+     * @param attempts how many attempts it had
+     * @param waitedUs how long its client waited
      * @param ranUs how long the job ran that served it, or 0
      */
     default void requestEnded(
             long nowUs, int requestClass, Answer answer, int attempts, long waitedUs, long ranUs) {}
 
-    /** An attempt goes out. */
+    /**
+     * An attempt starts.
+     *
+     * @return follows it
+     */
     default AttemptObserver attemptStarted(long nowUs, int worker, int requestClass) {
         return AttemptObserver.NONE;
     }
 
-    /** A probe came back. */
+    /** A load query has ended. */
     default void loadReported(long nowUs, int worker, LoadReport report) {}
 }
--- a/src/main/java/cresschute/node/ResponseListener.java
+++ b/src/main/java/cresschute/node/ResponseListener.java
@@ -1,44 +1,51 @@
 package cresschute.node;
 
 /**
- * The client's side of a request, kept by the front that took it: exactly one of these is called,
- * once.
+ * The client's side of a request, implemented by the front that took it. Exactly one of {@link
+ * #served}, {@link #localReply}, {@link #failed} and {@link #resultBegins} answers it, unless the
+ * client leaves. All calls are on the event loop.
  */
 public interface ResponseListener {
 
     /**
-     * Whether its connection has ended, also where that is yet to be read or told: nobody waits any
-     * more. Asked right before each attempt begins; it may read the connection, so not from within
-     * that one's own reading.
+     * Whether the client's connection has ended, also where its end is yet to be read: nobody waits
+     * for an answer any more. Asked right before each attempt begins. It may read the connection,
+     * so it is not to be called from within the connection's own reading.
      */
     default boolean hasLeft() {
         return false;
     }
 
     /**
-     * For how long nothing of what it sends has been read, as there was no room, us; 0 while it is
-     * read. Its leaving is not seen then: what stands before its end in the connection holds that
-     * up.
+     * For how long reading the client has been paused for lack of capacity. Its leaving is not seen
+     * meanwhile, as unread bytes precede the end of its connection.
+     *
+     * @return microseconds, 0 while it is read
      */
     default long readPausedUs() {
         return 0;
     }
 
-    /** Served with the result that a worker made for it. */
+    /** Served with a worker's result. */
     void served(String result);
 
     /**
-     * Its answer begins: a result that a worker goes on making. One of the others follows only
-     * where it breaks, as {@link #failed}. Null where no long result is expected.
+     * The answer begins with a result that a worker is still producing. {@link #failed} follows if
+     * it breaks, else nothing.
      *
-     * @param type what the worker calls its content, or null
-     * @param length its bytes, or -1 where that is not known
+     * @param type the content type that the worker states, or null
+     * @param length its length in bytes, or -1 if unknown
+     * @return takes the end of the result; null if no long result is allowed
      */
     ResultStream resultBegins(String type, long length);
 
-    /** A local reply: refused, a retry does no harm. Advice of 0 is none. */
+    /**
+     * Rejected by the node itself: a retry does no harm.
+     *
+     * @param retryAfterUs when to retry, microseconds from now; 0 for no advice
+     */
     void localReply(long retryAfterUs);
 
-    /** Failed: it may or may not have run. */
+    /** Failed: it may have run. */
     void failed();
 }
--- a/src/main/java/cresschute/node/ResultStream.java
+++ b/src/main/java/cresschute/node/ResultStream.java
@@ -1,12 +1,16 @@
 package cresschute.node;
 
-/** A long result on its way to the client of its request. On the loop. */
+/** A long result on its way to the client of its request. Call from the event loop. */
 @FunctionalInterface
 public interface ResultStream {
 
-    /** For a result whose client is gone. */
-    ResultStream DISCARDING = whole -> {};
+    /** For a result whose client has left. */
+    ResultStream DISCARDING = complete -> {};
 
-    /** No more comes: it is whole, or it must not look so to the client. */
-    void finish(boolean whole);
+    /**
+     * Nothing more follows.
+     *
+     * @param complete whether the client has all of it; if not, its answer must not look complete
+     */
+    void finish(boolean complete);
 }
--- a/src/main/java/cresschute/node/SettingsFlattener.java
+++ b/src/main/java/cresschute/node/SettingsFlattener.java
@@ -6,13 +6,22 @@
 import java.util.Map;
 import java.util.StringJoiner;
 
-/** Flattens nested settings to the path=value lines that the settings parser reads. */
+/**
+ * Flattens the nested settings of a configuration file to the {@code path=value} lines that {@link
+ * cresschute.simulator.SettingsParser} parses. An instance holds the lines of one call; any thread.
+ */
 public final class SettingsFlattener {
 
     private final StringBuilder lines = new StringBuilder();
 
     private SettingsFlattener() {}
 
+    /**
+     * Flattens settings.
+     *
+     * @param settings the settings object of a configuration file
+     * @return a line for each value, in the order of the object
+     */
     static String flatten(JsonObject settings) {
         final SettingsFlattener flat = new SettingsFlattener();
         flat.object("", settings);
@@ -36,8 +45,8 @@
     }
 
     /**
-     * Plain values are joined with commas; of objects the count is told and each has its number as
-     * a key.
+     * Plain values are joined by commas. An array of objects becomes its count, and each object the
+     * lines under its index.
      */
     private void array(String path, JsonArray array) {
         if (array.isEmpty() || array.get(0).isJsonPrimitive()) {
@@ -61,8 +70,11 @@
     }
 
     /**
-     * A value as the lines have it. Guards against values that would read as two: they know no
-     * quoting.
+     * A value as it stands in a line. Lines know no quoting, so blanks and commas, which would make
+     * two values of one, become underscores.
+     *
+     * @param value any text
+     * @return the word for it
      */
     public static String word(String value) {
         return value.replaceAll("[\\s,]", "_");
--- a/src/main/java/cresschute/node/StayingLogManager.java
+++ b/src/main/java/cresschute/node/StayingLogManager.java
@@ -3,13 +3,14 @@
 import java.util.logging.LogManager;
 
 /**
- * Keeps the log open while the program stops. Guards against losing the lines of a planned restart.
+ * A log manager whose handlers stay open until the process ends, so that the lines of a graceful
+ * shutdown are written. Named by {@code java.util.logging.manager} on the command line.
  */
 public final class StayingLogManager extends LogManager {
 
-    /** Would close all handlers, and is called at the very beginning of an exit. */
+    /** Does nothing: the JVM calls this as shutdown begins, and it would close all handlers. */
     @Override
     public void reset() {
-        // Handlers end with the process.
+        // Handlers are closed with the process.
     }
 }
