--- a/src/main/java/cresschute/node/EndpointList.java
+++ b/src/main/java/cresschute/node/EndpointList.java
@@ -26,7 +26,7 @@
      * @param kind the name of its kind of machine
      * @param cell the number of its cell
      * @param state whether it takes work
-     * @param weight its capacity against others of its kind
+     * @param weight its weight against other workers
      * @param startedMs when its process started, milliseconds of Unix time; 0 for long ago
      */
     public record Endpoint(
--- a/src/main/java/cresschute/node/NodeConfig.java
+++ b/src/main/java/cresschute/node/NodeConfig.java
@@ -11,23 +11,27 @@
 import java.util.Objects;
 
 /**
- * All that a node is told at its start.
+ * The configuration of a node: from the platform's file and environment, by {@link
+ * NodeConfigParser}, or from a settings script. Immutable.
  *
- * @param settings what the module reads
+ * @param name the name of the node
+ * @param listen where clients connect
+ * @param discovery where discovery listens, or null where the known list is fixed
+ * @param seed the seed of all random choices
+ * @param settings the dispatcher's settings
  * @param classes the classes' names, in the order of the settings
  * @param zones zone names, in the order of the settings
  * @param kinds names of the machine kinds, in the order of the settings
- * @param connectTimeoutUs the longest that a connection to a worker may take to come up
- * @param connIdleUs when a worker closes an idle connection
+ * @param connectTimeoutUs how long a connection to a worker may take to come up, microseconds
+ * @param connIdleUs after which workers close an idle connection, microseconds
  * @param sockets file descriptors that the process may hold
- * @param discovery where discovery listens, or null where the known list is fixed
- * @param known the list as this node last had it; it may be old
+ * @param known the endpoint list as this node last knew it; it may be outdated
  * @param controlSocket the file of the socket for consoles, or null
  * @param stateFolder the folder for what outlives the process, or null
- * @param bodies the room for long bodies, or null where there are none
- * @param operators where the platform's operators call, and what an upgrade hands over
- * @param fileKeys the keys of the platform's file, which a file read again must have too
- * @param peers the other dispatchers to exchange counts with, or null where this node talks to none
+ * @param bodies the capacity for long bodies, or null where there are none
+ * @param operators what the platform gives the node for its operators and for upgrades
+ * @param fileKeys the keys of the platform's file, which a file that is read again must have too
+ * @param peers the dispatchers to exchange workers' load with, or null
  */
 public record NodeConfig(
         String name,
@@ -49,7 +53,7 @@
         ConfigKeys fileKeys,
         Peers peers) {
 
-    /** A node that exchanges nothing with other dispatchers. */
+    /** A node without peers. */
     public NodeConfig(
             String name,
             InetSocketAddress listen,
@@ -67,7 +71,7 @@
             String stateFolder,
             Bodies bodies,
             OperatorSettings operators,
-            ConfigKeys shape) {
+            ConfigKeys fileKeys) {
         this(
                 name,
                 listen,
@@ -85,11 +89,11 @@
                 stateFolder,
                 bodies,
                 operators,
-                shape,
+                fileKeys,
                 null);
     }
 
-    /** A node without the platform's operators. */
+    /** A node without peers and without the platform. */
     public NodeConfig(
             String name,
             InetSocketAddress listen,
@@ -126,12 +130,22 @@
                 ConfigKeys.NONE);
     }
 
-    /** The keys of this node's first file that a file read again lacks; empty where it is whole. */
+    /**
+     * The keys of this configuration's file that a file that is read again lacks.
+     *
+     * @param later the configuration of the later file
+     * @return their paths; empty if it is complete
+     */
     public List<String> missingIn(NodeConfig later) {
         return fileKeys.missingIn(later.fileKeys);
     }
 
-    /** What a settings script states, with the seed to use. */
+    /**
+     * The configuration that a settings script states.
+     *
+     * @param settings the settings
+     * @param seed the seed of all random choices
+     */
     public static NodeConfig of(ApplianceSettings settings, long seed) {
         final List<EndpointList.Endpoint> workers =
                 settings.workers().stream()
@@ -170,15 +184,12 @@
                 settings.peers());
     }
 
-    /**
-     * Whether the platform runs this node, and ends it by its protocol; an appliance has no time to
-     * end.
-     */
+    /** Whether the platform runs this node and kills it some time after SIGTERM. */
     boolean isOfThePlatform() {
         return fileKeys != ConfigKeys.NONE;
     }
 
-    /** Whether there is anything for an operator: without it, none of that is so much as loaded. */
+    /** Whether consoles can connect, or drains are stored. */
     boolean hasControlService() {
         return controlSocket != null || stateFolder != null;
     }
@@ -189,15 +200,16 @@
     }
 
     /**
-     * The parts in which another configuration differs and that a running node cannot take over.
+     * The parts that differ in a new configuration and that only a restart puts in force. Classes,
+     * the dispatcher's settings and the times of connections are not among them.
+     *
+     * @param next the new configuration
+     * @return words for the parts, for the log
      */
     List<String> partsHeldUntilRestart(NodeConfig next) {
         final List<String> changed = new ArrayList<>();
         note(changed, "name", name.equals(next.name));
         note(changed, "listen", listen.equals(next.listen));
-        // Classes and the module's settings are taken by a running node, where it can; it says so
-        // itself. How
-        // long workers' connections may come up and be idle holds for the next ones.
         note(changed, "limits", sockets == next.sockets);
         note(
                 changed,
--- a/src/main/java/cresschute/node/NodeConfigParser.java
+++ b/src/main/java/cresschute/node/NodeConfigParser.java
@@ -33,7 +33,12 @@
 
     private NodeConfigParser() {}
 
-    /** Reads the environment and the file that it names. */
+    /**
+     * Reads the file that the environment names.
+     *
+     * @param environment the environment of the process
+     * @throws ConfigException if the file or a variable cannot be used
+     */
     public static NodeConfig load(Map<String, String> environment) throws ConfigException {
         final String file = variable(environment, "BALANCER_CONFIG");
         final String text;
@@ -46,8 +51,11 @@
     }
 
     /**
-     * Reads it all anew: the file has changed since the environment was set, so its discovery
-     * counts.
+     * Reads the file again. It has changed since the environment was set, so that its address of
+     * discovery goes before the environment's.
+     *
+     * @param environment the environment of the process
+     * @throws ConfigException if the file or a variable cannot be used
      */
     public static NodeConfig reload(Map<String, String> environment) throws ConfigException {
         final Map<String, String> kept = new HashMap<>(environment);
@@ -55,7 +63,13 @@
         return load(kept);
     }
 
-    /** Reads a configuration; the environment's addresses and name go before the file's. */
+    /**
+     * Parses a configuration.
+     *
+     * @param text the file
+     * @param environment whose addresses and name go before the file's
+     * @throws ConfigException if either cannot be used; the message is one line
+     */
     static NodeConfig parse(String text, Map<String, String> environment) throws ConfigException {
         try {
             final JsonObject json = Json.object(text);
--- a/src/test/java/cresschute/node/RequestLifecycleTest.java
+++ b/src/test/java/cresschute/node/RequestLifecycleTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The core alone, on a loop that is turned by hand. */
+/** The request life cycle alone, on an event loop that is run by hand. */
 class RequestLifecycleTest implements ResponseListener {
 
     private static final Job JOB = new Job(0, 0, 1, 0, 0, false);
@@ -27,16 +27,16 @@
             new RequestContent("r1", "/check", null, new byte[0]);
 
     private final EmbeddedChannel loop = new EmbeddedChannel();
-    private final List<String> heard = new ArrayList<>();
+    private final List<String> events = new ArrayList<>();
     private final List<AttemptListener> attempts = new ArrayList<>();
     private final List<Integer> givenUp = new ArrayList<>();
     private long nowUs = 1_000_000;
-    private boolean moduleThrows;
-    private int copies = 1;
+    private boolean dispatcherThrows;
+    private int sendsPerRequest = 1;
     private boolean connectionsThrow;
     private long readPausedUs;
     private DispatcherActions actions;
-    private RequestLifecycle core;
+    private RequestLifecycle lifecycle;
 
     @BeforeEach
     void start() throws Exception {
@@ -50,7 +50,7 @@
                             Map.of());
         }
         loop.freezeTime();
-        core =
+        lifecycle =
                 new RequestLifecycle(
                         config,
                         loop.eventLoop(),
@@ -58,9 +58,9 @@
                         new RateLimitedLog(System.getLogger("test"), () -> nowUs),
                         given -> {
                             actions = given;
-                            return module();
+                            return dispatcher();
                         });
-        core.start(
+        lifecycle.start(
                 new WorkerClient() {
                     @Override
                     public AttemptCall attempt(
@@ -80,41 +80,41 @@
 
                     @Override
                     public void queryLoad(InetSocketAddress addr, LoadQueryListener listener) {
-                        heard.add("probe");
+                        events.add("probe");
                     }
 
                     @Override
                     public void closeIdle(InetSocketAddress addr) {
-                        heard.add("closeIdle");
+                        events.add("closeIdle");
                     }
                 },
-                () -> heard.add("watch"),
+                () -> events.add("watch"),
                 config.known());
         turn();
-        heard.clear();
+        events.clear();
     }
 
     /**
-     * Notes calls by name, request and outcome; sends each request, and again whatever ended
-     * unserved.
+     * A dispatcher that records its events; it sends each request, and again what a worker rejected
+     * as full.
      */
-    private DispatcherEvents module() {
+    private DispatcherEvents dispatcher() {
         return (DispatcherEvents)
                 Proxy.newProxyInstance(
                         getClass().getClassLoader(),
                         new Class<?>[] {DispatcherEvents.class},
                         (proxy, method, args) -> {
-                            if (moduleThrows) {
-                                throw new IllegalStateException("the module is broken");
+                            if (dispatcherThrows) {
+                                throw new IllegalStateException("the dispatcher is broken");
                             }
                             final boolean end = method.getName().equals("attemptEnded");
-                            heard.add(
+                            events.add(
                                     method.getName()
                                             + (end
                                                     ? " " + args[2] + " " + args[4] + " " + args[6]
                                                     : ""));
                             if (method.getName().equals("requestArrived")) {
-                                for (int copy = 0; copy < copies; copy++) {
+                                for (int send = 0; send < sendsPerRequest; send++) {
                                     actions.send((Integer) args[1], 0, Long.MAX_VALUE);
                                 }
                             } else if (end && args[4] == Outcome.FULL) {
@@ -136,7 +136,7 @@
     }
 
     private ClientRequest take() {
-        final ClientRequest request = core.take(CONTENT, JOB, 100_000, this);
+        final ClientRequest request = lifecycle.take(CONTENT, JOB, 100_000, this);
         turn();
         return request;
     }
@@ -148,46 +148,46 @@
 
     @Override
     public ResultStream resultBegins(String type, long length) {
-        heard.add("streams " + type + " " + length);
-        return whole -> heard.add(whole ? "whole" : "broken");
+        events.add("streams " + type + " " + length);
+        return whole -> events.add(whole ? "whole" : "broken");
     }
 
     @Override
     public void served(String result) {
-        heard.add("served " + result);
+        events.add("served " + result);
     }
 
     @Override
     public void localReply(long retryAfterUs) {
-        heard.add("refused " + retryAfterUs);
+        events.add("refused " + retryAfterUs);
     }
 
     @Override
     public void failed() {
-        heard.add("failed");
+        events.add("failed");
     }
 
     @Test
-    void handsOverAllThatIsReadyBeforeItActs() {
-        core.take(CONTENT, JOB, 100_000, this);
-        core.discoveryFailed();
-        assertThat(heard).isEmpty();
+    void reportsAllEventsBeforeItActs() {
+        lifecycle.take(CONTENT, JOB, 100_000, this);
+        lifecycle.discoveryFailed();
+        assertThat(events).isEmpty();
         turn();
-        assertThat(heard).containsExactly("requestArrived", "endpointListChanged");
+        assertThat(events).containsExactly("requestArrived", "endpointListChanged");
         assertThat(attempts).hasSize(1);
     }
 
     /**
-     * Once, the request was forgotten before the module heard of it, and the unsent second send got
-     * number 0.
+     * Once, the request was forgotten before the module events of it, and the unsent second send
+     * got number 0.
      */
     @Test
-    void numbersTheSendThatCrossesAClientsLeaving() {
+    void numbersASendThatCrossesTheClientsLeaving() {
         final ClientRequest request = take();
         attempts.get(0).ended(Outcome.FULL, LoadReport.NONE, null);
-        core.clientLeft(request);
+        lifecycle.clientLeft(request);
         turn();
-        assertThat(heard)
+        assertThat(events)
                 .containsExactly(
                         "requestArrived",
                         "attemptEnded 0 FULL true",
@@ -200,82 +200,80 @@
     void givesUpAttemptInTimeForTheAnswer() {
         take();
         pass(100_000 - RequestLifecycle.ANSWER_MARGIN_US);
-        assertThat(heard).containsExactly("requestArrived", "attemptEnded 0 TIMED_OUT false");
+        assertThat(events).containsExactly("requestArrived", "attemptEnded 0 TIMED_OUT false");
     }
 
     @Test
-    void answersServedAtOnceAndOnce() {
+    void answersServedAtOnceAndOnlyOnce() {
         take();
         attempts.get(0).ended(Outcome.SERVED, LoadReport.NONE, "yes");
         actions.fail(1);
         turn();
-        assertThat(heard)
+        assertThat(events)
                 .containsExactly("requestArrived", "served yes", "attemptEnded 0 SERVED true");
-        assertThat(core.unanswered()).isZero();
+        assertThat(lifecycle.unanswered()).isZero();
     }
 
-    /**
-     * zone+vast: a copy that waited in a queue ran on there for nobody once the other had answered.
-     */
+    /** The others may wait in their workers' queues; their end is no failure of the workers. */
     @Test
-    void givesUpTheOtherCopiesOnceOneServesWithoutBlame() {
-        copies = 3;
+    void cancelsTheOtherAttemptsOnceOneServes() {
+        sendsPerRequest = 3;
         take();
         assertThat(attempts).hasSize(3);
         attempts.get(1).ended(Outcome.SERVED, LoadReport.NONE, "yes");
         turn();
         assertThat(givenUp).containsExactlyInAnyOrder(0, 2);
-        assertThat(heard)
+        assertThat(events)
                 .containsOnlyOnce("served yes")
                 .contains(
                         "attemptEnded 1 SERVED true",
                         "attemptEnded 0 CANCELLED true",
                         "attemptEnded 2 CANCELLED true");
-        assertThat(core.unanswered()).isZero();
+        assertThat(lifecycle.unanswered()).isZero();
     }
 
-    /** A hedge went out however long its client had not been read. */
+    /** Its client may have left unseen. */
     @Test
     void beginsNoHedgeWhileItsClientIsNotRead() {
         take();
         readPausedUs = RequestLifecycle.MAX_READ_PAUSE_US + 1;
         actions.send(1, 0, Long.MAX_VALUE);
-        core.discoveryFailed();
+        lifecycle.discoveryFailed();
         turn();
         assertThat(attempts).hasSize(1);
-        assertThat(heard)
+        assertThat(events)
                 .containsExactly(
                         "requestArrived", "endpointListChanged", "attemptEnded 1 CANCELLED false");
         attempts.get(0).ended(Outcome.SERVED, LoadReport.NONE, "yes");
-        assertThat(heard).contains("served yes");
+        assertThat(events).contains("served yes");
     }
 
     @Test
     void beginsNoHedgeOnANewConnectionWhileItsClientIsNotRead() {
-        copies = 2;
+        sendsPerRequest = 2;
         take();
         assertThat(attempts.get(1).mayBegin()).isTrue();
         readPausedUs = RequestLifecycle.MAX_READ_PAUSE_US + 1;
         assertThat(attempts.get(1).mayBegin()).isFalse();
         turn();
         assertThat(givenUp).containsExactly(1);
-        assertThat(heard).containsExactly("requestArrived", "attemptEnded 1 CANCELLED false");
+        assertThat(events).containsExactly("requestArrived", "attemptEnded 1 CANCELLED false");
     }
 
     @Test
-    void failsRequestThatTheModuleForgets() {
+    void failsRequestThatTheDispatcherForgets() {
         take();
         pass(100_000 + RequestLifecycle.OVERDUE_US);
-        assertThat(heard).containsOnlyOnce("failed").containsSubsequence("failed", "clientLeft");
-        assertThat(core.invariant().total()).isPositive();
+        assertThat(events).containsOnlyOnce("failed").containsSubsequence("failed", "clientLeft");
+        assertThat(lifecycle.invariant().total()).isPositive();
     }
 
     @Test
-    void failsRequestOnWhichTheModuleThrows() {
-        moduleThrows = true;
+    void failsRequestOnWhichTheDispatcherThrows() {
+        dispatcherThrows = true;
         assertThatThrownBy(this::take).hasMessageContaining("module failed");
-        assertThat(heard).containsExactly("failed");
-        assertThat(core.unanswered()).isZero();
+        assertThat(events).containsExactly("failed");
+        assertThat(lifecycle.unanswered()).isZero();
     }
 
     @Test
@@ -283,7 +281,7 @@
         connectionsThrow = true;
         take();
         turn();
-        assertThat(heard).containsExactly("requestArrived", "attemptEnded 0 CONNECT_FAILED false");
+        assertThat(events).containsExactly("requestArrived", "attemptEnded 0 CONNECT_FAILED false");
     }
 
     @Test
@@ -298,15 +296,15 @@
     @Test
     void keyedRequestBindsItsCellWhileItIsOpen() {
         take();
-        assertThat(core.boundCells()).isEmpty();
-        core.take(
+        assertThat(lifecycle.boundCells()).isEmpty();
+        lifecycle.take(
                 new RequestContent("r2", "/file", "key", new byte[0]),
                 new Job(1, 0, 1, 0, 0, false),
                 100_000,
                 this);
         turn();
-        assertThat(core.boundCells()).containsExactly(0);
+        assertThat(lifecycle.boundCells()).containsExactly(0);
         attempts.get(1).ended(Outcome.SERVED, LoadReport.NONE, "yes");
-        assertThat(core.boundCells()).isEmpty();
+        assertThat(lifecycle.boundCells()).isEmpty();
     }
 }
