--- a/src/test/java/cresschute/node/IdleLifecycle.java
+++ b/src/test/java/cresschute/node/IdleLifecycle.java
@@ -65,7 +65,7 @@
 
     private static NodeConfig config() throws IOException, ConfigException {
         try (ServerSocket free = Peer.listen()) {
-            return NodeConfig.parse(
+            return NodeConfigParser.parse(
                     TestNode.config(
                             free,
                             TestNode.list(
