--- a/src/main/java/cresschute/capacity/package-info.java
+++ b/src/main/java/cresschute/capacity/package-info.java
@@ -1,8 +1,12 @@
 /**
- * The arithmetic of the capacity page: measurements, linear fits with their confidence, limits,
- * planned sizes and the tables of {@code docs/CAPACITY.md}.
+ * Estimates what an installation of the planned size costs: reads measurement files, fits a linear
+ * model, and writes the tables of {@code docs/CAPACITY.md}.
  *
- * <p>Pure: it is given rows and returns text. It uses the JDK and a statistics library alone, holds
- * no state between calls, and is known to the command line alone.
+ * <p>State: none; every class is a value or a function of its arguments. Thread: any. Pure: no I/O;
+ * the caller reads and writes the files. Units are part of the measures' names or stated at each
+ * member.
+ *
+ * <p>Uses a statistics library (commons-math) beside the JDK. Used by the command line alone; the
+ * node loads none of it.
  */
 package cresschute.capacity;
