--- a/src/main/java/cresschute/control/Drain.java
+++ b/src/main/java/cresschute/control/Drain.java
@@ -23,4 +23,9 @@
     public boolean hasEnd() {
         return endsAtUs != DrainRegistry.NO_END_US;
     }
+
+    /** The operator's name, with the reason after it where one was given. */
+    public String attribution() {
+        return DrainOperation.attribution(operator, reason);
+    }
 }
--- a/src/main/java/cresschute/control/DrainOperation.java
+++ b/src/main/java/cresschute/control/DrainOperation.java
@@ -39,6 +39,10 @@
 
     /** The operator's name, with the reason after it where one was given. */
     public String attribution() {
+        return attribution(operator, reason);
+    }
+
+    static String attribution(String operator, String reason) {
         return operator + (reason.isEmpty() ? "" : ": " + reason);
     }
 }
--- a/src/main/java/cresschute/control/DrainRegistry.java
+++ b/src/main/java/cresschute/control/DrainRegistry.java
@@ -72,10 +72,7 @@
     private OperationOutcome startDrain(DrainOperation operation, FleetView fleet, long nowUs) {
         final Drain inForce = drains.get(operation.worker());
         if (inForce != null) {
-            return OperationOutcome.unchanged(
-                    "drained by "
-                            + inForce.operator()
-                            + (inForce.reason().isEmpty() ? "" : ": " + inForce.reason()));
+            return OperationOutcome.unchanged("drained by " + inForce.attribution());
         }
         final Optional<DrainRejection> rejection = rejectionOf(operation, fleet);
         if (rejection.isPresent()) {
--- a/src/main/java/cresschute/node/ControlRequestHandler.java
+++ b/src/main/java/cresschute/node/ControlRequestHandler.java
@@ -94,32 +94,26 @@
 
     @Override
     public void audit(long session, ControlRequest request) {
-        final String command = request.command().wireName();
-        final Optional<DrainOperation> operation = Optional.ofNullable(request.operation());
         final LogEvent event =
-                LogEvent.of(
-                                "console_asked",
-                                "console "
-                                        + session
-                                        + " asks: "
-                                        + command
-                                        + operation
-                                                .map(
-                                                        each ->
-                                                                " "
-                                                                        + each.worker()
-                                                                        + " by "
-                                                                        + each.operator())
-                                                .orElse(""))
+                LogEvent.of("console_asked", "console " + session + " asks: " + describe(request))
                         .with("session", session)
-                        .with("command", command);
-        operation.ifPresent(
-                each ->
-                        event.with("worker", each.worker())
-                                .with("operation", each.id())
-                                .with("operator", each.operator())
-                                .with("reason", each.reason())
-                                .with("forced", each.isForced()));
+                        .with("command", request.command().wireName());
+        final DrainOperation operation = request.operation();
+        if (operation != null) {
+            event.with("worker", operation.worker())
+                    .with("operation", operation.id())
+                    .with("operator", operation.operator())
+                    .with("reason", operation.reason())
+                    .with("forced", operation.isForced());
+        }
         event.log(LOG, Level.INFO);
     }
+
+    private static String describe(ControlRequest request) {
+        final String command = request.command().wireName();
+        final DrainOperation operation = request.operation();
+        return operation == null
+                ? command
+                : command + " " + operation.worker() + " by " + operation.operator();
+    }
 }
--- a/src/main/java/cresschute/node/DurableDrains.java
+++ b/src/main/java/cresschute/node/DurableDrains.java
@@ -152,15 +152,16 @@
         if (folder.isEmpty()) {
             return;
         }
-        final long stored = ++generation;
+        final long snapshotGeneration = ++generation;
         folder.get()
                 .store(
-                        new DrainSnapshot(stored, registry.inForce(), registry.completed()),
+                        new DrainSnapshot(
+                                snapshotGeneration, registry.inForce(), registry.completed()),
                         loop,
                         new SnapshotListener() {
                             @Override
                             public void stored() {
-                                finished(stored, Optional.empty());
+                                finished(snapshotGeneration, Optional.empty());
                             }
 
                             @Override
@@ -170,7 +171,7 @@
                                                 "drains could not be kept: " + failure.getCause())
                                         .with("detail", failure.getCause())
                                         .log(LOG, Level.ERROR);
-                                finished(stored, Optional.of(failure));
+                                finished(snapshotGeneration, Optional.of(failure));
                             }
                         });
     }
@@ -183,10 +184,10 @@
         }
     }
 
-    private void finished(long finished, Optional<NotDurableException> failure) {
-        finishedGeneration = finished;
+    private void finished(long snapshotGeneration, Optional<NotDurableException> failure) {
+        finishedGeneration = snapshotGeneration;
         lastFailure = failure;
-        while (!pending.isEmpty() && pending.peekFirst().generation() <= finished) {
+        while (!pending.isEmpty() && pending.peekFirst().generation() <= snapshotGeneration) {
             final PendingAcknowledgement next = pending.pollFirst();
             next.acknowledgement().acknowledge(next.outcome(), failure);
         }
