--- a/src/main/java/cresschute/capacity/CsvTable.java
+++ b/src/main/java/cresschute/capacity/CsvTable.java
@@ -24,13 +24,14 @@
             this.fields = fields;
         }
 
+        /** An error that names the file and the line of this row. */
         CsvFormatException error(String reason) {
-            return new CsvFormatException(table.file, line, reason);
+            return table.error(line, reason);
         }
 
         /** A field that must not be empty. */
         String text(String column) throws CsvFormatException {
-            final String value = fields[table.columns.indexOf(column)].strip();
+            final String value = fields[table.indexOf(column)].strip();
             if (value.isEmpty()) {
                 throw error(column + " is empty");
             }
@@ -88,12 +89,17 @@
     /**
      * Reads a file's text, which must begin with the version line and these columns in this order.
      */
+    /**
+     * Reads a table.
+     *
+     * @throws CsvFormatException if its version, header or a row is malformed
+     */
     CsvTable(String file, String text, String versionLine, List<String> columns)
             throws CsvFormatException {
         this.file = file;
         this.columns = columns;
         final List<String> lines = text.lines().toList();
-        checkHead(lines, versionLine);
+        checkHeader(lines, versionLine);
         if (!text.endsWith("\n")) {
             throw new CsvFormatException(
                     file, lines.size(), "the file is cut: its last line has no end");
@@ -110,7 +116,7 @@
         }
     }
 
-    private void checkHead(List<String> lines, String versionLine) throws CsvFormatException {
+    private void checkHeader(List<String> lines, String versionLine) throws CsvFormatException {
         if (lines.isEmpty() || !lines.get(0).strip().equals(versionLine)) {
             throw new CsvFormatException(file, 1, "the first line must be '" + versionLine + "'");
         }
@@ -121,6 +127,15 @@
         }
     }
 
+    private CsvFormatException error(int line, String reason) {
+        return new CsvFormatException(file, line, reason);
+    }
+
+    private int indexOf(String column) {
+        return columns.indexOf(column);
+    }
+
+    /** All rows, in the order of their lines. */
     List<Row> rows() {
         return rows;
     }
--- a/src/main/java/cresschute/capacity/Estimate.java
+++ b/src/main/java/cresschute/capacity/Estimate.java
@@ -1,7 +1,7 @@
 package cresschute.capacity;
 
 /**
- * A value reckoned from fits.
+ * A value estimated from fits.
  *
  * @param value the value
  * @param halfWidth half the width of its interval, from those of the base and the slopes, as if
--- a/src/main/java/cresschute/capacity/FaultTable.java
+++ b/src/main/java/cresschute/capacity/FaultTable.java
@@ -12,6 +12,7 @@
 
     private FaultTable() {}
 
+    /** The table as Markdown. */
     static String text(List<FaultMeasurement> faults) {
         final MarkdownTable table =
                 new MarkdownTable(
--- a/src/main/java/cresschute/capacity/FleetModelTable.java
+++ b/src/main/java/cresschute/capacity/FleetModelTable.java
@@ -25,6 +25,7 @@
 
     private FleetModelTable() {}
 
+    /** The table as Markdown. */
     static String text(List<Measurement> measurements) {
         final MarkdownTable table =
                 new MarkdownTable(
--- a/src/main/java/cresschute/capacity/HeldOutTable.java
+++ b/src/main/java/cresschute/capacity/HeldOutTable.java
@@ -5,6 +5,7 @@
 
     private HeldOutTable() {}
 
+    /** The table as Markdown. */
     static String text(CapacityModel model) {
         final MarkdownTable table =
                 new MarkdownTable(
--- a/src/main/java/cresschute/capacity/MarkdownTable.java
+++ b/src/main/java/cresschute/capacity/MarkdownTable.java
@@ -9,12 +9,14 @@
     private final int columns;
     private final List<String> lines = new ArrayList<>();
 
+    /** Creates a table without rows. */
     MarkdownTable(String... header) {
         columns = header.length;
         lines.add(line(List.of(header)));
         lines.add("| --- ".repeat(columns) + "|");
     }
 
+    /** Appends a row; it has as many cells as the header. */
     MarkdownTable row(String... cells) {
         if (cells.length != columns) {
             throw new IllegalArgumentException(cells.length + " cells in a row of " + columns);
--- a/src/main/java/cresschute/capacity/MarkerException.java
+++ b/src/main/java/cresschute/capacity/MarkerException.java
@@ -5,6 +5,7 @@
 
     private static final long serialVersionUID = 1;
 
+    /** Creates it with a message that names the table. */
     MarkerException(String message) {
         super(message);
     }
--- a/src/main/java/cresschute/capacity/MessagesTable.java
+++ b/src/main/java/cresschute/capacity/MessagesTable.java
@@ -14,6 +14,7 @@
         this.model = model;
     }
 
+    /** The table as Markdown. */
     static String text(CapacityModel model) {
         final MessagesTable messages = new MessagesTable(model);
         messages.row(Role.CLIENT, "requests", "ClientListener", "requests_per_second", null);
--- a/src/main/java/cresschute/capacity/PlannedSizeTable.java
+++ b/src/main/java/cresschute/capacity/PlannedSizeTable.java
@@ -7,6 +7,7 @@
 
     private PlannedSizeTable() {}
 
+    /** The table as Markdown. */
     static String text(PlannedSize size) {
         final ControlLimits limits = ControlLimits.OPERATORS;
         return new MarkdownTable("what", "size", "reading", "question")
--- a/src/main/java/cresschute/capacity/RatioTables.java
+++ b/src/main/java/cresschute/capacity/RatioTables.java
@@ -7,6 +7,7 @@
 
     private RatioTables() {}
 
+    /** The table at the planned size as Markdown. */
     static String worst(CapacityModel model) {
         final MarkdownTable table =
                 new MarkdownTable("need/limit", "need", "amount", "limit", "carried by", "source");
@@ -23,6 +24,7 @@
         return table.textOr("");
     }
 
+    /** The table at twice the planned size as Markdown. */
     static String doubled(CapacityModel model) {
         final List<RatioRow> planned = RatioRow.of(model, PlannedSize.OPERATORS);
         final MarkdownTable table =
--- a/src/main/java/cresschute/capacity/RoleTables.java
+++ b/src/main/java/cresschute/capacity/RoleTables.java
@@ -11,6 +11,7 @@
 
     private RoleTables() {}
 
+    /** The table of the costs of a role as Markdown. */
     static String needs(CapacityModel model, Role role) {
         final MarkdownTable table =
                 new MarkdownTable(
@@ -54,6 +55,7 @@
                 .orElse("-");
     }
 
+    /** The table of the fits of a role as Markdown. */
     static String slopes(CapacityModel model, Role role) {
         final MarkdownTable table =
                 new MarkdownTable(
--- a/src/main/java/cresschute/capacity/RunsTable.java
+++ b/src/main/java/cresschute/capacity/RunsTable.java
@@ -11,6 +11,7 @@
 
     private RunsTable() {}
 
+    /** The table as Markdown. */
     static String text(List<Measurement> measurements) {
         final MarkdownTable table =
                 new MarkdownTable(
--- a/src/main/java/cresschute/capacity/StateTable.java
+++ b/src/main/java/cresschute/capacity/StateTable.java
@@ -25,6 +25,7 @@
         this.model = model;
     }
 
+    /** The table as Markdown. */
     static String text(CapacityModel model) {
         final StateTable state = new StateTable(model);
         final PlannedSize size = PlannedSize.OPERATORS;
--- a/src/main/java/cresschute/flow/BodyBuffer.java
+++ b/src/main/java/cresschute/flow/BodyBuffer.java
@@ -14,7 +14,7 @@
  * <p>Life cycle: {@code OPEN}, then {@code COMPLETE} or {@code ABORTED}, and {@code CLOSED} from
  * any of these. Up to the replay limit all of the body is kept, and any number of readers go over
  * it from byte 0, each at its own pace: a retry or a hedged request needs that. Once more is
- * appended, the reader that is furthest goes on alone, the others are detached, and acknowledged
+ * appended, the reader that is furthest continues alone, the others are detached, and acknowledged
  * pieces are released.
  *
  * <p>Pure: pieces are of any type and counted by their cost, in bytes; {@code releaser} is called
@@ -194,7 +194,8 @@
      *
      * @param onChange called whenever there is more to read, no more will come, or the reader was
      *     detached
-     * @return the reader; empty where part of the body is released or another reader goes on alone
+     * @return the reader; empty where part of the body is released or another reader continues
+     *     alone
      */
     public Optional<Reader> openReader(Runnable onChange) {
         if (!canReplay()) {
--- a/src/main/java/cresschute/health/ClassHealth.java
+++ b/src/main/java/cresschute/health/ClassHealth.java
@@ -38,6 +38,7 @@
     private int inFlight;
     private long medianRunTimeUs = NO_MEDIAN;
 
+    /** Creates a class without requests. */
     ClassHealth(int number, LatencyObjective objective) {
         this.number = number;
         this.objective = objective;
@@ -52,6 +53,7 @@
         return number;
     }
 
+    /** A request arrived. */
     void requestArrived(long nowUs) {
         arrived.add(nowUs, 1);
     }
@@ -75,10 +77,12 @@
         }
     }
 
+    /** An attempt of a request was sent. */
     void attemptStarted() {
         inFlight++;
     }
 
+    /** An attempt of a request ended. */
     void attemptEnded() {
         inFlight--;
     }
@@ -123,6 +127,11 @@
                 * (served.sum(nowUs) + rejected.sum(nowUs) + failed.sum(nowUs));
     }
 
+    /**
+     * Its health now.
+     *
+     * @param scratch a histogram that is overwritten
+     */
     ClassHealthSnapshot snapshot(long nowUs, AbstractHistogram scratch) {
         return new ClassHealthSnapshot(
                 (int) arrived.sum(nowUs),
--- a/src/main/java/cresschute/health/ConditionRules.java
+++ b/src/main/java/cresschute/health/ConditionRules.java
@@ -35,6 +35,7 @@
 
     private final HealthThresholds thresholds;
 
+    /** Creates rules with these limits. */
     ConditionRules(HealthThresholds thresholds) {
         this.thresholds = thresholds;
     }
--- a/src/main/java/cresschute/health/ConditionTracker.java
+++ b/src/main/java/cresschute/health/ConditionTracker.java
@@ -33,6 +33,7 @@
         return Optional.ofNullable(condition);
     }
 
+    /** Whether this condition is in force. */
     boolean is(WorkerCondition other) {
         return condition == other;
     }
--- a/src/main/java/cresschute/health/TrackedAttempt.java
+++ b/src/main/java/cresschute/health/TrackedAttempt.java
@@ -19,6 +19,7 @@
     private final long sentUs;
     private long startedUs = NOT_STARTED;
 
+    /** Creates an attempt that was sent at this time, microseconds. */
     TrackedAttempt(WorkerHealth worker, ClassHealth requestClass, long sentUs) {
         this.worker = worker;
         this.requestClass = requestClass;
@@ -56,10 +57,12 @@
         return nowUs - (isStarted() ? startedUs : sentUs);
     }
 
+    /** The class of its request. */
     ClassHealth requestClass() {
         return requestClass;
     }
 
+    /** When it was sent, microseconds. */
     long sentUs() {
         return sentUs;
     }
--- a/src/main/java/cresschute/health/WorkerCondition.java
+++ b/src/main/java/cresschute/health/WorkerCondition.java
@@ -36,6 +36,7 @@
         return this == DRAINING || this == REMOVED;
     }
 
+    /** Whether it is before another one in the order from the best to the worst. */
     boolean isBetterThan(WorkerCondition other) {
         return compareTo(other) < 0;
     }
--- a/src/main/java/cresschute/health/WorkerHealth.java
+++ b/src/main/java/cresschute/health/WorkerHealth.java
@@ -132,14 +132,17 @@
         return condition;
     }
 
+    /** Whether the endpoint list no longer contains it. */
     boolean isRemoved() {
         return listing.state() == WorkerState.GONE;
     }
 
+    /** Whether an operator drains it. */
     boolean isDrainedByOperator() {
         return listing.drainedByOperator();
     }
 
+    /** Whether an operator or the endpoint list drains it. */
     boolean isDraining() {
         return isDrainedByOperator() || listing.state() == WorkerState.DRAINING;
     }
@@ -154,6 +157,7 @@
         return Collections.unmodifiableList(attempts);
     }
 
+    /** Whether no attempt is in flight at it. */
     boolean isIdle() {
         return attempts.isEmpty();
     }
@@ -178,14 +182,21 @@
         return lastRejectionUs;
     }
 
+    /** The load it last reported. */
     ReportedLoad load() {
         return load;
     }
 
+    /** How slow its jobs are compared with other workers. */
     SlownessEstimator slowness() {
         return slowness;
     }
 
+    /**
+     * Its health now.
+     *
+     * @param scratch a histogram that is overwritten
+     */
     WorkerHealthSnapshot snapshot(long nowUs, AbstractHistogram scratch) {
         return new WorkerHealthSnapshot(
                 condition.condition().orElse(WorkerCondition.HEALTHY),
--- a/src/main/java/cresschute/logs/RoutedLogger.java
+++ b/src/main/java/cresschute/logs/RoutedLogger.java
@@ -10,6 +10,7 @@
 
     private final String name;
 
+    /** Creates a logger with this name. */
     RoutedLogger(String name) {
         this.name = name;
     }
@@ -24,6 +25,7 @@
         return RoutedLoggerFinder.sink().isLoggable(name, level);
     }
 
+    /** Writes an event, if its level is loggable. */
     void log(Level level, LogEvent event) {
         if (isLoggable(level)) {
             RoutedLoggerFinder.sink().log(name, level, event);
--- a/src/main/java/cresschute/logs/RoutedLoggerFinder.java
+++ b/src/main/java/cresschute/logs/RoutedLoggerFinder.java
@@ -19,6 +19,7 @@
         return new RoutedLogger(name);
     }
 
+    /** The sink in use. */
     static LogSink sink() {
         return sink;
     }
--- a/src/main/java/cresschute/peers/Peer.java
+++ b/src/main/java/cresschute/peers/Peer.java
@@ -39,6 +39,7 @@
         startIncarnation(nowUs, message);
     }
 
+    /** Its state now. */
     PeerState state(long nowUs) {
         return nowUs < distrustedUntilUs ? PeerState.DISTRUSTED : stateByMessages(nowUs);
     }
--- a/src/main/java/cresschute/peers/PeerLoadView.java
+++ b/src/main/java/cresschute/peers/PeerLoadView.java
@@ -19,8 +19,8 @@
     /**
      * Creates a view.
      *
-     * @param own what this dispatcher has in flight
-     * @param peers what the others claim
+     * @param own attempts in flight of this dispatcher
+     * @param peers attempts in flight that the others claim
      */
     public PeerLoadView(
             WorkerKeys keys, InFlightCounts own, PeerTable peers, DistrustListener listener) {
--- a/src/main/java/cresschute/peers/socket/ExchangeLog.java
+++ b/src/main/java/cresschute/peers/socket/ExchangeLog.java
@@ -78,6 +78,7 @@
         return rejections.values().stream().mapToLong(each -> each.count()).sum();
     }
 
+    /** A datagram was rejected. */
     void rejected(long nowUs, RejectionReason reason, InetSocketAddress from) {
         final RateLimitedCount counted =
                 rejections.computeIfAbsent(reason, unseen -> new RateLimitedCount());
@@ -110,11 +111,13 @@
         }
     }
 
+    /** A message was sent; bytes to all peers together, with headers. */
     void messageSent(long bytes) {
         sentMessages++;
         sentBytes += bytes;
     }
 
+    /** A message was accepted from this address. */
     void messageReceived(int sender, InetSocketAddress from) {
         receivedMessages++;
         addresses.put(sender, from);
@@ -222,6 +225,7 @@
         return String.format("%08x", sender);
     }
 
+    /** An address as logs write it; empty for null. */
     static String text(InetSocketAddress address) {
         return address == null
                 ? ""
--- a/src/main/java/cresschute/peers/socket/PeerSocket.java
+++ b/src/main/java/cresschute/peers/socket/PeerSocket.java
@@ -162,7 +162,7 @@
             }
         }
 
-        /** A receive failed, for example by a port unreachable of ICMP; the socket goes on. */
+        /** A receive failed, for example by an ICMP "port unreachable"; the socket stays open. */
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             log.socketFailed(clockUs.getAsLong(), "no message received", cause);
--- a/src/test/java/cresschute/capacity/CapacityModelTest.java
+++ b/src/test/java/cresschute/capacity/CapacityModelTest.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Needs reckoned from fits along several axes, and the points that are held out of them. */
+/** Estimates from fits along several axes, and the points that are held out of the fits. */
 class CapacityModelTest {
 
     private static final MeasureKey CPU = new MeasureKey(Role.DISPATCHER, "cpu_percent");
--- a/src/test/java/cresschute/capacity/MeasurementFileTest.java
+++ b/src/test/java/cresschute/capacity/MeasurementFileTest.java
@@ -98,7 +98,7 @@
                 .hasMessageStartingWith("a.csv:2: ");
     }
 
-    /** Cut at any byte, a file is either refused or has only whole rows. */
+    /** Truncated at any byte, a file is either rejected or has only complete rows. */
     @Test
     void cutFileNeverGivesAnotherRow() throws CsvFormatException {
         final String file = HEAD + ROW + "\n" + ROW + "\n";
--- a/src/test/java/cresschute/flow/BodyBufferTest.java
+++ b/src/test/java/cresschute/flow/BodyBufferTest.java
@@ -45,7 +45,7 @@
         first.acknowledge();
         add("def");
         final BodyBuffer<String>.Reader second = body.openReader(onChange).orElseThrow();
-        // The first reader goes on beside it.
+        // The first reader continues beside it.
         assertThat(first.next()).isEqualTo("def");
         assertThat(second.next()).isEqualTo("abc");
         assertThat(second.next()).isEqualTo("def");
@@ -267,7 +267,7 @@
                 final long before = body.appendedCost();
                 sendAll();
                 read(1 + random.nextInt(15));
-                assertThat(body.appendedCost()).as("it goes on").isGreaterThan(before);
+                assertThat(body.appendedCost()).as("progress").isGreaterThan(before);
             }
             body.complete();
             sendAll();
--- a/src/test/java/cresschute/peers/PeerLoadViewTest.java
+++ b/src/test/java/cresschute/peers/PeerLoadViewTest.java
@@ -11,8 +11,8 @@
 class PeerLoadViewTest {
 
     private static final long S = 1_000_000;
-    private static final int FAULTY = WorkerKeys.hash("liar");
-    private static final int CORRECT = WorkerKeys.hash("honest");
+    private static final int FAULTY = WorkerKeys.hash("faulty");
+    private static final int CORRECT = WorkerKeys.hash("correct");
 
     private final List<String> collisions = new ArrayList<>();
     private final List<Integer> distrusted = new ArrayList<>();
