--- a/src/test/java/cresschute/node/ControlServiceFormatTest.java
+++ b/src/test/java/cresschute/node/ControlServiceFormatTest.java
@@ -6,6 +6,7 @@
 import com.google.gson.JsonParser;
 import cresschute.control.DrainOperation;
 import cresschute.control.DrainRegistry;
+import cresschute.control.socket.ControlHandler;
 import cresschute.dispatch.DispatcherEvents;
 import io.netty.channel.embedded.EmbeddedChannel;
 import java.lang.reflect.Proxy;
@@ -25,9 +26,9 @@
 
     private final EmbeddedChannel loop = new EmbeddedChannel();
 
-    private ControlService handler(ServerSocket at) throws Exception {
+    private ControlService service(ServerSocket at) throws Exception {
         final NodeConfig config =
-                NodeConfig.parse(
+                NodeConfigParser.parse(
                         TestNode.config(
                                 at,
                                 TestNode.list(
@@ -39,7 +40,7 @@
                                                 + ","
                                                 + TestNode.entry("s-3", at, "DRAINING"))),
                         Map.of());
-        final ControlService handler = new ControlService(config, loop.eventLoop(), () -> NOW_US);
+        final ControlService service = new ControlService(config, loop.eventLoop(), () -> NOW_US);
         final DispatcherEvents module =
                 (DispatcherEvents)
                         Proxy.newProxyInstance(
@@ -52,28 +53,28 @@
                         loop.eventLoop(),
                         () -> NOW_US,
                         new RateLimitedLog(System.getLogger("test"), () -> NOW_US),
-                        handler,
+                        service,
                         actions -> module);
-        handler.open(core);
+        service.open(core);
         core.start(null, () -> {}, config.known());
-        return handler;
+        return service;
     }
 
-    private static String operate(ControlService handler, DrainOperation operation) {
+    private static String operate(ControlHandler handler, DrainOperation operation) {
         final List<JsonObject> answers = new ArrayList<>();
         handler.execute(operation, answers::add);
         assertThat(answers).hasSize(1);
         return answers.get(0).toString();
     }
 
-    private static DrainOperation drain(String id, String worker, long forUs) {
-        return new DrainOperation(id, true, worker, forUs, "ann", "new disk", false);
+    private static DrainOperation drain(String id, String worker, long durationUs) {
+        return new DrainOperation(id, true, worker, durationUs, "ann", "new disk", false);
     }
 
     @Test
     void outcomesAreAnsweredAsByAnEarlierNode() throws Exception {
         try (ServerSocket at = Peer.listen()) {
-            final ControlService handler = handler(at);
+            final ControlHandler handler = service(at).handler();
             assertThat(operate(handler, drain("op-1", "s-1", 7_200_000_000L)))
                     .isEqualTo(
                             "{\"ok\":true,\"outcome\":\"done\",\"why\":\"\",\"worker\":\"s-1\",\"in_flight\":0}");
@@ -95,7 +96,7 @@
     @Test
     void rowsAreShownAsByAnEarlierNode() throws Exception {
         try (ServerSocket at = Peer.listen()) {
-            final ControlService handler = handler(at);
+            final ControlHandler handler = service(at).handler();
             operate(handler, drain("op-1", "s-1", 7_200_000_000L));
             handler.refresh();
             final Map<String, String> rows = handler.table().since(0).rows();
