--- a/src/main/java/cresschute/dispatch/CapacityEstimator.java
+++ b/src/main/java/cresschute/dispatch/CapacityEstimator.java
@@ -17,10 +17,10 @@
  *   <li>otherwise, where B binds: B = B * (1 + {@value #INCREASE} * (1 - bad / tolerated)).
  * </ul>
  *
- * <p>Reason: dispatchers share no state, so each finds its part by small increases and decreases in
- * proportion to the fault. Work of little weight that makes weighty jobs late lowers the margin, so
- * the decrease begins sooner. The budget starts without a bound, since nothing is shed before a
- * sign of overload.
+ * <p>Reason: dispatchers have no common state, so each finds its part by small increases and
+ * decreases in proportion to the fault. Work of little weight that makes weighty jobs late lowers
+ * the margin, so the decrease begins sooner. The budget starts without a bound, since nothing is
+ * shed before a sign of overload.
  *
  * <p>Never: it does not fall under the rate at which the workers finish jobs with most slots busy,
  * whatever the endings say, and a single worker's errors do not count as endings.
--- a/src/main/java/cresschute/dispatch/DemandBuckets.java
+++ b/src/main/java/cresschute/dispatch/DemandBuckets.java
@@ -9,7 +9,7 @@
  */
 final class DemandBuckets {
 
-    /** Sizes of job told apart in the fill: 1, 2, 4 and more slots. */
+    /** Sizes of job that the fill distinguishes: 1, 2, 4 and more slots. */
     private static final int SIZES = 4;
 
     private final List<ClassState> classes = new ArrayList<>();
--- a/src/main/java/cresschute/dispatch/DispatchSettings.java
+++ b/src/main/java/cresschute/dispatch/DispatchSettings.java
@@ -73,9 +73,9 @@
         Preconditions.require(classes != null && !classes.isEmpty(), "classes");
         Preconditions.require(tenants != null, "tenants");
         Preconditions.require(limits != null, "limits");
-        Preconditions.require(slowStart != null, "coldStart");
-        Preconditions.require(objectiveWeights != null, "goal");
-        Preconditions.require(pollWithinUs >= 0, "askWithinUs");
+        Preconditions.require(slowStart != null, "slowStart");
+        Preconditions.require(objectiveWeights != null, "objectiveWeights");
+        Preconditions.require(pollWithinUs >= 0, "pollWithinUs");
         Preconditions.require(progressUs >= 0, "progressUs");
         Preconditions.require(weightSource != null, "weightSource");
         Preconditions.require(closeOnDrainWithinUs >= 0, "closeOnDrainWithinUs");
--- a/src/main/java/cresschute/dispatch/Dispatcher.java
+++ b/src/main/java/cresschute/dispatch/Dispatcher.java
@@ -7,7 +7,7 @@
 import java.util.SplittableRandom;
 
 /**
- * One dispatcher: takes the host's events, asks the rules and emits actions. It holds the pending
+ * One dispatcher: takes the host's events, calls the rules and emits actions. It holds the pending
  * requests and decides nothing itself.
  *
  * <p>A request arrives, is admitted ({@link AdmissionController}) and attempted: a worker is
--- a/src/main/java/cresschute/dispatch/ObjectiveWeights.java
+++ b/src/main/java/cresschute/dispatch/ObjectiveWeights.java
@@ -19,6 +19,6 @@
     public ObjectiveWeights {
         Preconditions.require(
                 overall >= 0 && worstWindow >= 0 && worstClass >= 0 && worstTenant >= 0,
-                "goal weights");
+                "objectiveWeights");
     }
 }
--- a/src/main/java/cresschute/dispatch/PendingRequest.java
+++ b/src/main/java/cresschute/dispatch/PendingRequest.java
@@ -187,7 +187,7 @@
         return inFlight.size() == 1;
     }
 
-    /** A copy of the list of attempts in flight. */
+    /** The attempts in flight, in a new list. */
     List<Attempt> attemptsInFlight() {
         return List.copyOf(inFlight);
     }
--- a/src/main/java/cresschute/dispatch/RequestClass.java
+++ b/src/main/java/cresschute/dispatch/RequestClass.java
@@ -26,6 +26,9 @@
         Placement placement,
         int maxAttempts) {
 
+    /** The {@code maxAttempts} of a class without a limit of its own. */
+    public static final int UNLIMITED_ATTEMPTS = Integer.MAX_VALUE;
+
     /** A class without a limit of its own on attempts. */
     public RequestClass(
             double priorityWeight,
@@ -45,7 +48,7 @@
                 deduplicationScope,
                 deduplicationWindowUs,
                 placement,
-                Integer.MAX_VALUE);
+                UNLIMITED_ATTEMPTS);
     }
 
     /**
@@ -55,13 +58,13 @@
      */
     public RequestClass {
         Preconditions.require(maxAttempts >= 1, "class maxAttempts");
-        Preconditions.require(priorityWeight >= 0, "class worth");
-        Preconditions.require(latencyObjectiveUs > 0, "class aimUs");
-        Preconditions.require(latencyObjectiveStretch >= 0, "class aimStretch");
+        Preconditions.require(priorityWeight >= 0, "class priorityWeight");
+        Preconditions.require(latencyObjectiveUs > 0, "class latencyObjectiveUs");
+        Preconditions.require(latencyObjectiveStretch >= 0, "class latencyObjectiveStretch");
         Preconditions.require(deadlineUs > 0, "class deadlineUs");
-        Preconditions.require(idempotency != null, "class effect");
-        Preconditions.require(deduplicationScope != null, "class scope");
-        Preconditions.require(deduplicationWindowUs >= 0, "class repeatWindowUs");
+        Preconditions.require(idempotency != null, "class idempotency");
+        Preconditions.require(deduplicationScope != null, "class deduplicationScope");
+        Preconditions.require(deduplicationWindowUs >= 0, "class deduplicationWindowUs");
         Preconditions.require(placement != null, "class placement");
     }
 }
--- a/src/main/java/cresschute/dispatch/SlowStartSettings.java
+++ b/src/main/java/cresschute/dispatch/SlowStartSettings.java
@@ -25,10 +25,11 @@
      */
     public SlowStartSettings {
         Preconditions.require(
-                initialCapacityFraction > 0 && initialCapacityFraction <= 1, "coldStart fromShare");
-        Preconditions.require(warmUpDurationUs >= 0, "coldStart warmWithinUs");
-        Preconditions.require(overloadFactor > 0, "coldStart overloadFactor");
-        Preconditions.require(overloadAfterUs >= 0, "coldStart tipAfterUs");
+                initialCapacityFraction > 0 && initialCapacityFraction <= 1,
+                "slowStart initialCapacityFraction");
+        Preconditions.require(warmUpDurationUs >= 0, "slowStart warmUpDurationUs");
+        Preconditions.require(overloadFactor > 0, "slowStart overloadFactor");
+        Preconditions.require(overloadAfterUs >= 0, "slowStart overloadAfterUs");
     }
 
     /**
--- a/src/main/java/cresschute/dispatch/Worker.java
+++ b/src/main/java/cresschute/dispatch/Worker.java
@@ -6,7 +6,7 @@
  * @param id number of the worker, the same for all its incarnations
  * @param zone its zone, from 0
  * @param kind its kind, from 0
- * @param cell the group of workers that it shares stored results with; see {@link
+ * @param cell the cell of workers that keep stored results together; see {@link
  *     DeduplicationScope#CELL}
  * @param state whether new attempts may go to it
  * @param weight its weight by {@link WeightSource}; 0 where none is listed
--- a/src/main/java/cresschute/simulator/FrameReader.java
+++ b/src/main/java/cresschute/simulator/FrameReader.java
@@ -5,7 +5,11 @@
 import java.nio.ByteBuffer;
 import java.nio.ByteOrder;
 
-/** Reads batches: a header, then records of a code, a length and that many bytes of fields. */
+/**
+ * Reads batches: a header, then records of a code, a length and that many bytes of fields, all
+ * little endian. Every method that reads throws {@link MalformedInputException} where the bytes do
+ * not follow that.
+ */
 final class FrameReader {
 
     private static final int HEADER_BYTES = 20;
@@ -23,7 +27,7 @@
         this.in = in;
     }
 
-    /** Reads the next batch whole; false at the end of the input. */
+    /** Reads the next batch completely; false at the end of the input. */
     boolean nextBatch() throws IOException {
         final int headerBytes = in.readNBytes(frame.array(), 0, HEADER_BYTES);
         if (headerBytes == 0) {
@@ -77,52 +81,55 @@
         return true;
     }
 
+    /** Clock of the batch, us. */
     long clockUs() {
         return clockUs;
     }
 
+    /** Sequence number of the batch, which its reply repeats. */
     int sequence() {
         return sequence;
     }
 
+    /** Code of the current record, of {@link WireCodes}. */
     int code() {
         return recordCode;
     }
 
     int u8() {
-        need(Byte.BYTES);
+        requireBytes(Byte.BYTES);
         return frame.get() & 0xff;
     }
 
     int u16() {
-        need(Short.BYTES);
+        requireBytes(Short.BYTES);
         return frame.getShort() & 0xffff;
     }
 
     /** An unsigned value of 32 bits, as the bits of an int. */
     int u32() {
-        need(Integer.BYTES);
+        requireBytes(Integer.BYTES);
         return frame.getInt();
     }
 
     long u64() {
-        need(Long.BYTES);
+        requireBytes(Long.BYTES);
         return frame.getLong();
     }
 
     float f32() {
-        need(Float.BYTES);
+        requireBytes(Float.BYTES);
         return frame.getFloat();
     }
 
     byte[] bytes(int count) {
-        need(count);
+        requireBytes(count);
         final byte[] bytes = new byte[count];
         frame.get(bytes);
         return bytes;
     }
 
-    private void need(int count) {
+    private void requireBytes(int count) {
         if (count < 0 || recordEnd - frame.position() < count) {
             throw new MalformedInputException(
                     "record " + recordCode + " is too short for its fields");
--- a/src/main/java/cresschute/simulator/FrameWriter.java
+++ b/src/main/java/cresschute/simulator/FrameWriter.java
@@ -6,7 +6,7 @@
 import java.nio.ByteOrder;
 import java.nio.charset.StandardCharsets;
 
-/** Collects the records of one reply and writes it out with its header. */
+/** Collects the records of one reply, little endian, and writes it with its header. */
 final class FrameWriter {
 
     private static final int HEADER_BYTES = 12;
@@ -51,7 +51,7 @@
         return this;
     }
 
-    /** A whole record of an instance and a text. */
+    /** Writes a complete record of an instance and a text, which is cut where it is long. */
     void text(int code, int instance, String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         if (bytes.length > MAX_TEXT_BYTES) {
--- a/src/main/java/cresschute/simulator/ReportLayout.java
+++ b/src/main/java/cresschute/simulator/ReportLayout.java
@@ -2,14 +2,24 @@
 
 import cresschute.dispatch.LoadReport;
 
-/** Where the known values stand in an instance's load reports; -1 where they do not. */
+/**
+ * The positions of the known values in an instance's load reports.
+ *
+ * @param freeSlotsAt position of the free slots, from 0, or {@link #MISSING}
+ * @param outstandingAt position of the outstanding requests, or {@link #MISSING}
+ * @param waitingAt position of the waiting requests, or {@link #MISSING}
+ */
 record ReportLayout(int freeSlotsAt, int outstandingAt, int waitingAt) {
 
+    /** The position of a value that the reports do not hold. */
+    static final int MISSING = -1;
+
+    /** Reads the next load report; a value that it does not hold is negative. */
     LoadReport read(FrameReader reader) {
         final int count = reader.u8();
-        double freeSlots = -1;
-        double outstanding = -1;
-        double waiting = -1;
+        double freeSlots = LoadReport.NONE.freeSlots();
+        double outstanding = LoadReport.NONE.outstanding();
+        double waiting = LoadReport.NONE.waiting();
         for (int i = 0; i < count; i++) {
             final float value = reader.f32();
             freeSlots = i == freeSlotsAt ? value : freeSlots;
--- a/src/main/java/cresschute/simulator/SettingsParser.java
+++ b/src/main/java/cresschute/simulator/SettingsParser.java
@@ -16,11 +16,14 @@
 import java.util.Map;
 
 /**
- * Turns the path=value lines of a launch into {@link DispatchSettings}. Keys it does not know are
- * ignored.
+ * Reads the {@code path=value} lines of a launch as {@link DispatchSettings}. It maps the wire's
+ * words to the terms of the dispatch package; unknown keys are ignored.
  */
 public final class SettingsParser {
 
+    /** A kind below 0 sets no bound. */
+    private static final int ANY_KIND = -1;
+
     private final Map<String, String> values = new HashMap<>();
 
     private SettingsParser(String text) {
@@ -32,24 +35,28 @@
         }
     }
 
-    /** Reads the settings that an instance is launched with. */
+    /**
+     * Reads the settings that an instance is launched with.
+     *
+     * @throws IllegalArgumentException naming the setting, if one is missing or not usable
+     */
     public static DispatchSettings parse(String text) {
         return new SettingsParser(text).settings();
     }
 
-    /** The values of a load report in the order of these settings. */
+    /** The positions of the known values in the load reports of these settings. */
     static ReportLayout reportLayout(String text) {
         final SettingsParser parser = new SettingsParser(text);
         final List<String> fields = parser.list("report.fields");
         final boolean slotsFree = parser.word("extra.reportX0", "").equals("free_slots");
         return new ReportLayout(
-                slotsFree ? fields.indexOf("x0") : -1,
+                slotsFree ? fields.indexOf("x0") : ReportLayout.MISSING,
                 fields.indexOf("outstanding"),
                 fields.indexOf("backlog"));
     }
 
     private DispatchSettings settings() {
-        final long warmWithinUs = (long) number("rules.warmWithinUs", 0);
+        final long warmUpDurationUs = (long) number("rules.warmWithinUs", 0);
         return new DispatchSettings(
                 (int) number("balancers"),
                 (int) number("myZone", 0),
@@ -67,7 +74,7 @@
                         flag("limits.parallelTries", false)),
                 new SlowStartSettings(
                         number("rules.coldFrom", 1),
-                        warmWithinUs,
+                        warmUpDurationUs,
                         number("rules.overloadFactor", 1),
                         (long) number("rules.tipAfterUs", 0)),
                 new ObjectiveWeights(
@@ -96,27 +103,31 @@
         final List<RequestClass> classes = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             final String at = "classes." + i + ".";
-            final double familyStretch =
+            final double defaultStretch =
                     i < stretches.size() ? parse("extra.classStretch", stretches.get(i)) : 0;
             classes.add(
                     new RequestClass(
                             number(at + "worth", 1),
                             (long) number(at + "goalTimeUs"),
-                            number(at + "aimStretch", familyStretch),
+                            number(at + "aimStretch", defaultStretch),
                             (long) number(at + "deadlineUs"),
-                            effect(at + "idempotency"),
+                            idempotency(at + "idempotency"),
                             scope(word(at + "group", "all")),
                             (long) number(at + "keyTtlUs", 0),
                             placement(
                                     at,
                                     i < kinds.size()
                                             ? (int) parse("extra.classKind", kinds.get(i))
-                                            : -1)));
+                                            : ANY_KIND)));
         }
         return classes;
     }
 
-    /** The class's bounds; the one kind that can run it, where there is one, bounds it further. */
+    /**
+     * The placement of a class.
+     *
+     * @param onlyKind the one kind that can run it, or {@link #ANY_KIND}
+     */
     private Placement placement(String at, int onlyKind) {
         final List<Integer> runsOn = numbers(at + "runsOn");
         if (onlyKind < 0) {
@@ -126,7 +137,7 @@
         return new Placement(numbers(at + "zonesOpen"), open ? List.of(onlyKind) : List.of());
     }
 
-    /** The numbers of a list, or null where the key is absent. */
+    /** The numbers of a list; null, which sets no bound, where the key is absent. */
     private List<Integer> numbers(String key) {
         return values.containsKey(key)
                 ? list(key).stream().map(word -> (int) parse(key, word)).toList()
@@ -142,14 +153,14 @@
                             word("tenants." + i + ".name", Integer.toString(i)),
                             number("tenants." + i + ".quotaPerS")));
         }
-        // Guards against one customer's requests that count against another's share.
+        // Requests name their tenant by its index, so two of one name would split its quota.
         if (tenants.stream().map(Tenant::name).distinct().count() != count) {
             throw new IllegalArgumentException("a tenant is named twice");
         }
         return tenants;
     }
 
-    private Idempotency effect(String key) {
+    private Idempotency idempotency(String key) {
         final String word = required(key);
         return switch (word) {
             case "pure" -> Idempotency.SAFE;
--- a/src/main/java/cresschute/simulator/SimulatorAdapter.java
+++ b/src/main/java/cresschute/simulator/SimulatorAdapter.java
@@ -18,15 +18,23 @@
 import java.util.List;
 import java.util.Map;
 
-/** Hosts one module for each instance and carries events and actions between it and the wire. */
+/**
+ * Hosts one dispatcher for each instance and carries events and actions between them and the wire.
+ *
+ * <p>It runs on its caller's thread until the input ends. An instance whose dispatcher throws is
+ * dropped and reported; malformed input ends the run.
+ */
 final class SimulatorAdapter {
 
     private static final int MARK_HINTED = 1;
-    private static final int MARK_REPEATED = 2;
+    private static final int MARK_CLIENT_RETRY = 2;
     private static final int EVERY_PEER = -1;
-    private static final int SILENT_BYTES = 6;
-    private static final int NOTE_STARTED = 1;
-    private static final int NOTE_PROGRESS = 2;
+
+    /** A peer message: a worker of four bytes and a class of two. */
+    private static final int UNRESPONSIVE_BYTES = 6;
+
+    private static final int SIGNAL_STARTED = 1;
+    private static final int SIGNAL_PROGRESS = 2;
 
     private final FrameReader reader;
     private final OutputStream out;
@@ -39,7 +47,12 @@
         this.out = out;
     }
 
-    /** Answers batches until the input ends. */
+    /**
+     * Answers batches until the input ends.
+     *
+     * @throws MalformedInputException if the input does not follow the wire
+     * @throws IOException if a stream breaks
+     */
     void run() throws IOException {
         while (reader.nextBatch()) {
             while (reader.nextRecord()) {
@@ -84,26 +97,26 @@
         final long seed = reader.u64();
         final String text = new String(reader.bytes(reader.u32()), StandardCharsets.UTF_8);
         final InstanceActions actions = new InstanceActions(instance, reply);
-        final Dispatcher module = new Dispatcher(SettingsParser.parse(text), seed, actions);
-        instances.put(instance, new Instance(module, SettingsParser.reportLayout(text)));
+        final Dispatcher dispatcher = new Dispatcher(SettingsParser.parse(text), seed, actions);
+        instances.put(instance, new Instance(dispatcher, SettingsParser.reportLayout(text)));
     }
 
     private void deliver(int code, Instance instance, long nowUs) {
-        final DispatcherEvents module = instance.module();
+        final DispatcherEvents dispatcher = instance.dispatcher();
         switch (code) {
-            case WireCodes.REGISTRY -> deliverList(module, nowUs);
-            case WireCodes.INCOMING -> deliverRequest(module, nowUs);
+            case WireCodes.REGISTRY -> deliverList(dispatcher, nowUs);
+            case WireCodes.INCOMING -> deliverRequest(dispatcher, nowUs);
             case WireCodes.OUTCOME -> deliverOutcome(instance, nowUs);
-            case WireCodes.SIGNAL -> deliverNote(module, nowUs);
-            case WireCodes.PONG -> deliverProbe(instance, nowUs);
-            case WireCodes.DATAGRAM -> deliverPeer(module, nowUs);
-            case WireCodes.VANISHED -> module.clientLeft(nowUs, reader.u32());
-            case WireCodes.TIMER -> module.timerFired(nowUs, reader.u64());
+            case WireCodes.SIGNAL -> deliverProgress(dispatcher, nowUs);
+            case WireCodes.PONG -> deliverLoadReport(instance, nowUs);
+            case WireCodes.DATAGRAM -> deliverPeerMessage(dispatcher, nowUs);
+            case WireCodes.VANISHED -> dispatcher.clientLeft(nowUs, reader.u32());
+            case WireCodes.TIMER -> dispatcher.timerFired(nowUs, reader.u64());
             default -> {}
         }
     }
 
-    private void deliverList(DispatcherEvents module, long nowUs) {
+    private void deliverList(DispatcherEvents dispatcher, long nowUs) {
         final EndpointListForm form =
                 switch (reader.u8()) {
                     case 0 -> EndpointListForm.CHANGES;
@@ -115,7 +128,7 @@
         reader.u64();
         final int catalog = reader.u32();
         if (form == EndpointListForm.FAILED) {
-            module.endpointListChanged(nowUs, form, List.of());
+            dispatcher.endpointListChanged(nowUs, form, List.of());
             return;
         }
         final List<Worker> workers = catalogs.get(catalog);
@@ -123,7 +136,7 @@
             throw new MalformedInputException(
                     "registry names catalog " + catalog + ", which was never sent");
         }
-        module.endpointListChanged(nowUs, form, workers);
+        dispatcher.endpointListChanged(nowUs, form, workers);
     }
 
     private List<Worker> readWorkers() {
@@ -146,7 +159,7 @@
         return List.copyOf(workers);
     }
 
-    private void deliverRequest(DispatcherEvents module, long nowUs) {
+    private void deliverRequest(DispatcherEvents dispatcher, long nowUs) {
         final int request = reader.u32();
         final int requestClass = reader.u16();
         final long dataKey = reader.u64();
@@ -160,10 +173,10 @@
                         requestClass,
                         tenant,
                         slots,
-                        (marks & MARK_HINTED) != 0 ? costUs : 0,
+                        (marks & MARK_HINTED) != 0 ? costUs : Job.NO_HINT,
                         dataKey,
-                        (marks & MARK_REPEATED) != 0);
-        module.requestArrived(nowUs, request, job, reader.u64());
+                        (marks & MARK_CLIENT_RETRY) != 0);
+        dispatcher.requestArrived(nowUs, request, job, reader.u64());
     }
 
     private void deliverOutcome(Instance instance, long nowUs) {
@@ -175,22 +188,22 @@
         final boolean closed = reader.u8() != 0;
         reader.u32();
         final LoadReport report = instance.reports().read(reader);
-        instance.module()
+        instance.dispatcher()
                 .attemptEnded(nowUs, request, attempt, worker, outcome, elapsedUs, closed, report);
     }
 
-    private void deliverProbe(Instance instance, long nowUs) {
+    private void deliverLoadReport(Instance instance, long nowUs) {
         final int worker = reader.u32();
         reader.u32();
         final Outcome outcome = outcome(reader.u8());
-        instance.module().loadReported(nowUs, worker, outcome, instance.reports().read(reader));
+        instance.dispatcher().loadReported(nowUs, worker, outcome, instance.reports().read(reader));
     }
 
-    /** A message holds a worker and a class, as {@code reportUnresponsive} wrote them. */
-    private void deliverPeer(DispatcherEvents module, long nowUs) {
+    /** Reads what {@link InstanceActions#reportUnresponsive} of another instance wrote. */
+    private void deliverPeerMessage(DispatcherEvents dispatcher, long nowUs) {
         reader.u32();
-        if (reader.u16() == SILENT_BYTES) {
-            module.workerReportedUnresponsive(nowUs, reader.u32(), reader.u16());
+        if (reader.u16() == UNRESPONSIVE_BYTES) {
+            dispatcher.workerReportedUnresponsive(nowUs, reader.u32(), reader.u16());
         }
     }
 
@@ -208,19 +221,20 @@
         };
     }
 
-    private void deliverNote(DispatcherEvents module, long nowUs) {
+    private void deliverProgress(DispatcherEvents dispatcher, long nowUs) {
         final int request = reader.u32();
         final int worker = reader.u32();
         final int attempt = reader.u8();
         final int kind = reader.u8();
-        if (kind == NOTE_STARTED) {
-            module.jobProgressed(nowUs, request, attempt, worker, 0);
-        } else if (kind == NOTE_PROGRESS) {
-            module.jobProgressed(nowUs, request, attempt, worker, reader.f32());
+        if (kind == SIGNAL_STARTED) {
+            dispatcher.jobProgressed(nowUs, request, attempt, worker, 0);
+        } else if (kind == SIGNAL_PROGRESS) {
+            dispatcher.jobProgressed(nowUs, request, attempt, worker, reader.f32());
         }
     }
 
-    private record Instance(DispatcherEvents module, ReportLayout reports) {}
+    /** A dispatcher and the layout of its load reports. */
+    private record Instance(DispatcherEvents dispatcher, ReportLayout reports) {}
 
     /** Writes one instance's actions into the reply. */
     private record InstanceActions(int instance, FrameWriter reply) implements DispatcherActions {
@@ -261,10 +275,10 @@
 
         @Override
         public void reportUnresponsive(int workerId, int requestClass) {
-            reply.record(WireCodes.SAY, 10 + SILENT_BYTES)
+            reply.record(WireCodes.SAY, 10 + UNRESPONSIVE_BYTES)
                     .u32(instance)
                     .u32(EVERY_PEER)
-                    .u16(SILENT_BYTES)
+                    .u16(UNRESPONSIVE_BYTES)
                     .u32(workerId)
                     .u16(requestClass);
         }
--- a/src/main/java/cresschute/simulator/WireCodes.java
+++ b/src/main/java/cresschute/simulator/WireCodes.java
@@ -1,6 +1,6 @@
 package cresschute.simulator;
 
-/** Record codes of the wire: events first, then actions. */
+/** Record codes of the wire, by the wire's names: events first, then actions. */
 final class WireCodes {
 
     static final int LAUNCH = 1;
--- a/src/test/java/cresschute/dispatch/DispatchSettingsTest.java
+++ b/src/test/java/cresschute/dispatch/DispatchSettingsTest.java
@@ -24,6 +24,6 @@
                                         DeduplicationScope.ALL,
                                         0,
                                         Placement.ANYWHERE))
-                .hasMessageContaining("aimUs");
+                .hasMessageContaining("class latencyObjectiveUs");
     }
 }
--- a/src/test/java/cresschute/dispatch/WorkerVisits.java
+++ b/src/test/java/cresschute/dispatch/WorkerVisits.java
@@ -11,8 +11,8 @@
 import java.util.RandomAccess;
 
 /**
- * Counts how often a module looks at one of its workers, by instrumented collections in their
- * place.
+ * Counts how often a dispatcher looks at one of its workers, by instrumented collections in the
+ * place of its own.
  */
 public final class WorkerVisits {
 
@@ -20,22 +20,24 @@
 
     private WorkerVisits() {}
 
-    /** Puts counting collections into a module that has its list; its classes may go anywhere. */
-    public static WorkerVisits of(Dispatcher module, int zones) {
+    /**
+     * Puts counting collections into a dispatcher that has its list; its classes may go anywhere.
+     */
+    public static WorkerVisits of(Dispatcher dispatcher, int zones) {
         final WorkerVisits visits = new WorkerVisits();
         try {
-            final WorkerIndex fleet =
-                    (WorkerIndex) fieldOfType(Dispatcher.class, WorkerIndex.class).get(module);
-            final Field nodes = WorkerIndex.class.getDeclaredField("workers");
-            nodes.setAccessible(true);
-            nodes.set(fleet, visits.new CountingMap(workersOf(nodes, fleet)));
+            final WorkerIndex index =
+                    (WorkerIndex) fieldOfType(Dispatcher.class, WorkerIndex.class).get(dispatcher);
+            final Field workers = WorkerIndex.class.getDeclaredField("workers");
+            workers.setAccessible(true);
+            workers.set(index, visits.new CountingMap(workersOf(workers, index)));
             final Field members = WorkerGroup.class.getDeclaredField("members");
             members.setAccessible(true);
             for (int zone = 0; zone < zones; zone++) {
                 visits.count(
-                        members, fleet.group(Placement.ANYWHERE, WorkerGroup.Scope.ZONE, zone));
+                        members, index.group(Placement.ANYWHERE, WorkerGroup.Scope.ZONE, zone));
             }
-            visits.count(members, fleet.group(Placement.ANYWHERE, WorkerGroup.Scope.ALL, 0));
+            visits.count(members, index.group(Placement.ANYWHERE, WorkerGroup.Scope.ALL, 0));
         } catch (ReflectiveOperationException e) {
             throw new IllegalStateException(e);
         }
@@ -90,13 +92,13 @@
         }
 
         @Override
-        public void add(int index, WorkerInstance node) {
-            of.add(index, node);
+        public void add(int index, WorkerInstance worker) {
+            of.add(index, worker);
         }
 
         @Override
-        public WorkerInstance set(int index, WorkerInstance node) {
-            return of.set(index, node);
+        public WorkerInstance set(int index, WorkerInstance worker) {
+            return of.set(index, worker);
         }
 
         @Override
--- a/src/test/java/cresschute/scale/DecisionCostScaleTest.java
+++ b/src/test/java/cresschute/scale/DecisionCostScaleTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * How many workers the module looks at for a decision, a tick and a change, by instrumented
- * collections.
+ * How many workers a dispatcher looks at for a decision, a timer and a change of the list, by
+ * instrumented collections.
  */
 class DecisionCostScaleTest {
 
@@ -19,10 +19,10 @@
     private static final int DECISIONS = 2_000;
     private static final long BETWEEN_DECISIONS_US = 10_000;
 
-    /** Three rounds of eight draws, and one look for each probe's answer. */
+    /** Three rounds of eight draws, and one look for each load report. */
     private static final int MAX_VISITS_A_DECISION = 32;
 
-    /** A solve visits each worker once and there are three of them in a second at the most. */
+    /** A fill visits each worker once, and there are at most three of them in a second. */
     private static final int MAX_VISITS_A_WORKER_AND_SECOND = 4;
 
     private static final double MAX_VISITS_A_WORKER_AND_CHANGE = 3.5;
@@ -54,11 +54,11 @@
     }
 
     @Test
-    void aDecisionVisitsNoMoreWorkersBeforeTenTimesAsMany() {
+    void visitsNoMoreWorkersForADecisionAmongTenTimesAsMany() {
         final double tenth = visitsADecision(PlannedSize.TENTH_OF_WORKERS);
         final double planned = visitsADecision(PlannedSize.WORKERS);
         final double beyond = visitsADecision(10 * PlannedSize.WORKERS);
-        // Fewer workers are asked anew less often, since each is heard more often: the bound is on
+        // Fewer workers are queried less often, since each reports more often: the bound is on
         // growth.
         assertThat(planned)
                 .as("mean visits before 1,400 workers, 140: %s", tenth)
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void ticksVisitEachWorkerAFewTimesASecond() {
+    void visitsEachWorkerAFewTimesASecondForTimers() {
         for (final int workers : new int[] {PlannedSize.TENTH_OF_WORKERS, PlannedSize.WORKERS}) {
             final ScriptedHost host = host(workers);
             final WorkerVisits visits = WorkerVisits.of(host.module, PlannedSize.ZONES);
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void aChangeOfTheListVisitsEachWorkerAFewTimes() {
+    void visitsEachWorkerAFewTimesForAChangeOfTheList() {
         for (final int workers : new int[] {PlannedSize.TENTH_OF_WORKERS, PlannedSize.WORKERS}) {
             final ScriptedHost host = host(workers);
             final WorkerVisits visits = WorkerVisits.of(host.module, PlannedSize.ZONES);
--- a/src/test/java/cresschute/scale/ModuleMemoryScaleTest.java
+++ b/src/test/java/cresschute/scale/ModuleMemoryScaleTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What the module holds for each worker, tenant and open request, and that it holds none past its
- * time.
+ * What a dispatcher holds for each worker, tenant and pending request, and that it holds none past
+ * its time.
  */
 class ModuleMemoryScaleTest {
 
--- a/src/test/java/cresschute/simulator/FrameTest.java
+++ b/src/test/java/cresschute/simulator/FrameTest.java
@@ -13,6 +13,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
+/** The bytes of batches and replies. */
 class FrameTest {
 
     private static final String TWO_INSTANCES =
@@ -86,7 +87,7 @@
     }
 
     @Property(seed = "11", tries = 97)
-    void everyTruncationIsNamed(@ForAll @IntRange(min = 1, max = 97) int length) {
+    void namesEveryTruncation(@ForAll @IntRange(min = 1, max = 97) int length) {
         final FrameReader reader = reader(Arrays.copyOf(bytes(TWO_INSTANCES), length));
         assertThatThrownBy(reader::nextBatch)
                 .isInstanceOf(MalformedInputException.class)
--- a/src/test/java/cresschute/simulator/SettingsParserTest.java
+++ b/src/test/java/cresschute/simulator/SettingsParserTest.java
@@ -11,6 +11,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** How the settings of a launch are read. */
 class SettingsParserTest {
 
     static final String SMALL =
@@ -88,7 +89,7 @@
     }
 
     @Test
-    void contradictoryPlacementsAndTimesAreNamed() {
+    void namesContradictoryPlacementsAndTimes() {
         for (final String line :
                 new String[] {"runsOn=1", "runsOn=", "zonesOpen=3", "zonesOpen=-1"}) {
             assertThatThrownBy(() -> SettingsParser.parse(SMALL + "classes.1." + line))
@@ -100,14 +101,14 @@
     }
 
     @Test
-    void aMissingRequiredKeyIsNamed() {
+    void namesAMissingRequiredKey() {
         final String without = SMALL.replace("classes.1.goalTimeUs=150000\n", "");
         assertThatThrownBy(() -> SettingsParser.parse(without))
                 .hasMessageContaining("classes.1.goalTimeUs");
     }
 
     @Test
-    void anUnusableValueIsNamed() {
+    void namesAnUnusableValue() {
         assertThatThrownBy(
                         () -> SettingsParser.parse(SMALL.replace("balancers=2", "balancers=two")))
                 .hasMessageContaining("balancers")
--- a/src/test/java/cresschute/simulator/SimulatorAdapterTest.java
+++ b/src/test/java/cresschute/simulator/SimulatorAdapterTest.java
@@ -13,6 +13,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** What the adapter carries between the wire and the dispatchers. */
 class SimulatorAdapterTest {
 
     private final ByteArrayOutputStream input = new ByteArrayOutputStream();
@@ -134,7 +135,7 @@
     }
 
     @Test
-    void exitAndLaunchInOneBatchStartAfresh() throws IOException {
+    void startsAfreshAfterExitAndLaunchInOneBatch() throws IOException {
         batch(launch(1, SettingsParserTest.SMALL), catalog(0, 77), registry(1, 2, 0));
         batch(
                 record(10, buffer(4).putInt(1)),
@@ -148,7 +149,7 @@
     }
 
     @Test
-    void anExceptionOfTheModuleIsReportedForItsInstance() throws IOException {
+    void reportsAnExceptionOfADispatcherForItsInstance() throws IOException {
         batch(launch(4, SettingsParserTest.SMALL.replace("balancers=2\n", "")));
         final List<ByteBuffer> actions = lastReply();
         assertThat(codes(actions)).containsExactly(WireCodes.DIE);
@@ -159,13 +160,13 @@
     }
 
     @Test
-    void newsForAnInstanceThatIsNotThereIsIgnored() throws IOException {
+    void ignoresEventsOfAnUnknownInstance() throws IOException {
         batch(incoming(3, 1), record(200, buffer(2).putShort((short) 1)));
         assertThat(lastReply()).isEmpty();
     }
 
     @Test
-    void aListThatWasNeverSentIsMalformed() {
+    void rejectsAListThatWasNeverSent() {
         batch(launch(1, SettingsParserTest.SMALL), registry(1, 2, 7));
         assertThatThrownBy(this::lastReply)
                 .isInstanceOf(MalformedInputException.class)
