--- a/src/main/java/cresschute/dispatch/CapacityEstimator.java
+++ b/src/main/java/cresschute/dispatch/CapacityEstimator.java
@@ -17,6 +17,10 @@
  *   <li>otherwise, where B binds: B = B * (1 + {@value #INCREASE} * (1 - bad / tolerated)).
  * </ul>
  *
+ * <p>The drain rate is {@value #MIN_UTILIZATION} * min(1, tightest slack / (backlog * mean running
+ * time)) * rate of finished work / fraction of busy slots. Memory is how much longer than usual
+ * rates and endings are remembered, since few jobs finish; at least 1.
+ *
  * <p>Reason: dispatchers have no common state, so each finds its part by small increases and
  * decreases in proportion to the fault. Work of little weight that makes weighty jobs late lowers
  * the margin, so the decrease begins sooner. The budget starts without a bound, since nothing is
--- a/src/main/java/cresschute/dispatch/DeadlinePolicy.java
+++ b/src/main/java/cresschute/dispatch/DeadlinePolicy.java
@@ -12,9 +12,9 @@
  *   <li>an answer is in time until first send + latency objective + stretch * running time (τ of
  *       DESIGN); no attempt is sent from then on, nor within two check intervals before the
  *       deadline;
- *   <li>where clients advise retries or mark them, what is missing of the longest time that a
- *       request of the class had left dates the first send, unless it is more than an impatient
- *       client explains;
+ *   <li>an arriving request has as much less time left than the longest seen in its class as its
+ *       first send is ago, if its client marks it as a retry, or if that is no more than the
+ *       in-time bound and two advised pauses; more than that is a client with a short timeout;
  *   <li>a request is rejected where a retry as advised does no harm: it is safe, or nothing ran, or
  *       all workers drop the retry within the deduplication window; else it is failed.
  * </ul>
@@ -44,7 +44,7 @@
     /** Check intervals before the deadline in which nothing is sent. */
     private static final int MARGIN_INTERVALS = 2;
 
-    /** Advised pauses between a first send and a retry: two retries. */
+    /** Advised pauses that a retry may come after its request's in-time bound. */
     private static final int ADVISED_PAUSES = 2;
 
     private final CurrentSettings settings;
--- a/src/main/java/cresschute/dispatch/SlowStart.java
+++ b/src/main/java/cresschute/dispatch/SlowStart.java
@@ -11,11 +11,16 @@
  *
  * <p>Rule: a worker of age a has the capacity fraction {@code f = f0 + (1 - f0) * a / d} until the
  * warm-up duration d, then 1. In each window of {@code overloadAfterUs} this dispatcher may send it
- * {@code part = }{@value #SAFETY}{@code * overloadFactor * f * slots / slowness * window /
- * dispatchers}, kept as tokens of the worker, and the sum of the parts to all warming workers, kept
- * as tokens of the dispatcher. A job is allowed where both buckets cover it, except for the jobs
- * that others' parts do not hold at the same time, and where it is small beside what all
- * dispatchers may send.
+ *
+ * <pre>
+ * part = {@value #SAFETY} * overload factor * f * slots / slowness * window / dispatchers
+ * </pre>
+ *
+ * <p>slot-us of work, kept as tokens of the worker, and the sum of the parts to all warming
+ * workers, kept as tokens of the dispatcher. A job is allowed while the dispatcher's tokens are not
+ * below 0, the worker's tokens cover the job but for what the other dispatchers leave of it ({@code
+ * (1 - 1 / dispatchers) * (work + mean work)}), and the job is small beside what all dispatchers
+ * may send or the worker tolerates.
  *
  * <p>Reason: dispatchers do not see one another's sends, and a worker that gets more than it can
  * take while it warms up falls over.
