--- a/src/test/java/cresschute/node/DescriptorSharesTest.java
+++ b/src/test/java/cresschute/node/DescriptorBudgetTest.java
@@ -6,28 +6,29 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class DescriptorSharesTest {
+/** The quotas of a node's descriptors fit their limit. */
+class DescriptorBudgetTest {
 
     @Test
-    void clientsAndWorkersShareAllWithoutAManagementListener() {
+    void clientsAndWorkersHaveAllWithoutAManagementListener() {
         assertThat(DescriptorBudget.of(200, false)).isEqualTo(new DescriptorBudget(83, 69, 0));
     }
 
     @Test
-    void callersHaveTheirOwnShare() {
+    void managementCallsHaveTheirOwnQuota() {
         assertThat(DescriptorBudget.of(640, true)).isEqualTo(new DescriptorBudget(308, 252, 32));
         assertThat(DescriptorBudget.of(200, true)).isEqualTo(new DescriptorBudget(73, 60, 19));
     }
 
     @ParameterizedTest
     @ValueSource(ints = {64, 100, 200, 640, 1024, 65_536})
-    void sharesAndReserveFitTheLimit(int descriptors) {
+    void quotasAndReserveFitTheLimit(int descriptors) {
         for (final boolean hasManagement : new boolean[] {false, true}) {
-            final DescriptorBudget shares = DescriptorBudget.of(descriptors, hasManagement);
+            final DescriptorBudget budget = DescriptorBudget.of(descriptors, hasManagement);
             assertThat(
-                            shares.clientConnections()
-                                    + shares.workerConnections()
-                                    + shares.managementCalls()
+                            budget.clientConnections()
+                                    + budget.workerConnections()
+                                    + budget.managementCalls()
                                     + DescriptorBudget.RESERVED_DESCRIPTORS)
                     .isEqualTo(descriptors);
         }
--- a/src/test/java/cresschute/node/FleetSizeTest.java
+++ b/src/test/java/cresschute/node/FleetSizeTest.java
@@ -24,7 +24,7 @@
 
     private static final int MANY = 1_024;
 
-    /** The least memory of a scored day that was seen, KiB. */
+    /** The smallest memory limit of a dispatcher, KiB. */
     private static final long MIN_MEMORY_KIB = 144 * 1024;
 
     /** Every flag of the run line that bounds memory. */
@@ -54,7 +54,7 @@
                 .collect(Collectors.joining(","));
     }
 
-    /** The same JSON, a value a line and far to the right, as lists may come. */
+    /** The same JSON with a value on each line, indented, as lists may be. */
     private static String indented(String json) {
         return json.replace(",", ",\n          ").replace("{", "{\n          ");
     }
--- a/src/test/java/cresschute/node/MainTest.java
+++ b/src/test/java/cresschute/node/MainTest.java
@@ -41,10 +41,7 @@
         }
     }
 
-    /**
-     * A hang-up ended the process. The environment names the old discovery service for ever; the
-     * file may not.
-     */
+    /** SIGHUP ends no process; the file's address of discovery goes before the environment's. */
     @Test
     void followsTheFilesDiscoveryOnSighup(@TempDir Path folder) throws Exception {
         final Path config = folder.resolve("config.json");
@@ -72,7 +69,7 @@
         }
     }
 
-    /** Under a parent that ignores the signal it was lost without a word. */
+    /** Under a parent that ignores the signal the JVM never receives it. */
     @Test
     void saysWhereSighupIsIgnored(@TempDir Path folder) throws Exception {
         final Path config = folder.resolve("config.json");
@@ -108,7 +105,7 @@
         }
     }
 
-    /** The log was closed at the beginning of an exit, so that a planned restart left no lines. */
+    /** The log stays open until the process ends. */
     @Test
     void answersWhatItTookAfterSigterm(@TempDir Path folder) throws Exception {
         final Path config = folder.resolve("config.json");
--- a/src/test/java/cresschute/node/ManagementRulesTest.java
+++ b/src/test/java/cresschute/node/ManagementRulesTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What the platform's operators call, one promise a test, over real sockets. */
+/** The calls of the platform's operators, over real sockets. */
 @Timeout(30)
 class ManagementRulesTest {
 
--- a/src/test/java/cresschute/node/NodeConfigTest.java
+++ b/src/test/java/cresschute/node/NodeConfigTest.java
@@ -40,7 +40,7 @@
                                 "\"name\":\"n0\",\"management\":\"127.0.0.3:91\",");
         assertThat(NodeConfigParser.parse(named, Map.of()).operators().management().toString())
                 .isEqualTo("/127.0.0.3:91");
-        final NodeConfig told =
+        final NodeConfig config =
                 NodeConfigParser.parse(
                         named,
                         Map.of(
@@ -50,7 +50,7 @@
                                 "0",
                                 "TMPDIR",
                                 "/run/n0"));
-        assertThat(told.operators())
+        assertThat(config.operators())
                 .isEqualTo(new OperatorSettings(Addresses.parse("127.0.0.4:92"), true, "/run/n0"));
     }
 
--- a/src/test/java/cresschute/node/RequestLifecycleTest.java
+++ b/src/test/java/cresschute/node/RequestLifecycleTest.java
@@ -177,10 +177,7 @@
         assertThat(attempts).hasSize(1);
     }
 
-    /**
-     * Once, the request was forgotten before the module events of it, and the unsent second send
-     * got number 0.
-     */
+    /** A request is kept until the dispatcher knows its end, so that its sends stay numbered. */
     @Test
     void numbersASendThatCrossesTheClientsLeaving() {
         final ClientRequest request = take();
--- a/src/test/java/cresschute/node/SettingsReloadRulesTest.java
+++ b/src/test/java/cresschute/node/SettingsReloadRulesTest.java
@@ -97,7 +97,7 @@
             final String text = node.configText();
             assertThat(text).as(what).contains(from == null ? "" : from);
             reload(node, from == null ? to : text.replace(from, to));
-            // Had it been taken, the module would hear of it before the next request.
+            // Had it been applied, the dispatcher would be notified before the next request.
             client.write(post("file", "r1"));
             assertThat(node.event()).as(what).isEqualTo("requested 1 class 1 key 42");
         }
--- a/src/test/java/cresschute/node/StartWithoutDiscoveryTest.java
+++ b/src/test/java/cresschute/node/StartWithoutDiscoveryTest.java
@@ -57,7 +57,7 @@
                 new InetSocketAddress(
                         "127.0.0.1", ProgramProcess.portIn(node.awaitLine(" listens on ")));
         try (Peer client = Peer.connect(address)) {
-            // The list at the start is told before the listener is open: the first answer is a yes.
+            // The list of the start is published before the listener is open: it is ready at once.
             client.write("GET /health/ready HTTP/1.1\r\nHost: n\r\n\r\n");
             assertThat(client.read()).startsWith("HTTP/1.1 200");
             client.write(TestNode.request("r1", "", ""));
--- a/src/test/java/cresschute/node/UpgradeRulesTest.java
+++ b/src/test/java/cresschute/node/UpgradeRulesTest.java
@@ -25,7 +25,7 @@
         return "{\"id\":\"" + id + "\",\"from\":\"s-1\",\"state\":\"done\",\"result\":\"yes\"}\n";
     }
 
-    /** Waits until what was handed to a node's loop before now has run there. */
+    /** Waits until all tasks that were handed to a node's event loop have run. */
     private static void settle(TestNode node) throws Exception {
         for (int i = 0; i < 2; i++) {
             node.server.loop().submit(() -> {}).get(8, TimeUnit.SECONDS);
