--- a/src/main/java/cresschute/testbed/DiscoveryStandIn.java
+++ b/src/main/java/cresschute/testbed/DiscoveryStandIn.java
@@ -2,7 +2,7 @@
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
-import cresschute.testbed.Observation.WorkerTold;
+import cresschute.testbed.Observation.WorkerListed;
 import io.netty.channel.ChannelHandler;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.EventLoop;
@@ -24,9 +24,9 @@
 import java.util.function.Supplier;
 
 /**
- * The service that tells of the workers: the whole list, and watches that wait for changes. What
- * happens to a worker is told as late as it is set to; it can be down, and its connections reset.
- * All on one loop.
+ * The service that names the workers: the whole list, and watches that wait for changes. What
+ * happens to a worker is reported as late as it is set to; it can be down, and its connections
+ * reset. All on one loop.
  */
 public final class DiscoveryStandIn {
 
@@ -34,7 +34,7 @@
     private static final int MAX_BODY_BYTES = 4096;
     private static final long MAX_WAIT_MS = 60_000;
 
-    /** How many changes are kept; a watch from before them is told the whole list. */
+    /** How many changes are kept; a watch from before them gets the whole list. */
     private static final int MAX_CHANGES = 10_000;
 
     private record Entry(
@@ -125,7 +125,7 @@
 
     // ---- What happens; all on the loop ----
 
-    /** Changes are told so much later than they happen. */
+    /** Changes are reported so much later than they happen. */
     void late(long us) {
         lateUs = us;
     }
@@ -245,7 +245,7 @@
     private void whole(ChannelHandlerContext ctx) {
         final JsonArray servers = new JsonArray();
         entries.values().forEach(entry -> servers.add(entry.json()));
-        tell(ctx, true, servers);
+        report(ctx, true, servers);
     }
 
     private void changed(ChannelHandlerContext ctx, long since) {
@@ -275,10 +275,10 @@
                                 .json());
             }
         }
-        tell(ctx, false, servers);
+        report(ctx, false, servers);
     }
 
-    private void tell(ChannelHandlerContext ctx, boolean full, JsonArray servers) {
+    private void report(ChannelHandlerContext ctx, boolean full, JsonArray servers) {
         final JsonObject list = new JsonObject();
         list.addProperty("version", version);
         list.addProperty("full", full);
@@ -287,7 +287,7 @@
         servers.forEach(
                 each ->
                         recorder.add(
-                                new WorkerTold(
+                                new WorkerListed(
                                         us,
                                         each.getAsJsonObject().get("id").getAsString(),
                                         each.getAsJsonObject().get("state").getAsString(),
--- a/src/main/java/cresschute/testbed/Fleet.java
+++ b/src/main/java/cresschute/testbed/Fleet.java
@@ -40,7 +40,7 @@
 
     private static final int CELLS = 2;
     private static final double BIG_SHARE = 0.3;
-    private static final long TOLD_LATE_US = 200_000;
+    private static final long LATE_LIST_US = 200_000;
     private static final long STOP_S = 10;
 
     /** The longest wait for a call on the loop, s. */
@@ -215,7 +215,7 @@
         final SocketAddress at = node.start();
         onLoop(
                 () -> {
-                    discovery.late(TOLD_LATE_US);
+                    discovery.late(LATE_LIST_US);
                     clients.start(at);
                     plan.faults().forEach(this::plan);
                 });
@@ -357,8 +357,8 @@
                 .collect(Collectors.groupingBy(SendCame::worker, Collectors.counting()));
     }
 
-    /** Discovery forgets what it has told, so that its next answer is a whole list. */
-    void tellWholeList() {
+    /** Discovery forgets what it has reported, so that its next answer is a whole list. */
+    void reportFullList() {
         onLoop(discovery::forgetChanges);
     }
 
@@ -401,7 +401,7 @@
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
     }
 
-    /** Time on the fleet's clock, in which observations are told. */
+    /** Time on the fleet's clock, in which observations are reported. */
     public long nowUs() {
         return recorder.nowUs();
     }
--- a/src/main/java/cresschute/testbed/FleetReport.java
+++ b/src/main/java/cresschute/testbed/FleetReport.java
@@ -16,8 +16,8 @@
  * What a run of a fleet came to, for people and for programs.
  *
  * @param invariantBreaches how often the node found by itself that something did not hold that
- *     must; a machine without time to spare makes answers late, so that they are told and break no
- *     rule
+ *     must; a machine without time to spare makes answers late, so that they are reported and break
+ *     no rule
  */
 public record FleetReport(RequestOutcomes outcomes, List<Breach> breaches, long invariantBreaches) {
 
@@ -176,14 +176,14 @@
     }
 
     private static void wrap(String text, int columns, List<String> lines) {
-        String rest = text;
-        while (rest.length() > columns) {
-            final int space = rest.lastIndexOf(' ', columns);
+        String remainder = text;
+        while (remainder.length() > columns) {
+            final int space = remainder.lastIndexOf(' ', columns);
             final int end = space > 4 ? space : columns;
-            lines.add(rest.substring(0, end));
-            rest = "    " + rest.substring(end).strip();
+            lines.add(remainder.substring(0, end));
+            remainder = "    " + remainder.substring(end).strip();
         }
-        lines.add(rest);
+        lines.add(remainder);
     }
 
     @Override
--- a/src/main/java/cresschute/testbed/InjectedFault.java
+++ b/src/main/java/cresschute/testbed/InjectedFault.java
@@ -37,7 +37,7 @@
         LATE(3, 10_000, true, "a worker's load reports are x seconds old"),
         /** A worker's process dies and is back, cold, at the end. */
         CRASH(1, 3_000, true, "a worker's process dies, and is back cold afterwards"),
-        /** A worker is told as draining until the end. */
+        /** A worker is reported as draining until the end. */
         DRAIN(1, 8_000, true, "a worker is told to drain"),
         /** Clients send more by the factor. */
         BURST(2, 4_000, false, "clients send x times as much"),
--- a/src/main/java/cresschute/testbed/LargeFleet.java
+++ b/src/main/java/cresschute/testbed/LargeFleet.java
@@ -18,8 +18,9 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * A node that is told of very many workers, by a discovery service whose list does not rest: for
- * what consoles cost at that size. Nobody sends jobs, so that none of the workers need be there.
+ * A node that is notified of very many workers, by a discovery service whose list does not rest:
+ * for what consoles cost at that size. Nobody sends jobs, so that none of the workers need be
+ * there.
  */
 public final class LargeFleet implements AutoCloseable {
 
@@ -40,7 +41,7 @@
     private final boolean[] drains;
     private final NodeServer node;
 
-    /** Starts discovery and node; the list is told at once. */
+    /** Starts discovery and node; the list is reported at once. */
     public LargeFleet(int count, long seed, Path controlSocket) {
         chance = RandomSource.XO_SHI_RO_256_PP.create(seed);
         discovery = new DiscoveryStandIn(loop, new Recorder());
--- a/src/main/java/cresschute/testbed/NodeProcess.java
+++ b/src/main/java/cresschute/testbed/NodeProcess.java
@@ -67,11 +67,12 @@
                                 process.destroyForcibly();
                             }
                         });
-        final Matcher told = Pattern.compile("listens on /127\\.0\\.0\\.1:([0-9]+)").matcher("");
+        final Matcher reported =
+                Pattern.compile("listens on /127\\.0\\.0\\.1:([0-9]+)").matcher("");
         final BufferedReader log = process.errorReader();
         String line = log.readLine();
         final StringBuilder seen = new StringBuilder();
-        while (line != null && !told.reset(line).find()) {
+        while (line != null && !reported.reset(line).find()) {
             seen.append(line).append('\n');
             line = log.readLine();
         }
@@ -79,7 +80,7 @@
         if (line == null) {
             throw new IOException("the node did not start: " + seen);
         }
-        address = new InetSocketAddress("127.0.0.1", Integer.parseInt(told.group(1)));
+        address = new InetSocketAddress("127.0.0.1", Integer.parseInt(reported.group(1)));
         // What it logs later is read away, so that it never waits for us.
         final Thread reader = new Thread(() -> log.lines().forEach(later -> {}), "lab-node-log");
         reader.setDaemon(true);
--- a/src/main/java/cresschute/testbed/Observation.java
+++ b/src/main/java/cresschute/testbed/Observation.java
@@ -114,7 +114,7 @@
             implements Observation {}
 
     /** Discovery has written this to the node. */
-    record WorkerTold(
+    record WorkerListed(
             @SerializedName("us") long us,
             @SerializedName("worker") String worker,
             @SerializedName("state") String state,
--- a/src/main/java/cresschute/testbed/RequestOutcomes.java
+++ b/src/main/java/cresschute/testbed/RequestOutcomes.java
@@ -65,12 +65,12 @@
                     : servedUs.getValueAtPercentile(percentile) / 1000.0;
         }
 
-        /** Worth of the jobs asked for. */
+        /** Priority weight of the jobs asked for. */
         public double priorityWeightAsked() {
             return priorityWeightAsked;
         }
 
-        /** Worth of those that were served in time. */
+        /** Priority weight of those that were served in time. */
         public double weightedServedFraction() {
             return weightedServedFraction;
         }
@@ -162,7 +162,9 @@
         return classes.values().stream().mapToInt(OfClass::inTime).sum();
     }
 
-    /** Worth served in time over worth asked for; 1 where nothing was asked for. */
+    /**
+     * Priority weight served in time over priority weight asked for; 1 where nothing was asked for.
+     */
     public double weightedServedFraction() {
         final double asked =
                 classes.values().stream().mapToDouble(OfClass::priorityWeightAsked).sum();
--- a/src/main/java/cresschute/testbed/RuleChecker.java
+++ b/src/main/java/cresschute/testbed/RuleChecker.java
@@ -15,7 +15,7 @@
 import cresschute.testbed.Observation.SendTurnedAway;
 import cresschute.testbed.Observation.WorkerBooted;
 import cresschute.testbed.Observation.WorkerFell;
-import cresschute.testbed.Observation.WorkerTold;
+import cresschute.testbed.Observation.WorkerListed;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -32,8 +32,8 @@
 public final class RuleChecker {
 
     /**
-     * Nothing new goes to a worker later than this after the node was told, us; plus what sockets
-     * add.
+     * Nothing new goes to a worker later than this after the node was notified, us; plus what
+     * sockets add.
      */
     static final long DRAIN_WITHIN_US = 400_000 + 50_000;
 
@@ -236,16 +236,18 @@
     private void drains(List<Observation> seen) {
         final Map<String, Long> byList = new HashMap<>();
         final Map<String, Long> byOperator = new HashMap<>();
-        // Sends are noted at their last byte, after what was told since their first: so that all is
+        // Sends are noted at their last byte, after what was notified since their first byte: so
+        // that
+        // all is
         // in order.
         final List<Observation> ordered = new ArrayList<>(seen);
         ordered.sort((a, b) -> Long.compare(drainTime(a), drainTime(b)));
         for (final Observation each : ordered) {
-            if (each instanceof WorkerTold told) {
-                if (told.state().equals("SERVING")) {
-                    byList.remove(told.worker());
+            if (each instanceof WorkerListed reported) {
+                if (reported.state().equals("SERVING")) {
+                    byList.remove(reported.worker());
                 } else {
-                    byList.putIfAbsent(told.worker(), told.us());
+                    byList.putIfAbsent(reported.worker(), reported.us());
                 }
             } else if (each instanceof OperatorDrained drained) {
                 if (drained.start()) {
@@ -284,19 +286,19 @@
     private void coldStarts(List<Observation> seen) {
         final Map<String, WorkerBooted> boots = new HashMap<>();
         final Map<String, List<SendCame>> recent = new HashMap<>();
-        final Set<String> told = new HashSet<>();
+        final Set<String> reported = new HashSet<>();
         for (final Observation each : seen) {
             if (each instanceof WorkerBooted boot) {
                 boots.put(boot.worker(), boot);
                 recent.put(boot.worker(), new ArrayList<>());
-                told.remove(boot.worker());
-            } else if (each instanceof WorkerTold notice && notice.startedMs() > 0) {
-                told.add(notice.worker());
+                reported.remove(boot.worker());
+            } else if (each instanceof WorkerListed notice && notice.startedMs() > 0) {
+                reported.add(notice.worker());
             } else if (each instanceof WorkerFell fell) {
                 breach(Rule.COLD_STARTS_KEPT, fell.us(), fell.worker() + " fell over");
             } else if (each instanceof SendCame send
                     && boots.containsKey(send.worker())
-                    && told.contains(send.worker())) {
+                    && reported.contains(send.worker())) {
                 cold(send, boots.get(send.worker()), recent.get(send.worker()));
             }
         }
--- a/src/main/java/cresschute/testbed/WorkerStandIn.java
+++ b/src/main/java/cresschute/testbed/WorkerStandIn.java
@@ -40,9 +40,9 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * A worker as the protocol has it: slots, a queue in order of arrival, lines that tell of start,
+ * A worker as the protocol has it: slots, a queue in order of arrival, lines that report start,
  * progress and end, load reports, keys that its cell drops, a cold start under which it falls over
- * if it is sent too much. How long a job takes is told by its body, {@code {"work_us":...,
+ * if it is sent too much. How long a job takes is stated in its body, {@code {"work_us":...,
  * "slots":...}}. It has scripted faults, and all of it happens on one loop.
  */
 public final class WorkerStandIn {
@@ -276,19 +276,19 @@
     }
 
     /** The report that it tells now: the newest that is old enough. */
-    private Report told() {
-        Report told = reports.peekFirst();
+    private Report reported() {
+        Report reported = reports.peekFirst();
         for (final Report each : reports) {
-            told = each.us() <= recorder.nowUs() - reportsLateUs ? each : told;
+            reported = each.us() <= recorder.nowUs() - reportsLateUs ? each : reported;
         }
-        return told;
+        return reported;
     }
 
     private JsonObject load() {
         final JsonObject load = new JsonObject();
-        final Report told = told();
-        load.addProperty("x0", told.freeSlots());
-        load.addProperty("queue", told.queue());
+        final Report reported = reported();
+        load.addProperty("x0", reported.freeSlots());
+        load.addProperty("queue", reported.queue());
         return load;
     }
 
@@ -336,7 +336,7 @@
             tick();
         }
 
-        /** Guards the queue: progress is told while it runs, and not while the worker is silent. */
+        /** Progress is reported while it runs, and not while the worker is silent. */
         private void tick() {
             progress =
                     loop.schedule(
@@ -514,10 +514,10 @@
                 recorder.add(new SendTurnedAway(recorder.nowUs(), make.id(), id));
                 final DefaultFullHttpResponse full =
                         LoopbackServer.answer(HttpResponseStatus.SERVICE_UNAVAILABLE, "");
-                final Report told = told();
+                final Report reported = reported();
                 full.headers()
                         .set("X-Not-Run", "1")
-                        .set("X-Load", "x0=" + told.freeSlots() + ",queue=" + told.queue());
+                        .set("X-Load", "x0=" + reported.freeSlots() + ",queue=" + reported.queue());
                 ctx.writeAndFlush(full);
                 return;
             }
--- a/src/main/java/cresschute/testbed/bodies/BodiesTrial.java
+++ b/src/main/java/cresschute/testbed/bodies/BodiesTrial.java
@@ -74,7 +74,7 @@
                     PlainRelay plain = new PlainRelay(site.anyWorker())) {
                 speeds(node.address(), plain.address(), memory);
                 slowReaders(node.address(), memory);
-                besideSmallReqs(node, small, memory);
+                besideSmallRequests(node, small, memory);
                 held(node);
                 memory.draw(
                         chart,
@@ -198,7 +198,7 @@
 
     // ---- Beside small requests ----
 
-    private void besideSmallReqs(NodeProcess node, SmallRequests small, MemoryLine memory)
+    private void besideSmallRequests(NodeProcess node, SmallRequests small, MemoryLine memory)
             throws InterruptedException {
         row(
                 "\n"
@@ -210,14 +210,16 @@
         small.connect(node.address(), SMALL_CLIENTS);
         small.run(SMALL_PER_S, SETTLED_MS);
         for (int round = 0; round < size.rounds(); round++) {
-            smallReqs("alone", node, small, memory);
+            smallRequests("alone", node, small, memory);
             final Slow slow = new Slow(node.address(), size.slow());
-            smallReqs("beside " + slow.flowing() + " slow bodies and results", node, small, memory);
+            smallRequests(
+                    "beside " + slow.flowing() + " slow bodies and results", node, small, memory);
             slow.leave();
         }
     }
 
-    private void smallReqs(String what, NodeProcess node, SmallRequests small, MemoryLine memory)
+    private void smallRequests(
+            String what, NodeProcess node, SmallRequests small, MemoryLine memory)
             throws InterruptedException {
         final double since = memory.now();
         final long cpuNs = node.cpuNs();
@@ -236,7 +238,7 @@
                 memory.mostSince(since).direct() / MB);
     }
 
-    /** Bodies and results, half of each, that flow slowly until they are told to leave. */
+    /** Bodies and results, half of each, that flow slowly until they are asked to leave. */
     private final class Slow {
         private static final long RATE = 20_000;
         private final List<CompletableFuture<BodyClient.Came>> all = new ArrayList<>();
@@ -302,7 +304,7 @@
         flowing("bodies whose worker takes nothing", node, 0, "&stall=0");
     }
 
-    private void flowing(String what, NodeProcess node, long rate, String trouble)
+    private void flowing(String what, NodeProcess node, long rate, String fault)
             throws InterruptedException {
         final NodeProcess.Memory before = settled(node);
         final CountDownLatch ended = new CountDownLatch(size.slow());
@@ -314,7 +316,7 @@
                     new BodyClient.Plan(
                             base.to(),
                             base.id(),
-                            base.target() + trouble,
+                            base.target() + fault,
                             base.upload(),
                             false,
                             base.up(),
--- a/src/main/java/cresschute/testbed/bodies/BodyClient.java
+++ b/src/main/java/cresschute/testbed/bodies/BodyClient.java
@@ -70,7 +70,7 @@
                 whole = read(plan, body, status, expected, text);
             }
         } catch (IOException e) {
-            // How far it came is told by what is returned.
+            // The returned count says how far it came.
             text.append(e.getMessage());
         }
         return new Came(
--- a/src/main/java/cresschute/testbed/bodies/BodyWorker.java
+++ b/src/main/java/cresschute/testbed/bodies/BodyWorker.java
@@ -13,7 +13,7 @@
 import java.util.regex.Pattern;
 
 /**
- * Workers that take and make long bodies. What one does is told by the job's path: {@code in} and
+ * Workers that take and make long bodies. What one does is stated by the job's path: {@code in} and
  * {@code out} are its speeds in bytes a second, {@code result} the bytes that it makes, {@code
  * reset} and {@code stall} the byte of the body, or of the result, at which it breaks or stands
  * still. One thread a connection.
@@ -74,7 +74,8 @@
                 serve(paced, first);
             }
         } catch (IOException e) {
-            // The node has closed it, or it broke as it was told to: the other side's tale is the
+            // The node has closed it, or it broke as it was asked to: the other side's account is
+            // the
             // one told.
             return;
         } finally {
--- a/src/main/java/cresschute/testbed/capacity/ByteCounter.java
+++ b/src/main/java/cresschute/testbed/capacity/ByteCounter.java
@@ -18,7 +18,7 @@
     private long firstByteUs;
     private long readSinceTaken;
 
-    /** {@code counted} is told the size of each piece that is read or written. */
+    /** {@code counted} gets the size of each piece that is read or written. */
     ByteCounter(LongSupplier clock, LongConsumer counted) {
         this.clock = clock;
         this.counted = counted;
--- a/src/main/java/cresschute/testbed/capacity/CapacityExperiment.java
+++ b/src/main/java/cresschute/testbed/capacity/CapacityExperiment.java
@@ -53,7 +53,7 @@
     /**
      * One that is not started.
      *
-     * @param progress is told what goes on, a line at a time
+     * @param progress is notified of what goes on, a line at a time
      * @param interrupted ends it early at zero
      */
     public CapacityExperiment(
--- a/src/main/java/cresschute/testbed/capacity/DispatcherProcess.java
+++ b/src/main/java/cresschute/testbed/capacity/DispatcherProcess.java
@@ -148,9 +148,9 @@
         final long startNs = System.nanoTime();
         while (process.isAlive()
                 && System.nanoTime() - startNs < TimeUnit.MILLISECONDS.toNanos(START_MS)) {
-            final Matcher told = LISTENS.matcher(Files.readString(log));
-            if (told.find()) {
-                return PeerProcess.address(told.group(1));
+            final Matcher reported = LISTENS.matcher(Files.readString(log));
+            if (reported.find()) {
+                return PeerProcess.address(reported.group(1));
             }
             Thread.sleep(LOOK_MS);
         }
@@ -171,7 +171,7 @@
         new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor();
     }
 
-    /** What its log tells of broken invariants and of settings that it refused, one line each. */
+    /** What its log says of broken invariants and of settings that it refused, one line each. */
     List<String> faults() throws IOException {
         return Files.readAllLines(log).stream()
                 .filter(line -> FAULT.matcher(line).find())
--- a/src/main/java/cresschute/testbed/capacity/HollowClients.java
+++ b/src/main/java/cresschute/testbed/capacity/HollowClients.java
@@ -161,9 +161,9 @@
     }
 
     private void submitSingle() {
-        final long restOfRampUs =
+        final long remainingRampUs =
                 ramping ? (long) ((plan.running() - clients.waiting()) / rate() * US_A_SECOND) : 0;
-        final long workUs = ramping ? restOfRampUs + runTimes.rest() : runTimes.next();
+        final long workUs = ramping ? remainingRampUs + runTimes.remainder() : runTimes.next();
         submit(drawClass(), "job-", workUs, Site.tenant(chance.nextInt(plan.tenants())));
     }
 
--- a/src/main/java/cresschute/testbed/capacity/HollowDiscovery.java
+++ b/src/main/java/cresschute/testbed/capacity/HollowDiscovery.java
@@ -63,7 +63,7 @@
         loop.submit(
                         () -> {
                             for (int i = 0; i < makes.size(); i++) {
-                                tell(i, "SERVING");
+                                report(i, "SERVING");
                             }
                         })
                 .syncUninterruptibly();
@@ -86,20 +86,20 @@
         }
         drains[number] = true;
         changes++;
-        tell(number, "DRAINING");
+        report(number, "DRAINING");
         final boolean anew = changes % 2 == 0;
         loop.schedule(
                 () -> {
                     drains[number] = false;
                     startedMs[number] = anew ? recorder.nowUs() / 1_000 : startedMs[number];
                     changes++;
-                    tell(number, "SERVING");
+                    report(number, "SERVING");
                 },
                 DRAINED_US,
                 TimeUnit.MICROSECONDS);
     }
 
-    private void tell(int number, String state) {
+    private void report(int number, String state) {
         standIn.set(makes.get(number), addresses.get(number), state, startedMs[number]);
     }
 
--- a/src/main/java/cresschute/testbed/capacity/HollowWorkers.java
+++ b/src/main/java/cresschute/testbed/capacity/HollowWorkers.java
@@ -177,10 +177,10 @@
             recorder.add(new RunStarted(startedUs, worker.make.id(), id));
             line(TrafficKind.START_LINE, line("started"));
             loop.schedule(this::done, workUs, TimeUnit.MICROSECONDS);
-            tellProgress();
+            reportProgress();
         }
 
-        private void tellProgress() {
+        private void reportProgress() {
             if (recorder.nowUs() - startedUs + progressUs < workUs) {
                 progress =
                         loop.schedule(
@@ -192,7 +192,7 @@
                                             line("running")
                                                     + ",\"share\":"
                                                     + Math.round(Math.min(1, share) * 1_000) / 1e3);
-                                    tellProgress();
+                                    reportProgress();
                                 },
                                 progressUs,
                                 TimeUnit.MICROSECONDS);
--- a/src/main/java/cresschute/testbed/capacity/ObservationFile.java
+++ b/src/main/java/cresschute/testbed/capacity/ObservationFile.java
@@ -41,7 +41,7 @@
                     Map.entry("EffectMade", Observation.EffectMade.class),
                     Map.entry("WorkerBooted", Observation.WorkerBooted.class),
                     Map.entry("WorkerFell", Observation.WorkerFell.class),
-                    Map.entry("WorkerTold", Observation.WorkerTold.class),
+                    Map.entry("WorkerTold", Observation.WorkerListed.class),
                     Map.entry("OperatorDrained", Observation.OperatorDrained.class));
 
     private static final Map<Class<? extends Observation>, String> TYPE_NAMES =
--- a/src/main/java/cresschute/testbed/capacity/RunTimes.java
+++ b/src/main/java/cresschute/testbed/capacity/RunTimes.java
@@ -27,7 +27,7 @@
     }
 
     /** What is left of the running time of a job that is met at any moment of its run, us. */
-    long rest() {
+    long remainder() {
         final double reached = 1 - Math.exp(-maxUs / scaleUs);
         return (long) Math.max(1, -scaleUs * Math.log(1 - chance.nextDouble() * reached));
     }
--- a/src/main/java/cresschute/testbed/capacity/Site.java
+++ b/src/main/java/cresschute/testbed/capacity/Site.java
@@ -179,14 +179,14 @@
     private JobClass stated(
             String name,
             double value,
-            long aimUs,
+            long latencyObjectiveUs,
             double stretch,
             Idempotency effect,
             double share) {
         return new JobClass(
                 name,
                 value,
-                aimUs,
+                latencyObjectiveUs,
                 stretch,
                 deadlineUs(),
                 effect,
--- a/src/main/java/cresschute/testbed/capacity/TrafficKind.java
+++ b/src/main/java/cresschute/testbed/capacity/TrafficKind.java
@@ -7,9 +7,9 @@
     PROBE(true),
     /** A request's head and body at a worker, and the head of the answer. */
     REQUEST(false),
-    /** A line that tells a job's start. */
+    /** A line that reports a job's start. */
     START_LINE(false),
-    /** A line that tells a job's progress. */
+    /** A line that reports a job's progress. */
     PROGRESS_LINE(false),
     /** The last line of an answer, without its load report. */
     RESULT_LINE(false),
--- a/src/main/java/cresschute/testbed/model/CapacityCsv.java
+++ b/src/main/java/cresschute/testbed/model/CapacityCsv.java
@@ -25,7 +25,7 @@
     private final String date;
     private final long seed;
 
-    /** Lines for runs of one seed of a model; commit and date are told as they are given. */
+    /** Lines for runs of one seed of a model; commit and date are reported as they are given. */
     public CapacityCsv(
             Function<Point, Map<String, Double>> model,
             PrintWriter out,
--- a/src/main/java/cresschute/testbed/model/FleetModel.java
+++ b/src/main/java/cresschute/testbed/model/FleetModel.java
@@ -36,7 +36,7 @@
     /**
      * The whole of a fleet.
      *
-     * @param settings what each module is told; the zone is set for each dispatcher
+     * @param settings the settings that each module gets; the zone is set for each dispatcher
      * @param demands of each class of the settings, in their order
      * @param load work asked for over what all workers can do while all are well
      * @param skew how many times the mean a dispatcher may get: traffic is spread from 1/skew to
@@ -123,15 +123,15 @@
             listed.add(workers.get(id).listed(WorkerState.READY));
         }
         for (int i = 0; i < plan.settings().dispatchers(); i++) {
-            final DispatchSettings told = inZone(plan.settings(), i % plan.settings().zones());
+            final DispatchSettings reported = inZone(plan.settings(), i % plan.settings().zones());
             final long seed = random.nextLong();
             dispatchers.add(
                     new ModelDispatcher(
                             agenda,
                             workers,
                             link,
-                            told.zone(),
-                            actions -> module.make(told, seed, actions),
+                            reported.zone(),
+                            actions -> module.make(reported, seed, actions),
                             coldSends));
             weights.add(Math.pow(plan.skew(), 2 * random.nextDouble() - 1));
         }
@@ -273,16 +273,16 @@
         return workers.get(worker).zone;
     }
 
-    /** Workers vanish without a word; the list tells of it later. */
+    /** Workers vanish without a word; the list reports it later. */
     public void lose(Collection<Integer> ids) {
         ids.forEach(
                 id -> {
                     workers.get(id).lose();
-                    tell(workers.get(id).listed(WorkerState.GONE));
+                    report(workers.get(id).listed(WorkerState.GONE));
                 });
     }
 
-    /** Workers are back, or new, as cold processes; the list tells of it later. */
+    /** Workers are back, or new, as cold processes; the list reports it later. */
     public void start(Collection<Integer> ids) {
         ids.forEach(
                 id -> {
@@ -290,13 +290,13 @@
                         addWorker(id);
                     }
                     workers.get(id).startAnew();
-                    tell(workers.get(id).listed(WorkerState.READY));
+                    report(workers.get(id).listed(WorkerState.READY));
                 });
     }
 
     /** Workers drain: they end what they have and want nothing new. */
     public void drainWorkers(Collection<Integer> ids) {
-        ids.forEach(id -> tell(workers.get(id).listed(WorkerState.DRAINING)));
+        ids.forEach(id -> report(workers.get(id).listed(WorkerState.DRAINING)));
     }
 
     /** Workers run so many times slower from now on. */
@@ -309,7 +309,7 @@
         ids.forEach(id -> workers.get(id).failPart(part));
     }
 
-    private void tell(Worker entry) {
+    private void report(Worker entry) {
         // The list is late by as much for all, and each watch by a little more.
         final long lateUs = 500_000 + random.nextLong(NOTICE_US - 1_000_000);
         dispatchers.forEach(
--- a/src/main/java/cresschute/testbed/model/ModelDispatcher.java
+++ b/src/main/java/cresschute/testbed/model/ModelDispatcher.java
@@ -13,9 +13,9 @@
 import java.util.function.Function;
 
 /**
- * One dispatcher of the model: the decision module with the host's duties around it. Sends, probes
- * and news take the network's time; other copies are given up once one has answered, as the node's
- * core does.
+ * One dispatcher of the model: the decision module with the host's duties around it. Sends, load
+ * queries and news take the network's time; other attempts are given up once one has answered, as
+ * the node's core does.
  */
 final class ModelDispatcher implements DispatcherActions {
 
@@ -240,11 +240,11 @@
         }
     }
 
-    private void answer(int requestId, Runnable told) {
+    private void answer(int requestId, Runnable reported) {
         final Open request = open.get(requestId);
         if (!request.closed) {
             request.closed = true;
-            told.run();
+            reported.run();
         }
     }
 
--- a/src/main/java/cresschute/testbed/model/ModelWorker.java
+++ b/src/main/java/cresschute/testbed/model/ModelWorker.java
@@ -219,10 +219,10 @@
             // Failing is spread evenly over its jobs, by the work they bring.
             final boolean fails = held.workUs % 1000 < failing * 1000;
             final long ranUs = fails ? WARMING_STEP_US : runningUs(held.workUs);
-            for (long told = PROGRESS_US; told < ranUs; told += PROGRESS_US) {
-                final double share = (double) told / ranUs;
+            for (long reported = PROGRESS_US; reported < ranUs; reported += PROGRESS_US) {
+                final double share = (double) reported / ranUs;
                 agenda.after(
-                        told,
+                        reported,
                         () -> {
                             if (of == run) {
                                 held.sender.progressed(share);
--- a/src/test/java/cresschute/testbed/ControlledFleetTest.java
+++ b/src/test/java/cresschute/testbed/ControlledFleetTest.java
@@ -229,7 +229,7 @@
     void drainHoldsOverAWholeNewListAndADrainOfTheLists() throws IOException {
         try (ControlPeer peer = peer()) {
             drain(peer, "o1", "w5");
-            fleet.tellWholeList();
+            fleet.reportFullList();
             more(20);
             assertThat(peer.worker("w5").get("state").getAsString()).isEqualTo("draining");
             fleet.begin(InjectedFault.Kind.DRAIN, "w5");
--- a/src/test/java/cresschute/testbed/FaultTest.java
+++ b/src/test/java/cresschute/testbed/FaultTest.java
@@ -41,7 +41,7 @@
                     slow@-5s    | '-5s' is no duration; allowed: a number and ms, s or m, such as 500ms
                     burst:w1@5s | burst befalls no worker; leave out ':w1'
                     """)
-    void wrongOnesAreTold(String text, String message) {
+    void wrongOnesAreReported(String text, String message) {
         assertThatThrownBy(() -> InjectedFault.parse(text)).hasMessage(message);
     }
 }
--- a/src/test/java/cresschute/testbed/FleetTest.java
+++ b/src/test/java/cresschute/testbed/FleetTest.java
@@ -9,7 +9,7 @@
 import cresschute.testbed.Observation.RunStarted;
 import cresschute.testbed.Observation.SendCame;
 import cresschute.testbed.Observation.WorkerBooted;
-import cresschute.testbed.Observation.WorkerTold;
+import cresschute.testbed.Observation.WorkerListed;
 import cresschute.testbed.RequestOutcomes.End;
 import java.time.Duration;
 import java.util.HashSet;
@@ -175,16 +175,16 @@
             await(
                     fleet,
                     seen ->
-                            seen instanceof WorkerTold told
-                                    && told.worker().equals("w1")
-                                    && told.state().equals("DELETED"));
+                            seen instanceof WorkerListed reported
+                                    && reported.worker().equals("w1")
+                                    && reported.state().equals("DELETED"));
             await(fleet, seen -> seen instanceof WorkerBooted);
             await(
                     fleet,
                     seen ->
-                            seen instanceof WorkerTold told
-                                    && told.worker().equals("w1")
-                                    && told.startedMs() > 0);
+                            seen instanceof WorkerListed reported
+                                    && reported.worker().equals("w1")
+                                    && reported.startedMs() > 0);
             final int before = fleet.seen().size();
             Awaitility.await()
                     .atMost(Duration.ofSeconds(20))
@@ -206,15 +206,17 @@
         try (Fleet fleet = fleet("drain:w1@500ms+30s")) {
             await(
                     fleet,
-                    seen -> seen instanceof WorkerTold told && told.state().equals("DRAINING"));
+                    seen ->
+                            seen instanceof WorkerListed reported
+                                    && reported.state().equals("DRAINING"));
             final int before = fleet.seen().size();
             Awaitility.await().until(() -> count(fleet, RequestSent.class) > 60);
-            final long toldUs =
+            final long reportedUs =
                     fleet.seen().stream()
                             .filter(
                                     seen ->
-                                            seen instanceof WorkerTold told
-                                                    && told.state().equals("DRAINING"))
+                                            seen instanceof WorkerListed reported
+                                                    && reported.state().equals("DRAINING"))
                             .findFirst()
                             .orElseThrow()
                             .us();
@@ -225,7 +227,7 @@
                                     seen instanceof SendCame send
                                             && send.worker().equals("w1")
                                             && send.firstByteUs()
-                                                    > toldUs + RuleChecker.DRAIN_WITHIN_US);
+                                                    > reportedUs + RuleChecker.DRAIN_WITHIN_US);
         }
     }
 
@@ -234,8 +236,8 @@
     void servesByTheKnownListWhileTheDiscoveryIsDown() {
         try (Fleet fleet = fleet("director@0s+3s")) {
             await(fleet, FleetTest::serves);
-            assertThat(fleet.seen()).noneMatch(WorkerTold.class::isInstance);
-            await(fleet, WorkerTold.class::isInstance);
+            assertThat(fleet.seen()).noneMatch(WorkerListed.class::isInstance);
+            await(fleet, WorkerListed.class::isInstance);
             sound(cut(fleet));
         }
     }
@@ -273,7 +275,7 @@
     }
 
     @Test
-    void faultOfNoWorkerIsToldAtOnce() {
+    void faultOfNoWorkerIsReportedAtOnce() {
         assertThatThrownBy(
                         () ->
                                 new Fleet(
--- a/src/test/java/cresschute/testbed/RuleCheckerTest.java
+++ b/src/test/java/cresschute/testbed/RuleCheckerTest.java
@@ -18,7 +18,7 @@
 import cresschute.testbed.Observation.SendTurnedAway;
 import cresschute.testbed.Observation.WorkerBooted;
 import cresschute.testbed.Observation.WorkerFell;
-import cresschute.testbed.Observation.WorkerTold;
+import cresschute.testbed.Observation.WorkerListed;
 import cresschute.testbed.RequestOutcomes.End;
 import java.util.ArrayList;
 import java.util.List;
@@ -165,8 +165,8 @@
         sent("a", "safe");
         sent("b", "safe");
         sent("c", "safe");
-        seen.add(new WorkerTold(S, "w1", "DRAINING", 0));
-        seen.add(new WorkerTold(S + 300_000, "w1", "DRAINING", 0));
+        seen.add(new WorkerListed(S, "w1", "DRAINING", 0));
+        seen.add(new WorkerListed(S + 300_000, "w1", "DRAINING", 0));
         came(S + 450_000, "w1", 0, "a");
         // Its last byte came late, its first byte in time: for drains the first one counts.
         seen.add(new SendCame(S + 900_000, S + 440_000, "w1", 0, "b", null, S));
@@ -175,7 +175,7 @@
         assertThat(breaches())
                 .containsExactly(
                         "DRAINS_KEPT: w1 was sent c 451 ms after the list told that it leaves");
-        seen.add(seen.size() - 1, new WorkerTold(S + 450_500, "w1", "SERVING", 0));
+        seen.add(seen.size() - 1, new WorkerListed(S + 450_500, "w1", "SERVING", 0));
         assertThat(breaches()).isEmpty();
     }
 
@@ -184,8 +184,8 @@
     void operatorsDrainIsKeptToo() {
         sent("c", "safe");
         seen.add(new OperatorDrained(S, "w1", true));
-        seen.add(new WorkerTold(S + 100_000, "w1", "DRAINING", 0));
-        seen.add(new WorkerTold(S + 200_000, "w1", "SERVING", 0));
+        seen.add(new WorkerListed(S + 100_000, "w1", "DRAINING", 0));
+        seen.add(new WorkerListed(S + 200_000, "w1", "SERVING", 0));
         came(S + 451_000, "w1", 0, "c");
         assertThat(breaches())
                 .containsExactly(
@@ -199,7 +199,7 @@
     void coldWorkerIsNotPushedOver() {
         // Half of 4 at the start, twice that in a second: 4 s of work.
         seen.add(new WorkerBooted(0, "w1", 4));
-        seen.add(new WorkerTold(0, "w1", "SERVING", 5));
+        seen.add(new WorkerListed(0, "w1", "SERVING", 5));
         for (int i = 0; i < 4; i++) {
             sent("a" + i, "safe");
             came(1_000 + i, "w1", 0, "a" + i);
--- a/src/test/java/cresschute/testbed/StandInsTest.java
+++ b/src/test/java/cresschute/testbed/StandInsTest.java
@@ -10,7 +10,7 @@
 import cresschute.testbed.Observation.RunStarted;
 import cresschute.testbed.Observation.SendTurnedAway;
 import cresschute.testbed.Observation.WorkerFell;
-import cresschute.testbed.Observation.WorkerTold;
+import cresschute.testbed.Observation.WorkerListed;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -271,8 +271,8 @@
                 .contains("DELETED");
         assertThat(
                         recorder.seen().stream()
-                                .filter(WorkerTold.class::isInstance)
-                                .map(seen -> ((WorkerTold) seen).state()))
+                                .filter(WorkerListed.class::isInstance)
+                                .map(seen -> ((WorkerListed) seen).state()))
                 .contains("SERVING", "DRAINING", "DELETED");
         loop.submit(() -> discovery.down(true)).syncUninterruptibly();
         assertThat(send(at, get("/registry/instances")).readLine())
--- a/src/test/java/cresschute/testbed/bodies/BodyPeersTest.java
+++ b/src/test/java/cresschute/testbed/bodies/BodyPeersTest.java
@@ -124,12 +124,11 @@
 
     @Test
     void resultThatBreaksOrStallsIsNotWhole() {
-        for (final String trouble : List.of("reset", "stall")) {
+        for (final String fault : List.of("reset", "stall")) {
             final BodyClient.Came came =
-                    BodyClient.run(
-                            plan("/report?result=" + 20 * MB + "&" + trouble + "=1000000", 0));
+                    BodyClient.run(plan("/report?result=" + 20 * MB + "&" + fault + "=1000000", 0));
             assertThat(came)
-                    .as(trouble)
+                    .as(fault)
                     .extracting(BodyClient.Came::status, BodyClient.Came::whole)
                     .containsExactly(200, false);
         }
--- a/src/test/java/cresschute/testbed/capacity/CapacityPlanTest.java
+++ b/src/test/java/cresschute/testbed/capacity/CapacityPlanTest.java
@@ -55,7 +55,7 @@
         for (int i = 0; i < 100_000; i++) {
             final long us = times.next();
             assertThat(us).isBetween(1L, 60_000_000L);
-            assertThat(times.rest()).isBetween(1L, 60_000_000L);
+            assertThat(times.remainder()).isBetween(1L, 60_000_000L);
             sum += us;
         }
         assertThat(sum / 100_000).isBetween(29.5e6, 30.5e6);
@@ -115,7 +115,7 @@
     }
 
     @Test
-    void lackOfMemoryOrPortsIsToldInOneLine() {
+    void lackOfMemoryOrPortsIsReportedInOneLine() {
         assertThatThrownBy(() -> Preflight.memory(WHOLE, 500))
                 .isInstanceOf(MachineLimitException.class)
                 .hasMessageMatching("memory: [0-9]+ MB are needed, 500 MB are available");
--- a/src/test/java/cresschute/testbed/capacity/ObservationFileFormatTest.java
+++ b/src/test/java/cresschute/testbed/capacity/ObservationFileFormatTest.java
@@ -47,7 +47,7 @@
         assertThat(read.get(0))
                 .isEqualTo(new Observation.RequestSent(1, "i", "o", "c", "k", 2, 0.5, 3));
         assertThat(read.get(6)).isEqualTo(new Observation.SendCame(7, 6, "w1", 4, "i", "k", 1.5));
-        assertThat(read.get(13)).isEqualTo(new Observation.WorkerTold(14, "w1", "serving", 5));
+        assertThat(read.get(13)).isEqualTo(new Observation.WorkerListed(14, "w1", "serving", 5));
         final Path again = folder.resolve("again");
         try (ObservationFile file = new ObservationFile(again)) {
             read.forEach(file);
@@ -57,7 +57,7 @@
 
     /** What the process that starts an experiment tells the others. */
     @Test
-    void planAndClockAreToldAsByAnEarlierVersion() {
+    void planAndClockAreReportedAsByAnEarlierVersion() {
         final Gson gson = new Gson();
         final String plan =
                 """
--- a/src/test/java/cresschute/testbed/model/FleetModelTest.java
+++ b/src/test/java/cresschute/testbed/model/FleetModelTest.java
@@ -42,7 +42,7 @@
      * Short checks, longer reports and long keyed jobs; workers tell of their load and may be
      * probed.
      */
-    private static final List<RequestClass> TOLD =
+    private static final List<RequestClass> REPORTED =
             List.of(
                     new RequestClass(
                             2,
@@ -72,7 +72,7 @@
                             40 * SECOND,
                             Placement.ANYWHERE));
 
-    private static final List<Demand> TOLD_WORK =
+    private static final List<Demand> REPORTED_WORK =
             List.of(
                     new Demand(0.49, 830_000, 400_000, 0),
                     new Demand(0.27, 3_200_000, 1_400_000, 0.2),
@@ -116,7 +116,7 @@
                     new Demand(0.11, 4_100_000, 8_000_000, 0));
 
     private static DispatchSettings settings(
-            int dispatchers, List<RequestClass> classes, SlowStartSettings cold, boolean told) {
+            int dispatchers, List<RequestClass> classes, SlowStartSettings cold, boolean reported) {
         return new DispatchSettings(
                 dispatchers,
                 0,
@@ -126,33 +126,33 @@
                 List.of(),
                 1,
                 false,
-                new AttemptLimits(5, 2 * SECOND, told),
+                new AttemptLimits(5, 2 * SECOND, reported),
                 cold,
                 new ObjectiveWeights(0.65, 0.15, 0.2, 0),
                 false,
                 0,
                 WeightSource.NOMINAL,
-                told,
+                reported,
                 true,
                 SECOND,
                 0,
-                told,
+                reported,
                 false,
                 0,
                 false,
                 DispatchSettings.UNLIMITED);
     }
 
-    private static FleetModel told(double load, long seed) {
-        return told(DISPATCHERS, WORKERS, load, seed);
+    private static FleetModel reported(double load, long seed) {
+        return reported(DISPATCHERS, WORKERS, load, seed);
     }
 
-    private static FleetModel told(int dispatchers, int workers, double load, long seed) {
+    private static FleetModel reported(int dispatchers, int workers, double load, long seed) {
         final SlowStartSettings cold = new SlowStartSettings(0.32, 8_800_000, 3, SECOND);
         return new FleetModel(
                 new Plan(
-                        settings(dispatchers, TOLD, cold, true),
-                        TOLD_WORK,
+                        settings(dispatchers, REPORTED, cold, true),
+                        REPORTED_WORK,
                         List.of(new Kind(5, 1.5, 0.31), new Kind(4, 0.97, 0.69)),
                         workers,
                         6,
@@ -221,7 +221,7 @@
 
     /** Low load, a third of the workers back cold and a tenth as many new ones; then a burst. */
     static FleetModel coldUnderBurst(int dispatchers, int workers, double burst, long seed) {
-        final FleetModel fleet = told(dispatchers, workers, 0.35, seed);
+        final FleetModel fleet = reported(dispatchers, workers, 0.35, seed);
         fleet.pass(2 * SECOND);
         final List<Integer> cold = new ArrayList<>(fleet.up().subList(0, workers / 3));
         fleet.lose(cold);
@@ -258,7 +258,7 @@
     @CsvSource({"0.5, 0.75, 0.9, 1", "0.5, 0.75, 0.9, 2", "0.65, 0.6, 0.7, 3", "0.65, 0.6, 0.7, 4"})
     void everyClassIsServedThroughTheLossOfAZone(
             double load, double share, double shareAfter, long seed) {
-        final FleetModel fleet = told(load, seed);
+        final FleetModel fleet = reported(load, seed);
         loseAZone(fleet);
         everyClassKeeps(fleet, share, shareAfter, 38);
         assertThat(fleet.sendsARequest()).as("sends a request").isLessThan(1.3);
@@ -268,7 +268,7 @@
     @CsvSource({"0.5, 0.95, 0.95, 1", "0.65, 0.88, 0.92, 2"})
     void everyClassIsServedThroughTheReplacementOfMost(
             double load, double share, double after, long seed) {
-        final FleetModel fleet = told(load, seed);
+        final FleetModel fleet = reported(load, seed);
         replaceMost(fleet);
         everyClassKeeps(fleet, share, after, 22);
     }
@@ -322,7 +322,7 @@
     void theSameSeedIsTheSameRun() {
         final List<Tally> runs = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
-            final FleetModel fleet = told(0.65, 5);
+            final FleetModel fleet = reported(0.65, 5);
             loseAZone(fleet);
             runs.add(fleet.tally(0, 0, 45));
         }
