--- a/src/test/java/cresschute/scale/AnswerCount.java
+++ b/src/test/java/cresschute/scale/AnswerCount.java
@@ -33,7 +33,7 @@
                                     DispatcherActions.class,
                                     actions,
                                     (name, args) -> {
-                                        if (name.equals("refuse") || name.equals("fail")) {
+                                        if (name.equals("reject") || name.equals("fail")) {
                                             answered(new Key(dispatcher, (Integer) args[0]));
                                         }
                                     });
@@ -42,10 +42,10 @@
                             DispatcherEvents.class,
                             maker.make(settings, seed, counted),
                             (name, args) -> {
-                                if (name.equals("requested")) {
+                                if (name.equals("requestArrived")) {
                                     answers.put(new Key(dispatcher, (Integer) args[1]), 0);
                                     maxOpen = Math.max(maxOpen, ++open);
-                                } else if (name.equals("ended") && args[4] == Outcome.SERVED) {
+                                } else if (name.equals("attemptEnded") && args[4] == Outcome.SERVED) {
                                     answered(new Key(dispatcher, (Integer) args[1]));
                                 }
                             });
