--- a/src/main/java/cresschute/capacity/CsvTable.java
+++ b/src/main/java/cresschute/capacity/CsvTable.java
@@ -9,7 +9,7 @@
 final class CsvTable {
 
     /** The lines before the first row: the version and the header. */
-    private static final int HEAD_LINES = 2;
+    private static final int HEADER_LINES = 2;
 
     /** One row, with typed access to its fields; a field that cannot be read names its line. */
     static final class Row {
@@ -24,13 +24,14 @@
             this.fields = fields;
         }
 
+        /** An error that names the file and the line of this row. */
         CsvFormatException error(String reason) {
-            return new CsvFormatException(table.file, line, reason);
+            return table.error(line, reason);
         }
 
         /** A field that must not be empty. */
         String text(String column) throws CsvFormatException {
-            final String value = fields[table.columns.indexOf(column)].strip();
+            final String value = fields[table.indexOf(column)].strip();
             if (value.isEmpty()) {
                 throw error(column + " is empty");
             }
@@ -88,17 +89,22 @@
     /**
      * Reads a file's text, which must begin with the version line and these columns in this order.
      */
+    /**
+     * Reads a table.
+     *
+     * @throws CsvFormatException if its version, header or a row is malformed
+     */
     CsvTable(String file, String text, String versionLine, List<String> columns)
             throws CsvFormatException {
         this.file = file;
         this.columns = columns;
         final List<String> lines = text.lines().toList();
-        checkHead(lines, versionLine);
+        checkHeader(lines, versionLine);
         if (!text.endsWith("\n")) {
             throw new CsvFormatException(
                     file, lines.size(), "the file is cut: its last line has no end");
         }
-        for (int i = HEAD_LINES; i < lines.size(); i++) {
+        for (int i = HEADER_LINES; i < lines.size(); i++) {
             final String[] fields = lines.get(i).split(",", -1);
             if (fields.length != columns.size()) {
                 throw new CsvFormatException(
@@ -110,16 +116,26 @@
         }
     }
 
-    private void checkHead(List<String> lines, String versionLine) throws CsvFormatException {
+    private void checkHeader(List<String> lines, String versionLine) throws CsvFormatException {
         if (lines.isEmpty() || !lines.get(0).strip().equals(versionLine)) {
             throw new CsvFormatException(file, 1, "the first line must be '" + versionLine + "'");
         }
-        if (lines.size() < HEAD_LINES || !lines.get(1).strip().equals(String.join(",", columns))) {
+        if (lines.size() < HEADER_LINES
+                || !lines.get(1).strip().equals(String.join(",", columns))) {
             throw new CsvFormatException(
-                    file, HEAD_LINES, "the header must be '" + String.join(",", columns) + "'");
+                    file, HEADER_LINES, "the header must be '" + String.join(",", columns) + "'");
         }
     }
 
+    private CsvFormatException error(int line, String reason) {
+        return new CsvFormatException(file, line, reason);
+    }
+
+    private int indexOf(String column) {
+        return columns.indexOf(column);
+    }
+
+    /** All rows, in the order of their lines. */
     List<Row> rows() {
         return rows;
     }
--- a/src/main/java/cresschute/capacity/FaultTable.java
+++ b/src/main/java/cresschute/capacity/FaultTable.java
@@ -5,13 +5,14 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** What was measured over faults: the median of each value, with its least and greatest. */
+/** Measurements of faults: the median of each measure, with its minimum and maximum. */
 final class FaultTable {
 
     private record Group(FaultKind fault, String measure, String commit) {}
 
     private FaultTable() {}
 
+    /** The table as Markdown. */
     static String text(List<FaultMeasurement> faults) {
         final MarkdownTable table =
                 new MarkdownTable(
--- a/src/main/java/cresschute/capacity/RatioTables.java
+++ b/src/main/java/cresschute/capacity/RatioTables.java
@@ -2,11 +2,12 @@
 
 import java.util.List;
 
-/** Needs over their limits, the worst first, at the planned size and at twice of it. */
+/** Ratios of costs to their limits, the highest first, at the planned size and at twice of it. */
 final class RatioTables {
 
     private RatioTables() {}
 
+    /** The table at the planned size as Markdown. */
     static String worst(CapacityModel model) {
         final MarkdownTable table =
                 new MarkdownTable("need/limit", "need", "amount", "limit", "carried by", "source");
@@ -23,6 +24,7 @@
         return table.textOr("");
     }
 
+    /** The table at twice the planned size as Markdown. */
     static String doubled(CapacityModel model) {
         final List<RatioRow> planned = RatioRow.of(model, PlannedSize.OPERATORS);
         final MarkdownTable table =
--- a/src/main/java/cresschute/logs/RoutedLogger.java
+++ b/src/main/java/cresschute/logs/RoutedLogger.java
@@ -5,11 +5,12 @@
 import java.util.MissingResourceException;
 import java.util.ResourceBundle;
 
-/** A logger that writes to whatever back end is in use when a line comes. */
+/** A logger that writes to the sink in use at the time of each event. Thread-safe. */
 final class RoutedLogger implements Logger {
 
     private final String name;
 
+    /** Creates a logger with this name. */
     RoutedLogger(String name) {
         this.name = name;
     }
@@ -21,12 +22,13 @@
 
     @Override
     public boolean isLoggable(Level level) {
-        return RoutedLoggerFinder.backend().isLoggable(name, level);
+        return RoutedLoggerFinder.sink().isLoggable(name, level);
     }
 
+    /** Writes an event, if its level is loggable. */
     void log(Level level, LogEvent event) {
         if (isLoggable(level)) {
-            RoutedLoggerFinder.backend().log(name, level, event);
+            RoutedLoggerFinder.sink().log(name, level, event);
         }
     }
 
--- a/src/main/java/cresschute/node/NodeConfig.java
+++ b/src/main/java/cresschute/node/NodeConfig.java
@@ -1,43 +1,37 @@
 package cresschute.node;
 
-import com.google.gson.JsonElement;
-import com.google.gson.JsonObject;
-import com.google.gson.JsonParseException;
 import cresschute.dispatch.DispatchSettings;
 import cresschute.dispatch.WorkerState;
 import cresschute.settings.ApplianceSettings;
 import cresschute.settings.ApplianceSettings.Bodies;
 import cresschute.settings.ApplianceSettings.Peers;
-import cresschute.simulator.SettingsParser;
-import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.nio.file.Files;
-import java.nio.file.InvalidPathException;
-import java.nio.file.Path;
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.Objects;
 
 /**
- * All that a node is told at its start.
+ * The configuration of a node: from the platform's file and environment, by {@link
+ * NodeConfigParser}, or from a settings script. Immutable.
  *
- * @param settings what the module reads
+ * @param name the name of the node
+ * @param listen where clients connect
+ * @param discovery where discovery listens, or null where the known list is fixed
+ * @param seed the seed of all random choices
+ * @param settings the dispatcher's settings
  * @param classes the classes' names, in the order of the settings
  * @param zones zone names, in the order of the settings
  * @param kinds names of the machine kinds, in the order of the settings
- * @param connectTimeoutUs the longest that a connection to a worker may take to come up
- * @param connIdleUs when a worker closes an idle connection
+ * @param connectTimeoutUs how long a connection to a worker may take to come up, microseconds
+ * @param connIdleUs after which workers close an idle connection, microseconds
  * @param sockets file descriptors that the process may hold
- * @param discovery where discovery listens, or null where the known list is fixed
- * @param known the list as this node last had it; it may be old
+ * @param known the endpoint list as this node last knew it; it may be outdated
  * @param controlSocket the file of the socket for consoles, or null
  * @param stateFolder the folder for what outlives the process, or null
- * @param bodies the room for long bodies, or null where there are none
- * @param operators where the platform's operators call, and what an upgrade hands over
- * @param fileKeys the keys of the platform's file, which a file read again must have too
- * @param peers the other dispatchers to exchange counts with, or null where this node talks to none
+ * @param bodies the capacity for long bodies, or null where there are none
+ * @param operators what the platform gives the node for its operators and for upgrades
+ * @param fileKeys the keys of the platform's file, which a file that is read again must have too
+ * @param peers the dispatchers to exchange workers' load with, or null
  */
 public record NodeConfig(
         String name,
@@ -55,28 +49,11 @@
         String controlSocket,
         String stateFolder,
         Bodies bodies,
-        Operators operators,
+        OperatorSettings operators,
         ConfigKeys fileKeys,
         Peers peers) {
 
-    /**
-     * What the platform's operators are given: a management listener, the clients' listener held by
-     * the platform over an upgrade, and the folder that an upgrade's two processes share.
-     *
-     * @param management where operators' calls come, one line a connection, or null where there is
-     *     none
-     * @param passedListener whether the clients' listener is descriptor 0, inherited from the
-     *     platform, instead of being bound by the node
-     * @param shared the folder that both processes of an upgrade see and that outlives each of them
-     *     ({@code $TMPDIR}), or null where nothing is shared
-     */
-    public record Operators(InetSocketAddress management, boolean passedListener, String shared) {
-
-        /** None of it: an appliance's node, or a platform's day without operators. */
-        public static final Operators NONE = new Operators(null, false, null);
-    }
-
-    /** A node that exchanges nothing with other dispatchers. */
+    /** A node without peers. */
     public NodeConfig(
             String name,
             InetSocketAddress listen,
@@ -93,8 +70,8 @@
             String controlSocket,
             String stateFolder,
             Bodies bodies,
-            Operators operators,
-            ConfigKeys shape) {
+            OperatorSettings operators,
+            ConfigKeys fileKeys) {
         this(
                 name,
                 listen,
@@ -112,11 +89,11 @@
                 stateFolder,
                 bodies,
                 operators,
-                shape,
+                fileKeys,
                 null);
     }
 
-    /** A node without the platform's operators. */
+    /** A node without peers and without the platform. */
     public NodeConfig(
             String name,
             InetSocketAddress listen,
@@ -149,66 +126,26 @@
                 controlSocket,
                 stateFolder,
                 bodies,
-                Operators.NONE,
+                OperatorSettings.NONE,
                 ConfigKeys.NONE);
     }
 
-    /** A node with the platform's operators, of a file whose keys are not looked at again. */
-    public NodeConfig(
-            String name,
-            InetSocketAddress listen,
-            InetSocketAddress discovery,
-            long seed,
-            DispatchSettings settings,
-            List<String> classes,
-            List<String> zones,
-            List<String> kinds,
-            long connectTimeoutUs,
-            long connIdleUs,
-            int sockets,
-            EndpointList known,
-            String controlSocket,
-            String stateFolder,
-            Bodies bodies,
-            Operators operators) {
-        this(
-                name,
-                listen,
-                discovery,
-                seed,
-                settings,
-                classes,
-                zones,
-                kinds,
-                connectTimeoutUs,
-                connIdleUs,
-                sockets,
-                known,
-                controlSocket,
-                stateFolder,
-                bodies,
-                operators,
-                ConfigKeys.NONE);
-    }
-
-    /** The keys of this node's first file that a file read again lacks; empty where it is whole. */
+    /**
+     * The keys of this configuration's file that a file that is read again lacks.
+     *
+     * @param later the configuration of the later file
+     * @return their paths; empty if it is complete
+     */
     public List<String> missingIn(NodeConfig later) {
         return fileKeys.missingIn(later.fileKeys);
     }
 
-    private static final String DISCOVERY = "BALANCER_DISCOVERY";
-    private static final String PASSED_SOCKET = "BALANCER_PASSED_SOCKET";
-
     /**
-     * The one descriptor that the JVM hands over as a channel, by {@link System#inheritedChannel}.
+     * The configuration that a settings script states.
+     *
+     * @param settings the settings
+     * @param seed the seed of all random choices
      */
-    private static final String STANDARD_INPUT = "0";
-
-    private static final long DEFAULT_CONNECT_TIMEOUT_US = 250_000;
-    private static final long DEFAULT_CONN_IDLE_US = 10_000_000;
-    private static final int DEFAULT_SOCKETS = 1024;
-
-    /** What a settings script states, with the seed to use. */
     public static NodeConfig of(ApplianceSettings settings, long seed) {
         final List<EndpointList.Endpoint> workers =
                 settings.workers().stream()
@@ -242,117 +179,37 @@
                 settings.controlSocket(),
                 settings.stateFolder(),
                 settings.bodies(),
-                Operators.NONE,
+                OperatorSettings.NONE,
                 ConfigKeys.NONE,
                 settings.peers());
     }
 
-    /** Reads the environment and the file that it names. */
-    public static NodeConfig load(Map<String, String> environment) throws ConfigException {
-        final String file = variable(environment, "BALANCER_CONFIG");
-        final String text;
-        try {
-            text = Files.readString(Path.of(file));
-        } catch (IOException | InvalidPathException e) {
-            throw new ConfigException("BALANCER_CONFIG: cannot read " + file + ": " + e);
-        }
-        return parse(text, environment);
-    }
-
-    /**
-     * Reads it all anew: the file has changed since the environment was set, so its discovery
-     * counts.
-     */
-    public static NodeConfig reload(Map<String, String> environment) throws ConfigException {
-        final Map<String, String> kept = new HashMap<>(environment);
-        kept.remove(DISCOVERY);
-        return load(kept);
-    }
-
-    /** Reads a configuration; the environment's addresses and name go before the file's. */
-    static NodeConfig parse(String text, Map<String, String> environment) throws ConfigException {
-        try {
-            final JsonObject json = Json.object(text);
-            final JsonObject settings = Json.child(json, "settings");
-            final JsonObject limits = optional(settings, "limits");
-            final JsonObject machine = optional(json, "limits");
-            final EndpointList known =
-                    json.has("known")
-                            ? EndpointList.parse(Json.child(json, "known"))
-                            : new EndpointList(-1, true, List.of());
-            return new NodeConfig(
-                    setting(environment, "BALANCER_NAME", json, "name"),
-                    Addresses.parse(setting(environment, "BALANCER_LISTEN", json, "listen")),
-                    Addresses.parse(setting(environment, DISCOVERY, json, "discovery")),
-                    Long.parseUnsignedLong(Json.string(json, "seed"), 16),
-                    SettingsParser.parse(SettingsFlattener.flatten(settings)),
-                    classNames(settings),
-                    names(settings, "zones"),
-                    names(settings, "hostTypes"),
-                    (long) Json.number(limits, "connectTimeoutUs", DEFAULT_CONNECT_TIMEOUT_US),
-                    (long) Json.number(limits, "connIdleUs", DEFAULT_CONN_IDLE_US),
-                    (int) Json.number(machine, "sockets", DEFAULT_SOCKETS),
-                    known,
-                    null,
-                    null,
-                    null,
-                    operators(environment, json),
-                    ConfigKeys.of(json));
-        } catch (JsonParseException | IllegalArgumentException e) {
-            throw new ConfigException(
-                    "configuration: "
-                            + String.valueOf(e.getMessage())
-                                    .lines()
-                                    .findFirst()
-                                    .orElse("unusable"));
-        }
-    }
-
-    private static Operators operators(Map<String, String> environment, JsonObject json) {
-        final String passed = environment.get(PASSED_SOCKET);
-        if (passed != null && !passed.isBlank() && !passed.strip().equals(STANDARD_INPUT)) {
-            throw new IllegalArgumentException(
-                    PASSED_SOCKET
-                            + " is "
-                            + passed
-                            + ", but only descriptor "
-                            + STANDARD_INPUT
-                            + " can be taken over");
-        }
-        final String management =
-                environment.getOrDefault(
-                        "BALANCER_MANAGEMENT",
-                        json.has("management") ? Json.string(json, "management") : null);
-        final String shared = environment.get("TMPDIR");
-        return new Operators(
-                management == null || management.isBlank() ? null : Addresses.parse(management),
-                passed != null && !passed.isBlank(),
-                shared == null || shared.isBlank() ? null : shared);
-    }
-
-    /**
-     * Whether the platform runs this node, and ends it by its protocol; an appliance has no time to
-     * end.
-     */
+    /** Whether the platform runs this node and kills it some time after SIGTERM. */
     boolean isOfThePlatform() {
         return fileKeys != ConfigKeys.NONE;
     }
 
-    /** Whether there is anything for an operator: without it, none of that is so much as loaded. */
+    /** Whether consoles can connect, or drains are stored. */
     boolean hasControlService() {
         return controlSocket != null || stateFolder != null;
     }
 
+    /** Whether the platform's operators call this node. */
+    boolean hasManagementService() {
+        return !hasControlService() && operators.management() != null;
+    }
+
     /**
-     * The parts in which another configuration differs and that a running node cannot take over.
+     * The parts that differ in a new configuration and that only a restart puts in force. Classes,
+     * the dispatcher's settings and the times of connections are not among them.
+     *
+     * @param next the new configuration
+     * @return words for the parts, for the log
      */
     List<String> partsHeldUntilRestart(NodeConfig next) {
         final List<String> changed = new ArrayList<>();
         note(changed, "name", name.equals(next.name));
         note(changed, "listen", listen.equals(next.listen));
-        // Classes and the module's settings are taken by a running node, where it can; it says so
-        // itself. How
-        // long workers' connections may come up and be idle holds for the next ones.
         note(changed, "limits", sockets == next.sockets);
         note(
                 changed,
@@ -372,40 +229,4 @@
             changed.add(part);
         }
     }
-
-    private static JsonObject optional(JsonObject object, String name) {
-        return object.has(name) ? Json.child(object, name) : new JsonObject();
-    }
-
-    private static String variable(Map<String, String> environment, String name)
-            throws ConfigException {
-        final String value = environment.get(name);
-        if (value == null || value.isBlank()) {
-            throw new ConfigException(name + " is not set");
-        }
-        return value;
-    }
-
-    private static String setting(
-            Map<String, String> environment, String variable, JsonObject json, String name) {
-        final String value = environment.get(variable);
-        return value == null || value.isBlank() ? Json.string(json, name) : value;
-    }
-
-    private static List<String> classNames(JsonObject settings) {
-        final List<String> names = new ArrayList<>();
-        Json.array(settings, "classes")
-                .forEach(element -> names.add(Json.string(element.getAsJsonObject(), "name")));
-        return List.copyOf(names);
-    }
-
-    private static List<String> names(JsonObject settings, String key) {
-        final List<String> names = new ArrayList<>();
-        if (settings.has(key)) {
-            for (final JsonElement element : Json.array(settings, key)) {
-                names.add(element.getAsString());
-            }
-        }
-        return List.copyOf(names);
-    }
 }
--- a/src/main/java/cresschute/node/http/StreamedBody.java
+++ b/src/main/java/cresschute/node/http/StreamedBody.java
@@ -200,7 +200,7 @@
      * @param onChange called when there is more to send, or no more will come
      */
     final BodyBuffer<ByteBuf>.Reader newReader(Runnable onChange) {
-        return body.openReader(onChange);
+        return body.openReader(onChange).orElse(null);
     }
 
     /** Whether the rest of it will never come. */
--- a/src/test/java/cresschute/control/ManagementCallTest.java
+++ b/src/test/java/cresschute/control/ManagementCallTest.java
@@ -3,7 +3,6 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import cresschute.control.ManagementCall.Verb;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -25,8 +24,8 @@
                     'enable-server   s-1'         | ENABLE_SERVER  | s-1
                     'Disable-Server\ts-2'         | DISABLE_SERVER | s-2
                     """)
-    void readsEachCall(String line, Verb verb, String worker) throws Exception {
-        assertThat(ManagementCall.parse(line)).isEqualTo(new ManagementCall(verb, worker));
+    void readsEachCall(String line, ManagementCommand command, String worker) throws Exception {
+        assertThat(ManagementCall.parse(line)).isEqualTo(new ManagementCall(command, worker));
     }
 
     @ParameterizedTest
@@ -42,16 +41,16 @@
                     disable-server                | disable-server takes one worker id
                     'enable-server a b'           | enable-server takes one worker id
                     """)
-    void refusesWhatItCannotUse(String line, String why) {
+    void rejectsInvalidCalls(String line, String why) {
         assertThatThrownBy(() -> ManagementCall.parse(line))
-                .isInstanceOf(ManagementCall.InvalidCallException.class)
+                .isInstanceOf(InvalidManagementCallException.class)
                 .hasMessageContaining(why)
                 .message()
                 .hasLineCount(1);
     }
 
     @Test
-    void refusesAnIdThatNoListHolds() {
+    void rejectsAnIdThatNoListHolds() {
         assertThatThrownBy(() -> ManagementCall.parse("disable-server s\u00071"))
                 .hasMessageContaining("no list names a worker s?1");
     }
@@ -60,6 +59,6 @@
     @CsvSource({"201", "513"})
     void boundsTheLengthOfIdsAndCalls(int length) {
         assertThatThrownBy(() -> ManagementCall.parse("disable-server " + "s".repeat(length)))
-                .isInstanceOf(ManagementCall.InvalidCallException.class);
+                .isInstanceOf(InvalidManagementCallException.class);
     }
 }
--- a/src/test/java/cresschute/control/socket/ControlProtocolFormatTest.java
+++ b/src/test/java/cresschute/control/socket/ControlProtocolFormatTest.java
@@ -6,10 +6,10 @@
 import com.google.gson.JsonParser;
 import cresschute.ControlPeer;
 import cresschute.console.ControlLink;
+import cresschute.control.ControlCommand;
 import cresschute.control.ControlRequest;
-import cresschute.control.ControlRequest.What;
+import cresschute.control.DrainOperation;
 import cresschute.control.DrainRegistry;
-import cresschute.control.DrainRegistry.Operation;
 import cresschute.control.EventRing;
 import cresschute.control.VersionedTable;
 import io.netty.channel.EventLoop;
@@ -50,24 +50,24 @@
     private final EventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final VersionedTable board = new VersionedTable();
+    private final VersionedTable table = new VersionedTable();
     private final EventRing events = new EventRing();
-    private Operation carriedOut;
+    private DrainOperation executed;
     private ControlServer server;
     private Path socket;
 
     @TempDir private Path folder;
 
-    private final class KnownDesk implements ControlHandler {
+    private final class FixedHandler implements ControlHandler {
 
         @Override
-        public String boot() {
+        public String incarnation() {
             return "run-1";
         }
 
         @Override
-        public VersionedTable board() {
-            return board;
+        public VersionedTable table() {
+            return table;
         }
 
         @Override
@@ -76,13 +76,13 @@
         }
 
         @Override
-        public void look() {
-            // What is shown does not change by itself.
+        public void refresh() {
+            // The rows do not change by themselves.
         }
 
         @Override
-        public void carryOut(Operation operation, Consumer<JsonObject> answer) {
-            carriedOut = operation;
+        public void execute(DrainOperation operation, Consumer<JsonObject> answer) {
+            executed = operation;
             answer.accept(
                     JsonParser.parseString("{\"ok\":true,\"outcome\":\"done\"}").getAsJsonObject());
         }
@@ -96,12 +96,12 @@
     @BeforeEach
     void listen() throws Exception {
         socket = folder.resolve("s");
-        board.put("w/w1", "{\"id\":\"w1\"}");
-        board.put("w/w2", "{\"id\":\"w2\"}");
-        board.remove("w/w2");
+        table.put("w/w1", "{\"id\":\"w1\"}");
+        table.put("w/w2", "{\"id\":\"w2\"}");
+        table.remove("w/w2");
         events.add(1_700_000_000_123_456L, "drained", "w1", "w1 drained by ann");
         events.add(1_700_000_001_000_000L, "node_stopping", null, "the node is stopping");
-        server = new ControlServer(loop, socket, new KnownDesk());
+        server = new ControlServer(loop, socket, new FixedHandler());
         server.listen();
     }
 
@@ -135,20 +135,22 @@
     @Test
     void requestsOfAnEarlierConsoleAreUnderstood() throws Exception {
         assertThat(ControlRequest.parse(WORKERS))
-                .isEqualTo(new ControlRequest("1", What.WORKERS, 0, "", 0, null));
+                .isEqualTo(new ControlRequest("1", ControlCommand.WORKERS, 0, "", 0, null));
         assertThat(ControlRequest.parse(SUBSCRIBE))
-                .isEqualTo(new ControlRequest("rows", What.SUBSCRIBE, 17, "run-1", 0, null));
+                .isEqualTo(
+                        new ControlRequest("rows", ControlCommand.SUBSCRIBE, 17, "run-1", 0, null));
         assertThat(ControlRequest.parse(EVENTS))
-                .isEqualTo(new ControlRequest("events", What.EVENTS, 0, "run-1", 2, null));
+                .isEqualTo(
+                        new ControlRequest("events", ControlCommand.EVENTS, 0, "run-1", 2, null));
         assertThat(ControlRequest.parse(DRAIN))
                 .isEqualTo(
                         new ControlRequest(
                                 "o1",
-                                What.DRAIN,
+                                ControlCommand.DRAIN,
                                 0,
                                 "",
                                 0,
-                                new Operation(
+                                new DrainOperation(
                                         "op-1",
                                         true,
                                         "w1",
@@ -160,15 +162,15 @@
                 .isEqualTo(
                         new ControlRequest(
                                 "o2",
-                                What.UNDRAIN,
+                                ControlCommand.UNDRAIN,
                                 0,
                                 "",
                                 0,
-                                new Operation(
+                                new DrainOperation(
                                         "op-2",
                                         false,
                                         "w1",
-                                        DrainRegistry.FOREVER,
+                                        DrainRegistry.NO_END_US,
                                         "ann",
                                         "",
                                         false)));
@@ -203,21 +205,21 @@
                             + " node is stopping\"}]}");
     }
 
-    /** News carry no {@code re}; the rest is as in an answer. */
+    /** Updates carry no {@code re}; all else is as in an answer. */
     @Test
-    void newsAreToldAsByAnEarlierNode() throws Exception {
+    void updatesAreSentAsByAnEarlierNode() throws Exception {
         try (ControlPeer peer = new ControlPeer(socket)) {
             peer.ask("\"do\":\"subscribe\"");
             peer.ask("\"do\":\"events\"");
             loop.submit(
                             () -> {
-                                board.put("w/w1", "{\"id\":\"w1\",\"n\":2}");
+                                table.put("w/w1", "{\"id\":\"w1\",\"n\":2}");
                                 events.add(
                                         1_700_000_002_000_000L,
                                         "undrained",
                                         "w1",
                                         "w1 no longer drained by ann");
-                                server.tell(1);
+                                server.publish(1);
                             })
                     .syncUninterruptibly();
             assertThat(peer.read())
@@ -232,14 +234,15 @@
     @Test
     void operationsAreAnsweredAsByAnEarlierNode() throws Exception {
         assertThat(answer(DRAIN)).isEqualTo("{\"re\":\"o1\",\"ok\":true,\"outcome\":\"done\"}");
-        assertThat(carriedOut)
+        assertThat(executed)
                 .isEqualTo(
-                        new Operation("op-1", true, "w1", 7_200_000_000L, "ann", "new disk", true));
+                        new DrainOperation(
+                                "op-1", true, "w1", 7_200_000_000L, "ann", "new disk", true));
         assertThat(answer(UNDRAIN)).isEqualTo("{\"re\":\"o2\",\"ok\":true,\"outcome\":\"done\"}");
     }
 
     @Test
-    void refusalsAreAnsweredAsByAnEarlierNode() throws Exception {
+    void rejectionsAreAnsweredAsByAnEarlierNode() throws Exception {
         assertThat(answer("{\"v\":1,\"id\":\"x\",\"do\":\"fly\"}"))
                 .isEqualTo(
                         "{\"re\":\"x\",\"ok\":false,\"error\":\"do is 'fly'; there are workers,"
--- a/src/test/java/cresschute/node/CrossingFixture.java
+++ b/src/test/java/cresschute/node/CrossingFixture.java
@@ -218,7 +218,7 @@
     /** Takes this configuration in place of the node's own; it is in force when this returns. */
     static void reload(TestNode node, UnaryOperator<String> change) throws Exception {
         final String text = change.apply(node.configText());
-        node.server.reload(() -> NodeConfig.parse(text, java.util.Map.of()));
+        node.server.reload(() -> NodeConfigParser.parse(text, java.util.Map.of()));
         node.server.loop().submit(() -> {}).get(8, TimeUnit.SECONDS);
     }
 
--- a/src/test/java/cresschute/node/DiscoveryCrossingRulesTest.java
+++ b/src/test/java/cresschute/node/DiscoveryCrossingRulesTest.java
@@ -119,7 +119,7 @@
                             .replace(
                                     ":" + node.discovery.getLocalPort() + "\"",
                                     ":" + next.getLocalPort() + "\"");
-            final NodeConfig moved = NodeConfig.parse(text, java.util.Map.of());
+            final NodeConfig moved = NodeConfigParser.parse(text, java.util.Map.of());
             holding(
                     node,
                     actions -> {
--- a/src/test/java/cresschute/node/PipelinedBodyRulesTest.java
+++ b/src/test/java/cresschute/node/PipelinedBodyRulesTest.java
@@ -35,9 +35,7 @@
                         TestNode.configured(
                                 UnaryOperator.identity(),
                                 (actions, request) -> {},
-                                bodies(
-                                        new ClassBodies(
-                                                64L * MIB, KIB, PATIENT_US, false, false)));
+                                bodies(new ClassBodies(64L * MIB, KIB, PATIENT_US, false, false)));
                 Peer client = node.client()) {
             for (int i = 1; i <= MAX_IN_FLIGHT + 1; i++) {
                 client.write(request("r" + i, "", "body of r" + i));
--- a/src/test/java/cresschute/node/SettingsCrossingRulesTest.java
+++ b/src/test/java/cresschute/node/SettingsCrossingRulesTest.java
@@ -35,7 +35,7 @@
                             + "Expect: 100-continue\r\nContent-Length: 4\r\n\r\n");
             assertThat(client.read()).as(what).startsWith("HTTP/1.1 100");
             final String text = node.configText().replace(from, to);
-            node.server.reload(() -> NodeConfig.parse(text, java.util.Map.of()));
+            node.server.reload(() -> NodeConfigParser.parse(text, java.util.Map.of()));
             assertThat(node.event()).startsWith("retuned");
             client.write("body");
             if (then.startsWith("requested")) {
@@ -61,7 +61,7 @@
             final String text =
                     node.configText()
                             .replace("\"idempotency\":\"pure\"", "\"idempotency\":\"side_effect\"");
-            node.server.reload(() -> NodeConfig.parse(text, java.util.Map.of()));
+            node.server.reload(() -> NodeConfigParser.parse(text, java.util.Map.of()));
             assertThat(node.event()).startsWith("retuned");
             client.write("POST /check HTTP/1.1\r\nX-Request-Id: r2\r\nContent-Length: 0\r\n\r\n");
             assertThat(node.event()).isEqualTo("requested 2 class 2 key 0");
--- a/src/test/java/cresschute/node/ShutdownCrossingRulesTest.java
+++ b/src/test/java/cresschute/node/ShutdownCrossingRulesTest.java
@@ -115,7 +115,7 @@
         try (ServerSocket discovery = Peer.listen()) {
             final NodeServer node =
                     new NodeServer(
-                            NodeConfig.parse(
+                            NodeConfigParser.parse(
                                     TestNode.config(discovery, list(1, true, "")),
                                     java.util.Map.of()));
             final CompletableFuture<Void> stopped = node.stop();
--- a/src/test/java/cresschute/peers/ExchangeOverNetworkTest.java
+++ b/src/test/java/cresschute/peers/ExchangeOverNetworkTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Whole exchanges over a network that loses, doubles, overtakes, cuts and is lied over. */
+/** Exchanges over a network with loss, duplicates, reordering, partitions and replayed messages. */
 class ExchangeOverNetworkTest {
 
     private static final long CYCLE_US = 10 * S;
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void viewsAreCompleteSoonAfterAStartAndExactOnceLoadStands() {
+    void viewsAreCompleteSoonAfterAStartAndExactUnderConstantLoad() {
         final SimulatedNetwork network = network(1, 4);
         network.run(2);
         for (int i = 0; i < 4; i++) {
@@ -33,14 +33,14 @@
         network.run(30);
         network.freeze();
         network.run(2);
-        assertThat(network.wrong()).isZero();
+        assertThat(network.wrongCounts()).isZero();
         assertThat(network.seenCountOfOthers(0, 0)).isEqualTo(network.trueCountOfOthers(0, 0));
     }
 
     @Test
-    void workersOfMessagesAreRefreshedWhileTheViewIsWhole() {
+    void workersOfMessagesAreRefreshedWhileTheViewIsComplete() {
         final SimulatedNetwork network = new SimulatedNetwork(11, 3, 40, 20_000, CYCLE_US);
-        final LoadExchange exchange = network.sites.get(0).exchange;
+        final LoadExchange exchange = network.nodes.get(0).exchange;
         network.run(2);
         assertThat(exchange.takeRefreshed(network.nowUs)).isEmpty();
         network.start(1, 4);
@@ -71,9 +71,9 @@
         network.loss = 0;
         network.duplication = 0;
         network.jitterUs = 0;
-        // What is under way, the rest of the running cycle, then one whole cycle.
+        // What is in transit, the remainder of the running cycle, then one complete cycle.
         network.run(1 + 2.0 * CYCLE_US / S + 1);
-        assertThat(network.wrong()).as("seed " + seed).isZero();
+        assertThat(network.wrongCounts()).as("seed " + seed).isZero();
         network.run(2.0 * CYCLE_US / S);
         for (int i = 0; i < 4; i++) {
             assertThat(network.isComplete(i)).as("n" + i + ", seed " + seed).isTrue();
@@ -91,18 +91,18 @@
     }
 
     @Test
-    void duplicatesAndRareOvertakingChangeNothing() {
+    void duplicatesAndReorderingChangeNothing() {
         final SimulatedNetwork network = network(4, 3);
         network.duplication = 1;
         network.run(60);
         assertThat(network.isComplete(0)).isTrue();
         network.freeze();
         network.run(2);
-        assertThat(network.wrong()).isZero();
+        assertThat(network.wrongCounts()).isZero();
     }
 
     @Test
-    void crashedPeerIsSuspectThenAbsentAndItsCountsGo() {
+    void crashedPeerIsSuspectThenAbsentAndItsCountsAreDropped() {
         final SimulatedNetwork network = network(5, 4);
         network.start(1, 7);
         network.run(5);
@@ -117,29 +117,29 @@
         network.run(58);
         assertThat(network.state(0, 1)).isEqualTo(PeerState.ABSENT);
         assertThat(network.isComplete(0)).isTrue();
-        assertThat(network.wrong()).isZero();
+        assertThat(network.wrongCounts()).isZero();
     }
 
     @Test
-    void peerThatStopsIsAbsentAtOnceAndItsNextRunIsAliveAtOnce() {
+    void stoppedPeerIsAbsentAtOnceAndItsNextIncarnationAliveAtOnce() {
         final SimulatedNetwork network = network(6, 4);
         network.run(5);
         network.leave(2);
         network.run(0.1);
         assertThat(network.state(0, 2)).isEqualTo(PeerState.ABSENT);
         assertThat(network.isComplete(0)).isTrue();
-        network.boot(2);
+        network.restart(2);
         network.run(2);
         assertThat(network.state(0, 2)).isEqualTo(PeerState.ALIVE);
         assertThat(network.isComplete(0)).isTrue();
-        // The new run has to receive a whole cycle of the others.
+        // The new incarnation has to receive a complete cycle of the others.
         assertThat(network.isComplete(2)).isFalse();
         network.run(2.0 * CYCLE_US / S + 2);
         assertThat(network.isComplete(2)).isTrue();
     }
 
     @Test
-    void restartForgetsTheCountsOfTheRunBefore() {
+    void restartDropsTheCountsOfThePreviousIncarnation() {
         final SimulatedNetwork network = network(7, 3);
         network.start(1, 3);
         network.start(1, 3);
@@ -149,17 +149,17 @@
                 .isEqualTo(network.trueCountOfOthers(0, 3))
                 .isPositive();
         network.crash(1);
-        network.boot(1);
+        network.restart(1);
         network.run(2);
-        assertThat(network.wrongAt(0)).isZero();
-        assertThat(network.wrongAt(2)).isZero();
-        // The new run itself knows what the others have after a whole cycle of them.
+        assertThat(network.wrongCountsAt(0)).isZero();
+        assertThat(network.wrongCountsAt(2)).isZero();
+        // The new incarnation itself knows the counts of the others after a complete cycle.
         network.run(2.0 * CYCLE_US / S + 1);
-        assertThat(network.wrong()).isZero();
+        assertThat(network.wrongCounts()).isZero();
     }
 
     @Test
-    void minorityOfAPartitionProbesAndTheMajorityGoesOnOnceTheOthersAreAbsent() {
+    void minorityOfAPartitionIsIncompleteAndTheMajorityCompleteOnceTheOthersAreAbsent() {
         final SimulatedNetwork network = network(8, 5);
         network.run(5);
         network.connected = (from, to) -> from < 3 == to < 3;
@@ -180,7 +180,7 @@
         }
         network.freeze();
         network.run(2.0 * CYCLE_US / S + 2);
-        assertThat(network.wrong()).isZero();
+        assertThat(network.wrongCounts()).isZero();
     }
 
     @Test
@@ -195,10 +195,10 @@
     }
 
     @Test
-    void recordedDatagramsChangeNothing() {
+    void replayedDatagramsChangeNothing() {
         final SimulatedNetwork network = network(10, 3);
         network.start(1, 5);
-        final SimulatedNetwork.Site sender = network.sites.get(1);
+        final SimulatedNetwork.Node sender = network.nodes.get(1);
         network.nowUs += S;
         final byte[] recorded =
                 sender.codec.encode(sender.exchange.poll(network.nowUs).orElseThrow());
@@ -207,12 +207,12 @@
         network.end(1, 5);
         network.run(2);
         assertThat(network.inject(0, recorded)).as("of an older sequence number").isFalse();
-        network.boot(1);
+        network.restart(1);
         network.run(2);
         assertThat(network.inject(0, recorded)).as("of an older incarnation").isFalse();
         network.freeze();
         network.run(2.0 * CYCLE_US / S + 1);
-        assertThat(network.wrong()).isZero();
+        assertThat(network.wrongCounts()).isZero();
     }
 
     /** Bytes of every dispatcher up to any time are within its rate, at a constant total load. */
@@ -228,10 +228,10 @@
         network.startsPerS = 299;
         network.meanRunS = 3;
         for (int second = 1; second <= 20; second++) {
-            final long[] before = network.sites.stream().mapToLong(site -> site.bytes).toArray();
+            final long[] before = network.nodes.stream().mapToLong(node -> node.bytes).toArray();
             network.run(1);
             for (int i = 0; i < dispatchers; i++) {
-                final long bytes = network.sites.get(i).bytes;
+                final long bytes = network.nodes.get(i).bytes;
                 assertThat(bytes)
                         .as("up to " + second + " s, " + dispatchers + " dispatchers")
                         .isLessThanOrEqualTo(second * ExchangeSettings.DEFAULT_BYTES_PER_S);
@@ -240,8 +240,8 @@
                         .isLessThanOrEqualTo(2 * ExchangeSettings.DEFAULT_BYTES_PER_S);
             }
         }
-        // A sign of life a second also at the largest number.
-        assertThat(network.sites).allMatch(site -> site.messages >= 18);
+        // A heartbeat per second even with the largest number of dispatchers.
+        assertThat(network.nodes).allMatch(node -> node.messages >= 18);
         assertThat(network.isComplete(0)).isTrue();
     }
 }
