--- a/src/main/java/cresschute/dispatch/AdmissionController.java
+++ b/src/main/java/cresschute/dispatch/AdmissionController.java
@@ -8,9 +8,9 @@
  * Decides which part of the requests of each class, job size and side of the tenant's quota is
  * admitted.
  *
- * <p>Inputs, of each {@link DemandBucket}, by DESIGN's symbols: the arrival rate λ in requests a
- * us, the work v of a request in slot-us and its priority weight γ; the budgets of the {@link
- * CapacityEstimator}s in slots; the tenants' quotas in requests a second.
+ * <p>Inputs, of each {@link DemandBucket}: the arrival rate λ in requests a us, the work v of a
+ * request in slot-us and its priority weight γ; the budgets of the {@link CapacityEstimator}s in
+ * slots; the tenants' quotas in requests a second.
  *
  * <p>Rule, about every {@value #INTERVAL_US} us: maximise Σ γ·λ·x over the admit probabilities x,
  * subject to α ≤ x ≤ 1 with the floor α = {@value #FLOOR} and to Σ λ·x·v ≤ budget for each
@@ -35,9 +35,10 @@
     /** Value of {@link #nextFillUs} before the start; clocks are later. */
     private static final long NOT_STARTED = 0;
 
-    /** Quota tokens of a first send, and of a client's retry, whose first send took its own. */
+    /** Quota tokens that a request takes when its client sends it first. */
     private static final int FIRST_SEND_TOKENS = 1;
 
+    /** Quota tokens that a client's retry takes: the request has taken its own before. */
     private static final int RETRY_TOKENS = 0;
 
     private final CurrentSettings settings;
--- a/src/main/java/cresschute/dispatch/AttemptFeedback.java
+++ b/src/main/java/cresschute/dispatch/AttemptFeedback.java
@@ -11,10 +11,11 @@
  * CapacityEstimator.Evidence}, an attempt that is late before its end as overload at once and not
  * again at its end. Other outcomes count for the health of the worker alone.
  *
- * <p>Reason: errors and broken connections are signs of one worker's fault, not of too much work.
+ * <p>Reason: errors, and connections that broke after the whole request was sent, are signs of one
+ * worker's fault, not of too much work.
  *
- * <p>Never: a request that no worker could serve counts against its worker, nor one whose client
- * gave up before its answer would have been late.
+ * <p>Never: it does not count a request against its worker that no worker could serve, nor one
+ * whose client gave up before its answer would have been late.
  *
  * <p>Called on the dispatcher's thread alone.
  */
--- a/src/main/java/cresschute/dispatch/CapacityEstimator.java
+++ b/src/main/java/cresschute/dispatch/CapacityEstimator.java
@@ -2,7 +2,7 @@
 
 /**
  * Estimates the work that the ready workers of one placement can take from this dispatcher: the
- * budget B of DESIGN, in slots (slot-us of work a us).
+ * budget B, in slots (slot-us of work a us).
  *
  * <p>Inputs: endings of attempts with their priority weight, work of served jobs in slot-us, slots
  * in use and queued for from load reports, and the work offered in slots.
@@ -27,7 +27,8 @@
  * shed before a sign of overload.
  *
  * <p>Never: it does not fall under the rate at which the workers finish jobs with most slots busy,
- * whatever the endings say, and a single worker's errors do not count as endings.
+ * whatever the endings say, and a single worker's errors and broken connections do not count as
+ * endings. Failed connections do count, even those of a single worker.
  *
  * <p>Called on the dispatcher's thread alone.
  */
--- a/src/main/java/cresschute/dispatch/DeadlinePolicy.java
+++ b/src/main/java/cresschute/dispatch/DeadlinePolicy.java
@@ -9,12 +9,13 @@
  * <p>Rules:
  *
  * <ul>
- *   <li>an answer is in time until first send + latency objective + stretch * running time (τ of
- *       DESIGN); no attempt is sent from then on, nor within two check intervals before the
- *       deadline;
+ *   <li>an answer is in time until first send + latency objective + stretch * running time; no
+ *       attempt is sent from then on, nor within two check intervals before the deadline;
  *   <li>an arriving request has as much less time left than the longest seen in its class as its
  *       first send is ago, if its client marks it as a retry, or if that is no more than the
- *       in-time bound and two advised pauses; more than that is a client with a short timeout;
+ *       in-time bound and {@value #ADVISED_PAUSES} advised pauses; more than that is a client with
+ *       a short timeout. So a new request with a somewhat shorter timeout than others of its class
+ *       is taken for a retry, and given up at once where that makes it too old;
  *   <li>a request is rejected where a retry as advised does no harm: it is safe, or nothing ran, or
  *       all workers drop the retry within the deduplication window; else it is failed.
  * </ul>
--- a/src/main/java/cresschute/dispatch/Dispatcher.java
+++ b/src/main/java/cresschute/dispatch/Dispatcher.java
@@ -125,7 +125,11 @@
         }
     }
 
-    /** Sends the next attempt or queries loads before it; else gives up or holds the request. */
+    /**
+     * Sends the next attempt, or queries loads before it, or gives the request up where no further
+     * attempt is allowed. Where no worker may be sent to now, the request stays pending, and the
+     * next check tries again, until it is too late for an attempt.
+     */
     private void attempt(PendingRequest request, long nowUs) {
         if (!retries.allowsAttempt(request, nowUs)) {
             giveUp(request, nowUs);
--- a/src/main/java/cresschute/dispatch/Outcome.java
+++ b/src/main/java/cresschute/dispatch/Outcome.java
@@ -4,15 +4,21 @@
 public enum Outcome {
     /** A complete answer. */
     SERVED("served"),
-    /** An answer that reports an error of the worker. */
+    /** An answer that reports an error, or that cannot be read. The job may have run. */
     ERROR("error"),
-    /** Rejected because the worker is full. */
+    /**
+     * Rejected because the worker is full; the job did not run, unless the settings say that a full
+     * worker may drop what it had begun.
+     */
     FULL("full"),
-    /** No complete answer by the deadline. */
+    /** No complete answer by the deadline, though the whole request was sent. */
     TIMED_OUT("timed_out"),
-    /** No connection; nothing was sent. */
+    /**
+     * The request did not go out whole: no connection came up, or it closed, or the time was over,
+     * before the last byte of the request was written. Nothing ran.
+     */
     CONNECT_FAILED("connect_failed"),
-    /** The connection closed after something was sent. */
+    /** The connection closed, or was reset, after the whole request was sent; it may have run. */
     BROKEN("broken"),
     /** Cancelled by the host. */
     CANCELLED("cancelled"),
--- a/src/main/java/cresschute/dispatch/OutlierDetector.java
+++ b/src/main/java/cresschute/dispatch/OutlierDetector.java
@@ -17,7 +17,7 @@
  *       #UNRESPONSIVE_RUNNING_TIMES} mean running times is unresponsive for that class for {@value
  *       #UNRESPONSIVE_EJECTION_US} us;
  *   <li>a worker without progress reports of any job for {@value #STALLED_INTERVALS} report
- *       intervals is stalled for as long.
+ *       intervals is stalled for {@value #UNRESPONSIVE_EJECTION_US} us, or until its next report.
  * </ul>
  *
  * <p>Reason: one error is chance and also comes from the network, while errors in a row, refused
--- a/src/main/java/cresschute/dispatch/PendingRequest.java
+++ b/src/main/java/cresschute/dispatch/PendingRequest.java
@@ -114,7 +114,9 @@
         return firstSentUs;
     }
 
-    /** When it must be answered, us. */
+    /**
+     * When its attempts end, us: the node keeps a margin between this and the client's deadline.
+     */
     long deadlineUs() {
         return deadlineUs;
     }
--- a/src/main/java/cresschute/dispatch/ServiceTimeEstimator.java
+++ b/src/main/java/cresschute/dispatch/ServiceTimeEstimator.java
@@ -1,8 +1,8 @@
 package cresschute.dispatch;
 
 /**
- * Estimates how long jobs run: the running time of each class (t_i of DESIGN), the mean job over
- * all classes, and the pace of each worker.
+ * Estimates how long jobs run: the running time of each class, the mean job over all classes, and
+ * the pace of each worker.
  *
  * <p>Inputs: running-time hints, progress reports and durations of served attempts, all in us;
  * slots of jobs.
--- a/src/main/java/cresschute/node/ActiveSettings.java
+++ b/src/main/java/cresschute/node/ActiveSettings.java
@@ -93,7 +93,8 @@
     }
 
     /**
-     * Whether an attempt that ended so may have run; one is cancelled before its last byte only.
+     * Whether an attempt that ended so may have run. While its request is open, an attempt is
+     * cancelled only before its last byte is written, so that one did not run.
      */
     boolean mayHaveRun(Outcome outcome) {
         return outcome != Outcome.CONNECT_FAILED
--- a/src/main/java/cresschute/node/http/HttpAttempt.java
+++ b/src/main/java/cresschute/node/http/HttpAttempt.java
@@ -309,8 +309,10 @@
     }
 
     /**
-     * Guards against guessing: what an answer's head says stands, else the request's last byte
-     * decides.
+     * No connection came up, or it closed or was reset, or the answer ended without a last line.
+     * The outcome is what the answer's head said, where it was not 200; else it is {@link
+     * Outcome#BROKEN}, which may have run, once the request's last byte was written, and {@link
+     * Outcome#CONNECT_FAILED} before that.
      */
     @Override
     void broken() {
--- a/src/main/java/cresschute/node/http/HttpLoadQuery.java
+++ b/src/main/java/cresschute/node/http/HttpLoadQuery.java
@@ -19,7 +19,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.Future;
 
-/** A probe: a sign of life, with the load report as its body where there are reports. */
+/** A load query: a sign of life, with the load report as its body where there are reports. */
 final class HttpLoadQuery extends HttpExchange {
 
     private static final int MAX_BYTES = 4096;
--- a/src/main/java/cresschute/node/http/LoadReportParser.java
+++ b/src/main/java/cresschute/node/http/LoadReportParser.java
@@ -37,7 +37,7 @@
         return new LoadReport(Json.number(fields, "x0", -1), outstanding, waiting);
     }
 
-    /** Reads the body of an answer to a probe, in either form. */
+    /** Reads the body of an answer to a load query, in either form. */
     static LoadReport parseBody(String body) {
         return body.stripLeading().startsWith("{") ? parse(Json.object(body)) : parseHeader(body);
     }
--- a/src/main/java/cresschute/node/http/WorkerConnection.java
+++ b/src/main/java/cresschute/node/http/WorkerConnection.java
@@ -20,23 +20,24 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A connection to a worker. It carries one exchange at a time and nothing is ever sent again on it.
+ * A connection to a worker. It carries one exchange after the other while it is kept alive, one at
+ * a time, and never repeats a request by itself: retries are the dispatcher's.
  */
 final class WorkerConnection extends SimpleChannelInboundHandler<HttpObject> {
 
-    /**
-     * Time for the end of an answer whose outcome is told, before the connection is given up, ms.
-     */
+    /** How long the rest of an answer may take once its outcome is known, ms; then it is closed. */
     private static final long TAIL_MS = 1_000;
 
     /**
-     * How soon after an answer the next exchange on its connection may still meet that answer a
-     * second time, ms; what then names no request is believed once nothing has followed it for as
-     * long as the second figure says. A worker's own answer, or its 200 for a job taken, is there
-     * within a round trip or two.
+     * How soon after the answer before it an exchange must start, ms, to be in doubt: a worker that
+     * answers twice may still be sending that answer again.
      */
     private static final long DOUBT_WITHIN_MS = 100;
 
+    /**
+     * How long an answer other than 200 to an exchange in doubt is held back, ms: it names no
+     * request, and is taken for this exchange's own if no other answer follows within this time.
+     */
     private static final long DOUBT_MS = 50;
 
     final InetSocketAddress addr;
--- a/src/main/java/cresschute/node/http/WorkerConnectionPool.java
+++ b/src/main/java/cresschute/node/http/WorkerConnectionPool.java
@@ -31,10 +31,10 @@
     /** An idle connection is closed at this part of the time at which its worker would close it. */
     private static final double RETIRE_AT = 0.75;
 
-    /** How long a probe may take, ms. */
+    /** How long a load query may take, ms. */
     private static final long PROBE_MS = 350;
 
-    /** How long none is kept after a kept one broke, s. */
+    /** How long no connection is kept idle after one that was kept broke, s. */
     private static final long FRESH_S = 15;
 
     private final EventLoop loop;
