--- a/src/main/java/cresschute/control/files/SharedOperatorState.java
+++ b/src/main/java/cresschute/control/files/SharedOperatorState.java
@@ -28,7 +28,12 @@
  *
  * <p>The file is an {@link AtomicFile}. A process changes it under a lock, from what it holds at
  * that moment, and each process polls it every {@value #POLL_INTERVAL_MS} ms for changes of the
- * other. A damaged file counts as no state and is put aside; generations increase all the same.
+ * other. A damaged file counts as no state and is put aside. Generations increase from the newest
+ * that this process has read or written: a process that began after a damaged file was put aside
+ * does not know the older ones, and others ignore its changes until its generations pass theirs.
+ *
+ * <p>A change is stored once its file is renamed into place. The folder is not synced: the change
+ * outlives the process, and perhaps not a loss of power.
  *
  * <p>Life: from {@link #open} to {@link #close}. One thread of its own reads and writes; the
  * listeners are notified on the owner's executor, and nothing else of the owner's is touched.
@@ -126,11 +131,12 @@
     // ---- Changes by this process ----
 
     /**
-     * Changes the state in the file. Does not block; changes are written in the order given.
+     * Changes the state in the file. Does not block; changes are written in the order given, each
+     * once the other process has released the lock of the file.
      *
      * @param change is applied on the file thread to what the file holds then
-     * @param changeListener is notified once on the owner's executor; on the caller's thread after
-     *     {@link #close}
+     * @param changeListener is notified once on the owner's executor, unless that has ended; on the
+     *     caller's thread after {@link #close}
      */
     public void change(
             UnaryOperator<OperatorState> change, SharedStateListener.Change changeListener) {
--- a/src/main/java/cresschute/control/files/SharedStateListener.java
+++ b/src/main/java/cresschute/control/files/SharedStateListener.java
@@ -5,7 +5,7 @@
 /**
  * Is notified of changes of a {@link SharedOperatorState}, on the executor of its owner. Every
  * {@link SharedOperatorState#change} is followed by exactly one {@link Change#stored} or {@link
- * Change#notDurable}.
+ * Change#notDurable}, unless the executor has ended.
  */
 public interface SharedStateListener {
 
@@ -15,7 +15,7 @@
     /** Is notified of the end of one change. */
     interface Change {
 
-        /** The change is on the disk; {@code written} is the state with it. */
+        /** The change is in the file; {@code written} is the state with it. */
         void stored(OperatorState written);
 
         /** The change could not be written; the file is unchanged. */
--- a/src/main/java/cresschute/control/socket/ManagementServer.java
+++ b/src/main/java/cresschute/control/socket/ManagementServer.java
@@ -22,8 +22,9 @@
  * which is then closed. It owns the listening channel and the accepted ones, each a {@link
  * ManagementSession}.
  *
- * <p>Life: {@link #listen} once, {@link #close} once. All of it is on the node's loop, so that an
- * answer comes within one turn of that loop. Connections do not wait for each other.
+ * <p>Life: {@link #listen} once, {@link #close} once. All of it is on the node's loop, save {@link
+ * #listen}, which may be called on any thread. Connections do not wait for each other; when a call
+ * is answered is up to the {@link ManagementHandler}.
  */
 public final class ManagementServer {
 
--- a/src/main/java/cresschute/node/ConfigReloader.java
+++ b/src/main/java/cresschute/node/ConfigReloader.java
@@ -122,8 +122,9 @@
     }
 
     /**
-     * Applies the classes and settings of a new configuration where a running node can: requests in
-     * flight keep their class, and new ones are read by the new classes.
+     * Applies the connection times, classes and settings of a new configuration where a running
+     * node can: requests in flight keep their class, and new ones are read by the new classes. The
+     * connection times apply even where the classes and settings wait for a restart.
      *
      * @param next the new configuration
      * @param held the parts that wait for a restart; what cannot be applied is added
--- a/src/main/java/cresschute/node/DurableDrains.java
+++ b/src/main/java/cresschute/node/DurableDrains.java
@@ -37,8 +37,9 @@
  * </ol>
  *
  * An operation that changes nothing, as one that is sent again, is acknowledged after the newest
- * snapshot too: the first one may still be on its way to the disk. Without a state folder the
- * second step is left out, and the third follows at once.
+ * snapshot too: the first one may still be on its way to the disk. It is itself remembered, and
+ * stored with the next change only. Without a state folder the second step is left out, and the
+ * third follows at once.
  *
  * <p>Owned state: the registry, the state folder, and the acknowledgements that wait. Life: {@link
  * #open} once, which takes up what an earlier run stored; {@link #close} once. All of it is on the
@@ -87,8 +88,9 @@
     // ---- Start and stop ----
 
     /**
-     * Opens the state folder and takes up the drains and operations stored there. Blocks, so not on
-     * the loop; called before the first endpoint list.
+     * Opens the state folder and takes up the drains and operations stored there, also drains whose
+     * end has come meanwhile, which the first {@link #expire} ends. Blocks, so not on the loop;
+     * called before the first endpoint list.
      *
      * @throws IOException if the folder is in use or cannot be read
      */
--- a/src/main/java/cresschute/node/EndpointListPublisher.java
+++ b/src/main/java/cresschute/node/EndpointListPublisher.java
@@ -47,7 +47,10 @@
         attempts.recallMisdirected();
     }
 
-    /** Publishes these workers again, as the overlay of their states has changed. */
+    /**
+     * Publishes these workers again, as the overlay of their states has changed. The dispatcher is
+     * notified in the next turn; attempts that have sent nothing to them are recalled at once.
+     */
     void republish(Collection<String> names) {
         final List<Worker> listed =
                 names.stream()
--- a/src/main/java/cresschute/node/GracefulShutdown.java
+++ b/src/main/java/cresschute/node/GracefulShutdown.java
@@ -9,10 +9,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The graceful shutdown of a node, at SIGTERM: it is no longer ready, accepts for a while longer,
- * answers all that was taken, and ends once no client has a connection. Owns the state of the
- * shutdown and the future of its end. Lives from {@link #begin} to that future; call from the event
- * loop, save where stated.
+ * The graceful shutdown of a node, at SIGTERM: it is no longer ready, accepts for a while longer
+ * (not where the platform passed its listener on: the other process accepts there), answers all
+ * that was taken, and ends once no client has a connection. Owns the state of the shutdown and the
+ * future of its end. Lives from {@link #begin} to that future; call from the event loop, save where
+ * stated.
  */
 final class GracefulShutdown {
 
@@ -44,7 +45,7 @@
     private boolean begun;
     private long nextLogMs;
 
-    /** What a shutdown does to the node, in the order of the methods. Called on the event loop. */
+    /** What a shutdown asks of the node, and does to it. Called on the event loop. */
     interface Steps {
 
         /** Requests that are owed an answer. */
@@ -53,7 +54,10 @@
         /** Connections from clients that are open. */
         int clientConnections();
 
-        /** The node says that it is not ready, and that it is stopping. */
+        /**
+         * The node says that it is not ready, and that it is stopping. Where its listener was
+         * passed on by the platform, it also accepts no more connections from now on.
+         */
         void becomeNotReady();
 
         /**
--- a/src/main/java/cresschute/node/ManagementService.java
+++ b/src/main/java/cresschute/node/ManagementService.java
@@ -34,10 +34,12 @@
  * nothing. Without a shared folder it lives as long as the process.
  *
  * <p>A call takes effect in this order: in force, stored, answered; a call whose change is not
- * stored within {@value #MAX_ANSWER_DELAY_MS} ms is answered all the same.
+ * stored within {@value #MAX_ANSWER_DELAY_MS} ms is answered all the same. A change that could not
+ * be stored is logged, and answered as one that was.
  *
  * <p>Life: {@link #open}, {@link #listen}, {@link #closeServer}, {@link #close}. All of it is on
- * the loop, save {@link #open} and {@link #close}, which block.
+ * the loop, save {@link #open}, {@link #listen} and {@link #close}, which may block: these are
+ * called on the threads that start and end the node.
  */
 final class ManagementService implements RequestListener, ManagementHandler, SharedStateListener {
 
@@ -100,7 +102,12 @@
         }
     }
 
-    /** Lets operators call. The future fails if the address cannot be listened on. */
+    /**
+     * Lets operators call, and makes the node not ready if the state taken up says that it is
+     * drained. Called on the thread that starts the node, when clients can connect already.
+     *
+     * @return fails if the address cannot be listened on
+     */
     ChannelFuture listen() {
         server = new ManagementServer(loop, config.operators().management(), maxCallers, this);
         if (inForce.drained()) {
--- a/src/main/java/cresschute/node/NodeServer.java
+++ b/src/main/java/cresschute/node/NodeServer.java
@@ -239,7 +239,8 @@
     // ---- Stop ----
 
     /**
-     * Stops gracefully: accepts for a while longer, and answers all that was taken.
+     * Stops gracefully: accepts for a while longer, unless the platform passed the listener on, and
+     * answers all that was taken.
      *
      * @return completed once all of it is answered and closed
      */
@@ -370,7 +371,7 @@
         return operators.managementAddress();
     }
 
-    /** The front of its clients. */
+    /** The listener for its clients. */
     ClientListener front() {
         return front;
     }
--- a/src/main/java/cresschute/node/ReadinessSwitch.java
+++ b/src/main/java/cresschute/node/ReadinessSwitch.java
@@ -1,8 +1,9 @@
 package cresschute.node;
 
 /**
- * The readiness of the node as the {@link ManagementService} reads and changes it; the client front
- * implements it. Its state lives as long as the process. All calls are on the loop.
+ * The readiness of the node as the {@link ManagementService} reads and changes it; the client
+ * listener implements it. Its state lives as long as the process. All calls are on the loop, save a
+ * {@link #drain} that the start takes up, which is called on the thread that starts the node.
  */
 public interface ReadinessSwitch {
 
--- a/src/main/java/cresschute/node/package-info.java
+++ b/src/main/java/cresschute/node/package-info.java
@@ -1,12 +1,12 @@
 /**
- * The node: takes requests from client fronts, notifies the dispatcher, and carries out what it
+ * The node: takes requests from client listeners, notifies the dispatcher, and carries out what it
  * decides. It decides nothing itself and knows no protocol.
  *
  * <p>{@link cresschute.node.NodeServer} creates, starts, reloads and stops the parts. {@link
- * cresschute.node.RequestLifecycle} is the entry for fronts and discovery; behind it {@code
- * OpenRequests} owns the requests, {@code AttemptController} their attempts in flight, {@code
- * EndpointListPublisher} the endpoint list, and {@code DispatcherTurn} the events and actions of
- * one turn of the event loop.
+ * cresschute.node.RequestLifecycle} is the entry for client listeners and discovery; behind it
+ * {@code OpenRequests} owns the requests, {@code AttemptController} their attempts in flight,
+ * {@code EndpointListPublisher} the endpoint list, and {@code DispatcherTurn} the events and
+ * actions of one turn of the event loop.
  *
  * <p>Owned state: open requests, attempts, timers, the worker registry, the settings in force and
  * counts of broken invariants. All of it is used on one event loop; what blocks or reads files says
