--- a/src/main/java/cresschute/settings/script/Builtin.java
+++ b/src/main/java/cresschute/settings/script/Builtin.java
@@ -24,22 +24,20 @@
             Position at,
             List<Argument> positional,
             Map<String, Argument> named,
-            StepLimit meter) {
+            StepLimit stepLimit) {
 
         /** The positional arguments, which must be so many, and no named ones. */
-        List<Argument> exactly(int least, int most) throws ScriptError {
+        List<Argument> exactly(int min, int max) throws ScriptError {
             if (!named.isEmpty()) {
                 throw new ScriptError(
                         named.values().iterator().next().at(),
                         name + " takes no argument with a name");
             }
-            if (positional.size() < least || positional.size() > most) {
+            if (positional.size() < min || positional.size() > max) {
                 final String allowed =
-                        least == most
-                                ? "" + least
-                                : most == Integer.MAX_VALUE
-                                        ? "at least " + least
-                                        : least + " to " + most;
+                        min == max
+                                ? "" + min
+                                : max == Integer.MAX_VALUE ? "at least " + min : min + " to " + max;
                 throw new ScriptError(
                         at,
                         name
--- /dev/null
+++ b/src/main/java/cresschute/settings/script/CallStack.java
@@ -0,0 +1,35 @@
+package cresschute.settings.script;
+
+import java.util.HashSet;
+import java.util.Set;
+
+/** The functions of a script that are in progress. Serves one run of a script, on its thread. */
+final class CallStack {
+
+    private final int maxCalls;
+    private final Set<ScriptFunction> running = new HashSet<>();
+
+    CallStack(int maxCalls) {
+        this.maxCalls = maxCalls;
+    }
+
+    /**
+     * Records that a function is called.
+     *
+     * @throws ScriptError if it is in progress already, or too many others are
+     */
+    void enter(ScriptFunction function, Position at) throws ScriptError {
+        if (running.size() == maxCalls) {
+            throw new ScriptError(
+                    at, "too many calls within calls; at most " + maxCalls + " are allowed");
+        }
+        if (!running.add(function)) {
+            throw new ScriptError(
+                    at, "'" + function.name() + "' calls itself; recursion is not allowed");
+        }
+    }
+
+    void leave(ScriptFunction function) {
+        running.remove(function);
+    }
+}
--- a/src/main/java/cresschute/settings/script/DepthBoundParser.java
+++ b/src/main/java/cresschute/settings/script/DepthBoundParser.java
@@ -8,7 +8,7 @@
 abstract class DepthBoundParser extends Parser {
 
     /** Rules within rules; a pair of brackets takes about a dozen. */
-    private static final int MOST_RULES = 1_000;
+    private static final int MAX_RULES = 1_000;
 
     private int depth;
 
@@ -38,7 +38,7 @@
     public void enterRule(ParserRuleContext localctx, int state, int ruleIndex) {
         super.enterRule(localctx, state, ruleIndex);
         depth++;
-        if (depth > MOST_RULES) {
+        if (depth > MAX_RULES) {
             throw new TooDeep(Script.position(getCurrentToken()));
         }
     }
--- a/src/main/java/cresschute/settings/script/Operators.java
+++ b/src/main/java/cresschute/settings/script/Operators.java
@@ -11,10 +11,10 @@
 /** What operators do with each kind of value. Whole numbers are of 64 bits and never wrap. */
 final class Operators {
 
-    private final StepLimit meter;
+    private final StepLimit stepLimit;
 
-    Operators(StepLimit meter) {
-        this.meter = meter;
+    Operators(StepLimit stepLimit) {
+        this.stepLimit = stepLimit;
     }
 
     Object apply(String operator, Object a, Object b, Position at) throws ScriptError {
@@ -28,7 +28,7 @@
                         case "//" -> floored(a, b, at);
                         default ->
                                 a instanceof String format
-                                        ? Texts.percent(format, b, meter, at)
+                                        ? Texts.percent(format, b, stepLimit, at)
                                         : rest(a, b, at);
                     };
             if (result == null) {
@@ -57,7 +57,7 @@
                 && x.dimension() == y.dimension()) {
             return new Quantity(x.dimension(), x.amount() + y.amount());
         } else if (a instanceof String x && b instanceof String y) {
-            meter.text((long) x.length() + y.length(), at);
+            stepLimit.text((long) x.length() + y.length(), at);
             return x + y;
         } else if (a instanceof ListValue x && b instanceof ListValue y) {
             return new ListValue(joined(x.elements(), y.elements(), at));
@@ -68,7 +68,7 @@
     }
 
     private List<Object> joined(List<Object> a, List<Object> b, Position at) throws ScriptError {
-        meter.cells((long) a.size() + b.size(), at);
+        stepLimit.cells((long) a.size() + b.size(), at);
         final List<Object> joined = new ArrayList<>(a);
         joined.addAll(b);
         return joined;
@@ -105,7 +105,7 @@
     private Object repeated(Object value, long count, Position at) throws ScriptError {
         final long times = Math.max(0, count);
         if (value instanceof String text) {
-            meter.text(Math.multiplyExact(text.length(), times), at);
+            stepLimit.text(Math.multiplyExact(text.length(), times), at);
             return text.repeat((int) times);
         }
         if (!(value instanceof ListValue) && !(value instanceof TupleValue)) {
@@ -113,7 +113,7 @@
         }
         final List<Object> elements =
                 value instanceof ListValue list ? list.elements() : ((TupleValue) value).elements();
-        meter.cells(Math.multiplyExact(elements.size(), times), at);
+        stepLimit.cells(Math.multiplyExact(elements.size(), times), at);
         final List<Object> repeated = new ArrayList<>();
         for (long i = 0; i < times && !elements.isEmpty(); i++) {
             repeated.addAll(elements);
@@ -181,8 +181,8 @@
 
     boolean compare(String operator, Object a, Object b, Position at) throws ScriptError {
         return switch (operator) {
-            case "==" -> Values.equal(a, b, 0, meter, at);
-            case "!=" -> !Values.equal(a, b, 0, meter, at);
+            case "==" -> Values.equal(a, b, 0, stepLimit, at);
+            case "!=" -> !Values.equal(a, b, 0, stepLimit, at);
             case "<" -> order(a, b, at) < 0;
             case "<=" -> order(a, b, at) <= 0;
             case ">" -> order(a, b, at) > 0;
@@ -193,7 +193,7 @@
     }
 
     int order(Object a, Object b, Position at) throws ScriptError {
-        meter.step(at);
+        stepLimit.step(at);
         if (a instanceof Long x && b instanceof Long y) {
             return Long.compare(x, y);
         } else if (a instanceof Number x && b instanceof Number y) {
@@ -215,7 +215,7 @@
 
     private boolean contains(Object all, Object one, Position at) throws ScriptError {
         if (all instanceof String text && one instanceof String part) {
-            meter.steps(text.length(), at);
+            stepLimit.steps(text.length(), at);
             return text.contains(part);
         } else if (all instanceof DictValue dict) {
             return dict.entries().containsKey(key(one, at));
@@ -225,7 +225,7 @@
             final List<Object> elements =
                     all instanceof ListValue list ? list.elements() : ((TupleValue) all).elements();
             for (final Object element : elements) {
-                if (Values.equal(element, one, 0, meter, at)) {
+                if (Values.equal(element, one, 0, stepLimit, at)) {
                     return true;
                 }
             }
--- a/src/main/java/cresschute/settings/script/Script.java
+++ b/src/main/java/cresschute/settings/script/Script.java
@@ -19,10 +19,10 @@
  */
 public final class Script {
 
-    private static final int MOST_SYNTAX_ERRORS = 20;
+    private static final int MAX_SYNTAX_ERRORS = 20;
 
-    /** More alternatives than these would not help anybody. */
-    private static final int MOST_EXPECTED = 4;
+    /** With more alternatives, an error does not list them. */
+    private static final int MAX_EXPECTED = 4;
 
     private Script() {}
 
@@ -67,8 +67,8 @@
     }
 
     /**
-     * Words syntax errors for people: one for a line at the most, as one error brings others after
-     * it.
+     * Formats syntax errors for people: one for a line at the most, as one error brings others
+     * after it.
      */
     private static final class SyntaxErrors extends BaseErrorListener {
 
@@ -88,7 +88,7 @@
                 RecognitionException e) {
             final boolean known =
                     errors.stream().anyMatch(error -> error.position().line() == line);
-            if (!known && errors.size() < MOST_SYNTAX_ERRORS) {
+            if (!known && errors.size() < MAX_SYNTAX_ERRORS) {
                 errors.add(
                         new ScriptError(
                                 position((Token) offending),
@@ -109,7 +109,7 @@
 
         private static String expected(ScriptParser parser) {
             final IntervalSet expected = parser.getExpectedTokens();
-            if (expected.size() == 0 || expected.size() > MOST_EXPECTED) {
+            if (expected.size() == 0 || expected.size() > MAX_EXPECTED) {
                 return "";
             }
             final List<String> names = new ArrayList<>();
--- a/src/main/java/cresschute/settings/script/StepLimit.java
+++ b/src/main/java/cresschute/settings/script/StepLimit.java
@@ -1,8 +1,8 @@
 package cresschute.settings.script;
 
 /**
- * Counts what a run of a script has taken, and ends it with an error at the first bound that it
- * meets.
+ * Counts the steps and the memory of one run of a script, and throws at the first bound that is
+ * exceeded.
  */
 final class StepLimit {
 
@@ -35,7 +35,7 @@
 
     /** Called before the memory is taken, so that what is too large is never built. */
     void cells(long count, Position at) throws ScriptError {
-        // Guards against a sum that wraps round: a single demand may be near the largest long.
+        // Subtracts, as a sum could overflow: a single count may be near the largest long.
         if (count > bounds.cells() - cells) {
             throw new ScriptError(
                     at,
--- a/src/main/java/cresschute/settings/script/Suggestion.java
+++ b/src/main/java/cresschute/settings/script/Suggestion.java
@@ -23,7 +23,7 @@
     }
 
     private static int distance(String a, String b) {
-        // Guards against the product of two long texts.
+        // The distance takes time in proportion to the product of both lengths.
         return a.length() > 64 ? Integer.MAX_VALUE : DISTANCE.apply(a, b);
     }
 }
--- a/src/main/java/cresschute/settings/script/Texts.java
+++ b/src/main/java/cresschute/settings/script/Texts.java
@@ -39,7 +39,7 @@
     }
 
     /** Fills in {@code %s}, {@code %d}, {@code %r} and {@code %%}. */
-    static String percent(String format, Object values, StepLimit meter, Position at)
+    static String percent(String format, Object values, StepLimit stepLimit, Position at)
             throws ScriptError {
         final List<Object> given =
                 values instanceof TupleValue tuple ? tuple.elements() : List.of(values);
@@ -71,16 +71,16 @@
             if (kind == 'd' && !(value instanceof Long)) {
                 throw new ScriptError(at, "%d takes a whole number, not " + Values.kind(value));
             }
-            final String text = Values.text(value, meter, at);
+            final String text = Values.text(value, stepLimit, at);
             out.append(kind == 'r' && value instanceof String ? Values.quoted(text) : text);
-            meter.text(text.length(), at);
+            stepLimit.text(text.length(), at);
         }
         if (used < given.size()) {
             throw new ScriptError(
                     at,
                     "the format asks for " + used + " of the " + given.size() + " values given");
         }
-        meter.text(out.length(), at);
+        stepLimit.text(out.length(), at);
         return out.toString();
     }
 
@@ -100,8 +100,8 @@
                 final String field = format.substring(i + 1, end);
                 final Object value =
                         field(field.isEmpty() ? Integer.toString(next++) : field, call);
-                final String text = Values.text(value, call.meter(), call.at());
-                call.meter().text(text.length(), call.at());
+                final String text = Values.text(value, call.stepLimit(), call.at());
+                call.stepLimit().text(text.length(), call.at());
                 out.append(text);
                 i = end;
             } else if (character == '}' && !doubled) {
@@ -111,7 +111,7 @@
                 i += character == '{' || character == '}' ? 1 : 0;
             }
         }
-        call.meter().text(out.length(), call.at());
+        call.stepLimit().text(out.length(), call.at());
         return out.toString();
     }
 
--- a/src/main/java/cresschute/settings/script/Values.java
+++ b/src/main/java/cresschute/settings/script/Values.java
@@ -55,7 +55,7 @@
             return elements;
         }
 
-        void walk(int change) {
+        void changeIterators(int change) {
             walkers += change;
         }
     }
@@ -103,7 +103,7 @@
             return entries;
         }
 
-        void walk(int change) {
+        void changeIterators(int change) {
             walkers += change;
         }
     }
@@ -158,27 +158,32 @@
     }
 
     /** Whether two values are equal; walks down them, which counts. */
-    static boolean equal(Object a, Object b, int depth, StepLimit meter, Position at)
+    static boolean equal(Object a, Object b, int depth, StepLimit stepLimit, Position at)
             throws ScriptError {
-        meter.step(at);
-        meter.nesting(depth, at);
+        stepLimit.step(at);
+        stepLimit.nesting(depth, at);
         if (a instanceof Number x && b instanceof Number y) {
             return a instanceof Long && b instanceof Long
                     ? x.longValue() == y.longValue()
                     : x.doubleValue() == y.doubleValue();
         }
         if (a instanceof ListValue x && b instanceof ListValue y) {
-            return equalAll(x.elements, y.elements, depth, meter, at);
+            return equalAll(x.elements, y.elements, depth, stepLimit, at);
         }
         if (a instanceof TupleValue x && b instanceof TupleValue y) {
-            return equalAll(x.elements(), y.elements(), depth, meter, at);
+            return equalAll(x.elements(), y.elements(), depth, stepLimit, at);
         }
         if (a instanceof DictValue x && b instanceof DictValue y) {
             if (!x.entries.keySet().equals(y.entries.keySet())) {
                 return false;
             }
             for (final Map.Entry<Object, Object> entry : x.entries.entrySet()) {
-                if (!equal(entry.getValue(), y.entries.get(entry.getKey()), depth + 1, meter, at)) {
+                if (!equal(
+                        entry.getValue(),
+                        y.entries.get(entry.getKey()),
+                        depth + 1,
+                        stepLimit,
+                        at)) {
                     return false;
                 }
             }
@@ -188,13 +193,13 @@
     }
 
     private static boolean equalAll(
-            List<Object> a, List<Object> b, int depth, StepLimit meter, Position at)
+            List<Object> a, List<Object> b, int depth, StepLimit stepLimit, Position at)
             throws ScriptError {
         if (a.size() != b.size()) {
             return false;
         }
         for (int i = 0; i < a.size(); i++) {
-            if (!equal(a.get(i), b.get(i), depth + 1, meter, at)) {
+            if (!equal(a.get(i), b.get(i), depth + 1, stepLimit, at)) {
                 return false;
             }
         }
@@ -202,29 +207,29 @@
     }
 
     /** A value's text, as {@code str} makes it. */
-    static String text(Object value, StepLimit meter, Position at) throws ScriptError {
+    static String text(Object value, StepLimit stepLimit, Position at) throws ScriptError {
         if (value instanceof String text) {
             return text;
         }
         final StringBuilder out = new StringBuilder();
-        write(value, out, 0, meter, at);
+        write(value, out, 0, stepLimit, at);
         return out.toString();
     }
 
     /** Counts as it writes: a small value that holds itself many times over has a huge text. */
     private static void write(
-            Object value, StringBuilder out, int depth, StepLimit meter, Position at)
+            Object value, StringBuilder out, int depth, StepLimit stepLimit, Position at)
             throws ScriptError {
-        meter.step(at);
-        meter.nesting(depth, at);
+        stepLimit.step(at);
+        stepLimit.nesting(depth, at);
         final int before = out.length();
         if (value instanceof String text) {
-            meter.text(text.length(), at);
+            stepLimit.text(text.length(), at);
             out.append(quoted(text));
         } else if (value instanceof Quantity quantity) {
             out.append(text(quantity));
         } else if (value instanceof ListValue list) {
-            writeAll(list.elements, "[", "]", out, depth, meter, at);
+            writeAll(list.elements, "[", "]", out, depth, stepLimit, at);
         } else if (value instanceof TupleValue tuple) {
             writeAll(
                     tuple.elements(),
@@ -232,7 +237,7 @@
                     tuple.elements().size() == 1 ? ",)" : ")",
                     out,
                     depth,
-                    meter,
+                    stepLimit,
                     at);
         } else if (value instanceof RangeValue range) {
             out.append("range(")
@@ -246,9 +251,9 @@
             String gap = "{";
             for (final Map.Entry<Object, Object> entry : dict.entries.entrySet()) {
                 out.append(gap);
-                write(entry.getKey(), out, depth + 1, meter, at);
+                write(entry.getKey(), out, depth + 1, stepLimit, at);
                 out.append(": ");
-                write(entry.getValue(), out, depth + 1, meter, at);
+                write(entry.getValue(), out, depth + 1, stepLimit, at);
                 gap = ", ";
             }
             out.append(dict.entries.isEmpty() ? "{}" : "}");
@@ -258,7 +263,7 @@
             out.append(value);
         }
         if (depth == 0) {
-            meter.text(out.length() - before, at);
+            stepLimit.text(out.length() - before, at);
         }
     }
 
@@ -268,13 +273,13 @@
             String close,
             StringBuilder out,
             int depth,
-            StepLimit meter,
+            StepLimit stepLimit,
             Position at)
             throws ScriptError {
         String gap = open;
         for (final Object element : elements) {
             out.append(gap);
-            write(element, out, depth + 1, meter, at);
+            write(element, out, depth + 1, stepLimit, at);
             gap = ", ";
         }
         out.append(elements.isEmpty() ? open : "").append(close);
--- /dev/null
+++ b/src/main/java/cresschute/settings/script/VariableBinder.java
@@ -0,0 +1,37 @@
+package cresschute.settings.script;
+
+import java.util.List;
+import org.antlr.v4.runtime.tree.TerminalNode;
+
+/** Sets names to values, and several names to the elements of one value. */
+final class VariableBinder {
+
+    private final Environment environment;
+    private final Sequences sequences;
+
+    VariableBinder(Environment environment, Sequences sequences) {
+        this.environment = environment;
+        this.sequences = sequences;
+    }
+
+    /** The elements of a value, of which there must be as many as names to set. */
+    List<Object> unpack(Object value, int count, Position at) throws ScriptError {
+        final List<Object> elements = sequences.elements(value, at);
+        if (elements.size() != count) {
+            throw new ScriptError(at, elements.size() + " values for " + count + " names");
+        }
+        return elements;
+    }
+
+    /** Sets one name to a value, or several to its elements. */
+    void bind(List<TerminalNode> names, Object value, Position at, Scope scope) throws ScriptError {
+        if (names.size() == 1) {
+            environment.set(names.get(0), value, scope);
+            return;
+        }
+        final List<Object> elements = unpack(value, names.size(), at);
+        for (int i = 0; i < elements.size(); i++) {
+            environment.set(names.get(i), elements.get(i), scope);
+        }
+    }
+}
