--- a/src/main/java/cresschute/node/NodeConfig.java
+++ b/src/main/java/cresschute/node/NodeConfig.java
@@ -166,7 +166,7 @@
         return new NodeConfig(
                 settings.name(),
                 settings.listen(),
-                settings.director(),
+                settings.discovery(),
                 seed,
                 settings.module(),
                 settings.classes(),
--- a/src/main/java/cresschute/node/http/StreamedBodies.java
+++ b/src/main/java/cresschute/node/http/StreamedBodies.java
@@ -44,7 +44,7 @@
                                 settings.window(),
                                 settings.lent(),
                                 LEND_DIVISOR,
-                                settings.ofAClient()));
+                                settings.maxPerClientBytes()));
         this.maxBytes = settings.classes().stream().mapToLong(ClassBodies::longest).max().orElse(0);
     }
 
@@ -123,7 +123,9 @@
                                 case BUDGET_EXHAUSTED ->
                                         "the budget of " + settings.budget() + " bytes is in use";
                                 case CLIENT_LIMIT_REACHED ->
-                                        "its bodies own " + settings.ofAClient() + " bytes already";
+                                        "its bodies own "
+                                                + settings.maxPerClientBytes()
+                                                + " bytes already";
                             });
         }
         return admission.reservation().orElse(null);
--- a/src/main/java/cresschute/node/http/StreamedBody.java
+++ b/src/main/java/cresschute/node/http/StreamedBody.java
@@ -83,7 +83,7 @@
 
     /** A monitor of one side of this body, by its class's limits. */
     final TransferMonitor newMonitor() {
-        return new TransferMonitor(limits.leastRate(), limits.stallUs(), nowUs());
+        return new TransferMonitor(limits.minRateBytesPerS(), limits.stallUs(), nowUs());
     }
 
     // ---- Reading ----
--- a/src/main/java/cresschute/settings/ApplianceSettings.java
+++ b/src/main/java/cresschute/settings/ApplianceSettings.java
@@ -5,23 +5,23 @@
 import java.util.List;
 
 /**
- * What a settings script states, checked: nothing in it contradicts another part.
+ * The typed settings of a script that passed all checks.
  *
  * @param seed for random choices, or null for a new one at each start
- * @param module what the decision module is told; its zones, kinds and classes are numbered as the
+ * @param module the settings of the dispatcher; its zones, kinds and classes are indexes of the
  *     names here
  * @param classes the classes' names
  * @param zones the zones' names
  * @param kinds the names of the kinds of worker
- * @param workers the fixed list, or with a director the list to begin with
- * @param director where the director listens, or null where the list is fixed
+ * @param workers the fixed list, or with discovery the list to begin with
+ * @param discovery where the discovery service listens, or null where the list is fixed
  * @param sockets file descriptors that the process may hold
  * @param logFormat {@code text} or {@code json}
  * @param logLevel {@code debug}, {@code info}, {@code warning} or {@code error}
  * @param controlSocket the control socket's file, or null
  * @param stateFolder the folder for state, or null
- * @param bodies the room for long bodies, or null where no class allows any
- * @param peers the other dispatchers, or null where nothing is exchanged
+ * @param bodies memory for streamed bodies, or null where no class allows any
+ * @param peers the other dispatchers, or null where no counts are exchanged
  * @param shown the settings in force as a script of their own, with all that holds without being
  *     stated
  */
@@ -34,7 +34,7 @@
         List<String> zones,
         List<String> kinds,
         List<WorkerEntry> workers,
-        InetSocketAddress director,
+        InetSocketAddress discovery,
         long connectTimeoutUs,
         long idleTimeoutUs,
         int sockets,
@@ -61,7 +61,7 @@
             long bytesPerS) {}
 
     /**
-     * The room for long bodies, all in bytes.
+     * Memory for streamed bodies, all in bytes.
      *
      * @param classes what each class allows, in their order
      */
@@ -70,21 +70,21 @@
             long window,
             long lent,
             long spool,
-            long ofAClient,
+            long maxPerClientBytes,
             List<ClassBodies> classes) {}
 
     /**
      * What a class allows of bodies.
      *
      * @param longest bytes
-     * @param leastRate bytes a second, over the longest stall
+     * @param minRateBytesPerS bytes a second, over the longest stall
      * @param stallUs the longest time without a byte
      * @param longResults whether a result may come as it is made
      * @param deadlineToFirst whether the deadline of such a result counts to its first byte
      */
     public record ClassBodies(
             long longest,
-            long leastRate,
+            long minRateBytesPerS,
             long stallUs,
             boolean longResults,
             boolean deadlineToFirst) {}
--- a/src/main/java/cresschute/settings/Block.java
+++ b/src/main/java/cresschute/settings/Block.java
@@ -6,11 +6,11 @@
 /**
  * A function of the settings script that states one part of the settings.
  *
- * @param least how often it must be called
- * @param most how often it may be
+ * @param min how often it must be called
+ * @param max how often it may be
  * @param meaning one line for the reference
  */
-record Block(String name, int least, int most, String meaning, List<Field<?>> fields) {
+record Block(String name, int min, int max, String meaning, List<Field<?>> fields) {
 
     Optional<Field<?>> field(String wanted) {
         return fields.stream().filter(field -> field.name().equals(wanted)).findFirst();
--- a/src/main/java/cresschute/settings/Field.java
+++ b/src/main/java/cresschute/settings/Field.java
@@ -3,11 +3,11 @@
 /**
  * One setting of a block.
  *
- * @param otherwise what holds where a script does not give it; null where there is no such value
+ * @param defaultValue what holds where a script does not give it; null where there is no such value
  * @param required whether it must be given
  * @param meaning one line for the reference
  */
-record Field<T>(String name, FieldType<T> kind, T otherwise, boolean required, String meaning) {
+record Field<T>(String name, FieldType<T> type, T defaultValue, boolean required, String meaning) {
 
     static <T> Field<T> required(String name, FieldType<T> kind, String meaning) {
         return new Field<>(name, kind, null, true, meaning);
@@ -19,16 +19,16 @@
 
     /** The value that a script gave, or null where it is not allowed; {@code None} is not given. */
     T read(Object given) {
-        return kind.read().apply(given);
+        return type.read().apply(given);
     }
 
     /** What holds where it is not given, as a script would write it. */
     String shownDefault() {
-        return otherwise == null ? "" : kind.show().apply(otherwise);
+        return defaultValue == null ? "" : type.show().apply(defaultValue);
     }
 
     @SuppressWarnings("unchecked")
     String show(Object value) {
-        return kind.show().apply((T) value);
+        return type.show().apply((T) value);
     }
 }
--- a/src/main/java/cresschute/settings/FieldType.java
+++ b/src/main/java/cresschute/settings/FieldType.java
@@ -13,7 +13,8 @@
 import java.util.regex.Pattern;
 
 /**
- * A kind of setting: what a script may give for it, how that is held, and how it is written again.
+ * The type of a field: the values of a script that it allows, their conversion, and their
+ * formatting.
  *
  * @param allowed what may be given, as errors and the reference say it
  * @param read the value held for one of a script, or null where it is not allowed
@@ -27,10 +28,10 @@
      * What fits into {@code sockaddr_un} with the zero at its end on every system that Java runs
      * on.
      */
-    private static final int MOST_SOCKET_BYTES = 100;
+    private static final int MAX_SOCKET_PATH_BYTES = 100;
 
-    private static final long US_A_MS = 1_000;
-    private static final long US_A_S = 1_000_000;
+    private static final long US_PER_MS = 1_000;
+    private static final long US_PER_S = 1_000_000;
 
     /** A name of up to 64 letters, digits, dots, dashes and underscores. */
     static FieldType<String> name() {
@@ -50,25 +51,25 @@
                 Values::quoted);
     }
 
-    /** A whole number within bounds. */
-    static FieldType<Long> whole(long least, long most) {
+    /** An integer within bounds. */
+    static FieldType<Long> integer(long min, long max) {
         return new FieldType<>(
-                "a whole number from " + least + " to " + most,
+                "a whole number from " + min + " to " + max,
                 value ->
-                        value instanceof Long number && number >= least && number <= most
+                        value instanceof Long number && number >= min && number <= max
                                 ? number
                                 : null,
                 Object::toString);
     }
 
     /** A number within bounds. */
-    static FieldType<Double> number(double least, double most) {
+    static FieldType<Double> number(double min, double max) {
         return new FieldType<>(
-                "a number from " + Values.number(least) + " to " + Values.number(most),
+                "a number from " + Values.number(min) + " to " + Values.number(max),
                 value ->
                         value instanceof Number number
-                                        && number.doubleValue() >= least
-                                        && number.doubleValue() <= most
+                                        && number.doubleValue() >= min
+                                        && number.doubleValue() <= max
                                 ? (Double) number.doubleValue()
                                 : null,
                 value -> BigDecimal.valueOf(value).stripTrailingZeros().toPlainString());
@@ -83,19 +84,19 @@
     }
 
     /** A time within bounds in microseconds, held in microseconds. */
-    static FieldType<Long> time(long leastUs, long mostUs) {
+    static FieldType<Long> time(long minUs, long maxUs) {
         return new FieldType<>(
                 "a time from "
-                        + time(leastUs)
+                        + time(minUs)
                         + " to "
-                        + time(mostUs)
+                        + time(maxUs)
                         + ", such as "
-                        + (mostUs >= US_A_S ? "2 * s" : "20 * ms"),
+                        + (maxUs >= US_PER_S ? "2 * s" : "20 * ms"),
                 value ->
                         value instanceof Quantity quantity
                                         && quantity.dimension() == Dimension.TIME
-                                        && quantity.amount() >= leastUs
-                                        && quantity.amount() <= mostUs
+                                        && quantity.amount() >= minUs
+                                        && quantity.amount() <= maxUs
                                 ? (Long) Math.round(quantity.amount())
                                 : null,
                 FieldType::time);
@@ -106,14 +107,14 @@
     }
 
     /** A size within bounds in bytes, held in bytes. */
-    static FieldType<Long> size(long least, long most) {
+    static FieldType<Long> size(long min, long max) {
         return new FieldType<>(
-                "a size from " + size(least) + " to " + size(most) + ", such as 2 * MiB",
+                "a size from " + size(min) + " to " + size(max) + ", such as 2 * MiB",
                 value ->
                         value instanceof Quantity quantity
                                         && quantity.dimension() == Dimension.SIZE
-                                        && quantity.amount() >= least
-                                        && quantity.amount() <= most
+                                        && quantity.amount() >= min
+                                        && quantity.amount() <= max
                                 ? (Long) Math.round(quantity.amount())
                                 : null,
                 FieldType::size);
@@ -171,12 +172,12 @@
     static FieldType<String> socketPath() {
         final FieldType<String> path = path();
         return new FieldType<>(
-                path.allowed() + ", of at most " + MOST_SOCKET_BYTES + " bytes",
+                path.allowed() + ", of at most " + MAX_SOCKET_PATH_BYTES + " bytes",
                 value -> {
                     final String read = path.read().apply(value);
                     return read == null
                                     || read.getBytes(StandardCharsets.UTF_8).length
-                                            > MOST_SOCKET_BYTES
+                                            > MAX_SOCKET_PATH_BYTES
                             ? null
                             : read;
                 },
@@ -207,10 +208,10 @@
     }
 
     static long ms(long count) {
-        return count * US_A_MS;
+        return count * US_PER_MS;
     }
 
     static long seconds(long count) {
-        return count * US_A_S;
+        return count * US_PER_S;
     }
 }
--- a/src/main/java/cresschute/settings/Problem.java
+++ b/src/main/java/cresschute/settings/Problem.java
@@ -10,7 +10,7 @@
         return at.compareTo(other.at);
     }
 
-    /** The line that tells of it: the file, line and column, and what is wrong. */
+    /** The line that reports it: the file, line and column, and what is wrong. */
     public String line(String file) {
         return file + ":" + at + ": " + message;
     }
--- a/src/main/java/cresschute/settings/SettingsFile.java
+++ b/src/main/java/cresschute/settings/SettingsFile.java
@@ -17,19 +17,18 @@
 import java.util.Arrays;
 import java.util.Collections;
 import java.util.HashMap;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.UnaryOperator;
 
 /**
- * Reads settings scripts: runs the script, then checks all that it stated. It tells everything that
- * is wrong at once, as far as the script ran. Any thread; nothing is kept between calls.
+ * Reads settings scripts: runs the script, then checks all that it stated. A result lists every
+ * problem at once, as far as the script ran. Thread-safe; nothing is kept between calls.
  */
 public final class SettingsFile {
 
     /**
-     * What came of a script.
+     * The outcome of reading a script.
      *
      * @param settings the settings, or null where there are problems
      * @param problems what is wrong, in the order of the text
@@ -48,7 +47,7 @@
      * result.
      */
     public static Result read(Path file) throws IOException {
-        // Guards the heap against a path that names something huge.
+        // Checked before the file is read into memory.
         if (Files.size(file) > 4L * Bounds.USUAL.textChars()) {
             return new Result(
                     null,
@@ -106,32 +105,30 @@
 
     private static Result parse(String text, UnaryOperator<String> keyProblem) {
         final List<Problem> problems = new ArrayList<>();
-        final Map<String, List<Statement>> stated = new LinkedHashMap<>();
+        final StatedBlocks blocks = new StatedBlocks();
         final Map<String, Builtin> host = new HashMap<>();
         for (final Block block : Schema.BLOCKS) {
-            stated.put(block.name(), new ArrayList<>());
             host.put(
                     block.name(),
                     call -> {
-                        if (stated.get(block.name()).size() >= block.most()) {
+                        if (blocks.all(block).size() >= block.max()) {
                             throw new ScriptError(
                                     call.at(),
                                     block.name()
                                             + " is stated too often; at most "
-                                            + (block.most() == 1 ? "once" : block.most() + " times")
+                                            + (block.max() == 1 ? "once" : block.max() + " times")
                                             + " is allowed");
                         }
-                        stated.get(block.name()).add(Statement.read(block, call, problems));
+                        blocks.add(Statement.read(block, call, problems));
                         return Values.NONE;
                     });
         }
         final List<ScriptError> errors = Script.run(text, host, Bounds.USUAL);
         errors.forEach(error -> problems.add(new Problem(error.position(), error.getMessage())));
-        final SettingsChecks checks = new SettingsChecks(stated, problems, keyProblem);
-        // What a script that broke off does not state may only not have been reached.
-        checks.check(errors.isEmpty());
+        // After an error in the script, a block that is missing may just not have been reached.
+        new SettingsChecks(blocks, problems, keyProblem).check(errors.isEmpty());
         if (problems.isEmpty()) {
-            return new Result(checks.settings(), List.of());
+            return new Result(new SettingsBuilder(blocks).build(), List.of());
         }
         Collections.sort(problems);
         return new Result(null, List.copyOf(problems));
@@ -141,6 +138,6 @@
      * The reference of all blocks and fields, in Markdown, as {@code docs/settings.md} holds it.
      */
     public static String reference() {
-        return Schema.reference();
+        return SchemaReference.markdown();
     }
 }
--- a/src/main/java/cresschute/settings/Statement.java
+++ b/src/main/java/cresschute/settings/Statement.java
@@ -10,21 +10,21 @@
 import java.util.List;
 import java.util.Map;
 
-/** One call of a block, as it was read: the values of its fields, and where each of them stands. */
+/** One call of a block, as it was read: the values of its fields, and their positions. */
 final class Statement {
 
     private final Block block;
     private final Position at;
     private final Map<String, Object> values = new LinkedHashMap<>();
-    private final Map<String, Position> places = new HashMap<>();
-    private boolean whole = true;
+    private final Map<String, Position> positions = new HashMap<>();
+    private boolean valid = true;
 
     private Statement(Block block, Position at) {
         this.block = block;
         this.at = at;
         for (final Field<?> field : block.fields()) {
-            if (field.otherwise() != null) {
-                values.put(field.name(), field.otherwise());
+            if (field.defaultValue() != null) {
+                values.put(field.name(), field.defaultValue());
             }
         }
     }
@@ -68,7 +68,7 @@
                                 + ": "
                                 + field.name()
                                 + " is missing; required: "
-                                + field.kind().allowed());
+                                + field.type().allowed());
             }
         }
         return statement;
@@ -80,7 +80,7 @@
     }
 
     private void take(Field<?> field, Argument given, List<Problem> problems) {
-        places.put(field.name(), given.at());
+        positions.put(field.name(), given.at());
         if (given.value() == Values.NONE && !field.required()) {
             return;
         }
@@ -95,7 +95,7 @@
                             + " is "
                             + shown(given.value())
                             + "; allowed: "
-                            + field.kind().allowed());
+                            + field.type().allowed());
         } else {
             values.put(field.name(), value);
         }
@@ -103,9 +103,10 @@
 
     /** What was given, in short. */
     private static String shown(Object value) {
-        final int most = 40;
+        final int maxChars = 40;
         if (value instanceof String text) {
-            return Values.quoted(text.length() > most ? text.substring(0, most) + "..." : text);
+            return Values.quoted(
+                    text.length() > maxChars ? text.substring(0, maxChars) + "..." : text);
         } else if (value instanceof Values.Quantity quantity) {
             return Values.text(quantity);
         }
@@ -115,13 +116,13 @@
     }
 
     private void problem(List<Problem> problems, Position where, String message) {
-        whole = false;
+        valid = false;
         problems.add(new Problem(where, message));
     }
 
     /** Whether nothing was wrong with it. */
-    boolean isWhole() {
-        return whole;
+    boolean isValid() {
+        return valid;
     }
 
     Block block() {
@@ -135,15 +136,15 @@
 
     /** Where a field is given, or else the call. */
     Position at(Field<?> field) {
-        return places.getOrDefault(field.name(), at);
+        return positions.getOrDefault(field.name(), at);
     }
 
     boolean gives(Field<?> field) {
-        return places.containsKey(field.name());
+        return positions.containsKey(field.name());
     }
 
     /**
-     * The value of a field, or null where it has none; the kind of the field is that of its value.
+     * The value of a field, or null where it has none; the type of the field is that of its value.
      */
     @SuppressWarnings("unchecked")
     <T> T get(Field<T> field) {
--- a/src/main/java/cresschute/settings/package-info.java
+++ b/src/main/java/cresschute/settings/package-info.java
@@ -4,7 +4,8 @@
  *
  * <p>Pure but for {@link cresschute.settings.SettingsFile}, which reads one file. Nothing here is
  * kept after a load, and any thread may load settings. It uses the script language beneath it and
- * the decision module's types; the words of the script are mapped to these types in {@link
- * cresschute.settings.Schema} and {@link cresschute.settings.SettingsChecks}, and nowhere else.
+ * the decision module's types; the words of the script are mapped to these types in the schema
+ * classes ({@link cresschute.settings.Schema} lists their blocks) and in {@link
+ * cresschute.settings.SettingsBuilder}, and nowhere else.
  */
 package cresschute.settings;
--- a/src/test/java/cresschute/settings/SettingsFileTest.java
+++ b/src/test/java/cresschute/settings/SettingsFileTest.java
@@ -43,7 +43,7 @@
     void smallestScriptTakesItsDefaults() {
         final ApplianceSettings settings = settings(NODE + WORKER + CLASS);
         assertThat(settings.seed()).isNull();
-        assertThat(settings.director()).isNull();
+        assertThat(settings.discovery()).isNull();
         assertThat(settings.module().endpointListIsPolled()).isFalse();
         assertThat(settings.zones()).containsExactly("local");
         assertThat(settings.kinds()).containsExactly("worker");
@@ -189,7 +189,7 @@
                                                             + ": "
                                                             + field.name()
                                                             + " is a dict; allowed: "
-                                                            + field.kind().allowed())
+                                                            + field.type().allowed())
                                     .toList());
         }
     }
@@ -248,13 +248,13 @@
                         + (field.startsWith("aim") ? "" : ", aim = 1 * s, worth = 1")
                         + (field.startsWith("effect") ? "" : ", effect = \"safe\"")
                         + ")\n";
-        final String told =
+        final String reported =
                 problems(script + NODE + WORKER + "limits(attempts = 3)\n" + CLASS).get(0);
         final int column =
                 field.startsWith("aim")
                         ? script.indexOf("2 * s") + 1
                         : script.indexOf(field) + field.indexOf("= ") + 3;
-        assertThat(told).isEqualTo("f:1:" + column + ": " + problem);
+        assertThat(reported).isEqualTo("f:1:" + column + ": " + problem);
     }
 
     @Test
@@ -275,7 +275,7 @@
                                 + " to go");
     }
 
-    /** What a script that broke off did not reach is not told as missing. */
+    /** What a script that broke off did not reach is not reported as missing. */
     @Test
     void brokenOffScriptTellsWhatItReached() {
         assertThat(problems("node(name = 1, listen = \"1.2.3.4:5\")\nfail(\"here\")\n" + CLASS))
