--- a/src/main/java/cresschute/console/Console.java
+++ b/src/main/java/cresschute/console/Console.java
@@ -25,10 +25,10 @@
  */
 public final class Console {
 
-    private static final int MOST_QUEUED = 256;
+    private static final int MAX_QUEUED = 256;
     private static final long TICK_MS = 250;
 
-    /** Drawn no more often than this, however much the node tells. */
+    /** Drawn no more often than this, however much the node sends. */
     private static final long DRAW_MS = 100;
 
     private static final long RECONNECT_MS = 500;
@@ -37,7 +37,7 @@
     private final Path socket;
     private final String who;
     private final boolean colorWanted;
-    private final BlockingQueue<Runnable> inputs = new ArrayBlockingQueue<>(MOST_QUEUED);
+    private final BlockingQueue<Runnable> inputs = new ArrayBlockingQueue<>(MAX_QUEUED);
     private final SiteModel model = new SiteModel();
     private final ScreenState state = new ScreenState();
     private final Map<String, JsonObject> unanswered = new LinkedHashMap<>();
@@ -152,8 +152,8 @@
             events.addProperty("after", model.lastEvent());
             events.addProperty("boot", model.boot());
             link.send(events);
-            // Whether the node heard them before the cut is not known, and by their ids does not
-            // matter.
+            // The node may have received them before the disconnection; their ids make them
+            // idempotent.
             for (final JsonObject each : unanswered.values()) {
                 link.send(each);
             }
@@ -262,12 +262,12 @@
         }
         if (resized) {
             resized = false;
-            final Size told = terminal.getSize();
-            // A terminal that does not tell its size is taken for the usual one.
+            final Size reported = terminal.getSize();
+            // A terminal that does not report its size is assumed to have the usual one.
             size =
                     new Size(
-                            told.getColumns() <= 0 ? 80 : told.getColumns(),
-                            told.getRows() <= 0 ? 24 : told.getRows());
+                            reported.getColumns() <= 0 ? 80 : reported.getColumns(),
+                            reported.getRows() <= 0 ? 24 : reported.getRows());
             display.resize(size.getRows(), size.getColumns());
             display.clear();
             terminal.puts(Capability.clear_screen);
@@ -281,8 +281,8 @@
                         model,
                         state,
                         new ScreenView.Look(
-                                Math.max(ScreenView.LEAST_COLUMNS, size.getColumns()),
-                                Math.max(ScreenView.LEAST_ROWS, size.getRows()),
+                                Math.max(ScreenView.MIN_COLUMNS, size.getColumns()),
+                                Math.max(ScreenView.MIN_ROWS, size.getRows()),
                                 colorWanted && colors != null && colors >= 8,
                                 StandardCharsets.UTF_8.equals(charset),
                                 ZoneId.systemDefault()),
--- a/src/main/java/cresschute/console/ControlLink.java
+++ b/src/main/java/cresschute/console/ControlLink.java
@@ -34,8 +34,8 @@
     /**
      * Connects.
      *
-     * @param lines hears each line, on the link's thread
-     * @param ended hears once why there will be no more, on the link's thread
+     * @param lines receives each line, on the link's thread
+     * @param ended receives once the reason why there will be no more, on the link's thread
      */
     public static ControlLink open(Path socket, Consumer<JsonObject> lines, Consumer<String> ended)
             throws IOException {
--- a/src/main/java/cresschute/console/Keys.java
+++ b/src/main/java/cresschute/console/Keys.java
@@ -11,7 +11,7 @@
     private static final int DELETE = 127;
     private static final int BACKSPACE = 8;
 
-    /** How long the rest of a sequence may take, ms; after that an escape was the key itself. */
+    /** Longest gap within a sequence, ms; after that, an escape was the key itself. */
     private static final long SEQUENCE_MS = 60;
 
     enum Kind {
@@ -29,7 +29,7 @@
         UNKNOWN
     }
 
-    /** One key; {@code character} is there for {@link FieldType#CHAR}. */
+    /** One key; {@code character} is there for {@link Kind#CHAR}. */
     record Key(Kind kind, char character) {
 
         static Key of(Kind kind) {
@@ -71,11 +71,11 @@
         if (second != '[' && second != 'O') {
             return Key.of(Kind.UNKNOWN);
         }
-        final StringBuilder rest = new StringBuilder();
+        final StringBuilder parameters = new StringBuilder();
         int next = source.read(SEQUENCE_MS);
         // Digits and semicolons, then one letter or a tilde.
-        while (next >= ' ' && next < '@' && rest.length() < 8) {
-            rest.append((char) next);
+        while (next >= ' ' && next < '@' && parameters.length() < 8) {
+            parameters.append((char) next);
             next = source.read(SEQUENCE_MS);
         }
         final Kind kind =
@@ -85,7 +85,7 @@
                     case 'H' -> Kind.HOME;
                     case 'F' -> Kind.END;
                     case '~' ->
-                            switch (rest.toString()) {
+                            switch (parameters.toString()) {
                                 case "5" -> Kind.PAGE_UP;
                                 case "6" -> Kind.PAGE_DOWN;
                                 case "1", "7" -> Kind.HOME;
--- a/src/main/java/cresschute/console/ScreenCost.java
+++ b/src/main/java/cresschute/console/ScreenCost.java
@@ -6,15 +6,15 @@
 import java.time.ZoneOffset;
 import org.HdrHistogram.Histogram;
 
-/** What it costs to draw the picture of a large site; for the trials. */
+/** Measures what drawing the screen of a large site costs. */
 public final class ScreenCost {
 
-    private static final long MOST_NS = 10_000_000_000L;
+    private static final long MAX_NS = 10_000_000_000L;
 
     private ScreenCost() {}
 
     /**
-     * Takes news of some workers in and draws the screen, again and again.
+     * Applies changes of some workers and draws the screen, again and again.
      *
      * @param workers how many there are
      * @param changed how many of them have changed at each drawing
@@ -25,20 +25,20 @@
         final ScreenState state = new ScreenState();
         final long nowMs = 1_700_000_000_000L;
         model.connected(nowMs);
-        model.take(news(true, 0, workers, 0), nowMs);
+        model.take(changes(true, 0, workers, 0), nowMs);
         final Look look = new Look(120, 50, true, true, ZoneOffset.UTC);
-        final Histogram times = new Histogram(MOST_NS, 2);
+        final Histogram times = new Histogram(MAX_NS, 2);
         for (int i = 0; i < drawings; i++) {
-            final JsonObject news = news(false, i * changed % workers, changed, i);
+            final JsonObject changes = changes(false, i * changed % workers, changed, i);
             final long startNs = System.nanoTime();
-            model.take(news, nowMs);
+            model.take(changes, nowMs);
             ScreenView.draw(model, state, look, nowMs);
-            times.recordValue(Math.min(MOST_NS, System.nanoTime() - startNs));
+            times.recordValue(Math.min(MAX_NS, System.nanoTime() - startNs));
         }
         return times;
     }
 
-    private static JsonObject news(boolean whole, int first, int count, int value) {
+    private static JsonObject changes(boolean complete, int first, int count, int value) {
         final StringBuilder rows = new StringBuilder();
         for (int i = first; i < first + count; i++) {
             rows.append(i == first ? "" : ",")
@@ -57,7 +57,7 @@
                         "{\"boot\":\"b\",\"number\":"
                                 + (value + 1)
                                 + ",\"whole\":"
-                                + whole
+                                + complete
                                 + ",\"rows\":{"
                                 + rows
                                 + "},\"gone\":[]}")
--- a/src/main/java/cresschute/console/ScreenState.java
+++ b/src/main/java/cresschute/console/ScreenState.java
@@ -13,7 +13,7 @@
  */
 final class ScreenState {
 
-    private static final int MOST_FILTER = 40;
+    private static final int MAX_FILTER_CHARS = 40;
     private static final List<String> WORST_FIRST =
             List.of("silent", "slowing", "full", "cold", "draining", "gone", "taking");
 
@@ -257,7 +257,8 @@
             }
             case BACKSPACE ->
                     filter = filter.isEmpty() ? filter : filter.substring(0, filter.length() - 1);
-            case CHAR -> filter = filter.length() < MOST_FILTER ? filter + key.character() : filter;
+            case CHAR ->
+                    filter = filter.length() < MAX_FILTER_CHARS ? filter + key.character() : filter;
             case QUIT -> {
                 return Wish.QUIT;
             }
--- a/src/main/java/cresschute/console/SiteModel.java
+++ b/src/main/java/cresschute/console/SiteModel.java
@@ -11,27 +11,25 @@
 import java.util.Map;
 
 /**
- * What a console knows of its site: the rows of the node's board as they were last told, the last
- * events, and how fresh all of that is. Pure: it is fed with lines and the clock.
+ * The state of a site as a console knows it: the rows of the node's last snapshot and the changes
+ * since, the last events, and how fresh all of that is. Pure: lines and the clock are passed in.
  */
 public final class SiteModel {
 
     /** Events that are kept for the screen. */
-    static final int MOST_EVENTS = 200;
+    static final int MAX_EVENTS = 200;
 
-    /**
-     * A node tells something every second; after so long without a word its figures are old, ms.
-     */
+    /** A node sends a line every second; after so long without one its figures are stale, ms. */
     public static final long STALE_AFTER_MS = 3_000;
 
     private static final String WORKER = "w/";
     private static final String CLASS = "c/";
 
-    /** How far the picture can be believed. */
+    /** How up to date the state is. */
     public enum Freshness {
-        /** Nothing was told yet. */
+        /** No rows were received yet. */
         LOADING,
-        /** What is shown is what the node says now. */
+        /** Lines arrive; what is shown is current. */
         LIVE,
         /** The node has been silent for a while. */
         STALE,
@@ -46,14 +44,14 @@
     private String boot = "";
     private long number;
     private long lastEvent;
-    private long heardMs;
+    private long lastLineMs;
     private boolean connected;
     private boolean loaded;
 
-    /** A connection is there; what is shown is old until the node has told what is new. */
+    /** A connection is there; what is shown is stale until the node sends a line. */
     public void connected(long nowMs) {
         connected = true;
-        heardMs = nowMs;
+        lastLineMs = nowMs;
     }
 
     /** The connection is gone. */
@@ -63,9 +61,9 @@
 
     /** Takes a line of the node in. */
     public void take(JsonObject line, long nowMs) {
-        heardMs = nowMs;
+        lastLineMs = nowMs;
         if (line.has("boot") && !line.get("boot").getAsString().equals(boot)) {
-            // Another run of the node: its numbers begin anew, and so do its events.
+            // Another incarnation of the node: its versions and its events begin anew.
             boot = line.get("boot").getAsString();
             number = 0;
             lastEvent = 0;
@@ -88,7 +86,7 @@
                 events.addLast(event.getAsJsonObject());
                 lastEvent = event.getAsJsonObject().get("n").getAsLong();
             }
-            while (events.size() > MOST_EVENTS) {
+            while (events.size() > MAX_EVENTS) {
                 events.pollFirst();
             }
         }
@@ -112,19 +110,19 @@
         }
     }
 
-    /** How far the picture can be believed now. */
+    /** How up to date the state is now. */
     public Freshness freshness(long nowMs) {
         if (!connected) {
             return loaded ? Freshness.RECONNECTING : Freshness.LOADING;
         }
         return !loaded
                 ? Freshness.LOADING
-                : nowMs - heardMs >= STALE_AFTER_MS ? Freshness.STALE : Freshness.LIVE;
+                : nowMs - lastLineMs >= STALE_AFTER_MS ? Freshness.STALE : Freshness.LIVE;
     }
 
-    /** When the node last said anything, Unix time in milliseconds. */
-    public long heardMs() {
-        return heardMs;
+    /** When the last line of the node arrived, Unix time in milliseconds. */
+    public long lastLineMs() {
+        return lastLineMs;
     }
 
     /** The workers' rows by name. */
@@ -142,7 +140,7 @@
         return classes.values();
     }
 
-    /** The node's row, or null before it is told. */
+    /** The node's row, or null before it is received. */
     public JsonObject node() {
         return node;
     }
@@ -152,12 +150,12 @@
         return new ArrayList<>(events);
     }
 
-    /** The run of the node that the picture is of. */
+    /** The incarnation of the node whose rows these are. */
     public String boot() {
         return boot;
     }
 
-    /** What the picture holds up to. */
+    /** The version of the rows. */
     public long number() {
         return number;
     }
--- /dev/null
+++ b/src/main/java/cresschute/console/WorkerRowsView.java
@@ -0,0 +1,147 @@
+package cresschute.console;
+
+import com.google.gson.JsonObject;
+import cresschute.console.ScreenView.Look;
+import java.util.List;
+import java.util.Locale;
+import org.jline.utils.AttributedString;
+import org.jline.utils.AttributedStringBuilder;
+import org.jline.utils.AttributedStyle;
+
+/** Draws the table of workers. Pure; what does not fit into a line is cut off. */
+final class WorkerRowsView {
+
+    /** In their order on the screen. */
+    private static final List<ScreenText.Column> COLUMNS =
+            List.of(
+                    new ScreenText.Column("WORKER", 12, true, 0),
+                    new ScreenText.Column("STATE", 8, true, 0),
+                    new ScreenText.Column("OUT", 4, false, 0),
+                    new ScreenText.Column("/S", 5, false, 48),
+                    new ScreenText.Column("P50", 6, false, 56),
+                    new ScreenText.Column("P99", 6, false, 0),
+                    new ScreenText.Column("QUEUE", 5, false, 64),
+                    new ScreenText.Column("FREE", 4, false, 70),
+                    new ScreenText.Column("REPORT", 6, false, 78),
+                    new ScreenText.Column("LAST MINUTE", 12, true, 92));
+
+    private WorkerRowsView() {}
+
+    /** The line of titles; a star marks the column that the rows are sorted by. */
+    static AttributedString titles(ScreenState state, Look look) {
+        final StringBuilder text = new StringBuilder(" ");
+        final String sorted =
+                switch (state.order()) {
+                    case NAME -> "WORKER";
+                    case STATE -> "STATE";
+                    case OUT -> "OUT";
+                    case P99 -> "P99";
+                    case RATE -> "/S";
+                };
+        for (final ScreenText.Column column : COLUMNS) {
+            if (look.columns() >= column.minColumns()) {
+                text.append(
+                                ScreenText.pad(
+                                        column.title().equals(sorted)
+                                                ? column.title() + "*"
+                                                : column.title(),
+                                        column))
+                        .append(' ');
+            }
+        }
+        return ScreenText.line(text.toString(), AttributedStyle.DEFAULT.underline(), look);
+    }
+
+    /** The line of one worker. */
+    static AttributedString worker(
+            JsonObject row, boolean selected, AttributedStyle plain, Look look, long nowMs) {
+        final String state = ScreenState.text(row, "state");
+        final AttributedStringBuilder out = new AttributedStringBuilder();
+        final AttributedStyle style = selected ? plain.inverse() : plain;
+        out.styled(style, selected ? ">" : " ");
+        for (final ScreenText.Column column : COLUMNS) {
+            if (look.columns() < column.minColumns()) {
+                continue;
+            }
+            final String text = cell(column, row, look, nowMs);
+            final boolean colored = column.title().equals("STATE") && look.color();
+            out.styled(colored ? color(state, style) : style, ScreenText.pad(text, column));
+            out.styled(style, " ");
+        }
+        return ScreenText.fit(out.toAttributedString(), style, look);
+    }
+
+    private static AttributedStyle color(String state, AttributedStyle style) {
+        return switch (state) {
+            case "taking" -> style.foreground(AttributedStyle.GREEN);
+            case "full", "slowing" -> style.foreground(AttributedStyle.YELLOW);
+            case "silent" -> style.foreground(AttributedStyle.RED).bold();
+            case "cold" -> style.foreground(AttributedStyle.CYAN);
+            case "draining" -> style.foreground(AttributedStyle.MAGENTA);
+            default -> style.faint();
+        };
+    }
+
+    /** The state of the selected worker in words, and its place where rows are out of sight. */
+    static AttributedString selection(
+            SiteModel model,
+            ScreenState state,
+            int rowCount,
+            int visibleRows,
+            Look look,
+            long nowMs) {
+        final StringBuilder text = new StringBuilder(" ");
+        final JsonObject row = state.selected() == null ? null : model.worker(state.selected());
+        if (row != null) {
+            text.append(ScreenText.clean(ScreenState.text(row, "id")))
+                    .append(": ")
+                    .append(ScreenState.text(row, "state"))
+                    .append(" for ")
+                    .append(ScreenText.age(nowMs - row.get("since_ms").getAsLong()));
+            if (!ScreenState.text(row, "why").isEmpty()) {
+                text.append(", ").append(ScreenState.text(row, "why"));
+            }
+            if (row.has("drain")) {
+                appendDrain(text, row.getAsJsonObject("drain"), look);
+            }
+        }
+        if (rowCount > visibleRows) {
+            final String more = " " + (state.place() + 1) + "/" + rowCount;
+            final int width = look.columns() - more.length() - 1;
+            if (text.length() > width) {
+                text.setLength(Math.max(0, width));
+            }
+            text.append(" ".repeat(Math.max(0, width - text.length()))).append(more);
+        }
+        return ScreenText.line(text.toString(), AttributedStyle.DEFAULT.bold(), look);
+    }
+
+    private static String cell(ScreenText.Column column, JsonObject row, Look look, long nowMs) {
+        return switch (column.title()) {
+            case "WORKER" -> ScreenText.clean(ScreenState.text(row, "id"));
+            case "STATE" -> ScreenState.text(row, "state");
+            case "OUT" -> String.valueOf(row.get("in_flight").getAsInt());
+            case "/S" -> String.format(Locale.ROOT, "%.1f", ScreenState.number(row, "rate"));
+            case "P50" -> ScreenText.ms(ScreenState.number(row, "p50_ms"));
+            case "P99" -> ScreenText.ms(ScreenState.number(row, "p99_ms"));
+            case "QUEUE" -> ScreenText.count(ScreenState.number(row, "queue"));
+            case "FREE" -> ScreenText.count(ScreenState.number(row, "free"));
+            case "REPORT" ->
+                    row.get("report_ms").getAsLong() == 0
+                            ? "-"
+                            : ScreenText.age(nowMs - row.get("report_ms").getAsLong());
+            default -> ScreenText.sparks(row.getAsJsonArray("sparks"), look);
+        };
+    }
+
+    private static void appendDrain(StringBuilder text, JsonObject drain, Look look) {
+        text.append("; drained by ").append(ScreenText.clean(ScreenState.text(drain, "who")));
+        if (!ScreenState.text(drain, "reason").isEmpty()) {
+            text.append(": ").append(ScreenText.clean(ScreenState.text(drain, "reason")));
+        }
+        if (drain.has("until_ms")) {
+            text.append(", until ")
+                    .append(ScreenText.clock(drain.get("until_ms").getAsLong(), look));
+        }
+    }
+}
--- a/src/main/java/cresschute/console/WorkerTable.java
+++ b/src/main/java/cresschute/console/WorkerTable.java
@@ -22,15 +22,15 @@
                     String.format(
                                     Locale.ROOT,
                                     "%-16s %-9s %4d %6.1f %7s %7s %5s %5s  %s",
-                                    ScreenView.clean(ScreenState.text(row, "id")),
+                                    ScreenText.clean(ScreenState.text(row, "id")),
                                     ScreenState.text(row, "state"),
                                     row.get("in_flight").getAsInt(),
                                     ScreenState.number(row, "rate"),
-                                    ScreenView.ms(ScreenState.number(row, "p50_ms")),
-                                    ScreenView.ms(ScreenState.number(row, "p99_ms")),
-                                    ScreenView.count(ScreenState.number(row, "queue")),
-                                    ScreenView.count(ScreenState.number(row, "free")),
-                                    ScreenView.clean(why(row, nowMs)))
+                                    ScreenText.ms(ScreenState.number(row, "p50_ms")),
+                                    ScreenText.ms(ScreenState.number(row, "p99_ms")),
+                                    ScreenText.count(ScreenState.number(row, "queue")),
+                                    ScreenText.count(ScreenState.number(row, "free")),
+                                    ScreenText.clean(why(row, nowMs)))
                             .stripTrailing());
         }
         return lines;
@@ -40,6 +40,6 @@
         final String why = ScreenState.text(row, "why");
         return why.isEmpty()
                 ? ""
-                : why + ", for " + ScreenView.age(nowMs - row.get("since_ms").getAsLong());
+                : why + ", for " + ScreenText.age(nowMs - row.get("since_ms").getAsLong());
     }
 }
--- a/src/test/java/cresschute/console/ScreenTest.java
+++ b/src/test/java/cresschute/console/ScreenTest.java
@@ -318,7 +318,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"a\u001b[2Jb", "a\u0007b", "a\u202eb", "a\nb", "a\u009bb"})
     void foreignTextIsCleaned(String text) {
-        assertThat(ScreenView.clean(text)).matches("a\\?[^\\p{Cntrl}]*b");
+        assertThat(ScreenText.clean(text)).matches("a\\?[^\\p{Cntrl}]*b");
     }
 
     @Test
