--- a/src/main/java/cresschute/cli/CapacityCommand.java
+++ b/src/main/java/cresschute/cli/CapacityCommand.java
@@ -178,8 +178,7 @@
         final Thread hook =
                 new Thread(
                         () -> {
-                            // Guards against processes that are left, and keeps what was measured
-                            // until then.
+                            // Ends the child processes, and prints what was measured until then.
                             interrupted.countDown();
                             awaitQuietly(ended);
                         },
@@ -320,8 +319,8 @@
                 memoryMb);
     }
 
-    private <T> T or(T given, T whole, T small) {
-        return given != null ? given : quick ? small : whole;
+    private <T> T or(T given, T full, T small) {
+        return given != null ? given : quick ? small : full;
     }
 
     private void progress(String what) {
--- a/src/main/java/cresschute/cli/ConsoleCommand.java
+++ b/src/main/java/cresschute/cli/ConsoleCommand.java
@@ -41,7 +41,7 @@
                                     + "here is what 'cresschute workers --watch' shows");
             return WorkersCommand.print(spec, socket, true, false);
         }
-        // The system's own stty tells and sets the terminal: no native library is needed for it.
+        // The system's own stty reads and sets the terminal: no native library is needed for it.
         try (Terminal terminal = TerminalBuilder.builder().system(true).provider("exec").build()) {
             new Console(terminal, socket, ControlSocket.who(System.getenv()), screen.hasColor())
                     .run();
--- a/src/main/java/cresschute/cli/NodeTalk.java
+++ b/src/main/java/cresschute/cli/ControlClient.java
@@ -9,34 +9,35 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A command's talk with a node: one request, its answer, and the lines that follow. On one thread.
+ * A command's connection to a node: one request, its answer, and the lines that follow. Used by one
+ * thread.
  */
-final class NodeTalk implements AutoCloseable {
+final class ControlClient implements AutoCloseable {
 
-    private static final int MOST_QUEUED = 64;
+    private static final int MAX_QUEUED = 64;
     private static final long ANSWER_S = 10;
 
-    private final BlockingQueue<JsonObject> lines = new ArrayBlockingQueue<>(MOST_QUEUED);
+    private final BlockingQueue<JsonObject> lines = new ArrayBlockingQueue<>(MAX_QUEUED);
     private final ControlLink link;
 
     /** The request was refused as such, or there is no node; its message is for the person. */
     static final class NoAnswer extends Exception {
 
         private static final long serialVersionUID = 1L;
-        private final boolean worthRetrying;
+        private final boolean retryable;
 
         NoAnswer(String message, boolean worthRetrying) {
             super(message, null, false, false);
-            this.worthRetrying = worthRetrying;
+            this.retryable = worthRetrying;
         }
 
         /** Whether it is the connection that failed, and not the node that said no. */
-        boolean isWorthRetrying() {
-            return worthRetrying;
+        boolean isRetryable() {
+            return retryable;
         }
     }
 
-    NodeTalk(Path socket) throws NoAnswer {
+    ControlClient(Path socket) throws NoAnswer {
         try {
             link =
                     ControlLink.open(
--- a/src/main/java/cresschute/cli/ControlSocket.java
+++ b/src/main/java/cresschute/cli/ControlSocket.java
@@ -59,7 +59,7 @@
         }
     }
 
-    /** Who is asking, as the node's log and other consoles are told. */
+    /** Who is asking, as the node's log and other consoles see it. */
     static String who(Map<String, String> environment) {
         final String user =
                 environment.getOrDefault(
--- a/src/main/java/cresschute/cli/DemoCommand.java
+++ b/src/main/java/cresschute/cli/DemoCommand.java
@@ -40,11 +40,11 @@
 final class DemoCommand implements Callable<Integer> {
 
     private static final long REFRESH_MS = 200;
-    private static final int JUDGING_SHARE = 20;
-    private static final long LONGEST_WAIT_MS = 13_000;
-    private static final long MOST_US = 3_600_000_000L;
-    private static final int MOST_WORKERS = 1_024;
-    private static final double MOST_RATE = 2_000;
+    private static final int REPORT_INTERVAL_FACTOR = 20;
+    private static final long MAX_WAIT_MS = 13_000;
+    private static final long MAX_US = 3_600_000_000L;
+    private static final int MAX_WORKERS = 1_024;
+    private static final double MAX_RATE = 2_000;
 
     @Option(
             names = "--workers",
@@ -80,10 +80,10 @@
             paramLabel = "LIST",
             defaultValue = "",
             description = "what goes wrong, and when; see --list-troubles")
-    private String trouble;
+    private String faults;
 
     @Option(names = "--list-troubles", description = "print the kinds of trouble")
-    private boolean listTroubles;
+    private boolean listFaults;
 
     @Option(
             names = "--socket",
@@ -99,13 +99,13 @@
 
     @Spec private CommandSpec spec;
 
-    private FleetReport judged;
-    private long judgeAtNs = System.nanoTime();
+    private FleetReport lastReport;
+    private long nextReportNs = System.nanoTime();
 
     @Override
     public Integer call() throws InterruptedException {
         final PrintWriter out = spec.commandLine().getOut();
-        if (listTroubles) {
+        if (listFaults) {
             Arrays.stream(InjectedFault.Kind.values())
                     .forEach(
                             kind ->
@@ -125,8 +125,8 @@
             final Thread hook =
                     new Thread(
                             () -> {
-                                // Guards the table against Ctrl-C: what was asked for and seen so
-                                // far is still told.
+                                // After Ctrl-C, the report on what was seen so far is still
+                                // printed.
                                 interrupted.countDown();
                                 try {
                                     ended.await();
@@ -137,8 +137,8 @@
                             "demo-interrupted");
             Runtime.getRuntime().addShutdownHook(hook);
             fleet.start();
-            final boolean whole = watch(fleet, forUs, screen, interrupted);
-            final FleetReport report = finish(fleet, screen, whole);
+            final boolean complete = watch(fleet, forUs, screen, interrupted);
+            final FleetReport report = finish(fleet, screen, complete);
             ended.countDown();
             forget(hook);
             return report.isSound() ? ExitCodes.DONE : ExitCodes.FAILED;
@@ -152,14 +152,14 @@
         try {
             Runtime.getRuntime().removeShutdownHook(hook);
         } catch (IllegalStateException e) {
-            // The process is on its way out already: the hook runs, and ends now that all is told.
+            // The process is on its way out already: the hook runs, and ends now.
         }
     }
 
     private long forUs() {
         try {
             final long us = Durations.parseUs(duration);
-            if (us <= 0 || us > MOST_US) {
+            if (us <= 0 || us > MAX_US) {
                 throw unusable("--for: '" + duration + "' is out of range; allowed: up to 60m");
             }
             return us;
@@ -169,16 +169,16 @@
     }
 
     private Fleet fleet() {
-        if (workers < 1 || workers > MOST_WORKERS) {
+        if (workers < 1 || workers > MAX_WORKERS) {
             throw unusable(
-                    "--workers: " + workers + " is out of range; allowed: 1 to " + MOST_WORKERS);
+                    "--workers: " + workers + " is out of range; allowed: 1 to " + MAX_WORKERS);
         }
-        if (!(rate > 0 && rate <= MOST_RATE)) {
+        if (!(rate > 0 && rate <= MAX_RATE)) {
             throw unusable(
                     "--rate: "
                             + rate
                             + " is out of range; allowed: above 0, up to "
-                            + (int) MOST_RATE);
+                            + (int) MAX_RATE);
         }
         try {
             return new Fleet(
@@ -186,7 +186,7 @@
                             workers,
                             rate,
                             seed,
-                            InjectedFault.parse(trouble),
+                            InjectedFault.parse(faults),
                             socket == null ? null : socket.toAbsolutePath().toString(),
                             null));
         } catch (IllegalArgumentException e) {
@@ -213,7 +213,7 @@
                 fleet.stopArriving();
             }
             final int waiting = fleet.waiting();
-            if (!arriving && (waiting == 0 || ranUs > forUs + LONGEST_WAIT_MS * 1000)) {
+            if (!arriving && (waiting == 0 || ranUs > forUs + MAX_WAIT_MS * 1000)) {
                 return true;
             }
             progress(fleet, screen, ranUs, forUs, waiting);
@@ -224,15 +224,13 @@
         if (!screen.isTerminal() || json) {
             return;
         }
-        // Guards a long run against its own picture: all that was seen is judged, so the longer
-        // that takes,
-        // the rarer it is done, for a twentieth of the time at most.
+        // A report takes longer the longer the run is; it may take a twentieth of the time.
         final long nowNs = System.nanoTime();
-        if (nowNs >= judgeAtNs) {
-            judged = fleet.report();
-            judgeAtNs = nowNs + JUDGING_SHARE * (System.nanoTime() - nowNs);
+        if (nowNs >= nextReportNs) {
+            lastReport = fleet.report();
+            nextReportNs = nowNs + REPORT_INTERVAL_FACTOR * (System.nanoTime() - nowNs);
         }
-        final FleetReport now = judged;
+        final FleetReport now = lastReport;
         final String line =
                 String.format(
                         "%3ds of %ds  %s",
@@ -253,7 +251,7 @@
         err.flush();
     }
 
-    private FleetReport finish(Fleet fleet, Screen screen, boolean whole) {
+    private FleetReport finish(Fleet fleet, Screen screen, boolean complete) {
         fleet.stop();
         final FleetReport report = fleet.report();
         final PrintWriter out = spec.commandLine().getOut();
@@ -266,7 +264,7 @@
         } else {
             final List<String> lines = report.table(screen.columns());
             out.println(
-                    (whole ? "" : "interrupted; so far:\n")
+                    (complete ? "" : "interrupted; so far:\n")
                             + lines.stream()
                                     .map(line -> colored(line, screen))
                                     .collect(Collectors.joining("\n")));
--- a/src/main/java/cresschute/cli/DrainCommand.java
+++ b/src/main/java/cresschute/cli/DrainCommand.java
@@ -24,7 +24,7 @@
         })
 final class DrainCommand implements Callable<Integer> {
 
-    @Mixin private Operating operating;
+    @Mixin private WorkerOperation operating;
 
     @Option(
             names = "--for",
@@ -58,12 +58,12 @@
 
     private long forMs() {
         try {
-            final long ms = Operating.durationMs(duration);
+            final long ms = WorkerOperation.durationMs(duration);
             if (ms > 0) {
                 return ms;
             }
         } catch (IllegalArgumentException | ArithmeticException e) {
-            // Told below, as for one that is no time at all.
+            // Reported below, as for text that is no duration.
         }
         throw new ParameterException(
                 spec.commandLine(),
--- a/src/main/java/cresschute/cli/EventsCommand.java
+++ b/src/main/java/cresschute/cli/EventsCommand.java
@@ -2,7 +2,7 @@
 
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
-import cresschute.cli.NodeTalk.NoAnswer;
+import cresschute.cli.ControlClient.NoAnswer;
 import cresschute.console.ControlLink;
 import java.io.PrintWriter;
 import java.time.Instant;
@@ -50,7 +50,7 @@
     @Override
     public Integer call() throws InterruptedException {
         final PrintWriter out = spec.commandLine().getOut();
-        try (NodeTalk talk = new NodeTalk(node.find(spec, System.getenv()))) {
+        try (ControlClient talk = new ControlClient(node.find(spec, System.getenv()))) {
             final JsonObject request = ControlLink.request("1", "events");
             request.addProperty("after", after);
             print(out, talk.ask(request));
--- a/src/main/java/cresschute/cli/Main.java
+++ b/src/main/java/cresschute/cli/Main.java
@@ -16,8 +16,8 @@
 
     /** Runs a command line and, unless it started something that goes on, exits with its code. */
     public static void main(String[] args) {
-        // Guards the small node's memory: by itself Netty would load the structured log that it
-        // finds.
+        // Saves the platform's node memory: by default, Netty loads the structured log that it
+        // finds on the class path.
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
         if (args.length == 1 && args[0].equals("serve")) {
             serveOnPlatform();
--- a/src/main/java/cresschute/cli/Screen.java
+++ b/src/main/java/cresschute/cli/Screen.java
@@ -15,14 +15,14 @@
 record Screen(boolean isTerminal, int columns, boolean hasColor) {
 
     private static final int USUAL_COLUMNS = 80;
-    private static final int LEAST_COLUMNS = 40;
+    private static final int MIN_COLUMNS = 40;
 
     /** The screen of this process. */
     static Screen ofProcess() {
         return of(System.getenv(), System.console() != null);
     }
 
-    /** The screen as an environment tells it. */
+    /** The screen that an environment describes. */
     static Screen of(Map<String, String> environment, boolean isTerminal) {
         final String columns = environment.getOrDefault("COLUMNS", "");
         final int width =
@@ -33,11 +33,11 @@
         final boolean plain =
                 !environment.getOrDefault("NO_COLOR", "").isEmpty()
                         || environment.getOrDefault("TERM", "dumb").equals("dumb");
-        return new Screen(isTerminal, Math.max(LEAST_COLUMNS, width), isTerminal && !plain);
+        return new Screen(isTerminal, Math.max(MIN_COLUMNS, width), isTerminal && !plain);
     }
 
     /**
-     * As {@code stty} tells it: picocli's width is never below 55, and JLine asks the terminal
+     * As {@code stty} reports it: picocli's width is never below 55, and JLine asks the terminal
      * itself.
      */
     private static int terminalColumns() {
--- a/src/main/java/cresschute/cli/Serving.java
+++ b/src/main/java/cresschute/cli/Serving.java
@@ -30,7 +30,7 @@
         final NodeServer node =
                 new NodeServer(
                         config, config.operators().passedListener() ? PassedListener.take() : null);
-        // Guards against a hang-up that comes as soon as clients can: by default it ends the JVM.
+        // Before clients can connect: without a handler, a SIGHUP ends the JVM.
         final boolean reloads = ReloadSignal.onEach(() -> node.reload(reload));
         if (!reloads) {
             LogEvent.of(
--- a/src/main/java/cresschute/cli/TrialCommand.java
+++ b/src/main/java/cresschute/cli/TrialCommand.java
@@ -1,7 +1,7 @@
 package cresschute.cli;
 
 import com.google.gson.JsonObject;
-import cresschute.cli.NodeTalk.NoAnswer;
+import cresschute.cli.ControlClient.NoAnswer;
 import cresschute.console.ControlLink;
 import cresschute.console.ScreenCost;
 import cresschute.logs.RoutedLoggerFinder;
@@ -9,12 +9,9 @@
 import cresschute.testbed.Fleet;
 import cresschute.testbed.FleetReport;
 import cresschute.testbed.LargeFleet;
-import cresschute.testbed.NodeProcess;
-import cresschute.testbed.SmallRequests;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.lang.System.Logger.Level;
-import java.net.InetSocketAddress;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -47,7 +44,7 @@
         })
 final class TrialCommand implements Callable<Integer> {
 
-    /** What may be measured. */
+    /** What may be measured; each constant is the word of the command line. */
     enum Trial {
         drains,
         consoles,
@@ -57,25 +54,10 @@
     }
 
     private static final double RATE = 25;
-    private static final int WORKERS = 8;
+    static final int WORKERS = 8;
     private static final long SETTLED_MS = 500;
     private static final int WIDE = 1_000;
     private static final int CHURN = 200;
-    private static final int CLIENTS = 200;
-    private static final int[] LISTED = {14, 200, 1_024};
-
-    /** The memory bounds of the platform's command line. */
-    private static final List<String> PLATFORM =
-            List.of(
-                    "-XX:+UseSerialGC",
-                    "-XX:TieredStopAtLevel=1",
-                    "-Xms24m",
-                    "-Xmx64m",
-                    "-Xss512k",
-                    "-XX:MaxMetaspaceSize=40m",
-                    "-XX:ReservedCodeCacheSize=16m",
-                    "-XX:MaxDirectMemorySize=16m",
-                    "-Dio.netty.allocator.type=pooled");
 
     @Parameters(paramLabel = "TRIAL", description = "${COMPLETION-CANDIDATES}")
     private Trial trial;
@@ -130,8 +112,8 @@
                 case drains -> drains(out, folder);
                 case consoles -> consoles(out, folder);
                 case screen -> screen(out);
-                case reqs -> reqs(out, folder);
-                case lists -> lists(out, folder);
+                case reqs -> requestCosts(out, folder).requests();
+                case lists -> requestCosts(out, folder).endpointLists();
             };
         } finally {
             log.close();
@@ -139,6 +121,10 @@
         }
     }
 
+    private RequestCostTrial requestCosts(PrintWriter out, Path folder) {
+        return new RequestCostTrial(out, folder, rate, seconds, rounds);
+    }
+
     // ---- How soon new work stops ----
 
     private int drains(PrintWriter out, Path folder) throws NoAnswer, InterruptedException {
@@ -160,7 +146,7 @@
                                 folder.resolve("state").toString()))) {
             fleet.start();
             Thread.sleep(4 * SETTLED_MS);
-            try (NodeTalk talk = new NodeTalk(socket)) {
+            try (ControlClient talk = new ControlClient(socket)) {
                 for (int i = 0; i < count; i++) {
                     final String worker = "w" + (i % WORKERS + 1);
                     final long askedUs = fleet.nowUs();
@@ -248,7 +234,7 @@
         }
     }
 
-    private static void operate(NodeTalk talk, String what, int number, String worker)
+    private static void operate(ControlClient talk, String what, int number, String worker)
             throws NoAnswer, InterruptedException {
         final JsonObject answer =
                 talk.ask(
@@ -307,7 +293,7 @@
     private void consoles(PrintWriter out, String site, Path socket, Cpu cpu)
             throws NoAnswer, InterruptedException {
         final int[] numbers = {0, 1, 8};
-        final List<List<Double>> shares =
+        final List<List<Double>> cpuPercents =
                 List.of(new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
         final List<List<Double>> heaps =
                 List.of(new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
@@ -324,10 +310,10 @@
                     final long beforeNs = cpu.ns();
                     final long startNs = System.nanoTime();
                     Thread.sleep(seconds * 1_000L);
-                    final double share =
+                    final double cpuPercent =
                             100.0 * (cpu.ns() - beforeNs) / (System.nanoTime() - startNs);
                     if (round > 0) {
-                        shares.get(which).add(share);
+                        cpuPercents.get(which).add(cpuPercent);
                         heaps.get(which).add(heapMb());
                     }
                 } finally {
@@ -336,7 +322,7 @@
             }
         }
         for (int which = 0; which < numbers.length; which++) {
-            final List<Double> sorted = shares.get(which).stream().sorted().toList();
+            final List<Double> sorted = cpuPercents.get(which).stream().sorted().toList();
             out.println(
                     String.format(
                             Locale.ROOT,
@@ -362,7 +348,7 @@
         }
     }
 
-    private static double median(List<Double> sorted) {
+    static double median(List<Double> sorted) {
         return sorted.get(sorted.size() / 2);
     }
 
@@ -393,139 +379,4 @@
         }
         return ExitCodes.DONE;
     }
-
-    // ---- What a small req costs ----
-
-    /** A node in a process of its own, with the memory bounds of the platform's command line. */
-    private int reqs(PrintWriter out, Path folder) throws IOException, InterruptedException {
-        final Path script = folder.resolve("site.star");
-        final Path collections = folder.resolve("gc.log");
-        final List<String> options = new ArrayList<>(PLATFORM);
-        options.add("-Xlog:gc:file=" + collections);
-        try (SmallRequests load = new SmallRequests()) {
-            Files.writeString(script, smallSite(load.startWorkers(WORKERS)));
-            try (NodeProcess node = new NodeProcess(script, options)) {
-                load.connect(node.address(), CLIENTS);
-                out.println(
-                        "| run of "
-                                + seconds
-                                + " s at "
-                                + rate
-                                + " reqs a second | ms p50 | p99 | p99.9 | max | not served |"
-                                + " node's CPU, us a req | bytes made a req | full collections |"
-                                + " young ones | heap held at its end, MB |\n"
-                                + "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |"
-                                + " --- |");
-                for (int round = 0; round <= rounds; round++) {
-                    final List<String> before = Files.readAllLines(collections);
-                    final long made = node.allocated();
-                    final long cpuNs = node.cpuNs();
-                    final Histogram us = load.run(rate, seconds * 1_000L);
-                    final long usedNs = node.cpuNs() - cpuNs;
-                    final long madeNow = node.allocated() - made;
-                    final List<String> logged = Files.readAllLines(collections);
-                    final List<String> during = logged.subList(before.size(), logged.size());
-                    final long reqs = Math.max(1, rate * (long) seconds);
-                    out.println(
-                            String.format(
-                                    Locale.ROOT,
-                                    "| %s | %.2f | %.2f | %.2f | %.2f | %d | %d | %d |"
-                                            + " %d | %d | %.1f |",
-                                    round == 0 ? "warming" : "" + round,
-                                    us.getValueAtPercentile(50) / 1e3,
-                                    us.getValueAtPercentile(99) / 1e3,
-                                    us.getValueAtPercentile(99.9) / 1e3,
-                                    us.getMaxValue() / 1e3,
-                                    load.notServed(),
-                                    usedNs / 1_000 / reqs,
-                                    madeNow / reqs,
-                                    during.stream()
-                                            .filter(each -> each.contains("Pause Full"))
-                                            .count(),
-                                    during.stream()
-                                            .filter(each -> each.contains("Pause Young"))
-                                            .count(),
-                                    node.memoryHeld().heap() / 1e6));
-                    out.flush();
-                }
-            }
-        }
-        return ExitCodes.DONE;
-    }
-
-    private static String smallSite(List<InetSocketAddress> workers) {
-        final StringBuilder site =
-                new StringBuilder(
-                        """
-                        node(name = "small", listen = "127.0.0.1:0", seed = 1)
-                        job_class(name = "small", worth = 1, aim = 1 * s, deadline = 5 * s, effect = "safe")
-                        limits(sockets = 4096)
-                        """);
-        for (int i = 0; i < workers.size(); i++) {
-            site.append("worker(id = \"w")
-                    .append(i + 1)
-                    .append("\", address = \"127.0.0.1:")
-                    .append(workers.get(i).getPort())
-                    .append("\")\n");
-        }
-        return site.toString();
-    }
-
-    // ---- What a long list costs ----
-
-    /** What one node used: CPU for a req, and the heap that it held after its reqs; medians. */
-    private record Used(double usAReq, double heapMb) {}
-
-    /** A node for each length of the list, in turn, with the same reqs. */
-    private int lists(PrintWriter out, Path folder) throws IOException, InterruptedException {
-        out.println(
-                "| workers listed | node's CPU, us a req: median (least to most) | against "
-                        + LISTED[0]
-                        + " | heap held, MB: median | against "
-                        + LISTED[0]
-                        + " | not served |\n"
-                        + "| --- | --- | --- | --- | --- | --- |");
-        Used least = null;
-        for (final int listed : LISTED) {
-            try (SmallRequests load = new SmallRequests()) {
-                final Path script = folder.resolve("listed" + listed + ".star");
-                Files.writeString(script, smallSite(load.startWorkers(listed)));
-                final List<Double> us = new ArrayList<>();
-                final List<Double> heap = new ArrayList<>();
-                int notServed = 0;
-                try (NodeProcess node = new NodeProcess(script, PLATFORM)) {
-                    load.connect(node.address(), CLIENTS);
-                    // The first round is for the program's warming alone.
-                    for (int round = 0; round <= rounds; round++) {
-                        final long beforeNs = node.cpuNs();
-                        load.run(rate, seconds * 1_000L);
-                        final long usedNs = node.cpuNs() - beforeNs;
-                        if (round > 0) {
-                            us.add(usedNs / 1e3 / Math.max(1, rate * (long) seconds));
-                            heap.add(node.memoryHeld().heap() / 1e6);
-                            notServed += load.notServed();
-                        }
-                    }
-                }
-                us.sort(null);
-                heap.sort(null);
-                final Used used = new Used(median(us), median(heap));
-                least = least == null ? used : least;
-                out.println(
-                        String.format(
-                                Locale.ROOT,
-                                "| %d | %.0f (%.0f to %.0f) | %.2f | %.1f | %.2f | %d |",
-                                listed,
-                                used.usAReq(),
-                                us.get(0),
-                                us.get(us.size() - 1),
-                                used.usAReq() / least.usAReq(),
-                                used.heapMb(),
-                                used.heapMb() / least.heapMb(),
-                                notServed));
-                out.flush();
-            }
-        }
-        return ExitCodes.DONE;
-    }
 }
--- a/src/main/java/cresschute/cli/UndrainCommand.java
+++ b/src/main/java/cresschute/cli/UndrainCommand.java
@@ -15,7 +15,7 @@
         footer = {"", "Example: cresschute undrain w3"})
 final class UndrainCommand implements Callable<Integer> {
 
-    @Mixin private Operating operating;
+    @Mixin private WorkerOperation operating;
 
     @Spec private CommandSpec spec;
 
--- a/src/main/java/cresschute/cli/VersionCommand.java
+++ b/src/main/java/cresschute/cli/VersionCommand.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Tells which program this is. */
+/** Prints the version of the program. */
 @Command(
         name = "version",
         mixinStandardHelpOptions = true,
--- a/src/main/java/cresschute/cli/Operating.java
+++ b/src/main/java/cresschute/cli/WorkerOperation.java
@@ -1,7 +1,7 @@
 package cresschute.cli;
 
 import com.google.gson.JsonObject;
-import cresschute.cli.NodeTalk.NoAnswer;
+import cresschute.cli.ControlClient.NoAnswer;
 import cresschute.console.ControlLink;
 import cresschute.console.SiteModel;
 import java.io.PrintWriter;
@@ -17,10 +17,10 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * The words that draining and its undoing share, and how both are carried out: one operation is
- * sent to the node, again if the connection breaks, until its outcome is known.
+ * Options and execution of draining and its undoing: one operation is sent to the node, and again
+ * under the same id if the connection breaks, until its outcome is known.
  */
-final class Operating {
+final class WorkerOperation {
 
     @Mixin private ControlSocket node;
 
@@ -41,9 +41,9 @@
     /**
      * How long a node may be away, as while it starts again, before the outcome counts as unknown.
      */
-    private static final long PATIENCE_MS = 15_000;
+    private static final long MAX_ABSENCE_MS = 15_000;
 
-    private static final long AGAIN_MS = 300;
+    private static final long RETRY_INTERVAL_MS = 300;
     private static final Pattern DURATION = Pattern.compile("([0-9]{1,9})(ms|s|m|h|d)");
     private static final Map<String, Long> UNITS =
             Map.of("ms", 1L, "s", 1_000L, "m", 60_000L, "h", 3_600_000L, "d", 86_400_000L);
@@ -61,7 +61,7 @@
     }
 
     /**
-     * Carries it out and tells how it ended; with {@code wait}, once nothing is out at the worker.
+     * Carries it out and prints the outcome; with {@code wait}, once nothing is out at the worker.
      *
      * @param what {@code drain} or {@code undrain}
      * @param further fields of the request
@@ -76,30 +76,29 @@
         final Path socket = node.find(spec, System.getenv());
         final PrintWriter out = spec.commandLine().getOut();
         final PrintWriter err = spec.commandLine().getErr();
-        final long untilMs = System.currentTimeMillis() + PATIENCE_MS;
+        final long untilMs = System.currentTimeMillis() + MAX_ABSENCE_MS;
         boolean sent = false;
         while (true) {
-            try (NodeTalk talk = new NodeTalk(socket)) {
+            try (ControlClient talk = new ControlClient(socket)) {
                 sent = true;
                 final JsonObject answer = talk.ask(request);
-                return told(request, answer, talk, wait, json, out, err);
+                return printOutcome(request, answer, talk, wait, json, out, err);
             } catch (NoAnswer e) {
-                // Not known whether the node heard it; under its id it may be sent again. One that
-                // was
-                // never there at all is told at once.
-                if (!e.isWorthRetrying() || !sent || System.currentTimeMillis() >= untilMs) {
+                // The node may have received it; its id makes a retry idempotent. A node that was
+                // never reached is reported at once.
+                if (!e.isRetryable() || !sent || System.currentTimeMillis() >= untilMs) {
                     err.println("cresschute: " + e.getMessage());
                     return ExitCodes.FAILED;
                 }
-                Thread.sleep(AGAIN_MS);
+                Thread.sleep(RETRY_INTERVAL_MS);
             }
         }
     }
 
-    private static int told(
+    private static int printOutcome(
             JsonObject request,
             JsonObject answer,
-            NodeTalk talk,
+            ControlClient talk,
             boolean wait,
             boolean json,
             PrintWriter out,
@@ -134,7 +133,7 @@
             return ExitCodes.FAILED;
         }
         if (wait && drain) {
-            untilNothingIsOut(worker, talk);
+            awaitNothingInFlight(worker, talk);
             if (!json) {
                 out.println(worker + ": nothing is out there any more");
                 out.flush();
@@ -143,7 +142,7 @@
         return ExitCodes.DONE;
     }
 
-    private static void untilNothingIsOut(String worker, NodeTalk talk)
+    private static void awaitNothingInFlight(String worker, ControlClient talk)
             throws NoAnswer, InterruptedException {
         final SiteModel model = new SiteModel();
         model.take(talk.ask(ControlLink.request("2", "subscribe")), System.currentTimeMillis());
--- a/src/main/java/cresschute/cli/WorkersCommand.java
+++ b/src/main/java/cresschute/cli/WorkersCommand.java
@@ -2,7 +2,7 @@
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
-import cresschute.cli.NodeTalk.NoAnswer;
+import cresschute.cli.ControlClient.NoAnswer;
 import cresschute.console.ControlLink;
 import cresschute.console.SiteModel;
 import cresschute.console.WorkerTable;
@@ -46,7 +46,7 @@
             throws InterruptedException {
         final PrintWriter out = spec.commandLine().getOut();
         final SiteModel model = new SiteModel();
-        try (NodeTalk talk = new NodeTalk(socket)) {
+        try (ControlClient talk = new ControlClient(socket)) {
             model.take(
                     talk.ask(ControlLink.request("1", watch ? "subscribe" : "workers")),
                     System.currentTimeMillis());
--- a/src/main/java/cresschute/console/Console.java
+++ b/src/main/java/cresschute/console/Console.java
@@ -218,8 +218,8 @@
         }
     }
 
-    private void act(ScreenState.Wish wish) {
-        switch (wish) {
+    private void act(ScreenState.Action action) {
+        switch (action) {
             case QUIT -> quit = true;
             case DRAIN -> operate("drain", false);
             case FORCED_DRAIN -> operate("drain", true);
--- a/src/main/java/cresschute/console/ScreenState.java
+++ b/src/main/java/cresschute/console/ScreenState.java
@@ -161,8 +161,8 @@
 
     // ---- Keys ----
 
-    /** What the console is to do besides drawing. */
-    enum Wish {
+    /** What a key asks the console to do. */
+    enum Action {
         NOTHING,
         QUIT,
         DRAIN,
@@ -171,20 +171,20 @@
     }
 
     /** Takes a key; rows must have been asked for since the model changed. */
-    Wish key(Keys.Key key, SiteModel model) {
+    Action key(Keys.Key key, SiteModel model) {
         return switch (mode) {
             case BROWSE -> browse(key, model);
             case FILTER -> filtering(key);
-            case CONFIRM_DRAIN -> confirm(key, 'y', Wish.DRAIN);
-            case CONFIRM_FORCE -> confirm(key, 'F', Wish.FORCED_DRAIN);
+            case CONFIRM_DRAIN -> confirm(key, 'y', Action.DRAIN);
+            case CONFIRM_FORCE -> confirm(key, 'F', Action.FORCED_DRAIN);
             case HELP -> {
                 mode = Mode.BROWSE;
-                yield Wish.NOTHING;
+                yield Action.NOTHING;
             }
         };
     }
 
-    private Wish browse(Keys.Key key, SiteModel model) {
+    private Action browse(Keys.Key key, SiteModel model) {
         message = "";
         switch (key.kind()) {
             case UP -> move(-1, model);
@@ -195,17 +195,17 @@
             case END -> move(Integer.MAX_VALUE / 2, model);
             case ESCAPE -> filter = "";
             case QUIT -> {
-                return Wish.QUIT;
+                return Action.QUIT;
             }
             case CHAR -> {
                 return letter(key.character(), model);
             }
             default -> {}
         }
-        return Wish.NOTHING;
+        return Action.NOTHING;
     }
 
-    private Wish letter(char letter, SiteModel model) {
+    private Action letter(char letter, SiteModel model) {
         switch (letter) {
             case 'j' -> move(1, model);
             case 'k' -> move(-1, model);
@@ -215,7 +215,7 @@
             case '/' -> mode = Mode.FILTER;
             case '?', 'h' -> mode = Mode.HELP;
             case 'q' -> {
-                return Wish.QUIT;
+                return Action.QUIT;
             }
             case 'd' -> {
                 rows(model);
@@ -232,12 +232,12 @@
                     message = "no worker is selected";
                 } else {
                     asked = selected;
-                    return Wish.UNDRAIN;
+                    return Action.UNDRAIN;
                 }
             }
             default -> message = "'" + letter + "' means nothing here; ? shows the keys";
         }
-        return Wish.NOTHING;
+        return Action.NOTHING;
     }
 
     private void move(int by, SiteModel model) {
@@ -248,7 +248,7 @@
         }
     }
 
-    private Wish filtering(Keys.Key key) {
+    private Action filtering(Keys.Key key) {
         switch (key.kind()) {
             case ENTER -> mode = Mode.BROWSE;
             case ESCAPE -> {
@@ -260,23 +260,23 @@
             case CHAR ->
                     filter = filter.length() < MAX_FILTER_CHARS ? filter + key.character() : filter;
             case QUIT -> {
-                return Wish.QUIT;
+                return Action.QUIT;
             }
             default -> {}
         }
-        return Wish.NOTHING;
+        return Action.NOTHING;
     }
 
-    private Wish confirm(Keys.Key key, char yes, Wish wish) {
+    private Action confirm(Keys.Key key, char yes, Action action) {
         mode = Mode.BROWSE;
         if (key.kind() == Keys.Kind.QUIT) {
-            return Wish.QUIT;
+            return Action.QUIT;
         }
         if (key.kind() == Keys.Kind.CHAR && key.character() == yes) {
-            return wish;
+            return action;
         }
         message = asked + " is left as it is";
-        return Wish.NOTHING;
+        return Action.NOTHING;
     }
 
     /** A drain was refused: it can be forced. */
--- a/src/test/java/cresschute/cli/CapacityProgramTest.java
+++ b/src/test/java/cresschute/cli/CapacityProgramTest.java
@@ -180,7 +180,7 @@
                                 name -> fields[MeasurementFile.COLUMNS.indexOf(name)]));
     }
 
-    /** Ctrl-C: what was measured until then is told as partial, and nothing goes on. */
+    /** Ctrl-C: what was measured until then is printed as partial, and nothing goes on. */
     @Test
     void interruptedExperimentTellsWhatItMeasured() throws Exception {
         final Process experiment = small("--seconds", "600");
--- a/src/test/java/cresschute/cli/ConsoleProgramTest.java
+++ b/src/test/java/cresschute/cli/ConsoleProgramTest.java
@@ -331,8 +331,8 @@
 
     /**
      * Killed at once after the drain was confirmed, or after it was asked for: a confirmed drain is
-     * there at the next start, before the first req, and asking for it again has no second effect
-     * either way.
+     * there at the next start, before the first request, and asking for it again has no second
+     * effect either way.
      */
     @Test
     void killedNodeKeepsWhatItConfirmed() throws Exception {
@@ -408,15 +408,16 @@
                                                 + "Content-Length: 0\r\n\r\n")
                                         .getBytes(StandardCharsets.US_ASCII));
                 worker.setSoTimeout(8_000);
-                try (Socket backend = worker.accept()) {
-                    backend.setSoTimeout(8_000);
+                try (Socket connection = worker.accept()) {
+                    connection.setSoTimeout(8_000);
                     final StringBuilder head = new StringBuilder();
                     while (head.indexOf("\r\n\r\n") < 0) {
-                        head.append((char) backend.getInputStream().read());
+                        head.append((char) connection.getInputStream().read());
                     }
                     final String line =
                             "{\"id\":\"r" + i + "\",\"state\":\"done\",\"result\":\"yes\"}\n";
-                    backend.getOutputStream()
+                    connection
+                            .getOutputStream()
                             .write(
                                     ("HTTP/1.1 200 OK\r\nContent-Length: "
                                                     + line.length()
--- a/src/test/java/cresschute/cli/ProgramTest.java
+++ b/src/test/java/cresschute/cli/ProgramTest.java
@@ -116,7 +116,8 @@
                 assertThat(answered.get("class").getAsString()).isEqualTo("check");
                 assertThat(answered.get("outcome").getAsString()).isEqualTo("served");
                 assertThat(answered.get("attempts").getAsInt()).isEqualTo(1);
-                // Half written: it is refused whole, with the place of what is wrong, and all goes
+                // Half written: it is refused as a whole, with the position of what is wrong, and
+                // all goes
                 // on.
                 Files.writeString(file, "node(name = \"n\", listen = \"127.0.0.1:0\"\nworker(");
                 signal(node, "HUP");
@@ -125,7 +126,7 @@
                                         .get("detail")
                                         .getAsString())
                         .isEqualTo(file + ":2:7: this '(' is never closed");
-                // A class that changes is in force for new reqs from the reload on.
+                // A class that changes is in force for new requests from the reload on.
                 Files.writeString(
                         file, script(0, worker.getLocalPort(), "").replace("5 * s", "6 * s"));
                 signal(node, "HUP");
@@ -156,14 +157,15 @@
                             ("POST /check HTTP/1.1\r\nHost: n\r\nX-Request-Id: r1\r\n"
                                             + "Connection: close\r\nContent-Length: 0\r\n\r\n")
                                     .getBytes(StandardCharsets.US_ASCII));
-            try (Socket backend = worker.accept()) {
-                backend.setSoTimeout(SOCKET_WAIT_MS);
+            try (Socket connection = worker.accept()) {
+                connection.setSoTimeout(SOCKET_WAIT_MS);
                 final StringBuilder head = new StringBuilder();
                 while (head.indexOf("\r\n\r\n") < 0) {
-                    head.append((char) backend.getInputStream().read());
+                    head.append((char) connection.getInputStream().read());
                 }
                 final String line = "{\"id\":\"r1\",\"state\":\"done\",\"result\":\"yes\"}\n";
-                backend.getOutputStream()
+                connection
+                        .getOutputStream()
                         .write(
                                 ("HTTP/1.1 200 OK\r\nContent-Length: "
                                                 + line.length()
--- a/src/test/java/cresschute/console/ScreenTest.java
+++ b/src/test/java/cresschute/console/ScreenTest.java
@@ -6,8 +6,8 @@
 import com.google.gson.JsonParser;
 import cresschute.console.Keys.Key;
 import cresschute.console.Keys.Kind;
+import cresschute.console.ScreenState.Action;
 import cresschute.console.ScreenState.Mode;
-import cresschute.console.ScreenState.Wish;
 import cresschute.console.ScreenView.Look;
 import cresschute.console.SiteModel.Freshness;
 import java.io.IOException;
@@ -97,12 +97,12 @@
                 .toList();
     }
 
-    private Wish press(String keys) {
-        Wish wish = Wish.NOTHING;
+    private Action press(String keys) {
+        Action action = Action.NOTHING;
         for (final char key : keys.toCharArray()) {
-            wish = state.key(new Key(Kind.CHAR, key), model);
+            action = state.key(new Key(Kind.CHAR, key), model);
         }
-        return wish;
+        return action;
     }
 
     @Test
@@ -262,7 +262,7 @@
         assertThat(state.selected()).isEqualTo(ScreenState.text(rows.get(rows.size() - 2), "id"));
         change("", "\"w/w1\",\"w/w3\",\"w/w6\"");
         assertThat(String.join("\n", screen(USUAL))).contains("the list names no worker");
-        assertThat(press("d")).isEqualTo(Wish.NOTHING);
+        assertThat(press("d")).isEqualTo(Action.NOTHING);
         assertThat(state.message()).isEqualTo("no worker is selected");
     }
 
@@ -280,17 +280,17 @@
         assertThat(screen(USUAL).get(23)).isEqualTo(" Drain w2? 0 out there. y or n");
         change(worker("w2", "taking", 7), "");
         assertThat(screen(USUAL).get(23)).isEqualTo(" Drain w2? 7 out there. y or n");
-        assertThat(press("y")).isEqualTo(Wish.DRAIN);
+        assertThat(press("y")).isEqualTo(Action.DRAIN);
         assertThat(state.asked()).isEqualTo("w2");
         press("d");
-        assertThat(press("n")).isEqualTo(Wish.NOTHING);
+        assertThat(press("n")).isEqualTo(Action.NOTHING);
         assertThat(state.message()).endsWith("is left as it is");
         state.offerForce("w2", "w2 is the last worker that may run file");
         assertThat(screen(USUAL).get(23))
                 .isEqualTo(" w2 is the last worker that may run file. F drains it anyway");
-        assertThat(press("f")).isEqualTo(Wish.NOTHING);
+        assertThat(press("f")).isEqualTo(Action.NOTHING);
         state.offerForce("w2", "w2 is the last worker that may run file");
-        assertThat(press("F")).isEqualTo(Wish.FORCED_DRAIN);
+        assertThat(press("F")).isEqualTo(Action.FORCED_DRAIN);
     }
 
     @Test
@@ -333,7 +333,7 @@
         assertThat(colored).contains("31");
     }
 
-    /** A node that started anew counts from 1 again; what it told before is no news. */
+    /** A node that started anew counts from 1 again; what it sent before does not count. */
     @Test
     void anotherRunOfTheNodeStartsThePictureAnew() {
         load(worker("w1", "taking", 3), node(false));
@@ -377,7 +377,7 @@
                     """)
     void keysOfTerminals(String typed, Kind kind) throws IOException {
         // CsvSource trims control characters at the ends as blanks.
-        final String whole =
+        final String sequence =
                 typed == null
                         ? String.valueOf(
                                 (char)
@@ -389,7 +389,7 @@
                         : typed.charAt(0) == '[' || typed.charAt(0) == 'O'
                                 ? "\u001b" + typed
                                 : typed;
-        final StringReader in = new StringReader(whole);
+        final StringReader in = new StringReader(sequence);
         final Keys keys =
                 new Keys(
                         timeoutMs -> {
--- a/src/test/java/cresschute/settings/SettingsFileTest.java
+++ b/src/test/java/cresschute/settings/SettingsFileTest.java
@@ -312,11 +312,11 @@
                     + WORKER
                     + CLASS;
 
-    private static String peers(String addresses, String rest) {
+    private static String peers(String addresses, String otherFields) {
         return "peers(listen = \"10.0.0.1:7946\", addresses = ["
                 + addresses
                 + "], key_file = \"/k\""
-                + rest
+                + otherFields
                 + ")";
     }
 
