--- a/src/test/java/cresschute/console/ScreenTest.java
+++ b/src/test/java/cresschute/console/ScreenTest.java
@@ -10,8 +10,6 @@
 import cresschute.console.ScreenState.Mode;
 import cresschute.console.ScreenView.Look;
 import cresschute.console.SiteModel.Freshness;
-import java.io.IOException;
-import java.io.StringReader;
 import java.time.ZoneOffset;
 import java.util.ArrayList;
 import java.util.List;
@@ -21,7 +19,6 @@
 import org.jline.utils.AttributedString;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** What is on the screen, for every size and state of the picture, and what keys do to it. */
@@ -353,50 +350,4 @@
         assertThat(model.events()).isEmpty();
         assertThat(model.workers()).hasSize(1);
     }
-
-    @ParameterizedTest
-    @CsvSource(
-            delimiter = '|',
-            ignoreLeadingAndTrailingWhitespace = true,
-            textBlock =
-                    """
-                    j            | CHAR
-                    \u001b[A     | UP
-                    \u001bOB     | DOWN
-                    \u001b[5~    | PAGE_UP
-                    \u001b[6~    | PAGE_DOWN
-                    \u001b[H     | HOME
-                    \u001b[1~    | HOME
-                    \u001b[F     | END
-                    \u001b[3~    | UNKNOWN
-                    \u001b[1;5C  | UNKNOWN
-                    \u001b       | ESCAPE
-                    \u0003       | QUIT
-                    \u0004       | QUIT
-                    \u007f       | BACKSPACE
-                    """)
-    void keysOfTerminals(String typed, Kind kind) throws IOException {
-        // CsvSource trims control characters at the ends as blanks.
-        final String sequence =
-                typed == null
-                        ? String.valueOf(
-                                (char)
-                                        switch (kind) {
-                                            case ESCAPE -> 27;
-                                            case QUIT -> 3;
-                                            default -> 127;
-                                        })
-                        : typed.charAt(0) == '[' || typed.charAt(0) == 'O'
-                                ? "\u001b" + typed
-                                : typed;
-        final StringReader in = new StringReader(sequence);
-        final Keys keys =
-                new Keys(
-                        timeoutMs -> {
-                            final int next = in.read();
-                            return next < 0 && timeoutMs > 0 ? -2 : next;
-                        });
-        assertThat(keys.next().kind()).isEqualTo(kind);
-        assertThat(keys.next()).isNull();
-    }
 }
