--- a/src/main/java/cresschute/console/Console.java
+++ b/src/main/java/cresschute/console/Console.java
@@ -257,7 +257,7 @@
 
     private void draw() {
         final long nowMs = System.currentTimeMillis();
-        if (!dirty || nowMs - drawnMs < DRAW_MS && !resized) {
+        if (!dirty || (nowMs - drawnMs < DRAW_MS && !resized)) {
             return;
         }
         if (resized) {
--- a/src/main/java/cresschute/flow/BodyBuffer.java
+++ b/src/main/java/cresschute/flow/BodyBuffer.java
@@ -186,7 +186,7 @@
 
     /** Whether a new reader could begin at byte 0. */
     public boolean canReplay() {
-        return state != State.CLOSED && (replayable || releasedPieces == 0 && readers.isEmpty());
+        return state != State.CLOSED && (replayable || (releasedPieces == 0 && readers.isEmpty()));
     }
 
     /**
--- a/src/main/java/cresschute/peers/LoadMessageCodec.java
+++ b/src/main/java/cresschute/peers/LoadMessageCodec.java
@@ -165,7 +165,7 @@
         long value = 0;
         for (int i = 0; i < MAX_VARINT_BYTES; i++) {
             final int next = in.get();
-            value |= (long) (next & ~VARINT_MORE & 0xff) << i * VARINT_BITS;
+            value |= (long) (next & ~VARINT_MORE & 0xff) << (i * VARINT_BITS);
             if ((next & VARINT_MORE) == 0) {
                 if (value > Integer.MAX_VALUE) {
                     break;
--- a/src/main/java/cresschute/peers/Peer.java
+++ b/src/main/java/cresschute/peers/Peer.java
@@ -109,7 +109,7 @@
             counts.clear();
         }
         if (before == PeerState.ABSENT
-                || before == PeerState.SUSPECT && message.sequence() > lastSequence + 1) {
+                || (before == PeerState.SUSPECT && message.sequence() > lastSequence + 1)) {
             countsKnown = false;
             cycleFromStart = false;
         }
--- a/src/main/java/cresschute/settings/script/Functions.java
+++ b/src/main/java/cresschute/settings/script/Functions.java
@@ -181,8 +181,8 @@
         while (l < left.size() || r < right.size()) {
             final boolean takeLeft =
                     r == right.size()
-                            || l < left.size()
-                                    && operators.order(left.get(l), right.get(r), at) <= 0;
+                            || (l < left.size()
+                                    && operators.order(left.get(l), right.get(r), at) <= 0);
             merged.add(takeLeft ? left.get(l++) : right.get(r++));
         }
         return merged;
--- a/src/main/java/cresschute/settings/script/Values.java
+++ b/src/main/java/cresschute/settings/script/Values.java
@@ -163,7 +163,7 @@
         meter.step(at);
         meter.nesting(depth, at);
         if (a instanceof Number x && b instanceof Number y) {
-            return a instanceof Long && b instanceof Long
+            return (a instanceof Long && b instanceof Long)
                     ? x.longValue() == y.longValue()
                     : x.doubleValue() == y.doubleValue();
         }
--- a/src/main/java/cresschute/testbed/CellKeys.java
+++ b/src/main/java/cresschute/testbed/CellKeys.java
@@ -34,7 +34,7 @@
      */
     public boolean begins(String key, long nowUs, Consumer<String> otherwise) {
         final Entry entry = entries.get(key);
-        if (entry == null || entry.result != null && nowUs > entry.fromUs + windowUs) {
+        if (entry == null || (entry.result != null && nowUs > entry.fromUs + windowUs)) {
             final Entry first = new Entry();
             first.fromUs = nowUs;
             entries.put(key, first);
--- a/src/main/java/cresschute/testbed/LoadClients.java
+++ b/src/main/java/cresschute/testbed/LoadClients.java
@@ -331,7 +331,7 @@
                             status,
                             response.content().toString(StandardCharsets.UTF_8)));
             final boolean refused = status == REFUSED || status == TOO_MANY;
-            if (refused || status != OK && stated.effect() == Idempotency.SAFE) {
+            if (refused || (status != OK && stated.effect() == Idempotency.SAFE)) {
                 retry(retryAfterUs(response.headers().get(HttpHeaderNames.RETRY_AFTER, "0")));
             }
         }
--- a/src/test/java/cresschute/peers/LoadMessageCodecTest.java
+++ b/src/test/java/cresschute/peers/LoadMessageCodecTest.java
@@ -55,7 +55,7 @@
                                 entries.add(
                                         new LoadEntry(
                                                 random.nextInt(),
-                                                random.nextInt() >>> 17 + random.nextInt(15))));
+                                                random.nextInt() >>> (17 + random.nextInt(15)))));
         final LoadMessage message =
                 new LoadMessage(
                         sender,
