--- a/src/main/java/cresschute/capacity/StatedBound.java
+++ b/src/main/java/cresschute/capacity/StatedBound.java
@@ -90,8 +90,13 @@
     REGIONS("regions: zones that are lost, or cut off, together");
 
     private final String need;
+
+    @SuppressWarnings("ImmutableEnumChecker") // The functions above keep no state.
     private final ToDoubleFunction<PlannedSize> amount;
+
+    @SuppressWarnings("ImmutableEnumChecker") // A record of a number and a text is immutable.
     private final Limit limit;
+
     private final String mechanism;
 
     StatedBound(
--- a/src/main/java/cresschute/capacity/TrackedMeasure.java
+++ b/src/main/java/cresschute/capacity/TrackedMeasure.java
@@ -259,7 +259,10 @@
     private final String measure;
     private final MeasureKind kind;
     private final String unit;
+
+    @SuppressWarnings("ImmutableEnumChecker") // A record of a number and a text is immutable.
     private final Limit limit;
+
     private final String mechanism;
 
     TrackedMeasure(
--- a/src/main/java/cresschute/cli/Screen.java
+++ b/src/main/java/cresschute/cli/Screen.java
@@ -18,6 +18,7 @@
     private static final int LEAST_COLUMNS = 40;
 
     /** The screen of this process. */
+    @SuppressWarnings("SystemConsoleNull") // On Java 17, null where there is no terminal.
     static Screen ofProcess() {
         return of(System.getenv(), System.console() != null);
     }
--- a/src/main/java/cresschute/settings/SettingsChecks.java
+++ b/src/main/java/cresschute/settings/SettingsChecks.java
@@ -488,6 +488,7 @@
         return names.isEmpty() ? null : names.stream().map(all::indexOf).toList();
     }
 
+    @SuppressWarnings("ReferenceEquality") // Each block is one constant of the schema.
     private String shown() {
         final StringBuilder out = new StringBuilder();
         for (final Block block : Schema.BLOCKS) {
--- a/src/main/java/cresschute/testbed/NodeProcess.java
+++ b/src/main/java/cresschute/testbed/NodeProcess.java
@@ -88,7 +88,7 @@
             final VirtualMachine machine = VirtualMachine.attach(Long.toString(process.pid()));
             final String at = machine.startLocalManagementAgent();
             machine.detach();
-            connector = JMXConnectorFactory.connect(new JMXServiceURL(at));
+            connector = connect(at);
         } catch (AttachNotSupportedException e) {
             process.destroyForcibly();
             throw new IOException("the node's memory cannot be watched: " + e.getMessage(), e);
@@ -105,6 +105,11 @@
                         .orElseThrow();
     }
 
+    @SuppressWarnings("BanJNDI") // The address is that of the process that was started here.
+    private static JMXConnector connect(String url) throws IOException {
+        return JMXConnectorFactory.connect(new JMXServiceURL(url));
+    }
+
     /** Where it listens. */
     public InetSocketAddress address() {
         return address;
