--- a/src/main/java/cresschute/cli/TrialCommand.java
+++ b/src/main/java/cresschute/cli/TrialCommand.java
@@ -492,7 +492,7 @@
                 Files.writeString(script, smallSite(load.startWorkers(listed)));
                 final List<Double> us = new ArrayList<>();
                 final List<Double> heap = new ArrayList<>();
-                int notServed = 0;
+                long notServed = 0;
                 try (NodeProcess node = new NodeProcess(script, PLATFORM)) {
                     load.connect(node.address(), CLIENTS);
                     // The first round is for the program's warming alone.
--- a/src/main/java/cresschute/settings/script/Operators.java
+++ b/src/main/java/cresschute/settings/script/Operators.java
@@ -96,8 +96,8 @@
             return new Quantity(x.dimension(), x.amount() * y.doubleValue());
         } else if (a instanceof Number x && b instanceof Quantity y) {
             return new Quantity(y.dimension(), y.amount() * x.doubleValue());
-        } else if (a instanceof Long && !(b instanceof Long) && !(b instanceof Double)) {
-            return repeated(b, (Long) a, at);
+        } else if (a instanceof Long count && !(b instanceof Long) && !(b instanceof Double)) {
+            return repeated(b, count, at);
         }
         return b instanceof Long count ? repeated(a, count, at) : null;
     }
--- a/src/main/java/cresschute/settings/script/Texts.java
+++ b/src/main/java/cresschute/settings/script/Texts.java
@@ -11,14 +11,17 @@
     /** What a literal with its quotes stands for. */
     static String unquoted(String literal, Position at) throws ScriptError {
         final StringBuilder out = new StringBuilder();
-        for (int i = 1; i < literal.length() - 1; i++) {
+        int i = 1;
+        while (i < literal.length() - 1) {
             final char next = literal.charAt(i);
-            if (next != '\\') {
+            if (next == '\\') {
+                final Position escape = new Position(at.line(), at.column() + i);
+                out.append(escaped(literal.charAt(i + 1), escape));
+                i += 2;
+            } else {
                 out.append(next);
-                continue;
+                i++;
             }
-            i++;
-            out.append(escaped(literal.charAt(i), new Position(at.line(), at.column() + i - 1)));
         }
         return out.toString();
     }
@@ -45,13 +48,14 @@
                 values instanceof TupleValue tuple ? tuple.elements() : List.of(values);
         final StringBuilder out = new StringBuilder();
         int used = 0;
-        for (int i = 0; i < format.length(); i++) {
-            if (format.charAt(i) != '%') {
-                out.append(format.charAt(i));
+        int i = 0;
+        while (i < format.length()) {
+            final char next = format.charAt(i++);
+            if (next != '%') {
+                out.append(next);
                 continue;
             }
-            i++;
-            final char kind = i < format.length() ? format.charAt(i) : ' ';
+            final char kind = i < format.length() ? format.charAt(i++) : ' ';
             if (kind == '%') {
                 out.append('%');
                 continue;
--- a/src/main/java/cresschute/testbed/capacity/PeerMain.java
+++ b/src/main/java/cresschute/testbed/capacity/PeerMain.java
@@ -25,6 +25,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Objects;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
@@ -69,7 +70,7 @@
     public static void main(String[] args) throws IOException {
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
         // Guards the log against descriptors running out: its times need a file of the JDK's.
-        ZoneId.systemDefault().getRules();
+        Objects.requireNonNull(ZoneId.systemDefault().getRules());
         final BufferedReader in =
                 new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
         try (ObservationFile file = new ObservationFile(Path.of(args[1]))) {
