--- a/src/test/java/cresschute/console/ScreenTest.java
+++ b/src/test/java/cresschute/console/ScreenTest.java
@@ -4,7 +4,6 @@
 
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
-import cresschute.console.Keys.Key;
 import cresschute.console.Keys.Kind;
 import cresschute.console.ScreenState.Mode;
 import cresschute.console.ScreenState.Wish;
@@ -99,8 +98,8 @@
 
     private Wish press(String keys) {
         Wish wish = Wish.NOTHING;
-        for (final char key : keys.toCharArray()) {
-            wish = state.key(new Key(Kind.CHAR, key), model);
+        for (int i = 0; i < keys.length(); i++) {
+            wish = state.key(new Keys.Key(Kind.CHAR, keys.charAt(i)), model);
         }
         return wish;
     }
@@ -303,10 +302,10 @@
         press("/SIL");
         assertThat(screen(USUAL).get(23)).isEqualTo("/SIL_");
         assertThat(state.rows(model)).hasSize(1);
-        state.key(Key.of(Kind.ENTER), model);
+        state.key(Keys.Key.of(Kind.ENTER), model);
         assertThat(screen(USUAL).get(23)).startsWith("[/SIL] d drain");
         assertThat(state.selected()).isEqualTo("w2");
-        state.key(Key.of(Kind.ESCAPE), model);
+        state.key(Keys.Key.of(Kind.ESCAPE), model);
         assertThat(state.rows(model)).hasSize(3);
         assertThat(state.selected()).isEqualTo("w2");
         press("/zz");
--- a/src/test/java/cresschute/control/files/AtomicFileTest.java
+++ b/src/test/java/cresschute/control/files/AtomicFileTest.java
@@ -7,6 +7,7 @@
 import java.nio.file.Files;
 import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
+import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -24,7 +25,9 @@
         file().replace(new byte[] {4});
         file().syncFolder();
         assertThat(file().read()).containsExactly(4);
-        assertThat(Files.list(folder)).containsExactly(folder.resolve("state"));
+        try (Stream<Path> files = Files.list(folder)) {
+            assertThat(files).containsExactly(folder.resolve("state"));
+        }
     }
 
     @Test
--- a/src/test/java/cresschute/flow/BodyBufferTest.java
+++ b/src/test/java/cresschute/flow/BodyBufferTest.java
@@ -22,7 +22,6 @@
     private final BufferBudget budget = new BufferBudget(new BufferLimits(100, 20, 80, 1, 100));
     private final Set<String> released = new HashSet<>();
     private final List<String> changes = new ArrayList<>();
-    private final Runnable onChange = () -> changes.add("change");
     private final BodyBuffer<String> body = body(budget, 10);
 
     private BodyBuffer<String> body(BufferBudget of, long replayLimit) {
@@ -32,6 +31,10 @@
                 piece -> assertThat(released.add(piece)).as("released once: " + piece).isTrue());
     }
 
+    private void onChange() {
+        changes.add("change");
+    }
+
     private void add(String piece) {
         assertThat(body.credit(piece.length())).isEqualTo(piece.length());
         body.append(piece, piece.length());
@@ -40,11 +43,11 @@
     @Test
     void bodyWithinTheReplayLimitIsReadAgainFromTheStart() {
         add("abc");
-        final BodyBuffer<String>.Reader first = body.openReader(onChange).orElseThrow();
+        final BodyBuffer<String>.Reader first = body.openReader(this::onChange).orElseThrow();
         assertThat(first.next()).isEqualTo("abc");
         first.acknowledge();
         add("def");
-        final BodyBuffer<String>.Reader second = body.openReader(onChange).orElseThrow();
+        final BodyBuffer<String>.Reader second = body.openReader(this::onChange).orElseThrow();
         // The first reader continues beside it.
         assertThat(first.next()).isEqualTo("def");
         assertThat(second.next()).isEqualTo("abc");
@@ -63,7 +66,7 @@
 
     @Test
     void bodyBeyondTheReplayLimitCannotBeReadAgain() {
-        final BodyBuffer<String>.Reader reader = body.openReader(onChange).orElseThrow();
+        final BodyBuffer<String>.Reader reader = body.openReader(this::onChange).orElseThrow();
         add("abcdef");
         reader.next();
         reader.acknowledge();
@@ -71,7 +74,7 @@
         add("ghijkl");
         // Beyond the limit, acknowledged pieces are released and the others are still to be read.
         assertThat(released).containsExactly("abcdef");
-        assertThat(body.openReader(onChange)).isEmpty();
+        assertThat(body.openReader(this::onChange)).isEmpty();
         assertThat(reader.next()).isEqualTo("ghijkl");
         reader.acknowledge();
         assertThat(released).containsExactly("abcdef", "ghijkl");
@@ -89,7 +92,7 @@
         add("abcdef");
         final BodyBuffer<String>.Reader behind =
                 body.openReader(() -> behindChanges.add("change")).orElseThrow();
-        final BodyBuffer<String>.Reader ahead = body.openReader(onChange).orElseThrow();
+        final BodyBuffer<String>.Reader ahead = body.openReader(this::onChange).orElseThrow();
         behind.next();
         ahead.next();
         ahead.acknowledge();
@@ -110,9 +113,9 @@
     void bodyWithoutReadersCanBeReadBeyondTheReplayLimit() {
         add("abcdef");
         add("ghijkl");
-        final BodyBuffer<String>.Reader reader = body.openReader(onChange).orElseThrow();
+        final BodyBuffer<String>.Reader reader = body.openReader(this::onChange).orElseThrow();
         assertThat(reader.next()).isEqualTo("abcdef");
-        assertThat(body.openReader(onChange)).isEmpty();
+        assertThat(body.openReader(this::onChange)).isEmpty();
     }
 
     /** Pieces kept for a replay block the only reader: they are released, and replay ends. */
@@ -142,7 +145,7 @@
         assertThatThrownBy(() -> body.append("a", 1)).isInstanceOf(IllegalStateException.class);
         body.complete();
         assertThat(body.state()).isEqualTo(State.ABORTED);
-        final BodyBuffer<String>.Reader reader = body.openReader(onChange).orElseThrow();
+        final BodyBuffer<String>.Reader reader = body.openReader(this::onChange).orElseThrow();
         assertThatThrownBy(reader::acknowledge).hasMessage("more pieces acknowledged than read");
     }
 
@@ -153,7 +156,7 @@
      */
     @Property(tries = 400, seed = "92")
     void anyInterleavingKeepsOrderAndBounds(@ForAll Random random) {
-        final long window = 1 + random.nextInt(12);
+        final long window = 1L + random.nextInt(12);
         final long total = window * (1 + random.nextInt(4)) + random.nextInt(20);
         final BufferBudget shared =
                 new BufferBudget(
--- a/src/test/java/cresschute/flow/BufferBudgetTest.java
+++ b/src/test/java/cresschute/flow/BufferBudgetTest.java
@@ -103,7 +103,7 @@
      */
     @Property(tries = 500, seed = "91")
     void budgetIsNeverExceededAndNoBodyStarves(@ForAll Random random) {
-        final long window = 1 + random.nextInt(20);
+        final long window = 1L + random.nextInt(20);
         final long total = window + random.nextInt(200);
         final BufferBudget budget =
                 new BufferBudget(
@@ -125,7 +125,7 @@
                 final Reservation reservation = open.get(random.nextInt(open.size()));
                 if (choice < 6) {
                     final long before = reservation.held();
-                    final long wanted = 1 + random.nextInt(60);
+                    final long wanted = 1L + random.nextInt(60);
                     final long acquired = reservation.acquire(wanted);
                     assertThat(acquired).isBetween(0L, wanted);
                     // The unused part of its window is always available to it.
--- a/src/test/java/cresschute/health/LatencyWindowTest.java
+++ b/src/test/java/cresschute/health/LatencyWindowTest.java
@@ -27,7 +27,7 @@
     @Test
     void percentilesAreThoseOfTheWindowWithinASixteenth() {
         for (int i = 1; i <= 100; i++) {
-            window.add(S, i * 10 * MS);
+            window.add(S, 10L * i * MS);
         }
         assertThat(at(29 * S).p50Ms()).isBetween(500L, 532L);
         assertThat(at(29 * S).p99Ms()).isBetween(990L, 1_052L);
--- a/src/test/java/cresschute/scale/DeepSize.java
+++ b/src/test/java/cresschute/scale/DeepSize.java
@@ -30,7 +30,7 @@
     /** Any other object of the JDK, whose fields are not open to reflection. */
     private static final int LEAF_BYTES = 24;
 
-    private final Map<Object, Boolean> seen = new IdentityHashMap<>();
+    private final IdentityHashMap<Object, Boolean> seen = new IdentityHashMap<>();
     private final Deque<Object> pending = new ArrayDeque<>();
     private long objects;
     private long bytes;
--- a/src/test/java/cresschute/simulator/SimulatorAdapterTest.java
+++ b/src/test/java/cresschute/simulator/SimulatorAdapterTest.java
@@ -87,7 +87,9 @@
         for (final byte[] record : records) {
             frame.put(record);
         }
-        input.writeBytes(frame.array());
+        final byte[] bytes = new byte[length];
+        frame.flip().get(bytes);
+        input.writeBytes(bytes);
     }
 
     /** Runs the batches and returns each action of the last reply as its code and fields. */
