--- a/src/main/java/cresschute/dispatch/OutlierDetector.java
+++ b/src/main/java/cresschute/dispatch/OutlierDetector.java
@@ -73,7 +73,7 @@
         final int steps =
                 Math.min(worker.consecutiveFailures() / FAILURES_TO_EJECT, MAX_EJECTION_STEPS);
         final long fullUs = outcome == Outcome.FULL ? (long) serviceTimes.meanRunningTimeUs() : 0;
-        worker.ejectUntil(nowUs + (steps == 0 ? fullUs : BASE_EJECTION_US << steps - 1));
+        worker.ejectUntil(nowUs + (steps == 0 ? fullUs : BASE_EJECTION_US << (steps - 1)));
     }
 
     /** Whether a worker is ejected for jobs of a class. */
--- a/src/main/java/cresschute/dispatch/Placement.java
+++ b/src/main/java/cresschute/dispatch/Placement.java
@@ -33,8 +33,8 @@
 
     /** Whether every worker of the other placement is one of this placement too. */
     public boolean contains(Placement other) {
-        return (zones == null || other.zones != null && zones.containsAll(other.zones))
-                && (kinds == null || other.kinds != null && kinds.containsAll(other.kinds));
+        return (zones == null || (other.zones != null && zones.containsAll(other.zones)))
+                && (kinds == null || (other.kinds != null && kinds.containsAll(other.kinds)));
     }
 
     private static List<Integer> sorted(List<Integer> bound) {
@@ -43,7 +43,7 @@
 
     /** Whether all zones and kinds named exist. */
     boolean isWithin(int zoneCount, int kindCount) {
-        return (zones == null || zones.get(0) >= 0 && zones.get(zones.size() - 1) < zoneCount)
-                && (kinds == null || kinds.get(0) >= 0 && kinds.get(kinds.size() - 1) < kindCount);
+        return (zones == null || (zones.get(0) >= 0 && zones.get(zones.size() - 1) < zoneCount))
+                && (kinds == null || (kinds.get(0) >= 0 && kinds.get(kinds.size() - 1) < kindCount));
     }
 }
--- a/src/main/java/cresschute/dispatch/WorkerIndex.java
+++ b/src/main/java/cresschute/dispatch/WorkerIndex.java
@@ -76,7 +76,7 @@
         final int slot =
                 placements.indexOf(placement) * WorkerGroup.Scope.count() + scope.ordinal();
         return groups.computeIfAbsent(
-                (long) slot << 32 | number & 0xffffffffL, key -> new WorkerGroup(slot));
+                ((long) slot << 32) | (number & 0xffffffffL), key -> new WorkerGroup(slot));
     }
 
     /** The group of this scope that a worker of the placement belongs to. */
--- a/src/main/java/cresschute/node/ConfigReloader.java
+++ b/src/main/java/cresschute/node/ConfigReloader.java
@@ -149,7 +149,7 @@
         }
         final DispatchSettings before = settings;
         final DispatchSettings wanted = updated.settingsFor(next.settings(), before);
-        if (!classesChange && wanted.equals(before) || !wanted.canReplace(before)) {
+        if ((!classesChange && wanted.equals(before)) || !wanted.canReplace(before)) {
             return "";
         }
         final String classChanges = updated.changesFrom(classes);
--- a/src/main/java/cresschute/node/DurableDrains.java
+++ b/src/main/java/cresschute/node/DurableDrains.java
@@ -66,6 +66,8 @@
     interface Acknowledgement {
 
         /**
+         * Reports the outcome.
+         *
          * @param failure why the newest change could not be stored, if it could not; it is in force
          *     all the same
          */
--- a/src/main/java/cresschute/node/Invariant.java
+++ b/src/main/java/cresschute/node/Invariant.java
@@ -21,6 +21,7 @@
      * @param name the name under which a breach is counted
      * @return the condition
      */
+    @SuppressWarnings("NonAtomicVolatileUpdate") // Only the event loop writes it.
     public boolean holds(boolean condition, String name) {
         if (!condition) {
             total = total + 1;
--- a/src/main/java/cresschute/node/NodeConfig.java
+++ b/src/main/java/cresschute/node/NodeConfig.java
@@ -185,6 +185,7 @@
     }
 
     /** Whether the platform runs this node and kills it some time after SIGTERM. */
+    @SuppressWarnings("ReferenceEquality") // A file that requires no keys is not NONE.
     boolean isOfThePlatform() {
         return fileKeys != ConfigKeys.NONE;
     }
--- a/src/main/java/cresschute/node/ShutdownAnswers.java
+++ b/src/main/java/cresschute/node/ShutdownAnswers.java
@@ -43,6 +43,6 @@
 
     private boolean isHarmlessToRepeat(ClientRequest request) {
         return settings.isSafe(request.requestClass())
-                || !request.mayHaveRun() && !request.isOnWire();
+                || (!request.mayHaveRun() && !request.isOnWire());
     }
 }
--- a/src/main/java/cresschute/node/http/ClientConnection.java
+++ b/src/main/java/cresschute/node/http/ClientConnection.java
@@ -172,7 +172,7 @@
 
     /** Whether it may be closed to stay within the limit: the client is to act, not the node. */
     boolean isEvictable() {
-        return isIdle() || !proven && assembler.isReading() && responses.size() == 1;
+        return isIdle() || (!proven && assembler.isReading() && responses.size() == 1);
     }
 
     /**
--- a/src/main/java/cresschute/node/http/HttpAttempt.java
+++ b/src/main/java/cresschute/node/http/HttpAttempt.java
@@ -199,7 +199,7 @@
                 listener.resultBegins(
                         line.result(),
                         line.follows(),
-                        line.load() == LoadReport.NONE ? load : line.load());
+                        latestLoad(line));
         if (begun instanceof StreamedResponseBody ours) {
             result = ours;
             result.setSource(this);
@@ -266,7 +266,7 @@
             } else {
                 end(
                         line.outcome(),
-                        line.load() == LoadReport.NONE ? load : line.load(),
+                        latestLoad(line),
                         line.result());
             }
         } catch (ProgressLine.OtherRequestException e) {
@@ -279,6 +279,12 @@
         }
     }
 
+    /** The load that a line reports, or else that of the head. */
+    @SuppressWarnings("ReferenceEquality") // NONE itself stands for a line without a report.
+    private LoadReport latestLoad(ProgressLine line) {
+        return line.load() == LoadReport.NONE ? load : line.load();
+    }
+
     @Override
     boolean isAnothers() {
         final String rest =
--- a/src/main/java/cresschute/node/http/RequestHeadParser.java
+++ b/src/main/java/cresschute/node/http/RequestHeadParser.java
@@ -153,7 +153,7 @@
     private static String originForm(String uri) throws InvalidRequestHeadException {
         final int host = uri.startsWith(HTTP_SCHEME) ? HTTP_SCHEME.length() : 0;
         final int path = uri.indexOf('/', host);
-        if (path < 0 || host == 0 && path > 0) {
+        if (path < 0 || (host == 0 && path > 0)) {
             throw badRequest("unusable target");
         }
         return uri.substring(path);
--- a/src/main/java/cresschute/node/http/WorkerConnection.java
+++ b/src/main/java/cresschute/node/http/WorkerConnection.java
@@ -288,7 +288,7 @@
             belief.cancel(false);
         }
         owner.closed(this);
-        if (!closing && (kept || exchange == null && keepAlive)) {
+        if (!closing && (kept || (exchange == null && keepAlive))) {
             owner.keptOneBroke();
         }
         if (exchange != null) {
--- a/src/test/java/cresschute/dispatch/RulesPropertyTest.java
+++ b/src/test/java/cresschute/dispatch/RulesPropertyTest.java
@@ -171,7 +171,7 @@
                             type,
                             0,
                             1 + random.nextInt(4),
-                            random.nextInt(2) * random.nextInt(900_000),
+                            (long) random.nextInt(2) * random.nextInt(900_000),
                             random.nextInt(3),
                             false);
             dispatcher.requestArrived(nowUs, id, job, nowUs + stated.deadlineUs());
@@ -202,7 +202,7 @@
             final boolean neverRan =
                     outcome == Outcome.CONNECT_FAILED
                             || outcome == Outcome.NOT_SENT
-                            || outcome == Outcome.FULL && !settings.fullMayHaveRun();
+                            || (outcome == Outcome.FULL && !settings.fullMayHaveRun());
             if (!neverRan && request.mayHaveRunAt == null) {
                 request.mayHaveRunAt = workerOf(worker);
                 request.mayHaveRunSinceUs = sentAtUs.get(id).get(attempt);
--- a/src/test/java/cresschute/node/Peer.java
+++ b/src/test/java/cresschute/node/Peer.java
@@ -122,7 +122,7 @@
     }
 
     private static byte byteAt(long at) {
-        return (byte) (at * 0x9E3779B97F4A7C15L >>> 56);
+        return (byte) ((at * 0x9E3779B97F4A7C15L) >>> 56);
     }
 
     /** One line, its end aside; null where the other end closes first. */
