--- a/src/test/java/cresschute/dispatch/RandomSettings.java
+++ b/src/test/java/cresschute/dispatch/RandomSettings.java
@@ -22,7 +22,7 @@
     DispatchSettings next() {
         final List<RequestClass> classes = new ArrayList<>();
         for (final Idempotency idempotency : Idempotency.values()) {
-            final long latencyObjectiveUs = 50_000 + random.nextInt(2_000_000);
+            final long latencyObjectiveUs = 50_000L + random.nextInt(2_000_000);
             classes.add(
                     new RequestClass(
                             1 + random.nextInt(12),
--- a/src/test/java/cresschute/node/CrossingRulesTest.java
+++ b/src/test/java/cresschute/node/CrossingRulesTest.java
@@ -38,12 +38,19 @@
 @Timeout(30)
 class CrossingRulesTest {
 
-    private static final BiConsumer<DispatcherActions, Integer> HOLDS = (actions, request) -> {};
+    private static final BiConsumer<DispatcherActions, Integer> HOLDS =
+            CrossingRulesTest::holds;
     private static final BiConsumer<DispatcherActions, Integer> SENDS =
-            (actions, request) -> actions.send(request, 0, Long.MAX_VALUE);
+            CrossingRulesTest::sends;
 
     private final List<Peer> held = new ArrayList<>();
 
+    static void holds(DispatcherActions actions, int request) {}
+
+    static void sends(DispatcherActions actions, int request) {
+        actions.send(request, 0, Long.MAX_VALUE);
+    }
+
     @AfterEach
     void letGo() throws IOException {
         for (final Peer peer : held) {
@@ -973,12 +980,14 @@
         }
     }
 
-    private static final UnaryOperator<String> SHARED =
-            text ->
-                    text.replace(
-                            "\"zones\":",
-                            "\"tenants\":[{\"name\":\"alpha\",\"quotaPerS\":5},{\"name\":\"beta"
-                                    + " co\",\"quotaPerS\":7}],\"zones\":");
+    private static final UnaryOperator<String> SHARED = CrossingRulesTest::withTenants;
+
+    private static String withTenants(String text) {
+        return text.replace(
+                "\"zones\":",
+                "\"tenants\":[{\"name\":\"alpha\",\"quotaPerS\":5},{\"name\":\"beta"
+                        + " co\",\"quotaPerS\":7}],\"zones\":");
+    }
 
     /** Every request counted against the first customer's share, whoever had sent it. */
     @Test
--- a/src/test/java/cresschute/node/ManagementRulesTest.java
+++ b/src/test/java/cresschute/node/ManagementRulesTest.java
@@ -7,6 +7,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.concurrent.TimeUnit;
+import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
@@ -87,7 +88,9 @@
                 assertThat(listEvent(old)).isEqualTo("listed CHANGES 0READY7000");
             }
         }
-        assertThat(Files.list(shared)).isNotEmpty();
+        try (Stream<Path> files = Files.list(shared)) {
+            assertThat(files).isNotEmpty();
+        }
     }
 
     /** An operator must be able to act also where the disk is full. */
--- a/src/test/java/cresschute/node/http/DiscoveryCallScheduleTest.java
+++ b/src/test/java/cresschute/node/http/DiscoveryCallScheduleTest.java
@@ -45,9 +45,9 @@
     private static long nextCallMs(String calls, boolean wholeList) {
         final DiscoveryCallSchedule schedule = new DiscoveryCallSchedule(LONGEST);
         long nowMs = 0;
-        for (final char call : calls.toCharArray()) {
+        for (int i = 0; i < calls.length(); i++) {
             final long limitMs = schedule.limitMs(wholeList);
-            nowMs += call == 'c' ? Math.min(CONNECT_MS, limitMs) : limitMs;
+            nowMs += calls.charAt(i) == 'c' ? Math.min(CONNECT_MS, limitMs) : limitMs;
             final OptionalLong pause = schedule.afterSilence();
             nowMs += pause.orElse(MODULE_PAUSE_MS);
             if (pause.isEmpty()) {
