--- a/src/main/java/cresschute/dispatch/Placement.java
+++ b/src/main/java/cresschute/dispatch/Placement.java
@@ -44,6 +44,7 @@
     /** Whether all zones and kinds named exist. */
     boolean isWithin(int zoneCount, int kindCount) {
         return (zones == null || (zones.get(0) >= 0 && zones.get(zones.size() - 1) < zoneCount))
-                && (kinds == null || (kinds.get(0) >= 0 && kinds.get(kinds.size() - 1) < kindCount));
+                && (kinds == null
+                        || (kinds.get(0) >= 0 && kinds.get(kinds.size() - 1) < kindCount));
     }
 }
--- a/src/main/java/cresschute/node/http/HttpAttempt.java
+++ b/src/main/java/cresschute/node/http/HttpAttempt.java
@@ -196,10 +196,7 @@
 
     private void beginResult(ProgressLine line) {
         final ResultStream begun =
-                listener.resultBegins(
-                        line.result(),
-                        line.follows(),
-                        latestLoad(line));
+                listener.resultBegins(line.result(), line.follows(), latestLoad(line));
         if (begun instanceof StreamedResponseBody ours) {
             result = ours;
             result.setSource(this);
@@ -264,10 +261,7 @@
             } else if (line.outcome() == null) {
                 listener.progressed(line.share());
             } else {
-                end(
-                        line.outcome(),
-                        latestLoad(line),
-                        line.result());
+                end(line.outcome(), latestLoad(line), line.result());
             }
         } catch (ProgressLine.OtherRequestException e) {
             anothers = connection.isInDoubt();
--- a/src/test/java/cresschute/node/CrossingRulesTest.java
+++ b/src/test/java/cresschute/node/CrossingRulesTest.java
@@ -38,10 +38,8 @@
 @Timeout(30)
 class CrossingRulesTest {
 
-    private static final BiConsumer<DispatcherActions, Integer> HOLDS =
-            CrossingRulesTest::holds;
-    private static final BiConsumer<DispatcherActions, Integer> SENDS =
-            CrossingRulesTest::sends;
+    private static final BiConsumer<DispatcherActions, Integer> HOLDS = CrossingRulesTest::holds;
+    private static final BiConsumer<DispatcherActions, Integer> SENDS = CrossingRulesTest::sends;
 
     private final List<Peer> held = new ArrayList<>();
 
