--- a/src/main/java/cresschute/capacity/CsvTable.java
+++ b/src/main/java/cresschute/capacity/CsvTable.java
@@ -88,9 +88,6 @@
 
     /**
      * Reads a file's text, which must begin with the version line and these columns in this order.
-     */
-    /**
-     * Reads a table.
      *
      * @throws CsvFormatException if its version, header or a row is malformed
      */
--- a/src/main/java/cresschute/control/BanLimitReachedException.java
+++ b/src/main/java/cresschute/control/BanLimitReachedException.java
@@ -5,6 +5,7 @@
 
     private static final long serialVersionUID = 1L;
 
+    /** Names the number of workers that can be banned at a time. */
     BanLimitReachedException(int maxBanned) {
         super(maxBanned + " workers are out; enable one first");
     }
--- a/src/main/java/cresschute/control/ControlCommand.java
+++ b/src/main/java/cresschute/control/ControlCommand.java
@@ -32,6 +32,7 @@
         return this == DRAIN || this == UNDRAIN;
     }
 
+    /** The command of this name on the wire, if there is one. */
     static Optional<ControlCommand> ofWireName(String word) {
         return Stream.of(values()).filter(each -> each.wireName.equals(word)).findFirst();
     }
--- a/src/main/java/cresschute/control/ControlRequestParser.java
+++ b/src/main/java/cresschute/control/ControlRequestParser.java
@@ -37,6 +37,11 @@
         }
     }
 
+    /**
+     * Parses one line.
+     *
+     * @throws InvalidControlRequestException if the line is no valid request
+     */
     static ControlRequest parse(String line) throws InvalidControlRequestException {
         return new ControlRequestParser(parseObject(line)).request();
     }
--- a/src/main/java/cresschute/control/DrainOperation.java
+++ b/src/main/java/cresschute/control/DrainOperation.java
@@ -42,6 +42,7 @@
         return attribution(operator, reason);
     }
 
+    /** Who asked for a drain and, unless it is empty, the reason. */
     static String attribution(String operator, String reason) {
         return operator + (reason.isEmpty() ? "" : ": " + reason);
     }
--- a/src/main/java/cresschute/control/ManagementCommand.java
+++ b/src/main/java/cresschute/control/ManagementCommand.java
@@ -34,6 +34,7 @@
         return takesWorker;
     }
 
+    /** The command of this word, if there is one. */
     static Optional<ManagementCommand> ofWord(String word) {
         return Stream.of(values()).filter(each -> each.word.equals(word)).findFirst();
     }
--- a/src/main/java/cresschute/control/OperatorState.java
+++ b/src/main/java/cresschute/control/OperatorState.java
@@ -35,6 +35,7 @@
             @SerializedName("banned") List<String> banned,
             @SerializedName("drained") boolean drained) {}
 
+    /** Takes a copy of the banned ids. */
     public OperatorState {
         banned = Collections.unmodifiableSortedSet(new TreeSet<>(banned));
     }
--- a/src/main/java/cresschute/control/files/AtomicFile.java
+++ b/src/main/java/cresschute/control/files/AtomicFile.java
@@ -65,10 +65,12 @@
         return aside;
     }
 
+    /** The bytes of the file. */
     byte[] read() throws IOException {
         return Files.readAllBytes(file);
     }
 
+    /** Where the file is. */
     Path path() {
         return file;
     }
--- a/src/main/java/cresschute/control/files/StateFolderInUseException.java
+++ b/src/main/java/cresschute/control/files/StateFolderInUseException.java
@@ -8,6 +8,7 @@
 
     private static final long serialVersionUID = 1L;
 
+    /** Names the folder. */
     StateFolderInUseException(Path folder) {
         super("another node uses the state folder " + folder);
     }
--- a/src/main/java/cresschute/control/socket/ControlSession.java
+++ b/src/main/java/cresschute/control/socket/ControlSession.java
@@ -63,6 +63,7 @@
                 .addListener(ChannelFutureListener.CLOSE);
     }
 
+    /** Closes the connection. */
     void close() {
         channel.close();
     }
--- a/src/main/java/cresschute/control/socket/ControlSocketInUseException.java
+++ b/src/main/java/cresschute/control/socket/ControlSocketInUseException.java
@@ -8,6 +8,7 @@
 
     private static final long serialVersionUID = 1L;
 
+    /** Names the socket. */
     ControlSocketInUseException(Path socket) {
         super("another node listens on the control socket " + socket);
     }
--- a/src/main/java/cresschute/control/socket/ManagementSession.java
+++ b/src/main/java/cresschute/control/socket/ManagementSession.java
@@ -40,6 +40,7 @@
     private ScheduledFuture<?> incompleteCallTimer;
     private ScheduledFuture<?> idleTimer;
 
+    /** Serves one connection on this loop. */
     ManagementSession(EventLoop loop, ManagementHandler handler) {
         this.loop = loop;
         this.handler = handler;
--- a/src/main/java/cresschute/node/ConsoleRows.java
+++ b/src/main/java/cresschute/node/ConsoleRows.java
@@ -25,6 +25,7 @@
     private final DurableDrains drains;
     private final HealthTracker health;
 
+    /** Reads the state of these parts for each row. */
     ConsoleRows(ControlContext node, DurableDrains drains, HealthTracker health) {
         this.node = node;
         this.drains = drains;
--- a/src/main/java/cresschute/node/ControlContext.java
+++ b/src/main/java/cresschute/node/ControlContext.java
@@ -22,6 +22,7 @@
         return clock.nowUs();
     }
 
+    /** The workers of the endpoint list. */
     WorkerRegistry workers() {
         return lifecycle.registry();
     }
--- a/src/main/java/cresschute/node/ControlRequestHandler.java
+++ b/src/main/java/cresschute/node/ControlRequestHandler.java
@@ -29,6 +29,7 @@
     private final WorkerHealthMonitor health;
     private final ConsoleTable consoleTable;
 
+    /** Answers from the state of these parts. */
     ControlRequestHandler(
             ControlContext node,
             DurableDrains drains,
--- a/src/main/java/cresschute/node/ControlService.java
+++ b/src/main/java/cresschute/node/ControlService.java
@@ -43,6 +43,7 @@
     private ControlRequestHandler handler;
     private Optional<ControlServer> server = Optional.empty();
 
+    /** Starts nothing yet. */
     ControlService(NodeConfig config, EventLoop loop, Clock clock) {
         this.config = config;
         this.loop = loop;
--- a/src/main/java/cresschute/node/OperatorEventLog.java
+++ b/src/main/java/cresschute/node/OperatorEventLog.java
@@ -16,6 +16,7 @@
     private final EventRing events = new EventRing();
     private final Clock clock;
 
+    /** Stamps events by this clock. */
     OperatorEventLog(Clock clock) {
         this.clock = clock;
     }
--- a/src/main/java/cresschute/node/WorkerHealthMonitor.java
+++ b/src/main/java/cresschute/node/WorkerHealthMonitor.java
@@ -36,6 +36,7 @@
     private final Map<String, WorkerState> lastListed = new HashMap<>();
     private final Set<Integer> changedWorkers = new HashSet<>();
 
+    /** Creates the tracker for the settings of the node. */
     WorkerHealthMonitor(ControlContext node, DurableDrains drains) {
         this.node = node;
         this.drains = drains;
--- a/src/test/java/cresschute/ControlPeer.java
+++ b/src/test/java/cresschute/ControlPeer.java
@@ -21,6 +21,7 @@
     private final BufferedReader in;
     private int last;
 
+    /** Connects to a node's control socket. */
     public ControlPeer(Path socket) throws IOException {
         channel = SocketChannel.open(UnixDomainSocketAddress.of(socket));
         in = new BufferedReader(Channels.newReader(channel, StandardCharsets.UTF_8));
@@ -62,6 +63,7 @@
         return answer.get("outcome").getAsString() + ": " + answer.get("why").getAsString();
     }
 
+    /** The fields of an operation on a worker, in the name of operator {@code ann}. */
     public static String operation(String what, String op, String worker) {
         return "\"do\":\""
                 + what
