--- a/src/test/java/cresschute/node/http/HttpAttemptTest.java
+++ b/src/test/java/cresschute/node/http/HttpAttemptTest.java
@@ -14,30 +14,36 @@
  */
 class HttpAttemptTest {
 
-    private final NotedEnds noted = new NotedEnds();
+    private final RecordingAttemptListener recorded = new RecordingAttemptListener();
     private final RequestContent content = new RequestContent("r1", "/check", null, new byte[0]);
     private final HttpAttempt attempt =
             new HttpAttempt(
                     "127.0.0.1:9",
                     content,
-                    noted,
+                    recorded,
                     new RateLimitedLog(System.getLogger("test"), () -> 0));
 
+    private void markWrittenIf(boolean written) {
+        if (written) {
+            attempt.markWritten();
+        }
+    }
+
     @ParameterizedTest
     @CsvSource({"false, CONNECT_FAILED", "true, BROKEN"})
     void tellsABreakByWhatWasWritten(boolean written, Outcome outcome) {
-        attempt.written = written;
-        attempt.broken();
-        attempt.broken();
-        assertThat(noted.ends).containsExactly(outcome);
+        markWrittenIf(written);
+        attempt.connectionBroken();
+        attempt.connectionBroken();
+        assertThat(recorded.ends).containsExactly(outcome);
     }
 
     @ParameterizedTest
     @CsvSource({"false, CONNECT_FAILED", "true, TIMED_OUT"})
     void tellsAGiveUpByWhatWasWrittenAndNothingAfterIt(boolean written, Outcome outcome) {
-        attempt.written = written;
+        markWrittenIf(written);
         assertThat(attempt.giveUp()).isEqualTo(outcome);
-        attempt.broken();
-        assertThat(noted.ends).isEmpty();
+        attempt.connectionBroken();
+        assertThat(recorded.ends).isEmpty();
     }
 }
