--- a/src/main/java/cresschute/node/http/HttpAttempt.java
+++ b/src/main/java/cresschute/node/http/HttpAttempt.java
@@ -226,10 +226,16 @@
         }
     }
 
+    /** The load that a line reports, or else that of the head. */
+    @SuppressWarnings("ReferenceEquality") // NONE itself stands for a line without a report.
+    private LoadReport latestLoad(ProgressLine line) {
+        return line.load() == LoadReport.NONE ? headLoad : line.load();
+    }
+
     private void lineReceived(String text) {
         try {
             final ProgressLine line = ProgressLine.parse(text, content.requestId());
-            final LoadReport load = line.load() == LoadReport.NONE ? headLoad : line.load();
+            final LoadReport load = latestLoad(line);
             switch (line.kind()) {
                 case PROGRESS -> listener.progressed(line.fractionDone());
                 case RESULT_FOLLOWS -> beginResult(line.text(), line.resultLength(), load);
--- a/src/main/java/cresschute/node/http/WorkerConnection.java
+++ b/src/main/java/cresschute/node/http/WorkerConnection.java
@@ -280,7 +280,7 @@
         // A response that is held is not known to be this exchange's: it ends as broken.
         duplicates.cancel();
         pool.closed(this);
-        if (!closing && (reusedAndSilent || exchange == null && keepAlive)) {
+        if (!closing && (reusedAndSilent || (exchange == null && keepAlive))) {
             pool.idleConnectionBroke();
         }
         if (exchange != null) {
--- a/src/main/java/cresschute/settings/SettingsBuilder.java
+++ b/src/main/java/cresschute/settings/SettingsBuilder.java
@@ -225,6 +225,7 @@
         return names.isEmpty() ? null : names.stream().map(all::indexOf).toList();
     }
 
+    @SuppressWarnings("ReferenceEquality") // Each block is one constant of the schema.
     private String formatted() {
         final StringBuilder out = new StringBuilder();
         for (final Block block : Schema.BLOCKS) {
--- a/src/test/java/cresschute/console/ScreenTest.java
+++ b/src/test/java/cresschute/console/ScreenTest.java
@@ -4,7 +4,6 @@
 
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
-import cresschute.console.Keys.Key;
 import cresschute.console.Keys.Kind;
 import cresschute.console.ScreenState.Action;
 import cresschute.console.ScreenState.Mode;
@@ -96,8 +95,8 @@
 
     private Action press(String keys) {
         Action action = Action.NOTHING;
-        for (final char key : keys.toCharArray()) {
-            action = state.key(new Key(Kind.CHAR, key), model);
+        for (int i = 0; i < keys.length(); i++) {
+            action = state.key(new Keys.Key(Kind.CHAR, keys.charAt(i)), model);
         }
         return action;
     }
@@ -300,10 +299,10 @@
         press("/SIL");
         assertThat(screen(USUAL).get(23)).isEqualTo("/SIL_");
         assertThat(state.rows(model)).hasSize(1);
-        state.key(Key.of(Kind.ENTER), model);
+        state.key(Keys.Key.of(Kind.ENTER), model);
         assertThat(screen(USUAL).get(23)).startsWith("[/SIL] d drain");
         assertThat(state.selected()).isEqualTo("w2");
-        state.key(Key.of(Kind.ESCAPE), model);
+        state.key(Keys.Key.of(Kind.ESCAPE), model);
         assertThat(state.rows(model)).hasSize(3);
         assertThat(state.selected()).isEqualTo("w2");
         press("/zz");
