--- a/src/main/java/cresschute/control/files/SharedOperatorState.java
+++ b/src/main/java/cresschute/control/files/SharedOperatorState.java
@@ -139,7 +139,8 @@
      *     caller's thread after {@link #close}
      */
     public void change(
-            UnaryOperator<OperatorState> change, SharedStateListener.Change changeListener) {
+            UnaryOperator<OperatorState> change,
+            SharedStateListener.ChangeListener changeListener) {
         try {
             fileThread.execute(
                     () -> {
--- a/src/main/java/cresschute/control/files/SharedStateListener.java
+++ b/src/main/java/cresschute/control/files/SharedStateListener.java
@@ -4,8 +4,8 @@
 
 /**
  * Is notified of changes of a {@link SharedOperatorState}, on the executor of its owner. Every
- * {@link SharedOperatorState#change} is followed by exactly one {@link Change#stored} or {@link
- * Change#notDurable}, unless the executor has ended.
+ * {@link SharedOperatorState#change} is followed by exactly one {@link ChangeListener#stored} or
+ * {@link Change#notDurable}, unless the executor has ended.
  */
 public interface SharedStateListener {
 
@@ -13,7 +13,7 @@
     void stateFound(OperatorState found);
 
     /** Is notified of the end of one change. */
-    interface Change {
+    interface ChangeListener {
 
         /** The change is in the file; {@code written} is the state with it. */
         void stored(OperatorState written);
--- a/src/main/java/cresschute/dispatch/AdmissionController.java
+++ b/src/main/java/cresschute/dispatch/AdmissionController.java
@@ -164,7 +164,7 @@
     static double fill(DemandBucket[] buckets, double otherwise) {
         Arrays.sort(buckets, Comparator.comparingDouble(bucket -> -bucket.weightPerWork()));
         for (final DemandBucket bucket : buckets) {
-            bucket.close();
+            bucket.resetAdmission();
             bucket.admit(FLOOR);
         }
         double priorityWeight = 0;
--- a/src/main/java/cresschute/dispatch/AttemptFeedback.java
+++ b/src/main/java/cresschute/dispatch/AttemptFeedback.java
@@ -55,7 +55,11 @@
 
     /** Takes in the running time of a served attempt, or that its worker was full. */
     void learn(
-            PendingRequest request, Attempt attempt, Outcome outcome, long elapsedUs, long nowUs) {
+            PendingRequest request,
+            AttemptRecord attempt,
+            Outcome outcome,
+            long elapsedUs,
+            long nowUs) {
         final WorkerInstance worker = attempt.worker();
         if (outcome == Outcome.FULL) {
             worker.progressReported(nowUs);
@@ -74,7 +78,7 @@
      * @param requestClosed whether no answer is owed any more: a timeout then is no evidence
      */
     void addEvidence(
-            PendingRequest request, Attempt attempt, Outcome outcome, boolean requestClosed) {
+            PendingRequest request, AttemptRecord attempt, Outcome outcome, boolean requestClosed) {
         if (attempt.isLate()) {
             return;
         }
@@ -93,7 +97,7 @@
     }
 
     private static void addEvidence(
-            PendingRequest request, Attempt attempt, CapacityEstimator.Evidence evidence) {
+            PendingRequest request, AttemptRecord attempt, CapacityEstimator.Evidence evidence) {
         attempt.worker().addEvidence(evidence, request.priorityWeight());
     }
 
@@ -102,7 +106,7 @@
     }
 
     /** Takes in that an attempt in flight is late; a stalled worker is no sign of overload. */
-    void late(PendingRequest request, Attempt attempt, long nowUs) {
+    void late(PendingRequest request, AttemptRecord attempt, long nowUs) {
         attempt.markLate();
         if (!request.isClosed() && !attempt.worker().isStalled(nowUs)) {
             addEvidence(request, attempt, CapacityEstimator.Evidence.OVERLOAD);
--- a/src/main/java/cresschute/dispatch/Attempt.java
+++ b/src/main/java/cresschute/dispatch/AttemptRecord.java
@@ -1,7 +1,7 @@
 package cresschute.dispatch;
 
 /** One attempt of a request at a worker, from its send to its end. */
-final class Attempt {
+final class AttemptRecord {
 
     /** Value of {@link #startReportedAtUs} before the first progress report; clocks are later. */
     private static final long NOT_REPORTED = 0;
@@ -16,7 +16,7 @@
     private boolean unresponsive;
     private boolean stalled;
 
-    Attempt(int number, WorkerInstance worker, long sentUs) {
+    AttemptRecord(int number, WorkerInstance worker, long sentUs) {
         this.number = number;
         this.worker = worker;
         this.sentUs = sentUs;
--- a/src/main/java/cresschute/dispatch/DemandBucket.java
+++ b/src/main/java/cresschute/dispatch/DemandBucket.java
@@ -103,7 +103,7 @@
     }
 
     /** Starts a fill: nothing is admitted. */
-    void close() {
+    void resetAdmission() {
         admitProbability = 0;
     }
 
--- a/src/main/java/cresschute/dispatch/Dispatcher.java
+++ b/src/main/java/cresschute/dispatch/Dispatcher.java
@@ -205,14 +205,14 @@
     @Override
     public void jobProgressed(
             long nowUs, int requestId, int number, int workerId, double fractionDone) {
-        final Attempt attempt = findAttempt(pending.get(requestId), number);
+        final AttemptRecord attempt = findAttempt(pending.get(requestId), number);
         if (attempt != null) {
             attempt.progressReported(nowUs, fractionDone);
             attempt.worker().progressReported(nowUs);
         }
     }
 
-    private static Attempt findAttempt(PendingRequest request, int number) {
+    private static AttemptRecord findAttempt(PendingRequest request, int number) {
         return request == null ? null : request.findAttempt(number);
     }
 
@@ -227,7 +227,7 @@
             boolean requestClosed,
             LoadReport report) {
         final PendingRequest request = pending.get(requestId);
-        final Attempt attempt = findAttempt(request, number);
+        final AttemptRecord attempt = findAttempt(request, number);
         if (attempt == null) {
             return;
         }
@@ -297,14 +297,14 @@
             if (!request.hasAttemptInFlight()) {
                 attempt(request, nowUs);
             }
-            for (final Attempt attempt : request.attemptsInFlight()) {
+            for (final AttemptRecord attempt : request.attemptsInFlight()) {
                 check(request, attempt, nowUs);
             }
         }
     }
 
     /** Looks for a late, unresponsive or stalled attempt before it ends. */
-    private void check(PendingRequest request, Attempt attempt, long nowUs) {
+    private void check(PendingRequest request, AttemptRecord attempt, long nowUs) {
         final double waitedUs = serviceTimes.waitedUs(request, attempt, nowUs);
         final double waitUs = attempt.sentUs() - request.firstSentUs() + waitedUs;
         if (!attempt.isLate() && waitUs > request.slackUs()) {
@@ -328,7 +328,7 @@
     }
 
     /** Sends a hedged request to a worker with capacity, or queries loads to find one. */
-    private void hedge(PendingRequest request, Attempt attempt, long nowUs) {
+    private void hedge(PendingRequest request, AttemptRecord attempt, long nowUs) {
         WorkerInstance worker = request.bestReported();
         request.setBestReported(null);
         if (worker == null && !request.hasPendingQueries() && nowUs >= request.nextHedgeQueryUs()) {
@@ -353,7 +353,7 @@
 
     /** Selects among those that drop a duplicate of the attempt, where that is needed. */
     private List<WorkerInstance> selectForHedge(
-            PendingRequest request, Attempt attempt, long nowUs) {
+            PendingRequest request, AttemptRecord attempt, long nowUs) {
         if (!hedging.needsDeduplication(request)) {
             return selector.select(request, nowUs);
         }
--- a/src/main/java/cresschute/dispatch/HedgingPolicy.java
+++ b/src/main/java/cresschute/dispatch/HedgingPolicy.java
@@ -39,7 +39,11 @@
      * @param stalled whether the attempt's progress reports have stopped
      */
     boolean isDue(
-            PendingRequest request, Attempt attempt, double waitUs, boolean stalled, long nowUs) {
+            PendingRequest request,
+            AttemptRecord attempt,
+            double waitUs,
+            boolean stalled,
+            long nowUs) {
         final boolean unstarted =
                 settings.get().reportsJobStart()
                         && !attempt.hasReportedStart()
@@ -50,7 +54,7 @@
     }
 
     /** Whether a hedge of an attempt may be sent now. */
-    boolean isAllowed(PendingRequest request, Attempt attempt, long nowUs) {
+    boolean isAllowed(PendingRequest request, AttemptRecord attempt, long nowUs) {
         return settings.get().limits().allowsHedging()
                 && request.allowsHedging()
                 && request.requestClass().idempotency() != Idempotency.UNSAFE
--- a/src/main/java/cresschute/dispatch/OutlierDetector.java
+++ b/src/main/java/cresschute/dispatch/OutlierDetector.java
@@ -91,7 +91,7 @@
      *
      * @param waitedUs how long its job has waited there, us
      */
-    boolean detectUnresponsive(Attempt attempt, double waitedUs, long nowUs) {
+    boolean detectUnresponsive(AttemptRecord attempt, double waitedUs, long nowUs) {
         final boolean detected =
                 !attempt.isUnresponsive()
                         && settings.get().reportsJobStart()
@@ -108,7 +108,7 @@
      * Whether an attempt's progress reports have stopped. Its worker is ejected only where it
      * reports on no other job either: one broken stream says nothing of a worker.
      */
-    boolean detectStalled(Attempt attempt, long nowUs) {
+    boolean detectStalled(AttemptRecord attempt, long nowUs) {
         final WorkerInstance worker = attempt.worker();
         final long progressUs = settings.get().progressUs();
         final long sinceUs = (long) (nowUs - STALLED_INTERVALS * progressUs);
--- a/src/main/java/cresschute/dispatch/PendingRequest.java
+++ b/src/main/java/cresschute/dispatch/PendingRequest.java
@@ -21,7 +21,7 @@
     private final int maxAttempts;
     private final boolean allowsHedging;
 
-    private final List<Attempt> inFlight = new ArrayList<>(1);
+    private final List<AttemptRecord> inFlight = new ArrayList<>(1);
     private int attemptsSent;
     private WorkerInstance lastWorker;
 
@@ -162,9 +162,9 @@
     }
 
     /** Starts its next attempt; reports to load queries are no longer waited for. */
-    Attempt startAttempt(WorkerInstance worker, long nowUs) {
+    AttemptRecord startAttempt(WorkerInstance worker, long nowUs) {
         cancelQueries();
-        final Attempt attempt = new Attempt(attemptsSent++, worker, nowUs);
+        final AttemptRecord attempt = new AttemptRecord(attemptsSent++, worker, nowUs);
         inFlight.add(attempt);
         lastWorker = worker;
         return attempt;
@@ -190,13 +190,13 @@
     }
 
     /** The attempts in flight, in a new list. */
-    List<Attempt> attemptsInFlight() {
+    List<AttemptRecord> attemptsInFlight() {
         return List.copyOf(inFlight);
     }
 
     /** The attempt in flight of this number; null where there is none. */
-    Attempt findAttempt(int number) {
-        for (final Attempt attempt : inFlight) {
+    AttemptRecord findAttempt(int number) {
+        for (final AttemptRecord attempt : inFlight) {
             if (attempt.number() == number) {
                 return attempt;
             }
@@ -204,7 +204,7 @@
         return null;
     }
 
-    void endAttempt(Attempt attempt) {
+    void endAttempt(AttemptRecord attempt) {
         inFlight.remove(attempt);
     }
 
--- a/src/main/java/cresschute/dispatch/RetryPolicy.java
+++ b/src/main/java/cresschute/dispatch/RetryPolicy.java
@@ -61,7 +61,7 @@
     }
 
     /** Notes that an attempt may have had its effect, which bounds all further ones. */
-    void markMayHaveRun(PendingRequest request, Attempt attempt) {
+    void markMayHaveRun(PendingRequest request, AttemptRecord attempt) {
         final RequestClass requestClass = request.requestClass();
         request.markMayHaveRun(
                 deduplicatedUntilUs(request, attempt),
@@ -71,12 +71,12 @@
     }
 
     /** Until when a duplicate of an attempt is dropped, us. */
-    long deduplicatedUntilUs(PendingRequest request, Attempt attempt) {
+    long deduplicatedUntilUs(PendingRequest request, AttemptRecord attempt) {
         return attempt.sentUs() + request.requestClass().deduplicationWindowUs();
     }
 
     /** The workers that drop a duplicate of an attempt; empty where all do. */
-    Optional<WorkerGroup> deduplicationGroup(PendingRequest request, Attempt attempt) {
+    Optional<WorkerGroup> deduplicationGroup(PendingRequest request, AttemptRecord attempt) {
         return workers.deduplicationGroup(request.requestClass(), attempt.worker().endpoint());
     }
 }
--- a/src/main/java/cresschute/dispatch/ServiceTimeEstimator.java
+++ b/src/main/java/cresschute/dispatch/ServiceTimeEstimator.java
@@ -78,7 +78,11 @@
      * @param warmth capacity fraction of its worker now, in (0, 1]
      */
     void attemptServed(
-            PendingRequest request, Attempt attempt, long nowUs, long elapsedUs, double warmth) {
+            PendingRequest request,
+            AttemptRecord attempt,
+            long nowUs,
+            long elapsedUs,
+            double warmth) {
         // A start report that is read only with the end dates no start.
         final boolean startKnown =
                 attempt.hasReportedStart()
@@ -103,7 +107,7 @@
     }
 
     /** Takes in that an attempt is late: its worker counts as {@value #MAX_RATIO} times slower. */
-    void attemptLate(Attempt attempt) {
+    void attemptLate(AttemptRecord attempt) {
         attempt.worker().learnPace(MAX_RATIO * attempt.worker().pace());
     }
 
@@ -111,7 +115,7 @@
      * How long an attempt has waited at its worker before its job started, us, as far as start and
      * progress reports say.
      */
-    double waitedUs(PendingRequest request, Attempt attempt, long nowUs) {
+    double waitedUs(PendingRequest request, AttemptRecord attempt, long nowUs) {
         if (attempt.hasReportedStart()) {
             final double ranUs =
                     attempt.fractionDoneAtStartReport()
--- a/src/main/java/cresschute/node/EndpointListPublisher.java
+++ b/src/main/java/cresschute/node/EndpointListPublisher.java
@@ -85,7 +85,7 @@
     }
 
     /** Whether the dispatcher was ever notified of a worker that takes work. */
-    boolean isReady() {
+    boolean hasHadReadyWorker() {
         return ready;
     }
 
--- a/src/main/java/cresschute/node/ManagementService.java
+++ b/src/main/java/cresschute/node/ManagementService.java
@@ -182,7 +182,7 @@
     }
 
     /** The answer to one call: sent once, when its change is stored or after the delay. */
-    private final class PendingAnswer implements SharedStateListener.Change {
+    private final class PendingAnswer implements SharedStateListener.ChangeListener {
 
         private final ManagementCall call;
         private final String confirmation;
--- a/src/main/java/cresschute/node/NodeServer.java
+++ b/src/main/java/cresschute/node/NodeServer.java
@@ -46,7 +46,7 @@
     private final NodeConfig config;
     private final OperatorServices operators;
     private final RequestLifecycle lifecycle;
-    private final ClientListener front;
+    private final ClientListener clientListener;
     private final WorkerConnectionPool workers;
     private final StatusLog statusLog;
     private final ConfigReloader reloader;
@@ -111,7 +111,8 @@
                         operators.requestListener(),
                         peers != null ? peers : LoadKnowledge.NONE,
                         dispatcher);
-        front = new ClientListener(loop, lifecycle, config, descriptors.clientConnections());
+        clientListener =
+                new ClientListener(loop, lifecycle, config, descriptors.clientConnections());
         workers =
                 new WorkerConnectionPool(
                         loop,
@@ -162,7 +163,7 @@
 
     private SocketAddress startParts() {
         // Before the first endpoint list: a worker that an operator drained gets no work.
-        operators.open(lifecycle, front);
+        operators.open(lifecycle, clientListener);
         if (peers != null) {
             peers.onRefresh(lifecycle::loadsRefreshed);
             requireBound(
@@ -172,7 +173,7 @@
                 () ->
                         lifecycle.start(
                                 workers, discovery == null ? () -> {} : discovery, config.known()));
-        final ChannelFuture bound = front.listen(group, config.listen(), passed);
+        final ChannelFuture bound = clientListener.listen(group, config.listen(), passed);
         requireBound(bound, "", config.listen());
         operators.listen();
         loop.scheduleWithFixedDelay(
@@ -232,7 +233,7 @@
         @Override
         public void applySettings(ClassTable classes, DispatchSettings settings) {
             lifecycle.applySettings(classes.names(), settings);
-            front.applySettings(classes.live(), classes.classes(), settings.tenants());
+            clientListener.applySettings(classes.live(), classes.classes(), settings.tenants());
         }
     }
 
@@ -269,17 +270,17 @@
 
         @Override
         public int clientConnections() {
-            return front.openConnections();
+            return clientListener.openConnections();
         }
 
         @Override
         public void becomeNotReady() {
-            front.markNotReady();
+            clientListener.markNotReady();
             operators.notifyStopping();
-            if (front.isPassed()) {
+            if (clientListener.isPassed()) {
                 // The other process of an upgrade accepts on the same listener: it is ready, or
                 // nobody would stop this one. Open connections are served for a while longer.
-                front.stopListening();
+                clientListener.stopListening();
             }
         }
 
@@ -297,7 +298,7 @@
 
         @Override
         public void stopAccepting() {
-            front.stopAccepting();
+            clientListener.stopAccepting();
         }
 
         @Override
@@ -333,9 +334,9 @@
     private StatusLog.Status status() {
         return new StatusLog.Status(
                 lifecycle.unanswered(),
-                front.openConnections(),
+                clientListener.openConnections(),
                 workers.openConnections(),
-                front.bodyBytes(),
+                clientListener.bodyBytes(),
                 lifecycle.listVersion());
     }
 
@@ -353,7 +354,7 @@
 
     /** Bytes that long bodies hold now. Call from the event loop. */
     long bodyBytes() {
-        return front.bodyBytes();
+        return clientListener.bodyBytes();
     }
 
     /** The life cycle of its requests. */
@@ -372,8 +373,8 @@
     }
 
     /** The listener for its clients. */
-    ClientListener front() {
-        return front;
+    ClientListener clientListener() {
+        return clientListener;
     }
 
     /** Its event loop. */
--- a/src/main/java/cresschute/node/RequestLifecycle.java
+++ b/src/main/java/cresschute/node/RequestLifecycle.java
@@ -216,7 +216,7 @@
 
     /** Whether requests can be served: the dispatcher was notified of a worker that takes work. */
     public boolean isReady() {
-        return endpoints.isReady();
+        return endpoints.hasHadReadyWorker();
     }
 
     /** Publishes these workers again, as the overlay of their states has changed. */
--- a/src/test/java/cresschute/control/files/SharedOperatorStateFormatTest.java
+++ b/src/test/java/cresschute/control/files/SharedOperatorStateFormatTest.java
@@ -103,7 +103,7 @@
         final CompletableFuture<OperatorState> ended = new CompletableFuture<>();
         shared.change(
                 state -> state.apply(call),
-                new SharedStateListener.Change() {
+                new SharedStateListener.ChangeListener() {
                     @Override
                     public void stored(OperatorState written) {
                         ended.complete(written);
--- a/src/test/java/cresschute/control/files/SharedOperatorStateTest.java
+++ b/src/test/java/cresschute/control/files/SharedOperatorStateTest.java
@@ -24,7 +24,7 @@
     private final BlockingQueue<OperatorState> found = new LinkedBlockingQueue<>();
 
     /** The end of one change: the state as written, or the failure. */
-    private static final class ChangeEnd implements SharedStateListener.Change {
+    private static final class ChangeEnd implements SharedStateListener.ChangeListener {
         private final CompletableFuture<OperatorState> end = new CompletableFuture<>();
 
         @Override
--- a/src/test/java/cresschute/dispatch/AdmissionControllerTest.java
+++ b/src/test/java/cresschute/dispatch/AdmissionControllerTest.java
@@ -154,7 +154,7 @@
     @Test
     void admitsTheExactFractionOverARun() {
         final DemandBucket half = bucket(1, 1, 1, Placement.ANYWHERE);
-        half.close();
+        half.resetAdmission();
         half.admit(0.5);
         int admitted = 0;
         for (int arrival = 0; arrival < 100; arrival++) {
--- a/src/test/java/cresschute/dispatch/AttemptFeedbackTest.java
+++ b/src/test/java/cresschute/dispatch/AttemptFeedbackTest.java
@@ -21,7 +21,7 @@
     private boolean isOverload(Outcome outcome, long timeoutUs, boolean requestClosed) {
         for (int id = 0; id < 100; id++) {
             final PendingRequest request = rules.request(id, NOW, NOW + timeoutUs);
-            final Attempt attempt = request.startAttempt(worker, NOW);
+            final AttemptRecord attempt = request.startAttempt(worker, NOW);
             rules.feedback.addEvidence(request, attempt, outcome, requestClosed);
         }
         return adjusted();
@@ -72,7 +72,7 @@
     void doesNotCountTheEndOfALateAttemptAgain() {
         for (int id = 0; id < 100; id++) {
             final PendingRequest request = rules.request(id, NOW);
-            final Attempt attempt = request.startAttempt(worker, NOW);
+            final AttemptRecord attempt = request.startAttempt(worker, NOW);
             attempt.markLate();
             rules.feedback.addEvidence(request, attempt, Outcome.TIMED_OUT, false);
         }
--- a/src/test/java/cresschute/dispatch/DeadlinePolicyTest.java
+++ b/src/test/java/cresschute/dispatch/DeadlinePolicyTest.java
@@ -80,7 +80,7 @@
             DeadlinePolicy.FinalReply reply) {
         final Rules rules = Rules.of(idempotency, scope);
         final PendingRequest request = rules.request(1, NOW);
-        final Attempt attempt = request.startAttempt(rules.ready(1, 0, 0), NOW);
+        final AttemptRecord attempt = request.startAttempt(rules.ready(1, 0, 0), NOW);
         if (mayHaveRun) {
             rules.retries.markMayHaveRun(request, attempt);
         }
--- a/src/test/java/cresschute/dispatch/HedgingPolicyTest.java
+++ b/src/test/java/cresschute/dispatch/HedgingPolicyTest.java
@@ -37,7 +37,7 @@
     void isDueWhereAJobHasNotStartedAfterHalfItsSlack() {
         final Rules rules = rules(Idempotency.SAFE);
         final PendingRequest request = request(rules);
-        final Attempt attempt = request.startAttempt(rules.ready(1, 0, 0), NOW);
+        final AttemptRecord attempt = request.startAttempt(rules.ready(1, 0, 0), NOW);
         assertThat(rules.hedging.isDue(request, attempt, 1_500_000, false, NOW)).isFalse();
         assertThat(rules.hedging.isDue(request, attempt, 1_500_001, false, NOW)).isTrue();
         attempt.progressReported(NOW, 0);
@@ -49,7 +49,7 @@
         final Rules rules = rules(Idempotency.SAFE);
         final PendingRequest request = request(rules);
         final WorkerInstance worker = rules.ready(1, 0, 0);
-        final Attempt attempt = request.startAttempt(worker, NOW);
+        final AttemptRecord attempt = request.startAttempt(worker, NOW);
         attempt.progressReported(NOW, 0);
         assertThat(rules.hedging.isDue(request, attempt, 0, true, NOW)).isTrue();
         worker.stalledUntil(NOW + SECOND);
@@ -61,7 +61,7 @@
     void isNeverDueBesideASecondAttemptOrForAClosedRequest() {
         final Rules rules = rules(Idempotency.SAFE);
         final PendingRequest request = request(rules);
-        final Attempt attempt = request.startAttempt(rules.ready(1, 0, 0), NOW);
+        final AttemptRecord attempt = request.startAttempt(rules.ready(1, 0, 0), NOW);
         request.startAttempt(rules.ready(2, 0, 0), NOW);
         assertThat(rules.hedging.isDue(request, attempt, 9_000_000, true, NOW)).isFalse();
         request.endAttempt(attempt);
@@ -80,7 +80,7 @@
     void isAllowedByIdempotencyAndWindow(Idempotency idempotency, long afterMs, boolean allowed) {
         final Rules rules = rules(idempotency);
         final PendingRequest request = request(rules);
-        final Attempt attempt = request.startAttempt(rules.ready(1, 0, 0), NOW);
+        final AttemptRecord attempt = request.startAttempt(rules.ready(1, 0, 0), NOW);
         assertThat(rules.hedging.isAllowed(request, attempt, NOW + afterMs * 1000))
                 .isEqualTo(allowed);
     }
@@ -89,7 +89,7 @@
     void isAllowedOnlyWhereTheSettingsAllowHedging() {
         final Rules rules = Rules.ofSafeClass();
         final PendingRequest request = rules.request(1, NOW);
-        final Attempt attempt = request.startAttempt(rules.ready(1, 0, 0), NOW);
+        final AttemptRecord attempt = request.startAttempt(rules.ready(1, 0, 0), NOW);
         assertThat(rules.hedging.isAllowed(request, attempt, NOW)).isFalse();
     }
 
@@ -97,7 +97,7 @@
     void needsDeduplicationForTheFirstAttemptOfAKeyedRequest() {
         final Rules rules = rules(Idempotency.KEYED);
         final PendingRequest request = request(rules);
-        final Attempt attempt = request.startAttempt(rules.ready(1, 0, 0), NOW);
+        final AttemptRecord attempt = request.startAttempt(rules.ready(1, 0, 0), NOW);
         assertThat(rules.hedging.needsDeduplication(request)).isTrue();
         rules.retries.markMayHaveRun(request, attempt);
         assertThat(rules.hedging.needsDeduplication(request)).isFalse();
--- a/src/test/java/cresschute/dispatch/OutlierDetectorTest.java
+++ b/src/test/java/cresschute/dispatch/OutlierDetectorTest.java
@@ -35,7 +35,7 @@
         return outliers.isEjected(worker, 0, nowUs);
     }
 
-    private Attempt attempt(WorkerInstance at, long nowUs) {
+    private AttemptRecord attempt(WorkerInstance at, long nowUs) {
         return rules.request(1, nowUs).startAttempt(at, nowUs);
     }
 
@@ -104,7 +104,7 @@
 
     @Test
     void detectsAnUnresponsiveWorkerOnceForAnAttempt() {
-        final Attempt attempt = attempt(worker, NOW);
+        final AttemptRecord attempt = attempt(worker, NOW);
         assertThat(outliers.detectUnresponsive(attempt, 1_600_000, NOW)).isFalse();
         assertThat(outliers.detectUnresponsive(attempt, 1_600_001, NOW)).isTrue();
         assertThat(outliers.detectUnresponsive(attempt, 9_000_000, NOW)).isFalse();
@@ -118,14 +118,14 @@
 
     @Test
     void takesNoStartedJobForUnresponsive() {
-        final Attempt attempt = attempt(worker, NOW);
+        final AttemptRecord attempt = attempt(worker, NOW);
         attempt.progressReported(NOW, 0);
         assertThat(outliers.detectUnresponsive(attempt, 9_000_000, NOW)).isFalse();
     }
 
     @Test
     void ejectsAWorkerThatReportsProgressOfNoJob() {
-        final Attempt attempt = attempt(worker, NOW);
+        final AttemptRecord attempt = attempt(worker, NOW);
         assertThat(outliers.detectStalled(attempt, NOW + 1_800_000)).isFalse();
         assertThat(outliers.detectStalled(attempt, NOW + 1_800_001)).isTrue();
         assertThat(isEjected(NOW + 1_800_001 + 3 * SECOND - 1)).isTrue();
@@ -135,7 +135,7 @@
 
     @Test
     void doesNotEjectAWorkerThatReportsProgressOfOtherJobs() {
-        final Attempt attempt = attempt(worker, NOW);
+        final AttemptRecord attempt = attempt(worker, NOW);
         attempt.progressReported(NOW, 0);
         worker.progressReported(NOW + 2 * SECOND);
         assertThat(outliers.detectStalled(attempt, NOW + 2 * SECOND)).isTrue();
--- a/src/test/java/cresschute/dispatch/RetryPolicyTest.java
+++ b/src/test/java/cresschute/dispatch/RetryPolicyTest.java
@@ -16,7 +16,7 @@
 
     private static PendingRequest ran(Rules rules) {
         final PendingRequest request = rules.request(1, NOW);
-        final Attempt attempt = request.startAttempt(rules.ready(1, 0, 0), NOW);
+        final AttemptRecord attempt = request.startAttempt(rules.ready(1, 0, 0), NOW);
         rules.retries.markMayHaveRun(request, attempt);
         return request;
     }
--- a/src/test/java/cresschute/dispatch/ServiceTimeEstimatorTest.java
+++ b/src/test/java/cresschute/dispatch/ServiceTimeEstimatorTest.java
@@ -24,7 +24,7 @@
     @Test
     void learnsTheRunningTimeFromTheStartReportOn() {
         final PendingRequest request = rules.request(1, NOW);
-        final Attempt attempt = request.startAttempt(worker, NOW);
+        final AttemptRecord attempt = request.startAttempt(worker, NOW);
         attempt.progressReported(NOW + SECOND, 0.5);
         rules.serviceTimes.attemptServed(
                 request, attempt, NOW + SECOND + 100_000, SECOND + 100_000, 1);
@@ -37,7 +37,7 @@
     void doesNotLearnAClassFromJobsWithAHint() {
         final Job hinted = new Job(0, 0, 1, 50_000, Job.NO_DATA, false);
         final PendingRequest request = rules.request(1, NOW, NOW + 5 * SECOND, hinted);
-        final Attempt attempt = request.startAttempt(worker, NOW);
+        final AttemptRecord attempt = request.startAttempt(worker, NOW);
         attempt.progressReported(NOW, 0);
         rules.serviceTimes.attemptServed(request, attempt, NOW + SECOND, SECOND, 1);
         assertThat(request.owner().runningTimeUs()).isEqualTo(INITIAL_US);
@@ -52,7 +52,7 @@
         }
         final double before = owner.runningTimeUs();
         final PendingRequest request = rules.request(1, NOW);
-        final Attempt attempt = request.startAttempt(worker, NOW);
+        final AttemptRecord attempt = request.startAttempt(worker, NOW);
         rules.serviceTimes.attemptServed(request, attempt, NOW + SECOND, SECOND, 1);
         assertThat(owner.runningTimeUs())
                 .isCloseTo(before + 0.03 * 0.2 * (SECOND - before), within(1e-3));
@@ -61,7 +61,7 @@
     @Test
     void datesNoStartByAReportThatCameWithTheEnd() {
         final PendingRequest request = rules.request(1, NOW);
-        final Attempt attempt = request.startAttempt(worker, NOW);
+        final AttemptRecord attempt = request.startAttempt(worker, NOW);
         attempt.progressReported(NOW + 300_000, 0);
         rules.serviceTimes.attemptServed(request, attempt, NOW + 300_000, 300_000, 1);
         assertThat(request.owner().runningTimeUs()).isEqualTo(300_000);
@@ -71,7 +71,7 @@
     @Test
     void learnsThePaceOfAWorkerWithinBounds() {
         final PendingRequest request = rules.request(1, NOW);
-        final Attempt attempt = request.startAttempt(worker, NOW);
+        final AttemptRecord attempt = request.startAttempt(worker, NOW);
         rules.serviceTimes.attemptLate(attempt);
         // The kind takes its first sample in full, the worker 15 % of it.
         assertThat(worker.pace()).isCloseTo(3 * 1.3, within(1e-9));
@@ -80,7 +80,7 @@
     @Test
     void countsTheTimeBeforeTheStartAsWaiting() {
         final PendingRequest request = rules.request(1, NOW);
-        final Attempt attempt = request.startAttempt(worker, NOW);
+        final AttemptRecord attempt = request.startAttempt(worker, NOW);
         assertThat(rules.serviceTimes.waitedUs(request, attempt, NOW + SECOND)).isEqualTo(SECOND);
         attempt.progressReported(NOW + SECOND, 0.25);
         assertThat(rules.serviceTimes.waitedUs(request, attempt, NOW + 2 * SECOND))
--- a/src/test/java/cresschute/dispatch/WorkerSelectorTest.java
+++ b/src/test/java/cresschute/dispatch/WorkerSelectorTest.java
@@ -91,7 +91,7 @@
         final WorkerInstance sameCell = keyed.ready(2, 0, 0);
         keyed.ready(3, 0, 1);
         final PendingRequest request = keyed.request(1, NOW);
-        final Attempt attempt = request.startAttempt(first, NOW);
+        final AttemptRecord attempt = request.startAttempt(first, NOW);
         keyed.retries.markMayHaveRun(request, attempt);
         for (int i = 0; i < 50; i++) {
             assertThat(keyed.selector.select(request, NOW)).containsOnly(sameCell);
--- a/src/test/java/cresschute/node/ShutdownCrossingRulesTest.java
+++ b/src/test/java/cresschute/node/ShutdownCrossingRulesTest.java
@@ -25,7 +25,7 @@
                     actions -> {
                         held.add(node.client().write(request("r1", "", "")));
                         held.add(node.client().write(request("r2", "", "")));
-                        node.server.front().stopAccepting();
+                        node.server.clientListener().stopAccepting();
                     });
             final Peer first = node.worker();
             final Peer second = node.worker();
@@ -47,7 +47,7 @@
                     node,
                     actions -> {
                         client.write(request("r2", "", ""));
-                        node.server.front().stopAccepting();
+                        node.server.clientListener().stopAccepting();
                     });
             worker.read();
             worker.write(done("r2"));
@@ -68,7 +68,7 @@
             holding(
                     node,
                     actions -> {
-                        node.server.front().stopAccepting();
+                        node.server.clientListener().stopAccepting();
                         client.write(request("r2", "", ""));
                         actions.reject(1, 0);
                     });
