--- a/src/main/java/cresschute/node/ActiveSettings.java
+++ b/src/main/java/cresschute/node/ActiveSettings.java
@@ -35,7 +35,7 @@
                         : config.bodies().classes().stream()
                                 .map(ClassBodies::deadlineToFirst)
                                 .toList();
-        take(config.classes(), config.settings());
+        apply(config.classes(), config.settings());
     }
 
     /**
@@ -52,10 +52,10 @@
             grown.addAll(Collections.nCopies(added, false));
             deadlineIsToFirstByte = List.copyOf(grown);
         }
-        take(names, settings);
+        apply(names, settings);
     }
 
-    private void take(List<String> names, DispatchSettings settings) {
+    private void apply(List<String> names, DispatchSettings settings) {
         classNames = names;
         classes = settings.classes();
         fullMayHaveRun = settings.fullMayHaveRun();
--- a/src/main/java/cresschute/node/Attempt.java
+++ b/src/main/java/cresschute/node/Attempt.java
@@ -74,12 +74,12 @@
     }
 
     /** Whether it is for the process that listens there as listed now. */
-    boolean isFor(Worker listed, InetSocketAddress listedAddress) {
+    boolean targets(Worker listed, InetSocketAddress listedAddress) {
         return listed.startedAtUs() == workerStartedUs && listedAddress.equals(address);
     }
 
     /** Sets who follows it, before it starts. */
-    void observeBy(RequestListener.AttemptObserver newObserver) {
+    void setObserver(RequestListener.AttemptObserver newObserver) {
         observer = newObserver;
     }
 
@@ -89,7 +89,7 @@
     }
 
     /** Sets the timer that ends it at its deadline. */
-    void limitBy(Future<?> newTimeout) {
+    void setTimeout(Future<?> newTimeout) {
         timeout = newTimeout;
     }
 
@@ -125,18 +125,18 @@
      * @return how the attempt ends by this
      */
     Outcome cancelCall() {
-        return call.giveUp();
+        return call.abort();
     }
 
     /** Cancels the call and ends with this outcome. */
     void cancel(Outcome outcome) {
-        call.giveUp();
+        call.abort();
         controller.end(this, outcome, LoadReport.NONE, null);
     }
 
     /** Its time is over: cancels the call and ends with the outcome that follows from that. */
     void timeOut() {
-        controller.end(this, call.giveUp(), LoadReport.NONE, null);
+        controller.end(this, call.abort(), LoadReport.NONE, null);
     }
 
     // ---- Events of the call ----
--- a/src/main/java/cresschute/node/AttemptCall.java
+++ b/src/main/java/cresschute/node/AttemptCall.java
@@ -14,7 +14,7 @@
      *
      * @return how the attempt ended by this
      */
-    Outcome giveUp();
+    Outcome abort();
 
     /**
      * Whether a byte of the attempt may be on the wire.
--- a/src/main/java/cresschute/node/AttemptController.java
+++ b/src/main/java/cresschute/node/AttemptController.java
@@ -73,7 +73,7 @@
         final ClientRequest request = requests.find(requestId);
         final InetSocketAddress address = registry.address(worker);
         if (!context.invariant()
-                .holds(request != null && address != null, "send of or to nobody")) {
+                .check(request != null && address != null, "send of or to nobody")) {
             return;
         }
         if (!mayBegin(request) || !request.content().isReplayable()) {
@@ -90,9 +90,10 @@
                         nowUs,
                         Math.min(deadlineUs, request.deadlineUs()));
         request.attemptStarted(attempt);
-        attempt.observeBy(context.listener().attemptStarted(nowUs, worker, request.requestClass()));
+        attempt.setObserver(
+                context.listener().attemptStarted(nowUs, worker, request.requestClass()));
         context.loads().started(registry.name(worker));
-        attempt.limitBy(context.after(attempt.remainingUs(), attempt::timeOut));
+        attempt.setTimeout(context.schedule(attempt.remainingUs(), attempt::timeOut));
         try {
             attempt.start(workers);
         } catch (RuntimeException e) {
@@ -114,7 +115,7 @@
         final int number = request.nextAttemptNumber();
         final boolean closed = request.isClosed();
         context.turn()
-                .gather(
+                .enqueue(
                         request,
                         now ->
                                 context.dispatcher()
@@ -169,7 +170,7 @@
         attempt.observer().progressed(context.nowUs());
         final ClientRequest request = attempt.request();
         context.turn()
-                .gather(
+                .enqueue(
                         request,
                         now ->
                                 context.dispatcher()
@@ -192,7 +193,7 @@
      * @param result what the worker returned if it served, else null
      */
     void end(Attempt attempt, Outcome outcome, LoadReport report, String result) {
-        if (!context.invariant().holds(!attempt.isEnded(), "attempt ended twice")) {
+        if (!context.invariant().check(!attempt.isEnded(), "attempt ended twice")) {
             return;
         }
         attempt.markEnded();
@@ -227,7 +228,7 @@
         final long elapsedUs = context.nowUs() - attempt.startedUs();
         // The dispatcher owes nothing any more once a long result is on its way.
         context.turn()
-                .gather(
+                .enqueue(
                         request,
                         now ->
                                 context.dispatcher()
@@ -293,19 +294,19 @@
         if (stream == null) {
             return null;
         }
-        request.answerWith(attempt, stream);
+        request.startLongResult(attempt, stream);
         cancelOthers(request, attempt);
         if (settings.deadlineIsToFirstByte(request.requestClass())) {
-            request.leaveAnswerTimeOpen();
+            request.removeAnswerDeadline();
         } else {
             final long leftUs = Math.max(0, request.deadlineUs() - context.nowUs());
-            request.guardBy(context.after(leftUs, () -> breakOffResult(attempt)));
+            request.setAnswerTimer(context.schedule(leftUs, () -> abortResult(attempt)));
         }
         end(attempt, Outcome.SERVED, report, null);
         return stream;
     }
 
-    private void breakOffResult(Attempt attempt) {
+    private void abortResult(Attempt attempt) {
         attempt.request().cancelResult();
         resultEnded(attempt, false);
     }
@@ -324,9 +325,9 @@
      * elsewhere or was restarted: a connection may take longer to come up than the grace of a
      * drain. The dispatcher chooses again.
      */
-    void recallMisdirected() {
+    void cancelUnsentToChangedWorkers() {
         for (final ClientRequest request : requests.all()) {
-            request.recall(attempt -> !isAsListed(attempt), Outcome.NOT_SENT);
+            request.cancelUnsent(attempt -> !isAsListed(attempt), Outcome.NOT_SENT);
         }
     }
 
@@ -334,6 +335,6 @@
         final Worker listed = registry.listed().get(attempt.worker());
         return context.listener().effectiveState(registry.name(listed.id()), listed.state())
                         == WorkerState.READY
-                && attempt.isFor(listed, registry.address(listed.id()));
+                && attempt.targets(listed, registry.address(listed.id()));
     }
 }
--- a/src/main/java/cresschute/node/AttemptListener.java
+++ b/src/main/java/cresschute/node/AttemptListener.java
@@ -5,7 +5,7 @@
 
 /**
  * Receives the events of one attempt. Its end is reported exactly once, by {@link #ended} or by
- * {@link #resultBegins}, unless {@link AttemptCall#giveUp} ended the attempt. All calls are on the
+ * {@link #resultBegins}, unless {@link AttemptCall#abort} ended the attempt. All calls are on the
  * event loop.
  */
 public interface AttemptListener {
--- a/src/main/java/cresschute/node/ClientRequest.java
+++ b/src/main/java/cresschute/node/ClientRequest.java
@@ -31,7 +31,7 @@
     private int firstWorker = NO_WORKER;
     private int pendingEvents;
     private boolean mayHaveRun;
-    private boolean answerTimeIsOpen;
+    private boolean answerDeadlineRemoved;
     private boolean closed;
     private boolean answered;
 
@@ -43,11 +43,11 @@
     /**
      * The times of a request, microseconds of the dispatcher's clock.
      *
-     * @param takenUs when it was taken
+     * @param submittedUs when it was taken
      * @param dueUs when the client must have its answer
      * @param deadlineUs when its attempts end, so that the answer is in time
      */
-    record Times(long takenUs, long dueUs, long deadlineUs) {}
+    record Times(long submittedUs, long dueUs, long deadlineUs) {}
 
     /**
      * A request that was just taken.
@@ -108,8 +108,8 @@
     }
 
     /** When it was taken, microseconds. */
-    long takenUs() {
-        return times.takenUs();
+    long submittedUs() {
+        return times.submittedUs();
     }
 
     /** When its attempts end, microseconds. */
@@ -141,7 +141,7 @@
     }
 
     /** Replaces the timer that guards its answer; the earlier one is cancelled. */
-    void guardBy(Future<?> newTimer) {
+    void setAnswerTimer(Future<?> newTimer) {
         if (timer != null) {
             timer.cancel(false);
         }
@@ -149,14 +149,14 @@
     }
 
     /** The first byte of its long result met the deadline: the end of its answer is not bounded. */
-    void leaveAnswerTimeOpen() {
+    void removeAnswerDeadline() {
         timer.cancel(false);
-        answerTimeIsOpen = true;
+        answerDeadlineRemoved = true;
     }
 
     /** Whether an answer that ends at this time is late. */
     boolean isLate(long nowUs) {
-        return !answerTimeIsOpen && nowUs > times.dueUs();
+        return !answerDeadlineRemoved && nowUs > times.dueUs();
     }
 
     // ---- Long result ----
@@ -167,7 +167,7 @@
     }
 
     /** From now on the long result of this attempt is its answer. */
-    void answerWith(Attempt attempt, ResultStream stream) {
+    void startLongResult(Attempt attempt, ResultStream stream) {
         resultAttempt = attempt;
         result = stream;
     }
@@ -251,7 +251,7 @@
      * @param which the attempts to end
      * @param outcome how they end
      */
-    void recall(Predicate<Attempt> which, Outcome outcome) {
+    void cancelUnsent(Predicate<Attempt> which, Outcome outcome) {
         for (final Attempt attempt : attempts()) {
             if (attempt.isUnsent() && which.test(attempt)) {
                 attempt.cancel(outcome);
@@ -262,7 +262,7 @@
     // ---- Events ----
 
     /** An event about it waits for the dispatcher's turn. */
-    void eventGathered() {
+    void eventQueued() {
         pendingEvents++;
     }
 
--- a/src/main/java/cresschute/node/ControlService.java
+++ b/src/main/java/cresschute/node/ControlService.java
@@ -167,8 +167,8 @@
     }
 
     @Override
-    public void requestTaken(long nowUs, int requestClass) {
-        health.requestTaken(nowUs, requestClass);
+    public void requestSubmitted(long nowUs, int requestClass) {
+        health.requestSubmitted(nowUs, requestClass);
     }
 
     @Override
--- a/src/main/java/cresschute/node/DispatcherTurn.java
+++ b/src/main/java/cresschute/node/DispatcherTurn.java
@@ -65,7 +65,7 @@
      *
      * @param report reports it to the dispatcher, given the time in microseconds
      */
-    void gather(LongConsumer report) {
+    void enqueue(LongConsumer report) {
         add(new Event(null, report));
     }
 
@@ -75,8 +75,8 @@
      * @param request the request
      * @param report reports the event to the dispatcher, given the time in microseconds
      */
-    void gather(ClientRequest request, LongConsumer report) {
-        request.eventGathered();
+    void enqueue(ClientRequest request, LongConsumer report) {
+        request.eventQueued();
         add(new Event(request, report));
     }
 
@@ -93,7 +93,7 @@
      *
      * @param action carries it out
      */
-    void carryOut(Runnable action) {
+    void defer(Runnable action) {
         actions.add(action);
     }
 
@@ -102,7 +102,7 @@
         final List<Event> due = events;
         events = new ArrayList<>();
         report(due);
-        carryOutActions();
+        runActions();
         due.forEach(Event::reported);
     }
 
@@ -116,12 +116,12 @@
                         .because(e)
                         .log(LOG, Level.ERROR);
                 event.failed();
-                invariant.holds(false, "module failed");
+                invariant.check(false, "module failed");
             }
         }
     }
 
-    private void carryOutActions() {
+    private void runActions() {
         final List<Runnable> due = List.copyOf(actions);
         actions.clear();
         for (final Runnable action : due) {
@@ -131,7 +131,7 @@
                 LogEvent.of("action_failed", "an action of the module failed")
                         .because(e)
                         .log(LOG, Level.ERROR);
-                invariant.holds(false, "action failed");
+                invariant.check(false, "action failed");
             }
         }
     }
--- a/src/main/java/cresschute/node/EndpointListPublisher.java
+++ b/src/main/java/cresschute/node/EndpointListPublisher.java
@@ -37,14 +37,14 @@
     void publish(EndpointListForm form, EndpointList list) {
         final List<Worker> listed = registry.apply(list);
         listed.forEach(each -> context.loads().listed(registry.name(each.id())));
-        final List<Worker> workers = overlaid(listed);
+        final List<Worker> workers = withOverlay(listed);
         ready |= workers.stream().anyMatch(worker -> worker.state() == WorkerState.READY);
         updatedAtUs = context.nowUs();
         // A full list implies that the workers that it leaves out are gone.
         context.listener()
                 .endpointListChanged(updatedAtUs, list.full() ? registry.listed() : listed);
         report(form, workers);
-        attempts.recallMisdirected();
+        attempts.cancelUnsentToChangedWorkers();
     }
 
     /**
@@ -60,8 +60,8 @@
                         .filter(each -> each.state() != WorkerState.GONE)
                         .toList();
         if (!listed.isEmpty()) {
-            report(EndpointListForm.CHANGES, overlaid(listed));
-            attempts.recallMisdirected();
+            report(EndpointListForm.CHANGES, withOverlay(listed));
+            attempts.cancelUnsentToChangedWorkers();
         }
     }
 
@@ -71,14 +71,14 @@
     }
 
     private void report(EndpointListForm form, List<Worker> workers) {
-        context.turn().gather(now -> context.dispatcher().endpointListChanged(now, form, workers));
+        context.turn().enqueue(now -> context.dispatcher().endpointListChanged(now, form, workers));
     }
 
-    private List<Worker> overlaid(List<Worker> workers) {
-        return workers.stream().map(this::overlaid).toList();
+    private List<Worker> withOverlay(List<Worker> workers) {
+        return workers.stream().map(this::withOverlay).toList();
     }
 
-    private Worker overlaid(Worker worker) {
+    private Worker withOverlay(Worker worker) {
         final WorkerState state =
                 context.listener().effectiveState(registry.name(worker.id()), worker.state());
         return state == worker.state() ? worker : WorkerRegistry.withState(worker, state);
--- a/src/main/java/cresschute/node/Invariant.java
+++ b/src/main/java/cresschute/node/Invariant.java
@@ -9,7 +9,7 @@
  */
 public final class Invariant {
 
-    private final Map<String, Long> breaches = new TreeMap<>();
+    private final Map<String, Long> violations = new TreeMap<>();
 
     /** Written on the event loop alone; read from other threads as well. */
     private volatile long total;
@@ -22,10 +22,10 @@
      * @return the condition
      */
     @SuppressWarnings("NonAtomicVolatileUpdate") // Only the event loop writes it.
-    public boolean holds(boolean condition, String name) {
+    public boolean check(boolean condition, String name) {
         if (!condition) {
             total = total + 1;
-            breaches.merge(name, 1L, Long::sum);
+            violations.merge(name, 1L, Long::sum);
             assert false : "invariant broken: " + name;
         }
         return condition;
@@ -36,9 +36,9 @@
         return total;
     }
 
-    /** The breaches by name. */
+    /** The violations by name. */
     @Override
     public String toString() {
-        return breaches.toString();
+        return violations.toString();
     }
 }
--- a/src/main/java/cresschute/node/LoadQueries.java
+++ b/src/main/java/cresschute/node/LoadQueries.java
@@ -46,7 +46,7 @@
     /** Reports the load of a worker to the dispatcher, by its number. */
     void query(int worker) {
         final InetSocketAddress address = registry.address(worker);
-        if (!context.invariant().holds(address != null, "load query of nobody")) {
+        if (!context.invariant().check(address != null, "load query of nobody")) {
             return;
         }
         final String name = registry.name(worker);
@@ -68,6 +68,7 @@
     }
 
     private void report(int worker, Outcome outcome, LoadReport load) {
-        context.turn().gather(now -> context.dispatcher().loadReported(now, worker, outcome, load));
+        context.turn()
+                .enqueue(now -> context.dispatcher().loadReported(now, worker, outcome, load));
     }
 }
--- a/src/main/java/cresschute/node/LoadKnowledge.java
+++ b/src/main/java/cresschute/node/LoadTracker.java
@@ -8,10 +8,10 @@
  * of attempts, endpoint lists and load reports, and consults it before each load query. Workers are
  * identified by name. All calls are on the event loop.
  */
-interface LoadKnowledge {
+interface LoadTracker {
 
     /** Knows nothing, so that every load query is sent. */
-    LoadKnowledge NONE = new LoadKnowledge() {};
+    LoadTracker NONE = new LoadTracker() {};
 
     /** The endpoint list contains a worker, perhaps as before. */
     default void listed(String worker) {}
--- a/src/main/java/cresschute/node/LoopContext.java
+++ b/src/main/java/cresschute/node/LoopContext.java
@@ -22,7 +22,7 @@
         Clock clock,
         Invariant invariant,
         RequestListener listener,
-        LoadKnowledge loads,
+        LoadTracker loads,
         DispatcherTurn turn,
         DispatcherEvents dispatcher) {
 
@@ -38,7 +38,7 @@
      * @param task runs on the event loop
      * @return cancels it
      */
-    Future<?> after(long delayUs, Runnable task) {
+    Future<?> schedule(long delayUs, Runnable task) {
         return loop.schedule(task, delayUs, TimeUnit.MICROSECONDS);
     }
 }
--- a/src/main/java/cresschute/node/NodeServer.java
+++ b/src/main/java/cresschute/node/NodeServer.java
@@ -109,7 +109,7 @@
                         clock,
                         faults,
                         operators.requestListener(),
-                        peers != null ? peers : LoadKnowledge.NONE,
+                        peers != null ? peers : LoadTracker.NONE,
                         dispatcher);
         clientListener =
                 new ClientListener(loop, lifecycle, config, descriptors.clientConnections());
--- a/src/main/java/cresschute/node/OpenRequests.java
+++ b/src/main/java/cresschute/node/OpenRequests.java
@@ -75,7 +75,7 @@
      * @param client receives its one answer
      * @return the request
      */
-    ClientRequest take(RequestContent content, Job job, long waitUs, ResponseListener client) {
+    ClientRequest submit(RequestContent content, Job job, long waitUs, ResponseListener client) {
         final long nowUs = context.nowUs();
         final long deadlineUs = nowUs + Math.max(0, waitUs - RequestLifecycle.ANSWER_MARGIN_US);
         final ClientRequest request =
@@ -90,15 +90,15 @@
         open.put(request.id(), request);
         openIds.add(content.requestId());
         unanswered++;
-        context.listener().requestTaken(nowUs, request.requestClass());
-        request.guardBy(
-                context.after(waitUs + RequestLifecycle.OVERDUE_US, () -> failOverdue(request)));
+        context.listener().requestSubmitted(nowUs, request.requestClass());
+        request.setAnswerTimer(
+                context.schedule(waitUs + RequestLifecycle.OVERDUE_US, () -> failOverdue(request)));
         if (rejectsNew) {
             rejectLocally(request);
             return request;
         }
         context.turn()
-                .gather(
+                .enqueue(
                         request,
                         now ->
                                 context.dispatcher()
@@ -109,7 +109,7 @@
     /** No request stays without an answer, whatever the dispatcher does with it. */
     private void failOverdue(ClientRequest request) {
         failUnanswered(request);
-        context.invariant().holds(false, "request overdue");
+        context.invariant().check(false, "request overdue");
     }
 
     /**
@@ -137,7 +137,7 @@
 
     /** Gathers for the dispatcher that a request is owed nothing any more. */
     void reportClosed(ClientRequest request) {
-        context.turn().gather(request, now -> context.dispatcher().clientLeft(now, request.id()));
+        context.turn().enqueue(request, now -> context.dispatcher().clientLeft(now, request.id()));
     }
 
     // ---- Answers ----
@@ -201,7 +201,7 @@
             ClientRequest request, RequestListener.Answer answer, long ranUs, Runnable send) {
         if (request.isClosed()) {
             // The client may have left in the same turn; a second answer may not happen.
-            context.invariant().holds(!request.isAnswered(), "second answer");
+            context.invariant().check(!request.isAnswered(), "second answer");
             return;
         }
         request.markAnswered();
@@ -215,7 +215,7 @@
             logAnswer(request, answer);
         }
         // Checked once it is written: late is better than never.
-        context.invariant().holds(!request.isLate(context.nowUs()), "late answer");
+        context.invariant().check(!request.isLate(context.nowUs()), "late answer");
     }
 
     private void logAnswer(ClientRequest request, RequestListener.Answer answer) {
@@ -225,7 +225,7 @@
                 .with("class", request.className())
                 .with("outcome", word)
                 .with("attempts", request.attemptsStarted())
-                .with("ms", (context.nowUs() - request.takenUs()) / US_PER_MS)
+                .with("ms", (context.nowUs() - request.submittedUs()) / US_PER_MS)
                 .log(LOG, Level.DEBUG);
     }
 
@@ -237,7 +237,7 @@
                         request.requestClass(),
                         answer,
                         request.attemptsStarted(),
-                        nowUs - request.takenUs(),
+                        nowUs - request.submittedUs(),
                         ranUs);
     }
 
@@ -246,7 +246,7 @@
         forgetIfDone(request);
         unanswered--;
         // A connection that comes up later must not send for a client that is answered or has left.
-        request.recall(attempt -> true, Outcome.CANCELLED);
+        request.cancelUnsent(attempt -> true, Outcome.CANCELLED);
     }
 
     /**
--- a/src/main/java/cresschute/node/PeerLoads.java
+++ b/src/main/java/cresschute/node/PeerLoads.java
@@ -23,7 +23,7 @@
  * do not load its classes. Life cycle: {@link #onRefresh}, {@link #listen}, {@link #leave}; all but
  * the constructor on the event loop, or before it runs.
  */
-final class PeerLoads implements LoadKnowledge {
+final class PeerLoads implements LoadTracker {
 
     private final Clock clock;
     private final LoadExchange exchange;
--- a/src/main/java/cresschute/node/RequestLifecycle.java
+++ b/src/main/java/cresschute/node/RequestLifecycle.java
@@ -79,7 +79,7 @@
             RateLimitedLog faults,
             RequestListener listener,
             Function<DispatcherActions, DispatcherEvents> dispatcher) {
-        this(config, loop, clock, faults, listener, LoadKnowledge.NONE, dispatcher);
+        this(config, loop, clock, faults, listener, LoadTracker.NONE, dispatcher);
     }
 
     /** The same, with workers' load known to {@code loads} where it answers. */
@@ -89,7 +89,7 @@
             Clock clock,
             RateLimitedLog faults,
             RequestListener listener,
-            LoadKnowledge loads,
+            LoadTracker loads,
             Function<DispatcherActions, DispatcherEvents> dispatcher) {
         this.faults = faults;
         registry = new WorkerRegistry(config.zones(), config.kinds());
@@ -103,7 +103,7 @@
                         listener,
                         loads,
                         turn,
-                        dispatcher.apply(new GatheredActions(turn)));
+                        dispatcher.apply(new DeferredActions(turn)));
         requests = new OpenRequests(context, settings);
         attempts = new AttemptController(context, settings, requests, registry, faults);
         endpoints = new EndpointListPublisher(context, registry, attempts);
@@ -136,7 +136,7 @@
      */
     void applySettings(List<String> classNames, DispatchSettings next) {
         settings.replace(classNames, next);
-        context.turn().gather(now -> context.dispatcher().settingsChanged(now, next));
+        context.turn().enqueue(now -> context.dispatcher().settingsChanged(now, next));
     }
 
     // ---- Requests ----
@@ -157,9 +157,9 @@
      * @param client receives its one answer, at once where the process ends
      * @return the request, for {@link #clientLeft}
      */
-    public ClientRequest take(
+    public ClientRequest submit(
             RequestContent content, Job job, long waitUs, ResponseListener client) {
-        return requests.take(content, job, waitUs, client);
+        return requests.submit(content, job, waitUs, client);
     }
 
     /**
@@ -252,22 +252,22 @@
     }
 
     /** Keeps the dispatcher's actions until it was notified of all events of a turn. */
-    private final class GatheredActions implements DispatcherActions {
+    private final class DeferredActions implements DispatcherActions {
 
         private final DispatcherTurn turn;
 
-        private GatheredActions(DispatcherTurn turn) {
+        private DeferredActions(DispatcherTurn turn) {
             this.turn = turn;
         }
 
         @Override
         public void send(int requestId, int workerId, long deadlineUs) {
-            turn.carryOut(() -> attempts.send(requestId, workerId, deadlineUs));
+            turn.defer(() -> attempts.send(requestId, workerId, deadlineUs));
         }
 
         @Override
         public void reject(int requestId, long retryAfterUs) {
-            turn.carryOut(
+            turn.defer(
                     () -> {
                         final ClientRequest request = requests.find(requestId);
                         if (request != null) {
@@ -278,7 +278,7 @@
 
         @Override
         public void fail(int requestId) {
-            turn.carryOut(
+            turn.defer(
                     () -> {
                         final ClientRequest request = requests.find(requestId);
                         if (request != null) {
@@ -289,32 +289,32 @@
 
         @Override
         public void startTimer(long token, long delayUs) {
-            turn.carryOut(() -> context.after(delayUs, () -> timerFired(token)));
+            turn.defer(() -> context.schedule(delayUs, () -> timerFired(token)));
         }
 
         private void timerFired(long token) {
-            turn.gather(now -> context.dispatcher().timerFired(now, token));
+            turn.enqueue(now -> context.dispatcher().timerFired(now, token));
         }
 
         @Override
         public void pollEndpointList() {
-            turn.carryOut(() -> discovery.watch());
+            turn.defer(() -> discovery.watch());
         }
 
         @Override
         public void queryLoad(int workerId) {
-            turn.carryOut(() -> loadQueries.query(workerId));
+            turn.defer(() -> loadQueries.query(workerId));
         }
 
         @Override
         public void reportUnresponsive(int workerId, int requestClass) {
             // The settings allow no messages between dispatchers here.
-            invariant.holds(false, "peer message");
+            invariant.check(false, "peer message");
         }
 
         @Override
         public void closeIdleConnections(int workerId) {
-            turn.carryOut(() -> closeIdle(workerId));
+            turn.defer(() -> closeIdle(workerId));
         }
 
         private void closeIdle(int workerId) {
--- a/src/main/java/cresschute/node/RequestListener.java
+++ b/src/main/java/cresschute/node/RequestListener.java
@@ -80,7 +80,7 @@
     default void endpointListChanged(long nowUs, List<Worker> workers) {}
 
     /** A request was taken. */
-    default void requestTaken(long nowUs, int requestClass) {}
+    default void requestSubmitted(long nowUs, int requestClass) {}
 
     /**
      * A request was answered, or its client left; called once for each.
--- a/src/main/java/cresschute/node/ShutdownAnswers.java
+++ b/src/main/java/cresschute/node/ShutdownAnswers.java
@@ -20,7 +20,7 @@
 
     /** Answers all that is owed after so many microseconds, and at once whatever is taken later. */
     void answerAllAfter(long delayUs) {
-        context.after(
+        context.schedule(
                 delayUs,
                 () -> {
                     requests.rejectNew();
--- a/src/main/java/cresschute/node/StatusLog.java
+++ b/src/main/java/cresschute/node/StatusLog.java
@@ -15,7 +15,7 @@
 
     private final Supplier<Status> status;
     private final Invariant invariant;
-    private long breachesLogged;
+    private long violationsLogged;
 
     /**
      * What a node holds at one moment.
@@ -60,10 +60,10 @@
                 .with("body_bytes", now.bodyBytes())
                 .with("list_version", now.listVersion())
                 .log(LOG, Level.INFO);
-        if (invariant.total() > breachesLogged) {
-            breachesLogged = invariant.total();
+        if (invariant.total() > violationsLogged) {
+            violationsLogged = invariant.total();
             LogEvent.of("invariants_broken", "invariants broken so far: " + invariant)
-                    .with("count", breachesLogged)
+                    .with("count", violationsLogged)
                     .with("names", invariant)
                     .log(LOG, Level.ERROR);
         }
--- a/src/main/java/cresschute/node/WorkerHealthMonitor.java
+++ b/src/main/java/cresschute/node/WorkerHealthMonitor.java
@@ -109,7 +109,7 @@
     }
 
     @Override
-    public void requestTaken(long nowUs, int requestClass) {
+    public void requestSubmitted(long nowUs, int requestClass) {
         tracker.requestArrived(nowUs, requestClass);
     }
 
--- a/src/main/java/cresschute/node/http/HttpAttempt.java
+++ b/src/main/java/cresschute/node/http/HttpAttempt.java
@@ -27,7 +27,7 @@
  * ({@link ProgressLine}), which a streamed result may follow.
  *
  * <p>Ends once, and reports that to its {@link AttemptListener}: by a line, by the status of the
- * response, by a break, or by {@link #giveUp}, which reports nothing. What has no end in its
+ * response, by a break, or by {@link #abort}, which reports nothing. What has no end in its
  * response is decided by the request's last byte: before that is written the job cannot have run,
  * after that it may have.
  *
@@ -382,7 +382,7 @@
     }
 
     @Override
-    public Outcome giveUp() {
+    public Outcome abort() {
         cancel();
         stopTransfer();
         if (isWritten()) {
--- a/src/main/java/cresschute/node/http/RequestSubmitter.java
+++ b/src/main/java/cresschute/node/http/RequestSubmitter.java
@@ -93,7 +93,7 @@
             onSubmitted.run();
             response.submitted(
                     listener.lifecycle()
-                            .take(
+                            .submit(
                                     new RequestContent(
                                             head.requestId(),
                                             head.target(),
--- a/src/test/java/cresschute/node/RequestLifecycleTest.java
+++ b/src/test/java/cresschute/node/RequestLifecycleTest.java
@@ -135,8 +135,8 @@
         turn();
     }
 
-    private ClientRequest take() {
-        final ClientRequest request = lifecycle.take(CONTENT, JOB, 100_000, this);
+    private ClientRequest submit() {
+        final ClientRequest request = lifecycle.submit(CONTENT, JOB, 100_000, this);
         turn();
         return request;
     }
@@ -169,7 +169,7 @@
 
     @Test
     void reportsAllEventsBeforeItActs() {
-        lifecycle.take(CONTENT, JOB, 100_000, this);
+        lifecycle.submit(CONTENT, JOB, 100_000, this);
         lifecycle.discoveryFailed();
         assertThat(events).isEmpty();
         turn();
@@ -180,7 +180,7 @@
     /** A request is kept until the dispatcher knows its end, so that its sends stay numbered. */
     @Test
     void numbersASendThatCrossesTheClientsLeaving() {
-        final ClientRequest request = take();
+        final ClientRequest request = submit();
         attempts.get(0).ended(Outcome.FULL, LoadReport.NONE, null);
         lifecycle.clientLeft(request);
         turn();
@@ -195,14 +195,14 @@
 
     @Test
     void givesUpAttemptInTimeForTheAnswer() {
-        take();
+        submit();
         pass(100_000 - RequestLifecycle.ANSWER_MARGIN_US);
         assertThat(events).containsExactly("requestArrived", "attemptEnded 0 TIMED_OUT false");
     }
 
     @Test
     void answersServedAtOnceAndOnlyOnce() {
-        take();
+        submit();
         attempts.get(0).ended(Outcome.SERVED, LoadReport.NONE, "yes");
         actions.fail(1);
         turn();
@@ -215,7 +215,7 @@
     @Test
     void cancelsTheOtherAttemptsOnceOneServes() {
         sendsPerRequest = 3;
-        take();
+        submit();
         assertThat(attempts).hasSize(3);
         attempts.get(1).ended(Outcome.SERVED, LoadReport.NONE, "yes");
         turn();
@@ -232,7 +232,7 @@
     /** Its client may have left unseen. */
     @Test
     void beginsNoHedgeWhileItsClientIsNotRead() {
-        take();
+        submit();
         readPausedUs = RequestLifecycle.MAX_READ_PAUSE_US + 1;
         actions.send(1, 0, Long.MAX_VALUE);
         lifecycle.discoveryFailed();
@@ -248,7 +248,7 @@
     @Test
     void beginsNoHedgeOnANewConnectionWhileItsClientIsNotRead() {
         sendsPerRequest = 2;
-        take();
+        submit();
         assertThat(attempts.get(1).mayBegin()).isTrue();
         readPausedUs = RequestLifecycle.MAX_READ_PAUSE_US + 1;
         assertThat(attempts.get(1).mayBegin()).isFalse();
@@ -259,7 +259,7 @@
 
     @Test
     void failsRequestThatTheDispatcherForgets() {
-        take();
+        submit();
         pass(100_000 + RequestLifecycle.OVERDUE_US);
         assertThat(events).containsOnlyOnce("failed").containsSubsequence("failed", "clientLeft");
         assertThat(lifecycle.invariant().total()).isPositive();
@@ -268,7 +268,7 @@
     @Test
     void failsRequestOnWhichTheDispatcherThrows() {
         dispatcherThrows = true;
-        assertThatThrownBy(this::take).hasMessageContaining("module failed");
+        assertThatThrownBy(this::submit).hasMessageContaining("module failed");
         assertThat(events).containsExactly("failed");
         assertThat(lifecycle.unanswered()).isZero();
     }
@@ -276,14 +276,14 @@
     @Test
     void endsAttemptThatCannotBeStarted() {
         connectionsThrow = true;
-        take();
+        submit();
         turn();
         assertThat(events).containsExactly("requestArrived", "attemptEnded 0 CONNECT_FAILED false");
     }
 
     @Test
     void countsASecondEndOfAnAttempt() {
-        take();
+        submit();
         attempts.get(0).ended(Outcome.BROKEN, LoadReport.NONE, null);
         assertThatThrownBy(() -> attempts.get(0).ended(Outcome.ERROR, LoadReport.NONE, null))
                 .hasMessageContaining("attempt ended twice");
@@ -292,9 +292,9 @@
     /** A keyed request that has been sent binds the cell that it went to, until it is answered. */
     @Test
     void keyedRequestBindsItsCellWhileItIsOpen() {
-        take();
+        submit();
         assertThat(lifecycle.boundCells()).isEmpty();
-        lifecycle.take(
+        lifecycle.submit(
                 new RequestContent("r2", "/file", "key", new byte[0]),
                 new Job(1, 0, 1, 0, 0, false),
                 100_000,
--- a/src/test/java/cresschute/node/http/HttpAttemptTest.java
+++ b/src/test/java/cresschute/node/http/HttpAttemptTest.java
@@ -42,7 +42,7 @@
     @CsvSource({"false, CONNECT_FAILED", "true, TIMED_OUT"})
     void tellsAGiveUpByWhatWasWrittenAndNothingAfterIt(boolean written, Outcome outcome) {
         markWrittenIf(written);
-        assertThat(attempt.giveUp()).isEqualTo(outcome);
+        assertThat(attempt.abort()).isEqualTo(outcome);
         attempt.connectionBroken();
         assertThat(recorded.ends).isEmpty();
     }
--- a/src/test/java/cresschute/scale/RequestLifecycleScaleTest.java
+++ b/src/test/java/cresschute/scale/RequestLifecycleScaleTest.java
@@ -141,11 +141,11 @@
         return DeepSize.of(core, this, settings, loop, log);
     }
 
-    private void take(int count) {
+    private void submit(int count) {
         for (int i = 0; i < count; i++) {
             final Answers client = new Answers();
             clients.add(client);
-            core.take(
+            core.submit(
                     new RequestContent("r" + clients.size(), "/job", null, new byte[0]),
                     new Job(PlannedSize.USUAL, 0, 1, 0, 0, false),
                     300 * PlannedSize.SECOND_US,
@@ -187,7 +187,7 @@
         start(PlannedSize.WORKERS);
         final DeepSize idle = size();
         while (clients.size() < PlannedSize.RUNNING) {
-            take(PlannedSize.GANG);
+            submit(PlannedSize.GANG);
         }
         final DeepSize full = size();
         assertThat(out).as("attempts out").hasSameSizeAs(clients);
