--- a/src/main/java/cresschute/node/NodeServer.java
+++ b/src/main/java/cresschute/node/NodeServer.java
@@ -277,7 +277,7 @@
         public void becomeNotReady() {
             clientListener.markNotReady();
             operators.notifyStopping();
-            if (clientListener.isPassed()) {
+            if (clientListener.usesPassedSocket()) {
                 // The other process of an upgrade accepts on the same listener: it is ready, or
                 // nobody would stop this one. Open connections are served for a while longer.
                 clientListener.stopListening();
--- a/src/main/java/cresschute/node/http/ClientListener.java
+++ b/src/main/java/cresschute/node/http/ClientListener.java
@@ -171,7 +171,7 @@
     }
 
     /** Whether the clients' listening socket is the platform's, held over an upgrade. */
-    public boolean isPassed() {
+    public boolean usesPassedSocket() {
         return passed;
     }
 
--- a/src/test/java/cresschute/node/ClientCloseCrossingRulesTest.java
+++ b/src/test/java/cresschute/node/ClientCloseCrossingRulesTest.java
@@ -32,11 +32,11 @@
             worker.write(done("r1"));
             client.read();
             assertThat(eventStarting(node, "ended")).contains("SERVED");
-            holding(node, actions -> client.write(request("r2", "", "")).leave());
+            holding(node, actions -> client.write(request("r2", "", "")).disconnect());
             assertThat(eventStarting(node, "requested")).startsWith("requested 2");
             assertThat(node.event()).isEqualTo("left 2");
             assertThat(node.event()).startsWith("ended 2 0 NOT_SENT closed true");
-            assertThat(worker.hasNews()).isFalse();
+            assertThat(worker.hasUnreadBytes()).isFalse();
         }
     }
 
@@ -60,7 +60,7 @@
             assertThat(eventStarting(node, "ended")).startsWith("ended 2 0 NOT_SENT closed true");
             client.write(request("r3", "", ""));
             assertThat(eventStarting(node, "requested")).startsWith("requested ");
-            assertThat(worker.hasNews()).isFalse();
+            assertThat(worker.hasUnreadBytes()).isFalse();
         }
     }
 
@@ -74,7 +74,7 @@
             holding(
                     node,
                     actions -> {
-                        client.leave();
+                        client.disconnect();
                         actions.send(1, 0, Long.MAX_VALUE);
                     });
             assertThat(eventStarting(node, "ended")).startsWith("ended 1 1 NOT_SENT closed true");
@@ -120,7 +120,7 @@
             assertThat(node.event()).startsWith("requested 1");
             other.write(request("r2", "", ""));
             assertThat(node.event()).startsWith("requested 2");
-            client.endSending();
+            client.shutdownOutput();
             assertThat(node.event()).isEqualTo("left 1");
             assertThat(client.isClosedByOther()).isTrue();
             node.act(actions -> actions.reject(2, 0));
@@ -142,7 +142,7 @@
             if (resets) {
                 client.reset();
             } else {
-                client.leave();
+                client.disconnect();
             }
             for (int i = 1; i <= 16; i++) {
                 assertThat(node.event()).isEqualTo("left " + i);
@@ -168,12 +168,12 @@
             final Peer client = node.client().write(LongBodyNode.head("r1", 8L << 20, ""));
             client.writeBytes(0, LongBodyNode.MAX_OF_ONE);
             assertThat(eventStarting(node, "requested")).startsWith("requested 1");
-            client.leave();
+            client.disconnect();
             // By the node's own clock; more than the time after which nobody can be taken to be
             // there.
             assertThat(RequestLifecycle.MAX_READ_PAUSE_US).isLessThan(100_000);
             node.act(actions -> actions.startTimer(5, 150_000));
-            assertThat(eventStarting(node, "woken")).isEqualTo("woken 5");
+            assertThat(eventStarting(node, "timer fired")).isEqualTo("timer fired 5");
             if (connecting) {
                 acceptFilled(node.worker);
                 // Its connection came up, and ends without a byte.
--- a/src/test/java/cresschute/node/ConnectCrossingRulesTest.java
+++ b/src/test/java/cresschute/node/ConnectCrossingRulesTest.java
@@ -32,7 +32,7 @@
             final Peer client = node.client().write(request("r1", "", ""));
             assertThat(node.event()).startsWith("requested 1");
             untilItHasTurned(node);
-            client.leave();
+            client.disconnect();
             assertThat(node.event()).isEqualTo("left 1");
             assertThat(node.event()).startsWith("ended 1 0 CANCELLED closed true");
             acceptFilled(node.worker);
@@ -131,7 +131,7 @@
             final String news =
                     answer("200 OK", "", list(2, false, entry("s-1", node.worker, "DRAINING")));
             if (leavesFirst) {
-                client.leave();
+                client.disconnect();
                 assertThat(eventStarting(node, "left")).isEqualTo("left 1");
                 assertThat(node.event()).startsWith("ended 1 0 CANCELLED closed true");
                 discovery.write(news);
@@ -141,7 +141,7 @@
                         node,
                         actions -> {
                             discovery.write(news);
-                            client.leave();
+                            client.disconnect();
                         });
                 assertThat(eventStarting(node, "ended")).startsWith("ended 1 0 ");
             }
--- a/src/test/java/cresschute/node/CrossingFixture.java
+++ b/src/test/java/cresschute/node/CrossingFixture.java
@@ -139,13 +139,13 @@
     /** Waits until the node's own timer has run for {@value #HELD_US} us. */
     static void untilTimerRan(TestNode node) throws InterruptedException {
         node.act(actions -> actions.startTimer(5, HELD_US));
-        assertThat(eventStarting(node, "woken")).isEqualTo("woken 5");
+        assertThat(eventStarting(node, "timer fired")).isEqualTo("timer fired 5");
     }
 
     /** Waits until what the module asked for is carried out: connecting is a task of its own. */
     static void untilItHasTurned(TestNode node) throws InterruptedException {
         node.act(actions -> actions.startTimer(6, 0));
-        assertThat(eventStarting(node, "woken")).isEqualTo("woken 6");
+        assertThat(eventStarting(node, "timer fired")).isEqualTo("timer fired 6");
     }
 
     /**
@@ -169,14 +169,14 @@
 
         void by(Peer client) throws IOException {
             switch (this) {
-                case END -> client.leave();
+                case END -> client.disconnect();
                 case RESET -> client.reset();
-                case HALF -> client.endSending();
+                case HALF -> client.shutdownOutput();
                 default -> {
                     for (int i = 1; i <= 20; i++) {
                         client.write(request("behind" + i, "", "body"));
                     }
-                    client.leave();
+                    client.disconnect();
                 }
             }
         }
--- a/src/test/java/cresschute/node/KeptConnectionCrossingRulesTest.java
+++ b/src/test/java/cresschute/node/KeptConnectionCrossingRulesTest.java
@@ -27,7 +27,7 @@
             holding(
                     node,
                     actions -> {
-                        worker.leave();
+                        worker.disconnect();
                         actions.send(2, 0, Long.MAX_VALUE);
                     });
             final Peer fresh = node.worker();
@@ -107,7 +107,7 @@
             final Peer worker = keptWithRequestHeld(node, client, next);
             node.act(actions -> actions.send(2, 0, Long.MAX_VALUE));
             assertThat(worker.read()).contains("X-Request-Id: r2");
-            worker.write(answer("503 No", "X-Not-Run: 1\r\n", "")).leave();
+            worker.write(answer("503 No", "X-Not-Run: 1\r\n", "")).disconnect();
             assertThat(eventStarting(node, "ended 2")).startsWith("ended 2 0 BROKEN closed false");
         }
     }
--- a/src/test/java/cresschute/node/LongBodyRulesTest.java
+++ b/src/test/java/cresschute/node/LongBodyRulesTest.java
@@ -176,8 +176,8 @@
                 worker.readHead();
                 worker.readBytes(0, MIB / 2 - 32 * KIB);
                 node.act(actions -> actions.send(1, 0, Long.MAX_VALUE));
-                assertThat(node.eventBesideProgress()).isEqualTo("listed FAILED");
-                assertThat(node.eventBesideProgress())
+                assertThat(node.eventExceptProgress()).isEqualTo("listed FAILED");
+                assertThat(node.eventExceptProgress())
                         .startsWith("ended 1 1 CANCELLED closed false");
             }
         }
@@ -191,13 +191,13 @@
         try (TestNode node = node(2);
                 Peer client = node.client()) {
             client.write(head("r1", MIB, "")).writeBytes(0, MIB / 2);
-            assertThat(node.eventBesideProgress()).startsWith("requested 1");
+            assertThat(node.eventExceptProgress()).startsWith("requested 1");
             try (Peer worker = node.worker()) {
                 worker.readHead();
                 worker.readBytes(0, MIB / 2 - 32 * KIB);
                 worker.reset();
             }
-            assertThat(node.eventBesideProgress())
+            assertThat(node.eventExceptProgress())
                     .startsWith("ended 1 0 CONNECT_FAILED closed true");
             assertThat(client.read())
                     .startsWith("HTTP/1.1 503 ")
@@ -216,9 +216,9 @@
                 worker.readHead();
                 worker.readBytes(0, MIB / 4);
                 client.close();
-                assertThat(node.eventBesideProgress()).startsWith("requested 1");
-                assertThat(node.eventBesideProgress()).isEqualTo("left 1");
-                assertThat(node.eventBesideProgress())
+                assertThat(node.eventExceptProgress()).startsWith("requested 1");
+                assertThat(node.eventExceptProgress()).isEqualTo("left 1");
+                assertThat(node.eventExceptProgress())
                         .startsWith("ended 1 0 CANCELLED closed true");
                 untilFree(node);
             }
@@ -269,9 +269,9 @@
                 worker.readHead();
                 client.writeBytes(290 * KIB, 11 * KIB);
                 assertThat(client.read()).startsWith("HTTP/1.1 413 ");
-                assertThat(node.eventBesideProgress()).startsWith("requested 1");
-                assertThat(node.eventBesideProgress()).isEqualTo("left 1");
-                assertThat(node.eventBesideProgress())
+                assertThat(node.eventExceptProgress()).startsWith("requested 1");
+                assertThat(node.eventExceptProgress()).isEqualTo("left 1");
+                assertThat(node.eventExceptProgress())
                         .startsWith("ended 1 0 CANCELLED closed true");
             }
             untilFree(node);
@@ -289,8 +289,8 @@
                 worker.readHead();
                 client.write("5;" + "x".repeat(10_000));
                 assertThat(client.read()).startsWith("HTTP/1.1 400 ");
-                assertThat(node.eventBesideProgress()).isEqualTo("left 1");
-                assertThat(node.eventBesideProgress())
+                assertThat(node.eventExceptProgress()).isEqualTo("left 1");
+                assertThat(node.eventExceptProgress())
                         .startsWith("ended 1 0 CANCELLED closed true");
             }
             untilFree(node);
@@ -307,7 +307,7 @@
                 worker.readHead();
                 worker.readBytes(0, MIB / 2);
                 assertThat(client.isClosedByOther()).isTrue();
-                assertThat(worker.hasNews()).isFalse();
+                assertThat(worker.hasUnreadBytes()).isFalse();
                 // The job has its body whole and runs on, for nobody.
                 worker.write(DONE);
                 untilFree(node);
@@ -334,10 +334,10 @@
                 Peer client = node.client()) {
             client.write(head("r1", length, ""));
             final CompletableFuture<Void> writing = beside(() -> client.writeBytes(0, length));
-            assertThat(node.eventBesideProgress()).startsWith("requested 1");
+            assertThat(node.eventExceptProgress()).startsWith("requested 1");
             try (Peer worker = node.worker()) {
                 worker.readHead();
-                assertThat(node.eventBesideProgress())
+                assertThat(node.eventExceptProgress())
                         .startsWith("ended 1 0 CONNECT_FAILED closed true");
                 untilFree(node);
             }
--- a/src/test/java/cresschute/node/Peer.java
+++ b/src/test/java/cresschute/node/Peer.java
@@ -168,17 +168,17 @@
         }
     }
 
-    boolean hasNews() throws IOException {
+    boolean hasUnreadBytes() throws IOException {
         return socket.getInputStream().available() > 0;
     }
 
     /** Sends no more, and goes on reading. */
-    void endSending() throws IOException {
+    void shutdownOutput() throws IOException {
         socket.shutdownOutput();
     }
 
     /** Ends the connection as a client does that has gone. */
-    void leave() throws IOException {
+    void disconnect() throws IOException {
         socket.close();
     }
 
--- a/src/test/java/cresschute/node/SettingsCrossingRulesTest.java
+++ b/src/test/java/cresschute/node/SettingsCrossingRulesTest.java
@@ -36,7 +36,7 @@
             assertThat(client.read()).as(what).startsWith("HTTP/1.1 100");
             final String text = node.configText().replace(from, to);
             node.server.reload(() -> NodeConfigParser.parse(text, java.util.Map.of()));
-            assertThat(node.event()).startsWith("retuned");
+            assertThat(node.event()).startsWith("settings changed");
             client.write("body");
             if (then.startsWith("requested")) {
                 assertThat(node.event()).startsWith(then);
@@ -62,7 +62,7 @@
                     node.configText()
                             .replace("\"idempotency\":\"pure\"", "\"idempotency\":\"side_effect\"");
             node.server.reload(() -> NodeConfigParser.parse(text, java.util.Map.of()));
-            assertThat(node.event()).startsWith("retuned");
+            assertThat(node.event()).startsWith("settings changed");
             client.write("POST /check HTTP/1.1\r\nX-Request-Id: r2\r\nContent-Length: 0\r\n\r\n");
             assertThat(node.event()).isEqualTo("requested 2 class 2 key 0");
             node.act(actions -> actions.send(2, 0, Long.MAX_VALUE));
@@ -85,7 +85,7 @@
             assertThat(node.event()).isEqualTo("requested 2 class 0 key 42");
             // The same name has another place, and no other setting has changed its meaning.
             reload(node, text -> SHARED.apply(text).replace("alpha", "gamma"));
-            assertThat(node.event()).startsWith("retuned");
+            assertThat(node.event()).startsWith("settings changed");
             client.write(request("r3", "X-Tenant: gamma\r\n", ""));
             assertThat(node.event()).isEqualTo("requested 3 class 0 key 42");
         }
--- a/src/test/java/cresschute/node/SettingsReloadRulesTest.java
+++ b/src/test/java/cresschute/node/SettingsReloadRulesTest.java
@@ -62,7 +62,7 @@
                             .replace(
                                     "\"retryAfter\":true",
                                     "\"retryAfter\":true,\"maxAttempts\":2"));
-            assertThat(node.event()).isEqualTo("retuned 3 classes, attempts 2");
+            assertThat(node.event()).isEqualTo("settings changed: 3 classes, attempts 2");
             late.write(post("report", "r2"));
             assertThat(node.event()).isEqualTo("requested 2 class 2 key 42");
             // A class that is gone is none: nothing new is taken for it.
--- a/src/test/java/cresschute/node/TestNode.java
+++ b/src/test/java/cresschute/node/TestNode.java
@@ -232,9 +232,9 @@
     }
 
     /** The next event that is not a note of progress. */
-    String eventBesideProgress() throws InterruptedException {
+    String eventExceptProgress() throws InterruptedException {
         final String event = event();
-        return event != null && event.startsWith("progressed") ? eventBesideProgress() : event;
+        return event != null && event.startsWith("progressed") ? eventExceptProgress() : event;
     }
 
     void act(Consumer<DispatcherActions> action) {
@@ -347,7 +347,7 @@
 
         @Override
         public void loadReported(long nowUs, int workerId, Outcome outcome, LoadReport report) {
-            events.add("probed " + outcome + " load " + report.freeSlots());
+            events.add("load reported " + outcome + " load " + report.freeSlots());
         }
 
         @Override
@@ -357,13 +357,13 @@
 
         @Override
         public void timerFired(long nowUs, long token) {
-            events.add("woken " + token);
+            events.add("timer fired " + token);
         }
 
         @Override
         public void settingsChanged(long nowUs, DispatchSettings settings) {
             events.add(
-                    "retuned "
+                    "settings changed: "
                             + settings.classes().size()
                             + " classes, attempts "
                             + settings.limits().maxAttempts());
--- a/src/test/java/cresschute/node/WorkerSocketRulesTest.java
+++ b/src/test/java/cresschute/node/WorkerSocketRulesTest.java
@@ -263,7 +263,7 @@
             worker.write(
                     answer(status, "", status.startsWith("200") ? "{\"queue\":0,\"x0\":2}" : ""));
             node.event();
-            assertThat(node.event()).isEqualTo("probed " + told);
+            assertThat(node.event()).isEqualTo("load reported " + told);
         }
     }
 }
