--- a/src/main/java/cresschute/node/http/BodyTransfer.java
+++ b/src/main/java/cresschute/node/http/BodyTransfer.java
@@ -37,9 +37,9 @@
     private int pendingWrites;
 
     private boolean lastWritten;
-    private long notifiedUs = NEVER_US;
+    private long lastNotifiedUs = NEVER_US;
     private boolean writing;
-    private boolean over;
+    private boolean ended;
 
     BodyTransfer(StreamedBody body, BodyTransferListener listener) {
         this.body = body;
@@ -72,7 +72,7 @@
 
     /** Writes what there is, as long as the channel is writable. */
     void resume() {
-        if (channel == null || over || writing) {
+        if (channel == null || ended || writing) {
             return;
         }
         if (isAborted()) {
@@ -82,7 +82,7 @@
         }
         writing = true;
         writePieces();
-        if (!over && !lastWritten && reader.hasReadAll()) {
+        if (!ended && !lastWritten && reader.hasReadAll()) {
             lastWritten = true;
             channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT)
                     .addListener(this::lastPieceWritten);
@@ -92,7 +92,7 @@
     }
 
     private void writePieces() {
-        while (channel.isWritable() && !over) {
+        while (channel.isWritable() && !ended) {
             final ByteBuf piece = reader.next();
             if (piece == null) {
                 return;
@@ -106,7 +106,7 @@
 
     private void pieceWritten(Future<? super Void> write, int count) {
         pendingWrites--;
-        if (over) {
+        if (ended) {
             return;
         }
         if (!write.isSuccess()) {
@@ -122,7 +122,7 @@
     }
 
     private void lastPieceWritten(Future<? super Void> write) {
-        if (over) {
+        if (ended) {
             return;
         }
         stop();
@@ -135,8 +135,8 @@
 
     private void notifyProgress() {
         final long nowUs = StreamedBody.nowUs();
-        if (nowUs - notifiedUs >= PROGRESS_INTERVAL_US) {
-            notifiedUs = nowUs;
+        if (nowUs - lastNotifiedUs >= PROGRESS_INTERVAL_US) {
+            lastNotifiedUs = nowUs;
             listener.transferProgressed();
         }
     }
@@ -146,20 +146,20 @@
      * it waits for. Called by the sweep, a few times a second.
      */
     void checkPeerRate() {
-        if (!over && peerMonitor.isTooSlow(StreamedBody.nowUs())) {
+        if (!ended && peerMonitor.isTooSlow(StreamedBody.nowUs())) {
             body.owner()
                     .reportTooSlow(String.valueOf(channel.remoteAddress()), "it took too little");
             stop();
             listener.peerTooSlow();
-        } else if (!over && channel != null && pendingWrites == 0) {
+        } else if (!ended && channel != null && pendingWrites == 0) {
             notifyProgress();
         }
     }
 
     /** Writes no more, and notifies no end. Any number of times. */
     void stop() {
-        if (!over) {
-            over = true;
+        if (!ended) {
+            ended = true;
             if (reader != null) {
                 reader.detach();
             }
--- a/src/main/java/cresschute/node/http/ClientConnection.java
+++ b/src/main/java/cresschute/node/http/ClientConnection.java
@@ -33,10 +33,10 @@
     private RequestAssembler assembler;
 
     /** Whether a request was submitted here before. */
-    private boolean proven;
+    private boolean submittedRequest;
 
     /** Since when the client is to act; bytes that make no whole request do not count. */
-    private long clientTurnNs = System.nanoTime();
+    private long waitingForClientSinceNs = System.nanoTime();
 
     ClientConnection(ClientListener listener) {
         this.listener = listener;
@@ -46,7 +46,7 @@
     public void handlerAdded(ChannelHandlerContext ctx) {
         context = ctx;
         closer = new ConnectionCloser(ctx);
-        submitter = new RequestSubmitter(listener, () -> proven = true);
+        submitter = new RequestSubmitter(listener, () -> submittedRequest = true);
         responses = new ResponseQueue(this, submitter);
         assembler = new RequestAssembler(this, responses, submitter);
     }
@@ -128,14 +128,14 @@
 
     /** The first bytes of a request arrived. */
     void requestStarted() {
-        if (responses.isEmpty() && proven) {
-            clientTurnNs = System.nanoTime();
+        if (responses.isEmpty() && submittedRequest) {
+            waitingForClientSinceNs = System.nanoTime();
         }
     }
 
     /** All responses that can be written are. */
     void responsesFlushed() {
-        clientTurnNs = System.nanoTime();
+        waitingForClientSinceNs = System.nanoTime();
         listener.connections().responseWritten();
     }
 
@@ -166,13 +166,13 @@
     }
 
     /** Whether a request that could be used has arrived here before. */
-    boolean isProven() {
-        return proven;
+    boolean hasSubmittedRequest() {
+        return submittedRequest;
     }
 
     /** Whether it may be closed to stay within the limit: the client is to act, not the node. */
     boolean isEvictable() {
-        return isIdle() || (!proven && assembler.isReading() && responses.size() == 1);
+        return isIdle() || (!submittedRequest && assembler.isReading() && responses.size() == 1);
     }
 
     /**
@@ -184,8 +184,8 @@
     }
 
     /** For how long the client has been the one to act, ns. */
-    long waitedNs() {
-        return System.nanoTime() - clientTurnNs;
+    long waitedForClientNs() {
+        return System.nanoTime() - waitingForClientSinceNs;
     }
 
     // ---- Called by the registry, the sweep and responses ----
--- a/src/main/java/cresschute/node/http/ClientConnectionRegistry.java
+++ b/src/main/java/cresschute/node/http/ClientConnectionRegistry.java
@@ -28,14 +28,16 @@
     private static final long IDLE_MS = 300_000;
 
     /** How long such a connection may take for the rest of a request, or to read a response, ms. */
-    private static final long PARTIAL_MS = 2_500;
+    private static final long REQUEST_OR_RESPONSE_MS = 2_500;
 
     /** How long any may take while connections are closed after their responses, ms. */
     private static final long CLOSING_MS = 2_000;
 
-    private static final Comparator<ClientConnection> UNPROVEN_THEN_LONGEST_WAITING =
-            Comparator.comparing(ClientConnection::isProven)
-                    .thenComparing(Comparator.comparingLong(ClientConnection::waitedNs).reversed());
+    private static final Comparator<ClientConnection> WITHOUT_REQUEST_THEN_LONGEST_WAITING =
+            Comparator.comparing(ClientConnection::hasSubmittedRequest)
+                    .thenComparing(
+                            Comparator.comparingLong(ClientConnection::waitedForClientNs)
+                                    .reversed());
 
     private final EventLoop loop;
     private final ClientListener listener;
@@ -107,7 +109,7 @@
         final List<ClientConnection> candidates =
                 connections.stream()
                         .filter(other -> other != newest && other.isEvictable())
-                        .sorted(UNPROVEN_THEN_LONGEST_WAITING)
+                        .sorted(WITHOUT_REQUEST_THEN_LONGEST_WAITING)
                         .toList();
         for (final ClientConnection candidate : candidates) {
             candidate.readNow();
@@ -132,10 +134,10 @@
 
     /** Closes connections whose client takes too long; called a few times a second. */
     void sweep() {
-        List.copyOf(connections).forEach(this::check);
+        List.copyOf(connections).forEach(this::closeIfTooSlow);
     }
 
-    private void check(ClientConnection connection) {
+    private void closeIfTooSlow(ClientConnection connection) {
         if (connection.isStreaming()) {
             return;
         }
@@ -145,7 +147,8 @@
             return;
         }
         if (connection.isWaitingForClient()
-                && connection.waitedNs() > TimeUnit.MILLISECONDS.toNanos(maxWaitMs(connection))) {
+                && connection.waitedForClientNs()
+                        > TimeUnit.MILLISECONDS.toNanos(maxWaitMs(connection))) {
             connection.close();
         }
     }
@@ -154,9 +157,9 @@
         if (listener.isClosing()) {
             return CLOSING_MS;
         }
-        if (!connection.isProven()) {
+        if (!connection.hasSubmittedRequest()) {
             return FIRST_REQUEST_MS;
         }
-        return connection.isIdle() ? IDLE_MS : PARTIAL_MS;
+        return connection.isIdle() ? IDLE_MS : REQUEST_OR_RESPONSE_MS;
     }
 }
--- a/src/main/java/cresschute/node/http/ClientListener.java
+++ b/src/main/java/cresschute/node/http/ClientListener.java
@@ -61,7 +61,7 @@
     private Channel serverChannel;
 
     /** Whether the listening socket is the platform's, which is never closed here. */
-    private boolean passed;
+    private boolean hasPassedSocket;
 
     private boolean notReady;
     private boolean stoppedListening;
@@ -87,12 +87,12 @@
         this.bodies =
                 config.bodies() == null ? null : new StreamedBodies(config.bodies(), lifecycle);
         applySettings(
-                numbered(config.classes()),
+                numbersByName(config.classes()),
                 config.settings().classes(),
                 config.settings().tenants());
     }
 
-    private static Map<String, Integer> numbered(List<String> classNames) {
+    private static Map<String, Integer> numbersByName(List<String> classNames) {
         final Map<String, Integer> numbers = new HashMap<>();
         classNames.forEach(name -> numbers.put(name, numbers.size()));
         return numbers;
@@ -126,9 +126,9 @@
     public ChannelFuture listen(
             EventLoopGroup group, InetSocketAddress addr, ServerSocketChannel passedSocket) {
         loop.scheduleWithFixedDelay(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
-        passed = passedSocket != null;
+        hasPassedSocket = passedSocket != null;
         final ServerBootstrap bootstrap = new ServerBootstrap().group(group);
-        if (passed) {
+        if (hasPassedSocket) {
             bootstrap.channelFactory(() -> new NioServerSocketChannel(passedSocket));
         } else {
             bootstrap
@@ -153,7 +153,7 @@
                             }
                         });
         // A passed socket is bound: registering it with the loop is all that is left.
-        final ChannelFuture bound = passed ? bootstrap.register() : bootstrap.bind(addr);
+        final ChannelFuture bound = hasPassedSocket ? bootstrap.register() : bootstrap.bind(addr);
         serverChannel = bound.channel();
         return bound;
     }
@@ -172,7 +172,7 @@
 
     /** Whether the clients' listening socket is the platform's, held over an upgrade. */
     public boolean usesPassedSocket() {
-        return passed;
+        return hasPassedSocket;
     }
 
     /** Connections from clients that are open. */
@@ -207,7 +207,7 @@
         if (serverChannel == null) {
             return;
         }
-        if (passed) {
+        if (hasPassedSocket) {
             // Out of this loop's selector, which also keeps the loop's end from closing it.
             serverChannel.config().setAutoRead(false);
             serverChannel.deregister();
--- a/src/main/java/cresschute/node/http/PendingResponse.java
+++ b/src/main/java/cresschute/node/http/PendingResponse.java
@@ -65,7 +65,7 @@
     }
 
     /** The response to a request of which the head was read. */
-    static PendingResponse to(HttpRequest request, ClientConnection connection) {
+    static PendingResponse forRequest(HttpRequest request, ClientConnection connection) {
         return new PendingResponse(
                 connection,
                 HttpUtil.isKeepAlive(request),
@@ -73,14 +73,14 @@
     }
 
     /** The response to bytes that are no request; the connection ends with it. */
-    static PendingResponse toMalformedRequest(ClientConnection connection) {
+    static PendingResponse forMalformedRequest(ClientConnection connection) {
         return new PendingResponse(connection, false, false);
     }
 
     // ---- The request ----
 
     /** The request's body is streamed, by this receiver. */
-    void receiveBodyBy(StreamedBodyReceiver bodyReceiver) {
+    void setBodyReceiver(StreamedBodyReceiver bodyReceiver) {
         receiver = bodyReceiver;
     }
 
--- a/src/main/java/cresschute/node/http/RequestAssembler.java
+++ b/src/main/java/cresschute/node/http/RequestAssembler.java
@@ -87,7 +87,7 @@
     /** What cannot be read ends the connection now, whatever responses are due before it. */
     private void rejectMalformed() {
         if (current == null) {
-            current = PendingResponse.toMalformedRequest(connection);
+            current = PendingResponse.forMalformedRequest(connection);
             responses.add(current);
         }
         if (responses.size() > 1 || responses.isStreaming()) {
@@ -117,7 +117,7 @@
         }
         connection.requestStarted();
         request = next;
-        current = PendingResponse.to(next, connection);
+        current = PendingResponse.forRequest(next, connection);
         responses.add(current);
         head = null;
         buffer.clear();
@@ -155,7 +155,7 @@
             return;
         }
         if (isReadinessCheck(next.uri())) {
-            current.complete(readiness(next.method()));
+            current.complete(readinessStatus(next.method()));
             return;
         }
         try {
@@ -188,7 +188,7 @@
         return (pathEnd < 0 ? uri : uri.substring(0, pathEnd)).equals(READY_PATH);
     }
 
-    private HttpResponseStatus readiness(HttpMethod method) {
+    private HttpResponseStatus readinessStatus(HttpMethod method) {
         if (!method.equals(HttpMethod.GET)) {
             return HttpResponseStatus.METHOD_NOT_ALLOWED;
         }
@@ -208,17 +208,17 @@
                 buffer.add(content);
                 return;
             }
-            if (!streamBuffered()) {
+            if (!streamBufferedBody()) {
                 return;
             }
         }
         if (!receiver.receive(content, maxBodyBytes())) {
-            giveUpBody(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, tooLarge(maxBodyBytes()));
+            abortBody(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, tooLargeMessage(maxBodyBytes()));
         }
     }
 
     /** A chunked body outgrows the buffer: it is streamed from here on, where its class allows. */
-    private boolean streamBuffered() {
+    private boolean streamBufferedBody() {
         final long maxBytes =
                 head == null || current.isComplete() ? RequestBodyBuffer.MAX_BYTES : maxBodyBytes();
         if (maxBytes <= RequestBodyBuffer.MAX_BYTES) {
@@ -233,10 +233,11 @@
     }
 
     private void rejectTooLarge(long maxBytes) {
-        current.failAndClose(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, tooLarge(maxBytes));
+        current.failAndClose(
+                HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, tooLargeMessage(maxBytes));
     }
 
-    private static String tooLarge(long maxBytes) {
+    private static String tooLargeMessage(long maxBytes) {
         return "body over " + maxBytes / KIB + " KiB";
     }
 
@@ -261,7 +262,7 @@
             return false;
         }
         receiver = next;
-        current.receiveBodyBy(next);
+        current.setBodyReceiver(next);
         next.start(body);
         return true;
     }
@@ -273,7 +274,7 @@
     }
 
     /** Gives up a streamed body for its client's fault, whether its request is submitted or not. */
-    private void giveUpBody(HttpResponseStatus status, String reason) {
+    private void abortBody(HttpResponseStatus status, String reason) {
         final boolean isResultStreaming = current.isStreaming();
         current.clientLeft();
         if (isResultStreaming) {
@@ -299,7 +300,7 @@
             return;
         }
         final PendingResponse response = endCurrent();
-        if (head != null && !response.isComplete() && parseAnew(response)) {
+        if (head != null && !response.isComplete() && reparseIfSettingsChanged(response)) {
             submitter.submitOrQueue(response, head, buffer.take(), responses.size());
         }
         request = null;
@@ -317,7 +318,7 @@
      *
      * @return whether the request is valid by these
      */
-    private boolean parseAnew(PendingResponse response) {
+    private boolean reparseIfSettingsChanged(PendingResponse response) {
         if (listener.parser() == parser) {
             return true;
         }
@@ -363,7 +364,7 @@
     void checkSenderRate() {
         if (receiver.isSenderTooSlow()) {
             listener.bodies().reportTooSlow(connection.clientAddress(), "it sent too little");
-            giveUpBody(HttpResponseStatus.REQUEST_TIMEOUT, "the body came too slowly");
+            abortBody(HttpResponseStatus.REQUEST_TIMEOUT, "the body came too slowly");
         }
     }
 
--- a/src/main/java/cresschute/node/http/RequestHeadParser.java
+++ b/src/main/java/cresschute/node/http/RequestHeadParser.java
@@ -42,20 +42,20 @@
     private static final int NO_TENANTS = 0;
     private static final int NO_DATA_KEY = 0;
 
-    private final Map<String, Integer> numbers;
+    private final Map<String, Integer> classNumbers;
     private final List<RequestClass> classes;
     private final List<Tenant> tenants;
 
     /**
      * A parser for these settings.
      *
-     * @param numbers the number of each class that new requests may be of, by name
+     * @param classNumbers the number of each class that new requests may be of, by name
      * @param classes all classes by number
      * @param tenants empty where the settings have none
      */
     RequestHeadParser(
-            Map<String, Integer> numbers, List<RequestClass> classes, List<Tenant> tenants) {
-        this.numbers = Map.copyOf(numbers);
+            Map<String, Integer> classNumbers, List<RequestClass> classes, List<Tenant> tenants) {
+        this.classNumbers = Map.copyOf(classNumbers);
         this.classes = classes;
         this.tenants = tenants;
     }
@@ -101,7 +101,7 @@
 
     private int requestClass(String path) throws InvalidRequestHeadException {
         final int end = path.indexOf('/', 1);
-        final Integer number = numbers.get(path.substring(1, end < 0 ? path.length() : end));
+        final Integer number = classNumbers.get(path.substring(1, end < 0 ? path.length() : end));
         if (number == null) {
             throw new InvalidRequestHeadException(HttpResponseStatus.NOT_FOUND, "no such class");
         }
--- a/src/main/java/cresschute/node/http/StreamedBodyReceiver.java
+++ b/src/main/java/cresschute/node/http/StreamedBodyReceiver.java
@@ -80,17 +80,17 @@
         if (body.isBeyondSpool()) {
             submitRequest.run();
         }
-        requestRead();
+        requestNextRead();
     }
 
     /** There may be capacity again; called by the body. */
     void capacityFreed() {
         if (receiving && !readPending) {
-            requestRead();
+            requestNextRead();
         }
     }
 
-    private void requestRead() {
+    private void requestNextRead() {
         if (!receiving) {
             return;
         }
--- a/src/test/java/cresschute/node/AnsweringWorker.java
+++ b/src/test/java/cresschute/node/AnsweringWorker.java
@@ -19,13 +19,13 @@
     private static final Pattern ID = Pattern.compile("(?i)\r\nx-request-id: *(\\S+)");
 
     final ServerSocket server;
-    private final boolean holding;
+    private final boolean withholdingResponses;
     private final List<Peer> connections = new CopyOnWriteArrayList<>();
     private final AtomicInteger jobs = new AtomicInteger();
 
     /** Listens on a free port, at all loopback addresses. */
-    AnsweringWorker(boolean holding) throws IOException {
-        this.holding = holding;
+    AnsweringWorker(boolean withholdingResponses) throws IOException {
+        this.withholdingResponses = withholdingResponses;
         server = new ServerSocket(0, BACKLOG, InetAddress.getByName("0.0.0.0"));
         start(this::accept);
     }
@@ -57,7 +57,7 @@
                     continue;
                 }
                 jobs.incrementAndGet();
-                if (!holding) {
+                if (!withholdingResponses) {
                     final Matcher id = ID.matcher(request);
                     peer.write(
                             TestNode.answer(
--- a/src/test/java/cresschute/node/ClientCloseCrossingRulesTest.java
+++ b/src/test/java/cresschute/node/ClientCloseCrossingRulesTest.java
@@ -23,7 +23,7 @@
      * for nobody.
      */
     @Test
-    void sendsNothingForAClientWhoseEndCameWithItsRequest() throws Exception {
+    void sendsNothingForClientThatClosesRightAfterItsRequest() throws Exception {
         try (TestNode node = new TestNode()) {
             final Peer client = node.client().write(request("r1", "", ""));
             assertThat(node.event()).startsWith("requested 1");
@@ -46,7 +46,7 @@
      */
     @ParameterizedTest
     @EnumSource
-    void sendsNothingOnAKeptConnectionForAClientWhoseCloseIsUnread(Close close) throws Exception {
+    void sendsNothingOnIdleConnectionWhileCloseOfClientIsUnread(Close close) throws Exception {
         try (TestNode node = new TestNode(HOLDS);
                 Peer client = node.client();
                 Peer next = node.client()) {
@@ -66,7 +66,7 @@
 
     /** The same for a further attempt, chosen while the one before is out. */
     @Test
-    void sendsNoFurtherAttemptForAClientWhoseCloseIsUnread() throws Exception {
+    void sendsNoFurtherAttemptWhileCloseOfClientIsUnread() throws Exception {
         try (TestNode node = new TestNode();
                 Peer client = node.client()) {
             client.write(request("r1", "", ""));
@@ -87,7 +87,7 @@
      */
     @ParameterizedTest
     @EnumSource
-    void sendsNothingOnANewConnectionForAClientWhoseCloseIsUnread(Close close) throws Exception {
+    void sendsNothingOnNewConnectionWhileCloseOfClientIsUnread(Close close) throws Exception {
         try (TestNode node = patient(SENDS);
                 Peer client = node.client()) {
             fill(node.worker);
@@ -112,7 +112,7 @@
      * else.
      */
     @Test
-    void takesAHalfCloseForLeavingAndServesOthers() throws Exception {
+    void treatsHalfCloseAsCloseAndServesOtherClients() throws Exception {
         try (TestNode node = new TestNode(HOLDS);
                 Peer client = node.client();
                 Peer other = node.client()) {
@@ -131,7 +131,7 @@
     /** With 16 requests taken, reading was paused, and nobody saw that the client had left. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void seesAClientLeaveThatHasSentMoreThanIsTakenAhead(boolean resets) throws Exception {
+    void noticesCloseOfClientWithQueuedRequests(boolean resets) throws Exception {
         try (TestNode node = new TestNode(HOLDS)) {
             final Peer client = node.client();
             for (int i = 1; i <= 16; i++) {
@@ -156,7 +156,7 @@
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void sendsNothingForAClientWhoseReadingIsPausedForWantOfRoom(boolean connecting)
+    void sendsNothingWhileReadingOfClientIsPausedForLackOfCapacity(boolean connecting)
             throws Exception {
         final Bodies bodies =
                 LongBodyNode.bodies(new ClassBodies(8L << 20, 1024, 20_000_000, false, false));
@@ -193,7 +193,7 @@
     }
 
     @Test
-    void takesWhatWaitsBehindOthersInOrderOnceThereIsPlace() throws Exception {
+    void submitsQueuedRequestsInOrderAsOthersComplete() throws Exception {
         try (TestNode node = new TestNode(HOLDS);
                 Peer client = node.client()) {
             for (int i = 1; i <= 18; i++) {
@@ -213,23 +213,23 @@
 
     /** One client's flood is rejected or closed on, and others are served. */
     @Test
-    void endsAFloodOfRequestsWithoutAnswers() throws Exception {
+    void closesConnectionWithTooManyUnansweredRequests() throws Exception {
         try (TestNode node = new TestNode(HOLDS);
-                Peer flood = node.client();
-                Peer usual = node.client()) {
+                Peer flooding = node.client();
+                Peer other = node.client()) {
             final StringBuilder requests = new StringBuilder();
             for (int i = 0; i <= 120; i++) {
                 requests.append(request("f" + i, "", ""));
             }
             try {
-                flood.write(requests.toString());
+                flooding.write(requests.toString());
             } catch (IOException e) {
                 // Closed on before all of it was written.
             }
-            assertThat(flood.readToEnd())
+            assertThat(flooding.readToEnd())
                     .satisfiesAnyOf(
                             end -> assertThat(end).isNull(), end -> assertThat(end).isEmpty());
-            usual.write(request("r1", "", ""));
+            other.write(request("r1", "", ""));
             assertThat(eventStarting(node, "requested 17")).startsWith("requested 17");
         }
     }
--- a/src/test/java/cresschute/node/ClientSocketRulesTest.java
+++ b/src/test/java/cresschute/node/ClientSocketRulesTest.java
@@ -19,7 +19,7 @@
 class ClientSocketRulesTest extends SocketFixture {
 
     @Test
-    void takesRequestAtItsLastByteOnly() throws Exception {
+    void submitsRequestOnlyAtItsLastByte() throws Exception {
         try (TestNode node = new TestNode();
                 Peer client = node.client();
                 Peer other = node.client()) {
@@ -38,7 +38,7 @@
      * the new one.
      */
     @Test
-    void makesRoomForNewClientsByTheLongestIdle() throws Exception {
+    void evictsConnectionWithoutRequestAtConnectionLimit() throws Exception {
         try (TestNode node = new TestNode((actions, request) -> actions.reject(request, 0));
                 Peer oldest = node.client();
                 Peer quiet = node.client()) {
@@ -57,7 +57,7 @@
      * One client that said an hour made the module take all others of the class for late retries.
      */
     @Test
-    void waitsNoLongerThanTheClassAllows() throws Exception {
+    void capsDeadlineHeaderAtDeadlineOfClass() throws Exception {
         try (TestNode node = new TestNode();
                 Peer client = node.client()) {
             client.write(request("r1", "X-Deadline: 999999999m\r\n", ""));
@@ -77,7 +77,7 @@
                 "POST /check HTTP/1.1\r\nX-Request-Id: r\r\nContent-Length: 9\r\n\r\n1",
                 "GET /health/ready HTTP/1.1\r\n\r\n"
             })
-    void closesOnClientsThatBringNoRequest(String part) throws Exception {
+    void closesConnectionsWithoutSubmittedRequest(String part) throws Exception {
         try (TestNode node = new TestNode((actions, request) -> actions.reject(request, 0));
                 Peer usual = node.client()) {
             usual.write(request("r1", "", "")).read();
@@ -97,7 +97,7 @@
      * A client under another's id had both rejected by the workers, which then counted as unwell.
      */
     @Test
-    void refusesAnIdThatIsInUse() throws Exception {
+    void rejectsRequestIdThatIsInUse() throws Exception {
         try (TestNode node = new TestNode();
                 Peer client = node.client();
                 Peer other = node.client()) {
@@ -116,7 +116,7 @@
      * Otherwise such a client hears nothing until the request before is done, which may take 25 s.
      */
     @Test
-    void closesAtOnceOnWhatItCannotReadBehindAnOpenRequest() throws Exception {
+    void closesAtOnceOnMalformedRequestBehindOpenOne() throws Exception {
         try (TestNode node = new TestNode();
                 Peer client = node.client()) {
             client.write(request("r1", "", "") + "what\r\n\r\n");
@@ -127,7 +127,7 @@
     }
 
     @Test
-    void answersRequestsReadAheadInOrderAlsoAtAStop() throws Exception {
+    void answersPipelinedRequestsInOrderDuringShutdown() throws Exception {
         try (TestNode node = new TestNode();
                 Peer client = node.client()) {
             client.write(request("r1", "", "") + request("r2", "", ""));
@@ -145,7 +145,7 @@
     }
 
     @Test
-    void givesUpOnSilenceAndCloses() throws Exception {
+    void timesOutSilentWorkerAndClosesItsConnection() throws Exception {
         try (TestNode node = new TestNode(200_000);
                 Peer client = node.client()) {
             client.write(request("r1", "", ""));
@@ -159,7 +159,7 @@
     }
 
     @Test
-    void refusesAtOnceWithAdvice() throws Exception {
+    void rejectsAtOnceWithRetryAfter() throws Exception {
         try (TestNode node =
                         new TestNode((actions, request) -> actions.reject(request, 2_000_000));
                 Peer client = node.client()) {
@@ -169,7 +169,7 @@
     }
 
     @Test
-    void goesOnWithAttemptsOfClientThatLeft() throws Exception {
+    void keepsAttemptRunningAfterItsClientLeft() throws Exception {
         try (TestNode node = new TestNode()) {
             final Peer client = node.client().write(request("r1", "", ""));
             final Peer worker = node.worker();
@@ -186,20 +186,20 @@
     void isReadyOnceAWorkerIsKnown() throws Exception {
         try (TestNode node = new TestNode((actions, request) -> {}, false);
                 Peer client = node.client()) {
-            final String ask = "GET /health/ready HTTP/1.1\r\nHost: api\r\n\r\n";
-            assertThat(client.write(ask).read()).startsWith("HTTP/1.1 503");
+            final String readinessCheck = "GET /health/ready HTTP/1.1\r\nHost: api\r\n\r\n";
+            assertThat(client.write(readinessCheck).read()).startsWith("HTTP/1.1 503");
             node.act(actions -> actions.pollEndpointList());
             final Peer discovery = node.discovery();
             discovery.read();
             discovery.write(
                     answer("200 OK", "", list(2, true, entry("s-1", node.worker, "SERVING"))));
             assertThat(discovery.read()).contains("since=2&");
-            assertThat(client.write(ask).read()).startsWith("HTTP/1.1 200");
+            assertThat(client.write(readinessCheck).read()).startsWith("HTTP/1.1 200");
         }
     }
 
     @Test
-    void servesOnAfterAStopAndAnswersAllItTook() throws Exception {
+    void servesNewAndOpenRequestsDuringShutdown() throws Exception {
         try (TestNode node = new TestNode();
                 Peer early = node.client();
                 Peer idle = node.client()) {
@@ -244,7 +244,8 @@
                     405 | POST /health/ready | Host: a;Content-Length: 0
                     413 | POST /check | Host: a;X-Request-Id: r;Content-Length: 65537
                     """)
-    void answersBadInputByAStatus(int status, String line, String headers) throws Exception {
+    void answersInvalidRequestWithErrorStatus(int status, String line, String headers)
+            throws Exception {
         try (TestNode node = new TestNode();
                 Peer client = node.client();
                 Peer next = node.client()) {
@@ -257,7 +258,7 @@
     }
 
     @Test
-    void refusesABodyThatGrowsTooLarge() throws Exception {
+    void rejectsChunkedBodyOverLimit() throws Exception {
         try (TestNode node = new TestNode();
                 Peer client = node.client()) {
             client.write(
@@ -301,7 +302,7 @@
                     POST /check HTTP/11         | X-Request-Id: r1                                  | 400
                     POST /check                 | X-Request-Id: r1                                  | 400
                     """)
-    void answersErrorToHeadThatSaysOneThingTwice(String start, String headers, String status)
+    void rejectsDuplicateHeadersAndUnsupportedVersions(String start, String headers, String status)
             throws Exception {
         try (TestNode node = new TestNode();
                 Peer client = node.client()) {
@@ -318,7 +319,7 @@
     /** The versions that the node speaks are served. */
     @ParameterizedTest
     @ValueSource(strings = {"HTTP/1.1", "HTTP/1.0"})
-    void servesTheVersionsItSpeaks(String version) throws Exception {
+    void servesSupportedHttpVersions(String version) throws Exception {
         try (TestNode node = new TestNode();
                 Peer client = node.client()) {
             client.write(request("r1", "", "").replace("HTTP/1.1", version));
--- a/src/test/java/cresschute/node/DescriptorLimitTest.java
+++ b/src/test/java/cresschute/node/DescriptorLimitTest.java
@@ -33,7 +33,7 @@
     private static final DescriptorBudget SHARES = DescriptorBudget.of(DESCRIPTORS, true);
 
     /** Operators that call at a time, more than are held. */
-    private static final int CALLERS = 40;
+    private static final int MANAGEMENT_CALLERS = 40;
 
     private static final int WORKERS = 40;
     private static final Duration MAX_WAIT = Duration.ofSeconds(20);
@@ -44,14 +44,14 @@
     private InetSocketAddress address;
     private InetSocketAddress management;
     private final List<Peer> clients = new ArrayList<>();
-    private int maxOpen;
+    private int maxOpenDescriptors;
 
-    private void start(int discovery, String known) throws Exception {
+    private void start(int discovery, String endpointList) throws Exception {
         final Path config = folder.resolve("config.json");
         try (ServerSocket none = Peer.listen()) {
             Files.writeString(
                     config,
-                    TestNode.config(none, known)
+                    TestNode.config(none, endpointList)
                             .replace(
                                     "\"limits\":{\"sockets\":200}",
                                     "\"limits\":{\"sockets\":" + DESCRIPTORS + "}"));
@@ -84,67 +84,67 @@
         }
     }
 
-    private static String known(AnsweringWorker worker) {
+    private static String endpointListOf(AnsweringWorker worker) {
         return TestNode.list(1, true, TestNode.entry("s-1", worker.server, "SERVING"));
     }
 
     /** Notes what the process holds, which is never more than it may. */
-    private void count() throws IOException {
-        maxOpen = Math.max(maxOpen, node.openDescriptors());
-        assertThat(maxOpen).as("open descriptors").isLessThan(DESCRIPTORS);
+    private void recordOpenDescriptors() throws IOException {
+        maxOpenDescriptors = Math.max(maxOpenDescriptors, node.openDescriptors());
+        assertThat(maxOpenDescriptors).as("open descriptors").isLessThan(DESCRIPTORS);
     }
 
     /** Clients that connect and send nothing, more than the node has descriptors for. */
-    private void rest() throws IOException {
+    private void openIdleClients() throws IOException {
         for (int i = 0; i < 2 * DESCRIPTORS; i++) {
             clients.add(Peer.connect(address));
             if (i % 20 == 0) {
-                count();
+                recordOpenDescriptors();
             }
         }
-        count();
+        recordOpenDescriptors();
     }
 
-    private void isServed(String id) throws IOException {
+    private void assertServed(String id) throws IOException {
         try (Peer client = Peer.connect(address)) {
             client.write(TestNode.request(id, "", ""));
             assertThat(client.read()).startsWith("HTTP/1.1 200").endsWith("\r\n\r\nyes");
         }
-        count();
+        recordOpenDescriptors();
     }
 
-    private void operatorsAreAnswered() throws Exception {
+    private void assertOperatorsAnswered() throws Exception {
         try (Peer operator = Peer.connect(management)) {
             assertThat(operator.write("ready\n").readLine()).isEqualTo("200 ready");
         }
         node.awaitLine("operators call: ready");
-        count();
+        recordOpenDescriptors();
     }
 
     @Test
-    void restingClientsLeaveTheOthersTheirDescriptors() throws Exception {
+    void idleClientsLeaveDescriptorsForOtherConnections() throws Exception {
         final int port;
         try (ServerSocket discovery = Peer.listen()) {
             port = discovery.getLocalPort();
         }
         try (AnsweringWorker first = new AnsweringWorker(false);
                 AnsweringWorker second = new AnsweringWorker(false)) {
-            start(port, known(first));
+            start(port, endpointListOf(first));
             try {
-                rest();
-                isServed("r1");
-                rest();
-                operatorsAreAnswered();
+                openIdleClients();
+                assertServed("r1");
+                openIdleClients();
+                assertOperatorsAnswered();
                 // Discovery is down: each call takes a descriptor and gives it back.
-                rest();
+                openIdleClients();
                 node.awaitLine("discovery call failed");
-                rest();
+                openIdleClients();
                 try (ServerSocket discovery = new ServerSocket()) {
                     discovery.setSoTimeout((int) MAX_WAIT.toMillis());
                     discovery.bind(new InetSocketAddress("127.0.0.1", port));
                     final Peer watch = Peer.accept(discovery);
                     assertThat(watch.read()).startsWith("GET /registry/instances");
-                    rest();
+                    openIdleClients();
                     watch.write(
                             TestNode.answer(
                                     "200 OK",
@@ -157,12 +157,12 @@
                                                     + TestNode.entry(
                                                             "s-2", second.server, "SERVING"))));
                     assertThat(watch.read()).contains("since=2&");
-                    rest();
+                    openIdleClients();
                     // A worker that was never connected to: its connection is a new one.
-                    isServed("r2");
+                    assertServed("r2");
                     assertThat(second.jobs()).isEqualTo(1);
-                    rest();
-                    operatorsAreAnswered();
+                    openIdleClients();
+                    assertOperatorsAnswered();
                 }
                 assertThat(node.linesSoFar())
                         .noneMatch(line -> line.contains("Too many open files"));
@@ -175,10 +175,10 @@
 
     /** Connections that bring no request are closed 2 s after they came, with no others coming. */
     @Test
-    void unusedConnectionsAreReleasedInTime() throws Exception {
+    void closesConnectionsWithoutRequestWithinTheTimeout() throws Exception {
         try (ServerSocket discovery = Peer.listen();
                 AnsweringWorker worker = new AnsweringWorker(false)) {
-            start(discovery.getLocalPort(), known(worker));
+            start(discovery.getLocalPort(), endpointListOf(worker));
             try {
                 final int before = node.openDescriptors();
                 for (int i = 0; i < SHARES.clientConnections() - 1; i++) {
@@ -204,10 +204,10 @@
 
     /** All parts at their bounds at one time: what is left still opens the watch anew. */
     @Test
-    void everyPartAtItsBoundLeavesDescriptors() throws Exception {
+    void allPartsAtTheirLimitsLeaveDescriptorsForDiscovery() throws Exception {
         try (ServerSocket discovery = Peer.listen();
                 AnsweringWorker worker = new AnsweringWorker(true)) {
-            final String known =
+            final String endpointList =
                     TestNode.list(
                             1,
                             true,
@@ -220,10 +220,10 @@
                                                                     "SERVING")
                                                             .replace("127.0.0.1", "127.0.1." + i))
                                     .collect(Collectors.joining(",")));
-            start(discovery.getLocalPort(), known);
+            start(discovery.getLocalPort(), endpointList);
             try {
                 final Peer watch = Peer.accept(discovery);
-                for (int i = 0; i < CALLERS; i++) {
+                for (int i = 0; i < MANAGEMENT_CALLERS; i++) {
                     clients.add(Peer.connect(management));
                 }
                 for (int i = 0; i < SHARES.clientConnections(); i++) {
@@ -233,19 +233,19 @@
                         .atMost(MAX_WAIT)
                         .until(
                                 () -> {
-                                    count();
+                                    recordOpenDescriptors();
                                     return worker.jobs() >= SHARES.workerConnections() / 2;
                                 });
-                rest();
+                openIdleClients();
                 // The watch breaks, and comes again.
                 watch.reset();
                 final Peer again = Peer.accept(discovery);
                 assertThat(again.read()).startsWith("GET /registry/instances");
-                count();
+                recordOpenDescriptors();
                 assertThat(node.linesSoFar())
                         .noneMatch(line -> line.contains("Too many open files"));
                 // So full it was: all but a part of what is in no share.
-                assertThat(maxOpen)
+                assertThat(maxOpenDescriptors)
                         .isGreaterThan(
                                 SHARES.clientConnections()
                                         + SHARES.workerConnections()
--- a/src/test/java/cresschute/node/Peer.java
+++ b/src/test/java/cresschute/node/Peer.java
@@ -21,20 +21,20 @@
 final class Peer implements Closeable {
 
     static final int BACKLOG = 10;
-    private static final int BLOCK = 64 * 1024;
-    private static final int PATIENCE_MS = 8_000;
+    private static final int BLOCK_BYTES = 64 * 1024;
+    private static final int TIMEOUT_MS = 8_000;
     private static final Pattern LENGTH = Pattern.compile("(?i)\r\ncontent-length: *(\\d+)");
 
     private final Socket socket;
 
     private Peer(Socket socket) throws IOException {
         this.socket = socket;
-        socket.setSoTimeout(PATIENCE_MS);
+        socket.setSoTimeout(TIMEOUT_MS);
     }
 
     static Peer connect(SocketAddress addr) throws IOException {
         final Socket socket = new Socket();
-        socket.connect(addr, PATIENCE_MS);
+        socket.connect(addr, TIMEOUT_MS);
         return new Peer(socket);
     }
 
@@ -45,7 +45,7 @@
     static ServerSocket listen() throws IOException {
         final ServerSocket server =
                 new ServerSocket(0, BACKLOG, InetAddress.getByName("127.0.0.1"));
-        server.setSoTimeout(PATIENCE_MS);
+        server.setSoTimeout(TIMEOUT_MS);
         return server;
     }
 
@@ -60,9 +60,9 @@
 
     /** So many bytes of a stream that anybody can make again, as a body without chunks. */
     Peer writeBytes(long from, long count) throws IOException {
-        final byte[] bytes = new byte[BLOCK];
-        for (long at = from; at < from + count; at += BLOCK) {
-            final int now = (int) Math.min(BLOCK, from + count - at);
+        final byte[] bytes = new byte[BLOCK_BYTES];
+        for (long at = from; at < from + count; at += BLOCK_BYTES) {
+            final int now = (int) Math.min(BLOCK_BYTES, from + count - at);
             for (int i = 0; i < now; i++) {
                 bytes[i] = byteAt(at + i);
             }
@@ -73,11 +73,11 @@
 
     /** Reads so many bytes of that stream and checks each of them. */
     Peer readBytes(long from, long count) throws IOException {
-        final byte[] bytes = new byte[BLOCK];
+        final byte[] bytes = new byte[BLOCK_BYTES];
         for (long at = from; at < from + count; ) {
             final int now =
                     socket.getInputStream()
-                            .read(bytes, 0, (int) Math.min(BLOCK, from + count - at));
+                            .read(bytes, 0, (int) Math.min(BLOCK_BYTES, from + count - at));
             assertThat(now).as("connection ended at byte " + at).isNotNegative();
             for (int i = 0; i < now; i++) {
                 if (bytes[i] != byteAt(at + i)) {
--- a/src/test/java/cresschute/node/PipelinedBodyRulesTest.java
+++ b/src/test/java/cresschute/node/PipelinedBodyRulesTest.java
@@ -20,7 +20,7 @@
 
     private static final int MAX_IN_FLIGHT = 16;
 
-    private static String requested(TestNode node) throws InterruptedException {
+    private static String nextRequestedEvent(TestNode node) throws InterruptedException {
         String event = node.event();
         while (event != null && !event.startsWith("requested")) {
             event = node.event();
@@ -30,7 +30,7 @@
 
     /** The request that waits is submitted while the long body behind it arrives. */
     @Test
-    void aQueuedRequestKeepsItsOwnBodyWhileALongOneArrivesBehindIt() throws Exception {
+    void queuedRequestKeepsItsBodyWhileLongBodyArrivesBehindIt() throws Exception {
         try (TestNode node =
                         TestNode.configured(
                                 UnaryOperator.identity(),
@@ -45,11 +45,11 @@
                 Thread.onSpinWait();
             }
             for (int i = 1; i <= MAX_IN_FLIGHT; i++) {
-                assertThat(requested(node)).startsWith("requested " + i + " ");
+                assertThat(nextRequestedEvent(node)).startsWith("requested " + i + " ");
             }
             node.act(actions -> actions.reject(1, 0));
             node.act(actions -> actions.reject(2, 0));
-            assertThat(requested(node)).startsWith("requested 17 ");
+            assertThat(nextRequestedEvent(node)).startsWith("requested 17 ");
             node.act(actions -> actions.send(17, 0, Long.MAX_VALUE));
             assertThat(node.worker().read())
                     .contains("X-Request-Id: r17")
--- a/src/test/java/cresschute/node/TestNode.java
+++ b/src/test/java/cresschute/node/TestNode.java
@@ -38,7 +38,7 @@
     final NodeServer server;
     final SocketAddress addr;
     private DispatcherActions actions;
-    private int sendsLeft;
+    private int remainingSends;
 
     /** The module sends each request to the one worker. */
     TestNode() throws IOException, ConfigException {
@@ -56,9 +56,9 @@
         this(onRequest, true);
     }
 
-    TestNode(BiConsumer<DispatcherActions, Integer> onRequest, boolean known)
+    TestNode(BiConsumer<DispatcherActions, Integer> onRequest, boolean workerListed)
             throws IOException, ConfigException {
-        this(onRequest, known, null);
+        this(onRequest, workerListed, null);
     }
 
     /**
@@ -66,7 +66,7 @@
      */
     TestNode(Bodies bodies, int sends) throws IOException, ConfigException {
         this((actions, request) -> actions.send(request, 0, Long.MAX_VALUE), true, bodies);
-        sendsLeft = sends - 1;
+        remainingSends = sends - 1;
     }
 
     /** A node whose configuration's text is this one's, changed. */
@@ -111,30 +111,31 @@
                 shared);
     }
 
-    private TestNode(BiConsumer<DispatcherActions, Integer> onRequest, boolean known, Bodies bodies)
+    private TestNode(
+            BiConsumer<DispatcherActions, Integer> onRequest, boolean workerListed, Bodies bodies)
             throws IOException, ConfigException {
-        this(onRequest, known, bodies, null, null);
+        this(onRequest, workerListed, bodies, null, null);
     }
 
     private TestNode(
             BiConsumer<DispatcherActions, Integer> onRequest,
-            boolean known,
+            boolean workerListed,
             Bodies bodies,
             ServerSocketChannel passed,
             Path shared)
             throws IOException, ConfigException {
-        this(onRequest, known, bodies, passed, shared, UnaryOperator.identity());
+        this(onRequest, workerListed, bodies, passed, shared, UnaryOperator.identity());
     }
 
     private TestNode(
             BiConsumer<DispatcherActions, Integer> onRequest,
-            boolean known,
+            boolean workerListed,
             Bodies bodies,
             ServerSocketChannel passed,
             Path shared,
             UnaryOperator<String> change)
             throws IOException, ConfigException {
-        final String list = list(1, true, known ? entry("s-1", worker, "SERVING") : "");
+        final String list = list(1, true, workerListed ? entry("s-1", worker, "SERVING") : "");
         final NodeConfig read =
                 NodeConfigParser.parse(change.apply(config(discovery, list)), Map.of());
         server =
@@ -165,7 +166,7 @@
                         passed,
                         given -> {
                             actions = given;
-                            return new Notes(onRequest);
+                            return new EventRecorder(onRequest);
                         });
         addr = server.start();
     }
@@ -175,7 +176,7 @@
         return config(discovery, list(1, true, entry("s-1", worker, "SERVING")));
     }
 
-    static String config(ServerSocket discovery, String known) {
+    static String config(ServerSocket discovery, String knownList) {
         return """
         {"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:%d","seed":"92094eb940cf389a",
          "limits":{"sockets":200},"known":%s,"settings":{"balancers":1,"classes":[
@@ -185,7 +186,7 @@
          "limits":{"connIdleUs":2000000,"connectTimeoutUs":250000,"retryAfter":true,
          "maxRetryAfterUs":2000000}}}\
         """
-                .formatted(discovery.getLocalPort(), known);
+                .formatted(discovery.getLocalPort(), knownList);
     }
 
     static String list(int version, boolean full, String entries) {
@@ -274,11 +275,11 @@
         assertThat(server.lifecycle().invariant().total()).isZero();
     }
 
-    private final class Notes implements DispatcherEvents {
+    private final class EventRecorder implements DispatcherEvents {
 
         private final BiConsumer<DispatcherActions, Integer> onRequest;
 
-        Notes(BiConsumer<DispatcherActions, Integer> onRequest) {
+        EventRecorder(BiConsumer<DispatcherActions, Integer> onRequest) {
             this.onRequest = onRequest;
         }
 
@@ -338,7 +339,7 @@
                             + report.freeSlots()
                             + " "
                             + report.outstanding());
-            if (!requestClosed && sendsLeft-- > 0) {
+            if (!requestClosed && remainingSends-- > 0) {
                 actions.send(requestId, 0, Long.MAX_VALUE);
             } else if (!requestClosed) {
                 actions.reject(requestId, 1_500_000);
--- a/src/test/java/cresschute/node/http/ParsersTest.java
+++ b/src/test/java/cresschute/node/http/ParsersTest.java
@@ -33,13 +33,13 @@
         "1e3m, -1",
         "9999999999999m, -1"
     })
-    void readsDeadlines(String text, long us) {
+    void parsesDeadlineHeader(String text, long us) {
         assertThat(DeadlineHeader.parseUs(text)).isEqualTo(us);
     }
 
     @ParameterizedTest
     @CsvSource({"2000000, 2", "1500000, 1.500", "1, 0.001", "1000001, 1.001", "20000, 0.020"})
-    void writesAdvice(long us, String text) {
+    void formatsRetryAfterHeader(long us, String text) {
         assertThat(RetryAfterHeader.format(us)).isEqualTo(text);
     }
 
@@ -54,14 +54,15 @@
                     {"x0":0,"backlog":5.02} | 0 | -1 | 5.02
                     {}                      | -1 | -1 | -1
                     """)
-    void readsLoadsInBothForms(String text, double freeSlots, double outstanding, double waiting) {
+    void parsesLoadReportInBothForms(
+            String text, double freeSlots, double outstanding, double waiting) {
         assertThat(LoadReportParser.parseBody(text))
                 .isEqualTo(new LoadReport(freeSlots, outstanding, waiting));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"x0", "x0=", "x0=a", "{\"x0\":\"3\"}", "{", "x0=1,,queue=2"})
-    void refusesOtherLoads(String text) {
+    void rejectsMalformedLoadReport(String text) {
         assertThatThrownBy(() -> LoadReportParser.parseBody(text))
                 .isInstanceOf(JsonParseException.class);
     }
@@ -78,14 +79,14 @@
                 "{\"id\":\"r1\",\"state\":\"started\"} {}",
                 "{id:'r1'}"
             })
-    void refusesOtherLines(String text) {
+    void rejectsMalformedProgressLine(String text) {
         assertThatThrownBy(() -> ProgressLine.parse(text, "r1"))
                 .isInstanceOf(JsonParseException.class);
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3, 5, 7, 100})
-    void cutsLinesWhereverChunksEnd(int size) {
+    void splitsLinesWhereverChunksEnd(int size) {
         final String text = "one\n\n  two\u00e9\r\n" + "long".repeat(400) + "\nrest";
         final byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         final ProgressLineReader lines = new ProgressLineReader();
@@ -102,7 +103,7 @@
     }
 
     @Test
-    void boundsALine() {
+    void rejectsLineOverLimit() {
         assertThat(
                         new ProgressLineReader()
                                 .add(
--- a/src/test/java/cresschute/node/http/QueuedRequestTest.java
+++ b/src/test/java/cresschute/node/http/QueuedRequestTest.java
@@ -18,7 +18,7 @@
                     RECEIVED_NS);
 
     @Test
-    void timeInTheQueueIsTakenFromItsWait() {
+    void subtractsTimeInQueueFromWait() {
         final RequestHead later = queued.headAt(RECEIVED_NS + 1_500_000);
         assertThat(later.waitUs()).isEqualTo(2_500);
         assertThat(later.requestId()).isEqualTo("r1");
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void costIsItsBodyAndItsEntry() {
+    void costIncludesBodyAndEntry() {
         assertThat(queued.costBytes()).isEqualTo(100 + 1024);
     }
 }
--- a/src/test/java/cresschute/node/http/RequestBodyBufferTest.java
+++ b/src/test/java/cresschute/node/http/RequestBodyBufferTest.java
@@ -16,7 +16,7 @@
     }
 
     @Test
-    void handsOverAllPiecesInAnArrayOfTheirLength() {
+    void takeReturnsAllBytesAndEmptiesBuffer() {
         add("one ");
         add("body");
         assertThat(buffer.take()).isEqualTo("one body".getBytes(StandardCharsets.UTF_8));
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void clearDiscardsTheBodyBefore() {
+    void clearDiscardsCollectedBytes() {
         add("the one before");
         buffer.clear();
         add("next");
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void fitsUpToItsLimit() {
+    void fitsUpToLimit() {
         buffer.add(Unpooled.wrappedBuffer(new byte[RequestBodyBuffer.MAX_BYTES - 1]));
         assertThat(buffer.fits(1)).isTrue();
         assertThat(buffer.fits(2)).isFalse();
