--- a/src/test/java/cresschute/node/ClientCloseCrossingRulesTest.java
+++ b/src/test/java/cresschute/node/ClientCloseRaceTest.java
@@ -16,7 +16,7 @@
 
 /** Events that cross with the close of a client. See docs/results/crossings.md. */
 @Timeout(30)
-class ClientCloseCrossingRulesTest extends CrossingFixture {
+class ClientCloseRaceTest extends CrossingFixture {
 
     /**
      * The end came behind the request in one pass, and was read one pass later: the job was sent
