--- a/src/main/java/cresschute/node/NodeServer.java
+++ b/src/main/java/cresschute/node/NodeServer.java
@@ -222,7 +222,7 @@
 
         @Override
         public void moveDiscovery(InetSocketAddress address) {
-            discovery.moveTo(address);
+            discovery.changeAddress(address);
         }
 
         @Override
--- a/src/main/java/cresschute/node/http/DiscoveryCallSchedule.java
+++ b/src/main/java/cresschute/node/http/DiscoveryCallSchedule.java
@@ -7,10 +7,10 @@
  * How long a call to discovery may take, and when one without a response is repeated. Pure: chance
  * is passed in, and the caller keeps the time. One per watch, used by one thread.
  *
- * <p>A change must be in force {@value #MAX_DELAY_MS} ms after discovery had it and could be
+ * <p>A change must be in force {@value #MAX_PROPAGATION_MS} ms after discovery had it and could be
  * reached. The table has the longest time, ms, from a change made just after a call was sent to the
- * start of the call that brings it. A response may then take up to {@value #ANSWER_MS} ms, of which
- * all but the last row leave more than a second:
+ * start of the call that brings it. A response may then take up to {@value #RESPONSE_TIMEOUT_MS}
+ * ms, of which all but the last row leave more than a second:
  *
  * <table>
  * <caption>Orders of calls without a response</caption>
@@ -36,25 +36,25 @@
 final class DiscoveryCallSchedule {
 
     /** How long after discovery has a change it must be in force, ms. */
-    static final long MAX_DELAY_MS = 6_000;
+    static final long MAX_PROPAGATION_MS = 6_000;
 
     /** How long a watch may wait at discovery, ms: a silent one shows only after that. */
-    static final long WAIT_MS = 2_000;
+    static final long LONG_POLL_WAIT_MS = 2_000;
 
     /** The longest that a response may take beyond the wait that its call states, ms. */
-    static final long ANSWER_MS = 1_250;
+    static final long RESPONSE_TIMEOUT_MS = 1_250;
 
     /**
      * The longest that the response with a whole list may take, ms: it is long, and many
      * dispatchers may call at once.
      */
-    static final long WHOLE_LIST_MS = 2_500;
+    static final long FULL_LIST_TIMEOUT_MS = 2_500;
 
     /** The wait that a call states which needs its response at once, ms. */
-    static final long NO_WAIT_MS = 1;
+    static final long MIN_LONG_POLL_WAIT_MS = 1;
 
     /** How often a call without a response is repeated before it counts as failed. */
-    static final int MAX_REPEATS = 2;
+    static final int MAX_RETRIES = 2;
 
     /**
      * The longest pause before the second repeat, ms: calls of many dispatchers that fell silent
@@ -63,7 +63,7 @@
     static final long MAX_JITTER_MS = 200;
 
     private final RandomGenerator random;
-    private int repeats;
+    private int retries;
 
     /** A schedule whose next call is no repeat. */
     DiscoveryCallSchedule(RandomGenerator random) {
@@ -71,16 +71,16 @@
     }
 
     /** The longest that the next call may take, its connection included, ms. */
-    long limitMs(boolean wholeList) {
-        if (repeats > 0) {
-            return ANSWER_MS;
+    long timeoutMs(boolean fullList) {
+        if (retries > 0) {
+            return RESPONSE_TIMEOUT_MS;
         }
-        return wholeList ? WHOLE_LIST_MS : WAIT_MS + ANSWER_MS;
+        return fullList ? FULL_LIST_TIMEOUT_MS : LONG_POLL_WAIT_MS + RESPONSE_TIMEOUT_MS;
     }
 
     /** How long discovery may wait for a change before it responds to the next call, ms. */
-    long waitMs() {
-        return repeats > 0 ? NO_WAIT_MS : WAIT_MS;
+    long longPollWaitMs() {
+        return retries > 0 ? MIN_LONG_POLL_WAIT_MS : LONG_POLL_WAIT_MS;
     }
 
     /**
@@ -88,16 +88,16 @@
      *
      * @return the pause before it is repeated, ms; empty where it has failed
      */
-    OptionalLong afterSilence() {
-        if (repeats == MAX_REPEATS) {
+    OptionalLong recordTimeout() {
+        if (retries == MAX_RETRIES) {
             return OptionalLong.empty();
         }
-        repeats++;
-        return OptionalLong.of(repeats == 1 ? 0 : random.nextLong(MAX_JITTER_MS + 1));
+        retries++;
+        return OptionalLong.of(retries == 1 ? 0 : random.nextLong(MAX_JITTER_MS + 1));
     }
 
     /** Notes a response, or the end of the watch: the next call is no repeat. */
-    void restart() {
-        repeats = 0;
+    void reset() {
+        retries = 0;
     }
 }
--- a/src/main/java/cresschute/node/http/DiscoveryClient.java
+++ b/src/main/java/cresschute/node/http/DiscoveryClient.java
@@ -135,7 +135,7 @@
      * Turns to the service at another address. The call under way ends, which is no failure; if a
      * watch was ever asked for, the whole list is asked for there at once.
      */
-    public void moveTo(InetSocketAddress next) {
+    public void changeAddress(InetSocketAddress next) {
         if (next.equals(address)) {
             return;
         }
@@ -154,7 +154,7 @@
         timer =
                 loop.schedule(
                         () -> callTimedOut("no answer in time"),
-                        schedule.limitMs(asksForWholeList()),
+                        schedule.timeoutMs(requestsFullList()),
                         TimeUnit.MILLISECONDS);
         if (channel != null && channel.isActive()) {
             sendRequest();
@@ -180,19 +180,19 @@
      * Whether the next call asks for the whole list: the first one, and where changes since the
      * version held would not do, at a new address or after an older list.
      */
-    private boolean asksForWholeList() {
+    private boolean requestsFullList() {
         return lifecycle.listVersion() < 0 || addressChanged || olderListRejected;
     }
 
     private void sendRequest() {
         final String path =
-                asksForWholeList()
+                requestsFullList()
                         ? LIST_PATH
                         : LIST_PATH
                                 + "?since="
                                 + lifecycle.listVersion()
                                 + "&timeout_ms="
-                                + schedule.waitMs();
+                                + schedule.longPollWaitMs();
         final FullHttpRequest request =
                 new DefaultFullHttpRequest(
                         HttpVersion.HTTP_1_1, HttpMethod.GET, path, Unpooled.EMPTY_BUFFER);
@@ -202,7 +202,7 @@
 
     /** The call brought nothing in time: repeats it, or reports a failure. */
     private void callTimedOut(String reason) {
-        final OptionalLong pauseMs = watching ? schedule.afterSilence() : OptionalLong.empty();
+        final OptionalLong pauseMs = watching ? schedule.recordTimeout() : OptionalLong.empty();
         if (pauseMs.isEmpty()) {
             fail(reason);
             return;
@@ -244,7 +244,7 @@
         }
         addressChanged = false;
         olderListRejected = false;
-        schedule.restart();
+        schedule.reset();
         // The call's timer still runs: if the life cycle fails on the list, it opens a new watch.
         lifecycle.endpointListReceived(list);
         timer.cancel(false);
@@ -277,7 +277,7 @@
 
     private void endWatch() {
         watching = false;
-        schedule.restart();
+        schedule.reset();
         closeConnection();
     }
 
--- a/src/test/java/cresschute/node/DiscoverySocketRulesTest.java
+++ b/src/test/java/cresschute/node/DiscoverySocketRulesTest.java
@@ -18,7 +18,7 @@
 class DiscoverySocketRulesTest extends SocketFixture {
 
     @Test
-    void watchesTheListCallByCall() throws Exception {
+    void watchesListWithConsecutiveCalls() throws Exception {
         try (TestNode node = new TestNode();
                 ServerSocket moved = Peer.listen();
                 Peer client = node.client()) {
@@ -52,7 +52,7 @@
                     200 OK | no JSON
                     reset  | reset
                     """)
-    void takesAFailedCallAsFailure(String status, String body) throws Exception {
+    void reportsFailedCall(String status, String body) throws Exception {
         try (TestNode node = new TestNode()) {
             node.act(actions -> actions.pollEndpointList());
             final Peer discovery = node.discovery();
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void takesASilentDiscoveryAsFailure() throws Exception {
+    void reportsFailureOfSilentDiscovery() throws Exception {
         try (TestNode node = new TestNode()) {
             node.act(actions -> actions.pollEndpointList());
             node.discovery().read();
--- a/src/test/java/cresschute/node/http/DiscoveryCallScheduleTest.java
+++ b/src/test/java/cresschute/node/http/DiscoveryCallScheduleTest.java
@@ -14,13 +14,13 @@
 class DiscoveryCallScheduleTest {
 
     /** A change counts as told so long after discovery had it and could be reached, ms. */
-    private static final long COUNTS_AS_TOLD_MS = 6_000;
+    private static final long MAX_PROPAGATION_MS = 6_000;
 
     /** Left for the answer that brings the change, and for the loop, ms. */
-    private static final long ROOM_MS = 1_000;
+    private static final long RESPONSE_MARGIN_MS = 1_000;
 
     /** The longest pause of the module's after a failure, its tick included, ms. */
-    private static final long MODULE_PAUSE_MS = 1_550;
+    private static final long DISPATCHER_PAUSE_MS = 1_550;
 
     private static final long CONNECT_MS = 1_000;
 
@@ -42,16 +42,16 @@
      * When the next call begins, ms after the first, each letter being a call: silent, or not
      * connected.
      */
-    private static long nextCallMs(String calls, boolean wholeList) {
+    private static long nextCallMs(String calls, boolean fullList) {
         final DiscoveryCallSchedule schedule = new DiscoveryCallSchedule(LONGEST);
         long nowMs = 0;
         for (int i = 0; i < calls.length(); i++) {
-            final long limitMs = schedule.limitMs(wholeList);
-            nowMs += calls.charAt(i) == 'c' ? Math.min(CONNECT_MS, limitMs) : limitMs;
-            final OptionalLong pause = schedule.afterSilence();
-            nowMs += pause.orElse(MODULE_PAUSE_MS);
+            final long timeoutMs = schedule.timeoutMs(fullList);
+            nowMs += calls.charAt(i) == 'c' ? Math.min(CONNECT_MS, timeoutMs) : timeoutMs;
+            final OptionalLong pause = schedule.recordTimeout();
+            nowMs += pause.orElse(DISPATCHER_PAUSE_MS);
             if (pause.isEmpty()) {
-                schedule.restart();
+                schedule.reset();
             }
         }
         return nowMs;
@@ -70,43 +70,47 @@
         "sc, true, 3700",
         "cc, true, 2200"
     })
-    void whatTwoCallsInARowMissIsHeardInTime(String calls, boolean wholeList, long expectedMs) {
-        final long nextMs = nextCallMs(calls, wholeList);
+    void changeMissedByTwoCallsArrivesInTime(String calls, boolean fullList, long expectedMs) {
+        final long nextMs = nextCallMs(calls, fullList);
         assertThat(nextMs).isEqualTo(expectedMs);
-        assertThat(nextMs).isLessThanOrEqualTo(COUNTS_AS_TOLD_MS - ROOM_MS);
+        assertThat(nextMs).isLessThanOrEqualTo(MAX_PROPAGATION_MS - RESPONSE_MARGIN_MS);
     }
 
     @Test
-    void aSilentWatchAndARefusalAreHeardInTime() {
-        assertThat(nextCallMs("s", false) + MODULE_PAUSE_MS)
-                .isLessThanOrEqualTo(COUNTS_AS_TOLD_MS - ROOM_MS);
+    void changeArrivesInTimeAfterSilentWatchAndRefusal() {
+        assertThat(nextCallMs("s", false) + DISPATCHER_PAUSE_MS)
+                .isLessThanOrEqualTo(MAX_PROPAGATION_MS - RESPONSE_MARGIN_MS);
     }
 
     @Test
-    void threeRefusalsAreHeardInTime() {
-        assertThat(3 * MODULE_PAUSE_MS).isLessThanOrEqualTo(COUNTS_AS_TOLD_MS - ROOM_MS);
+    void changeArrivesInTimeAfterThreeRefusals() {
+        assertThat(3 * DISPATCHER_PAUSE_MS)
+                .isLessThanOrEqualTo(MAX_PROPAGATION_MS - RESPONSE_MARGIN_MS);
     }
 
     /** Three are beyond what discovery can be said to have been reachable for; the page says so. */
     @Test
-    void threeSilencesInARowCountAsAFailure() {
+    void threeTimeoutsInARowCountAsFailure() {
         assertThat(nextCallMs("sss", false)).isEqualTo(7_500);
     }
 
     @Test
-    void anAnswerEndsTheRepeats() {
+    void responseResetsRetries() {
         final DiscoveryCallSchedule schedule = new DiscoveryCallSchedule(LONGEST);
-        schedule.afterSilence();
-        assertThat(schedule.waitMs()).isEqualTo(DiscoveryCallSchedule.NO_WAIT_MS);
-        schedule.restart();
-        assertThat(schedule.waitMs()).isEqualTo(DiscoveryCallSchedule.WAIT_MS);
-        assertThat(schedule.limitMs(false))
-                .isEqualTo(DiscoveryCallSchedule.WAIT_MS + DiscoveryCallSchedule.ANSWER_MS);
+        schedule.recordTimeout();
+        assertThat(schedule.longPollWaitMs())
+                .isEqualTo(DiscoveryCallSchedule.MIN_LONG_POLL_WAIT_MS);
+        schedule.reset();
+        assertThat(schedule.longPollWaitMs()).isEqualTo(DiscoveryCallSchedule.LONG_POLL_WAIT_MS);
+        assertThat(schedule.timeoutMs(false))
+                .isEqualTo(
+                        DiscoveryCallSchedule.LONG_POLL_WAIT_MS
+                                + DiscoveryCallSchedule.RESPONSE_TIMEOUT_MS);
     }
 
     /** Calls of many dispatchers fall silent at once where discovery stands still. */
     @Test
-    void secondRepeatsOfManyDispatchersComeApart() {
+    void jitterSpreadsSecondRetriesOfManyDispatchers() {
         final List<Long> pauses =
                 new SplittableRandom(5)
                         .longs(100)
@@ -114,8 +118,8 @@
                                 seed -> {
                                     final DiscoveryCallSchedule schedule =
                                             new DiscoveryCallSchedule(new SplittableRandom(seed));
-                                    assertThat(schedule.afterSilence()).hasValue(0);
-                                    return schedule.afterSilence().orElseThrow();
+                                    assertThat(schedule.recordTimeout()).hasValue(0);
+                                    return schedule.recordTimeout().orElseThrow();
                                 })
                         .toList();
         assertThat(pauses).allMatch(pause -> pause <= DiscoveryCallSchedule.MAX_JITTER_MS);
