--- a/src/test/java/cresschute/flow/BodyBufferTest.java
+++ b/src/test/java/cresschute/flow/BodyBufferTest.java
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void bodyWithinTheReplayLimitIsReadAgainFromTheStart() {
+    void replaysBodyWithinReplayLimit() {
         add("abc");
         final BodyBuffer<String>.Reader first = body.openReader(this::onChange).orElseThrow();
         assertThat(first.next()).isEqualTo("abc");
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void bodyBeyondTheReplayLimitCannotBeReadAgain() {
+    void rejectsReplayBeyondReplayLimit() {
         final BodyBuffer<String>.Reader reader = body.openReader(this::onChange).orElseThrow();
         add("abcdef");
         reader.next();
@@ -87,7 +87,7 @@
      * behind is detached and notified.
      */
     @Test
-    void furthestReaderGoesOnAloneBeyondTheReplayLimit() {
+    void onlyFurthestReaderContinuesBeyondReplayLimit() {
         final List<String> behindChanges = new ArrayList<>();
         add("abcdef");
         final BodyBuffer<String>.Reader behind =
@@ -110,7 +110,7 @@
 
     /** Nothing was read yet, so nothing is released, however much was appended. */
     @Test
-    void bodyWithoutReadersCanBeReadBeyondTheReplayLimit() {
+    void bodyWithoutReadersIsReadableBeyondReplayLimit() {
         add("abcdef");
         add("ghijkl");
         final BodyBuffer<String>.Reader reader = body.openReader(this::onChange).orElseThrow();
@@ -120,7 +120,7 @@
 
     /** Pieces kept for a replay block the only reader: they are released, and replay ends. */
     @Test
-    void replayEndsWhereNothingElseFreesCredit() {
+    void replayEndsWhenNothingElseFreesCredit() {
         final BufferBudget small = new BufferBudget(new BufferLimits(8, 8, 0, 1, 8));
         final BodyBuffer<String> large = body(small, 1_000);
         final BodyBuffer<String>.Reader reader = large.openReader(() -> {}).orElseThrow();
@@ -135,7 +135,7 @@
     }
 
     @Test
-    void piecesBeyondTheCreditAreRefused() {
+    void rejectsPiecesBeyondCredit() {
         assertThat(body.credit(5)).isEqualTo(5);
         assertThatThrownBy(() -> body.append("abcdef", 6))
                 .isInstanceOf(IllegalStateException.class);
@@ -155,7 +155,7 @@
      * the end each piece was released once and the budget is unused.
      */
     @Property(tries = 400, seed = "92")
-    void anyInterleavingKeepsOrderAndBounds(@ForAll Random random) {
+    void anyInterleavingKeepsOrderAndBudget(@ForAll Random random) {
         final long window = 1L + random.nextInt(12);
         final long total = window * (1 + random.nextInt(4)) + random.nextInt(20);
         final BufferBudget shared =
--- a/src/test/java/cresschute/flow/BufferBudgetTest.java
+++ b/src/test/java/cresschute/flow/BufferBudgetTest.java
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void windowIsOwnedAndFreeBytesAreLentInTheOrderOfAsking() {
+    void ownsWindowAndBorrowsFreeBytesInRequestOrder() {
         final BufferBudget budget = new BufferBudget(new BufferLimits(100, 20, 50, 1, 100));
         final Reservation one = open(budget, "one");
         final Reservation two = open(budget, "two");
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void closedReservationGetsNothing() {
+    void closedReservationAcquiresNothing() {
         final BufferBudget budget = new BufferBudget(new BufferLimits(40, 20, 20, 1, 40));
         final Reservation one = open(budget, "one");
         final Reservation two = open(budget, "two");
