--- a/src/test/java/cresschute/node/ClientCloseCrossingRulesTest.java
+++ b/src/test/java/cresschute/node/ClientCloseCrossingRulesTest.java
@@ -159,14 +159,14 @@
     void sendsNothingForAClientWhoseReadingIsPausedForWantOfRoom(boolean connecting)
             throws Exception {
         final Bodies bodies =
-                LongBodyNode.bodies(new ClassBodies(8L << 20, 1024, 20_000_000, false, false));
+                LongBodyFixture.bodies(new ClassBodies(8L << 20, 1024, 20_000_000, false, false));
         try (TestNode node = patient(connecting ? SENDS : HOLDS, bodies);
                 Peer other = node.client()) {
             if (connecting) {
                 fill(node.worker);
             }
-            final Peer client = node.client().write(LongBodyNode.head("r1", 8L << 20, ""));
-            client.writeBytes(0, LongBodyNode.MAX_OF_ONE);
+            final Peer client = node.client().write(LongBodyFixture.head("r1", 8L << 20, ""));
+            client.writeBytes(0, LongBodyFixture.MAX_BYTES_PER_BODY);
             assertThat(eventStarting(node, "requested")).startsWith("requested 1");
             client.leave();
             // By the node's own clock; more than the time after which nobody can be taken to be
--- a/src/test/java/cresschute/node/LongBodyRulesTest.java
+++ b/src/test/java/cresschute/node/LongBodyRulesTest.java
@@ -1,14 +1,14 @@
 package cresschute.node;
 
-import static cresschute.node.LongBodyNode.KIB;
-import static cresschute.node.LongBodyNode.MAX_OF_ONE;
-import static cresschute.node.LongBodyNode.MIB;
-import static cresschute.node.LongBodyNode.PATIENT_US;
-import static cresschute.node.LongBodyNode.beside;
-import static cresschute.node.LongBodyNode.bodies;
-import static cresschute.node.LongBodyNode.head;
-import static cresschute.node.LongBodyNode.held;
-import static cresschute.node.LongBodyNode.untilFree;
+import static cresschute.node.LongBodyFixture.KIB;
+import static cresschute.node.LongBodyFixture.LONG_STALL_TIMEOUT_US;
+import static cresschute.node.LongBodyFixture.MAX_BYTES_PER_BODY;
+import static cresschute.node.LongBodyFixture.MIB;
+import static cresschute.node.LongBodyFixture.awaitNoBufferedBytes;
+import static cresschute.node.LongBodyFixture.bodies;
+import static cresschute.node.LongBodyFixture.bufferedBytes;
+import static cresschute.node.LongBodyFixture.head;
+import static cresschute.node.LongBodyFixture.runAsync;
 import static cresschute.node.TestNode.answer;
 import static cresschute.node.TestNode.request;
 import static org.assertj.core.api.Assertions.assertThat;
@@ -29,11 +29,11 @@
             answer("200 OK", "", "{\"id\":\"r1\",\"state\":\"done\",\"result\":\"yes\"}\n");
 
     private static TestNode node(int sends) throws Exception {
-        return bodies(PATIENT_US, sends);
+        return bodies(LONG_STALL_TIMEOUT_US, sends);
     }
 
     @Test
-    void passesOnWhatHasComeBeforeTheRestIsThere() throws Exception {
+    void forwardsBodyBeforeItIsComplete() throws Exception {
         try (TestNode node = node(1);
                 Peer client = node.client()) {
             client.write(head("r1", MIB, "")).writeBytes(0, MIB / 2);
@@ -42,7 +42,7 @@
                         .startsWith("POST /check?obj=2a HTTP/1.1\r\n")
                         .containsIgnoringCase("Content-Length: " + MIB + "\r\n");
                 worker.readBytes(0, MIB / 2 - 32 * KIB);
-                // The worker's slot is held from here on, and the module is told so.
+                // The worker's slot is held from here on, and the module is oversized so.
                 assertThat(node.event()).startsWith("requested 1");
                 assertThat(node.event()).startsWith("progressed 1 0 0.0");
                 client.writeBytes(MIB / 2, MIB / 2);
@@ -56,19 +56,19 @@
                 worker.write(DONE);
                 assertThat(client.read()).startsWith("HTTP/1.1 200 OK\r\n");
             }
-            untilFree(node);
+            awaitNoBufferedBytes(node);
         }
     }
 
-    /** Its length is told by nobody: it becomes long on its way, and goes on in chunks. */
+    /** Its length is oversized by nobody: it becomes long on its way, and goes on in chunks. */
     @Test
-    void takesChunkedBodyThatOutgrowsWhatIsHeldWhole() throws Exception {
+    void streamsChunkedBodyThatOutgrowsBufferedLimit() throws Exception {
         try (TestNode node = node(1);
                 Peer client = node.client()) {
             final int chunk = 10_000;
             client.write(head("r1", -1, ""));
             final CompletableFuture<Void> writing =
-                    beside(
+                    runAsync(
                             () -> {
                                 for (int i = 0; i < 100; i++) {
                                     // Extensions and a trailer are read past.
@@ -91,13 +91,13 @@
 
     /** What is held is within the budget, however fast the client and however slow the worker. */
     @Test
-    void holdsNoMoreThanItsBoundWhileTheWorkerReadsNothing() throws Exception {
+    void buffersWithinLimitWhileWorkerReadsNothing() throws Exception {
         final long length = 24L * MIB;
         try (TestNode node = node(1);
                 Peer client = node.client()) {
             client.write(head("r1", length, ""));
             final CompletableFuture<Void> writing =
-                    beside(
+                    runAsync(
                             () -> {
                                 client.writeBytes(0, length);
                             });
@@ -106,25 +106,25 @@
                 long held = 0;
                 // Its window and what it may be lent, as nobody else wants any: then reading has
                 // stopped.
-                while (held <= MAX_OF_ONE - 64 * KIB) {
-                    held = held(node);
-                    assertThat(held).isLessThanOrEqualTo(MAX_OF_ONE);
+                while (held <= MAX_BYTES_PER_BODY - 64 * KIB) {
+                    held = bufferedBytes(node);
+                    assertThat(held).isLessThanOrEqualTo(MAX_BYTES_PER_BODY);
                 }
                 for (long at = 0; at < length; at += MIB) {
                     worker.readBytes(at, MIB);
-                    assertThat(held(node)).isLessThanOrEqualTo(MAX_OF_ONE);
+                    assertThat(bufferedBytes(node)).isLessThanOrEqualTo(MAX_BYTES_PER_BODY);
                 }
                 worker.write(DONE);
                 assertThat(client.read()).startsWith("HTTP/1.1 200 OK\r\n");
             }
             writing.join();
-            untilFree(node);
+            awaitNoBufferedBytes(node);
         }
     }
 
     /** A body that is kept goes to a further attempt from its first byte. */
     @Test
-    void sendsKeptBodyAnewAfterABreak() throws Exception {
+    void retriesSpooledBodyFromFirstByteAfterReset() throws Exception {
         try (TestNode node = node(2);
                 Peer client = node.client()) {
             client.write(head("r1", 100 * KIB, "")).writeBytes(0, 100 * KIB);
@@ -138,13 +138,13 @@
                 second.readBytes(0, 100 * KIB).write(DONE);
                 assertThat(client.read()).startsWith("HTTP/1.1 200 OK\r\n");
             }
-            untilFree(node);
+            awaitNoBufferedBytes(node);
         }
     }
 
     /** A hedged request has all of a body that is kept, beside the first, each at its own pace. */
     @Test
-    void secondCopyOfAKeptBodyHasAllOfIt() throws Exception {
+    void hedgedRequestSendsWholeSpooledBody() throws Exception {
         try (TestNode node = node(1);
                 Peer client = node.client()) {
             client.write(head("r1", 100 * KIB, "")).writeBytes(0, 100 * KIB);
@@ -161,13 +161,13 @@
                     first.readBytes(30 * KIB, 70 * KIB);
                 }
             }
-            untilFree(node);
+            awaitNoBufferedBytes(node);
         }
     }
 
     /** A body that is partly gone goes to no second worker, and that counts for no loss there. */
     @Test
-    void secondCopyBeyondTheSpoolIsNotBegun() throws Exception {
+    void doesNotStartHedgedRequestBeyondSpool() throws Exception {
         try (TestNode node = node(1);
                 Peer client = node.client()) {
             client.write(head("r1", MIB, "")).writeBytes(0, MIB / 2);
@@ -187,7 +187,7 @@
      * Beyond the spool nothing is sent again; as the last byte never went out, it cannot have run.
      */
     @Test
-    void refusesWhatBrokeBeyondItsSpool() throws Exception {
+    void rejectsRequestWhoseAttemptBreaksBeyondSpool() throws Exception {
         try (TestNode node = node(2);
                 Peer client = node.client()) {
             client.write(head("r1", MIB, "")).writeBytes(0, MIB / 2);
@@ -203,12 +203,12 @@
                     .startsWith("HTTP/1.1 503 ")
                     .containsIgnoringCase("Retry-After: 1\r\n")
                     .containsIgnoringCase("Connection: close\r\n");
-            untilFree(node);
+            awaitNoBufferedBytes(node);
         }
     }
 
     @Test
-    void clientThatLeavesInTheMiddleEndsItsAttemptWithoutBlame() throws Exception {
+    void cancelsAttemptOfClientThatDisconnectsMidBody() throws Exception {
         try (TestNode node = node(2)) {
             final Peer client = node.client();
             client.write(head("r1", MIB, "")).writeBytes(0, MIB / 2);
@@ -220,14 +220,14 @@
                 assertThat(node.eventBesideProgress()).isEqualTo("left 1");
                 assertThat(node.eventBesideProgress())
                         .startsWith("ended 1 0 CANCELLED closed true");
-                untilFree(node);
+                awaitNoBufferedBytes(node);
             }
         }
     }
 
-    /** Before any of it is read, also where the client waits to be told to go on. */
+    /** Before any of it is read, also where the client waits to be oversized to go on. */
     @Test
-    void refusesBodyWithoutRoomAtOnce() throws Exception {
+    void rejectsBodyAtOnceWhenBudgetIsExhausted() throws Exception {
         try (TestNode node = node(1);
                 Peer first = node.client();
                 Peer second = node.client();
@@ -255,13 +255,16 @@
     }
 
     @Test
-    void endsBodyThatGrowsBeyondItsClassWithItsAttempt() throws Exception {
-        final ClassBodies small = new ClassBodies(300 * KIB, KIB, PATIENT_US, false, false);
-        try (TestNode node = new TestNode(LongBodyNode.bodies(small), 1);
+    void rejectsBodyOverClassLimitAndCancelsItsAttempt() throws Exception {
+        final ClassBodies small =
+                new ClassBodies(300 * KIB, KIB, LONG_STALL_TIMEOUT_US, false, false);
+        try (TestNode node = new TestNode(LongBodyFixture.bodies(small), 1);
                 Peer client = node.client();
-                Peer told = node.client()) {
-            told.write(head("r2", 300 * KIB + 1, ""));
-            assertThat(told.read()).startsWith("HTTP/1.1 413 ").endsWith("body over 300 KiB\n");
+                Peer oversized = node.client()) {
+            oversized.write(head("r2", 300 * KIB + 1, ""));
+            assertThat(oversized.read())
+                    .startsWith("HTTP/1.1 413 ")
+                    .endsWith("body over 300 KiB\n");
             client.write(head("r1", -1, ""))
                     .write(Integer.toHexString(MIB) + "\r\n")
                     .writeBytes(0, 290 * KIB);
@@ -274,13 +277,13 @@
                 assertThat(node.eventBesideProgress())
                         .startsWith("ended 1 0 CANCELLED closed true");
             }
-            untilFree(node);
+            awaitNoBufferedBytes(node);
         }
     }
 
     /** What is no chunk ends the body, and with it a request that was taken. */
     @Test
-    void chunkExtensionWithoutEndIsNoBody() throws Exception {
+    void rejectsUnterminatedChunkExtension() throws Exception {
         try (TestNode node = node(1);
                 Peer client = node.client()) {
             client.write(head("r1", -1, "")).writeChunk(0, MIB / 2);
@@ -293,13 +296,13 @@
                 assertThat(node.eventBesideProgress())
                         .startsWith("ended 1 0 CANCELLED closed true");
             }
-            untilFree(node);
+            awaitNoBufferedBytes(node);
         }
     }
 
     /** What comes beyond a stated length is no part of the body, and as a request it is none. */
     @Test
-    void bytesBeyondTheLengthAreNotPassedOn() throws Exception {
+    void doesNotForwardBytesBeyondStatedLength() throws Exception {
         try (TestNode node = node(1);
                 Peer client = node.client()) {
             client.write(head("r1", MIB / 2, "")).writeBytes(0, MIB / 2).write("more\r\n\r\n");
@@ -310,36 +313,36 @@
                 assertThat(worker.hasNews()).isFalse();
                 // The job has its body whole and runs on, for nobody.
                 worker.write(DONE);
-                untilFree(node);
+                awaitNoBufferedBytes(node);
             }
         }
     }
 
     /** Nothing for the longest stall, while it is the client's turn. */
     @Test
-    void givesUpClientThatSendsNothing() throws Exception {
+    void timesOutClientThatStopsSending() throws Exception {
         try (TestNode node = bodies(300_000, 1);
                 Peer client = node.client()) {
             client.write(head("r1", MIB, "")).writeBytes(0, MIB / 4);
             assertThat(client.read()).startsWith("HTTP/1.1 408 ");
-            untilFree(node);
+            awaitNoBufferedBytes(node);
         }
     }
 
     /** A worker that takes nothing is at fault, its client is not. */
     @Test
-    void givesUpWorkerThatTakesNothing() throws Exception {
+    void abandonsWorkerThatStopsReading() throws Exception {
         final long length = 32L * MIB;
         try (TestNode node = bodies(2_000_000, 1);
                 Peer client = node.client()) {
             client.write(head("r1", length, ""));
-            final CompletableFuture<Void> writing = beside(() -> client.writeBytes(0, length));
+            final CompletableFuture<Void> writing = runAsync(() -> client.writeBytes(0, length));
             assertThat(node.eventBesideProgress()).startsWith("requested 1");
             try (Peer worker = node.worker()) {
                 worker.readHead();
                 assertThat(node.eventBesideProgress())
                         .startsWith("ended 1 0 CONNECT_FAILED closed true");
-                untilFree(node);
+                awaitNoBufferedBytes(node);
             }
             // The node may have answered and closed before all was written.
             writing.exceptionally(closed -> null).join();
@@ -348,7 +351,7 @@
 
     /** Told to stop, the node carries what it took to its end. */
     @Test
-    void stopWaitsForBodiesUnderWay() throws Exception {
+    void stopWaitsForBodiesInTransit() throws Exception {
         try (TestNode node = node(1);
                 Peer client = node.client()) {
             client.write(head("r1", MIB, "")).writeBytes(0, MIB / 2);
@@ -383,13 +386,13 @@
 
     /** Chunks of one byte: what is held for each of them is counted, not only its byte. */
     @Test
-    void floodOfSmallChunksStaysWithinTheBound() throws Exception {
+    void buffersWithinLimitForFloodOfOneByteChunks() throws Exception {
         final int thousands = 400;
         try (TestNode node = node(1);
                 Peer client = node.client()) {
             client.write(head("r1", -1, ""));
             final CompletableFuture<Void> writing =
-                    beside(
+                    runAsync(
                             () -> {
                                 for (int i = 0; i < thousands; i++) {
                                     client.write("1;x=y\r\na\r\n".repeat(1000));
@@ -398,10 +401,10 @@
                             });
             try (Peer worker = node.worker()) {
                 worker.readHead();
-                while (held(node) <= MAX_OF_ONE - 64 * KIB && !writing.isDone()) {
+                while (bufferedBytes(node) <= MAX_BYTES_PER_BODY - 64 * KIB && !writing.isDone()) {
                     Thread.onSpinWait();
                 }
-                assertThat(held(node)).isLessThanOrEqualTo(MAX_OF_ONE);
+                assertThat(bufferedBytes(node)).isLessThanOrEqualTo(MAX_BYTES_PER_BODY);
                 worker.write(DONE);
                 assertThat(client.read()).startsWith("HTTP/1.1 200 OK\r\n");
             }
--- a/src/test/java/cresschute/node/LongResultRulesTest.java
+++ b/src/test/java/cresschute/node/LongResultRulesTest.java
@@ -1,13 +1,13 @@
 package cresschute.node;
 
-import static cresschute.node.LongBodyNode.KIB;
-import static cresschute.node.LongBodyNode.MAX_OF_ONE;
-import static cresschute.node.LongBodyNode.MIB;
-import static cresschute.node.LongBodyNode.PATIENT_US;
-import static cresschute.node.LongBodyNode.beside;
-import static cresschute.node.LongBodyNode.held;
-import static cresschute.node.LongBodyNode.results;
-import static cresschute.node.LongBodyNode.untilFree;
+import static cresschute.node.LongBodyFixture.KIB;
+import static cresschute.node.LongBodyFixture.LONG_STALL_TIMEOUT_US;
+import static cresschute.node.LongBodyFixture.MAX_BYTES_PER_BODY;
+import static cresschute.node.LongBodyFixture.MIB;
+import static cresschute.node.LongBodyFixture.awaitNoBufferedBytes;
+import static cresschute.node.LongBodyFixture.bufferedBytes;
+import static cresschute.node.LongBodyFixture.results;
+import static cresschute.node.LongBodyFixture.runAsync;
 import static cresschute.node.TestNode.answer;
 import static cresschute.node.TestNode.request;
 import static org.assertj.core.api.Assertions.assertThat;
@@ -44,14 +44,14 @@
     }
 
     /** A client whose request is at the worker, which has read it. */
-    private static Peer asked(TestNode node, String headers) throws Exception {
+    private static Peer clientAwaitingResult(TestNode node, String headers) throws Exception {
         return node.client().write(request("r1", headers, "body"));
     }
 
     @Test
-    void passesOnWhatIsMadeBeforeTheRestIsThere() throws Exception {
-        try (TestNode node = results(PATIENT_US, false);
-                Peer client = asked(node, "")) {
+    void forwardsResultBeforeItIsComplete() throws Exception {
+        try (TestNode node = results(LONG_STALL_TIMEOUT_US, false);
+                Peer client = clientAwaitingResult(node, "")) {
             try (Peer worker = node.worker()) {
                 worker.read();
                 worker.write(result(",\"type\":\"text/csv\"")).writeChunk(0, 40 * KIB);
@@ -65,7 +65,7 @@
                 assertThat(node.event()).startsWith("ended 1 0 SERVED closed true");
                 worker.writeChunk(40 * KIB, 10 * KIB).write("0\r\nX-Job-State: done\r\n\r\n");
                 client.readChunks(50 * KIB);
-                untilFree(node);
+                awaitNoBufferedBytes(node);
                 // Both connections go on with the next request.
                 client.write(request("r1", "", "again"));
                 worker.read();
@@ -81,32 +81,32 @@
 
     /** What is held is within the bound, however fast the worker and however slow the client. */
     @Test
-    void holdsNoMoreThanItsBoundWhileTheClientReadsNothing() throws Exception {
+    void buffersWithinLimitWhileClientReadsNothing() throws Exception {
         final long length = 24L * MIB;
-        try (TestNode node = results(PATIENT_US, false);
-                Peer client = asked(node, "")) {
+        try (TestNode node = results(LONG_STALL_TIMEOUT_US, false);
+                Peer client = clientAwaitingResult(node, "")) {
             try (Peer worker = node.worker()) {
                 worker.read();
                 worker.write(result(",\"length\":" + length));
                 final CompletableFuture<Void> writing =
-                        beside(
+                        runAsync(
                                 () -> {
                                     for (long at = 0; at < length; at += MIB) {
                                         worker.writeChunk(at, MIB);
                                     }
                                     worker.write("0\r\n\r\n");
                                 });
-                while (held(node) <= MAX_OF_ONE - 64 * KIB) {
+                while (bufferedBytes(node) <= MAX_BYTES_PER_BODY - 64 * KIB) {
                     Thread.onSpinWait();
                 }
                 assertThat(client.readHead())
                         .containsIgnoringCase("content-length: " + length + "\r\n");
                 for (long at = 0; at < length; at += MIB) {
                     client.readBytes(at, MIB);
-                    assertThat(held(node)).isLessThanOrEqualTo(MAX_OF_ONE);
+                    assertThat(bufferedBytes(node)).isLessThanOrEqualTo(MAX_BYTES_PER_BODY);
                 }
                 writing.join();
-                untilFree(node);
+                awaitNoBufferedBytes(node);
             }
         }
     }
@@ -116,9 +116,9 @@
      */
     @ParameterizedTest
     @ValueSource(strings = {"break", "0\r\n\r\n", "0\r\nX-Job-State: failed\r\n\r\n"})
-    void brokenResultNeverLooksWhole(String end) throws Exception {
-        try (TestNode node = results(PATIENT_US, false);
-                Peer client = asked(node, "")) {
+    void incompleteResultNeverLooksComplete(String end) throws Exception {
+        try (TestNode node = results(LONG_STALL_TIMEOUT_US, false);
+                Peer client = clientAwaitingResult(node, "")) {
             try (Peer worker = node.worker()) {
                 worker.read();
                 worker.write(result("")).writeChunk(0, 100);
@@ -131,27 +131,27 @@
                 }
                 assertThat(new String(client.readToEnd(), StandardCharsets.ISO_8859_1))
                         .doesNotEndWith("\r\n0\r\n\r\n");
-                untilFree(node);
+                awaitNoBufferedBytes(node);
             }
         }
     }
 
     @ParameterizedTest
     @CsvSource({"100, 99", "100, 101"})
-    void resultOfAnotherLengthThanToldIsBroken(int told, int came) throws Exception {
-        try (TestNode node = results(PATIENT_US, false);
-                Peer client = asked(node, "")) {
+    void resultOfOtherThanStatedLengthIsIncomplete(int stated, int sent) throws Exception {
+        try (TestNode node = results(LONG_STALL_TIMEOUT_US, false);
+                Peer client = clientAwaitingResult(node, "")) {
             try (Peer worker = node.worker()) {
                 worker.read();
                 // Beside: the node hangs up as soon as it is too long, maybe before all is written.
-                beside(
+                runAsync(
                         () ->
-                                worker.write(result(",\"length\":" + told))
-                                        .writeChunk(0, came)
+                                worker.write(result(",\"length\":" + stated))
+                                        .writeChunk(0, sent)
                                         .write("0\r\n\r\n"));
                 client.readHead();
-                assertThat(client.readToEnd()).hasSizeLessThan(told);
-                untilFree(node);
+                assertThat(client.readToEnd()).hasSizeLessThan(stated);
+                awaitNoBufferedBytes(node);
             }
         }
     }
@@ -159,8 +159,8 @@
     /** A client that knows no chunks learns of the end by the close, and of a break by a reset. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void oldClientSeesWhetherItIsWhole(boolean whole) throws Exception {
-        try (TestNode node = results(PATIENT_US, false);
+    void http10ClientSeesWhetherResultIsComplete(boolean complete) throws Exception {
+        try (TestNode node = results(LONG_STALL_TIMEOUT_US, false);
                 Peer client = node.client()) {
             client.write(request("r1", "", "body").replace("HTTP/1.1", "HTTP/1.0"));
             try (Peer worker = node.worker()) {
@@ -168,17 +168,17 @@
                 worker.write(result("")).writeChunk(0, 100);
                 client.readHead();
                 client.readBytes(0, 100);
-                worker.write("0\r\nX-Job-State: " + (whole ? "done" : "lost") + "\r\n\r\n");
-                assertThat(client.readToEnd()).isEqualTo(whole ? new byte[0] : null);
+                worker.write("0\r\nX-Job-State: " + (complete ? "done" : "lost") + "\r\n\r\n");
+                assertThat(client.readToEnd()).isEqualTo(complete ? new byte[0] : null);
             }
         }
     }
 
     /** The first byte of one copy's result gives up the other copy, without blame on its worker. */
     @Test
-    void firstResultGivesUpTheOtherCopy() throws Exception {
-        try (TestNode node = results(PATIENT_US, false);
-                Peer client = asked(node, "")) {
+    void firstResultByteCancelsOtherAttempt() throws Exception {
+        try (TestNode node = results(LONG_STALL_TIMEOUT_US, false);
+                Peer client = clientAwaitingResult(node, "")) {
             assertThat(node.event()).startsWith("requested 1");
             node.act(actions -> actions.send(1, 0, Long.MAX_VALUE));
             try (Peer first = node.worker();
@@ -203,16 +203,16 @@
     }
 
     @Test
-    void clientThatLeavesEndsTheResult() throws Exception {
-        try (TestNode node = results(PATIENT_US, false);
-                Peer client = asked(node, "")) {
+    void closesWorkerConnectionWhenClientDisconnects() throws Exception {
+        try (TestNode node = results(LONG_STALL_TIMEOUT_US, false);
+                Peer client = clientAwaitingResult(node, "")) {
             try (Peer worker = node.worker()) {
                 worker.read();
                 worker.write(result("")).writeChunk(0, 100);
                 client.readHead();
                 client.reset();
                 assertThat(worker.isClosedByOther()).isTrue();
-                untilFree(node);
+                awaitNoBufferedBytes(node);
             }
         }
     }
@@ -223,15 +223,15 @@
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void resultBeforeTheBodysEndEndsItsAttemptOnce(boolean whole) throws Exception {
-        try (TestNode node = results(PATIENT_US, false);
+    void resultBeforeEndOfBodyEndsAttemptOnce(boolean complete) throws Exception {
+        try (TestNode node = results(LONG_STALL_TIMEOUT_US, false);
                 Peer client = node.client()) {
-            client.write(LongBodyNode.head("r1", MIB, "")).writeBytes(0, MIB / 2);
+            client.write(LongBodyFixture.head("r1", MIB, "")).writeBytes(0, MIB / 2);
             try (Peer worker = node.worker()) {
                 worker.readHead();
                 worker.write(result("")).writeChunk(0, 100);
                 client.readHead();
-                if (whole) {
+                if (complete) {
                     worker.write("0\r\nX-Job-State: done\r\n\r\n");
                     client.readChunks(100);
                 } else {
@@ -239,16 +239,16 @@
                     assertThat(new String(client.readToEnd(), StandardCharsets.ISO_8859_1))
                             .doesNotEndWith("\r\n0\r\n\r\n");
                 }
-                untilFree(node);
+                awaitNoBufferedBytes(node);
             }
         }
     }
 
     /** A line of this kind from a worker of a class that has no long results is no answer. */
     @Test
-    void longResultIsNoAnswerWhereNoneIsExpected() throws Exception {
-        try (TestNode node = LongBodyNode.bodies(PATIENT_US, 1);
-                Peer client = asked(node, "")) {
+    void rejectsStreamedResultOfClassWithoutThem() throws Exception {
+        try (TestNode node = LongBodyFixture.bodies(LONG_STALL_TIMEOUT_US, 1);
+                Peer client = clientAwaitingResult(node, "")) {
             try (Peer worker = node.worker()) {
                 worker.read();
                 worker.write(result(""));
@@ -259,9 +259,9 @@
 
     /** Before it is taken: a job that has run is never lost for want of room. */
     @Test
-    void refusesWhereThereIsNoRoomForTheResult() throws Exception {
-        try (TestNode node = results(PATIENT_US, false);
-                Peer first = asked(node, "");
+    void rejectsRequestWhenBudgetCannotHoldItsResult() throws Exception {
+        try (TestNode node = results(LONG_STALL_TIMEOUT_US, false);
+                Peer first = clientAwaitingResult(node, "");
                 Peer second = node.client();
                 Peer third = node.client();
                 Peer fourth = node.client()) {
@@ -285,9 +285,9 @@
 
     /** Nothing comes for the longest stall, although there is room. */
     @Test
-    void givesUpWorkerThatMakesNothingMore() throws Exception {
+    void abandonsWorkerWhoseResultStalls() throws Exception {
         try (TestNode node = results(300_000, false);
-                Peer client = asked(node, "")) {
+                Peer client = clientAwaitingResult(node, "")) {
             try (Peer worker = node.worker()) {
                 worker.read();
                 worker.write(result(",\"length\":1000")).writeChunk(0, 500);
@@ -300,14 +300,14 @@
 
     /** A client that takes nothing for the longest stall is given up, and the worker is free. */
     @Test
-    void givesUpClientThatReadsNothing() throws Exception {
+    void abandonsClientThatStopsReading() throws Exception {
         try (TestNode node = results(1_000_000, false);
-                Peer client = asked(node, "")) {
+                Peer client = clientAwaitingResult(node, "")) {
             try (Peer worker = node.worker()) {
                 worker.read();
                 worker.write(result(""));
                 final CompletableFuture<Void> writing =
-                        beside(
+                        runAsync(
                                 () -> {
                                     for (long at = 0; at < 64; at++) {
                                         worker.writeChunk(at * MIB, MIB);
@@ -317,7 +317,7 @@
                                 writing.handle((done, broken) -> broken != null)
                                         .get(20, TimeUnit.SECONDS))
                         .isTrue();
-                untilFree(node);
+                awaitNoBufferedBytes(node);
                 assertThat(client.readHead()).startsWith("HTTP/1.1 200 OK\r\n");
             }
         }
@@ -326,9 +326,9 @@
     /** The class says which byte of the result must be there by the deadline. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void deadlineCountsToTheByteThatTheClassSays(boolean toFirst) throws Exception {
-        try (TestNode node = results(PATIENT_US, toFirst);
-                Peer client = asked(node, "X-Deadline: 500m\r\n")) {
+    void deadlineAppliesToFirstOrLastByteByClass(boolean toFirst) throws Exception {
+        try (TestNode node = results(LONG_STALL_TIMEOUT_US, toFirst);
+                Peer client = clientAwaitingResult(node, "X-Deadline: 500m\r\n")) {
             try (Peer worker = node.worker()) {
                 worker.read();
                 worker.write(result(",\"length\":200")).writeChunk(0, 100);
@@ -347,9 +347,9 @@
 
     /** Answers keep the order of their requests, long or not. */
     @Test
-    void answersBehindALongResultWaitForIt() throws Exception {
-        try (TestNode node = results(PATIENT_US, false);
-                Peer client = asked(node, "")) {
+    void keepsResponseOrderBehindLongResult() throws Exception {
+        try (TestNode node = results(LONG_STALL_TIMEOUT_US, false);
+                Peer client = clientAwaitingResult(node, "")) {
             try (Peer first = node.worker()) {
                 first.read();
                 client.write(request("r2", "", "two"));
@@ -367,15 +367,15 @@
                     client.readChunks(30);
                 }
             }
-            untilFree(node);
+            awaitNoBufferedBytes(node);
         }
     }
 
     /** Told to stop, the node carries a result to its end. */
     @Test
-    void stopWaitsForResultsUnderWay() throws Exception {
-        try (TestNode node = results(PATIENT_US, false);
-                Peer client = asked(node, "")) {
+    void stopWaitsForResultsInTransit() throws Exception {
+        try (TestNode node = results(LONG_STALL_TIMEOUT_US, false);
+                Peer client = clientAwaitingResult(node, "")) {
             try (Peer worker = node.worker()) {
                 worker.read();
                 worker.write(result("")).writeChunk(0, 100);
--- a/src/test/java/cresschute/node/PipelinedBodyRulesTest.java
+++ b/src/test/java/cresschute/node/PipelinedBodyRulesTest.java
@@ -1,11 +1,11 @@
 package cresschute.node;
 
-import static cresschute.node.LongBodyNode.KIB;
-import static cresschute.node.LongBodyNode.MIB;
-import static cresschute.node.LongBodyNode.PATIENT_US;
-import static cresschute.node.LongBodyNode.bodies;
-import static cresschute.node.LongBodyNode.head;
-import static cresschute.node.LongBodyNode.held;
+import static cresschute.node.LongBodyFixture.KIB;
+import static cresschute.node.LongBodyFixture.LONG_STALL_TIMEOUT_US;
+import static cresschute.node.LongBodyFixture.MIB;
+import static cresschute.node.LongBodyFixture.bodies;
+import static cresschute.node.LongBodyFixture.bufferedBytes;
+import static cresschute.node.LongBodyFixture.head;
 import static cresschute.node.TestNode.request;
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -35,13 +35,19 @@
                         TestNode.configured(
                                 UnaryOperator.identity(),
                                 (actions, request) -> {},
-                                bodies(new ClassBodies(64L * MIB, KIB, PATIENT_US, false, false)));
+                                bodies(
+                                        new ClassBodies(
+                                                64L * MIB,
+                                                KIB,
+                                                LONG_STALL_TIMEOUT_US,
+                                                false,
+                                                false)));
                 Peer client = node.client()) {
             for (int i = 1; i <= MAX_IN_FLIGHT + 1; i++) {
                 client.write(request("r" + i, "", "body of r" + i));
             }
             client.write(head("r18", MIB, "")).writeBytes(0, 64 * KIB);
-            while (held(node) == 0) {
+            while (bufferedBytes(node) == 0) {
                 Thread.onSpinWait();
             }
             for (int i = 1; i <= MAX_IN_FLIGHT; i++) {
