--- a/src/main/java/cresschute/node/http/DuplicateResponseDetector.java
+++ b/src/main/java/cresschute/node/http/DuplicateResponseDetector.java
@@ -12,7 +12,7 @@
  *
  * <p>Soon after a response, its connection may bring that response once more. Until then a response
  * that names no request, one with another status than 200, is held: if another response follows, it
- * was a duplicate; if none follows within {@value #ACCEPT_AFTER_MS} ms of its end, it is accepted
+ * was a duplicate; if none follows within {@value #ACCEPT_DELAY_MS} ms of its end, it is accepted
  * as the present exchange's. A response with status 200 names its request in its lines.
  *
  * <p>One per connection, used for one exchange after the other; owns the timer of the held
@@ -24,32 +24,32 @@
      * How soon after a response an exchange on its connection may still meet that response a second
      * time, ms.
      */
-    static final long SUSPECT_WITHIN_MS = 100;
+    static final long DUPLICATE_WINDOW_MS = 100;
 
     /** How long after its end a held response is accepted if nothing follows, ms. */
-    static final long ACCEPT_AFTER_MS = 50;
+    static final long ACCEPT_DELAY_MS = 50;
 
-    private boolean suspicious;
+    private boolean duplicatePossible;
     private boolean duplicateSeen;
 
     /** The head of a response that may be a duplicate, or null. */
-    private HttpResponse held;
+    private HttpResponse heldResponse;
 
     /** Accepts the held response, or null while its end is not read. */
-    private Future<?> acceptance;
+    private Future<?> acceptTimer;
 
     /**
      * An exchange begins on a reused connection.
      *
      * @param idleNs how long the connection was idle
      */
-    void exchangeBegins(long idleNs) {
-        suspicious = idleNs < TimeUnit.MILLISECONDS.toNanos(SUSPECT_WITHIN_MS);
+    void exchangeStarted(long idleNs) {
+        duplicatePossible = idleNs < TimeUnit.MILLISECONDS.toNanos(DUPLICATE_WINDOW_MS);
     }
 
     /** Whether what is received may belong to the exchange before. */
-    boolean isSuspicious() {
-        return suspicious;
+    boolean isDuplicatePossible() {
+        return duplicatePossible;
     }
 
     /** Whether more responses than requests were received on this connection. */
@@ -59,7 +59,7 @@
 
     /** A response turned out to belong to the exchange before. */
     void duplicateSeen() {
-        suspicious = false;
+        duplicatePossible = false;
         duplicateSeen = true;
     }
 
@@ -68,13 +68,13 @@
      *
      * @return whether the one held before it is a duplicate by this
      */
-    boolean nextHead() {
+    boolean headReceived() {
         cancel();
-        acceptance = null;
-        if (held == null) {
+        acceptTimer = null;
+        if (heldResponse == null) {
             return false;
         }
-        held = null;
+        heldResponse = null;
         duplicateSeen();
         return true;
     }
@@ -84,9 +84,9 @@
      *
      * @return whether it is held
      */
-    boolean hold(HttpResponse response) {
-        if (suspicious && !response.status().equals(HttpResponseStatus.OK)) {
-            held = response;
+    boolean holdIfSuspect(HttpResponse response) {
+        if (duplicatePossible && !response.status().equals(HttpResponseStatus.OK)) {
+            heldResponse = response;
             return true;
         }
         return false;
@@ -94,7 +94,7 @@
 
     /** Whether a response is held, so that its content is held too. */
     boolean isHolding() {
-        return held != null;
+        return heldResponse != null;
     }
 
     /**
@@ -103,22 +103,22 @@
      * @param accept called unless another response is received in time; calls {@link #accept}
      */
     void heldResponseEnded(EventLoop loop, Runnable accept) {
-        acceptance = loop.schedule(accept, ACCEPT_AFTER_MS, TimeUnit.MILLISECONDS);
+        acceptTimer = loop.schedule(accept, ACCEPT_DELAY_MS, TimeUnit.MILLISECONDS);
     }
 
     /** Accepts the held response as the present exchange's, and returns its head. */
     HttpResponse accept() {
-        final HttpResponse accepted = held;
-        held = null;
-        acceptance = null;
-        suspicious = false;
+        final HttpResponse accepted = heldResponse;
+        heldResponse = null;
+        acceptTimer = null;
+        duplicatePossible = false;
         return accepted;
     }
 
     /** Cancels the timer: a held response is neither accepted nor taken for a duplicate. */
     void cancel() {
-        if (acceptance != null) {
-            acceptance.cancel(false);
+        if (acceptTimer != null) {
+            acceptTimer.cancel(false);
         }
     }
 }
--- a/src/main/java/cresschute/node/http/HttpAttempt.java
+++ b/src/main/java/cresschute/node/http/HttpAttempt.java
@@ -40,8 +40,8 @@
     private static final int OK = 200;
     private static final int UNAVAILABLE = 503;
     private static final int GATEWAY_TIMEOUT = 504;
-    private static final String MARKED = "1";
-    private static final String DONE = "done";
+    private static final String NOT_RUN_VALUE = "1";
+    private static final String JOB_STATE_DONE = "done";
 
     private final String host;
     private final RequestContent content;
@@ -51,16 +51,16 @@
     /** What writes a streamed body, or null. */
     private final BodyTransfer transfer;
 
-    private ProgressLineReader lines = new ProgressLineReader();
+    private ProgressLineReader lineReader = new ProgressLineReader();
 
     /** The load report of the response's head. */
-    private LoadReport headLoad = LoadReport.NONE;
+    private LoadReport headerLoad = LoadReport.NONE;
 
     /** The outcome that the response's status states; null where its lines do. */
     private Outcome statusOutcome;
 
     /** Whether a line named another request where the response before may come twice. */
-    private boolean foreignResponse;
+    private boolean staleResponse;
 
     /** A streamed result from its first byte on, or null. */
     private StreamedResponseBody result;
@@ -152,15 +152,15 @@
     /** No fault of the worker's, and the job cannot have run: its last byte was never written. */
     @Override
     public void transferAborted() {
-        endUnwritten(Outcome.CANCELLED);
+        endBeforeWritten(Outcome.CANCELLED);
     }
 
     @Override
     public void peerTooSlow() {
-        endUnwritten(Outcome.CONNECT_FAILED);
+        endBeforeWritten(Outcome.CONNECT_FAILED);
     }
 
-    private void endUnwritten(Outcome outcome) {
+    private void endBeforeWritten(Outcome outcome) {
         if (result != null) {
             // A worker may begin its result before it has all of the body: the end was reported.
             abortResult();
@@ -175,9 +175,9 @@
     @Override
     void headReceived(HttpResponse response) {
         try {
-            headLoad = LoadReportParser.parseHeader(response.headers().get(HeaderNames.LOAD));
+            headerLoad = LoadReportParser.parseHeader(response.headers().get(HeaderNames.LOAD));
         } catch (JsonParseException e) {
-            endByBadResponse(e);
+            endWithBadResponse(e);
             return;
         }
         statusOutcome = outcomeOf(response);
@@ -191,7 +191,7 @@
         }
         // Only the worker's own mark proves that nothing ran; a proxy may send a 503 as well.
         if ((status == UNAVAILABLE || status == GATEWAY_TIMEOUT)
-                && MARKED.equals(response.headers().get(HeaderNames.NOT_RUN))) {
+                && NOT_RUN_VALUE.equals(response.headers().get(HeaderNames.NOT_RUN))) {
             return Outcome.FULL;
         }
         return response.status().codeClass() == HttpStatusClass.CLIENT_ERROR
@@ -201,26 +201,26 @@
 
     @Override
     void contentReceived(ByteBuf chunk) {
-        if (isOver() || statusOutcome != null || foreignResponse) {
+        if (isOver() || statusOutcome != null || staleResponse) {
             return;
         }
         if (result != null) {
-            passOn(chunk);
-        } else if (lines.add(chunk)) {
+            forwardToResult(chunk);
+        } else if (lineReader.add(chunk)) {
             readLines();
         } else {
-            endByBadResponse(new JsonParseException("a line is too long"));
+            endWithBadResponse(new JsonParseException("a line is too long"));
         }
     }
 
     private void readLines() {
-        for (String line = lines.nextLine(); line != null; line = lines.nextLine()) {
+        for (String line = lineReader.nextLine(); line != null; line = lineReader.nextLine()) {
             lineReceived(line);
-            if (isOver() || foreignResponse) {
+            if (isOver() || staleResponse) {
                 return;
             }
             if (result != null) {
-                passOn(lines.takeRemaining());
+                forwardToResult(lineReader.takeRemaining());
                 return;
             }
         }
@@ -229,7 +229,7 @@
     /** The load that a line reports, or else that of the head. */
     @SuppressWarnings("ReferenceEquality") // NONE itself stands for a line without a report.
     private LoadReport latestLoad(ProgressLine line) {
-        return line.load() == LoadReport.NONE ? headLoad : line.load();
+        return line.load() == LoadReport.NONE ? headerLoad : line.load();
     }
 
     private void lineReceived(String text) {
@@ -241,32 +241,32 @@
                 case RESULT_FOLLOWS -> beginResult(line.text(), line.resultLength(), load);
                 default -> end(line.outcome(), load, line.text());
             }
-        } catch (ForeignLineException e) {
-            foreignResponse = connection().mayReceiveDuplicate();
-            if (!foreignResponse) {
-                endByBadResponse(e);
+        } catch (RequestIdMismatchException e) {
+            staleResponse = connection().mayReceiveDuplicate();
+            if (!staleResponse) {
+                endWithBadResponse(e);
             }
         } catch (JsonParseException e) {
-            endByBadResponse(e);
+            endWithBadResponse(e);
         }
     }
 
     @Override
-    boolean isForeignResponse() {
-        if (!isOver() && statusOutcome == null && !foreignResponse && result == null) {
-            final String lastLine = lines.takeLastLine();
+    boolean isStaleResponse() {
+        if (!isOver() && statusOutcome == null && !staleResponse && result == null) {
+            final String lastLine = lineReader.takeLastLine();
             if (!lastLine.isEmpty()) {
                 lineReceived(lastLine);
             }
         }
-        return foreignResponse;
+        return staleResponse;
     }
 
     @Override
-    void foreignResponseEnded() {
-        foreignResponse = false;
-        headLoad = LoadReport.NONE;
-        lines = new ProgressLineReader();
+    void staleResponseEnded() {
+        staleResponse = false;
+        headerLoad = LoadReport.NONE;
+        lineReader = new ProgressLineReader();
     }
 
     @Override
@@ -283,9 +283,9 @@
         if (result != null) {
             endResult(false);
         } else if (statusOutcome != null) {
-            end(statusOutcome, headLoad, null);
+            end(statusOutcome, headerLoad, null);
         } else {
-            end(isWritten() ? Outcome.BROKEN : Outcome.CONNECT_FAILED, headLoad, null);
+            end(isWritten() ? Outcome.BROKEN : Outcome.CONNECT_FAILED, headerLoad, null);
         }
     }
 
@@ -300,13 +300,13 @@
             readPending = true;
             connection().stopAutoRead();
         } else if (stream == null) {
-            endByBadResponse(new JsonParseException("a long result of a class that has none"));
+            endWithBadResponse(new JsonParseException("a long result of a class that has none"));
         } else {
             cancel();
         }
     }
 
-    private void passOn(ByteBuf chunk) {
+    private void forwardToResult(ByteBuf chunk) {
         final long maxBytes = result.hasStatedLength() ? result.statedLength() : Long.MAX_VALUE;
         if (!result.collect(chunk, connection().allocator(), maxBytes)) {
             faults.fault(PeerFault.BAD_WORKER_ANSWER, host, "a result is longer than it said");
@@ -339,8 +339,8 @@
 
     /** Whether the response's end completes the result: by its trailer, or by its length. */
     private boolean isResultComplete(String state) {
-        return result.isAsLongAsStated()
-                && (state == null ? result.hasStatedLength() : state.equals(DONE));
+        return result.matchesStatedLength()
+                && (state == null ? result.hasStatedLength() : state.equals(JOB_STATE_DONE));
     }
 
     private void abortResult() {
@@ -361,7 +361,7 @@
 
     // ---- The end ----
 
-    private void endByBadResponse(JsonParseException e) {
+    private void endWithBadResponse(JsonParseException e) {
         faults.fault(PeerFault.BAD_WORKER_ANSWER, host, e.getMessage());
         end(Outcome.ERROR, LoadReport.NONE, null);
         cancel();
--- a/src/main/java/cresschute/node/http/HttpExchange.java
+++ b/src/main/java/cresschute/node/http/HttpExchange.java
@@ -80,12 +80,12 @@
      * Whether the response that ends now belongs to the exchange before on this connection, so that
      * this one's own is still due.
      */
-    boolean isForeignResponse() {
+    boolean isStaleResponse() {
         return false;
     }
 
     /** That response has ended; this exchange's own comes next. */
-    void foreignResponseEnded() {}
+    void staleResponseEnded() {}
 
     /**
      * The response is complete.
--- a/src/main/java/cresschute/node/http/ProgressLine.java
+++ b/src/main/java/cresschute/node/http/ProgressLine.java
@@ -55,13 +55,13 @@
      * Parses a line.
      *
      * @param requestId the request that was sent
-     * @throws ForeignLineException if the line names another request
+     * @throws RequestIdMismatchException if the line names another request
      * @throws JsonParseException if it is malformed in any other way
      */
     static ProgressLine parse(String line, String requestId) {
         final JsonObject json = Json.object(line);
         if (!Json.string(json, "id").equals(requestId)) {
-            throw new ForeignLineException();
+            throw new RequestIdMismatchException();
         }
         final LoadReport load =
                 json.has("load")
--- a/src/main/java/cresschute/node/http/StreamedBodies.java
+++ b/src/main/java/cresschute/node/http/StreamedBodies.java
@@ -24,7 +24,7 @@
      * A body is lent no more than what is free over this: of bodies that stand still each then
      * holds two to three windows, and many more can be opened.
      */
-    private static final long LEND_DIVISOR = 64;
+    private static final long BORROW_DIVISOR = 64;
 
     private final Bodies settings;
     private final BufferBudget budget;
@@ -43,7 +43,7 @@
                                 settings.budget(),
                                 settings.window(),
                                 settings.lent(),
-                                LEND_DIVISOR,
+                                BORROW_DIVISOR,
                                 settings.maxPerClientBytes()));
         this.maxBytes = settings.classes().stream().mapToLong(ClassBodies::longest).max().orElse(0);
     }
@@ -88,21 +88,21 @@
      */
     StreamedResponseBody openResponseBody(
             String client, int requestClass, ByteBufAllocator allocator) {
-        final CapacityNotice notice = new CapacityNotice();
-        final Reservation reservation = reserve(client, notice);
-        notice.result =
+        final CapacityCallback callback = new CapacityCallback();
+        final Reservation reservation = reserve(client, callback);
+        callback.result =
                 reservation == null
                         ? null
                         : new StreamedResponseBody(
                                 this, reservation, limits(requestClass), allocator);
-        return notice.result;
+        return callback.result;
     }
 
     /**
      * Passes a reservation's notices on to its result, which can be made only after the
      * reservation.
      */
-    private static final class CapacityNotice implements Runnable {
+    private static final class CapacityCallback implements Runnable {
         private StreamedResponseBody result;
 
         @Override
--- a/src/main/java/cresschute/node/http/StreamedBody.java
+++ b/src/main/java/cresschute/node/http/StreamedBody.java
@@ -24,15 +24,15 @@
      * The most that is read at a time, bytes. Together with what a short body may have grown to
      * before it was known to be long, it must fit into the least window.
      */
-    private static final int READ_BYTES = 32 * 1024;
+    private static final int MAX_READ_BYTES = 32 * 1024;
 
     private static final int MIN_READ_BYTES = 64;
     private static final int FIRST_READ_BYTES = 2048;
 
     /** What holding a piece takes beside its bytes. */
-    private static final int PIECE_BYTES = 256;
+    private static final int PIECE_OVERHEAD_BYTES = 256;
 
-    private static final int MAX_COST = READ_BYTES + PIECE_BYTES;
+    private static final int MAX_PIECE_COST = MAX_READ_BYTES + PIECE_OVERHEAD_BYTES;
 
     private final StreamedBodies owner;
     private final ClassBodies limits;
@@ -40,7 +40,7 @@
     private final TransferMonitor senderMonitor;
 
     /** The piece that is being filled, or null. */
-    private ByteBuf filling;
+    private ByteBuf currentPiece;
 
     private long bytesRead;
     private boolean retired;
@@ -74,7 +74,7 @@
      * #hasCapacity} asks capacity for.
      */
     static RecvByteBufAllocator boundedReads() {
-        return new AdaptiveRecvByteBufAllocator(MIN_READ_BYTES, FIRST_READ_BYTES, READ_BYTES);
+        return new AdaptiveRecvByteBufAllocator(MIN_READ_BYTES, FIRST_READ_BYTES, MAX_READ_BYTES);
     }
 
     final StreamedBodies owner() {
@@ -94,7 +94,7 @@
     }
 
     /** What was read so far costs of the budget, all together, bytes. */
-    final long costRead() {
+    final long readCost() {
         return body.appendedCost();
     }
 
@@ -112,11 +112,12 @@
         bytesRead += count;
         senderMonitor.transferred(count, nowUs());
         while (content.isReadable()) {
-            if (filling == null) {
-                filling = allocator.directBuffer(READ_BYTES, READ_BYTES);
+            if (currentPiece == null) {
+                currentPiece = allocator.directBuffer(MAX_READ_BYTES, MAX_READ_BYTES);
             }
-            filling.writeBytes(content, Math.min(content.readableBytes(), filling.writableBytes()));
-            if (!filling.isWritable()) {
+            currentPiece.writeBytes(
+                    content, Math.min(content.readableBytes(), currentPiece.writableBytes()));
+            if (!currentPiece.isWritable()) {
                 endPiece(allocator);
             }
         }
@@ -125,20 +126,20 @@
 
     /** Passes what was read so far on to the transfers. */
     final void endPiece(ByteBufAllocator allocator) {
-        if (filling == null) {
+        if (currentPiece == null) {
             return;
         }
-        ByteBuf piece = filling;
-        filling = null;
+        ByteBuf piece = currentPiece;
+        currentPiece = null;
         if (body.state() != BodyBuffer.State.OPEN) {
             piece.release();
             return;
         }
-        if (piece.readableBytes() < READ_BYTES / 2) {
+        if (piece.readableBytes() < MAX_READ_BYTES / 2) {
             // A large buffer must not be held for a few bytes: the budget counts capacities.
             piece = copyToSize(piece, allocator);
         }
-        final int cost = piece.capacity() + PIECE_BYTES;
+        final int cost = piece.capacity() + PIECE_OVERHEAD_BYTES;
         body.credit(cost);
         body.append(piece, cost);
     }
@@ -155,7 +156,7 @@
      * called once there may be some.
      */
     final boolean hasCapacity() {
-        final boolean fits = body.credit(MAX_COST) >= MAX_COST;
+        final boolean fits = body.credit(MAX_PIECE_COST) >= MAX_PIECE_COST;
         senderMonitor.setActive(fits, nowUs());
         return fits;
     }
@@ -235,9 +236,9 @@
     }
 
     private void close() {
-        if (filling != null) {
-            filling.release();
-            filling = null;
+        if (currentPiece != null) {
+            currentPiece.release();
+            currentPiece = null;
         }
         body.close();
     }
--- a/src/main/java/cresschute/node/http/StreamedRequestBody.java
+++ b/src/main/java/cresschute/node/http/StreamedRequestBody.java
@@ -50,6 +50,6 @@
 
     /** Whether more was read than is kept, so that there is no use in waiting for the end. */
     boolean isBeyondSpool() {
-        return costRead() > spoolBytes;
+        return readCost() > spoolBytes;
     }
 }
--- a/src/main/java/cresschute/node/http/StreamedResponseBody.java
+++ b/src/main/java/cresschute/node/http/StreamedResponseBody.java
@@ -75,7 +75,7 @@
     }
 
     /** Whether as many bytes were read as were stated. */
-    boolean isAsLongAsStated() {
+    boolean matchesStatedLength() {
         return !hasStatedLength() || bytesRead() == statedLength;
     }
 
--- a/src/main/java/cresschute/node/http/WorkerConnection.java
+++ b/src/main/java/cresschute/node/http/WorkerConnection.java
@@ -30,7 +30,7 @@
 final class WorkerConnection extends SimpleChannelInboundHandler<HttpObject> {
 
     /** How long a response may go on after its outcome, ms; then the connection is closed. */
-    private static final long RESPONSE_END_MS = 1_000;
+    private static final long RESPONSE_END_TIMEOUT_MS = 1_000;
 
     private final InetSocketAddress address;
     private final WorkerConnectionPool pool;
@@ -47,7 +47,7 @@
     private boolean informational;
 
     /** Whether nothing was received since the connection was reused. */
-    private boolean reusedAndSilent;
+    private boolean reusedWithoutData;
 
     /** Whether this side closes the connection. */
     private boolean closing;
@@ -80,8 +80,8 @@
         if (idleTimer != null) {
             idleTimer.cancel(false);
             idleTimer = null;
-            reusedAndSilent = true;
-            duplicates.exchangeBegins(System.nanoTime() - idleSinceNs);
+            reusedWithoutData = true;
+            duplicates.exchangeStarted(System.nanoTime() - idleSinceNs);
         }
         exchange = next;
         next.begin(this);
@@ -123,11 +123,11 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
-        reusedAndSilent = false;
+        reusedWithoutData = false;
         if (exchange == null) {
             // A worker that responds twice proves nothing about how long workers keep connections.
             if (!closing) {
-                pool.unexpectedBytes(address);
+                pool.unexpectedResponse(address);
             }
             close();
             return;
@@ -154,11 +154,11 @@
         if (informational) {
             return;
         }
-        if (duplicates.nextHead()) {
-            pool.unexpectedBytes(address);
+        if (duplicates.headReceived()) {
+            pool.unexpectedResponse(address);
         }
         keepAlive = HttpUtil.isKeepAlive(response);
-        if (!duplicates.hold(response)) {
+        if (!duplicates.holdIfSuspect(response)) {
             exchange.headReceived(response);
         }
     }
@@ -178,15 +178,15 @@
             // The outcome is known, but the worker may never end its response.
             responseEndTimer =
                     channel.eventLoop()
-                            .schedule(this::close, RESPONSE_END_MS, TimeUnit.MILLISECONDS);
+                            .schedule(this::close, RESPONSE_END_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         }
     }
 
     private void responseEnded(HttpExchange current, HttpHeaders trailers) {
-        if (current.isForeignResponse()) {
-            current.foreignResponseEnded();
+        if (current.isStaleResponse()) {
+            current.staleResponseEnded();
             duplicates.duplicateSeen();
-            pool.unexpectedBytes(address);
+            pool.unexpectedResponse(address);
             return;
         }
         cancelResponseEndTimer();
@@ -210,7 +210,7 @@
 
     /** Whether lines that name another request may be a duplicate of the response before. */
     boolean mayReceiveDuplicate() {
-        return duplicates.isSuspicious();
+        return duplicates.isDuplicatePossible();
     }
 
     @Override
@@ -279,9 +279,9 @@
         cancelResponseEndTimer();
         // A response that is held is not known to be this exchange's: it ends as broken.
         duplicates.cancel();
-        pool.closed(this);
-        if (!closing && (reusedAndSilent || (exchange == null && keepAlive))) {
-            pool.idleConnectionBroke();
+        pool.connectionClosed(this);
+        if (!closing && (reusedWithoutData || (exchange == null && keepAlive))) {
+            pool.idleConnectionClosedByWorker();
         }
         if (exchange != null) {
             final HttpExchange broken = exchange;
--- a/src/main/java/cresschute/node/http/WorkerConnectionPool.java
+++ b/src/main/java/cresschute/node/http/WorkerConnectionPool.java
@@ -38,10 +38,10 @@
     private static final double IDLE_FRACTION = 0.75;
 
     /** How long a load query may take, ms. */
-    private static final long LOAD_QUERY_MS = 350;
+    private static final long LOAD_QUERY_TIMEOUT_MS = 350;
 
     /** How long no connection is kept after an idle one was closed by its worker, s. */
-    private static final long NO_REUSE_S = 15;
+    private static final long REUSE_PAUSE_S = 15;
 
     private static final long US_PER_MS = 1_000;
 
@@ -57,7 +57,7 @@
     private int openConnections;
 
     /** Until when no connection is kept, by {@link System#nanoTime}. */
-    private long noReuseUntilNs = System.nanoTime();
+    private long reusePausedUntilNs = System.nanoTime();
 
     /**
      * An empty pool.
@@ -121,7 +121,8 @@
     @Override
     public void queryLoad(InetSocketAddress address, LoadQueryListener listener) {
         final HttpLoadQuery query = new HttpLoadQuery(host(address), listener, faults);
-        query.setTimeout(loop.schedule(query::timedOut, LOAD_QUERY_MS, TimeUnit.MILLISECONDS));
+        query.setTimeout(
+                loop.schedule(query::timedOut, LOAD_QUERY_TIMEOUT_MS, TimeUnit.MILLISECONDS));
         start(address, query);
     }
 
@@ -213,7 +214,7 @@
 
     /** Takes back a connection whose exchange is over. */
     void release(WorkerConnection connection) {
-        if (System.nanoTime() < noReuseUntilNs) {
+        if (System.nanoTime() < reusePausedUntilNs) {
             connection.close();
         } else if (connection.isActive()) {
             connection.closeAfterIdle(maxIdleUs);
@@ -227,13 +228,13 @@
      * that meets this ends as a reset, and a keyed one is then bound to its group, whereas a new
      * connection costs milliseconds: so for a while no connection is kept, to any worker.
      */
-    void idleConnectionBroke() {
-        noReuseUntilNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(NO_REUSE_S);
+    void idleConnectionClosedByWorker() {
+        reusePausedUntilNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(REUSE_PAUSE_S);
         closeAllIdle();
     }
 
     /** A connection that was established is closed. */
-    void closed(WorkerConnection connection) {
+    void connectionClosed(WorkerConnection connection) {
         openConnections--;
         final Deque<WorkerConnection> connections = idle.get(connection.address());
         if (connections != null) {
@@ -247,7 +248,7 @@
     // ---- Faults ----
 
     /** Bytes were received that no request asked for; the connection that brought them ends. */
-    void unexpectedBytes(InetSocketAddress address) {
+    void unexpectedResponse(InetSocketAddress address) {
         faults.fault(PeerFault.BAD_WORKER_ANSWER, host(address), "to nothing that was asked");
     }
 
--- a/src/test/java/cresschute/node/WorkerSocketRulesTest.java
+++ b/src/test/java/cresschute/node/WorkerSocketRulesTest.java
@@ -16,7 +16,7 @@
 class WorkerSocketRulesTest extends SocketFixture {
 
     @Test
-    void passesRequestOnUnchangedAndAnswersWithItsResult() throws Exception {
+    void forwardsRequestUnchangedAndReturnsResult() throws Exception {
         try (TestNode node = new TestNode();
                 Peer client = node.client()) {
             client.write(
@@ -40,7 +40,7 @@
      * unstarted.
      */
     @Test
-    void aCopyIsGivenUpOnceAnotherHasAnswered() throws Exception {
+    void cancelsOtherAttemptOnceOneHasResponded() throws Exception {
         try (TestNode node = new TestNode();
                 Peer client = node.client()) {
             client.write(request("r1", "", "body"));
@@ -86,7 +86,7 @@
                     404 No |                  |                               | UNUSABLE
                     400 No | X-Not-Run: 1     |                               | UNUSABLE
                     """)
-    void tellsEndOfAttemptByWhatCameBack(String status, String header, String rest, String outcome)
+    void derivesOutcomeFromResponse(String status, String header, String rest, String outcome)
             throws Exception {
         try (TestNode node = new TestNode();
                 Peer client = node.client()) {
@@ -110,7 +110,7 @@
     }
 
     @Test
-    void readsSplitAndJoinedChunksAndLoadsInBothForms() throws Exception {
+    void parsesSplitAndJoinedChunksAndBothLoadReportForms() throws Exception {
         try (TestNode node = new TestNode();
                 Peer client = node.client()) {
             client.write(request("r1", "", ""));
@@ -137,7 +137,7 @@
 
     @ParameterizedTest
     @CsvSource({"true", "false"})
-    void countsBreakAfterTheLastByteAsReset(boolean reset) throws Exception {
+    void reportsCloseAfterLastByteAsBroken(boolean reset) throws Exception {
         try (TestNode node = new TestNode();
                 Peer client = node.client()) {
             client.write(request("r1", "", ""));
@@ -156,7 +156,7 @@
     }
 
     @Test
-    void countsRefusedConnectionAsCouldNotConnect() throws Exception {
+    void reportsRefusedConnectionAsConnectFailed() throws Exception {
         try (TestNode node = new TestNode();
                 Peer client = node.client()) {
             node.worker.close();
@@ -169,7 +169,7 @@
 
     /** A cut-off machine: its backlog is full here, so that a new connection never comes up. */
     @Test
-    void boundsTheWaitForAConnection() throws Exception {
+    void timesOutConnectionAttempt() throws Exception {
         // All are held: a connection that nobody holds is closed as soon as the garbage collector
         // finds it.
         final List<Peer> held = new ArrayList<>();
@@ -189,7 +189,7 @@
     }
 
     @Test
-    void keepsOneRequestOnAConnectionAndRetiresItWhenIdle() throws Exception {
+    void sendsOneRequestAtATimeAndClosesIdleConnection() throws Exception {
         try (TestNode node = new TestNode();
                 Peer client = node.client();
                 Peer other = node.client()) {
@@ -216,7 +216,7 @@
      * requests.
      */
     @Test
-    void keepsNoConnectionForAWhileAfterAKeptOneWasDropped() throws Exception {
+    void disablesKeepAliveAfterWorkerClosedIdleConnection() throws Exception {
         try (TestNode node = new TestNode();
                 Peer client = node.client();
                 Peer other = node.client()) {
@@ -238,7 +238,7 @@
     }
 
     @Test
-    void closesIdleConnectionsAtTheModulesWord() throws Exception {
+    void closesIdleConnectionsOnDispatcherAction() throws Exception {
         try (TestNode node = new TestNode();
                 Peer client = node.client()) {
             client.write(request("r1", "", ""));
@@ -255,7 +255,7 @@
 
     @ParameterizedTest
     @CsvSource({"200 OK, SERVED load 2.0", "503 No, ERROR load -1.0"})
-    void probesForTheLoad(String status, String told) throws Exception {
+    void queriesLoad(String status, String expected) throws Exception {
         try (TestNode node = new TestNode()) {
             node.act(actions -> actions.queryLoad(0));
             final Peer worker = node.worker();
@@ -263,7 +263,7 @@
             worker.write(
                     answer(status, "", status.startsWith("200") ? "{\"queue\":0,\"x0\":2}" : ""));
             node.event();
-            assertThat(node.event()).isEqualTo("probed " + told);
+            assertThat(node.event()).isEqualTo("probed " + expected);
         }
     }
 }
--- a/src/test/java/cresschute/node/http/DuplicateResponseDetectorTest.java
+++ b/src/test/java/cresschute/node/http/DuplicateResponseDetectorTest.java
@@ -12,8 +12,8 @@
 /** A response without a request's name is held where the one before may come twice. */
 class DuplicateResponseDetectorTest {
 
-    private static final long SUSPECT_NS =
-            TimeUnit.MILLISECONDS.toNanos(DuplicateResponseDetector.SUSPECT_WITHIN_MS);
+    private static final long DUPLICATE_WINDOW_NS =
+            TimeUnit.MILLISECONDS.toNanos(DuplicateResponseDetector.DUPLICATE_WINDOW_MS);
 
     private final DuplicateResponseDetector duplicates = new DuplicateResponseDetector();
     private final HttpResponse unavailable = response(HttpResponseStatus.SERVICE_UNAVAILABLE);
@@ -23,37 +23,37 @@
     }
 
     @Test
-    void holdsNothingOnANewConnectionOrLongAfterTheResponseBefore() {
-        assertThat(duplicates.hold(unavailable)).isFalse();
-        duplicates.exchangeBegins(SUSPECT_NS);
-        assertThat(duplicates.hold(unavailable)).isFalse();
+    void holdsNothingOnNewConnectionOrAfterDuplicateWindow() {
+        assertThat(duplicates.holdIfSuspect(unavailable)).isFalse();
+        duplicates.exchangeStarted(DUPLICATE_WINDOW_NS);
+        assertThat(duplicates.holdIfSuspect(unavailable)).isFalse();
     }
 
     @Test
-    void holdsAnotherStatusThan200SoonAfterTheResponseBefore() {
-        duplicates.exchangeBegins(SUSPECT_NS - 1);
-        assertThat(duplicates.hold(response(HttpResponseStatus.OK))).isFalse();
-        assertThat(duplicates.hold(unavailable)).isTrue();
+    void holdsStatusOtherThan200WithinDuplicateWindow() {
+        duplicates.exchangeStarted(DUPLICATE_WINDOW_NS - 1);
+        assertThat(duplicates.holdIfSuspect(response(HttpResponseStatus.OK))).isFalse();
+        assertThat(duplicates.holdIfSuspect(unavailable)).isTrue();
         assertThat(duplicates.isHolding()).isTrue();
     }
 
     @Test
-    void aHeldResponseIsADuplicateWhereAnotherFollows() {
-        duplicates.exchangeBegins(0);
-        duplicates.hold(unavailable);
-        assertThat(duplicates.nextHead()).isTrue();
+    void treatsHeldResponseAsDuplicateWhenAnotherFollows() {
+        duplicates.exchangeStarted(0);
+        duplicates.holdIfSuspect(unavailable);
+        assertThat(duplicates.headReceived()).isTrue();
         assertThat(duplicates.hasSeenDuplicate()).isTrue();
         assertThat(duplicates.isHolding()).isFalse();
-        assertThat(duplicates.isSuspicious()).isFalse();
+        assertThat(duplicates.isDuplicatePossible()).isFalse();
     }
 
     @Test
-    void aHeldResponseIsAcceptedOnceNothingFollows() {
-        duplicates.exchangeBegins(0);
-        duplicates.hold(unavailable);
+    void acceptsHeldResponseWhenNothingFollows() {
+        duplicates.exchangeStarted(0);
+        duplicates.holdIfSuspect(unavailable);
         assertThat(duplicates.accept()).isSameAs(unavailable);
         assertThat(duplicates.isHolding()).isFalse();
         assertThat(duplicates.hasSeenDuplicate()).isFalse();
-        assertThat(duplicates.nextHead()).isFalse();
+        assertThat(duplicates.headReceived()).isFalse();
     }
 }
--- a/src/test/java/cresschute/node/http/HttpAttemptTest.java
+++ b/src/test/java/cresschute/node/http/HttpAttemptTest.java
@@ -31,7 +31,7 @@
 
     @ParameterizedTest
     @CsvSource({"false, CONNECT_FAILED", "true, BROKEN"})
-    void tellsABreakByWhatWasWritten(boolean written, Outcome outcome) {
+    void outcomeOfBrokenConnectionDependsOnLastByteWritten(boolean written, Outcome outcome) {
         markWrittenIf(written);
         attempt.connectionBroken();
         attempt.connectionBroken();
@@ -40,7 +40,7 @@
 
     @ParameterizedTest
     @CsvSource({"false, CONNECT_FAILED", "true, TIMED_OUT"})
-    void tellsAGiveUpByWhatWasWrittenAndNothingAfterIt(boolean written, Outcome outcome) {
+    void outcomeOfGiveUpDependsOnLastByteWritten(boolean written, Outcome outcome) {
         markWrittenIf(written);
         assertThat(attempt.giveUp()).isEqualTo(outcome);
         attempt.connectionBroken();
--- a/src/test/java/cresschute/node/http/WorkerConnectionTest.java
+++ b/src/test/java/cresschute/node/http/WorkerConnectionTest.java
@@ -58,7 +58,7 @@
 
     /** Only the timer of the idle connection is left, which holds nothing of the attempt. */
     @Test
-    void wholeAnswerLeavesNoTimerOfItsAttempt() {
+    void completeResponseLeavesNoTimerOfItsAttempt() {
         assertThat(recorded.ends).containsExactly(Outcome.SERVED);
         channel.writeInbound(LastHttpContent.EMPTY_LAST_CONTENT);
         assertThat(untilNextTimerMs()).isEqualTo(3_000);
@@ -66,7 +66,7 @@
 
     /** A worker that tells the outcome and does not end its answer is given up after a second. */
     @Test
-    void answerWithoutAnEndIsGivenUp() {
+    void closesConnectionWhenResponseDoesNotEnd() {
         assertThat(untilNextTimerMs()).isEqualTo(1_000);
         channel.advanceTimeBy(1_000, TimeUnit.MILLISECONDS);
         assertThat(untilNextTimerMs()).isEqualTo(-1);
