--- a/src/main/java/cresschute/cli/DemoCommand.java
+++ b/src/main/java/cresschute/cli/DemoCommand.java
@@ -118,7 +118,7 @@
         final long forUs = forUs();
         // Set before anything of the node's is loaded: its log would run through the picture.
         final StructuredLog log = new StructuredLog(false, verbose ? Level.INFO : Level.ERROR);
-        RoutedLoggerFinder.use(log);
+        RoutedLoggerFinder.setSink(log);
         final CountDownLatch interrupted = new CountDownLatch(1);
         final CountDownLatch ended = new CountDownLatch(1);
         try (Fleet fleet = fleet()) {
--- a/src/main/java/cresschute/cli/ServeCommand.java
+++ b/src/main/java/cresschute/cli/ServeCommand.java
@@ -60,7 +60,7 @@
                 new StructuredLog(
                         settings.logFormat().equals("json"),
                         Level.valueOf(settings.logLevel().toUpperCase(Locale.ROOT)));
-        RoutedLoggerFinder.use(log);
+        RoutedLoggerFinder.setSink(log);
         try {
             Serving.start(node(settings), () -> reread(file), log::close);
         } catch (ConfigException e) {
--- a/src/main/java/cresschute/cli/Serving.java
+++ b/src/main/java/cresschute/cli/Serving.java
@@ -31,7 +31,7 @@
                 new NodeServer(
                         config, config.operators().passedListener() ? PassedListener.take() : null);
         // Before clients can connect: without a handler, a SIGHUP ends the JVM.
-        final boolean reloads = ReloadSignal.onEach(() -> node.reload(reload));
+        final boolean reloads = ReloadSignal.handle(() -> node.reload(reload));
         if (!reloads) {
             LogEvent.of(
                             "reload_signal_ignored",
--- a/src/main/java/cresschute/cli/TrialCommand.java
+++ b/src/main/java/cresschute/cli/TrialCommand.java
@@ -104,7 +104,7 @@
     public Integer call() throws IOException, InterruptedException, NoAnswer {
         // Set before anything of the node's is loaded: its log would run through the tables.
         final StructuredLog log = new StructuredLog(false, Level.ERROR);
-        RoutedLoggerFinder.use(log);
+        RoutedLoggerFinder.setSink(log);
         final PrintWriter out = spec.commandLine().getOut();
         final Path folder = Files.createTempDirectory("cresschute-trial");
         try {
--- a/src/main/java/cresschute/control/files/StateFolder.java
+++ b/src/main/java/cresschute/control/files/StateFolder.java
@@ -163,7 +163,7 @@
             Thread.currentThread().interrupt();
         } catch (IOException e) {
             LogEvent.of("state_folder", "the lock of " + folder + " could not be released")
-                    .because(e)
+                    .withCause(e)
                     .log(LOG, Level.WARNING);
         }
     }
--- a/src/main/java/cresschute/control/socket/ControlServer.java
+++ b/src/main/java/cresschute/control/socket/ControlServer.java
@@ -198,7 +198,7 @@
             } catch (IOException e) {
                 // The next start finds that nobody listens there, and removes it.
                 LogEvent.of("control_file_left", "the control socket " + file + " was left behind")
-                        .because(e)
+                        .withCause(e)
                         .log(LOG, Level.WARNING);
             }
         }
--- a/src/main/java/cresschute/logs/LogEvent.java
+++ b/src/main/java/cresschute/logs/LogEvent.java
@@ -52,7 +52,7 @@
     }
 
     /** Adds the cause; its stack trace follows the message. */
-    public LogEvent because(Throwable cause) {
+    public LogEvent withCause(Throwable cause) {
         this.cause = cause;
         return this;
     }
--- a/src/main/java/cresschute/logs/RoutedLogger.java
+++ b/src/main/java/cresschute/logs/RoutedLogger.java
@@ -35,7 +35,7 @@
     @Override
     public void log(Level level, ResourceBundle bundle, String text, Throwable thrown) {
         if (isLoggable(level)) {
-            log(level, LogEvent.of("plain", localized(bundle, text)).because(thrown));
+            log(level, LogEvent.of("plain", localized(bundle, text)).withCause(thrown));
         }
     }
 
--- a/src/main/java/cresschute/logs/RoutedLoggerFinder.java
+++ b/src/main/java/cresschute/logs/RoutedLoggerFinder.java
@@ -25,8 +25,8 @@
     }
 
     /** Sets the sink, also for loggers that were provided before. */
-    public static void use(LogSink next) {
-        sink = next;
+    public static void setSink(LogSink newSink) {
+        sink = newSink;
     }
 
     /** Sets the JDK's sink again. */
--- a/src/main/java/cresschute/node/AttemptController.java
+++ b/src/main/java/cresschute/node/AttemptController.java
@@ -100,7 +100,7 @@
             LogEvent.of("attempt_not_started", "an attempt could not be started")
                     .with("request", request.requestId())
                     .with("worker", registry.name(worker))
-                    .because(e)
+                    .withCause(e)
                     .log(LOG, Level.ERROR);
             end(attempt, Outcome.CONNECT_FAILED, LoadReport.NONE, null);
         }
--- a/src/main/java/cresschute/node/ConfigReloader.java
+++ b/src/main/java/cresschute/node/ConfigReloader.java
@@ -33,10 +33,10 @@
     interface Target {
 
         /** Whether the classes of the start are kept: something is counted by their numbers. */
-        boolean keepsClasses();
+        boolean requiresInitialClasses();
 
         /** Watches the endpoint list at this address from now on. */
-        void moveDiscovery(InetSocketAddress address);
+        void setDiscoveryAddress(InetSocketAddress address);
 
         /** Applies the times of new connections to workers. */
         void applyConnectionTimes(NodeConfig next);
@@ -94,10 +94,10 @@
 
     private void apply(NodeConfig next) {
         if (first.discovery() != null && next.discovery() != null) {
-            target.moveDiscovery(next.discovery());
+            target.setDiscoveryAddress(next.discovery());
         }
         // Logged, so that nobody takes a change to be in force that only a restart puts in force.
-        final List<String> held = new ArrayList<>(first.partsHeldUntilRestart(next));
+        final List<String> held = new ArrayList<>(first.changesRequiringRestart(next));
         final String changes = applySettings(next, held);
         LogEvent.of(
                         "reloaded",
@@ -144,7 +144,7 @@
             return "";
         }
         final boolean classesChange = !updated.isSameAs(classes);
-        if (classesChange && target.keepsClasses()) {
+        if (classesChange && target.requiresInitialClasses()) {
             held.add("classes");
             return "";
         }
--- a/src/main/java/cresschute/node/DispatcherTurn.java
+++ b/src/main/java/cresschute/node/DispatcherTurn.java
@@ -113,7 +113,7 @@
                 event.report().accept(nowUs);
             } catch (RuntimeException e) {
                 LogEvent.of("module_failed", "the module failed on an event")
-                        .because(e)
+                        .withCause(e)
                         .log(LOG, Level.ERROR);
                 event.failed();
                 invariant.holds(false, "module failed");
@@ -129,7 +129,7 @@
                 action.run();
             } catch (RuntimeException e) {
                 LogEvent.of("action_failed", "an action of the module failed")
-                        .because(e)
+                        .withCause(e)
                         .log(LOG, Level.ERROR);
                 invariant.holds(false, "action failed");
             }
--- a/src/main/java/cresschute/node/ManagementService.java
+++ b/src/main/java/cresschute/node/ManagementService.java
@@ -89,11 +89,11 @@
             throws IOException {
         lifecycle = requestLifecycle;
         readiness = readinessSwitch;
-        if (config.operators().shared() == null) {
+        if (config.operators().sharedFolder() == null) {
             return;
         }
         final SharedOperatorState.Opened opened =
-                SharedOperatorState.open(Path.of(config.operators().shared()), loop, this);
+                SharedOperatorState.open(Path.of(config.operators().sharedFolder()), loop, this);
         shared = opened.shared();
         stored = opened.found();
         inForce = stored;
@@ -109,7 +109,9 @@
      * @return fails if the address cannot be listened on
      */
     ChannelFuture listen() {
-        server = new ManagementServer(loop, config.operators().management(), maxCallers, this);
+        server =
+                new ManagementServer(
+                        loop, config.operators().managementAddress(), maxCallers, this);
         if (inForce.drained()) {
             readiness.drain();
         }
--- a/src/main/java/cresschute/node/NodeConfig.java
+++ b/src/main/java/cresschute/node/NodeConfig.java
@@ -23,9 +23,9 @@
  * @param zones zone names, in the order of the settings
  * @param kinds names of the machine kinds, in the order of the settings
  * @param connectTimeoutUs how long a connection to a worker may take to come up, microseconds
- * @param connIdleUs after which workers close an idle connection, microseconds
- * @param sockets file descriptors that the process may hold
- * @param known the endpoint list as this node last knew it; it may be outdated
+ * @param idleTimeoutUs after which workers close an idle connection, microseconds
+ * @param maxDescriptors file descriptors that the process may hold
+ * @param initialEndpoints the endpoint list as this node last knew it; it may be outdated
  * @param controlSocket the file of the socket for consoles, or null
  * @param stateFolder the folder for what outlives the process, or null
  * @param bodies the capacity for long bodies, or null where there are none
@@ -43,9 +43,9 @@
         List<String> zones,
         List<String> kinds,
         long connectTimeoutUs,
-        long connIdleUs,
-        int sockets,
-        EndpointList known,
+        long idleTimeoutUs,
+        int maxDescriptors,
+        EndpointList initialEndpoints,
         String controlSocket,
         String stateFolder,
         Bodies bodies,
@@ -64,9 +64,9 @@
             List<String> zones,
             List<String> kinds,
             long connectTimeoutUs,
-            long connIdleUs,
-            int sockets,
-            EndpointList known,
+            long idleTimeoutUs,
+            int maxDescriptors,
+            EndpointList initialEndpoints,
             String controlSocket,
             String stateFolder,
             Bodies bodies,
@@ -82,9 +82,9 @@
                 zones,
                 kinds,
                 connectTimeoutUs,
-                connIdleUs,
-                sockets,
-                known,
+                idleTimeoutUs,
+                maxDescriptors,
+                initialEndpoints,
                 controlSocket,
                 stateFolder,
                 bodies,
@@ -104,9 +104,9 @@
             List<String> zones,
             List<String> kinds,
             long connectTimeoutUs,
-            long connIdleUs,
-            int sockets,
-            EndpointList known,
+            long idleTimeoutUs,
+            int maxDescriptors,
+            EndpointList initialEndpoints,
             String controlSocket,
             String stateFolder,
             Bodies bodies) {
@@ -120,9 +120,9 @@
                 zones,
                 kinds,
                 connectTimeoutUs,
-                connIdleUs,
-                sockets,
-                known,
+                idleTimeoutUs,
+                maxDescriptors,
+                initialEndpoints,
                 controlSocket,
                 stateFolder,
                 bodies,
@@ -186,7 +186,7 @@
 
     /** Whether the platform runs this node and kills it some time after SIGTERM. */
     @SuppressWarnings("ReferenceEquality") // A file that requires no keys is not NONE.
-    boolean isOfThePlatform() {
+    boolean isRunByPlatform() {
         return fileKeys != ConfigKeys.NONE;
     }
 
@@ -197,7 +197,7 @@
 
     /** Whether the platform's operators call this node. */
     boolean hasManagementService() {
-        return !hasControlService() && operators.management() != null;
+        return !hasControlService() && operators.managementAddress() != null;
     }
 
     /**
@@ -207,25 +207,28 @@
      * @param next the new configuration
      * @return words for the parts, for the log
      */
-    List<String> partsHeldUntilRestart(NodeConfig next) {
+    List<String> changesRequiringRestart(NodeConfig next) {
         final List<String> changed = new ArrayList<>();
-        note(changed, "name", name.equals(next.name));
-        note(changed, "listen", listen.equals(next.listen));
-        note(changed, "limits", sockets == next.sockets);
-        note(
+        addIfChanged(changed, "name", name.equals(next.name));
+        addIfChanged(changed, "listen", listen.equals(next.listen));
+        addIfChanged(changed, "limits", maxDescriptors == next.maxDescriptors);
+        addIfChanged(
                 changed,
                 "workers",
                 (discovery == null) == (next.discovery == null)
-                        && (discovery != null || known.entries().equals(next.known.entries())));
-        note(changed, "control", Objects.equals(controlSocket, next.controlSocket));
-        note(changed, "bodies", Objects.equals(bodies, next.bodies));
-        note(changed, "state", Objects.equals(stateFolder, next.stateFolder));
-        note(changed, "peers", Objects.equals(peers, next.peers));
-        note(changed, "management", operators.equals(next.operators));
+                        && (discovery != null
+                                || initialEndpoints
+                                        .entries()
+                                        .equals(next.initialEndpoints.entries())));
+        addIfChanged(changed, "control", Objects.equals(controlSocket, next.controlSocket));
+        addIfChanged(changed, "bodies", Objects.equals(bodies, next.bodies));
+        addIfChanged(changed, "state", Objects.equals(stateFolder, next.stateFolder));
+        addIfChanged(changed, "peers", Objects.equals(peers, next.peers));
+        addIfChanged(changed, "management", operators.equals(next.operators));
         return changed;
     }
 
-    private static void note(List<String> changed, String part, boolean same) {
+    private static void addIfChanged(List<String> changed, String part, boolean same) {
         if (!same) {
             changed.add(part);
         }
--- a/src/main/java/cresschute/node/NodeServer.java
+++ b/src/main/java/cresschute/node/NodeServer.java
@@ -99,7 +99,7 @@
         final RateLimitedLog faults =
                 new RateLimitedLog(System.getLogger("cresschute.fault"), clock);
         final DescriptorBudget descriptors =
-                DescriptorBudget.of(config.sockets(), config.hasManagementService());
+                DescriptorBudget.of(config.maxDescriptors(), config.hasManagementService());
         operators = new OperatorServices(config, loop, clock, descriptors);
         peers = config.peers() == null ? null : createPeers(clock);
         lifecycle =
@@ -118,7 +118,7 @@
                         loop,
                         faults,
                         config.connectTimeoutUs(),
-                        config.connIdleUs(),
+                        config.idleTimeoutUs(),
                         descriptors.workerConnections(),
                         config.bodies() != null);
         discovery = config.discovery() == null ? null : createDiscovery(faults);
@@ -172,7 +172,9 @@
         loop.execute(
                 () ->
                         lifecycle.start(
-                                workers, discovery == null ? () -> {} : discovery, config.known()));
+                                workers,
+                                discovery == null ? () -> {} : discovery,
+                                config.initialEndpoints()));
         final ChannelFuture bound = clientListener.listen(group, config.listen(), passed);
         requireBound(bound, "", config.listen());
         operators.listen();
@@ -216,18 +218,18 @@
 
         /** Consoles' figures and the capacity for long bodies are counted by class number. */
         @Override
-        public boolean keepsClasses() {
+        public boolean requiresInitialClasses() {
             return operators.hasControlService() || config.bodies() != null;
         }
 
         @Override
-        public void moveDiscovery(InetSocketAddress address) {
+        public void setDiscoveryAddress(InetSocketAddress address) {
             discovery.moveTo(address);
         }
 
         @Override
         public void applyConnectionTimes(NodeConfig next) {
-            workers.applySettings(next.connectTimeoutUs(), next.connIdleUs());
+            workers.applySettings(next.connectTimeoutUs(), next.idleTimeoutUs());
         }
 
         @Override
@@ -286,7 +288,7 @@
 
         @Override
         public OptionalLong longestDeadlineUs() {
-            return config.isOfThePlatform()
+            return config.isRunByPlatform()
                     ? OptionalLong.of(lifecycle.longestDeadlineUs())
                     : OptionalLong.empty();
         }
--- a/src/main/java/cresschute/node/OperatorServices.java
+++ b/src/main/java/cresschute/node/OperatorServices.java
@@ -68,7 +68,7 @@
             try {
                 management.open(lifecycle, readiness);
             } catch (IOException e) {
-                throw unusable("operators' state in " + config.operators().shared(), e);
+                throw unusable("operators' state in " + config.operators().sharedFolder(), e);
             }
         }
         if (control != null) {
@@ -103,7 +103,7 @@
             if (!bound.isSuccess()) {
                 throw new NodeStartException(
                         "cannot listen for operators on "
-                                + Addresses.format(config.operators().management())
+                                + Addresses.format(config.operators().managementAddress())
                                 + ": "
                                 + bound.cause().getMessage(),
                         bound.cause());
--- a/src/main/java/cresschute/node/ReloadSignal.java
+++ b/src/main/java/cresschute/node/ReloadSignal.java
@@ -15,17 +15,17 @@
      * Replaces the default action of the signal, which ends the process. A process that was started
      * with the signal ignored, as {@code nohup} starts it, never receives it.
      *
-     * @param call runs on a thread of the JVM at each signal
+     * @param action runs on a thread of the JVM at each signal
      * @return whether the signal is received; false where the process ignores it
      * @throws IllegalStateException if the JVM does not pass on the signal
      */
-    public static boolean onEach(Runnable call) {
+    public static boolean handle(Runnable action) {
         try {
             final Class<?> signal = Class.forName("sun.misc.Signal");
             final Class<?> handler = Class.forName("sun.misc.SignalHandler");
             final InvocationHandler invocation =
                     (proxy, method, args) -> {
-                        call.run();
+                        action.run();
                         return null;
                     };
             final Object previous =
--- a/src/main/java/cresschute/node/RequestLifecycle.java
+++ b/src/main/java/cresschute/node/RequestLifecycle.java
@@ -18,7 +18,7 @@
  * the dispatcher's actions are carried out in order; it decides nothing itself. This is the entry
  * that the fronts and the discovery client call; the state is owned by its parts: {@link
  * OpenRequests}, {@link AttemptController}, {@link EndpointListPublisher}, {@link LoadQueries},
- * {@link ShutdownAnswers} and {@link DispatcherTurn}. Lives as long as the node; call from the
+ * {@link ShutdownResponder} and {@link DispatcherTurn}. Lives as long as the node; call from the
  * event loop.
  */
 public final class RequestLifecycle {
@@ -49,7 +49,7 @@
     private final AttemptController attempts;
     private final EndpointListPublisher endpoints;
     private final LoadQueries loadQueries;
-    private final ShutdownAnswers shutdownAnswers;
+    private final ShutdownResponder shutdownResponder;
     private WorkerClient workers;
     private Discovery discovery;
 
@@ -108,7 +108,7 @@
         attempts = new AttemptController(context, settings, requests, registry, faults);
         endpoints = new EndpointListPublisher(context, registry, attempts);
         loadQueries = new LoadQueries(context, registry);
-        shutdownAnswers = new ShutdownAnswers(context, settings, requests);
+        shutdownResponder = new ShutdownResponder(context, settings, requests);
     }
 
     /**
@@ -187,7 +187,7 @@
 
     /** Answers all that is owed after so many microseconds, and at once whatever is taken later. */
     void answerAllAfter(long delayUs) {
-        shutdownAnswers.answerAllAfter(delayUs);
+        shutdownResponder.answerAllAfter(delayUs);
     }
 
     /**
--- a/src/main/java/cresschute/node/SettingsFlattener.java
+++ b/src/main/java/cresschute/node/SettingsFlattener.java
@@ -23,24 +23,24 @@
      * @return a line for each value, in the order of the object
      */
     static String flatten(JsonObject settings) {
-        final SettingsFlattener flat = new SettingsFlattener();
-        flat.object("", settings);
-        return flat.lines.toString();
+        final SettingsFlattener flattener = new SettingsFlattener();
+        flattener.addObject("", settings);
+        return flattener.lines.toString();
     }
 
-    private void object(String prefix, JsonObject object) {
+    private void addObject(String prefix, JsonObject object) {
         for (final Map.Entry<String, JsonElement> entry : object.entrySet()) {
-            value(prefix + entry.getKey(), entry.getValue());
+            addValue(prefix + entry.getKey(), entry.getValue());
         }
     }
 
-    private void value(String path, JsonElement element) {
+    private void addValue(String path, JsonElement element) {
         if (element.isJsonObject()) {
-            object(path + ".", element.getAsJsonObject());
+            addObject(path + ".", element.getAsJsonObject());
         } else if (element.isJsonArray()) {
-            array(path, element.getAsJsonArray());
+            addArray(path, element.getAsJsonArray());
         } else if (element.isJsonPrimitive()) {
-            line(path, word(element));
+            addLine(path, toToken(element));
         }
     }
 
@@ -48,25 +48,25 @@
      * Plain values are joined by commas. An array of objects becomes its count, and each object the
      * lines under its index.
      */
-    private void array(String path, JsonArray array) {
+    private void addArray(String path, JsonArray array) {
         if (array.isEmpty() || array.get(0).isJsonPrimitive()) {
             final StringJoiner joined = new StringJoiner(",");
-            array.forEach(element -> joined.add(element.isJsonPrimitive() ? word(element) : ""));
-            line(path, joined.toString());
+            array.forEach(element -> joined.add(element.isJsonPrimitive() ? toToken(element) : ""));
+            addLine(path, joined.toString());
             return;
         }
-        line(path + ".count", Integer.toString(array.size()));
+        addLine(path + ".count", Integer.toString(array.size()));
         for (int i = 0; i < array.size(); i++) {
-            value(path + "." + i, array.get(i));
+            addValue(path + "." + i, array.get(i));
         }
     }
 
-    private void line(String path, String value) {
+    private void addLine(String path, String value) {
         lines.append(path).append('=').append(value).append('\n');
     }
 
-    private static String word(JsonElement element) {
-        return word(element.getAsString());
+    private static String toToken(JsonElement element) {
+        return toToken(element.getAsString());
     }
 
     /**
@@ -76,7 +76,7 @@
      * @param value any text
      * @return the word for it
      */
-    public static String word(String value) {
+    public static String toToken(String value) {
         return value.replaceAll("[\\s,]", "_");
     }
 }
--- a/src/main/java/cresschute/node/ShutdownAnswers.java
+++ b/src/main/java/cresschute/node/ShutdownResponder.java
@@ -5,14 +5,14 @@
  * fails unless its class may be repeated freely; what surely never ran is rejected. Owns no state.
  * Call from the event loop.
  */
-final class ShutdownAnswers {
+final class ShutdownResponder {
 
     private final LoopContext context;
     private final ActiveSettings settings;
     private final OpenRequests requests;
 
     /** Answers these requests by these settings. */
-    ShutdownAnswers(LoopContext context, ActiveSettings settings, OpenRequests requests) {
+    ShutdownResponder(LoopContext context, ActiveSettings settings, OpenRequests requests) {
         this.context = context;
         this.settings = settings;
         this.requests = requests;
@@ -34,14 +34,14 @@
         }
         requests.reportClosed(request);
         request.cancelResult();
-        if (isHarmlessToRepeat(request) && !request.hasLongResult()) {
+        if (isSafeToRetry(request) && !request.hasLongResult()) {
             requests.rejectLocally(request);
         } else {
             requests.fail(request);
         }
     }
 
-    private boolean isHarmlessToRepeat(ClientRequest request) {
+    private boolean isSafeToRetry(ClientRequest request) {
         return settings.isSafe(request.requestClass())
                 || (!request.mayHaveRun() && !request.isOnWire());
     }
--- a/src/main/java/cresschute/node/http/RequestHeadParser.java
+++ b/src/main/java/cresschute/node/http/RequestHeadParser.java
@@ -140,7 +140,7 @@
         if (tenants.isEmpty()) {
             return NO_TENANTS;
         }
-        final String name = SettingsFlattener.word(headers.get(HeaderNames.TENANT, "").strip());
+        final String name = SettingsFlattener.toToken(headers.get(HeaderNames.TENANT, "").strip());
         for (int number = 0; number < tenants.size(); number++) {
             if (tenants.get(number).name().equals(name)) {
                 return number;
--- a/src/test/java/cresschute/logs/structured/StructuredLogTest.java
+++ b/src/test/java/cresschute/logs/structured/StructuredLogTest.java
@@ -32,7 +32,7 @@
             log.log(
                     "cresschute.test",
                     Level.ERROR,
-                    LogEvent.of("broke", "it broke").because(new IllegalStateException("why")));
+                    LogEvent.of("broke", "it broke").withCause(new IllegalStateException("why")));
         }
         return out.toString(StandardCharsets.UTF_8).lines().toList();
     }
@@ -69,7 +69,7 @@
         final Logger logger = System.getLogger("cresschute.test.routed");
         final ByteArrayOutputStream out = new ByteArrayOutputStream();
         try (StructuredLog log = new StructuredLog(true, Level.INFO, out)) {
-            RoutedLoggerFinder.use(log);
+            RoutedLoggerFinder.setSink(log);
             logger.log(Level.INFO, "plain {0}", 7);
             logger.log(Level.INFO, "with braces {0}");
             logger.log(Level.WARNING, "thrown", new IllegalStateException("x"));
--- a/src/test/java/cresschute/node/ControlServiceFormatTest.java
+++ b/src/test/java/cresschute/node/ControlServiceFormatTest.java
@@ -56,7 +56,7 @@
                         service,
                         actions -> module);
         service.open(core);
-        core.start(null, () -> {}, config.known());
+        core.start(null, () -> {}, config.initialEndpoints());
         return service;
     }
 
--- a/src/test/java/cresschute/node/ControlServiceTest.java
+++ b/src/test/java/cresschute/node/ControlServiceTest.java
@@ -52,12 +52,12 @@
                         service,
                         actions -> module);
         service.open(core);
-        core.start(null, () -> {}, config.known());
+        core.start(null, () -> {}, config.initialEndpoints());
         final ControlHandler handler = service.handler();
         handler.refresh();
         assertThat(handler.table().since(0).rows()).containsKeys("w/s-1", "w/s-2");
         core.endpointListReceived(
-                new EndpointList(2, true, List.of(config.known().entries().get(0))));
+                new EndpointList(2, true, List.of(config.initialEndpoints().entries().get(0))));
         handler.refresh();
         assertThat(handler.table().since(0).rows().get("w/s-2")).contains("\"state\":\"gone\"");
         final long before = handler.table().version();
--- a/src/test/java/cresschute/node/IdleLifecycle.java
+++ b/src/test/java/cresschute/node/IdleLifecycle.java
@@ -76,7 +76,7 @@
 
     /** The endpoint list is known, and the health monitor notified of it. */
     IdleLifecycle started() {
-        lifecycle.start(null, () -> {}, config.known());
+        lifecycle.start(null, () -> {}, config.initialEndpoints());
         health.endpointListChanged(nowUs, lifecycle.registry().listed());
         return this;
     }
--- a/src/test/java/cresschute/node/NodeConfigTest.java
+++ b/src/test/java/cresschute/node/NodeConfigTest.java
@@ -26,8 +26,8 @@
         assertThat(config.classes()).containsExactly("check", "file");
         assertThat(config.settings().classes().get(1).idempotency()).isEqualTo(Idempotency.KEYED);
         assertThat(config.settings().endpointListIsPolled()).isTrue();
-        assertThat(config.connIdleUs()).isEqualTo(2_000_000);
-        assertThat(config.known().version()).isEqualTo(3);
+        assertThat(config.idleTimeoutUs()).isEqualTo(2_000_000);
+        assertThat(config.initialEndpoints().version()).isEqualTo(3);
     }
 
     @Test
@@ -38,7 +38,11 @@
                 good().replace(
                                 "\"name\":\"n0\",",
                                 "\"name\":\"n0\",\"management\":\"127.0.0.3:91\",");
-        assertThat(NodeConfigParser.parse(named, Map.of()).operators().management().toString())
+        assertThat(
+                        NodeConfigParser.parse(named, Map.of())
+                                .operators()
+                                .managementAddress()
+                                .toString())
                 .isEqualTo("/127.0.0.3:91");
         final NodeConfig config =
                 NodeConfigParser.parse(
--- a/src/test/java/cresschute/node/RequestLifecycleTest.java
+++ b/src/test/java/cresschute/node/RequestLifecycleTest.java
@@ -89,7 +89,7 @@
                     }
                 },
                 () -> events.add("watch"),
-                config.known());
+                config.initialEndpoints());
         turn();
         events.clear();
     }
