--- a/src/main/java/cresschute/node/ConfigKeys.java
+++ b/src/main/java/cresschute/node/ConfigKeys.java
@@ -32,16 +32,16 @@
     /** The keys of a file. */
     static ConfigKeys of(JsonObject file) {
         final Set<String> keys = new HashSet<>();
-        walk("", file, keys);
+        collectPaths("", file, keys);
         final List<Set<String>> classes = new ArrayList<>();
         final List<String> names = new ArrayList<>();
         final JsonElement settings = file.get("settings");
-        final JsonElement listed =
+        final JsonElement classArray =
                 settings != null && settings.isJsonObject()
                         ? settings.getAsJsonObject().get("classes")
                         : null;
-        if (listed != null && listed.isJsonArray()) {
-            for (final JsonElement each : listed.getAsJsonArray()) {
+        if (classArray != null && classArray.isJsonArray()) {
+            for (final JsonElement each : classArray.getAsJsonArray()) {
                 final JsonObject requestClass =
                         each.isJsonObject() ? each.getAsJsonObject() : new JsonObject();
                 classes.add(requestClass.keySet());
@@ -52,12 +52,12 @@
         return new ConfigKeys(keys, classes, names);
     }
 
-    private static void walk(String prefix, JsonObject object, Set<String> keys) {
+    private static void collectPaths(String prefix, JsonObject object, Set<String> keys) {
         for (final Map.Entry<String, JsonElement> entry : object.entrySet()) {
             final String path = prefix + entry.getKey();
             keys.add(path);
             if (entry.getValue().isJsonObject()) {
-                walk(path + ".", entry.getValue().getAsJsonObject(), keys);
+                collectPaths(path + ".", entry.getValue().getAsJsonObject(), keys);
             }
         }
     }
@@ -74,11 +74,11 @@
                 new ArrayList<>(
                         new TreeSet<>(keys)
                                 .stream().filter(key -> !later.keys.contains(key)).toList());
-        final Set<String> common = new TreeSet<>(classes.isEmpty() ? Set.of() : classes.get(0));
-        classes.forEach(common::retainAll);
+        final Set<String> commonKeys = new TreeSet<>(classes.isEmpty() ? Set.of() : classes.get(0));
+        classes.forEach(commonKeys::retainAll);
         for (int i = 0; i < later.classes.size(); i++) {
-            final int before = names.indexOf(later.names.get(i));
-            for (final String key : before < 0 ? common : new TreeSet<>(classes.get(before))) {
+            final int index = names.indexOf(later.names.get(i));
+            for (final String key : index < 0 ? commonKeys : new TreeSet<>(classes.get(index))) {
                 if (!later.classes.get(i).contains(key)) {
                     missing.add("settings.classes." + i + "." + key);
                 }
--- a/src/main/java/cresschute/node/ConfigReloader.java
+++ b/src/main/java/cresschute/node/ConfigReloader.java
@@ -19,11 +19,11 @@
 final class ConfigReloader {
 
     /** Missing keys that are named in the log. */
-    private static final int MAX_NAMED_KEYS = 5;
+    private static final int MAX_LOGGED_KEYS = 5;
 
     private static final Logger LOG = System.getLogger("cresschute.node");
 
-    private final NodeConfig first;
+    private final NodeConfig initialConfig;
     private final Executor loop;
     private final Target target;
     private ClassTable classes;
@@ -48,16 +48,16 @@
     /**
      * Reloads a node that was started with a configuration.
      *
-     * @param first the configuration of the start
+     * @param initialConfig the configuration of the start
      * @param loop the event loop
      * @param target the node
      */
-    ConfigReloader(NodeConfig first, Executor loop, Target target) {
-        this.first = first;
+    ConfigReloader(NodeConfig initialConfig, Executor loop, Target target) {
+        this.initialConfig = initialConfig;
         this.loop = loop;
         this.target = target;
-        this.classes = ClassTable.of(first.classes(), first.settings().classes());
-        this.settings = first.settings();
+        this.classes = ClassTable.of(initialConfig.classes(), initialConfig.settings().classes());
+        this.settings = initialConfig.settings();
     }
 
     /**
@@ -81,44 +81,44 @@
     }
 
     private void requireComplete(NodeConfig next) throws ConfigException {
-        final List<String> missing = first.missingIn(next);
+        final List<String> missing = initialConfig.missingIn(next);
         if (!missing.isEmpty()) {
             throw new ConfigException(
                     "the file lacks what the first one had: "
                             + String.join(
                                     ", ",
-                                    missing.subList(0, Math.min(MAX_NAMED_KEYS, missing.size())))
-                            + (missing.size() > MAX_NAMED_KEYS ? ", ..." : ""));
+                                    missing.subList(0, Math.min(MAX_LOGGED_KEYS, missing.size())))
+                            + (missing.size() > MAX_LOGGED_KEYS ? ", ..." : ""));
         }
     }
 
     private void apply(NodeConfig next) {
-        if (first.discovery() != null && next.discovery() != null) {
+        if (initialConfig.discovery() != null && next.discovery() != null) {
             target.setDiscoveryAddress(next.discovery());
         }
         // Logged, so that nobody takes a change to be in force that only a restart puts in force.
-        final List<String> held = new ArrayList<>(first.changesRequiringRestart(next));
-        final String changes = applySettings(next, held);
+        final List<String> pendingRestart = new ArrayList<>(initialConfig.changesRequiringRestart(next));
+        final String changes = applySettings(next, pendingRestart);
         LogEvent.of(
                         "reloaded",
                         "reloaded: "
                                 + describeDiscovery(next)
                                 + changes
-                                + (held.isEmpty()
+                                + (pendingRestart.isEmpty()
                                         ? ""
                                         : "; changed, but in force from the next start only: "
-                                                + String.join(", ", held)))
-                .with("held", String.join(",", held))
+                                                + String.join(", ", pendingRestart)))
+                .with("held", String.join(",", pendingRestart))
                 .with("classes", String.join(",", classes.live().keySet()))
                 .log(LOG, Level.INFO);
     }
 
     private String describeDiscovery(NodeConfig next) {
-        if (first.discovery() == null) {
+        if (initialConfig.discovery() == null) {
             return "the list of workers is fixed";
         }
         return "discovery is at "
-                + Addresses.format(next.discovery() == null ? first.discovery() : next.discovery());
+                + Addresses.format(next.discovery() == null ? initialConfig.discovery() : next.discovery());
     }
 
     /**
@@ -127,54 +127,54 @@
      * connection times apply even where the classes and settings wait for a restart.
      *
      * @param next the new configuration
-     * @param held the parts that wait for a restart; what cannot be applied is added
+     * @param pendingRestart the parts that wait for a restart; what cannot be applied is added
      * @return what changed, for the log
      */
-    private String applySettings(NodeConfig next, List<String> held) {
+    private String applySettings(NodeConfig next, List<String> pendingRestart) {
         target.applyConnectionTimes(next);
         if (zonesOrKindsDiffer(next)) {
-            held.add("zones and kinds");
+            pendingRestart.add("zones and kinds");
             return "";
         }
         final ClassTable updated;
         try {
             updated = classes.updatedWith(next.classes(), next.settings().classes());
         } catch (IllegalArgumentException e) {
-            held.add("classes (" + e.getMessage() + ")");
+            pendingRestart.add("classes (" + e.getMessage() + ")");
             return "";
         }
         final boolean classesChange = !updated.isSameAs(classes);
         if (classesChange && target.requiresInitialClasses()) {
-            held.add("classes");
+            pendingRestart.add("classes");
             return "";
         }
-        final DispatchSettings before = settings;
-        final DispatchSettings wanted = updated.settingsFor(next.settings(), before);
-        if ((!classesChange && wanted.equals(before)) || !wanted.canReplace(before)) {
+        final DispatchSettings previousSettings = settings;
+        final DispatchSettings updatedSettings = updated.settingsFor(next.settings(), previousSettings);
+        if ((!classesChange && updatedSettings.equals(previousSettings)) || !updatedSettings.canReplace(previousSettings)) {
             return "";
         }
         final String classChanges = updated.changesFrom(classes);
         classes = updated;
-        settings = wanted;
-        target.applySettings(updated, wanted);
-        return describe(classChanges, before, wanted);
+        settings = updatedSettings;
+        target.applySettings(updated, updatedSettings);
+        return describe(classChanges, previousSettings, updatedSettings);
     }
 
     private boolean zonesOrKindsDiffer(NodeConfig next) {
-        final DispatchSettings wanted = next.settings();
-        return wanted.zone() != settings.zone()
-                || wanted.zones() != settings.zones()
-                || wanted.kinds() != settings.kinds()
-                || !next.zones().equals(first.zones())
-                || !next.kinds().equals(first.kinds());
+        final DispatchSettings updatedSettings = next.settings();
+        return updatedSettings.zone() != settings.zone()
+                || updatedSettings.zones() != settings.zones()
+                || updatedSettings.kinds() != settings.kinds()
+                || !next.zones().equals(initialConfig.zones())
+                || !next.kinds().equals(initialConfig.kinds());
     }
 
     private static String describe(
-            String classChanges, DispatchSettings before, DispatchSettings now) {
+            String classChanges, DispatchSettings previousSettings, DispatchSettings newSettings) {
         return "; settings in force"
                 + (classChanges.isEmpty() ? "" : ", classes " + classChanges)
-                + (now.limits().equals(before.limits())
+                + (newSettings.limits().equals(previousSettings.limits())
                         ? ""
-                        : ", attempts at most " + now.limits().maxAttempts());
+                        : ", attempts at most " + newSettings.limits().maxAttempts());
     }
 }
--- a/src/main/java/cresschute/node/ConsoleTable.java
+++ b/src/main/java/cresschute/node/ConsoleTable.java
@@ -11,7 +11,7 @@
  * Keeps the rows of consoles up to date: one a worker, one a class and one of the node.
  *
  * <p>A worker's row is drawn anew when it changed, and its figures, which change with time alone,
- * at every {@value #REFRESHES_PER_FIGURE}th refresh, a part of the workers each time.
+ * at every {@value #REFRESH_CYCLE_LENGTH}th refresh, a part of the workers each time.
  *
  * <p>It owns the {@link VersionedTable}, which lives as long as the process and is not stored. Used
  * on the loop alone.
@@ -19,17 +19,17 @@
 final class ConsoleTable {
 
     /** In how many refreshes the rows of all unchanged workers are drawn once. */
-    private static final int REFRESHES_PER_FIGURE = 4;
+    private static final int REFRESH_CYCLE_LENGTH = 4;
 
-    private static final String WORKER_KEY = "w/";
-    private static final String CLASS_KEY = "c/";
+    private static final String WORKER_KEY_PREFIX = "w/";
+    private static final String CLASS_KEY_PREFIX = "c/";
     private static final String NODE_KEY = "node";
 
     private final VersionedTable table = new VersionedTable();
     private final ControlContext node;
     private final WorkerHealthMonitor health;
     private final ConsoleRows rows;
-    private final IntSupplier consoles;
+    private final IntSupplier consoleCount;
 
     /** Workers that have a row. */
     private Set<Integer> shownWorkers = Set.of();
@@ -38,16 +38,16 @@
     private boolean stopping;
 
     /**
-     * @param consoles counts the connected consoles
+     * @param consoleCount counts the connected consoles
      */
     ConsoleTable(
             ControlContext node,
             WorkerHealthMonitor health,
             DurableDrains drains,
-            IntSupplier consoles) {
+            IntSupplier consoleCount) {
         this.node = node;
         this.health = health;
-        this.consoles = consoles;
+        this.consoleCount = consoleCount;
         this.rows = new ConsoleRows(node, drains, health.tracker());
     }
 
@@ -57,7 +57,7 @@
     }
 
     /** The node's row shows from the next refresh on that its shutdown has begun. */
-    void nodeStopping() {
+    void markNodeStopping() {
         stopping = true;
     }
 
@@ -68,11 +68,11 @@
 
     /** Draws the rows of workers that changed or whose turn it is, of classes and of the node. */
     void refreshChanged() {
-        refresh(worker -> health.changedWorkers().contains(worker) || isTurnOf(worker));
+        refresh(worker -> health.changedWorkers().contains(worker) || isPeriodicallyDue(worker));
     }
 
-    private boolean isTurnOf(int worker) {
-        return worker % REFRESHES_PER_FIGURE == refreshes % REFRESHES_PER_FIGURE;
+    private boolean isPeriodicallyDue(int worker) {
+        return worker % REFRESH_CYCLE_LENGTH == refreshes % REFRESH_CYCLE_LENGTH;
     }
 
     private void refresh(IntPredicate isDue) {
@@ -85,16 +85,16 @@
             }
         }
         health.clearChangedWorkers();
-        removeAllBut(known);
+        removeRowsExcept(known);
         final List<String> classes = node.config().classes();
         for (int i = 0; i < classes.size(); i++) {
-            table.put(CLASS_KEY + classes.get(i), rows.requestClass(nowUs, i));
+            table.put(CLASS_KEY_PREFIX + classes.get(i), rows.requestClass(nowUs, i));
         }
-        table.put(NODE_KEY, rows.node(nowUs, stopping, consoles.getAsInt()));
+        table.put(NODE_KEY, rows.node(nowUs, stopping, consoleCount.getAsInt()));
     }
 
     /** A worker that the health tracker has forgotten has no change of its own. */
-    private void removeAllBut(Set<Integer> known) {
+    private void removeRowsExcept(Set<Integer> known) {
         shownWorkers.stream()
                 .filter(worker -> !known.contains(worker))
                 .forEach(worker -> table.remove(workerKey(worker)));
@@ -102,6 +102,6 @@
     }
 
     private String workerKey(int worker) {
-        return WORKER_KEY + node.workers().name(worker);
+        return WORKER_KEY_PREFIX + node.workers().name(worker);
     }
 }
--- a/src/main/java/cresschute/node/ControlService.java
+++ b/src/main/java/cresschute/node/ControlService.java
@@ -23,7 +23,7 @@
  * name a state folder. A node that names neither a control socket nor a state folder has no such
  * service.
  *
- * <p>Life: {@link #open}, {@link #listen}, {@link #stopping}, {@link #closeSocket}, {@link #close},
+ * <p>Life: {@link #open}, {@link #listen}, {@link #notifyStopping}, {@link #closeSocket}, {@link #close},
  * each once. All of it is on the loop, save {@link #open}, {@link #listen} and {@link #close},
  * which block.
  */
@@ -63,7 +63,7 @@
         lifecycle = requestLifecycle;
         final ControlContext node = new ControlContext(config, lifecycle, clock, events);
         health = new WorkerHealthMonitor(node, drains);
-        table = new ConsoleTable(node, health, drains, this::consoles);
+        table = new ConsoleTable(node, health, drains, this::consoleCount);
         handler = new ControlRequestHandler(node, drains, health, table);
         if (config.stateFolder() != null) {
             drains.open(Path.of(config.stateFolder()));
@@ -87,8 +87,8 @@
     }
 
     /** The node's shutdown has begun: consoles are shown it. On the loop. */
-    void stopping() {
-        table.nodeStopping();
+    void notifyStopping() {
+        table.markNodeStopping();
         events.record(
                 OperatorEventKind.NODE_STOPPING,
                 "the node is stopping; " + lifecycle.unanswered() + " requests are owed an answer");
@@ -187,7 +187,7 @@
         health.loadReported(nowUs, worker, report);
     }
 
-    private int consoles() {
+    private int consoleCount() {
         return server.map(ControlServer::sessions).orElse(0);
     }
 
--- a/src/main/java/cresschute/node/DurableDrains.java
+++ b/src/main/java/cresschute/node/DurableDrains.java
@@ -165,7 +165,7 @@
                         new SnapshotListener() {
                             @Override
                             public void stored() {
-                                finished(snapshotGeneration, Optional.empty());
+                                snapshotFinished(snapshotGeneration, Optional.empty());
                             }
 
                             @Override
@@ -175,7 +175,7 @@
                                                 "drains could not be kept: " + failure.getCause())
                                         .with("detail", failure.getCause())
                                         .log(LOG, Level.ERROR);
-                                finished(snapshotGeneration, Optional.of(failure));
+                                snapshotFinished(snapshotGeneration, Optional.of(failure));
                             }
                         });
     }
@@ -188,7 +188,7 @@
         }
     }
 
-    private void finished(long snapshotGeneration, Optional<NotDurableException> failure) {
+    private void snapshotFinished(long snapshotGeneration, Optional<NotDurableException> failure) {
         finishedGeneration = snapshotGeneration;
         lastFailure = failure;
         while (!pending.isEmpty() && pending.peekFirst().generation() <= snapshotGeneration) {
--- a/src/main/java/cresschute/node/GracefulShutdown.java
+++ b/src/main/java/cresschute/node/GracefulShutdown.java
@@ -138,7 +138,7 @@
         final long nowMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
         if (steps.clientConnections() > 0 && nowMs >= nextLogMs) {
             nextLogMs = nowMs + LOG_INTERVAL_MS;
-            logStillOwed();
+            logUnanswered();
         }
         if (steps.clientConnections() == 0 && !stopped.isDone() && steps.leavePeers()) {
             steps.logStatus();
@@ -148,7 +148,7 @@
     }
 
     /** Logged while there is time: the last such line before a kill states what it cut off. */
-    private void logStillOwed() {
+    private void logUnanswered() {
         LogEvent.of(
                         "still_owed",
                         "stopping: "
--- a/src/main/java/cresschute/node/ManagementService.java
+++ b/src/main/java/cresschute/node/ManagementService.java
@@ -53,17 +53,17 @@
     private final int maxCallers;
 
     /** Calls that are in force and not yet stored, oldest first. */
-    private final List<ManagementCall> unstored = new ArrayList<>();
+    private final List<ManagementCall> unstoredCalls = new ArrayList<>();
 
     private RequestLifecycle lifecycle;
     private ReadinessSwitch readiness;
-    private SharedOperatorState shared;
+    private SharedOperatorState sharedState;
     private ManagementServer server;
 
     /** The newest state that was read or written. */
     private OperatorState stored = OperatorState.NONE;
 
-    /** {@link #stored} with the calls of {@link #unstored} applied. */
+    /** {@link #stored} with the calls of {@link #unstoredCalls} applied. */
     private OperatorState inForce = OperatorState.NONE;
 
     /**
@@ -94,7 +94,7 @@
         }
         final SharedOperatorState.Opened opened =
                 SharedOperatorState.open(Path.of(config.operators().sharedFolder()), loop, this);
-        shared = opened.shared();
+        sharedState = opened.shared();
         stored = opened.found();
         inForce = stored;
         if (!stored.banned().isEmpty() || stored.drained()) {
@@ -132,8 +132,8 @@
 
     /** Ends polling of the shared file, after a write under way. Blocks, so not on the loop. */
     void close() {
-        if (shared != null) {
-            shared.close();
+        if (sharedState != null) {
+            sharedState.close();
         }
     }
 
@@ -173,14 +173,14 @@
         }
         putInForce(next);
         final String confirmation = "200 " + confirmation(call);
-        if (shared == null) {
+        if (sharedState == null) {
             answer.accept(confirmation);
             return;
         }
-        unstored.add(call);
+        unstoredCalls.add(call);
         final PendingAnswer pending = new PendingAnswer(call, confirmation, answer);
         loop.schedule(pending::send, MAX_ANSWER_DELAY_MS, TimeUnit.MILLISECONDS);
-        shared.change(state -> state.apply(call), pending);
+        sharedState.change(state -> state.apply(call), pending);
     }
 
     /** The answer to one call: sent once, when its change is stored or after the delay. */
@@ -199,7 +199,7 @@
 
         @Override
         public void stored(OperatorState written) {
-            unstored.remove(call);
+            unstoredCalls.remove(call);
             if (written.generation() > stored.generation()) {
                 stored = written;
             }
@@ -209,7 +209,7 @@
 
         @Override
         public void notDurable(NotDurableException failure) {
-            unstored.remove(call);
+            unstoredCalls.remove(call);
             LogEvent.of(
                             "operators_state_not_durable",
                             "in force, but an upgrade would not know it: "
@@ -257,7 +257,7 @@
 
     private OperatorState storedWithUnstoredCalls() {
         OperatorState state = stored;
-        for (final ManagementCall call : unstored) {
+        for (final ManagementCall call : unstoredCalls) {
             state = state.apply(call);
         }
         return state;
@@ -285,13 +285,13 @@
         }
     }
 
-    private static void logState(String event, String introduction, OperatorState state) {
+    private static void logState(String event, String prefix, OperatorState state) {
         final String text =
                 (state.banned().isEmpty()
                                 ? "no worker is out"
                                 : "out: " + String.join(", ", state.banned()))
                         + (state.drained() ? "; the node is drained" : "");
-        LogEvent.of(event, introduction + text)
+        LogEvent.of(event, prefix + text)
                 .with("banned", String.join(",", state.banned()))
                 .with("drained", state.drained())
                 .log(LOG, Level.INFO);
--- a/src/main/java/cresschute/node/NodeConfigParser.java
+++ b/src/main/java/cresschute/node/NodeConfigParser.java
@@ -40,7 +40,7 @@
      * @throws ConfigException if the file or a variable cannot be used
      */
     public static NodeConfig load(Map<String, String> environment) throws ConfigException {
-        final String file = variable(environment, "BALANCER_CONFIG");
+        final String file = requiredVariable(environment, "BALANCER_CONFIG");
         final String text;
         try {
             text = Files.readString(Path.of(file));
@@ -58,9 +58,9 @@
      * @throws ConfigException if the file or a variable cannot be used
      */
     public static NodeConfig reload(Map<String, String> environment) throws ConfigException {
-        final Map<String, String> kept = new HashMap<>(environment);
-        kept.remove(DISCOVERY);
-        return load(kept);
+        final Map<String, String> withoutDiscovery = new HashMap<>(environment);
+        withoutDiscovery.remove(DISCOVERY);
+        return load(withoutDiscovery);
     }
 
     /**
@@ -74,29 +74,29 @@
         try {
             final JsonObject json = Json.object(text);
             final JsonObject settings = Json.child(json, "settings");
-            final JsonObject limits = optional(settings, "limits");
-            final JsonObject machine = optional(json, "limits");
-            final EndpointList known =
+            final JsonObject dispatchLimits = optionalChild(settings, "limits");
+            final JsonObject processLimits = optionalChild(json, "limits");
+            final EndpointList initialEndpoints =
                     json.has("known")
                             ? EndpointList.parse(Json.child(json, "known"))
                             : new EndpointList(-1, true, List.of());
             return new NodeConfig(
-                    setting(environment, "BALANCER_NAME", json, "name"),
-                    Addresses.parse(setting(environment, "BALANCER_LISTEN", json, "listen")),
-                    Addresses.parse(setting(environment, DISCOVERY, json, "discovery")),
+                    variableOrKey(environment, "BALANCER_NAME", json, "name"),
+                    Addresses.parse(variableOrKey(environment, "BALANCER_LISTEN", json, "listen")),
+                    Addresses.parse(variableOrKey(environment, DISCOVERY, json, "discovery")),
                     Long.parseUnsignedLong(Json.string(json, "seed"), 16),
                     SettingsParser.parse(SettingsFlattener.flatten(settings)),
                     classNames(settings),
                     names(settings, "zones"),
                     names(settings, "hostTypes"),
-                    (long) Json.number(limits, "connectTimeoutUs", DEFAULT_CONNECT_TIMEOUT_US),
-                    (long) Json.number(limits, "connIdleUs", DEFAULT_CONN_IDLE_US),
-                    (int) Json.number(machine, "sockets", DEFAULT_SOCKETS),
-                    known,
+                    (long) Json.number(dispatchLimits, "connectTimeoutUs", DEFAULT_CONNECT_TIMEOUT_US),
+                    (long) Json.number(dispatchLimits, "connIdleUs", DEFAULT_CONN_IDLE_US),
+                    (int) Json.number(processLimits, "sockets", DEFAULT_SOCKETS),
+                    initialEndpoints,
                     null,
                     null,
                     null,
-                    operators(environment, json),
+                    parseOperatorSettings(environment, json),
                     ConfigKeys.of(json));
         } catch (JsonParseException | IllegalArgumentException e) {
             throw new ConfigException(
@@ -108,33 +108,33 @@
         }
     }
 
-    private static OperatorSettings operators(Map<String, String> environment, JsonObject json) {
-        final String passed = environment.get(PASSED_SOCKET);
-        if (passed != null && !passed.isBlank() && !passed.strip().equals(STANDARD_INPUT)) {
+    private static OperatorSettings parseOperatorSettings(Map<String, String> environment, JsonObject json) {
+        final String passedSocket = environment.get(PASSED_SOCKET);
+        if (passedSocket != null && !passedSocket.isBlank() && !passedSocket.strip().equals(STANDARD_INPUT)) {
             throw new IllegalArgumentException(
                     PASSED_SOCKET
                             + " is "
-                            + passed
+                            + passedSocket
                             + ", but only descriptor "
                             + STANDARD_INPUT
                             + " can be taken over");
         }
-        final String management =
+        final String managementAddress =
                 environment.getOrDefault(
                         "BALANCER_MANAGEMENT",
                         json.has("management") ? Json.string(json, "management") : null);
-        final String shared = environment.get("TMPDIR");
+        final String sharedFolder = environment.get("TMPDIR");
         return new OperatorSettings(
-                management == null || management.isBlank() ? null : Addresses.parse(management),
-                passed != null && !passed.isBlank(),
-                shared == null || shared.isBlank() ? null : shared);
+                managementAddress == null || managementAddress.isBlank() ? null : Addresses.parse(managementAddress),
+                passedSocket != null && !passedSocket.isBlank(),
+                sharedFolder == null || sharedFolder.isBlank() ? null : sharedFolder);
     }
 
-    private static JsonObject optional(JsonObject object, String name) {
+    private static JsonObject optionalChild(JsonObject object, String name) {
         return object.has(name) ? Json.child(object, name) : new JsonObject();
     }
 
-    private static String variable(Map<String, String> environment, String name)
+    private static String requiredVariable(Map<String, String> environment, String name)
             throws ConfigException {
         final String value = environment.get(name);
         if (value == null || value.isBlank()) {
@@ -143,7 +143,7 @@
         return value;
     }
 
-    private static String setting(
+    private static String variableOrKey(
             Map<String, String> environment, String variable, JsonObject json, String name) {
         final String value = environment.get(variable);
         return value == null || value.isBlank() ? Json.string(json, name) : value;
--- a/src/main/java/cresschute/node/NodeServer.java
+++ b/src/main/java/cresschute/node/NodeServer.java
@@ -59,7 +59,7 @@
     private final PeerLoads peers;
 
     /** The clients' listener that the platform passed on, or null. */
-    private final ServerSocketChannel passed;
+    private final ServerSocketChannel passedListener;
 
     /**
      * A node that binds its own listener, and does not listen yet.
@@ -75,12 +75,12 @@
      * A node that does not accept yet.
      *
      * @param config its configuration
-     * @param passed the clients' listener as the platform passed it on, or null where the node
+     * @param passedListener the clients' listener as the platform passed it on, or null where the node
      *     binds its own
      * @throws NodeStartException if the key for the exchange with peers cannot be used
      */
-    public NodeServer(NodeConfig config, ServerSocketChannel passed) {
-        this(config, passed, actions -> new Dispatcher(config.settings(), config.seed(), actions));
+    public NodeServer(NodeConfig config, ServerSocketChannel passedListener) {
+        this(config, passedListener, actions -> new Dispatcher(config.settings(), config.seed(), actions));
     }
 
     /** A node with a dispatcher of the caller's. */
@@ -91,10 +91,10 @@
     /** The same, on a listener that the platform passed on, or null. */
     NodeServer(
             NodeConfig config,
-            ServerSocketChannel passed,
+            ServerSocketChannel passedListener,
             Function<DispatcherActions, DispatcherEvents> dispatcher) {
         this.config = config;
-        this.passed = passed;
+        this.passedListener = passedListener;
         final Clock clock = Clock.system();
         final RateLimitedLog faults =
                 new RateLimitedLog(System.getLogger("cresschute.fault"), clock);
@@ -175,7 +175,7 @@
                                 workers,
                                 discovery == null ? () -> {} : discovery,
                                 config.initialEndpoints()));
-        final ChannelFuture bound = clientListener.listen(group, config.listen(), passed);
+        final ChannelFuture bound = clientListener.listen(group, config.listen(), passedListener);
         requireBound(bound, "", config.listen());
         operators.listen();
         loop.scheduleWithFixedDelay(
@@ -188,11 +188,11 @@
         return address;
     }
 
-    private static void requireBound(ChannelFuture bound, String whom, InetSocketAddress address) {
+    private static void requireBound(ChannelFuture bound, String purpose, InetSocketAddress address) {
         if (!bound.awaitUninterruptibly().isSuccess()) {
             throw new NodeStartException(
                     "cannot listen "
-                            + whom
+                            + purpose
                             + "on "
                             + Addresses.format(address)
                             + ": "
--- a/src/main/java/cresschute/node/OperatorEventLog.java
+++ b/src/main/java/cresschute/node/OperatorEventLog.java
@@ -24,7 +24,7 @@
     /** Records an event of the whole node. */
     void record(OperatorEventKind kind, String text) {
         events.add(clock.nowUs(), kind.wireName(), null, text);
-        logged(kind, text).log(LOG, Level.INFO);
+        logEvent(kind, text).log(LOG, Level.INFO);
     }
 
     /**
@@ -34,10 +34,10 @@
      */
     void record(OperatorEventKind kind, String worker, String text) {
         events.add(clock.nowUs(), kind.wireName(), worker, text);
-        logged(kind, text).with("worker", worker).log(LOG, Level.INFO);
+        logEvent(kind, text).with("worker", worker).log(LOG, Level.INFO);
     }
 
-    private static LogEvent logged(OperatorEventKind kind, String text) {
+    private static LogEvent logEvent(OperatorEventKind kind, String text) {
         return LogEvent.of("operator_event", text).with("kind", kind.wireName());
     }
 
--- a/src/main/java/cresschute/node/OperatorServices.java
+++ b/src/main/java/cresschute/node/OperatorServices.java
@@ -118,7 +118,7 @@
     /** Shows consoles that the node is stopping. Call from the event loop. */
     void notifyStopping() {
         if (control != null) {
-            control.stopping();
+            control.notifyStopping();
         }
     }
 
--- a/src/main/java/cresschute/node/WorkerHealthMonitor.java
+++ b/src/main/java/cresschute/node/WorkerHealthMonitor.java
@@ -40,10 +40,10 @@
     WorkerHealthMonitor(ControlContext node, DurableDrains drains) {
         this.node = node;
         this.drains = drains;
-        this.tracker = tracker(node.config());
+        this.tracker = createTracker(node.config());
     }
 
-    private static HealthTracker tracker(NodeConfig config) {
+    private static HealthTracker createTracker(NodeConfig config) {
         return new HealthTracker(
                 HealthThresholds.defaults(
                         config.settings().progressUs(),
@@ -73,12 +73,12 @@
                         .record(
                                 OperatorEventKind.ENDPOINT_CHANGED,
                                 name,
-                                "the list says " + name + " is " + listedWord(each.state()));
+                                "the list says " + name + " is " + stateLabel(each.state()));
             }
         }
     }
 
-    private static String listedWord(WorkerState state) {
+    private static String stateLabel(WorkerState state) {
         return switch (state) {
             case READY -> "serving";
             case DRAINING -> "draining";
--- a/src/test/java/cresschute/logs/EventNamesTest.java
+++ b/src/test/java/cresschute/logs/EventNamesTest.java
@@ -18,7 +18,7 @@
     private static final Pattern NAMED = Pattern.compile("LogEvent\\.of\\(\\s*\"([a-z_]+)\"");
 
     @Test
-    void pageListsEveryEvent() throws IOException {
+    void onCallPageListsEveryEvent() throws IOException {
         final Set<String> names = new TreeSet<>();
         try (Stream<Path> files = Files.walk(Path.of("src/main/java"))) {
             for (final Path file : files.filter(Files::isRegularFile).toList()) {
--- a/src/test/java/cresschute/node/ConsoleTableTest.java
+++ b/src/test/java/cresschute/node/ConsoleTableTest.java
@@ -27,41 +27,41 @@
     }
 
     @Test
-    void allRowsAreThereAfterTheFirstRefresh() {
+    void firstRefreshBuildsAllRows() {
         assertThat(table.table().since(0).rows())
                 .containsOnlyKeys("w/s-1", "w/s-2", "c/check", "c/file", "node");
     }
 
     @Test
-    void rowsThatAreTheSameAreNoChange() {
+    void refreshWithoutChangesPublishesNothing() {
         assertThat(keysChangedBy(table::refreshAll)).isEmpty();
     }
 
     @Test
-    void workerThatChangedIsDrawnAtOnce() {
+    void refreshesChangedWorkerImmediately() {
         idle.health.loadReported(idle.nowUs, 1, new LoadReport(3, 5, 2));
         assertThat(keysChangedBy(table::refreshChanged)).containsExactly("w/s-2");
     }
 
     /** Figures change with time alone: each worker has its turn once in four refreshes. */
     @Test
-    void unchangedWorkersHaveTheirTurns() {
-        final List<List<String>> drawn = new ArrayList<>();
+    void refreshesEachUnchangedWorkerOnceInFourRefreshes() {
+        final List<List<String>> refreshedKeys = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
             // A load report straight to the tracker marks no worker as changed.
             idle.health.tracker().loadReported(idle.nowUs, 0, new LoadReport(i + 1, 0, 0));
             idle.health.tracker().loadReported(idle.nowUs, 1, new LoadReport(i + 1, 0, 0));
-            drawn.add(keysChangedBy(table::refreshChanged));
+            refreshedKeys.add(keysChangedBy(table::refreshChanged));
         }
-        assertThat(drawn)
+        assertThat(refreshedKeys)
                 .containsExactlyInAnyOrder(
                         List.of("w/s-1"), List.of("w/s-2"), List.of(), List.of());
     }
 
     @Test
-    void rowOfTheNodeShowsConsolesAndShutdown() {
+    void nodeRowShowsConsoleCountAndShutdown() {
         consoles = 2;
-        table.nodeStopping();
+        table.markNodeStopping();
         assertThat(keysChangedBy(table::refreshChanged)).containsExactly("node");
         assertThat(table.table().since(0).rows().get("node"))
                 .contains("\"stopping\":true,\"consoles\":2");
--- a/src/test/java/cresschute/node/ControlRequestHandlerTest.java
+++ b/src/test/java/cresschute/node/ControlRequestHandlerTest.java
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void storedDrainIsAnsweredAsKept() throws Exception {
+    void reportsStoredDrainAsKept() throws Exception {
         idle.drains.open(folder);
         assertThat(execute(DRAIN))
                 .hasToString(
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void drainThatCannotBeStoredIsAnsweredWithTheReason() throws Exception {
+    void reportsWhyDrainCannotBeStored() throws Exception {
         idle.drains.open(folder);
         // A folder in the way of the file that is written aside: also root cannot write there.
         final Path temporary = Files.createDirectory(folder.resolve("drains.new"));
@@ -76,13 +76,13 @@
     }
 
     @Test
-    void withoutAFolderNothingIsSaidOfKeeping() {
+    void omitsStorageFieldsWithoutStateFolder() {
         assertThat(execute(DRAIN).keySet())
                 .containsExactly("ok", "outcome", "why", "worker", "in_flight");
     }
 
     @Test
-    void drainThatHasEndedIsAnsweredAsNotInForce() {
+    void undrainOfExpiredDrainReportsNotDrained() {
         execute(new DrainOperation("o1", true, "s-1", 5, "ann", "", false));
         idle.nowUs += 5;
         final JsonObject answer =
--- a/src/test/java/cresschute/node/ControlServiceFormatTest.java
+++ b/src/test/java/cresschute/node/ControlServiceFormatTest.java
@@ -26,41 +26,41 @@
 
     private final EmbeddedChannel loop = new EmbeddedChannel();
 
-    private ControlService service(ServerSocket at) throws Exception {
+    private ControlService service(ServerSocket workerServer) throws Exception {
         final NodeConfig config =
                 NodeConfigParser.parse(
                         TestNode.config(
-                                at,
+                                workerServer,
                                 TestNode.list(
                                         1,
                                         true,
-                                        TestNode.entry("s-1", at, "SERVING")
+                                        TestNode.entry("s-1", workerServer, "SERVING")
                                                 + ","
-                                                + TestNode.entry("s-2", at, "SERVING")
+                                                + TestNode.entry("s-2", workerServer, "SERVING")
                                                 + ","
-                                                + TestNode.entry("s-3", at, "DRAINING"))),
+                                                + TestNode.entry("s-3", workerServer, "DRAINING"))),
                         Map.of());
         final ControlService service = new ControlService(config, loop.eventLoop(), () -> NOW_US);
-        final DispatcherEvents module =
+        final DispatcherEvents dispatcher =
                 (DispatcherEvents)
                         Proxy.newProxyInstance(
                                 getClass().getClassLoader(),
                                 new Class<?>[] {DispatcherEvents.class},
                                 (proxy, method, args) -> null);
-        final RequestLifecycle core =
+        final RequestLifecycle lifecycle =
                 new RequestLifecycle(
                         config,
                         loop.eventLoop(),
                         () -> NOW_US,
                         new RateLimitedLog(System.getLogger("test"), () -> NOW_US),
                         service,
-                        actions -> module);
-        service.open(core);
-        core.start(null, () -> {}, config.initialEndpoints());
+                        actions -> dispatcher);
+        service.open(lifecycle);
+        lifecycle.start(null, () -> {}, config.initialEndpoints());
         return service;
     }
 
-    private static String operate(ControlHandler handler, DrainOperation operation) {
+    private static String execute(ControlHandler handler, DrainOperation operation) {
         final List<JsonObject> answers = new ArrayList<>();
         handler.execute(operation, answers::add);
         assertThat(answers).hasSize(1);
@@ -72,17 +72,17 @@
     }
 
     @Test
-    void outcomesAreAnsweredAsByAnEarlierNode() throws Exception {
-        try (ServerSocket at = Peer.listen()) {
-            final ControlHandler handler = service(at).handler();
-            assertThat(operate(handler, drain("op-1", "s-1", 7_200_000_000L)))
+    void operationAnswersKeepTheirFormat() throws Exception {
+        try (ServerSocket workerServer = Peer.listen()) {
+            final ControlHandler handler = service(workerServer).handler();
+            assertThat(execute(handler, drain("op-1", "s-1", 7_200_000_000L)))
                     .isEqualTo(
                             "{\"ok\":true,\"outcome\":\"done\",\"why\":\"\",\"worker\":\"s-1\",\"in_flight\":0}");
-            assertThat(operate(handler, drain("op-2", "s-1", DrainRegistry.NO_END_US)))
+            assertThat(execute(handler, drain("op-2", "s-1", DrainRegistry.NO_END_US)))
                     .isEqualTo(
                             "{\"ok\":true,\"outcome\":\"already\",\"why\":\"drained by ann: new"
                                     + " disk\",\"worker\":\"s-1\",\"in_flight\":0}");
-            assertThat(operate(handler, drain("op-3", "s-9", DrainRegistry.NO_END_US)))
+            assertThat(execute(handler, drain("op-3", "s-9", DrainRegistry.NO_END_US)))
                     .isEqualTo(
                             "{\"ok\":true,\"outcome\":\"refused\",\"why\":\"no worker is called"
                                     + " s-9\",\"worker\":\"s-9\",\"in_flight\":0}");
@@ -94,15 +94,15 @@
     }
 
     @Test
-    void rowsAreShownAsByAnEarlierNode() throws Exception {
-        try (ServerSocket at = Peer.listen()) {
-            final ControlHandler handler = service(at).handler();
-            operate(handler, drain("op-1", "s-1", 7_200_000_000L));
+    void rowsKeepTheirFormat() throws Exception {
+        try (ServerSocket workerServer = Peer.listen()) {
+            final ControlHandler handler = service(workerServer).handler();
+            execute(handler, drain("op-1", "s-1", 7_200_000_000L));
             handler.refresh();
             final Map<String, String> rows = handler.table().since(0).rows();
             assertThat(rows)
                     .containsOnlyKeys("w/s-1", "w/s-2", "w/s-3", "c/check", "c/file", "node");
-            final String port = ":" + at.getLocalPort();
+            final String port = ":" + workerServer.getLocalPort();
             rows.replaceAll((key, row) -> row.replace(port, ":PORT"));
             assertRow(
                     rows,
--- a/src/test/java/cresschute/node/ControlServiceTest.java
+++ b/src/test/java/cresschute/node/ControlServiceTest.java
@@ -21,42 +21,42 @@
 
     /** Neither the screen nor the memory fills with workers that are long gone. */
     @Test
-    void rowOfAForgottenWorkerIsRemoved() throws Exception {
+    void removesRowOfForgottenWorker() throws Exception {
         final NodeConfig config;
-        try (ServerSocket free = Peer.listen()) {
+        try (ServerSocket unusedServer = Peer.listen()) {
             config =
                     NodeConfigParser.parse(
                             TestNode.config(
-                                    free,
+                                    unusedServer,
                                     TestNode.list(
                                             1,
                                             true,
-                                            TestNode.entry("s-1", free, "SERVING")
+                                            TestNode.entry("s-1", unusedServer, "SERVING")
                                                     + ","
-                                                    + TestNode.entry("s-2", free, "SERVING"))),
+                                                    + TestNode.entry("s-2", unusedServer, "SERVING"))),
                             Map.of());
         }
         final ControlService service = new ControlService(config, loop.eventLoop(), () -> nowUs);
-        final DispatcherEvents module =
+        final DispatcherEvents dispatcher =
                 (DispatcherEvents)
                         Proxy.newProxyInstance(
                                 getClass().getClassLoader(),
                                 new Class<?>[] {DispatcherEvents.class},
                                 (proxy, method, args) -> null);
-        final RequestLifecycle core =
+        final RequestLifecycle lifecycle =
                 new RequestLifecycle(
                         config,
                         loop.eventLoop(),
                         () -> nowUs,
                         new RateLimitedLog(System.getLogger("test"), () -> nowUs),
                         service,
-                        actions -> module);
-        service.open(core);
-        core.start(null, () -> {}, config.initialEndpoints());
+                        actions -> dispatcher);
+        service.open(lifecycle);
+        lifecycle.start(null, () -> {}, config.initialEndpoints());
         final ControlHandler handler = service.handler();
         handler.refresh();
         assertThat(handler.table().since(0).rows()).containsKeys("w/s-1", "w/s-2");
-        core.endpointListReceived(
+        lifecycle.endpointListReceived(
                 new EndpointList(2, true, List.of(config.initialEndpoints().entries().get(0))));
         handler.refresh();
         assertThat(handler.table().since(0).rows().get("w/s-2")).contains("\"state\":\"gone\"");
--- a/src/test/java/cresschute/node/DurableDrainsTest.java
+++ b/src/test/java/cresschute/node/DurableDrainsTest.java
@@ -105,7 +105,7 @@
     }
 
     @Test
-    void changeIsInForceThenStoredThenAcknowledged() throws Exception {
+    void appliesThenStoresThenAcknowledgesChange() throws Exception {
         drains.open(folder);
         apply(drain("o1", "w1"));
         assertThat(steps).containsExactly("changed w1, w1 DRAINING, not stored");
@@ -119,7 +119,7 @@
     }
 
     @Test
-    void operationSentAgainIsAcknowledgedOnceTheFirstIsStored() throws Exception {
+    void acknowledgesRepeatedOperationAfterFirstIsStored() throws Exception {
         drains.open(folder);
         apply(drain("o1", "w1"));
         apply(drain("o1", "w1"));
@@ -137,7 +137,7 @@
     }
 
     @Test
-    void changeThatCannotBeStoredStaysInForceAndIsAcknowledgedWithTheFailure() throws Exception {
+    void keepsChangeInForceAndReportsFailureWhenStoringFails() throws Exception {
         drains.open(folder);
         // A folder in the way of the file that is written aside: also root cannot write there.
         Files.createDirectory(folder.resolve("drains.new"));
@@ -162,7 +162,7 @@
     }
 
     @Test
-    void withoutAFolderAChangeIsAcknowledgedAtOnce() {
+    void acknowledgesImmediatelyWithoutStateFolder() {
         apply(drain("o1", "w1"));
         assertThat(steps)
                 .containsExactly(
@@ -183,7 +183,7 @@
     }
 
     @Test
-    void expiryIsInForceAndStored() throws Exception {
+    void appliesAndStoresExpiry() throws Exception {
         drains.open(folder);
         apply(new DrainOperation("o1", true, "w1", 5, "ann", "", false));
         runOnLoop(1);
@@ -198,7 +198,7 @@
     }
 
     @Test
-    void restartTakesUpDrainsAndOperations() throws Exception {
+    void restoresDrainsAndOperationsAfterRestart() throws Exception {
         drains.open(folder);
         apply(drain("o1", "w1"));
         runOnLoop(1);
--- a/src/test/java/cresschute/node/MainTest.java
+++ b/src/test/java/cresschute/node/MainTest.java
@@ -17,7 +17,7 @@
 @Timeout(30)
 class MainTest {
 
-    private static final String IGNORED =
+    private static final String SIGHUP_IGNORED_MESSAGE =
             "SIGHUP is ignored, as this process was started with it ignored";
 
     private static ProgramProcess serve(String config, String discovery) throws Exception {
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void endsWithOneLineAndTwoOnBadConfiguration() throws Exception {
+    void exitsWithCode2AndOneLineWithoutConfiguration() throws Exception {
         try (ProgramProcess node = serve("", "")) {
             assertThat(node.remainingLines())
                     .containsExactly("cresschute: BALANCER_CONFIG is not set");
@@ -43,7 +43,7 @@
 
     /** SIGHUP ends no process; the file's address of discovery goes before the environment's. */
     @Test
-    void followsTheFilesDiscoveryOnSighup(@TempDir Path folder) throws Exception {
+    void readsDiscoveryAddressFromFileOnSighup(@TempDir Path folder) throws Exception {
         final Path config = folder.resolve("config.json");
         try (ServerSocket workerServer = Peer.listen();
                 ServerSocket old = Peer.listen();
@@ -64,14 +64,14 @@
                 discovery.write(TestNode.answer("200 OK", "", TestNode.list(9, true, "")));
                 assertThat(discovery.read()).startsWith("GET /registry/instances?since=9&");
                 assertThat(node.process().isAlive()).isTrue();
-                assertThat(node.linesSoFar()).noneMatch(line -> line.contains(IGNORED));
+                assertThat(node.linesSoFar()).noneMatch(line -> line.contains(SIGHUP_IGNORED_MESSAGE));
             }
         }
     }
 
     /** Under a parent that ignores the signal the JVM never receives it. */
     @Test
-    void saysWhereSighupIsIgnored(@TempDir Path folder) throws Exception {
+    void logsThatSighupIsIgnored(@TempDir Path folder) throws Exception {
         final Path config = folder.resolve("config.json");
         try (ServerSocket workerServer = Peer.listen();
                 ServerSocket discovery = Peer.listen()) {
@@ -85,7 +85,7 @@
                     new ArrayList<>(List.of("sh", "-c", "trap '' HUP; exec \"$@\"", "sh"));
             command.addAll(ProgramProcess.commandInheritingSignals("serve"));
             try (ProgramProcess node = serve(command, config.toString(), "")) {
-                node.awaitLine(IGNORED);
+                node.awaitLine(SIGHUP_IGNORED_MESSAGE);
                 node.awaitLine(" listens on ");
                 final Peer watch = Peer.accept(discovery);
                 assertThat(watch.read()).startsWith("GET /registry/instances");
@@ -107,7 +107,7 @@
 
     /** The log stays open until the process ends. */
     @Test
-    void answersWhatItTookAfterSigterm(@TempDir Path folder) throws Exception {
+    void answersOpenRequestsAfterSigterm(@TempDir Path folder) throws Exception {
         final Path config = folder.resolve("config.json");
         try (ServerSocket workerServer = Peer.listen();
                 ServerSocket discovery = Peer.listen()) {
--- a/src/test/java/cresschute/node/ManagementRulesTest.java
+++ b/src/test/java/cresschute/node/ManagementRulesTest.java
@@ -51,19 +51,19 @@
     }
 
     @Test
-    void answersOthersWhileHalfACallAndSilenceWait() throws Exception {
+    void answersOtherCallersWhileIncompleteAndSilentOnesWait() throws Exception {
         try (TestNode node = new TestNode(shared, null);
                 Peer silent = Peer.connect(node.server.managementAddress());
-                Peer half = Peer.connect(node.server.managementAddress()).write("disable-ser")) {
+                Peer incomplete = Peer.connect(node.server.managementAddress()).write("disable-ser")) {
             assertThat(node.call("ready")).isEqualTo("200 ready");
-            assertThat(half.readLine()).startsWith("400 incomplete call");
-            assertThat(half.isClosedByOther()).isTrue();
+            assertThat(incomplete.readLine()).startsWith("400 incomplete call");
+            assertThat(incomplete.isClosedByOther()).isTrue();
             assertThat(silent.readLine()).isNull();
         }
     }
 
     @Test
-    void banHoldsUntilItIsEndedAndRepeatsAreHarmless() throws Exception {
+    void banLastsUntilEnabledAndRepeatedCallsHaveNoEffect() throws Exception {
         try (TestNode node = new TestNode(shared, null)) {
             assertThat(node.call("disable-server s-1")).startsWith("200 s-1 is out");
             assertThat(listEvent(node)).isEqualTo("listed CHANGES 0DRAINING7000");
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void banHoldsOverAnUpgradeBothWays() throws Exception {
+    void bothProcessesOfAnUpgradeShareBans() throws Exception {
         try (TestNode old = new TestNode(shared, null)) {
             assertThat(old.call("disable-server s-1")).startsWith("200");
             try (TestNode next = new TestNode(shared, null)) {
@@ -95,7 +95,7 @@
 
     /** An operator must be able to act also where the disk is full. */
     @Test
-    void banThatCannotBeStoredIsInForceAndAnswered() throws Exception {
+    void banThatCannotBeStoredTakesEffectAndIsAnswered() throws Exception {
         // A folder in the way of the file that is written aside: also root cannot write there.
         Files.createDirectory(shared.resolve("cresschute-operators.new"));
         try (TestNode node = new TestNode(shared, null)) {
--- a/src/test/java/cresschute/node/NodeConfigTest.java
+++ b/src/test/java/cresschute/node/NodeConfigTest.java
@@ -12,16 +12,16 @@
 
 class NodeConfigTest {
 
-    private static String good() throws Exception {
-        try (ServerSocket free = Peer.listen()) {
-            return TestNode.config(free, TestNode.list(3, true, ""));
+    private static String validConfig() throws Exception {
+        try (ServerSocket unusedServer = Peer.listen()) {
+            return TestNode.config(unusedServer, TestNode.list(3, true, ""));
         }
     }
 
     @Test
-    void readsWhatTheSettingsParserReads() throws Exception {
+    void parsesFileAndEnvironment() throws Exception {
         final NodeConfig config =
-                NodeConfigParser.parse(good(), Map.of("BALANCER_LISTEN", "127.0.0.9:7"));
+                NodeConfigParser.parse(validConfig(), Map.of("BALANCER_LISTEN", "127.0.0.9:7"));
         assertThat(config.listen().toString()).isEqualTo("/127.0.0.9:7");
         assertThat(config.classes()).containsExactly("check", "file");
         assertThat(config.settings().classes().get(1).idempotency()).isEqualTo(Idempotency.KEYED);
@@ -31,22 +31,22 @@
     }
 
     @Test
-    void readsWhereOperatorsCallAndWhatAnUpgradeHandsOver() throws Exception {
-        final NodeConfig none = NodeConfigParser.parse(good(), Map.of());
+    void parsesOperatorSettings() throws Exception {
+        final NodeConfig none = NodeConfigParser.parse(validConfig(), Map.of());
         assertThat(none.operators()).isEqualTo(OperatorSettings.NONE);
-        final String named =
-                good().replace(
+        final String withManagement =
+                validConfig().replace(
                                 "\"name\":\"n0\",",
                                 "\"name\":\"n0\",\"management\":\"127.0.0.3:91\",");
         assertThat(
-                        NodeConfigParser.parse(named, Map.of())
+                        NodeConfigParser.parse(withManagement, Map.of())
                                 .operators()
                                 .managementAddress()
                                 .toString())
                 .isEqualTo("/127.0.0.3:91");
         final NodeConfig config =
                 NodeConfigParser.parse(
-                        named,
+                        withManagement,
                         Map.of(
                                 "BALANCER_MANAGEMENT",
                                 "127.0.0.4:92",
@@ -68,8 +68,8 @@
                     BALANCER_MANAGEMENT    | localhost:91
                     BALANCER_MANAGEMENT    | 127.0.0.1
                     """)
-    void refusesAnEnvironmentItCannotUse(String variable, String value) throws Exception {
-        assertThatThrownBy(() -> NodeConfigParser.parse(good(), Map.of(variable, value)))
+    void rejectsUnusableEnvironmentVariable(String variable, String value) throws Exception {
+        assertThatThrownBy(() -> NodeConfigParser.parse(validConfig(), Map.of(variable, value)))
                 .isInstanceOf(ConfigException.class)
                 .message()
                 .contains(value)
@@ -106,8 +106,8 @@
                     "zones"                   | zones
                     "balancers":1             | "balancers":0
                     """)
-    void refusesWhatItCannotUseInOneLine(String from, String to) throws Exception {
-        final String text = good();
+    void rejectsUnusableFileWithOneLineMessage(String from, String to) throws Exception {
+        final String text = validConfig();
         assertThat(text).contains(from);
         assertThatThrownBy(() -> NodeConfigParser.parse(text.replace(from, to), Map.of()))
                 .isInstanceOf(ConfigException.class)
--- a/src/test/java/cresschute/node/OperatorEventLogTest.java
+++ b/src/test/java/cresschute/node/OperatorEventLogTest.java
@@ -8,7 +8,7 @@
 class OperatorEventLogTest {
 
     @Test
-    void eventsAreNumberedAndStampedInOrder() {
+    void numbersAndTimestampsEventsInOrder() {
         final long[] nowUs = {5};
         final OperatorEventLog log = new OperatorEventLog(() -> nowUs[0]);
         log.record(OperatorEventKind.DRAINED, "w1", "w1 drained by ann");
@@ -22,7 +22,7 @@
 
     /** The words are part of the protocol in docs/console.md and of the log. */
     @Test
-    void kindsKeepTheirWords() {
+    void kindsKeepTheirWireNames() {
         assertThat(OperatorEventKind.values())
                 .extracting(OperatorEventKind::wireName)
                 .containsExactly(
--- a/src/test/java/cresschute/node/SettingsCrossingRulesTest.java
+++ b/src/test/java/cresschute/node/SettingsReloadRaceTest.java
@@ -12,7 +12,7 @@
 
 /** Events that cross with a change of the settings. See docs/results/crossings.md. */
 @Timeout(30)
-class SettingsCrossingRulesTest extends CrossingFixture {
+class SettingsReloadRaceTest extends CrossingFixture {
 
     /**
      * A head read under the old settings whose last byte comes under the new ones is of the new
@@ -26,22 +26,22 @@
                     gone    | "name":"file"       | "name":"other"      | 404
                     shorter | "deadlineUs":5000000 | "deadlineUs":4000000 | requested 1 class 3
                     """)
-    void takesARequestByTheSettingsAtItsLastByte(String what, String from, String to, String then)
+    void appliesSettingsInForceAtLastByteOfRequest(String scenario, String from, String to, String expected)
             throws Exception {
         try (TestNode node = new TestNode();
                 Peer client = node.client()) {
             client.write(
                     "POST /file HTTP/1.1\r\nX-Request-Id: r1\r\nIdempotency-Key: k\r\n"
                             + "Expect: 100-continue\r\nContent-Length: 4\r\n\r\n");
-            assertThat(client.read()).as(what).startsWith("HTTP/1.1 100");
+            assertThat(client.read()).as(scenario).startsWith("HTTP/1.1 100");
             final String text = node.configText().replace(from, to);
             node.server.reload(() -> NodeConfigParser.parse(text, java.util.Map.of()));
             assertThat(node.event()).startsWith("retuned");
             client.write("body");
-            if (then.startsWith("requested")) {
-                assertThat(node.event()).startsWith(then);
+            if (expected.startsWith("requested")) {
+                assertThat(node.event()).startsWith(expected);
             } else {
-                assertThat(client.read()).startsWith("HTTP/1.1 " + then);
+                assertThat(client.read()).startsWith("HTTP/1.1 " + expected);
             }
         }
     }
@@ -51,7 +51,7 @@
      * more.
      */
     @Test
-    void takesNothingOverFromTheRequestBeforeOnItsConnection() throws Exception {
+    void usesNoFieldOfPreviousRequestOnConnection() throws Exception {
         try (TestNode node = new TestNode(HOLDS);
                 Peer client = node.client()) {
             client.write(
@@ -75,7 +75,7 @@
 
     /** Every request counted against the first customer's share, whoever had sent it. */
     @Test
-    void countsEachRequestAgainstTheShareOfItsOwnCustomer() throws Exception {
+    void countsEachRequestAgainstItsOwnTenant() throws Exception {
         try (TestNode node = TestNode.configured(SHARED, HOLDS);
                 Peer client = node.client()) {
             client.write(
@@ -99,7 +99,7 @@
                 "X-Tenant: other\r\n",
                 "X-Tenant: alpha\r\nX-Tenant: beta co\r\n"
             })
-    void answers400WhereARequestNamesNoCustomer(String headers) throws Exception {
+    void answers400ToRequestWithoutUsableTenant(String headers) throws Exception {
         try (TestNode node = TestNode.configured(SHARED, HOLDS);
                 Peer client = node.client()) {
             client.write(request("r1", headers, ""));
@@ -111,7 +111,7 @@
 
     /** Both limits held until a restart; what waits here waits for less than the old ones. */
     @Test
-    void closesIdleConnectionsThatTheNewSettingsKeepLessLong() throws Exception {
+    void closesIdleConnectionsOnShorterIdleTimeout() throws Exception {
         try (TestNode node =
                         TestNode.configured(
                                 text ->
@@ -127,7 +127,7 @@
     }
 
     @Test
-    void opensConnectionsByTheNewSettingsLimit() throws Exception {
+    void appliesNewConnectTimeout() throws Exception {
         final UnaryOperator<String> patient =
                 text -> text.replace("deadlineUs\":5000000", "deadlineUs\":60000000");
         try (TestNode node =
@@ -147,7 +147,7 @@
      * answer.
      */
     @Test
-    void makesNoRoomByAClientWhoseRequestLiesUnread() throws Exception {
+    void neverEvictsClientWithUnreadRequest() throws Exception {
         try (TestNode node = new TestNode(HOLDS);
                 Peer early = node.client()) {
             // Of 200 descriptors 83 are for clients; the last of 82 is known to be accepted by its
--- a/src/test/java/cresschute/node/SettingsReloadRulesTest.java
+++ b/src/test/java/cresschute/node/SettingsReloadRulesTest.java
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void takesNewClassesAndFewerAttemptsWhileRequestsUnderWayKeepTheirClass() throws Exception {
+    void appliesNewClassesAndLimitsWhileOpenRequestsKeepTheirClass() throws Exception {
         try (TestNode node = new TestNode();
                 Peer early = node.client();
                 Peer late = node.client();
@@ -90,16 +90,16 @@
                     no attempts       | '"retryAfter":true'                         | '"retryAfter":true,"maxAttempts":0'
                     a class twice     | '"name":"file"'                             | '"name":"check"'
                     """)
-    void keepsTheOldSettingsWholeWhereAFileIsBroken(String what, String from, String to)
+    void keepsAllOldSettingsIfFileIsInvalid(String scenario, String from, String to)
             throws Exception {
         try (TestNode node = new TestNode();
                 Peer client = node.client()) {
             final String text = node.configText();
-            assertThat(text).as(what).contains(from == null ? "" : from);
+            assertThat(text).as(scenario).contains(from == null ? "" : from);
             reload(node, from == null ? to : text.replace(from, to));
             // Had it been applied, the dispatcher would be notified before the next request.
             client.write(post("file", "r1"));
-            assertThat(node.event()).as(what).isEqualTo("requested 1 class 1 key 42");
+            assertThat(node.event()).as(scenario).isEqualTo("requested 1 class 1 key 42");
         }
     }
 }
--- a/src/test/java/cresschute/node/ShutdownCrossingRulesTest.java
+++ b/src/test/java/cresschute/node/ShutdownRaceTest.java
@@ -14,11 +14,11 @@
 
 /** Events that cross with a shutdown. See docs/results/crossings.md. */
 @Timeout(30)
-class ShutdownCrossingRulesTest extends CrossingFixture {
+class ShutdownRaceTest extends CrossingFixture {
 
     /** What waited to be accepted was reset with the listener. */
     @Test
-    void acceptsWhoeverCameBeforeTheListenerCloses() throws Exception {
+    void acceptsConnectionsQueuedBeforeListenerCloses() throws Exception {
         try (TestNode node = new TestNode()) {
             holding(
                     node,
@@ -39,7 +39,7 @@
 
     /** A request that lay unread on an idle connection was reset by its closing. */
     @Test
-    void takesWhatCameOnAnIdleConnectionBeforeItClosesIt() throws Exception {
+    void servesRequestUnreadOnIdleConnectionBeforeClosing() throws Exception {
         try (TestNode node = new TestNode();
                 Peer client = node.client()) {
             final Peer worker = kept(node, client);
@@ -60,7 +60,7 @@
      * A close with the next request unread is a reset, and a reset can eat the answer just written.
      */
     @Test
-    void endsAfterTheLastAnswerWithoutAReset() throws Exception {
+    void closesAfterLastAnswerWithoutReset() throws Exception {
         try (TestNode node = new TestNode(HOLDS);
                 Peer client = node.client()) {
             client.write(request("r1", "", ""));
@@ -84,7 +84,7 @@
      * killed it.
      */
     @Test
-    void answersAllBeforeThePlatformKillsIt() throws Exception {
+    void answersAllRequestsBeforePlatformKill() throws Exception {
         try (TestNode node = new TestNode();
                 Peer early = node.client();
                 Peer late = node.client()) {
@@ -111,7 +111,7 @@
      * The signal comes while the node starts: whoever still gets in is let go, and the node ends.
      */
     @Test
-    void endsWhereItIsToldToBeforeItListens() throws Exception {
+    void stopsWhenAskedBeforeListening() throws Exception {
         try (ServerSocket discovery = Peer.listen()) {
             final NodeServer node =
                     new NodeServer(
@@ -128,7 +128,7 @@
 
     /** What may have had its effect is failed then, and not refused. */
     @Test
-    void failsWhatMayHaveRunBeforeThePlatformKillsIt() throws Exception {
+    void failsRequestsThatMayHaveRunBeforePlatformKill() throws Exception {
         try (TestNode node = new TestNode();
                 Peer client = node.client()) {
             client.write(
--- a/src/test/java/cresschute/node/StartWithoutDiscoveryTest.java
+++ b/src/test/java/cresschute/node/StartWithoutDiscoveryTest.java
@@ -51,7 +51,7 @@
         return ProgramProcess.start(builder);
     }
 
-    private static void isReadyAndServes(ProgramProcess node, AnsweringWorker worker)
+    private static void checkReadyAndServing(ProgramProcess node, AnsweringWorker worker)
             throws Exception {
         final InetSocketAddress address =
                 new InetSocketAddress(
@@ -67,22 +67,22 @@
     }
 
     @Test
-    void discoveryThatRefusesIsNoReasonNotToBeReady() throws Exception {
+    void isReadyWhenDiscoveryRefusesConnections() throws Exception {
         final ServerSocket closed = Peer.listen();
         closed.close();
         try (AnsweringWorker worker = new AnsweringWorker(false);
                 ProgramProcess node = start(closed, worker)) {
-            isReadyAndServes(node, worker);
+            checkReadyAndServing(node, worker);
             node.awaitLine("discovery call failed");
         }
     }
 
     @Test
-    void discoveryThatIsSilentIsNoReasonNotToBeReady() throws Exception {
+    void isReadyWhenDiscoveryDoesNotAnswer() throws Exception {
         try (ServerSocket discovery = Peer.listen();
                 AnsweringWorker worker = new AnsweringWorker(false);
                 ProgramProcess node = start(discovery, worker)) {
-            isReadyAndServes(node, worker);
+            checkReadyAndServing(node, worker);
             // It was asked, and has not answered.
             assertThat(Peer.accept(discovery).read())
                     .startsWith("GET /registry/instances?since=3&");
--- a/src/test/java/cresschute/node/UpgradeRulesTest.java
+++ b/src/test/java/cresschute/node/UpgradeRulesTest.java
@@ -26,14 +26,14 @@
     }
 
     /** Waits until all tasks that were handed to a node's event loop have run. */
-    private static void settle(TestNode node) throws Exception {
+    private static void awaitLoopTasks(TestNode node) throws Exception {
         for (int i = 0; i < 2; i++) {
             node.server.loop().submit(() -> {}).get(8, TimeUnit.SECONDS);
         }
     }
 
     @Test
-    void handsThePassedListenerOverWithoutRefusingOrResetting() throws Exception {
+    void handsOverPassedListenerWithoutRefusingOrResetting() throws Exception {
         try (ServerSocketChannel platform =
                         ServerSocketChannel.open()
                                 .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
@@ -46,7 +46,7 @@
             assertThat(idle.read()).startsWith("HTTP/1.1 200");
             try (TestNode next = new TestNode(platform)) {
                 final CompletableFuture<Void> stopped = old.server.stop();
-                settle(old);
+                awaitLoopTasks(old);
                 // New connections wait in the platform's queue for the new process alone.
                 final Peer late = Peer.connect(addr).write(request("r2", "", ""));
                 final Peer second = next.worker();
--- a/src/test/java/cresschute/node/WorkerHealthMonitorTest.java
+++ b/src/test/java/cresschute/node/WorkerHealthMonitorTest.java
@@ -27,7 +27,7 @@
         return idle.events.events().after(0).events().stream().map(OperatorEvent::text).toList();
     }
 
-    private void list(int worker, WorkerState state) {
+    private void setListedState(int worker, WorkerState state) {
         idle.health.endpointListChanged(
                 idle.nowUs,
                 List.of(
@@ -36,23 +36,23 @@
     }
 
     @Test
-    void firstListAndFirstConditionsAreNoEvents() {
+    void recordsNoEventForFirstListAndConditions() {
         assertThat(events()).isEmpty();
     }
 
     @Test
-    void changeOfAListedStateIsOneEvent() {
-        list(S1, WorkerState.DRAINING);
-        list(S1, WorkerState.DRAINING);
+    void recordsOneEventPerListedStateChange() {
+        setListedState(S1, WorkerState.DRAINING);
+        setListedState(S1, WorkerState.DRAINING);
         idle.health.updateConditions();
         assertThat(events()).containsExactly("the list says s-1 is draining");
-        list(S1, WorkerState.READY);
+        setListedState(S1, WorkerState.READY);
         assertThat(events())
                 .containsExactly("the list says s-1 is draining", "the list says s-1 is serving");
     }
 
     @Test
-    void workerThatCannotBeConnectedIsAnEventWithItsReason() {
+    void recordsEventWithReasonWhenConnectionsFail() {
         for (int i = 0; i < 3; i++) {
             idle.health
                     .attemptStarted(idle.nowUs, S2, 0)
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void attemptsAreCountedByWorker() {
+    void countsAttemptsInFlightPerWorker() {
         final AttemptObserver attempt = idle.health.attemptStarted(idle.nowUs, S2, 0);
         assertThat(idle.health.inFlight("s-2")).isEqualTo(1);
         assertThat(idle.health.inFlight("s-1")).isZero();
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void workersThatChangedAreNamedUntilTheyAreCleared() {
+    void reportsChangedWorkersUntilCleared() {
         idle.health.clearChangedWorkers();
         idle.health.drainsChanged(List.of("s-1", "unknown"));
         assertThat(idle.health.changedWorkers()).containsExactly(S1);
