--- a/src/main/java/cresschute/logs/JdkLogSink.java
+++ b/src/main/java/cresschute/logs/JdkLogSink.java
@@ -6,12 +6,12 @@
 import java.util.logging.Logger;
 
 /**
- * Writes messages by {@link java.util.logging}, as its own properties configure it. Needs no
- * library, so a small node that does not log structured events loads none. Thread-safe.
+ * Writes messages with {@link java.util.logging}, as configured by its own properties. It needs no
+ * library, so a small node without structured logs loads none. Thread-safe.
  */
 final class JdkLogSink implements LogSink {
 
-    /** Referenced here, since the JDK holds loggers by weak references only. */
+    /** Strong references to the loggers, because the JDK holds them by weak references only. */
     private final Map<String, Logger> loggers = new ConcurrentHashMap<>();
 
     @Override
@@ -21,7 +21,8 @@
 
     @Override
     public void log(String logger, Level level, LogEvent event) {
-        // With class and method given, even as null, the JDK does not walk the stack for them.
+        // If class and method are given, even as null, the JDK does not walk the stack to infer
+        // them.
         logger(logger).logp(toJdk(level), null, null, event.text(), event.cause());
     }
 
--- a/src/main/java/cresschute/logs/LogEvent.java
+++ b/src/main/java/cresschute/logs/LogEvent.java
@@ -7,14 +7,14 @@
 import java.util.List;
 
 /**
- * A log event: its name, a message for people, and fields for programs. The JDK's sink writes the
- * message alone, a structured one also the name and the fields. The on-call page lists all names.
- * Not thread-safe: built by one thread, and not changed after it is logged.
+ * A log event with a name, a human-readable message, and fields for programs. The JDK sink writes
+ * the message only; a structured sink also writes the name and the fields. The on-call page lists
+ * all names. Not thread-safe: one thread builds it, and it must not change after it is logged.
  */
 public final class LogEvent {
 
     /**
-     * A field.
+     * A named value of an event.
      *
      * @param value a string, a number or a boolean
      */
@@ -33,14 +33,14 @@
     /**
      * Creates an event without fields.
      *
-     * @param name lower case with underscores
-     * @param text the message for people
+     * @param name the name of the event, lower case with underscores
+     * @param text the human-readable message
      */
     public static LogEvent of(String name, String text) {
         return new LogEvent(name, text);
     }
 
-    /** Adds a field; a value that is neither number nor boolean is written as its string. */
+    /** Adds a field. A value that is neither a number nor a boolean is converted to a string. */
     public LogEvent with(String field, Object value) {
         fields.add(
                 new Field(
@@ -51,13 +51,13 @@
         return this;
     }
 
-    /** Adds the cause; its stack trace follows the message. */
+    /** Sets the cause; sinks write its stack trace after the message. */
     public LogEvent withCause(Throwable cause) {
         this.cause = cause;
         return this;
     }
 
-    /** Logs it. */
+    /** Logs this event. */
     public void log(Logger logger, Level level) {
         if (logger instanceof RoutedLogger routed) {
             routed.log(level, this);
@@ -71,7 +71,7 @@
         return name;
     }
 
-    /** The message for people. */
+    /** The human-readable message. */
     public String text() {
         return text;
     }
--- a/src/main/java/cresschute/logs/RoutedLogger.java
+++ b/src/main/java/cresschute/logs/RoutedLogger.java
@@ -5,7 +5,7 @@
 import java.util.MissingResourceException;
 import java.util.ResourceBundle;
 
-/** A logger that writes to the sink in use at the time of each event. Thread-safe. */
+/** A logger that writes each event to the sink that is set at that time. Thread-safe. */
 final class RoutedLogger implements Logger {
 
     private final String name;
@@ -25,7 +25,7 @@
         return RoutedLoggerFinder.sink().isLoggable(name, level);
     }
 
-    /** Writes an event, if its level is loggable. */
+    /** Writes an event if its level is loggable. */
     void log(Level level, LogEvent event) {
         if (isLoggable(level)) {
             RoutedLoggerFinder.sink().log(name, level, event);
--- a/src/main/java/cresschute/logs/RoutedLoggerFinder.java
+++ b/src/main/java/cresschute/logs/RoutedLoggerFinder.java
@@ -1,8 +1,8 @@
 package cresschute.logs;
 
 /**
- * Provides the loggers of {@link System#getLogger}; the JDK finds it as a service. The loggers
- * write to the sink in use, which is {@link JdkLogSink} until another one is set. Thread-safe.
+ * Provides the loggers of {@link System#getLogger}; the JDK loads it as a service. The loggers
+ * write to the current sink, which is {@link JdkLogSink} until another one is set. Thread-safe.
  */
 public final class RoutedLoggerFinder extends System.LoggerFinder {
 
@@ -19,17 +19,17 @@
         return new RoutedLogger(name);
     }
 
-    /** The sink in use. */
+    /** The current sink. */
     static LogSink sink() {
         return sink;
     }
 
-    /** Sets the sink, also for loggers that were provided before. */
+    /** Sets the sink of all loggers, including those already created. */
     public static void setSink(LogSink newSink) {
         sink = newSink;
     }
 
-    /** Sets the JDK's sink again. */
+    /** Restores the JDK sink. */
     public static void useJdkSink() {
         sink = JDK_SINK;
     }
--- a/src/main/java/cresschute/node/ConfigException.java
+++ b/src/main/java/cresschute/node/ConfigException.java
@@ -1,14 +1,17 @@
 package cresschute.node;
 
-/** The configuration or the environment cannot be used; the message is one plain line. */
+/**
+ * Thrown when the configuration or the environment is invalid. The message is a single line for the
+ * operator.
+ */
 public final class ConfigException extends Exception {
 
     private static final long serialVersionUID = 1L;
 
     /**
-     * A configuration that cannot be used.
+     * Creates an exception.
      *
-     * @param message one line that names what is wrong
+     * @param message one line that names the invalid key or variable
      */
     public ConfigException(String message) {
         super(message);
--- a/src/main/java/cresschute/node/ConfigKeys.java
+++ b/src/main/java/cresschute/node/ConfigKeys.java
@@ -10,17 +10,17 @@
 import java.util.TreeSet;
 
 /**
- * The keys that a configuration file holds. The platform writes every file of a node in one form,
- * so a file that is read again and lacks a key of the first one is cut or broken, even where the
- * key has a default: it is refused. Immutable.
+ * The keys present in a configuration file. The platform writes all files of a node with the same
+ * keys. A reloaded file that lacks a key of the initial file is therefore truncated or corrupt,
+ * even if the key has a default, and is rejected. Immutable.
  *
- * @param keys the paths of all keys, objects followed down and arrays taken whole
- * @param classes the keys of each class, in the order of the file
- * @param names each class's name, in the same order, or an empty one
+ * @param keys the dotted paths of all keys; nested objects are descended into, arrays are not
+ * @param classes the keys of each request class, in the file's order
+ * @param names each request class's name, in the same order; empty if the file has none
  */
 record ConfigKeys(Set<String> keys, List<Set<String>> classes, List<String> names) {
 
-    /** For a configuration that is not read from a platform's file: no keys are required. */
+    /** Used where the configuration does not come from a platform file: no keys are required. */
     static final ConfigKeys NONE = new ConfigKeys(Set.of(), List.of(), List.of());
 
     ConfigKeys {
@@ -29,7 +29,7 @@
         names = List.copyOf(names);
     }
 
-    /** The keys of a file. */
+    /** Collects the keys of a parsed file. */
     static ConfigKeys of(JsonObject file) {
         final Set<String> keys = new HashSet<>();
         collectPaths("", file, keys);
@@ -63,11 +63,12 @@
     }
 
     /**
-     * The required keys that a later file lacks: all keys of this one; of a class that this one
-     * names too, its keys here; of a new class, the keys that every class has here.
+     * Returns the required keys that a later file lacks. Required are all keys of this file. A
+     * class that this file names too needs the same keys as here; a new class needs the keys that
+     * all classes have in common here.
      *
      * @param later the keys of the later file
-     * @return paths, with a class under its index in the later file; empty if it is complete
+     * @return their paths, with classes by their index in the later file; empty if none is missing
      */
     List<String> missingIn(ConfigKeys later) {
         final List<String> missing =
--- a/src/main/java/cresschute/node/ConfigReloader.java
+++ b/src/main/java/cresschute/node/ConfigReloader.java
@@ -11,14 +11,14 @@
 import java.util.concurrent.Executor;
 
 /**
- * Reads a configuration again at SIGHUP and puts in force what a running node can take: the address
- * of discovery, the times of connections, the request classes and the dispatcher's settings. A
- * configuration that cannot be used changes nothing. Owns the classes since the start and the
- * settings that the dispatcher was notified of last; both are used on the event loop only.
+ * Reloads the configuration on SIGHUP and applies the parts that can change at run time: the
+ * discovery address, connection timeouts, request classes and dispatcher settings. An invalid
+ * configuration changes nothing. Owns the table of all classes since the start and the settings
+ * last passed to the dispatcher; both are used on the event loop only.
  */
 final class ConfigReloader {
 
-    /** Missing keys that are named in the log. */
+    /** How many missing keys the log line names at most. */
     private static final int MAX_LOGGED_KEYS = 5;
 
     private static final Logger LOG = System.getLogger("cresschute.node");
@@ -29,26 +29,29 @@
     private ClassTable classes;
     private DispatchSettings settings;
 
-    /** What a reload changes in a running node. Called on the event loop. */
+    /** The parts of a running node that a reload changes. Called on the event loop. */
     interface Target {
 
-        /** Whether the classes of the start are kept: something is counted by their numbers. */
+        /**
+         * Whether the node must keep its initial classes, because some of its parts keep counts by
+         * class number.
+         */
         boolean requiresInitialClasses();
 
-        /** Watches the endpoint list at this address from now on. */
+        /** Switches the watch of the endpoint list to the discovery service at this address. */
         void setDiscoveryAddress(InetSocketAddress address);
 
-        /** Applies the times of new connections to workers. */
-        void applyConnectionTimes(NodeConfig next);
+        /** Applies connect and idle timeouts to connections to workers. */
+        void applyConnectionTimeouts(NodeConfig next);
 
-        /** Applies classes and settings, of requests that are taken from now on. */
+        /** Applies classes and settings to requests that are accepted from now on. */
         void applySettings(ClassTable classes, DispatchSettings settings);
     }
 
     /**
-     * Reloads a node that was started with a configuration.
+     * Creates the reloader of a node.
      *
-     * @param initialConfig the configuration of the start
+     * @param initialConfig the configuration that the node was started with
      * @param loop the event loop
      * @param target the node
      */
@@ -61,8 +64,8 @@
     }
 
     /**
-     * Reads a configuration, on the caller's thread as that may take a while, and hands it to the
-     * event loop. One that is cut, broken or unusable is logged and changes nothing.
+     * Reads a configuration and applies it on the event loop. Reads on the caller's thread, because
+     * reading may block. A truncated or invalid configuration is logged and changes nothing.
      *
      * @param source reads the configuration
      */
@@ -74,7 +77,8 @@
         } catch (Exception e) {
             LogEvent.of(
                             "reload_refused",
-                            "not reloaded, the old configuration stays: " + e.getMessage())
+                            "not reloaded, the current configuration stays in force: "
+                                    + e.getMessage())
                     .with("detail", e.getMessage())
                     .log(LOG, Level.ERROR);
         }
@@ -84,7 +88,7 @@
         final List<String> missing = initialConfig.missingIn(next);
         if (!missing.isEmpty()) {
             throw new ConfigException(
-                    "the file lacks what the first one had: "
+                    "the file lacks keys that the initial file had: "
                             + String.join(
                                     ", ",
                                     missing.subList(0, Math.min(MAX_LOGGED_KEYS, missing.size())))
@@ -96,8 +100,10 @@
         if (initialConfig.discovery() != null && next.discovery() != null) {
             target.setDiscoveryAddress(next.discovery());
         }
-        // Logged, so that nobody takes a change to be in force that only a restart puts in force.
-        final List<String> pendingRestart = new ArrayList<>(initialConfig.changesRequiringRestart(next));
+        // Log the changes that need a restart, so that an operator does not assume they are in
+        // force.
+        final List<String> pendingRestart =
+                new ArrayList<>(initialConfig.changesRequiringRestart(next));
         final String changes = applySettings(next, pendingRestart);
         LogEvent.of(
                         "reloaded",
@@ -106,7 +112,7 @@
                                 + changes
                                 + (pendingRestart.isEmpty()
                                         ? ""
-                                        : "; changed, but in force from the next start only: "
+                                        : "; changed, but applied only after a restart: "
                                                 + String.join(", ", pendingRestart)))
                 .with("held", String.join(",", pendingRestart))
                 .with("classes", String.join(",", classes.live().keySet()))
@@ -115,23 +121,26 @@
 
     private String describeDiscovery(NodeConfig next) {
         if (initialConfig.discovery() == null) {
-            return "the list of workers is fixed";
+            return "the worker list is fixed";
         }
         return "discovery is at "
-                + Addresses.format(next.discovery() == null ? initialConfig.discovery() : next.discovery());
+                + Addresses.format(
+                        next.discovery() == null ? initialConfig.discovery() : next.discovery());
     }
 
     /**
-     * Applies the connection times, classes and settings of a new configuration where a running
-     * node can: requests in flight keep their class, and new ones are read by the new classes. The
-     * connection times apply even where the classes and settings wait for a restart.
+     * Applies the connection timeouts, classes and settings of a new configuration as far as a
+     * running node can change them. Open requests keep their class; new requests are parsed with
+     * the new classes. The connection timeouts apply even if the classes and settings need a
+     * restart.
      *
      * @param next the new configuration
-     * @param pendingRestart the parts that wait for a restart; what cannot be applied is added
-     * @return what changed, for the log
+     * @param pendingRestart the parts that need a restart; this method adds the parts that it
+     *     cannot apply
+     * @return a description of the applied changes for the log line; empty if there is none
      */
     private String applySettings(NodeConfig next, List<String> pendingRestart) {
-        target.applyConnectionTimes(next);
+        target.applyConnectionTimeouts(next);
         if (zonesOrKindsDiffer(next)) {
             pendingRestart.add("zones and kinds");
             return "";
@@ -149,8 +158,10 @@
             return "";
         }
         final DispatchSettings previousSettings = settings;
-        final DispatchSettings updatedSettings = updated.settingsFor(next.settings(), previousSettings);
-        if ((!classesChange && updatedSettings.equals(previousSettings)) || !updatedSettings.canReplace(previousSettings)) {
+        final DispatchSettings updatedSettings =
+                updated.settingsFor(next.settings(), previousSettings);
+        if ((!classesChange && updatedSettings.equals(previousSettings))
+                || !updatedSettings.canReplace(previousSettings)) {
             return "";
         }
         final String classChanges = updated.changesFrom(classes);
@@ -171,10 +182,10 @@
 
     private static String describe(
             String classChanges, DispatchSettings previousSettings, DispatchSettings newSettings) {
-        return "; settings in force"
+        return "; settings applied"
                 + (classChanges.isEmpty() ? "" : ", classes " + classChanges)
                 + (newSettings.limits().equals(previousSettings.limits())
                         ? ""
-                        : ", attempts at most " + newSettings.limits().maxAttempts());
+                        : ", maximum attempts " + newSettings.limits().maxAttempts());
     }
 }
--- a/src/main/java/cresschute/node/ConsoleRows.java
+++ b/src/main/java/cresschute/node/ConsoleRows.java
@@ -13,8 +13,9 @@
 import java.util.OptionalDouble;
 
 /**
- * The rows of consoles as JSON texts, in the words of the protocol in {@code docs/console.md}.
- * Times there are Unix milliseconds, and -1 is not known. It owns no state; used on the loop.
+ * Builds the rows of console tables as JSON text, as {@code docs/console.md} specifies them. Times
+ * in rows are Unix milliseconds, and -1 stands for an unknown value. Stateless; used on the event
+ * loop.
  */
 final class ConsoleRows {
 
@@ -25,7 +26,7 @@
     private final DurableDrains drains;
     private final HealthTracker health;
 
-    /** Reads the state of these parts for each row. */
+    /** Creates a builder that reads these parts for each row. */
     ConsoleRows(ControlContext node, DurableDrains drains, HealthTracker health) {
         this.node = node;
         this.drains = drains;
@@ -33,9 +34,9 @@
     }
 
     /**
-     * The row of a worker.
+     * Builds the row of a worker.
      *
-     * @param worker its number, which the health tracker knows
+     * @param worker its number in the worker registry; the health tracker must know the worker
      */
     String worker(long nowUs, int worker) {
         final WorkerHealthSnapshot view = health.worker(nowUs, worker).orElseThrow();
@@ -103,7 +104,7 @@
     }
 
     /**
-     * The row of a request class.
+     * Builds the row of a request class.
      *
      * @param requestClass its number in the settings
      */
@@ -128,10 +129,10 @@
     }
 
     /**
-     * The row of the node itself.
+     * Builds the row of the node itself.
      *
      * @param stopping whether its shutdown has begun
-     * @param consoles how many are connected
+     * @param consoles the number of connected consoles
      */
     String node(long nowUs, boolean stopping, int consoles) {
         final RequestLifecycle lifecycle = node.lifecycle();
--- a/src/main/java/cresschute/node/ConsoleTable.java
+++ b/src/main/java/cresschute/node/ConsoleTable.java
@@ -8,17 +8,19 @@
 import java.util.function.IntSupplier;
 
 /**
- * Keeps the rows of consoles up to date: one a worker, one a class and one of the node.
+ * Maintains the table that consoles show: one row per worker, one per request class and one for the
+ * node.
  *
- * <p>A worker's row is drawn anew when it changed, and its figures, which change with time alone,
- * at every {@value #REFRESH_CYCLE_LENGTH}th refresh, a part of the workers each time.
+ * <p>A worker's row is rebuilt when the worker changed. It is also rebuilt every {@value
+ * #REFRESH_CYCLE_LENGTH}th refresh, because its rates and percentiles change with time alone. Each
+ * refresh does this for a part of the workers.
  *
- * <p>It owns the {@link VersionedTable}, which lives as long as the process and is not stored. Used
- * on the loop alone.
+ * <p>Owns the {@link VersionedTable}, which lives as long as the process and is not stored. Used on
+ * the event loop only.
  */
 final class ConsoleTable {
 
-    /** In how many refreshes the rows of all unchanged workers are drawn once. */
+    /** The number of refreshes in which each unchanged worker's row is rebuilt once. */
     private static final int REFRESH_CYCLE_LENGTH = 4;
 
     private static final String WORKER_KEY_PREFIX = "w/";
@@ -31,7 +33,7 @@
     private final ConsoleRows rows;
     private final IntSupplier consoleCount;
 
-    /** Workers that have a row. */
+    /** Numbers of the workers that have a row. */
     private Set<Integer> shownWorkers = Set.of();
 
     private int refreshes;
@@ -56,17 +58,20 @@
         return table;
     }
 
-    /** The node's row shows from the next refresh on that its shutdown has begun. */
+    /** Marks the node as stopping; its row shows that from the next refresh on. */
     void markNodeStopping() {
         stopping = true;
     }
 
-    /** Draws all rows. */
+    /** Rebuilds all rows. */
     void refreshAll() {
         refresh(worker -> true);
     }
 
-    /** Draws the rows of workers that changed or whose turn it is, of classes and of the node. */
+    /**
+     * Rebuilds the rows of changed workers and of those due in this refresh, of all classes and of
+     * the node.
+     */
     void refreshChanged() {
         refresh(worker -> health.changedWorkers().contains(worker) || isPeriodicallyDue(worker));
     }
@@ -93,7 +98,10 @@
         table.put(NODE_KEY, rows.node(nowUs, stopping, consoleCount.getAsInt()));
     }
 
-    /** A worker that the health tracker has forgotten has no change of its own. */
+    /**
+     * Removes the rows of workers that the health tracker has dropped: a dropped worker is not
+     * reported as changed.
+     */
     private void removeRowsExcept(Set<Integer> known) {
         shownWorkers.stream()
                 .filter(worker -> !known.contains(worker))
--- a/src/main/java/cresschute/node/ControlContext.java
+++ b/src/main/java/cresschute/node/ControlContext.java
@@ -7,17 +7,18 @@
 import java.util.List;
 
 /**
- * What the parts of the {@link ControlService} read of the node. It owns nothing; used on the loop.
+ * The parts of the node that the {@link ControlService} and its components read. Owns none of them;
+ * used on the event loop.
  *
- * @param config the settings of the start
+ * @param config the configuration that the node was started with
  * @param lifecycle the requests and the worker registry
- * @param clock the loop's clock
- * @param events where events for operators are recorded
+ * @param clock the node's clock
+ * @param events the log of events for operators
  */
 record ControlContext(
         NodeConfig config, RequestLifecycle lifecycle, Clock clock, OperatorEventLog events) {
 
-    /** Unix time, us. */
+    /** The current Unix time, microseconds. */
     long nowUs() {
         return clock.nowUs();
     }
@@ -27,7 +28,10 @@
         return lifecycle.registry();
     }
 
-    /** What a drain is judged by at this moment. */
+    /**
+     * A snapshot of the listed workers, class placements and bound cells, by which a drain is
+     * allowed or rejected.
+     */
     FleetView fleetView() {
         final List<ListedWorker> listed =
                 workers().listed().stream()
--- a/src/main/java/cresschute/node/ControlRequestHandler.java
+++ b/src/main/java/cresschute/node/ControlRequestHandler.java
@@ -16,8 +16,8 @@
 import java.util.function.Consumer;
 
 /**
- * Answers the requests of consoles from the parts of the {@link ControlService}. It owns nothing
- * but the name of this run of the node; used on the loop.
+ * Answers requests of consoles from the components of the {@link ControlService}. Owns only the
+ * incarnation id of this process; used on the event loop.
  */
 final class ControlRequestHandler implements ControlHandler {
 
@@ -29,7 +29,7 @@
     private final WorkerHealthMonitor health;
     private final ConsoleTable consoleTable;
 
-    /** Answers from the state of these parts. */
+    /** Creates a handler that reads these components. */
     ControlRequestHandler(
             ControlContext node,
             DurableDrains drains,
@@ -96,7 +96,9 @@
     @Override
     public void audit(long session, ControlRequest request) {
         final LogEvent event =
-                LogEvent.of("console_asked", "console " + session + " asks: " + describe(request))
+                LogEvent.of(
+                                "console_asked",
+                                "console " + session + " requests: " + describe(request))
                         .with("session", session)
                         .with("command", request.command().wireName());
         final DrainOperation operation = request.operation();
--- a/src/main/java/cresschute/node/ControlService.java
+++ b/src/main/java/cresschute/node/ControlService.java
@@ -14,22 +14,26 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Puts together what a node does for consoles, and starts and stops it: drains as an overlay on the
+ * Creates, starts and stops the components that serve consoles: drains as an overlay on the
  * endpoint list ({@link DurableDrains}), the health of workers ({@link WorkerHealthMonitor}), the
- * rows and events that consoles show ({@link ConsoleTable}, {@link OperatorEventLog}) and their
- * requests ({@link ControlRequestHandler}). It selects no worker and answers no client.
+ * rows and events that consoles show ({@link ConsoleTable}, {@link OperatorEventLog}) and the
+ * handler of their requests ({@link ControlRequestHandler}). It neither selects workers nor answers
+ * clients.
  *
- * <p>Owned state: its parts, which live as long as the process; drains are stored if the settings
- * name a state folder. A node that names neither a control socket nor a state folder has no such
- * service.
+ * <p>Owned state: its components, which live as long as the process; drains are stored if the
+ * settings name a state folder. A node whose settings name neither a control socket nor a state
+ * folder has no control service.
  *
- * <p>Life: {@link #open}, {@link #listen}, {@link #notifyStopping}, {@link #closeSocket}, {@link #close},
- * each once. All of it is on the loop, save {@link #open}, {@link #listen} and {@link #close},
- * which block.
+ * <p>Lifecycle: {@link #open}, {@link #listen}, {@link #notifyStopping}, {@link #closeSocket},
+ * {@link #close}, each called once. All methods are called on the event loop, except {@link #open},
+ * {@link #listen} and {@link #close}, which block.
  */
 final class ControlService implements RequestListener, DrainListener {
 
-    /** How often conditions are judged, drains expire and consoles get changes, ms. */
+    /**
+     * The interval at which conditions are evaluated, drains expire and consoles get changes,
+     * milliseconds.
+     */
     private static final long UPDATE_INTERVAL_MS = 250;
 
     private final NodeConfig config;
@@ -43,7 +47,7 @@
     private ControlRequestHandler handler;
     private Optional<ControlServer> server = Optional.empty();
 
-    /** Starts nothing yet. */
+    /** Creates the service without starting it. */
     ControlService(NodeConfig config, EventLoop loop, Clock clock) {
         this.config = config;
         this.loop = loop;
@@ -55,7 +59,8 @@
     // ---- Start and stop ----
 
     /**
-     * Takes up the stored drains, before the first endpoint list. Blocks, so not on the loop.
+     * Restores the stored drains. Call before the first endpoint list. Blocks; never call it on the
+     * event loop.
      *
      * @throws IOException if the state folder is in use or cannot be read
      */
@@ -74,7 +79,8 @@
     }
 
     /**
-     * Lets consoles connect, and begins the periodic update. Blocks, so not on the loop.
+     * Accepts connections of consoles and starts the periodic update. Blocks; never call it on the
+     * event loop.
      *
      * @throws IOException if the control socket cannot be listened on
      */
@@ -86,7 +92,7 @@
                 this::update, UPDATE_INTERVAL_MS, UPDATE_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** The node's shutdown has begun: consoles are shown it. On the loop. */
+    /** Shows consoles that the node's shutdown has begun. Call on the event loop. */
     void notifyStopping() {
         table.markNodeStopping();
         events.record(
@@ -94,12 +100,14 @@
                 "the node is stopping; " + lifecycle.unanswered() + " requests are owed an answer");
     }
 
-    /** Closes the control socket and its sessions. On the loop. */
+    /** Closes the control socket and its sessions. Call on the event loop. */
     void closeSocket() {
         server.ifPresent(ControlServer::close);
     }
 
-    /** Closes the state folder once all is written. Blocks, so not on the loop. */
+    /**
+     * Closes the state folder after all pending writes. Blocks; never call it on the event loop.
+     */
     void close() {
         drains.close();
     }
@@ -147,14 +155,14 @@
         publishStates(workers);
     }
 
-    /** Notifies the dispatcher and the health monitor of workers' new effective states. */
+    /** Passes the workers' new effective states to the dispatcher and the health monitor. */
     private void publishStates(List<String> workers) {
         lifecycle.republish(workers);
         health.drainsChanged(workers);
         health.updateConditions();
     }
 
-    // ---- What passes through the node ----
+    // ---- Events of the request lifecycle ----
 
     @Override
     public WorkerState effectiveState(String worker, WorkerState listed) {
@@ -191,7 +199,7 @@
         return server.map(ControlServer::sessions).orElse(0);
     }
 
-    /** Answers requests of consoles, once open. */
+    /** The handler of console requests; null before {@link #open}. */
     ControlHandler handler() {
         return handler;
     }
--- a/src/main/java/cresschute/node/DrainListener.java
+++ b/src/main/java/cresschute/node/DrainListener.java
@@ -4,14 +4,14 @@
 import java.util.List;
 
 /**
- * Is notified by {@link DurableDrains} when the drains in force changed, so that the change reaches
- * the dispatcher in the same turn of the loop, before it is stored. On the loop.
+ * Notified by {@link DurableDrains} when the drains in force change, so that the change reaches the
+ * dispatcher in the same turn of the event loop, before it is stored. Called on the event loop.
  */
 interface DrainListener {
 
-    /** An operation started or ended a drain. */
+    /** Called when an operation started or ended a drain. */
     void drainChanged(DrainOperation operation);
 
-    /** The drains of these workers ended by themselves. */
+    /** Called when the drains of these workers expired. */
     void drainsExpired(List<String> workers);
 }
--- a/src/main/java/cresschute/node/DurableDrains.java
+++ b/src/main/java/cresschute/node/DurableDrains.java
@@ -23,27 +23,26 @@
 import java.util.concurrent.Executor;
 
 /**
- * The drains of a node, and the order in which a change of them takes effect. The order is this,
- * and it is written nowhere else:
+ * The drains of a node. This class alone defines the order in which a change takes effect:
  *
  * <ol>
  *   <li><b>In force.</b> The {@link DrainRegistry} is changed and the {@link DrainListener} is
- *       notified in the same turn of the loop: the dispatcher sends the worker nothing new from
- *       then on.
+ *       notified in the same turn of the event loop. From then on the dispatcher sends the worker
+ *       no new requests.
  *   <li><b>Stored.</b> A {@link DrainSnapshot} of the next generation is handed to the {@link
- *       StateFolder}, whose own thread writes it; the loop goes on meanwhile.
- *   <li><b>Acknowledged.</b> The operator gets the outcome once that snapshot is on the disk, or
- *       with the failure once it could not be written. The change stays in force either way.
+ *       StateFolder}, whose own thread writes it without blocking the event loop.
+ *   <li><b>Acknowledged.</b> The operator gets the outcome once that snapshot is on disk, or the
+ *       outcome and the failure if it could not be written. The change stays in force either way.
  * </ol>
  *
- * An operation that changes nothing, as one that is sent again, is acknowledged after the newest
- * snapshot too: the first one may still be on its way to the disk. It is itself remembered, and
- * stored with the next change only. Without a state folder the second step is left out, and the
- * third follows at once.
+ * An operation that changes nothing, such as a repeated one, is also acknowledged only after the
+ * newest snapshot, because the change of the first operation may not be on disk yet. The operation
+ * itself is recorded as completed, but stored only with the next change. Without a state folder,
+ * the second step is skipped and the third follows immediately.
  *
- * <p>Owned state: the registry, the state folder, and the acknowledgements that wait. Life: {@link
- * #open} once, which takes up what an earlier run stored; {@link #close} once. All of it is on the
- * loop, save {@link #open} and {@link #close}, which block.
+ * <p>Owned state: the registry, the state folder and the pending acknowledgements. Lifecycle:
+ * {@link #open} once, which restores the state that an earlier process stored; {@link #close} once.
+ * All methods are called on the event loop, except {@link #open} and {@link #close}, which block.
  */
 final class DurableDrains {
 
@@ -63,14 +62,14 @@
 
     private Optional<NotDurableException> lastFailure = Optional.empty();
 
-    /** Is called once with the outcome of an operation. */
+    /** Called once with the outcome of an operation. */
     interface Acknowledgement {
 
         /**
          * Reports the outcome.
          *
-         * @param failure why the newest change could not be stored, if it could not; it is in force
-         *     all the same
+         * @param failure why the newest change could not be stored, or empty if it was; the change
+         *     is in force in both cases
          */
         void acknowledge(OperationOutcome outcome, Optional<NotDurableException> failure);
     }
@@ -79,8 +78,8 @@
             long generation, OperationOutcome outcome, Acknowledgement acknowledgement) {}
 
     /**
-     * @param loop the node's loop, on which snapshots are reported as written
-     * @param listener puts a change in force
+     * @param loop the node's event loop, on which the end of each snapshot write is handled
+     * @param listener passes a change on to the dispatcher
      */
     DurableDrains(Executor loop, DrainListener listener) {
         this.loop = loop;
@@ -90,9 +89,9 @@
     // ---- Start and stop ----
 
     /**
-     * Opens the state folder and takes up the drains and operations stored there, also drains whose
-     * end has come meanwhile, which the first {@link #expire} ends. Blocks, so not on the loop;
-     * called before the first endpoint list.
+     * Opens the state folder and restores the drains and operations stored there. Drains that have
+     * expired meanwhile are restored too; the first {@link #expire} ends them. Call before the
+     * first endpoint list. Blocks; never call it on the event loop.
      *
      * @throws IOException if the folder is in use or cannot be read
      */
@@ -105,12 +104,15 @@
         registry.restore(stored.drains(), stored.completed());
         LogEvent.of(
                         "drains_restored",
-                        "drains taken up from " + path + ": " + stored.drains().size())
+                        "drains restored from " + path + ": " + stored.drains().size())
                 .with("count", stored.drains().size())
                 .log(LOG, Level.INFO);
     }
 
-    /** Closes the state folder once all snapshots are written. Blocks, so not on the loop. */
+    /**
+     * Closes the state folder after all snapshots are written. Blocks; never call it on the event
+     * loop.
+     */
     void close() {
         folder.ifPresent(StateFolder::close);
     }
@@ -118,11 +120,11 @@
     // ---- Changes ----
 
     /**
-     * Applies an operation, in the order of the class comment.
+     * Applies an operation in the order that the class comment defines.
      *
-     * @param fleet what a drain is judged by
+     * @param fleet the workers and classes by which a drain is allowed or rejected
      * @param nowUs Unix time, us
-     * @param acknowledgement is called once, perhaps before this returns
+     * @param acknowledgement called once, possibly before this method returns
      */
     void apply(
             DrainOperation operation,
@@ -139,7 +141,7 @@
     }
 
     /**
-     * Ends the drains whose end has come, in the order of the class comment; nobody waits for an
+     * Ends the drains that have expired, in the order that the class comment defines. There is no
      * acknowledgement.
      *
      * @param nowUs Unix time, us
@@ -172,7 +174,9 @@
                             public void notDurable(NotDurableException failure) {
                                 LogEvent.of(
                                                 "snapshot_failed",
-                                                "drains could not be kept: " + failure.getCause())
+                                                "drains could not be stored; they stay in force,"
+                                                        + " but a restart loses them: "
+                                                        + failure.getCause())
                                         .with("detail", failure.getCause())
                                         .log(LOG, Level.ERROR);
                                 snapshotFinished(snapshotGeneration, Optional.of(failure));
@@ -199,17 +203,20 @@
 
     // ---- The drains in force ----
 
-    /** Whether changes are stored, so that a restart takes them up. */
+    /** Whether changes are stored, so that they survive a restart. */
     boolean hasStateFolder() {
         return folder.isPresent();
     }
 
-    /** The state of a worker for the dispatcher: see {@link DrainRegistry#effectiveState}. */
+    /**
+     * Returns the state of a worker that the dispatcher gets; see {@link
+     * DrainRegistry#effectiveState}.
+     */
     WorkerState effectiveState(String worker, WorkerState listed) {
         return registry.effectiveState(worker, listed);
     }
 
-    /** The drain of a worker, if it has one. */
+    /** Returns the drain of a worker, or empty if it has none. */
     Optional<Drain> drainOf(String worker) {
         return registry.drainOf(worker);
     }
--- a/src/main/java/cresschute/node/GracefulShutdown.java
+++ b/src/main/java/cresschute/node/GracefulShutdown.java
@@ -9,32 +9,34 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The graceful shutdown of a node, at SIGTERM: it is no longer ready, accepts for a while longer
- * (not where the platform passed its listener on: the other process accepts there), answers all
- * that was taken, and ends once no client has a connection. Owns the state of the shutdown and the
- * future of its end. Lives from {@link #begin} to that future; call from the event loop, save where
- * stated.
+ * Shuts a node down gracefully on SIGTERM. The node reports not ready, accepts connections for a
+ * short time (unless the platform passed its listener on, since the other process accepts there),
+ * answers all accepted requests, and ends once no client connection is open. Owns the state of the
+ * shutdown and the future that completes at its end. Lives from {@link #begin} to that future. Call
+ * its methods on the event loop unless stated otherwise.
  */
 final class GracefulShutdown {
 
-    /** How long after the beginning clients may still connect and send, milliseconds. */
+    /**
+     * How long after the shutdown begins clients may still connect and send requests, milliseconds.
+     */
     private static final long ACCEPT_GRACE_MS = 550;
 
     /**
-     * The platform may kill a stopping node after its longest deadline, of which this much counts
-     * at the most, and {@link #KILL_GRACE_US} more; microseconds.
+     * The platform may kill a stopping node after its longest request deadline, capped at this
+     * value, plus {@link #KILL_GRACE_US}; microseconds.
      */
     private static final long MAX_DEADLINE_US = 3_000_000;
 
     private static final long KILL_GRACE_US = 700_000;
 
-    /** So long before a kill all that is owed is answered, microseconds. */
+    /** How long before a kill all open requests are answered, microseconds. */
     private static final long ANSWER_BEFORE_KILL_US = 250_000;
 
-    /** How often what is still owed is logged, milliseconds. */
+    /** The interval at which unanswered requests are logged, milliseconds. */
     private static final long LOG_INTERVAL_MS = 500;
 
-    /** How often the end is checked for, milliseconds. */
+    /** The interval at which the end of the shutdown is checked for, milliseconds. */
     private static final long CHECK_INTERVAL_MS = 20;
 
     private static final Logger LOG = System.getLogger("cresschute.node");
@@ -45,38 +47,39 @@
     private boolean begun;
     private long nextLogMs;
 
-    /** What a shutdown asks of the node, and does to it. Called on the event loop. */
+    /** The queries and steps of the node that a shutdown needs. Called on the event loop. */
     interface Steps {
 
-        /** Requests that are owed an answer. */
+        /** The number of requests without an answer. */
         int unanswered();
 
-        /** Connections from clients that are open. */
+        /** The number of open client connections. */
         int clientConnections();
 
         /**
-         * The node says that it is not ready, and that it is stopping. Where its listener was
-         * passed on by the platform, it also accepts no more connections from now on.
+         * Makes the node report that it is not ready and is stopping. If the platform passed its
+         * listener on, the node also accepts no more connections from now on.
          */
         void becomeNotReady();
 
         /**
-         * The longest deadline of any request class, from which the time of a kill follows.
+         * The longest deadline of any request class; it determines when the platform kills the
+         * node.
          *
-         * @return microseconds, or empty where nobody kills a node that takes its time
+         * @return microseconds, or empty if no platform kills the node
          */
         OptionalLong longestDeadlineUs();
 
-        /** Answers all that is owed after so many microseconds. */
+        /** Answers all open requests after this delay, microseconds. */
         void answerAllAfter(long delayUs);
 
-        /** Accepts no more connections, and closes those that are idle. */
+        /** Stops accepting connections, and closes idle ones. */
         void stopAccepting();
 
         /**
-         * Leaves the group of peers.
+         * Leaves the group of peer dispatchers. Called again until it returns true.
          *
-         * @return whether that is done
+         * @return whether the node has left, or has no peers
          */
         boolean leavePeers();
 
@@ -84,31 +87,33 @@
         void logStatus();
 
         /**
-         * Closes all that is open, and the event loop with it.
+         * Closes all open resources and the event loop.
          *
-         * @param closed completed once nothing is being written any more
+         * @param closed completed when all pending writes are done
          */
         void close(CompletableFuture<Void> closed);
     }
 
-    /** A shutdown that has not begun. */
+    /** Creates a shutdown that has not begun. */
     GracefulShutdown(ScheduledExecutorService loop, Steps steps) {
         this.loop = loop;
         this.steps = steps;
     }
 
-    /** Completed once all that was taken is answered and closed. Any thread. */
+    /**
+     * Completed when all accepted requests are answered and all resources are closed. Any thread.
+     */
     CompletableFuture<Void> stopped() {
         return stopped;
     }
 
-    /** Begins; has no effect after the first call. */
+    /** Begins the shutdown; has no effect after the first call. */
     void begin() {
         if (begun) {
             return;
         }
         begun = true;
-        LogEvent.of("stopping", "stopping: " + steps.unanswered() + " requests are owed an answer")
+        LogEvent.of("stopping", "stopping: " + steps.unanswered() + " requests are unanswered")
                 .with("count", steps.unanswered())
                 .log(LOG, Level.INFO);
         steps.becomeNotReady();
@@ -125,15 +130,16 @@
         steps.stopAccepting();
         LogEvent.of(
                         "not_accepting",
-                        "no longer accepting: "
-                                + steps.unanswered()
-                                + " requests are owed an answer")
+                        "no longer accepting: " + steps.unanswered() + " requests are unanswered")
                 .with("count", steps.unanswered())
                 .log(LOG, Level.INFO);
         loop.scheduleWithFixedDelay(this::closeIfDone, 0, CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Done once no client has a connection: each is closed when its last answer is written. */
+    /**
+     * Closes the node once no client connection is open. Each connection is closed when its last
+     * answer is written.
+     */
     private void closeIfDone() {
         final long nowMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
         if (steps.clientConnections() > 0 && nowMs >= nextLogMs) {
@@ -142,18 +148,22 @@
         }
         if (steps.clientConnections() == 0 && !stopped.isDone() && steps.leavePeers()) {
             steps.logStatus();
-            LogEvent.of("stopped", "stopped: everything taken is answered").log(LOG, Level.INFO);
+            LogEvent.of("stopped", "stopped: all accepted requests are answered")
+                    .log(LOG, Level.INFO);
             steps.close(stopped);
         }
     }
 
-    /** Logged while there is time: the last such line before a kill states what it cut off. */
+    /**
+     * Logs the unanswered requests periodically: if the platform kills the node, the last such line
+     * states how many it cut off.
+     */
     private void logUnanswered() {
         LogEvent.of(
                         "still_owed",
                         "stopping: "
                                 + steps.unanswered()
-                                + " requests are still owed an answer, "
+                                + " requests are still unanswered, "
                                 + steps.clientConnections()
                                 + " client connections open")
                 .with("count", steps.unanswered())
--- a/src/main/java/cresschute/node/ManagementService.java
+++ b/src/main/java/cresschute/node/ManagementService.java
@@ -24,26 +24,26 @@
 import java.util.function.Consumer;
 
 /**
- * Executes the calls of the platform's operators: bans of workers, as an overlay on the endpoint
- * list, and the node's own drain. It selects no worker: to the dispatcher a banned worker is
- * draining.
+ * Executes the management calls of the platform's operators: bans of workers, as an overlay on the
+ * endpoint list, and the drain of the node itself. It selects no worker; the dispatcher sees a
+ * banned worker as draining.
  *
  * <p>Owned state: the {@link OperatorState} in force. It is the newest state read from or written
- * to the file that both processes of an upgrade share, with the calls of this process that are not
- * yet written applied on top, so that a poll of the file between a call and its write undoes
- * nothing. Without a shared folder it lives as long as the process.
+ * to the file that both processes of an upgrade share, with the unwritten calls of this process
+ * applied on top, so that a poll of the file between a call and its write does not undo the call.
+ * Without a shared folder it lives as long as the process.
  *
- * <p>A call takes effect in this order: in force, stored, answered; a call whose change is not
- * stored within {@value #MAX_ANSWER_DELAY_MS} ms is answered all the same. A change that could not
- * be stored is logged, and answered as one that was.
+ * <p>A call takes effect in this order: in force, stored, answered. A call whose change is not
+ * stored within {@value #MAX_ANSWER_DELAY_MS} ms is answered anyway. A change that could not be
+ * stored is logged and gets the same answer as a stored one.
  *
- * <p>Life: {@link #open}, {@link #listen}, {@link #closeServer}, {@link #close}. All of it is on
- * the loop, save {@link #open}, {@link #listen} and {@link #close}, which may block: these are
- * called on the threads that start and end the node.
+ * <p>Lifecycle: {@link #open}, {@link #listen}, {@link #closeServer}, {@link #close}. All methods
+ * are called on the event loop, except {@link #open}, {@link #listen} and {@link #close}, which may
+ * block and are called on the threads that start and stop the node.
  */
 final class ManagementService implements RequestListener, ManagementHandler, SharedStateListener {
 
-    /** By when a call is answered whose change is not yet stored, ms. */
+    /** The longest time that an answer waits for its change to be stored, milliseconds. */
     static final long MAX_ANSWER_DELAY_MS = 500;
 
     private static final Logger LOG = System.getLogger("cresschute.management");
@@ -52,7 +52,7 @@
     private final EventLoop loop;
     private final int maxCallers;
 
-    /** Calls that are in force and not yet stored, oldest first. */
+    /** Calls that are in force but not yet stored, oldest first. */
     private final List<ManagementCall> unstoredCalls = new ArrayList<>();
 
     private RequestLifecycle lifecycle;
@@ -67,9 +67,9 @@
     private OperatorState inForce = OperatorState.NONE;
 
     /**
-     * A service that nobody can call yet.
+     * Creates the service without listening.
      *
-     * @param maxCallers connections at a time
+     * @param maxCallers the maximum number of concurrent connections
      */
     ManagementService(NodeConfig config, EventLoop loop, int maxCallers) {
         this.config = config;
@@ -80,10 +80,10 @@
     // ---- Start and stop ----
 
     /**
-     * Takes up the state that an earlier or the other process stored, before the first endpoint
-     * list. Blocks, so not on the loop.
+     * Restores the state that an earlier process, or the other process of an upgrade, stored. Call
+     * before the first endpoint list. Blocks; never call it on the event loop.
      *
-     * @throws IOException if the shared folder cannot be made or read
+     * @throws IOException if the shared folder cannot be created or read
      */
     void open(RequestLifecycle requestLifecycle, ReadinessSwitch readinessSwitch)
             throws IOException {
@@ -98,15 +98,15 @@
         stored = opened.found();
         inForce = stored;
         if (!stored.banned().isEmpty() || stored.drained()) {
-            logState("operators_restored", "taken up from before: ", stored);
+            logState("operators_restored", "restored operator state: ", stored);
         }
     }
 
     /**
-     * Lets operators call, and makes the node not ready if the state taken up says that it is
-     * drained. Called on the thread that starts the node, when clients can connect already.
+     * Accepts calls of operators, and makes the node not ready if the restored state says that it
+     * is drained. Called on the thread that starts the node, after clients can connect.
      *
-     * @return fails if the address cannot be listened on
+     * @return a future that fails if the node cannot listen on the address
      */
     ChannelFuture listen() {
         server =
@@ -118,19 +118,22 @@
         return server.listen();
     }
 
-    /** The address that operators call, once it listens. */
+    /** The address that operators call; valid after {@link #listen}. */
     SocketAddress address() {
         return server.localAddress();
     }
 
-    /** Closes the listener and its connections. On the loop. */
+    /** Closes the listener and its connections. Call on the event loop. */
     void closeServer() {
         if (server != null) {
             server.close();
         }
     }
 
-    /** Ends polling of the shared file, after a write under way. Blocks, so not on the loop. */
+    /**
+     * Stops polling the shared file, after a write in progress has finished. Blocks; never call it
+     * on the event loop.
+     */
     void close() {
         if (sharedState != null) {
             sharedState.close();
@@ -183,7 +186,7 @@
         sharedState.change(state -> state.apply(call), pending);
     }
 
-    /** The answer to one call: sent once, when its change is stored or after the delay. */
+    /** The answer to one call. Sent once: when the change is stored, or after the maximum delay. */
     private final class PendingAnswer implements SharedStateListener.ChangeListener {
 
         private final ManagementCall call;
@@ -212,7 +215,8 @@
             unstoredCalls.remove(call);
             LogEvent.of(
                             "operators_state_not_durable",
-                            "in force, but an upgrade would not know it: "
+                            "in force, but not stored, so another process of this node does not see"
+                                    + " it: "
                                     + ManagementService.confirmation(call)
                                     + ": "
                                     + failure.getMessage())
@@ -250,7 +254,10 @@
         stored = found;
         final OperatorState next = storedWithUnstoredCalls();
         if (!next.banDifference(inForce).isEmpty() || next.drained() != inForce.drained()) {
-            logState("operators_state_changed", "another process of this node changed: ", next);
+            logState(
+                    "operators_state_changed",
+                    "another process of this node changed the operator state: ",
+                    next);
         }
         putInForce(next);
     }
@@ -273,9 +280,10 @@
         if (next.drained() && !before.drained()) {
             LogEvent.of(
                             "node_draining",
-                            "drained by an operator: not ready, connections are let go; "
+                            "drained by an operator: reporting not ready and closing client"
+                                    + " connections; "
                                     + lifecycle.unanswered()
-                                    + " requests are owed an answer")
+                                    + " requests are unanswered")
                     .with("count", lifecycle.unanswered())
                     .log(LOG, Level.INFO);
             readiness.drain();
@@ -288,8 +296,8 @@
     private static void logState(String event, String prefix, OperatorState state) {
         final String text =
                 (state.banned().isEmpty()
-                                ? "no worker is out"
-                                : "out: " + String.join(", ", state.banned()))
+                                ? "no worker is banned"
+                                : "banned workers: " + String.join(", ", state.banned()))
                         + (state.drained() ? "; the node is drained" : "");
         LogEvent.of(event, prefix + text)
                 .with("banned", String.join(",", state.banned()))
--- a/src/main/java/cresschute/node/NodeConfig.java
+++ b/src/main/java/cresschute/node/NodeConfig.java
@@ -11,27 +11,28 @@
 import java.util.Objects;
 
 /**
- * The configuration of a node: from the platform's file and environment, by {@link
- * NodeConfigParser}, or from a settings script. Immutable.
+ * The configuration of a node, read either from the platform's file and environment by {@link
+ * NodeConfigParser} or from a settings script. Immutable.
  *
  * @param name the name of the node
- * @param listen where clients connect
- * @param discovery where discovery listens, or null where the known list is fixed
+ * @param listen the address that clients connect to
+ * @param discovery the address of the discovery service, or null if the worker list is fixed
  * @param seed the seed of all random choices
  * @param settings the dispatcher's settings
- * @param classes the classes' names, in the order of the settings
+ * @param classes the names of the request classes, in the order of the settings
  * @param zones zone names, in the order of the settings
  * @param kinds names of the machine kinds, in the order of the settings
- * @param connectTimeoutUs how long a connection to a worker may take to come up, microseconds
- * @param idleTimeoutUs after which workers close an idle connection, microseconds
- * @param maxDescriptors file descriptors that the process may hold
- * @param initialEndpoints the endpoint list as this node last knew it; it may be outdated
- * @param controlSocket the file of the socket for consoles, or null
- * @param stateFolder the folder for what outlives the process, or null
- * @param bodies the capacity for long bodies, or null where there are none
- * @param operators what the platform gives the node for its operators and for upgrades
- * @param fileKeys the keys of the platform's file, which a file that is read again must have too
- * @param peers the dispatchers to exchange workers' load with, or null
+ * @param connectTimeoutUs the timeout for connecting to a worker, microseconds
+ * @param idleTimeoutUs the time after which workers close an idle connection, microseconds
+ * @param maxDescriptors the maximum number of file descriptors of the process
+ * @param initialEndpoints the last known endpoint list, used until discovery answers; may be
+ *     outdated
+ * @param controlSocket the path of the Unix socket for consoles, or null
+ * @param stateFolder the folder for state that outlives the process, or null
+ * @param bodies the memory limits for streamed bodies, or null if bodies are not streamed
+ * @param operators the settings for the platform's operators and for upgrades
+ * @param fileKeys the keys of the platform's file; a reloaded file must have them all
+ * @param peers the settings for exchanging workers' load with other dispatchers, or null
  */
 public record NodeConfig(
         String name,
@@ -53,7 +54,7 @@
         ConfigKeys fileKeys,
         Peers peers) {
 
-    /** A node without peers. */
+    /** Creates the configuration of a node without peers. */
     public NodeConfig(
             String name,
             InetSocketAddress listen,
@@ -93,7 +94,7 @@
                 null);
     }
 
-    /** A node without peers and without the platform. */
+    /** Creates the configuration of a node without peers that is not run by the platform. */
     public NodeConfig(
             String name,
             InetSocketAddress listen,
@@ -131,17 +132,17 @@
     }
 
     /**
-     * The keys of this configuration's file that a file that is read again lacks.
+     * Returns the keys of this configuration's file that a reloaded file lacks.
      *
-     * @param later the configuration of the later file
-     * @return their paths; empty if it is complete
+     * @param later the configuration read from the reloaded file
+     * @return their paths; empty if none is missing
      */
     public List<String> missingIn(NodeConfig later) {
         return fileKeys.missingIn(later.fileKeys);
     }
 
     /**
-     * The configuration that a settings script states.
+     * Creates the configuration that a settings script describes.
      *
      * @param settings the settings
      * @param seed the seed of all random choices
@@ -161,8 +162,8 @@
                                                 each.weight(),
                                                 0))
                         .toList();
-        // Before the first answer of a discovery service no version is held, so that it is asked
-        // for its whole list.
+        // Version -1: before the first answer of the discovery service no version is known, so the
+        // node requests the whole list.
         return new NodeConfig(
                 settings.name(),
                 settings.listen(),
@@ -185,27 +186,28 @@
     }
 
     /** Whether the platform runs this node and kills it some time after SIGTERM. */
-    @SuppressWarnings("ReferenceEquality") // A file that requires no keys is not NONE.
+    @SuppressWarnings(
+            "ReferenceEquality") // An equal instance made from a file without keys is not NONE.
     boolean isRunByPlatform() {
         return fileKeys != ConfigKeys.NONE;
     }
 
-    /** Whether consoles can connect, or drains are stored. */
+    /** Whether the node accepts consoles or stores drains. */
     boolean hasControlService() {
         return controlSocket != null || stateFolder != null;
     }
 
-    /** Whether the platform's operators call this node. */
+    /** Whether the node accepts calls of the platform's operators. */
     boolean hasManagementService() {
         return !hasControlService() && operators.managementAddress() != null;
     }
 
     /**
-     * The parts that differ in a new configuration and that only a restart puts in force. Classes,
-     * the dispatcher's settings and the times of connections are not among them.
+     * Returns the parts that differ in a new configuration and take effect only after a restart.
+     * Classes, the dispatcher's settings and the connection timeouts are not among them.
      *
      * @param next the new configuration
-     * @return words for the parts, for the log
+     * @return names of the parts, for the log
      */
     List<String> changesRequiringRestart(NodeConfig next) {
         final List<String> changed = new ArrayList<>();
--- a/src/main/java/cresschute/node/NodeConfigParser.java
+++ b/src/main/java/cresschute/node/NodeConfigParser.java
@@ -14,8 +14,8 @@
 import java.util.Map;
 
 /**
- * Parses the configuration that the platform gives a node: a JSON file, and an environment whose
- * addresses and name go before the file's. Stateless; any thread.
+ * Parses the configuration that the platform gives a node: a JSON file and environment variables.
+ * Addresses and the name in the environment override those in the file. Stateless; any thread.
  */
 public final class NodeConfigParser {
 
@@ -23,7 +23,8 @@
     private static final String PASSED_SOCKET = "BALANCER_PASSED_SOCKET";
 
     /**
-     * The one descriptor that the JVM hands over as a channel, by {@link System#inheritedChannel}.
+     * The only descriptor that the JVM can provide as a channel, by {@link
+     * System#inheritedChannel}.
      */
     private static final String STANDARD_INPUT = "0";
 
@@ -34,7 +35,7 @@
     private NodeConfigParser() {}
 
     /**
-     * Reads the file that the environment names.
+     * Reads the file named by the variable BALANCER_CONFIG.
      *
      * @param environment the environment of the process
      * @throws ConfigException if the file or a variable cannot be used
@@ -51,8 +52,8 @@
     }
 
     /**
-     * Reads the file again. It has changed since the environment was set, so that its address of
-     * discovery goes before the environment's.
+     * Reads the file again. The file is newer than the environment, so its discovery address
+     * overrides the environment's.
      *
      * @param environment the environment of the process
      * @throws ConfigException if the file or a variable cannot be used
@@ -67,8 +68,8 @@
      * Parses a configuration.
      *
      * @param text the file
-     * @param environment whose addresses and name go before the file's
-     * @throws ConfigException if either cannot be used; the message is one line
+     * @param environment the environment; its addresses and name override the file's
+     * @throws ConfigException if the file or a variable is invalid; the message is one line
      */
     static NodeConfig parse(String text, Map<String, String> environment) throws ConfigException {
         try {
@@ -89,7 +90,9 @@
                     classNames(settings),
                     names(settings, "zones"),
                     names(settings, "hostTypes"),
-                    (long) Json.number(dispatchLimits, "connectTimeoutUs", DEFAULT_CONNECT_TIMEOUT_US),
+                    (long)
+                            Json.number(
+                                    dispatchLimits, "connectTimeoutUs", DEFAULT_CONNECT_TIMEOUT_US),
                     (long) Json.number(dispatchLimits, "connIdleUs", DEFAULT_CONN_IDLE_US),
                     (int) Json.number(processLimits, "sockets", DEFAULT_SOCKETS),
                     initialEndpoints,
@@ -108,9 +111,12 @@
         }
     }
 
-    private static OperatorSettings parseOperatorSettings(Map<String, String> environment, JsonObject json) {
+    private static OperatorSettings parseOperatorSettings(
+            Map<String, String> environment, JsonObject json) {
         final String passedSocket = environment.get(PASSED_SOCKET);
-        if (passedSocket != null && !passedSocket.isBlank() && !passedSocket.strip().equals(STANDARD_INPUT)) {
+        if (passedSocket != null
+                && !passedSocket.isBlank()
+                && !passedSocket.strip().equals(STANDARD_INPUT)) {
             throw new IllegalArgumentException(
                     PASSED_SOCKET
                             + " is "
@@ -125,7 +131,9 @@
                         json.has("management") ? Json.string(json, "management") : null);
         final String sharedFolder = environment.get("TMPDIR");
         return new OperatorSettings(
-                managementAddress == null || managementAddress.isBlank() ? null : Addresses.parse(managementAddress),
+                managementAddress == null || managementAddress.isBlank()
+                        ? null
+                        : Addresses.parse(managementAddress),
                 passedSocket != null && !passedSocket.isBlank(),
                 sharedFolder == null || sharedFolder.isBlank() ? null : sharedFolder);
     }
--- a/src/main/java/cresschute/node/NodeServer.java
+++ b/src/main/java/cresschute/node/NodeServer.java
@@ -28,14 +28,14 @@
 import java.util.function.Function;
 
 /**
- * A node: creates its parts on one event loop, starts them, reloads them at SIGHUP ({@link
- * ConfigReloader}) and shuts them down at SIGTERM ({@link GracefulShutdown}). Owns the event loop.
- * Started once and stopped once; its methods may be called from any thread but the event loop's,
- * save where stated.
+ * A dispatcher node. Creates its components on one event loop, starts them, reloads them on SIGHUP
+ * ({@link ConfigReloader}) and shuts them down on SIGTERM ({@link GracefulShutdown}). Owns the
+ * event loop. Started once and stopped once. Call its methods from any thread except the event loop
+ * unless stated otherwise.
  */
 public final class NodeServer {
 
-    /** How often the status is logged, seconds. */
+    /** The interval at which the status is logged, seconds. */
     private static final long STATUS_INTERVAL_S = 10;
 
     private static final Logger LOG = System.getLogger("cresschute.node");
@@ -52,17 +52,17 @@
     private final ConfigReloader reloader;
     private final GracefulShutdown shutdown;
 
-    /** Watches the endpoint list, or null where it is fixed. */
+    /** Watches the endpoint list; null if the list is fixed. */
     private final DiscoveryClient discovery;
 
-    /** Exchanges workers' load with peers, or null where the settings name none. */
+    /** Exchanges workers' load with peers; null if the settings name no peers. */
     private final PeerLoads peers;
 
-    /** The clients' listener that the platform passed on, or null. */
+    /** The client listener that the platform passed on, or null if the node binds its own. */
     private final ServerSocketChannel passedListener;
 
     /**
-     * A node that binds its own listener, and does not listen yet.
+     * Creates a node that binds its own listener. It does not listen yet.
      *
      * @param config its configuration
      * @throws NodeStartException if the key for the exchange with peers cannot be used
@@ -72,23 +72,28 @@
     }
 
     /**
-     * A node that does not accept yet.
+     * Creates a node. It does not accept connections yet.
      *
      * @param config its configuration
-     * @param passedListener the clients' listener as the platform passed it on, or null where the node
+     * @param passedListener the client listener that the platform passed on, or null if the node
      *     binds its own
      * @throws NodeStartException if the key for the exchange with peers cannot be used
      */
     public NodeServer(NodeConfig config, ServerSocketChannel passedListener) {
-        this(config, passedListener, actions -> new Dispatcher(config.settings(), config.seed(), actions));
+        this(
+                config,
+                passedListener,
+                actions -> new Dispatcher(config.settings(), config.seed(), actions));
     }
 
-    /** A node with a dispatcher of the caller's. */
+    /** Creates a node with a custom dispatcher. */
     NodeServer(NodeConfig config, Function<DispatcherActions, DispatcherEvents> dispatcher) {
         this(config, (ServerSocketChannel) null, dispatcher);
     }
 
-    /** The same, on a listener that the platform passed on, or null. */
+    /**
+     * Creates a node with a custom dispatcher on a listener that the platform passed on, or null.
+     */
     NodeServer(
             NodeConfig config,
             ServerSocketChannel passedListener,
@@ -146,10 +151,11 @@
     // ---- Start ----
 
     /**
-     * Starts all parts.
+     * Starts all components.
      *
-     * @return where clients can connect, which they can from now on
-     * @throws NodeStartException if an address or a stored state cannot be used; all is closed then
+     * @return the address of the client listener; clients can connect when this method returns
+     * @throws NodeStartException if an address or a stored state cannot be used; everything is
+     *     closed again before it is thrown
      */
     public SocketAddress start() {
         try {
@@ -162,7 +168,8 @@
     }
 
     private SocketAddress startParts() {
-        // Before the first endpoint list: a worker that an operator drained gets no work.
+        // Open before the first endpoint list is published, so that a worker drained by an operator
+        // gets no work.
         operators.open(lifecycle, clientListener);
         if (peers != null) {
             peers.onRefresh(lifecycle::loadsRefreshed);
@@ -188,7 +195,8 @@
         return address;
     }
 
-    private static void requireBound(ChannelFuture bound, String purpose, InetSocketAddress address) {
+    private static void requireBound(
+            ChannelFuture bound, String purpose, InetSocketAddress address) {
         if (!bound.awaitUninterruptibly().isSuccess()) {
             throw new NodeStartException(
                     "cannot listen "
@@ -204,8 +212,8 @@
     // ---- Reload ----
 
     /**
-     * Reads a configuration again and puts in force what a running node can take; one that cannot
-     * be used is logged and changes nothing. The reading is done on the caller's thread.
+     * Reloads the configuration and applies the parts that can change at run time. An invalid
+     * configuration is logged and changes nothing. Reads on the caller's thread.
      *
      * @param source reads the configuration
      */
@@ -213,10 +221,13 @@
         reloader.reload(source);
     }
 
-    /** Applies a reload to the parts. */
+    /** Applies a reload to the components. */
     private final class ReloadTarget implements ConfigReloader.Target {
 
-        /** Consoles' figures and the capacity for long bodies are counted by class number. */
+        /**
+         * The figures shown on consoles and the capacity for streamed bodies are kept by class
+         * number.
+         */
         @Override
         public boolean requiresInitialClasses() {
             return operators.hasControlService() || config.bodies() != null;
@@ -228,7 +239,7 @@
         }
 
         @Override
-        public void applyConnectionTimes(NodeConfig next) {
+        public void applyConnectionTimeouts(NodeConfig next) {
             workers.applySettings(next.connectTimeoutUs(), next.idleTimeoutUs());
         }
 
@@ -242,14 +253,14 @@
     // ---- Stop ----
 
     /**
-     * Stops gracefully: accepts for a while longer, unless the platform passed the listener on, and
-     * answers all that was taken.
+     * Stops gracefully: accepts connections for a short time, unless the platform passed the
+     * listener on, and answers all accepted requests.
      *
-     * @return completed once all of it is answered and closed
+     * @return completed when all accepted requests are answered and all resources are closed
      */
     public CompletableFuture<Void> stop() {
         if (group.isShuttingDown()) {
-            // It could not be started, or was halted: nothing is owed.
+            // The node failed to start or was halted, so no request is open.
             shutdown.stopped().complete(null);
         } else {
             loop.execute(shutdown::begin);
@@ -257,12 +268,12 @@
         return shutdown.stopped();
     }
 
-    /** Ends all work at once: what is owed an answer gets none. */
+    /** Stops immediately: open requests get no answer. */
     public void halt() {
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
     }
 
-    /** Shuts down the parts. */
+    /** Shuts down the components. */
     private final class ShutdownSteps implements GracefulShutdown.Steps {
 
         @Override
@@ -280,8 +291,9 @@
             clientListener.markNotReady();
             operators.notifyStopping();
             if (clientListener.isPassed()) {
-                // The other process of an upgrade accepts on the same listener: it is ready, or
-                // nobody would stop this one. Open connections are served for a while longer.
+                // The other process of an upgrade accepts on the same listener. It is ready,
+                // because the platform stops this process only then. Open connections are served
+                // for a short time.
                 clientListener.stopListening();
             }
         }
@@ -321,7 +333,7 @@
                 closed.complete(null);
                 return;
             }
-            // What is still being written is waited for on another thread than the event loop.
+            // Wait for pending writes on a thread other than the event loop.
             group.terminationFuture()
                     .addListener(
                             ended -> {
@@ -331,7 +343,7 @@
         }
     }
 
-    // ---- What it holds ----
+    // ---- State ----
 
     private StatusLog.Status status() {
         return new StatusLog.Status(
@@ -342,39 +354,41 @@
                 lifecycle.listVersion());
     }
 
-    /** CPU time that the event loop has used, nanoseconds; blocks. */
+    /** Returns the CPU time that the event loop has used, nanoseconds. Blocks. */
     public long loopCpuNs() {
         return CompletableFuture.supplyAsync(
                         () -> ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime(), loop)
                 .join();
     }
 
-    /** How many invariants were broken so far; may be a moment old. */
+    /** The number of invariant violations so far; may be slightly out of date. */
     public long invariantBreaches() {
         return lifecycle.invariant().total();
     }
 
-    /** Bytes that long bodies hold now. Call from the event loop. */
+    /** The number of bytes that streamed bodies hold now. Call on the event loop. */
     long bodyBytes() {
         return clientListener.bodyBytes();
     }
 
-    /** The life cycle of its requests. */
+    /** The lifecycle of its requests. */
     RequestLifecycle lifecycle() {
         return lifecycle;
     }
 
-    /** The exchange with peers, or null where the settings name none. */
+    /** The load exchange with peers, or null if the settings name no peers. */
     PeerLoads peers() {
         return peers;
     }
 
-    /** Where the platform's operators call, once started; null where they do not. */
+    /**
+     * The address that the platform's operators call, valid after the start; null if there is none.
+     */
     SocketAddress managementAddress() {
         return operators.managementAddress();
     }
 
-    /** The listener for its clients. */
+    /** The client listener. */
     ClientListener clientListener() {
         return clientListener;
     }
--- a/src/main/java/cresschute/node/NodeStartException.java
+++ b/src/main/java/cresschute/node/NodeStartException.java
@@ -1,15 +1,18 @@
 package cresschute.node;
 
-/** A node cannot start; the message is one plain line that names what it could not use. */
+/**
+ * Thrown when a node cannot start. The message is a single line that names the address, file or
+ * folder that caused it.
+ */
 public final class NodeStartException extends IllegalStateException {
 
     private static final long serialVersionUID = 1L;
 
     /**
-     * A failed start.
+     * Creates an exception.
      *
-     * @param message what could not be used, and why
-     * @param cause what was thrown
+     * @param message one line that names the unusable resource and the reason
+     * @param cause the underlying exception
      */
     NodeStartException(String message, Throwable cause) {
         super(message, cause);
--- a/src/main/java/cresschute/node/OperatorEventKind.java
+++ b/src/main/java/cresschute/node/OperatorEventKind.java
@@ -1,18 +1,18 @@
 package cresschute.node;
 
-/** The kinds of events that consoles are shown. */
+/** The kinds of events that consoles show. */
 enum OperatorEventKind {
     /** An operator's drain began. */
     DRAINED("drained"),
     /** An operator ended a drain. */
     UNDRAINED("undrained"),
-    /** A drain ended by itself. */
+    /** A drain expired. */
     DRAIN_ENDED("drain_over"),
     /** The endpoint list changed the state of a worker. */
     ENDPOINT_CHANGED("listed"),
     /** The condition of a worker changed. */
     CONDITION_CHANGED("condition"),
-    /** The node began its shutdown. */
+    /** The shutdown of the node began. */
     NODE_STOPPING("node_stopping");
 
     private final String wireName;
@@ -21,7 +21,7 @@
         this.wireName = wireName;
     }
 
-    /** The word in a line to consoles and in the log. */
+    /** The name of the kind in the console protocol and in the log. */
     String wireName() {
         return wireName;
     }
--- a/src/main/java/cresschute/node/OperatorEventLog.java
+++ b/src/main/java/cresschute/node/OperatorEventLog.java
@@ -6,8 +6,8 @@
 import java.lang.System.Logger.Level;
 
 /**
- * Records what operators are to know, both for consoles and in the log. It owns the {@link
- * EventRing}, which lives as long as the process. Used on the node's loop alone.
+ * Records events for operators, both for consoles and in the log. Owns the {@link EventRing}, which
+ * lives as long as the process. Used on the event loop only.
  */
 final class OperatorEventLog {
 
@@ -16,19 +16,19 @@
     private final EventRing events = new EventRing();
     private final Clock clock;
 
-    /** Stamps events by this clock. */
+    /** Creates an event log that takes timestamps from this clock. */
     OperatorEventLog(Clock clock) {
         this.clock = clock;
     }
 
-    /** Records an event of the whole node. */
+    /** Records an event that concerns the whole node. */
     void record(OperatorEventKind kind, String text) {
         events.add(clock.nowUs(), kind.wireName(), null, text);
         logEvent(kind, text).log(LOG, Level.INFO);
     }
 
     /**
-     * Records an event of one worker.
+     * Records an event that concerns one worker.
      *
      * @param worker its id in the endpoint list
      */
@@ -41,7 +41,7 @@
         return LogEvent.of("operator_event", text).with("kind", kind.wireName());
     }
 
-    /** The newest events, for consoles. */
+    /** The most recent events, for consoles. */
     EventRing events() {
         return events;
     }
--- a/src/main/java/cresschute/node/OperatorServices.java
+++ b/src/main/java/cresschute/node/OperatorServices.java
@@ -9,10 +9,10 @@
 import java.net.SocketAddress;
 
 /**
- * The one service for operators that a node has, or none: the control service for consoles, or the
+ * Holds the operator service of a node, if it has one: the control service for consoles or the
  * management service for the platform's operators. Opened before the first endpoint list is
- * published, so that a drained worker gets no work at a start; listening once clients can connect;
- * closed at the end. Owns the service. A node without one loads none of its classes.
+ * published, so that a drained worker gets no work at the start; listens once clients can connect;
+ * closed last. Owns the service. A node without a service loads none of its classes.
  */
 final class OperatorServices {
 
@@ -20,19 +20,19 @@
 
     private final NodeConfig config;
 
-    /** The service for consoles, or null. */
+    /** The service for consoles; null if the node has none. */
     private final ControlService control;
 
-    /** The service for the platform's operators, or null. */
+    /** The service for the platform's operators; null if the node has none. */
     private final ManagementService management;
 
     /**
-     * The service that a configuration asks for.
+     * Creates the service that the configuration requires.
      *
      * @param config the configuration of the node
      * @param loop the event loop
-     * @param clock the dispatcher's clock
-     * @param descriptors how many calls may be open at a time
+     * @param clock the node's clock
+     * @param descriptors limits the number of concurrent management calls
      */
     OperatorServices(NodeConfig config, EventLoop loop, Clock clock, DescriptorBudget descriptors) {
         this.config = config;
@@ -43,7 +43,7 @@
                         : null;
     }
 
-    /** Follows requests and lays drains over the endpoint list. */
+    /** The listener that observes requests and applies drains or bans to the endpoint list. */
     RequestListener requestListener() {
         if (control != null) {
             return control;
@@ -51,16 +51,17 @@
         return management != null ? management : RequestListener.NONE;
     }
 
-    /** Whether consoles are shown the classes of the start. */
+    /** Whether there is a control service, which shows the initial request classes to consoles. */
     boolean hasControlService() {
         return control != null;
     }
 
     /**
-     * Takes up what operators asked before this process. Reads files, so not on the event loop.
+     * Restores the operators' state of an earlier process. Reads files; never call it on the event
+     * loop.
      *
      * @param lifecycle publishes changed states of workers
-     * @param readiness the switch that an operator's drain of the node sets
+     * @param readiness the switch by which an operator drains the node
      * @throws NodeStartException if the stored state cannot be used
      */
     void open(RequestLifecycle lifecycle, ReadinessSwitch readiness) {
@@ -86,9 +87,9 @@
     }
 
     /**
-     * Lets operators connect. Blocks, so not on the event loop.
+     * Accepts connections of operators. Blocks; never call it on the event loop.
      *
-     * @throws NodeStartException if the socket or the address cannot be listened on
+     * @throws NodeStartException if the node cannot listen on the socket or the address
      */
     void listen() {
         if (control != null) {
@@ -115,14 +116,14 @@
         }
     }
 
-    /** Shows consoles that the node is stopping. Call from the event loop. */
+    /** Shows consoles that the node is stopping. Call on the event loop. */
     void notifyStopping() {
         if (control != null) {
             control.notifyStopping();
         }
     }
 
-    /** Closes the listener and its connections. Call from the event loop. */
+    /** Closes the listener and its connections. Call on the event loop. */
     void closeListener() {
         if (control != null) {
             control.closeSocket();
@@ -132,12 +133,14 @@
         }
     }
 
-    /** Whether there is nothing to close. */
+    /** Whether the node has no operator service, so that there is nothing to close. */
     boolean isEmpty() {
         return control == null && management == null;
     }
 
-    /** Closes the stored state once all is written. Blocks, so not on the event loop. */
+    /**
+     * Closes the stored state after all pending writes. Blocks; never call it on the event loop.
+     */
     void close() {
         if (control != null) {
             control.close();
@@ -147,7 +150,10 @@
         }
     }
 
-    /** Where the platform's operators call, once listening; null where they do not. */
+    /**
+     * The address that the platform's operators call, valid after {@link #listen}; null if there is
+     * none.
+     */
     SocketAddress managementAddress() {
         return management == null ? null : management.address();
     }
--- a/src/main/java/cresschute/node/OperatorSettings.java
+++ b/src/main/java/cresschute/node/OperatorSettings.java
@@ -3,17 +3,20 @@
 import java.net.InetSocketAddress;
 
 /**
- * What the platform gives a node for its operators and for upgrades.
+ * The settings that the platform gives a node for its operators and for upgrades.
  *
- * @param managementAddress where operators call, one line a connection, or null where they do not
- * @param passedListener whether the clients' listener is descriptor 0, inherited from the platform,
+ * @param managementAddress the address for management calls, one line per connection; null if there
+ *     are none
+ * @param passedListener whether the client listener is inherited from the platform as descriptor 0
  *     instead of being bound by the node
- * @param sharedFolder the folder that both processes of an upgrade see and that outlives each of
- *     them ({@code $TMPDIR}), or null where nothing is shared
+ * @param sharedFolder the folder ({@code $TMPDIR}) that both processes of an upgrade share and that
+ *     outlives each of them; null if nothing is shared
  */
 public record OperatorSettings(
         InetSocketAddress managementAddress, boolean passedListener, String sharedFolder) {
 
-    /** None of it: an appliance's node, or a platform without operators. */
+    /**
+     * For an appliance, or a platform without operators: no address, no passed listener, no folder.
+     */
     public static final OperatorSettings NONE = new OperatorSettings(null, false, null);
 }
--- a/src/main/java/cresschute/node/PassedListener.java
+++ b/src/main/java/cresschute/node/PassedListener.java
@@ -5,19 +5,19 @@
 import java.nio.channels.ServerSocketChannel;
 
 /**
- * Takes over the clients' listening socket that the platform passes on as descriptor 0. Every
- * process of an upgrade inherits the same socket, so that new connections wait in one queue for
- * whichever process accepts next, and none is refused.
+ * Takes over the listening socket for clients that the platform passes on as descriptor 0. Both
+ * processes of an upgrade inherit the same socket. New connections therefore wait in one queue
+ * until either process accepts them, and none is refused.
  *
- * <p>Stateless. The channel belongs to the caller, who closes it.
+ * <p>Stateless. The caller owns the channel and closes it.
  */
 public final class PassedListener {
 
     private PassedListener() {}
 
     /**
-     * Takes over the inherited listener. Called once a process, on its main thread, before any loop
-     * runs.
+     * Takes over the inherited listener. Call once per process, on its main thread, before any
+     * event loop runs.
      *
      * @throws ConfigException if descriptor 0 is not a listening TCP socket or cannot be taken over
      */
--- a/src/main/java/cresschute/node/ReadinessSwitch.java
+++ b/src/main/java/cresschute/node/ReadinessSwitch.java
@@ -1,21 +1,25 @@
 package cresschute.node;
 
 /**
- * The readiness of the node as the {@link ManagementService} reads and changes it; the client
- * listener implements it. Its state lives as long as the process. All calls are on the loop, save a
- * {@link #drain} that the start takes up, which is called on the thread that starts the node.
+ * Lets the {@link ManagementService} read and change the readiness of the node; the client listener
+ * implements it. Its state lives as long as the process. All methods are called on the event loop,
+ * except a {@link #drain} restored at the start, which is called on the thread that starts the
+ * node.
  */
 public interface ReadinessSwitch {
 
-    /** Whether the node is ready: started, a worker known, not stopping and not drained. */
+    /**
+     * Whether the node is ready: it is started, knows a worker, and is neither stopping nor
+     * drained.
+     */
     boolean isReady();
 
-    /** Why the node is not ready, in a few words. */
+    /** A short reason why the node is not ready. */
     String whyNotReady();
 
-    /** Makes the node not ready from now on, and closes the clients' connections gracefully. */
+    /** Makes the node not ready, and closes client connections gracefully. */
     void drain();
 
-    /** Ends the drain: the node is ready, and connections stay open as before. */
+    /** Ends the drain: makes the node ready, and keeps client connections open again. */
     void resume();
 }
--- a/src/main/java/cresschute/node/ReloadSignal.java
+++ b/src/main/java/cresschute/node/ReloadSignal.java
@@ -4,20 +4,22 @@
 import java.lang.reflect.Proxy;
 
 /**
- * Handles SIGHUP by the JVM's own signal handling, which is reached by reflection: javac warns of
- * its direct use in a way that cannot be suppressed, and a warning fails the build. Stateless.
+ * Installs a handler for SIGHUP through the JVM's internal signal API. It is called by reflection,
+ * because javac's warning about direct use cannot be suppressed, and a warning fails the build.
+ * Stateless.
  */
 public final class ReloadSignal {
 
     private ReloadSignal() {}
 
     /**
-     * Replaces the default action of the signal, which ends the process. A process that was started
-     * with the signal ignored, as {@code nohup} starts it, never receives it.
+     * Installs the handler in place of the default action, which ends the process. A process that
+     * was started with the signal ignored, for example by {@code nohup}, never receives it.
      *
-     * @param action runs on a thread of the JVM at each signal
-     * @return whether the signal is received; false where the process ignores it
-     * @throws IllegalStateException if the JVM does not pass on the signal
+     * @param action runs at each signal, on a thread of the JVM
+     * @return whether the process receives the signal; false if it was started with the signal
+     *     ignored
+     * @throws IllegalStateException if the JVM does not support the handler
      */
     public static boolean handle(Runnable action) {
         try {
@@ -39,7 +41,8 @@
                                             invocation));
             return previous != handler.getField("SIG_IGN").get(null);
         } catch (ReflectiveOperationException e) {
-            throw new IllegalStateException("this JVM does not pass on SIGHUP", e);
+            throw new IllegalStateException(
+                    "cannot install a SIGHUP handler: this JVM has no usable sun.misc.Signal", e);
         }
     }
 }
--- a/src/main/java/cresschute/node/SettingsFlattener.java
+++ b/src/main/java/cresschute/node/SettingsFlattener.java
@@ -8,7 +8,7 @@
 
 /**
  * Flattens the nested settings of a configuration file to the {@code path=value} lines that {@link
- * cresschute.simulator.SettingsParser} parses. An instance holds the lines of one call; any thread.
+ * cresschute.simulator.SettingsParser} parses. Each call uses its own instance; any thread.
  */
 public final class SettingsFlattener {
 
@@ -20,7 +20,7 @@
      * Flattens settings.
      *
      * @param settings the settings object of a configuration file
-     * @return a line for each value, in the order of the object
+     * @return one line per value, in the order of the object
      */
     static String flatten(JsonObject settings) {
         final SettingsFlattener flattener = new SettingsFlattener();
@@ -45,8 +45,8 @@
     }
 
     /**
-     * Plain values are joined by commas. An array of objects becomes its count, and each object the
-     * lines under its index.
+     * Joins primitive values by commas. An array of objects becomes a {@code .count} line, followed
+     * by the lines of each object under its index.
      */
     private void addArray(String path, JsonArray array) {
         if (array.isEmpty() || array.get(0).isJsonPrimitive()) {
@@ -70,11 +70,11 @@
     }
 
     /**
-     * A value as it stands in a line. Lines know no quoting, so blanks and commas, which would make
-     * two values of one, become underscores.
+     * Converts a value to the form used in a line. Lines have no quoting, so whitespace and commas,
+     * which would split a value in two, are replaced by underscores.
      *
      * @param value any text
-     * @return the word for it
+     * @return the value without whitespace and commas
      */
     public static String toToken(String value) {
         return value.replaceAll("[\\s,]", "_");
--- a/src/main/java/cresschute/node/ShutdownResponder.java
+++ b/src/main/java/cresschute/node/ShutdownResponder.java
@@ -1,9 +1,9 @@
 package cresschute.node;
 
 /**
- * Answers what is still owed when the process ends: a request that a worker has, or may have had,
- * fails unless its class may be repeated freely; what surely never ran is rejected. Owns no state.
- * Call from the event loop.
+ * Answers the requests that are still open when the process ends. A request that may have reached a
+ * worker fails, unless its class is safe to retry. A request that certainly never ran is rejected.
+ * Stateless; call on the event loop.
  */
 final class ShutdownResponder {
 
@@ -11,14 +11,17 @@
     private final ActiveSettings settings;
     private final OpenRequests requests;
 
-    /** Answers these requests by these settings. */
+    /** Creates a responder for these requests. */
     ShutdownResponder(LoopContext context, ActiveSettings settings, OpenRequests requests) {
         this.context = context;
         this.settings = settings;
         this.requests = requests;
     }
 
-    /** Answers all that is owed after so many microseconds, and at once whatever is taken later. */
+    /**
+     * After this delay, microseconds, answers all open requests; requests accepted later are
+     * answered immediately.
+     */
     void answerAllAfter(long delayUs) {
         context.schedule(
                 delayUs,
--- a/src/main/java/cresschute/node/StayingLogManager.java
+++ b/src/main/java/cresschute/node/StayingLogManager.java
@@ -3,14 +3,18 @@
 import java.util.logging.LogManager;
 
 /**
- * A log manager whose handlers stay open until the process ends, so that the lines of a graceful
- * shutdown are written. Named by {@code java.util.logging.manager} on the command line.
+ * A log manager that keeps its handlers open until the process ends, so that log lines of a
+ * graceful shutdown are written. Selected by the system property {@code java.util.logging.manager}
+ * on the command line.
  */
 public final class StayingLogManager extends LogManager {
 
-    /** Does nothing: the JVM calls this as shutdown begins, and it would close all handlers. */
+    /**
+     * Does nothing. The JVM calls this method when its shutdown begins, and the default
+     * implementation would close all handlers.
+     */
     @Override
     public void reset() {
-        // Handlers are closed with the process.
+        // The handlers are closed when the process ends.
     }
 }
--- a/src/main/java/cresschute/node/WorkerHealthMonitor.java
+++ b/src/main/java/cresschute/node/WorkerHealthMonitor.java
@@ -21,12 +21,13 @@
 import java.util.Set;
 
 /**
- * Feeds the {@link HealthTracker} with what passes through the node, and records changes of the
- * endpoint list and of conditions as events for operators. It describes workers and selects none.
+ * Passes endpoint lists, requests, attempts and load reports to the {@link HealthTracker}, and
+ * records changes of the endpoint list and of conditions as events for operators. It only observes
+ * workers and has no influence on their selection.
  *
- * <p>Owned state: the tracker, the last listed state of each worker, and which workers changed
- * since their rows were last drawn. All of it lives as long as the process and is used on the loop
- * alone.
+ * <p>Owned state: the tracker, the last listed state of each worker, and the workers that changed
+ * since their rows were last rebuilt. All of it lives as long as the process and is used on the
+ * event loop only.
  */
 final class WorkerHealthMonitor implements RequestListener {
 
@@ -36,7 +37,7 @@
     private final Map<String, WorkerState> lastListed = new HashMap<>();
     private final Set<Integer> changedWorkers = new HashSet<>();
 
-    /** Creates the tracker for the settings of the node. */
+    /** Creates a monitor with a tracker for the settings of the node. */
     WorkerHealthMonitor(ControlContext node, DurableDrains drains) {
         this.node = node;
         this.drains = drains;
@@ -60,7 +61,7 @@
                 requestClass.latencyObjectiveStretch());
     }
 
-    // ---- What passes ----
+    // ---- Events of the request lifecycle ----
 
     @Override
     public void endpointListChanged(long nowUs, List<Worker> workers) {
@@ -86,7 +87,7 @@
         };
     }
 
-    /** Takes in the state of workers anew after their drains changed. */
+    /** Updates the tracker after the drains of these workers changed. */
     void drainsChanged(List<String> names) {
         final long nowUs = node.nowUs();
         for (final String name : names) {
@@ -159,7 +160,9 @@
 
     // ---- Conditions ----
 
-    /** Judges all workers anew, and records the changes that operators are to know. */
+    /**
+     * Evaluates the conditions of all workers, and records the changes that matter to operators.
+     */
     void updateConditions() {
         for (final ConditionChange each : tracker.evaluate(node.nowUs())) {
             changedWorkers.add(each.worker());
@@ -178,8 +181,9 @@
     }
 
     /**
-     * Whether a change is an event of its own. Changes of the endpoint list and drains are recorded
-     * as such, and a worker that fills up and empties is doing its work.
+     * Whether a change is recorded as a condition event. Changes of the endpoint list and drains
+     * have their own events, and changes between working conditions, such as a worker that fills up
+     * and empties, are normal operation.
      */
     private static boolean isRecorded(ConditionChange change) {
         return change.from().isPresent()
@@ -192,24 +196,24 @@
         return condition.compareTo(WorkerCondition.OVERLOADED) <= 0;
     }
 
-    // ---- Views ----
+    // ---- Queries ----
 
-    /** The figures of workers and classes. */
+    /** The health figures of workers and classes. */
     HealthTracker tracker() {
         return tracker;
     }
 
-    /** The workers that changed since {@link #clearChangedWorkers}. */
+    /** The numbers of the workers that changed since the last {@link #clearChangedWorkers}. */
     Set<Integer> changedWorkers() {
         return Collections.unmodifiableSet(changedWorkers);
     }
 
-    /** Is called once their rows are drawn. */
+    /** Clears the set; called after the rows of the changed workers are rebuilt. */
     void clearChangedWorkers() {
         changedWorkers.clear();
     }
 
-    /** Attempts in flight at a worker; 0 where no list has named it. */
+    /** Returns the number of attempts in flight at a worker; 0 if no endpoint list has named it. */
     int inFlight(String worker) {
         final int number = node.workers().number(worker);
         return number < 0 ? 0 : tracker.inFlight(number);
--- a/src/test/java/cresschute/logs/EventNamesTest.java
+++ b/src/test/java/cresschute/logs/EventNamesTest.java
@@ -12,7 +12,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The on-call page lists every log event. */
+/** Checks that the on-call page lists the name of every log event. */
 class EventNamesTest {
 
     private static final Pattern NAMED = Pattern.compile("LogEvent\\.of\\(\\s*\"([a-z_]+)\"");
--- a/src/test/java/cresschute/node/ConsoleTableTest.java
+++ b/src/test/java/cresschute/node/ConsoleTableTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which rows are drawn at a refresh. */
+/** Tests which rows of the console table a refresh rebuilds. */
 class ConsoleTableTest {
 
     private final IdleLifecycle idle;
@@ -43,12 +43,15 @@
         assertThat(keysChangedBy(table::refreshChanged)).containsExactly("w/s-2");
     }
 
-    /** Figures change with time alone: each worker has its turn once in four refreshes. */
+    /**
+     * Rates and percentiles change with time alone, so each worker is refreshed once in four
+     * refreshes.
+     */
     @Test
     void refreshesEachUnchangedWorkerOnceInFourRefreshes() {
         final List<List<String>> refreshedKeys = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            // A load report straight to the tracker marks no worker as changed.
+            // A load report passed directly to the tracker does not mark the worker as changed.
             idle.health.tracker().loadReported(idle.nowUs, 0, new LoadReport(i + 1, 0, 0));
             idle.health.tracker().loadReported(idle.nowUs, 1, new LoadReport(i + 1, 0, 0));
             refreshedKeys.add(keysChangedBy(table::refreshChanged));
--- a/src/test/java/cresschute/node/ControlRequestHandlerTest.java
+++ b/src/test/java/cresschute/node/ControlRequestHandlerTest.java
@@ -15,7 +15,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Answers to operations where drains are stored; others are in {@link ControlServiceFormatTest}.
+ * Tests answers to operations of a node that stores drains; {@link ControlServiceFormatTest} tests
+ * the others.
  */
 @Timeout(30)
 class ControlRequestHandlerTest {
@@ -64,7 +65,7 @@
     @Test
     void reportsWhyDrainCannotBeStored() throws Exception {
         idle.drains.open(folder);
-        // A folder in the way of the file that is written aside: also root cannot write there.
+        // A folder in place of the temporary file makes the write fail, even for root.
         final Path temporary = Files.createDirectory(folder.resolve("drains.new"));
         final JsonObject answer = execute(DRAIN);
         assertThat(answer.get("outcome").getAsString()).isEqualTo("done");
--- a/src/test/java/cresschute/node/ControlServiceFormatTest.java
+++ b/src/test/java/cresschute/node/ControlServiceFormatTest.java
@@ -17,8 +17,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The rows and answers that a node shows to consoles, key by key as an earlier version wrote them.
- * The literals are never adapted to a renaming in the code.
+ * Pins the format of rows and answers for consoles, key by key, to that of earlier versions, so
+ * that consoles of another version can read them. Never adapt the literals to a renaming in the
+ * code.
  */
 class ControlServiceFormatTest {
 
--- a/src/test/java/cresschute/node/ControlServiceTest.java
+++ b/src/test/java/cresschute/node/ControlServiceTest.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The service for consoles as a whole, on a clock that the test advances. */
+/** Tests the control service as a whole, on a clock that the test advances. */
 class ControlServiceTest {
 
     private static final long TEN_MINUTES_US = 600_000_000;
@@ -19,7 +19,7 @@
     private final EmbeddedChannel loop = new EmbeddedChannel();
     private long nowUs = 1_700_000_000_000_000L;
 
-    /** Neither the screen nor the memory fills with workers that are long gone. */
+    /** Otherwise workers that were removed long ago would fill the screen and the memory. */
     @Test
     void removesRowOfForgottenWorker() throws Exception {
         final NodeConfig config;
@@ -33,7 +33,8 @@
                                             true,
                                             TestNode.entry("s-1", unusedServer, "SERVING")
                                                     + ","
-                                                    + TestNode.entry("s-2", unusedServer, "SERVING"))),
+                                                    + TestNode.entry(
+                                                            "s-2", unusedServer, "SERVING"))),
                             Map.of());
         }
         final ControlService service = new ControlService(config, loop.eventLoop(), () -> nowUs);
--- a/src/test/java/cresschute/node/DurableDrainsTest.java
+++ b/src/test/java/cresschute/node/DurableDrainsTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The order of a change: in force, stored, acknowledged. */
+/** Tests the order in which a change takes effect: in force, stored, acknowledged. */
 @Timeout(30)
 class DurableDrainsTest {
 
@@ -72,7 +72,7 @@
         return new DrainOperation(id, true, worker, DrainRegistry.NO_END_US, "ann", "disk", false);
     }
 
-    /** Whether the first snapshot, of generation 1, has its file. */
+    /** Whether the file of the first snapshot, generation 1, exists. */
     private boolean isStored() {
         return Files.exists(folder.resolve("drains.1"));
     }
@@ -139,7 +139,7 @@
     @Test
     void keepsChangeInForceAndReportsFailureWhenStoringFails() throws Exception {
         drains.open(folder);
-        // A folder in the way of the file that is written aside: also root cannot write there.
+        // A folder in place of the temporary file makes the write fail, even for root.
         Files.createDirectory(folder.resolve("drains.new"));
         apply(drain("o1", "w1"));
         runOnLoop(1);
@@ -157,7 +157,7 @@
                         "changed w2, w1 DRAINING, not stored",
                         "acknowledged o2 APPLIED, not stored");
         drains.close();
-        // The next snapshot, of generation 2, holds both.
+        // The next snapshot, generation 2, contains both drains.
         assertThat(storedDrains()).extracting(Drain::worker).containsExactly("w1", "w2");
     }
 
--- a/src/test/java/cresschute/node/MainTest.java
+++ b/src/test/java/cresschute/node/MainTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The program as a process of its own. */
+/** Tests the program as a separate process. */
 @Timeout(30)
 class MainTest {
 
@@ -41,7 +41,10 @@
         }
     }
 
-    /** SIGHUP ends no process; the file's address of discovery goes before the environment's. */
+    /**
+     * SIGHUP does not end the process, and after a reload the discovery address in the file
+     * overrides the one in the environment.
+     */
     @Test
     void readsDiscoveryAddressFromFileOnSighup(@TempDir Path folder) throws Exception {
         final Path config = folder.resolve("config.json");
@@ -56,7 +59,8 @@
                 Peer.accept(old).read();
                 Files.writeString(config, "{\"name\":");
                 node.signal("HUP");
-                node.awaitLine("not reloaded, the old configuration stays: configuration: ");
+                node.awaitLine(
+                        "not reloaded, the current configuration stays in force: configuration: ");
                 Files.writeString(config, TestNode.config(next, known));
                 node.signal("HUP");
                 final Peer discovery = Peer.accept(next);
@@ -64,12 +68,13 @@
                 discovery.write(TestNode.answer("200 OK", "", TestNode.list(9, true, "")));
                 assertThat(discovery.read()).startsWith("GET /registry/instances?since=9&");
                 assertThat(node.process().isAlive()).isTrue();
-                assertThat(node.linesSoFar()).noneMatch(line -> line.contains(SIGHUP_IGNORED_MESSAGE));
+                assertThat(node.linesSoFar())
+                        .noneMatch(line -> line.contains(SIGHUP_IGNORED_MESSAGE));
             }
         }
     }
 
-    /** Under a parent that ignores the signal the JVM never receives it. */
+    /** The JVM never receives the signal if its parent process ignores it. */
     @Test
     void logsThatSighupIsIgnored(@TempDir Path folder) throws Exception {
         final Path config = folder.resolve("config.json");
@@ -91,7 +96,7 @@
                 assertThat(watch.read()).startsWith("GET /registry/instances");
                 Files.writeString(config, "{\"name\":");
                 node.signal("HUP");
-                // The node goes on: nothing was read, and a stop works as always.
+                // The node keeps running: it did not read the file, and SIGTERM stops it as usual.
                 watch.write(TestNode.answer("200 OK", "", TestNode.list(9, true, "")));
                 assertThat(watch.read()).startsWith("GET /registry/instances?since=9&");
                 node.signal("TERM");
@@ -99,13 +104,15 @@
                         .noneMatch(line -> line.contains("reloaded"))
                         .last()
                         .asString()
-                        .contains("stopped: everything taken is answered");
+                        .contains("stopped: all accepted requests are answered");
                 assertThat(node.exitCode()).isEqualTo(143);
             }
         }
     }
 
-    /** The log stays open until the process ends. */
+    /**
+     * Log handlers must stay open until the process ends, or the last lines of a shutdown are lost.
+     */
     @Test
     void answersOpenRequestsAfterSigterm(@TempDir Path folder) throws Exception {
         final Path config = folder.resolve("config.json");
@@ -134,7 +141,7 @@
                 assertThat(node.remainingLines())
                         .last()
                         .asString()
-                        .contains("stopped: everything taken is answered");
+                        .contains("stopped: all accepted requests are answered");
                 assertThat(node.exitCode()).isEqualTo(143);
             }
         }
--- a/src/test/java/cresschute/node/ManagementRulesTest.java
+++ b/src/test/java/cresschute/node/ManagementRulesTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The calls of the platform's operators, over real sockets. */
+/** Tests the management calls of the platform's operators over real sockets. */
 @Timeout(30)
 class ManagementRulesTest {
 
@@ -24,7 +24,7 @@
         return "{\"id\":\"" + id + "\",\"from\":\"s-1\",\"state\":\"done\",\"result\":\"yes\"}\n";
     }
 
-    /** The next event of the endpoint list. */
+    /** Returns the next endpoint list event of the dispatcher, or null if none comes. */
     private static String listEvent(TestNode node) throws InterruptedException {
         for (String event = node.event(); event != null; event = node.event()) {
             if (event.startsWith("listed")) {
@@ -54,7 +54,8 @@
     void answersOtherCallersWhileIncompleteAndSilentOnesWait() throws Exception {
         try (TestNode node = new TestNode(shared, null);
                 Peer silent = Peer.connect(node.server.managementAddress());
-                Peer incomplete = Peer.connect(node.server.managementAddress()).write("disable-ser")) {
+                Peer incomplete =
+                        Peer.connect(node.server.managementAddress()).write("disable-ser")) {
             assertThat(node.call("ready")).isEqualTo("200 ready");
             assertThat(incomplete.readLine()).startsWith("400 incomplete call");
             assertThat(incomplete.isClosedByOther()).isTrue();
@@ -79,11 +80,11 @@
         try (TestNode old = new TestNode(shared, null)) {
             assertThat(old.call("disable-server s-1")).startsWith("200");
             try (TestNode next = new TestNode(shared, null)) {
-                // The new process starts with the ban laid over the list that it was given.
+                // The new process starts with the ban applied to the list in its configuration.
                 assertThat(next.events.poll(8, TimeUnit.SECONDS))
                         .isEqualTo("listed CACHED 0DRAINING7000");
                 assertThat(next.call("enable-server s-1")).startsWith("200");
-                // The old one takes the call back from the file that both see.
+                // The old process reads the change from the file that both share.
                 assertThat(listEvent(old)).isEqualTo("listed CHANGES 0DRAINING7000");
                 assertThat(listEvent(old)).isEqualTo("listed CHANGES 0READY7000");
             }
@@ -93,10 +94,10 @@
         }
     }
 
-    /** An operator must be able to act also where the disk is full. */
+    /** An operator must be able to ban a worker even if the disk is full. */
     @Test
     void banThatCannotBeStoredTakesEffectAndIsAnswered() throws Exception {
-        // A folder in the way of the file that is written aside: also root cannot write there.
+        // A folder in place of the temporary file makes the write fail, even for root.
         Files.createDirectory(shared.resolve("cresschute-operators.new"));
         try (TestNode node = new TestNode(shared, null)) {
             assertThat(node.call("disable-server s-1")).startsWith("200 s-1 is out");
@@ -118,7 +119,8 @@
             try (Peer asks = node.client()) {
                 assertThat(asks.write(READY).read()).startsWith("HTTP/1.1 503");
             }
-            // The idle connection is closed; the busy one after its answer, which says so.
+            // The idle connection is closed immediately, the busy one after its response, which
+            // contains "connection: close".
             assertThat(idle.readToEnd()).isNotNull().isEmpty();
             worker.write(answer("200 OK", "", done("r1")));
             assertThat(busy.read())
--- a/src/test/java/cresschute/node/NodeConfigTest.java
+++ b/src/test/java/cresschute/node/NodeConfigTest.java
@@ -35,7 +35,8 @@
         final NodeConfig none = NodeConfigParser.parse(validConfig(), Map.of());
         assertThat(none.operators()).isEqualTo(OperatorSettings.NONE);
         final String withManagement =
-                validConfig().replace(
+                validConfig()
+                        .replace(
                                 "\"name\":\"n0\",",
                                 "\"name\":\"n0\",\"management\":\"127.0.0.3:91\",");
         assertThat(
--- a/src/test/java/cresschute/node/OperatorEventLogTest.java
+++ b/src/test/java/cresschute/node/OperatorEventLogTest.java
@@ -20,7 +20,7 @@
                         new OperatorEvent(2, 9, "node_stopping", null, "the node is stopping"));
     }
 
-    /** The words are part of the protocol in docs/console.md and of the log. */
+    /** The names are part of the console protocol in docs/console.md and of the log format. */
     @Test
     void kindsKeepTheirWireNames() {
         assertThat(OperatorEventKind.values())
--- a/src/test/java/cresschute/node/SettingsReloadRaceTest.java
+++ b/src/test/java/cresschute/node/SettingsReloadRaceTest.java
@@ -10,13 +10,13 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Events that cross with a change of the settings. See docs/results/crossings.md. */
+/** Tests events that race with a reload of the settings. See docs/results/crossings.md. */
 @Timeout(30)
 class SettingsReloadRaceTest extends CrossingFixture {
 
     /**
-     * A head read under the old settings whose last byte comes under the new ones is of the new
-     * ones.
+     * A request whose head is read under the old settings and whose last byte arrives under the new
+     * ones is handled by the new settings.
      */
     @ParameterizedTest
     @CsvSource(
@@ -26,8 +26,8 @@
                     gone    | "name":"file"       | "name":"other"      | 404
                     shorter | "deadlineUs":5000000 | "deadlineUs":4000000 | requested 1 class 3
                     """)
-    void appliesSettingsInForceAtLastByteOfRequest(String scenario, String from, String to, String expected)
-            throws Exception {
+    void appliesSettingsInForceAtLastByteOfRequest(
+            String scenario, String from, String to, String expected) throws Exception {
         try (TestNode node = new TestNode();
                 Peer client = node.client()) {
             client.write(
@@ -47,8 +47,8 @@
     }
 
     /**
-     * Of two requests on one connection, each has what the settings said when it was taken, and no
-     * more.
+     * Two requests on one connection each use the settings in force when they were accepted; the
+     * second one inherits no key or deadline from the first.
      */
     @Test
     void usesNoFieldOfPreviousRequestOnConnection() throws Exception {
@@ -73,7 +73,10 @@
         }
     }
 
-    /** Every request counted against the first customer's share, whoever had sent it. */
+    /**
+     * Regression: every request was counted against the first tenant's share, regardless of its own
+     * tenant.
+     */
     @Test
     void countsEachRequestAgainstItsOwnTenant() throws Exception {
         try (TestNode node = TestNode.configured(SHARED, HOLDS);
@@ -83,7 +86,8 @@
                             + request("r2", "X-Tenant: alpha\r\n", ""));
             assertThat(node.event()).isEqualTo("requested 1 class 0 key 42 tenant 1");
             assertThat(node.event()).isEqualTo("requested 2 class 0 key 42");
-            // The same name has another place, and no other setting has changed its meaning.
+            // Only the name of the first tenant changes; its index and all other settings stay the
+            // same.
             reload(node, text -> SHARED.apply(text).replace("alpha", "gamma"));
             assertThat(node.event()).startsWith("retuned");
             client.write(request("r3", "X-Tenant: gamma\r\n", ""));
@@ -109,7 +113,10 @@
         }
     }
 
-    /** Both limits held until a restart; what waits here waits for less than the old ones. */
+    /**
+     * Regression: a changed idle timeout or connect timeout took effect only after a restart. The
+     * test waits less than the old values.
+     */
     @Test
     void closesIdleConnectionsOnShorterIdleTimeout() throws Exception {
         try (TestNode node =
@@ -143,15 +150,15 @@
     }
 
     /**
-     * The longest waiting made room for the next client though its request lay unread, and got no
-     * answer.
+     * Regression: the longest idle client was evicted for a new client although its request lay
+     * unread, and got no answer.
      */
     @Test
     void neverEvictsClientWithUnreadRequest() throws Exception {
         try (TestNode node = new TestNode(HOLDS);
                 Peer early = node.client()) {
-            // Of 200 descriptors 83 are for clients; the last of 82 is known to be accepted by its
-            // request.
+            // 83 of the 200 descriptors are for clients. The request of the 82nd client shows that
+            // all 82 are accepted.
             for (int i = 2; i <= 82; i++) {
                 held.add(node.client());
             }
--- a/src/test/java/cresschute/node/SettingsReloadRulesTest.java
+++ b/src/test/java/cresschute/node/SettingsReloadRulesTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Settings changed at SIGHUP: classes come and go, requests under way keep theirs, broken files do
- * nothing.
+ * Tests a settings reload: classes are added and removed, open requests keep their class, and
+ * invalid files change nothing.
  */
 @Timeout(30)
 class SettingsReloadRulesTest {
@@ -65,7 +65,7 @@
             assertThat(node.event()).isEqualTo("retuned 3 classes, attempts 2");
             late.write(post("report", "r2"));
             assertThat(node.event()).isEqualTo("requested 2 class 2 key 42");
-            // A class that is gone is none: nothing new is taken for it.
+            // Requests of a removed class are rejected.
             assertThat(gone.write(post("file", "r3")).read()).startsWith("HTTP/1.1 404");
             worker.write(answer("200 OK", "", done("r1")));
             assertThat(early.read()).startsWith("HTTP/1.1 200").endsWith("yes");
@@ -97,7 +97,7 @@
             final String text = node.configText();
             assertThat(text).as(scenario).contains(from == null ? "" : from);
             reload(node, from == null ? to : text.replace(from, to));
-            // Had it been applied, the dispatcher would be notified before the next request.
+            // If the file were applied, the dispatcher would be notified before the next request.
             client.write(post("file", "r1"));
             assertThat(node.event()).as(scenario).isEqualTo("requested 1 class 1 key 42");
         }
--- a/src/test/java/cresschute/node/ShutdownRaceTest.java
+++ b/src/test/java/cresschute/node/ShutdownRaceTest.java
@@ -12,11 +12,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Events that cross with a shutdown. See docs/results/crossings.md. */
+/** Tests events that race with a shutdown. See docs/results/crossings.md. */
 @Timeout(30)
 class ShutdownRaceTest extends CrossingFixture {
 
-    /** What waited to be accepted was reset with the listener. */
+    /** Regression: connections that waited to be accepted were reset when the listener closed. */
     @Test
     void acceptsConnectionsQueuedBeforeListenerCloses() throws Exception {
         try (TestNode node = new TestNode()) {
@@ -37,7 +37,7 @@
         }
     }
 
-    /** A request that lay unread on an idle connection was reset by its closing. */
+    /** Regression: closing an idle connection reset it while a request lay unread. */
     @Test
     void servesRequestUnreadOnIdleConnectionBeforeClosing() throws Exception {
         try (TestNode node = new TestNode();
@@ -57,7 +57,8 @@
     }
 
     /**
-     * A close with the next request unread is a reset, and a reset can eat the answer just written.
+     * Closing a socket with unread data sends a reset, and the reset can discard the answer just
+     * written.
      */
     @Test
     void closesAfterLastAnswerWithoutReset() throws Exception {
@@ -80,8 +81,8 @@
     }
 
     /**
-     * A request taken late in a stop, at a worker that hangs, had no answer when the platform
-     * killed it.
+     * Regression: a request accepted late in a shutdown and sent to a hanging worker had no answer
+     * when the platform killed the node.
      */
     @Test
     void answersAllRequestsBeforePlatformKill() throws Exception {
@@ -108,7 +109,8 @@
     }
 
     /**
-     * The signal comes while the node starts: whoever still gets in is let go, and the node ends.
+     * SIGTERM arrives while the node starts: it closes connections that clients still open, and
+     * stops.
      */
     @Test
     void stopsWhenAskedBeforeListening() throws Exception {
@@ -126,7 +128,10 @@
         }
     }
 
-    /** What may have had its effect is failed then, and not refused. */
+    /**
+     * Requests that may have taken effect must fail rather than be rejected, because a rejection
+     * promises that a retry does no harm.
+     */
     @Test
     void failsRequestsThatMayHaveRunBeforePlatformKill() throws Exception {
         try (TestNode node = new TestNode();
--- a/src/test/java/cresschute/node/StartWithoutDiscoveryTest.java
+++ b/src/test/java/cresschute/node/StartWithoutDiscoveryTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A node that starts while discovery is down is ready by the list that it is given, and serves by
- * it.
+ * Tests that a node that starts while discovery is down becomes ready with the list in its
+ * configuration and serves requests with it.
  */
 @Timeout(60)
 class StartWithoutDiscoveryTest {
@@ -57,7 +57,8 @@
                 new InetSocketAddress(
                         "127.0.0.1", ProgramProcess.portIn(node.awaitLine(" listens on ")));
         try (Peer client = Peer.connect(address)) {
-            // The list of the start is published before the listener is open: it is ready at once.
+            // The initial list is published before the listener opens, so the node is ready
+            // immediately.
             client.write("GET /health/ready HTTP/1.1\r\nHost: n\r\n\r\n");
             assertThat(client.read()).startsWith("HTTP/1.1 200");
             client.write(TestNode.request("r1", "", ""));
@@ -83,7 +84,7 @@
                 AnsweringWorker worker = new AnsweringWorker(false);
                 ProgramProcess node = start(discovery, worker)) {
             checkReadyAndServing(node, worker);
-            // It was asked, and has not answered.
+            // Discovery was called and has not answered.
             assertThat(Peer.accept(discovery).read())
                     .startsWith("GET /registry/instances?since=3&");
         }
--- a/src/test/java/cresschute/node/UpgradeRulesTest.java
+++ b/src/test/java/cresschute/node/UpgradeRulesTest.java
@@ -14,9 +14,9 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * An upgrade as the platform makes it: two processes on the listener that the platform holds, the
- * old one stopped once the new one is ready. Here both are nodes of one JVM, on one listening
- * channel.
+ * Tests an upgrade as the platform performs it: two processes share the listener that the platform
+ * holds, and the old one is stopped once the new one is ready. Here both are nodes in one JVM that
+ * share one listening channel.
  */
 @Timeout(30)
 class UpgradeRulesTest {
@@ -25,7 +25,7 @@
         return "{\"id\":\"" + id + "\",\"from\":\"s-1\",\"state\":\"done\",\"result\":\"yes\"}\n";
     }
 
-    /** Waits until all tasks that were handed to a node's event loop have run. */
+    /** Waits until all tasks submitted to a node's event loop have run. */
     private static void awaitLoopTasks(TestNode node) throws Exception {
         for (int i = 0; i < 2; i++) {
             node.server.loop().submit(() -> {}).get(8, TimeUnit.SECONDS);
@@ -47,18 +47,17 @@
             try (TestNode next = new TestNode(platform)) {
                 final CompletableFuture<Void> stopped = old.server.stop();
                 awaitLoopTasks(old);
-                // New connections wait in the platform's queue for the new process alone.
+                // Only the new process accepts connections from the platform's queue now.
                 final Peer late = Peer.connect(addr).write(request("r2", "", ""));
                 final Peer second = next.worker();
                 assertThat(second.read()).contains("X-Request-Id: r2");
                 second.write(answer("200 OK", "", done("r2")));
                 assertThat(late.read()).startsWith("HTTP/1.1 200");
-                // The old process ends its idle connection with a close, never a reset, and then
-                // itself.
+                // The old process closes its idle connection without a reset, and then stops.
                 assertThat(idle.readToEnd()).isNotNull().isEmpty();
                 stopped.get(8, TimeUnit.SECONDS);
                 final Peer after = Peer.connect(addr).write(request("r3", "", ""));
-                // On the open connection to the worker: the new process goes on alone.
+                // The new process keeps serving, on its open connection to the worker.
                 assertThat(second.read()).contains("X-Request-Id: r3");
                 assertThat(platform.isOpen()).isTrue();
                 after.close();
--- a/src/test/java/cresschute/node/WorkerHealthMonitorTest.java
+++ b/src/test/java/cresschute/node/WorkerHealthMonitorTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What becomes an event for operators, and which workers have changed rows. */
+/** Tests which changes become events for operators, and which workers are reported as changed. */
 class WorkerHealthMonitorTest {
 
     private static final int S1 = 0;
