--- a/src/main/java/cresschute/node/ControlRequestHandler.java
+++ b/src/main/java/cresschute/node/ControlRequestHandler.java
@@ -98,7 +98,7 @@
         final LogEvent event =
                 LogEvent.of(
                                 "console_asked",
-                                "console " + session + " requests: " + describe(request))
+                                "console " + session + " requested: " + describe(request))
                         .with("session", session)
                         .with("command", request.command().wireName());
         final DrainOperation operation = request.operation();
--- a/src/main/java/cresschute/node/NodeConfig.java
+++ b/src/main/java/cresschute/node/NodeConfig.java
@@ -186,8 +186,7 @@
     }
 
     /** Whether the platform runs this node and kills it some time after SIGTERM. */
-    @SuppressWarnings(
-            "ReferenceEquality") // An equal instance made from a file without keys is not NONE.
+    @SuppressWarnings("ReferenceEquality") // A file without keys equals NONE, but is not it.
     boolean isRunByPlatform() {
         return fileKeys != ConfigKeys.NONE;
     }
