--- a/src/main/java/cresschute/node/ShutdownAnswers.java
+++ b/src/main/java/cresschute/node/ShutdownResponder.java
@@ -1,24 +1,27 @@
 package cresschute.node;
 
 /**
- * Answers what is still owed when the process ends: a request that a worker has, or may have had,
- * fails unless its class may be repeated freely; what surely never ran is rejected. Owns no state.
- * Call from the event loop.
+ * Answers the requests that are still open when the process ends. A request that may have reached a
+ * worker fails, unless its class is safe to retry. A request that certainly never ran is rejected.
+ * Stateless; call on the event loop.
  */
-final class ShutdownAnswers {
+final class ShutdownResponder {
 
     private final LoopContext context;
     private final ActiveSettings settings;
     private final OpenRequests requests;
 
-    /** Answers these requests by these settings. */
-    ShutdownAnswers(LoopContext context, ActiveSettings settings, OpenRequests requests) {
+    /** Creates a responder for these requests. */
+    ShutdownResponder(LoopContext context, ActiveSettings settings, OpenRequests requests) {
         this.context = context;
         this.settings = settings;
         this.requests = requests;
     }
 
-    /** Answers all that is owed after so many microseconds, and at once whatever is taken later. */
+    /**
+     * After this delay, microseconds, answers all open requests; requests accepted later are
+     * answered immediately.
+     */
     void answerAllAfter(long delayUs) {
         context.schedule(
                 delayUs,
@@ -34,14 +37,14 @@
         }
         requests.reportClosed(request);
         request.cancelResult();
-        if (isHarmlessToRepeat(request) && !request.hasLongResult()) {
+        if (isSafeToRetry(request) && !request.hasLongResult()) {
             requests.rejectLocally(request);
         } else {
             requests.fail(request);
         }
     }
 
-    private boolean isHarmlessToRepeat(ClientRequest request) {
+    private boolean isSafeToRetry(ClientRequest request) {
         return settings.isSafe(request.requestClass())
                 || (!request.mayHaveRun() && !request.isOnWire());
     }
--- a/src/test/java/cresschute/node/SettingsCrossingRulesTest.java
+++ b/src/test/java/cresschute/node/SettingsReloadRaceTest.java
@@ -10,13 +10,13 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Events that cross with a change of the settings. See docs/results/crossings.md. */
+/** Tests events that race with a reload of the settings. See docs/results/crossings.md. */
 @Timeout(30)
-class SettingsCrossingRulesTest extends CrossingFixture {
+class SettingsReloadRaceTest extends CrossingFixture {
 
     /**
-     * A head read under the old settings whose last byte comes under the new ones is of the new
-     * ones.
+     * A request whose head is read under the old settings and whose last byte arrives under the new
+     * ones is handled by the new settings.
      */
     @ParameterizedTest
     @CsvSource(
@@ -26,32 +26,32 @@
                     gone    | "name":"file"       | "name":"other"      | 404
                     shorter | "deadlineUs":5000000 | "deadlineUs":4000000 | requested 1 class 3
                     """)
-    void takesARequestByTheSettingsAtItsLastByte(String what, String from, String to, String then)
-            throws Exception {
+    void appliesSettingsInForceAtLastByteOfRequest(
+            String scenario, String from, String to, String expected) throws Exception {
         try (TestNode node = new TestNode();
                 Peer client = node.client()) {
             client.write(
                     "POST /file HTTP/1.1\r\nX-Request-Id: r1\r\nIdempotency-Key: k\r\n"
                             + "Expect: 100-continue\r\nContent-Length: 4\r\n\r\n");
-            assertThat(client.read()).as(what).startsWith("HTTP/1.1 100");
+            assertThat(client.read()).as(scenario).startsWith("HTTP/1.1 100");
             final String text = node.configText().replace(from, to);
             node.server.reload(() -> NodeConfigParser.parse(text, java.util.Map.of()));
             assertThat(node.event()).startsWith("settings changed");
             client.write("body");
-            if (then.startsWith("requested")) {
-                assertThat(node.event()).startsWith(then);
+            if (expected.startsWith("requested")) {
+                assertThat(node.event()).startsWith(expected);
             } else {
-                assertThat(client.read()).startsWith("HTTP/1.1 " + then);
+                assertThat(client.read()).startsWith("HTTP/1.1 " + expected);
             }
         }
     }
 
     /**
-     * Of two requests on one connection, each has what the settings said when it was taken, and no
-     * more.
+     * Two requests on one connection each use the settings in force when they were accepted; the
+     * second one inherits no key or deadline from the first.
      */
     @Test
-    void takesNothingOverFromTheRequestBeforeOnItsConnection() throws Exception {
+    void usesNoFieldOfPreviousRequestOnConnection() throws Exception {
         try (TestNode node = new TestNode(HOLDS);
                 Peer client = node.client()) {
             client.write(
@@ -73,9 +73,12 @@
         }
     }
 
-    /** Every request counted against the first customer's share, whoever had sent it. */
+    /**
+     * Regression: every request was counted against the first tenant's share, regardless of its own
+     * tenant.
+     */
     @Test
-    void countsEachRequestAgainstTheShareOfItsOwnCustomer() throws Exception {
+    void countsEachRequestAgainstItsOwnTenant() throws Exception {
         try (TestNode node = TestNode.configured(SHARED, HOLDS);
                 Peer client = node.client()) {
             client.write(
@@ -83,7 +86,8 @@
                             + request("r2", "X-Tenant: alpha\r\n", ""));
             assertThat(node.event()).isEqualTo("requested 1 class 0 key 42 tenant 1");
             assertThat(node.event()).isEqualTo("requested 2 class 0 key 42");
-            // The same name has another place, and no other setting has changed its meaning.
+            // Only the name of the first tenant changes; its index and all other settings stay the
+            // same.
             reload(node, text -> SHARED.apply(text).replace("alpha", "gamma"));
             assertThat(node.event()).startsWith("settings changed");
             client.write(request("r3", "X-Tenant: gamma\r\n", ""));
@@ -99,7 +103,7 @@
                 "X-Tenant: other\r\n",
                 "X-Tenant: alpha\r\nX-Tenant: beta co\r\n"
             })
-    void answers400WhereARequestNamesNoCustomer(String headers) throws Exception {
+    void answers400ToRequestWithoutUsableTenant(String headers) throws Exception {
         try (TestNode node = TestNode.configured(SHARED, HOLDS);
                 Peer client = node.client()) {
             client.write(request("r1", headers, ""));
@@ -109,9 +113,12 @@
         }
     }
 
-    /** Both limits held until a restart; what waits here waits for less than the old ones. */
+    /**
+     * Regression: a changed idle timeout or connect timeout took effect only after a restart. The
+     * test waits less than the old values.
+     */
     @Test
-    void closesIdleConnectionsThatTheNewSettingsKeepLessLong() throws Exception {
+    void closesIdleConnectionsOnShorterIdleTimeout() throws Exception {
         try (TestNode node =
                         TestNode.configured(
                                 text ->
@@ -127,7 +134,7 @@
     }
 
     @Test
-    void opensConnectionsByTheNewSettingsLimit() throws Exception {
+    void appliesNewConnectTimeout() throws Exception {
         final UnaryOperator<String> patient =
                 text -> text.replace("deadlineUs\":5000000", "deadlineUs\":60000000");
         try (TestNode node =
@@ -143,15 +150,15 @@
     }
 
     /**
-     * The longest waiting made room for the next client though its request lay unread, and got no
-     * answer.
+     * Regression: the longest idle client was evicted for a new client although its request lay
+     * unread, and got no answer.
      */
     @Test
-    void makesNoRoomByAClientWhoseRequestLiesUnread() throws Exception {
+    void neverEvictsClientWithUnreadRequest() throws Exception {
         try (TestNode node = new TestNode(HOLDS);
                 Peer early = node.client()) {
-            // Of 200 descriptors 83 are for clients; the last of 82 is known to be accepted by its
-            // request.
+            // 83 of the 200 descriptors are for clients. The request of the 82nd client shows that
+            // all 82 are accepted.
             for (int i = 2; i <= 82; i++) {
                 held.add(node.client());
             }
