--- a/src/test/java/cresschute/node/ClassTableTest.java
+++ b/src/test/java/cresschute/node/ClassTableTest.java
@@ -17,13 +17,13 @@
  */
 class ClassTableTest {
 
-    private static RequestClass of(Idempotency effect, double priorityWeight) {
+    private static RequestClass of(Idempotency idempotency, double priorityWeight) {
         return new RequestClass(
                 priorityWeight,
                 400_000,
                 2,
                 5_000_000,
-                effect,
+                idempotency,
                 DeduplicationScope.ALL,
                 0,
                 Placement.ANYWHERE);
@@ -36,7 +36,7 @@
     private final ClassTable start = ClassTable.of(List.of("check", "file"), List.of(PURE, KEYED));
 
     @Test
-    void theSameClassesKeepTheirNumbers() {
+    void keepsNumbersOfUnchangedClasses() {
         final ClassTable again = start.updatedWith(List.of("file", "check"), List.of(KEYED, PURE));
         assertThat(again.isSameAs(start)).isTrue();
         assertThat(again.live()).isEqualTo(Map.of("check", 0, "file", 1));
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void aNewClassIsAddedAndOneThatGoesIsRetired() {
+    void addsNewClassAndRetiresRemovedClass() {
         final ClassTable next = start.updatedWith(List.of("check", "report"), List.of(PURE, ONCE));
         assertThat(next.classes()).containsExactly(PURE, KEYED, ONCE);
         assertThat(next.names()).containsExactly("check", "file", "report");
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void aChangedClassComesAnewUnderItsName() {
+    void assignsNewNumberToChangedClass() {
         final ClassTable next = start.updatedWith(List.of("check", "file"), List.of(PURE, ONCE));
         assertThat(next.classes()).containsExactly(PURE, KEYED, ONCE);
         assertThat(next.changesFrom(start)).isEqualTo("changed: file");
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void refusesANameTwiceAndMoreNumbersThanItGivesOut() {
+    void rejectsDuplicateNameAndMoreThanMaxClasses() {
         assertThatThrownBy(() -> start.updatedWith(List.of("check", "check"), List.of(PURE, KEYED)))
                 .hasMessageContaining("named twice");
         ClassTable table = start;
--- a/src/test/java/cresschute/node/ClientCloseCrossingRulesTest.java
+++ b/src/test/java/cresschute/node/ClientCloseCrossingRulesTest.java
@@ -32,7 +32,7 @@
             worker.write(done("r1"));
             client.read();
             assertThat(eventStarting(node, "ended")).contains("SERVED");
-            holding(node, actions -> client.write(request("r2", "", "")).leave());
+            whileLoopBlocked(node, actions -> client.write(request("r2", "", "")).leave());
             assertThat(eventStarting(node, "requested")).startsWith("requested 2");
             assertThat(node.event()).isEqualTo("left 2");
             assertThat(node.event()).startsWith("ended 2 0 NOT_SENT closed true");
@@ -47,11 +47,11 @@
     @ParameterizedTest
     @EnumSource
     void sendsNothingOnAKeptConnectionForAClientWhoseCloseIsUnread(Close close) throws Exception {
-        try (TestNode node = new TestNode(HOLDS);
+        try (TestNode node = new TestNode(SEND_NOTHING);
                 Peer client = node.client();
                 Peer next = node.client()) {
-            final Peer worker = keptWithRequestHeld(node, client, next);
-            holding(
+            final Peer worker = keepConnectionWithPendingRequest(node, client, next);
+            whileLoopBlocked(
                     node,
                     actions -> {
                         close.by(next);
@@ -70,8 +70,8 @@
         try (TestNode node = new TestNode();
                 Peer client = node.client()) {
             client.write(request("r1", "", ""));
-            hang(node);
-            holding(
+            readWithoutAnswering(node);
+            whileLoopBlocked(
                     node,
                     actions -> {
                         client.leave();
@@ -88,17 +88,17 @@
     @ParameterizedTest
     @EnumSource
     void sendsNothingOnANewConnectionForAClientWhoseCloseIsUnread(Close close) throws Exception {
-        try (TestNode node = patient(SENDS);
+        try (TestNode node = withLongConnectTimeout(SEND_AT_ONCE);
                 Peer client = node.client()) {
-            fill(node.worker);
+            fillBacklog(node.worker);
             client.write(request("r1", "", ""));
             assertThat(node.event()).startsWith("requested 1");
-            untilItHasTurned(node);
+            awaitTurn(node);
             final List<Peer> accepted = new ArrayList<>();
-            holding(
+            whileLoopBlocked(
                     node,
                     actions -> {
-                        acceptFilled(node.worker);
+                        acceptBacklog(node.worker);
                         accepted.add(node.worker());
                         close.by(client);
                     });
@@ -113,7 +113,7 @@
      */
     @Test
     void takesAHalfCloseForLeavingAndServesOthers() throws Exception {
-        try (TestNode node = new TestNode(HOLDS);
+        try (TestNode node = new TestNode(SEND_NOTHING);
                 Peer client = node.client();
                 Peer other = node.client()) {
             client.write(request("r1", "", ""));
@@ -132,7 +132,7 @@
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void seesAClientLeaveThatHasSentMoreThanIsTakenAhead(boolean resets) throws Exception {
-        try (TestNode node = new TestNode(HOLDS)) {
+        try (TestNode node = new TestNode(SEND_NOTHING)) {
             final Peer client = node.client();
             for (int i = 1; i <= 16; i++) {
                 client.write(request("r" + i, "", ""));
@@ -160,10 +160,11 @@
             throws Exception {
         final Bodies bodies =
                 LongBodyNode.bodies(new ClassBodies(8L << 20, 1024, 20_000_000, false, false));
-        try (TestNode node = patient(connecting ? SENDS : HOLDS, bodies);
+        try (TestNode node = withLongConnectTimeout(
+                                connecting ? SEND_AT_ONCE : SEND_NOTHING, bodies);
                 Peer other = node.client()) {
             if (connecting) {
-                fill(node.worker);
+                fillBacklog(node.worker);
             }
             final Peer client = node.client().write(LongBodyNode.head("r1", 8L << 20, ""));
             client.writeBytes(0, LongBodyNode.MAX_OF_ONE);
@@ -175,7 +176,7 @@
             node.act(actions -> actions.startTimer(5, 150_000));
             assertThat(eventStarting(node, "woken")).isEqualTo("woken 5");
             if (connecting) {
-                acceptFilled(node.worker);
+                acceptBacklog(node.worker);
                 // Its connection came up, and ends without a byte.
                 assertThat(node.worker().isClosedByOther()).isTrue();
                 assertThat(eventStarting(node, "ended"))
@@ -194,7 +195,7 @@
 
     @Test
     void takesWhatWaitsBehindOthersInOrderOnceThereIsPlace() throws Exception {
-        try (TestNode node = new TestNode(HOLDS);
+        try (TestNode node = new TestNode(SEND_NOTHING);
                 Peer client = node.client()) {
             for (int i = 1; i <= 18; i++) {
                 client.write(request("r" + i, "", ""));
@@ -214,7 +215,7 @@
     /** One client's flood is rejected or closed on, and others are served. */
     @Test
     void endsAFloodOfRequestsWithoutAnswers() throws Exception {
-        try (TestNode node = new TestNode(HOLDS);
+        try (TestNode node = new TestNode(SEND_NOTHING);
                 Peer flood = node.client();
                 Peer usual = node.client()) {
             final StringBuilder requests = new StringBuilder();
--- a/src/test/java/cresschute/node/ConnectCrossingRulesTest.java
+++ b/src/test/java/cresschute/node/ConnectCrossingRulesTest.java
@@ -25,17 +25,17 @@
 
     /** Leaving did not stop the write: the job ran for nobody, up to the connect time-out later. */
     @Test
-    void nothingIsSentForAClientThatLeftWhileTheConnectionCameUp() throws Exception {
-        try (TestNode node = patient(SENDS);
+    void sendsNothingForClientThatLeftDuringConnect() throws Exception {
+        try (TestNode node = withLongConnectTimeout(SEND_AT_ONCE);
                 Peer other = node.client()) {
-            fill(node.worker);
+            fillBacklog(node.worker);
             final Peer client = node.client().write(request("r1", "", ""));
             assertThat(node.event()).startsWith("requested 1");
-            untilItHasTurned(node);
+            awaitTurn(node);
             client.leave();
             assertThat(node.event()).isEqualTo("left 1");
             assertThat(node.event()).startsWith("ended 1 0 CANCELLED closed true");
-            acceptFilled(node.worker);
+            acceptBacklog(node.worker);
             other.write(request("r2", "", ""));
             assertThat(node.worker().read()).contains("X-Request-Id: r2");
         }
@@ -43,10 +43,10 @@
 
     /** The same where the module gave the request up before its connection was there. */
     @Test
-    void nothingIsSentForARequestThatWasRefusedWhileTheConnectionCameUp() throws Exception {
-        try (TestNode node = patient(SENDS);
+    void sendsNothingForRequestRejectedDuringConnect() throws Exception {
+        try (TestNode node = withLongConnectTimeout(SEND_AT_ONCE);
                 Peer client = node.client()) {
-            fill(node.worker);
+            fillBacklog(node.worker);
             client.write(request("r1", "", ""));
             assertThat(node.event()).startsWith("requested 1");
             node.act(actions -> actions.reject(1, 0));
@@ -61,12 +61,12 @@
      */
     @ParameterizedTest
     @ValueSource(strings = {"draining", "gone", "left out", "moved", "restarted"})
-    void nothingIsSentToAWorkerOfWhichMoreWasToldWhileTheConnectionCameUp(String what)
+    void sendsNothingToWorkerWhoseListEntryChangedDuringConnect(String what)
             throws Exception {
-        try (TestNode node = patient(SENDS);
+        try (TestNode node = withLongConnectTimeout(SEND_AT_ONCE);
                 Peer client = node.client();
                 ServerSocket moved = Peer.listen()) {
-            fill(node.worker);
+            fillBacklog(node.worker);
             node.act(DispatcherActions::pollEndpointList);
             final Peer discovery = node.discovery();
             discovery.read();
@@ -95,11 +95,11 @@
     }
 
     @Test
-    void nothingIsSentToAWorkerThatAnOperatorTookOutWhileTheConnectionCameUp(@TempDir Path shared)
+    void sendsNothingToWorkerThatOperatorDisabledDuringConnect(@TempDir Path shared)
             throws Exception {
         try (TestNode node = new TestNode(shared, null);
                 Peer client = node.client()) {
-            fill(node.worker);
+            fillBacklog(node.worker);
             // The call is carried out within the connect time-out, which here is the usual one.
             try (Peer operator = Peer.connect(node.server.managementAddress())) {
                 client.write(request("r1", "", ""));
@@ -118,29 +118,29 @@
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void endsOnceWhereAClientLeavesAndItsWorkerDrains(boolean leavesFirst) throws Exception {
-        try (TestNode node = patient(SENDS);
+    void endsAttemptOnceIfClientLeavesAndWorkerDrains(boolean leavesFirst) throws Exception {
+        try (TestNode node = withLongConnectTimeout(SEND_AT_ONCE);
                 Peer client = node.client()) {
-            fill(node.worker);
+            fillBacklog(node.worker);
             node.act(DispatcherActions::pollEndpointList);
             final Peer discovery = node.discovery();
             discovery.read();
             client.write(request("r1", "", ""));
             assertThat(eventStarting(node, "requested")).startsWith("requested 1");
-            untilItHasTurned(node);
-            final String news =
+            awaitTurn(node);
+            final String change =
                     answer("200 OK", "", list(2, false, entry("s-1", node.worker, "DRAINING")));
             if (leavesFirst) {
                 client.leave();
                 assertThat(eventStarting(node, "left")).isEqualTo("left 1");
                 assertThat(node.event()).startsWith("ended 1 0 CANCELLED closed true");
-                discovery.write(news);
+                discovery.write(change);
                 assertThat(node.event()).startsWith("listed CHANGES 0DRAINING");
             } else {
-                holding(
+                whileLoopBlocked(
                         node,
                         actions -> {
-                            discovery.write(news);
+                            discovery.write(change);
                             client.leave();
                         });
                 assertThat(eventStarting(node, "ended")).startsWith("ended 1 0 ");
@@ -160,34 +160,34 @@
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void tellsWhatIsLeftWhenTheConnectionIsUp(boolean further) throws Exception {
-        try (TestNode node = patient(further ? SENDS : HOLDS);
+    void statesRemainingTimeOnceConnected(boolean isHedge) throws Exception {
+        try (TestNode node = withLongConnectTimeout(isHedge ? SEND_AT_ONCE : SEND_NOTHING);
                 Peer client = node.client()) {
             final long sentNs = System.nanoTime();
             client.write(request("r1", "", ""));
             assertThat(node.event()).startsWith("requested 1");
-            if (further) {
-                hang(node);
+            if (isHedge) {
+                readWithoutAnswering(node);
             }
-            fill(node.worker);
+            fillBacklog(node.worker);
             node.act(actions -> actions.send(1, 0, Long.MAX_VALUE));
-            untilTimerRan(node);
-            acceptFilled(node.worker);
-            assertTellsWhatIsLeft(node.worker().read(), sentNs);
+            awaitDelayedTimer(node);
+            acceptBacklog(node.worker);
+            assertStatesRemainingTime(node.worker().read(), sentNs);
         }
     }
 
     /** The same on a connection that was kept, for an attempt that the module held back. */
     @Test
-    void tellsWhatIsLeftOnAKeptConnection() throws Exception {
-        try (TestNode node = new TestNode(HOLDS);
+    void statesRemainingTimeOnKeptConnection() throws Exception {
+        try (TestNode node = new TestNode(SEND_NOTHING);
                 Peer client = node.client();
                 Peer next = node.client()) {
             final long sentNs = System.nanoTime();
-            final Peer worker = keptWithRequestHeld(node, client, next);
-            untilTimerRan(node);
+            final Peer worker = keepConnectionWithPendingRequest(node, client, next);
+            awaitDelayedTimer(node);
             node.act(actions -> actions.send(2, 0, Long.MAX_VALUE));
-            assertTellsWhatIsLeft(worker.read(), sentNs);
+            assertStatesRemainingTime(worker.read(), sentNs);
         }
     }
 
@@ -196,19 +196,19 @@
      * it.
      */
     @Test
-    void tellsWhatIsLeftAfterAWaitForRoom() throws Exception {
-        try (TestNode node = new TestNode(HOLDS);
+    void statesRemainingTimeAfterPipelineWait() throws Exception {
+        try (TestNode node = new TestNode(SEND_NOTHING);
                 Peer client = node.client()) {
             final long sentNs = System.nanoTime();
             for (int i = 1; i <= 17; i++) {
                 client.write(request("r" + i, "", ""));
             }
             assertThat(eventStarting(node, "requested 16")).isNotNull();
-            untilTimerRan(node);
+            awaitDelayedTimer(node);
             node.act(actions -> actions.reject(1, 0));
             assertThat(eventStarting(node, "requested 17")).isNotNull();
             node.act(actions -> actions.send(17, 0, Long.MAX_VALUE));
-            assertTellsWhatIsLeft(node.worker().read(), sentNs);
+            assertStatesRemainingTime(node.worker().read(), sentNs);
         }
     }
 
@@ -217,21 +217,24 @@
      * out.
      */
     @Test
-    void beginsNoAttemptWhoseTimeIsUp() throws Exception {
-        try (TestNode node = patient(HOLDS);
+    void sendsNothingForAttemptPastItsDeadline() throws Exception {
+        try (TestNode node = withLongConnectTimeout(SEND_NOTHING);
                 Peer client = node.client()) {
-            fill(node.worker);
+            fillBacklog(node.worker);
             client.write(request("r1", "", ""));
             assertThat(node.event()).startsWith("requested 1");
-            node.act(actions -> actions.send(1, 0, System.currentTimeMillis() * 1_000 + HELD_US));
-            untilItHasTurned(node);
+            node.act(
+                    actions ->
+                            actions.send(
+                                    1, 0, System.currentTimeMillis() * 1_000 + TIMER_DELAY_US));
+            awaitTurn(node);
             // Its SYN is sent again a second after the first, well after the time of the attempt is
             // up.
             final List<Peer> accepted = new ArrayList<>();
-            holding(
+            whileLoopBlocked(
                     node,
                     actions -> {
-                        acceptFilled(node.worker);
+                        acceptBacklog(node.worker);
                         accepted.add(node.worker());
                     });
             assertThat(accepted.get(0).isClosedByOther()).isTrue();
--- a/src/test/java/cresschute/node/CrossingFixture.java
+++ b/src/test/java/cresschute/node/CrossingFixture.java
@@ -24,16 +24,16 @@
  */
 abstract class CrossingFixture {
 
-    static final BiConsumer<DispatcherActions, Integer> HOLDS = (actions, request) -> {};
+    static final BiConsumer<DispatcherActions, Integer> SEND_NOTHING = (actions, request) -> {};
 
-    static final BiConsumer<DispatcherActions, Integer> SENDS =
+    static final BiConsumer<DispatcherActions, Integer> SEND_AT_ONCE =
             (actions, request) -> actions.send(request, 0, Long.MAX_VALUE);
 
-    final List<Peer> held = new ArrayList<>();
+    final List<Peer> peers = new ArrayList<>();
 
     @AfterEach
-    void letGo() throws IOException {
-        for (final Peer peer : held) {
+    void closePeers() throws IOException {
+        for (final Peer peer : peers) {
             peer.close();
         }
     }
@@ -53,12 +53,13 @@
     /**
      * A node to whose worker connections do not come up until it accepts, which may take for ever.
      */
-    static TestNode patient(BiConsumer<DispatcherActions, Integer> onRequest) throws Exception {
-        return patient(onRequest, null);
+    static TestNode withLongConnectTimeout(BiConsumer<DispatcherActions, Integer> onRequest)
+            throws Exception {
+        return withLongConnectTimeout(onRequest, null);
     }
 
-    static TestNode patient(BiConsumer<DispatcherActions, Integer> onRequest, Bodies bodies)
-            throws Exception {
+    static TestNode withLongConnectTimeout(
+            BiConsumer<DispatcherActions, Integer> onRequest, Bodies bodies) throws Exception {
         return TestNode.configured(
                 text ->
                         text.replace(
@@ -70,15 +71,15 @@
     /**
      * Fills a listener's queue: further connections come up only once some of these are accepted.
      */
-    void fill(ServerSocket listener) throws IOException {
+    void fillBacklog(ServerSocket listener) throws IOException {
         for (int i = 0; i <= Peer.BACKLOG; i++) {
-            held.add(Peer.connect(listener.getLocalSocketAddress()));
+            peers.add(Peer.connect(listener.getLocalSocketAddress()));
         }
     }
 
-    void acceptFilled(ServerSocket listener) throws IOException {
+    void acceptBacklog(ServerSocket listener) throws IOException {
         for (int i = 0; i <= Peer.BACKLOG; i++) {
-            held.add(Peer.accept(listener));
+            peers.add(Peer.accept(listener));
         }
     }
 
@@ -87,7 +88,7 @@
      * ends.
      */
     @FunctionalInterface
-    interface WhileHeld {
+    interface WhileLoopBlocked {
         void run(DispatcherActions actions) throws Exception;
     }
 
@@ -95,7 +96,7 @@
      * Holds the loop; what the module asks for meanwhile is carried out before anything else is
      * read.
      */
-    static void holding(TestNode node, WhileHeld then) throws Exception {
+    static void whileLoopBlocked(TestNode node, WhileLoopBlocked then) throws Exception {
         final CompletableFuture<Void> over = new CompletableFuture<>();
         node.act(
                 actions -> {
@@ -113,9 +114,9 @@
      * Takes an attempt and answers nothing. Held: a socket that nobody refers to may be closed at
      * any time.
      */
-    void hang(TestNode node) throws IOException {
+    void readWithoutAnswering(TestNode node) throws IOException {
         final Peer worker = node.worker();
-        held.add(worker);
+        peers.add(worker);
         worker.read();
     }
 
@@ -129,21 +130,21 @@
 
     static final long DEADLINE_US = 5_000_000;
 
-    static final long HELD_US = 400_000;
+    static final long TIMER_DELAY_US = 400_000;
 
     /** What the node keeps of a request's time for the way of its answer, and for rounding, us. */
     static final long MARGIN_US = 15_002;
 
-    static final Pattern TOLD = Pattern.compile("(?i)X-Deadline: ([0-9]+)u\r\n");
+    static final Pattern DEADLINE_HEADER = Pattern.compile("(?i)X-Deadline: ([0-9]+)u\r\n");
 
-    /** Waits until the node's own timer has run for {@value #HELD_US} us. */
-    static void untilTimerRan(TestNode node) throws InterruptedException {
-        node.act(actions -> actions.startTimer(5, HELD_US));
+    /** Waits until the node's own timer has run for {@value #TIMER_DELAY_US} us. */
+    static void awaitDelayedTimer(TestNode node) throws InterruptedException {
+        node.act(actions -> actions.startTimer(5, TIMER_DELAY_US));
         assertThat(eventStarting(node, "woken")).isEqualTo("woken 5");
     }
 
     /** Waits until what the module asked for is carried out: connecting is a task of its own. */
-    static void untilItHasTurned(TestNode node) throws InterruptedException {
+    static void awaitTurn(TestNode node) throws InterruptedException {
         node.act(actions -> actions.startTimer(6, 0));
         assertThat(eventStarting(node, "woken")).isEqualTo("woken 6");
     }
@@ -151,11 +152,11 @@
     /**
      * What an attempt told its worker: no more than is left, and no less than that and the margin.
      */
-    static void assertTellsWhatIsLeft(String head, long clientSentNs) {
-        final Matcher told = TOLD.matcher(head);
-        assertThat(told.find()).as(head).isTrue();
-        assertThat(Long.parseLong(told.group(1)))
-                .isLessThanOrEqualTo(DEADLINE_US - HELD_US)
+    static void assertStatesRemainingTime(String head, long clientSentNs) {
+        final Matcher stated = DEADLINE_HEADER.matcher(head);
+        assertThat(stated.find()).as(head).isTrue();
+        assertThat(Long.parseLong(stated.group(1)))
+                .isLessThanOrEqualTo(DEADLINE_US - TIMER_DELAY_US)
                 .isGreaterThanOrEqualTo(
                         DEADLINE_US - MARGIN_US - (System.nanoTime() - clientSentNs) / 1_000);
     }
@@ -183,7 +184,7 @@
     }
 
     /** Serves r1, as the module sends it, on a connection to the worker that is kept. */
-    static Peer kept(TestNode node, Peer client) throws IOException {
+    static Peer keepConnection(TestNode node, Peer client) throws IOException {
         client.write(request("r1", "", ""));
         final Peer worker = node.worker();
         worker.read();
@@ -195,7 +196,8 @@
     /**
      * Serves r1 on a connection to the worker that is kept, with r2 taken and held by the module.
      */
-    static Peer keptWithRequestHeld(TestNode node, Peer client, Peer next) throws Exception {
+    static Peer keepConnectionWithPendingRequest(TestNode node, Peer client, Peer next)
+            throws Exception {
         client.write(request("r1", "", ""));
         assertThat(node.event()).startsWith("requested 1");
         node.act(actions -> actions.send(1, 0, Long.MAX_VALUE));
@@ -208,7 +210,7 @@
         return worker;
     }
 
-    static final UnaryOperator<String> SHARED =
+    static final UnaryOperator<String> WITH_TENANTS =
             text ->
                     text.replace(
                             "\"zones\":",
--- a/src/test/java/cresschute/node/DescriptorBudgetTest.java
+++ b/src/test/java/cresschute/node/DescriptorBudgetTest.java
@@ -10,19 +10,19 @@
 class DescriptorBudgetTest {
 
     @Test
-    void clientsAndWorkersHaveAllWithoutAManagementListener() {
+    void givesClientsAndWorkersAllWithoutManagementListener() {
         assertThat(DescriptorBudget.of(200, false)).isEqualTo(new DescriptorBudget(83, 69, 0));
     }
 
     @Test
-    void managementCallsHaveTheirOwnQuota() {
+    void givesManagementCallsTheirOwnQuota() {
         assertThat(DescriptorBudget.of(640, true)).isEqualTo(new DescriptorBudget(308, 252, 32));
         assertThat(DescriptorBudget.of(200, true)).isEqualTo(new DescriptorBudget(73, 60, 19));
     }
 
     @ParameterizedTest
     @ValueSource(ints = {64, 100, 200, 640, 1024, 65_536})
-    void quotasAndReserveFitTheLimit(int descriptors) {
+    void quotasAndReserveAddUpToLimit(int descriptors) {
         for (final boolean hasManagement : new boolean[] {false, true}) {
             final DescriptorBudget budget = DescriptorBudget.of(descriptors, hasManagement);
             assertThat(
@@ -36,7 +36,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {0, 10, 48, 49})
-    void tooSmallALimitLeavesOneConnectionOfEachKind(int descriptors) {
+    void leavesOneConnectionOfEachKindUnderTooSmallLimit(int descriptors) {
         assertThat(DescriptorBudget.of(descriptors, true)).isEqualTo(new DescriptorBudget(1, 1, 1));
     }
 }
--- a/src/test/java/cresschute/node/DiscoveryCrossingRulesTest.java
+++ b/src/test/java/cresschute/node/DiscoveryCrossingRulesTest.java
@@ -20,7 +20,7 @@
      */
     @Test
     void opensASilentWatchAnewAtOnce() throws Exception {
-        try (TestNode node = new TestNode(HOLDS)) {
+        try (TestNode node = new TestNode(SEND_NOTHING)) {
             final Peer silent = watch(node);
             final Peer again = node.discovery();
             assertThat(again.read()).contains("?since=1&timeout_ms=1 ");
@@ -39,7 +39,7 @@
      */
     @Test
     void asksAThirdTimeAtOnceWhereTheRepeatIsSilentToo() throws Exception {
-        try (TestNode node = new TestNode(HOLDS)) {
+        try (TestNode node = new TestNode(SEND_NOTHING)) {
             watch(node);
             final Peer silentToo = node.discovery();
             assertThat(silentToo.read()).contains("?since=1&timeout_ms=1 ");
@@ -56,7 +56,7 @@
     /** The first call of a whole list states no wait, and was waited for as long as a watch. */
     @Test
     void asksAgainForAWholeListThatDoesNotCome() throws Exception {
-        try (TestNode node = new TestNode(HOLDS);
+        try (TestNode node = new TestNode(SEND_NOTHING);
                 ServerSocket next = Peer.listen()) {
             watch(node);
             reload(
@@ -77,7 +77,7 @@
     /** An answer that trickles and never ends is a silent one. */
     @Test
     void opensAWatchAnewWhoseAnswerNeverEnds() throws Exception {
-        try (TestNode node = new TestNode(HOLDS)) {
+        try (TestNode node = new TestNode(SEND_NOTHING)) {
             final Peer endless = watch(node);
             endless.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n{\r\n");
             final Peer again = node.discovery();
@@ -91,7 +91,7 @@
      */
     @Test
     void doubtsAnOlderListOnce() throws Exception {
-        try (TestNode node = new TestNode(HOLDS)) {
+        try (TestNode node = new TestNode(SEND_NOTHING)) {
             final Peer stale = watch(node);
             stale.write(answer("200 OK", "", list(0, true, entry("s-2", node.worker, "SERVING"))));
             assertThat(node.event()).isEqualTo("listed FAILED");
@@ -111,7 +111,7 @@
      */
     @Test
     void hearsNothingOfTheOldDiscoveryAfterTheMove() throws Exception {
-        try (TestNode node = new TestNode(HOLDS);
+        try (TestNode node = new TestNode(SEND_NOTHING);
                 ServerSocket next = Peer.listen()) {
             final Peer old = watch(node);
             final String text =
@@ -120,7 +120,7 @@
                                     ":" + node.discovery.getLocalPort() + "\"",
                                     ":" + next.getLocalPort() + "\"");
             final NodeConfig moved = NodeConfigParser.parse(text, java.util.Map.of());
-            holding(
+            whileLoopBlocked(
                     node,
                     actions -> {
                         old.write(
--- a/src/test/java/cresschute/node/FleetSizeTest.java
+++ b/src/test/java/cresschute/node/FleetSizeTest.java
@@ -22,7 +22,7 @@
 @Timeout(60)
 class FleetSizeTest {
 
-    private static final int MANY = 1_024;
+    private static final int FLEET_SIZE = 1_024;
 
     /** The smallest memory limit of a dispatcher, KiB. */
     private static final long MIN_MEMORY_KIB = 144 * 1024;
@@ -46,7 +46,7 @@
     }
 
     private static String entries(ServerSocket workerServer, int first, String state) {
-        return IntStream.range(first, first + MANY)
+        return IntStream.range(first, first + FLEET_SIZE)
                 .mapToObj(
                         i ->
                                 TestNode.entry("s-" + i, workerServer, state)
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void listsOfManyWorkersAndDispatchersAreServedFrom(@TempDir Path folder) throws Exception {
+    void servesWithListOfManyWorkersWithinMemoryLimit(@TempDir Path folder) throws Exception {
         final Path config = folder.resolve("config.json");
         try (ServerSocket workerServer = Peer.listen();
                 ServerSocket discovery = Peer.listen()) {
@@ -71,7 +71,7 @@
                                     indented(
                                             TestNode.list(
                                                     1, true, entries(workerServer, 0, "SERVING"))))
-                            .replace("\"balancers\":1", "\"balancers\":" + MANY));
+                            .replace("\"balancers\":1", "\"balancers\":" + FLEET_SIZE));
             final ProcessBuilder builder =
                     new ProcessBuilder(ProgramProcess.command(memoryFlags(), "serve"));
             builder.environment().put("BALANCER_CONFIG", config.toString());
@@ -89,7 +89,7 @@
                                         TestNode.list(
                                                 2,
                                                 true,
-                                                entries(workerServer, MANY / 2, "SERVING"))));
+                                                entries(workerServer, FLEET_SIZE / 2, "SERVING"))));
                 for (int at = 0; at < next.length(); at += 9_973) {
                     watch.write(next.substring(at, Math.min(next.length(), at + 9_973)));
                 }
--- a/src/test/java/cresschute/node/IdleLifecycle.java
+++ b/src/test/java/cresschute/node/IdleLifecycle.java
@@ -20,12 +20,12 @@
     final NodeConfig config;
     final RequestLifecycle lifecycle;
     final OperatorEventLog events = new OperatorEventLog(() -> this.nowUs);
-    final DurableDrains drains = new DurableDrains(loop.eventLoop(), new UnobservedDrains());
+    final DurableDrains drains = new DurableDrains(loop.eventLoop(), new NoOpDrainListener());
     final ControlContext node;
     final WorkerHealthMonitor health;
     long nowUs = 1_700_000_000_000_000L;
 
-    private static final class UnobservedDrains implements DrainListener {
+    private static final class NoOpDrainListener implements DrainListener {
 
         @Override
         public void drainChanged(DrainOperation operation) {
--- a/src/test/java/cresschute/node/KeptConnectionCrossingRulesTest.java
+++ b/src/test/java/cresschute/node/KeptConnectionCrossingRulesTest.java
@@ -19,12 +19,12 @@
      * have run.
      */
     @Test
-    void writesNoRequestToAKeptConnectionThatHasEnded() throws Exception {
-        try (TestNode node = new TestNode(HOLDS);
+    void writesNoRequestToClosedKeptConnection() throws Exception {
+        try (TestNode node = new TestNode(SEND_NOTHING);
                 Peer client = node.client();
                 Peer next = node.client()) {
-            final Peer worker = keptWithRequestHeld(node, client, next);
-            holding(
+            final Peer worker = keepConnectionWithPendingRequest(node, client, next);
+            whileLoopBlocked(
                     node,
                     actions -> {
                         worker.leave();
@@ -50,12 +50,13 @@
                     500 No | X-Load: x0=1
                     200 OK | X-Load: x0=1
                     """)
-    void takesNoAnswerThatWasThereBeforeTheRequest(String status, String header) throws Exception {
-        try (TestNode node = new TestNode(HOLDS);
+    void ignoresResponseReceivedBeforeRequestWasWritten(String status, String header)
+            throws Exception {
+        try (TestNode node = new TestNode(SEND_NOTHING);
                 Peer client = node.client();
                 Peer next = node.client()) {
-            final Peer worker = keptWithRequestHeld(node, client, next);
-            holding(
+            final Peer worker = keepConnectionWithPendingRequest(node, client, next);
+            whileLoopBlocked(
                     node,
                     actions -> {
                         worker.write(answer(status, header + "\r\n", ""));
@@ -83,12 +84,12 @@
                     200 OK | X-Load: x0=1 | {"id":"r1","from":"s-1","state":"returned"}
                     200 OK | X-Load: x0=1 | {"id":"r1","from":"s-1","state":"done","result":"again"}
                     """)
-    void passesOverASecondAnswerToTheRequestBefore(String status, String header, String line)
+    void skipsDuplicateResponseToPreviousRequest(String status, String header, String line)
             throws Exception {
-        try (TestNode node = new TestNode(HOLDS);
+        try (TestNode node = new TestNode(SEND_NOTHING);
                 Peer client = node.client();
                 Peer next = node.client()) {
-            final Peer worker = keptWithRequestHeld(node, client, next);
+            final Peer worker = keepConnectionWithPendingRequest(node, client, next);
             node.act(actions -> actions.send(2, 0, Long.MAX_VALUE));
             assertThat(worker.read()).contains("X-Request-Id: r2");
             worker.write(answer(status, header + "\r\n", line) + done("r2"));
@@ -100,11 +101,11 @@
 
     /** Whether it was the next request's own answer is never known: it may have run. */
     @Test
-    void takesNoSecondAnswerForProofWhereTheConnectionEndsBehindIt() throws Exception {
-        try (TestNode node = new TestNode(HOLDS);
+    void treatsLoneDuplicateResponseBeforeCloseAsBroken() throws Exception {
+        try (TestNode node = new TestNode(SEND_NOTHING);
                 Peer client = node.client();
                 Peer next = node.client()) {
-            final Peer worker = keptWithRequestHeld(node, client, next);
+            final Peer worker = keepConnectionWithPendingRequest(node, client, next);
             node.act(actions -> actions.send(2, 0, Long.MAX_VALUE));
             assertThat(worker.read()).contains("X-Request-Id: r2");
             worker.write(answer("503 No", "X-Not-Run: 1\r\n", "")).leave();
@@ -116,7 +117,7 @@
     @ParameterizedTest
     @ValueSource(
             strings = {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", "what is this\r\n\r\n", "x"})
-    void closesAloneTheKeptConnectionOnWhichBytesCameUnasked(String bytes) throws Exception {
+    void closesOnlyTheKeptConnectionThatReceivedUnsolicitedBytes(String bytes) throws Exception {
         try (TestNode node = new TestNode();
                 Peer client = node.client();
                 Peer other = node.client()) {
--- a/src/test/java/cresschute/node/PeerLoadsTest.java
+++ b/src/test/java/cresschute/node/PeerLoadsTest.java
@@ -36,7 +36,7 @@
 @Timeout(60)
 class PeerLoadsTest {
 
-    private static final Duration PATIENCE = Duration.ofSeconds(20);
+    private static final Duration TIMEOUT = Duration.ofSeconds(20);
     private static final int REQUESTS = 4;
 
     /**
@@ -180,7 +180,7 @@
     private boolean isComplete() throws Exception {
         return node.loop()
                 .submit(() -> node.peers().isComplete())
-                .get(PATIENCE.toSeconds(), TimeUnit.SECONDS);
+                .get(TIMEOUT.toSeconds(), TimeUnit.SECONDS);
     }
 
     private void request(String id) throws IOException {
@@ -191,18 +191,18 @@
     }
 
     @Test
-    void workersAreSelectedByTheViewWithoutLoadQueriesUntilAPeerDies() throws Exception {
+    void selectsWorkersByPeerCountsWithoutLoadQueriesUntilPeersFail() throws Exception {
         int completeRequests = 0;
         for (int i = 0; completeRequests < REQUESTS && i < MAX_REQUESTS; i++) {
             sendPeerMessages();
-            await().atMost(PATIENCE).until(this::isComplete);
+            await().atMost(TIMEOUT).until(this::isComplete);
             final int loadQueries = busy.loadQueries.get() + idle.loadQueries.get();
             final int jobs = idle.jobs.get();
             request("r" + i);
             // Still complete, and no message came meanwhile, so it was complete all the time.
             if (isComplete()) {
                 assertThat(busy.loadQueries.get() + idle.loadQueries.get())
-                        .as("probes")
+                        .as("load queries")
                         .isEqualTo(loadQueries);
                 assertThat(idle.jobs.get()).as("jobs at the idle worker").isEqualTo(jobs + 1);
                 completeRequests++;
@@ -210,16 +210,16 @@
         }
         assertThat(completeRequests).as("requests under a complete view").isEqualTo(REQUESTS);
         // Both peers send nothing: the view becomes incomplete, and workers are queried.
-        await().atMost(PATIENCE).until(() -> !isComplete());
+        await().atMost(TIMEOUT).until(() -> !isComplete());
         for (int i = 0; busy.loadQueries.get() + idle.loadQueries.get() == 0 && i < 20; i++) {
             request("s" + i);
         }
-        assertThat(busy.loadQueries.get() + idle.loadQueries.get()).as("probes").isPositive();
+        assertThat(busy.loadQueries.get() + idle.loadQueries.get()).as("load queries").isPositive();
     }
 
     @Test
-    void nodeSendsItsOwnCountsToItsPeers() throws Exception {
-        peers[0].setSoTimeout((int) PATIENCE.toMillis());
+    void sendsOwnCountsToPeers() throws Exception {
+        peers[0].setSoTimeout((int) TIMEOUT.toMillis());
         final DatagramPacket packet = new DatagramPacket(new byte[2_000], 2_000);
         peers[0].receive(packet);
         final byte[] bytes = java.util.Arrays.copyOf(packet.getData(), packet.getLength());
--- a/src/test/java/cresschute/node/RequestLifecycleTest.java
+++ b/src/test/java/cresschute/node/RequestLifecycleTest.java
@@ -29,7 +29,7 @@
     private final EmbeddedChannel loop = new EmbeddedChannel();
     private final List<String> events = new ArrayList<>();
     private final List<AttemptListener> attempts = new ArrayList<>();
-    private final List<Integer> givenUp = new ArrayList<>();
+    private final List<Integer> aborted = new ArrayList<>();
     private long nowUs = 1_000_000;
     private boolean dispatcherThrows;
     private int sendsPerRequest = 1;
@@ -73,14 +73,14 @@
                         }
                         final int number = attempts.size() - 1;
                         return () -> {
-                            givenUp.add(number);
+                            aborted.add(number);
                             return Outcome.TIMED_OUT;
                         };
                     }
 
                     @Override
                     public void queryLoad(InetSocketAddress addr, LoadQueryListener listener) {
-                        events.add("probe");
+                        events.add("loadQuery");
                     }
 
                     @Override
@@ -90,7 +90,7 @@
                 },
                 () -> events.add("watch"),
                 config.known());
-        turn();
+        runTurn();
         events.clear();
     }
 
@@ -124,20 +124,20 @@
                         });
     }
 
-    private void turn() {
+    private void runTurn() {
         loop.runPendingTasks();
     }
 
-    private void pass(long us) {
+    private void advance(long us) {
         nowUs += us;
         loop.advanceTimeBy(us, TimeUnit.MICROSECONDS);
         loop.runScheduledPendingTasks();
-        turn();
+        runTurn();
     }
 
     private ClientRequest submit() {
         final ClientRequest request = lifecycle.submit(CONTENT, JOB, 100_000, this);
-        turn();
+        runTurn();
         return request;
     }
 
@@ -149,7 +149,7 @@
     @Override
     public ResultStream resultBegins(String type, long length) {
         events.add("streams " + type + " " + length);
-        return whole -> events.add(whole ? "whole" : "broken");
+        return complete -> events.add(complete ? "whole" : "broken");
     }
 
     @Override
@@ -168,22 +168,22 @@
     }
 
     @Test
-    void reportsAllEventsBeforeItActs() {
+    void reportsAllEventsBeforeRunningActions() {
         lifecycle.submit(CONTENT, JOB, 100_000, this);
         lifecycle.discoveryFailed();
         assertThat(events).isEmpty();
-        turn();
+        runTurn();
         assertThat(events).containsExactly("requestArrived", "endpointListChanged");
         assertThat(attempts).hasSize(1);
     }
 
     /** A request is kept until the dispatcher knows its end, so that its sends stay numbered. */
     @Test
-    void numbersASendThatCrossesTheClientsLeaving() {
+    void numbersSendThatDispatcherChoseBeforeClientLeft() {
         final ClientRequest request = submit();
         attempts.get(0).ended(Outcome.FULL, LoadReport.NONE, null);
         lifecycle.clientLeft(request);
-        turn();
+        runTurn();
         assertThat(events)
                 .containsExactly(
                         "requestArrived",
@@ -194,18 +194,18 @@
     }
 
     @Test
-    void givesUpAttemptInTimeForTheAnswer() {
+    void abortsAttemptInTimeForAnswer() {
         submit();
-        pass(100_000 - RequestLifecycle.ANSWER_MARGIN_US);
+        advance(100_000 - RequestLifecycle.ANSWER_MARGIN_US);
         assertThat(events).containsExactly("requestArrived", "attemptEnded 0 TIMED_OUT false");
     }
 
     @Test
-    void answersServedAtOnceAndOnlyOnce() {
+    void answersServedRequestAtOnceAndOnlyOnce() {
         submit();
         attempts.get(0).ended(Outcome.SERVED, LoadReport.NONE, "yes");
         actions.fail(1);
-        turn();
+        runTurn();
         assertThat(events)
                 .containsExactly("requestArrived", "served yes", "attemptEnded 0 SERVED true");
         assertThat(lifecycle.unanswered()).isZero();
@@ -213,13 +213,13 @@
 
     /** The others may wait in their workers' queues; their end is no failure of the workers. */
     @Test
-    void cancelsTheOtherAttemptsOnceOneServes() {
+    void cancelsOtherAttemptsOnceOneServes() {
         sendsPerRequest = 3;
         submit();
         assertThat(attempts).hasSize(3);
         attempts.get(1).ended(Outcome.SERVED, LoadReport.NONE, "yes");
-        turn();
-        assertThat(givenUp).containsExactlyInAnyOrder(0, 2);
+        runTurn();
+        assertThat(aborted).containsExactlyInAnyOrder(0, 2);
         assertThat(events)
                 .containsOnlyOnce("served yes")
                 .contains(
@@ -231,12 +231,12 @@
 
     /** Its client may have left unseen. */
     @Test
-    void beginsNoHedgeWhileItsClientIsNotRead() {
+    void sendsNoHedgedAttemptWhileReadingClientIsPaused() {
         submit();
         readPausedUs = RequestLifecycle.MAX_READ_PAUSE_US + 1;
         actions.send(1, 0, Long.MAX_VALUE);
         lifecycle.discoveryFailed();
-        turn();
+        runTurn();
         assertThat(attempts).hasSize(1);
         assertThat(events)
                 .containsExactly(
@@ -246,27 +246,27 @@
     }
 
     @Test
-    void beginsNoHedgeOnANewConnectionWhileItsClientIsNotRead() {
+    void beginsNoHedgedAttemptOnNewConnectionWhileReadingClientIsPaused() {
         sendsPerRequest = 2;
         submit();
         assertThat(attempts.get(1).mayBegin()).isTrue();
         readPausedUs = RequestLifecycle.MAX_READ_PAUSE_US + 1;
         assertThat(attempts.get(1).mayBegin()).isFalse();
-        turn();
-        assertThat(givenUp).containsExactly(1);
+        runTurn();
+        assertThat(aborted).containsExactly(1);
         assertThat(events).containsExactly("requestArrived", "attemptEnded 1 CANCELLED false");
     }
 
     @Test
-    void failsRequestThatTheDispatcherForgets() {
+    void failsRequestThatDispatcherNeverAnswers() {
         submit();
-        pass(100_000 + RequestLifecycle.OVERDUE_US);
+        advance(100_000 + RequestLifecycle.OVERDUE_US);
         assertThat(events).containsOnlyOnce("failed").containsSubsequence("failed", "clientLeft");
         assertThat(lifecycle.invariant().total()).isPositive();
     }
 
     @Test
-    void failsRequestOnWhichTheDispatcherThrows() {
+    void failsRequestIfDispatcherThrows() {
         dispatcherThrows = true;
         assertThatThrownBy(this::submit).hasMessageContaining("module failed");
         assertThat(events).containsExactly("failed");
@@ -277,12 +277,12 @@
     void endsAttemptThatCannotBeStarted() {
         connectionsThrow = true;
         submit();
-        turn();
+        runTurn();
         assertThat(events).containsExactly("requestArrived", "attemptEnded 0 CONNECT_FAILED false");
     }
 
     @Test
-    void countsASecondEndOfAnAttempt() {
+    void reportsSecondEndOfAttemptAsBrokenInvariant() {
         submit();
         attempts.get(0).ended(Outcome.BROKEN, LoadReport.NONE, null);
         assertThatThrownBy(() -> attempts.get(0).ended(Outcome.ERROR, LoadReport.NONE, null))
@@ -291,7 +291,7 @@
 
     /** A keyed request that has been sent binds the cell that it went to, until it is answered. */
     @Test
-    void keyedRequestBindsItsCellWhileItIsOpen() {
+    void bindsCellOfKeyedRequestWhileOpen() {
         submit();
         assertThat(lifecycle.boundCells()).isEmpty();
         lifecycle.submit(
@@ -299,7 +299,7 @@
                 new Job(1, 0, 1, 0, 0, false),
                 100_000,
                 this);
-        turn();
+        runTurn();
         assertThat(lifecycle.boundCells()).containsExactly(0);
         attempts.get(1).ended(Outcome.SERVED, LoadReport.NONE, "yes");
         assertThat(lifecycle.boundCells()).isEmpty();
--- a/src/test/java/cresschute/node/SettingsCrossingRulesTest.java
+++ b/src/test/java/cresschute/node/SettingsCrossingRulesTest.java
@@ -52,7 +52,7 @@
      */
     @Test
     void takesNothingOverFromTheRequestBeforeOnItsConnection() throws Exception {
-        try (TestNode node = new TestNode(HOLDS);
+        try (TestNode node = new TestNode(SEND_NOTHING);
                 Peer client = node.client()) {
             client.write(
                     "POST /file?obj=2a HTTP/1.1\r\nX-Request-Id: r1\r\nIdempotency-Key: k\r\n"
@@ -76,7 +76,7 @@
     /** Every request counted against the first customer's share, whoever had sent it. */
     @Test
     void countsEachRequestAgainstTheShareOfItsOwnCustomer() throws Exception {
-        try (TestNode node = TestNode.configured(SHARED, HOLDS);
+        try (TestNode node = TestNode.configured(WITH_TENANTS, SEND_NOTHING);
                 Peer client = node.client()) {
             client.write(
                     request("r1", "X-Tenant: beta co\r\n", "")
@@ -84,7 +84,7 @@
             assertThat(node.event()).isEqualTo("requested 1 class 0 key 42 tenant 1");
             assertThat(node.event()).isEqualTo("requested 2 class 0 key 42");
             // The same name has another place, and no other setting has changed its meaning.
-            reload(node, text -> SHARED.apply(text).replace("alpha", "gamma"));
+            reload(node, text -> WITH_TENANTS.apply(text).replace("alpha", "gamma"));
             assertThat(node.event()).startsWith("retuned");
             client.write(request("r3", "X-Tenant: gamma\r\n", ""));
             assertThat(node.event()).isEqualTo("requested 3 class 0 key 42");
@@ -100,7 +100,7 @@
                 "X-Tenant: alpha\r\nX-Tenant: beta co\r\n"
             })
     void answers400WhereARequestNamesNoCustomer(String headers) throws Exception {
-        try (TestNode node = TestNode.configured(SHARED, HOLDS);
+        try (TestNode node = TestNode.configured(WITH_TENANTS, SEND_NOTHING);
                 Peer client = node.client()) {
             client.write(request("r1", headers, ""));
             assertThat(client.read()).startsWith("HTTP/1.1 400").containsIgnoringCase("X-Tenant");
@@ -118,9 +118,9 @@
                                         text.replace(
                                                 "\"connIdleUs\":2000000",
                                                 "\"connIdleUs\":60000000"),
-                                SENDS);
+                                SEND_AT_ONCE);
                 Peer client = node.client()) {
-            final Peer worker = kept(node, client);
+            final Peer worker = keepConnection(node, client);
             reload(node, text -> text.replace("\"connIdleUs\":2000000", "\"connIdleUs\":50000000"));
             assertThat(worker.isClosedByOther()).isTrue();
         }
@@ -132,9 +132,10 @@
                 text -> text.replace("deadlineUs\":5000000", "deadlineUs\":60000000");
         try (TestNode node =
                         TestNode.configured(
-                                text -> patient.apply(text).replace("250000", "40000000"), SENDS);
+                                text -> patient.apply(text).replace("250000", "40000000"),
+                                SEND_AT_ONCE);
                 Peer client = node.client()) {
-            fill(node.worker);
+            fillBacklog(node.worker);
             reload(node, patient);
             client.write(request("r1", "", ""));
             assertThat(eventStarting(node, "ended"))
@@ -148,23 +149,23 @@
      */
     @Test
     void makesNoRoomByAClientWhoseRequestLiesUnread() throws Exception {
-        try (TestNode node = new TestNode(HOLDS);
+        try (TestNode node = new TestNode(SEND_NOTHING);
                 Peer early = node.client()) {
             // Of 200 descriptors 83 are for clients; the last of 82 is known to be accepted by its
             // request.
             for (int i = 2; i <= 82; i++) {
-                held.add(node.client());
+                peers.add(node.client());
             }
-            held.get(held.size() - 1).write(request("last", "", ""));
+            peers.get(peers.size() - 1).write(request("last", "", ""));
             assertThat(node.event()).startsWith("requested 1");
-            holding(
+            whileLoopBlocked(
                     node,
                     actions -> {
-                        held.add(node.client());
+                        peers.add(node.client());
                         early.write(request("early", "", ""));
                     });
             assertThat(eventStarting(node, "requested")).startsWith("requested 2");
-            assertThat(held.get(0).isClosedByOther()).isTrue();
+            assertThat(peers.get(0).isClosedByOther()).isTrue();
         }
     }
 }
--- a/src/test/java/cresschute/node/ShutdownCrossingRulesTest.java
+++ b/src/test/java/cresschute/node/ShutdownCrossingRulesTest.java
@@ -20,11 +20,11 @@
     @Test
     void acceptsWhoeverCameBeforeTheListenerCloses() throws Exception {
         try (TestNode node = new TestNode()) {
-            holding(
+            whileLoopBlocked(
                     node,
                     actions -> {
-                        held.add(node.client().write(request("r1", "", "")));
-                        held.add(node.client().write(request("r2", "", "")));
+                        peers.add(node.client().write(request("r1", "", "")));
+                        peers.add(node.client().write(request("r2", "", "")));
                         node.server.clientListener().stopAccepting();
                     });
             final Peer first = node.worker();
@@ -32,8 +32,8 @@
             for (final Peer worker : List.of(first, second)) {
                 worker.write(done(worker.read().contains("X-Request-Id: r1") ? "r1" : "r2"));
             }
-            assertThat(held.get(0).read()).endsWith("of r1");
-            assertThat(held.get(1).read()).endsWith("of r2");
+            assertThat(peers.get(0).read()).endsWith("of r1");
+            assertThat(peers.get(1).read()).endsWith("of r2");
         }
     }
 
@@ -42,8 +42,8 @@
     void takesWhatCameOnAnIdleConnectionBeforeItClosesIt() throws Exception {
         try (TestNode node = new TestNode();
                 Peer client = node.client()) {
-            final Peer worker = kept(node, client);
-            holding(
+            final Peer worker = keepConnection(node, client);
+            whileLoopBlocked(
                     node,
                     actions -> {
                         client.write(request("r2", "", ""));
@@ -61,11 +61,11 @@
      */
     @Test
     void endsAfterTheLastAnswerWithoutAReset() throws Exception {
-        try (TestNode node = new TestNode(HOLDS);
+        try (TestNode node = new TestNode(SEND_NOTHING);
                 Peer client = node.client()) {
             client.write(request("r1", "", ""));
             assertThat(node.event()).startsWith("requested 1");
-            holding(
+            whileLoopBlocked(
                     node,
                     actions -> {
                         node.server.clientListener().stopAccepting();
@@ -89,7 +89,7 @@
                 Peer early = node.client();
                 Peer late = node.client()) {
             early.write(request("r1", "", ""));
-            hang(node);
+            readWithoutAnswering(node);
             final String request = request("r2", "", "body");
             late.write(request.substring(0, request.length() - 1));
             final CompletableFuture<Void> stopped = node.server.stop();
@@ -97,7 +97,7 @@
                     node.server.loop().schedule(() -> {}, 3_700, TimeUnit.MILLISECONDS);
             assertThat(node.client().isClosedByOther()).isTrue();
             late.write(request.substring(request.length() - 1));
-            hang(node);
+            readWithoutAnswering(node);
             assertThat(early.read()).startsWith("HTTP/1.1 503");
             assertThat(late.read())
                     .startsWith("HTTP/1.1 503")
@@ -134,7 +134,7 @@
             client.write(
                     "POST /file HTTP/1.1\r\nX-Request-Id: r1\r\nIdempotency-Key: k\r\n"
                             + "Content-Length: 0\r\n\r\n");
-            hang(node);
+            readWithoutAnswering(node);
             final CompletableFuture<Void> stopped = node.server.stop();
             node.server.stop();
             assertThat(client.read()).startsWith("HTTP/1.1 500");
--- a/src/test/java/cresschute/scale/AnswerCount.java
+++ b/src/test/java/cresschute/scale/AnswerCounter.java
@@ -14,7 +14,7 @@
 /**
  * Counts the final answers that each request gets, between modules and their hosts of the model.
  */
-final class AnswerCount {
+final class AnswerCounter {
 
     private record Key(int dispatcher, int requestId) {}
 
@@ -24,7 +24,7 @@
     private int maxOpen;
 
     /** A maker that wraps the modules of another and their actions. */
-    ModuleMaker around(ModuleMaker maker) {
+    ModuleMaker wrap(ModuleMaker maker) {
         return (settings, seed, actions) -> {
             final int dispatcher = dispatchers++;
             final DispatcherActions counted =
@@ -54,18 +54,18 @@
     }
 
     /** What is to be noted of a call before it is passed on. */
-    private interface Note {
-        void of(String method, Object[] arguments);
+    private interface CallObserver {
+        void called(String method, Object[] arguments);
     }
 
-    private static Object wrap(Class<?> type, Object of, Note note) {
+    private static Object wrap(Class<?> type, Object target, CallObserver observer) {
         return Proxy.newProxyInstance(
                 type.getClassLoader(),
                 new Class<?>[] {type},
                 (proxy, method, args) -> {
-                    note.of(method.getName(), args);
+                    observer.called(method.getName(), args);
                     try {
-                        return method.invoke(of, args);
+                        return method.invoke(target, args);
                     } catch (InvocationTargetException e) {
                         throw e.getCause();
                     }
--- a/src/test/java/cresschute/scale/DecisionCostScaleTest.java
+++ b/src/test/java/cresschute/scale/DecisionCostScaleTest.java
@@ -20,12 +20,12 @@
     private static final long BETWEEN_DECISIONS_US = 10_000;
 
     /** Three rounds of eight draws, and one look for each load report. */
-    private static final int MAX_VISITS_A_DECISION = 32;
+    private static final int MAX_VISITS_PER_DECISION = 32;
 
     /** A fill visits each worker once, and there are at most three of them in a second. */
-    private static final int MAX_VISITS_A_WORKER_AND_SECOND = 4;
+    private static final int MAX_VISITS_PER_WORKER_PER_SECOND = 4;
 
-    private static final double MAX_VISITS_A_WORKER_AND_CHANGE = 3.5;
+    private static final double MAX_VISITS_PER_WORKER_PER_CHANGE = 3.5;
 
     private static ScriptedHost host(int workers) {
         final ScriptedHost host =
@@ -36,53 +36,53 @@
     }
 
     /** Mean visits of a decision and of the ending that follows; none may exceed the bound. */
-    private static double visitsADecision(int workers) {
+    private static double visitsPerDecision(int workers) {
         final ScriptedHost host = host(workers);
         final WorkerVisits visits = WorkerVisits.of(host.module, PlannedSize.ZONES);
-        long all = 0;
+        long total = 0;
         for (int i = 0; i < DECISIONS; i++) {
             host.nowUs += BETWEEN_DECISIONS_US;
             host.request(PlannedSize.USUAL, i % PlannedSize.TENANTS);
             host.end(Outcome.SERVED);
-            final long taken = visits.take();
-            assertThat(taken)
-                    .as("visits of decision %d before %d workers", i, workers)
-                    .isBetween(1L, (long) MAX_VISITS_A_DECISION);
-            all += taken;
+            final long count = visits.take();
+            assertThat(count)
+                    .as("visits for decision %d among %d workers", i, workers)
+                    .isBetween(1L, (long) MAX_VISITS_PER_DECISION);
+            total += count;
         }
-        return (double) all / DECISIONS;
+        return (double) total / DECISIONS;
     }
 
     @Test
-    void visitsNoMoreWorkersForADecisionAmongTenTimesAsMany() {
-        final double tenth = visitsADecision(PlannedSize.TENTH_OF_WORKERS);
-        final double planned = visitsADecision(PlannedSize.WORKERS);
-        final double beyond = visitsADecision(10 * PlannedSize.WORKERS);
+    void decisionVisitsNoMoreWorkersInTenfoldFleet() {
+        final double tenth = visitsPerDecision(PlannedSize.TENTH_OF_WORKERS);
+        final double planned = visitsPerDecision(PlannedSize.WORKERS);
+        final double tenfold = visitsPerDecision(10 * PlannedSize.WORKERS);
         // Fewer workers are queried less often, since each reports more often: the bound is on
         // growth.
         assertThat(planned)
-                .as("mean visits before 1,400 workers, 140: %s", tenth)
-                .isLessThan(MAX_VISITS_A_DECISION / 2.0);
-        assertThat(beyond)
-                .as("mean visits before 14,000 workers")
+                .as("mean visits among 1,400 workers; among 140: %s", tenth)
+                .isLessThan(MAX_VISITS_PER_DECISION / 2.0);
+        assertThat(tenfold)
+                .as("mean visits among 14,000 workers")
                 .isBetween(0.8 * planned, 1.2 * planned);
     }
 
     @Test
-    void visitsEachWorkerAFewTimesASecondForTimers() {
+    void timersVisitEachWorkerAFewTimesPerSecond() {
         for (final int workers : new int[] {PlannedSize.TENTH_OF_WORKERS, PlannedSize.WORKERS}) {
             final ScriptedHost host = host(workers);
             final WorkerVisits visits = WorkerVisits.of(host.module, PlannedSize.ZONES);
             final int seconds = 20;
-            host.pass(seconds * PlannedSize.SECOND_US);
+            host.advance(seconds * PlannedSize.SECOND_US);
             assertThat((double) visits.take() / workers / seconds)
-                    .as("visits a worker a second of %d", workers)
-                    .isBetween(0.5, (double) MAX_VISITS_A_WORKER_AND_SECOND);
+                    .as("visits per worker per second, %d workers", workers)
+                    .isBetween(0.5, (double) MAX_VISITS_PER_WORKER_PER_SECOND);
         }
     }
 
     @Test
-    void visitsEachWorkerAFewTimesForAChangeOfTheList() {
+    void listChangeVisitsEachWorkerAFewTimes() {
         for (final int workers : new int[] {PlannedSize.TENTH_OF_WORKERS, PlannedSize.WORKERS}) {
             final ScriptedHost host = host(workers);
             final WorkerVisits visits = WorkerVisits.of(host.module, PlannedSize.ZONES);
@@ -90,8 +90,8 @@
                     EndpointListForm.CHANGES,
                     List.of(PlannedSize.worker(3, WorkerState.DRAINING, 0)));
             assertThat((double) visits.take() / workers)
-                    .as("visits a worker for a change of %d", workers)
-                    .isLessThanOrEqualTo(MAX_VISITS_A_WORKER_AND_CHANGE);
+                    .as("visits per worker for a list change, %d workers", workers)
+                    .isLessThanOrEqualTo(MAX_VISITS_PER_WORKER_PER_CHANGE);
         }
     }
 }
--- a/src/test/java/cresschute/scale/ExchangeScaleTest.java
+++ b/src/test/java/cresschute/scale/ExchangeScaleTest.java
@@ -49,7 +49,7 @@
                 maker);
     }
 
-    private static long probes(FleetModel fleet) {
+    private static long loadQueries(FleetModel fleet) {
         fleet.pass(WARM_UP_S * PlannedSize.SECOND_US);
         fleet.meters().forEach(DispatcherMeter::restart);
         fleet.pass(SECONDS * PlannedSize.SECOND_US);
@@ -58,17 +58,20 @@
 
     /** Some are left, as a part of the questions is put to the worker itself. */
     @Test
-    void exchangeTakesTheWayOfNearlyAllProbesWithinItsBytes() {
+    void exchangeReplacesMostLoadQueriesWithinByteLimit() {
         final ExchangingModules exchange =
                 new ExchangingModules(Dispatcher::new, ExchangeSettings.DEFAULT_BYTES_PER_S);
-        final long with = probes(fleet(exchange));
-        final long without = probes(fleet(Dispatcher::new));
+        final long with = loadQueries(fleet(exchange));
+        final long without = loadQueries(fleet(Dispatcher::new));
         assertThat(without)
-                .as("probes without the exchange, seed %d", SEED)
+                .as("load queries without the exchange, seed %d", SEED)
                 .isGreaterThan(20L * SECONDS);
-        assertThat(with).as("probes with it, of %d", without).isPositive().isLessThan(without / 5);
+        assertThat(with)
+                .as("load queries with the exchange, of %d without", without)
+                .isPositive()
+                .isLessThan(without / 5);
         assertThat(exchange.answered())
-                .as("questions that the view answered")
+                .as("load queries that the exchange answered")
                 .isGreaterThan(without / 2);
         assertThat(exchange.bytes())
                 .as("bytes of all dispatchers")
--- a/src/test/java/cresschute/scale/FleetCapacityTest.java
+++ b/src/test/java/cresschute/scale/FleetCapacityTest.java
@@ -25,14 +25,14 @@
     }
 
     @Test
-    void theSameSeedIsTheSameResultToTheLastDigit() {
+    void sameSeedGivesIdenticalResult() {
         final String first = measured(FleetCapacity.MODULE, SEED).toString();
         assertThat(measured(FleetCapacity.MODULE, SEED).toString()).isEqualTo(first);
         assertThat(measured(FleetCapacity.MODULE, SEED + 1).toString()).isNotEqualTo(first);
     }
 
     @Test
-    void theTableHasALineForEachMeasureOfEachFleet() {
+    void tableHasOneLineForEachMeasureOfEachFleet() {
         final StringWriter text = new StringWriter();
         final Map<String, Double> measured =
                 new TreeMap<>(Map.of("value_share", 0.5, "none", Double.NaN));
@@ -58,11 +58,13 @@
     }
 
     @Test
-    void chanceStartsUrgentWorkLaterThanTheTrueState() {
+    void randomSelectionStartsUrgentWorkLaterThanTrueLeastOutstanding() {
         final String measure = "urgent_start_p99_seconds";
         final double random = measured("random", SEED).get(measure);
-        final double min = measured("least_outstanding_true", SEED).get(measure);
+        final double leastOutstanding = measured("least_outstanding_true", SEED).get(measure);
         assertThat(random).as("random, seed %d", SEED).isGreaterThan(5);
-        assertThat(min).as("least outstanding by true state, seed %d", SEED).isLessThan(0.1);
+        assertThat(leastOutstanding)
+                .as("least outstanding by true state, seed %d", SEED)
+                .isLessThan(0.1);
     }
 }
--- a/src/test/java/cresschute/scale/FleetScaleTest.java
+++ b/src/test/java/cresschute/scale/FleetScaleTest.java
@@ -25,9 +25,9 @@
     private static final double USUAL_LOAD = 0.69;
 
     /** Three workers are asked before a send, some a second time, and some for a hedged attempt. */
-    private static final double MAX_PROBES_A_SEND = 4;
+    private static final double MAX_LOAD_QUERIES_PER_SEND = 4;
 
-    private static final double MAX_PROBES_A_WORKER_AND_SECOND = 0.9;
+    private static final double MAX_LOAD_QUERIES_PER_WORKER_PER_SECOND = 0.9;
 
     private static FleetModel fleet(
             int workers, int dispatchers, long meanRunUs, double load, ModuleMaker maker) {
@@ -60,7 +60,7 @@
      */
     @ParameterizedTest
     @ValueSource(ints = {2, 20, 40})
-    void probesAWorkerAreBoundedWhateverTheNumberOfDispatchers(int dispatchers) {
+    void boundsLoadQueriesPerWorkerForAnyNumberOfDispatchers(int dispatchers) {
         final int workers = PlannedSize.TENTH_OF_WORKERS;
         final FleetModel fleet =
                 fleet(workers, dispatchers, PlannedSize.MEAN_RUN_US, USUAL_LOAD, Dispatcher::new);
@@ -68,15 +68,15 @@
         fleet.meters().forEach(DispatcherMeter::restart);
         final int seconds = 40;
         fleet.pass(seconds * PlannedSize.SECOND_US);
-        final long probes = sum(fleet, DispatcherMeter::probes);
+        final long loadQueries = sum(fleet, DispatcherMeter::probes);
         final long sends = sum(fleet, DispatcherMeter::sends);
         assertThat(sends).as("sends").isGreaterThan(20L * seconds);
-        assertThat((double) probes / sends)
-                .as("probes a send, %d dispatchers, seed %d", dispatchers, SEED)
-                .isLessThanOrEqualTo(MAX_PROBES_A_SEND);
-        assertThat((double) probes / workers / seconds)
-                .as("probes a worker a second")
-                .isLessThanOrEqualTo(MAX_PROBES_A_WORKER_AND_SECOND);
+        assertThat((double) loadQueries / sends)
+                .as("load queries per send, %d dispatchers, seed %d", dispatchers, SEED)
+                .isLessThanOrEqualTo(MAX_LOAD_QUERIES_PER_SEND);
+        assertThat((double) loadQueries / workers / seconds)
+                .as("load queries per worker per second")
+                .isLessThanOrEqualTo(MAX_LOAD_QUERIES_PER_WORKER_PER_SECOND);
     }
 
     /**
@@ -84,15 +84,15 @@
      * dispatchers.
      */
     @Test
-    void gangsThatFillTheFleetInOneInstantGetOneAnswerEach() {
-        final AnswerCount answers = new AnswerCount();
+    void answersGangsThatFillTheFleetAtOnceExactlyOnce() {
+        final AnswerCounter answers = new AnswerCounter();
         final FleetModel fleet =
                 fleet(
                         PlannedSize.WORKERS,
                         PlannedSize.DISPATCHERS,
                         2 * PlannedSize.SECOND_US,
                         1e-6,
-                        answers.around(Dispatcher::new));
+                        answers.wrap(Dispatcher::new));
         final int gangs = PlannedSize.RUNNING / PlannedSize.GANG + 1;
         final List<Gang> all = new ArrayList<>();
         for (int i = 0; i < gangs; i++) {
@@ -116,8 +116,8 @@
 
     /** Workers of both regions fail and come back as new processes while the regions are apart. */
     @Test
-    void regionsApartAndTogetherRunNothingTwiceAndKeepNoStaleWorker() {
-        final AnswerCount answers = new AnswerCount();
+    void regionPartitionRepeatsNoUnsafeRequestAndKeepsNoStaleWorker() {
+        final AnswerCounter answers = new AnswerCounter();
         final int workers = 2 * PlannedSize.TENTH_OF_WORKERS;
         final FleetModel fleet =
                 fleet(
@@ -125,7 +125,7 @@
                         PlannedSize.DISPATCHERS,
                         5 * PlannedSize.SECOND_US,
                         0.4,
-                        answers.around(Dispatcher::new));
+                        answers.wrap(Dispatcher::new));
         fleet.pass(10 * PlannedSize.SECOND_US);
         fleet.cutRegions(PlannedSize.FIRST_ZONE_OF_SECOND_REGION);
         fleet.pass(2 * PlannedSize.SECOND_US);
@@ -136,22 +136,22 @@
         fleet.start(back);
         fleet.pass(10 * PlannedSize.SECOND_US);
         assertThat(sum(fleet, DispatcherMeter::callsInVain))
-                .as("calls in vain while apart")
+                .as("failed calls during the partition")
                 .isPositive();
         fleet.joinRegions();
         fleet.pass(2 * PlannedSize.SECOND_US);
         fleet.meters().forEach(DispatcherMeter::restartInVain);
         fleet.pass(10 * PlannedSize.SECOND_US);
         assertThat(sum(fleet, DispatcherMeter::callsInVain))
-                .as("sends and probes to workers that are gone")
+                .as("sends and load queries to workers that are gone")
                 .isZero();
         assertThat(fleet.up()).as("workers up").hasSize(workers - lost.size() + back.size());
         fleet.drain();
         assertThat(sum(fleet, meter -> meter.repeatedStarts(PlannedSize.ONCE)))
-                .as("second starts of what must run once, seed %d", SEED)
+                .as("second starts of requests that must run once, seed %d", SEED)
                 .isZero();
         assertThat(sum(fleet, meter -> meter.repeatedStarts(PlannedSize.USUAL)))
-                .as("second starts of what may run twice")
+                .as("second starts of requests that may run twice")
                 .isPositive();
         assertThat(answers.notAnsweredOnce()).as("not answered once, seed %d", SEED).isEmpty();
     }
--- a/src/test/java/cresschute/scale/ModuleMemoryScaleTest.java
+++ b/src/test/java/cresschute/scale/ModuleMemoryScaleTest.java
@@ -17,11 +17,11 @@
 class ModuleMemoryScaleTest {
 
     private static final long SEED = 11;
-    private static final int MAX_BYTES_A_WORKER = 700;
-    private static final int MAX_OBJECTS_A_WORKER = 10;
-    private static final int MAX_BYTES_A_TENANT = 160;
-    private static final int MAX_BYTES_A_REQUEST = 450;
-    private static final int MAX_OBJECTS_A_REQUEST = 6;
+    private static final int MAX_BYTES_PER_WORKER = 700;
+    private static final int MAX_OBJECTS_PER_WORKER = 10;
+    private static final int MAX_BYTES_PER_TENANT = 160;
+    private static final int MAX_BYTES_PER_REQUEST = 450;
+    private static final int MAX_OBJECTS_PER_REQUEST = 6;
 
     private static ScriptedHost host(int workers, int tenants) {
         final ScriptedHost host =
@@ -35,46 +35,46 @@
     }
 
     @Test
-    void growsByABoundedPartForEachWorker() {
+    void boundsMemoryPerWorker() {
         final DeepSize tenth = size(host(PlannedSize.TENTH_OF_WORKERS, 0));
         final DeepSize all = size(host(PlannedSize.WORKERS, 0));
         final DeepSize twice = size(host(2 * PlannedSize.WORKERS, 0));
         final int more = PlannedSize.WORKERS - PlannedSize.TENTH_OF_WORKERS;
         final double bytes = (double) (all.bytes() - tenth.bytes()) / more;
-        assertThat(bytes).as("bytes a worker").isBetween(100.0, (double) MAX_BYTES_A_WORKER);
+        assertThat(bytes).as("bytes per worker").isBetween(100.0, (double) MAX_BYTES_PER_WORKER);
         assertThat((double) (all.objects() - tenth.objects()) / more)
-                .as("objects a worker")
-                .isLessThanOrEqualTo(MAX_OBJECTS_A_WORKER);
+                .as("objects per worker")
+                .isLessThanOrEqualTo(MAX_OBJECTS_PER_WORKER);
         assertThat((double) (twice.bytes() - all.bytes()) / PlannedSize.WORKERS)
-                .as("bytes a worker beyond the planned size")
+                .as("bytes per worker beyond the planned size")
                 .isCloseTo(bytes, within(0.05 * bytes));
     }
 
     @Test
-    void growsByABoundedPartForEachTenant() {
+    void boundsMemoryPerTenant() {
         final long few = size(host(1, PlannedSize.TENANTS)).bytes();
         final long many = size(host(1, 10 * PlannedSize.TENANTS)).bytes();
         assertThat((double) (many - few) / (9 * PlannedSize.TENANTS))
-                .as("bytes a tenant")
-                .isBetween(20.0, (double) MAX_BYTES_A_TENANT);
+                .as("bytes per tenant")
+                .isBetween(20.0, (double) MAX_BYTES_PER_TENANT);
     }
 
     @Test
-    void growsByABoundedPartForEachOpenRequestAndForgetsItAtItsEnd() {
+    void boundsMemoryPerOpenRequestAndReleasesItAtTheEnd() {
         final ScriptedHost host = host(PlannedSize.WORKERS, 0);
         final DeepSize idle = size(host);
         for (int i = 0; i < PlannedSize.RUNNING; i++) {
             host.request(PlannedSize.USUAL, 0);
         }
         final DeepSize full = size(host);
-        assertThat(host.out).as("attempts out").hasSize(PlannedSize.RUNNING);
+        assertThat(host.inFlight).as("attempts in flight").hasSize(PlannedSize.RUNNING);
         assertThat((double) (full.bytes() - idle.bytes()) / PlannedSize.RUNNING)
-                .as("bytes a request")
-                .isBetween(100.0, (double) MAX_BYTES_A_REQUEST);
+                .as("bytes per request")
+                .isBetween(100.0, (double) MAX_BYTES_PER_REQUEST);
         assertThat((double) (full.objects() - idle.objects()) / PlannedSize.RUNNING)
-                .as("objects a request")
-                .isLessThanOrEqualTo(MAX_OBJECTS_A_REQUEST);
-        while (!host.out.isEmpty()) {
+                .as("objects per request")
+                .isLessThanOrEqualTo(MAX_OBJECTS_PER_REQUEST);
+        while (!host.inFlight.isEmpty()) {
             host.end(Outcome.SERVED);
         }
         assertThat(size(host).objects())
@@ -86,7 +86,7 @@
      * As many replacements as in 60 days, under new numbers and in the same places of the fleet.
      */
     @Test
-    void holdsNothingOfWorkersThatWereReplaced() {
+    void holdsNothingOfReplacedWorkers() {
         final ScriptedHost host = host(PlannedSize.WORKERS, 0);
         final DeepSize before = size(host);
         final int replaced = 60 * 79;
--- a/src/test/java/cresschute/scale/RequestLifecycleScaleTest.java
+++ b/src/test/java/cresschute/scale/RequestLifecycleScaleTest.java
@@ -34,15 +34,15 @@
 class RequestLifecycleScaleTest implements WorkerClient {
 
     private static final long SEED = 15;
-    private static final int MAX_BYTES_A_REQUEST = 1_200;
-    private static final int MAX_OBJECTS_A_REQUEST = 18;
+    private static final int MAX_BYTES_PER_REQUEST = 1_200;
+    private static final int MAX_OBJECTS_PER_REQUEST = 18;
 
     /** Names stay for the life of the process, so that a late ending finds its worker. */
-    private static final int MAX_BYTES_A_NAME = 350;
+    private static final int MAX_BYTES_PER_NAME = 350;
 
     private final EmbeddedChannel loop = new EmbeddedChannel();
-    private final Deque<AttemptListener> out = new ArrayDeque<>();
-    private final List<Answers> clients = new ArrayList<>();
+    private final Deque<AttemptListener> inFlight = new ArrayDeque<>();
+    private final List<CountingClient> clients = new ArrayList<>();
     private final DispatchSettings settings =
             PlannedSize.settings(PlannedSize.DISPATCHERS, PlannedSize.TENANTS);
     private final RateLimitedLog log =
@@ -50,11 +50,11 @@
     private long nowUs = 1_000 * PlannedSize.SECOND_US;
     private long version = 1;
     private int watches;
-    private int probes;
-    private RequestLifecycle core;
+    private int loadQueries;
+    private RequestLifecycle lifecycle;
 
     /** Counts what one client hears. */
-    private static final class Answers implements ResponseListener {
+    private static final class CountingClient implements ResponseListener {
 
         private int count;
 
@@ -101,14 +101,14 @@
                         null,
                         null,
                         null);
-        core =
+        lifecycle =
                 new RequestLifecycle(
                         config,
                         loop.eventLoop(),
                         () -> nowUs,
                         log,
                         actions -> new Dispatcher(settings, SEED, actions));
-        core.start(this, () -> watches++, known);
+        lifecycle.start(this, () -> watches++, known);
         loop.runPendingTasks();
     }
 
@@ -138,14 +138,14 @@
     }
 
     private DeepSize size() {
-        return DeepSize.of(core, this, settings, loop, log);
+        return DeepSize.of(lifecycle, this, settings, loop, log);
     }
 
     private void submit(int count) {
         for (int i = 0; i < count; i++) {
-            final Answers client = new Answers();
+            final CountingClient client = new CountingClient();
             clients.add(client);
-            core.submit(
+            lifecycle.submit(
                     new RequestContent("r" + clients.size(), "/job", null, new byte[0]),
                     new Job(PlannedSize.USUAL, 0, 1, 0, 0, false),
                     300 * PlannedSize.SECOND_US,
@@ -154,7 +154,7 @@
         loop.runPendingTasks();
     }
 
-    private void pass(long us) {
+    private void advance(long us) {
         nowUs += us;
         loop.advanceTimeBy(us, TimeUnit.MICROSECONDS);
         loop.runScheduledPendingTasks();
@@ -164,13 +164,13 @@
     @Override
     public AttemptCall attempt(
             InetSocketAddress addr, RequestContent content, AttemptListener listener) {
-        out.add(listener);
+        inFlight.add(listener);
         return () -> Outcome.CANCELLED;
     }
 
     @Override
     public void queryLoad(InetSocketAddress addr, LoadQueryListener listener) {
-        probes++;
+        loadQueries++;
         listener.loadQueryEnded(Outcome.SERVED, new LoadReport(10, -1, 0));
     }
 
@@ -183,45 +183,45 @@
      * Gangs of 128 up to all that run: each gets one answer, and nothing of them is held after it.
      */
     @Test
-    void openRequestsAreHeldWithinABoundAndAnsweredOnce() {
+    void boundsMemoryPerOpenRequestAndAnswersEachOnce() {
         start(PlannedSize.WORKERS);
         final DeepSize idle = size();
         while (clients.size() < PlannedSize.RUNNING) {
             submit(PlannedSize.GANG);
         }
         final DeepSize full = size();
-        assertThat(out).as("attempts out").hasSameSizeAs(clients);
-        assertThat(core.unanswered()).as("answers owed").isEqualTo(clients.size());
+        assertThat(inFlight).as("attempts in flight").hasSameSizeAs(clients);
+        assertThat(lifecycle.unanswered()).as("unanswered requests").isEqualTo(clients.size());
         assertThat((double) (full.bytes() - idle.bytes()) / clients.size())
-                .as("bytes a request")
-                .isBetween(300.0, (double) MAX_BYTES_A_REQUEST);
+                .as("bytes per request")
+                .isBetween(300.0, (double) MAX_BYTES_PER_REQUEST);
         assertThat((double) (full.objects() - idle.objects()) / clients.size())
-                .as("objects a request")
-                .isLessThanOrEqualTo(MAX_OBJECTS_A_REQUEST);
-        while (!out.isEmpty()) {
-            out.poll().ended(Outcome.SERVED, new LoadReport(10, -1, 0), "done");
+                .as("objects per request")
+                .isLessThanOrEqualTo(MAX_OBJECTS_PER_REQUEST);
+        while (!inFlight.isEmpty()) {
+            inFlight.poll().ended(Outcome.SERVED, new LoadReport(10, -1, 0), "done");
             loop.runPendingTasks();
         }
         assertThat(clients).as("answers of each client").allMatch(client -> client.count == 1);
-        assertThat(core.unanswered()).as("answers owed").isZero();
+        assertThat(lifecycle.unanswered()).as("unanswered requests").isZero();
         assertThat(size().objects()).as("objects after the last answer").isEqualTo(idle.objects());
     }
 
     /** 30 days of replacements under names that were never used before. */
     @Test
-    void workersThatWereReplacedLeaveNoMoreThanTheirNames() {
+    void keepsOnlyNamesOfReplacedWorkers() {
         start(PlannedSize.WORKERS);
         final DeepSize before = size();
         final int replaced = 30 * 79;
         for (int i = 0; i < replaced; i++) {
-            core.endpointListReceived(list(false, List.of(i), WorkerState.GONE));
-            core.endpointListReceived(
+            lifecycle.endpointListReceived(list(false, List.of(i), WorkerState.GONE));
+            lifecycle.endpointListReceived(
                     list(false, List.of(PlannedSize.WORKERS + i), WorkerState.READY));
-            pass(PlannedSize.SECOND_US);
+            advance(PlannedSize.SECOND_US);
         }
         assertThat((double) (size().bytes() - before.bytes()) / replaced)
-                .as("bytes a name")
-                .isLessThanOrEqualTo(MAX_BYTES_A_NAME);
+                .as("bytes per name")
+                .isLessThanOrEqualTo(MAX_BYTES_PER_NAME);
     }
 
     /**
@@ -229,20 +229,20 @@
      * probed.
      */
     @Test
-    void changesOfTheListCauseNoMessages() {
+    void listChangesCauseNoMessages() {
         start(PlannedSize.WORKERS);
-        pass(2 * PlannedSize.SECOND_US);
-        final int asked = watches;
-        assertThat(asked).as("calls for the list at the start").isEqualTo(1);
+        advance(2 * PlannedSize.SECOND_US);
+        final int initialWatches = watches;
+        assertThat(initialWatches).as("calls for the list at the start").isEqualTo(1);
         for (int i = 0; i < 1_500; i++) {
-            core.endpointListReceived(
+            lifecycle.endpointListReceived(
                     list(
                             false,
                             List.of(i % PlannedSize.WORKERS),
                             i % 2 == 0 ? WorkerState.DRAINING : WorkerState.READY));
-            pass(PlannedSize.SECOND_US / 10);
+            advance(PlannedSize.SECOND_US / 10);
         }
-        assertThat(watches - asked).as("calls for the list").isZero();
-        assertThat(probes + out.size()).as("probes and attempts").isZero();
+        assertThat(watches - initialWatches).as("calls for the list").isZero();
+        assertThat(loadQueries + inFlight.size()).as("load queries and attempts").isZero();
     }
 }
--- a/src/test/java/cresschute/scale/RestartScaleTest.java
+++ b/src/test/java/cresschute/scale/RestartScaleTest.java
@@ -22,7 +22,7 @@
     private static final int REQUESTS = 1_000;
 
     /** Guards the discovery against a herd: all ask within this time, and none twice. */
-    private static final long ASKS_WITHIN_US = PlannedSize.SECOND_US + 50_000;
+    private static final long POLLS_WITHIN_US = PlannedSize.SECOND_US + 50_000;
 
     private static ScriptedHost restarted(int workers) {
         final ScriptedHost host =
@@ -35,20 +35,20 @@
     @ParameterizedTest
     @ValueSource(
             ints = {PlannedSize.TENTH_OF_WORKERS, PlannedSize.WORKERS, 10 * PlannedSize.WORKERS})
-    void asksOnceForTheListAndProbesNobody(int workers) {
+    void pollsListOnceAndSendsNoLoadQueries(int workers) {
         final ScriptedHost host = restarted(workers);
-        host.pass(ASKS_WITHIN_US);
+        host.advance(POLLS_WITHIN_US);
         assertThat(host.watches).as("calls for the list in the first second").isEqualTo(1);
-        host.pass(60 * PlannedSize.SECOND_US);
+        host.advance(60 * PlannedSize.SECOND_US);
         assertThat(host.watches).as("calls for the list in a minute").isEqualTo(1);
-        assertThat(host.probes).as("probes in a minute without requests").isZero();
+        assertThat(host.loadQueries).as("load queries in a minute without requests").isZero();
     }
 
     /** The cached list is old: a tenth of its workers is gone and a tenth has come since. */
     @Test
-    void sendsToNoWorkerThatIsGoneOnceTheListHasCome() {
+    void sendsToNoRemovedWorkerOnceListIsUpdated() {
         final ScriptedHost host = restarted(PlannedSize.WORKERS);
-        host.pass(ASKS_WITHIN_US);
+        host.advance(POLLS_WITHIN_US);
         final int gone = PlannedSize.WORKERS / 10;
         final List<Worker> now =
                 IntStream.range(gone, PlannedSize.WORKERS + gone)
@@ -58,23 +58,23 @@
         boolean toNew = false;
         for (int i = 0; i < REQUESTS; i++) {
             host.request(PlannedSize.USUAL, i % PlannedSize.TENANTS);
-            assertThat(host.out.peek().workerId())
+            assertThat(host.inFlight.peek().workerId())
                     .as("worker of request %d", i)
                     .isGreaterThanOrEqualTo(gone);
-            toNew |= host.out.peek().workerId() >= PlannedSize.WORKERS;
+            toNew |= host.inFlight.peek().workerId() >= PlannedSize.WORKERS;
             host.end(Outcome.SERVED);
             host.nowUs += 1_000;
         }
-        assertThat(toNew).as("a new worker was sent to").isTrue();
+        assertThat(toNew).as("a request was sent to a new worker").isTrue();
     }
 
     @Test
-    void changesOfListAndSettingsCauseNoMessages() {
+    void listAndSettingsChangesCauseNoMessages() {
         final ScriptedHost host = restarted(PlannedSize.WORKERS);
-        host.pass(ASKS_WITHIN_US);
+        host.advance(POLLS_WITHIN_US);
         final int changes = 1_500;
         final long betweenUs = 100_000;
-        final long before = host.ticks;
+        final long before = host.timerCalls;
         for (int i = 0; i < changes; i++) {
             host.list(
                     EndpointListForm.CHANGES,
@@ -84,14 +84,14 @@
             host.module.settingsChanged(
                     host.nowUs,
                     PlannedSize.settings(PlannedSize.DISPATCHERS, PlannedSize.TENANTS + i % 2));
-            host.pass(betweenUs);
+            host.advance(betweenUs);
         }
         assertThat(host.watches).as("calls for the list after %d changes", changes).isEqualTo(1);
-        assertThat(host.probes + host.sends)
-                .as("probes and sends after %d changes", changes)
+        assertThat(host.loadQueries + host.sends)
+                .as("load queries and sends after %d changes", changes)
                 .isZero();
         // One timer goes on, however many changes came: else each would add one for good.
-        assertThat(host.ticks - before)
+        assertThat(host.timerCalls - before)
                 .as("ticks")
                 .isEqualTo(changes * betweenUs / ScriptedHost.TICK_US);
     }
--- a/src/test/java/cresschute/scale/ScriptedHost.java
+++ b/src/test/java/cresschute/scale/ScriptedHost.java
@@ -15,13 +15,13 @@
 import java.util.Map;
 
 /**
- * The host of one module, turned by hand: time passes only by {@link #pass}, and nothing ends by
+ * The host of one module, turned by hand: time passes only by {@link #advance}, and nothing ends by
  * itself.
  */
 final class ScriptedHost implements DispatcherActions {
 
     /** An attempt that has not ended. */
-    record Sent(int requestId, int attempt, int workerId) {}
+    record SentAttempt(int requestId, int attempt, int workerId) {}
 
     private static final int SLOTS = 10;
 
@@ -29,17 +29,17 @@
     static final long TICK_US = 50_000;
 
     final Dispatcher module;
-    final Deque<Sent> out = new ArrayDeque<>();
-    private final Deque<Integer> probed = new ArrayDeque<>();
+    final Deque<SentAttempt> inFlight = new ArrayDeque<>();
+    private final Deque<Integer> queriedWorkers = new ArrayDeque<>();
     private final Map<Integer, Integer> attempts = new HashMap<>();
     private final Map<Integer, Integer> answers = new HashMap<>();
     private int timers;
     private long lastRequest;
     long nowUs = 1_000 * PlannedSize.SECOND_US;
     long sends;
-    long probes;
+    long loadQueries;
     long watches;
-    long ticks;
+    long timerCalls;
 
     ScriptedHost(DispatchSettings settings, long seed) {
         module = new Dispatcher(settings, seed, this);
@@ -56,22 +56,26 @@
                 id,
                 new Job(requestClass, tenant, 1, 0, 0, false),
                 nowUs + PlannedSize.CLASSES.get(requestClass).deadlineUs());
-        answerProbes();
+        answerLoadQueries();
         return id;
     }
 
     /** Answers all probes with free slots. */
-    void answerProbes() {
-        while (!probed.isEmpty()) {
-            module.loadReported(nowUs, probed.poll(), Outcome.SERVED, new LoadReport(SLOTS, -1, 0));
+    void answerLoadQueries() {
+        while (!queriedWorkers.isEmpty()) {
+            module.loadReported(
+                    nowUs,
+                    queriedWorkers.poll(),
+                    Outcome.SERVED,
+                    new LoadReport(SLOTS, -1, 0));
         }
     }
 
     /** Ends the oldest attempt; a served one answers its request. */
     void end(Outcome outcome) {
-        final Sent sent = out.poll();
-        final boolean answers = outcome == Outcome.SERVED;
-        if (answers) {
+        final SentAttempt sent = inFlight.poll();
+        final boolean served = outcome == Outcome.SERVED;
+        if (served) {
             answered(sent.requestId());
         }
         module.attemptEnded(
@@ -81,21 +85,21 @@
                 sent.workerId(),
                 outcome,
                 PlannedSize.SECOND_US,
-                answers,
-                answers ? new LoadReport(SLOTS, -1, 0) : LoadReport.NONE);
-        answerProbes();
+                served,
+                served ? new LoadReport(SLOTS, -1, 0) : LoadReport.NONE);
+        answerLoadQueries();
     }
 
     /** Lets time pass, a tick of the module's after the other. */
-    void pass(long us) {
+    void advance(long us) {
         final long untilUs = nowUs + us;
         while (nowUs < untilUs) {
             nowUs += TICK_US;
             for (int due = timers; due > 0; due--) {
                 timers--;
-                ticks++;
+                timerCalls++;
                 module.timerFired(nowUs, 0);
-                answerProbes();
+                answerLoadQueries();
             }
         }
     }
@@ -111,7 +115,9 @@
     @Override
     public void send(int requestId, int workerId, long deadlineUs) {
         sends++;
-        out.add(new Sent(requestId, attempts.merge(requestId, 1, Integer::sum) - 1, workerId));
+        inFlight.add(
+                new SentAttempt(
+                        requestId, attempts.merge(requestId, 1, Integer::sum) - 1, workerId));
     }
 
     @Override
@@ -136,8 +142,8 @@
 
     @Override
     public void queryLoad(int workerId) {
-        probes++;
-        probed.add(workerId);
+        loadQueries++;
+        queriedWorkers.add(workerId);
     }
 
     @Override
