--- a/src/test/java/cresschute/node/ClientCloseCrossingRulesTest.java
+++ b/src/test/java/cresschute/node/ClientCloseCrossingRulesTest.java
@@ -16,7 +16,7 @@
 
 /** Events that cross with the close of a client. See docs/results/crossings.md. */
 @Timeout(30)
-class ClientCloseCrossingRulesTest extends CrossingFixture {
+class ClientCloseCrossingRulesTest extends RaceFixture {
 
     /**
      * The end came behind the request in one pass, and was read one pass later: the job was sent
@@ -160,8 +160,8 @@
             throws Exception {
         final Bodies bodies =
                 LongBodyNode.bodies(new ClassBodies(8L << 20, 1024, 20_000_000, false, false));
-        try (TestNode node = withLongConnectTimeout(
-                                connecting ? SEND_AT_ONCE : SEND_NOTHING, bodies);
+        try (TestNode node =
+                        withLongConnectTimeout(connecting ? SEND_AT_ONCE : SEND_NOTHING, bodies);
                 Peer other = node.client()) {
             if (connecting) {
                 fillBacklog(node.worker);
--- a/src/test/java/cresschute/node/ConnectCrossingRulesTest.java
+++ b/src/test/java/cresschute/node/ConnectRaceTest.java
@@ -18,12 +18,16 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Events that cross with a connection to a worker being established. See docs/results/crossings.md.
+ * Races between events and the establishment of a connection to a worker. See
+ * docs/results/crossings.md.
  */
 @Timeout(30)
-class ConnectCrossingRulesTest extends CrossingFixture {
+class ConnectRaceTest extends RaceFixture {
 
-    /** Leaving did not stop the write: the job ran for nobody, up to the connect time-out later. */
+    /**
+     * Guards against sending a request after its client has left: the job ran without a recipient,
+     * up to the connect timeout later.
+     */
     @Test
     void sendsNothingForClientThatLeftDuringConnect() throws Exception {
         try (TestNode node = withLongConnectTimeout(SEND_AT_ONCE);
@@ -41,7 +45,9 @@
         }
     }
 
-    /** The same where the module gave the request up before its connection was there. */
+    /**
+     * The same race if the dispatcher rejected the request before its connection was established.
+     */
     @Test
     void sendsNothingForRequestRejectedDuringConnect() throws Exception {
         try (TestNode node = withLongConnectTimeout(SEND_AT_ONCE);
@@ -56,13 +62,12 @@
     }
 
     /**
-     * Connecting may take longer than a drain's grace: what is told meanwhile ends the attempt,
-     * unsent.
+     * Connecting may take longer than the grace period of a drain, so a change of the worker's list
+     * entry during the connect ends the attempt unsent.
      */
     @ParameterizedTest
     @ValueSource(strings = {"draining", "gone", "left out", "moved", "restarted"})
-    void sendsNothingToWorkerWhoseListEntryChangedDuringConnect(String what)
-            throws Exception {
+    void sendsNothingToWorkerWhoseListEntryChangedDuringConnect(String what) throws Exception {
         try (TestNode node = withLongConnectTimeout(SEND_AT_ONCE);
                 Peer client = node.client();
                 ServerSocket moved = Peer.listen()) {
@@ -100,7 +105,8 @@
         try (TestNode node = new TestNode(shared, null);
                 Peer client = node.client()) {
             fillBacklog(node.worker);
-            // The call is carried out within the connect time-out, which here is the usual one.
+            // The operator's call is completed within the connect timeout, which has its default
+            // here.
             try (Peer operator = Peer.connect(node.server.managementAddress())) {
                 client.write(request("r1", "", ""));
                 assertThat(node.event()).startsWith("requested 1");
@@ -113,8 +119,8 @@
     }
 
     /**
-     * The client leaves and its worker drains, in this order and the other one: one end, nothing
-     * sent.
+     * The client leaves and its worker drains, in either order: the attempt ends once and nothing
+     * is sent.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
@@ -145,8 +151,8 @@
                         });
                 assertThat(eventStarting(node, "ended")).startsWith("ended 1 0 ");
             }
-            // A call after the news shows that the watch went on and that no further end came
-            // before it.
+            // A call after the change shows that the watch continued and that no second end was
+            // reported before it.
             assertThat(discovery.read()).contains("since=2&");
             node.act(actions -> actions.startTimer(5, 0));
             assertThat(node.events.stream().filter(each -> each.startsWith("ended")).count())
@@ -155,8 +161,8 @@
     }
 
     /**
-     * The head was made when the attempt was chosen, and told the time that connecting took as
-     * left.
+     * Guards against a head that is built when the worker is chosen: it stated the time spent on
+     * connecting as still remaining.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
@@ -177,7 +183,7 @@
         }
     }
 
-    /** The same on a connection that was kept, for an attempt that the module held back. */
+    /** The same on a kept connection, for an attempt that the dispatcher delayed. */
     @Test
     void statesRemainingTimeOnKeptConnection() throws Exception {
         try (TestNode node = new TestNode(SEND_NOTHING);
@@ -192,8 +198,8 @@
     }
 
     /**
-     * The same for a request that waited behind others of its connection until there was room for
-     * it.
+     * The same for a request that waited behind others on its client connection until the pipeline
+     * had room for it.
      */
     @Test
     void statesRemainingTimeAfterPipelineWait() throws Exception {
@@ -213,8 +219,8 @@
     }
 
     /**
-     * A stalled loop handles the connection before the timer that ends its attempt: no byte goes
-     * out.
+     * A stalled loop handles the new connection before the timer that ends the attempt: no byte is
+     * sent.
      */
     @Test
     void sendsNothingForAttemptPastItsDeadline() throws Exception {
@@ -228,8 +234,8 @@
                             actions.send(
                                     1, 0, System.currentTimeMillis() * 1_000 + TIMER_DELAY_US));
             awaitTurn(node);
-            // Its SYN is sent again a second after the first, well after the time of the attempt is
-            // up.
+            // The SYN is retransmitted one second after the first, well after the attempt's
+            // deadline.
             final List<Peer> accepted = new ArrayList<>();
             whileLoopBlocked(
                     node,
--- a/src/test/java/cresschute/node/DescriptorBudgetTest.java
+++ b/src/test/java/cresschute/node/DescriptorBudgetTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The quotas of a node's descriptors fit their limit. */
+/** The quotas of a node's file descriptors add up to the limit of the process. */
 class DescriptorBudgetTest {
 
     @Test
--- a/src/test/java/cresschute/node/DiscoveryCrossingRulesTest.java
+++ b/src/test/java/cresschute/node/DiscoveryCrossingRulesTest.java
@@ -12,7 +12,7 @@
 
 /** Events that cross in the calls to discovery. See docs/results/crossings.md. */
 @Timeout(30)
-class DiscoveryCrossingRulesTest extends CrossingFixture {
+class DiscoveryCrossingRulesTest extends RaceFixture {
 
     /**
      * The module's pause and a second call were to fit into the 6 s after which news counts as
--- a/src/test/java/cresschute/node/FleetSizeTest.java
+++ b/src/test/java/cresschute/node/FleetSizeTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The program under the deploy file's bounds of memory: one of 1,024 dispatchers before 1,024
- * workers.
+ * Runs the program with the memory limits of the deploy file, as one of 1,024 dispatchers in front
+ * of 1,024 workers.
  */
 @Timeout(60)
 class FleetSizeTest {
@@ -27,7 +27,7 @@
     /** The smallest memory limit of a dispatcher, KiB. */
     private static final long MIN_MEMORY_KIB = 144 * 1024;
 
-    /** Every flag of the run line that bounds memory. */
+    /** All flags of the run line that limit memory. */
     private static List<String> memoryFlags() throws Exception {
         final String run =
                 Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
@@ -54,7 +54,7 @@
                 .collect(Collectors.joining(","));
     }
 
-    /** The same JSON with a value on each line, indented, as lists may be. */
+    /** The same JSON with each value on its own indented line, as lists may be formatted. */
     private static String indented(String json) {
         return json.replace(",", ",\n          ").replace("{", "{\n          ");
     }
@@ -79,8 +79,8 @@
                 final int port = ProgramProcess.portIn(node.awaitLine("listens on"));
                 final Peer watch = Peer.accept(discovery);
                 assertThat(watch.read()).contains("since=1&");
-                // Half of the first workers go and as many new ones come, in a list cut at odd
-                // places.
+                // Half of the first workers are removed and as many new ones added, in a list that
+                // is split at arbitrary places.
                 final String next =
                         TestNode.answer(
                                 "200 OK",
--- a/src/test/java/cresschute/node/KeptConnectionCrossingRulesTest.java
+++ b/src/test/java/cresschute/node/IdleConnectionRaceTest.java
@@ -10,13 +10,13 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Events that cross on connections to workers that are kept. See docs/results/crossings.md. */
+/** Races between events on kept (idle) connections to workers. See docs/results/crossings.md. */
 @Timeout(30)
-class KeptConnectionCrossingRulesTest extends CrossingFixture {
+class IdleConnectionRaceTest extends RaceFixture {
 
     /**
-     * Written to a connection whose end was in the buffer, the request ended as a reset and may
-     * have run.
+     * Guards against writing a request to a connection whose end was already in the receive buffer:
+     * the attempt ended as a reset, so the request counted as one that may have run.
      */
     @Test
     void writesNoRequestToClosedKeptConnection() throws Exception {
@@ -38,8 +38,8 @@
     }
 
     /**
-     * A second answer that names no request was taken for the next request's: as proof that it
-     * never ran.
+     * Guards against taking a duplicate response without a request id for the response to the next
+     * request, and thereby as proof that the next request never ran.
      */
     @ParameterizedTest
     @CsvSource(
@@ -71,8 +71,8 @@
     }
 
     /**
-     * The second answer comes after the next request was written; that one's own follows, and alone
-     * counts.
+     * The duplicate response arrives after the next request was written. The next request's own
+     * response follows, and only that one counts.
      */
     @ParameterizedTest
     @CsvSource(
@@ -99,7 +99,10 @@
         }
     }
 
-    /** Whether it was the next request's own answer is never known: it may have run. */
+    /**
+     * The node cannot know whether the response belonged to the next request, so that request may
+     * have run.
+     */
     @Test
     void treatsLoneDuplicateResponseBeforeCloseAsBroken() throws Exception {
         try (TestNode node = new TestNode(SEND_NOTHING);
@@ -113,7 +116,10 @@
         }
     }
 
-    /** One worker's second answer had every kept connection to all others closed for 15 s. */
+    /**
+     * Guards against closing too much: a duplicate response of one worker caused every kept
+     * connection to all other workers to be closed for 15 s.
+     */
     @ParameterizedTest
     @ValueSource(
             strings = {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", "what is this\r\n\r\n", "x"})
--- a/src/test/java/cresschute/node/IdleLifecycle.java
+++ b/src/test/java/cresschute/node/IdleLifecycle.java
@@ -11,8 +11,8 @@
 
 /**
  * A request life cycle with an endpoint list of two workers, a clock that the test advances and a
- * dispatcher that does nothing; and the parts of the control service on it, which a test calls on
- * its own thread.
+ * dispatcher that does nothing, together with the parts of the control service that use it. The
+ * test calls all of it on its own thread.
  */
 final class IdleLifecycle {
 
@@ -74,7 +74,7 @@
         }
     }
 
-    /** The endpoint list is known, and the health monitor notified of it. */
+    /** Publishes the endpoint list and notifies the health monitor of it. */
     IdleLifecycle started() {
         lifecycle.start(null, () -> {}, config.known());
         health.endpointListChanged(nowUs, lifecycle.registry().listed());
--- a/src/test/java/cresschute/node/PeerLoadsTest.java
+++ b/src/test/java/cresschute/node/PeerLoadsTest.java
@@ -32,7 +32,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A node with its dispatcher, two workers, and two peers whose messages the test sends. */
+/** Runs a node with its dispatcher, two workers, and two peers whose messages the test sends. */
 @Timeout(60)
 class PeerLoadsTest {
 
@@ -40,12 +40,12 @@
     private static final int REQUESTS = 4;
 
     /**
-     * More than needed, since a machine that stalls for 3 s makes the view incomplete; below 32
-     * lookups none is verified at the worker.
+     * More requests than needed, because a machine that stalls for 3 s makes the node's view of its
+     * peers incomplete. The limit is low because below 32 lookups none is verified at the worker.
      */
     private static final int MAX_REQUESTS = 8;
 
-    /** A worker that counts its load queries and jobs, and answers at once. */
+    /** A worker that counts the load queries and jobs that it receives, and answers at once. */
     private static final class Worker implements AutoCloseable {
         private final HttpServer server;
         private final AtomicInteger loadQueries = new AtomicInteger();
@@ -199,7 +199,8 @@
             final int loadQueries = busy.loadQueries.get() + idle.loadQueries.get();
             final int jobs = idle.jobs.get();
             request("r" + i);
-            // Still complete, and no message came meanwhile, so it was complete all the time.
+            // The view is still complete and no message came meanwhile, so it was complete
+            // throughout.
             if (isComplete()) {
                 assertThat(busy.loadQueries.get() + idle.loadQueries.get())
                         .as("load queries")
@@ -209,7 +210,7 @@
             }
         }
         assertThat(completeRequests).as("requests under a complete view").isEqualTo(REQUESTS);
-        // Both peers send nothing: the view becomes incomplete, and workers are queried.
+        // Both peers stop sending: the view becomes incomplete, and the node queries the workers.
         await().atMost(TIMEOUT).until(() -> !isComplete());
         for (int i = 0; busy.loadQueries.get() + idle.loadQueries.get() == 0 && i < 20; i++) {
             request("s" + i);
--- a/src/test/java/cresschute/node/CrossingFixture.java
+++ b/src/test/java/cresschute/node/RaceFixture.java
@@ -19,10 +19,10 @@
 import org.junit.jupiter.api.AfterEach;
 
 /**
- * What the tests of crossing events share: each crossing is forced, by a worker that does not
- * accept yet, or by a peer that writes or closes while the node's loop is held.
+ * Base class of the race tests. Each race is forced, either by a worker that does not accept
+ * connections yet, or by a peer that writes or closes while the node's event loop is blocked.
  */
-abstract class CrossingFixture {
+abstract class RaceFixture {
 
     static final BiConsumer<DispatcherActions, Integer> SEND_NOTHING = (actions, request) -> {};
 
@@ -51,7 +51,8 @@
     }
 
     /**
-     * A node to whose worker connections do not come up until it accepts, which may take for ever.
+     * Starts a node with a connect timeout of 20 s, so that a connection to its worker stays
+     * pending until the worker accepts it.
      */
     static TestNode withLongConnectTimeout(BiConsumer<DispatcherActions, Integer> onRequest)
             throws Exception {
@@ -69,7 +70,8 @@
     }
 
     /**
-     * Fills a listener's queue: further connections come up only once some of these are accepted.
+     * Fills a listener's accept backlog: further connections are established only once some of
+     * these are accepted.
      */
     void fillBacklog(ServerSocket listener) throws IOException {
         for (int i = 0; i <= Peer.BACKLOG; i++) {
@@ -84,8 +86,8 @@
     }
 
     /**
-     * Something a test does while the loop is held: nothing that it makes ready is read before it
-     * ends.
+     * An action of a test that runs while the loop is blocked: nothing that it makes readable is
+     * read before it ends.
      */
     @FunctionalInterface
     interface WhileLoopBlocked {
@@ -93,8 +95,8 @@
     }
 
     /**
-     * Holds the loop; what the module asks for meanwhile is carried out before anything else is
-     * read.
+     * Blocks the loop while the action runs; the dispatcher actions that it requests run before
+     * anything else is read.
      */
     static void whileLoopBlocked(TestNode node, WhileLoopBlocked then) throws Exception {
         final CompletableFuture<Void> over = new CompletableFuture<>();
@@ -111,8 +113,8 @@
     }
 
     /**
-     * Takes an attempt and answers nothing. Held: a socket that nobody refers to may be closed at
-     * any time.
+     * Reads an attempt and sends no answer. Keeps a reference to the peer, because an unreferenced
+     * socket may be closed at any time.
      */
     void readWithoutAnswering(TestNode node) throws IOException {
         final Peer worker = node.worker();
@@ -132,25 +134,32 @@
 
     static final long TIMER_DELAY_US = 400_000;
 
-    /** What the node keeps of a request's time for the way of its answer, and for rounding, us. */
+    /**
+     * The part of a request's time that the node reserves for the transmission of the answer and
+     * for rounding, us.
+     */
     static final long MARGIN_US = 15_002;
 
     static final Pattern DEADLINE_HEADER = Pattern.compile("(?i)X-Deadline: ([0-9]+)u\r\n");
 
-    /** Waits until the node's own timer has run for {@value #TIMER_DELAY_US} us. */
+    /** Waits until a timer of the node with a delay of {@value #TIMER_DELAY_US} us has fired. */
     static void awaitDelayedTimer(TestNode node) throws InterruptedException {
         node.act(actions -> actions.startTimer(5, TIMER_DELAY_US));
         assertThat(eventStarting(node, "woken")).isEqualTo("woken 5");
     }
 
-    /** Waits until what the module asked for is carried out: connecting is a task of its own. */
+    /**
+     * Waits for the next turn, until the dispatcher's actions have run: connecting is a separate
+     * task of the loop.
+     */
     static void awaitTurn(TestNode node) throws InterruptedException {
         node.act(actions -> actions.startTimer(6, 0));
         assertThat(eventStarting(node, "woken")).isEqualTo("woken 6");
     }
 
     /**
-     * What an attempt told its worker: no more than is left, and no less than that and the margin.
+     * Checks the deadline that an attempt stated to its worker: at most the remaining time, and at
+     * least that minus the margin.
      */
     static void assertStatesRemainingTime(String head, long clientSentNs) {
         final Matcher stated = DEADLINE_HEADER.matcher(head);
@@ -161,7 +170,7 @@
                         DEADLINE_US - MARGIN_US - (System.nanoTime() - clientSentNs) / 1_000);
     }
 
-    /** The ways in which a client's close comes to lie unread. */
+    /** The ways in which a client closes its connection so that the close stays unread. */
     enum Close {
         END,
         RESET,
@@ -183,7 +192,9 @@
         }
     }
 
-    /** Serves r1, as the module sends it, on a connection to the worker that is kept. */
+    /**
+     * Serves r1 as soon as the dispatcher sends it, and keeps the connection to the worker open.
+     */
     static Peer keepConnection(TestNode node, Peer client) throws IOException {
         client.write(request("r1", "", ""));
         final Peer worker = node.worker();
@@ -194,7 +205,8 @@
     }
 
     /**
-     * Serves r1 on a connection to the worker that is kept, with r2 taken and held by the module.
+     * Serves r1, keeps the connection to the worker open, and submits r2, which the dispatcher does
+     * not send yet.
      */
     static Peer keepConnectionWithPendingRequest(TestNode node, Peer client, Peer next)
             throws Exception {
@@ -217,14 +229,19 @@
                             "\"tenants\":[{\"name\":\"alpha\",\"quotaPerS\":5},{\"name\":\"beta"
                                     + " co\",\"quotaPerS\":7}],\"zones\":");
 
-    /** Takes this configuration in place of the node's own; it is in force when this returns. */
+    /**
+     * Reloads the node with a changed configuration, which is in force when this method returns.
+     */
     static void reload(TestNode node, UnaryOperator<String> change) throws Exception {
         final String text = change.apply(node.configText());
         node.server.reload(() -> NodeConfigParser.parse(text, java.util.Map.of()));
         node.server.loop().submit(() -> {}).get(8, TimeUnit.SECONDS);
     }
 
-    /** Begins a watch; the connection on which discovery has its first call, unanswered. */
+    /**
+     * Begins a watch. Returns discovery's end of the connection, with the first call still
+     * unanswered.
+     */
     static Peer watch(TestNode node) throws Exception {
         node.act(DispatcherActions::pollEndpointList);
         final Peer discovery = node.discovery();
--- a/src/test/java/cresschute/node/RequestLifecycleTest.java
+++ b/src/test/java/cresschute/node/RequestLifecycleTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The request life cycle alone, on an event loop that is run by hand. */
+/** Tests the request life cycle alone, on an event loop that the test advances. */
 class RequestLifecycleTest implements ResponseListener {
 
     private static final Job JOB = new Job(0, 0, 1, 0, 0, false);
@@ -95,8 +95,8 @@
     }
 
     /**
-     * A dispatcher that records its events; it sends each request, and again what a worker rejected
-     * as full.
+     * A dispatcher that records its events, sends each request, and sends a request again if a
+     * worker rejected it as full.
      */
     private DispatcherEvents dispatcher() {
         return (DispatcherEvents)
@@ -105,7 +105,8 @@
                         new Class<?>[] {DispatcherEvents.class},
                         (proxy, method, args) -> {
                             if (dispatcherThrows) {
-                                throw new IllegalStateException("the dispatcher is broken");
+                                throw new IllegalStateException(
+                                        "dispatcher failure injected by the test");
                             }
                             final boolean end = method.getName().equals("attemptEnded");
                             events.add(
@@ -177,7 +178,10 @@
         assertThat(attempts).hasSize(1);
     }
 
-    /** A request is kept until the dispatcher knows its end, so that its sends stay numbered. */
+    /**
+     * A request is kept until the dispatcher has received its end, so that its further sends get a
+     * number.
+     */
     @Test
     void numbersSendThatDispatcherChoseBeforeClientLeft() {
         final ClientRequest request = submit();
@@ -211,7 +215,10 @@
         assertThat(lifecycle.unanswered()).isZero();
     }
 
-    /** The others may wait in their workers' queues; their end is no failure of the workers. */
+    /**
+     * The other attempts may wait in their workers' queues; cancelling them is no failure of the
+     * workers.
+     */
     @Test
     void cancelsOtherAttemptsOnceOneServes() {
         sendsPerRequest = 3;
@@ -229,7 +236,7 @@
         assertThat(lifecycle.unanswered()).isZero();
     }
 
-    /** Its client may have left unseen. */
+    /** The client may have left undetected during the pause. */
     @Test
     void sendsNoHedgedAttemptWhileReadingClientIsPaused() {
         submit();
@@ -289,7 +296,10 @@
                 .hasMessageContaining("attempt ended twice");
     }
 
-    /** A keyed request that has been sent binds the cell that it went to, until it is answered. */
+    /**
+     * A keyed request that has been sent is bound to the cell of its first worker until it is
+     * answered.
+     */
     @Test
     void bindsCellOfKeyedRequestWhileOpen() {
         submit();
--- a/src/test/java/cresschute/node/SettingsCrossingRulesTest.java
+++ b/src/test/java/cresschute/node/SettingsCrossingRulesTest.java
@@ -12,7 +12,7 @@
 
 /** Events that cross with a change of the settings. See docs/results/crossings.md. */
 @Timeout(30)
-class SettingsCrossingRulesTest extends CrossingFixture {
+class SettingsCrossingRulesTest extends RaceFixture {
 
     /**
      * A head read under the old settings whose last byte comes under the new ones is of the new
--- a/src/test/java/cresschute/node/ShutdownCrossingRulesTest.java
+++ b/src/test/java/cresschute/node/ShutdownCrossingRulesTest.java
@@ -14,7 +14,7 @@
 
 /** Events that cross with a shutdown. See docs/results/crossings.md. */
 @Timeout(30)
-class ShutdownCrossingRulesTest extends CrossingFixture {
+class ShutdownCrossingRulesTest extends RaceFixture {
 
     /** What waited to be accepted was reset with the listener. */
     @Test
--- a/src/test/java/cresschute/scale/AnswerCounter.java
+++ b/src/test/java/cresschute/scale/AnswerCounter.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 
 /**
- * Counts the final answers that each request gets, between modules and their hosts of the model.
+ * Counts the final answers of each request, between the dispatchers and their hosts in the model.
  */
 final class AnswerCounter {
 
@@ -23,7 +23,7 @@
     private int open;
     private int maxOpen;
 
-    /** A maker that wraps the modules of another and their actions. */
+    /** Returns a maker that wraps the dispatchers of another maker and their actions. */
     ModuleMaker wrap(ModuleMaker maker) {
         return (settings, seed, actions) -> {
             final int dispatcher = dispatchers++;
@@ -53,7 +53,7 @@
         };
     }
 
-    /** What is to be noted of a call before it is passed on. */
+    /** Observes a call before it is passed on. */
     private interface CallObserver {
         void called(String method, Object[] arguments);
     }
@@ -76,12 +76,12 @@
         open -= answers.merge(key, 1, Integer::sum) == 1 ? 1 : 0;
     }
 
-    /** How many requests were taken. */
+    /** The number of requests that arrived. */
     int requests() {
         return answers.size();
     }
 
-    /** The most that were open at a time. */
+    /** The maximum number of requests that were open at a time. */
     int maxOpen() {
         return maxOpen;
     }
--- a/src/test/java/cresschute/scale/DecisionCostScaleTest.java
+++ b/src/test/java/cresschute/scale/DecisionCostScaleTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * How many workers a dispatcher looks at for a decision, a timer and a change of the list, by
- * instrumented collections.
+ * Bounds how many workers a dispatcher visits for a decision, a timer and a change of the list, as
+ * counted by instrumented collections.
  */
 class DecisionCostScaleTest {
 
@@ -19,10 +19,13 @@
     private static final int DECISIONS = 2_000;
     private static final long BETWEEN_DECISIONS_US = 10_000;
 
-    /** Three rounds of eight draws, and one look for each load report. */
+    /** Three rounds of eight samples, and one visit for each load report. */
     private static final int MAX_VISITS_PER_DECISION = 32;
 
-    /** A fill visits each worker once, and there are at most three of them in a second. */
+    /**
+     * An allocation of the admission budgets visits each worker once, and there are at most three
+     * of them a second.
+     */
     private static final int MAX_VISITS_PER_WORKER_PER_SECOND = 4;
 
     private static final double MAX_VISITS_PER_WORKER_PER_CHANGE = 3.5;
@@ -35,7 +38,10 @@
         return host;
     }
 
-    /** Mean visits of a decision and of the ending that follows; none may exceed the bound. */
+    /**
+     * Returns the mean number of visits for a decision and the end of its attempt; none may exceed
+     * the bound.
+     */
     private static double visitsPerDecision(int workers) {
         final ScriptedHost host = host(workers);
         final WorkerVisits visits = WorkerVisits.of(host.module, PlannedSize.ZONES);
@@ -58,8 +64,8 @@
         final double tenth = visitsPerDecision(PlannedSize.TENTH_OF_WORKERS);
         final double planned = visitsPerDecision(PlannedSize.WORKERS);
         final double tenfold = visitsPerDecision(10 * PlannedSize.WORKERS);
-        // Fewer workers are queried less often, since each reports more often: the bound is on
-        // growth.
+        // In a smaller fleet each worker reports more often and is queried less often, so the bound
+        // applies to growth only.
         assertThat(planned)
                 .as("mean visits among 1,400 workers; among 140: %s", tenth)
                 .isLessThan(MAX_VISITS_PER_DECISION / 2.0);
--- a/src/test/java/cresschute/scale/DeepSize.java
+++ b/src/test/java/cresschute/scale/DeepSize.java
@@ -11,9 +11,9 @@
 import java.util.Set;
 
 /**
- * Estimates what an object holds: objects and bytes of all that is reached from it, by the field
- * layout of a 64-bit virtual machine with compressed references. The same graph has the same size
- * in every run.
+ * Estimates the memory that an object holds: the number and bytes of all objects reachable from it,
+ * by the field layout of a 64-bit virtual machine with compressed references. The same graph has
+ * the same size in every run.
  */
 final class DeepSize {
 
@@ -22,7 +22,10 @@
     private static final int REFERENCE_BYTES = 4;
     private static final int ALIGNMENT_BYTES = 8;
 
-    /** A table's entry with its part of the table, and a table or list without entries. */
+    /**
+     * The size of a map entry with its share of the table; below, the size of a map or list without
+     * entries.
+     */
     private static final int MAP_ENTRY_BYTES = 48;
 
     private static final int COLLECTION_BYTES = 48;
@@ -38,8 +41,8 @@
     private DeepSize() {}
 
     /**
-     * The size of all that is reached from an object, these others and what is beyond them left
-     * out.
+     * Measures everything reachable from an object, except the excluded objects and what is
+     * reachable only through them.
      */
     static DeepSize of(Object root, Object... excluded) {
         final DeepSize size = new DeepSize();
--- a/src/test/java/cresschute/scale/ExchangeScaleTest.java
+++ b/src/test/java/cresschute/scale/ExchangeScaleTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Dispatchers that exchange their in-flight counts, before a tenth of the workers of the planned
- * size.
+ * Tests dispatchers that exchange their in-flight counts, with a tenth of the workers of the
+ * planned size.
  */
 class ExchangeScaleTest {
 
@@ -56,7 +56,7 @@
         return fleet.meters().stream().mapToLong(DispatcherMeter::probes).sum();
     }
 
-    /** Some are left, as a part of the questions is put to the worker itself. */
+    /** Some load queries remain, because a part of the lookups is verified at the worker itself. */
     @Test
     void exchangeReplacesMostLoadQueriesWithinByteLimit() {
         final ExchangingModules exchange =
--- a/src/test/java/cresschute/scale/FleetCapacityTest.java
+++ b/src/test/java/cresschute/scale/FleetCapacityTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The model of capacity: one seed is one result, and the simple policies stand in their known
- * order.
+ * Tests the capacity model: the same seed gives the same result, and the simple policies rank in
+ * their known order.
  */
 class FleetCapacityTest {
 
--- a/src/test/java/cresschute/scale/FleetScaleTest.java
+++ b/src/test/java/cresschute/scale/FleetScaleTest.java
@@ -24,7 +24,10 @@
     private static final long SEED = 14;
     private static final double USUAL_LOAD = 0.69;
 
-    /** Three workers are asked before a send, some a second time, and some for a hedged attempt. */
+    /**
+     * Three workers are queried before a send, some of them a second time, and some for a hedged
+     * attempt.
+     */
     private static final double MAX_LOAD_QUERIES_PER_SEND = 4;
 
     private static final double MAX_LOAD_QUERIES_PER_WORKER_PER_SECOND = 0.9;
@@ -55,8 +58,8 @@
     }
 
     /**
-     * Load a worker is the same; what all dispatchers ask of a worker may not grow with their
-     * number.
+     * The load per worker is the same; the load queries that all dispatchers together send to a
+     * worker must not grow with the number of dispatchers.
      */
     @ParameterizedTest
     @ValueSource(ints = {2, 20, 40})
@@ -80,8 +83,8 @@
     }
 
     /**
-     * All that run at the planned size come at once, as gangs of one tenant each, to seven
-     * dispatchers.
+     * As many requests as run at the planned size arrive at once at seven dispatchers, in gangs of
+     * one tenant each.
      */
     @Test
     void answersGangsThatFillTheFleetAtOnceExactlyOnce() {
@@ -105,7 +108,7 @@
                 .as("open at a time")
                 .isGreaterThanOrEqualTo(PlannedSize.RUNNING);
         assertThat(answers.requests())
-                .as("requests taken")
+                .as("requests that arrived")
                 .isGreaterThanOrEqualTo(gangs * PlannedSize.GANG);
         fleet.drain();
         assertThat(answers.notAnsweredOnce()).as("not answered once, seed %d", SEED).isEmpty();
@@ -114,7 +117,9 @@
                 .isGreaterThan(gangs * PlannedSize.GANG * 9 / 10);
     }
 
-    /** Workers of both regions fail and come back as new processes while the regions are apart. */
+    /**
+     * Workers of both regions fail and restart as new processes while the regions are partitioned.
+     */
     @Test
     void regionPartitionRepeatsNoUnsafeRequestAndKeepsNoStaleWorker() {
         final AnswerCounter answers = new AnswerCounter();
--- a/src/test/java/cresschute/scale/ModuleMemoryScaleTest.java
+++ b/src/test/java/cresschute/scale/ModuleMemoryScaleTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What a dispatcher holds for each worker, tenant and pending request, and that it holds none past
- * its time.
+ * Bounds the memory that a dispatcher holds for each worker, tenant and pending request, and checks
+ * that it releases the memory of those that are gone.
  */
 class ModuleMemoryScaleTest {
 
@@ -83,7 +83,7 @@
     }
 
     /**
-     * As many replacements as in 60 days, under new numbers and in the same places of the fleet.
+     * As many replacements as in 60 days, with new start times and in the same places of the fleet.
      */
     @Test
     void holdsNothingOfReplacedWorkers() {
--- a/src/test/java/cresschute/scale/PlannedSize.java
+++ b/src/test/java/cresschute/scale/PlannedSize.java
@@ -15,7 +15,10 @@
 import java.util.List;
 import java.util.stream.IntStream;
 
-/** The size that is planned for, and settings and worker lists of that size and of parts of it. */
+/**
+ * The planned size of a deployment, with settings and worker lists of that size and of fractions of
+ * it.
+ */
 final class PlannedSize {
 
     static final long SECOND_US = 1_000_000;
@@ -31,7 +34,7 @@
     static final int WORKERS_A_CELL = 20;
     static final long MEAN_RUN_US = 30 * SECOND_US;
 
-    /** Urgent work, usual work, and work that must not run twice. */
+    /** Class numbers of urgent requests, usual requests, and requests that must not run twice. */
     static final int URGENT = 0;
 
     static final int USUAL = 1;
--- a/src/test/java/cresschute/scale/RequestLifecycleScaleTest.java
+++ b/src/test/java/cresschute/scale/RequestLifecycleScaleTest.java
@@ -30,14 +30,20 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** What the core and its module hold, and the messages that they send, at the planned size. */
+/**
+ * Bounds the memory that the request life cycle and its dispatcher hold, and the messages that they
+ * send, at the planned size.
+ */
 class RequestLifecycleScaleTest implements WorkerClient {
 
     private static final long SEED = 15;
     private static final int MAX_BYTES_PER_REQUEST = 1_200;
     private static final int MAX_OBJECTS_PER_REQUEST = 18;
 
-    /** Names stay for the life of the process, so that a late ending finds its worker. */
+    /**
+     * Names are kept for the life of the process, so that the late end of an attempt finds its
+     * worker.
+     */
     private static final int MAX_BYTES_PER_NAME = 350;
 
     private final EmbeddedChannel loop = new EmbeddedChannel();
@@ -53,7 +59,7 @@
     private int loadQueries;
     private RequestLifecycle lifecycle;
 
-    /** Counts what one client hears. */
+    /** Counts the answers that one client receives. */
     private static final class CountingClient implements ResponseListener {
 
         private int count;
@@ -65,7 +71,7 @@
 
         @Override
         public ResultStream resultBegins(String type, long length) {
-            throw new IllegalStateException("no long results here");
+            throw new IllegalStateException("no long results in this test");
         }
 
         @Override
@@ -176,11 +182,12 @@
 
     @Override
     public void closeIdle(InetSocketAddress addr) {
-        throw new IllegalStateException("nothing is stated of drains here");
+        throw new IllegalStateException("no connections are closed on drain in this test");
     }
 
     /**
-     * Gangs of 128 up to all that run: each gets one answer, and nothing of them is held after it.
+     * Submits gangs of 128 up to the planned number of running requests: each request gets one
+     * answer, and nothing of it is held afterwards.
      */
     @Test
     void boundsMemoryPerOpenRequestAndAnswersEachOnce() {
@@ -207,7 +214,7 @@
         assertThat(size().objects()).as("objects after the last answer").isEqualTo(idle.objects());
     }
 
-    /** 30 days of replacements under names that were never used before. */
+    /** Replaces workers as in 30 days, always under names that were never used before. */
     @Test
     void keepsOnlyNamesOfReplacedWorkers() {
         start(PlannedSize.WORKERS);
@@ -225,8 +232,8 @@
     }
 
     /**
-     * A change costs the core no call but the one that brought it; with no requests nobody is
-     * probed.
+     * A change of the list causes no call except the one that delivered it; without requests no
+     * worker is queried.
      */
     @Test
     void listChangesCauseNoMessages() {
--- a/src/test/java/cresschute/scale/RestartScaleTest.java
+++ b/src/test/java/cresschute/scale/RestartScaleTest.java
@@ -13,15 +13,18 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * What a restarted dispatcher's module asks for, what changes make it ask, and when its list is
- * right.
+ * Checks which calls a restarted dispatcher makes, that changes cause none, and when its list is
+ * current.
  */
 class RestartScaleTest {
 
     private static final long SEED = 13;
     private static final int REQUESTS = 1_000;
 
-    /** Guards the discovery against a herd: all ask within this time, and none twice. */
+    /**
+     * Protects discovery against a thundering herd: all dispatchers poll within this time, and none
+     * polls twice.
+     */
     private static final long POLLS_WITHIN_US = PlannedSize.SECOND_US + 50_000;
 
     private static ScriptedHost restarted(int workers) {
@@ -44,7 +47,7 @@
         assertThat(host.loadQueries).as("load queries in a minute without requests").isZero();
     }
 
-    /** The cached list is old: a tenth of its workers is gone and a tenth has come since. */
+    /** The cached list is stale: a tenth of its workers are gone and as many were added since. */
     @Test
     void sendsToNoRemovedWorkerOnceListIsUpdated() {
         final ScriptedHost host = restarted(PlannedSize.WORKERS);
@@ -90,7 +93,8 @@
         assertThat(host.loadQueries + host.sends)
                 .as("load queries and sends after %d changes", changes)
                 .isZero();
-        // One timer goes on, however many changes came: else each would add one for good.
+        // A single timer keeps running, however many changes arrive; otherwise each change would
+        // add one permanently.
         assertThat(host.timerCalls - before)
                 .as("ticks")
                 .isEqualTo(changes * betweenUs / ScriptedHost.TICK_US);
--- a/src/test/java/cresschute/scale/ScriptedHost.java
+++ b/src/test/java/cresschute/scale/ScriptedHost.java
@@ -15,8 +15,8 @@
 import java.util.Map;
 
 /**
- * The host of one module, turned by hand: time passes only by {@link #advance}, and nothing ends by
- * itself.
+ * The host of one dispatcher, driven by a test: time advances only in {@link #advance}, and
+ * attempts end only in {@link #end}.
  */
 final class ScriptedHost implements DispatcherActions {
 
@@ -25,7 +25,9 @@
 
     private static final int SLOTS = 10;
 
-    /** The module's own pause between looks at its requests, for these classes. */
+    /**
+     * The dispatcher's interval between checks of its requests, for these classes, microseconds.
+     */
     static final long TICK_US = 50_000;
 
     final Dispatcher module;
@@ -60,18 +62,15 @@
         return id;
     }
 
-    /** Answers all probes with free slots. */
+    /** Answers all load queries with free slots. */
     void answerLoadQueries() {
         while (!queriedWorkers.isEmpty()) {
             module.loadReported(
-                    nowUs,
-                    queriedWorkers.poll(),
-                    Outcome.SERVED,
-                    new LoadReport(SLOTS, -1, 0));
+                    nowUs, queriedWorkers.poll(), Outcome.SERVED, new LoadReport(SLOTS, -1, 0));
         }
     }
 
-    /** Ends the oldest attempt; a served one answers its request. */
+    /** Ends the oldest attempt; if it was served, its request is answered. */
     void end(Outcome outcome) {
         final SentAttempt sent = inFlight.poll();
         final boolean served = outcome == Outcome.SERVED;
@@ -90,7 +89,7 @@
         answerLoadQueries();
     }
 
-    /** Lets time pass, a tick of the module's after the other. */
+    /** Advances time in steps of one dispatcher tick and fires the timers that are due. */
     void advance(long us) {
         final long untilUs = nowUs + us;
         while (nowUs < untilUs) {
@@ -148,11 +147,11 @@
 
     @Override
     public void reportUnresponsive(int workerId, int requestClass) {
-        throw new IllegalStateException("no peer messages here");
+        throw new IllegalStateException("no peer messages in this test");
     }
 
     @Override
     public void closeIdleConnections(int workerId) {
-        throw new IllegalStateException("nothing is stated of drains here");
+        throw new IllegalStateException("no connections are closed on drain in this test");
     }
 }
