--- a/src/main/java/cresschute/node/ActiveSettings.java
+++ b/src/main/java/cresschute/node/ActiveSettings.java
@@ -10,13 +10,13 @@
 import java.util.List;
 
 /**
- * The settings in force for requests: the request classes by the numbers that the dispatcher knows
- * them by, retired ones included, and the limits of local replies. Owns nothing else; replaced as a
- * whole at a reload. Call from the event loop.
+ * The request settings in force: the request classes, indexed by their dispatcher numbers and
+ * including retired ones, and the limits of local replies. A reload replaces all of them at once.
+ * Call from the event loop.
  */
 final class ActiveSettings {
 
-    /** Retry-After of the node's own local replies where advice is allowed, microseconds. */
+    /** Retry-After of the node's own local replies if the settings allow one, microseconds. */
     private static final long LOCAL_RETRY_AFTER_US = 1_000_000;
 
     private List<String> classNames;
@@ -24,10 +24,10 @@
     private boolean fullMayHaveRun;
     private long retryAfterUs;
 
-    /** By class, whether the deadline is met by the first byte of a long result. */
+    /** By class number: true if the first byte of a long result meets the deadline. */
     private List<Boolean> deadlineIsToFirstByte;
 
-    /** The settings of a start. */
+    /** Creates the settings that a node starts with. */
     ActiveSettings(NodeConfig config) {
         deadlineIsToFirstByte =
                 config.bodies() == null
@@ -42,12 +42,13 @@
      * Replaces the settings.
      *
      * @param names the classes' names by number, with the earlier classes first
-     * @param settings what the dispatcher is notified of
+     * @param settings the settings passed to the dispatcher
      */
     void replace(List<String> names, DispatchSettings settings) {
         final int added = names.size() - deadlineIsToFirstByte.size();
         if (added > 0) {
-            // Classes cannot change where long results are allowed, so that new ones have none.
+            // Classes cannot change if long results are allowed, so added classes have no long
+            // results.
             final List<Boolean> grown = new ArrayList<>(deadlineIsToFirstByte);
             grown.addAll(Collections.nCopies(added, false));
             deadlineIsToFirstByte = List.copyOf(grown);
@@ -72,12 +73,12 @@
         return classes.get(number);
     }
 
-    /** Whether a class may be repeated freely. */
+    /** Returns true if requests of a class may be repeated without restriction. */
     boolean isSafe(int requestClass) {
         return classes.get(requestClass).idempotency() == Idempotency.SAFE;
     }
 
-    /** Whether the deadline of a class is met by the first byte of a long result. */
+    /** Returns true if the first byte of a long result meets the deadline of a class. */
     boolean deadlineIsToFirstByte(int requestClass) {
         return deadlineIsToFirstByte.get(requestClass);
     }
@@ -93,8 +94,8 @@
     }
 
     /**
-     * Whether an attempt that ended so may have run. While its request is open, an attempt is
-     * cancelled only before its last byte is written, so that one did not run.
+     * Returns true if an attempt with this outcome may have run. A cancelled attempt has not: while
+     * its request is open, an attempt is cancelled only before its last byte is written.
      */
     boolean mayHaveRun(Outcome outcome) {
         return outcome != Outcome.CONNECT_FAILED
--- a/src/main/java/cresschute/node/Addresses.java
+++ b/src/main/java/cresschute/node/Addresses.java
@@ -6,7 +6,10 @@
 import java.net.SocketAddress;
 import java.net.UnknownHostException;
 
-/** Parses and formats addresses: an IP literal and a port, as no names are resolved. Any thread. */
+/**
+ * Parses and formats addresses that consist of an IP literal and a port; host names are not
+ * resolved. Any thread.
+ */
 final class Addresses {
 
     private static final int MAX_PORT = 65_535;
@@ -19,7 +22,8 @@
      *
      * @param text an IP literal, a colon and a port
      * @return the address
-     * @throws IllegalArgumentException if it is none; the message names the text
+     * @throws IllegalArgumentException if the text is not an IP address with a port; the message
+     *     quotes it
      */
     static InetSocketAddress parse(String text) {
         final int colon = text.lastIndexOf(':');
@@ -43,7 +47,10 @@
         return new IllegalArgumentException("not an IP address with a port: " + text);
     }
 
-    /** An address as the log shows it: an IP literal and a port, where it is of this kind. */
+    /**
+     * Formats an address for the log: an IP literal and a port if it is a resolved IP address, else
+     * its own string form.
+     */
     static String format(SocketAddress address) {
         return address instanceof InetSocketAddress ip && !ip.isUnresolved()
                 ? NetUtil.toSocketAddressString(ip)
--- a/src/main/java/cresschute/node/Attempt.java
+++ b/src/main/java/cresschute/node/Attempt.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.Future;
 
 /**
- * One attempt of a request at a worker, from its start to its one end. Owns its call, its timeout
- * and its observer; passes the events of the call to {@link AttemptController}. Call from the event
+ * One attempt to serve a request at a worker; it ends exactly once. Owns its call, its timeout and
+ * its observer, and passes the events of the call to {@link AttemptController}. Call from the event
  * loop.
  */
 final class Attempt implements AttemptListener {
@@ -27,14 +27,14 @@
     private boolean ended;
 
     /**
-     * An attempt that is about to start.
+     * Creates an attempt that has not started.
      *
      * @param controller receives its events
-     * @param request the request, which numbers the attempt
+     * @param request the request, which assigns the attempt's number
      * @param target the worker as listed now
      * @param address where the worker listens now
      * @param startedUs the time now, microseconds
-     * @param deadlineUs when its time is over, microseconds
+     * @param deadlineUs when the attempt times out, microseconds
      */
     Attempt(
             AttemptController controller,
@@ -73,17 +73,19 @@
         return startedUs;
     }
 
-    /** Whether it is for the process that listens there as listed now. */
+    /**
+     * Returns true if the attempt is for the listed worker process: same start time and address.
+     */
     boolean targets(Worker listed, InetSocketAddress listedAddress) {
         return listed.startedAtUs() == workerStartedUs && listedAddress.equals(address);
     }
 
-    /** Sets who follows it, before it starts. */
+    /** Sets the observer; call before {@link #start}. */
     void setObserver(RequestListener.AttemptObserver newObserver) {
         observer = newObserver;
     }
 
-    /** Follows it. */
+    /** Its observer. */
     RequestListener.AttemptObserver observer() {
         return observer;
     }
@@ -98,12 +100,15 @@
         call = workers.attempt(address, request.content(), this);
     }
 
-    /** Whether a byte of it may be on the wire. Not before {@link #start} has returned. */
+    /**
+     * Returns true if a byte of the attempt may be on the wire. Call only after {@link #start} has
+     * returned.
+     */
     boolean hasBegun() {
         return call.hasBegun();
     }
 
-    /** Whether it is in flight and no byte of it can be on the wire. */
+    /** Returns true if the attempt is in flight and no byte of it can be on the wire. */
     boolean isUnsent() {
         return !ended && call != null && !call.hasBegun();
     }
@@ -113,28 +118,31 @@
         return ended;
     }
 
-    /** Notes its end, and stops its timeout. */
+    /** Marks the attempt as ended and cancels its timeout. */
     void markEnded() {
         ended = true;
         timeout.cancel(false);
     }
 
     /**
-     * Cancels the call alone; no end is reported.
+     * Cancels the call without reporting the end of the attempt.
      *
-     * @return how the attempt ends by this
+     * @return the outcome that follows from the cancellation
      */
     Outcome cancelCall() {
         return call.abort();
     }
 
-    /** Cancels the call and ends with this outcome. */
+    /** Cancels the call and ends the attempt with this outcome. */
     void cancel(Outcome outcome) {
         call.abort();
         controller.end(this, outcome, LoadReport.NONE, null);
     }
 
-    /** Its time is over: cancels the call and ends with the outcome that follows from that. */
+    /**
+     * Cancels the call at the attempt's deadline and ends the attempt with the outcome that follows
+     * from the cancellation.
+     */
     void timeOut() {
         controller.end(this, call.abort(), LoadReport.NONE, null);
     }
--- a/src/main/java/cresschute/node/AttemptCall.java
+++ b/src/main/java/cresschute/node/AttemptCall.java
@@ -3,8 +3,8 @@
 import cresschute.dispatch.Outcome;
 
 /**
- * An attempt in flight, as the worker client hands it to its caller. Lives from {@link
- * WorkerClient#attempt} to the end of the attempt. Call from the event loop.
+ * A handle on an attempt in flight, returned by {@link WorkerClient#attempt} and valid until the
+ * attempt ends. Call from the event loop.
  */
 public interface AttemptCall {
 
@@ -12,14 +12,14 @@
      * Cancels the attempt and closes its connection. The attempt's listener is not notified of an
      * end.
      *
-     * @return how the attempt ended by this
+     * @return the outcome of the attempt
      */
     Outcome abort();
 
     /**
-     * Whether a byte of the attempt may be on the wire.
+     * Returns whether a byte of the attempt may be on the wire.
      *
-     * @return false as long as cancelling it proves that the worker never saw it
+     * @return false while cancelling the attempt guarantees that the worker received nothing of it
      */
     default boolean hasBegun() {
         return true;
--- a/src/main/java/cresschute/node/AttemptController.java
+++ b/src/main/java/cresschute/node/AttemptController.java
@@ -10,11 +10,11 @@
 import java.net.InetSocketAddress;
 
 /**
- * The attempts in flight: starts those that the dispatcher chose, passes on what their workers
- * report, and ends each exactly once. The first that serves answers its request; the others are
- * cancelled then. What has no byte on the wire is recalled where its request is closed or its
- * worker takes no new work any more. Owns no state but the way to the workers; each request owns
- * its attempts. Lives as long as the node; call from the event loop.
+ * Manages the attempts in flight: starts the attempts that the dispatcher chose, passes on their
+ * workers' reports, and ends each attempt exactly once. The first attempt that is served answers
+ * its request; the others are then cancelled. An attempt without a byte on the wire is cancelled if
+ * its request is closed or its worker takes no new work. Holds no state except the worker client;
+ * each request owns its attempts. Lives as long as the node; call from the event loop.
  */
 final class AttemptController {
 
@@ -29,9 +29,9 @@
     private WorkerClient workers;
 
     /**
-     * Starts nothing before {@link #start}.
+     * Creates a controller; call {@link #start} before the first attempt.
      *
-     * @param context the event loop and whom to notify
+     * @param context the event loop and the listeners
      * @param settings the settings in force
      * @param requests the open requests
      * @param registry the workers
@@ -50,7 +50,7 @@
         this.faults = faults;
     }
 
-    /** Sends attempts by this client from now on. */
+    /** Sets the client that sends all attempts from now on. */
     void start(WorkerClient client) {
         workers = client;
     }
@@ -97,8 +97,10 @@
         try {
             attempt.start(workers);
         } catch (RuntimeException e) {
-            // Every attempt has an end: what threw before it went out never ran.
-            LogEvent.of("attempt_not_started", "an attempt could not be started")
+            // Every attempt must end. This one failed before anything was sent, so it has not run.
+            LogEvent.of(
+                            "attempt_not_started",
+                            "an attempt could not be started; it ends as a failed connection")
                     .with("request", request.requestId())
                     .with("worker", registry.name(worker))
                     .because(e)
@@ -108,8 +110,9 @@
     }
 
     /**
-     * The request was closed in the turn in which the dispatcher chose the worker, its body is
-     * partly gone, or its client is not read: nothing is sent, which is no failure of the worker's.
+     * Reports the end of an attempt that was not started: its request was closed in the turn in
+     * which the dispatcher chose the worker, part of its body is no longer available, or reading
+     * its client is paused. This is not a failure of the worker.
      */
     private void reportUnstarted(ClientRequest request, int worker) {
         final int number = request.nextAttemptNumber();
@@ -131,9 +134,10 @@
     }
 
     /**
-     * Whether an attempt of a request may begin now, asked right before it does: not where its
-     * client has left, or may have left unseen. If no attempt has begun the request is answered by
-     * that. Not to be called from within the reading of a client's connection.
+     * Returns true if an attempt of a request may begin now; called right before it begins. It may
+     * not if the client has left, or may have left undetected because reading it is paused. If it
+     * is paused and no attempt has begun, this method answers the request. Do not call it while a
+     * client's connection is being read.
      */
     private boolean mayBegin(ClientRequest request) {
         if (!request.isClosed() && request.client().hasLeft()) {
@@ -153,13 +157,15 @@
         return !paused;
     }
 
-    /** Whether the first byte of an attempt may go out; it has ended where not. */
+    /**
+     * Returns true if the first byte of an attempt may be written; if not, the attempt has ended.
+     */
     boolean mayBegin(Attempt attempt) {
         final boolean wanted = mayBegin(attempt.request());
         if (!attempt.isEnded() && !wanted) {
             attempt.cancel(Outcome.CANCELLED);
         } else if (!attempt.isEnded() && attempt.remainingUs() == 0) {
-            // The loop was busy when the timeout was due, and runs timers only after its reading.
+            // The loop was busy when the timeout was due, and it runs timers only after its reads.
             attempt.timeOut();
         }
         return !attempt.isEnded();
@@ -226,7 +232,7 @@
     private void reportEnd(Attempt attempt, Outcome outcome, LoadReport report) {
         final ClientRequest request = attempt.request();
         final long elapsedUs = context.nowUs() - attempt.startedUs();
-        // The dispatcher owes nothing any more once a long result is on its way.
+        // Once a long result is being passed on, the dispatcher must not answer the request.
         context.turn()
                 .enqueue(
                         request,
@@ -263,8 +269,8 @@
     }
 
     /**
-     * Cancels every attempt of a request but the one that answers it, which is no failure of their
-     * workers. A worker may drop a queued job once its connection is closed.
+     * Cancels every attempt of a request except the one that answers it. This is not a failure of
+     * their workers. A worker may drop a queued job once its connection is closed.
      */
     private static void cancelOthers(ClientRequest request, Attempt answering) {
         for (final Attempt other : request.attempts()) {
@@ -277,12 +283,12 @@
     // ---- Long results ----
 
     /**
-     * A job produces a long result, which is the answer from here on. For the dispatcher the
-     * attempt ends here, as served: its pace from now on is the client's, and says nothing of the
-     * worker or the class.
+     * Starts to pass on a long result of a job as the answer. For the dispatcher the attempt ends
+     * now, as served: from now on the client sets its pace, which says nothing about the worker or
+     * the class.
      *
      * @return the stream to the client, {@link ResultStream#DISCARDING} if the client has left,
-     *     null if none is allowed
+     *     null if no long result is allowed
      */
     ResultStream resultBegins(Attempt attempt, String type, long length, LoadReport report) {
         final ClientRequest request = attempt.request();
@@ -311,19 +317,19 @@
         resultEnded(attempt, false);
     }
 
-    /** A long result has ended; its request is answered by that, if it is still open. */
+    /** Ends a long result, which completes the answer if the request is still open. */
     void resultEnded(Attempt attempt, boolean complete) {
         if (!attempt.request().isClosed()) {
             requests.finishResult(attempt.request(), complete);
         }
     }
 
-    // ---- Recall ----
+    // ---- Cancellation of unsent attempts ----
 
     /**
-     * Recalls what is not yet on the wire to a worker that takes no new work any more, listens
-     * elsewhere or was restarted: a connection may take longer to come up than the grace of a
-     * drain. The dispatcher chooses again.
+     * Cancels attempts without a byte on the wire whose worker takes no new work, has a new address
+     * or was restarted. This is needed because a connection may take longer to establish than the
+     * grace period of a drain. The dispatcher chooses again.
      */
     void cancelUnsentToChangedWorkers() {
         for (final ClientRequest request : requests.all()) {
--- a/src/main/java/cresschute/node/AttemptListener.java
+++ b/src/main/java/cresschute/node/AttemptListener.java
@@ -11,8 +11,8 @@
 public interface AttemptListener {
 
     /**
-     * Asked once the connection is up and before the first byte is written. Not to be called from
-     * within the reading of a client's connection, which it may read itself.
+     * Called once the connection is established and before the first byte is written. Do not call
+     * it while a client's connection is being read, as it may read that connection itself.
      *
      * @return whether the first byte may be written; the attempt has ended if not
      */
@@ -21,23 +21,23 @@
     }
 
     /**
-     * What is left of the attempt's time. Asked when the head is written: the connection may come
-     * up long after the worker was selected.
+     * Returns the time until the attempt's deadline. Called when the request head is written,
+     * because the connection may be established long after the worker was selected.
      *
-     * @return microseconds, 0 once the time is over
+     * @return microseconds; 0 once the deadline has passed
      */
     long remainingUs();
 
     /**
      * The job has started, or reports progress.
      *
-     * @param fractionDone how much of it is done, 0 to 1; 0 at its start
+     * @param fractionDone the completed fraction of the job, 0 to 1; 0 at its start
      */
     void progressed(double fractionDone);
 
     /**
-     * The job produces a long result. This is the end of the attempt; only {@link #resultEnded}
-     * follows.
+     * The job begins to produce a long result. This is the end of the attempt; only {@link
+     * #resultEnded} follows.
      *
      * @param type the content type that the worker states, or null
      * @param length its length in bytes, or -1 if unknown
--- a/src/main/java/cresschute/node/ClassTable.java
+++ b/src/main/java/cresschute/node/ClassTable.java
@@ -8,22 +8,25 @@
 import java.util.Map;
 
 /**
- * The request classes of a node since its start, under the numbers by which the dispatcher knows
- * them. A class keeps its number for good. One that a new configuration no longer names, or defines
- * otherwise, is retired: requests in flight keep it, and no new request is taken for it. A changed
- * class gets a new number. Immutable.
+ * All request classes of a node since its start, by the numbers that the dispatcher uses. A class
+ * keeps its number for the life of the process. A class that a new configuration omits or changes
+ * is retired: requests in flight keep it, and new requests cannot use it. A changed class gets a
+ * new number. Immutable.
  */
 final class ClassTable {
 
-    /** Numbers that a node may assign since its start; each change of a class takes one. */
+    /**
+     * Maximum number of class numbers of a node, counted from its start; each change of a class
+     * uses one.
+     */
     static final int MAX_CLASSES = 64;
 
     /**
-     * A class under its number.
+     * A class; its number is its index.
      *
      * @param name its name
-     * @param requestClass what the dispatcher knows of it
-     * @param live whether new requests may be of it
+     * @param requestClass its definition
+     * @param live whether new requests may use it
      */
     record Entry(String name, RequestClass requestClass, boolean live) {}
 
@@ -41,7 +44,7 @@
         this.live = Map.copyOf(numbers);
     }
 
-    /** The classes of a start, numbered in their order. */
+    /** Creates the table that a node starts with; the classes are numbered in their order. */
     static ClassTable of(List<String> names, List<RequestClass> classes) {
         final List<Entry> entries = new ArrayList<>();
         for (int i = 0; i < names.size(); i++) {
@@ -51,13 +54,13 @@
     }
 
     /**
-     * The table with a new configuration's classes: an unchanged class keeps its number, a new or
-     * changed one is added, and one that is no longer named is retired.
+     * Returns the table for the classes of a new configuration: an unchanged class keeps its
+     * number, a new or changed one is added, and one that is no longer named is retired.
      *
      * @param names the names of the new classes
      * @param classes the new classes, in the same order
      * @throws IllegalArgumentException if more than {@value #MAX_CLASSES} numbers would be assigned
-     *     since the start, or a name comes twice
+     *     since the start, or a name is duplicated
      */
     ClassTable updatedWith(List<String> names, List<RequestClass> classes) {
         if (names.stream().distinct().count() != names.size()) {
@@ -85,15 +88,15 @@
             throw new IllegalArgumentException(
                     "more than "
                             + MAX_CLASSES
-                            + " classes since the start; a restart "
-                            + "takes this configuration");
+                            + " classes since the start; restart the node "
+                            + "to apply this configuration");
         }
         return new ClassTable(next);
     }
 
     /**
-     * The settings that the dispatcher is notified of: the new ones with the classes of this table,
-     * and with the zones and kinds from before, which only a restart changes.
+     * Returns the settings to pass to the dispatcher: the new settings with the classes of this
+     * table and with the zones and kinds in force, which only a restart changes.
      *
      * @param next the settings of the new configuration
      * @param before the settings in force
@@ -125,36 +128,36 @@
                 next.closeOnDrainWithinUs());
     }
 
-    /** Every class by its number, retired ones included. */
+    /** All classes by number, retired ones included. */
     List<RequestClass> classes() {
         return entries.stream().map(Entry::requestClass).toList();
     }
 
-    /** The name of every class by its number, retired ones included. */
+    /** The names of all classes by number, retired ones included. */
     List<String> names() {
         return entries.stream().map(Entry::name).toList();
     }
 
-    /** The numbers of the classes that new requests may be of, by name. */
+    /** The numbers, by name, of the classes that new requests may use. */
     Map<String, Integer> live() {
         return live;
     }
 
-    /** How many numbers are assigned. */
+    /** The count of assigned numbers. */
     int size() {
         return entries.size();
     }
 
-    /** Whether another table has the same entries. */
+    /** Returns true if another table has the same entries. */
     boolean isSameAs(ClassTable other) {
         return entries.equals(other.entries);
     }
 
     /**
-     * The classes that are new, changed and retired here.
+     * Describes the classes that are new, changed or retired compared with an earlier table.
      *
      * @param before an earlier table of this node
-     * @return their names, for the log; empty if there are none
+     * @return their names, for the log; empty if there is no difference
      */
     String changesFrom(ClassTable before) {
         final List<String> added = new ArrayList<>();
@@ -178,7 +181,7 @@
             parts.add("changed: " + String.join(", ", changed));
         }
         if (!retired.isEmpty()) {
-            parts.add("no longer taken: " + String.join(", ", retired));
+            parts.add("retired: " + String.join(", ", retired));
         }
         return String.join("; ", parts);
     }
--- a/src/main/java/cresschute/node/ClientRequest.java
+++ b/src/main/java/cresschute/node/ClientRequest.java
@@ -9,10 +9,10 @@
 import java.util.function.Predicate;
 
 /**
- * A client's request. It is owed one answer until it is closed, and is kept until its attempts have
- * ended and the dispatcher has been notified of all that happened to it. Owns its attempts in
- * flight, the timer of its answer and the stream of its long result. {@link OpenRequests} creates
- * and forgets it. Call from the event loop.
+ * A client's request. It is open until it is answered or its client leaves, and is kept until its
+ * attempts have ended and the dispatcher has received all its events. Owns its attempts in flight,
+ * the timer of its answer and the stream of its long result. {@link OpenRequests} creates and
+ * removes it. Call from the event loop.
  */
 public final class ClientRequest {
 
@@ -43,18 +43,18 @@
     /**
      * The times of a request, microseconds of the dispatcher's clock.
      *
-     * @param submittedUs when it was taken
+     * @param submittedUs when it was submitted
      * @param dueUs when the client must have its answer
-     * @param deadlineUs when its attempts end, so that the answer is in time
+     * @param deadlineUs when its attempts end at the latest, so that the answer is in time
      */
     record Times(long submittedUs, long dueUs, long deadlineUs) {}
 
     /**
-     * A request that was just taken.
+     * Creates a request that was just submitted.
      *
-     * @param requests keeps it
+     * @param requests the owner, which removes the request once it is done
      * @param id its number, unique in this process
-     * @param content what is sent to workers
+     * @param content the content to send to workers
      * @param requestClass the number of its class
      * @param className the name of its class
      * @param client receives its answer
@@ -87,7 +87,7 @@
         return content.requestId();
     }
 
-    /** What is sent to workers. */
+    /** The content to send to workers. */
     RequestContent content() {
         return content;
     }
@@ -102,24 +102,24 @@
         return className;
     }
 
-    /** Receives its answer. */
+    /** The receiver of its answer. */
     ResponseListener client() {
         return client;
     }
 
-    /** When it was taken, microseconds. */
+    /** When it was submitted, microseconds. */
     long submittedUs() {
         return times.submittedUs();
     }
 
-    /** When its attempts end, microseconds. */
+    /** When its attempts end at the latest, microseconds. */
     long deadlineUs() {
         return times.deadlineUs();
     }
 
     // ---- Answer ----
 
-    /** Whether nothing is owed any more: it is answered, or its client has left. */
+    /** Returns true if the request was answered or its client has left. */
     boolean isClosed() {
         return closed;
     }
@@ -129,18 +129,18 @@
         return answered;
     }
 
-    /** Notes that its one answer is being sent. */
+    /** Marks the request as answered, right before its only answer is sent. */
     void markAnswered() {
         answered = true;
     }
 
-    /** Notes that nothing is owed any more, and stops its timer. */
+    /** Marks the request as closed and cancels its timer. */
     void close() {
         closed = true;
         timer.cancel(false);
     }
 
-    /** Replaces the timer that guards its answer; the earlier one is cancelled. */
+    /** Sets the timer that limits the time to its answer, and cancels the previous one. */
     void setAnswerTimer(Future<?> newTimer) {
         if (timer != null) {
             timer.cancel(false);
@@ -148,25 +148,28 @@
         timer = newTimer;
     }
 
-    /** The first byte of its long result met the deadline: the end of its answer is not bounded. */
+    /**
+     * Removes the time limit of its answer, because the first byte of its long result has met the
+     * deadline.
+     */
     void removeAnswerDeadline() {
         timer.cancel(false);
         answerDeadlineRemoved = true;
     }
 
-    /** Whether an answer that ends at this time is late. */
+    /** Returns true if an answer that ends at this time is late. */
     boolean isLate(long nowUs) {
         return !answerDeadlineRemoved && nowUs > times.dueUs();
     }
 
     // ---- Long result ----
 
-    /** Whether a long result is its answer. */
+    /** Returns true if its answer is a long result. */
     boolean hasLongResult() {
         return resultAttempt != null;
     }
 
-    /** From now on the long result of this attempt is its answer. */
+    /** Sets the long result of this attempt as the answer. */
     void startLongResult(Attempt attempt, ResultStream stream) {
         resultAttempt = attempt;
         result = stream;
@@ -186,17 +189,17 @@
 
     // ---- Attempts ----
 
-    /** Takes the number of its next attempt, counted from 0. */
+    /** Assigns the number of its next attempt, counted from 0. */
     int nextAttemptNumber() {
         return attemptsStarted++;
     }
 
-    /** How many attempts were numbered. */
+    /** How many attempt numbers were assigned. */
     int attemptsStarted() {
         return attemptsStarted;
     }
 
-    /** An attempt starts. */
+    /** Records the start of an attempt. */
     void attemptStarted(Attempt attempt) {
         attempts.add(attempt);
         if (firstWorker == NO_WORKER) {
@@ -210,7 +213,7 @@
     }
 
     /**
-     * An attempt has ended.
+     * Records the end of an attempt.
      *
      * @param attempt the attempt
      * @param attemptMayHaveRun whether its job may have had its effect
@@ -246,9 +249,9 @@
     }
 
     /**
-     * Ends those attempts of which no byte can be on the wire: they surely never ran.
+     * Cancels the selected attempts that have no byte on the wire and therefore have not run.
      *
-     * @param which the attempts to end
+     * @param which selects the attempts
      * @param outcome how they end
      */
     void cancelUnsent(Predicate<Attempt> which, Outcome outcome) {
@@ -261,25 +264,29 @@
 
     // ---- Events ----
 
-    /** An event about it waits for the dispatcher's turn. */
+    /** Records that an event of this request is queued for the dispatcher. */
     void eventQueued() {
         pendingEvents++;
     }
 
-    /** The dispatcher was notified of an event and the turn's actions are carried out. */
+    /**
+     * Records that the dispatcher has received an event and that the actions of the turn have run.
+     */
     void eventReported() {
         pendingEvents--;
         requests.forgetIfDone(this);
     }
 
-    /** The dispatcher threw on an event about it. */
+    /**
+     * Fails the request if it is open; called when the dispatcher threw an exception on its event.
+     */
     void dispatcherFailed() {
         if (!closed) {
             requests.failUnanswered(this);
         }
     }
 
-    /** Whether nothing more can happen to it. */
+    /** Returns true if the request is closed and has no attempts and no queued events. */
     boolean isDone() {
         return closed && attempts.isEmpty() && pendingEvents == 0;
     }
--- a/src/main/java/cresschute/node/Clock.java
+++ b/src/main/java/cresschute/node/Clock.java
@@ -1,8 +1,8 @@
 package cresschute.node;
 
 /**
- * The dispatcher's clock: Unix time as it was at the start, run on by a clock that never goes back.
- * Any thread.
+ * The dispatcher's clock: Unix time at the start plus the time elapsed on a monotonic clock. Any
+ * thread.
  */
 @FunctionalInterface
 public interface Clock {
@@ -10,7 +10,10 @@
     /** The time now, microseconds. */
     long nowUs();
 
-    /** A clock that starts at the system's Unix time, so that discovery's times need no shift. */
+    /**
+     * Returns a clock that starts at the system's Unix time, so that it can be compared with
+     * discovery's times.
+     */
     static Clock system() {
         final long startUs = System.currentTimeMillis() * 1000;
         final long startNs = System.nanoTime();
--- a/src/main/java/cresschute/node/DescriptorBudget.java
+++ b/src/main/java/cresschute/node/DescriptorBudget.java
@@ -1,8 +1,8 @@
 package cresschute.node;
 
 /**
- * How a node divides the file descriptors that its process may hold, so that no part of it can take
- * what another one needs. Immutable.
+ * Divides the file descriptors of the process among the parts of the node, so that no part can use
+ * up the descriptors of another. Immutable.
  *
  * @param clientConnections connections from clients at a time
  * @param workerConnections connections to workers at a time
@@ -12,31 +12,31 @@
 record DescriptorBudget(int clientConnections, int workerConnections, int managementCalls) {
 
     /**
-     * Descriptors that are in none of the quotas. An idle process holds 22 of them: standard
-     * streams, files of the JVM, class path, selector and listeners. The others are for the
-     * connection to discovery and an earlier one that is being closed, for the file of the
-     * operators' state, and for connections that one read of a listener accepts before others are
-     * closed for them: 16 from clients and one call.
+     * Descriptors outside the quotas. An idle process uses 22 of them: standard streams, files of
+     * the JVM, class path, selector and listeners. The others are for the connection to discovery
+     * and a previous one that is being closed, for the file of the operators' state, and for
+     * connections that one read of a listener accepts before others are closed in their favor: 16
+     * from clients and one call.
      */
     static final int RESERVED_DESCRIPTORS = 48;
 
-    /** The upper bound of operators' calls at a time. */
+    /** Maximum number of concurrent operators' calls. */
     static final int MAX_MANAGEMENT_CALLS = 32;
 
-    /** Under a small limit, operators' calls may take one in so many descriptors. */
+    /** Under a small limit, operators' calls may use one in this many descriptors. */
     private static final int MANAGEMENT_CALLS_DIVISOR = 8;
 
     /** The clients' fraction of all connections. */
     private static final double CLIENT_FRACTION = 0.55;
 
-    /** A client and a worker, whatever the limit. */
+    /** Minimum number of connections under any limit: one client and one worker. */
     private static final int MIN_CONNECTIONS = 2;
 
     /**
-     * The quotas under a limit.
+     * Computes the quotas under a limit.
      *
      * @param descriptors how many descriptors the process may hold
-     * @param hasManagement whether operators call
+     * @param hasManagement whether the node has a management listener
      */
     static DescriptorBudget of(int descriptors, boolean hasManagement) {
         final int available = Math.max(MIN_CONNECTIONS, descriptors - RESERVED_DESCRIPTORS);
--- a/src/main/java/cresschute/node/Discovery.java
+++ b/src/main/java/cresschute/node/Discovery.java
@@ -2,11 +2,11 @@
 
 /**
  * Watches the endpoint list at a discovery service. Notifies {@link RequestLifecycle} of each list,
- * in order, and once of a watch that fails. Call from the event loop.
+ * in order, and once if a watch fails. Call from the event loop.
  */
 @FunctionalInterface
 public interface Discovery {
 
-    /** Watches the list from the version that is held, until a call fails. */
+    /** Watches the list, starting from the current version, until a call fails. */
     void watch();
 }
--- a/src/main/java/cresschute/node/DispatcherTurn.java
+++ b/src/main/java/cresschute/node/DispatcherTurn.java
@@ -9,10 +9,10 @@
 import java.util.function.LongConsumer;
 
 /**
- * Gathers what happens during one pass of the event loop and runs the turn that follows: all events
- * are reported to the dispatcher in their order and at one clock reading, then the actions that it
- * asked for are carried out in their order. Owns the events and the actions that are pending. Lives
- * as long as the node; call from the event loop.
+ * Queues the events of one pass of the event loop and runs the turn that follows: reports all
+ * events to the dispatcher in order and with one clock reading, then runs the actions that the
+ * dispatcher asked for in order. Owns the pending events and actions. Lives as long as the node;
+ * call from the event loop.
  */
 final class DispatcherTurn {
 
@@ -26,9 +26,9 @@
     private boolean scheduled;
 
     /**
-     * An event that is pending.
+     * A pending event.
      *
-     * @param request the request that the event is about, or null
+     * @param request the request that the event belongs to, or null
      * @param report reports the event to the dispatcher, at the turn's clock reading in
      *     microseconds
      */
@@ -48,7 +48,7 @@
     }
 
     /**
-     * A turn without events.
+     * Creates a turn without events.
      *
      * @param loop runs the turns
      * @param clock read once for each turn
@@ -61,7 +61,7 @@
     }
 
     /**
-     * Gathers an event that is about no request.
+     * Queues an event that belongs to no request.
      *
      * @param report reports it to the dispatcher, given the time in microseconds
      */
@@ -70,7 +70,7 @@
     }
 
     /**
-     * Gathers an event of a request, which is not forgotten before the dispatcher knows the event.
+     * Queues an event of a request, which is kept until the dispatcher has received the event.
      *
      * @param request the request
      * @param report reports the event to the dispatcher, given the time in microseconds
@@ -89,9 +89,9 @@
     }
 
     /**
-     * Keeps an action that the dispatcher asks for until all events of the turn are reported.
+     * Defers an action that the dispatcher asked for until all events of the turn are reported.
      *
-     * @param action carries it out
+     * @param action the action
      */
     void defer(Runnable action) {
         actions.add(action);
@@ -112,7 +112,10 @@
             try {
                 event.report().accept(nowUs);
             } catch (RuntimeException e) {
-                LogEvent.of("module_failed", "the module failed on an event")
+                LogEvent.of(
+                                "module_failed",
+                                "the dispatcher failed on an event; failing the request of the"
+                                    + " event, if any")
                         .because(e)
                         .log(LOG, Level.ERROR);
                 event.failed();
@@ -128,7 +131,10 @@
             try {
                 action.run();
             } catch (RuntimeException e) {
-                LogEvent.of("action_failed", "an action of the module failed")
+                LogEvent.of(
+                                "action_failed",
+                                "an action of the dispatcher failed; continuing with the next"
+                                    + " action")
                         .because(e)
                         .log(LOG, Level.ERROR);
                 invariant.check(false, "action failed");
--- a/src/main/java/cresschute/node/EndpointList.java
+++ b/src/main/java/cresschute/node/EndpointList.java
@@ -11,9 +11,9 @@
 /**
  * One answer of discovery: the full list, or changes to it. Immutable.
  *
- * @param version the version of the list after it, or -1 where none is known
- * @param full whether it is the full list
- * @param entries the workers that it states
+ * @param version the version of the list after this answer, or -1 if unknown
+ * @param full true for the full list, false for changes
+ * @param entries the listed workers
  */
 public record EndpointList(long version, boolean full, List<Endpoint> entries) {
 
@@ -25,9 +25,10 @@
      * @param zone the name of its zone
      * @param kind the name of its kind of machine
      * @param cell the number of its cell
-     * @param state whether it takes work
-     * @param weight its weight against other workers
-     * @param startedMs when its process started, milliseconds of Unix time; 0 for long ago
+     * @param state whether it is ready, draining or gone
+     * @param weight its weight relative to other workers
+     * @param startedMs when its process started, milliseconds of Unix time; 0 if it started long
+     *     ago
      */
     public record Endpoint(
             String id,
@@ -44,19 +45,19 @@
      *
      * @param json the answer
      * @return the list or the changes
-     * @throws JsonParseException if any part of it is missing or of the wrong form
+     * @throws JsonParseException if any part of it is missing or malformed
      */
     public static EndpointList parse(JsonObject json) {
         final List<Endpoint> entries = new ArrayList<>();
         for (final JsonElement element : Json.array(json, "servers")) {
             if (!element.isJsonObject()) {
-                throw new JsonParseException("an entry of the list is no object");
+                throw new JsonParseException("an entry of servers is not an object");
             }
             entries.add(entry(element.getAsJsonObject()));
         }
         final JsonElement full = json.get("full");
         if (full == null || !full.isJsonPrimitive() || !full.getAsJsonPrimitive().isBoolean()) {
-            throw new JsonParseException("full is missing or no boolean");
+            throw new JsonParseException("full is missing or not a boolean");
         }
         final double version = Json.number(json, "version", -1);
         if (version < 0) {
--- a/src/main/java/cresschute/node/EndpointListPublisher.java
+++ b/src/main/java/cresschute/node/EndpointListPublisher.java
@@ -7,10 +7,10 @@
 import java.util.List;
 
 /**
- * Publishes the endpoint list to the dispatcher: takes in what discovery answers, lays the
- * operators' overlay over it, and then recalls attempts whose worker the change rules out. Owns the
- * registry's contents, the time of the newest answer and whether a worker was ever ready. Lives as
- * long as the node; call from the event loop.
+ * Publishes the endpoint list to the dispatcher: applies discovery's answers to the registry and
+ * the operators' overlay to the workers' states, and then cancels unsent attempts whose worker is
+ * no longer eligible. Owns the registry's contents, the time of the newest answer and whether a
+ * worker was ever ready. Lives as long as the node; call from the event loop.
  */
 final class EndpointListPublisher {
 
@@ -20,7 +20,7 @@
     private boolean ready;
     private long updatedAtUs;
 
-    /** Publishes nothing yet; changes the registry, and recalls attempts. */
+    /** Creates a publisher that updates the registry and cancels unsent attempts. */
     EndpointListPublisher(
             LoopContext context, WorkerRegistry registry, AttemptController attempts) {
         this.context = context;
@@ -29,9 +29,9 @@
     }
 
     /**
-     * Takes in a list or a change and publishes it.
+     * Applies a list or a change and publishes it.
      *
-     * @param form how the dispatcher is to take it
+     * @param form how the dispatcher must interpret it
      * @param list the list or the change
      */
     void publish(EndpointListForm form, EndpointList list) {
@@ -40,7 +40,7 @@
         final List<Worker> workers = withOverlay(listed);
         ready |= workers.stream().anyMatch(worker -> worker.state() == WorkerState.READY);
         updatedAtUs = context.nowUs();
-        // A full list implies that the workers that it leaves out are gone.
+        // Workers missing from a full list are gone.
         context.listener()
                 .endpointListChanged(updatedAtUs, list.full() ? registry.listed() : listed);
         report(form, workers);
@@ -48,8 +48,8 @@
     }
 
     /**
-     * Publishes these workers again, as the overlay of their states has changed. The dispatcher is
-     * notified in the next turn; attempts that have sent nothing to them are recalled at once.
+     * Publishes these workers again because the overlay of their states has changed. The dispatcher
+     * is notified in the next turn; unsent attempts at these workers are cancelled at once.
      */
     void republish(Collection<String> names) {
         final List<Worker> listed =
@@ -65,7 +65,7 @@
         }
     }
 
-    /** Reports that a watch has failed; the list that is held stays in force. */
+    /** Reports that a watch has failed; the current list stays in force. */
     void reportFailed() {
         report(EndpointListForm.FAILED, List.of());
     }
@@ -84,7 +84,7 @@
         return state == worker.state() ? worker : WorkerRegistry.withState(worker, state);
     }
 
-    /** Whether the dispatcher was ever notified of a worker that takes work. */
+    /** Returns true once a published list has contained a ready worker. */
     boolean hasHadReadyWorker() {
         return ready;
     }
--- a/src/main/java/cresschute/node/Invariant.java
+++ b/src/main/java/cresschute/node/Invariant.java
@@ -4,8 +4,8 @@
 import java.util.TreeMap;
 
 /**
- * Checks what must hold: asserted where assertions are enabled ({@code java -ea}), else counted by
- * name. Owns the counts. Call from the event loop, save where stated.
+ * Checks invariants. A violation is counted by name and, if assertions are enabled ({@code java
+ * -ea}), fails an assertion. Owns the counts. Call from the event loop, except where stated.
  */
 public final class Invariant {
 
@@ -17,8 +17,8 @@
     /**
      * Checks a condition.
      *
-     * @param condition what must hold
-     * @param name the name under which a breach is counted
+     * @param condition the condition that must hold
+     * @param name the name under which a violation is counted
      * @return the condition
      */
     @SuppressWarnings("NonAtomicVolatileUpdate") // Only the event loop writes it.
@@ -31,12 +31,12 @@
         return condition;
     }
 
-    /** Breaches so far, of all names together. Any thread. */
+    /** The number of violations so far, of all names together. Any thread. */
     public long total() {
         return total;
     }
 
-    /** The violations by name. */
+    /** The numbers of violations by name. */
     @Override
     public String toString() {
         return violations.toString();
--- a/src/main/java/cresschute/node/Json.java
+++ b/src/main/java/cresschute/node/Json.java
@@ -11,15 +11,15 @@
 import java.io.IOException;
 import java.io.StringReader;
 
-/** Strict reading of JSON objects. Stateless; any thread. */
+/** Parses JSON objects strictly. Stateless; any thread. */
 public final class Json {
 
     private Json() {}
 
     /**
-     * Parses a text that holds one object.
+     * Parses a text that contains exactly one object.
      *
-     * @throws JsonParseException if it holds anything else
+     * @throws JsonParseException if it contains anything else
      */
     public static JsonObject object(String text) {
         final JsonReader reader = new JsonReader(new StringReader(text));
@@ -38,22 +38,22 @@
     /**
      * The string under a name.
      *
-     * @throws JsonParseException if it is missing or no string
+     * @throws JsonParseException if it is missing or not a string
      */
     public static String string(JsonObject object, String name) {
         final JsonElement element = object.get(name);
         if (element == null
                 || !element.isJsonPrimitive()
                 || !element.getAsJsonPrimitive().isString()) {
-            throw new JsonParseException(name + " is missing or no string");
+            throw new JsonParseException(name + " is missing or not a string");
         }
         return element.getAsString();
     }
 
     /**
-     * The number under a name, or the other value if it is absent or null.
+     * The number under a name, or a default if it is absent or null.
      *
-     * @throws JsonParseException if it is no number
+     * @throws JsonParseException if it is not a number
      */
     public static double number(JsonObject object, String name, double otherwise) {
         final JsonElement element = object.get(name);
@@ -61,7 +61,7 @@
             return otherwise;
         }
         if (!element.isJsonPrimitive() || !element.getAsJsonPrimitive().isNumber()) {
-            throw new JsonParseException(name + " is no number");
+            throw new JsonParseException(name + " is not a number");
         }
         return element.getAsDouble();
     }
@@ -69,12 +69,12 @@
     /**
      * The object under a name.
      *
-     * @throws JsonParseException if it is missing or no object
+     * @throws JsonParseException if it is missing or not an object
      */
     public static JsonObject child(JsonObject object, String name) {
         final JsonElement element = object.get(name);
         if (element == null || !element.isJsonObject()) {
-            throw new JsonParseException(name + " is missing or no object");
+            throw new JsonParseException(name + " is missing or not an object");
         }
         return element.getAsJsonObject();
     }
@@ -82,12 +82,12 @@
     /**
      * The array under a name.
      *
-     * @throws JsonParseException if it is missing or no array
+     * @throws JsonParseException if it is missing or not an array
      */
     public static JsonArray array(JsonObject object, String name) {
         final JsonElement element = object.get(name);
         if (element == null || !element.isJsonArray()) {
-            throw new JsonParseException(name + " is missing or no array");
+            throw new JsonParseException(name + " is missing or not an array");
         }
         return element.getAsJsonArray();
     }
--- a/src/main/java/cresschute/node/LoadQueries.java
+++ b/src/main/java/cresschute/node/LoadQueries.java
@@ -8,9 +8,9 @@
 import java.util.OptionalInt;
 
 /**
- * Answers the dispatcher's load queries: from what is known of a worker's load, else by asking the
- * worker. Owns no state but the way to the workers. Lives as long as the node; call from the event
- * loop.
+ * Answers the dispatcher's load queries: from the load tracker if it knows the worker's load, else
+ * by querying the worker. Holds no state except the worker client. Lives as long as the node; call
+ * from the event loop.
  */
 final class LoadQueries {
 
@@ -20,18 +20,21 @@
     private final WorkerRegistry registry;
     private WorkerClient workers;
 
-    /** Queries the registered workers, once started. */
+    /** Creates load queries of registered workers; call {@link #start} before the first query. */
     LoadQueries(LoopContext context, WorkerRegistry registry) {
         this.context = context;
         this.registry = registry;
     }
 
-    /** Queries by this client from now on. */
+    /** Sets the client that sends all queries from now on. */
     void start(WorkerClient client) {
         workers = client;
     }
 
-    /** Reports the load of these workers, which is known anew, to the dispatcher unasked. */
+    /**
+     * Reports the load of these workers to the dispatcher without being asked, because the load
+     * tracker has new values.
+     */
     void refreshed(Collection<String> names) {
         names.stream()
                 .map(registry::number)
--- a/src/main/java/cresschute/node/LoopContext.java
+++ b/src/main/java/cresschute/node/LoopContext.java
@@ -6,16 +6,17 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What the parts of the request life cycle have in common: the event loop that runs all of them,
- * its clock, and whom they notify. Lives as long as the node; call from the event loop.
+ * The objects that the parts of the request life cycle share: the event loop that runs all of them,
+ * its clock, and the listeners that they notify. Lives as long as the node; call from the event
+ * loop.
  *
  * @param loop the event loop
  * @param clock the dispatcher's clock
- * @param invariant counts what must not happen
- * @param listener follows requests, attempts and the endpoint list
- * @param loads what is known of workers' load without a query
- * @param turn gathers the events for the dispatcher
- * @param dispatcher decides; is notified from within {@code turn} only
+ * @param invariant counts broken invariants
+ * @param listener observes requests, attempts and the endpoint list
+ * @param loads tracks the workers' load without queries
+ * @param turn queues the events for the dispatcher
+ * @param dispatcher makes the decisions; receives events only through {@code turn}
  */
 record LoopContext(
         ScheduledExecutorService loop,
@@ -32,11 +33,11 @@
     }
 
     /**
-     * Runs a task later.
+     * Schedules a task.
      *
-     * @param delayUs after this many microseconds
+     * @param delayUs the delay, microseconds
      * @param task runs on the event loop
-     * @return cancels it
+     * @return a future that cancels the task
      */
     Future<?> schedule(long delayUs, Runnable task) {
         return loop.schedule(task, delayUs, TimeUnit.MICROSECONDS);
--- a/src/main/java/cresschute/node/OpenRequests.java
+++ b/src/main/java/cresschute/node/OpenRequests.java
@@ -15,10 +15,10 @@
 import java.util.Set;
 
 /**
- * The requests of this process: each is taken, answered exactly once unless its client leaves,
- * closed, and forgotten once its attempts have ended and the dispatcher knows all of it. Owns the
- * open requests, their ids and the count of answers that are owed. Lives as long as the node; call
- * from the event loop.
+ * The requests of this process. Each is submitted, answered exactly once unless its client leaves,
+ * closed, and removed once its attempts have ended and the dispatcher has received all its events.
+ * Owns the open requests, their ids and the number of unanswered requests. Lives as long as the
+ * node; call from the event loop.
  */
 final class OpenRequests {
 
@@ -33,7 +33,7 @@
     private int unanswered;
     private boolean rejectsNew;
 
-    /** No requests yet, which are taken by these settings. */
+    /** Creates an empty set of requests, which are handled under these settings. */
     OpenRequests(LoopContext context, ActiveSettings settings) {
         this.context = context;
         this.settings = settings;
@@ -50,27 +50,28 @@
     }
 
     /**
-     * Whether a request under this id of its client's is owed an answer or has attempts in flight.
+     * Returns true if a request with this client-assigned id is unanswered or has attempts in
+     * flight.
      */
     boolean isOpen(String requestId) {
         return openIds.contains(requestId);
     }
 
-    /** Requests that are owed an answer. */
+    /** The number of unanswered requests. */
     int unanswered() {
         return unanswered;
     }
 
-    /** Rejects whatever is taken from now on. */
+    /** Rejects all requests that are submitted from now on. */
     void rejectNew() {
         rejectsNew = true;
     }
 
     /**
-     * Takes a request and notifies the dispatcher.
+     * Submits a request and notifies the dispatcher.
      *
-     * @param content what is sent to workers
-     * @param job what the dispatcher knows of it
+     * @param content the content to send to workers
+     * @param job its description for the dispatcher
      * @param waitUs how long its client waits, microseconds
      * @param client receives its one answer
      * @return the request
@@ -106,15 +107,18 @@
         return request;
     }
 
-    /** No request stays without an answer, whatever the dispatcher does with it. */
+    /**
+     * Fails a request that the dispatcher has not answered in time, so that every request is
+     * answered.
+     */
     private void failOverdue(ClientRequest request) {
         failUnanswered(request);
         context.invariant().check(false, "request overdue");
     }
 
     /**
-     * Fails a request that the dispatcher did not answer, and notifies it that nothing is owed any
-     * more.
+     * Fails a request that the dispatcher did not answer, and notifies the dispatcher that the
+     * request is closed.
      */
     void failUnanswered(ClientRequest request) {
         reportClosed(request);
@@ -123,8 +127,8 @@
     }
 
     /**
-     * The client of a request has left: nothing is owed any more. An attempt that has a byte on the
-     * wire runs on; one whose connection is still coming up is cancelled.
+     * Closes a request whose client has left. An attempt that has a byte on the wire continues; one
+     * whose connection is still being established is cancelled.
      */
     void clientLeft(ClientRequest request) {
         if (!request.isClosed()) {
@@ -135,7 +139,7 @@
         }
     }
 
-    /** Gathers for the dispatcher that a request is owed nothing any more. */
+    /** Queues an event that notifies the dispatcher that a request is closed. */
     void reportClosed(ClientRequest request) {
         context.turn().enqueue(request, now -> context.dispatcher().clientLeft(now, request.id()));
     }
@@ -155,7 +159,7 @@
                 () -> request.client().served(result));
     }
 
-    /** Rejects; a retry does no harm. Advice of 0 microseconds is none. */
+    /** Rejects a request; a retry does no harm. A Retry-After of 0 microseconds is omitted. */
     void reject(ClientRequest request, long retryAfterUs) {
         answer(
                 request,
@@ -164,12 +168,12 @@
                 () -> request.client().localReply(retryAfterUs));
     }
 
-    /** Rejects with the node's own advice. */
+    /** Rejects a request with the node's own Retry-After. */
     void rejectLocally(ClientRequest request) {
         reject(request, settings.retryAfterUs());
     }
 
-    /** Fails: it may or may not have run. */
+    /** Fails a request, which may have run. */
     void fail(ClientRequest request) {
         answer(request, RequestListener.Answer.FAILED, 0, request.client()::failed);
     }
@@ -185,8 +189,9 @@
     }
 
     /**
-     * Answers a request that cannot be sent again, in place of the dispatcher: further attempts
-     * would end one by one, each counted as a failure of a worker that saw nothing of it.
+     * Answers a request that cannot be sent again, without consulting the dispatcher. Otherwise
+     * further attempts would end one by one, each counted as a failure of a worker that received
+     * nothing.
      */
     void answerUnreplayable(ClientRequest request) {
         if (request.mayHaveRun()) {
@@ -196,11 +201,11 @@
         }
     }
 
-    /** The one place where a client gets its answer. */
+    /** Sends a client its answer; the only method that does so. */
     private void answer(
             ClientRequest request, RequestListener.Answer answer, long ranUs, Runnable send) {
         if (request.isClosed()) {
-            // The client may have left in the same turn; a second answer may not happen.
+            // The client may have left in the same turn; a second answer must not happen.
             context.invariant().check(!request.isAnswered(), "second answer");
             return;
         }
@@ -214,7 +219,7 @@
         if (LOG.isLoggable(Level.DEBUG)) {
             logAnswer(request, answer);
         }
-        // Checked once it is written: late is better than never.
+        // Checked after the answer is written, because a late answer is better than none.
         context.invariant().check(!request.isLate(context.nowUs()), "late answer");
     }
 
@@ -245,13 +250,14 @@
         request.close();
         forgetIfDone(request);
         unanswered--;
-        // A connection that comes up later must not send for a client that is answered or has left.
+        // A connection that is established later must not send the request of a client that is
+        // answered or has left.
         request.cancelUnsent(attempt -> true, Outcome.CANCELLED);
     }
 
     /**
-     * Forgets a request to which nothing more can happen. An event that the dispatcher does not
-     * know yet keeps it: the dispatcher may still act for it.
+     * Removes a request that is done. A request with an event that the dispatcher has not received
+     * is kept, because the dispatcher may still act on it.
      */
     void forgetIfDone(ClientRequest request) {
         if (request.isDone()) {
@@ -261,7 +267,8 @@
     }
 
     /**
-     * The cells in which open keyed requests must be repeated, as their first attempt went there.
+     * The cells in which open keyed requests must be repeated, because their first attempt went
+     * there.
      *
      * @param registry the workers
      */
--- a/src/main/java/cresschute/node/PeerFault.java
+++ b/src/main/java/cresschute/node/PeerFault.java
@@ -7,15 +7,15 @@
 
     /** A call to discovery returned no list. */
     DISCOVERY_CALL_FAILED("discovery call failed"),
-    /** A worker sent something that cannot be used. */
+    /** A worker sent an invalid response. */
     BAD_WORKER_ANSWER("bad worker answer"),
-    /** A connection to a worker failed otherwise than by being reset. */
+    /** A connection to a worker failed with an error other than a reset. */
     WORKER_CONNECTION("worker connection"),
-    /** A connection from a client failed otherwise than by being reset. */
+    /** A connection from a client failed with an error other than a reset. */
     CLIENT_CONNECTION("client connection"),
     /** There was no capacity for a long body. */
     BODY_CAPACITY_EXCEEDED("no capacity for a long body"),
-    /** One side of a long body was too slow. */
+    /** The sender or the receiver of a long body was too slow. */
     BODY_TOO_SLOW("a long body was too slow"),
     /** All connections to workers are in use. */
     NO_CONNECTION_LEFT("no connection left");
--- a/src/main/java/cresschute/node/PeerLoads.java
+++ b/src/main/java/cresschute/node/PeerLoads.java
@@ -18,10 +18,10 @@
 import java.util.function.Consumer;
 
 /**
- * Knowledge of workers' load by gossip among the dispatchers of a site: assembles the exchange, its
- * socket and its log for one node. Only a node whose settings name peers creates it, so that others
- * do not load its classes. Life cycle: {@link #onRefresh}, {@link #listen}, {@link #leave}; all but
- * the constructor on the event loop, or before it runs.
+ * Tracks the load of workers by gossip among the dispatchers of a site: assembles the exchange, its
+ * socket and its log for one node. Only a node whose settings name peers creates an instance, so
+ * that other nodes do not load its classes. Life cycle: {@link #onRefresh}, {@link #listen}, {@link
+ * #leave}; call everything except the constructor on the event loop, or before the loop runs.
  */
 final class PeerLoads implements LoadTracker {
 
@@ -32,7 +32,8 @@
     private Consumer<List<String>> onRefresh = workers -> {};
 
     /**
-     * Creates it, bound to nothing yet. Reads the key file, so it must not run on the event loop.
+     * Creates an instance without binding its socket. Reads the key file, so do not call it on the
+     * event loop.
      *
      * @throws IOException if the key file cannot be read, or its key is too short
      */
@@ -64,7 +65,7 @@
         addresses = peers.addresses();
     }
 
-    /** Binds the socket and starts gossip; the future fails where the address cannot be bound. */
+    /** Binds the socket and starts gossip; the future fails if the address cannot be bound. */
     ChannelFuture listen(SocketAddress address) {
         final ChannelFuture bound = socket.listen(address);
         bound.addListener(
@@ -77,20 +78,23 @@
     }
 
     /**
-     * Stops gossip and notifies the peers; to be called until it returns true.
+     * Stops gossip and notifies the peers; call it repeatedly until it returns true.
      *
-     * @return whether the peers were notified, or the time for it has passed
+     * @return true once the peers were notified or the time for it has passed
      */
     boolean leave() {
         return socket.leave();
     }
 
-    /** Sets the listener that is notified of workers whose load has changed; before it listens. */
+    /**
+     * Sets the listener that is notified of workers whose load has changed; call before {@link
+     * #listen}.
+     */
     void onRefresh(Consumer<List<String>> listener) {
         onRefresh = listener;
     }
 
-    /** Whether the counts of all peers are known now. */
+    /** Returns true if the counts of all peers are known now. */
     boolean isComplete() {
         return exchange.peers().isComplete(clock.nowUs());
     }
--- a/src/main/java/cresschute/node/RateLimitedLog.java
+++ b/src/main/java/cresschute/node/RateLimitedLog.java
@@ -12,7 +12,7 @@
  */
 public final class RateLimitedLog {
 
-    /** At most one line of a kind in this time, microseconds. */
+    /** Minimum time between two lines of the same kind, microseconds. */
     private static final long INTERVAL_US = 5_000_000;
 
     private final Logger log;
@@ -20,10 +20,10 @@
     private final Map<PeerFault, Counter> kinds = new EnumMap<>(PeerFault.class);
 
     /**
-     * Nothing is counted yet.
+     * Creates a log with all counts at 0.
      *
      * @param log where lines are written
-     * @param clock by which intervals are measured
+     * @param clock measures the intervals
      */
     public RateLimitedLog(Logger log, Clock clock) {
         this.log = log;
@@ -34,8 +34,8 @@
      * Counts one fault, and logs it unless its kind was logged within the interval.
      *
      * @param kind the kind of fault
-     * @param peer the address of the other side, or null where there is none
-     * @param detail what was seen
+     * @param peer the address of the peer, or null if there is none
+     * @param detail a description of the fault
      */
     public void fault(PeerFault kind, String peer, String detail) {
         final Counter counted = kinds.computeIfAbsent(kind, unseen -> new Counter());
--- a/src/main/java/cresschute/node/RequestBody.java
+++ b/src/main/java/cresschute/node/RequestBody.java
@@ -1,9 +1,9 @@
 package cresschute.node;
 
-/** A request's body that is passed on as it arrives. Call from the event loop. */
+/** A request body that is passed on as it arrives. Call from the event loop. */
 @FunctionalInterface
 public interface RequestBody {
 
-    /** Whether an attempt can still begin at the first byte. */
+    /** Returns true if an attempt can still send the body from its first byte. */
     boolean isReplayable();
 }
--- a/src/main/java/cresschute/node/RequestLifecycle.java
+++ b/src/main/java/cresschute/node/RequestLifecycle.java
@@ -13,30 +13,32 @@
 import java.util.function.Function;
 
 /**
- * The life cycle of requests between the client fronts, the workers, discovery and the dispatcher.
- * What the loop's reads produce is gathered and reported to the dispatcher in one turn, and then
- * the dispatcher's actions are carried out in order; it decides nothing itself. This is the entry
- * that the fronts and the discovery client call; the state is owned by its parts: {@link
- * OpenRequests}, {@link AttemptController}, {@link EndpointListPublisher}, {@link LoadQueries},
- * {@link ShutdownAnswers} and {@link DispatcherTurn}. Lives as long as the node; call from the
- * event loop.
+ * Connects the client listeners, the workers, discovery and the dispatcher, and answers each
+ * request once. The events of one pass of the event loop are queued and reported to the dispatcher
+ * in one turn; then the dispatcher's actions run in order. This class makes no decisions itself. It
+ * is the entry point for the client listeners and the discovery client; its parts own the state:
+ * {@link OpenRequests}, {@link AttemptController}, {@link EndpointListPublisher}, {@link
+ * LoadQueries}, {@link ShutdownAnswers} and {@link DispatcherTurn}. Lives as long as the node; call
+ * from the event loop.
  */
 public final class RequestLifecycle {
 
     /**
-     * Taken off a request's time, microseconds: for the way of the answer, and of the request
-     * before its last byte was read.
+     * Subtracted from a request's time, microseconds: allows for the transmission of the answer,
+     * and of the request before its last byte was read.
      */
     static final long ANSWER_MARGIN_US = 15_000;
 
-    /** Past its due time by this, microseconds, the node fails a request without an answer. */
+    /**
+     * The node fails a request that is still unanswered this long after its due time, microseconds.
+     */
     static final long OVERDUE_US = 10_000;
 
     /**
-     * No attempt begins once reading its client has been paused for longer than this, microseconds:
-     * the client may have closed its connection as soon as the pause began, and its close is seen
-     * only where reading goes on. With the time from this check to the first byte, which is one
-     * call of the loop, an attempt begins less than 100 ms after an unseen close.
+     * Maximum pause in reading a client for an attempt to begin, microseconds. The client may have
+     * closed its connection as soon as the pause began, and the node detects the close only when it
+     * resumes reading. Including the time from this check to the first byte, which is one call of
+     * the loop, an attempt begins less than 100 ms after an undetected close.
      */
     static final long MAX_READ_PAUSE_US = 80_000;
 
@@ -54,13 +56,13 @@
     private Discovery discovery;
 
     /**
-     * A life cycle that nobody follows.
+     * Creates a life cycle without a listener.
      *
      * @param config the configuration of the node
      * @param loop the event loop
      * @param clock the dispatcher's clock
      * @param faults logs faults of peers
-     * @param dispatcher creates the dispatcher around its actions
+     * @param dispatcher creates the dispatcher, given the actions that it may call
      */
     public RequestLifecycle(
             NodeConfig config,
@@ -71,7 +73,7 @@
         this(config, loop, clock, faults, RequestListener.NONE, dispatcher);
     }
 
-    /** The same, followed by a listener that may lay drains over the endpoint list. */
+    /** Creates a life cycle with a listener that may apply drains to the endpoint list. */
     RequestLifecycle(
             NodeConfig config,
             ScheduledExecutorService loop,
@@ -82,7 +84,10 @@
         this(config, loop, clock, faults, listener, LoadTracker.NONE, dispatcher);
     }
 
-    /** The same, with workers' load known to {@code loads} where it answers. */
+    /**
+     * Creates a life cycle with a listener and a load tracker, which answers the load queries that
+     * it can.
+     */
     RequestLifecycle(
             NodeConfig config,
             ScheduledExecutorService loop,
@@ -112,12 +117,12 @@
     }
 
     /**
-     * Begins to work: publishes the list as it is known, by which the dispatcher begins to poll
-     * discovery.
+     * Starts the life cycle: publishes the last known list, after which the dispatcher begins to
+     * poll discovery.
      *
      * @param workerClient sends to the workers
      * @param newDiscovery watches the endpoint list
-     * @param known the list as it was last known
+     * @param known the last known list
      */
     public void start(WorkerClient workerClient, Discovery newDiscovery, EndpointList known) {
         workers = workerClient;
@@ -129,7 +134,7 @@
 
     /**
      * Replaces the settings. Requests in flight keep their class; the dispatcher is notified before
-     * any request that is taken later.
+     * any request that is submitted later.
      *
      * @param classNames the classes by their numbers, retired ones included
      * @param next the dispatcher's settings
@@ -142,19 +147,20 @@
     // ---- Requests ----
 
     /**
-     * Whether a request under this id of its client's is owed an answer or has attempts in flight.
+     * Returns true if a request with this client-assigned id is unanswered or has attempts in
+     * flight.
      */
     public boolean isOpen(String requestId) {
         return requests.isOpen(requestId);
     }
 
     /**
-     * Takes a request.
+     * Submits a request.
      *
-     * @param content what is sent to workers
-     * @param job what the dispatcher knows of it
+     * @param content the content to send to workers
+     * @param job its description for the dispatcher
      * @param waitUs how long its client waits, microseconds
-     * @param client receives its one answer, at once where the process ends
+     * @param client receives its one answer; at once if the process is ending
      * @return the request, for {@link #clientLeft}
      */
     public ClientRequest submit(
@@ -163,14 +169,14 @@
     }
 
     /**
-     * The client of a request has left: it gets no answer. An attempt that has a byte on the wire
-     * runs on.
+     * Closes a request whose client has left; it gets no answer. An attempt that has a byte on the
+     * wire continues.
      */
     public void clientLeft(ClientRequest request) {
         requests.clientLeft(request);
     }
 
-    /** Requests that are owed an answer. */
+    /** The number of unanswered requests. */
     public int unanswered() {
         return requests.unanswered();
     }
@@ -185,13 +191,16 @@
         return settings.longestDeadlineUs();
     }
 
-    /** Answers all that is owed after so many microseconds, and at once whatever is taken later. */
+    /**
+     * Answers all unanswered requests after this delay in microseconds, and later requests at once.
+     */
     void answerAllAfter(long delayUs) {
         shutdownAnswers.answerAllAfter(delayUs);
     }
 
     /**
-     * The cells in which open keyed requests must be repeated, as their first attempt went there.
+     * The cells in which open keyed requests must be repeated, because their first attempt went
+     * there.
      */
     Set<Integer> boundCells() {
         return requests.boundCells(registry);
@@ -199,32 +208,32 @@
 
     // ---- Workers ----
 
-    /** Discovery has answered a watch. */
+    /** Publishes discovery's answer to a watch. */
     public void endpointListReceived(EndpointList list) {
         endpoints.publish(list.full() ? EndpointListForm.FULL : EndpointListForm.CHANGES, list);
     }
 
-    /** A watch has failed; the list that is held stays in force. */
+    /** Reports that a watch has failed; the current list stays in force. */
     public void discoveryFailed() {
         endpoints.reportFailed();
     }
 
-    /** Version of the list that is held, or -1. */
+    /** Version of the current list, or -1 if unknown. */
     public long listVersion() {
         return registry.version();
     }
 
-    /** Whether requests can be served: the dispatcher was notified of a worker that takes work. */
+    /** Returns true if requests can be served: a published list has contained a ready worker. */
     public boolean isReady() {
         return endpoints.hasHadReadyWorker();
     }
 
-    /** Publishes these workers again, as the overlay of their states has changed. */
+    /** Publishes these workers again because the overlay of their states has changed. */
     void republish(Collection<String> names) {
         endpoints.republish(names);
     }
 
-    /** The load of these workers is known anew. */
+    /** Reports to the dispatcher that the load tracker has new values for these workers. */
     void loadsRefreshed(Collection<String> names) {
         loadQueries.refreshed(names);
     }
@@ -241,7 +250,7 @@
 
     // ---- Faults ----
 
-    /** Counts what must not happen. */
+    /** Counts broken invariants. */
     public Invariant invariant() {
         return invariant;
     }
@@ -251,7 +260,7 @@
         return faults;
     }
 
-    /** Keeps the dispatcher's actions until it was notified of all events of a turn. */
+    /** Defers the dispatcher's actions until all events of a turn are reported to it. */
     private final class DeferredActions implements DispatcherActions {
 
         private final DispatcherTurn turn;
--- a/src/main/java/cresschute/node/RequestListener.java
+++ b/src/main/java/cresschute/node/RequestListener.java
@@ -7,13 +7,13 @@
 import java.util.List;
 
 /**
- * Follows requests, attempts and the endpoint list, and may lay drains over the list before the
- * dispatcher is notified of it. It never selects a worker, answers or sends. All calls are on the
- * event loop; all times are microseconds of the dispatcher's clock.
+ * Observes requests, attempts and the endpoint list, and may apply drains to the list before the
+ * dispatcher receives it. It never selects a worker, answers a request or sends an attempt. All
+ * calls are on the event loop; all times are microseconds of the dispatcher's clock.
  */
 interface RequestListener {
 
-    /** Follows nothing: for a node without operators' services. */
+    /** Observes nothing; for a node without operators' services. */
     RequestListener NONE = new RequestListener() {};
 
     /** How a request ended. */
@@ -39,10 +39,10 @@
         }
     }
 
-    /** Follows one attempt. Called on the event loop. */
+    /** Observes one attempt. Called on the event loop. */
     interface AttemptObserver {
 
-        /** Follows nothing. */
+        /** Observes nothing. */
         AttemptObserver NONE = new AttemptObserver() {};
 
         /** The worker has reported the job's start or progress. */
@@ -52,9 +52,10 @@
         default void ended(long nowUs, Outcome outcome, LoadReport report) {}
 
         /**
-         * How long the job has run.
+         * Returns how long the job has run.
          *
-         * @return microseconds since its start, or since the attempt's if no start was reported
+         * @return microseconds since the job's start, or since the attempt's start if none was
+         *     reported
          */
         default long ranUs(long nowUs) {
             return 0;
@@ -62,7 +63,7 @@
     }
 
     /**
-     * The state of a worker that the dispatcher is notified of.
+     * Returns the state of a worker to report to the dispatcher.
      *
      * @param worker discovery's name of the worker
      * @param listed its state as listed
@@ -73,13 +74,13 @@
     }
 
     /**
-     * The registry has taken in a list or a change.
+     * The registry has applied a list or a change.
      *
-     * @param workers the workers that it states; all of them for a full list; perhaps none
+     * @param workers the changed workers, or all workers for a full list; may be empty
      */
     default void endpointListChanged(long nowUs, List<Worker> workers) {}
 
-    /** A request was taken. */
+    /** A request was submitted. */
     default void requestSubmitted(long nowUs, int requestClass) {}
 
     /**
@@ -88,7 +89,7 @@
      * @param answer how it ended
      * @param attempts how many attempts it had
      * @param waitedUs how long its client waited
-     * @param ranUs how long the job ran that served it, or 0
+     * @param ranUs how long the job that served it ran, or 0
      */
     default void requestEnded(
             long nowUs, int requestClass, Answer answer, int attempts, long waitedUs, long ranUs) {}
@@ -96,7 +97,7 @@
     /**
      * An attempt starts.
      *
-     * @return follows it
+     * @return the observer of the attempt
      */
     default AttemptObserver attemptStarted(long nowUs, int worker, int requestClass) {
         return AttemptObserver.NONE;
--- a/src/main/java/cresschute/node/ResultStream.java
+++ b/src/main/java/cresschute/node/ResultStream.java
@@ -1,16 +1,17 @@
 package cresschute.node;
 
-/** A long result on its way to the client of its request. Call from the event loop. */
+/** A long result that is being passed on to the client of its request. Call from the event loop. */
 @FunctionalInterface
 public interface ResultStream {
 
-    /** For a result whose client has left. */
+    /** Ignores the end of a result whose client has left. */
     ResultStream DISCARDING = complete -> {};
 
     /**
-     * Nothing more follows.
+     * Ends the result.
      *
-     * @param complete whether the client has all of it; if not, its answer must not look complete
+     * @param complete whether the client has received all of it; if not, its answer must not look
+     *     complete
      */
     void finish(boolean complete);
 }
--- a/src/main/java/cresschute/node/StatusLog.java
+++ b/src/main/java/cresschute/node/StatusLog.java
@@ -6,8 +6,8 @@
 import java.util.function.Supplier;
 
 /**
- * Logs the status of a node, and the broken invariants whenever there are more of them. Owns the
- * count that was logged last. Call from the event loop.
+ * Logs the status of a node, and the broken invariants if their number has increased. Owns the last
+ * logged number. Call from the event loop.
  */
 final class StatusLog {
 
@@ -18,12 +18,12 @@
     private long violationsLogged;
 
     /**
-     * What a node holds at one moment.
+     * The status of a node at one moment.
      *
-     * @param requests requests that are owed an answer
-     * @param clientConnections connections from clients
-     * @param workerConnections connections to workers
-     * @param bodyBytes bytes of long bodies
+     * @param requests the number of unanswered requests
+     * @param clientConnections the number of connections from clients
+     * @param workerConnections the number of connections to workers
+     * @param bodyBytes the bytes of the buffer budget that long bodies hold
      * @param listVersion version of the endpoint list, or -1
      */
     record Status(
@@ -33,7 +33,7 @@
             long bodyBytes,
             long listVersion) {}
 
-    /** Logs what these give. */
+    /** Creates a log of this status and of these invariants. */
     StatusLog(Supplier<Status> status, Invariant invariant) {
         this.status = status;
         this.invariant = invariant;
--- a/src/main/java/cresschute/node/WorkerClient.java
+++ b/src/main/java/cresschute/node/WorkerClient.java
@@ -17,7 +17,7 @@
             InetSocketAddress address, RequestContent content, AttemptListener listener);
 
     /**
-     * Asks a worker for a sign of life and a load report.
+     * Queries a worker for a load report, which also shows whether it responds.
      *
      * @param address where the worker listens
      * @param listener receives the end of the query
@@ -25,7 +25,7 @@
     void queryLoad(InetSocketAddress address, LoadQueryListener listener);
 
     /**
-     * Closes the connections to a worker that no exchange is using.
+     * Closes the idle connections to a worker.
      *
      * @param address where the worker listens
      */
--- a/src/main/java/cresschute/node/WorkerRegistry.java
+++ b/src/main/java/cresschute/node/WorkerRegistry.java
@@ -10,9 +10,9 @@
 import java.util.Map;
 
 /**
- * The workers that discovery has ever listed, under numbers that hold for the life of the process:
- * their names, addresses and states, and the version of the list. Lives as long as the node; {@link
- * EndpointListPublisher} alone changes it. Call from the event loop.
+ * All workers that discovery has listed since the start of the process, by numbers that never
+ * change: their names, addresses and states, and the version of the list. Lives as long as the
+ * node; {@link EndpointListPublisher} alone changes it. Call from the event loop.
  */
 final class WorkerRegistry {
 
@@ -23,7 +23,7 @@
     private final List<InetSocketAddress> addresses = new ArrayList<>();
     private final List<String> names = new ArrayList<>();
 
-    /** As last listed, by number; one that a full list leaves out is gone. */
+    /** The workers as last listed, by number; a worker missing from a full list is gone. */
     private final List<Worker> listed = new ArrayList<>();
 
     private final Map<String, Integer> zones = new HashMap<>();
@@ -31,7 +31,7 @@
     private long version = -1;
 
     /**
-     * No workers yet.
+     * Creates a registry without workers.
      *
      * @param zones the names of the settings' zones, by number
      * @param kinds the names of the settings' kinds of machines, by number
@@ -42,7 +42,7 @@
     }
 
     /**
-     * Applies an answer of discovery; a changed address holds from now on.
+     * Applies an answer of discovery; a changed address takes effect at once.
      *
      * @return the workers that the answer names, as the dispatcher knows them
      */
@@ -80,7 +80,7 @@
         return worker;
     }
 
-    /** The same worker in another state. */
+    /** Returns a copy of a worker with another state. */
     static Worker withState(Worker worker, WorkerState state) {
         return new Worker(
                 worker.id(),
@@ -97,7 +97,9 @@
         return numbers.computeIfAbsent(name, unseen -> numbers.size());
     }
 
-    /** Every worker that was ever listed, as last listed; its number is its index. Read only. */
+    /**
+     * All workers that were ever listed, as last listed; a worker's number is its index. Read-only.
+     */
     List<Worker> listed() {
         return Collections.unmodifiableList(listed);
     }
@@ -116,7 +118,7 @@
                 .orElse("");
     }
 
-    /** Where a worker listens, or null for a number that no list has named. */
+    /** The address of a worker, or null for a number that no list has named. */
     InetSocketAddress address(int number) {
         return isKnown(number) ? addresses.get(number) : null;
     }
--- a/src/test/java/cresschute/node/ClassTableTest.java
+++ b/src/test/java/cresschute/node/ClassTableTest.java
@@ -13,7 +13,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A class keeps its number for good; what changes or goes is retired, and changed ones come anew.
+ * A class keeps its number for the life of the table; a changed or removed class is retired, and a
+ * changed one gets a new number.
  */
 class ClassTableTest {
 
@@ -49,7 +50,7 @@
         assertThat(next.classes()).containsExactly(PURE, KEYED, ONCE);
         assertThat(next.names()).containsExactly("check", "file", "report");
         assertThat(next.live()).isEqualTo(Map.of("check", 0, "report", 2));
-        assertThat(next.changesFrom(start)).isEqualTo("new: report; no longer taken: file");
+        assertThat(next.changesFrom(start)).isEqualTo("new: report; retired: file");
     }
 
     @Test
@@ -58,8 +59,8 @@
         assertThat(next.classes()).containsExactly(PURE, KEYED, ONCE);
         assertThat(next.changesFrom(start)).isEqualTo("changed: file");
         assertThat(next.live()).isEqualTo(Map.of("check", 0, "file", 2));
-        // And back again: the old meaning is a new number too, for the retired one may have
-        // requests under way.
+        // Reverting the change assigns a new number again, because the retired class may have
+        // requests in flight.
         final ClassTable back = next.updatedWith(List.of("check", "file"), List.of(PURE, KEYED));
         assertThat(back.live()).isEqualTo(Map.of("check", 0, "file", 3));
     }
