--- a/src/test/java/cresschute/node/ClassTableTest.java
+++ b/src/test/java/cresschute/node/ClassTableTest.java
@@ -13,17 +13,18 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A class keeps its number for good; what changes or goes is retired, and changed ones come anew.
+ * A class keeps its number for the life of the table; a changed or removed class is retired, and a
+ * changed one gets a new number.
  */
 class ClassTableTest {
 
-    private static RequestClass of(Idempotency effect, double priorityWeight) {
+    private static RequestClass of(Idempotency idempotency, double priorityWeight) {
         return new RequestClass(
                 priorityWeight,
                 400_000,
                 2,
                 5_000_000,
-                effect,
+                idempotency,
                 DeduplicationScope.ALL,
                 0,
                 Placement.ANYWHERE);
@@ -36,7 +37,7 @@
     private final ClassTable start = ClassTable.of(List.of("check", "file"), List.of(PURE, KEYED));
 
     @Test
-    void theSameClassesKeepTheirNumbers() {
+    void keepsNumbersOfUnchangedClasses() {
         final ClassTable again = start.updatedWith(List.of("file", "check"), List.of(KEYED, PURE));
         assertThat(again.isSameAs(start)).isTrue();
         assertThat(again.live()).isEqualTo(Map.of("check", 0, "file", 1));
@@ -44,28 +45,28 @@
     }
 
     @Test
-    void aNewClassIsAddedAndOneThatGoesIsRetired() {
+    void addsNewClassAndRetiresRemovedClass() {
         final ClassTable next = start.updatedWith(List.of("check", "report"), List.of(PURE, ONCE));
         assertThat(next.classes()).containsExactly(PURE, KEYED, ONCE);
         assertThat(next.names()).containsExactly("check", "file", "report");
         assertThat(next.live()).isEqualTo(Map.of("check", 0, "report", 2));
-        assertThat(next.changesFrom(start)).isEqualTo("new: report; no longer taken: file");
+        assertThat(next.changesFrom(start)).isEqualTo("new: report; retired: file");
     }
 
     @Test
-    void aChangedClassComesAnewUnderItsName() {
+    void assignsNewNumberToChangedClass() {
         final ClassTable next = start.updatedWith(List.of("check", "file"), List.of(PURE, ONCE));
         assertThat(next.classes()).containsExactly(PURE, KEYED, ONCE);
         assertThat(next.changesFrom(start)).isEqualTo("changed: file");
         assertThat(next.live()).isEqualTo(Map.of("check", 0, "file", 2));
-        // And back again: the old meaning is a new number too, for the retired one may have
-        // requests under way.
+        // Reverting the change assigns a new number again, because the retired class may have
+        // requests in flight.
         final ClassTable back = next.updatedWith(List.of("check", "file"), List.of(PURE, KEYED));
         assertThat(back.live()).isEqualTo(Map.of("check", 0, "file", 3));
     }
 
     @Test
-    void refusesANameTwiceAndMoreNumbersThanItGivesOut() {
+    void rejectsDuplicateNameAndMoreThanMaxClasses() {
         assertThatThrownBy(() -> start.updatedWith(List.of("check", "check"), List.of(PURE, KEYED)))
                 .hasMessageContaining("named twice");
         ClassTable table = start;
--- a/src/test/java/cresschute/node/PeerLoadsTest.java
+++ b/src/test/java/cresschute/node/PeerLoadsTest.java
@@ -32,20 +32,20 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A node with its dispatcher, two workers, and two peers whose messages the test sends. */
+/** Runs a node with its dispatcher, two workers, and two peers whose messages the test sends. */
 @Timeout(60)
 class PeerLoadsTest {
 
-    private static final Duration PATIENCE = Duration.ofSeconds(20);
+    private static final Duration TIMEOUT = Duration.ofSeconds(20);
     private static final int REQUESTS = 4;
 
     /**
-     * More than needed, since a machine that stalls for 3 s makes the view incomplete; below 32
-     * lookups none is verified at the worker.
+     * More requests than needed, because a machine that stalls for 3 s makes the node's view of its
+     * peers incomplete. The limit is low because below 32 lookups none is verified at the worker.
      */
     private static final int MAX_REQUESTS = 8;
 
-    /** A worker that counts its load queries and jobs, and answers at once. */
+    /** A worker that counts the load queries and jobs that it receives, and answers at once. */
     private static final class Worker implements AutoCloseable {
         private final HttpServer server;
         private final AtomicInteger loadQueries = new AtomicInteger();
@@ -180,7 +180,7 @@
     private boolean isComplete() throws Exception {
         return node.loop()
                 .submit(() -> node.peers().isComplete())
-                .get(PATIENCE.toSeconds(), TimeUnit.SECONDS);
+                .get(TIMEOUT.toSeconds(), TimeUnit.SECONDS);
     }
 
     private void request(String id) throws IOException {
@@ -191,35 +191,36 @@
     }
 
     @Test
-    void workersAreSelectedByTheViewWithoutLoadQueriesUntilAPeerDies() throws Exception {
+    void selectsWorkersByPeerCountsWithoutLoadQueriesUntilPeersFail() throws Exception {
         int completeRequests = 0;
         for (int i = 0; completeRequests < REQUESTS && i < MAX_REQUESTS; i++) {
             sendPeerMessages();
-            await().atMost(PATIENCE).until(this::isComplete);
+            await().atMost(TIMEOUT).until(this::isComplete);
             final int loadQueries = busy.loadQueries.get() + idle.loadQueries.get();
             final int jobs = idle.jobs.get();
             request("r" + i);
-            // Still complete, and no message came meanwhile, so it was complete all the time.
+            // The view is still complete and no message came meanwhile, so it was complete
+            // throughout.
             if (isComplete()) {
                 assertThat(busy.loadQueries.get() + idle.loadQueries.get())
-                        .as("probes")
+                        .as("load queries")
                         .isEqualTo(loadQueries);
                 assertThat(idle.jobs.get()).as("jobs at the idle worker").isEqualTo(jobs + 1);
                 completeRequests++;
             }
         }
         assertThat(completeRequests).as("requests under a complete view").isEqualTo(REQUESTS);
-        // Both peers send nothing: the view becomes incomplete, and workers are queried.
-        await().atMost(PATIENCE).until(() -> !isComplete());
+        // Both peers stop sending: the view becomes incomplete, and the node queries the workers.
+        await().atMost(TIMEOUT).until(() -> !isComplete());
         for (int i = 0; busy.loadQueries.get() + idle.loadQueries.get() == 0 && i < 20; i++) {
             request("s" + i);
         }
-        assertThat(busy.loadQueries.get() + idle.loadQueries.get()).as("probes").isPositive();
+        assertThat(busy.loadQueries.get() + idle.loadQueries.get()).as("load queries").isPositive();
     }
 
     @Test
-    void nodeSendsItsOwnCountsToItsPeers() throws Exception {
-        peers[0].setSoTimeout((int) PATIENCE.toMillis());
+    void sendsOwnCountsToPeers() throws Exception {
+        peers[0].setSoTimeout((int) TIMEOUT.toMillis());
         final DatagramPacket packet = new DatagramPacket(new byte[2_000], 2_000);
         peers[0].receive(packet);
         final byte[] bytes = java.util.Arrays.copyOf(packet.getData(), packet.getLength());
--- a/src/test/java/cresschute/scale/AnswerCount.java
+++ b/src/test/java/cresschute/scale/AnswerCounter.java
@@ -12,9 +12,9 @@
 import java.util.Map;
 
 /**
- * Counts the final answers that each request gets, between modules and their hosts of the model.
+ * Counts the final answers of each request, between the dispatchers and their hosts in the model.
  */
-final class AnswerCount {
+final class AnswerCounter {
 
     private record Key(int dispatcher, int requestId) {}
 
@@ -23,8 +23,8 @@
     private int open;
     private int maxOpen;
 
-    /** A maker that wraps the modules of another and their actions. */
-    ModuleMaker around(ModuleMaker maker) {
+    /** Returns a maker that wraps the dispatchers of another maker and their actions. */
+    ModuleMaker wrap(ModuleMaker maker) {
         return (settings, seed, actions) -> {
             final int dispatcher = dispatchers++;
             final DispatcherActions counted =
@@ -53,19 +53,19 @@
         };
     }
 
-    /** What is to be noted of a call before it is passed on. */
-    private interface Note {
-        void of(String method, Object[] arguments);
+    /** Observes a call before it is passed on. */
+    private interface CallObserver {
+        void called(String method, Object[] arguments);
     }
 
-    private static Object wrap(Class<?> type, Object of, Note note) {
+    private static Object wrap(Class<?> type, Object target, CallObserver observer) {
         return Proxy.newProxyInstance(
                 type.getClassLoader(),
                 new Class<?>[] {type},
                 (proxy, method, args) -> {
-                    note.of(method.getName(), args);
+                    observer.called(method.getName(), args);
                     try {
-                        return method.invoke(of, args);
+                        return method.invoke(target, args);
                     } catch (InvocationTargetException e) {
                         throw e.getCause();
                     }
@@ -76,12 +76,12 @@
         open -= answers.merge(key, 1, Integer::sum) == 1 ? 1 : 0;
     }
 
-    /** How many requests were taken. */
+    /** The number of requests that arrived. */
     int requests() {
         return answers.size();
     }
 
-    /** The most that were open at a time. */
+    /** The maximum number of requests that were open at a time. */
     int maxOpen() {
         return maxOpen;
     }
