--- a/src/main/java/cresschute/node/http/BodyTransfer.java
+++ b/src/main/java/cresschute/node/http/BodyTransfer.java
@@ -9,31 +9,31 @@
 import io.netty.util.concurrent.Future;
 
 /**
- * Writes a streamed body to one peer with backpressure: no faster than the peer's connection takes
- * it. What is not written stays in the body, where it is counted against the budget.
+ * Writes a streamed body to one peer with backpressure, no faster than the peer's connection
+ * accepts it. Unwritten bytes stay in the body, where they count against the buffer budget.
  *
- * <p>Created by {@link StreamedBody#newTransfer}, started on a channel to which the head was
- * written, and over after one of the ends of its {@link BodyTransferListener} or {@link #stop}. It
- * closes the channel where a write fails. Call from the event loop.
+ * <p>Created by {@link StreamedBody#newTransfer} and started on a channel to which the head was
+ * written. It ends when its {@link BodyTransferListener} is notified of an end, or at {@link
+ * #stop}. If a write fails, it closes the channel. Call from the event loop.
  */
 final class BodyTransfer {
 
-    /** The least time between two notices of progress, us. */
+    /** The minimum time between two progress notifications, us. */
     private static final long PROGRESS_INTERVAL_US = 1_000_000;
 
-    /** Long before any time, us, so that the first piece is notified. */
+    /** Earlier than any time, us, so that the first written piece is always notified. */
     private static final long NEVER_US = Long.MIN_VALUE / 2;
 
     private final StreamedBody body;
     private final BodyTransferListener listener;
 
-    /** Null where the body could not be sent from its first byte any more. */
+    /** Null if the body can no longer be sent from its first byte. */
     private final BodyBuffer<ByteBuf>.Reader reader;
 
     private final TransferMonitor peerMonitor;
     private Channel channel;
 
-    /** Writes that are not completed. */
+    /** The number of writes that are not completed. */
     private int pendingWrites;
 
     private boolean lastWritten;
@@ -48,7 +48,7 @@
         this.reader = body.newReader(this::bodyChanged);
     }
 
-    /** Starts on a channel to which the head was written. */
+    /** Starts writing to a channel to which the head was written. */
     void start(Channel to) {
         channel = to;
         resume();
@@ -59,7 +59,8 @@
             return;
         }
         if (isAborted()) {
-            // Later: the end of another attempt of the same request may have caused the change.
+            // Deferred, because the end of another attempt of the same request may have caused the
+            // change.
             channel.eventLoop().execute(this::resume);
         } else {
             resume();
@@ -70,7 +71,7 @@
         return !lastWritten && (reader == null || !reader.isAttached() || body.isLost());
     }
 
-    /** Writes what there is, as long as the channel is writable. */
+    /** Writes the available pieces as long as the channel is writable. */
     void resume() {
         if (channel == null || ended || writing) {
             return;
@@ -142,13 +143,14 @@
     }
 
     /**
-     * Gives up a peer that takes too little; else notifies progress where the body's sender is what
-     * it waits for. Called by the sweep, a few times a second.
+     * Stops the transfer if the peer reads too slowly, and notifies the listener of that.
+     * Otherwise, notifies progress if the transfer waits for the body's sender. Called by the
+     * sweep, a few times a second.
      */
     void checkPeerRate() {
         if (!ended && peerMonitor.isTooSlow(StreamedBody.nowUs())) {
             body.owner()
-                    .reportTooSlow(String.valueOf(channel.remoteAddress()), "it took too little");
+                    .reportTooSlow(String.valueOf(channel.remoteAddress()), "it read too slowly");
             stop();
             listener.peerTooSlow();
         } else if (!ended && channel != null && pendingWrites == 0) {
@@ -156,7 +158,7 @@
         }
     }
 
-    /** Writes no more, and notifies no end. Any number of times. */
+    /** Stops writing without a notification. Further calls have no effect. */
     void stop() {
         if (!ended) {
             ended = true;
--- a/src/main/java/cresschute/node/http/BodyTransferListener.java
+++ b/src/main/java/cresschute/node/http/BodyTransferListener.java
@@ -1,23 +1,23 @@
 package cresschute.node.http;
 
 /**
- * Is notified of the progress and the end of a {@link BodyTransfer}. Of the ends at most one is
- * notified, once. All calls come from the event loop.
+ * Receives the progress and the end of a {@link BodyTransfer}. At most one end is notified, and
+ * only once. All calls come from the event loop.
  */
 interface BodyTransferListener {
 
     /**
-     * The body moves, or waits for its sender: called with the first piece that is written, and
-     * again every second or so unless the receiving peer is what it waits for.
+     * Called when the first piece is written, then about every second while the transfer makes
+     * progress or waits for the body's sender. Not called while it waits for the receiving peer.
      */
     default void transferProgressed() {}
 
-    /** The last byte is written. */
+    /** Called when the last byte is written. */
     void transferCompleted();
 
-    /** The rest of the body will not come, or goes to another receiver. */
+    /** Called when the rest of the body will not arrive, or goes to another receiver. */
     void transferAborted();
 
-    /** The receiving peer takes less than the least rate. */
+    /** Called when the receiving peer reads more slowly than the minimum rate. */
     void peerTooSlow();
 }
--- a/src/main/java/cresschute/node/http/ClientConnection.java
+++ b/src/main/java/cresschute/node/http/ClientConnection.java
@@ -10,18 +10,20 @@
 import java.net.InetSocketAddress;
 
 /**
- * The channel handler of one client connection: its life cycle, and what the {@link
- * ClientConnectionRegistry} asks of it. The work is done by four parts, each with state of its own:
+ * The channel handler of one client connection. It handles the channel's events and answers the
+ * queries of the {@link ClientConnectionRegistry}. Four parts do the work, each with state of its
+ * own:
  *
  * <ul>
  *   <li>{@link RequestAssembler} reads requests and their bodies;
- *   <li>{@link RequestSubmitter} submits them to the life cycle and limits those in flight;
+ *   <li>{@link RequestSubmitter} submits them to the {@link cresschute.node.RequestLifecycle} and
+ *       limits the number in flight;
  *   <li>{@link ResponseQueue} writes the responses in the order of the requests;
  *   <li>{@link ConnectionCloser} closes the connection without losing a response.
  * </ul>
  *
- * <p>Opened and closed with its channel. A close by the client gives up all its requests. Call from
- * the channel's event loop.
+ * <p>Opens and closes with its channel. When the client closes the connection, all its requests are
+ * abandoned. Call from the channel's event loop.
  */
 final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> {
 
@@ -32,10 +34,13 @@
     private ResponseQueue responses;
     private RequestAssembler assembler;
 
-    /** Whether a request was submitted here before. */
+    /** Whether this connection has submitted a request to the request lifecycle. */
     private boolean submittedRequest;
 
-    /** Since when the client is to act; bytes that make no whole request do not count. */
+    /**
+     * Since when the node has waited for the client, by {@link System#nanoTime}. Bytes of an
+     * incomplete request do not reset it.
+     */
     private long waitingForClientSinceNs = System.nanoTime();
 
     ClientConnection(ClientListener listener) {
@@ -126,14 +131,14 @@
         return String.valueOf(context.channel().remoteAddress());
     }
 
-    /** The first bytes of a request arrived. */
+    /** Called when the head of a request was read. */
     void requestStarted() {
         if (responses.isEmpty() && submittedRequest) {
             waitingForClientSinceNs = System.nanoTime();
         }
     }
 
-    /** All responses that can be written are. */
+    /** Called when every response that can be written has been written. */
     void responsesFlushed() {
         waitingForClientSinceNs = System.nanoTime();
         listener.connections().responseWritten();
@@ -151,12 +156,12 @@
         return assembler.isReceivingStreamedBody();
     }
 
-    /** Whether the request that is being read is submitted, and owed a response. */
+    /** Whether the request that is being read is already submitted and needs a response. */
     boolean hasSubmittedCurrent() {
         return assembler.hasSubmittedCurrent();
     }
 
-    /** Whether nothing is read, due or being written here. */
+    /** Whether no request is being read, no response is due and no output is unsent. */
     boolean isIdle() {
         final ChannelOutboundBuffer written = context.channel().unsafe().outboundBuffer();
         return responses.isEmpty()
@@ -165,25 +170,28 @@
                 && written.isEmpty();
     }
 
-    /** Whether a request that could be used has arrived here before. */
+    /** Whether this connection has submitted a request to the request lifecycle. */
     boolean hasSubmittedRequest() {
         return submittedRequest;
     }
 
-    /** Whether it may be closed to stay within the limit: the client is to act, not the node. */
+    /**
+     * Whether this connection may be closed to stay within the connection limit: it is idle, or has
+     * submitted no request and waits for the rest of one.
+     */
     boolean isEvictable() {
         return isIdle() || (!submittedRequest && assembler.isReading() && responses.size() == 1);
     }
 
     /**
-     * Whether the client alone is waited for: for the rest of a request, for the next one, or to
-     * read its response.
+     * Whether the node waits only for the client: for the rest of a request, for the next one, or
+     * for the client to read its response.
      */
     boolean isWaitingForClient() {
         return responses.isEmpty() || assembler.isReading();
     }
 
-    /** For how long the client has been the one to act, ns. */
+    /** For how long the node has waited for the client, ns. */
     long waitedForClientNs() {
         return System.nanoTime() - waitingForClientSinceNs;
     }
@@ -191,8 +199,8 @@
     // ---- Called by the registry, the sweep and responses ----
 
     /**
-     * Reads what has arrived until now, unless a streamed body has no capacity. Not to be called
-     * while this connection is being read.
+     * Reads the bytes that have arrived, unless a streamed body has no capacity for them. Must not
+     * be called while this connection is being read.
      */
     void readNow() {
         if (assembler.mayReadNow()) {
@@ -200,14 +208,14 @@
         }
     }
 
-    /** Gives up the streamed body that is being received where its client sends too little. */
+    /** Aborts the streamed body that is being received if its client sends too slowly. */
     void checkSenderRate() {
         assembler.checkSenderRate();
     }
 
     /**
-     * Closes this connection if it still is idle once all that has arrived is read: a request that
-     * is there already is submitted, and closes it with its response.
+     * Reads the bytes that have arrived, then closes this connection if it is still idle. A request
+     * that had arrived is submitted instead, and its response closes the connection.
      */
     void closeIfIdle() {
         readNow();
@@ -217,12 +225,12 @@
         }
     }
 
-    /** Closes this connection after a while, once all responses are written. */
+    /** Closes this connection after a linger time, once all responses are written. */
     void closeAfterLinger() {
         closer.closeAfterLinger(responses::isEmpty);
     }
 
-    /** Closes this connection now. */
+    /** Closes this connection immediately. */
     void close() {
         closer.close();
     }
--- a/src/main/java/cresschute/node/http/ClientConnectionRegistry.java
+++ b/src/main/java/cresschute/node/http/ClientConnectionRegistry.java
@@ -9,28 +9,33 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The open connections of clients: keeps their number within the limit, and closes those whose
+ * Holds the open client connections, keeps their number within the limit, and closes those whose
  * client takes too long.
  *
- * <p>Owns the set of connections and, through autoRead of the listening channel, whether more are
- * accepted. At the limit one that waits for its client is closed; if there is none, further ones
- * wait in the backlog until a response makes one. Call from the event loop.
+ * <p>Owns the set of connections and the autoRead option of the listening channel, which determines
+ * whether more connections are accepted. At the limit it closes a connection that waits for its
+ * client. If there is none, new connections wait in the backlog until a response is written and its
+ * connection can be closed. Call from the event loop.
  */
 final class ClientConnectionRegistry {
 
     /**
-     * How long a connection may take for its first whole request, ms. Clients of which a connection
-     * is worth keeping send as soon as they are connected; the others are closed within 3 s.
+     * How long a connection may take to deliver its first whole request, ms. Clients that use their
+     * connection send as soon as they are connected; the connections of the others must be closed
+     * within 3 s.
      */
     private static final long FIRST_REQUEST_MS = 2_000;
 
-    /** How long a connection that has brought a request may be idle, ms. */
+    /** How long a connection that has submitted a request may be idle, ms. */
     private static final long IDLE_MS = 300_000;
 
-    /** How long such a connection may take for the rest of a request, or to read a response, ms. */
+    /**
+     * How long the client of such a connection may take to send the rest of a request, or to read a
+     * response, ms.
+     */
     private static final long REQUEST_OR_RESPONSE_MS = 2_500;
 
-    /** How long any may take while connections are closed after their responses, ms. */
+    /** How long any client may take while the node closes connections after their responses, ms. */
     private static final long CLOSING_MS = 2_000;
 
     private static final Comparator<ClientConnection> WITHOUT_REQUEST_THEN_LONGEST_WAITING =
@@ -44,25 +49,26 @@
     private final int maxConnections;
     private final Set<ClientConnection> connections = new LinkedHashSet<>();
 
-    /** No connections; {@code maxConnections} may be open at a time. */
+    /** Creates an empty registry; at most {@code maxConnections} may be open at a time. */
     ClientConnectionRegistry(EventLoop loop, ClientListener listener, int maxConnections) {
         this.loop = loop;
         this.listener = listener;
         this.maxConnections = maxConnections;
     }
 
-    /** Connections that are open. */
+    /** The number of open connections. */
     int size() {
         return connections.size();
     }
 
     // ---- The limit ----
 
-    /** A connection was accepted. */
+    /** Called when a connection was accepted. */
     void opened(ClientConnection connection) {
         connections.add(connection);
         if (listener.isStoppedListening()) {
-            // Accepted as the listener was closed: what it has sent is served, but not waited for.
+            // Accepted while the listener was being closed: serve requests that have arrived, but
+            // do not wait for further ones.
             loop.execute(connection::closeIfIdle);
         }
         if (connections.size() >= maxConnections && !evictOne(connection)) {
@@ -70,7 +76,7 @@
         }
     }
 
-    /** A connection is closed. */
+    /** Called when a connection was closed. */
     void closed(ClientConnection connection) {
         connections.remove(connection);
         if (connections.size() < maxConnections
@@ -80,7 +86,7 @@
         }
     }
 
-    /** A response is written: its connection may be the first that can be closed. */
+    /** Called when a response was written: its connection may be the first that can be evicted. */
     void responseWritten() {
         if (isFull()) {
             loop.execute(this::evictForNext);
@@ -98,12 +104,12 @@
     }
 
     /**
-     * Closes one connection whose client is to act, those that brought no request first, then the
-     * one that has waited longest. What has arrived is read before: a request may lie unread. Not
-     * to be called while a client's connection is being read.
+     * Closes one connection that waits for its client: those without a submitted request first,
+     * then the one that has waited longest. Before that it reads the bytes that have arrived, as
+     * they may hold a request. Must not be called while a client's connection is being read.
      *
-     * @param newest never closed, as its client is about to send; or null
-     * @return whether there was one
+     * @param newest a connection that is not closed, as its client is about to send; or null
+     * @return whether a connection was closed
      */
     private boolean evictOne(ClientConnection newest) {
         final List<ClientConnection> candidates =
@@ -127,12 +133,12 @@
 
     // ---- Closing ----
 
-    /** Closes the connections that are idle once what has arrived on them is read. */
+    /** Reads the bytes that have arrived on each connection, then closes those that are idle. */
     void closeIdle() {
         List.copyOf(connections).forEach(ClientConnection::closeIfIdle);
     }
 
-    /** Closes connections whose client takes too long; called a few times a second. */
+    /** Closes the connections whose client takes too long. Called a few times a second. */
     void sweep() {
         List.copyOf(connections).forEach(this::closeIfTooSlow);
     }
--- a/src/main/java/cresschute/node/http/ClientListener.java
+++ b/src/main/java/cresschute/node/http/ClientListener.java
@@ -22,31 +22,31 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The listener for clients over HTTP/1.1: accepts connections, says whether the node is ready, and
- * closes connections at a drain and at a shutdown.
+ * The listener for clients over HTTP/1.1: accepts connections, answers whether the node is ready,
+ * and closes connections during a drain and a shutdown.
  *
- * <p>Life cycle: created, {@link #listen}, then any number of {@link #drain} and {@link #resume},
- * at a shutdown {@link #markNotReady}, {@link #stopListening} and {@link #closeIdle}. Owns the
- * listening channel, the parser of the settings in force and the memory of queued requests and of
- * streamed bodies; the connections are {@link ClientConnectionRegistry}'s. Call from the event
- * loop, but for {@link #listen}.
+ * <p>Life cycle: create, {@link #listen}, then any number of {@link #drain} and {@link #resume}; at
+ * shutdown {@link #markNotReady}, {@link #stopListening} and {@link #closeIdle}. Owns the listening
+ * channel, the parser for the current settings and the memory of queued requests and of streamed
+ * bodies; {@link ClientConnectionRegistry} owns the connections. Call all methods except {@link
+ * #listen} from the event loop.
  */
 public final class ClientListener implements ReadinessSwitch {
 
     private static final int BACKLOG = 1024;
 
-    /** Connections that Netty accepts in one read of a listening channel. */
+    /** The number of connections that Netty accepts in one read of a listening channel. */
     private static final int ACCEPTED_PER_READ = 16;
 
-    /** What queued requests of all connections together may take, bytes. */
+    /** The memory that the queued requests of all connections may take together, bytes. */
     private static final int MAX_QUEUED_BYTES = 2 << 20;
 
     private static final long SWEEP_MS = 250;
 
     /**
-     * How long after a drain connections begin to be closed, ms. The platform checks every 100 ms
-     * whether the node is ready and sends no new connections 200 ms after a no: a connection closed
-     * before that may be opened here again at once.
+     * The time from the start of a drain until connections are closed, ms. The platform checks
+     * readiness every 100 ms and stops sending new connections 200 ms after the node reports not
+     * ready. A client whose connection is closed earlier may reconnect to this node at once.
      */
     static final long DRAIN_GRACE_MS = 500;
 
@@ -54,13 +54,15 @@
     private final RequestLifecycle lifecycle;
     private final ClientConnectionRegistry connections;
 
-    /** Null where no class streams bodies. */
+    /** Null if no class streams bodies. */
     private final StreamedBodies bodies;
 
     private RequestHeadParser parser;
     private Channel serverChannel;
 
-    /** Whether the listening socket is the platform's, which is never closed here. */
+    /**
+     * Whether the platform passed the listening socket to this process, which then never closes it.
+     */
     private boolean hasPassedSocket;
 
     private boolean notReady;
@@ -68,16 +70,16 @@
     private int queuedBytes;
     private boolean draining;
 
-    /** Drains so far: a timer acts for its own drain alone. */
+    /** The number of drains so far, so that a timer acts only for the drain that started it. */
     private int drainCount;
 
-    /** Whether connections are closed after their responses because of a drain. */
+    /** Whether a drain now closes connections after their responses. */
     private boolean closingForDrain;
 
     /**
-     * A listener that does not listen yet.
+     * Creates a listener that does not listen yet.
      *
-     * @param maxConnections connections that may be open at a time
+     * @param maxConnections the maximum number of open connections
      */
     public ClientListener(
             EventLoop loop, RequestLifecycle lifecycle, NodeConfig config, int maxConnections) {
@@ -99,11 +101,11 @@
     }
 
     /**
-     * Parses requests by these settings from now on.
+     * Uses these settings to parse requests from now on.
      *
-     * @param live the number of each class that new requests may be of, by name
+     * @param live the number of each class that accepts new requests, by class name
      * @param classes all classes by number
-     * @param tenants the tenants; empty where there are no quotas
+     * @param tenants the tenants; empty if there are no quotas
      */
     public void applySettings(
             Map<String, Integer> live, List<RequestClass> classes, List<Tenant> tenants) {
@@ -118,10 +120,11 @@
     }
 
     /**
-     * Listens on this address only, or accepts on a socket that the platform holds and passed on.
+     * Listens on this address only, or accepts connections on a socket that the platform holds and
+     * passed to this process.
      *
-     * @param passedSocket bound and listening already, or null; it is shared with the other process
-     *     of an upgrade
+     * @param passedSocket a bound, listening socket that is shared with the other process of an
+     *     upgrade; or null
      */
     public ChannelFuture listen(
             EventLoopGroup group, InetSocketAddress addr, ServerSocketChannel passedSocket) {
@@ -152,13 +155,15 @@
                                                 new ClientConnection(ClientListener.this));
                             }
                         });
-        // A passed socket is bound: registering it with the loop is all that is left.
+        // A passed socket is already bound, so it only has to be registered with the event loop.
         final ChannelFuture bound = hasPassedSocket ? bootstrap.register() : bootstrap.bind(addr);
         serverChannel = bound.channel();
         return bound;
     }
 
-    /** Closes connections that take too long, and gives up streamed bodies that are too slow. */
+    /**
+     * Closes connections whose client takes too long, and aborts streamed bodies that are too slow.
+     */
     private void sweep() {
         if (bodies != null) {
             bodies.sweep();
@@ -170,12 +175,12 @@
         return serverChannel;
     }
 
-    /** Whether the clients' listening socket is the platform's, held over an upgrade. */
+    /** Whether the platform passed the listening socket and holds it during an upgrade. */
     public boolean usesPassedSocket() {
         return hasPassedSocket;
     }
 
-    /** Connections from clients that are open. */
+    /** The number of open client connections. */
     public int openConnections() {
         return connections.size();
     }
@@ -186,21 +191,21 @@
 
     // ---- Shutdown ----
 
-    /** Answers health checks with not ready; clients are served all the same. */
+    /** Answers readiness checks with not ready from now on; requests are still served. */
     public void markNotReady() {
         notReady = true;
     }
 
-    /** Accepts no more, and closes each connection once it is idle. */
+    /** Stops accepting connections, and closes each open one once it is idle. */
     public void stopAccepting() {
         stopListening();
         closeIdle();
     }
 
     /**
-     * Accepts no more; each connection is closed after its next response. A passed socket stays
-     * open, as the other process of an upgrade accepts on it: connections wait in its backlog, and
-     * none is refused.
+     * Stops accepting connections; each open one is closed after its next response. A passed socket
+     * stays open, as the other process of an upgrade accepts on it: connections wait in its
+     * backlog, and none is refused.
      */
     public void stopListening() {
         stoppedListening = true;
@@ -208,7 +213,8 @@
             return;
         }
         if (hasPassedSocket) {
-            // Out of this loop's selector, which also keeps the loop's end from closing it.
+            // Deregisters the socket from this loop's selector, so that it is not closed when the
+            // loop ends.
             serverChannel.config().setAutoRead(false);
             serverChannel.deregister();
         } else {
@@ -217,7 +223,7 @@
         }
     }
 
-    /** Accepts whoever is connected already: closing the socket would reset these connections. */
+    /** Accepts the connections in the backlog: closing the socket would reset them. */
     private void acceptBacklog() {
         for (int accepted = 0;
                 accepted < BACKLOG && !serverChannel.eventLoop().isShuttingDown();
@@ -226,17 +232,17 @@
         }
     }
 
-    /** Closes the connections that wait for their client's next request. */
+    /** Closes the connections that are idle. */
     public void closeIdle() {
         connections.closeIdle();
     }
 
-    /** Whether no more connections are accepted. */
+    /** Whether the listener has stopped accepting connections. */
     boolean isStoppedListening() {
         return stoppedListening;
     }
 
-    /** Whether connections are closed after their responses. */
+    /** Whether each connection is closed after its next response. */
     boolean isClosing() {
         return stoppedListening || closingForDrain;
     }
@@ -244,9 +250,9 @@
     // ---- Readiness ----
 
     /**
-     * Answers health checks with not ready from now on; {@value #DRAIN_GRACE_MS} ms later, closes
-     * idle connections, and each other one after its next response. New connections are still
-     * accepted, and served the same way.
+     * Answers readiness checks with not ready from now on. {@value #DRAIN_GRACE_MS} ms later,
+     * closes idle connections, and closes each other connection after its next response. New
+     * connections are still accepted and treated the same way.
      */
     @Override
     public void drain() {
@@ -266,20 +272,23 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    /** Ends a drain: ready again, and connections are kept as before. */
+    /** Ends a drain: the node is ready again and keeps connections open. */
     @Override
     public void resume() {
         draining = false;
         closingForDrain = false;
     }
 
-    /** Whether health checks are answered with ready: workers known, not stopping, not drained. */
+    /**
+     * Whether readiness checks are answered with ready: a worker is known, and the node neither
+     * shuts down nor drains.
+     */
     @Override
     public boolean isReady() {
         return !notReady && !draining && lifecycle.isReady();
     }
 
-    /** Why the node is not ready, in a few words. */
+    /** A short reason why the node is not ready. */
     @Override
     public String whyNotReady() {
         if (notReady) {
@@ -291,33 +300,33 @@
         return lifecycle.isReady() ? "ready" : "no worker is known yet";
     }
 
-    // ---- What connections ask for ----
+    // ---- Used by connections ----
 
     RequestLifecycle lifecycle() {
         return lifecycle;
     }
 
-    /** The parser by the settings in force. */
+    /** The parser for the current settings. */
     RequestHeadParser parser() {
         return parser;
     }
 
-    /** The streamed bodies, or null where no class streams any. */
+    /** The streamed bodies, or null if no class streams any. */
     StreamedBodies bodies() {
         return bodies;
     }
 
-    /** The longest body that any class allows, bytes. */
+    /** The maximum body size over all classes, bytes. */
     long maxBodyBytes() {
         return bodies == null ? RequestBodyBuffer.MAX_BYTES : bodies.maxBytes();
     }
 
-    /** The longest body that a class allows, bytes. */
+    /** The maximum body size of a class, bytes. */
     long maxBodyBytes(int requestClass) {
         return bodies == null ? RequestBodyBuffer.MAX_BYTES : bodies.limits(requestClass).longest();
     }
 
-    /** Whether results of a class may be streamed. */
+    /** Whether the results of a class may be streamed. */
     boolean allowsStreamedResults(int requestClass) {
         return bodies != null && bodies.limits(requestClass).longResults();
     }
@@ -325,7 +334,7 @@
     /**
      * Reserves memory for a queued request.
      *
-     * @return false where the queues of all connections together would take too much
+     * @return false if the queues of all connections would exceed their common limit
      */
     boolean reserveQueued(int bytes) {
         if (queuedBytes + bytes > MAX_QUEUED_BYTES) {
@@ -335,12 +344,12 @@
         return true;
     }
 
-    /** Returns such memory. */
+    /** Releases memory that {@link #reserveQueued} reserved. */
     void releaseQueued(int bytes) {
         queuedBytes -= bytes;
     }
 
-    /** Bytes of the budget that streamed bodies hold, or own. */
+    /** The bytes of the buffer budget that streamed bodies use or have reserved. */
     public long bodyBytes() {
         return bodies == null ? 0 : bodies.inUseBytes();
     }
--- a/src/main/java/cresschute/node/http/ConnectionCloser.java
+++ b/src/main/java/cresschute/node/http/ConnectionCloser.java
@@ -6,18 +6,18 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Closes a client's connection without a reset that could destroy a response just written: a close
- * with received bytes unread makes the kernel reset the connection, and the client then loses what
+ * Closes a client's connection without losing a response that was just written. If a connection is
+ * closed while received bytes are unread, the kernel resets it, and the client loses the bytes that
  * it has not read yet.
  *
- * <p>Owns the decision that no further request is read from the connection, its half-close, and the
+ * <p>Owns the flag that no further request is read from the connection, its half-close, and the
  * timers of both ways to close:
  *
  * <ul>
- *   <li>half-close: {@link #closeOutput} ends the sending side, input is read and discarded until
- *       the client ends its side too, {@value #HALF_CLOSE_MS} ms at the most;
- *   <li>lingering close: {@link #closeAfterLinger} discards the rest of an unwanted request for
- *       {@value #LINGER_MS} ms, then closes once every response is out.
+ *   <li>half-close: {@link #closeOutput} shuts down the output; input is read and discarded until
+ *       the client closes its side too, for at most {@value #HALF_CLOSE_MS} ms;
+ *   <li>lingering close: {@link #closeAfterLinger} discards the rest of a rejected request for
+ *       {@value #LINGER_MS} ms, then closes once every response is written.
  * </ul>
  *
  * <p>One per connection; call from the channel's event loop.
@@ -27,36 +27,36 @@
     /** How long a client may take to close its side after the half-close, ms. */
     static final long HALF_CLOSE_MS = 400;
 
-    /** How long the rest of an unwanted request is read and discarded, ms. */
+    /** How long the rest of a rejected request is read and discarded, ms. */
     static final long LINGER_MS = 1_000;
 
     private final ChannelHandlerContext context;
     private boolean discardingInput;
     private boolean outputClosed;
 
-    /** A closer of a connection that is open and read as usual. */
+    /** Creates a closer for a connection that is open and whose requests are read. */
     ConnectionCloser(ChannelHandlerContext context) {
         this.context = context;
     }
 
-    /** Whether what still arrives is discarded: no further request is read here. */
+    /** Whether received bytes are discarded and no further request is read. */
     boolean isDiscardingInput() {
         return discardingInput;
     }
 
-    /** Reads no further request from this connection; what arrives is discarded. */
+    /** Discards all bytes received from now on; no further request is read from this connection. */
     void discardInput() {
         discardingInput = true;
     }
 
-    /** Whether the sending side is closed. */
+    /** Whether the output was shut down. */
     boolean isOutputClosed() {
         return outputClosed;
     }
 
     /**
-     * Closes the sending side, and the connection once the client has closed its side or {@value
-     * #HALF_CLOSE_MS} ms later. Any number of times.
+     * Shuts down the output, and closes the connection once the client has closed its side, or
+     * {@value #HALF_CLOSE_MS} ms later. Further calls have no effect.
      */
     void closeOutput() {
         if (outputClosed || !context.channel().isActive()) {
@@ -72,11 +72,11 @@
     }
 
     /**
-     * Closes the connection {@value #LINGER_MS} ms from now, or as many times that later as it
-     * takes until all responses are written: requests read before the one at fault are answered
-     * first.
+     * Closes the connection after {@value #LINGER_MS} ms if all responses are written, else checks
+     * again after each further {@value #LINGER_MS} ms: requests that were read before the faulty
+     * one are answered first.
      *
-     * @param allWritten whether no response is due any more
+     * @param allWritten returns whether all responses are written
      */
     void closeAfterLinger(BooleanSupplier allWritten) {
         context.executor()
@@ -92,7 +92,7 @@
                         TimeUnit.MILLISECONDS);
     }
 
-    /** Closes the connection now, whatever was written or is unread. */
+    /** Closes the connection immediately, even if output is unsent or input is unread. */
     void close() {
         context.close();
     }
--- a/src/main/java/cresschute/node/http/DeadlineHeader.java
+++ b/src/main/java/cresschute/node/http/DeadlineHeader.java
@@ -8,12 +8,12 @@
  */
 final class DeadlineHeader {
 
-    /** What {@link #parseUs} returns for a value that is no time. */
+    /** The result of {@link #parseUs} for an invalid value. */
     static final long INVALID = -1;
 
     private static final Pattern FORM = Pattern.compile("([0-9]{1,12})(?:\\.([0-9]{1,9}))?([mu])");
 
-    /** The longest time, us: an hour. */
+    /** The longest time, us: one hour. */
     private static final long MAX_US = 3_600_000_000L;
 
     private DeadlineHeader() {}
@@ -21,8 +21,8 @@
     /**
      * Parses a value.
      *
-     * @return the time, us, from 0 to an hour; longer ones count as an hour; {@link #INVALID} where
-     *     the text is no time
+     * @return the time in microseconds, capped at one hour; {@link #INVALID} if the text is no
+     *     valid time
      */
     static long parseUs(String text) {
         final Matcher matcher = FORM.matcher(text.strip());
@@ -34,7 +34,7 @@
         return (long) Math.min(MAX_US, matcher.group(3).equals("m") ? value * 1000 : value);
     }
 
-    /** Formats a time, us; a negative one as 0. */
+    /** Formats a time in microseconds; a negative time as 0. */
     static String format(long us) {
         return Math.max(0, us) + "u";
     }
--- a/src/main/java/cresschute/node/http/HeaderNames.java
+++ b/src/main/java/cresschute/node/http/HeaderNames.java
@@ -2,7 +2,7 @@
 
 import io.netty.util.AsciiString;
 
-/** Names of the headers that the platform defines beside those of HTTP. */
+/** Names of the headers that the platform defines in addition to those of HTTP. */
 final class HeaderNames {
 
     static final AsciiString REQUEST_ID = AsciiString.cached("X-Request-Id");
@@ -14,7 +14,7 @@
     static final AsciiString LOAD = AsciiString.cached("X-Load");
     static final AsciiString NOT_RUN = AsciiString.cached("X-Not-Run");
 
-    /** A trailer behind a streamed result: {@code done} where the result is complete. */
+    /** A trailer after a streamed result: {@code done} if the result is complete. */
     static final AsciiString JOB_STATE = AsciiString.cached("X-Job-State");
 
     private HeaderNames() {}
--- a/src/main/java/cresschute/node/http/InvalidRequestHeadException.java
+++ b/src/main/java/cresschute/node/http/InvalidRequestHeadException.java
@@ -3,8 +3,8 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 
 /**
- * The head of a request is invalid: the request is answered by a status and never submitted. It has
- * no stack trace, as clients can cause it at any rate.
+ * Thrown if the head of a request is invalid. The request is answered with an error status and
+ * never submitted. The exception has no stack trace, because clients can cause it at any rate.
  */
 final class InvalidRequestHeadException extends Exception {
 
@@ -12,7 +12,7 @@
     private final transient HttpResponseStatus status;
 
     /**
-     * An error that is answered by this status.
+     * Creates an exception that is answered with this status.
      *
      * @param reason sent to the client as the body of the response
      */
--- a/src/main/java/cresschute/node/http/PendingResponse.java
+++ b/src/main/java/cresschute/node/http/PendingResponse.java
@@ -18,12 +18,13 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * The response to one request, in its place among those of its connection ({@link ResponseQueue}).
+ * The response to one request, in the order of its connection's requests ({@link ResponseQueue}).
  *
- * <p>Life cycle: created when the request's head, or what cannot be read as one, arrives; submitted
- * to the life cycle where the request is usable; then either complete, with a whole response to be
- * written in its turn, or streaming, with a head and a body that is written as the worker makes it.
- * Owns the request's streamed body and the streamed result, and closes both in {@link #release}.
+ * <p>Life cycle: created when a request's head or malformed input arrives. A valid request is
+ * submitted to the {@link cresschute.node.RequestLifecycle}. Then the response either becomes
+ * complete, and is written as a whole in its turn, or it streams: its head is written, then its
+ * body as the worker produces it. Owns the request's streamed body and the streamed result, and
+ * closes both in {@link #release}.
  *
  * <p>Call from the channel's event loop.
  */
@@ -35,27 +36,27 @@
     private final ClientConnection connection;
     private final boolean isHttp10;
 
-    /** Whether the connection goes on after this response. */
+    /** Whether the connection stays open after this response. */
     private boolean keepAlive;
 
     /** Whether the request's last byte was read. */
     private boolean requestRead;
 
-    /** The request, once submitted; null before and where it never is. */
+    /** The submitted request; null before it is submitted, and if it never is. */
     private ClientRequest request;
 
-    /** What receives the request's streamed body, or null where its body is short. */
+    /** Receives the request's streamed body; null if the body is not streamed. */
     private StreamedBodyReceiver receiver;
 
-    /** The result where its class allows a streamed one, from the request's submission on. */
+    /** The streamed result, from the request's submission on; null if its class allows none. */
     private StreamedResponseBody result;
 
-    /** Whether the result has begun, and what writes it once its turn has come. */
+    /** Whether the worker has begun to send the result. */
     private boolean hasResultBegun;
 
     private BodyTransfer transfer;
 
-    /** The whole response, or null while there is none. */
+    /** The whole response; null until it is complete, and if the result is streamed. */
     private FullHttpResponse response;
 
     private PendingResponse(ClientConnection connection, boolean keepAlive, boolean isHttp10) {
@@ -64,7 +65,7 @@
         this.isHttp10 = isHttp10;
     }
 
-    /** The response to a request of which the head was read. */
+    /** Creates the response to a request whose head was read. */
     static PendingResponse forRequest(HttpRequest request, ClientConnection connection) {
         return new PendingResponse(
                 connection,
@@ -72,29 +73,29 @@
                 request.protocolVersion().equals(HttpVersion.HTTP_1_0));
     }
 
-    /** The response to bytes that are no request; the connection ends with it. */
+    /** Creates the response to malformed input; the connection is closed after it. */
     static PendingResponse forMalformedRequest(ClientConnection connection) {
         return new PendingResponse(connection, false, false);
     }
 
     // ---- The request ----
 
-    /** The request's body is streamed, by this receiver. */
+    /** Sets the receiver of the request's streamed body. */
     void setBodyReceiver(StreamedBodyReceiver bodyReceiver) {
         receiver = bodyReceiver;
     }
 
-    /** The request's last byte was read. */
+    /** Called when the request's last byte was read. */
     void requestRead() {
         requestRead = true;
     }
 
-    /** The life cycle has taken the request. */
+    /** Called when the request lifecycle has taken the request. */
     void submitted(ClientRequest taken) {
         request = taken;
     }
 
-    /** Whether the life cycle has taken the request, and owes it a response. */
+    /** Whether the request lifecycle has taken the request and must answer it. */
     boolean isSubmitted() {
         return request != null;
     }
@@ -106,7 +107,8 @@
 
     @Override
     public boolean hasLeft() {
-        // What arrived since the loop last read this socket, the client's close too, lies in it.
+        // Bytes that arrived since the loop last read this socket, and the client's close, are
+        // still unread.
         connection.readNow();
         return !context().channel().isActive();
     }
@@ -116,7 +118,7 @@
         return receiver == null ? 0 : receiver.readPausedUs();
     }
 
-    /** The client is gone, or gets no response to this request. */
+    /** Called when the client closed the connection, or will get no response to this request. */
     void clientLeft() {
         if (request != null) {
             connection.listener().lifecycle().clientLeft(request);
@@ -124,7 +126,7 @@
         release();
     }
 
-    /** Closes what this response owns: neither the request's body nor the result is needed. */
+    /** Closes the request's body and the result, which are not needed any more. */
     private void release() {
         if (transfer != null) {
             transfer.stop();
@@ -139,7 +141,7 @@
 
     // ---- A whole response ----
 
-    /** Whether the whole response is there. */
+    /** Whether the whole response is ready to be written. */
     boolean isComplete() {
         return response != null;
     }
@@ -175,17 +177,20 @@
         complete(HttpResponseStatus.INTERNAL_SERVER_ERROR, "failed\n", 0);
     }
 
-    /** Completes with a status alone, for a health check. */
+    /** Completes with a status and an empty body, for a readiness check. */
     void complete(HttpResponseStatus status) {
         complete(status, "", 0);
     }
 
-    /** Completes a request that is rejected before it is submitted: 503, retry after that, us. */
+    /**
+     * Rejects a request before it is submitted, with status 503 and a time after which to retry,
+     * us.
+     */
     void reject(long retryAfterUs) {
         completeUnsubmitted(HttpResponseStatus.SERVICE_UNAVAILABLE, REJECTED, retryAfterUs);
     }
 
-    /** Completes a request that cannot be submitted. */
+    /** Completes a request that cannot be submitted, with an error status. */
     void fail(HttpResponseStatus status, String reason) {
         completeUnsubmitted(status, reason, 0);
     }
@@ -198,14 +203,14 @@
         }
     }
 
-    /** As {@link #failAndClose}, with status 503 and a time after which to retry, us. */
+    /** Same as {@link #failAndClose}, with status 503 and a time after which to retry, us. */
     void rejectAndClose(long retryAfterUs) {
         completeAndClose(HttpResponseStatus.SERVICE_UNAVAILABLE, REJECTED, retryAfterUs);
     }
 
     /**
-     * Completes a request of which the rest is not read: that is discarded for a while, and the
-     * connection closed.
+     * Completes a request whose rest is not read. The rest is discarded for a linger time, then the
+     * connection is closed.
      */
     void failAndClose(HttpResponseStatus status, String reason) {
         completeAndClose(status, reason, 0);
@@ -233,7 +238,8 @@
                     .set(HttpHeaderNames.RETRY_AFTER, RetryAfterHeader.format(retryAfterUs));
         }
         if (isReceivingBody()) {
-            // Answered before its last byte: what is left of it is discarded for a while.
+            // The request is answered before its last byte was read; the rest is discarded for a
+            // while.
             receiver.stop();
             if (!connection.closer().isDiscardingInput()) {
                 connection.closer().discardInput();
@@ -250,7 +256,7 @@
     /**
      * Reserves capacity for a streamed result, where the request's class allows one.
      *
-     * @return false where there is no capacity
+     * @return false if there is no capacity
      */
     boolean reserveStreamedResult(RequestHead head) {
         final int requestClass = head.job().requestClass();
@@ -276,18 +282,21 @@
         return result;
     }
 
-    /** Whether the result's head is written and its body under way. */
+    /** Whether the result's head was written and its body is being written. */
     boolean isStreaming() {
         return transfer != null;
     }
 
-    /** Its turn has come: writes the head of a result that has begun, and what there is of it. */
+    /**
+     * Called when this response is the next to be written: if its result has begun, writes the head
+     * and the bytes received so far.
+     */
     void startStreaming() {
         if (!hasResultBegun || transfer != null || isComplete()) {
             return;
         }
         if (result.isLost()) {
-            // Nothing of it is written yet, so the client can get a proper failure.
+            // Nothing is written yet, so the client can get a complete error response.
             failed();
             return;
         }
@@ -320,7 +329,7 @@
         return head;
     }
 
-    /** The client's connection takes more bytes again. */
+    /** Called when the client's connection accepts more bytes again. */
     void writabilityChanged() {
         transfer.resume();
     }
@@ -329,7 +338,7 @@
     public void transferCompleted() {
         connection.responses().remove(this);
         if (isReceivingBody()) {
-            // Its client still sends a body that is not needed any more.
+            // The client is still sending a body that is not needed any more.
             receiver.stop();
             keepAlive = false;
         }
@@ -339,7 +348,8 @@
     }
 
     /**
-     * The close, or for a client that counts no bytes a reset, shows that the result is not whole.
+     * Closes the connection, so that the client sees that the result is incomplete. An HTTP/1.0
+     * client without a content length could not tell, so its connection is reset.
      */
     @Override
     public void transferAborted() {
@@ -355,7 +365,7 @@
         connection.close();
     }
 
-    /** Whether the request was read to its end. */
+    /** Whether the request's last byte was read. */
     boolean isRequestRead() {
         return requestRead;
     }
--- a/src/main/java/cresschute/node/http/RequestAssembler.java
+++ b/src/main/java/cresschute/node/http/RequestAssembler.java
@@ -15,18 +15,18 @@
 import io.netty.handler.codec.http.LastHttpContent;
 
 /**
- * Assembles the requests of one client connection from the codec's messages: validates each head,
- * collects a short body or starts a {@link StreamedBodyReceiver} for a long one, and submits the
- * request, or completes its response with an error status.
+ * Assembles the requests of one client connection from the codec's messages. It validates each
+ * head, collects a short body or starts a {@link StreamedBodyReceiver} for a long one, and submits
+ * the request or completes its response with an error status.
  *
- * <p>Owns the request that is being read and its body until that is submitted. A short body is
- * submitted at its last byte, by the settings in force at that time.
+ * <p>Owns the request that is being read, and its body until the request is submitted. A request
+ * with a short body is submitted at its last byte, under the settings in force at that time.
  *
  * <p>One per connection; call from the channel's event loop.
  */
 final class RequestAssembler {
 
-    /** Requests without a response that a connection may have; one more closes it. */
+    /** The maximum number of requests without a response on one connection; one more closes it. */
     private static final int MAX_UNANSWERED = 120;
 
     private static final int KIB = 1024;
@@ -41,18 +41,19 @@
     /** The response to the request that is being read, or null between requests. */
     private PendingResponse current;
 
-    /** That request as the codec read it, its head, and the parser that read the head. */
+    /** The request that is being read, as the codec decoded it. */
     private HttpRequest request;
 
-    /** Null where the request is not to be submitted. */
+    /** Its parsed head; null if the request must not be submitted. */
     private RequestHead head;
 
+    /** The parser that parsed {@link #head}. */
     private RequestHeadParser parser;
 
-    /** What receives that request's body where it is streamed, or null. */
+    /** Receives that request's body; null if the body is not streamed. */
     private StreamedBodyReceiver receiver;
 
-    /** An assembler that waits for the first request. */
+    /** Creates an assembler that waits for the first request. */
     RequestAssembler(
             ClientConnection connection, ResponseQueue responses, RequestSubmitter submitter) {
         this.connection = connection;
@@ -61,7 +62,7 @@
         this.submitter = submitter;
     }
 
-    /** Takes in the next message of the codec; none once input is discarded. */
+    /** Handles the next message of the codec. Must not be called once input is discarded. */
     void read(HttpObject message) {
         if (message.decoderResult().isFailure()) {
             rejectMalformed();
@@ -84,7 +85,10 @@
 
     // ---- The head ----
 
-    /** What cannot be read ends the connection now, whatever responses are due before it. */
+    /**
+     * Handles malformed input: closes the connection at once if earlier responses are due, else
+     * after a response with status 400.
+     */
     private void rejectMalformed() {
         if (current == null) {
             current = PendingResponse.forMalformedRequest(connection);
@@ -93,7 +97,7 @@
         if (responses.size() > 1 || responses.isStreaming()) {
             closeNow();
         } else {
-            // A streamed request may have been submitted before its end: nothing is owed for it.
+            // A streamed request may have been submitted before its end; it must not be answered.
             current.clientLeft();
             current.failAndClose(HttpResponseStatus.BAD_REQUEST, "malformed HTTP");
         }
@@ -136,9 +140,9 @@
     }
 
     /**
-     * Whether servers may differ about the end of the body, so that it could hide a second request:
-     * its length is given twice, or by a coding that is not known here. The codec accepts some of
-     * these.
+     * Whether servers may disagree about the end of the body, so that it could hide a second
+     * request: its length is given twice, or by an unknown transfer coding. The codec accepts some
+     * of these.
      */
     private static boolean isLengthAmbiguous(HttpRequest next) {
         final String coding =
@@ -195,7 +199,7 @@
         return listener.isReady() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE;
     }
 
-    /** The longest body of the current request's class, bytes. */
+    /** The maximum body size of the current request's class, bytes. */
     private long maxBodyBytes() {
         return listener.maxBodyBytes(head.job().requestClass());
     }
@@ -217,7 +221,10 @@
         }
     }
 
-    /** A chunked body outgrows the buffer: it is streamed from here on, where its class allows. */
+    /**
+     * Switches a chunked body that outgrows the buffer to streaming. If its class does not allow
+     * that, rejects the request and returns false.
+     */
     private boolean streamBufferedBody() {
         final long maxBytes =
                 head == null || current.isComplete() ? RequestBodyBuffer.MAX_BYTES : maxBodyBytes();
@@ -242,10 +249,11 @@
     }
 
     /**
-     * Starts to receive the current request's body as a stream; rejects the request where there is
-     * no capacity for its window.
+     * Starts to receive the current request's body as a stream. If there is no capacity for its
+     * window, rejects the request and returns false.
      *
-     * @param length bytes that the head states, or {@link StreamedRequestBody#UNKNOWN_LENGTH}
+     * @param length the length that the head states, bytes, or {@link
+     *     StreamedRequestBody#UNKNOWN_LENGTH}
      */
     private boolean startStreaming(long length) {
         final StreamedBodyReceiver next =
@@ -273,12 +281,15 @@
         }
     }
 
-    /** Gives up a streamed body for its client's fault, whether its request is submitted or not. */
+    /**
+     * Aborts a streamed body because of its client's fault, whether or not its request is
+     * submitted.
+     */
     private void abortBody(HttpResponseStatus status, String reason) {
         final boolean isResultStreaming = current.isStreaming();
         current.clientLeft();
         if (isResultStreaming) {
-            // Part of its response is written: there is no place for another one.
+            // Part of the result is already written, so no error response can follow.
             connection.close();
         } else if (!current.isComplete()) {
             current.failAndClose(status, reason);
@@ -287,7 +298,7 @@
 
     // ---- The end ----
 
-    /** The current request's last byte was read. */
+    /** Called when the current request's last byte was read. */
     private void finish() {
         if (isReceivingStreamedBody()) {
             receiver.complete();
@@ -314,9 +325,9 @@
     }
 
     /**
-     * Reads the head anew if settings came into force while the body was read.
+     * Parses the head again if other settings came into force while the body was read.
      *
-     * @return whether the request is valid by these
+     * @return whether the request is valid under the current settings
      */
     private boolean reparseIfSettingsChanged(PendingResponse response) {
         if (listener.parser() == parser) {
@@ -333,34 +344,34 @@
 
     // ---- State ----
 
-    /** A read of the channel is over. */
+    /** Called when a read of the channel has ended. */
     void readCompleted() {
         if (isReceivingStreamedBody()) {
             receiver.readCompleted();
         }
     }
 
-    /** Whether a request has begun and its last byte was not read. */
+    /** Whether a request has begun and its last byte was not read yet. */
     boolean isReading() {
         return current != null;
     }
 
-    /** Whether the body of the current request is streamed, and not at its end. */
+    /** Whether the body of the current request is streamed and not complete yet. */
     boolean isReceivingStreamedBody() {
         return receiver != null && receiver.isReceiving();
     }
 
-    /** Whether the request that is being read is submitted, and owed a response. */
+    /** Whether the request that is being read is already submitted and needs a response. */
     boolean hasSubmittedCurrent() {
         return current != null && current.isSubmitted();
     }
 
-    /** Whether what has arrived may be read at once, rather than when a body has capacity. */
+    /** Whether received bytes may be read at once, i.e. no streamed body waits for capacity. */
     boolean mayReadNow() {
         return !isReceivingStreamedBody() || receiver.mayReadNow();
     }
 
-    /** Gives up the streamed body that is being received where its client sends too little. */
+    /** Aborts the streamed body that is being received if its client sends too slowly. */
     void checkSenderRate() {
         if (receiver.isSenderTooSlow()) {
             listener.bodies().reportTooSlow(connection.clientAddress(), "it sent too little");
@@ -368,7 +379,7 @@
         }
     }
 
-    /** The channel is closed: nothing more is received. */
+    /** Called when the channel is closed and nothing more is received. */
     void channelClosed() {
         if (receiver != null) {
             receiver.channelClosed();
--- a/src/main/java/cresschute/node/http/RequestBodyBuffer.java
+++ b/src/main/java/cresschute/node/http/RequestBodyBuffer.java
@@ -5,14 +5,14 @@
 import java.util.Arrays;
 
 /**
- * Collects a short request body, which is kept whole: at most {@value #MAX_BYTES} bytes. The array
- * grows as needed and is handed over with the body, so that an idle connection keeps none.
+ * Collects a short request body of at most {@value #MAX_BYTES} bytes. The array grows as needed and
+ * is handed over with the body, so that an idle connection keeps none.
  *
- * <p>One per connection, used for one request after the other from the event loop.
+ * <p>One per connection, reused for each request. Call from the event loop.
  */
 final class RequestBodyBuffer {
 
-    /** The longest body that is kept whole, bytes; longer ones are streamed. */
+    /** The longest body that is buffered as a whole, bytes; longer ones are streamed. */
     static final int MAX_BYTES = 64 * 1024;
 
     private static final byte[] EMPTY = new byte[0];
@@ -20,17 +20,17 @@
     private byte[] bytes = EMPTY;
     private int length;
 
-    /** Discards what was collected. */
+    /** Discards the collected bytes. */
     void clear() {
         length = 0;
     }
 
-    /** Whether so many bytes more can be added. */
+    /** Whether {@code count} more bytes fit into the buffer. */
     boolean fits(int count) {
         return length + count <= MAX_BYTES;
     }
 
-    /** Adds all readable bytes of a buffer; they must fit. */
+    /** Appends all readable bytes of {@code content}; they must fit. */
     void add(ByteBuf content) {
         final int count = content.readableBytes();
         if (length + count > bytes.length) {
@@ -41,7 +41,7 @@
         length += count;
     }
 
-    /** Hands the body over in an array of its own length; this buffer is empty afterwards. */
+    /** Returns the body in an array of exactly its length, and empties this buffer. */
     byte[] take() {
         final byte[] body = bytes.length == length ? bytes : Arrays.copyOf(bytes, length);
         bytes = EMPTY;
@@ -49,7 +49,7 @@
         return body;
     }
 
-    /** Hands over what was collected so far without copying; this buffer is empty afterwards. */
+    /** Returns the collected bytes without copying them, and empties this buffer. */
     ByteBuf takeBuffer() {
         final ByteBuf collected = Unpooled.wrappedBuffer(bytes, 0, length);
         bytes = EMPTY;
--- a/src/main/java/cresschute/node/http/RequestHead.java
+++ b/src/main/java/cresschute/node/http/RequestHead.java
@@ -5,15 +5,15 @@
 /**
  * The head of a valid request.
  *
- * @param requestId the client's id of it, not empty
- * @param target path and query as the client sent them
+ * @param requestId the id that the client gave the request, not empty
+ * @param target the path and query as the client sent them
  * @param idempotencyKey the key as the client sent it, or null
  * @param job the request in the dispatcher's terms
- * @param waitUs how long the client waits for the response from now on, us
+ * @param waitUs how long the client still waits for the response, us
  */
 record RequestHead(String requestId, String target, String idempotencyKey, Job job, long waitUs) {
 
-    /** The same head with another time to wait, us. */
+    /** Returns a copy of this head with another wait time, us. */
     RequestHead withWaitUs(long nextWaitUs) {
         return new RequestHead(requestId, target, idempotencyKey, job, nextWaitUs);
     }
--- a/src/main/java/cresschute/node/http/RequestHeadParser.java
+++ b/src/main/java/cresschute/node/http/RequestHeadParser.java
@@ -19,12 +19,12 @@
 import java.util.Map;
 
 /**
- * Parses and validates the heads of requests by the classes and tenants of the settings in force.
- * Immutable: other settings come with another parser. No I/O and no clock.
+ * Parses and validates request heads against the classes and tenants of the current settings.
+ * Immutable: other settings need another parser. Does no I/O and reads no clock.
  */
 final class RequestHeadParser {
 
-    /** Headers that may be given once; two values could be read differently by the worker. */
+    /** Headers that may occur only once, because the worker could use another one of two values. */
     private static final List<AsciiString> SINGLE_VALUED =
             List.of(
                     HttpHeaderNames.HOST,
@@ -47,11 +47,11 @@
     private final List<Tenant> tenants;
 
     /**
-     * A parser for these settings.
+     * Creates a parser for these settings.
      *
-     * @param classNumbers the number of each class that new requests may be of, by name
+     * @param classNumbers the number of each class that accepts new requests, by class name
      * @param classes all classes by number
-     * @param tenants empty where the settings have none
+     * @param tenants the tenants; empty if the settings have none
      */
     RequestHeadParser(
             Map<String, Integer> classNumbers, List<RequestClass> classes, List<Tenant> tenants) {
@@ -63,8 +63,8 @@
     /**
      * Parses a head.
      *
-     * @throws InvalidRequestHeadException with status 404 for an unknown class, 405 for another
-     *     method than POST, else 400
+     * @throws InvalidRequestHeadException with status 404 for an unknown class, 405 for a method
+     *     other than POST, else 400
      */
     RequestHead parse(HttpRequest request) throws InvalidRequestHeadException {
         final String target = originForm(request.uri());
@@ -121,8 +121,8 @@
     }
 
     /**
-     * The time that the client waits, us: no longer than its class allows, as the dispatcher learns
-     * from the times of a class's clients.
+     * The time that the client waits, us, capped at the deadline of its class: the dispatcher
+     * learns from the wait times of a class, so one client with a longer time would distort them.
      */
     private static long waitUs(String deadline, long maxUs) throws InvalidRequestHeadException {
         if (deadline == null) {
@@ -135,7 +135,7 @@
         return Math.min(maxUs, us);
     }
 
-    /** The number of the tenant against whose quota the request counts. */
+    /** The number of the tenant whose quota the request counts against. */
     private int tenant(HttpHeaders headers) throws InvalidRequestHeadException {
         if (tenants.isEmpty()) {
             return NO_TENANTS;
@@ -149,7 +149,10 @@
         throw badRequest("X-Tenant is missing or names no tenant");
     }
 
-    /** Path and query; also of the absolute form, which every HTTP server must accept. */
+    /**
+     * Returns the path and query of a target in origin form, or in absolute form, which every HTTP
+     * server must accept.
+     */
     private static String originForm(String uri) throws InvalidRequestHeadException {
         final int host = uri.startsWith(HTTP_SCHEME) ? HTTP_SCHEME.length() : 0;
         final int path = uri.indexOf('/', host);
@@ -187,7 +190,10 @@
         return extras;
     }
 
-    /** The dispatcher's key of the data that the request reads: 16 hex digits, else a hash. */
+    /**
+     * The dispatcher's key for the data that the request reads: the value of {@code obj} parsed as
+     * up to 16 hex digits, else its hash code.
+     */
     private static long dataKey(QueryStringDecoder query) throws InvalidRequestHeadException {
         final List<String> keys = query.parameters().getOrDefault(DATA_KEY_PARAMETER, List.of());
         if (keys.size() > 1) {
--- a/src/main/java/cresschute/node/http/RequestSubmitter.java
+++ b/src/main/java/cresschute/node/http/RequestSubmitter.java
@@ -7,19 +7,19 @@
 import java.util.Deque;
 
 /**
- * Submits the complete requests of one client connection to the {@link RequestLifecycle}, in the
- * order in which they arrived, and queues those beyond the limit on pipelined requests in flight.
+ * Submits the complete requests of one client connection to the {@link RequestLifecycle} in the
+ * order of their arrival, and queues requests beyond the limit on pipelined requests in flight.
  *
- * <p>Queued requests are read from the socket rather than left there: with reading paused the close
- * of a client would go unnoticed. What they take counts against a limit of all connections together
- * ({@link ClientListener#reserveQueued}); beyond it a request is rejected. This class owns the
- * reservations and returns each of them once.
+ * <p>Queued requests are read from the socket rather than left there, because the node would not
+ * notice a client's close while reading is paused. Their memory counts against a limit for all
+ * connections together ({@link ClientListener#reserveQueued}); a request beyond it is rejected.
+ * This class owns the reservations and releases each of them once.
  *
  * <p>One per connection; call from the channel's event loop.
  */
 final class RequestSubmitter {
 
-    /** Requests of one connection that may be in flight at a time. */
+    /** The maximum number of requests of one connection that are in flight at a time. */
     static final int MAX_IN_FLIGHT = 16;
 
     private static final byte[] NO_BODY = new byte[0];
@@ -27,13 +27,15 @@
     private final ClientListener listener;
     private final Runnable onSubmitted;
 
-    /** Requests that are not submitted; their responses are the last ones of the connection. */
+    /**
+     * Requests that are not submitted yet; their responses are the last ones in the response queue.
+     */
     private final Deque<QueuedRequest> queued = new ArrayDeque<>();
 
     /**
-     * A submitter with an empty queue.
+     * Creates a submitter with an empty queue.
      *
-     * @param onSubmitted called for each request that the life cycle takes
+     * @param onSubmitted called for each request that the request lifecycle takes
      */
     RequestSubmitter(ClientListener listener, Runnable onSubmitted) {
         this.listener = listener;
@@ -41,11 +43,11 @@
     }
 
     /**
-     * Submits a complete request, or queues it where too many are in flight; rejects it where the
-     * queues of all connections are full.
+     * Submits a complete request, or queues it if too many are in flight. Rejects it if the queues
+     * of all connections together are full.
      *
-     * @param unanswered requests of this connection without a response, this one and queued ones
-     *     included
+     * @param unanswered the number of requests of this connection without a response, including
+     *     this one and queued ones
      */
     void submitOrQueue(PendingResponse response, RequestHead head, byte[] body, int unanswered) {
         if (queued.isEmpty() && unanswered <= MAX_IN_FLIGHT) {
@@ -60,7 +62,7 @@
         }
     }
 
-    /** Submits a request whose body is passed on to the worker while it arrives. */
+    /** Submits a request whose body is forwarded to the worker while it arrives. */
     void submitStreamed(PendingResponse response, RequestHead head, StreamedRequestBody body) {
         submit(response, head, NO_BODY, body);
     }
@@ -68,8 +70,9 @@
     /**
      * Submits the next queued request if fewer than {@value #MAX_IN_FLIGHT} are in flight.
      *
-     * @param unanswered requests of this connection without a response, queued ones included
-     * @return whether there was one to submit
+     * @param unanswered the number of requests of this connection without a response, including
+     *     queued ones
+     * @return whether a request was submitted
      */
     boolean submitNext(int unanswered) {
         if (queued.isEmpty() || unanswered - queued.size() >= MAX_IN_FLIGHT) {
@@ -83,8 +86,8 @@
 
     private void submit(
             PendingResponse response, RequestHead head, byte[] body, StreamedRequestBody streamed) {
-        // A second request under an open one's id would be rejected by the workers along with the
-        // attempts of the first, and both would count against the workers' health.
+        // Workers would reject a second request with the id of an open one, together with the
+        // attempts of the first, and both rejections would count against the workers' health.
         if (listener.lifecycle().isOpen(head.requestId())) {
             response.fail(HttpResponseStatus.CONFLICT, "X-Request-Id is in use");
         } else if (!response.reserveStreamedResult(head)) {
@@ -106,7 +109,7 @@
         }
     }
 
-    /** Drops all queued requests; their responses are left to the caller. */
+    /** Drops all queued requests; the caller completes or drops their responses. */
     void clear() {
         queued.forEach(each -> listener.releaseQueued(each.costBytes()));
         queued.clear();
--- a/src/main/java/cresschute/node/http/ResponseQueue.java
+++ b/src/main/java/cresschute/node/http/ResponseQueue.java
@@ -8,12 +8,12 @@
 import java.util.List;
 
 /**
- * The responses of one client connection in the order of their requests, as HTTP pipelining asks: a
- * response is written once it is complete and all before it are written. A streamed result is
- * written in place while it is the first.
+ * The responses of one client connection in the order of their requests, as HTTP pipelining
+ * requires. A response is written once it is complete and all earlier ones are written. A streamed
+ * result is written while it is the first in the queue.
  *
- * <p>Each response written frees a place in flight, so {@link #flush} also submits queued requests.
- * A response that closes the connection abandons those behind it.
+ * <p>Each written response allows one more request in flight, so {@link #flush} also submits queued
+ * requests. A response that closes the connection drops the responses after it.
  *
  * <p>One per connection; call from the channel's event loop.
  */
@@ -24,23 +24,23 @@
     private final Deque<PendingResponse> pending = new ArrayDeque<>();
     private boolean flushing;
 
-    /** An empty queue. */
+    /** Creates an empty queue. */
     ResponseQueue(ClientConnection connection, RequestSubmitter submitter) {
         this.connection = connection;
         this.submitter = submitter;
     }
 
-    /** Adds the response to the request that arrived last. */
+    /** Appends the response to the request that arrived last. */
     void add(PendingResponse response) {
         pending.add(response);
     }
 
-    /** Removes a response that is written in full. */
+    /** Removes a response that is completely written. */
     void remove(PendingResponse response) {
         pending.remove(response);
     }
 
-    /** Responses that are due. */
+    /** The number of responses that are due. */
     int size() {
         return pending.size();
     }
@@ -54,7 +54,10 @@
         return !pending.isEmpty() && pending.peek().isStreaming();
     }
 
-    /** Writes all responses that are complete and whose turn it is; submits queued requests. */
+    /**
+     * Writes each complete response that has no incomplete one before it, and submits queued
+     * requests.
+     */
     void flush() {
         if (flushing) {
             return;
@@ -73,8 +76,8 @@
     private void writeComplete() {
         while (!pending.isEmpty() && pending.peek().isComplete()) {
             final PendingResponse next = pending.poll();
-            // While connections are closed after their responses, requests already read are still
-            // answered: only the last response closes.
+            // While the node closes connections after their responses, requests that were already
+            // read are still answered: only the last response closes the connection.
             final boolean isLast =
                     connection.listener().isClosing() && pending.isEmpty() && next.isRequestRead();
             final boolean keepAlive = next.isKeepAlive() && !isLast;
@@ -86,8 +89,8 @@
     }
 
     /**
-     * The last byte of a response was handed to the channel. Where the connection is not kept, what
-     * the client may have sent behind that request is not answered.
+     * Called when the last byte of a response was handed to the channel. If the connection is not
+     * kept alive, requests that the client sent after that one are not answered.
      *
      * @param write completes when the bytes are written
      */
@@ -99,21 +102,21 @@
         }
     }
 
-    /** Resumes a streamed result once the channel is writable again. */
+    /** Called when the channel's writability changed: resumes a streamed result. */
     void writabilityChanged() {
         if (isStreaming()) {
             pending.peek().writabilityChanged();
         }
     }
 
-    /** Drops all responses and queued requests: the client gets none of them. */
+    /** Drops all responses and queued requests; the client receives none of them. */
     void abandon() {
         submitter.clear();
         pending.forEach(PendingResponse::clientLeft);
         pending.clear();
     }
 
-    /** Completes each response that is not complete as failed; the connection ends with them. */
+    /** Completes each incomplete response as failed; the connection is closed after it. */
     void failAll() {
         submitter.clear();
         for (final PendingResponse response : List.copyOf(pending)) {
--- a/src/main/java/cresschute/node/http/RetryAfterHeader.java
+++ b/src/main/java/cresschute/node/http/RetryAfterHeader.java
@@ -1,6 +1,6 @@
 package cresschute.node.http;
 
-/** The value of {@code Retry-After}: seconds, whole ones or with a fraction of three digits. */
+/** The value of {@code Retry-After}: whole seconds, or seconds with three decimal digits. */
 final class RetryAfterHeader {
 
     private static final long US_PER_MS = 1_000;
@@ -8,7 +8,10 @@
 
     private RetryAfterHeader() {}
 
-    /** Formats a time, us, rounded up to a millisecond, so that no client returns too early. */
+    /**
+     * Formats a time in microseconds, rounded up to a millisecond so that no client retries too
+     * early.
+     */
     static String format(long us) {
         final long ms = (us + US_PER_MS - 1) / US_PER_MS;
         final long fractionMs = ms % MS_PER_S;
--- a/src/main/java/cresschute/node/http/SocketReads.java
+++ b/src/main/java/cresschute/node/http/SocketReads.java
@@ -5,18 +5,22 @@
 import io.netty.channel.RecvByteBufAllocator;
 import io.netty.channel.nio.AbstractNioChannel;
 
-/** How sockets are read beside Netty's default. Call from the channel's event loop. */
+/** Ways to read sockets that differ from Netty's default. Call from the channel's event loop. */
 final class SocketReads {
 
-    /** Reads of one connection in one pass of the event loop; Netty's default for sockets. */
+    /**
+     * The maximum number of reads of one connection per pass of the event loop; Netty's default for
+     * sockets.
+     */
     private static final int MAX_READS_PER_PASS = 16;
 
     private SocketReads() {}
 
     /**
-     * For connections whose close must be seen in the pass of the event loop that reads what came
-     * before it. By default a read that does not fill its buffer is the last one of its pass; then
-     * a request could be sent for a client that has closed, or a connection be kept that has ended.
+     * Returns an allocator for connections whose close must be noticed in the same pass of the
+     * event loop that reads the last bytes before it. By default, a read that does not fill its
+     * buffer is the last one of its pass. The node could then send a request for a client that has
+     * closed, or keep a connection that has ended.
      */
     static RecvByteBufAllocator untilEndOfStream() {
         final AdaptiveRecvByteBufAllocator reads = new AdaptiveRecvByteBufAllocator();
@@ -25,8 +29,8 @@
     }
 
     /**
-     * Reads what has arrived on this channel until now, its close included, and passes it through
-     * the pipeline. Not to be called while the channel is being read.
+     * Reads the bytes that have arrived on this channel, and its close, and passes them through the
+     * pipeline. Must not be called while the channel is being read.
      */
     static void readNow(Channel channel) {
         if (channel.isActive() && channel.unsafe() instanceof AbstractNioChannel.NioUnsafe nio) {
--- a/src/main/java/cresschute/node/http/StreamedBodyReceiver.java
+++ b/src/main/java/cresschute/node/http/StreamedBodyReceiver.java
@@ -6,12 +6,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Receives one streamed request body from its client's connection, with backpressure: from {@link
- * #start} on the channel's autoRead is off, and a read is requested only while the body has
- * capacity for what it may bring. {@link #stop} turns autoRead on again.
+ * Receives one streamed request body from its client's connection with backpressure. {@link #start}
+ * turns the channel's autoRead off; a read is then requested only while the body has capacity for
+ * the bytes of one read. {@link #stop} turns autoRead on again.
  *
- * <p>Owns the channel's autoRead while it receives; the body itself is closed by its {@link
- * PendingResponse}. Call from the channel's event loop.
+ * <p>Owns the channel's autoRead option while it receives. The body's {@link PendingResponse}
+ * closes the body itself. Call from the channel's event loop.
  */
 final class StreamedBodyReceiver {
 
@@ -20,27 +20,30 @@
     private StreamedRequestBody body;
     private boolean receiving;
 
-    /** Whether a read was requested and is not over. */
+    /** Whether a read was requested and has not completed. */
     private boolean readPending;
 
     private boolean readPaused;
 
-    /** Since when no read is requested, by {@link System#nanoTime}; valid while paused. */
+    /**
+     * Since when no read was requested, by {@link System#nanoTime}; valid only while {@link
+     * #readPaused}.
+     */
     private long readPausedSinceNs;
 
     /**
-     * A receiver that has not started.
+     * Creates a receiver that is not started.
      *
-     * @param submitRequest submits the body's request unless that is done: called once more has
-     *     arrived than is kept for a further attempt, and where there is no capacity for more, as
-     *     only an attempt frees some
+     * @param submitRequest submits the body's request unless that has happened. Called once more
+     *     bytes have arrived than are kept for a further attempt, and when there is no capacity for
+     *     more bytes, as only an attempt frees capacity
      */
     StreamedBodyReceiver(Channel channel, Runnable submitRequest) {
         this.channel = channel;
         this.submitRequest = submitRequest;
     }
 
-    /** Starts to receive into this body; the read that is under way is the first one. */
+    /** Starts to receive into this body. The read in progress counts as the first one. */
     void start(StreamedRequestBody into) {
         body = into;
         receiving = true;
@@ -48,32 +51,35 @@
         channel.config().setAutoRead(false);
     }
 
-    /** Its body, from the start on. */
+    /** The body, once {@link #start} was called. */
     StreamedRequestBody body() {
         return body;
     }
 
-    /** Whether the body's end has not been read, and more of it is wanted. */
+    /** Whether the receiver is started and not stopped. */
     boolean isReceiving() {
         return receiving;
     }
 
     /**
-     * Takes in what was read.
+     * Adds received bytes to the body.
      *
-     * @param maxBytes the longest body of the request's class
-     * @return false where the body is longer, or was given up
+     * @param maxBytes the maximum body size of the request's class, bytes
+     * @return false if the body is longer, or was aborted
      */
     boolean receive(ByteBuf content, long maxBytes) {
         return body.collect(content, channel.alloc(), maxBytes);
     }
 
-    /** The body's last byte was read. */
+    /** Called when the body's last byte was read. */
     void complete() {
         body.complete(channel.alloc());
     }
 
-    /** A read of the channel is over: passes on what it brought, and requests the next one. */
+    /**
+     * Called when a read of the channel has ended: passes on the bytes read, and requests the next
+     * read.
+     */
     void readCompleted() {
         readPending = false;
         body.endPiece(channel.alloc());
@@ -83,7 +89,7 @@
         requestNextRead();
     }
 
-    /** There may be capacity again; called by the body. */
+    /** Called by the body when it may have capacity again. */
     void capacityFreed() {
         if (receiving && !readPending) {
             requestNextRead();
@@ -107,31 +113,31 @@
         }
     }
 
-    /** Whether what has arrived may be read at once: a read was requested and would be allowed. */
+    /** Whether received bytes may be read at once, i.e. a read is already requested. */
     boolean mayReadNow() {
         return readPending;
     }
 
-    /** For how long no read was requested, for want of capacity, us; 0 while one is. */
+    /** How long reading has been paused for lack of capacity, us; 0 while it is not paused. */
     long readPausedUs() {
         return receiving && readPaused
                 ? TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - readPausedSinceNs)
                 : 0;
     }
 
-    /** Whether its client sends less than {@link ClassBodies} ask for. */
+    /** Whether the client sends more slowly than the minimum rate of {@link ClassBodies}. */
     boolean isSenderTooSlow() {
         return body.isSenderTooSlow();
     }
 
-    /** Receives no more; the channel is read as usual again. */
+    /** Stops receiving, and turns the channel's autoRead on again. */
     void stop() {
         receiving = false;
         readPaused = false;
         channel.config().setAutoRead(true);
     }
 
-    /** Receives no more, as the channel is closed. */
+    /** Stops receiving because the channel is closed. */
     void channelClosed() {
         receiving = false;
     }
