--- a/src/test/java/cresschute/node/AnsweringWorker.java
+++ b/src/test/java/cresschute/node/AnsweringWorker.java
@@ -11,7 +11,8 @@
 import java.util.regex.Pattern;
 
 /**
- * A worker that serves each job at once, or holds all of them, with a thread for each connection.
+ * A worker that serves each job at once, or withholds the responses to all of them. Uses one thread
+ * for each connection.
  */
 final class AnsweringWorker implements Closeable {
 
@@ -23,7 +24,7 @@
     private final List<Peer> connections = new CopyOnWriteArrayList<>();
     private final AtomicInteger jobs = new AtomicInteger();
 
-    /** Listens on a free port, at all loopback addresses. */
+    /** Listens on a free port, on all addresses. */
     AnsweringWorker(boolean withholdingResponses) throws IOException {
         this.withholdingResponses = withholdingResponses;
         server = new ServerSocket(0, BACKLOG, InetAddress.getByName("0.0.0.0"));
@@ -44,7 +45,7 @@
                 start(() -> serve(peer));
             }
         } catch (IOException e) {
-            // The test has closed it.
+            // The test has closed the listening socket.
         }
     }
 
@@ -69,16 +70,16 @@
                 }
             }
         } catch (IOException | AssertionError e) {
-            // The connection has ended, or was silent for as long as a peer waits.
+            // The connection was closed, or a read has timed out.
         }
     }
 
-    /** Jobs that came so far. */
+    /** The number of jobs received so far. */
     int jobs() {
         return jobs.get();
     }
 
-    /** Connections that came so far. */
+    /** The number of connections accepted so far. */
     int connections() {
         return connections.size();
     }
--- a/src/test/java/cresschute/node/ClientCloseRaceTest.java
+++ b/src/test/java/cresschute/node/ClientCloseRaceTest.java
@@ -14,13 +14,13 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Events that cross with the close of a client. See docs/results/crossings.md. */
+/** Races between a client's close and other events. See docs/results/crossings.md. */
 @Timeout(30)
 class ClientCloseRaceTest extends CrossingFixture {
 
     /**
-     * The end came behind the request in one pass, and was read one pass later: the job was sent
-     * for nobody.
+     * A close that arrived right after a request, in the same pass of the event loop, was read one
+     * pass later, so the job was sent although no client waited for it.
      */
     @Test
     void sendsNothingForClientThatClosesRightAfterItsRequest() throws Exception {
@@ -41,8 +41,8 @@
     }
 
     /**
-     * The close lay in the socket while the loop was busy, and what the module chose was sent
-     * before it.
+     * The close was unread in the socket while the loop was busy, and the attempt that the decision
+     * module chose was sent before the close was read.
      */
     @ParameterizedTest
     @EnumSource
@@ -64,7 +64,7 @@
         }
     }
 
-    /** The same for a further attempt, chosen while the one before is out. */
+    /** Same for a further attempt that is chosen while the earlier one is in flight. */
     @Test
     void sendsNoFurtherAttemptWhileCloseOfClientIsUnread() throws Exception {
         try (TestNode node = new TestNode();
@@ -82,8 +82,8 @@
     }
 
     /**
-     * The connection came up and the close came in one pass: the head went out before the close was
-     * read.
+     * The worker connection was established and the client closed in the same pass of the event
+     * loop: the request head was sent before the close was read.
      */
     @ParameterizedTest
     @EnumSource
@@ -108,8 +108,7 @@
     }
 
     /**
-     * The end of a client's sending is taken for its leaving: its own connection ends and nothing
-     * else.
+     * A half-close by a client counts as its close: the node closes this connection and no other.
      */
     @Test
     void treatsHalfCloseAsCloseAndServesOtherClients() throws Exception {
@@ -128,7 +127,9 @@
         }
     }
 
-    /** With 16 requests taken, reading was paused, and nobody saw that the client had left. */
+    /**
+     * With 16 requests in flight the node paused reading, and did not notice the client's close.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void noticesCloseOfClientWithQueuedRequests(boolean resets) throws Exception {
@@ -151,8 +152,9 @@
     }
 
     /**
-     * With no room for the rest of a long body its client's end cannot be seen, as it stands behind
-     * that: the request was sent whenever the module, or its connection, came to it.
+     * While there is no capacity for the rest of a long body, the node cannot read the client's
+     * close, which follows the body. The request was then sent as soon as the decision module chose
+     * a worker, or the worker connection was established.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
@@ -169,14 +171,14 @@
             client.writeBytes(0, LongBodyNode.MAX_OF_ONE);
             assertThat(eventStarting(node, "requested")).startsWith("requested 1");
             client.disconnect();
-            // By the node's own clock; more than the time after which nobody can be taken to be
-            // there.
+            // Waits, by the node's own clock, for longer than the time after which a client whose
+            // reading is paused is considered gone.
             assertThat(RequestLifecycle.MAX_READ_PAUSE_US).isLessThan(100_000);
             node.act(actions -> actions.startTimer(5, 150_000));
             assertThat(eventStarting(node, "timer fired")).isEqualTo("timer fired 5");
             if (connecting) {
                 acceptFilled(node.worker);
-                // Its connection came up, and ends without a byte.
+                // The worker connection was established, and is closed without a byte sent.
                 assertThat(node.worker().isClosedByOther()).isTrue();
                 assertThat(eventStarting(node, "ended"))
                         .startsWith("ended 1 0 CANCELLED closed true");
@@ -211,7 +213,7 @@
         }
     }
 
-    /** One client's flood is rejected or closed on, and others are served. */
+    /** A client with too many unanswered requests is disconnected, and others are served. */
     @Test
     void closesConnectionWithTooManyUnansweredRequests() throws Exception {
         try (TestNode node = new TestNode(HOLDS);
@@ -224,7 +226,7 @@
             try {
                 flooding.write(requests.toString());
             } catch (IOException e) {
-                // Closed on before all of it was written.
+                // The node closed the connection before all requests were written.
             }
             assertThat(flooding.readToEnd())
                     .satisfiesAnyOf(
--- a/src/test/java/cresschute/node/ClientSocketRulesTest.java
+++ b/src/test/java/cresschute/node/ClientSocketRulesTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The rules of the protocol with clients, one by one, over real sockets. */
+/** Tests the protocol between clients and the node over real sockets. */
 @Timeout(30)
 class ClientSocketRulesTest extends SocketFixture {
 
@@ -34,8 +34,8 @@
     }
 
     /**
-     * Of 200 descriptors 83 are for clients: one that brought no request goes, not the oldest or
-     * the new one.
+     * Of 200 descriptors, 83 are for clients. At this limit the node closes a connection without a
+     * submitted request, not the oldest or the newest one.
      */
     @Test
     void evictsConnectionWithoutRequestAtConnectionLimit() throws Exception {
@@ -54,7 +54,8 @@
     }
 
     /**
-     * One client that said an hour made the module take all others of the class for late retries.
+     * A client that stated a deadline of one hour once made the decision module treat all other
+     * requests of the class as late retries.
      */
     @Test
     void capsDeadlineHeaderAtDeadlineOfClass() throws Exception {
@@ -66,8 +67,8 @@
     }
 
     /**
-     * Clients that say nothing, or half of a request, hold a descriptor each; one that sent a
-     * request may wait.
+     * Connections that send nothing, or only part of a request, each hold a descriptor and are
+     * closed. A connection that has submitted a request may stay idle.
      */
     @ParameterizedTest
     @ValueSource(
@@ -87,14 +88,15 @@
                 silent.read();
             }
             assertThat(silent.isClosedByOther()).isTrue();
-            // Well above the 2 s, for a loaded machine, and well below what the wait was before.
+            // Well above the limit of 2 s, for a loaded machine, and well below the former limit.
             assertThat(System.nanoTime() - startNs).isLessThan(6_000_000_000L);
             assertThat(usual.write(request("r2", "", "")).read()).startsWith("HTTP/1.1 503");
         }
     }
 
     /**
-     * A client under another's id had both rejected by the workers, which then counted as unwell.
+     * A request with the id of an open request made the workers reject both, which then counted
+     * against the workers' health.
      */
     @Test
     void rejectsRequestIdThatIsInUse() throws Exception {
@@ -113,7 +115,8 @@
     }
 
     /**
-     * Otherwise such a client hears nothing until the request before is done, which may take 25 s.
+     * Otherwise the client would get no reaction until the earlier request is answered, which may
+     * take 25 s.
      */
     @Test
     void closesAtOnceOnMalformedRequestBehindOpenOne() throws Exception {
@@ -271,9 +274,9 @@
     }
 
     /**
-     * A head that says one thing twice, or claims another version of HTTP, was passed on as the
-     * node had read it; a worker might have read the other value. The client gets an error and no
-     * worker hears of it.
+     * A head with a duplicate header or another HTTP version used to be forwarded as the node had
+     * parsed it, although a worker might have used the other value. The client must get an error
+     * and no worker a request.
      */
     @ParameterizedTest
     @CsvSource(
@@ -316,7 +319,7 @@
         }
     }
 
-    /** The versions that the node speaks are served. */
+    /** Requests in both supported HTTP versions are served. */
     @ParameterizedTest
     @ValueSource(strings = {"HTTP/1.1", "HTTP/1.0"})
     void servesSupportedHttpVersions(String version) throws Exception {
--- a/src/test/java/cresschute/node/DescriptorLimitTest.java
+++ b/src/test/java/cresschute/node/DescriptorLimitTest.java
@@ -19,20 +19,23 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A node in a process of its own under a real limit of descriptors, which its clients do all to
- * fill. The watch of discovery, new connections to workers, the management listener and the log
- * keep what they need.
+ * Runs a node in a process of its own under a real descriptor limit that its clients try to
+ * exhaust. The discovery watch, new connections to workers, the management listener and the log
+ * must still get the descriptors that they need.
  */
 @Timeout(120)
 class DescriptorLimitTest {
 
-    /** Descriptors that the process may hold, the same as its configuration states. */
+    /** The descriptor limit of the process, equal to the one in its configuration. */
     private static final int DESCRIPTORS = 200;
 
-    /** What the management listener, clients and workers may take of these, by the page. */
+    /**
+     * The shares of the management listener, clients and workers in these descriptors, as
+     * documented.
+     */
     private static final DescriptorBudget SHARES = DescriptorBudget.of(DESCRIPTORS, true);
 
-    /** Operators that call at a time, more than are held. */
+    /** Concurrent management connections, more than the node accepts at a time. */
     private static final int MANAGEMENT_CALLERS = 40;
 
     private static final int WORKERS = 40;
@@ -88,13 +91,13 @@
         return TestNode.list(1, true, TestNode.entry("s-1", worker.server, "SERVING"));
     }
 
-    /** Notes what the process holds, which is never more than it may. */
+    /** Records the number of open descriptors and checks that it is below the limit. */
     private void recordOpenDescriptors() throws IOException {
         maxOpenDescriptors = Math.max(maxOpenDescriptors, node.openDescriptors());
         assertThat(maxOpenDescriptors).as("open descriptors").isLessThan(DESCRIPTORS);
     }
 
-    /** Clients that connect and send nothing, more than the node has descriptors for. */
+    /** Connects more clients that send nothing than the node has descriptors. */
     private void openIdleClients() throws IOException {
         for (int i = 0; i < 2 * DESCRIPTORS; i++) {
             clients.add(Peer.connect(address));
@@ -135,7 +138,7 @@
                 assertServed("r1");
                 openIdleClients();
                 assertOperatorsAnswered();
-                // Discovery is down: each call takes a descriptor and gives it back.
+                // Discovery is down: each call opens a descriptor and closes it again.
                 openIdleClients();
                 node.awaitLine("discovery call failed");
                 openIdleClients();
@@ -158,7 +161,7 @@
                                                             "s-2", second.server, "SERVING"))));
                     assertThat(watch.read()).contains("since=2&");
                     openIdleClients();
-                    // A worker that was never connected to: its connection is a new one.
+                    // The node has no connection to this worker yet, so it must open one.
                     assertServed("r2");
                     assertThat(second.jobs()).isEqualTo(1);
                     openIdleClients();
@@ -173,7 +176,10 @@
         }
     }
 
-    /** Connections that bring no request are closed 2 s after they came, with no others coming. */
+    /**
+     * Connections without a request are closed 2 s after they were accepted, even if no others
+     * arrive.
+     */
     @Test
     void closesConnectionsWithoutRequestWithinTheTimeout() throws Exception {
         try (ServerSocket discovery = Peer.listen();
@@ -202,7 +208,10 @@
         }
     }
 
-    /** All parts at their bounds at one time: what is left still opens the watch anew. */
+    /**
+     * With all parts at their limits at the same time, the remaining descriptors suffice to reopen
+     * the discovery watch.
+     */
     @Test
     void allPartsAtTheirLimitsLeaveDescriptorsForDiscovery() throws Exception {
         try (ServerSocket discovery = Peer.listen();
@@ -237,14 +246,15 @@
                                     return worker.jobs() >= SHARES.workerConnections() / 2;
                                 });
                 openIdleClients();
-                // The watch breaks, and comes again.
+                // The watch connection is reset; the node must reconnect.
                 watch.reset();
                 final Peer again = Peer.accept(discovery);
                 assertThat(again.read()).startsWith("GET /registry/instances");
                 recordOpenDescriptors();
                 assertThat(node.linesSoFar())
                         .noneMatch(line -> line.contains("Too many open files"));
-                // So full it was: all but a part of what is in no share.
+                // The limit was really approached: all shares were used, and part of the unassigned
+                // descriptors.
                 assertThat(maxOpenDescriptors)
                         .isGreaterThan(
                                 SHARES.clientConnections()
--- a/src/test/java/cresschute/node/Peer.java
+++ b/src/test/java/cresschute/node/Peer.java
@@ -15,8 +15,8 @@
 import java.util.regex.Pattern;
 
 /**
- * One end of a connection, driven by hand: writes text and reads HTTP messages; every wait is
- * bounded.
+ * One end of a connection, controlled by the test: writes text and reads HTTP messages. Every wait
+ * has a timeout.
  */
 final class Peer implements Closeable {
 
@@ -39,7 +39,7 @@
     }
 
     /**
-     * A listener on a loopback port that is free; connections wait in its backlog for {@link
+     * Returns a listener on a free loopback port; connections wait in its backlog for {@link
      * #accept}.
      */
     static ServerSocket listen() throws IOException {
@@ -58,7 +58,10 @@
         return this;
     }
 
-    /** So many bytes of a stream that anybody can make again, as a body without chunks. */
+    /**
+     * Writes {@code count} bytes of a fixed byte sequence, starting at index {@code from}, without
+     * chunk framing.
+     */
     Peer writeBytes(long from, long count) throws IOException {
         final byte[] bytes = new byte[BLOCK_BYTES];
         for (long at = from; at < from + count; at += BLOCK_BYTES) {
@@ -71,7 +74,7 @@
         return this;
     }
 
-    /** Reads so many bytes of that stream and checks each of them. */
+    /** Reads {@code count} bytes and checks each of them against that sequence. */
     Peer readBytes(long from, long count) throws IOException {
         final byte[] bytes = new byte[BLOCK_BYTES];
         for (long at = from; at < from + count; ) {
@@ -81,7 +84,7 @@
             assertThat(now).as("connection ended at byte " + at).isNotNegative();
             for (int i = 0; i < now; i++) {
                 if (bytes[i] != byteAt(at + i)) {
-                    throw new AssertionError("another byte at " + (at + i));
+                    throw new AssertionError("unexpected byte at index " + (at + i));
                 }
             }
             at += now;
@@ -89,7 +92,7 @@
         return this;
     }
 
-    /** The same of a body in chunks, to its end. */
+    /** Same as {@link #readBytes}, for a whole chunked body of {@code count} bytes. */
     Peer readChunks(long count) throws IOException {
         final InputStream in = socket.getInputStream();
         long at = 0;
@@ -107,12 +110,12 @@
         return this;
     }
 
-    /** So many of those bytes as a chunk. */
+    /** Writes {@code count} bytes of that sequence as one chunk. */
     Peer writeChunk(long from, int count) throws IOException {
         return write(Integer.toHexString(count) + "\r\n").writeBytes(from, count).write("\r\n");
     }
 
-    /** What comes until the other end closes; null where it resets the connection. */
+    /** Reads until the other end closes; returns null if it resets the connection. */
     byte[] readToEnd() throws IOException {
         try {
             return socket.getInputStream().readAllBytes();
@@ -125,7 +128,7 @@
         return (byte) ((at * 0x9E3779B97F4A7C15L) >>> 56);
     }
 
-    /** One line, its end aside; null where the other end closes first. */
+    /** Reads one line without its line feed; returns null if the other end closes first. */
     String readLine() throws IOException {
         final StringBuilder line = new StringBuilder();
         for (int next = socket.getInputStream().read();
@@ -139,7 +142,7 @@
         return line.toString();
     }
 
-    /** A head alone. */
+    /** Reads one head, without a body. */
     String readHead() throws IOException {
         final StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
@@ -150,7 +153,7 @@
         return head.toString();
     }
 
-    /** A head and as much body as it states. */
+    /** Reads one head and a body of the length that it states. */
     String read() throws IOException {
         final InputStream in = socket.getInputStream();
         final String head = readHead();
@@ -159,7 +162,7 @@
         return head + new String(in.readNBytes(count), StandardCharsets.ISO_8859_1);
     }
 
-    /** Whether the other end closes without a further byte, within the patience of this helper. */
+    /** Whether the other end closes without sending another byte; fails after the timeout. */
     boolean isClosedByOther() throws IOException {
         try {
             return socket.getInputStream().read() < 0;
@@ -172,17 +175,17 @@
         return socket.getInputStream().available() > 0;
     }
 
-    /** Sends no more, and goes on reading. */
+    /** Closes the sending side; reading is still possible. */
     void shutdownOutput() throws IOException {
         socket.shutdownOutput();
     }
 
-    /** Ends the connection as a client does that has gone. */
+    /** Closes the connection as a client does that stops waiting for its response. */
     void disconnect() throws IOException {
         socket.close();
     }
 
-    /** Ends the connection as a dying process does. */
+    /** Resets the connection, as happens when a process dies. */
     void reset() throws IOException {
         socket.setSoLinger(true, 0);
         socket.close();
--- a/src/test/java/cresschute/node/PipelinedBodyRulesTest.java
+++ b/src/test/java/cresschute/node/PipelinedBodyRulesTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Short and long bodies of pipelined requests on one connection. */
+/** Pipelined requests with short and long bodies on one connection. */
 @Timeout(30)
 class PipelinedBodyRulesTest {
 
@@ -28,7 +28,7 @@
         return event;
     }
 
-    /** The request that waits is submitted while the long body behind it arrives. */
+    /** The queued request is submitted while the long body of the request after it arrives. */
     @Test
     void queuedRequestKeepsItsBodyWhileLongBodyArrivesBehindIt() throws Exception {
         try (TestNode node =
--- a/src/test/java/cresschute/node/SocketFixture.java
+++ b/src/test/java/cresschute/node/SocketFixture.java
@@ -1,6 +1,6 @@
 package cresschute.node;
 
-/** What the tests of the protocol over real sockets share. */
+/** Constants and helpers shared by the protocol tests over real sockets. */
 abstract class SocketFixture {
 
     static final String DONE =
--- a/src/test/java/cresschute/node/TestNode.java
+++ b/src/test/java/cresschute/node/TestNode.java
@@ -27,8 +27,8 @@
 import java.util.function.UnaryOperator;
 
 /**
- * A node on real sockets, with one worker and a discovery service driven by hand and a module that
- * notes events.
+ * A node on real sockets, with one worker and a discovery service that the test controls, and a
+ * decision module that records events.
  */
 final class TestNode implements AutoCloseable {
 
@@ -40,12 +40,12 @@
     private DispatcherActions actions;
     private int remainingSends;
 
-    /** The module sends each request to the one worker. */
+    /** Creates a node whose decision module sends each request to the worker. */
     TestNode() throws IOException, ConfigException {
         this(Long.MAX_VALUE / 2);
     }
 
-    /** The same, for so long at the most. */
+    /** Same, with an attempt timeout of {@code waitUs} microseconds. */
     TestNode(long waitUs) throws IOException, ConfigException {
         this(
                 (actions, request) ->
@@ -62,21 +62,22 @@
     }
 
     /**
-     * A node that takes long bodies and sends each request to the one worker, so often at the most.
+     * Creates a node that accepts long bodies and sends each request to the worker. Failed attempts
+     * are repeated, at most {@code sends - 1} times in total.
      */
     TestNode(Bodies bodies, int sends) throws IOException, ConfigException {
         this((actions, request) -> actions.send(request, 0, Long.MAX_VALUE), true, bodies);
         remainingSends = sends - 1;
     }
 
-    /** A node whose configuration's text is this one's, changed. */
+    /** Creates a node whose configuration text is the default one after {@code change}. */
     static TestNode configured(
             UnaryOperator<String> change, BiConsumer<DispatcherActions, Integer> onRequest)
             throws IOException, ConfigException {
         return configured(change, onRequest, null);
     }
 
-    /** The same, with long bodies where they are not null. */
+    /** Same, with long bodies if {@code bodies} is not null. */
     static TestNode configured(
             UnaryOperator<String> change,
             BiConsumer<DispatcherActions, Integer> onRequest,
@@ -86,7 +87,8 @@
     }
 
     /**
-     * A process of an upgrade: it accepts on the platform's listener, which the other one shares.
+     * Creates one process of an upgrade. It accepts on the listener that the platform passed and
+     * that the other process shares.
      */
     TestNode(ServerSocketChannel passed) throws IOException, ConfigException {
         this(
@@ -98,9 +100,9 @@
     }
 
     /**
-     * A node whose operators call on a free loopback port and keep what they ask in this folder;
-     * {@code passed}, where not null, is the platform's listener that the other process of an
-     * upgrade shares.
+     * Creates a node with a management listener on a free loopback port, whose operator state is
+     * stored in the folder {@code shared}. {@code passed} is the platform's listener that the other
+     * process of an upgrade shares, or null.
      */
     TestNode(Path shared, ServerSocketChannel passed) throws IOException, ConfigException {
         this(
@@ -171,7 +173,9 @@
         addr = server.start();
     }
 
-    /** The text of this node's configuration, as the platform would write it again. */
+    /**
+     * The text of this node's default configuration, as the platform would write it on a reload.
+     */
     String configText() {
         return config(discovery, list(1, true, entry("s-1", worker, "SERVING")));
     }
@@ -226,13 +230,13 @@
                 + body;
     }
 
-    /** The next event that the module hears; the list at the start is passed over. */
+    /** The next recorded event, or null after 8 s. Skips the cached endpoint list at the start. */
     String event() throws InterruptedException {
         final String event = events.poll(8, TimeUnit.SECONDS);
         return event != null && event.startsWith("listed CACHED") ? event() : event;
     }
 
-    /** The next event that is not a note of progress. */
+    /** The next recorded event that is not progress of a job. */
     String eventExceptProgress() throws InterruptedException {
         final String event = event();
         return event != null && event.startsWith("progressed") ? eventExceptProgress() : event;
@@ -243,12 +247,12 @@
                 .execute(
                         () -> {
                             action.accept(actions);
-                            // Any event makes the loop carry actions out.
+                            // Any event makes the loop execute the pending actions.
                             server.lifecycle().discoveryFailed();
                         });
     }
 
-    /** Writes one call where operators call, and reads its answer, a line. */
+    /** Sends one call to the management listener, and reads its one-line answer. */
     String call(String line) throws IOException {
         try (Peer operator = Peer.connect(server.managementAddress())) {
             return operator.write(line + "\n").readLine();
@@ -353,7 +357,8 @@
 
         @Override
         public void workerReportedUnresponsive(long nowUs, int workerId, int requestClass) {
-            throw new IllegalStateException("nodes do not talk");
+            throw new IllegalStateException(
+                    "unexpected unresponsive report: the test node has no peers");
         }
 
         @Override
--- a/src/test/java/cresschute/node/http/QueuedRequestTest.java
+++ b/src/test/java/cresschute/node/http/QueuedRequestTest.java
@@ -5,7 +5,7 @@
 import cresschute.dispatch.Job;
 import org.junit.jupiter.api.Test;
 
-/** What a queued request costs, and what is left of its time when it is submitted. */
+/** The memory that a queued request counts for, and the wait time left when it is submitted. */
 class QueuedRequestTest {
 
     private static final long RECEIVED_NS = 5_000_000_000L;
--- a/src/test/java/cresschute/node/http/RequestBodyBufferTest.java
+++ b/src/test/java/cresschute/node/http/RequestBodyBufferTest.java
@@ -6,7 +6,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** A short body is collected whole, within its limit, and handed over once. */
+/** A short body is collected up to the limit and returned once. */
 class RequestBodyBufferTest {
 
     private final RequestBodyBuffer buffer = new RequestBodyBuffer();
