--- a/src/main/java/cresschute/node/http/PendingResponse.java
+++ b/src/main/java/cresschute/node/http/PendingResponse.java
@@ -54,6 +54,7 @@
     /** Whether the worker has begun to send the result. */
     private boolean hasResultBegun;
 
+    /** Writes the streamed result once its turn has come; null before. */
     private BodyTransfer transfer;
 
     /** The whole response; null until it is complete, and if the result is streamed. */
@@ -107,8 +108,8 @@
 
     @Override
     public boolean hasLeft() {
-        // Bytes that arrived since the loop last read this socket, and the client's close, are
-        // still unread.
+        // Reads the socket first, as the client's close may have arrived since the loop last read
+        // it.
         connection.readNow();
         return !context().channel().isActive();
     }
--- a/src/main/java/cresschute/node/http/RequestAssembler.java
+++ b/src/main/java/cresschute/node/http/RequestAssembler.java
@@ -86,8 +86,8 @@
     // ---- The head ----
 
     /**
-     * Handles malformed input: closes the connection at once if earlier responses are due, else
-     * after a response with status 400.
+     * Handles malformed input: closes the connection at once if earlier responses are due or a
+     * result is being streamed, else after a response with status 400.
      */
     private void rejectMalformed() {
         if (current == null) {
@@ -97,7 +97,8 @@
         if (responses.size() > 1 || responses.isStreaming()) {
             closeNow();
         } else {
-            // A streamed request may have been submitted before its end; it must not be answered.
+            // A streamed request may already be submitted: the request lifecycle must not answer
+            // it.
             current.clientLeft();
             current.failAndClose(HttpResponseStatus.BAD_REQUEST, "malformed HTTP");
         }
