--- a/src/test/java/cresschute/dispatch/AdmissionControllerTest.java
+++ b/src/test/java/cresschute/dispatch/AdmissionControllerTest.java
@@ -1,6 +1,6 @@
 package cresschute.dispatch;
 
-import static cresschute.dispatch.Rules.SECOND;
+import static cresschute.dispatch.PolicyFixture.SECOND;
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.within;
 
@@ -112,7 +112,7 @@
 
     @Test
     void fillsAtIntervalsOfThreeToFiveTenthsOfASecond() {
-        final AdmissionController admission = Rules.ofSafeClass().admission;
+        final AdmissionController admission = PolicyFixture.ofSafeClass().admission;
         assertThat(admission.isStarted()).isFalse();
         long nowUs = 5 * SECOND;
         admission.start(nowUs);
@@ -129,8 +129,8 @@
 
     @Test
     void weighsRequestsBeyondTheirTenantsQuotaLess() {
-        final Rules rules =
-                new Rules(
+        final PolicyFixture fixture =
+                new PolicyFixture(
                         new TestSettings(
                                         List.of(
                                                 TestSettings.requestClass(
@@ -141,13 +141,13 @@
                                 .build());
         final Job job = new Job(0, 0, 1, Job.NO_HINT, Job.NO_DATA, false);
         for (int i = 0; i < 3; i++) {
-            assertThat(rules.admission.bucketOf(job, 3_600 * SECOND).priorityWeight())
+            assertThat(fixture.admission.bucketOf(job, 3_600 * SECOND).priorityWeight())
                     .isEqualTo(10);
         }
-        assertThat(rules.admission.bucketOf(job, 3_600 * SECOND).priorityWeight())
+        assertThat(fixture.admission.bucketOf(job, 3_600 * SECOND).priorityWeight())
                 .isEqualTo(10 * 0.05);
         final Job withoutTenant = new Job(0, 1, 1, Job.NO_HINT, Job.NO_DATA, false);
-        assertThat(rules.admission.bucketOf(withoutTenant, 3_600 * SECOND).priorityWeight())
+        assertThat(fixture.admission.bucketOf(withoutTenant, 3_600 * SECOND).priorityWeight())
                 .isEqualTo(10);
     }
 
--- a/src/test/java/cresschute/dispatch/AttemptFeedbackTest.java
+++ b/src/test/java/cresschute/dispatch/AttemptFeedbackTest.java
@@ -1,6 +1,6 @@
 package cresschute.dispatch;
 
-import static cresschute.dispatch.Rules.SECOND;
+import static cresschute.dispatch.PolicyFixture.SECOND;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import org.junit.jupiter.api.Test;
@@ -13,16 +13,16 @@
 
     private static final long NOW = 100 * SECOND;
 
-    private final Rules rules = Rules.ofSafeClass();
-    private final WorkerInstance worker = rules.ready(1, 0, 0);
-    private final CapacityEstimator capacity = rules.workers.capacities().get(0);
+    private final PolicyFixture fixture = PolicyFixture.ofSafeClass();
+    private final WorkerInstance worker = fixture.ready(1, 0, 0);
+    private final CapacityEstimator capacity = fixture.workers.capacities().get(0);
 
     /** Whether the budget decreased after 100 attempts. */
     private boolean isOverload(Outcome outcome, long timeoutUs, boolean requestClosed) {
         for (int id = 0; id < 100; id++) {
-            final PendingRequest request = rules.request(id, NOW, NOW + timeoutUs);
+            final PendingRequest request = fixture.request(id, NOW, NOW + timeoutUs);
             final AttemptRecord attempt = request.startAttempt(worker, NOW);
-            rules.feedback.addEvidence(request, attempt, outcome, requestClosed);
+            fixture.feedback.addEvidence(request, attempt, outcome, requestClosed);
         }
         return adjusted();
     }
@@ -62,8 +62,8 @@
     @Test
     void countsALateAttemptBeforeItsEnd() {
         for (int id = 0; id < 100; id++) {
-            final PendingRequest request = rules.request(id, NOW);
-            rules.feedback.late(request, request.startAttempt(worker, NOW), NOW);
+            final PendingRequest request = fixture.request(id, NOW);
+            fixture.feedback.late(request, request.startAttempt(worker, NOW), NOW);
         }
         assertThat(adjusted()).isTrue();
     }
@@ -71,10 +71,10 @@
     @Test
     void doesNotCountTheEndOfALateAttemptAgain() {
         for (int id = 0; id < 100; id++) {
-            final PendingRequest request = rules.request(id, NOW);
+            final PendingRequest request = fixture.request(id, NOW);
             final AttemptRecord attempt = request.startAttempt(worker, NOW);
             attempt.markLate();
-            rules.feedback.addEvidence(request, attempt, Outcome.TIMED_OUT, false);
+            fixture.feedback.addEvidence(request, attempt, Outcome.TIMED_OUT, false);
         }
         assertThat(adjusted()).isFalse();
     }
@@ -83,8 +83,8 @@
     void takesNoLateAttemptAtAStalledWorkerForOverload() {
         worker.stalledUntil(NOW + SECOND);
         for (int id = 0; id < 100; id++) {
-            final PendingRequest request = rules.request(id, NOW);
-            rules.feedback.late(request, request.startAttempt(worker, NOW), NOW);
+            final PendingRequest request = fixture.request(id, NOW);
+            fixture.feedback.late(request, request.startAttempt(worker, NOW), NOW);
         }
         assertThat(adjusted()).isFalse();
     }
@@ -93,9 +93,9 @@
     @EnumSource(names = {"UNUSABLE", "TIMED_OUT"})
     void doesNotCountAgainstTheWorkerWhatItCouldNotServe(Outcome outcome) {
         for (int id = 0; id < 10; id++) {
-            final PendingRequest request = rules.request(id, NOW, NOW + SECOND / 2);
-            rules.feedback.endedAt(worker, request, outcome, LoadReport.NONE, NOW);
+            final PendingRequest request = fixture.request(id, NOW, NOW + SECOND / 2);
+            fixture.feedback.endedAt(worker, request, outcome, LoadReport.NONE, NOW);
         }
-        assertThat(rules.outliers.isEjected(worker, 0, NOW)).isFalse();
+        assertThat(fixture.outliers.isEjected(worker, 0, NOW)).isFalse();
     }
 }
--- a/src/test/java/cresschute/dispatch/DeadlinePolicyTest.java
+++ b/src/test/java/cresschute/dispatch/DeadlinePolicyTest.java
@@ -1,6 +1,6 @@
 package cresschute.dispatch;
 
-import static cresschute.dispatch.Rules.SECOND;
+import static cresschute.dispatch.PolicyFixture.SECOND;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.List;
@@ -16,8 +16,8 @@
     /** An answer is in time for 0.2 s and twice the running time of 0.4 s. */
     private static final long IN_TIME_US = SECOND;
 
-    private static Rules withObjective(long latencyObjectiveUs) {
-        return new Rules(
+    private static PolicyFixture withObjective(long latencyObjectiveUs) {
+        return new PolicyFixture(
                 TestSettings.settings(
                         List.of(
                                 new RequestClass(
@@ -39,28 +39,28 @@
 
     @Test
     void isOverOnceAnAnswerIsLate() {
-        final Rules rules = Rules.ofSafeClass();
-        final PendingRequest request = rules.request(1, NOW);
-        assertThat(rules.deadlines.isOver(request, NOW + IN_TIME_US - 1)).isFalse();
-        assertThat(rules.deadlines.isOver(request, NOW + IN_TIME_US)).isTrue();
-        assertThat(rules.deadlines.isTooOld(request, NOW + IN_TIME_US)).isFalse();
-        assertThat(rules.deadlines.isTooOld(request, NOW + IN_TIME_US + 1)).isTrue();
+        final PolicyFixture fixture = PolicyFixture.ofSafeClass();
+        final PendingRequest request = fixture.request(1, NOW);
+        assertThat(fixture.deadlines.isOver(request, NOW + IN_TIME_US - 1)).isFalse();
+        assertThat(fixture.deadlines.isOver(request, NOW + IN_TIME_US)).isTrue();
+        assertThat(fixture.deadlines.isTooOld(request, NOW + IN_TIME_US)).isFalse();
+        assertThat(fixture.deadlines.isTooOld(request, NOW + IN_TIME_US + 1)).isTrue();
     }
 
     @Test
     void isOverTwoCheckIntervalsBeforeTheDeadline() {
-        final Rules rules = Rules.ofSafeClass();
-        final PendingRequest request = rules.request(1, NOW, NOW + SECOND / 2);
-        assertThat(rules.deadlines.isOver(request, NOW + SECOND / 2 - 100_001)).isFalse();
-        assertThat(rules.deadlines.isOver(request, NOW + SECOND / 2 - 100_000)).isTrue();
+        final PolicyFixture fixture = PolicyFixture.ofSafeClass();
+        final PendingRequest request = fixture.request(1, NOW, NOW + SECOND / 2);
+        assertThat(fixture.deadlines.isOver(request, NOW + SECOND / 2 - 100_001)).isFalse();
+        assertThat(fixture.deadlines.isOver(request, NOW + SECOND / 2 - 100_000)).isTrue();
     }
 
     @Test
     void isImpatientWhereTheDeadlineComesBeforeTheAnswerIsLate() {
-        final Rules rules = Rules.ofSafeClass();
-        final DeadlinePolicy deadlines = rules.deadlines;
-        assertThat(deadlines.isImpatient(rules.request(1, NOW, NOW + IN_TIME_US - 1))).isTrue();
-        assertThat(deadlines.isImpatient(rules.request(1, NOW, NOW + IN_TIME_US))).isFalse();
+        final PolicyFixture fixture = PolicyFixture.ofSafeClass();
+        final DeadlinePolicy deadlines = fixture.deadlines;
+        assertThat(deadlines.isImpatient(fixture.request(1, NOW, NOW + IN_TIME_US - 1))).isTrue();
+        assertThat(deadlines.isImpatient(fixture.request(1, NOW, NOW + IN_TIME_US))).isFalse();
     }
 
     @ParameterizedTest(name = "{0} {1}, may have run: {2}")
@@ -78,23 +78,23 @@
             DeduplicationScope scope,
             boolean mayHaveRun,
             DeadlinePolicy.FinalReply reply) {
-        final Rules rules = Rules.of(idempotency, scope);
-        final PendingRequest request = rules.request(1, NOW);
-        final AttemptRecord attempt = request.startAttempt(rules.ready(1, 0, 0), NOW);
+        final PolicyFixture fixture = PolicyFixture.of(idempotency, scope);
+        final PendingRequest request = fixture.request(1, NOW);
+        final AttemptRecord attempt = request.startAttempt(fixture.ready(1, 0, 0), NOW);
         if (mayHaveRun) {
-            rules.retries.markMayHaveRun(request, attempt);
+            fixture.retries.markMayHaveRun(request, attempt);
         }
-        assertThat(rules.deadlines.replyTo(request, NOW)).isEqualTo(reply);
+        assertThat(fixture.deadlines.replyTo(request, NOW)).isEqualTo(reply);
     }
 
     @Test
     void failsAKeyedRequestOnceTheWindowEnds() {
-        final Rules rules = Rules.of(Idempotency.KEYED, DeduplicationScope.ALL);
-        final PendingRequest request = rules.request(1, NOW);
-        rules.retries.markMayHaveRun(request, request.startAttempt(rules.ready(1, 0, 0), NOW));
-        assertThat(rules.deadlines.replyTo(request, NOW + 3 * SECOND - 1))
+        final PolicyFixture fixture = PolicyFixture.of(Idempotency.KEYED, DeduplicationScope.ALL);
+        final PendingRequest request = fixture.request(1, NOW);
+        fixture.retries.markMayHaveRun(request, request.startAttempt(fixture.ready(1, 0, 0), NOW));
+        assertThat(fixture.deadlines.replyTo(request, NOW + 3 * SECOND - 1))
                 .isEqualTo(DeadlinePolicy.FinalReply.REJECTED);
-        assertThat(rules.deadlines.replyTo(request, NOW + 3 * SECOND))
+        assertThat(fixture.deadlines.replyTo(request, NOW + 3 * SECOND))
                 .isEqualTo(DeadlinePolicy.FinalReply.FAILED);
     }
 
@@ -108,12 +108,12 @@
     })
     void datesTheFirstSendOfARetryByWhatIsMissingOfItsTime(
             long missingMs, boolean marked, boolean isRetry) {
-        final Rules rules = Rules.ofSafeClass();
-        final ClassState owner = rules.request(1, NOW).owner();
+        final PolicyFixture fixture = PolicyFixture.ofSafeClass();
+        final ClassState owner = fixture.request(1, NOW).owner();
         owner.learnTimeout(5 * SECOND);
         final Job job = new Job(0, 0, 1, Job.NO_HINT, Job.NO_DATA, marked);
         final long deadlineUs = NOW + 5 * SECOND - missingMs * 1000;
-        assertThat(rules.deadlines.firstSentUs(owner, job, deadlineUs, NOW))
+        assertThat(fixture.deadlines.firstSentUs(owner, job, deadlineUs, NOW))
                 .isEqualTo(isRetry ? NOW - missingMs * 1000 : NOW);
     }
 }
--- a/src/test/java/cresschute/dispatch/DispatcherAdmissionTest.java
+++ b/src/test/java/cresschute/dispatch/DispatcherAdmissionTest.java
@@ -1,10 +1,10 @@
 package cresschute.dispatch;
 
-import static cresschute.dispatch.DispatcherHosts.offer;
-import static cresschute.dispatch.DispatcherHosts.twoClasses;
-import static cresschute.dispatch.DispatcherHosts.underLoad;
-import static cresschute.dispatch.RecordingActions.SECOND;
-import static cresschute.dispatch.RecordingActions.worker;
+import static cresschute.dispatch.TestHosts.offer;
+import static cresschute.dispatch.TestHosts.twoClasses;
+import static cresschute.dispatch.TestHosts.underLoad;
+import static cresschute.dispatch.RecordingHost.SECOND;
+import static cresschute.dispatch.RecordingHost.worker;
 import static cresschute.dispatch.TestSettings.requestClass;
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -18,9 +18,9 @@
 /** What is shed under overload, and what is no overload. */
 class DispatcherAdmissionTest {
 
-    private static long rejectedUnsent(RecordingActions host, int requestClass, int fromId) {
+    private static long rejectedUnsent(RecordingHost host, int requestClass, int fromId) {
         final Set<Integer> sent =
-                host.sends.stream().map(RecordingActions.Send::request).collect(Collectors.toSet());
+                host.sends.stream().map(RecordingHost.Send::request).collect(Collectors.toSet());
         return host.rejected.stream()
                 .filter(id -> id >= fromId && id % 2 == requestClass && !sent.contains(id))
                 .count();
@@ -33,20 +33,20 @@
 
     @Test
     void shedsTheLowestPriorityWeightPerWorkUnderOverload() {
-        final RecordingActions host = underLoad(Outcome.TIMED_OUT);
+        final RecordingHost host = underLoad(Outcome.TIMED_OUT);
         assertThat(rejectedUnsent(host, 1, 1000)).isGreaterThan(100);
         assertThat(rejectedUnsent(host, 0, 1000)).isZero();
     }
 
     @Test
     void keepsTheBudgetWhereSingleWorkersFail() {
-        final RecordingActions host = underLoad(Outcome.ERROR);
+        final RecordingHost host = underLoad(Outcome.ERROR);
         assertThat(rejectedUnsent(host, 1, 1000)).isZero();
     }
 
     @Test
     void reopensTheBudgetAfterAWaveOfTimeouts() {
-        final RecordingActions host = underLoad(Outcome.TIMED_OUT);
+        final RecordingHost host = underLoad(Outcome.TIMED_OUT);
         assertThat(rejectedUnsent(host, 1, 1900)).isGreaterThan(5);
         offer(host, 2000, 3000, Outcome.SERVED);
         assertThat(rejectedUnsent(host, 1, 2900)).isZero();
@@ -55,8 +55,8 @@
     @ParameterizedTest(name = "given up after {0} ms, of 1000 in which it is in time")
     @CsvSource({"300, true", "1500, false"})
     void keepsTheBudgetWhereClientsGiveUpEarly(long waitMs, boolean keptOpen) {
-        final RecordingActions host =
-                new RecordingActions(
+        final RecordingHost host =
+                new RecordingHost(
                                 TestSettings.advisingRetries(
                                         List.of(
                                                 requestClass(
@@ -78,7 +78,7 @@
                     host.nowUs + (id % 2 == 0 ? 5 * SECOND : waitMs * 1000));
             if (host.sends.size() > before && id % 2 == 1) {
                 final int worker = host.lastSend().worker();
-                host.pass(waitMs * 1000);
+                host.advanceTime(waitMs * 1000);
                 host.dispatcher.attemptEnded(
                         host.nowUs,
                         id,
@@ -90,7 +90,7 @@
                         LoadReport.NONE);
             } else if (host.sends.size() > before) {
                 host.dispatcher.jobProgressed(host.nowUs, id, 0, host.lastSend().worker(), 0);
-                host.pass(SECOND / 10);
+                host.advanceTime(SECOND / 10);
                 host.end(id, 0, host.lastSend().worker(), Outcome.SERVED);
             } else if (id % 2 == 0) {
                 rejected++;
@@ -101,8 +101,8 @@
 
     @Test
     void shedsTrafficBeyondATenantsQuotaFirst() {
-        final RecordingActions host =
-                new RecordingActions(
+        final RecordingHost host =
+                new RecordingHost(
                         new TestSettings(
                                         List.of(
                                                 requestClass(
@@ -128,14 +128,14 @@
                 overServed += id >= 1000 && id % 2 == 0 ? 1 : 0;
                 withinServed += id >= 1000 && id % 2 == 1 ? 1 : 0;
             }
-            host.pass(SECOND / 100);
+            host.advanceTime(SECOND / 100);
         }
         assertThat(withinServed).isGreaterThan(overServed * 2);
     }
 
     @Test
     void learnsFromFewEndings() {
-        final RecordingActions host = twoClasses();
+        final RecordingHost host = twoClasses();
         for (int id = 0; id < 400; id++) {
             final int before = host.sends.size();
             host.request(id, id / 2 % 2);
@@ -143,7 +143,7 @@
                 final Outcome outcome = id % 2 == 0 ? Outcome.SERVED : Outcome.TIMED_OUT;
                 host.end(id, 0, host.lastSend().worker(), outcome);
             }
-            host.pass(id % 4 == 0 ? SECOND * 27 / 10 : SECOND * 27 / 100);
+            host.advanceTime(id % 4 == 0 ? SECOND * 27 / 10 : SECOND * 27 / 100);
         }
         // Half of them end badly: what does not fit is shed down to the floor.
         assertThat(host.rejected).filteredOn(id -> id >= 200).hasSizeGreaterThan(150);
@@ -151,8 +151,8 @@
 
     @Test
     void doesNotShedLongJobsFirstWherePriorityWeightCountsPerWork() {
-        final RecordingActions host =
-                new RecordingActions(
+        final RecordingHost host =
+                new RecordingHost(
                         TestSettings.weightedByWork(
                                 List.of(
                                         requestClass(5, Idempotency.UNSAFE, DeduplicationScope.ALL),
@@ -171,14 +171,14 @@
                 final Outcome outcome = id % 10 < 7 ? Outcome.SERVED : Outcome.TIMED_OUT;
                 host.end(id, 0, host.lastSend().worker(), outcome);
             }
-            host.pass(SECOND / 100);
+            host.advanceTime(SECOND / 100);
         }
         assertThat(rejectedUnsent(host, 1, 1000)).isGreaterThan(rejectedUnsent(host, 0, 1000));
     }
 
     @Test
     void keepsTheBudgetWhileReportsShowFreeSlots() {
-        final RecordingActions host = twoClasses();
+        final RecordingHost host = twoClasses();
         for (int id = 0; id < 2000; id++) {
             final int before = host.sends.size();
             host.request(id, id % 2);
@@ -195,7 +195,7 @@
                         id % 5 != 0,
                         new LoadReport(id % 4 == 0 ? 8 : 5, 3, -1));
             }
-            host.pass(SECOND / 100);
+            host.advanceTime(SECOND / 100);
         }
         assertThat(rejectedUnsent(host, 1, 0)).isLessThan(20);
     }
--- a/src/test/java/cresschute/dispatch/DispatcherDeadlineTest.java
+++ b/src/test/java/cresschute/dispatch/DispatcherDeadlineTest.java
@@ -1,8 +1,8 @@
 package cresschute.dispatch;
 
-import static cresschute.dispatch.DispatcherHosts.twoSafeWorkers;
-import static cresschute.dispatch.RecordingActions.SECOND;
-import static cresschute.dispatch.RecordingActions.worker;
+import static cresschute.dispatch.TestHosts.twoSafeWorkers;
+import static cresschute.dispatch.RecordingHost.SECOND;
+import static cresschute.dispatch.RecordingHost.worker;
 import static cresschute.dispatch.TestSettings.requestClass;
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -16,7 +16,7 @@
 
     @Test
     void rejectsARetryWhoseLatencyObjectiveHasPassed() {
-        final RecordingActions host = twoSafeWorkers();
+        final RecordingHost host = twoSafeWorkers();
         host.request(1, 0);
         host.end(1, 0, host.lastSend().worker(), Outcome.SERVED);
         host.dispatcher.requestArrived(
@@ -37,8 +37,8 @@
         "4000, true, 1"
     })
     void takesNoImpatientClientForARetry(long missingMs, boolean marked, int sends) {
-        final RecordingActions host =
-                new RecordingActions(
+        final RecordingHost host =
+                new RecordingHost(
                                 TestSettings.advisingRetries(
                                         List.of(
                                                 requestClass(
@@ -57,9 +57,9 @@
 
     @Test
     void learnsNoRunningTimeFromAStartReportedWithTheEnd() {
-        final RecordingActions host = twoSafeWorkers();
+        final RecordingHost host = twoSafeWorkers();
         host.request(1, 0);
-        host.pass(SECOND / 10);
+        host.advanceTime(SECOND / 10);
         host.dispatcher.jobProgressed(host.nowUs, 1, 0, host.lastSend().worker(), 0);
         host.end(1, 0, host.lastSend().worker(), Outcome.SERVED);
         // 0.1 s of running and a latency objective of 0.2 s: it may wait for 0.3 s of the 0.4 s and
--- a/src/test/java/cresschute/dispatch/DispatcherEndpointListTest.java
+++ b/src/test/java/cresschute/dispatch/DispatcherEndpointListTest.java
@@ -1,10 +1,10 @@
 package cresschute.dispatch;
 
-import static cresschute.dispatch.DispatcherHosts.hostWith;
-import static cresschute.dispatch.DispatcherHosts.twoSafeWorkers;
-import static cresschute.dispatch.RecordingActions.SECOND;
-import static cresschute.dispatch.RecordingActions.worker;
-import static cresschute.dispatch.RecordingActions.workerIn;
+import static cresschute.dispatch.TestHosts.hostOfClass;
+import static cresschute.dispatch.TestHosts.twoSafeWorkers;
+import static cresschute.dispatch.RecordingHost.SECOND;
+import static cresschute.dispatch.RecordingHost.worker;
+import static cresschute.dispatch.RecordingHost.workerIn;
 import static cresschute.dispatch.TestSettings.requestClass;
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -14,8 +14,8 @@
 /** What follows from the endpoint list, and when it is polled. */
 class DispatcherEndpointListTest {
 
-    private static RecordingActions hostThatClosesIdleConnections(long withinUs) {
-        return new RecordingActions(
+    private static RecordingHost hostThatClosesIdleConnections(long withinUs) {
+        return new RecordingHost(
                 new TestSettings(List.of(requestClass(1, Idempotency.SAFE, DeduplicationScope.ALL)))
                         .closeOnDrainWithinUs(withinUs)
                         .build());
@@ -23,7 +23,7 @@
 
     @Test
     void closesIdleConnectionsOnADrainNoticeAndAfterEachLaterOutcome() {
-        final RecordingActions host =
+        final RecordingHost host =
                 hostThatClosesIdleConnections(800_000)
                         .list(EndpointListForm.CACHED, worker(1, 0, 0));
         host.request(1, 0);
@@ -41,7 +41,7 @@
 
     @Test
     void closesIdleConnectionsToAWorkerFirstListedAsDraining() {
-        final RecordingActions host =
+        final RecordingHost host =
                 hostThatClosesIdleConnections(0)
                         .list(EndpointListForm.CACHED, workerIn(WorkerState.DRAINING, 1, 0));
         assertThat(host.idleClosed).containsExactly(1);
@@ -49,7 +49,7 @@
 
     @Test
     void closesNothingWhereNoTimeIsStated() {
-        final RecordingActions host =
+        final RecordingHost host =
                 hostThatClosesIdleConnections(DispatchSettings.UNLIMITED)
                         .list(EndpointListForm.CACHED, worker(1, 0, 0));
         host.request(1, 0);
@@ -61,8 +61,8 @@
     /** The index must not lose count of its groups' members. */
     @Test
     void takesAWorkerWithAnotherZoneForANewIncarnation() {
-        final RecordingActions host =
-                hostWith(Idempotency.SAFE, DeduplicationScope.ALL)
+        final RecordingHost host =
+                hostOfClass(Idempotency.SAFE, DeduplicationScope.ALL)
                         .list(EndpointListForm.CACHED, worker(1, 0, 0));
         host.list(EndpointListForm.CHANGES, worker(1, 1, 1));
         host.list(EndpointListForm.CHANGES, new Worker(1, 2, 1, 2, WorkerState.GONE, 1, 0));
@@ -72,7 +72,7 @@
 
     @Test
     void sendsNothingToADrainingGoneOrUnlistedWorker() {
-        final RecordingActions host = twoSafeWorkers();
+        final RecordingHost host = twoSafeWorkers();
         host.list(EndpointListForm.CHANGES, workerIn(WorkerState.DRAINING, 1, 0));
         host.request(1, 0);
         host.list(EndpointListForm.CHANGES, workerIn(WorkerState.READY, 1, 0));
@@ -80,13 +80,13 @@
         host.request(2, 0);
         host.list(EndpointListForm.FULL, worker(2, 1, 1));
         host.request(3, 0);
-        assertThat(host.sends).extracting(RecordingActions.Send::worker).containsOnly(2).hasSize(3);
+        assertThat(host.sends).extracting(RecordingHost.Send::worker).containsOnly(2).hasSize(3);
     }
 
     @Test
     void keepsTheListAfterAFailedPollAndRepeatsItInTime() {
-        final RecordingActions host =
-                new RecordingActions(
+        final RecordingHost host =
+                new RecordingHost(
                         new TestSettings(
                                         List.of(
                                                 requestClass(
@@ -96,15 +96,15 @@
                                 .polled()
                                 .build());
         host.list(EndpointListForm.CACHED, worker(1, 0, 0));
-        host.pass(2 * SECOND);
+        host.advanceTime(2 * SECOND);
         assertThat(host.polls).isEqualTo(1);
         host.list(EndpointListForm.FAILED);
         host.request(1, 0);
         assertThat(host.sends).hasSize(1);
-        host.pass(2 * SECOND);
+        host.advanceTime(2 * SECOND);
         assertThat(host.polls).isEqualTo(2);
         host.list(EndpointListForm.CHANGES);
-        host.pass(20 * SECOND);
+        host.advanceTime(20 * SECOND);
         assertThat(host.polls).isEqualTo(2);
     }
 }
--- a/src/test/java/cresschute/dispatch/DispatcherHealthTest.java
+++ b/src/test/java/cresschute/dispatch/DispatcherHealthTest.java
@@ -1,10 +1,10 @@
 package cresschute.dispatch;
 
-import static cresschute.dispatch.DispatcherHosts.hostWith;
-import static cresschute.dispatch.DispatcherHosts.hostWithARunningJob;
-import static cresschute.dispatch.RecordingActions.SECOND;
-import static cresschute.dispatch.RecordingActions.worker;
-import static cresschute.dispatch.RecordingActions.workerIn;
+import static cresschute.dispatch.TestHosts.hostOfClass;
+import static cresschute.dispatch.TestHosts.hostWithRunningJob;
+import static cresschute.dispatch.RecordingHost.SECOND;
+import static cresschute.dispatch.RecordingHost.worker;
+import static cresschute.dispatch.RecordingHost.workerIn;
 import static cresschute.dispatch.TestSettings.requestClass;
 import static cresschute.dispatch.TestSettings.settings;
 import static org.assertj.core.api.Assertions.assertThat;
@@ -19,8 +19,8 @@
 
     @Test
     void sendsAWarmingWorkerNoMoreThanThisDispatchersPart() {
-        final RecordingActions host =
-                new RecordingActions(
+        final RecordingHost host =
+                new RecordingHost(
                         new TestSettings(
                                         List.of(
                                                 requestClass(
@@ -34,7 +34,7 @@
         // first second.
         for (int id = 0; id < 100; id++) {
             host.request(id, 0);
-            host.pass(SECOND / 100);
+            host.advanceTime(SECOND / 100);
         }
         assertThat(host.sends.size() * 0.4).isLessThanOrEqualTo(0.25 * 3 / 4);
     }
@@ -44,8 +44,8 @@
     void keepsAWarmingWorkersPartWhereJobsWereLateBehindOthers() {
         final int[] sends = new int[2];
         for (int late = 0; late < 2; late++) {
-            final RecordingActions host =
-                    new RecordingActions(
+            final RecordingHost host =
+                    new RecordingHost(
                             settings(
                                     List.of(
                                             requestClass(
@@ -54,9 +54,9 @@
             for (int id = 0; id < 30; id++) {
                 host.request(id, 0);
                 final int worker = host.lastSend().worker();
-                host.pass(late == 0 ? 1 : 2 * SECOND);
+                host.advanceTime(late == 0 ? 1 : 2 * SECOND);
                 host.dispatcher.jobProgressed(host.nowUs, id, 0, worker, 0);
-                host.pass(4 * SECOND / 10);
+                host.advanceTime(4 * SECOND / 10);
                 host.dispatcher.attemptEnded(
                         host.nowUs,
                         id,
@@ -71,7 +71,7 @@
             host.sends.clear();
             for (int id = 100; id < 1000; id++) {
                 host.request(id, 0);
-                host.pass(SECOND / 100);
+                host.advanceTime(SECOND / 100);
             }
             sends[late] = host.sends.size();
         }
@@ -80,8 +80,8 @@
 
     @Test
     void ejectsAWorkerAfterAFailedConnection() {
-        final RecordingActions host =
-                hostWith(Idempotency.SAFE, DeduplicationScope.ALL)
+        final RecordingHost host =
+                hostOfClass(Idempotency.SAFE, DeduplicationScope.ALL)
                         .list(
                                 EndpointListForm.CACHED,
                                 worker(1, 0, 0),
@@ -97,14 +97,14 @@
             host.request(id, 0);
         }
         assertThat(host.sends.subList(1, host.sends.size()))
-                .extracting(RecordingActions.Send::worker)
+                .extracting(RecordingHost.Send::worker)
                 .doesNotContain(broken);
     }
 
     @Test
     void ejectsNobodyWhereAllWorkersFail() {
-        final RecordingActions host =
-                hostWith(Idempotency.UNSAFE, DeduplicationScope.ALL)
+        final RecordingHost host =
+                hostOfClass(Idempotency.UNSAFE, DeduplicationScope.ALL)
                         .list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 1, 1));
         for (int id = 0; id < 8; id++) {
             host.request(id, 0);
@@ -115,20 +115,20 @@
 
     @Test
     void avoidsAWorkerWhoseJobsAreLateBeforeTheyEnd() {
-        final RecordingActions host =
-                hostWith(Idempotency.UNSAFE, DeduplicationScope.ALL)
+        final RecordingHost host =
+                hostOfClass(Idempotency.UNSAFE, DeduplicationScope.ALL)
                         .list(EndpointListForm.CACHED, worker(2, 0, 0));
         for (int id = 10; id < 90; id++) {
             host.request(id, 0);
             host.dispatcher.jobProgressed(host.nowUs, id, 0, 2, 0);
-            host.pass(SECOND / 5);
+            host.advanceTime(SECOND / 5);
             host.end(id, 0, 2, Outcome.SERVED);
         }
         host.list(EndpointListForm.FULL, worker(1, 0, 0));
         for (int id = 0; id < 6; id++) {
             host.request(id, 0);
         }
-        host.pass(2 * SECOND);
+        host.advanceTime(2 * SECOND);
         for (int id = 0; id < 6; id++) {
             host.end(id, 0, 1, Outcome.CANCELLED);
         }
@@ -148,31 +148,31 @@
 
     @Test
     void doesNotEjectAWorkerForOneStreamWithoutReports() {
-        final RecordingActions host = hostWithARunningJob(Idempotency.SAFE);
+        final RecordingHost host = hostWithRunningJob(Idempotency.SAFE);
         final int first = host.lastSend().worker();
         for (int id = 2; id <= 8; id++) {
             host.request(id, 0);
         }
-        final List<RecordingActions.Send> others = List.copyOf(host.sends.subList(1, 8));
-        assertThat(others).extracting(RecordingActions.Send::worker).contains(first);
+        final List<RecordingHost.Send> others = List.copyOf(host.sends.subList(1, 8));
+        assertThat(others).extracting(RecordingHost.Send::worker).contains(first);
         for (int note = 1; note <= 5; note++) {
-            for (final RecordingActions.Send other : others) {
+            for (final RecordingHost.Send other : others) {
                 host.dispatcher.jobProgressed(
                         host.nowUs, other.request(), 0, other.worker(), 0.1 * note);
             }
-            host.pass(SECOND / 2);
+            host.advanceTime(SECOND / 2);
         }
         host.sends.clear();
         for (int id = 9; id < 30; id++) {
             host.request(id, 0);
         }
-        assertThat(host.sends).extracting(RecordingActions.Send::worker).contains(first);
+        assertThat(host.sends).extracting(RecordingHost.Send::worker).contains(first);
     }
 
     @Test
     void reportsAndAvoidsAWorkerThatDoesNotStartJobsOfAClass() {
-        final RecordingActions host =
-                new RecordingActions(
+        final RecordingHost host =
+                new RecordingHost(
                         settings(
                                 List.of(
                                         requestClass(1, Idempotency.SAFE, DeduplicationScope.ALL),
@@ -183,7 +183,7 @@
         final LoadReport free = new LoadReport(6, -1, -1);
         host.dispatcher.attemptEnded(host.nowUs, 1, 0, 1, Outcome.SERVED, 100_000, true, free);
         host.request(2, 0);
-        host.pass(SECOND * 3);
+        host.advanceTime(SECOND * 3);
         assertThat(host.reportedUnresponsive).containsExactly(1);
         host.list(EndpointListForm.CHANGES, worker(2, 0, 0));
         host.dispatcher.workerReportedUnresponsive(host.nowUs, 77, 0);
@@ -193,13 +193,13 @@
             host.request(id, 0);
             host.end(id, 0, host.lastSend().worker(), Outcome.SERVED);
         }
-        assertThat(host.sends).extracting(RecordingActions.Send::worker).containsOnly(2);
+        assertThat(host.sends).extracting(RecordingHost.Send::worker).containsOnly(2);
     }
 
     @Test
     void avoidsAWorkerReportedByAPeerForItsClassAndForATime() {
-        final RecordingActions host =
-                new RecordingActions(
+        final RecordingHost host =
+                new RecordingHost(
                         settings(
                                 List.of(
                                         requestClass(1, Idempotency.SAFE, DeduplicationScope.ALL),
@@ -209,11 +209,11 @@
         host.dispatcher.workerReportedUnresponsive(host.nowUs, 1, 0);
         assertThat(workersOf(0, host)).containsOnly(2);
         assertThat(workersOf(1, host)).contains(1);
-        host.pass(5 * SECOND);
+        host.advanceTime(5 * SECOND);
         assertThat(workersOf(0, host)).contains(1);
     }
 
-    private static Set<Integer> workersOf(int requestClass, RecordingActions host) {
+    private static Set<Integer> workersOf(int requestClass, RecordingHost host) {
         final int before = host.sends.size();
         for (int i = 0; i < 20; i++) {
             final int id = 100 + host.sends.size();
@@ -222,7 +222,7 @@
         }
         return host.sends.stream()
                 .skip(before)
-                .map(RecordingActions.Send::worker)
+                .map(RecordingHost.Send::worker)
                 .collect(Collectors.toSet());
     }
 }
--- a/src/test/java/cresschute/dispatch/DispatcherHedgingTest.java
+++ b/src/test/java/cresschute/dispatch/DispatcherHedgingTest.java
@@ -1,8 +1,8 @@
 package cresschute.dispatch;
 
-import static cresschute.dispatch.DispatcherHosts.hostWithARunningJob;
-import static cresschute.dispatch.RecordingActions.SECOND;
-import static cresschute.dispatch.RecordingActions.worker;
+import static cresschute.dispatch.TestHosts.hostWithRunningJob;
+import static cresschute.dispatch.RecordingHost.SECOND;
+import static cresschute.dispatch.RecordingHost.worker;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.List;
@@ -18,11 +18,11 @@
     @ParameterizedTest
     @EnumSource
     void hedgesAJobWhoseProgressReportsStopWhereItsClassAllows(Idempotency idempotency) {
-        final RecordingActions host = hostWithARunningJob(idempotency);
+        final RecordingHost host = hostWithRunningJob(idempotency);
         final int first = host.lastSend().worker();
-        host.pass(SECOND * 3 / 2);
+        host.advanceTime(SECOND * 3 / 2);
         assertThat(host.sends).hasSize(1);
-        host.pass(SECOND);
+        host.advanceTime(SECOND);
         assertThat(host.sends).hasSize(idempotency == Idempotency.UNSAFE ? 1 : 2);
         if (idempotency == Idempotency.KEYED) {
             assertThat((host.lastSend().worker() - 1) / 2).isEqualTo((first - 1) / 2);
@@ -33,7 +33,7 @@
         }
         assertThat(host.sends)
                 .hasSize(18)
-                .extracting(RecordingActions.Send::worker)
+                .extracting(RecordingHost.Send::worker)
                 .doesNotContain(first);
     }
 
@@ -51,8 +51,8 @@
                         DeduplicationScope.CELL,
                         SECOND * 4,
                         Placement.ANYWHERE);
-        final RecordingActions host =
-                new RecordingActions(TestSettings.hedging(List.of(patient)))
+        final RecordingHost host =
+                new RecordingHost(TestSettings.hedging(List.of(patient)))
                         .list(
                                 EndpointListForm.CACHED,
                                 worker(1, 0, 0),
@@ -66,9 +66,9 @@
         }
         // It may wait for the objective of 1 s and the 2 s that the stretch adds to its running
         // time: the hedge is due after half of these 3 s.
-        host.pass(SECOND * 14 / 10);
+        host.advanceTime(SECOND * 14 / 10);
         assertThat(host.sends).hasSize(1);
-        host.pass(SECOND * 2 / 10);
+        host.advanceTime(SECOND * 2 / 10);
         assertThat(host.sends).hasSize(sends);
         if (sends == 2) {
             assertThat(host.lastSend().worker()).isNotEqualTo(first);
@@ -92,8 +92,8 @@
                         DeduplicationScope.ALL,
                         0,
                         Placement.ANYWHERE);
-        final RecordingActions host =
-                new RecordingActions(TestSettings.hedgingWithLoadQueries(List.of(patient)))
+        final RecordingHost host =
+                new RecordingHost(TestSettings.hedgingWithLoadQueries(List.of(patient)))
                         .list(
                                 EndpointListForm.CACHED,
                                 worker(1, 0, 0),
@@ -106,7 +106,7 @@
         }
         final int first = host.lastSend().worker();
         host.queried.clear();
-        host.pass(2 * SECOND);
+        host.advanceTime(2 * SECOND);
         assertThat(host.sends).as("sent by the reports from before").hasSize(1);
         assertThat(host.queried).doesNotContain(first).hasSize(2);
         host.queried.forEach(
@@ -116,15 +116,15 @@
                                 worker,
                                 Outcome.SERVED,
                                 new LoadReport(free, -1, 4 - free)));
-        host.pass(SECOND / 10);
+        host.advanceTime(SECOND / 10);
         assertThat(host.sends).hasSize(sends);
     }
 
     @Test
     void doesNotHedgeAJobThatReportsProgress() {
-        final RecordingActions host = hostWithARunningJob(Idempotency.SAFE);
+        final RecordingHost host = hostWithRunningJob(Idempotency.SAFE);
         for (int second = 1; second <= 4; second++) {
-            host.pass(SECOND);
+            host.advanceTime(SECOND);
             host.dispatcher.jobProgressed(host.nowUs, 1, 0, host.lastSend().worker(), 0.2 * second);
         }
         assertThat(host.sends).hasSize(1);
--- a/src/test/java/cresschute/dispatch/DispatcherLoadQueryTest.java
+++ b/src/test/java/cresschute/dispatch/DispatcherLoadQueryTest.java
@@ -1,7 +1,7 @@
 package cresschute.dispatch;
 
-import static cresschute.dispatch.RecordingActions.SECOND;
-import static cresschute.dispatch.RecordingActions.worker;
+import static cresschute.dispatch.RecordingHost.SECOND;
+import static cresschute.dispatch.RecordingHost.worker;
 import static cresschute.dispatch.TestSettings.requestClass;
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -15,8 +15,8 @@
 /** When workers are asked for their load before a send. */
 class DispatcherLoadQueryTest {
 
-    private static RecordingActions queryingHost() {
-        return new RecordingActions(
+    private static RecordingHost queryingHost() {
+        return new RecordingHost(
                         TestSettings.withLoadQueries(
                                 List.of(requestClass(1, Idempotency.SAFE, DeduplicationScope.ALL))))
                 .list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 0, 1));
@@ -24,9 +24,9 @@
 
     @Test
     void queriesTheSelectedWorkersWhereReportsAreOld() {
-        final RecordingActions host = queryingHost();
+        final RecordingHost host = queryingHost();
         for (int id = 0; id < 20; id++) {
-            host.pass(5 * SECOND);
+            host.advanceTime(5 * SECOND);
             host.queried.clear();
             host.request(id, 0);
             assertThat(host.queried).containsExactlyInAnyOrder(1, 2);
@@ -44,8 +44,8 @@
     @ParameterizedTest
     @ValueSource(strings = {"left", "drained", "both"})
     void sendsARequestHeldForAQueryByTheStateAtItsSend(String what) {
-        final RecordingActions host = queryingHost();
-        host.pass(5 * SECOND);
+        final RecordingHost host = queryingHost();
+        host.advanceTime(5 * SECOND);
         host.queried.clear();
         host.request(1, 0);
         assertThat(host.queried).containsExactlyInAnyOrder(1, 2);
@@ -57,17 +57,17 @@
         }
         host.dispatcher.loadReported(host.nowUs, 1, Outcome.SERVED, new LoadReport(4, -1, 0));
         host.dispatcher.loadReported(host.nowUs, 2, Outcome.SERVED, new LoadReport(0, -1, 9));
-        host.pass(SECOND);
+        host.advanceTime(SECOND);
         assertThat(host.sends)
-                .extracting(RecordingActions.Send::worker)
+                .extracting(RecordingHost.Send::worker)
                 .isEqualTo(what.equals("drained") ? List.of(2) : List.of());
     }
 
     @Test
     void sendsToTheShorterQueueOfTwoFullWorkers() {
-        final RecordingActions host = queryingHost();
+        final RecordingHost host = queryingHost();
         for (int id = 0; id < 20; id++) {
-            host.pass(5 * SECOND);
+            host.advanceTime(5 * SECOND);
             host.request(id, 0);
             host.dispatcher.loadReported(
                     host.nowUs, 1, Outcome.SERVED, new LoadReport(0, -1, id % 2 * 6));
@@ -80,14 +80,14 @@
 
     @Test
     void queriesThreeWhereReportsAreOldAndNoneWhereTheyAreFresh() {
-        final RecordingActions host =
-                new RecordingActions(
+        final RecordingHost host =
+                new RecordingHost(
                         TestSettings.withLoadQueries(
                                 List.of(
                                         requestClass(
                                                 1, Idempotency.SAFE, DeduplicationScope.ALL))));
         host.list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 0, 0), worker(3, 0, 0));
-        host.pass(10 * SECOND);
+        host.advanceTime(10 * SECOND);
         host.request(1, 0);
         assertThat(host.queried).containsExactlyInAnyOrder(1, 2, 3);
         for (int worker = 1; worker <= 3; worker++) {
@@ -104,18 +104,18 @@
     @CsvSource({"1, 1000, false", "14, 1000, true", "14, 100, false"})
     void takesAReportForOldSoonerTheMoreDispatchersSend(
             int dispatchers, long ageMs, boolean queriedAnew) {
-        final RecordingActions host =
-                new RecordingActions(
+        final RecordingHost host =
+                new RecordingHost(
                         TestSettings.withLoadQueries(
                                 List.of(requestClass(1, Idempotency.SAFE, DeduplicationScope.ALL)),
                                 dispatchers));
         host.list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 0, 0));
-        host.pass(10 * SECOND);
+        host.advanceTime(10 * SECOND);
         host.request(1, 0);
         host.dispatcher.loadReported(host.nowUs, 1, Outcome.SERVED, new LoadReport(4, -1, -1));
         host.dispatcher.loadReported(host.nowUs, 2, Outcome.SERVED, new LoadReport(4, -1, -1));
         host.end(1, 0, host.lastSend().worker(), Outcome.SERVED);
-        host.pass(ageMs * 1000);
+        host.advanceTime(ageMs * 1000);
         host.queried.clear();
         host.request(2, 0);
         assertThat(host.queried.isEmpty()).isEqualTo(!queriedAnew);
@@ -124,20 +124,20 @@
 
     @Test
     void doesNotWaitForAWorkerThatDoesNotAnswer() {
-        final RecordingActions host = queryingHost();
-        host.pass(5 * SECOND);
+        final RecordingHost host = queryingHost();
+        host.advanceTime(5 * SECOND);
         host.request(1, 0);
         host.dispatcher.loadReported(host.nowUs, 2, Outcome.SERVED, LoadReport.NONE);
-        host.pass(SECOND / 10);
-        assertThat(host.sends).containsExactly(new RecordingActions.Send(1, 2));
+        host.advanceTime(SECOND / 10);
+        assertThat(host.sends).containsExactly(new RecordingHost.Send(1, 2));
         host.dispatcher.loadReported(host.nowUs, 1, Outcome.TIMED_OUT, LoadReport.NONE);
         assertThat(host.sends).hasSize(1);
     }
 
     @Test
     void boundsTheQueriesOfOneRequest() {
-        final RecordingActions host =
-                new RecordingActions(
+        final RecordingHost host =
+                new RecordingHost(
                                 TestSettings.withLoadQueries(
                                         List.of(
                                                 requestClass(
@@ -149,7 +149,7 @@
                                 IntStream.rangeClosed(1, 40)
                                         .mapToObj(id -> worker(id, 0, 0))
                                         .toArray(Worker[]::new));
-        host.pass(60 * SECOND);
+        host.advanceTime(60 * SECOND);
         host.request(1, 0);
         int queries = 0;
         while (!host.queried.isEmpty() && queries <= 40) {
@@ -168,19 +168,20 @@
     /** A late report must not steer a keyed request out of its group. */
     @Test
     void forgetsReportsToEarlierQueriesOnceARequestIsSent() {
-        final RecordingActions host =
-                new RecordingActions(
+        final RecordingHost host =
+                new RecordingHost(
                         TestSettings.withLoadQueries(
                                 List.of(
                                         requestClass(
                                                 1, Idempotency.KEYED, DeduplicationScope.CELL))));
-        host.list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 1, 1)).pass(5 * SECOND);
+        host.list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 1, 1))
+                .advanceTime(5 * SECOND);
         host.request(1, 0);
         host.dispatcher.loadReported(host.nowUs, 2, Outcome.SERVED, LoadReport.NONE);
-        host.pass(SECOND / 10);
+        host.advanceTime(SECOND / 10);
         host.dispatcher.loadReported(host.nowUs, 1, Outcome.SERVED, LoadReport.NONE);
         host.end(1, 0, 2, Outcome.BROKEN);
-        host.pass(SECOND);
-        assertThat(host.sends).containsOnly(new RecordingActions.Send(1, 2));
+        host.advanceTime(SECOND);
+        assertThat(host.sends).containsOnly(new RecordingHost.Send(1, 2));
     }
 }
--- a/src/test/java/cresschute/dispatch/RulesPropertyTest.java
+++ b/src/test/java/cresschute/dispatch/DispatcherPropertyTest.java
@@ -16,7 +16,7 @@
  * Feeds a dispatcher random legal sequences of events and checks every action against the rules,
  * without looking into it. It scripts events and does not imitate workers.
  */
-class RulesPropertyTest {
+class DispatcherPropertyTest {
 
     private static final long SECOND = 1_000_000;
     private static final int STEPS = 1500;
@@ -98,7 +98,7 @@
         void run() {
             list(EndpointListForm.CACHED);
             for (int step = 0; step < STEPS; step++) {
-                pass(random.nextInt(40_000));
+                advanceTime(random.nextInt(40_000));
                 switch (random.nextInt(20)) {
                     case 0 ->
                             list(
@@ -117,7 +117,7 @@
                     default -> end();
                 }
             }
-            pass(20 * SECOND);
+            advanceTime(20 * SECOND);
             assertThat(unanswered.values())
                     .as("requests without their answer")
                     .allMatch(request -> request.closed);
@@ -128,7 +128,7 @@
             dispatcher.attemptEnded(nowUs, id, 9, 3, Outcome.BROKEN, 1, false, LoadReport.NONE);
         }
 
-        private void pass(long us) {
+        private void advanceTime(long us) {
             final long untilUs = nowUs + us;
             while (timerAtUs <= untilUs || nextDeadlineUs() <= untilUs) {
                 nowUs = Math.max(nowUs, Math.min(timerAtUs, nextDeadlineUs()));
--- a/src/test/java/cresschute/dispatch/DispatcherRetryTest.java
+++ b/src/test/java/cresschute/dispatch/DispatcherRetryTest.java
@@ -1,9 +1,9 @@
 package cresschute.dispatch;
 
-import static cresschute.dispatch.DispatcherHosts.hostWith;
-import static cresschute.dispatch.DispatcherHosts.twoSafeWorkers;
-import static cresschute.dispatch.RecordingActions.SECOND;
-import static cresschute.dispatch.RecordingActions.worker;
+import static cresschute.dispatch.TestHosts.hostOfClass;
+import static cresschute.dispatch.TestHosts.twoSafeWorkers;
+import static cresschute.dispatch.RecordingHost.SECOND;
+import static cresschute.dispatch.RecordingHost.worker;
 import static cresschute.dispatch.TestSettings.placedClass;
 import static cresschute.dispatch.TestSettings.requestClass;
 import static cresschute.dispatch.TestSettings.settings;
@@ -25,13 +25,13 @@
     @EnumSource(names = {"FULL", "CONNECT_FAILED", "NOT_SENT"})
     void retriesElsewhereWhatNeverRanForEveryIdempotency(Outcome outcome) {
         for (final Idempotency idempotency : Idempotency.values()) {
-            final RecordingActions host =
-                    hostWith(idempotency, DeduplicationScope.CELL)
+            final RecordingHost host =
+                    hostOfClass(idempotency, DeduplicationScope.CELL)
                             .list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 1, 1));
             host.request(1, 0);
             final int first = host.lastSend().worker();
             host.end(1, 0, first, outcome);
-            host.pass(SECOND / 2);
+            host.advanceTime(SECOND / 2);
             assertThat(host.sends).hasSize(2);
             assertThat(host.lastSend().worker()).isNotEqualTo(first);
         }
@@ -40,19 +40,19 @@
     @ParameterizedTest
     @EnumSource(names = {"ERROR", "TIMED_OUT", "BROKEN", "CANCELLED"})
     void failsAnUnsafeRequestThatMayHaveRunAndNeverRejectsIt(Outcome outcome) {
-        final RecordingActions host =
-                hostWith(Idempotency.UNSAFE, DeduplicationScope.ALL)
+        final RecordingHost host =
+                hostOfClass(Idempotency.UNSAFE, DeduplicationScope.ALL)
                         .list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 1, 1));
         host.request(1, 0);
         host.end(1, 0, host.lastSend().worker(), outcome);
-        host.pass(5 * SECOND);
+        host.advanceTime(5 * SECOND);
         assertThat(host.log).hasSize(2).last().isEqualTo("fail 1");
     }
 
     @ParameterizedTest
     @EnumSource(names = {"CELL", "ZONE"})
     void keepsAKeyedRequestThatMayHaveRunInItsDeduplicationGroup(DeduplicationScope scope) {
-        final RecordingActions host = hostWith(Idempotency.KEYED, scope);
+        final RecordingHost host = hostOfClass(Idempotency.KEYED, scope);
         host.list(
                 EndpointListForm.CACHED,
                 worker(1, 0, 0),
@@ -65,7 +65,7 @@
             host.request(id, 0);
             final int first = host.lastSend().worker();
             host.end(id, 0, first, Outcome.CANCELLED);
-            host.pass(SECOND / 10);
+            host.advanceTime(SECOND / 10);
             final int second = host.lastSend().worker();
             assertThat(host.lastSend().request()).isEqualTo(id);
             assertThat((second - 1) / 2).isEqualTo((first - 1) / 2);
@@ -85,18 +85,18 @@
                         DeduplicationScope.ALL,
                         SECOND,
                         Placement.ANYWHERE);
-        final RecordingActions host = new RecordingActions(settings(List.of(brief)));
+        final RecordingHost host = new RecordingHost(settings(List.of(brief)));
         host.list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 1, 1)).request(1, 0);
-        host.pass(SECOND + 1);
+        host.advanceTime(SECOND + 1);
         host.end(1, 0, host.lastSend().worker(), Outcome.BROKEN);
-        host.pass(SECOND);
+        host.advanceTime(SECOND);
         assertThat(host.sends).hasSize(1);
         assertThat(host.failed).containsExactly(1);
     }
 
     @Test
     void staysWithinTheLimitOfAttempts() {
-        final RecordingActions host = twoSafeWorkers();
+        final RecordingHost host = twoSafeWorkers();
         host.request(1, 0);
         for (int attempt = 0; attempt < 8; attempt++) {
             host.end(1, attempt, host.lastSend().worker(), Outcome.FULL);
@@ -120,8 +120,8 @@
                         0,
                         Placement.ANYWHERE,
                         ofClass);
-        final RecordingActions host =
-                new RecordingActions(settings(List.of(bounded)))
+        final RecordingHost host =
+                new RecordingHost(settings(List.of(bounded)))
                         .list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 0, 1));
         host.request(1, 0);
         for (int attempt = 0; attempt < 8; attempt++) {
@@ -129,24 +129,24 @@
         }
         assertThat(host.sends).hasSize(sent);
         assertThat(host.rejected).containsExactly(1);
-        final RecordingActions hedging =
-                new RecordingActions(TestSettings.hedging(List.of(bounded)))
+        final RecordingHost hedging =
+                new RecordingHost(TestSettings.hedging(List.of(bounded)))
                         .list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 0, 1));
         hedging.request(1, 0);
         hedging.dispatcher.jobProgressed(hedging.nowUs, 1, 0, hedging.lastSend().worker(), 0);
-        hedging.pass(SECOND * 5 / 2);
+        hedging.advanceTime(SECOND * 5 / 2);
         assertThat(hedging.sends).hasSize(Math.min(2, ofClass));
     }
 
     /** All workers drop a duplicate of it within the window: so long the rejection holds true. */
     @Test
     void rejectsAKeyedRequestThatAllWorkersDropOnlyWithinItsWindow() {
-        final RecordingActions host = hostWith(Idempotency.KEYED, DeduplicationScope.ALL);
+        final RecordingHost host = hostOfClass(Idempotency.KEYED, DeduplicationScope.ALL);
         host.list(EndpointListForm.CACHED, worker(1, 0, 0)).request(1, 0);
-        host.pass(2 * SECOND);
+        host.advanceTime(2 * SECOND);
         host.end(1, 0, 1, Outcome.BROKEN);
         host.request(2, 0);
-        host.pass(4 * SECOND);
+        host.advanceTime(4 * SECOND);
         host.end(2, 0, 1, Outcome.BROKEN);
         assertThat(host.rejected).containsExactly(1);
         assertThat(host.failed).containsExactly(2);
@@ -154,8 +154,8 @@
 
     @Test
     void retriesWithinDeduplicationGroupAndPlacement() {
-        final RecordingActions host =
-                new RecordingActions(
+        final RecordingHost host =
+                new RecordingHost(
                         settings(
                                 List.of(
                                         placedClass(
@@ -174,7 +174,7 @@
             host.request(id, 0);
             final int first = host.lastSend().worker();
             host.end(id, 0, first, Outcome.CANCELLED);
-            host.pass(SECOND / 10);
+            host.advanceTime(SECOND / 10);
             assertThat(host.lastSend().request()).isEqualTo(id);
             assertThat(Set.of(first, host.lastSend().worker())).isIn(Set.of(3, 4), Set.of(5, 6));
             host.end(id, 1, host.lastSend().worker(), Outcome.SERVED);
@@ -183,8 +183,8 @@
 
     @Test
     void failsAnUnsafeRequestAfterFullWhereFullMayHaveRun() {
-        final RecordingActions host =
-                new RecordingActions(
+        final RecordingHost host =
+                new RecordingHost(
                         new TestSettings(
                                         List.of(
                                                 requestClass(
@@ -200,8 +200,8 @@
 
     @Test
     void keepsAKeyedRequestInItsGroupAfterFullWhereFullMayHaveRun() {
-        final RecordingActions host =
-                new RecordingActions(
+        final RecordingHost host =
+                new RecordingHost(
                         new TestSettings(
                                         List.of(
                                                 requestClass(
@@ -220,7 +220,7 @@
             host.request(id, 0);
             final int first = host.lastSend().worker();
             host.end(id, 0, first, Outcome.FULL);
-            host.pass(SECOND / 10);
+            host.advanceTime(SECOND / 10);
             assertThat(Set.of(first, host.lastSend().worker())).isIn(Set.of(1, 2), Set.of(3, 4));
             host.end(id, 1, host.lastSend().worker(), Outcome.SERVED);
         }
@@ -230,14 +230,14 @@
     @ParameterizedTest
     @EnumSource
     void retriesAnAttemptThatWasNotSentAndKeepsTheBudget(Idempotency idempotency) {
-        final RecordingActions host = hostWith(idempotency, DeduplicationScope.ALL);
+        final RecordingHost host = hostOfClass(idempotency, DeduplicationScope.ALL);
         host.list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 0, 0));
         for (int id = 1; id <= 200; id++) {
             host.request(id, 0);
             host.end(id, 0, host.lastSend().worker(), Outcome.NOT_SENT);
             assertThat(host.lastSend().request()).isEqualTo(id);
             host.end(id, 1, host.lastSend().worker(), Outcome.SERVED);
-            host.pass(SECOND / 50);
+            host.advanceTime(SECOND / 50);
         }
         assertThat(host.sends).hasSize(400);
         assertThat(host.rejected).isEmpty();
--- a/src/test/java/cresschute/dispatch/DispatcherSelectionTest.java
+++ b/src/test/java/cresschute/dispatch/DispatcherSelectionTest.java
@@ -1,10 +1,10 @@
 package cresschute.dispatch;
 
-import static cresschute.dispatch.DispatcherHosts.hostWith;
-import static cresschute.dispatch.DispatcherHosts.threeSafeWorkers;
-import static cresschute.dispatch.RecordingActions.SECOND;
-import static cresschute.dispatch.RecordingActions.worker;
-import static cresschute.dispatch.RecordingActions.workerIn;
+import static cresschute.dispatch.TestHosts.hostOfClass;
+import static cresschute.dispatch.TestHosts.threeSafeWorkers;
+import static cresschute.dispatch.RecordingHost.SECOND;
+import static cresschute.dispatch.RecordingHost.worker;
+import static cresschute.dispatch.RecordingHost.workerIn;
 import static cresschute.dispatch.TestSettings.placedClass;
 import static cresschute.dispatch.TestSettings.settings;
 import static org.assertj.core.api.Assertions.assertThat;
@@ -22,8 +22,8 @@
 
     @Test
     void keepsThePlacementOfAClassAtEveryAttempt() {
-        final RecordingActions host =
-                new RecordingActions(
+        final RecordingHost host =
+                new RecordingHost(
                         settings(
                                 List.of(
                                         placedClass(
@@ -39,19 +39,19 @@
             host.request(id, 0);
             for (int attempt = 0; attempt < 4; attempt++) {
                 host.end(id, attempt, host.lastSend().worker(), Outcome.CONNECT_FAILED);
-                host.pass(SECOND / 20);
+                host.advanceTime(SECOND / 20);
             }
         }
         assertThat(host.sends)
                 .hasSizeGreaterThan(20)
-                .extracting(RecordingActions.Send::worker)
+                .extracting(RecordingHost.Send::worker)
                 .containsOnly(3, 4);
     }
 
     @Test
     void holdsAndRejectsARequestWithoutAWorkerOfItsPlacement() {
-        final RecordingActions host =
-                new RecordingActions(
+        final RecordingHost host =
+                new RecordingHost(
                         settings(
                                 List.of(
                                         placedClass(
@@ -59,42 +59,42 @@
                                                 DeduplicationScope.ALL,
                                                 new Placement(List.of(1), List.of(1))))));
         host.list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 1, 1)).request(1, 0);
-        host.pass(5 * SECOND);
+        host.advanceTime(5 * SECOND);
         assertThat(host.sends).isEmpty();
         assertThat(host.rejected).containsExactly(1);
     }
 
     @Test
     void sendsMoreToTheFasterAndEmptierWorker() {
-        final RecordingActions host =
-                hostWith(Idempotency.SAFE, DeduplicationScope.ALL)
+        final RecordingHost host =
+                hostOfClass(Idempotency.SAFE, DeduplicationScope.ALL)
                         .list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 0, 0));
         int fast = 0;
         for (int id = 0; id < 600; id++) {
             host.request(id, 0);
             final int worker = host.lastSend().worker();
             host.dispatcher.jobProgressed(host.nowUs, id, 0, worker, 0);
-            host.pass(worker == 1 ? SECOND / 20 : SECOND / 5);
+            host.advanceTime(worker == 1 ? SECOND / 20 : SECOND / 5);
             host.end(id, 0, worker, Outcome.SERVED);
             fast += id >= 300 && worker == 1 ? 1 : 0;
         }
         assertThat(fast).isGreaterThan(180);
     }
 
-    private static List<Integer> workersOfKey(long dataKey, RecordingActions host) {
+    private static List<Integer> workersOfKey(long dataKey, RecordingHost host) {
         host.sends.clear();
         for (int id = 0; id < 20; id++) {
             final int request = host.log.size() + 1000;
             host.request(request, new Job(0, 0, 1, 0, dataKey, false));
             host.end(request, 0, host.lastSend().worker(), Outcome.SERVED);
         }
-        return host.sends.stream().map(RecordingActions.Send::worker).distinct().toList();
+        return host.sends.stream().map(RecordingHost.Send::worker).distinct().toList();
     }
 
     @Test
     void sendsJobsOfADataKeyToOneWorkerFromEveryDispatcher() {
-        final RecordingActions one = hostWith(Idempotency.SAFE, DeduplicationScope.ALL);
-        final RecordingActions other = hostWith(Idempotency.SAFE, DeduplicationScope.ALL);
+        final RecordingHost one = hostOfClass(Idempotency.SAFE, DeduplicationScope.ALL);
+        final RecordingHost other = hostOfClass(Idempotency.SAFE, DeduplicationScope.ALL);
         final Worker[] workers =
                 IntStream.range(0, 12).mapToObj(id -> worker(id, 0, 0)).toArray(Worker[]::new);
         one.list(EndpointListForm.CACHED, workers);
@@ -109,7 +109,7 @@
     }
 
     /** The home of a data key, after it has rejected a job of that key as full. */
-    private static int fullHomeOf(long dataKey, RecordingActions host) {
+    private static int fullHomeOf(long dataKey, RecordingHost host) {
         final int home = workersOfKey(dataKey, host).get(0);
         host.request(1, new Job(0, 0, 1, 0, dataKey, false));
         host.end(1, 0, home, Outcome.FULL);
@@ -118,7 +118,7 @@
 
     @Test
     void sendsToTheNextWorkerOfADataKeyWhereItsHomeIsFullOrGone() {
-        final RecordingActions host = threeSafeWorkers();
+        final RecordingHost host = threeSafeWorkers();
         final int home = fullHomeOf(5, host);
         final int next = host.lastSend().worker();
         assertThat(next).isNotEqualTo(home);
@@ -128,10 +128,10 @@
 
     @Test
     void avoidsAFullWorkerForAboutOneRunningTime() {
-        final RecordingActions host = threeSafeWorkers();
+        final RecordingHost host = threeSafeWorkers();
         final int home = fullHomeOf(5, host);
         assertThat(workersOfKey(5, host)).doesNotContain(home);
-        host.pass(SECOND);
+        host.advanceTime(SECOND);
         assertThat(workersOfKey(5, host)).containsExactly(home);
     }
 }
--- a/src/test/java/cresschute/dispatch/DispatcherTest.java
+++ b/src/test/java/cresschute/dispatch/DispatcherTest.java
@@ -1,10 +1,10 @@
 package cresschute.dispatch;
 
-import static cresschute.dispatch.DispatcherHosts.hostWith;
-import static cresschute.dispatch.DispatcherHosts.twoSafeWorkers;
-import static cresschute.dispatch.DispatcherHosts.underLoad;
-import static cresschute.dispatch.RecordingActions.SECOND;
-import static cresschute.dispatch.RecordingActions.worker;
+import static cresschute.dispatch.TestHosts.hostOfClass;
+import static cresschute.dispatch.TestHosts.twoSafeWorkers;
+import static cresschute.dispatch.TestHosts.underLoad;
+import static cresschute.dispatch.RecordingHost.SECOND;
+import static cresschute.dispatch.RecordingHost.worker;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import org.junit.jupiter.api.Test;
@@ -14,51 +14,52 @@
 
     @Test
     void holdsARequestWithoutWorkersAndRejectsItInTime() {
-        final RecordingActions host =
-                hostWith(Idempotency.UNSAFE, DeduplicationScope.ALL).list(EndpointListForm.CACHED);
+        final RecordingHost host =
+                hostOfClass(Idempotency.UNSAFE, DeduplicationScope.ALL)
+                        .list(EndpointListForm.CACHED);
         host.request(1, 0);
         assertThat(host.rejected).isEmpty();
-        host.pass(5 * SECOND);
+        host.advanceTime(5 * SECOND);
         assertThat(host.rejected).containsExactly(1);
         assertThat(host.failed).isEmpty();
     }
 
     @Test
     void sendsAHeldRequestOnceAWorkerIsListed() {
-        final RecordingActions host =
-                hostWith(Idempotency.SAFE, DeduplicationScope.ALL).list(EndpointListForm.CACHED);
+        final RecordingHost host =
+                hostOfClass(Idempotency.SAFE, DeduplicationScope.ALL).list(EndpointListForm.CACHED);
         host.request(1, 0);
         host.list(EndpointListForm.CHANGES, worker(9, 0, 0));
-        host.pass(SECOND / 5);
-        assertThat(host.sends).containsExactly(new RecordingActions.Send(1, 9));
+        host.advanceTime(SECOND / 5);
+        assertThat(host.sends).containsExactly(new RecordingHost.Send(1, 9));
     }
 
     @Test
     void answersATimeoutAtTheDeadlineAtOnce() {
-        final RecordingActions host =
-                hostWith(Idempotency.UNSAFE, DeduplicationScope.ALL)
+        final RecordingHost host =
+                hostOfClass(Idempotency.UNSAFE, DeduplicationScope.ALL)
                         .list(EndpointListForm.CACHED, worker(1, 0, 0));
         host.request(1, 0);
-        host.pass(5 * SECOND);
+        host.advanceTime(5 * SECOND);
         host.end(1, 0, 1, Outcome.TIMED_OUT);
         assertThat(host.failed).containsExactly(1);
-        host.pass(SECOND);
+        host.advanceTime(SECOND);
         assertThat(host.sends).hasSize(1);
     }
 
     @Test
     void sendsNothingAfterTheClientLeft() {
-        final RecordingActions host = twoSafeWorkers();
+        final RecordingHost host = twoSafeWorkers();
         host.request(1, 0);
         host.dispatcher.clientLeft(host.nowUs, 1);
         host.end(1, 0, host.lastSend().worker(), Outcome.FULL);
-        host.pass(SECOND);
+        host.advanceTime(SECOND);
         assertThat(host.log).hasSize(1);
     }
 
     @Test
     void ignoresLateAndUnknownEvents() {
-        final RecordingActions host = twoSafeWorkers();
+        final RecordingHost host = twoSafeWorkers();
         host.request(1, 0);
         final int worker = host.lastSend().worker();
         host.end(1, 0, worker, Outcome.SERVED);
@@ -72,7 +73,7 @@
 
     @Test
     void failsAnUnusableRequestAtOnceAndDoesNotCountItAgainstItsWorker() {
-        final RecordingActions host = twoSafeWorkers();
+        final RecordingHost host = twoSafeWorkers();
         for (int id = 1; id <= 40; id++) {
             host.request(id, 0);
             host.end(
@@ -82,9 +83,7 @@
                     host.lastSend().worker() == 1 ? Outcome.UNUSABLE : Outcome.SERVED);
         }
         assertThat(host.sends).hasSize(40);
-        assertThat(host.sends.subList(20, 40))
-                .extracting(RecordingActions.Send::worker)
-                .contains(1);
+        assertThat(host.sends.subList(20, 40)).extracting(RecordingHost.Send::worker).contains(1);
         assertThat(host.sends).filteredOn(send -> send.worker() == 1).hasSameSizeAs(host.failed);
         assertThat(host.rejected).isEmpty();
     }
--- a/src/test/java/cresschute/dispatch/EndpointListPollerTest.java
+++ b/src/test/java/cresschute/dispatch/EndpointListPollerTest.java
@@ -1,6 +1,6 @@
 package cresschute.dispatch;
 
-import static cresschute.dispatch.Rules.SECOND;
+import static cresschute.dispatch.PolicyFixture.SECOND;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.List;
@@ -13,12 +13,12 @@
     private static EndpointListPoller poller(long seed) {
         final List<RequestClass> classes =
                 List.of(TestSettings.requestClass(1, Idempotency.SAFE, DeduplicationScope.ALL));
-        return new Rules(new TestSettings(classes).polled().build(), seed).poller;
+        return new PolicyFixture(new TestSettings(classes).polled().build(), seed).poller;
     }
 
     @Test
     void pollsOnceWithinOneBackoffOfTheFirstList() {
-        final EndpointListPoller poller = poller(Rules.SEED);
+        final EndpointListPoller poller = poller(PolicyFixture.SEED);
         assertThat(poller.takeDue(5 * SECOND)).isFalse();
         poller.started(5 * SECOND);
         assertThat(poller.takeDue(6 * SECOND)).isTrue();
@@ -27,7 +27,7 @@
 
     @Test
     void neverPollsWhereTheHostSendsChangesByItself() {
-        final EndpointListPoller poller = Rules.ofSafeClass().poller;
+        final EndpointListPoller poller = PolicyFixture.ofSafeClass().poller;
         poller.started(SECOND);
         assertThat(poller.takeDue(3_600 * SECOND)).isFalse();
     }
--- a/src/test/java/cresschute/dispatch/EndpointListUpdaterTest.java
+++ b/src/test/java/cresschute/dispatch/EndpointListUpdaterTest.java
@@ -1,6 +1,6 @@
 package cresschute.dispatch;
 
-import static cresschute.dispatch.Rules.SECOND;
+import static cresschute.dispatch.PolicyFixture.SECOND;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.List;
@@ -17,41 +17,41 @@
                                             1, Idempotency.SAFE, DeduplicationScope.ALL)))
                     .closeOnDrainWithinUs(0);
 
-    private final Rules rules = new Rules(SETTINGS.build());
-    private final RecordingActions actions = new RecordingActions(SETTINGS.build());
+    private final PolicyFixture fixture = new PolicyFixture(SETTINGS.build());
+    private final RecordingHost actions = new RecordingHost(SETTINGS.build());
     private final EndpointListUpdater updater =
             new EndpointListUpdater(
-                    rules.settings, rules.workers, rules.loads, rules.slowStart, actions);
+                    fixture.settings, fixture.workers, fixture.loads, fixture.slowStart, actions);
 
     private void apply(EndpointListForm form, Worker... entries) {
         updater.apply(form, List.of(entries), NOW);
     }
 
     private List<Integer> listed() {
-        return rules.workers.workers().stream().map(WorkerInstance::id).toList();
+        return fixture.workers.workers().stream().map(WorkerInstance::id).toList();
     }
 
     @Test
     void keepsWorkersThatChangesDoNotName() {
-        apply(EndpointListForm.CACHED, RecordingActions.worker(1, 0, 0));
-        apply(EndpointListForm.CHANGES, RecordingActions.worker(2, 0, 0));
+        apply(EndpointListForm.CACHED, RecordingHost.worker(1, 0, 0));
+        apply(EndpointListForm.CHANGES, RecordingHost.worker(2, 0, 0));
         assertThat(listed()).containsExactly(1, 2);
         assertThat(actions.idleClosed).isEmpty();
     }
 
     @Test
     void withdrawsWorkersThatAWholeListDoesNotName() {
-        apply(EndpointListForm.CACHED, RecordingActions.worker(1, 0, 0));
-        apply(EndpointListForm.FULL, RecordingActions.worker(2, 0, 0));
+        apply(EndpointListForm.CACHED, RecordingHost.worker(1, 0, 0));
+        apply(EndpointListForm.FULL, RecordingHost.worker(2, 0, 0));
         assertThat(listed()).containsExactly(2);
         assertThat(actions.idleClosed).containsExactly(1);
     }
 
     @Test
     void forgetsADrainingWorkerAndClosesWhatEachLaterAttemptLeavesIdle() {
-        apply(EndpointListForm.CACHED, RecordingActions.worker(1, 0, 0));
-        final WorkerInstance worker = rules.workers.find(1);
-        apply(EndpointListForm.CHANGES, RecordingActions.workerIn(WorkerState.DRAINING, 1, 0));
+        apply(EndpointListForm.CACHED, RecordingHost.worker(1, 0, 0));
+        final WorkerInstance worker = fixture.workers.find(1);
+        apply(EndpointListForm.CHANGES, RecordingHost.workerIn(WorkerState.DRAINING, 1, 0));
         assertThat(worker.isDispatchable()).isFalse();
         assertThat(listed()).isEmpty();
         updater.attemptEnded(1);
@@ -60,12 +60,12 @@
 
     @Test
     void keepsWhatIsKnownOfTheSameIncarnationAlone() {
-        apply(EndpointListForm.CACHED, RecordingActions.workerIn(WorkerState.READY, 1, NOW));
-        final WorkerInstance worker = rules.workers.find(1);
-        apply(EndpointListForm.FULL, RecordingActions.workerIn(WorkerState.READY, 1, NOW));
-        assertThat(rules.workers.find(1)).isSameAs(worker);
-        apply(EndpointListForm.FULL, RecordingActions.workerIn(WorkerState.READY, 1, NOW + 1));
-        assertThat(rules.workers.find(1)).isNotSameAs(worker);
+        apply(EndpointListForm.CACHED, RecordingHost.workerIn(WorkerState.READY, 1, NOW));
+        final WorkerInstance worker = fixture.workers.find(1);
+        apply(EndpointListForm.FULL, RecordingHost.workerIn(WorkerState.READY, 1, NOW));
+        assertThat(fixture.workers.find(1)).isSameAs(worker);
+        apply(EndpointListForm.FULL, RecordingHost.workerIn(WorkerState.READY, 1, NOW + 1));
+        assertThat(fixture.workers.find(1)).isNotSameAs(worker);
         assertThat(worker.isDispatchable()).isFalse();
     }
 }
--- a/src/test/java/cresschute/dispatch/HedgingPolicyTest.java
+++ b/src/test/java/cresschute/dispatch/HedgingPolicyTest.java
@@ -1,6 +1,6 @@
 package cresschute.dispatch;
 
-import static cresschute.dispatch.Rules.SECOND;
+import static cresschute.dispatch.PolicyFixture.SECOND;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.List;
@@ -14,8 +14,8 @@
     private static final long NOW = 100 * SECOND;
 
     /** A latency objective of 1 s and jobs of 2 s: a job may wait for 3 s. */
-    private static Rules rules(Idempotency idempotency) {
-        return new Rules(
+    private static PolicyFixture fixture(Idempotency idempotency) {
+        return new PolicyFixture(
                 TestSettings.hedging(
                         List.of(
                                 new RequestClass(
@@ -29,44 +29,44 @@
                                         Placement.ANYWHERE))));
     }
 
-    private static PendingRequest request(Rules rules) {
-        return rules.request(1, NOW, NOW + 60 * SECOND);
+    private static PendingRequest request(PolicyFixture fixture) {
+        return fixture.request(1, NOW, NOW + 60 * SECOND);
     }
 
     @Test
     void isDueWhereAJobHasNotStartedAfterHalfItsSlack() {
-        final Rules rules = rules(Idempotency.SAFE);
-        final PendingRequest request = request(rules);
-        final AttemptRecord attempt = request.startAttempt(rules.ready(1, 0, 0), NOW);
-        assertThat(rules.hedging.isDue(request, attempt, 1_500_000, false, NOW)).isFalse();
-        assertThat(rules.hedging.isDue(request, attempt, 1_500_001, false, NOW)).isTrue();
+        final PolicyFixture fixture = fixture(Idempotency.SAFE);
+        final PendingRequest request = request(fixture);
+        final AttemptRecord attempt = request.startAttempt(fixture.ready(1, 0, 0), NOW);
+        assertThat(fixture.hedging.isDue(request, attempt, 1_500_000, false, NOW)).isFalse();
+        assertThat(fixture.hedging.isDue(request, attempt, 1_500_001, false, NOW)).isTrue();
         attempt.progressReported(NOW, 0);
-        assertThat(rules.hedging.isDue(request, attempt, 9_000_000, false, NOW)).isFalse();
+        assertThat(fixture.hedging.isDue(request, attempt, 9_000_000, false, NOW)).isFalse();
     }
 
     @Test
     void isDueWhereTheAttemptOrItsWorkerIsStalled() {
-        final Rules rules = rules(Idempotency.SAFE);
-        final PendingRequest request = request(rules);
-        final WorkerInstance worker = rules.ready(1, 0, 0);
+        final PolicyFixture fixture = fixture(Idempotency.SAFE);
+        final PendingRequest request = request(fixture);
+        final WorkerInstance worker = fixture.ready(1, 0, 0);
         final AttemptRecord attempt = request.startAttempt(worker, NOW);
         attempt.progressReported(NOW, 0);
-        assertThat(rules.hedging.isDue(request, attempt, 0, true, NOW)).isTrue();
+        assertThat(fixture.hedging.isDue(request, attempt, 0, true, NOW)).isTrue();
         worker.stalledUntil(NOW + SECOND);
-        assertThat(rules.hedging.isDue(request, attempt, 0, false, NOW)).isTrue();
-        assertThat(rules.hedging.isDue(request, attempt, 0, false, NOW + SECOND)).isFalse();
+        assertThat(fixture.hedging.isDue(request, attempt, 0, false, NOW)).isTrue();
+        assertThat(fixture.hedging.isDue(request, attempt, 0, false, NOW + SECOND)).isFalse();
     }
 
     @Test
     void isNeverDueBesideASecondAttemptOrForAClosedRequest() {
-        final Rules rules = rules(Idempotency.SAFE);
-        final PendingRequest request = request(rules);
-        final AttemptRecord attempt = request.startAttempt(rules.ready(1, 0, 0), NOW);
-        request.startAttempt(rules.ready(2, 0, 0), NOW);
-        assertThat(rules.hedging.isDue(request, attempt, 9_000_000, true, NOW)).isFalse();
+        final PolicyFixture fixture = fixture(Idempotency.SAFE);
+        final PendingRequest request = request(fixture);
+        final AttemptRecord attempt = request.startAttempt(fixture.ready(1, 0, 0), NOW);
+        request.startAttempt(fixture.ready(2, 0, 0), NOW);
+        assertThat(fixture.hedging.isDue(request, attempt, 9_000_000, true, NOW)).isFalse();
         request.endAttempt(attempt);
         request.close();
-        assertThat(rules.hedging.isDue(request, attempt, 9_000_000, true, NOW)).isFalse();
+        assertThat(fixture.hedging.isDue(request, attempt, 9_000_000, true, NOW)).isFalse();
     }
 
     @ParameterizedTest(name = "{0} after {1} ms: {2}")
@@ -78,29 +78,30 @@
         "UNSAFE, 0, false"
     })
     void isAllowedByIdempotencyAndWindow(Idempotency idempotency, long afterMs, boolean allowed) {
-        final Rules rules = rules(idempotency);
-        final PendingRequest request = request(rules);
-        final AttemptRecord attempt = request.startAttempt(rules.ready(1, 0, 0), NOW);
-        assertThat(rules.hedging.isAllowed(request, attempt, NOW + afterMs * 1000))
+        final PolicyFixture fixture = fixture(idempotency);
+        final PendingRequest request = request(fixture);
+        final AttemptRecord attempt = request.startAttempt(fixture.ready(1, 0, 0), NOW);
+        assertThat(fixture.hedging.isAllowed(request, attempt, NOW + afterMs * 1000))
                 .isEqualTo(allowed);
     }
 
     @Test
     void isAllowedOnlyWhereTheSettingsAllowHedging() {
-        final Rules rules = Rules.ofSafeClass();
-        final PendingRequest request = rules.request(1, NOW);
-        final AttemptRecord attempt = request.startAttempt(rules.ready(1, 0, 0), NOW);
-        assertThat(rules.hedging.isAllowed(request, attempt, NOW)).isFalse();
+        final PolicyFixture fixture = PolicyFixture.ofSafeClass();
+        final PendingRequest request = fixture.request(1, NOW);
+        final AttemptRecord attempt = request.startAttempt(fixture.ready(1, 0, 0), NOW);
+        assertThat(fixture.hedging.isAllowed(request, attempt, NOW)).isFalse();
     }
 
     @Test
     void needsDeduplicationForTheFirstAttemptOfAKeyedRequest() {
-        final Rules rules = rules(Idempotency.KEYED);
-        final PendingRequest request = request(rules);
-        final AttemptRecord attempt = request.startAttempt(rules.ready(1, 0, 0), NOW);
-        assertThat(rules.hedging.needsDeduplication(request)).isTrue();
-        rules.retries.markMayHaveRun(request, attempt);
-        assertThat(rules.hedging.needsDeduplication(request)).isFalse();
-        assertThat(rules.hedging.needsDeduplication(request(rules(Idempotency.SAFE)))).isFalse();
+        final PolicyFixture fixture = fixture(Idempotency.KEYED);
+        final PendingRequest request = request(fixture);
+        final AttemptRecord attempt = request.startAttempt(fixture.ready(1, 0, 0), NOW);
+        assertThat(fixture.hedging.needsDeduplication(request)).isTrue();
+        fixture.retries.markMayHaveRun(request, attempt);
+        assertThat(fixture.hedging.needsDeduplication(request)).isFalse();
+        assertThat(fixture.hedging.needsDeduplication(request(fixture(Idempotency.SAFE))))
+                .isFalse();
     }
 }
--- a/src/test/java/cresschute/dispatch/LoadQueryPolicyTest.java
+++ b/src/test/java/cresschute/dispatch/LoadQueryPolicyTest.java
@@ -1,6 +1,6 @@
 package cresschute.dispatch;
 
-import static cresschute.dispatch.Rules.SECOND;
+import static cresschute.dispatch.PolicyFixture.SECOND;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.List;
@@ -16,11 +16,11 @@
     private static final List<RequestClass> CLASSES =
             List.of(TestSettings.requestClass(1, Idempotency.SAFE, DeduplicationScope.ALL));
 
-    private static List<WorkerInstance> reportedAt(Rules rules, long... timesUs) {
+    private static List<WorkerInstance> reportedAt(PolicyFixture fixture, long... timesUs) {
         return IntStream.range(0, timesUs.length)
                 .mapToObj(
                         id -> {
-                            final WorkerInstance worker = rules.ready(id, 0, 0);
+                            final WorkerInstance worker = fixture.ready(id, 0, 0);
                             worker.slotsReported(0, timesUs[id]);
                             return worker;
                         })
@@ -31,49 +31,52 @@
     @ParameterizedTest(name = "{0} dispatchers, {1} ms old: {2}")
     @CsvSource({"1, 2400, false", "1, 2401, true", "4, 600, false", "4, 601, true"})
     void queriesWhereTheOlderOfTwoReportsIsOld(int dispatchers, long ageMs, boolean queries) {
-        final Rules rules = new Rules(TestSettings.withLoadQueries(CLASSES, dispatchers));
-        final List<WorkerInstance> selected = reportedAt(rules, NOW, NOW - ageMs * 1000);
-        assertThat(rules.loadQueries.shouldQuery(rules.request(1, NOW), selected, NOW))
+        final PolicyFixture fixture =
+                new PolicyFixture(TestSettings.withLoadQueries(CLASSES, dispatchers));
+        final List<WorkerInstance> selected = reportedAt(fixture, NOW, NOW - ageMs * 1000);
+        assertThat(fixture.loadQueries.shouldQuery(fixture.request(1, NOW), selected, NOW))
                 .isEqualTo(queries);
     }
 
     @Test
     void queriesNothingWhereTheHostDoesNotAllowIt() {
-        final Rules rules = new Rules(TestSettings.settings(CLASSES));
-        assertThat(rules.loadQueries.isAllowed()).isFalse();
+        final PolicyFixture fixture = new PolicyFixture(TestSettings.settings(CLASSES));
+        assertThat(fixture.loadQueries.isAllowed()).isFalse();
         assertThat(
-                        rules.loadQueries.shouldQuery(
-                                rules.request(1, NOW), reportedAt(rules, 0, 0), NOW))
+                        fixture.loadQueries.shouldQuery(
+                                fixture.request(1, NOW), reportedAt(fixture, 0, 0), NOW))
                 .isFalse();
     }
 
     @Test
     void queriesNothingWithoutAChoice() {
-        final Rules rules = new Rules(TestSettings.withLoadQueries(CLASSES));
-        assertThat(rules.loadQueries.shouldQuery(rules.request(1, NOW), reportedAt(rules, 0), NOW))
+        final PolicyFixture fixture = new PolicyFixture(TestSettings.withLoadQueries(CLASSES));
+        assertThat(
+                        fixture.loadQueries.shouldQuery(
+                                fixture.request(1, NOW), reportedAt(fixture, 0), NOW))
                 .isFalse();
     }
 
     @Test
     void endsAfterTwoRoundsOfAtMostThreeQueries() {
-        final Rules rules = new Rules(TestSettings.withLoadQueries(CLASSES));
-        final List<WorkerInstance> selected = reportedAt(rules, 0, 0, 0, 0, 0);
-        final PendingRequest request = rules.request(1, NOW);
+        final PolicyFixture fixture = new PolicyFixture(TestSettings.withLoadQueries(CLASSES));
+        final List<WorkerInstance> selected = reportedAt(fixture, 0, 0, 0, 0, 0);
+        final PendingRequest request = fixture.request(1, NOW);
         for (int round = 0; round < 2; round++) {
-            assertThat(rules.loadQueries.shouldQuery(request, selected, NOW)).isTrue();
-            assertThat(rules.loadQueries.toQuery(selected)).hasSize(3);
-            request.startQueries(rules.loadQueries.toQuery(selected));
+            assertThat(fixture.loadQueries.shouldQuery(request, selected, NOW)).isTrue();
+            assertThat(fixture.loadQueries.toQuery(selected)).hasSize(3);
+            request.startQueries(fixture.loadQueries.toQuery(selected));
         }
-        assertThat(rules.loadQueries.shouldQuery(request, selected, NOW)).isFalse();
+        assertThat(fixture.loadQueries.shouldQuery(request, selected, NOW)).isFalse();
         request.startAttempt(selected.get(0), NOW);
-        assertThat(rules.loadQueries.shouldQuery(request, selected, NOW)).isTrue();
+        assertThat(fixture.loadQueries.shouldQuery(request, selected, NOW)).isTrue();
     }
 
     @Test
     void queriesForAHedgeAgainAfterOneMeanRunningTime() {
-        final Rules rules = new Rules(TestSettings.withLoadQueries(CLASSES));
-        assertThat(rules.loadQueries.nextHedgeQueryUs(reportedAt(rules, 0), NOW))
+        final PolicyFixture fixture = new PolicyFixture(TestSettings.withLoadQueries(CLASSES));
+        assertThat(fixture.loadQueries.nextHedgeQueryUs(reportedAt(fixture, 0), NOW))
                 .isEqualTo(NOW + 400_000);
-        assertThat(rules.loadQueries.nextHedgeQueryUs(List.of(), NOW)).isZero();
+        assertThat(fixture.loadQueries.nextHedgeQueryUs(List.of(), NOW)).isZero();
     }
 }
--- a/src/test/java/cresschute/dispatch/OutlierDetectorTest.java
+++ b/src/test/java/cresschute/dispatch/OutlierDetectorTest.java
@@ -1,6 +1,6 @@
 package cresschute.dispatch;
 
-import static cresschute.dispatch.Rules.SECOND;
+import static cresschute.dispatch.PolicyFixture.SECOND;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.List;
@@ -15,20 +15,20 @@
 
     private static final long NOW = 100 * SECOND;
 
-    private Rules rules;
+    private PolicyFixture fixture;
     private OutlierDetector outliers;
     private WorkerInstance worker;
 
     @BeforeEach
-    void createRules() {
-        rules =
-                new Rules(
+    void createFixture() {
+        fixture =
+                new PolicyFixture(
                         TestSettings.hedging(
                                 List.of(
                                         TestSettings.requestClass(
                                                 1, Idempotency.SAFE, DeduplicationScope.ALL))));
-        outliers = rules.outliers;
-        worker = rules.ready(1, 0, 0);
+        outliers = fixture.outliers;
+        worker = fixture.ready(1, 0, 0);
     }
 
     private boolean isEjected(long nowUs) {
@@ -36,7 +36,7 @@
     }
 
     private AttemptRecord attempt(WorkerInstance at, long nowUs) {
-        return rules.request(1, nowUs).startAttempt(at, nowUs);
+        return fixture.request(1, nowUs).startAttempt(at, nowUs);
     }
 
     @ParameterizedTest
@@ -73,7 +73,7 @@
     @Test
     void ejectsAFullWorkerForOneMeanRunningTime() {
         outliers.ended(worker, Outcome.FULL, NOW);
-        final long meanUs = (long) rules.serviceTimes.meanRunningTimeUs();
+        final long meanUs = (long) fixture.serviceTimes.meanRunningTimeUs();
         assertThat(meanUs).isEqualTo(400_000);
         assertThat(isEjected(NOW + meanUs - 1)).isTrue();
         assertThat(isEjected(NOW + meanUs)).isFalse();
@@ -92,7 +92,8 @@
     void ejectsAnUnresponsiveWorkerForOneClassAlone() {
         final RequestClass safe =
                 TestSettings.requestClass(1, Idempotency.SAFE, DeduplicationScope.ALL);
-        final Rules twoClasses = new Rules(TestSettings.settings(List.of(safe, safe)));
+        final PolicyFixture twoClasses =
+                new PolicyFixture(TestSettings.settings(List.of(safe, safe)));
         final WorkerInstance other = twoClasses.ready(1, 0, 0);
         twoClasses.outliers.ejectUnresponsive(other, 1, NOW);
         assertThat(twoClasses.outliers.isEjected(other, 1, NOW + 3 * SECOND - 1)).isTrue();
--- a/src/test/java/cresschute/dispatch/Rules.java
+++ b/src/test/java/cresschute/dispatch/PolicyFixture.java
@@ -4,7 +4,7 @@
 import java.util.SplittableRandom;
 
 /** The rules of one dispatcher, put together as it does it, for tests of one of them. */
-final class Rules {
+final class PolicyFixture {
 
     static final long SECOND = 1_000_000;
     static final long SEED = 7;
@@ -24,11 +24,11 @@
     final EndpointListPoller poller;
     final AttemptFeedback feedback;
 
-    Rules(DispatchSettings stated) {
+    PolicyFixture(DispatchSettings stated) {
         this(stated, SEED);
     }
 
-    Rules(DispatchSettings stated, long seed) {
+    PolicyFixture(DispatchSettings stated, long seed) {
         final SplittableRandom random = new SplittableRandom(seed);
         settings = new CurrentSettings(stated);
         workers = new WorkerIndex(stated.classes().stream().map(RequestClass::placement).toList());
@@ -47,18 +47,18 @@
     }
 
     /** The rules of one class of {@link TestSettings#requestClass} and plain settings. */
-    static Rules of(Idempotency idempotency, DeduplicationScope scope) {
-        return new Rules(
+    static PolicyFixture of(Idempotency idempotency, DeduplicationScope scope) {
+        return new PolicyFixture(
                 TestSettings.settings(List.of(TestSettings.requestClass(1, idempotency, scope))));
     }
 
-    static Rules ofSafeClass() {
+    static PolicyFixture ofSafeClass() {
         return of(Idempotency.SAFE, DeduplicationScope.ALL);
     }
 
     /** A dispatchable worker that started long ago. */
     WorkerInstance ready(int id, int zone, int cell) {
-        return ready(RecordingActions.worker(id, zone, cell));
+        return ready(RecordingHost.worker(id, zone, cell));
     }
 
     WorkerInstance ready(Worker entry) {
--- a/src/test/java/cresschute/dispatch/QuotaMeterTest.java
+++ b/src/test/java/cresschute/dispatch/QuotaMeterTest.java
@@ -1,6 +1,6 @@
 package cresschute.dispatch;
 
-import static cresschute.dispatch.RecordingActions.SECOND;
+import static cresschute.dispatch.RecordingHost.SECOND;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import org.junit.jupiter.api.Test;
--- a/src/test/java/cresschute/dispatch/RecordingActions.java
+++ b/src/test/java/cresschute/dispatch/RecordingHost.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /** The host of a dispatcher under test: feeds it events with a clock and records its actions. */
-final class RecordingActions implements DispatcherActions {
+final class RecordingHost implements DispatcherActions {
 
     record Send(int request, int worker) {}
 
@@ -22,7 +22,7 @@
     long nowUs = SECOND;
     private long timerAtUs = Long.MAX_VALUE;
 
-    RecordingActions(DispatchSettings settings) {
+    RecordingHost(DispatchSettings settings) {
         dispatcher = new Dispatcher(settings, 7, this);
     }
 
@@ -34,7 +34,7 @@
         return new Worker(id, 0, 0, 0, state, 1, startedAtUs);
     }
 
-    RecordingActions list(EndpointListForm form, Worker... workers) {
+    RecordingHost list(EndpointListForm form, Worker... workers) {
         dispatcher.endpointListChanged(nowUs, form, List.of(workers));
         return this;
     }
@@ -58,7 +58,7 @@
     }
 
     /** Lets time pass, with the dispatcher's own timer and nothing else. */
-    void pass(long us) {
+    void advanceTime(long us) {
         final long untilUs = nowUs + us;
         while (timerAtUs <= untilUs) {
             nowUs = timerAtUs;
--- a/src/test/java/cresschute/dispatch/RetryPolicyTest.java
+++ b/src/test/java/cresschute/dispatch/RetryPolicyTest.java
@@ -1,6 +1,6 @@
 package cresschute.dispatch;
 
-import static cresschute.dispatch.Rules.SECOND;
+import static cresschute.dispatch.PolicyFixture.SECOND;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.List;
@@ -14,27 +14,27 @@
 
     private static final long NOW = 100 * SECOND;
 
-    private static PendingRequest ran(Rules rules) {
-        final PendingRequest request = rules.request(1, NOW);
-        final AttemptRecord attempt = request.startAttempt(rules.ready(1, 0, 0), NOW);
-        rules.retries.markMayHaveRun(request, attempt);
+    private static PendingRequest ran(PolicyFixture fixture) {
+        final PendingRequest request = fixture.request(1, NOW);
+        final AttemptRecord attempt = request.startAttempt(fixture.ready(1, 0, 0), NOW);
+        fixture.retries.markMayHaveRun(request, attempt);
         return request;
     }
 
     @ParameterizedTest
     @CsvSource({"SAFE, true", "KEYED, true", "UNSAFE, false"})
     void allowsARetryOfWhatMayHaveRunByIdempotency(Idempotency idempotency, boolean allowed) {
-        final Rules rules = Rules.of(idempotency, DeduplicationScope.ALL);
-        assertThat(rules.retries.allowsAttempt(ran(rules), NOW)).isEqualTo(allowed);
+        final PolicyFixture fixture = PolicyFixture.of(idempotency, DeduplicationScope.ALL);
+        assertThat(fixture.retries.allowsAttempt(ran(fixture), NOW)).isEqualTo(allowed);
     }
 
     @ParameterizedTest
     @EnumSource
     void allowsARetryOfWhatNeverRanForEveryIdempotency(Idempotency idempotency) {
-        final Rules rules = Rules.of(idempotency, DeduplicationScope.ALL);
-        final PendingRequest request = rules.request(1, NOW);
-        request.startAttempt(rules.ready(1, 0, 0), NOW);
-        assertThat(rules.retries.allowsAttempt(request, NOW)).isTrue();
+        final PolicyFixture fixture = PolicyFixture.of(idempotency, DeduplicationScope.ALL);
+        final PendingRequest request = fixture.request(1, NOW);
+        request.startAttempt(fixture.ready(1, 0, 0), NOW);
+        assertThat(fixture.retries.allowsAttempt(request, NOW)).isTrue();
     }
 
     @Test
@@ -50,10 +50,10 @@
                                 DeduplicationScope.ALL,
                                 SECOND,
                                 Placement.ANYWHERE));
-        final Rules rules = new Rules(TestSettings.settings(patient));
-        final PendingRequest request = ran(rules);
-        assertThat(rules.retries.allowsAttempt(request, NOW + SECOND - 1)).isTrue();
-        assertThat(rules.retries.allowsAttempt(request, NOW + SECOND)).isFalse();
+        final PolicyFixture fixture = new PolicyFixture(TestSettings.settings(patient));
+        final PendingRequest request = ran(fixture);
+        assertThat(fixture.retries.allowsAttempt(request, NOW + SECOND - 1)).isTrue();
+        assertThat(fixture.retries.allowsAttempt(request, NOW + SECOND)).isFalse();
     }
 
     @ParameterizedTest(name = "{0}, full may have run: {1}")
@@ -76,26 +76,27 @@
                         List.of(
                                 TestSettings.requestClass(
                                         1, Idempotency.SAFE, DeduplicationScope.ALL)));
-        final Rules rules =
-                new Rules(fullMayHaveRun ? settings.fullMayHaveRun().build() : settings.build());
-        assertThat(rules.retries.mayHaveRun(outcome)).isEqualTo(mayHaveRun);
+        final PolicyFixture fixture =
+                new PolicyFixture(
+                        fullMayHaveRun ? settings.fullMayHaveRun().build() : settings.build());
+        assertThat(fixture.retries.mayHaveRun(outcome)).isEqualTo(mayHaveRun);
     }
 
     @Test
     void staysWithinTheLowerLimitOfArrivalAndNow() {
         final List<RequestClass> classes =
                 List.of(TestSettings.requestClass(1, Idempotency.SAFE, DeduplicationScope.ALL));
-        final Rules rules = new Rules(limited(classes, 3));
-        final PendingRequest request = rules.request(1, NOW);
-        final WorkerInstance worker = rules.ready(1, 0, 0);
+        final PolicyFixture fixture = new PolicyFixture(limited(classes, 3));
+        final PendingRequest request = fixture.request(1, NOW);
+        final WorkerInstance worker = fixture.ready(1, 0, 0);
         request.startAttempt(worker, NOW);
-        rules.settings.replace(limited(classes, 1));
-        assertThat(rules.retries.allowsAttempt(request, NOW)).isFalse();
-        rules.settings.replace(limited(classes, 9));
+        fixture.settings.replace(limited(classes, 1));
+        assertThat(fixture.retries.allowsAttempt(request, NOW)).isFalse();
+        fixture.settings.replace(limited(classes, 9));
         request.startAttempt(worker, NOW);
-        assertThat(rules.retries.allowsAttempt(request, NOW)).isTrue();
+        assertThat(fixture.retries.allowsAttempt(request, NOW)).isTrue();
         request.startAttempt(worker, NOW);
-        assertThat(rules.retries.allowsAttempt(request, NOW)).isFalse();
+        assertThat(fixture.retries.allowsAttempt(request, NOW)).isFalse();
     }
 
     private static DispatchSettings limited(List<RequestClass> classes, int maxAttempts) {
@@ -105,7 +106,8 @@
     @ParameterizedTest
     @CsvSource({"ALL, false", "ZONE, true", "CELL, true"})
     void bindsAKeyedRequestToItsDeduplicationGroup(DeduplicationScope scope, boolean bound) {
-        assertThat(ran(Rules.of(Idempotency.KEYED, scope)).isBoundToGroup()).isEqualTo(bound);
-        assertThat(ran(Rules.of(Idempotency.SAFE, scope)).isBoundToGroup()).isFalse();
+        assertThat(ran(PolicyFixture.of(Idempotency.KEYED, scope)).isBoundToGroup())
+                .isEqualTo(bound);
+        assertThat(ran(PolicyFixture.of(Idempotency.SAFE, scope)).isBoundToGroup()).isFalse();
     }
 }
--- a/src/test/java/cresschute/dispatch/ServiceTimeEstimatorTest.java
+++ b/src/test/java/cresschute/dispatch/ServiceTimeEstimatorTest.java
@@ -1,6 +1,6 @@
 package cresschute.dispatch;
 
-import static cresschute.dispatch.Rules.SECOND;
+import static cresschute.dispatch.PolicyFixture.SECOND;
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.within;
 
@@ -12,78 +12,78 @@
     private static final long NOW = 100 * SECOND;
     private static final long INITIAL_US = 400_000;
 
-    private final Rules rules = Rules.ofSafeClass();
-    private final WorkerInstance worker = rules.ready(1, 0, 0);
+    private final PolicyFixture fixture = PolicyFixture.ofSafeClass();
+    private final WorkerInstance worker = fixture.ready(1, 0, 0);
 
     @Test
     void beginsWithTwiceTheLatencyObjective() {
-        assertThat(rules.serviceTimes.meanRunningTimeUs()).isEqualTo(INITIAL_US);
-        assertThat(rules.request(1, NOW).runningTimeUs()).isEqualTo(INITIAL_US);
+        assertThat(fixture.serviceTimes.meanRunningTimeUs()).isEqualTo(INITIAL_US);
+        assertThat(fixture.request(1, NOW).runningTimeUs()).isEqualTo(INITIAL_US);
     }
 
     @Test
     void learnsTheRunningTimeFromTheStartReportOn() {
-        final PendingRequest request = rules.request(1, NOW);
+        final PendingRequest request = fixture.request(1, NOW);
         final AttemptRecord attempt = request.startAttempt(worker, NOW);
         attempt.progressReported(NOW + SECOND, 0.5);
-        rules.serviceTimes.attemptServed(
+        fixture.serviceTimes.attemptServed(
                 request, attempt, NOW + SECOND + 100_000, SECOND + 100_000, 1);
         assertThat(request.owner().runningTimeUs()).isEqualTo(200_000);
-        assertThat(rules.serviceTimes.meanRunningTimeUs())
+        assertThat(fixture.serviceTimes.meanRunningTimeUs())
                 .isCloseTo(INITIAL_US + 0.03 * (200_000 - INITIAL_US), within(1e-6));
     }
 
     @Test
     void doesNotLearnAClassFromJobsWithAHint() {
         final Job hinted = new Job(0, 0, 1, 50_000, Job.NO_DATA, false);
-        final PendingRequest request = rules.request(1, NOW, NOW + 5 * SECOND, hinted);
+        final PendingRequest request = fixture.request(1, NOW, NOW + 5 * SECOND, hinted);
         final AttemptRecord attempt = request.startAttempt(worker, NOW);
         attempt.progressReported(NOW, 0);
-        rules.serviceTimes.attemptServed(request, attempt, NOW + SECOND, SECOND, 1);
+        fixture.serviceTimes.attemptServed(request, attempt, NOW + SECOND, SECOND, 1);
         assertThat(request.owner().runningTimeUs()).isEqualTo(INITIAL_US);
         assertThat(request.runningTimeUs()).isEqualTo(50_000);
     }
 
     @Test
     void givesADurationThatMayHoldWaitingLessWeight() {
-        final ClassState owner = rules.request(0, NOW).owner();
+        final ClassState owner = fixture.request(0, NOW).owner();
         for (int i = 0; i < 1000; i++) {
             owner.learnRunningTime(100_000, 0.03);
         }
         final double before = owner.runningTimeUs();
-        final PendingRequest request = rules.request(1, NOW);
+        final PendingRequest request = fixture.request(1, NOW);
         final AttemptRecord attempt = request.startAttempt(worker, NOW);
-        rules.serviceTimes.attemptServed(request, attempt, NOW + SECOND, SECOND, 1);
+        fixture.serviceTimes.attemptServed(request, attempt, NOW + SECOND, SECOND, 1);
         assertThat(owner.runningTimeUs())
                 .isCloseTo(before + 0.03 * 0.2 * (SECOND - before), within(1e-3));
     }
 
     @Test
     void datesNoStartByAReportThatCameWithTheEnd() {
-        final PendingRequest request = rules.request(1, NOW);
+        final PendingRequest request = fixture.request(1, NOW);
         final AttemptRecord attempt = request.startAttempt(worker, NOW);
         attempt.progressReported(NOW + 300_000, 0);
-        rules.serviceTimes.attemptServed(request, attempt, NOW + 300_000, 300_000, 1);
+        fixture.serviceTimes.attemptServed(request, attempt, NOW + 300_000, 300_000, 1);
         assertThat(request.owner().runningTimeUs()).isEqualTo(300_000);
         assertThat(worker.pace()).isEqualTo(1);
     }
 
     @Test
     void learnsThePaceOfAWorkerWithinBounds() {
-        final PendingRequest request = rules.request(1, NOW);
+        final PendingRequest request = fixture.request(1, NOW);
         final AttemptRecord attempt = request.startAttempt(worker, NOW);
-        rules.serviceTimes.attemptLate(attempt);
+        fixture.serviceTimes.attemptLate(attempt);
         // The kind takes its first sample in full, the worker 15 % of it.
         assertThat(worker.pace()).isCloseTo(3 * 1.3, within(1e-9));
     }
 
     @Test
     void countsTheTimeBeforeTheStartAsWaiting() {
-        final PendingRequest request = rules.request(1, NOW);
+        final PendingRequest request = fixture.request(1, NOW);
         final AttemptRecord attempt = request.startAttempt(worker, NOW);
-        assertThat(rules.serviceTimes.waitedUs(request, attempt, NOW + SECOND)).isEqualTo(SECOND);
+        assertThat(fixture.serviceTimes.waitedUs(request, attempt, NOW + SECOND)).isEqualTo(SECOND);
         attempt.progressReported(NOW + SECOND, 0.25);
-        assertThat(rules.serviceTimes.waitedUs(request, attempt, NOW + 2 * SECOND))
+        assertThat(fixture.serviceTimes.waitedUs(request, attempt, NOW + 2 * SECOND))
                 .isEqualTo(SECOND - 0.25 * INITIAL_US);
     }
 }
--- a/src/test/java/cresschute/dispatch/SettingsChangeTest.java
+++ b/src/test/java/cresschute/dispatch/SettingsChangeTest.java
@@ -1,6 +1,6 @@
 package cresschute.dispatch;
 
-import static cresschute.dispatch.RecordingActions.SECOND;
+import static cresschute.dispatch.RecordingHost.SECOND;
 import static cresschute.dispatch.TestSettings.placedClass;
 import static cresschute.dispatch.TestSettings.requestClass;
 import static cresschute.dispatch.TestSettings.settings;
@@ -32,8 +32,8 @@
     @Test
     void sendsANewClassWithinItsNewPlacement() {
         final DispatchSettings start = settings(List.of(SAFE));
-        final RecordingActions host =
-                new RecordingActions(start)
+        final RecordingHost host =
+                new RecordingHost(start)
                         .list(EndpointListForm.CACHED, at(1, 0), at(2, 1), at(3, 1));
         final RequestClass second =
                 placedClass(
@@ -61,27 +61,27 @@
 
     @Test
     void appliesALowerLimitToPendingRequestsAndAHigherOneOnlyToLaterOnes() {
-        final RecordingActions fewer =
-                new RecordingActions(with(List.of(SAFE), 4))
+        final RecordingHost fewer =
+                new RecordingHost(with(List.of(SAFE), 4))
                         .list(EndpointListForm.CACHED, at(1, 0), at(2, 0));
         fewer.request(1, 0);
         fewer.dispatcher.settingsChanged(fewer.nowUs, with(List.of(SAFE), 1));
         fewer.end(1, 0, fewer.lastSend().worker(), Outcome.FULL);
-        fewer.pass(SECOND);
+        fewer.advanceTime(SECOND);
         assertThat(fewer.sends).hasSize(1);
         assertThat(fewer.rejected).containsExactly(1);
 
-        final RecordingActions more =
-                new RecordingActions(with(List.of(SAFE), 1))
+        final RecordingHost more =
+                new RecordingHost(with(List.of(SAFE), 1))
                         .list(EndpointListForm.CACHED, at(1, 0), at(2, 0));
         more.request(1, 0);
         more.dispatcher.settingsChanged(more.nowUs, with(List.of(SAFE), 4));
         more.end(1, 0, more.lastSend().worker(), Outcome.FULL);
-        more.pass(SECOND);
+        more.advanceTime(SECOND);
         assertThat(more.sends).hasSize(1);
         more.request(2, 0);
         more.end(2, 0, more.lastSend().worker(), Outcome.FULL);
-        more.pass(SECOND);
+        more.advanceTime(SECOND);
         assertThat(more.sends).hasSize(3);
     }
 
@@ -102,23 +102,23 @@
                                 Placement.ANYWHERE));
         final DispatchSettings with = TestSettings.hedging(classes);
         final DispatchSettings without = new TestSettings(classes).progressUs(SECOND).build();
-        final RecordingActions host =
-                new RecordingActions(before ? with : without)
+        final RecordingHost host =
+                new RecordingHost(before ? with : without)
                         .list(EndpointListForm.CACHED, at(1, 0), at(2, 0), at(3, 0), at(4, 0));
         host.request(1, 0);
         host.dispatcher.settingsChanged(host.nowUs, after ? with : without);
-        host.pass(SECOND * 5 / 2);
+        host.advanceTime(SECOND * 5 / 2);
         assertThat(host.sends).hasSize(1);
         host.dispatcher.settingsChanged(host.nowUs, with);
         host.request(2, 0);
-        host.pass(SECOND * 5 / 2);
+        host.advanceTime(SECOND * 5 / 2);
         assertThat(host.sends.stream().filter(send -> send.request() == 2)).hasSize(2);
     }
 
     @Test
     void rejectsSettingsThatChangeAClassInForce() {
         final DispatchSettings start = settings(List.of(SAFE));
-        final RecordingActions host = new RecordingActions(start);
+        final RecordingHost host = new RecordingHost(start);
         final RequestClass changed = requestClass(2, Idempotency.SAFE, DeduplicationScope.ALL);
         assertThatThrownBy(
                         () ->
--- a/src/test/java/cresschute/dispatch/DispatcherHosts.java
+++ b/src/test/java/cresschute/dispatch/TestHosts.java
@@ -1,24 +1,24 @@
 package cresschute.dispatch;
 
-import static cresschute.dispatch.RecordingActions.SECOND;
-import static cresschute.dispatch.RecordingActions.worker;
+import static cresschute.dispatch.RecordingHost.SECOND;
+import static cresschute.dispatch.RecordingHost.worker;
 import static cresschute.dispatch.TestSettings.requestClass;
 import static cresschute.dispatch.TestSettings.settings;
 
 import java.util.List;
 
 /** Hosts that several tests begin with. */
-final class DispatcherHosts {
+final class TestHosts {
 
-    private DispatcherHosts() {}
+    private TestHosts() {}
 
     /** A host of one class, without a list. */
-    static RecordingActions hostWith(Idempotency idempotency, DeduplicationScope scope) {
-        return new RecordingActions(settings(List.of(requestClass(1, idempotency, scope))));
+    static RecordingHost hostOfClass(Idempotency idempotency, DeduplicationScope scope) {
+        return new RecordingHost(settings(List.of(requestClass(1, idempotency, scope))));
     }
 
     /** A host of one job that has started, whose worker reports progress each second. */
-    static RecordingActions hostWithARunningJob(Idempotency idempotency) {
+    static RecordingHost hostWithRunningJob(Idempotency idempotency) {
         final RequestClass patient =
                 new RequestClass(
                         1,
@@ -29,8 +29,8 @@
                         DeduplicationScope.CELL,
                         SECOND * 4,
                         Placement.ANYWHERE);
-        final RecordingActions host =
-                new RecordingActions(TestSettings.hedging(List.of(patient)))
+        final RecordingHost host =
+                new RecordingHost(TestSettings.hedging(List.of(patient)))
                         .list(
                                 EndpointListForm.CACHED,
                                 worker(1, 0, 0),
@@ -43,21 +43,21 @@
     }
 
     /** A host of a safe class and two workers in two zones and cells. */
-    static RecordingActions twoSafeWorkers() {
-        return hostWith(Idempotency.SAFE, DeduplicationScope.ALL)
+    static RecordingHost twoSafeWorkers() {
+        return hostOfClass(Idempotency.SAFE, DeduplicationScope.ALL)
                 .list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 1, 1));
     }
 
     /** A host of a safe class and three workers. */
-    static RecordingActions threeSafeWorkers() {
-        return hostWith(Idempotency.SAFE, DeduplicationScope.ALL)
+    static RecordingHost threeSafeWorkers() {
+        return hostOfClass(Idempotency.SAFE, DeduplicationScope.ALL)
                 .list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 0, 0), worker(3, 0, 0));
     }
 
     /** A host of two classes of equal work and unlike priority weight, and four workers. */
-    static RecordingActions twoClasses() {
-        final RecordingActions host =
-                new RecordingActions(
+    static RecordingHost twoClasses() {
+        final RecordingHost host =
+                new RecordingHost(
                         settings(
                                 List.of(
                                         requestClass(
@@ -73,7 +73,7 @@
     }
 
     /** Offers 100 requests a second; of each ten, seven are served and the others end as given. */
-    static void offer(RecordingActions host, int fromId, int toId, Outcome beyond) {
+    static void offer(RecordingHost host, int fromId, int toId, Outcome beyond) {
         int served = 0;
         for (int id = fromId; id < toId; id++) {
             served = id % 10 == 0 ? 0 : served;
@@ -82,13 +82,13 @@
             if (host.sends.size() > before) {
                 host.end(id, 0, host.lastSend().worker(), served++ < 7 ? Outcome.SERVED : beyond);
             }
-            host.pass(SECOND / 100);
+            host.advanceTime(SECOND / 100);
         }
     }
 
     /** A host of two classes after 20 s of {@link #offer}. */
-    static RecordingActions underLoad(Outcome beyond) {
-        final RecordingActions host = twoClasses();
+    static RecordingHost underLoad(Outcome beyond) {
+        final RecordingHost host = twoClasses();
         offer(host, 0, 2000, beyond);
         return host;
     }
--- a/src/test/java/cresschute/dispatch/WorkerSelectorTest.java
+++ b/src/test/java/cresschute/dispatch/WorkerSelectorTest.java
@@ -1,6 +1,6 @@
 package cresschute.dispatch;
 
-import static cresschute.dispatch.Rules.SECOND;
+import static cresschute.dispatch.PolicyFixture.SECOND;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.ArrayList;
@@ -12,81 +12,81 @@
 
     private static final long NOW = 100 * SECOND;
 
-    private final Rules rules = Rules.ofSafeClass();
+    private final PolicyFixture fixture = PolicyFixture.ofSafeClass();
 
     @Test
     void selectsNothingWithoutWorkers() {
-        assertThat(rules.selector.select(rules.request(1, NOW), NOW)).isEmpty();
+        assertThat(fixture.selector.select(fixture.request(1, NOW), NOW)).isEmpty();
     }
 
     @Test
     void putsTheLeastExpectedLatencyFirst() {
-        final WorkerInstance busy = rules.ready(1, 0, 0);
-        final WorkerInstance idle = rules.ready(2, 0, 0);
+        final WorkerInstance busy = fixture.ready(1, 0, 0);
+        final WorkerInstance idle = fixture.ready(2, 0, 0);
         busy.reserveSlots(3);
         for (int id = 0; id < 50; id++) {
             final List<WorkerInstance> selected =
-                    rules.selector.select(rules.request(id, NOW), NOW);
+                    fixture.selector.select(fixture.request(id, NOW), NOW);
             assertThat(selected.get(0)).isSameAs(selected.contains(idle) ? idle : busy);
         }
     }
 
     @Test
     void ranksAFasterWorkerBeforeASlowerOne() {
-        final WorkerInstance fast = rules.ready(1, 0, 0);
-        final WorkerInstance slow = rules.ready(2, 0, 0);
+        final WorkerInstance fast = fixture.ready(1, 0, 0);
+        final WorkerInstance slow = fixture.ready(2, 0, 0);
         slow.learnPace(3);
-        final PendingRequest request = rules.request(1, NOW);
-        assertThat(rules.selector.cost(fast, request, NOW))
-                .isLessThan(rules.selector.cost(slow, request, NOW));
+        final PendingRequest request = fixture.request(1, NOW);
+        assertThat(fixture.selector.cost(fast, request, NOW))
+                .isLessThan(fixture.selector.cost(slow, request, NOW));
     }
 
     @Test
     void addsThePriceOfAZoneCrossing() {
-        final WorkerInstance near = rules.ready(1, 0, 0);
-        final WorkerInstance far = rules.ready(2, 1, 1);
-        final PendingRequest request = rules.request(1, NOW);
+        final WorkerInstance near = fixture.ready(1, 0, 0);
+        final WorkerInstance far = fixture.ready(2, 1, 1);
+        final PendingRequest request = fixture.request(1, NOW);
         // 20 times the price of 0.02 makes an answer count as 40 % longer.
-        assertThat(rules.selector.cost(far, request, NOW))
-                .isEqualTo(rules.selector.cost(near, request, NOW) * 1.4);
+        assertThat(fixture.selector.cost(far, request, NOW))
+                .isEqualTo(fixture.selector.cost(near, request, NOW) * 1.4);
     }
 
     @Test
     void doesNotReturnTheWorkerOfTheLastAttempt() {
-        final WorkerInstance last = rules.ready(1, 0, 0);
-        rules.ready(2, 0, 0);
-        final PendingRequest request = rules.request(1, NOW);
+        final WorkerInstance last = fixture.ready(1, 0, 0);
+        fixture.ready(2, 0, 0);
+        final PendingRequest request = fixture.request(1, NOW);
         request.startAttempt(last, NOW);
         for (int i = 0; i < 50; i++) {
-            assertThat(rules.selector.select(request, NOW)).doesNotContain(last);
+            assertThat(fixture.selector.select(request, NOW)).doesNotContain(last);
         }
     }
 
     @Test
     void prefersWorkersThatAreNotEjected() {
-        final WorkerInstance ejected = rules.ready(1, 0, 0);
-        final WorkerInstance ready = rules.ready(2, 0, 0);
+        final WorkerInstance ejected = fixture.ready(1, 0, 0);
+        final WorkerInstance ready = fixture.ready(2, 0, 0);
         ejected.ejectUntil(NOW + SECOND);
         for (int id = 0; id < 50; id++) {
             final List<WorkerInstance> selected =
-                    rules.selector.select(rules.request(id, NOW), NOW);
+                    fixture.selector.select(fixture.request(id, NOW), NOW);
             if (selected.contains(ready)) {
                 assertThat(selected).containsExactly(ready);
             }
         }
-        assertThat(rules.selector.hasCapacity(ejected, rules.request(1, NOW), NOW)).isFalse();
+        assertThat(fixture.selector.hasCapacity(ejected, fixture.request(1, NOW), NOW)).isFalse();
     }
 
     @Test
     void ignoresEjectionWhereAllWorkersAreEjected() {
-        rules.ready(1, 0, 0).ejectUntil(NOW + SECOND);
-        rules.ready(2, 0, 0).ejectUntil(NOW + SECOND);
-        assertThat(rules.selector.select(rules.request(1, NOW), NOW)).isNotEmpty();
+        fixture.ready(1, 0, 0).ejectUntil(NOW + SECOND);
+        fixture.ready(2, 0, 0).ejectUntil(NOW + SECOND);
+        assertThat(fixture.selector.select(fixture.request(1, NOW), NOW)).isNotEmpty();
     }
 
     @Test
     void staysWithinTheDeduplicationGroup() {
-        final Rules keyed = Rules.of(Idempotency.KEYED, DeduplicationScope.CELL);
+        final PolicyFixture keyed = PolicyFixture.of(Idempotency.KEYED, DeduplicationScope.CELL);
         final WorkerInstance first = keyed.ready(1, 0, 0);
         final WorkerInstance sameCell = keyed.ready(2, 0, 0);
         keyed.ready(3, 0, 1);
@@ -102,7 +102,7 @@
     void selectsTheSameWorkersForTheSameSeed() {
         final List<List<Integer>> runs = new ArrayList<>();
         for (int run = 0; run < 2; run++) {
-            final Rules each = Rules.ofSafeClass();
+            final PolicyFixture each = PolicyFixture.ofSafeClass();
             for (int id = 0; id < 20; id++) {
                 each.ready(id, id % 3, id % 4);
             }
--- a/src/test/java/cresschute/dispatch/WorkerVisits.java
+++ b/src/test/java/cresschute/dispatch/WorkerVisitCounter.java
@@ -14,17 +14,17 @@
  * Counts how often a dispatcher looks at one of its workers, by instrumented collections in the
  * place of its own.
  */
-public final class WorkerVisits {
+public final class WorkerVisitCounter {
 
     private long count;
 
-    private WorkerVisits() {}
+    private WorkerVisitCounter() {}
 
     /**
      * Puts counting collections into a dispatcher that has its list; its classes may go anywhere.
      */
-    public static WorkerVisits of(Dispatcher dispatcher, int zones) {
-        final WorkerVisits visits = new WorkerVisits();
+    public static WorkerVisitCounter of(Dispatcher dispatcher, int zones) {
+        final WorkerVisitCounter visits = new WorkerVisitCounter();
         try {
             final WorkerIndex index =
                     (WorkerIndex) fieldOfType(Dispatcher.class, WorkerIndex.class).get(dispatcher);
--- a/src/test/java/cresschute/scale/DecisionCostScaleTest.java
+++ b/src/test/java/cresschute/scale/DecisionCostScaleTest.java
@@ -5,7 +5,7 @@
 import cresschute.dispatch.EndpointListForm;
 import cresschute.dispatch.Outcome;
 import cresschute.dispatch.WorkerState;
-import cresschute.dispatch.WorkerVisits;
+import cresschute.dispatch.WorkerVisitCounter;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -38,7 +38,7 @@
     /** Mean visits of a decision and of the ending that follows; none may exceed the bound. */
     private static double visitsADecision(int workers) {
         final ScriptedHost host = host(workers);
-        final WorkerVisits visits = WorkerVisits.of(host.module, PlannedSize.ZONES);
+        final WorkerVisitCounter visits = WorkerVisitCounter.of(host.module, PlannedSize.ZONES);
         long all = 0;
         for (int i = 0; i < DECISIONS; i++) {
             host.nowUs += BETWEEN_DECISIONS_US;
@@ -72,7 +72,7 @@
     void visitsEachWorkerAFewTimesASecondForTimers() {
         for (final int workers : new int[] {PlannedSize.TENTH_OF_WORKERS, PlannedSize.WORKERS}) {
             final ScriptedHost host = host(workers);
-            final WorkerVisits visits = WorkerVisits.of(host.module, PlannedSize.ZONES);
+            final WorkerVisitCounter visits = WorkerVisitCounter.of(host.module, PlannedSize.ZONES);
             final int seconds = 20;
             host.pass(seconds * PlannedSize.SECOND_US);
             assertThat((double) visits.take() / workers / seconds)
@@ -85,7 +85,7 @@
     void visitsEachWorkerAFewTimesForAChangeOfTheList() {
         for (final int workers : new int[] {PlannedSize.TENTH_OF_WORKERS, PlannedSize.WORKERS}) {
             final ScriptedHost host = host(workers);
-            final WorkerVisits visits = WorkerVisits.of(host.module, PlannedSize.ZONES);
+            final WorkerVisitCounter visits = WorkerVisitCounter.of(host.module, PlannedSize.ZONES);
             host.list(
                     EndpointListForm.CHANGES,
                     List.of(PlannedSize.worker(3, WorkerState.DRAINING, 0)));
