--- a/src/main/java/cresschute/dispatch/AdmissionController.java
+++ b/src/main/java/cresschute/dispatch/AdmissionController.java
@@ -32,7 +32,7 @@
     /** Mean time between two fills, us; each is jittered by a quarter. */
     private static final long INTERVAL_US = 400_000;
 
-    /** Value of {@link #nextFillUs} before the start; clocks are later. */
+    /** Value of {@link #nextAllocationUs} before the start; clocks are later. */
     private static final long NOT_STARTED = 0;
 
     /** Quota tokens that a request takes when its client sends it first. */
@@ -49,8 +49,8 @@
     private QuotaMeter[] quotaMeters;
     private double meanPriorityWeight;
     private double marginalPriorityWeight = 1;
-    private long nextFillUs = NOT_STARTED;
-    private long lastFillUs;
+    private long nextAllocationUs = NOT_STARTED;
+    private long lastAllocationUs;
 
     AdmissionController(
             CurrentSettings settings,
@@ -71,13 +71,14 @@
         final int before = buckets.classCount();
         final int count = current.classes().size();
         for (int index = before; index < count; index++) {
-            final RequestClass stated = current.classes().get(index);
-            final ClassState added = new ClassState(index, stated, workers, current.zone());
+            final RequestClass requestClass = current.classes().get(index);
+            final ClassState classState =
+                    new ClassState(index, requestClass, workers, current.zone());
             if (before == 0) {
-                serviceTimes.addInitialRunningTime(added.runningTimeUs() / count);
-                meanPriorityWeight += stated.priorityWeight() / count;
+                serviceTimes.addInitialRunningTime(classState.runningTimeUs() / count);
+                meanPriorityWeight += requestClass.priorityWeight() / count;
             }
-            buckets.add(added, current.overQuotaWeightFactor());
+            buckets.add(classState, current.overQuotaWeightFactor());
         }
     }
 
@@ -101,13 +102,13 @@
 
     /** Whether {@link #start} was called or a fill was made. */
     boolean isStarted() {
-        return nextFillUs != NOT_STARTED;
+        return nextAllocationUs != NOT_STARTED;
     }
 
     /** Starts to count the time between fills. */
     void start(long nowUs) {
-        lastFillUs = nowUs;
-        nextFillUs = nowUs + INTERVAL_US;
+        lastAllocationUs = nowUs;
+        nextAllocationUs = nowUs + INTERVAL_US;
     }
 
     /** The bucket of an arriving job, whose tenant's quota it uses. */
@@ -120,15 +121,15 @@
     }
 
     /** Whether the next fill is due. */
-    boolean isFillDue(long nowUs) {
-        return nowUs >= nextFillUs;
+    boolean isAllocationDue(long nowUs) {
+        return nowUs >= nextAllocationUs;
     }
 
     /** Adjusts all budgets to what ended since the last fill, and fills them. */
-    void refill(long nowUs) {
-        final double elapsedUs = Math.max(1, nowUs - lastFillUs);
-        lastFillUs = nowUs;
-        nextFillUs = nowUs + INTERVAL_US * 3 / 4 + random.nextLong(INTERVAL_US / 2);
+    void reallocate(long nowUs) {
+        final double elapsedUs = Math.max(1, nowUs - lastAllocationUs);
+        lastAllocationUs = nowUs;
+        nextAllocationUs = nowUs + INTERVAL_US * 3 / 4 + random.nextLong(INTERVAL_US / 2);
         updateDemand(elapsedUs);
         final CapacityEstimator.Conditions conditions =
                 new CapacityEstimator.Conditions(
@@ -139,7 +140,7 @@
         for (final CapacityEstimator capacity : workers.capacities()) {
             capacity.adjust(elapsedUs, conditions);
         }
-        marginalPriorityWeight = fill(buckets.all(), marginalPriorityWeight);
+        marginalPriorityWeight = allocateCapacity(buckets.all(), marginalPriorityWeight);
     }
 
     private void updateDemand(double elapsedUs) {
@@ -150,7 +151,7 @@
             bucket.updateDemand(elapsedUs, sampleWeight);
             bucket.scalePriorityWeight(
                     byWork ? bucket.work() / serviceTimes.meanRunningTimeUs() : 1);
-            bucket.offer();
+            bucket.addOfferedToCapacities();
         }
     }
 
@@ -158,10 +159,10 @@
      * Sets the admit probabilities by what the capacities leave unallocated.
      *
      * @param buckets sorted by this call, most priority weight per work first
-     * @param otherwise what to return where nothing is admitted above the floors
+     * @param defaultValue what to return where nothing is admitted above the floors
      * @return priority weight per work of the last work admitted, over the mean of all admitted
      */
-    static double fill(DemandBucket[] buckets, double otherwise) {
+    static double allocateCapacity(DemandBucket[] buckets, double defaultValue) {
         Arrays.sort(buckets, Comparator.comparingDouble(bucket -> -bucket.weightPerWork()));
         for (final DemandBucket bucket : buckets) {
             bucket.resetAdmission();
@@ -169,13 +170,13 @@
         }
         double priorityWeight = 0;
         double work = 0;
-        double marginal = otherwise;
+        double marginal = defaultValue;
         for (final DemandBucket bucket : buckets) {
-            final double part = Math.min(1 - FLOOR, bucket.fittingPart());
-            bucket.admit(part);
+            final double fraction = Math.min(1 - FLOOR, bucket.fittingFraction());
+            bucket.admit(fraction);
             priorityWeight += bucket.admitProbability() * bucket.rate() * bucket.priorityWeight();
             work += bucket.admitProbability() * bucket.rate() * bucket.work();
-            if (part > 0 && bucket.rate() > 0) {
+            if (fraction > 0 && bucket.rate() > 0) {
                 marginal = bucket.weightPerWork() * work / priorityWeight;
             }
         }
--- a/src/main/java/cresschute/dispatch/AttemptFeedback.java
+++ b/src/main/java/cresschute/dispatch/AttemptFeedback.java
@@ -41,20 +41,20 @@
     }
 
     /** Takes in the load report that came with an attempt's end, and its worker's health. */
-    void endedAt(
+    void recordLoadAndOutcome(
             WorkerInstance worker,
             PendingRequest request,
             Outcome outcome,
             LoadReport report,
             long nowUs) {
-        loads.reported(worker, report, nowUs);
-        if (outcome != Outcome.UNUSABLE && !isImpatient(request, outcome)) {
-            outliers.ended(worker, outcome, nowUs);
+        loads.loadReported(worker, report, nowUs);
+        if (outcome != Outcome.UNUSABLE && !isShortDeadlineTimeout(request, outcome)) {
+            outliers.recordOutcome(worker, outcome, nowUs);
         }
     }
 
     /** Takes in the running time of a served attempt, or that its worker was full. */
-    void learn(
+    void updateEstimates(
             PendingRequest request,
             AttemptRecord attempt,
             Outcome outcome,
@@ -88,7 +88,7 @@
             case CONNECT_FAILED ->
                     addEvidence(request, attempt, CapacityEstimator.Evidence.OVERLOAD);
             case TIMED_OUT -> {
-                if (!requestClosed && !isImpatient(request, outcome)) {
+                if (!requestClosed && !isShortDeadlineTimeout(request, outcome)) {
                     addEvidence(request, attempt, CapacityEstimator.Evidence.OVERLOAD);
                 }
             }
@@ -101,12 +101,12 @@
         attempt.worker().addEvidence(evidence, request.priorityWeight());
     }
 
-    private boolean isImpatient(PendingRequest request, Outcome outcome) {
-        return outcome == Outcome.TIMED_OUT && deadlines.isImpatient(request);
+    private boolean isShortDeadlineTimeout(PendingRequest request, Outcome outcome) {
+        return outcome == Outcome.TIMED_OUT && deadlines.hasShortDeadline(request);
     }
 
     /** Takes in that an attempt in flight is late; a stalled worker is no sign of overload. */
-    void late(PendingRequest request, AttemptRecord attempt, long nowUs) {
+    void recordLateAttempt(PendingRequest request, AttemptRecord attempt, long nowUs) {
         attempt.markLate();
         if (!request.isClosed() && !attempt.worker().isStalled(nowUs)) {
             addEvidence(request, attempt, CapacityEstimator.Evidence.OVERLOAD);
--- a/src/main/java/cresschute/dispatch/CapacityEstimator.java
+++ b/src/main/java/cresschute/dispatch/CapacityEstimator.java
@@ -43,10 +43,10 @@
         /** Late, timed out or not connected. */
         OVERLOAD(1);
 
-        private final double badness;
+        private final double overloadWeight;
 
-        Evidence(double badness) {
-            this.badness = badness;
+        Evidence(double overloadWeight) {
+            this.overloadWeight = overloadWeight;
         }
     }
 
@@ -120,7 +120,7 @@
     /** Adds the ending of one attempt, by the priority weight of its request. */
     void addEvidence(Evidence evidence, double priorityWeight) {
         endings += priorityWeight;
-        badEndings += priorityWeight * evidence.badness;
+        badEndings += priorityWeight * evidence.overloadWeight;
     }
 
     /** Adds a served job's work, slot-us. */
@@ -147,16 +147,16 @@
 
     /** Adjusts the budget by what ended in the last {@code elapsedUs}; all of it is allocatable. */
     void adjust(double elapsedUs, Conditions conditions) {
-        final double memory = learnFinished(elapsedUs);
+        final double memory = updateFinishRates(elapsedUs);
         adjustBudget(conditions, memory);
-        final double kept = Math.exp(-elapsedUs / ENDINGS_MEMORY_US / memory);
-        endings *= kept;
-        badEndings *= kept;
+        final double decayFactor = Math.exp(-elapsedUs / ENDINGS_MEMORY_US / memory);
+        endings *= decayFactor;
+        badEndings *= decayFactor;
         unallocated = budget;
     }
 
     /** Updates the rates; returns how much longer than usual they are remembered, at least 1. */
-    private double learnFinished(double elapsedUs) {
+    private double updateFinishRates(double elapsedUs) {
         jobRate +=
                 (1 - Math.exp(-elapsedUs / RATE_MEMORY_US)) * (finishedJobs / elapsedUs - jobRate);
         final double memory = Math.max(1, STEADY_JOBS / Math.max(1, jobRate * RATE_MEMORY_US));
--- a/src/main/java/cresschute/dispatch/ClassState.java
+++ b/src/main/java/cresschute/dispatch/ClassState.java
@@ -9,7 +9,7 @@
 final class ClassState {
 
     /** Latency objectives that the first estimate of the running time is. */
-    private static final double INITIAL_OBJECTIVES = 2.0;
+    private static final double INITIAL_RUNNING_TIME_OBJECTIVES = 2.0;
 
     private final int index;
     private final RequestClass requestClass;
@@ -32,7 +32,7 @@
         this.capacities = workers.capacitiesFor(requestClass.placement());
         this.allWorkers = workers.group(requestClass.placement(), WorkerGroup.Scope.ALL, 0);
         this.zoneWorkers = workers.group(requestClass.placement(), WorkerGroup.Scope.ZONE, zone);
-        this.runningTimeUs = INITIAL_OBJECTIVES * requestClass.latencyObjectiveUs();
+        this.runningTimeUs = INITIAL_RUNNING_TIME_OBJECTIVES * requestClass.latencyObjectiveUs();
     }
 
     int index() {
--- a/src/main/java/cresschute/dispatch/DeadlinePolicy.java
+++ b/src/main/java/cresschute/dispatch/DeadlinePolicy.java
@@ -59,8 +59,8 @@
     /** Sets the check interval to half the tightest latency objective, within bounds. */
     void settingsChanged() {
         long tightestUs = 2 * MAX_CHECK_INTERVAL_US;
-        for (final RequestClass stated : settings.get().classes()) {
-            tightestUs = Math.min(tightestUs, stated.latencyObjectiveUs());
+        for (final RequestClass requestClass : settings.get().classes()) {
+            tightestUs = Math.min(tightestUs, requestClass.latencyObjectiveUs());
         }
         checkIntervalUs = Math.max(MIN_CHECK_INTERVAL_US, tightestUs / 2);
     }
@@ -71,12 +71,13 @@
     }
 
     /** When a client sent an arriving request first, us; now, unless it is a retry. */
-    long firstSentUs(ClassState owner, Job job, long deadlineUs, long nowUs) {
+    long firstSentUs(ClassState classState, Job job, long deadlineUs, long nowUs) {
         final long leftUs = deadlineUs - nowUs;
-        final long ageUs = owner.learnTimeout(leftUs) - leftUs;
+        final long ageUs = classState.learnTimeout(leftUs) - leftUs;
         final long pausesUs = ADVISED_PAUSES * settings.get().limits().maxRetryAfterUs();
         final boolean isRetry =
-                job.clientRetry() || ageUs <= owner.inTimeUs(owner.runningTimeUs()) + pausesUs;
+                job.clientRetry()
+                        || ageUs <= classState.inTimeUs(classState.runningTimeUs()) + pausesUs;
         return isRetry ? nowUs - ageUs : nowUs;
     }
 
@@ -86,7 +87,7 @@
     }
 
     /** Whether it is too late for another attempt. */
-    boolean isOver(PendingRequest request, long nowUs) {
+    boolean isTooLateForAttempt(PendingRequest request, long nowUs) {
         return nowUs
                 >= Math.min(
                         request.firstSentUs() + request.inTimeUs(),
@@ -94,7 +95,7 @@
     }
 
     /** Whether the client gives up before its answer would be late. */
-    boolean isImpatient(PendingRequest request) {
+    boolean hasShortDeadline(PendingRequest request) {
         return request.deadlineUs() < request.firstSentUs() + request.inTimeUs();
     }
 
--- a/src/main/java/cresschute/dispatch/DemandBucket.java
+++ b/src/main/java/cresschute/dispatch/DemandBucket.java
@@ -9,7 +9,7 @@
     /** Least offered work, slots: a divisor above 0. */
     private static final double MIN_OFFERED = 1e-9;
 
-    private final ClassState owner;
+    private final ClassState classState;
     private final double slots;
     private final double quotaWeightFactor;
     private double priorityWeight;
@@ -25,15 +25,15 @@
      * @param slots slots of its jobs
      * @param quotaWeightFactor factor on the class's priority weight: 1 within the quota
      */
-    DemandBucket(ClassState owner, double slots, double quotaWeightFactor) {
-        this.owner = owner;
+    DemandBucket(ClassState classState, double slots, double quotaWeightFactor) {
+        this.classState = classState;
         this.slots = slots;
         this.quotaWeightFactor = quotaWeightFactor;
-        this.priorityWeight = owner.requestClass().priorityWeight() * quotaWeightFactor;
+        this.priorityWeight = classState.requestClass().priorityWeight() * quotaWeightFactor;
     }
 
-    ClassState owner() {
-        return owner;
+    ClassState classState() {
+        return classState;
     }
 
     /** Priority weight of one request. */
@@ -72,19 +72,21 @@
 
     /** Updates the rate by the arrivals of the last {@code elapsedUs}, and the work of a job. */
     void updateDemand(double elapsedUs, double sampleWeight) {
-        demand(rate + sampleWeight * (arrivals / elapsedUs - rate), slots * owner.runningTimeUs());
+        setDemand(
+                rate + sampleWeight * (arrivals / elapsedUs - rate),
+                slots * classState.runningTimeUs());
         arrivals = 0;
     }
 
     /** Sets arrivals a us and the work of a job, slot-us. */
-    void demand(double newRate, double newWork) {
+    void setDemand(double newRate, double newWork) {
         rate = newRate;
         work = newWork;
     }
 
     /** Multiplies the class's priority weight for each request. */
     void scalePriorityWeight(double factor) {
-        priorityWeight = owner.requestClass().priorityWeight() * quotaWeightFactor * factor;
+        priorityWeight = classState.requestClass().priorityWeight() * quotaWeightFactor * factor;
     }
 
     /** Offered work, slots. */
@@ -93,8 +95,8 @@
     }
 
     /** Adds its offered work to the capacities of its class. */
-    void offer() {
-        owner.addOffered(offered());
+    void addOfferedToCapacities() {
+        classState.addOffered(offered());
     }
 
     /** Priority weight of a slot-us of work. */
@@ -108,13 +110,13 @@
     }
 
     /** Admits a further part of the requests and allocates its work. */
-    void admit(double part) {
-        admitProbability += part;
-        owner.allocate(part * rate * work);
+    void admit(double fraction) {
+        admitProbability += fraction;
+        classState.allocate(fraction * rate * work);
     }
 
     /** Part of the requests that fits into what is unallocated; above 1 where more fits. */
-    double fittingPart() {
-        return owner.unallocated() / Math.max(MIN_OFFERED, offered());
+    double fittingFraction() {
+        return classState.unallocated() / Math.max(MIN_OFFERED, offered());
     }
 }
--- a/src/main/java/cresschute/dispatch/DemandBuckets.java
+++ b/src/main/java/cresschute/dispatch/DemandBuckets.java
@@ -16,11 +16,11 @@
     private final List<DemandBucket> buckets = new ArrayList<>();
 
     /** Adds the buckets of the next class. */
-    void add(ClassState added, double overQuotaWeightFactor) {
-        classes.add(added);
+    void add(ClassState classState, double overQuotaWeightFactor) {
+        classes.add(classState);
         for (int size = 0; size < SIZES; size++) {
-            buckets.add(new DemandBucket(added, 1 << size, 1));
-            buckets.add(new DemandBucket(added, 1 << size, overQuotaWeightFactor));
+            buckets.add(new DemandBucket(classState, 1 << size, 1));
+            buckets.add(new DemandBucket(classState, 1 << size, overQuotaWeightFactor));
         }
     }
 
--- a/src/main/java/cresschute/dispatch/DispatchSettings.java
+++ b/src/main/java/cresschute/dispatch/DispatchSettings.java
@@ -79,8 +79,9 @@
         Preconditions.require(progressUs >= 0, "progressUs");
         Preconditions.require(weightSource != null, "weightSource");
         Preconditions.require(closeOnDrainWithinUs >= 0, "closeOnDrainWithinUs");
-        for (final RequestClass stated : classes) {
-            Preconditions.require(stated.placement().isWithin(zones, kinds), "class placement");
+        for (final RequestClass requestClass : classes) {
+            Preconditions.require(
+                    requestClass.placement().isWithin(zones, kinds), "class placement");
         }
         classes = List.copyOf(classes);
         tenants = List.copyOf(tenants);
--- a/src/main/java/cresschute/dispatch/Dispatcher.java
+++ b/src/main/java/cresschute/dispatch/Dispatcher.java
@@ -78,7 +78,7 @@
     public void settingsChanged(long nowUs, DispatchSettings next) {
         final DispatchSettings before = settings.get();
         settings.replace(next);
-        workers.grow(placements(next));
+        workers.addPlacements(placements(next));
         admission.settingsChanged(before);
         deadlines.settingsChanged();
     }
@@ -86,7 +86,7 @@
     @Override
     public void endpointListChanged(long nowUs, EndpointListForm form, List<Worker> entries) {
         if (form == EndpointListForm.FAILED) {
-            poller.failed(nowUs);
+            poller.pollFailed(nowUs);
             return;
         }
         endpointList.apply(form, entries, nowUs);
@@ -106,9 +106,9 @@
     public void requestArrived(long nowUs, int requestId, Job job, long deadlineUs) {
         final DemandBucket bucket = admission.bucketOf(job, nowUs);
         if (job.runningTimeHintUs() > Job.NO_HINT) {
-            serviceTimes.hintReceived(bucket.owner(), job.runningTimeHintUs());
+            serviceTimes.hintReceived(bucket.classState(), job.runningTimeHintUs());
         }
-        final long firstSentUs = deadlines.firstSentUs(bucket.owner(), job, deadlineUs, nowUs);
+        final long firstSentUs = deadlines.firstSentUs(bucket.classState(), job, deadlineUs, nowUs);
         final PendingRequest request =
                 new PendingRequest(
                         requestId, bucket, job, firstSentUs, deadlineUs, settings.get().limits());
@@ -135,25 +135,25 @@
             giveUp(request, nowUs);
             return;
         }
-        final WorkerInstance reported = request.bestReported();
-        final boolean mayUseReported =
-                reported != null
-                        && reported.isDispatchable()
-                        && slowStart.allows(reported, request, nowUs);
-        if (mayUseReported
+        final WorkerInstance bestQueried = request.bestQueried();
+        final boolean mayUseQueried =
+                bestQueried != null
+                        && bestQueried.isDispatchable()
+                        && slowStart.allows(bestQueried, request, nowUs);
+        if (mayUseQueried
                 && (!loadQueries.allowsAnotherRound(request)
-                        || selector.hasCapacity(reported, request, nowUs))) {
-            send(request, reported, nowUs);
+                        || selector.hasCapacity(bestQueried, request, nowUs))) {
+            send(request, bestQueried, nowUs);
             return;
         }
         final List<WorkerInstance> selected = selector.select(request, nowUs);
         if (loadQueries.shouldQuery(request, selected, nowUs)) {
-            queryLoad(request, selector.select(request, loadQueries.workersWanted(), nowUs));
-        } else if (mayUseReported
+            queryLoad(request, selector.select(request, loadQueries.workersPerRound(), nowUs));
+        } else if (mayUseQueried
                 && (selected.isEmpty()
-                        || selector.cost(reported, request, nowUs)
+                        || selector.cost(bestQueried, request, nowUs)
                                 < selector.cost(selected.get(0), request, nowUs))) {
-            send(request, reported, nowUs);
+            send(request, bestQueried, nowUs);
         } else if (!selected.isEmpty()) {
             send(request, selected.get(0), nowUs);
         }
@@ -180,63 +180,63 @@
         if (worker == null) {
             return;
         }
-        loads.reported(worker, report, nowUs);
+        loads.loadReported(worker, report, nowUs);
         if (outcome != Outcome.SERVED) {
-            outliers.ended(worker, outcome, nowUs);
+            outliers.recordOutcome(worker, outcome, nowUs);
         }
         final PendingRequest request = worker.pollQueryingRequest();
         if (request == null || !request.endQuery(worker)) {
             return;
         }
-        if (outcome == Outcome.SERVED && isBestReported(worker, request, nowUs)) {
-            request.setBestReported(worker);
+        if (outcome == Outcome.SERVED && isBestQueried(worker, request, nowUs)) {
+            request.setBestQueried(worker);
         }
         if (!request.hasPendingQueries() && !request.hasAttemptInFlight()) {
             attempt(request, nowUs);
         }
     }
 
-    private boolean isBestReported(WorkerInstance worker, PendingRequest request, long nowUs) {
-        return request.bestReported() == null
+    private boolean isBestQueried(WorkerInstance worker, PendingRequest request, long nowUs) {
+        return request.bestQueried() == null
                 || selector.cost(worker, request, nowUs)
-                        < selector.cost(request.bestReported(), request, nowUs);
+                        < selector.cost(request.bestQueried(), request, nowUs);
     }
 
     @Override
     public void jobProgressed(
-            long nowUs, int requestId, int number, int workerId, double fractionDone) {
-        final AttemptRecord attempt = findAttempt(pending.get(requestId), number);
+            long nowUs, int requestId, int attemptNumber, int workerId, double fractionDone) {
+        final AttemptRecord attempt = findAttempt(pending.get(requestId), attemptNumber);
         if (attempt != null) {
             attempt.progressReported(nowUs, fractionDone);
             attempt.worker().progressReported(nowUs);
         }
     }
 
-    private static AttemptRecord findAttempt(PendingRequest request, int number) {
-        return request == null ? null : request.findAttempt(number);
+    private static AttemptRecord findAttempt(PendingRequest request, int attemptNumber) {
+        return request == null ? null : request.findAttempt(attemptNumber);
     }
 
     @Override
     public void attemptEnded(
             long nowUs,
             int requestId,
-            int number,
+            int attemptNumber,
             int workerId,
             Outcome outcome,
             long elapsedUs,
             boolean requestClosed,
             LoadReport report) {
         final PendingRequest request = pending.get(requestId);
-        final AttemptRecord attempt = findAttempt(request, number);
+        final AttemptRecord attempt = findAttempt(request, attemptNumber);
         if (attempt == null) {
             return;
         }
         final WorkerInstance worker = attempt.worker();
         request.endAttempt(attempt);
         worker.releaseSlots(request.slots());
-        feedback.endedAt(worker, request, outcome, report, nowUs);
+        feedback.recordLoadAndOutcome(worker, request, outcome, report, nowUs);
         endpointList.attemptEnded(workerId);
-        feedback.learn(request, attempt, outcome, elapsedUs, nowUs);
+        feedback.updateEstimates(request, attempt, outcome, elapsedUs, nowUs);
         feedback.addEvidence(request, attempt, outcome, requestClosed);
         if (outcome != Outcome.SERVED && !request.mayHaveRun() && retries.mayHaveRun(outcome)) {
             retries.markMayHaveRun(request, attempt);
@@ -286,12 +286,12 @@
     @Override
     public void timerFired(long nowUs, long token) {
         actions.startTimer(CHECK_TIMER, deadlines.checkIntervalUs());
-        if (poller.takeDue(nowUs)) {
+        if (poller.takeDuePoll(nowUs)) {
             actions.pollEndpointList();
         }
-        if (admission.isFillDue(nowUs)) {
+        if (admission.isAllocationDue(nowUs)) {
             slowStart.refill(workers.workers(), nowUs);
-            admission.refill(nowUs);
+            admission.reallocate(nowUs);
         }
         for (final PendingRequest request : pending.values().toArray(new PendingRequest[0])) {
             if (!request.hasAttemptInFlight()) {
@@ -305,16 +305,16 @@
 
     /** Looks for a late, unresponsive or stalled attempt before it ends. */
     private void check(PendingRequest request, AttemptRecord attempt, long nowUs) {
-        final double waitedUs = serviceTimes.waitedUs(request, attempt, nowUs);
-        final double waitUs = attempt.sentUs() - request.firstSentUs() + waitedUs;
-        if (!attempt.isLate() && waitUs > request.slackUs()) {
-            feedback.late(request, attempt, nowUs);
+        final double waitAtWorkerUs = serviceTimes.waitAtWorkerUs(request, attempt, nowUs);
+        final double totalWaitUs = attempt.sentUs() - request.firstSentUs() + waitAtWorkerUs;
+        if (!attempt.isLate() && totalWaitUs > request.slackUs()) {
+            feedback.recordLateAttempt(request, attempt, nowUs);
         }
-        if (outliers.detectUnresponsive(attempt, waitedUs, nowUs)) {
+        if (outliers.detectUnresponsive(attempt, waitAtWorkerUs, nowUs)) {
             reportUnresponsive(attempt.worker(), request.classIndex(), nowUs);
         }
         final boolean stalled = outliers.detectStalled(attempt, nowUs);
-        if (hedging.isDue(request, attempt, waitUs, stalled, nowUs)
+        if (hedging.isDue(request, attempt, totalWaitUs, stalled, nowUs)
                 && hedging.isAllowed(request, attempt, nowUs)) {
             hedge(request, attempt, nowUs);
         }
@@ -329,8 +329,8 @@
 
     /** Sends a hedged request to a worker with capacity, or queries loads to find one. */
     private void hedge(PendingRequest request, AttemptRecord attempt, long nowUs) {
-        WorkerInstance worker = request.bestReported();
-        request.setBestReported(null);
+        WorkerInstance worker = request.bestQueried();
+        request.setBestQueried(null);
         if (worker == null && !request.hasPendingQueries() && nowUs >= request.nextHedgeQueryUs()) {
             final List<WorkerInstance> selected = selectForHedge(request, attempt, nowUs);
             if (loadQueries.isAllowed()) {
--- a/src/main/java/cresschute/dispatch/EndpointListPoller.java
+++ b/src/main/java/cresschute/dispatch/EndpointListPoller.java
@@ -40,12 +40,12 @@
     }
 
     /** Takes in that a poll failed. */
-    void failed(long nowUs) {
+    void pollFailed(long nowUs) {
         pollAtUs = nowUs + RETRY_US / 2 + random.nextLong(RETRY_US);
     }
 
     /** Whether to poll now; true once for each poll that is due. */
-    boolean takeDue(long nowUs) {
+    boolean takeDuePoll(long nowUs) {
         final boolean due = nowUs >= pollAtUs;
         if (due) {
             pollAtUs = NOT_DUE;
--- a/src/main/java/cresschute/dispatch/EndpointListUpdater.java
+++ b/src/main/java/cresschute/dispatch/EndpointListUpdater.java
@@ -56,8 +56,8 @@
     }
 
     private void update(Worker entry, long nowUs) {
-        final WorkerInstance worker = incarnationOf(entry, nowUs);
-        worker.listed(entry);
+        final WorkerInstance worker = findOrAddInstance(entry, nowUs);
+        worker.updateEndpoint(entry);
         if (entry.state() == WorkerState.READY) {
             worker.joinGroups();
             loads.weightListed(worker, entry.weight(), nowUs);
@@ -66,9 +66,9 @@
         }
     }
 
-    private WorkerInstance incarnationOf(Worker entry, long nowUs) {
+    private WorkerInstance findOrAddInstance(Worker entry, long nowUs) {
         final WorkerInstance known = workers.find(entry.id());
-        if (known != null && known.isSameIncarnation(entry)) {
+        if (known != null && known.isSameInstance(entry)) {
             return known;
         }
         if (known != null) {
--- a/src/main/java/cresschute/dispatch/HedgingPolicy.java
+++ b/src/main/java/cresschute/dispatch/HedgingPolicy.java
@@ -35,19 +35,19 @@
     /**
      * Whether an attempt in flight calls for a hedge.
      *
-     * @param waitUs how long the job has waited since the request's first send, us
+     * @param totalWaitUs how long the job has waited since the request's first send, us
      * @param stalled whether the attempt's progress reports have stopped
      */
     boolean isDue(
             PendingRequest request,
             AttemptRecord attempt,
-            double waitUs,
+            double totalWaitUs,
             boolean stalled,
             long nowUs) {
         final boolean unstarted =
                 settings.get().reportsJobStart()
                         && !attempt.hasReportedStart()
-                        && waitUs > UNSTARTED_SLACK_FRACTION * request.slackUs();
+                        && totalWaitUs > UNSTARTED_SLACK_FRACTION * request.slackUs();
         return (stalled || unstarted || attempt.worker().isStalled(nowUs))
                 && !request.isClosed()
                 && request.hasOneAttemptInFlight();
--- a/src/main/java/cresschute/dispatch/LoadQueryPolicy.java
+++ b/src/main/java/cresschute/dispatch/LoadQueryPolicy.java
@@ -8,10 +8,10 @@
  * <p>Inputs: the workers selected and the time of their last load reports in us, the mean running
  * time in us, the number of dispatchers, and the rounds of queries that the request has had.
  *
- * <p>Rule: a report is old after {@code }{@value #OLD_RUNNING_TIMES}{@code * mean running time /
- * dispatchers}. Where there is a choice and the older report of the best two is old, the best
- * {@value #WORKERS_QUERIED} are queried; after {@value #MAX_ROUNDS} rounds the request is sent as
- * it is.
+ * <p>Rule: a report is old after {@code }{@value #STALE_AFTER_RUNNING_TIMES}{@code * mean running
+ * time / dispatchers}. Where there is a choice and the older report of the best two is old, the
+ * best {@value #WORKERS_QUERIED} are queried; after {@value #MAX_ROUNDS} rounds the request is sent
+ * as it is.
  *
  * <p>Reason: the sooner jobs end and the more dispatchers send, the sooner a report is wrong, and a
  * query takes less time than a job that waits behind others.
@@ -24,7 +24,7 @@
 final class LoadQueryPolicy {
 
     /** Age at which a report is old, in mean running times over the dispatchers. */
-    private static final double OLD_RUNNING_TIMES = 6;
+    private static final double STALE_AFTER_RUNNING_TIMES = 6;
 
     private static final int WORKERS_QUERIED = 3;
 
@@ -39,7 +39,7 @@
     }
 
     /** How many workers to select for a round of queries. */
-    int workersWanted() {
+    int workersPerRound() {
         return WORKERS_QUERIED;
     }
 
@@ -62,7 +62,7 @@
                                 - Math.min(
                                         selected.get(0).otherSlotsAtUs(),
                                         selected.get(1).otherSlotsAtUs())
-                        > OLD_RUNNING_TIMES
+                        > STALE_AFTER_RUNNING_TIMES
                                 * serviceTimes.meanRunningTimeUs()
                                 / settings.get().dispatchers();
     }
--- a/src/main/java/cresschute/dispatch/OutlierDetector.java
+++ b/src/main/java/cresschute/dispatch/OutlierDetector.java
@@ -62,7 +62,7 @@
     }
 
     /** Takes in how an attempt or load query at a worker ended. */
-    void ended(WorkerInstance worker, Outcome outcome, long nowUs) {
+    void recordOutcome(WorkerInstance worker, Outcome outcome, long nowUs) {
         switch (outcome) {
             case SERVED, FULL -> worker.clearFailures();
             // A process that dies breaks one connection and refuses the next.
@@ -89,14 +89,15 @@
     /**
      * Whether an attempt shows, for the first time, that its class does not start at its worker.
      *
-     * @param waitedUs how long its job has waited there, us
+     * @param waitAtWorkerUs how long its job has waited there, us
      */
-    boolean detectUnresponsive(AttemptRecord attempt, double waitedUs, long nowUs) {
+    boolean detectUnresponsive(AttemptRecord attempt, double waitAtWorkerUs, long nowUs) {
         final boolean detected =
                 !attempt.isUnresponsive()
                         && settings.get().reportsJobStart()
                         && !attempt.hasReportedStart()
-                        && waitedUs > UNRESPONSIVE_RUNNING_TIMES * serviceTimes.meanRunningTimeUs()
+                        && waitAtWorkerUs
+                                > UNRESPONSIVE_RUNNING_TIMES * serviceTimes.meanRunningTimeUs()
                         && loads.hasFreeSlot(attempt.worker(), nowUs);
         if (detected) {
             attempt.markUnresponsive();
--- a/src/main/java/cresschute/dispatch/PendingRequest.java
+++ b/src/main/java/cresschute/dispatch/PendingRequest.java
@@ -11,7 +11,7 @@
 final class PendingRequest {
 
     private final int id;
-    private final ClassState owner;
+    private final ClassState classState;
     private final double priorityWeight;
     private final double slots;
     private final double runningTimeHintUs;
@@ -26,12 +26,12 @@
     private WorkerInstance lastWorker;
 
     /** Where its data is, as far as the last selection saw; null where it needs none. */
-    private WorkerInstance dataHome;
+    private WorkerInstance dataWorker;
 
     private final List<WorkerInstance> queried = new ArrayList<>(2);
 
     /** The best worker of those that answered a load query since the last send; null: none. */
-    private WorkerInstance bestReported;
+    private WorkerInstance bestQueried;
 
     /** Rounds of load queries since the last send. */
     private int queryRounds;
@@ -59,14 +59,14 @@
             long deadlineUs,
             AttemptLimits limits) {
         this.id = id;
-        this.owner = bucket.owner();
+        this.classState = bucket.classState();
         this.priorityWeight = bucket.priorityWeight();
         this.slots = slotsOf(job);
         this.runningTimeHintUs = job.runningTimeHintUs();
         this.dataKey = job.dataKey();
         this.firstSentUs = firstSentUs;
         this.deadlineUs = deadlineUs;
-        this.maxAttempts = Math.min(limits.maxAttempts(), owner.requestClass().maxAttempts());
+        this.maxAttempts = Math.min(limits.maxAttempts(), classState.requestClass().maxAttempts());
         this.allowsHedging = limits.allowsHedging();
     }
 
@@ -79,16 +79,16 @@
         return id;
     }
 
-    ClassState owner() {
-        return owner;
+    ClassState classState() {
+        return classState;
     }
 
     RequestClass requestClass() {
-        return owner.requestClass();
+        return classState.requestClass();
     }
 
     int classIndex() {
-        return owner.index();
+        return classState.index();
     }
 
     double priorityWeight() {
@@ -135,12 +135,12 @@
      * Expected running time at the usual pace, us: its own hint, else the estimate of its class.
      */
     double runningTimeUs() {
-        return hasRunningTimeHint() ? runningTimeHintUs : owner.runningTimeUs();
+        return hasRunningTimeHint() ? runningTimeHintUs : classState.runningTimeUs();
     }
 
     /** Latest time after its first send at which an answer is in time, us. */
     double inTimeUs() {
-        return owner.inTimeUs(runningTimeUs());
+        return classState.inTimeUs(runningTimeUs());
     }
 
     /** Time after its first send that it may spend waiting and be in time, us. */
@@ -154,11 +154,11 @@
     }
 
     /** Expected work and its standard error, slot-us. */
-    double cautiousWork() {
+    double conservativeWork() {
         return work()
-                * (hasRunningTimeHint() || owner.samples() == 0
+                * (hasRunningTimeHint() || classState.samples() == 0
                         ? 1
-                        : 1 + 1 / Math.sqrt(owner.samples()));
+                        : 1 + 1 / Math.sqrt(classState.samples()));
     }
 
     /** Starts its next attempt; reports to load queries are no longer waited for. */
@@ -209,12 +209,12 @@
     }
 
     /** Where its data is; null where it needs none or none was selected yet. */
-    WorkerInstance dataHome() {
-        return dataHome;
+    WorkerInstance dataWorker() {
+        return dataWorker;
     }
 
-    void setDataHome(WorkerInstance worker) {
-        dataHome = worker;
+    void setDataWorker(WorkerInstance worker) {
+        dataWorker = worker;
     }
 
     /** Starts a round of load queries; reports of the round before are no longer waited for. */
@@ -241,18 +241,18 @@
     }
 
     /** Best worker of those that answered; null where none did. */
-    WorkerInstance bestReported() {
-        return bestReported;
+    WorkerInstance bestQueried() {
+        return bestQueried;
     }
 
-    void setBestReported(WorkerInstance worker) {
-        bestReported = worker;
+    void setBestQueried(WorkerInstance worker) {
+        bestQueried = worker;
     }
 
     private void cancelQueries() {
         queryRounds = 0;
         queried.clear();
-        bestReported = null;
+        bestQueried = null;
     }
 
     /** When workers may be queried again for a hedged request, us. */
@@ -307,11 +307,11 @@
 
     /** The workers to which its next attempt may go. */
     WorkerGroup candidates() {
-        return deduplicationGroup == null ? owner.allWorkers() : deduplicationGroup;
+        return deduplicationGroup == null ? classState.allWorkers() : deduplicationGroup;
     }
 
     /** The workers to prefer among them: those of the dispatcher's zone, unless it is bound. */
     WorkerGroup preferredCandidates() {
-        return deduplicationGroup == null ? owner.zoneWorkers() : deduplicationGroup;
+        return deduplicationGroup == null ? classState.zoneWorkers() : deduplicationGroup;
     }
 }
--- a/src/main/java/cresschute/dispatch/RetryPolicy.java
+++ b/src/main/java/cresschute/dispatch/RetryPolicy.java
@@ -36,7 +36,7 @@
     boolean allowsAttempt(PendingRequest request, long nowUs) {
         return isHarmless(request, nowUs)
                 && request.attemptsSent() < maxAttempts(request)
-                && !deadlines.isOver(request, nowUs);
+                && !deadlines.isTooLateForAttempt(request, nowUs);
     }
 
     private static boolean isHarmless(PendingRequest request, long nowUs) {
--- a/src/main/java/cresschute/dispatch/ServiceTimeEstimator.java
+++ b/src/main/java/cresschute/dispatch/ServiceTimeEstimator.java
@@ -67,22 +67,22 @@
     }
 
     /** Takes in the running time that came with a job, us. */
-    void hintReceived(ClassState owner, long runningTimeUs) {
-        owner.learnRunningTime(runningTimeUs, SAMPLE_WEIGHT);
+    void hintReceived(ClassState classState, long runningTimeUs) {
+        classState.learnRunningTime(runningTimeUs, SAMPLE_WEIGHT);
     }
 
     /**
      * Takes in a served attempt.
      *
      * @param elapsedUs its duration from send to end, us
-     * @param warmth capacity fraction of its worker now, in (0, 1]
+     * @param capacityFraction capacity fraction of its worker now, in (0, 1]
      */
     void attemptServed(
             PendingRequest request,
             AttemptRecord attempt,
             long nowUs,
             long elapsedUs,
-            double warmth) {
+            double capacityFraction) {
         // A start report that is read only with the end dates no start.
         final boolean startKnown =
                 attempt.hasReportedStart()
@@ -95,33 +95,33 @@
                         : elapsedUs;
         if (!request.hasRunningTimeHint()) {
             final boolean countsInFull = startKnown || runningTimeUs < request.runningTimeUs();
-            request.owner()
+            request.classState()
                     .learnRunningTime(
                             runningTimeUs, SAMPLE_WEIGHT * (countsInFull ? 1 : WAITING_WEIGHT));
         }
         meanRunningTimeUs += SAMPLE_WEIGHT * (runningTimeUs - meanRunningTimeUs);
         if (startKnown) {
             final double ratio = Math.min(MAX_RATIO, runningTimeUs / request.runningTimeUs());
-            attempt.worker().learnRunningTime(ratio * warmth);
+            attempt.worker().learnRunningTime(ratio * capacityFraction);
         }
     }
 
     /** Takes in that an attempt is late: its worker counts as {@value #MAX_RATIO} times slower. */
     void attemptLate(AttemptRecord attempt) {
-        attempt.worker().learnPace(MAX_RATIO * attempt.worker().pace());
+        attempt.worker().learnSlowdown(MAX_RATIO * attempt.worker().slowdown());
     }
 
     /**
      * How long an attempt has waited at its worker before its job started, us, as far as start and
      * progress reports say.
      */
-    double waitedUs(PendingRequest request, AttemptRecord attempt, long nowUs) {
+    double waitAtWorkerUs(PendingRequest request, AttemptRecord attempt, long nowUs) {
         if (attempt.hasReportedStart()) {
-            final double ranUs =
+            final double runUs =
                     attempt.fractionDoneAtStartReport()
                             * request.runningTimeUs()
-                            * attempt.worker().pace();
-            return attempt.startReportedAtUs() - attempt.sentUs() - ranUs;
+                            * attempt.worker().slowdown();
+            return attempt.startReportedAtUs() - attempt.sentUs() - runUs;
         }
         final DispatchSettings current = settings.get();
         final double unreportedUs =
--- a/src/main/java/cresschute/dispatch/SlowStart.java
+++ b/src/main/java/cresschute/dispatch/SlowStart.java
@@ -72,14 +72,17 @@
 
     /** Least capacity fraction that a worker has now, in (0, 1]; 1 where it is warm. */
     double capacityFraction(WorkerInstance worker, long nowUs) {
-        final SlowStartSettings stated = settings.get().slowStart();
+        final SlowStartSettings slowStartSettings = settings.get().slowStart();
         final long startedAtUs = worker.endpoint().startedAtUs();
         final long ageUs = Math.max(0, nowUs - startedAtUs);
         final boolean isWarmingUp =
-                startedAtUs > Worker.STARTED_LONG_AGO && ageUs < stated.warmUpDurationUs();
+                startedAtUs > Worker.STARTED_LONG_AGO
+                        && ageUs < slowStartSettings.warmUpDurationUs();
         return isWarmingUp
-                ? stated.initialCapacityFraction()
-                        + (1 - stated.initialCapacityFraction()) * ageUs / stated.warmUpDurationUs()
+                ? slowStartSettings.initialCapacityFraction()
+                        + (1 - slowStartSettings.initialCapacityFraction())
+                                * ageUs
+                                / slowStartSettings.warmUpDurationUs()
                 : 1;
     }
 
@@ -89,13 +92,13 @@
 
     /** Work that this dispatcher may send to a worker in each window, slot-us. */
     private double workPerWindow(WorkerInstance worker, long nowUs) {
-        final SlowStartSettings stated = settings.get().slowStart();
+        final SlowStartSettings slowStartSettings = settings.get().slowStart();
         return SAFETY
-                * stated.overloadFactor()
+                * slowStartSettings.overloadFactor()
                 * capacityFraction(worker, nowUs)
                 * worker.kind().slots()
                 / worker.kind().runSlowness()
-                * stated.overloadAfterUs()
+                * slowStartSettings.overloadAfterUs()
                 / settings.get().dispatchers();
     }
 
@@ -120,11 +123,11 @@
     /** Whether a request's next attempt may go to a worker; refills the worker's tokens. */
     boolean allows(WorkerInstance worker, PendingRequest request, long nowUs) {
         final int dispatchers = settings.get().dispatchers();
-        final SlowStartSettings stated = settings.get().slowStart();
-        final double work = request.cautiousWork();
-        final double part = workPerWindow(worker, nowUs);
+        final SlowStartSettings slowStartSettings = settings.get().slowStart();
+        final double work = request.conservativeWork();
+        final double windowShare = workPerWindow(worker, nowUs);
         final double workerTokens =
-                worker.refillWarmUpTokens(nowUs, part, stated.overloadAfterUs());
+                worker.refillWarmUpTokens(nowUs, windowShare, slowStartSettings.overloadAfterUs());
         if (!isWarmingUp(worker, nowUs)) {
             return true;
         }
@@ -132,11 +135,15 @@
         // one job ahead of its part.
         final double othersFraction = 1 - 1.0 / dispatchers;
         final double meanWork = serviceTimes.meanRunningTimeUs() * serviceTimes.meanSlots();
-        final double all = part * dispatchers;
-        final double tolerated = meanWork * stated.toleratedJobs(all / SAFETY / meanWork);
+        final double totalPerWindow = windowShare * dispatchers;
+        final double tolerated =
+                meanWork * slowStartSettings.toleratedJobs(totalPerWindow / SAFETY / meanWork);
         return tokens >= 0
                 && workerTokens >= work - othersFraction * (work + meanWork)
-                && work <= Math.max(MAX_JOB_FRACTION * all, MAX_JOB_TOLERATED_FRACTION * tolerated);
+                && work
+                        <= Math.max(
+                                MAX_JOB_FRACTION * totalPerWindow,
+                                MAX_JOB_TOLERATED_FRACTION * tolerated);
     }
 
     /** Takes the tokens of an attempt that is sent. */
--- a/src/main/java/cresschute/dispatch/SlowStartSettings.java
+++ b/src/main/java/cresschute/dispatch/SlowStartSettings.java
@@ -36,9 +36,10 @@
      * Jobs of mean work within {@code overloadAfterUs} that a warming worker takes, chance
      * included.
      *
-     * @param stated how many jobs {@code overloadFactor} times its capacity of the moment are
+     * @param jobsAtOverload how many jobs {@code overloadFactor} times its capacity of the moment
+     *     are
      */
-    public double toleratedJobs(double stated) {
-        return stated + CHANCE_SLACK * (Math.sqrt(stated) + 1);
+    public double toleratedJobs(double jobsAtOverload) {
+        return jobsAtOverload + CHANCE_SLACK * (Math.sqrt(jobsAtOverload) + 1);
     }
 }
--- a/src/main/java/cresschute/dispatch/WorkerGroup.java
+++ b/src/main/java/cresschute/dispatch/WorkerGroup.java
@@ -30,9 +30,9 @@
     }
 
     /** Points of each member on the ring: enough for even parts, few to keep up. */
-    private static final int POINTS = 16;
+    private static final int POINTS_PER_MEMBER = 16;
 
-    private final int slot;
+    private final int groupIndex;
 
     /** Built at first use: the points of large groups would be megabytes. */
     private TreeMap<Long, WorkerInstance> ring;
@@ -43,12 +43,13 @@
     /**
      * An empty group.
      *
-     * @param slot number of the placement and scope; a worker is in one group of each slot at most
+     * @param groupIndex number of the placement and scope; a worker is in one group of each slot at
+     *     most
      */
-    WorkerGroup(int slot) {
-        this.slot = slot;
+    WorkerGroup(int groupIndex) {
+        this.groupIndex = groupIndex;
         this.capacity =
-                slot % Scope.count() == Scope.ALL.ordinal() ? new CapacityEstimator() : null;
+                groupIndex % Scope.count() == Scope.ALL.ordinal() ? new CapacityEstimator() : null;
     }
 
     /** Whether this is the group of a whole placement. */
@@ -63,7 +64,8 @@
      */
     CapacityEstimator capacity() {
         if (capacity == null) {
-            throw new IllegalStateException("group of slot " + slot + " has no capacity estimate");
+            throw new IllegalStateException(
+                    "group of slot " + groupIndex + " has no capacity estimate");
         }
         return capacity;
     }
@@ -82,7 +84,7 @@
     }
 
     void add(WorkerInstance worker) {
-        worker.setPosition(slot, members.size());
+        worker.setPosition(groupIndex, members.size());
         members.add(worker);
         if (ring != null) {
             putOnRing(worker);
@@ -90,8 +92,8 @@
     }
 
     private void putOnRing(WorkerInstance worker) {
-        for (int i = 0; i < POINTS; i++) {
-            ring.put(mix((long) worker.id() * POINTS + i), worker);
+        for (int i = 0; i < POINTS_PER_MEMBER; i++) {
+            ring.put(mix((long) worker.id() * POINTS_PER_MEMBER + i), worker);
         }
     }
 
@@ -99,11 +101,11 @@
     void remove(WorkerInstance worker) {
         final WorkerInstance last = members.remove(members.size() - 1);
         if (last != worker) {
-            members.set(worker.position(slot), last);
-            last.setPosition(slot, worker.position(slot));
+            members.set(worker.position(groupIndex), last);
+            last.setPosition(groupIndex, worker.position(groupIndex));
         }
-        for (int i = 0; ring != null && i < POINTS; i++) {
-            ring.remove(mix((long) worker.id() * POINTS + i), worker);
+        for (int i = 0; ring != null && i < POINTS_PER_MEMBER; i++) {
+            ring.remove(mix((long) worker.id() * POINTS_PER_MEMBER + i), worker);
         }
     }
 
@@ -111,7 +113,7 @@
      * The member at or after a point of the ring, with its own point. All dispatchers with the same
      * members have the same ring.
      */
-    Map.Entry<Long, WorkerInstance> next(long point) {
+    Map.Entry<Long, WorkerInstance> successor(long point) {
         if (ring == null) {
             ring = new TreeMap<>();
             members.forEach(this::putOnRing);
--- a/src/main/java/cresschute/dispatch/WorkerIndex.java
+++ b/src/main/java/cresschute/dispatch/WorkerIndex.java
@@ -23,13 +23,13 @@
     /**
      * An index without workers.
      *
-     * @param stated the placement of each request class, in order
+     * @param classPlacements the placement of each request class, in order
      */
-    WorkerIndex(List<Placement> stated) {
-        classes = stated.size();
+    WorkerIndex(List<Placement> classPlacements) {
+        classes = classPlacements.size();
         placements =
                 new ArrayList<>(
-                        Stream.concat(Stream.of(Placement.ANYWHERE), stated.stream())
+                        Stream.concat(Stream.of(Placement.ANYWHERE), classPlacements.stream())
                                 .distinct()
                                 .toList());
         capacitiesFor(Placement.ANYWHERE);
@@ -73,10 +73,11 @@
      * @param number number of the zone or cell; 0 for {@link WorkerGroup.Scope#ALL}
      */
     WorkerGroup group(Placement placement, WorkerGroup.Scope scope, int number) {
-        final int slot =
+        final int groupIndex =
                 placements.indexOf(placement) * WorkerGroup.Scope.count() + scope.ordinal();
         return groups.computeIfAbsent(
-                ((long) slot << 32) | (number & 0xffffffffL), key -> new WorkerGroup(slot));
+                ((long) groupIndex << 32) | (number & 0xffffffffL),
+                key -> new WorkerGroup(groupIndex));
     }
 
     /** The group of this scope that a worker of the placement belongs to. */
@@ -135,18 +136,18 @@
      * Takes in classes that came after the start: new placements get their groups, and each worker
      * joins those that are open to it.
      *
-     * @param stated the placement of every request class, in order
+     * @param classPlacements the placement of every request class, in order
      */
-    void grow(List<Placement> stated) {
-        classes = stated.size();
-        stated.stream()
+    void addPlacements(List<Placement> classPlacements) {
+        classes = classPlacements.size();
+        classPlacements.stream()
                 .filter(placement -> !placements.contains(placement))
                 .distinct()
                 .forEach(placements::add);
         for (final WorkerInstance worker : workers.values()) {
             final boolean dispatchable = worker.isDispatchable();
             worker.leaveGroups();
-            worker.regroup(
+            worker.setGroups(
                     memberships(worker.endpoint()),
                     placements.size() * WorkerGroup.Scope.count(),
                     classes);
--- a/src/main/java/cresschute/dispatch/WorkerInstance.java
+++ b/src/main/java/cresschute/dispatch/WorkerInstance.java
@@ -59,10 +59,10 @@
     }
 
     /** Gives it the groups of more placements or classes; only while it is not dispatchable. */
-    void regroup(List<WorkerGroup> memberships, int slots, int classes) {
+    void setGroups(List<WorkerGroup> memberships, int positionCount, int classes) {
         groups = memberships;
         capacities = capacitiesOf(memberships);
-        positions = Arrays.copyOf(positions, slots);
+        positions = Arrays.copyOf(positions, positionCount);
         unresponsiveUntilUs = Arrays.copyOf(unresponsiveUntilUs, classes);
     }
 
@@ -79,7 +79,7 @@
     }
 
     /** Whether an entry of the list is about this incarnation of the worker, in any state. */
-    boolean isSameIncarnation(Worker entry) {
+    boolean isSameInstance(Worker entry) {
         return endpoint.startedAtUs() == entry.startedAtUs()
                 && endpoint.zone() == entry.zone()
                 && endpoint.kind() == entry.kind()
@@ -87,7 +87,7 @@
     }
 
     /** Takes its entry from the endpoint list. */
-    void listed(Worker entry) {
+    void updateEndpoint(Worker entry) {
         endpoint = entry;
         missingFromList = false;
     }
@@ -122,12 +122,12 @@
     }
 
     /** Its position among the members of the group of this slot. */
-    int position(int slot) {
-        return positions[slot];
+    int position(int groupIndex) {
+        return positions[groupIndex];
     }
 
-    void setPosition(int slot, int position) {
-        positions[slot] = position;
+    void setPosition(int groupIndex, int position) {
+        positions[groupIndex] = position;
     }
 
     /** Adds an ending as evidence to the capacity of each group that it belongs to. */
@@ -183,18 +183,18 @@
 
     /** Takes in a job's running time over its class's estimate. */
     void learnRunningTime(double ratio) {
-        learnPace(ratio);
+        learnSlowdown(ratio);
         kind.learnRunSlowness(ratio);
     }
 
     /** Takes in a job's time at the worker over the running time of its class. */
-    void learnPace(double ratio) {
+    void learnSlowdown(double ratio) {
         slowness += SLOWNESS_WEIGHT * (ratio / kind.slowness() - slowness);
         kind.learnSlowness(ratio);
     }
 
     /** Running time here over the estimate of the class. */
-    double pace() {
+    double slowdown() {
         return kind.slowness() * slowness;
     }
 
--- a/src/main/java/cresschute/dispatch/WorkerKind.java
+++ b/src/main/java/cresschute/dispatch/WorkerKind.java
@@ -7,7 +7,7 @@
 final class WorkerKind {
 
     /** Requests per core under which a live weight says nothing of the cores. */
-    private static final double MIN_HELD_PER_CORE = 0.05;
+    private static final double MIN_REQUESTS_PER_CORE = 0.05;
 
     private static final int MAX_CORES = 64;
 
@@ -64,11 +64,11 @@
      */
     double requestsAt(double liveWeight) {
         idleWeight = Math.max(idleWeight, liveWeight);
-        final double heldPerCore = idleWeight / liveWeight - 1;
-        if (heldPerCore > MIN_HELD_PER_CORE) {
-            cores = Math.max(cores, Math.min(MAX_CORES, Math.round(1 / heldPerCore)));
+        final double requestsPerCore = idleWeight / liveWeight - 1;
+        if (requestsPerCore > MIN_REQUESTS_PER_CORE) {
+            cores = Math.max(cores, Math.min(MAX_CORES, Math.round(1 / requestsPerCore)));
         }
-        return heldPerCore * cores;
+        return requestsPerCore * cores;
     }
 
     /**
--- a/src/main/java/cresschute/dispatch/WorkerLoadEstimator.java
+++ b/src/main/java/cresschute/dispatch/WorkerLoadEstimator.java
@@ -31,7 +31,7 @@
     }
 
     /** Takes in a load report; {@link LoadReport#NONE} changes nothing. */
-    void reported(WorkerInstance worker, LoadReport report, long nowUs) {
+    void loadReported(WorkerInstance worker, LoadReport report, long nowUs) {
         final double slots = worker.kind().slotsInUse(report, serviceTimes.meanSlots());
         if (slots >= 0) {
             worker.slotsReported(slots, nowUs);
--- a/src/main/java/cresschute/dispatch/WorkerSelector.java
+++ b/src/main/java/cresschute/dispatch/WorkerSelector.java
@@ -77,39 +77,41 @@
      * Draws workers for a request's next attempt. Every draw takes one random number, whether the
      * job needs data or not.
      *
-     * @param wanted how many with capacity end the search
+     * @param choices how many with capacity end the search
      * @return the workers drawn, least cost first; empty where none may be sent to
      */
-    List<WorkerInstance> select(PendingRequest request, int wanted, long nowUs) {
-        final WorkerGroup anywhere = request.candidates();
+    List<WorkerInstance> select(PendingRequest request, int choices, long nowUs) {
+        final WorkerGroup candidates = request.candidates();
         final WorkerGroup preferred = request.preferredCandidates();
-        final List<WorkerInstance> ready = new ArrayList<>(MAX_DRAWS);
+        final List<WorkerInstance> eligible = new ArrayList<>(MAX_DRAWS);
         final List<WorkerInstance> ejected = new ArrayList<>(MAX_DRAWS);
         int withCapacity = 0;
         long point = WorkerGroup.pointOf(request.dataKey());
-        request.setDataHome(null);
+        request.setDataWorker(null);
         for (int draw = 0;
-                draw < MAX_DRAWS && withCapacity < wanted && !anywhere.isEmpty();
+                draw < MAX_DRAWS && withCapacity < choices && !candidates.isEmpty();
                 draw++) {
-            final WorkerGroup group = draw % 2 == 0 && !preferred.isEmpty() ? preferred : anywhere;
+            final WorkerGroup group =
+                    draw % 2 == 0 && !preferred.isEmpty() ? preferred : candidates;
             WorkerInstance worker = group.member(random.nextInt(group.size()));
             if (request.dataKey() != Job.NO_DATA) {
-                final Map.Entry<Long, WorkerInstance> next = anywhere.next(point);
+                final Map.Entry<Long, WorkerInstance> next = candidates.successor(point);
                 point = next.getKey() + 1;
                 worker = next.getValue();
-                if (request.dataHome() == null) {
-                    request.setDataHome(worker);
+                if (request.dataWorker() == null) {
+                    request.setDataWorker(worker);
                 }
             }
             if (worker == request.lastWorker()
-                    || ready.contains(worker)
+                    || eligible.contains(worker)
                     || !slowStart.allows(worker, request, nowUs)) {
                 continue;
             }
             withCapacity += hasCapacity(worker, request, nowUs) ? 1 : 0;
-            (outliers.isEjected(worker, request.classIndex(), nowUs) ? ejected : ready).add(worker);
+            (outliers.isEjected(worker, request.classIndex(), nowUs) ? ejected : eligible)
+                    .add(worker);
         }
-        final List<WorkerInstance> drawn = ready.isEmpty() ? ejected : ready;
+        final List<WorkerInstance> drawn = eligible.isEmpty() ? ejected : eligible;
         drawn.sort(Comparator.comparingDouble(worker -> cost(worker, request, nowUs)));
         return drawn;
     }
@@ -126,7 +128,7 @@
         final double zonePrice =
                 worker.endpoint().zone() == current.zone() ? 0 : current.crossZonePrice();
         final double dataPrice =
-                request.dataHome() == null || worker == request.dataHome()
+                request.dataWorker() == null || worker == request.dataWorker()
                         ? 0
                         : current.dataTransferPrice();
         return expectedLatencyUs(worker, request, nowUs)
@@ -134,11 +136,11 @@
     }
 
     private double expectedLatencyUs(WorkerInstance worker, PendingRequest request, long nowUs) {
-        final double pace = worker.pace() / slowStart.capacityFraction(worker, nowUs);
+        final double slowdown = worker.slowdown() / slowStart.capacityFraction(worker, nowUs);
         final double slots = worker.kind().slots();
         final double excess = loads.slotsInUse(worker, nowUs) + request.slots() - slots;
         final double expectedQueue = (excess + Math.sqrt(excess * excess + 1)) / 2;
-        return pace
+        return slowdown
                 * (request.runningTimeUs()
                         + serviceTimes.meanRunningTimeUs() * expectedQueue / slots);
     }
--- a/src/main/java/cresschute/simulator/SettingsParser.java
+++ b/src/main/java/cresschute/simulator/SettingsParser.java
@@ -48,9 +48,9 @@
     static ReportLayout reportLayout(String text) {
         final SettingsParser parser = new SettingsParser(text);
         final List<String> fields = parser.list("report.fields");
-        final boolean slotsFree = parser.word("extra.reportX0", "").equals("free_slots");
+        final boolean x0IsFreeSlots = parser.string("extra.reportX0", "").equals("free_slots");
         return new ReportLayout(
-                slotsFree ? fields.indexOf("x0") : ReportLayout.MISSING,
+                x0IsFreeSlots ? fields.indexOf("x0") : ReportLayout.MISSING,
                 fields.indexOf("outstanding"),
                 fields.indexOf("backlog"));
     }
@@ -65,7 +65,7 @@
                 classes(),
                 tenants(),
                 number("overShareWorth", 1),
-                word("worthBy", "request").equals("work"),
+                string("worthBy", "request").equals("work"),
                 new AttemptLimits(
                         (int) number("limits.maxAttempts", 1),
                         flag("limits.retryAfter", false)
@@ -82,10 +82,10 @@
                         number("goal.worstWindow", 0),
                         number("goal.worstClass", 0),
                         number("goal.worstTenant", 0)),
-                word("membershipMode", "push").equals("ask"),
+                string("membershipMode", "push").equals("ask"),
                 (long) number("rules.askWithinUs", 0),
-                weightSource(word("weightSource", "off")),
-                !word("report.how", "off").equals("off"),
+                weightSource(string("weightSource", "off")),
+                !string("report.how", "off").equals("off"),
                 flag("extra.tellsStart", false),
                 (long) number("extra.progressUs", 0),
                 number("prices.crossZone", 0),
@@ -102,20 +102,20 @@
         final List<String> stretches = list("extra.classStretch");
         final List<RequestClass> classes = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            final String at = "classes." + i + ".";
+            final String prefix = "classes." + i + ".";
             final double defaultStretch =
                     i < stretches.size() ? parse("extra.classStretch", stretches.get(i)) : 0;
             classes.add(
                     new RequestClass(
-                            number(at + "worth", 1),
-                            (long) number(at + "goalTimeUs"),
-                            number(at + "aimStretch", defaultStretch),
-                            (long) number(at + "deadlineUs"),
-                            idempotency(at + "idempotency"),
-                            scope(word(at + "group", "all")),
-                            (long) number(at + "keyTtlUs", 0),
+                            number(prefix + "worth", 1),
+                            (long) number(prefix + "goalTimeUs"),
+                            number(prefix + "aimStretch", defaultStretch),
+                            (long) number(prefix + "deadlineUs"),
+                            idempotency(prefix + "idempotency"),
+                            scope(string(prefix + "group", "all")),
+                            (long) number(prefix + "keyTtlUs", 0),
                             placement(
-                                    at,
+                                    prefix,
                                     i < kinds.size()
                                             ? (int) parse("extra.classKind", kinds.get(i))
                                             : ANY_KIND)));
@@ -128,19 +128,19 @@
      *
      * @param onlyKind the one kind that can run it, or {@link #ANY_KIND}
      */
-    private Placement placement(String at, int onlyKind) {
-        final List<Integer> runsOn = numbers(at + "runsOn");
+    private Placement placement(String prefix, int onlyKind) {
+        final List<Integer> runsOn = numbers(prefix + "runsOn");
         if (onlyKind < 0) {
-            return new Placement(numbers(at + "zonesOpen"), runsOn);
+            return new Placement(numbers(prefix + "zonesOpen"), runsOn);
         }
         final boolean open = runsOn == null || runsOn.contains(onlyKind);
-        return new Placement(numbers(at + "zonesOpen"), open ? List.of(onlyKind) : List.of());
+        return new Placement(numbers(prefix + "zonesOpen"), open ? List.of(onlyKind) : List.of());
     }
 
     /** The numbers of a list; null, which sets no bound, where the key is absent. */
     private List<Integer> numbers(String key) {
         return values.containsKey(key)
-                ? list(key).stream().map(word -> (int) parse(key, word)).toList()
+                ? list(key).stream().map(value -> (int) parse(key, value)).toList()
                 : null;
     }
 
@@ -150,7 +150,7 @@
         for (int i = 0; i < count; i++) {
             tenants.add(
                     new Tenant(
-                            word("tenants." + i + ".name", Integer.toString(i)),
+                            string("tenants." + i + ".name", Integer.toString(i)),
                             number("tenants." + i + ".quotaPerS")));
         }
         // Requests name their tenant by its index, so two of one name would split its quota.
@@ -161,25 +161,25 @@
     }
 
     private Idempotency idempotency(String key) {
-        final String word = required(key);
-        return switch (word) {
+        final String value = required(key);
+        return switch (value) {
             case "pure" -> Idempotency.SAFE;
             case "token" -> Idempotency.KEYED;
             case "side_effect" -> Idempotency.UNSAFE;
-            default -> throw unusable(key, word);
+            default -> throw invalidValue(key, value);
         };
     }
 
-    private static DeduplicationScope scope(String word) {
-        return switch (word) {
+    private static DeduplicationScope scope(String value) {
+        return switch (value) {
             case "cell" -> DeduplicationScope.CELL;
             case "zone" -> DeduplicationScope.ZONE;
             default -> DeduplicationScope.ALL;
         };
     }
 
-    private static WeightSource weightSource(String word) {
-        return switch (word) {
+    private static WeightSource weightSource(String value) {
+        return switch (value) {
             case "nominal" -> WeightSource.NOMINAL;
             case "rough" -> WeightSource.ROUGH;
             case "live" -> WeightSource.LIVE;
@@ -191,21 +191,21 @@
         return parse(key, required(key));
     }
 
-    private double number(String key, double otherwise) {
+    private double number(String key, double defaultValue) {
         final String value = values.get(key);
-        return value == null || value.isEmpty() ? otherwise : parse(key, value);
+        return value == null || value.isEmpty() ? defaultValue : parse(key, value);
     }
 
-    private boolean flag(String key, boolean otherwise) {
-        return Boolean.parseBoolean(word(key, Boolean.toString(otherwise)));
+    private boolean flag(String key, boolean defaultValue) {
+        return Boolean.parseBoolean(string(key, Boolean.toString(defaultValue)));
     }
 
-    private String word(String key, String otherwise) {
-        return values.getOrDefault(key, otherwise);
+    private String string(String key, String defaultValue) {
+        return values.getOrDefault(key, defaultValue);
     }
 
     private List<String> list(String key) {
-        final String value = word(key, "");
+        final String value = string(key, "");
         return value.isEmpty() ? List.of() : List.of(value.split(","));
     }
 
@@ -221,11 +221,11 @@
         try {
             return Double.parseDouble(value);
         } catch (NumberFormatException e) {
-            throw unusable(key, value);
+            throw invalidValue(key, value);
         }
     }
 
-    private static IllegalArgumentException unusable(String key, String value) {
+    private static IllegalArgumentException invalidValue(String key, String value) {
         return new IllegalArgumentException("setting " + key + " has an unusable value: " + value);
     }
 }
--- a/src/main/java/cresschute/simulator/SimulatorAdapter.java
+++ b/src/main/java/cresschute/simulator/SimulatorAdapter.java
@@ -31,7 +31,7 @@
     private static final int EVERY_PEER = -1;
 
     /** A peer message: a worker of four bytes and a class of two. */
-    private static final int UNRESPONSIVE_BYTES = 6;
+    private static final int UNRESPONSIVE_MESSAGE_BYTES = 6;
 
     private static final int SIGNAL_STARTED = 1;
     private static final int SIGNAL_PROGRESS = 2;
@@ -202,7 +202,7 @@
     /** Reads what {@link InstanceActions#reportUnresponsive} of another instance wrote. */
     private void deliverPeerMessage(DispatcherEvents dispatcher, long nowUs) {
         reader.u32();
-        if (reader.u16() == UNRESPONSIVE_BYTES) {
+        if (reader.u16() == UNRESPONSIVE_MESSAGE_BYTES) {
             dispatcher.workerReportedUnresponsive(nowUs, reader.u32(), reader.u16());
         }
     }
@@ -275,10 +275,10 @@
 
         @Override
         public void reportUnresponsive(int workerId, int requestClass) {
-            reply.record(WireCodes.SAY, 10 + UNRESPONSIVE_BYTES)
+            reply.record(WireCodes.SAY, 10 + UNRESPONSIVE_MESSAGE_BYTES)
                     .u32(instance)
                     .u32(EVERY_PEER)
-                    .u16(UNRESPONSIVE_BYTES)
+                    .u16(UNRESPONSIVE_MESSAGE_BYTES)
                     .u32(workerId)
                     .u16(requestClass);
         }
--- a/src/test/java/cresschute/dispatch/AdmissionControllerTest.java
+++ b/src/test/java/cresschute/dispatch/AdmissionControllerTest.java
@@ -46,43 +46,43 @@
                                 0),
                         1,
                         1);
-        bucket.demand(rate, work);
+        bucket.setDemand(rate, work);
         return bucket;
     }
 
     @Test
-    void fillsByPriorityWeightPerWorkAboveTheFloors() {
-        final DemandBucket weighty = bucket(10, 1, 1, Placement.ANYWHERE);
+    void allocatesByPriorityWeightPerWorkAboveFloors() {
+        final DemandBucket heavy = bucket(10, 1, 1, Placement.ANYWHERE);
         final DemandBucket light = bucket(1, 1, 1, Placement.ANYWHERE);
         final DemandBucket large = bucket(10, 1, 20, Placement.ANYWHERE);
         allocatable(all, 1.5 + AdmissionController.FLOOR * 20);
-        AdmissionController.fill(new DemandBucket[] {large, light, weighty}, 1);
-        assertThat(weighty.admitProbability()).isCloseTo(1, within(1e-9));
+        AdmissionController.allocateCapacity(new DemandBucket[] {large, light, heavy}, 1);
+        assertThat(heavy.admitProbability()).isCloseTo(1, within(1e-9));
         assertThat(light.admitProbability()).isCloseTo(0.5, within(1e-9));
         assertThat(large.admitProbability()).isCloseTo(AdmissionController.FLOOR, within(1e-9));
     }
 
     @Test
-    void bindsOnlyTheClassesOfAPlacementToItsBudget() {
+    void limitsOnlyClassesOfPlacementToItsBudget() {
         final DemandBucket bound = bucket(10, 1, 1, ONE_KIND);
         final DemandBucket free = bucket(1, 1, 1, Placement.ANYWHERE);
         allocatable(all, 100);
         allocatable(kind, 0.25);
-        AdmissionController.fill(new DemandBucket[] {bound, free}, 1);
+        AdmissionController.allocateCapacity(new DemandBucket[] {bound, free}, 1);
         assertThat(bound.admitProbability()).isCloseTo(0.25, within(1e-9));
         assertThat(free.admitProbability()).isCloseTo(1, within(1e-9));
     }
 
     @Test
-    void admitsEverythingWhileTheBudgetIsInfinite() {
+    void admitsEverythingWhileBudgetIsInfinite() {
         final DemandBucket bucket = bucket(1, 50, 3, Placement.ANYWHERE);
         allocatable(all, Double.POSITIVE_INFINITY);
-        AdmissionController.fill(new DemandBucket[] {bucket}, 1);
+        AdmissionController.allocateCapacity(new DemandBucket[] {bucket}, 1);
         assertThat(bucket.admitProbability()).isEqualTo(1);
     }
 
     @Property(seed = "23", tries = 300)
-    void keepsFloorsBudgetAndOrderForAnyDemand(
+    void respectsFloorsBudgetAndOrderForAnyDemand(
             @ForAll @Size(6) List<@DoubleRange(min = 0.1, max = 20) Double> priorityWeights,
             @ForAll @Size(6) List<@DoubleRange(min = 0, max = 50) Double> rates,
             @ForAll @Size(6) List<@DoubleRange(min = 0.01, max = 10) Double> works,
@@ -95,7 +95,7 @@
             floorWork += AdmissionController.FLOOR * rates.get(i) * works.get(i);
         }
         allocatable(all, budget);
-        AdmissionController.fill(buckets, 1);
+        AdmissionController.allocateCapacity(buckets, 1);
         double admittedWork = 0;
         for (int i = 0; i < buckets.length; i++) {
             assertThat(buckets[i].admitProbability())
@@ -111,24 +111,24 @@
     }
 
     @Test
-    void fillsAtIntervalsOfThreeToFiveTenthsOfASecond() {
+    void reallocatesEvery300To500Milliseconds() {
         final AdmissionController admission = PolicyFixture.ofSafeClass().admission;
         assertThat(admission.isStarted()).isFalse();
         long nowUs = 5 * SECOND;
         admission.start(nowUs);
         assertThat(admission.isStarted()).isTrue();
-        assertThat(admission.isFillDue(nowUs + 399_999)).isFalse();
+        assertThat(admission.isAllocationDue(nowUs + 399_999)).isFalse();
         nowUs += 400_000;
-        for (int fill = 0; fill < 50; fill++) {
-            assertThat(admission.isFillDue(nowUs)).isTrue();
-            admission.refill(nowUs);
-            assertThat(admission.isFillDue(nowUs + 299_999)).isFalse();
+        for (int allocation = 0; allocation < 50; allocation++) {
+            assertThat(admission.isAllocationDue(nowUs)).isTrue();
+            admission.reallocate(nowUs);
+            assertThat(admission.isAllocationDue(nowUs + 299_999)).isFalse();
             nowUs += 500_000;
         }
     }
 
     @Test
-    void weighsRequestsBeyondTheirTenantsQuotaLess() {
+    void reducesWeightOfRequestsBeyondTenantQuota() {
         final PolicyFixture fixture =
                 new PolicyFixture(
                         new TestSettings(
@@ -152,7 +152,7 @@
     }
 
     @Test
-    void admitsTheExactFractionOverARun() {
+    void admitsExactFractionOfArrivals() {
         final DemandBucket half = bucket(1, 1, 1, Placement.ANYWHERE);
         half.resetAdmission();
         half.admit(0.5);
--- a/src/test/java/cresschute/dispatch/AttemptFeedbackTest.java
+++ b/src/test/java/cresschute/dispatch/AttemptFeedbackTest.java
@@ -45,31 +45,31 @@
         "TIMED_OUT, true",
         "CONNECT_FAILED, true"
     })
-    void takesTimeoutsAndFailedConnectionsForOverload(Outcome outcome, boolean overload) {
+    void countsTimeoutsAndFailedConnectionsAsOverload(Outcome outcome, boolean overload) {
         assertThat(isOverload(outcome, 5 * SECOND, false)).isEqualTo(overload);
     }
 
     @Test
-    void takesNoTimeoutOfAnImpatientClientForOverload() {
+    void doesNotCountTimeoutOfShortDeadlineAsOverload() {
         assertThat(isOverload(Outcome.TIMED_OUT, SECOND / 2, false)).isFalse();
     }
 
     @Test
-    void takesNoTimeoutOfAClosedRequestForOverload() {
+    void doesNotCountTimeoutOfClosedRequestAsOverload() {
         assertThat(isOverload(Outcome.TIMED_OUT, 5 * SECOND, true)).isFalse();
     }
 
     @Test
-    void countsALateAttemptBeforeItsEnd() {
+    void countsLateAttemptBeforeItsEnd() {
         for (int id = 0; id < 100; id++) {
             final PendingRequest request = fixture.request(id, NOW);
-            fixture.feedback.late(request, request.startAttempt(worker, NOW), NOW);
+            fixture.feedback.recordLateAttempt(request, request.startAttempt(worker, NOW), NOW);
         }
         assertThat(adjusted()).isTrue();
     }
 
     @Test
-    void doesNotCountTheEndOfALateAttemptAgain() {
+    void doesNotCountLateAttemptAgainAtItsEnd() {
         for (int id = 0; id < 100; id++) {
             final PendingRequest request = fixture.request(id, NOW);
             final AttemptRecord attempt = request.startAttempt(worker, NOW);
@@ -80,21 +80,21 @@
     }
 
     @Test
-    void takesNoLateAttemptAtAStalledWorkerForOverload() {
+    void doesNotCountLateAttemptAtStalledWorkerAsOverload() {
         worker.stalledUntil(NOW + SECOND);
         for (int id = 0; id < 100; id++) {
             final PendingRequest request = fixture.request(id, NOW);
-            fixture.feedback.late(request, request.startAttempt(worker, NOW), NOW);
+            fixture.feedback.recordLateAttempt(request, request.startAttempt(worker, NOW), NOW);
         }
         assertThat(adjusted()).isFalse();
     }
 
     @ParameterizedTest
     @EnumSource(names = {"UNUSABLE", "TIMED_OUT"})
-    void doesNotCountAgainstTheWorkerWhatItCouldNotServe(Outcome outcome) {
+    void doesNotCountUnservableRequestAgainstWorker(Outcome outcome) {
         for (int id = 0; id < 10; id++) {
             final PendingRequest request = fixture.request(id, NOW, NOW + SECOND / 2);
-            fixture.feedback.endedAt(worker, request, outcome, LoadReport.NONE, NOW);
+            fixture.feedback.recordLoadAndOutcome(worker, request, outcome, LoadReport.NONE, NOW);
         }
         assertThat(fixture.outliers.isEjected(worker, 0, NOW)).isFalse();
     }
--- a/src/test/java/cresschute/dispatch/CapacityEstimatorTest.java
+++ b/src/test/java/cresschute/dispatch/CapacityEstimatorTest.java
@@ -24,14 +24,14 @@
     }
 
     @Test
-    void hasNoBoundBeforeASignOfOverload() {
+    void isUnboundedBeforeFirstOverload() {
         adjust(100, CapacityEstimator.Evidence.IN_TIME, 1000);
         assertThat(capacity.budget()).isInfinite();
         assertThat(capacity.unallocated()).isInfinite();
     }
 
     @Test
-    void decreasesFromTheOfferedWorkByAFifthAtMost() {
+    void decreasesFromOfferedWorkByAtMostAFifth() {
         adjust(10, CapacityEstimator.Evidence.OVERLOAD, 1000);
         // Without finished jobs endings are remembered 15 times as long, and each counts as much
         // less.
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void toleratesATenthOfBadEndings() {
+    void toleratesTenthOfBadEndings() {
         for (int i = 0; i < 90; i++) {
             capacity.addEvidence(CapacityEstimator.Evidence.IN_TIME, 1);
         }
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void toleratesLessWhereTheMarginalWorkBringsLittle() {
+    void toleratesLessIfMarginalWorkHasLowWeight() {
         capacity.addOffered(10);
         for (int i = 0; i < 95; i++) {
             capacity.addEvidence(CapacityEstimator.Evidence.IN_TIME, 1);
@@ -61,13 +61,13 @@
     }
 
     @Test
-    void countsARejectionAsFullLessThanALateEnding() {
+    void countsRejectionAsFullLessThanLateEnding() {
         adjust(10, CapacityEstimator.Evidence.REJECTED_AS_FULL, 100);
         assertThat(capacity.budget()).isInfinite();
     }
 
     @Test
-    void increasesByATwentiethWhileItBindsAndNothingIsBad() {
+    void increasesByATwentiethIfWorkExceedsBudgetAndNoEndingIsBad() {
         adjust(10, CapacityEstimator.Evidence.OVERLOAD, 100);
         for (int i = 0; i < 1000; i++) {
             adjust(0, CapacityEstimator.Evidence.IN_TIME, 1);
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void doesNotFallUnderTheRateAtWhichWorkFinishesWithMostSlotsBusy() {
+    void doesNotDecreaseBelowFinishRateWithMostSlotsBusy() {
         for (int i = 0; i < 200; i++) {
             capacity.jobFinished(5 * INTERVAL_US);
             capacity.slotsReported(5, 5);
@@ -91,7 +91,7 @@
     }
 
     @Test
-    void allocatesAnewAfterEachAdjustment() {
+    void resetsUnallocatedWorkAtEachAdjustment() {
         adjust(10, CapacityEstimator.Evidence.OVERLOAD, 100);
         capacity.allocate(3);
         assertThat(capacity.unallocated()).isCloseTo(capacity.budget() - 3, within(1e-9));
--- a/src/test/java/cresschute/dispatch/DeadlinePolicyTest.java
+++ b/src/test/java/cresschute/dispatch/DeadlinePolicyTest.java
@@ -33,34 +33,37 @@
 
     @ParameterizedTest(name = "objective {0} us: every {1} us")
     @CsvSource({"1000, 5000", "20000, 10000", "99000, 49500", "2000000, 50000"})
-    void checksAtHalfTheTightestObjectiveWithinBounds(long objectiveUs, long intervalUs) {
+    void checksAtHalfOfTightestObjectiveWithinBounds(long objectiveUs, long intervalUs) {
         assertThat(withObjective(objectiveUs).deadlines.checkIntervalUs()).isEqualTo(intervalUs);
     }
 
     @Test
-    void isOverOnceAnAnswerIsLate() {
+    void allowsNoAttemptOnceAnswerIsLate() {
         final PolicyFixture fixture = PolicyFixture.ofSafeClass();
         final PendingRequest request = fixture.request(1, NOW);
-        assertThat(fixture.deadlines.isOver(request, NOW + IN_TIME_US - 1)).isFalse();
-        assertThat(fixture.deadlines.isOver(request, NOW + IN_TIME_US)).isTrue();
+        assertThat(fixture.deadlines.isTooLateForAttempt(request, NOW + IN_TIME_US - 1)).isFalse();
+        assertThat(fixture.deadlines.isTooLateForAttempt(request, NOW + IN_TIME_US)).isTrue();
         assertThat(fixture.deadlines.isTooOld(request, NOW + IN_TIME_US)).isFalse();
         assertThat(fixture.deadlines.isTooOld(request, NOW + IN_TIME_US + 1)).isTrue();
     }
 
     @Test
-    void isOverTwoCheckIntervalsBeforeTheDeadline() {
+    void allowsNoAttemptWithinTwoCheckIntervalsOfDeadline() {
         final PolicyFixture fixture = PolicyFixture.ofSafeClass();
         final PendingRequest request = fixture.request(1, NOW, NOW + SECOND / 2);
-        assertThat(fixture.deadlines.isOver(request, NOW + SECOND / 2 - 100_001)).isFalse();
-        assertThat(fixture.deadlines.isOver(request, NOW + SECOND / 2 - 100_000)).isTrue();
+        assertThat(fixture.deadlines.isTooLateForAttempt(request, NOW + SECOND / 2 - 100_001))
+                .isFalse();
+        assertThat(fixture.deadlines.isTooLateForAttempt(request, NOW + SECOND / 2 - 100_000))
+                .isTrue();
     }
 
     @Test
-    void isImpatientWhereTheDeadlineComesBeforeTheAnswerIsLate() {
+    void detectsDeadlineBeforeAnswerIsLate() {
         final PolicyFixture fixture = PolicyFixture.ofSafeClass();
         final DeadlinePolicy deadlines = fixture.deadlines;
-        assertThat(deadlines.isImpatient(fixture.request(1, NOW, NOW + IN_TIME_US - 1))).isTrue();
-        assertThat(deadlines.isImpatient(fixture.request(1, NOW, NOW + IN_TIME_US))).isFalse();
+        assertThat(deadlines.hasShortDeadline(fixture.request(1, NOW, NOW + IN_TIME_US - 1)))
+                .isTrue();
+        assertThat(deadlines.hasShortDeadline(fixture.request(1, NOW, NOW + IN_TIME_US))).isFalse();
     }
 
     @ParameterizedTest(name = "{0} {1}, may have run: {2}")
@@ -73,7 +76,7 @@
         "UNSAFE, ALL, false, REJECTED",
         "UNSAFE, ALL, true, FAILED"
     })
-    void rejectsOnlyWhereARetryDoesNoHarm(
+    void rejectsOnlyIfRetryDoesNoHarm(
             Idempotency idempotency,
             DeduplicationScope scope,
             boolean mayHaveRun,
@@ -88,7 +91,7 @@
     }
 
     @Test
-    void failsAKeyedRequestOnceTheWindowEnds() {
+    void failsKeyedRequestAfterDeduplicationWindow() {
         final PolicyFixture fixture = PolicyFixture.of(Idempotency.KEYED, DeduplicationScope.ALL);
         final PendingRequest request = fixture.request(1, NOW);
         fixture.retries.markMayHaveRun(request, request.startAttempt(fixture.ready(1, 0, 0), NOW));
@@ -106,14 +109,14 @@
         "1001, true, true",
         "4000, true, true"
     })
-    void datesTheFirstSendOfARetryByWhatIsMissingOfItsTime(
+    void estimatesFirstSendOfRetryFromItsShorterTimeout(
             long missingMs, boolean marked, boolean isRetry) {
         final PolicyFixture fixture = PolicyFixture.ofSafeClass();
-        final ClassState owner = fixture.request(1, NOW).owner();
-        owner.learnTimeout(5 * SECOND);
+        final ClassState classState = fixture.request(1, NOW).classState();
+        classState.learnTimeout(5 * SECOND);
         final Job job = new Job(0, 0, 1, Job.NO_HINT, Job.NO_DATA, marked);
         final long deadlineUs = NOW + 5 * SECOND - missingMs * 1000;
-        assertThat(fixture.deadlines.firstSentUs(owner, job, deadlineUs, NOW))
+        assertThat(fixture.deadlines.firstSentUs(classState, job, deadlineUs, NOW))
                 .isEqualTo(isRetry ? NOW - missingMs * 1000 : NOW);
     }
 }
--- a/src/test/java/cresschute/dispatch/DispatchSettingsTest.java
+++ b/src/test/java/cresschute/dispatch/DispatchSettingsTest.java
@@ -10,7 +10,7 @@
 class DispatchSettingsTest {
 
     @Test
-    void rejectsContradictorySettingsByName() {
+    void namesInvalidSetting() {
         assertThatThrownBy(() -> settings(List.of())).hasMessageContaining("classes");
         assertThatThrownBy(() -> new Tenant("a", -1)).hasMessageContaining("quotaPerS");
         assertThatThrownBy(
--- a/src/test/java/cresschute/dispatch/DispatcherAdmissionTest.java
+++ b/src/test/java/cresschute/dispatch/DispatcherAdmissionTest.java
@@ -1,10 +1,10 @@
 package cresschute.dispatch;
 
+import static cresschute.dispatch.RecordingHost.SECOND;
+import static cresschute.dispatch.RecordingHost.worker;
 import static cresschute.dispatch.TestHosts.offer;
 import static cresschute.dispatch.TestHosts.twoClasses;
 import static cresschute.dispatch.TestHosts.underLoad;
-import static cresschute.dispatch.RecordingHost.SECOND;
-import static cresschute.dispatch.RecordingHost.worker;
 import static cresschute.dispatch.TestSettings.requestClass;
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -27,25 +27,25 @@
     }
 
     @Test
-    void shedsNothingBeforeASignOfOverload() {
+    void shedsNothingBeforeFirstOverload() {
         assertThat(underLoad(Outcome.SERVED).rejected).isEmpty();
     }
 
     @Test
-    void shedsTheLowestPriorityWeightPerWorkUnderOverload() {
+    void shedsLowestPriorityWeightPerWorkUnderOverload() {
         final RecordingHost host = underLoad(Outcome.TIMED_OUT);
         assertThat(rejectedUnsent(host, 1, 1000)).isGreaterThan(100);
         assertThat(rejectedUnsent(host, 0, 1000)).isZero();
     }
 
     @Test
-    void keepsTheBudgetWhereSingleWorkersFail() {
+    void keepsBudgetIfSingleWorkersFail() {
         final RecordingHost host = underLoad(Outcome.ERROR);
         assertThat(rejectedUnsent(host, 1, 1000)).isZero();
     }
 
     @Test
-    void reopensTheBudgetAfterAWaveOfTimeouts() {
+    void raisesBudgetAgainAfterTimeoutsEnd() {
         final RecordingHost host = underLoad(Outcome.TIMED_OUT);
         assertThat(rejectedUnsent(host, 1, 1900)).isGreaterThan(5);
         offer(host, 2000, 3000, Outcome.SERVED);
@@ -54,7 +54,7 @@
 
     @ParameterizedTest(name = "given up after {0} ms, of 1000 in which it is in time")
     @CsvSource({"300, true", "1500, false"})
-    void keepsTheBudgetWhereClientsGiveUpEarly(long waitMs, boolean keptOpen) {
+    void keepsBudgetIfClientsGiveUpEarly(long waitMs, boolean keptOpen) {
         final RecordingHost host =
                 new RecordingHost(
                                 TestSettings.advisingRetries(
@@ -100,7 +100,7 @@
     }
 
     @Test
-    void shedsTrafficBeyondATenantsQuotaFirst() {
+    void shedsTrafficBeyondTenantQuotaFirst() {
         final RecordingHost host =
                 new RecordingHost(
                         new TestSettings(
@@ -150,7 +150,7 @@
     }
 
     @Test
-    void doesNotShedLongJobsFirstWherePriorityWeightCountsPerWork() {
+    void doesNotShedLongJobsFirstIfPriorityWeightScalesWithWork() {
         final RecordingHost host =
                 new RecordingHost(
                         TestSettings.weightedByWork(
@@ -177,7 +177,7 @@
     }
 
     @Test
-    void keepsTheBudgetWhileReportsShowFreeSlots() {
+    void keepsBudgetWhileReportsShowFreeSlots() {
         final RecordingHost host = twoClasses();
         for (int id = 0; id < 2000; id++) {
             final int before = host.sends.size();
--- a/src/test/java/cresschute/dispatch/DispatcherDeadlineTest.java
+++ b/src/test/java/cresschute/dispatch/DispatcherDeadlineTest.java
@@ -1,8 +1,8 @@
 package cresschute.dispatch;
 
-import static cresschute.dispatch.TestHosts.twoSafeWorkers;
 import static cresschute.dispatch.RecordingHost.SECOND;
 import static cresschute.dispatch.RecordingHost.worker;
+import static cresschute.dispatch.TestHosts.twoSafeWorkers;
 import static cresschute.dispatch.TestSettings.requestClass;
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -15,7 +15,7 @@
 class DispatcherDeadlineTest {
 
     @Test
-    void rejectsARetryWhoseLatencyObjectiveHasPassed() {
+    void rejectsRetryAfterItsLatencyObjective() {
         final RecordingHost host = twoSafeWorkers();
         host.request(1, 0);
         host.end(1, 0, host.lastSend().worker(), Outcome.SERVED);
@@ -36,7 +36,7 @@
         "1200, true, 1",
         "4000, true, 1"
     })
-    void takesNoImpatientClientForARetry(long missingMs, boolean marked, int sends) {
+    void distinguishesShortTimeoutFromRetry(long missingMs, boolean marked, int sends) {
         final RecordingHost host =
                 new RecordingHost(
                                 TestSettings.advisingRetries(
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void learnsNoRunningTimeFromAStartReportedWithTheEnd() {
+    void ignoresStartReportThatArrivesWithEnd() {
         final RecordingHost host = twoSafeWorkers();
         host.request(1, 0);
         host.advanceTime(SECOND / 10);
--- a/src/test/java/cresschute/dispatch/DispatcherEndpointListTest.java
+++ b/src/test/java/cresschute/dispatch/DispatcherEndpointListTest.java
@@ -1,10 +1,10 @@
 package cresschute.dispatch;
 
-import static cresschute.dispatch.TestHosts.hostOfClass;
-import static cresschute.dispatch.TestHosts.twoSafeWorkers;
 import static cresschute.dispatch.RecordingHost.SECOND;
 import static cresschute.dispatch.RecordingHost.worker;
 import static cresschute.dispatch.RecordingHost.workerIn;
+import static cresschute.dispatch.TestHosts.hostOfClass;
+import static cresschute.dispatch.TestHosts.twoSafeWorkers;
 import static cresschute.dispatch.TestSettings.requestClass;
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void closesIdleConnectionsOnADrainNoticeAndAfterEachLaterOutcome() {
+    void closesIdleConnectionsOnDrainAndAfterEachLaterOutcome() {
         final RecordingHost host =
                 hostThatClosesIdleConnections(800_000)
                         .list(EndpointListForm.CACHED, worker(1, 0, 0));
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void closesIdleConnectionsToAWorkerFirstListedAsDraining() {
+    void closesIdleConnectionsToWorkerFirstListedAsDraining() {
         final RecordingHost host =
                 hostThatClosesIdleConnections(0)
                         .list(EndpointListForm.CACHED, workerIn(WorkerState.DRAINING, 1, 0));
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void closesNothingWhereNoTimeIsStated() {
+    void keepsIdleConnectionsIfNoTimeIsSet() {
         final RecordingHost host =
                 hostThatClosesIdleConnections(DispatchSettings.UNLIMITED)
                         .list(EndpointListForm.CACHED, worker(1, 0, 0));
@@ -60,7 +60,7 @@
 
     /** The index must not lose count of its groups' members. */
     @Test
-    void takesAWorkerWithAnotherZoneForANewIncarnation() {
+    void treatsWorkerWithAnotherZoneAsNewInstance() {
         final RecordingHost host =
                 hostOfClass(Idempotency.SAFE, DeduplicationScope.ALL)
                         .list(EndpointListForm.CACHED, worker(1, 0, 0));
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void sendsNothingToADrainingGoneOrUnlistedWorker() {
+    void sendsNothingToDrainingGoneOrUnlistedWorker() {
         final RecordingHost host = twoSafeWorkers();
         host.list(EndpointListForm.CHANGES, workerIn(WorkerState.DRAINING, 1, 0));
         host.request(1, 0);
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void keepsTheListAfterAFailedPollAndRepeatsItInTime() {
+    void keepsListAfterFailedPollAndPollsAgain() {
         final RecordingHost host =
                 new RecordingHost(
                         new TestSettings(
--- a/src/test/java/cresschute/dispatch/DispatcherHealthTest.java
+++ b/src/test/java/cresschute/dispatch/DispatcherHealthTest.java
@@ -1,10 +1,10 @@
 package cresschute.dispatch;
 
-import static cresschute.dispatch.TestHosts.hostOfClass;
-import static cresschute.dispatch.TestHosts.hostWithRunningJob;
 import static cresschute.dispatch.RecordingHost.SECOND;
 import static cresschute.dispatch.RecordingHost.worker;
 import static cresschute.dispatch.RecordingHost.workerIn;
+import static cresschute.dispatch.TestHosts.hostOfClass;
+import static cresschute.dispatch.TestHosts.hostWithRunningJob;
 import static cresschute.dispatch.TestSettings.requestClass;
 import static cresschute.dispatch.TestSettings.settings;
 import static org.assertj.core.api.Assertions.assertThat;
@@ -18,7 +18,7 @@
 class DispatcherHealthTest {
 
     @Test
-    void sendsAWarmingWorkerNoMoreThanThisDispatchersPart() {
+    void sendsWarmingWorkerAtMostThisDispatchersShare() {
         final RecordingHost host =
                 new RecordingHost(
                         new TestSettings(
@@ -41,7 +41,7 @@
 
     /** Waiting behind other jobs is no lack of capacity of the kind. */
     @Test
-    void keepsAWarmingWorkersPartWhereJobsWereLateBehindOthers() {
+    void keepsWarmingWorkersShareIfJobsWaitedBehindOthers() {
         final int[] sends = new int[2];
         for (int late = 0; late < 2; late++) {
             final RecordingHost host =
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void ejectsAWorkerAfterAFailedConnection() {
+    void ejectsWorkerAfterFailedConnection() {
         final RecordingHost host =
                 hostOfClass(Idempotency.SAFE, DeduplicationScope.ALL)
                         .list(
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void ejectsNobodyWhereAllWorkersFail() {
+    void ignoresEjectionIfAllWorkersFail() {
         final RecordingHost host =
                 hostOfClass(Idempotency.UNSAFE, DeduplicationScope.ALL)
                         .list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 1, 1));
@@ -114,7 +114,7 @@
     }
 
     @Test
-    void avoidsAWorkerWhoseJobsAreLateBeforeTheyEnd() {
+    void avoidsWorkerWhoseJobsInFlightAreLate() {
         final RecordingHost host =
                 hostOfClass(Idempotency.UNSAFE, DeduplicationScope.ALL)
                         .list(EndpointListForm.CACHED, worker(2, 0, 0));
@@ -147,7 +147,7 @@
     }
 
     @Test
-    void doesNotEjectAWorkerForOneStreamWithoutReports() {
+    void doesNotEjectWorkerForOneStreamWithoutReports() {
         final RecordingHost host = hostWithRunningJob(Idempotency.SAFE);
         final int first = host.lastSend().worker();
         for (int id = 2; id <= 8; id++) {
@@ -170,7 +170,7 @@
     }
 
     @Test
-    void reportsAndAvoidsAWorkerThatDoesNotStartJobsOfAClass() {
+    void reportsAndAvoidsWorkerThatDoesNotStartJobsOfClass() {
         final RecordingHost host =
                 new RecordingHost(
                         settings(
@@ -197,7 +197,7 @@
     }
 
     @Test
-    void avoidsAWorkerReportedByAPeerForItsClassAndForATime() {
+    void avoidsWorkerReportedByPeerForItsClassForLimitedTime() {
         final RecordingHost host =
                 new RecordingHost(
                         settings(
--- a/src/test/java/cresschute/dispatch/DispatcherHedgingTest.java
+++ b/src/test/java/cresschute/dispatch/DispatcherHedgingTest.java
@@ -1,8 +1,8 @@
 package cresschute.dispatch;
 
-import static cresschute.dispatch.TestHosts.hostWithRunningJob;
 import static cresschute.dispatch.RecordingHost.SECOND;
 import static cresschute.dispatch.RecordingHost.worker;
+import static cresschute.dispatch.TestHosts.hostWithRunningJob;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.List;
@@ -17,7 +17,7 @@
     /** The stalled worker gets no new jobs either. */
     @ParameterizedTest
     @EnumSource
-    void hedgesAJobWhoseProgressReportsStopWhereItsClassAllows(Idempotency idempotency) {
+    void hedgesJobWithoutProgressReportsIfClassAllows(Idempotency idempotency) {
         final RecordingHost host = hostWithRunningJob(idempotency);
         final int first = host.lastSend().worker();
         host.advanceTime(SECOND * 3 / 2);
@@ -39,9 +39,8 @@
 
     @ParameterizedTest(name = "{0}, start reported: {1}")
     @CsvSource({"SAFE, false, 2", "SAFE, true, 1", "KEYED, false, 2", "UNSAFE, false, 1"})
-    void hedgesAJobThatHasNotStartedAfterHalfItsSlack(
-            Idempotency idempotency, boolean started, int sends) {
-        final RequestClass patient =
+    void hedgesJobNotStartedAfterHalfItsSlack(Idempotency idempotency, boolean started, int sends) {
+        final RequestClass hedgeableClass =
                 new RequestClass(
                         1,
                         SECOND,
@@ -52,7 +51,7 @@
                         SECOND * 4,
                         Placement.ANYWHERE);
         final RecordingHost host =
-                new RecordingHost(TestSettings.hedging(List.of(patient)))
+                new RecordingHost(TestSettings.hedging(List.of(hedgeableClass)))
                         .list(
                                 EndpointListForm.CACHED,
                                 worker(1, 0, 0),
@@ -81,8 +80,8 @@
     /** A report from before the hedge was due is too old: it says nothing of free slots now. */
     @ParameterizedTest(name = "{0} free slots")
     @CsvSource({"0, 1", "3, 2"})
-    void hedgesOnlyAtAWorkerThatReportsFreeSlots(int free, int sends) {
-        final RequestClass patient =
+    void hedgesOnlyAtWorkerThatReportsFreeSlots(int free, int sends) {
+        final RequestClass hedgeableClass =
                 new RequestClass(
                         1,
                         SECOND,
@@ -93,7 +92,7 @@
                         0,
                         Placement.ANYWHERE);
         final RecordingHost host =
-                new RecordingHost(TestSettings.hedgingWithLoadQueries(List.of(patient)))
+                new RecordingHost(TestSettings.hedgingWithLoadQueries(List.of(hedgeableClass)))
                         .list(
                                 EndpointListForm.CACHED,
                                 worker(1, 0, 0),
@@ -121,7 +120,7 @@
     }
 
     @Test
-    void doesNotHedgeAJobThatReportsProgress() {
+    void doesNotHedgeJobThatReportsProgress() {
         final RecordingHost host = hostWithRunningJob(Idempotency.SAFE);
         for (int second = 1; second <= 4; second++) {
             host.advanceTime(SECOND);
--- a/src/test/java/cresschute/dispatch/DispatcherLoadQueryTest.java
+++ b/src/test/java/cresschute/dispatch/DispatcherLoadQueryTest.java
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void queriesTheSelectedWorkersWhereReportsAreOld() {
+    void queriesSelectedWorkersIfReportsAreStale() {
         final RecordingHost host = queryingHost();
         for (int id = 0; id < 20; id++) {
             host.advanceTime(5 * SECOND);
@@ -43,7 +43,7 @@
     /** What holds when the request is sent counts, not what held when workers were queried. */
     @ParameterizedTest
     @ValueSource(strings = {"left", "drained", "both"})
-    void sendsARequestHeldForAQueryByTheStateAtItsSend(String what) {
+    void usesStateAtSendForRequestThatWaitedForQuery(String what) {
         final RecordingHost host = queryingHost();
         host.advanceTime(5 * SECOND);
         host.queried.clear();
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void sendsToTheShorterQueueOfTwoFullWorkers() {
+    void sendsToShorterQueueOfTwoFullWorkers() {
         final RecordingHost host = queryingHost();
         for (int id = 0; id < 20; id++) {
             host.advanceTime(5 * SECOND);
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void queriesThreeWhereReportsAreOldAndNoneWhereTheyAreFresh() {
+    void queriesThreeWorkersOnlyIfReportsAreStale() {
         final RecordingHost host =
                 new RecordingHost(
                         TestSettings.withLoadQueries(
@@ -102,8 +102,8 @@
 
     @ParameterizedTest(name = "{0} dispatchers, a report {1} ms old: queried anew {2}")
     @CsvSource({"1, 1000, false", "14, 1000, true", "14, 100, false"})
-    void takesAReportForOldSoonerTheMoreDispatchersSend(
-            int dispatchers, long ageMs, boolean queriedAnew) {
+    void treatsReportAsStaleSoonerWithMoreDispatchers(
+            int dispatchers, long ageMs, boolean queriedAgain) {
         final RecordingHost host =
                 new RecordingHost(
                         TestSettings.withLoadQueries(
@@ -118,12 +118,12 @@
         host.advanceTime(ageMs * 1000);
         host.queried.clear();
         host.request(2, 0);
-        assertThat(host.queried.isEmpty()).isEqualTo(!queriedAnew);
-        assertThat(host.sends).hasSize(queriedAnew ? 1 : 2);
+        assertThat(host.queried.isEmpty()).isEqualTo(!queriedAgain);
+        assertThat(host.sends).hasSize(queriedAgain ? 1 : 2);
     }
 
     @Test
-    void doesNotWaitForAWorkerThatDoesNotAnswer() {
+    void doesNotWaitForWorkerThatDoesNotAnswer() {
         final RecordingHost host = queryingHost();
         host.advanceTime(5 * SECOND);
         host.request(1, 0);
@@ -135,7 +135,7 @@
     }
 
     @Test
-    void boundsTheQueriesOfOneRequest() {
+    void limitsQueriesOfOneRequest() {
         final RecordingHost host =
                 new RecordingHost(
                                 TestSettings.withLoadQueries(
@@ -167,7 +167,7 @@
 
     /** A late report must not steer a keyed request out of its group. */
     @Test
-    void forgetsReportsToEarlierQueriesOnceARequestIsSent() {
+    void ignoresEarlierQueryReportsAfterSend() {
         final RecordingHost host =
                 new RecordingHost(
                         TestSettings.withLoadQueries(
--- a/src/test/java/cresschute/dispatch/DispatcherPropertyTest.java
+++ b/src/test/java/cresschute/dispatch/DispatcherPropertyTest.java
@@ -163,9 +163,9 @@
 
         private void request() {
             final int type = random.nextInt(settings.classes().size());
-            final RequestClass stated = settings.classes().get(type);
+            final RequestClass requestClass = settings.classes().get(type);
             final int id = requests++;
-            unanswered.put(id, new OpenRequest(stated, nowUs + stated.deadlineUs()));
+            unanswered.put(id, new OpenRequest(requestClass, nowUs + requestClass.deadlineUs()));
             final Job job =
                     new Job(
                             type,
@@ -174,7 +174,7 @@
                             (long) random.nextInt(2) * random.nextInt(900_000),
                             random.nextInt(3),
                             false);
-            dispatcher.requestArrived(nowUs, id, job, nowUs + stated.deadlineUs());
+            dispatcher.requestArrived(nowUs, id, job, nowUs + requestClass.deadlineUs());
         }
 
         private Integer anyRequestInFlight() {
@@ -252,7 +252,7 @@
         @Override
         public void send(int requestId, int workerId, long deadlineUs) {
             final OpenRequest request = unanswered.get(requestId);
-            final RequestClass stated = request.stated;
+            final RequestClass requestClass = request.requestClass;
             assertThat(request.closed).as("sent after the final answer").isFalse();
             assertThat(request.attempts)
                     .as("attempts in flight")
@@ -262,8 +262,8 @@
             assertThat(worker.state())
                     .as("sent to a draining or gone worker")
                     .isEqualTo(WorkerState.READY);
-            final List<Integer> zones = stated.placement().zones();
-            final List<Integer> kinds = stated.placement().kinds();
+            final List<Integer> zones = requestClass.placement().zones();
+            final List<Integer> kinds = requestClass.placement().kinds();
             assertThat(zones == null || zones.contains(worker.zone()))
                     .as("zone open to the class")
                     .isTrue();
@@ -274,25 +274,28 @@
             final Map.Entry<Integer, Integer> inFlight =
                     request.attempts.entrySet().stream().findFirst().orElse(null);
             final Integer inFlightAt = inFlight == null ? null : inFlight.getValue();
-            if (inFlightAt != null && stated.idempotency() == Idempotency.KEYED) {
-                assertThat(group(stated, worker)).isEqualTo(group(stated, workerOf(inFlightAt)));
+            if (inFlightAt != null && requestClass.idempotency() == Idempotency.KEYED) {
+                assertThat(group(requestClass, worker))
+                        .isEqualTo(group(requestClass, workerOf(inFlightAt)));
                 // The window is that of the attempt in flight: one before it never ran.
                 assertThat(nowUs)
                         .as("a keyed request is hedged within the window of its attempt in flight")
                         .isLessThanOrEqualTo(
                                 sentAtUs.get(requestId).get(inFlight.getKey())
-                                        + stated.deduplicationWindowUs());
+                                        + requestClass.deduplicationWindowUs());
             }
             if (request.mayHaveRunAt != null || inFlightAt != null) {
-                assertThat(stated.idempotency())
+                assertThat(requestClass.idempotency())
                         .as("an effect may be doubled")
                         .isNotEqualTo(Idempotency.UNSAFE);
-                if (stated.idempotency() == Idempotency.KEYED && request.mayHaveRunAt != null) {
+                if (requestClass.idempotency() == Idempotency.KEYED
+                        && request.mayHaveRunAt != null) {
                     assertThat(nowUs)
                             .isLessThanOrEqualTo(
-                                    request.mayHaveRunSinceUs + stated.deduplicationWindowUs());
-                    assertThat(group(stated, worker))
-                            .isEqualTo(group(stated, request.mayHaveRunAt));
+                                    request.mayHaveRunSinceUs
+                                            + requestClass.deduplicationWindowUs());
+                    assertThat(group(requestClass, worker))
+                            .isEqualTo(group(requestClass, request.mayHaveRunAt));
                 }
             }
             sentAtUs.computeIfAbsent(requestId, id -> new LinkedHashMap<>())
@@ -304,8 +307,8 @@
             return new Worker(worker, worker % 3, worker % 2, worker % 4, WorkerState.READY, 1, 0);
         }
 
-        private static int group(RequestClass stated, Worker worker) {
-            return switch (stated.deduplicationScope()) {
+        private static int group(RequestClass requestClass, Worker worker) {
+            return switch (requestClass.deduplicationScope()) {
                 case ALL -> 0;
                 case ZONE -> worker.zone();
                 case CELL -> worker.cell();
@@ -327,9 +330,9 @@
             final OpenRequest request = unanswered.get(requestId);
             final boolean mayRun = request.mayHaveRunAt != null || !request.attempts.isEmpty();
             final boolean dropped =
-                    request.stated.idempotency() == Idempotency.KEYED
-                            && request.stated.deduplicationScope() == DeduplicationScope.ALL;
-            assertThat(request.stated.idempotency() == Idempotency.SAFE || dropped || !mayRun)
+                    request.requestClass.idempotency() == Idempotency.KEYED
+                            && request.requestClass.deduplicationScope() == DeduplicationScope.ALL;
+            assertThat(request.requestClass.idempotency() == Idempotency.SAFE || dropped || !mayRun)
                     .as("a rejection promises that a retry does no harm")
                     .isTrue();
             assertThat(retryAfterUs).isBetween(0L, settings.limits().maxRetryAfterUs());
@@ -373,7 +376,7 @@
     }
 
     @Property(seed = "31", tries = 150)
-    void holdsTheRulesUnderAnyOrderOfEvents(@ForAll long seed) {
+    void followsPoliciesForAnyOrderOfEvents(@ForAll long seed) {
         new Checker(seed).run();
     }
 }
--- a/src/test/java/cresschute/dispatch/DispatcherRetryTest.java
+++ b/src/test/java/cresschute/dispatch/DispatcherRetryTest.java
@@ -1,9 +1,9 @@
 package cresschute.dispatch;
 
-import static cresschute.dispatch.TestHosts.hostOfClass;
-import static cresschute.dispatch.TestHosts.twoSafeWorkers;
 import static cresschute.dispatch.RecordingHost.SECOND;
 import static cresschute.dispatch.RecordingHost.worker;
+import static cresschute.dispatch.TestHosts.hostOfClass;
+import static cresschute.dispatch.TestHosts.twoSafeWorkers;
 import static cresschute.dispatch.TestSettings.placedClass;
 import static cresschute.dispatch.TestSettings.requestClass;
 import static cresschute.dispatch.TestSettings.settings;
@@ -23,7 +23,7 @@
 
     @ParameterizedTest
     @EnumSource(names = {"FULL", "CONNECT_FAILED", "NOT_SENT"})
-    void retriesElsewhereWhatNeverRanForEveryIdempotency(Outcome outcome) {
+    void retriesAtAnotherWorkerIfNothingRan(Outcome outcome) {
         for (final Idempotency idempotency : Idempotency.values()) {
             final RecordingHost host =
                     hostOfClass(idempotency, DeduplicationScope.CELL)
@@ -39,7 +39,7 @@
 
     @ParameterizedTest
     @EnumSource(names = {"ERROR", "TIMED_OUT", "BROKEN", "CANCELLED"})
-    void failsAnUnsafeRequestThatMayHaveRunAndNeverRejectsIt(Outcome outcome) {
+    void failsUnsafeRequestThatMayHaveRun(Outcome outcome) {
         final RecordingHost host =
                 hostOfClass(Idempotency.UNSAFE, DeduplicationScope.ALL)
                         .list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 1, 1));
@@ -51,7 +51,7 @@
 
     @ParameterizedTest
     @EnumSource(names = {"CELL", "ZONE"})
-    void keepsAKeyedRequestThatMayHaveRunInItsDeduplicationGroup(DeduplicationScope scope) {
+    void keepsKeyedRequestInItsDeduplicationGroup(DeduplicationScope scope) {
         final RecordingHost host = hostOfClass(Idempotency.KEYED, scope);
         host.list(
                 EndpointListForm.CACHED,
@@ -74,8 +74,8 @@
     }
 
     @Test
-    void doesNotRetryAKeyedRequestAfterItsDeduplicationWindow() {
-        final RequestClass brief =
+    void doesNotRetryKeyedRequestAfterDeduplicationWindow() {
+        final RequestClass shortWindowClass =
                 new RequestClass(
                         1,
                         4 * SECOND,
@@ -85,7 +85,7 @@
                         DeduplicationScope.ALL,
                         SECOND,
                         Placement.ANYWHERE);
-        final RecordingHost host = new RecordingHost(settings(List.of(brief)));
+        final RecordingHost host = new RecordingHost(settings(List.of(shortWindowClass)));
         host.list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 1, 1)).request(1, 0);
         host.advanceTime(SECOND + 1);
         host.end(1, 0, host.lastSend().worker(), Outcome.BROKEN);
@@ -95,7 +95,7 @@
     }
 
     @Test
-    void staysWithinTheLimitOfAttempts() {
+    void staysWithinAttemptLimit() {
         final RecordingHost host = twoSafeWorkers();
         host.request(1, 0);
         for (int attempt = 0; attempt < 8; attempt++) {
@@ -108,8 +108,8 @@
     /** The lower limit holds for retries and for hedged requests. */
     @ParameterizedTest
     @CsvSource({"1, 1", "2, 2", "4, 4", "9, 4"})
-    void staysWithinTheLowerLimitOfClassAndSettings(int ofClass, int sent) {
-        final RequestClass bounded =
+    void staysWithinLowerLimitOfClassAndSettings(int ofClass, int sent) {
+        final RequestClass limitedClass =
                 new RequestClass(
                         1,
                         SECOND,
@@ -121,7 +121,7 @@
                         Placement.ANYWHERE,
                         ofClass);
         final RecordingHost host =
-                new RecordingHost(settings(List.of(bounded)))
+                new RecordingHost(settings(List.of(limitedClass)))
                         .list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 0, 1));
         host.request(1, 0);
         for (int attempt = 0; attempt < 8; attempt++) {
@@ -130,7 +130,7 @@
         assertThat(host.sends).hasSize(sent);
         assertThat(host.rejected).containsExactly(1);
         final RecordingHost hedging =
-                new RecordingHost(TestSettings.hedging(List.of(bounded)))
+                new RecordingHost(TestSettings.hedging(List.of(limitedClass)))
                         .list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 0, 1));
         hedging.request(1, 0);
         hedging.dispatcher.jobProgressed(hedging.nowUs, 1, 0, hedging.lastSend().worker(), 0);
@@ -140,7 +140,7 @@
 
     /** All workers drop a duplicate of it within the window: so long the rejection holds true. */
     @Test
-    void rejectsAKeyedRequestThatAllWorkersDropOnlyWithinItsWindow() {
+    void rejectsKeyedRequestOnlyWithinWindowIfAllWorkersDropIt() {
         final RecordingHost host = hostOfClass(Idempotency.KEYED, DeduplicationScope.ALL);
         host.list(EndpointListForm.CACHED, worker(1, 0, 0)).request(1, 0);
         host.advanceTime(2 * SECOND);
@@ -199,7 +199,7 @@
     }
 
     @Test
-    void keepsAKeyedRequestInItsGroupAfterFullWhereFullMayHaveRun() {
+    void keepsKeyedRequestInGroupIfFullMayHaveRun() {
         final RecordingHost host =
                 new RecordingHost(
                         new TestSettings(
@@ -229,7 +229,7 @@
     /** What was not sent says nothing of any worker, and its worker is selected anew. */
     @ParameterizedTest
     @EnumSource
-    void retriesAnAttemptThatWasNotSentAndKeepsTheBudget(Idempotency idempotency) {
+    void retriesAttemptNotSentAndKeepsBudget(Idempotency idempotency) {
         final RecordingHost host = hostOfClass(idempotency, DeduplicationScope.ALL);
         host.list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 0, 0));
         for (int id = 1; id <= 200; id++) {
--- a/src/test/java/cresschute/dispatch/DispatcherSelectionTest.java
+++ b/src/test/java/cresschute/dispatch/DispatcherSelectionTest.java
@@ -1,10 +1,10 @@
 package cresschute.dispatch;
 
-import static cresschute.dispatch.TestHosts.hostOfClass;
-import static cresschute.dispatch.TestHosts.threeSafeWorkers;
 import static cresschute.dispatch.RecordingHost.SECOND;
 import static cresschute.dispatch.RecordingHost.worker;
 import static cresschute.dispatch.RecordingHost.workerIn;
+import static cresschute.dispatch.TestHosts.hostOfClass;
+import static cresschute.dispatch.TestHosts.threeSafeWorkers;
 import static cresschute.dispatch.TestSettings.placedClass;
 import static cresschute.dispatch.TestSettings.settings;
 import static org.assertj.core.api.Assertions.assertThat;
@@ -21,7 +21,7 @@
     private static final Placement WEST = new Placement(List.of(1), null);
 
     @Test
-    void keepsThePlacementOfAClassAtEveryAttempt() {
+    void keepsPlacementOfClassAtEveryAttempt() {
         final RecordingHost host =
                 new RecordingHost(
                         settings(
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void holdsAndRejectsARequestWithoutAWorkerOfItsPlacement() {
+    void holdsAndRejectsRequestWithoutWorkerInPlacement() {
         final RecordingHost host =
                 new RecordingHost(
                         settings(
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void sendsMoreToTheFasterAndEmptierWorker() {
+    void sendsMoreToFasterWorker() {
         final RecordingHost host =
                 hostOfClass(Idempotency.SAFE, DeduplicationScope.ALL)
                         .list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 0, 0));
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void sendsJobsOfADataKeyToOneWorkerFromEveryDispatcher() {
+    void sendsDataKeyToSameWorkerFromEveryDispatcher() {
         final RecordingHost one = hostOfClass(Idempotency.SAFE, DeduplicationScope.ALL);
         final RecordingHost other = hostOfClass(Idempotency.SAFE, DeduplicationScope.ALL);
         final Worker[] workers =
@@ -100,38 +100,38 @@
         one.list(EndpointListForm.CACHED, workers);
         other.request(999, 0);
         other.list(EndpointListForm.CACHED, workers);
-        final Set<Integer> homes = new HashSet<>();
+        final Set<Integer> dataWorkers = new HashSet<>();
         for (long key = 1; key <= 40; key++) {
             assertThat(workersOfKey(key, one)).hasSize(1).isEqualTo(workersOfKey(key, other));
-            homes.add(one.lastSend().worker());
+            dataWorkers.add(one.lastSend().worker());
         }
-        assertThat(homes).hasSizeGreaterThan(8);
+        assertThat(dataWorkers).hasSizeGreaterThan(8);
     }
 
     /** The home of a data key, after it has rejected a job of that key as full. */
-    private static int fullHomeOf(long dataKey, RecordingHost host) {
-        final int home = workersOfKey(dataKey, host).get(0);
+    private static int fullDataWorkerOf(long dataKey, RecordingHost host) {
+        final int dataWorker = workersOfKey(dataKey, host).get(0);
         host.request(1, new Job(0, 0, 1, 0, dataKey, false));
-        host.end(1, 0, home, Outcome.FULL);
-        return home;
+        host.end(1, 0, dataWorker, Outcome.FULL);
+        return dataWorker;
     }
 
     @Test
-    void sendsToTheNextWorkerOfADataKeyWhereItsHomeIsFullOrGone() {
+    void sendsToNextWorkerOnRingIfDataWorkerIsFullOrGone() {
         final RecordingHost host = threeSafeWorkers();
-        final int home = fullHomeOf(5, host);
+        final int dataWorker = fullDataWorkerOf(5, host);
         final int next = host.lastSend().worker();
-        assertThat(next).isNotEqualTo(home);
-        host.list(EndpointListForm.CHANGES, workerIn(WorkerState.GONE, home, 0));
+        assertThat(next).isNotEqualTo(dataWorker);
+        host.list(EndpointListForm.CHANGES, workerIn(WorkerState.GONE, dataWorker, 0));
         assertThat(workersOfKey(5, host)).containsExactly(next);
     }
 
     @Test
-    void avoidsAFullWorkerForAboutOneRunningTime() {
+    void avoidsFullWorkerForAboutOneRunningTime() {
         final RecordingHost host = threeSafeWorkers();
-        final int home = fullHomeOf(5, host);
-        assertThat(workersOfKey(5, host)).doesNotContain(home);
+        final int dataWorker = fullDataWorkerOf(5, host);
+        assertThat(workersOfKey(5, host)).doesNotContain(dataWorker);
         host.advanceTime(SECOND);
-        assertThat(workersOfKey(5, host)).containsExactly(home);
+        assertThat(workersOfKey(5, host)).containsExactly(dataWorker);
     }
 }
--- a/src/test/java/cresschute/dispatch/DispatcherTest.java
+++ b/src/test/java/cresschute/dispatch/DispatcherTest.java
@@ -1,10 +1,10 @@
 package cresschute.dispatch;
 
+import static cresschute.dispatch.RecordingHost.SECOND;
+import static cresschute.dispatch.RecordingHost.worker;
 import static cresschute.dispatch.TestHosts.hostOfClass;
 import static cresschute.dispatch.TestHosts.twoSafeWorkers;
 import static cresschute.dispatch.TestHosts.underLoad;
-import static cresschute.dispatch.RecordingHost.SECOND;
-import static cresschute.dispatch.RecordingHost.worker;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import org.junit.jupiter.api.Test;
@@ -13,7 +13,7 @@
 class DispatcherTest {
 
     @Test
-    void holdsARequestWithoutWorkersAndRejectsItInTime() {
+    void holdsRequestWithoutWorkersAndRejectsItInTime() {
         final RecordingHost host =
                 hostOfClass(Idempotency.UNSAFE, DeduplicationScope.ALL)
                         .list(EndpointListForm.CACHED);
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void sendsAHeldRequestOnceAWorkerIsListed() {
+    void sendsHeldRequestOnceWorkerIsListed() {
         final RecordingHost host =
                 hostOfClass(Idempotency.SAFE, DeduplicationScope.ALL).list(EndpointListForm.CACHED);
         host.request(1, 0);
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void answersATimeoutAtTheDeadlineAtOnce() {
+    void answersAtOnceAfterTimeoutAtDeadline() {
         final RecordingHost host =
                 hostOfClass(Idempotency.UNSAFE, DeduplicationScope.ALL)
                         .list(EndpointListForm.CACHED, worker(1, 0, 0));
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void sendsNothingAfterTheClientLeft() {
+    void sendsNothingAfterClientLeft() {
         final RecordingHost host = twoSafeWorkers();
         host.request(1, 0);
         host.dispatcher.clientLeft(host.nowUs, 1);
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void failsAnUnusableRequestAtOnceAndDoesNotCountItAgainstItsWorker() {
+    void failsUnusableRequestWithoutCountingItAgainstWorker() {
         final RecordingHost host = twoSafeWorkers();
         for (int id = 1; id <= 40; id++) {
             host.request(id, 0);
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void theSameSeedAndEventsGiveTheSameActions() {
+    void sameSeedAndEventsProduceSameActions() {
         assertThat(underLoad(Outcome.FULL).log).isEqualTo(underLoad(Outcome.FULL).log);
     }
 }
--- a/src/test/java/cresschute/dispatch/EndpointListPollerTest.java
+++ b/src/test/java/cresschute/dispatch/EndpointListPollerTest.java
@@ -17,40 +17,40 @@
     }
 
     @Test
-    void pollsOnceWithinOneBackoffOfTheFirstList() {
+    void pollsOnceWithinOneBackoffAfterFirstList() {
         final EndpointListPoller poller = poller(PolicyFixture.SEED);
-        assertThat(poller.takeDue(5 * SECOND)).isFalse();
+        assertThat(poller.takeDuePoll(5 * SECOND)).isFalse();
         poller.started(5 * SECOND);
-        assertThat(poller.takeDue(6 * SECOND)).isTrue();
-        assertThat(poller.takeDue(60 * SECOND)).isFalse();
+        assertThat(poller.takeDuePoll(6 * SECOND)).isTrue();
+        assertThat(poller.takeDuePoll(60 * SECOND)).isFalse();
     }
 
     @Test
-    void neverPollsWhereTheHostSendsChangesByItself() {
+    void neverPollsIfHostPushesChanges() {
         final EndpointListPoller poller = PolicyFixture.ofSafeClass().poller;
         poller.started(SECOND);
-        assertThat(poller.takeDue(3_600 * SECOND)).isFalse();
+        assertThat(poller.takeDuePoll(3_600 * SECOND)).isFalse();
     }
 
     @Test
-    void repeatsAFailedPollAfterHalfToOneAndAHalfBackoffs() {
+    void repeatsFailedPollAfterHalfToOneAndAHalfBackoffs() {
         for (long seed = 0; seed < 50; seed++) {
             final EndpointListPoller poller = poller(seed);
-            poller.failed(5 * SECOND);
-            assertThat(poller.takeDue(5 * SECOND + SECOND / 2 - 1)).isFalse();
-            assertThat(poller.takeDue(5 * SECOND + SECOND * 3 / 2)).isTrue();
+            poller.pollFailed(5 * SECOND);
+            assertThat(poller.takeDuePoll(5 * SECOND + SECOND / 2 - 1)).isFalse();
+            assertThat(poller.takeDuePoll(5 * SECOND + SECOND * 3 / 2)).isTrue();
         }
     }
 
     @Test
-    void spreadsThePollsOfManyDispatchers() {
+    void spreadsPollsOfManyDispatchers() {
         final long early =
                 LongStream.range(0, 100)
                         .filter(
                                 seed -> {
                                     final EndpointListPoller poller = poller(seed);
-                                    poller.failed(5 * SECOND);
-                                    return poller.takeDue(6 * SECOND);
+                                    poller.pollFailed(5 * SECOND);
+                                    return poller.takeDuePoll(6 * SECOND);
                                 })
                         .count();
         assertThat(early).isBetween(30L, 70L);
--- a/src/test/java/cresschute/dispatch/EndpointListUpdaterTest.java
+++ b/src/test/java/cresschute/dispatch/EndpointListUpdaterTest.java
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void keepsWorkersThatChangesDoNotName() {
+    void keepsWorkersNotNamedInChanges() {
         apply(EndpointListForm.CACHED, RecordingHost.worker(1, 0, 0));
         apply(EndpointListForm.CHANGES, RecordingHost.worker(2, 0, 0));
         assertThat(listed()).containsExactly(1, 2);
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void withdrawsWorkersThatAWholeListDoesNotName() {
+    void removesWorkersMissingFromCompleteList() {
         apply(EndpointListForm.CACHED, RecordingHost.worker(1, 0, 0));
         apply(EndpointListForm.FULL, RecordingHost.worker(2, 0, 0));
         assertThat(listed()).containsExactly(2);
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void forgetsADrainingWorkerAndClosesWhatEachLaterAttemptLeavesIdle() {
+    void removesDrainingWorkerAndClosesConnectionAfterEachLaterAttempt() {
         apply(EndpointListForm.CACHED, RecordingHost.worker(1, 0, 0));
         final WorkerInstance worker = fixture.workers.find(1);
         apply(EndpointListForm.CHANGES, RecordingHost.workerIn(WorkerState.DRAINING, 1, 0));
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void keepsWhatIsKnownOfTheSameIncarnationAlone() {
+    void keepsStateOnlyForSameInstance() {
         apply(EndpointListForm.CACHED, RecordingHost.workerIn(WorkerState.READY, 1, NOW));
         final WorkerInstance worker = fixture.workers.find(1);
         apply(EndpointListForm.FULL, RecordingHost.workerIn(WorkerState.READY, 1, NOW));
--- a/src/test/java/cresschute/dispatch/HedgingPolicyTest.java
+++ b/src/test/java/cresschute/dispatch/HedgingPolicyTest.java
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void isDueWhereAJobHasNotStartedAfterHalfItsSlack() {
+    void isDueIfJobHasNotStartedAfterHalfItsSlack() {
         final PolicyFixture fixture = fixture(Idempotency.SAFE);
         final PendingRequest request = request(fixture);
         final AttemptRecord attempt = request.startAttempt(fixture.ready(1, 0, 0), NOW);
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void isDueWhereTheAttemptOrItsWorkerIsStalled() {
+    void isDueIfAttemptOrWorkerIsStalled() {
         final PolicyFixture fixture = fixture(Idempotency.SAFE);
         final PendingRequest request = request(fixture);
         final WorkerInstance worker = fixture.ready(1, 0, 0);
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void isNeverDueBesideASecondAttemptOrForAClosedRequest() {
+    void isNotDueForSecondAttemptOrClosedRequest() {
         final PolicyFixture fixture = fixture(Idempotency.SAFE);
         final PendingRequest request = request(fixture);
         final AttemptRecord attempt = request.startAttempt(fixture.ready(1, 0, 0), NOW);
@@ -77,7 +77,8 @@
         "KEYED, 1000, false",
         "UNSAFE, 0, false"
     })
-    void isAllowedByIdempotencyAndWindow(Idempotency idempotency, long afterMs, boolean allowed) {
+    void isAllowedDependingOnIdempotencyAndWindow(
+            Idempotency idempotency, long afterMs, boolean allowed) {
         final PolicyFixture fixture = fixture(idempotency);
         final PendingRequest request = request(fixture);
         final AttemptRecord attempt = request.startAttempt(fixture.ready(1, 0, 0), NOW);
@@ -86,7 +87,7 @@
     }
 
     @Test
-    void isAllowedOnlyWhereTheSettingsAllowHedging() {
+    void isAllowedOnlyIfSettingsAllowHedging() {
         final PolicyFixture fixture = PolicyFixture.ofSafeClass();
         final PendingRequest request = fixture.request(1, NOW);
         final AttemptRecord attempt = request.startAttempt(fixture.ready(1, 0, 0), NOW);
@@ -94,7 +95,7 @@
     }
 
     @Test
-    void needsDeduplicationForTheFirstAttemptOfAKeyedRequest() {
+    void needsDeduplicationForFirstAttemptOfKeyedRequest() {
         final PolicyFixture fixture = fixture(Idempotency.KEYED);
         final PendingRequest request = request(fixture);
         final AttemptRecord attempt = request.startAttempt(fixture.ready(1, 0, 0), NOW);
--- a/src/test/java/cresschute/dispatch/LoadQueryPolicyTest.java
+++ b/src/test/java/cresschute/dispatch/LoadQueryPolicyTest.java
@@ -30,7 +30,7 @@
     /** A report is old after six mean running times of 0.4 s, over the dispatchers. */
     @ParameterizedTest(name = "{0} dispatchers, {1} ms old: {2}")
     @CsvSource({"1, 2400, false", "1, 2401, true", "4, 600, false", "4, 601, true"})
-    void queriesWhereTheOlderOfTwoReportsIsOld(int dispatchers, long ageMs, boolean queries) {
+    void queriesIfOlderOfTwoReportsIsStale(int dispatchers, long ageMs, boolean queries) {
         final PolicyFixture fixture =
                 new PolicyFixture(TestSettings.withLoadQueries(CLASSES, dispatchers));
         final List<WorkerInstance> selected = reportedAt(fixture, NOW, NOW - ageMs * 1000);
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void queriesNothingWhereTheHostDoesNotAllowIt() {
+    void queriesNothingIfHostDoesNotAllowIt() {
         final PolicyFixture fixture = new PolicyFixture(TestSettings.settings(CLASSES));
         assertThat(fixture.loadQueries.isAllowed()).isFalse();
         assertThat(
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void queriesNothingWithoutAChoice() {
+    void queriesNothingIfOnlyOneWorkerIsSelected() {
         final PolicyFixture fixture = new PolicyFixture(TestSettings.withLoadQueries(CLASSES));
         assertThat(
                         fixture.loadQueries.shouldQuery(
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void endsAfterTwoRoundsOfAtMostThreeQueries() {
+    void stopsAfterTwoRoundsOfAtMostThreeQueries() {
         final PolicyFixture fixture = new PolicyFixture(TestSettings.withLoadQueries(CLASSES));
         final List<WorkerInstance> selected = reportedAt(fixture, 0, 0, 0, 0, 0);
         final PendingRequest request = fixture.request(1, NOW);
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void queriesForAHedgeAgainAfterOneMeanRunningTime() {
+    void queriesAgainForHedgeAfterOneMeanRunningTime() {
         final PolicyFixture fixture = new PolicyFixture(TestSettings.withLoadQueries(CLASSES));
         assertThat(fixture.loadQueries.nextHedgeQueryUs(reportedAt(fixture, 0), NOW))
                 .isEqualTo(NOW + 400_000);
--- a/src/test/java/cresschute/dispatch/OpenRequest.java
+++ b/src/test/java/cresschute/dispatch/OpenRequest.java
@@ -6,7 +6,7 @@
 /** What a checker of the rules knows of one request. */
 final class OpenRequest {
 
-    final RequestClass stated;
+    final RequestClass requestClass;
     final long deadlineUs;
 
     /** The workers of the attempts in flight, by the attempt's number. */
@@ -20,8 +20,8 @@
 
     long mayHaveRunSinceUs;
 
-    OpenRequest(RequestClass stated, long deadlineUs) {
-        this.stated = stated;
+    OpenRequest(RequestClass requestClass, long deadlineUs) {
+        this.requestClass = requestClass;
         this.deadlineUs = deadlineUs;
     }
 }
--- a/src/test/java/cresschute/dispatch/OutlierDetectorTest.java
+++ b/src/test/java/cresschute/dispatch/OutlierDetectorTest.java
@@ -41,38 +41,38 @@
 
     @ParameterizedTest
     @EnumSource(names = {"ERROR", "TIMED_OUT", "BROKEN"})
-    void ejectsAtTheThirdFailureInARow(Outcome outcome) {
-        outliers.ended(worker, outcome, NOW);
-        outliers.ended(worker, outcome, NOW);
+    void ejectsAtThirdConsecutiveFailure(Outcome outcome) {
+        outliers.recordOutcome(worker, outcome, NOW);
+        outliers.recordOutcome(worker, outcome, NOW);
         assertThat(isEjected(NOW)).isFalse();
-        outliers.ended(worker, outcome, NOW);
+        outliers.recordOutcome(worker, outcome, NOW);
         assertThat(isEjected(NOW + SECOND / 2 - 1)).isTrue();
         assertThat(isEjected(NOW + SECOND / 2)).isFalse();
     }
 
     @ParameterizedTest(name = "{0} failed connections: {1} ms")
     @CsvSource({"1, 500", "2, 1000", "3, 2000", "4, 4000", "5, 8000", "6, 8000"})
-    void doublesTheEjectionForEachFailedConnectionUpToFiveSteps(int failures, long ejectedMs) {
+    void doublesEjectionForEachFailedConnectionUpToFiveSteps(int failures, long ejectedMs) {
         for (int i = 0; i < failures; i++) {
-            outliers.ended(worker, Outcome.CONNECT_FAILED, NOW);
+            outliers.recordOutcome(worker, Outcome.CONNECT_FAILED, NOW);
         }
         assertThat(isEjected(NOW + ejectedMs * 1000 - 1)).isTrue();
         assertThat(isEjected(NOW + ejectedMs * 1000)).isFalse();
     }
 
     @Test
-    void endsTheEjectionAtTheFirstServedAttempt() {
-        outliers.ended(worker, Outcome.CONNECT_FAILED, NOW);
-        outliers.ended(worker, Outcome.SERVED, NOW);
+    void endsEjectionAtFirstServedAttempt() {
+        outliers.recordOutcome(worker, Outcome.CONNECT_FAILED, NOW);
+        outliers.recordOutcome(worker, Outcome.SERVED, NOW);
         assertThat(isEjected(NOW)).isFalse();
-        outliers.ended(worker, Outcome.ERROR, NOW);
-        outliers.ended(worker, Outcome.ERROR, NOW);
+        outliers.recordOutcome(worker, Outcome.ERROR, NOW);
+        outliers.recordOutcome(worker, Outcome.ERROR, NOW);
         assertThat(isEjected(NOW)).isFalse();
     }
 
     @Test
-    void ejectsAFullWorkerForOneMeanRunningTime() {
-        outliers.ended(worker, Outcome.FULL, NOW);
+    void ejectsFullWorkerForOneMeanRunningTime() {
+        outliers.recordOutcome(worker, Outcome.FULL, NOW);
         final long meanUs = (long) fixture.serviceTimes.meanRunningTimeUs();
         assertThat(meanUs).isEqualTo(400_000);
         assertThat(isEjected(NOW + meanUs - 1)).isTrue();
@@ -81,15 +81,15 @@
 
     @ParameterizedTest
     @EnumSource(names = {"CANCELLED", "NOT_SENT"})
-    void doesNotCountWhatTheHostEnded(Outcome outcome) {
+    void doesNotCountAttemptsEndedByHost(Outcome outcome) {
         for (int i = 0; i < 10; i++) {
-            outliers.ended(worker, outcome, NOW);
+            outliers.recordOutcome(worker, outcome, NOW);
         }
         assertThat(isEjected(NOW)).isFalse();
     }
 
     @Test
-    void ejectsAnUnresponsiveWorkerForOneClassAlone() {
+    void ejectsUnresponsiveWorkerForOneClassOnly() {
         final RequestClass safe =
                 TestSettings.requestClass(1, Idempotency.SAFE, DeduplicationScope.ALL);
         final PolicyFixture twoClasses =
@@ -104,7 +104,7 @@
     }
 
     @Test
-    void detectsAnUnresponsiveWorkerOnceForAnAttempt() {
+    void detectsUnresponsiveWorkerOncePerAttempt() {
         final AttemptRecord attempt = attempt(worker, NOW);
         assertThat(outliers.detectUnresponsive(attempt, 1_600_000, NOW)).isFalse();
         assertThat(outliers.detectUnresponsive(attempt, 1_600_001, NOW)).isTrue();
@@ -112,20 +112,20 @@
     }
 
     @Test
-    void takesNoWorkerWithoutFreeSlotsForUnresponsive() {
+    void workerWithoutFreeSlotsIsNotUnresponsive() {
         worker.reserveSlots(1);
         assertThat(outliers.detectUnresponsive(attempt(worker, NOW), 9_000_000, NOW)).isFalse();
     }
 
     @Test
-    void takesNoStartedJobForUnresponsive() {
+    void workerOfStartedJobIsNotUnresponsive() {
         final AttemptRecord attempt = attempt(worker, NOW);
         attempt.progressReported(NOW, 0);
         assertThat(outliers.detectUnresponsive(attempt, 9_000_000, NOW)).isFalse();
     }
 
     @Test
-    void ejectsAWorkerThatReportsProgressOfNoJob() {
+    void ejectsWorkerWithoutProgressOfAnyJob() {
         final AttemptRecord attempt = attempt(worker, NOW);
         assertThat(outliers.detectStalled(attempt, NOW + 1_800_000)).isFalse();
         assertThat(outliers.detectStalled(attempt, NOW + 1_800_001)).isTrue();
@@ -135,7 +135,7 @@
     }
 
     @Test
-    void doesNotEjectAWorkerThatReportsProgressOfOtherJobs() {
+    void doesNotEjectWorkerThatReportsProgressOfOtherJobs() {
         final AttemptRecord attempt = attempt(worker, NOW);
         attempt.progressReported(NOW, 0);
         worker.progressReported(NOW + 2 * SECOND);
--- a/src/test/java/cresschute/dispatch/PolicyFixture.java
+++ b/src/test/java/cresschute/dispatch/PolicyFixture.java
@@ -24,14 +24,16 @@
     final EndpointListPoller poller;
     final AttemptFeedback feedback;
 
-    PolicyFixture(DispatchSettings stated) {
-        this(stated, SEED);
+    PolicyFixture(DispatchSettings initialSettings) {
+        this(initialSettings, SEED);
     }
 
-    PolicyFixture(DispatchSettings stated, long seed) {
+    PolicyFixture(DispatchSettings initialSettings, long seed) {
         final SplittableRandom random = new SplittableRandom(seed);
-        settings = new CurrentSettings(stated);
-        workers = new WorkerIndex(stated.classes().stream().map(RequestClass::placement).toList());
+        settings = new CurrentSettings(initialSettings);
+        workers =
+                new WorkerIndex(
+                        initialSettings.classes().stream().map(RequestClass::placement).toList());
         serviceTimes = new ServiceTimeEstimator(settings);
         loads = new WorkerLoadEstimator(settings, serviceTimes);
         slowStart = new SlowStart(settings, serviceTimes, random);
--- a/src/test/java/cresschute/dispatch/QuotaMeterTest.java
+++ b/src/test/java/cresschute/dispatch/QuotaMeterTest.java
@@ -9,7 +9,7 @@
 class QuotaMeterTest {
 
     @Test
-    void takesThreeArrivalsAtOnceForWithinARareTenantsQuota() {
+    void allowsThreeArrivalsAtOnceForSmallQuota() {
         final QuotaMeter meter = new QuotaMeter(0.5 / 1e6);
         meter.take(60 * SECOND, 0);
         for (int i = 0; i < 3; i++) {
@@ -19,7 +19,7 @@
     }
 
     @Test
-    void refillsAtTheQuotaUpToTwoSeconds() {
+    void refillsAtQuotaRateUpToTwoSeconds() {
         final QuotaMeter meter = new QuotaMeter(10 / 1e6);
         assertThat(meter.take(3_600 * SECOND, 20)).isTrue();
         assertThat(meter.take(3_600 * SECOND, 1)).isFalse();
@@ -29,14 +29,14 @@
     }
 
     @Test
-    void givesEachDispatcherOneAndAHalfTimesItsEvenPart() {
+    void givesEachDispatcherOneAndAHalfTimesItsEvenShare() {
         final QuotaMeter meter = QuotaMeter.of(new Tenant("a", 40), 3);
         assertThat(meter.take(3_600 * SECOND, 40)).isTrue();
         assertThat(meter.take(3_600 * SECOND, 1)).isFalse();
     }
 
     @Test
-    void takesNothingForARetryWithinTheQuota() {
+    void takesNoTokensForRetry() {
         final QuotaMeter meter = new QuotaMeter(0.5 / 1e6);
         for (int i = 0; i < 10; i++) {
             assertThat(meter.take(3_600 * SECOND, 0)).isTrue();
--- a/src/test/java/cresschute/dispatch/RetryPolicyTest.java
+++ b/src/test/java/cresschute/dispatch/RetryPolicyTest.java
@@ -14,7 +14,7 @@
 
     private static final long NOW = 100 * SECOND;
 
-    private static PendingRequest ran(PolicyFixture fixture) {
+    private static PendingRequest mayHaveRunRequest(PolicyFixture fixture) {
         final PendingRequest request = fixture.request(1, NOW);
         final AttemptRecord attempt = request.startAttempt(fixture.ready(1, 0, 0), NOW);
         fixture.retries.markMayHaveRun(request, attempt);
@@ -23,14 +23,16 @@
 
     @ParameterizedTest
     @CsvSource({"SAFE, true", "KEYED, true", "UNSAFE, false"})
-    void allowsARetryOfWhatMayHaveRunByIdempotency(Idempotency idempotency, boolean allowed) {
+    void allowsRetryOfRequestThatMayHaveRunDependingOnIdempotency(
+            Idempotency idempotency, boolean allowed) {
         final PolicyFixture fixture = PolicyFixture.of(idempotency, DeduplicationScope.ALL);
-        assertThat(fixture.retries.allowsAttempt(ran(fixture), NOW)).isEqualTo(allowed);
+        assertThat(fixture.retries.allowsAttempt(mayHaveRunRequest(fixture), NOW))
+                .isEqualTo(allowed);
     }
 
     @ParameterizedTest
     @EnumSource
-    void allowsARetryOfWhatNeverRanForEveryIdempotency(Idempotency idempotency) {
+    void allowsRetryIfNothingRanForEveryIdempotency(Idempotency idempotency) {
         final PolicyFixture fixture = PolicyFixture.of(idempotency, DeduplicationScope.ALL);
         final PendingRequest request = fixture.request(1, NOW);
         request.startAttempt(fixture.ready(1, 0, 0), NOW);
@@ -38,8 +40,8 @@
     }
 
     @Test
-    void allowsNoRetryOfAKeyedRequestAfterItsWindow() {
-        final List<RequestClass> patient =
+    void allowsNoRetryOfKeyedRequestAfterWindow() {
+        final List<RequestClass> longDeadlineClass =
                 List.of(
                         new RequestClass(
                                 1,
@@ -50,8 +52,8 @@
                                 DeduplicationScope.ALL,
                                 SECOND,
                                 Placement.ANYWHERE));
-        final PolicyFixture fixture = new PolicyFixture(TestSettings.settings(patient));
-        final PendingRequest request = ran(fixture);
+        final PolicyFixture fixture = new PolicyFixture(TestSettings.settings(longDeadlineClass));
+        final PendingRequest request = mayHaveRunRequest(fixture);
         assertThat(fixture.retries.allowsAttempt(request, NOW + SECOND - 1)).isTrue();
         assertThat(fixture.retries.allowsAttempt(request, NOW + SECOND)).isFalse();
     }
@@ -69,7 +71,7 @@
         "CANCELLED, false, true",
         "UNUSABLE, false, true"
     })
-    void takesFullForProofOnlyWhereWorkersShedNothingBegun(
+    void treatsFullAsNotRunUnlessSettingsSayItMayHaveRun(
             Outcome outcome, boolean fullMayHaveRun, boolean mayHaveRun) {
         final TestSettings settings =
                 new TestSettings(
@@ -83,7 +85,7 @@
     }
 
     @Test
-    void staysWithinTheLowerLimitOfArrivalAndNow() {
+    void staysWithinLowerOfArrivalAndCurrentLimit() {
         final List<RequestClass> classes =
                 List.of(TestSettings.requestClass(1, Idempotency.SAFE, DeduplicationScope.ALL));
         final PolicyFixture fixture = new PolicyFixture(limited(classes, 3));
@@ -105,9 +107,10 @@
 
     @ParameterizedTest
     @CsvSource({"ALL, false", "ZONE, true", "CELL, true"})
-    void bindsAKeyedRequestToItsDeduplicationGroup(DeduplicationScope scope, boolean bound) {
-        assertThat(ran(PolicyFixture.of(Idempotency.KEYED, scope)).isBoundToGroup())
+    void restrictsKeyedRequestToDeduplicationGroup(DeduplicationScope scope, boolean bound) {
+        assertThat(mayHaveRunRequest(PolicyFixture.of(Idempotency.KEYED, scope)).isBoundToGroup())
                 .isEqualTo(bound);
-        assertThat(ran(PolicyFixture.of(Idempotency.SAFE, scope)).isBoundToGroup()).isFalse();
+        assertThat(mayHaveRunRequest(PolicyFixture.of(Idempotency.SAFE, scope)).isBoundToGroup())
+                .isFalse();
     }
 }
--- a/src/test/java/cresschute/dispatch/SettingsChangeTest.java
+++ b/src/test/java/cresschute/dispatch/SettingsChangeTest.java
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void sendsANewClassWithinItsNewPlacement() {
+    void sendsNewClassWithinItsPlacement() {
         final DispatchSettings start = settings(List.of(SAFE));
         final RecordingHost host =
                 new RecordingHost(start)
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void appliesALowerLimitToPendingRequestsAndAHigherOneOnlyToLaterOnes() {
+    void appliesLowerLimitToPendingRequestsAndHigherOnlyToLaterOnes() {
         final RecordingHost fewer =
                 new RecordingHost(with(List.of(SAFE), 4))
                         .list(EndpointListForm.CACHED, at(1, 0), at(2, 0));
@@ -88,7 +88,7 @@
     /** A request is hedged only where it was allowed at its arrival and is allowed now. */
     @ParameterizedTest(name = "hedging allowed before {0}, after {1}")
     @CsvSource({"false, true", "true, false"})
-    void hedgesOnlyWhereSettingsAtArrivalAndInForceAllowIt(boolean before, boolean after) {
+    void hedgesOnlyIfSettingsAtArrivalAndCurrentOnesAllowIt(boolean before, boolean after) {
         final List<RequestClass> classes =
                 List.of(
                         new RequestClass(
@@ -116,7 +116,7 @@
     }
 
     @Test
-    void rejectsSettingsThatChangeAClassInForce() {
+    void rejectsSettingsThatChangeCurrentClass() {
         final DispatchSettings start = settings(List.of(SAFE));
         final RecordingHost host = new RecordingHost(start);
         final RequestClass changed = requestClass(2, Idempotency.SAFE, DeduplicationScope.ALL);
--- a/src/test/java/cresschute/dispatch/SlowStartTest.java
+++ b/src/test/java/cresschute/dispatch/SlowStartTest.java
@@ -26,7 +26,7 @@
 
     @ParameterizedTest(name = "{0} s after the start: {1}")
     @CsvSource({"0, 0.2", "5, 0.4", "10, 0.6", "20, 1", "60, 1"})
-    void raisesTheCapacityFractionEvenlyOverTheWarmUp(long ageS, double fraction) {
+    void raisesCapacityFractionLinearlyOverWarmUp(long ageS, double fraction) {
         final PolicyFixture fixture = fixture(1);
         final WorkerInstance worker = startedAt(fixture, NOW);
         final long nowUs = NOW + ageS * SECOND;
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void neverHoldsBackAWarmWorker() {
+    void neverWithholdsJobsFromWarmWorker() {
         final PolicyFixture fixture = fixture(1);
         final WorkerInstance worker = startedAt(fixture, Worker.STARTED_LONG_AGO);
         fixture.slowStart.workerAdded(worker, NOW);
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void holdsBackAJobLargerThanAllMaySendInAWindow() {
+    void withholdsJobLargerThanAllDispatchersMaySendInWindow() {
         final PolicyFixture fixture = fixture(1);
         final WorkerInstance worker = startedAt(fixture, NOW);
         worker.startWarmUp(NOW);
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void beginsAtARandomPointOfAMeanJob() {
+    void startsWithRandomTokenDebtOfUpToOneMeanJob() {
         final PolicyFixture fixture = fixture(4);
         final WorkerInstance worker = startedAt(fixture, NOW);
         fixture.slowStart.started(NOW);
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void sendsNoSecondJobInTheSameWindow() {
+    void sendsNoSecondJobInSameWindow() {
         final PolicyFixture fixture = fixture(4);
         final WorkerInstance worker = startedAt(fixture, NOW);
         worker.startWarmUp(NOW);
--- a/src/test/java/cresschute/dispatch/TestHosts.java
+++ b/src/test/java/cresschute/dispatch/TestHosts.java
@@ -19,7 +19,7 @@
 
     /** A host of one job that has started, whose worker reports progress each second. */
     static RecordingHost hostWithRunningJob(Idempotency idempotency) {
-        final RequestClass patient =
+        final RequestClass hedgeableClass =
                 new RequestClass(
                         1,
                         SECOND,
@@ -30,7 +30,7 @@
                         SECOND * 4,
                         Placement.ANYWHERE);
         final RecordingHost host =
-                new RecordingHost(TestSettings.hedging(List.of(patient)))
+                new RecordingHost(TestSettings.hedging(List.of(hedgeableClass)))
                         .list(
                                 EndpointListForm.CACHED,
                                 worker(1, 0, 0),
--- a/src/test/java/cresschute/dispatch/TestSettings.java
+++ b/src/test/java/cresschute/dispatch/TestSettings.java
@@ -88,8 +88,8 @@
         return limits(new AttemptLimits(4, 0, true));
     }
 
-    TestSettings limits(AttemptLimits stated) {
-        limits = stated;
+    TestSettings limits(AttemptLimits newLimits) {
+        limits = newLimits;
         return this;
     }
 
@@ -98,8 +98,8 @@
         return this;
     }
 
-    TestSettings tenants(Tenant... stated) {
-        tenants = List.of(stated);
+    TestSettings tenants(Tenant... newTenants) {
+        tenants = List.of(newTenants);
         return this;
     }
 
--- a/src/test/java/cresschute/dispatch/WorkerLoadEstimatorTest.java
+++ b/src/test/java/cresschute/dispatch/WorkerLoadEstimatorTest.java
@@ -23,9 +23,9 @@
     }
 
     @Test
-    void fadesAReportToTheUsualLoadOfTheKind() {
-        fixture.loads.reported(worker, new LoadReport(4, -1, 0), NOW);
-        fixture.loads.reported(worker, new LoadReport(0, -1, 0), NOW);
+    void decaysReportToUsualLoadOfKind() {
+        fixture.loads.loadReported(worker, new LoadReport(4, -1, 0), NOW);
+        fixture.loads.loadReported(worker, new LoadReport(0, -1, 0), NOW);
         final double usual = worker.kind().usualOtherSlots();
         assertThat(fixture.loads.slotsInUse(worker, NOW)).isCloseTo(4, within(1e-9));
         final double meanUs = fixture.serviceTimes.meanRunningTimeUs();
@@ -36,31 +36,31 @@
     }
 
     @Test
-    void takesNoMissingReportForAnIdleWorker() {
-        fixture.loads.reported(worker, new LoadReport(0, 5, -1), NOW);
+    void missingReportDoesNotMeanIdleWorker() {
+        fixture.loads.loadReported(worker, new LoadReport(0, 5, -1), NOW);
         final double before = fixture.loads.slotsInUse(worker, NOW);
-        fixture.loads.reported(worker, LoadReport.NONE, NOW);
+        fixture.loads.loadReported(worker, LoadReport.NONE, NOW);
         assertThat(before).isCloseTo(5, within(1e-9));
         assertThat(fixture.loads.slotsInUse(worker, NOW)).isEqualTo(before);
     }
 
     @Test
-    void countsWaitingJobsBesideBusySlots() {
-        fixture.loads.reported(worker, new LoadReport(4, -1, 0), NOW);
-        fixture.loads.reported(worker, new LoadReport(0, -1, 6), NOW);
+    void countsWaitingJobsInAdditionToBusySlots() {
+        fixture.loads.loadReported(worker, new LoadReport(4, -1, 0), NOW);
+        fixture.loads.loadReported(worker, new LoadReport(0, -1, 6), NOW);
         assertThat(fixture.loads.slotsInUse(worker, NOW)).isCloseTo(10, within(1e-9));
     }
 
     @Test
-    void countsAllSlotsOfAFullWorkerAsOthers() {
-        fixture.loads.reported(worker, new LoadReport(4, -1, 0), NOW);
+    void countsAllSlotsOfFullWorkerAsUsedByOthers() {
+        fixture.loads.loadReported(worker, new LoadReport(4, -1, 0), NOW);
         fixture.loads.rejectedAsFull(worker, NOW);
         assertThat(fixture.loads.hasFreeSlot(worker, NOW)).isFalse();
         assertThat(fixture.loads.hasFreeSlots(worker, 1, NOW)).isFalse();
     }
 
     @Test
-    void usesListedWeightsOnlyWhereTheyAreLive() {
+    void usesListedWeightsOnlyIfTheyAreLive() {
         fixture.loads.weightListed(worker, 1, NOW);
         fixture.loads.weightListed(worker, 0.5, NOW);
         assertThat(fixture.loads.slotsInUse(worker, NOW)).isZero();
--- a/src/test/java/cresschute/dispatch/WorkerSelectorTest.java
+++ b/src/test/java/cresschute/dispatch/WorkerSelectorTest.java
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void putsTheLeastExpectedLatencyFirst() {
+    void putsLowestExpectedLatencyFirst() {
         final WorkerInstance busy = fixture.ready(1, 0, 0);
         final WorkerInstance idle = fixture.ready(2, 0, 0);
         busy.reserveSlots(3);
@@ -32,17 +32,17 @@
     }
 
     @Test
-    void ranksAFasterWorkerBeforeASlowerOne() {
+    void ranksFasterWorkerBeforeSlowerOne() {
         final WorkerInstance fast = fixture.ready(1, 0, 0);
         final WorkerInstance slow = fixture.ready(2, 0, 0);
-        slow.learnPace(3);
+        slow.learnSlowdown(3);
         final PendingRequest request = fixture.request(1, NOW);
         assertThat(fixture.selector.cost(fast, request, NOW))
                 .isLessThan(fixture.selector.cost(slow, request, NOW));
     }
 
     @Test
-    void addsThePriceOfAZoneCrossing() {
+    void addsPriceOfZoneCrossing() {
         final WorkerInstance near = fixture.ready(1, 0, 0);
         final WorkerInstance far = fixture.ready(2, 1, 1);
         final PendingRequest request = fixture.request(1, NOW);
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void doesNotReturnTheWorkerOfTheLastAttempt() {
+    void doesNotReturnWorkerOfLastAttempt() {
         final WorkerInstance last = fixture.ready(1, 0, 0);
         fixture.ready(2, 0, 0);
         final PendingRequest request = fixture.request(1, NOW);
@@ -78,14 +78,14 @@
     }
 
     @Test
-    void ignoresEjectionWhereAllWorkersAreEjected() {
+    void ignoresEjectionIfAllWorkersAreEjected() {
         fixture.ready(1, 0, 0).ejectUntil(NOW + SECOND);
         fixture.ready(2, 0, 0).ejectUntil(NOW + SECOND);
         assertThat(fixture.selector.select(fixture.request(1, NOW), NOW)).isNotEmpty();
     }
 
     @Test
-    void staysWithinTheDeduplicationGroup() {
+    void staysWithinDeduplicationGroup() {
         final PolicyFixture keyed = PolicyFixture.of(Idempotency.KEYED, DeduplicationScope.CELL);
         final WorkerInstance first = keyed.ready(1, 0, 0);
         final WorkerInstance sameCell = keyed.ready(2, 0, 0);
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void selectsTheSameWorkersForTheSameSeed() {
+    void selectsSameWorkersForSameSeed() {
         final List<List<Integer>> runs = new ArrayList<>();
         for (int run = 0; run < 2; run++) {
             final PolicyFixture each = PolicyFixture.ofSafeClass();
--- a/src/test/java/cresschute/simulator/FrameTest.java
+++ b/src/test/java/cresschute/simulator/FrameTest.java
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void readsTheRecordsOfABatch() throws IOException {
+    void readsRecordsOfBatch() throws IOException {
         final FrameReader reader = reader(bytes(TWO_INSTANCES));
         assertThat(reader.nextBatch()).isTrue();
         assertThat(reader.clockUs()).isEqualTo(0x805c5a);
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void writesRepliesWithTheirHeader() throws IOException {
+    void writesRepliesWithHeader() throws IOException {
         final ByteArrayOutputStream out = new ByteArrayOutputStream();
         final FrameWriter writer = new FrameWriter();
         writer.flushTo(out, 1);
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void growsForRepliesOfMegabytes() throws IOException {
+    void growsBufferForLargeReplies() throws IOException {
         final FrameWriter writer = new FrameWriter();
         for (int i = 0; i < 200_000; i++) {
             writer.record(73, 8).u32(1).u32(i);
@@ -87,7 +87,7 @@
     }
 
     @Property(seed = "11", tries = 97)
-    void namesEveryTruncation(@ForAll @IntRange(min = 1, max = 97) int length) {
+    void rejectsEveryTruncation(@ForAll @IntRange(min = 1, max = 97) int length) {
         final FrameReader reader = reader(Arrays.copyOf(bytes(TWO_INSTANCES), length));
         assertThatThrownBy(reader::nextBatch)
                 .isInstanceOf(MalformedInputException.class)
@@ -95,7 +95,7 @@
     }
 
     @Test
-    void namesRecordsThatDoNotFitTheirBatch() throws IOException {
+    void rejectsRecordLongerThanItsBatch() throws IOException {
         final byte[] tooLong = bytes(TWO_INSTANCES);
         tooLong[21] = (byte) 0xff;
         final FrameReader reader = reader(tooLong);
@@ -106,7 +106,7 @@
     }
 
     @Test
-    void namesFieldsThatRunPastTheirRecord() throws IOException {
+    void rejectsFieldsBeyondEndOfRecord() throws IOException {
         final FrameReader reader = reader(bytes(TWO_INSTANCES));
         reader.nextBatch();
         reader.nextRecord();
--- a/src/test/java/cresschute/simulator/SettingsParserTest.java
+++ b/src/test/java/cresschute/simulator/SettingsParserTest.java
@@ -46,7 +46,7 @@
             """;
 
     @Test
-    void readsWhatIsStatedAndDefaultsTheRest() {
+    void parsesGivenSettingsAndUsesDefaultsForOthers() {
         final DispatchSettings settings = SettingsParser.parse(SMALL);
         assertThat(settings.dispatchers()).isEqualTo(2);
         assertThat(settings.classes()).hasSize(2);
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void readsFurtherRulesWhereTheyAreStated() {
+    void parsesOptionalSettings() {
         final DispatchSettings settings =
                 SettingsParser.parse(
                         SMALL
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void namesContradictoryPlacementsAndTimes() {
+    void rejectsInvalidPlacementsAndTimes() {
         for (final String line :
                 new String[] {"runsOn=1", "runsOn=", "zonesOpen=3", "zonesOpen=-1"}) {
             assertThatThrownBy(() -> SettingsParser.parse(SMALL + "classes.1." + line))
@@ -101,14 +101,14 @@
     }
 
     @Test
-    void namesAMissingRequiredKey() {
+    void namesMissingRequiredKey() {
         final String without = SMALL.replace("classes.1.goalTimeUs=150000\n", "");
         assertThatThrownBy(() -> SettingsParser.parse(without))
                 .hasMessageContaining("classes.1.goalTimeUs");
     }
 
     @Test
-    void namesAnUnusableValue() {
+    void namesInvalidValue() {
         assertThatThrownBy(
                         () -> SettingsParser.parse(SMALL.replace("balancers=2", "balancers=two")))
                 .hasMessageContaining("balancers")
--- a/src/test/java/cresschute/simulator/SimulatorAdapterTest.java
+++ b/src/test/java/cresschute/simulator/SimulatorAdapterTest.java
@@ -119,7 +119,7 @@
     }
 
     @Test
-    void carriesARequestToAWorkerOfItsOwnInstancesList() throws IOException {
+    void sendsRequestToWorkerOfItsOwnInstancesList() throws IOException {
         batch(
                 launch(1, SettingsParserTest.SMALL),
                 launch(2, SettingsParserTest.SMALL),
@@ -137,7 +137,7 @@
     }
 
     @Test
-    void startsAfreshAfterExitAndLaunchInOneBatch() throws IOException {
+    void startsNewDispatcherAfterExitAndLaunchInOneBatch() throws IOException {
         batch(launch(1, SettingsParserTest.SMALL), catalog(0, 77), registry(1, 2, 0));
         batch(
                 record(10, buffer(4).putInt(1)),
@@ -151,7 +151,7 @@
     }
 
     @Test
-    void reportsAnExceptionOfADispatcherForItsInstance() throws IOException {
+    void reportsDispatcherExceptionForItsInstance() throws IOException {
         batch(launch(4, SettingsParserTest.SMALL.replace("balancers=2\n", "")));
         final List<ByteBuffer> actions = lastReply();
         assertThat(codes(actions)).containsExactly(WireCodes.DIE);
@@ -162,13 +162,13 @@
     }
 
     @Test
-    void ignoresEventsOfAnUnknownInstance() throws IOException {
+    void ignoresEventsOfUnknownInstance() throws IOException {
         batch(incoming(3, 1), record(200, buffer(2).putShort((short) 1)));
         assertThat(lastReply()).isEmpty();
     }
 
     @Test
-    void rejectsAListThatWasNeverSent() {
+    void rejectsUnknownCatalog() {
         batch(launch(1, SettingsParserTest.SMALL), registry(1, 2, 7));
         assertThatThrownBy(this::lastReply)
                 .isInstanceOf(MalformedInputException.class)
