--- a/src/main/java/cresschute/dispatch/AdmissionController.java
+++ b/src/main/java/cresschute/dispatch/AdmissionController.java
@@ -5,40 +5,47 @@
 import java.util.SplittableRandom;
 
 /**
- * Decides which part of the requests of each class, job size and side of the tenant's quota is
- * admitted.
+ * Decides which fraction of the requests in each {@link DemandBucket} is admitted. A bucket holds
+ * the requests of one class and job size, within or beyond their tenants' quotas.
  *
- * <p>Inputs, of each {@link DemandBucket}: the arrival rate λ in requests a us, the work v of a
- * request in slot-us and its priority weight γ; the budgets of the {@link CapacityEstimator}s in
- * slots; the tenants' quotas in requests a second.
+ * <p>Inputs: for each bucket, the arrival rate λ in requests per us, the work v of a request in
+ * slot-us and its priority weight γ; the budgets of the {@link CapacityEstimator}s in slots; the
+ * tenants' quotas in requests per second.
  *
- * <p>Rule, about every {@value #INTERVAL_US} us: maximise Σ γ·λ·x over the admit probabilities x,
- * subject to α ≤ x ≤ 1 with the floor α = {@value #FLOOR} and to Σ λ·x·v ≤ budget for each
- * capacity. The greedy fill solves this: floors first, then buckets by γ/v, largest first, while
- * their capacities last. A request beyond its tenant's quota has γ times the settings' factor.
+ * <p>Rule, applied about every {@value #INTERVAL_US} us: maximise Σ γ·λ·x over the admit
+ * probabilities x, subject to α ≤ x ≤ 1 with the floor α = {@value #FLOOR} and to Σ λ·x·v ≤ budget
+ * for each capacity. A greedy allocation solves this: first the floors, then the buckets in
+ * descending order of γ/v while their capacities last. For a request beyond its tenant's quota, γ
+ * is multiplied by {@link DispatchSettings#overQuotaWeightFactor}.
  *
- * <p>Reason: under overload the work that is left brings the most value, and a floor keeps the
- * estimates of every class alive.
+ * <p>Reason: under overload, the admitted work has the highest value per slot, and the floor admits
+ * enough requests of every class to keep its estimates up to date.
  *
- * <p>Never: it does not close a class wholly, and it sheds nothing while all budgets are infinite.
+ * <p>Guarantees: it never sheds all requests of a class, and it sheds none while all budgets are
+ * infinite.
  *
- * <p>Called on the dispatcher's thread alone.
+ * <p>Called only on the dispatcher's thread.
  */
 final class AdmissionController {
 
-    /** Admit probability that every bucket has, whatever the budgets. */
+    /** Minimum admit probability of every bucket, independent of the budgets. */
     static final double FLOOR = 0.02;
 
-    /** Mean time between two fills, us; each is jittered by a quarter. */
+    /** Mean time between two allocations, us, with a jitter of a quarter either way. */
     private static final long INTERVAL_US = 400_000;
 
-    /** Value of {@link #nextAllocationUs} before the start; clocks are later. */
+    /**
+     * Value of {@link #nextAllocationUs} before the start; the dispatcher's clock is always above
+     * it.
+     */
     private static final long NOT_STARTED = 0;
 
-    /** Quota tokens that a request takes when its client sends it first. */
+    /** Quota tokens that a client's first send of a request takes. */
     private static final int FIRST_SEND_TOKENS = 1;
 
-    /** Quota tokens that a client's retry takes: the request has taken its own before. */
+    /**
+     * Quota tokens that a client's retry takes: none, because the first send has already taken one.
+     */
     private static final int RETRY_TOKENS = 0;
 
     private final CurrentSettings settings;
@@ -65,7 +72,10 @@
         resetQuotas();
     }
 
-    /** Adds the classes in force that are new; the first ones also set the initial means. */
+    /**
+     * Adds the classes of the current settings that are not known yet. The first call also sets the
+     * initial means.
+     */
     private void addClasses() {
         final DispatchSettings current = settings.get();
         final int before = buckets.classCount();
@@ -90,7 +100,10 @@
                         .toArray(QuotaMeter[]::new);
     }
 
-    /** Takes in new settings; quotas go on where neither tenants nor dispatchers changed. */
+    /**
+     * Applies new settings. The quota meters keep their tokens unless the tenants or the number of
+     * dispatchers changed.
+     */
     void settingsChanged(DispatchSettings before) {
         final DispatchSettings current = settings.get();
         addClasses();
@@ -100,18 +113,18 @@
         }
     }
 
-    /** Whether {@link #start} was called or a fill was made. */
+    /** Returns whether {@link #start} was called or capacity was allocated. */
     boolean isStarted() {
         return nextAllocationUs != NOT_STARTED;
     }
 
-    /** Starts to count the time between fills. */
+    /** Starts the interval until the first allocation. */
     void start(long nowUs) {
         lastAllocationUs = nowUs;
         nextAllocationUs = nowUs + INTERVAL_US;
     }
 
-    /** The bucket of an arriving job, whose tenant's quota it uses. */
+    /** Returns the bucket of an arriving job and charges the job to its tenant's quota. */
     DemandBucket bucketOf(Job job, long nowUs) {
         final boolean overQuota =
                 job.tenant() < quotaMeters.length
@@ -120,12 +133,15 @@
         return buckets.of(job.requestClass(), PendingRequest.slotsOf(job), overQuota);
     }
 
-    /** Whether the next fill is due. */
+    /** Returns whether the next allocation is due. */
     boolean isAllocationDue(long nowUs) {
         return nowUs >= nextAllocationUs;
     }
 
-    /** Adjusts all budgets to what ended since the last fill, and fills them. */
+    /**
+     * Adjusts all budgets by the attempts that ended since the last allocation, and allocates them
+     * again.
+     */
     void reallocate(long nowUs) {
         final double elapsedUs = Math.max(1, nowUs - lastAllocationUs);
         lastAllocationUs = nowUs;
@@ -156,11 +172,12 @@
     }
 
     /**
-     * Sets the admit probabilities by what the capacities leave unallocated.
+     * Sets the admit probabilities by allocating the capacities' unallocated work.
      *
-     * @param buckets sorted by this call, most priority weight per work first
-     * @param defaultValue what to return where nothing is admitted above the floors
-     * @return priority weight per work of the last work admitted, over the mean of all admitted
+     * @param buckets sorted in place by descending priority weight per work
+     * @param defaultValue the result if nothing is admitted above the floors
+     * @return priority weight per work of the last work admitted, divided by the mean over all
+     *     admitted work
      */
     static double allocateCapacity(DemandBucket[] buckets, double defaultValue) {
         Arrays.sort(buckets, Comparator.comparingDouble(bucket -> -bucket.weightPerWork()));
--- a/src/main/java/cresschute/dispatch/AttemptFeedback.java
+++ b/src/main/java/cresschute/dispatch/AttemptFeedback.java
@@ -1,23 +1,23 @@
 package cresschute.dispatch;
 
 /**
- * Passes how an attempt goes and ends on to the estimators: load and health of its worker, running
- * times, and the evidence for the capacity budgets.
+ * Updates the estimators from attempts: the load and health of the worker, running times, and the
+ * evidence for the capacity budgets.
  *
  * <p>Inputs: the outcome, the attempt's duration in us, the load report, and whether the request is
  * closed.
  *
- * <p>Rule: a served or full attempt and one that could not connect or timed out count as {@link
- * CapacityEstimator.Evidence}, an attempt that is late before its end as overload at once and not
- * again at its end. Other outcomes count for the health of the worker alone.
+ * <p>Rule: an attempt that is served, rejected as full, unable to connect or timed out counts as
+ * {@link CapacityEstimator.Evidence}. An attempt that is late before its end counts as overload at
+ * once, and not again at its end. Other outcomes affect only the worker's health.
  *
- * <p>Reason: errors, and connections that broke after the whole request was sent, are signs of one
- * worker's fault, not of too much work.
+ * <p>Reason: errors, and connections that break after the whole request was sent, indicate a fault
+ * of one worker, not overload.
  *
- * <p>Never: it does not count a request against its worker that no worker could serve, nor one
- * whose client gave up before its answer would have been late.
+ * <p>Guarantees: it never counts a request against its worker if no worker could serve it, or if
+ * the client gave up before an answer would have been late.
  *
- * <p>Called on the dispatcher's thread alone.
+ * <p>Called only on the dispatcher's thread.
  */
 final class AttemptFeedback {
 
@@ -40,7 +40,10 @@
         this.deadlines = deadlines;
     }
 
-    /** Takes in the load report that came with an attempt's end, and its worker's health. */
+    /**
+     * Records the load report that came with an attempt's end, and the outcome for the worker's
+     * health.
+     */
     void recordLoadAndOutcome(
             WorkerInstance worker,
             PendingRequest request,
@@ -53,7 +56,9 @@
         }
     }
 
-    /** Takes in the running time of a served attempt, or that its worker was full. */
+    /**
+     * Updates the estimates with the running time of a served attempt, or with a rejection as full.
+     */
     void updateEstimates(
             PendingRequest request,
             AttemptRecord attempt,
@@ -73,9 +78,10 @@
     }
 
     /**
-     * Counts an outcome for the capacities.
+     * Adds an outcome as evidence for the capacities of its worker.
      *
-     * @param requestClosed whether no answer is owed any more: a timeout then is no evidence
+     * @param requestClosed whether the request needs no answer any more; a timeout is then no
+     *     evidence
      */
     void addEvidence(
             PendingRequest request, AttemptRecord attempt, Outcome outcome, boolean requestClosed) {
@@ -105,7 +111,10 @@
         return outcome == Outcome.TIMED_OUT && deadlines.hasShortDeadline(request);
     }
 
-    /** Takes in that an attempt in flight is late; a stalled worker is no sign of overload. */
+    /**
+     * Records that an attempt in flight is late. At a stalled worker this is not evidence of
+     * overload.
+     */
     void recordLateAttempt(PendingRequest request, AttemptRecord attempt, long nowUs) {
         attempt.markLate();
         if (!request.isClosed() && !attempt.worker().isStalled(nowUs)) {
--- a/src/main/java/cresschute/dispatch/AttemptLimits.java
+++ b/src/main/java/cresschute/dispatch/AttemptLimits.java
@@ -3,9 +3,9 @@
 /**
  * Limits on the attempts of every request.
  *
- * @param maxAttempts attempts of one request, at least 1
- * @param maxRetryAfterUs longest pause that a rejected client may be advised, us; 0 where clients
- *     take no advice
+ * @param maxAttempts maximum number of attempts of one request, at least 1
+ * @param maxRetryAfterUs longest Retry-After time that a rejected client may get, us; 0 if clients
+ *     do not support it
  * @param allowsHedging whether a request may have two attempts in flight
  */
 public record AttemptLimits(int maxAttempts, long maxRetryAfterUs, boolean allowsHedging) {
--- a/src/main/java/cresschute/dispatch/AttemptRecord.java
+++ b/src/main/java/cresschute/dispatch/AttemptRecord.java
@@ -3,7 +3,10 @@
 /** One attempt of a request at a worker, from its send to its end. */
 final class AttemptRecord {
 
-    /** Value of {@link #startReportedAtUs} before the first progress report; clocks are later. */
+    /**
+     * Value of {@link #startReportedAtUs} before the first progress report; the dispatcher's clock
+     * is always above it.
+     */
     private static final long NOT_REPORTED = 0;
 
     private final int number;
@@ -37,9 +40,9 @@
     }
 
     /**
-     * Takes in a progress report; the first one also dates the start of the job.
+     * Records a progress report. The first one also sets the start time of the job.
      *
-     * @param fractionDone part of the job that is done, from 0 to 1
+     * @param fractionDone fraction of the job that is done, from 0 to 1
      */
     void progressReported(long nowUs, double fractionDone) {
         lastProgressUs = nowUs;
@@ -54,22 +57,22 @@
         return startReportedAtUs != NOT_REPORTED;
     }
 
-    /** Time of the first progress report, us; only where {@link #hasReportedStart}. */
+    /** Time of the first progress report, us; valid only if {@link #hasReportedStart}. */
     long startReportedAtUs() {
         return startReportedAtUs;
     }
 
-    /** Part of the job that was done at the first progress report. */
+    /** Fraction of the job that was done at the first progress report. */
     double fractionDoneAtStartReport() {
         return fractionDoneAtStartReport;
     }
 
-    /** Time of the last progress report, or of the send before the first, us. */
+    /** Time of the last progress report, us; the send time before the first report. */
     long lastProgressUs() {
         return lastProgressUs;
     }
 
-    /** Whether the attempt was counted as late before its end. */
+    /** Returns whether the attempt was counted as late before its end. */
     boolean isLate() {
         return late;
     }
@@ -78,7 +81,7 @@
         late = true;
     }
 
-    /** Whether its worker was marked unresponsive for the class because of this attempt. */
+    /** Returns whether this attempt caused its worker to be marked unresponsive for the class. */
     boolean isUnresponsive() {
         return unresponsive;
     }
@@ -87,7 +90,7 @@
         unresponsive = true;
     }
 
-    /** Whether its progress reports have stopped, as far as noticed. */
+    /** Returns whether a check found that the attempt's progress reports have stopped. */
     boolean isStalled() {
         return stalled;
     }
--- a/src/main/java/cresschute/dispatch/CapacityEstimator.java
+++ b/src/main/java/cresschute/dispatch/CapacityEstimator.java
@@ -2,45 +2,49 @@
 
 /**
  * Estimates the work that the ready workers of one placement can take from this dispatcher: the
- * budget B, in slots (slot-us of work a us).
+ * budget B, in slots (slot-us of work per us).
  *
- * <p>Inputs: endings of attempts with their priority weight, work of served jobs in slot-us, slots
- * in use and queued for from load reports, and the work offered in slots.
+ * <p>Inputs: endings of attempts with their priority weight; work of served jobs in slot-us; slots
+ * in use or queued for, from load reports; and the offered work in slots.
  *
- * <p>Rule, once each interval of the admission controller: with bad = weight of bad endings /
- * weight of all endings and tolerated = {@value #TOLERATED_BAD_FRACTION} * margin, where margin is
- * the marginal priority weight within [{@value #MIN_MARGIN}, 1],
+ * <p>Rule, applied at each allocation of the admission controller: with bad = weight of bad endings
+ * / weight of all endings and tolerated = {@value #TOLERATED_BAD_FRACTION} * margin, where margin
+ * is the marginal priority weight within [{@value #MIN_MARGIN}, 1],
  *
  * <ul>
  *   <li>{@code bad > tolerated}: B = max(min(B, offered) * (1 - min({@value #MAX_DECREASE}, {@value
  *       #DECREASE_GAIN} * (bad - tolerated)) / memory), drain rate);
- *   <li>otherwise, where B binds: B = B * (1 + {@value #INCREASE} * (1 - bad / tolerated)).
+ *   <li>otherwise, if the offered work exceeds B: B = B * (1 + {@value #INCREASE} * (1 - bad /
+ *       tolerated)).
  * </ul>
  *
  * <p>The drain rate is {@value #MIN_UTILIZATION} * min(1, tightest slack / (backlog * mean running
- * time)) * rate of finished work / fraction of busy slots. Memory is how much longer than usual
- * rates and endings are remembered, since few jobs finish; at least 1.
+ * time)) * rate of finished work / fraction of busy slots. Memory is a factor of at least 1 on the
+ * time for which rates and endings are remembered; it rises when few jobs finish.
  *
- * <p>Reason: dispatchers have no common state, so each finds its part by small increases and
- * decreases in proportion to the fault. Work of little weight that makes weighty jobs late lowers
- * the margin, so the decrease begins sooner. The budget starts without a bound, since nothing is
- * shed before a sign of overload.
+ * <p>Reason: dispatchers share no state, so each finds its share by small increases and by
+ * decreases in proportion to the bad endings. If admitted work of low weight makes jobs of high
+ * weight late, the margin is low and the decrease begins sooner. The budget starts unbounded,
+ * because nothing is shed before the first evidence of overload.
  *
- * <p>Never: it does not fall under the rate at which the workers finish jobs with most slots busy,
- * whatever the endings say, and a single worker's errors and broken connections do not count as
- * endings. Failed connections do count, even those of a single worker.
+ * <p>Guarantees: whatever the endings, the budget never decreases below the rate at which the
+ * workers finish jobs with most slots busy. A single worker's errors and broken connections never
+ * count as endings. Failed connections do count, even those of a single worker.
  *
- * <p>Called on the dispatcher's thread alone.
+ * <p>Called only on the dispatcher's thread.
  */
 final class CapacityEstimator {
 
-    /** What the end of an attempt says of the load on the workers. */
+    /** Evidence of the load on the workers, taken from the end of an attempt. */
     enum Evidence {
         /** Served before it was late. */
         IN_TIME(0),
-        /** Rejected as full: it comes at once, and another worker may have capacity. */
+        /**
+         * Rejected as full. It counts little, because the rejection comes at once and another
+         * worker may have capacity.
+         */
         REJECTED_AS_FULL(0.1),
-        /** Late, timed out or not connected. */
+        /** Late, timed out or unable to connect. */
         OVERLOAD(1);
 
         private final double overloadWeight;
@@ -51,12 +55,13 @@
     }
 
     /**
-     * What holds for all budgets at one adjustment.
+     * Values that apply to all budgets at one adjustment.
      *
      * @param meanPriorityWeight mean priority weight of a request
-     * @param marginalPriorityWeight priority weight per work of the last work admitted, over the
-     *     mean
-     * @param tightestSlackUs least time that a job of any class may wait and be in time, us
+     * @param marginalPriorityWeight priority weight per work of the last work admitted, divided by
+     *     the mean
+     * @param tightestSlackUs shortest time that a job of any class may wait and still be in time,
+     *     us
      * @param meanRunningTimeUs mean running time of a job, us
      */
     record Conditions(
@@ -65,43 +70,54 @@
             double tightestSlackUs,
             double meanRunningTimeUs) {}
 
-    /** Memory of arrival and finish rates, us: a few adjustments. */
+    /** Time constant of the arrival and finish rates, us; it spans a few adjustments. */
     static final double RATE_MEMORY_US = 1_500_000;
 
-    /** Memory of the fraction of bad endings, us. */
+    /** Time constant of the fraction of bad endings, us. */
     private static final double ENDINGS_MEMORY_US = 1_000_000;
 
-    /** Endings of mean weight needed before their bad fraction counts in full. */
+    /** Number of endings of mean weight from which their bad fraction counts in full. */
     private static final double SIGNIFICANT_ENDINGS = 5;
 
-    /** Jobs finished within the memory of rates that make it steady; with fewer it is longer. */
+    /**
+     * Jobs finished within {@link #RATE_MEMORY_US} that make a rate steady; with fewer jobs the
+     * rate is remembered longer.
+     */
     private static final double STEADY_JOBS = 15;
 
-    /** Bad fraction that is tolerated while all work has one priority weight. */
+    /** Tolerated fraction of bad endings while all work has the same priority weight. */
     private static final double TOLERATED_BAD_FRACTION = 0.1;
 
-    /** Least marginal priority weight that counts. */
+    /** Lower bound on the marginal priority weight. */
     private static final double MIN_MARGIN = 0.2;
 
-    /** Decrease for each unit of bad fraction beyond the tolerated one. */
+    /** Relative decrease per unit of bad fraction above the tolerated fraction. */
     private static final double DECREASE_GAIN = 0.5;
 
-    /** Largest decrease of one adjustment. */
+    /** Largest relative decrease of one adjustment. */
     private static final double MAX_DECREASE = 0.2;
 
-    /** Increase of one adjustment of a budget that binds, while no ending is bad. */
+    /**
+     * Relative increase of one adjustment, if offered work exceeds the budget and no ending is bad.
+     */
     private static final double INCREASE = 0.05;
 
-    /** Fraction of the slots that a budget keeps busy at least: a queue still drains. */
+    /**
+     * Fraction of the slots that the budget keeps busy at least; below 1, so that a queue still
+     * drains.
+     */
     private static final double MIN_UTILIZATION = 0.8;
 
     /** Weight of one report in the fraction of busy slots. */
     private static final double BUSY_WEIGHT = 0.05;
 
-    /** Weight of one report in the backlog: queues grow fast. */
+    /** Weight of one report in the backlog; it is large because queues grow fast. */
     private static final double BACKLOG_WEIGHT = 0.2;
 
-    /** Least fraction of busy slots that counts: an idle fleet sets no unbounded floor. */
+    /**
+     * Lower bound on the fraction of busy slots, so that an idle fleet does not set an unbounded
+     * floor.
+     */
     private static final double MIN_BUSY_FRACTION = 0.1;
 
     private double budget = Double.POSITIVE_INFINITY;
@@ -129,7 +145,12 @@
         finishedJobs++;
     }
 
-    /** Adds one report: slots in use or queued for at a worker, of so many slots. */
+    /**
+     * Adds one load report of a worker.
+     *
+     * @param inUse slots in use or queued for
+     * @param slots slots of the worker
+     */
     void slotsReported(double inUse, double slots) {
         backlog += BACKLOG_WEIGHT * (Math.max(0, inUse / slots - 1) - backlog);
         busySlots += BUSY_WEIGHT * (Math.min(slots, inUse) - busySlots);
@@ -140,12 +161,15 @@
         offered = 0;
     }
 
-    /** Adds work that clients ask for, slots. */
+    /** Adds offered work, slots. */
     void addOffered(double slots) {
         offered += slots;
     }
 
-    /** Adjusts the budget by what ended in the last {@code elapsedUs}; all of it is allocatable. */
+    /**
+     * Adjusts the budget by the attempts that ended in the last {@code elapsedUs}, and makes all of
+     * it allocatable.
+     */
     void adjust(double elapsedUs, Conditions conditions) {
         final double memory = updateFinishRates(elapsedUs);
         adjustBudget(conditions, memory);
@@ -155,7 +179,10 @@
         unallocated = budget;
     }
 
-    /** Updates the rates; returns how much longer than usual they are remembered, at least 1. */
+    /**
+     * Updates the rates and returns the factor on the time for which they are remembered, at least
+     * 1.
+     */
     private double updateFinishRates(double elapsedUs) {
         jobRate +=
                 (1 - Math.exp(-elapsedUs / RATE_MEMORY_US)) * (finishedJobs / elapsedUs - jobRate);
@@ -176,7 +203,8 @@
                 TOLERATED_BAD_FRACTION
                         * Math.max(MIN_MARGIN, Math.min(1, conditions.marginalPriorityWeight()));
         if (badFraction > tolerated) {
-            // The same endings count in as many more adjustments as they are remembered longer.
+            // Endings that are remembered longer count in more adjustments, so each adjustment is
+            // smaller.
             final double decrease =
                     Math.min(MAX_DECREASE, DECREASE_GAIN * (badFraction - tolerated)) / memory;
             final double decreased = Math.min(budget, offered) * (1 - decrease);
@@ -186,7 +214,10 @@
         }
     }
 
-    /** Finish rate with most slots busy, less where the queues outlast the tightest slack. */
+    /**
+     * Returns the finish rate with most slots busy, reduced if the queues last longer than the
+     * tightest slack.
+     */
     private double drainRate(Conditions conditions) {
         final double utilization =
                 MIN_UTILIZATION
@@ -201,17 +232,17 @@
         return reportedSlots == 0 ? 1 : Math.max(MIN_BUSY_FRACTION, busySlots / reportedSlots);
     }
 
-    /** The budget, slots; infinite before the first sign of overload. */
+    /** The budget, slots; infinite before the first evidence of overload. */
     double budget() {
         return budget;
     }
 
-    /** Part of the budget that the current fill has not allocated yet, slots. */
+    /** Part of the budget that is not allocated yet, slots. */
     double unallocated() {
         return unallocated;
     }
 
-    /** Allocates work of the current fill, slots; floors may take it below 0. */
+    /** Allocates work, slots; the floors may make the unallocated part negative. */
     void allocate(double slots) {
         unallocated -= slots;
     }
--- a/src/main/java/cresschute/dispatch/ClassState.java
+++ b/src/main/java/cresschute/dispatch/ClassState.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * What is known of a request class: its settings, the workers open to it and the estimate of its
- * running time. It keeps state for the rules and decides nothing.
+ * The state of a request class: its settings, the workers that its requests may be sent to, and the
+ * estimate of its running time. It makes no decisions.
  */
 final class ClassState {
 
-    /** Latency objectives that the first estimate of the running time is. */
+    /** Initial estimate of the running time, in latency objectives. */
     private static final double INITIAL_RUNNING_TIME_OBJECTIVES = 2.0;
 
     private final int index;
@@ -21,7 +21,7 @@
     private int samples;
 
     /**
-     * A class of which nothing was learned.
+     * Creates the state of a class without samples.
      *
      * @param index its number, from 0
      * @param zone the dispatcher's zone
@@ -39,70 +39,73 @@
         return index;
     }
 
-    /** The class as the settings state it. */
+    /** The settings of the class. */
     RequestClass requestClass() {
         return requestClass;
     }
 
-    /** The dispatchable workers open to the class. */
+    /** The dispatchable workers that the class may be sent to. */
     WorkerGroup allWorkers() {
         return allWorkers;
     }
 
-    /** Those of them that are in the dispatcher's zone. */
+    /** Those of {@link #allWorkers} that are in the dispatcher's zone. */
     WorkerGroup zoneWorkers() {
         return zoneWorkers;
     }
 
-    /** Estimated running time of a job at a worker of usual pace, us. */
+    /** Estimated running time of a job at a worker of usual speed, us. */
     double runningTimeUs() {
         return runningTimeUs;
     }
 
-    /** How many running times were learned. */
+    /** Number of running times learned. */
     int samples() {
         return samples;
     }
 
-    /** Learns a running time; the first samples count in full. */
+    /** Adds a running time to the estimate, us. Sample n has a weight of at least 1/n. */
     void learnRunningTime(double us, double weight) {
         samples++;
         runningTimeUs += Math.max(weight, 1.0 / samples) * (us - runningTimeUs);
     }
 
     /**
-     * Takes in the time left to a request at its arrival; the longest seen is that of a first send.
+     * Records the time left to a request at its arrival, us, and returns the longest one so far. A
+     * client's first send is assumed to have the longest.
      */
     long learnTimeout(long leftUs) {
         longestTimeoutUs = Math.max(longestTimeoutUs, leftUs);
         return longestTimeoutUs;
     }
 
-    /** Latest time after a request's first send at which a job so long is in time, us. */
+    /** Longest time after a request's first send at which its answer is in time, us. */
     double inTimeUs(double runningTimeUs) {
         return requestClass.latencyObjectiveUs()
                 + requestClass.latencyObjectiveStretch() * runningTimeUs;
     }
 
-    /** Time that a job of the estimated running time may wait and be in time, at least 1 us. */
+    /**
+     * Time that a job of the estimated running time may wait and still be in time, at least 1 us.
+     */
     double slackUs() {
         return Math.max(1, inTimeUs(runningTimeUs) - runningTimeUs);
     }
 
-    /** Adds work that clients ask for to each of its capacities, slots. */
+    /** Adds offered work to each capacity of the class, slots. */
     void addOffered(double slots) {
         for (final CapacityEstimator capacity : capacities) {
             capacity.addOffered(slots);
         }
     }
 
-    /** Work that fits into all its capacities now, slots. */
+    /** Unallocated work that every capacity of the class still has, slots. */
     double unallocated() {
         return Math.max(
                 0, capacities.stream().mapToDouble(CapacityEstimator::unallocated).min().orElse(0));
     }
 
-    /** Allocates work of each of its capacities, slots. */
+    /** Allocates work in each capacity of the class, slots. */
     void allocate(double slots) {
         for (final CapacityEstimator capacity : capacities) {
             capacity.allocate(slots);
--- a/src/main/java/cresschute/dispatch/CurrentSettings.java
+++ b/src/main/java/cresschute/dispatch/CurrentSettings.java
@@ -1,8 +1,8 @@
 package cresschute.dispatch;
 
 /**
- * The settings in force. Every rule of a dispatcher reads them here at each decision, so a change
- * holds for all rules at once. Used on the dispatcher's thread alone.
+ * Holds the current settings. Every policy of a dispatcher reads them here at each decision, so
+ * that a change applies to all policies at once. Used only on the dispatcher's thread.
  */
 final class CurrentSettings {
 
@@ -17,15 +17,15 @@
     }
 
     /**
-     * Puts new settings in force.
+     * Replaces the settings.
      *
-     * @throws IllegalArgumentException if they may not follow those in force, by {@link
-     *     DispatchSettings#canReplace}
+     * @throws IllegalArgumentException if {@link DispatchSettings#canReplace} returns false
      */
     void replace(DispatchSettings next) {
         if (!next.canReplace(settings)) {
             throw new IllegalArgumentException(
-                    "new settings must keep the classes, zones and kinds in force");
+                    "new settings must keep the current classes in order, the zone, and the numbers"
+                            + " of zones and kinds");
         }
         settings = next;
     }
--- a/src/main/java/cresschute/dispatch/DeadlinePolicy.java
+++ b/src/main/java/cresschute/dispatch/DeadlinePolicy.java
@@ -10,42 +10,47 @@
  *
  * <ul>
  *   <li>an answer is in time until first send + latency objective + stretch * running time; no
- *       attempt is sent from then on, nor within two check intervals before the deadline;
- *   <li>an arriving request has as much less time left than the longest seen in its class as its
- *       first send is ago, if its client marks it as a retry, or if that is no more than the
- *       in-time bound and {@value #ADVISED_PAUSES} advised pauses; more than that is a client with
- *       a short timeout. So a new request with a somewhat shorter timeout than others of its class
- *       is taken for a retry, and given up at once where that makes it too old;
- *   <li>a request is rejected where a retry as advised does no harm: it is safe, or nothing ran, or
- *       all workers drop the retry within the deduplication window; else it is failed.
+ *       attempt is sent from that time on, nor within two check intervals before the deadline;
+ *   <li>the age of an arriving request is the longest time left seen in its class minus its own
+ *       time left. It counts as a retry that was first sent so long ago if its client marks it as a
+ *       retry, or if the age is at most the in-time bound plus {@value #ADVISED_PAUSES} Retry-After
+ *       times. A greater age without the mark means a client with a short timeout. Consequence: a
+ *       new request whose timeout is somewhat shorter than that of others of its class is treated
+ *       as a retry, and is given up at once if that makes it too old;
+ *   <li>a request is rejected if a retry after the advised time does no harm: it is safe, or
+ *       nothing ran, or all workers drop the retry within the deduplication window. Otherwise it is
+ *       failed.
  * </ul>
  *
- * <p>Reason: an attempt that cannot be in time takes slots from those that can, and a client must
- * know whether it may retry.
+ * <p>Reason: an attempt that cannot be in time takes slots from attempts that can, and a client
+ * must know whether it may retry.
  *
- * <p>Never: a request that may have run is not rejected where a retry could run it twice.
+ * <p>Guarantees: a request that may have run is never rejected if a retry could run it twice.
  *
- * <p>Called on the dispatcher's thread alone.
+ * <p>Called only on the dispatcher's thread.
  */
 final class DeadlinePolicy {
 
-    /** The final answer to a request that is given up. */
+    /** Final answer to a request that is given up. */
     enum FinalReply {
-        /** A retry does no harm. */
+        /** The request did not run, or a retry does no harm. */
         REJECTED,
-        /** It may have run. */
+        /** The request may have run, and a retry may do harm. */
         FAILED
     }
 
-    /** Bounds of the check interval, us. */
+    /** Upper bound of the check interval, us. */
     private static final long MAX_CHECK_INTERVAL_US = 50_000;
 
     private static final long MIN_CHECK_INTERVAL_US = 5_000;
 
-    /** Check intervals before the deadline in which nothing is sent. */
+    /** Number of check intervals before the deadline in which no attempt is sent. */
     private static final int MARGIN_INTERVALS = 2;
 
-    /** Advised pauses that a retry may come after its request's in-time bound. */
+    /**
+     * Number of Retry-After times after the in-time bound within which an unmarked request counts
+     * as a retry.
+     */
     private static final int ADVISED_PAUSES = 2;
 
     private final CurrentSettings settings;
@@ -65,12 +70,15 @@
         checkIntervalUs = Math.max(MIN_CHECK_INTERVAL_US, tightestUs / 2);
     }
 
-    /** Time between two checks of the pending requests, us. */
+    /** Interval between two checks of the pending requests, us. */
     long checkIntervalUs() {
         return checkIntervalUs;
     }
 
-    /** When a client sent an arriving request first, us; now, unless it is a retry. */
+    /**
+     * Time of the client's first send of an arriving request, us; {@code nowUs} unless it counts as
+     * a retry.
+     */
     long firstSentUs(ClassState classState, Job job, long deadlineUs, long nowUs) {
         final long leftUs = deadlineUs - nowUs;
         final long ageUs = classState.learnTimeout(leftUs) - leftUs;
@@ -81,12 +89,12 @@
         return isRetry ? nowUs - ageUs : nowUs;
     }
 
-    /** Whether an arriving request can no longer be answered in time. */
+    /** Returns whether an arriving request can no longer be answered in time. */
     boolean isTooOld(PendingRequest request, long nowUs) {
         return nowUs - request.firstSentUs() > request.inTimeUs();
     }
 
-    /** Whether it is too late for another attempt. */
+    /** Returns whether it is too late for another attempt. */
     boolean isTooLateForAttempt(PendingRequest request, long nowUs) {
         return nowUs
                 >= Math.min(
@@ -94,12 +102,12 @@
                         request.deadlineUs() - MARGIN_INTERVALS * checkIntervalUs);
     }
 
-    /** Whether the client gives up before its answer would be late. */
+    /** Returns whether the client gives up before an answer would be late. */
     boolean hasShortDeadline(PendingRequest request) {
         return request.deadlineUs() < request.firstSentUs() + request.inTimeUs();
     }
 
-    /** The answer to a request that is given up now. */
+    /** Returns the final answer to a request that is given up now. */
     FinalReply replyTo(PendingRequest request, long nowUs) {
         final Idempotency idempotency = request.requestClass().idempotency();
         final boolean allDropRetry =
@@ -111,7 +119,7 @@
                 : FinalReply.FAILED;
     }
 
-    /** Pause that a rejected client is advised, us; 0 for no advice. */
+    /** Retry-After time for a rejected client, us; 0 for no advice. */
     long retryAfterUs() {
         return settings.get().limits().maxRetryAfterUs();
     }
--- a/src/main/java/cresschute/dispatch/DeduplicationScope.java
+++ b/src/main/java/cresschute/dispatch/DeduplicationScope.java
@@ -1,6 +1,6 @@
 package cresschute.dispatch;
 
-/** The workers among which a duplicate of a keyed request is dropped. */
+/** Scope of deduplication: the workers that drop a duplicate of a keyed request. */
 public enum DeduplicationScope {
     /** All workers. */
     ALL,
--- a/src/main/java/cresschute/dispatch/DemandBucket.java
+++ b/src/main/java/cresschute/dispatch/DemandBucket.java
@@ -1,12 +1,12 @@
 package cresschute.dispatch;
 
 /**
- * Requests of one class and job size, within or beyond their tenants' quotas: the unit to which the
- * admission controller gives an admit probability.
+ * The requests of one class and job size that are within, or beyond, their tenants' quotas. The
+ * admission controller sets one admit probability for each bucket.
  */
 final class DemandBucket {
 
-    /** Least offered work, slots: a divisor above 0. */
+    /** Lower bound on the offered work as a divisor, slots. */
     private static final double MIN_OFFERED = 1e-9;
 
     private final ClassState classState;
@@ -20,9 +20,9 @@
     private double credit = 0.5;
 
     /**
-     * An open bucket.
+     * Creates a bucket that admits all requests.
      *
-     * @param slots slots of its jobs
+     * @param slots slots that a job of this bucket takes
      * @param quotaWeightFactor factor on the class's priority weight: 1 within the quota
      */
     DemandBucket(ClassState classState, double slots, double quotaWeightFactor) {
@@ -46,7 +46,7 @@
         return work;
     }
 
-    /** Arrivals a us. */
+    /** Arrival rate, requests per us. */
     double rate() {
         return rate;
     }
@@ -57,8 +57,9 @@
     }
 
     /**
-     * Counts an arrival and decides on it; over a run, the fraction admitted is the probability to
-     * within one request, without chance.
+     * Counts an arrival and returns whether it is admitted. The decision is deterministic: over
+     * many arrivals, the number admitted differs from the admit probability times the arrivals by
+     * at most one.
      */
     boolean admitNext() {
         arrivals++;
@@ -70,7 +71,10 @@
         return true;
     }
 
-    /** Updates the rate by the arrivals of the last {@code elapsedUs}, and the work of a job. */
+    /**
+     * Updates the arrival rate by the arrivals of the last {@code elapsedUs}, and the work of a
+     * job.
+     */
     void updateDemand(double elapsedUs, double sampleWeight) {
         setDemand(
                 rate + sampleWeight * (arrivals / elapsedUs - rate),
@@ -78,13 +82,15 @@
         arrivals = 0;
     }
 
-    /** Sets arrivals a us and the work of a job, slot-us. */
+    /** Sets the arrival rate in requests per us and the work of a job in slot-us. */
     void setDemand(double newRate, double newWork) {
         rate = newRate;
         work = newWork;
     }
 
-    /** Multiplies the class's priority weight for each request. */
+    /**
+     * Sets the priority weight of one request to that of its class and quota side, times a factor.
+     */
     void scalePriorityWeight(double factor) {
         priorityWeight = classState.requestClass().priorityWeight() * quotaWeightFactor * factor;
     }
@@ -94,28 +100,31 @@
         return rate * work;
     }
 
-    /** Adds its offered work to the capacities of its class. */
+    /** Adds the offered work to the capacities of the class. */
     void addOfferedToCapacities() {
         classState.addOffered(offered());
     }
 
-    /** Priority weight of a slot-us of work. */
+    /** Priority weight per slot-us of work. */
     double weightPerWork() {
         return priorityWeight / work;
     }
 
-    /** Starts a fill: nothing is admitted. */
+    /** Starts an allocation: sets the admit probability to 0. */
     void resetAdmission() {
         admitProbability = 0;
     }
 
-    /** Admits a further part of the requests and allocates its work. */
+    /** Admits a further fraction of the requests and allocates its work. */
     void admit(double fraction) {
         admitProbability += fraction;
         classState.allocate(fraction * rate * work);
     }
 
-    /** Part of the requests that fits into what is unallocated; above 1 where more fits. */
+    /**
+     * Fraction of the requests that fits into the unallocated capacity; above 1 if there is room
+     * for more.
+     */
     double fittingFraction() {
         return classState.unallocated() / Math.max(MIN_OFFERED, offered());
     }
--- a/src/main/java/cresschute/dispatch/DemandBuckets.java
+++ b/src/main/java/cresschute/dispatch/DemandBuckets.java
@@ -4,12 +4,12 @@
 import java.util.List;
 
 /**
- * The demand buckets of all classes: for each class one a job size, within and beyond the quota. It
- * decides nothing.
+ * The demand buckets of all classes: for each class and job size, one within and one beyond the
+ * quota. It makes no decisions.
  */
 final class DemandBuckets {
 
-    /** Sizes of job that the fill distinguishes: 1, 2, 4 and more slots. */
+    /** Number of job sizes that admission distinguishes: 1, 2, 4 and more slots. */
     private static final int SIZES = 4;
 
     private final List<ClassState> classes = new ArrayList<>();
@@ -24,21 +24,21 @@
         }
     }
 
-    /** How many classes there are. */
+    /** Number of classes. */
     int classCount() {
         return classes.size();
     }
 
-    /** Least time that a job of any class may wait and be in time, us. */
+    /** Shortest time that a job of any class may wait and still be in time, us. */
     double tightestSlackUs() {
         return classes.stream().mapToDouble(ClassState::slackUs).min().orElse(0);
     }
 
     /**
-     * The bucket of a job.
+     * Returns the bucket of a job.
      *
-     * @param slots slots that it takes
-     * @param overQuota whether it is beyond its tenant's quota
+     * @param slots slots that the job takes
+     * @param overQuota whether the job is beyond its tenant's quota
      */
     DemandBucket of(int requestClass, double slots, boolean overQuota) {
         final int size =
@@ -46,7 +46,9 @@
         return buckets.get((requestClass * SIZES + size) * 2 + (overQuota ? 1 : 0));
     }
 
-    /** A new array of all buckets, by class, size and side of the quota. */
+    /**
+     * Returns a new array of all buckets, ordered by class, size, and within or beyond the quota.
+     */
     DemandBucket[] all() {
         return buckets.toArray(DemandBucket[]::new);
     }
--- a/src/main/java/cresschute/dispatch/DispatchSettings.java
+++ b/src/main/java/cresschute/dispatch/DispatchSettings.java
@@ -5,33 +5,36 @@
 /**
  * The settings of one dispatcher.
  *
- * @param dispatchers how many dispatchers serve the same workers, this one included; at least 1
+ * @param dispatchers number of dispatchers that serve the same workers, this one included; at least
+ *     1
  * @param zone the zone of this dispatcher, from 0 and below {@code zones}
- * @param zones how many zones there are, at least 1
- * @param kinds how many kinds of worker there are, at least 1
+ * @param zones number of zones, at least 1
+ * @param kinds number of kinds of worker, at least 1
  * @param classes the request classes, at least one; requests name them by their index
  * @param tenants the tenants with quotas; requests name them by their index
  * @param overQuotaWeightFactor factor on the priority weight of a request beyond its tenant's quota
- * @param priorityWeightPerWork whether a class's priority weight is that of a mean job and counts
- *     in proportion to work
+ * @param priorityWeightPerWork whether a class's priority weight applies to a job of mean work and
+ *     scales with the work of each job
  * @param limits limits on the attempts of every request
  * @param slowStart behaviour of workers that are warming up
  * @param objectiveWeights weights of the parts of the objective
- * @param endpointListIsPolled whether changes of the list come only after {@link
+ * @param endpointListIsPolled whether changes of the list are delivered only after {@link
  *     DispatcherActions#pollEndpointList()}
- * @param pollWithinUs with that: longest time without a watch, us; at least 0
- * @param weightSource what the weights in the endpoint list mean
+ * @param pollWithinUs if the list is polled: longest time without a watch, us; at least 0
+ * @param weightSource meaning of the weights in the endpoint list
  * @param reportsLoad whether load reports come with answers or load queries
- * @param reportsJobStart whether {@link DispatcherEvents#jobProgressed} comes at a job's start
- * @param progressUs interval of progress reports after that, us; 0 where none come
- * @param crossZonePrice price of an attempt that crosses zones, in parts of one request's value
+ * @param reportsJobStart whether {@link DispatcherEvents#jobProgressed} is called at a job's start
+ * @param progressUs interval of progress reports after the start, us; 0 if there are none
+ * @param crossZonePrice price of an attempt that crosses zones, as a fraction of one request's
+ *     value
  * @param allowsLoadQueries whether {@link DispatcherActions#queryLoad} is allowed
  * @param allowsPeerMessages whether {@link DispatcherActions#reportUnresponsive} is allowed
- * @param dataTransferPrice price of a job whose worker must load its data, in parts of one
+ * @param dataTransferPrice price of a job whose worker must load its data, as a fraction of one
  *     request's value
- * @param fullMayHaveRun whether a worker may answer {@link Outcome#FULL} for work it had begun
- * @param closeOnDrainWithinUs how long idle connections to a draining worker may stay open after
- *     the notice or the last outcome there, us; {@link #UNLIMITED} where nothing is stated
+ * @param fullMayHaveRun whether a worker may answer {@link Outcome#FULL} for a job that it had
+ *     started
+ * @param closeOnDrainWithinUs longest time that idle connections to a draining worker may stay open
+ *     after the drain notice or the last outcome there, us; {@link #UNLIMITED} if not set
  */
 public record DispatchSettings(
         int dispatchers,
@@ -58,13 +61,14 @@
         boolean fullMayHaveRun,
         long closeOnDrainWithinUs) {
 
-    /** A time without an end. */
+    /** A duration without a limit. */
     public static final long UNLIMITED = Long.MAX_VALUE;
 
     /**
      * Checks and copies the settings.
      *
-     * @throws IllegalArgumentException naming the first setting that is missing or out of bounds
+     * @throws IllegalArgumentException if one is missing or out of bounds; the message names the
+     *     first such setting
      */
     public DispatchSettings {
         Preconditions.require(dispatchers >= 1, "dispatchers");
@@ -87,14 +91,15 @@
         tenants = List.copyOf(tenants);
     }
 
-    /** Whether a load query is allowed and brings a load report. */
+    /** Returns whether load queries are allowed and answered with a load report. */
     boolean canQueryLoad() {
         return allowsLoadQueries && reportsLoad;
     }
 
     /**
-     * Whether these settings may replace others while a dispatcher runs: the classes in force come
-     * first, unchanged, and the zone and the numbers of zones and kinds are the same.
+     * Returns whether these settings may replace others while a dispatcher runs: they must list the
+     * classes of the others first, unchanged and in order, and keep the zone and the numbers of
+     * zones and kinds.
      */
     public boolean canReplace(DispatchSettings before) {
         return classes.size() >= before.classes.size()
--- a/src/main/java/cresschute/dispatch/Dispatcher.java
+++ b/src/main/java/cresschute/dispatch/Dispatcher.java
@@ -7,19 +7,19 @@
 import java.util.SplittableRandom;
 
 /**
- * One dispatcher: takes the host's events, calls the rules and emits actions. It holds the pending
- * requests and decides nothing itself.
+ * One dispatcher. It receives events from its host, consults the policies, and calls actions on the
+ * host. It keeps the pending requests; every decision is made by a policy class.
  *
  * <p>A request arrives, is admitted ({@link AdmissionController}) and attempted: a worker is
  * selected ({@link WorkerSelector}), perhaps after load queries ({@link LoadQueryPolicy}). When an
- * attempt ends, the estimates and the worker's health learn from it, and the request is closed or
- * attempted again ({@link RetryPolicy}) until it is given up ({@link DeadlinePolicy}). A timer
- * checks the pending requests for late and stalled attempts ({@link OutlierDetector}) and hedges
- * them ({@link HedgingPolicy}).
+ * attempt ends, its outcome updates the estimates and the worker's health, and the request is
+ * closed or retried ({@link RetryPolicy}) until {@link DeadlinePolicy} gives it up. A timer checks
+ * the pending requests for late and stalled attempts ({@link OutlierDetector}) and hedges them
+ * ({@link HedgingPolicy}).
  *
- * <p>Life cycle: it starts with the first {@link #endpointListChanged} and has no end. All calls
- * come on one thread; actions are called on it from within an event. The same seed and events give
- * the same actions.
+ * <p>Life cycle: it starts with the first {@link #endpointListChanged} and is never stopped. The
+ * host makes all calls on one thread, and actions are called on that thread from within an event.
+ * The same seed and events produce the same actions.
  */
 public final class Dispatcher implements DispatcherEvents {
 
@@ -45,9 +45,9 @@
     private final Map<Integer, PendingRequest> pending = new LinkedHashMap<>();
 
     /**
-     * A dispatcher that has not started.
+     * Creates a dispatcher that has not started.
      *
-     * @param seed of all its random numbers
+     * @param seed seed of all random numbers of this dispatcher
      */
     public Dispatcher(DispatchSettings settings, long seed, DispatcherActions actions) {
         final SplittableRandom random = new SplittableRandom(seed);
@@ -126,9 +126,9 @@
     }
 
     /**
-     * Sends the next attempt, or queries loads before it, or gives the request up where no further
-     * attempt is allowed. Where no worker may be sent to now, the request stays pending, and the
-     * next check tries again, until it is too late for an attempt.
+     * Sends the next attempt, queries worker loads before it, or gives the request up if no further
+     * attempt is allowed. If no worker is available now, the request stays pending and the next
+     * check tries again, until it is too late for an attempt.
      */
     private void attempt(PendingRequest request, long nowUs) {
         if (!retries.allowsAttempt(request, nowUs)) {
@@ -251,7 +251,7 @@
         }
     }
 
-    /** Sends the one final answer. */
+    /** Closes the request and sends its only final answer. */
     private void giveUp(PendingRequest request, long nowUs) {
         close(request);
         switch (deadlines.replyTo(request, nowUs)) {
@@ -303,7 +303,10 @@
         }
     }
 
-    /** Looks for a late, unresponsive or stalled attempt before it ends. */
+    /**
+     * Checks whether an attempt in flight is late, unresponsive or stalled, and hedges it if that
+     * is due and allowed.
+     */
     private void check(PendingRequest request, AttemptRecord attempt, long nowUs) {
         final double waitAtWorkerUs = serviceTimes.waitAtWorkerUs(request, attempt, nowUs);
         final double totalWaitUs = attempt.sentUs() - request.firstSentUs() + waitAtWorkerUs;
@@ -327,7 +330,7 @@
         workerReportedUnresponsive(nowUs, worker.id(), requestClass);
     }
 
-    /** Sends a hedged request to a worker with capacity, or queries loads to find one. */
+    /** Sends a hedged request to a worker with capacity, or queries worker loads to find one. */
     private void hedge(PendingRequest request, AttemptRecord attempt, long nowUs) {
         WorkerInstance worker = request.bestQueried();
         request.setBestQueried(null);
@@ -351,7 +354,10 @@
         }
     }
 
-    /** Selects among those that drop a duplicate of the attempt, where that is needed. */
+    /**
+     * Selects workers for a hedged request; if it needs deduplication, only workers that drop a
+     * duplicate of the attempt.
+     */
     private List<WorkerInstance> selectForHedge(
             PendingRequest request, AttemptRecord attempt, long nowUs) {
         if (!hedging.needsDeduplication(request)) {
--- a/src/main/java/cresschute/dispatch/DispatcherEvents.java
+++ b/src/main/java/cresschute/dispatch/DispatcherEvents.java
@@ -3,46 +3,50 @@
 import java.util.List;
 
 /**
- * The events of a dispatcher, as its host delivers them. All calls come on one thread. Times are us
- * on one clock that is above 0 and does not go back; {@code nowUs} is the time of the call.
+ * The events that a host delivers to its dispatcher. The host makes all calls on one thread. Times
+ * are in us on one clock that is above 0 and never goes back; {@code nowUs} is the time of the
+ * call.
  */
 public interface DispatcherEvents {
 
     /**
-     * The endpoint list was read, has changed or could not be read. The first call after the start
-     * has the form {@link EndpointListForm#CACHED}.
+     * Reports that the endpoint list was read, has changed or could not be read. The first call
+     * after the start has the form {@link EndpointListForm#CACHED}.
      *
-     * @param entries all workers or those that changed, by {@code form}
+     * @param entries all workers or only those that changed, depending on {@code form}
      */
     void endpointListChanged(long nowUs, EndpointListForm form, List<Worker> entries);
 
     /**
-     * A request arrived. It is to be answered once, by an answer of a worker or by {@link
-     * DispatcherActions#reject} or {@link DispatcherActions#fail}.
+     * Reports that a request arrived. It must be answered exactly once: by a worker, by {@link
+     * DispatcherActions#reject} or by {@link DispatcherActions#fail}.
      *
      * @param requestId not used by another request that is open or has attempts in flight
-     * @param deadlineUs when it must be answered
+     * @param deadlineUs time by which it must be answered, us
      */
     void requestArrived(long nowUs, int requestId, Job job, long deadlineUs);
 
-    /** The client left or was answered otherwise: no answer is owed any more. */
+    /**
+     * Reports that a request needs no answer any more: its client left, or the host answered it.
+     */
     void clientLeft(long nowUs, int requestId);
 
     /**
-     * A job has started or progressed. Reports on unknown attempts are ignored.
+     * Reports that a job has started or progressed. Reports about unknown attempts are ignored.
      *
      * @param attempt number of the attempt, from 0
-     * @param fractionDone part of the job that is done, from 0 at its start to 1
+     * @param fractionDone fraction of the job that is done, from 0 at its start to 1
      */
     void jobProgressed(long nowUs, int requestId, int attempt, int workerId, double fractionDone);
 
     /**
-     * An attempt ended; called once for each {@link DispatcherActions#send}. Ends of unknown
+     * Reports that an attempt ended. Called once for each {@link DispatcherActions#send}; unknown
      * attempts are ignored.
      *
      * @param attempt number of the attempt, from 0
      * @param elapsedUs time since the send, us
-     * @param requestClosed whether the request was answered with it or no answer is owed any more
+     * @param requestClosed whether this attempt answered the request, or the request needs no
+     *     answer any more
      * @param report the worker's load, or {@link LoadReport#NONE}
      */
     void attemptEnded(
@@ -56,25 +60,27 @@
             LoadReport report);
 
     /**
-     * A load query ended, one call for each, or a load is known without one.
+     * Reports the end of a load query, once for each query, or a load that is known without a
+     * query.
      *
-     * @param outcome {@link Outcome#SERVED} where the load is known
+     * @param outcome {@link Outcome#SERVED} if the load is known
      */
     void loadReported(long nowUs, int workerId, Outcome outcome, LoadReport report);
 
-    /** Another dispatcher reports that jobs of a class do not start at a worker. */
+    /** Passes on a report of another dispatcher that jobs of a class do not start at a worker. */
     void workerReportedUnresponsive(long nowUs, int workerId, int requestClass);
 
-    /** A timer of {@link DispatcherActions#startTimer} is due. */
+    /** Reports that a timer started by {@link DispatcherActions#startTimer} has expired. */
     void timerFired(long nowUs, long token);
 
     /**
-     * The settings change while the dispatcher runs. The classes in force come first, unchanged and
-     * in their order, and new ones may follow; a class that is withdrawn stays and gets no more
-     * requests, so a pending request keeps its class. A lower limit of attempts holds for pending
-     * requests too, a higher one only for those that arrive later. What was learned stays.
+     * Replaces the settings while the dispatcher runs. The new settings must list the current
+     * classes first, unchanged and in order; new classes may follow. A withdrawn class stays in the
+     * list and gets no more requests, so that a pending request keeps its class. A lower attempt
+     * limit also applies to pending requests, a higher one only to requests that arrive later. All
+     * estimates are kept.
      *
-     * @throws IllegalArgumentException if {@link DispatchSettings#canReplace} does not allow it
+     * @throws IllegalArgumentException if {@link DispatchSettings#canReplace} returns false
      */
     void settingsChanged(long nowUs, DispatchSettings settings);
 }
--- a/src/main/java/cresschute/dispatch/EndpointListForm.java
+++ b/src/main/java/cresschute/dispatch/EndpointListForm.java
@@ -1,13 +1,13 @@
 package cresschute.dispatch;
 
-/** What a watch event of the endpoint list holds. */
+/** Contents of a watch event of the endpoint list. */
 public enum EndpointListForm {
-    /** The entries that changed; all others stand. */
+    /** The entries that changed; all others stay as they are. */
     CHANGES,
     /** All entries, from discovery. */
     FULL,
-    /** All entries, as cached from an earlier run or list. */
+    /** All entries, cached from an earlier run or list. */
     CACHED,
-    /** None: a watch or poll failed, and the list stands. */
+    /** No entries: a watch or poll failed, and the list stays as it is. */
     FAILED
 }
--- a/src/main/java/cresschute/dispatch/EndpointListPoller.java
+++ b/src/main/java/cresschute/dispatch/EndpointListPoller.java
@@ -3,23 +3,23 @@
 import java.util.SplittableRandom;
 
 /**
- * Decides when the endpoint list is polled, where the host does not send changes by itself.
+ * Decides when to poll the endpoint list, if the host does not push its changes.
  *
- * <p>Inputs: the start, and failed polls, each with the clock in us.
+ * <p>Inputs: the time of the first list and of each failed poll, in us.
  *
- * <p>Rule: the first poll is due a random part of {@value #RETRY_US} us after the first list, and a
- * failed one is repeated {@value #RETRY_US} us later, give or take half. A poll that was made is
- * repeated only once it has failed.
+ * <p>Rule: the first poll is due at a random time within {@value #RETRY_US} us after the first
+ * list. A failed poll is repeated after {@value #RETRY_US} us with a jitter of half that time
+ * either way. A poll that has not failed is never repeated.
  *
- * <p>Reason: all dispatchers see discovery fail at the same time, and jitter spreads their polls.
+ * <p>Reason: all dispatchers see discovery fail at the same time, so jitter spreads their polls.
  *
- * <p>Never: it does not poll twice before an answer, nor before the first list.
+ * <p>Guarantees: it never polls before the first list, nor again while a poll is unanswered.
  *
- * <p>Called on the dispatcher's thread alone.
+ * <p>Called only on the dispatcher's thread.
  */
 final class EndpointListPoller {
 
-    /** Mean backoff before a failed poll is repeated, us. */
+    /** Mean backoff after a failed poll, us. */
     private static final long RETRY_US = 1_000_000;
 
     private static final long NOT_DUE = Long.MAX_VALUE;
@@ -33,18 +33,18 @@
         this.random = random;
     }
 
-    /** Takes in the first list. */
+    /** Schedules the first poll, after the first list. */
     void started(long nowUs) {
         pollAtUs =
                 settings.get().endpointListIsPolled() ? nowUs + random.nextLong(RETRY_US) : NOT_DUE;
     }
 
-    /** Takes in that a poll failed. */
+    /** Schedules the next poll after a failed one. */
     void pollFailed(long nowUs) {
         pollAtUs = nowUs + RETRY_US / 2 + random.nextLong(RETRY_US);
     }
 
-    /** Whether to poll now; true once for each poll that is due. */
+    /** Returns whether to poll now; true once for each poll that is due. */
     boolean takeDuePoll(long nowUs) {
         final boolean due = nowUs >= pollAtUs;
         if (due) {
--- a/src/main/java/cresschute/dispatch/EndpointListUpdater.java
+++ b/src/main/java/cresschute/dispatch/EndpointListUpdater.java
@@ -5,19 +5,19 @@
 /**
  * Applies the endpoint list to the worker index.
  *
- * <p>Inputs: the entries of a whole list or of its changes, and the clock in us.
+ * <p>Inputs: the entries of a complete list or of its changes, and the clock in us.
  *
- * <p>Rule: a ready worker becomes dispatchable; one that is draining, gone or missing from a whole
- * list is withdrawn at once, its idle connections are closed where the settings state a time for
- * that, and it is forgotten. An entry with another start, zone, kind or cell is a new incarnation
- * of which nothing is known; attempts in flight at the one before go on.
+ * <p>Rule: a ready worker becomes dispatchable. A worker that is draining, gone or missing from a
+ * complete list is removed at once, and its idle connections are closed if the settings limit how
+ * long they may stay open. An entry with another start time, zone, kind or cell is a new worker
+ * instance without learned state; attempts in flight at the old instance continue.
  *
- * <p>Reason: nothing may be sent to a worker that shuts down gracefully, and a drain must not wait
- * for idle connections.
+ * <p>Reason: a worker that shuts down gracefully must get no new attempts, and its drain must not
+ * wait for idle connections.
  *
- * <p>Never: it does not withdraw a worker that a list of changes does not name.
+ * <p>Guarantees: it never removes a worker because a list of changes does not name it.
  *
- * <p>Called on the dispatcher's thread alone.
+ * <p>Called only on the dispatcher's thread.
  */
 final class EndpointListUpdater {
 
@@ -41,7 +41,7 @@
     }
 
     /**
-     * Applies a list or its changes.
+     * Applies a complete list or a list of changes.
      *
      * @param form any but {@link EndpointListForm#FAILED}
      */
@@ -84,7 +84,10 @@
         closeIdleConnections(worker.id());
     }
 
-    /** Closes the connection that an ended attempt leaves idle, where its worker is withdrawn. */
+    /**
+     * Closes the connection that an ended attempt leaves idle, if its worker is no longer
+     * dispatchable.
+     */
     void attemptEnded(int workerId) {
         if (!workers.contains(workerId)) {
             closeIdleConnections(workerId);
--- a/src/main/java/cresschute/dispatch/HedgingPolicy.java
+++ b/src/main/java/cresschute/dispatch/HedgingPolicy.java
@@ -1,27 +1,29 @@
 package cresschute.dispatch;
 
 /**
- * Decides whether a request may run at a second worker beside its attempt in flight: a hedged
- * request.
+ * Decides whether to send a hedged request: a second attempt, at another worker, while the first
+ * one is in flight.
  *
- * <p>Inputs: how long the request has waited and may wait in us, whether its attempt or the worker
- * is stalled, the class's idempotency and deduplication window in us, and the limits.
+ * <p>Inputs: the time that the request has waited and the time that it may wait, in us; whether the
+ * attempt or its worker is stalled; the class's idempotency and deduplication window in us; and the
+ * attempt limits.
  *
- * <p>Rule: a hedge is due where progress reports have stopped, or where a job has not started after
- * {@value #UNSTARTED_SLACK_FRACTION} of the time that it may wait. It is allowed to safe requests,
- * and to keyed ones within the deduplication window, where {@link RetryPolicy} allows an attempt.
+ * <p>Rule: a hedge is due if progress reports have stopped, or if the job has not started after the
+ * fraction {@value #UNSTARTED_SLACK_FRACTION} of the time that it may wait. It is allowed for safe
+ * requests, and for keyed requests within the deduplication window, if {@link RetryPolicy} allows
+ * an attempt.
  *
- * <p>Reason: a wait behind other dispatchers' jobs is not seen beforehand, and the job may start
- * sooner elsewhere.
+ * <p>Reason: a dispatcher cannot see in advance that a job will wait behind other dispatchers'
+ * jobs, and the job may start sooner at another worker.
  *
- * <p>Never: an unsafe request is not hedged, a keyed one does not leave the workers that drop its
- * duplicate, and no request has more than two attempts in flight.
+ * <p>Guarantees: an unsafe request is never hedged, a keyed request is hedged only at workers that
+ * drop its duplicate, and no request has more than two attempts in flight.
  *
- * <p>Called on the dispatcher's thread alone.
+ * <p>Called only on the dispatcher's thread.
  */
 final class HedgingPolicy {
 
-    /** Part of the time that a job may wait after which it is hedged if it has not started. */
+    /** Fraction of the time that a job may wait after which it is hedged if it has not started. */
     private static final double UNSTARTED_SLACK_FRACTION = 0.5;
 
     private final CurrentSettings settings;
@@ -33,9 +35,9 @@
     }
 
     /**
-     * Whether an attempt in flight calls for a hedge.
+     * Returns whether a hedge of an attempt in flight is due.
      *
-     * @param totalWaitUs how long the job has waited since the request's first send, us
+     * @param totalWaitUs time that the job has waited since the request's first send, us
      * @param stalled whether the attempt's progress reports have stopped
      */
     boolean isDue(
@@ -53,7 +55,7 @@
                 && request.hasOneAttemptInFlight();
     }
 
-    /** Whether a hedge of an attempt may be sent now. */
+    /** Returns whether a hedge of an attempt may be sent now. */
     boolean isAllowed(PendingRequest request, AttemptRecord attempt, long nowUs) {
         return settings.get().limits().allowsHedging()
                 && request.allowsHedging()
@@ -63,7 +65,10 @@
                 && retries.allowsAttempt(request, nowUs);
     }
 
-    /** Whether its attempt in flight is the first that may run, and workers must drop a hedge. */
+    /**
+     * Returns whether workers must drop a duplicate of the hedge: the request is keyed, and its
+     * attempt in flight is the first that may run.
+     */
     boolean needsDeduplication(PendingRequest request) {
         return request.requestClass().idempotency() == Idempotency.KEYED && !request.mayHaveRun();
     }
--- a/src/main/java/cresschute/dispatch/Idempotency.java
+++ b/src/main/java/cresschute/dispatch/Idempotency.java
@@ -1,11 +1,14 @@
 package cresschute.dispatch;
 
-/** What a duplicate of a request may do. */
+/** Effect of a duplicate of a request. */
 public enum Idempotency {
-    /** No harm: the request may run any number of times. */
+    /** A duplicate does no harm: the request may run any number of times. */
     SAFE,
-    /** No harm where workers know its idempotency key and the deduplication window lasts. */
+    /**
+     * A duplicate does no harm at workers that know its idempotency key, within the deduplication
+     * window.
+     */
     KEYED,
-    /** Harm: the request may run once at most. */
+    /** A duplicate does harm: the request may run once at most. */
     UNSAFE
 }
--- a/src/main/java/cresschute/dispatch/Job.java
+++ b/src/main/java/cresschute/dispatch/Job.java
@@ -1,14 +1,17 @@
 package cresschute.dispatch;
 
 /**
- * What is known of a request when it arrives.
+ * The properties of a request that are known at its arrival.
  *
  * @param requestClass number of its class in {@link DispatchSettings#classes}
- * @param tenant number of its tenant in {@link DispatchSettings#tenants}; ignored where it has none
- * @param slots slots that it takes while it runs; 1 is taken where it is not above 0
- * @param runningTimeHintUs expected running time at the usual pace, us, or {@link #NO_HINT}
- * @param dataKey what data it needs, the same for all jobs on the same data, or {@link #NO_DATA}
- * @param clientRetry whether its client marked it as a retry
+ * @param tenant number of its tenant in {@link DispatchSettings#tenants}; ignored if the request
+ *     has none
+ * @param slots slots that the job takes while it runs; a value of 0 or less counts as 1
+ * @param runningTimeHintUs expected running time at a worker of usual speed, us, or {@link
+ *     #NO_HINT}
+ * @param dataKey key of the data that the job needs, the same for all jobs on the same data, or
+ *     {@link #NO_DATA}
+ * @param clientRetry whether the client marked the request as a retry
  */
 public record Job(
         int requestClass,
--- a/src/main/java/cresschute/dispatch/ObjectiveWeights.java
+++ b/src/main/java/cresschute/dispatch/ObjectiveWeights.java
@@ -1,7 +1,7 @@
 package cresschute.dispatch;
 
 /**
- * Weights of the parts of the objective; only their proportions count.
+ * Weights of the parts of the objective; only their proportions matter.
  *
  * @param overall weight of all requests, at least 0
  * @param worstWindow weight of the worst window of time, at least 0
--- a/src/main/java/cresschute/dispatch/Outcome.java
+++ b/src/main/java/cresschute/dispatch/Outcome.java
@@ -2,29 +2,31 @@
 
 /** How an attempt or load query ended. */
 public enum Outcome {
-    /** A complete answer. */
+    /** The worker sent a complete answer. */
     SERVED("served"),
-    /** An answer that reports an error, or that cannot be read. The job may have run. */
+    /** The worker's answer reports an error or cannot be parsed. The job may have run. */
     ERROR("error"),
     /**
-     * Rejected because the worker is full; the job did not run, unless the settings say that a full
-     * worker may drop what it had begun.
+     * The worker rejected the job because it is full. The job did not run, unless {@link
+     * DispatchSettings#fullMayHaveRun}.
      */
     FULL("full"),
-    /** No complete answer by the deadline, though the whole request was sent. */
+    /** The whole request was sent, but no complete answer came by the deadline. */
     TIMED_OUT("timed_out"),
     /**
-     * The request did not go out whole: no connection came up, or it closed, or the time was over,
+     * The request was not sent completely: the connection failed or closed, or the deadline passed,
      * before the last byte of the request was written. Nothing ran.
      */
     CONNECT_FAILED("connect_failed"),
-    /** The connection closed, or was reset, after the whole request was sent; it may have run. */
+    /**
+     * The connection closed or was reset after the whole request was sent. The job may have run.
+     */
     BROKEN("broken"),
-    /** Cancelled by the host. */
+    /** The host cancelled the attempt. */
     CANCELLED("cancelled"),
-    /** Not sent by the host; nothing ran. */
+    /** The host did not send the attempt; nothing ran. */
     NOT_SENT("not_sent"),
-    /** The request is invalid for any worker; it does not count against this one. */
+    /** The request is invalid for any worker; the outcome does not count against this one. */
     UNUSABLE("unusable");
 
     private final String wireName;
@@ -33,7 +35,7 @@
         this.wireName = wireName;
     }
 
-    /** The word in the log. */
+    /** The name of the outcome in the log. */
     public String wireName() {
         return wireName;
     }
--- a/src/main/java/cresschute/dispatch/OutlierDetector.java
+++ b/src/main/java/cresschute/dispatch/OutlierDetector.java
@@ -1,10 +1,10 @@
 package cresschute.dispatch;
 
 /**
- * Decides which workers are ejected, so that new attempts go elsewhere for a while.
+ * Decides which workers are ejected: they get no new attempts for a while.
  *
- * <p>Inputs: outcomes of attempts and load queries, progress reports, time without a report in us,
- * and reports of other dispatchers.
+ * <p>Inputs: outcomes of attempts and load queries, progress reports, the time since the last
+ * report in us, and reports of other dispatchers.
  *
  * <p>Rules:
  *
@@ -12,7 +12,7 @@
  *   <li>after n failures in a row, with n >= {@value #FAILURES_TO_EJECT}, a worker is ejected for
  *       {@value #BASE_EJECTION_US} us, doubled for each further {@value #FAILURES_TO_EJECT} up to
  *       {@value #MAX_EJECTION_STEPS} steps; a failed connection counts as {@value
- *       #FAILURES_TO_EJECT}, and a worker that is full is ejected for one mean running time;
+ *       #FAILURES_TO_EJECT}, and a full worker is ejected for one mean running time;
  *   <li>a worker that seems to have free slots but has not started a job of a class after {@value
  *       #UNRESPONSIVE_RUNNING_TIMES} mean running times is unresponsive for that class for {@value
  *       #UNRESPONSIVE_EJECTION_US} us;
@@ -20,32 +20,38 @@
  *       intervals is stalled for {@value #UNRESPONSIVE_EJECTION_US} us, or until its next report.
  * </ul>
  *
- * <p>Reason: one error is chance and also comes from the network, while errors in a row, refused
- * connections and silence are signs of one worker's fault.
+ * <p>Reason: a single error may be chance or come from the network, while consecutive errors,
+ * refused connections and missing reports indicate a fault of one worker.
  *
- * <p>Never: it does not count a request that no worker could serve, or that its client gave too
- * little time; and where all workers drawn are ejected, selection ignores it (panic threshold of
+ * <p>Guarantees: a request that no worker could serve, or whose client gave it too little time, is
+ * never counted. If all sampled workers are ejected, selection ignores ejection (panic threshold of
  * {@link WorkerSelector}).
  *
- * <p>Called on the dispatcher's thread alone.
+ * <p>Called only on the dispatcher's thread.
  */
 final class OutlierDetector {
 
-    /** Failures in a row that eject a worker: fewer are chance. */
+    /** Consecutive failures that eject a worker; fewer may be chance. */
     private static final int FAILURES_TO_EJECT = 3;
 
-    /** Ejection after the first failures, us. */
+    /** First ejection time, us. */
     private static final long BASE_EJECTION_US = 500_000;
 
     private static final int MAX_EJECTION_STEPS = 5;
 
-    /** Wait for a start that makes a worker unresponsive for a class, in mean running times. */
+    /**
+     * Time that a job waits for its start until its worker counts as unresponsive for the class, in
+     * mean running times.
+     */
     private static final double UNRESPONSIVE_RUNNING_TIMES = 4;
 
-    /** Ejection of a worker that is unresponsive or stalled, us. */
+    /** Ejection time of an unresponsive or stalled worker, us. */
     private static final long UNRESPONSIVE_EJECTION_US = 3_000_000;
 
-    /** Report intervals without a report that make an attempt or worker stalled. */
+    /**
+     * Time without a progress report until an attempt or worker counts as stalled, in report
+     * intervals.
+     */
     private static final double STALLED_INTERVALS = 1.8;
 
     private final CurrentSettings settings;
@@ -61,11 +67,11 @@
         this.loads = loads;
     }
 
-    /** Takes in how an attempt or load query at a worker ended. */
+    /** Records the outcome of an attempt or load query at a worker. */
     void recordOutcome(WorkerInstance worker, Outcome outcome, long nowUs) {
         switch (outcome) {
             case SERVED, FULL -> worker.clearFailures();
-            // A process that dies breaks one connection and refuses the next.
+            // A process that dies breaks one connection and refuses the next one.
             case ERROR, TIMED_OUT, BROKEN -> worker.addFailures(1);
             case CONNECT_FAILED -> worker.addFailures(FAILURES_TO_EJECT);
             default -> {}
@@ -76,20 +82,21 @@
         worker.ejectUntil(nowUs + (steps == 0 ? fullUs : BASE_EJECTION_US << (steps - 1)));
     }
 
-    /** Whether a worker is ejected for jobs of a class. */
+    /** Returns whether a worker is ejected for jobs of a class. */
     boolean isEjected(WorkerInstance worker, int requestClass, long nowUs) {
         return worker.isEjected(requestClass, nowUs);
     }
 
-    /** Ejects a worker for jobs of a class that do not start there. */
+    /** Ejects a worker for jobs of one class, because they do not start there. */
     void ejectUnresponsive(WorkerInstance worker, int requestClass, long nowUs) {
         worker.unresponsiveUntil(requestClass, nowUs + UNRESPONSIVE_EJECTION_US);
     }
 
     /**
-     * Whether an attempt shows, for the first time, that its class does not start at its worker.
+     * Returns whether an attempt shows that jobs of its class do not start at its worker; true at
+     * most once for each attempt.
      *
-     * @param waitAtWorkerUs how long its job has waited there, us
+     * @param waitAtWorkerUs time that the job has waited at the worker, us
      */
     boolean detectUnresponsive(AttemptRecord attempt, double waitAtWorkerUs, long nowUs) {
         final boolean detected =
@@ -106,8 +113,9 @@
     }
 
     /**
-     * Whether an attempt's progress reports have stopped. Its worker is ejected only where it
-     * reports on no other job either: one broken stream says nothing of a worker.
+     * Returns whether an attempt's progress reports have stopped. The worker is ejected only if it
+     * reports on no other job either, because one broken stream does not indicate a fault of the
+     * worker.
      */
     boolean detectStalled(AttemptRecord attempt, long nowUs) {
         final WorkerInstance worker = attempt.worker();
--- a/src/main/java/cresschute/dispatch/PendingRequest.java
+++ b/src/main/java/cresschute/dispatch/PendingRequest.java
@@ -5,8 +5,8 @@
 import java.util.Optional;
 
 /**
- * A request that is owed an answer or has attempts in flight. It keeps state for the rules and
- * decides nothing.
+ * The state of a request that is not answered yet or still has attempts in flight. It makes no
+ * decisions.
  */
 final class PendingRequest {
 
@@ -25,12 +25,17 @@
     private int attemptsSent;
     private WorkerInstance lastWorker;
 
-    /** Where its data is, as far as the last selection saw; null where it needs none. */
+    /**
+     * The worker that holds the job's data, as of the last selection; null if the job needs no
+     * data.
+     */
     private WorkerInstance dataWorker;
 
     private final List<WorkerInstance> queried = new ArrayList<>(2);
 
-    /** The best worker of those that answered a load query since the last send; null: none. */
+    /**
+     * The best worker of those that answered a load query since the last send; null if none did.
+     */
     private WorkerInstance bestQueried;
 
     /** Rounds of load queries since the last send. */
@@ -41,15 +46,18 @@
     private boolean mayHaveRun;
     private long deduplicatedUntilUs;
 
-    /** The only workers that drop a duplicate of it; null where that is no bound. */
+    /**
+     * The workers that may get further attempts, because they drop a duplicate; null if not
+     * restricted.
+     */
     private WorkerGroup deduplicationGroup;
 
     /**
-     * A request of which nothing was sent yet.
+     * Creates a request without attempts.
      *
-     * @param bucket whose priority weight of the moment it keeps
-     * @param firstSentUs when its client sent it first, us
-     * @param limits the limits in force at its arrival
+     * @param bucket the request's bucket; the request keeps its current priority weight
+     * @param firstSentUs time of the client's first send, us
+     * @param limits the attempt limits at the request's arrival
      */
     PendingRequest(
             int id,
@@ -70,7 +78,7 @@
         this.allowsHedging = limits.allowsHedging();
     }
 
-    /** Slots that a job takes; 1 where none are stated. */
+    /** Slots that a job takes; 1 if not specified. */
     static double slotsOf(Job job) {
         return job.slots() > 0 ? job.slots() : 1;
     }
@@ -99,51 +107,53 @@
         return slots;
     }
 
-    /** Whether its expected running time came with it. */
+    /** Returns whether the client sent the expected running time. */
     boolean hasRunningTimeHint() {
         return runningTimeHintUs > 0;
     }
 
-    /** What data it needs; {@link Job#NO_DATA} for none. */
+    /** Key of the data that the job needs; {@link Job#NO_DATA} for none. */
     long dataKey() {
         return dataKey;
     }
 
-    /** When its client sent it first, as far as known, us. */
+    /** Time of the client's first send, as estimated at the arrival, us. */
     long firstSentUs() {
         return firstSentUs;
     }
 
     /**
-     * When its attempts end, us: the node keeps a margin between this and the client's deadline.
+     * Time at which attempts end at the latest, us. The node keeps a margin between this time and
+     * the client's deadline.
      */
     long deadlineUs() {
         return deadlineUs;
     }
 
-    /** Attempts that the settings allowed at its arrival. */
+    /** Maximum number of attempts, from the settings at the arrival. */
     int maxAttempts() {
         return maxAttempts;
     }
 
-    /** Whether the settings allowed a hedged request at its arrival. */
+    /** Returns whether the settings allowed hedging at the request's arrival. */
     boolean allowsHedging() {
         return allowsHedging;
     }
 
     /**
-     * Expected running time at the usual pace, us: its own hint, else the estimate of its class.
+     * Expected running time at a worker of usual speed, us: the client's hint, or else the estimate
+     * of the class.
      */
     double runningTimeUs() {
         return hasRunningTimeHint() ? runningTimeHintUs : classState.runningTimeUs();
     }
 
-    /** Latest time after its first send at which an answer is in time, us. */
+    /** Longest time after the first send at which an answer is in time, us. */
     double inTimeUs() {
         return classState.inTimeUs(runningTimeUs());
     }
 
-    /** Time after its first send that it may spend waiting and be in time, us. */
+    /** Time that the request may wait after its first send and still be in time, us. */
     double slackUs() {
         return inTimeUs() - runningTimeUs();
     }
@@ -153,7 +163,7 @@
         return slots * runningTimeUs();
     }
 
-    /** Expected work and its standard error, slot-us. */
+    /** Expected work plus its standard error, slot-us. */
     double conservativeWork() {
         return work()
                 * (hasRunningTimeHint() || classState.samples() == 0
@@ -161,7 +171,7 @@
                         : 1 + 1 / Math.sqrt(classState.samples()));
     }
 
-    /** Starts its next attempt; reports to load queries are no longer waited for. */
+    /** Starts the next attempt and stops waiting for load queries. */
     AttemptRecord startAttempt(WorkerInstance worker, long nowUs) {
         cancelQueries();
         final AttemptRecord attempt = new AttemptRecord(attemptsSent++, worker, nowUs);
@@ -170,7 +180,7 @@
         return attempt;
     }
 
-    /** Attempts sent so far. */
+    /** Number of attempts sent so far. */
     int attemptsSent() {
         return attemptsSent;
     }
@@ -184,17 +194,17 @@
         return !inFlight.isEmpty();
     }
 
-    /** Whether exactly one attempt is in flight. */
+    /** Returns whether exactly one attempt is in flight. */
     boolean hasOneAttemptInFlight() {
         return inFlight.size() == 1;
     }
 
-    /** The attempts in flight, in a new list. */
+    /** Returns the attempts in flight, as a copy. */
     List<AttemptRecord> attemptsInFlight() {
         return List.copyOf(inFlight);
     }
 
-    /** The attempt in flight of this number; null where there is none. */
+    /** Returns the attempt in flight with this number; null if there is none. */
     AttemptRecord findAttempt(int number) {
         for (final AttemptRecord attempt : inFlight) {
             if (attempt.number() == number) {
@@ -208,7 +218,10 @@
         inFlight.remove(attempt);
     }
 
-    /** Where its data is; null where it needs none or none was selected yet. */
+    /**
+     * The worker that holds the job's data; null if the job needs none or no worker was selected
+     * yet.
+     */
     WorkerInstance dataWorker() {
         return dataWorker;
     }
@@ -217,7 +230,7 @@
         dataWorker = worker;
     }
 
-    /** Starts a round of load queries; reports of the round before are no longer waited for. */
+    /** Starts a round of load queries and stops waiting for the previous round. */
     void startQueries(List<WorkerInstance> workers) {
         queryRounds++;
         queried.clear();
@@ -227,7 +240,10 @@
         }
     }
 
-    /** Takes in that a worker answered; false where its report is not waited for. */
+    /**
+     * Records that a worker answered a load query. Returns false if the request does not wait for
+     * it.
+     */
     boolean endQuery(WorkerInstance worker) {
         return queried.remove(worker);
     }
@@ -240,7 +256,7 @@
         return queryRounds;
     }
 
-    /** Best worker of those that answered; null where none did. */
+    /** The best worker of those that answered a load query; null if none did. */
     WorkerInstance bestQueried() {
         return bestQueried;
     }
@@ -255,7 +271,7 @@
         bestQueried = null;
     }
 
-    /** When workers may be queried again for a hedged request, us. */
+    /** Time at which workers may be queried again for a hedged request, us. */
     long nextHedgeQueryUs() {
         return nextHedgeQueryUs;
     }
@@ -264,7 +280,7 @@
         nextHedgeQueryUs = us;
     }
 
-    /** Notes that no answer is owed any more. */
+    /** Marks the request as needing no answer any more. */
     void close() {
         closed = true;
         cancelQueries();
@@ -275,10 +291,10 @@
     }
 
     /**
-     * Notes that an attempt may have had its effect.
+     * Records that an attempt may have had its effect.
      *
-     * @param deduplicatedUntil until when a duplicate is dropped, us
-     * @param group the workers that drop it; empty where all do
+     * @param deduplicatedUntil time until which a duplicate is dropped, us
+     * @param group the workers that drop a duplicate; empty if all workers do
      */
     void markMayHaveRun(long deduplicatedUntil, Optional<WorkerGroup> group) {
         mayHaveRun = true;
@@ -286,12 +302,12 @@
         deduplicationGroup = group.orElse(null);
     }
 
-    /** Whether an attempt that ended, or that is hedged, may have had its effect. */
+    /** Returns whether an attempt that ended, or that is hedged, may have had its effect. */
     boolean mayHaveRun() {
         return mayHaveRun;
     }
 
-    /** Until when a duplicate is dropped, us; only where it may have run. */
+    /** Time until which a duplicate is dropped, us; valid only if {@link #mayHaveRun}. */
     long deduplicatedUntilUs() {
         return deduplicatedUntilUs;
     }
@@ -300,17 +316,22 @@
         return deduplicationGroup != null;
     }
 
-    /** Restricts its workers to a group for a while; empty: to those of its class. */
+    /**
+     * Restricts the workers of further attempts to a group; empty allows all workers of the class.
+     */
     void bindToGroup(Optional<WorkerGroup> group) {
         deduplicationGroup = group.orElse(null);
     }
 
-    /** The workers to which its next attempt may go. */
+    /** The workers that may get the next attempt. */
     WorkerGroup candidates() {
         return deduplicationGroup == null ? classState.allWorkers() : deduplicationGroup;
     }
 
-    /** The workers to prefer among them: those of the dispatcher's zone, unless it is bound. */
+    /**
+     * The preferred workers among {@link #candidates}: those in the dispatcher's zone, or the group
+     * that the request is restricted to.
+     */
     WorkerGroup preferredCandidates() {
         return deduplicationGroup == null ? classState.zoneWorkers() : deduplicationGroup;
     }
--- a/src/main/java/cresschute/dispatch/Placement.java
+++ b/src/main/java/cresschute/dispatch/Placement.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * The workers that a class may be sent to, at every attempt. A list that is null sets no bound.
+ * The workers that a class may be sent to, at every attempt. A null list allows all zones or kinds.
  *
- * @param zones the only zones open to it, at least one; null for all
- * @param kinds the only kinds of worker open to it, at least one; null for all
+ * @param zones allowed zones, at least one; null for all
+ * @param kinds allowed kinds of worker, at least one; null for all
  */
 public record Placement(List<Integer> zones, List<Integer> kinds) {
 
-    /** No bound. */
+    /** Allows all workers. */
     public static final Placement ANYWHERE = new Placement(null, null);
 
     /**
@@ -25,13 +25,13 @@
         kinds = sorted(kinds);
     }
 
-    /** Whether the class may be sent to this worker. */
+    /** Returns whether the class may be sent to this worker. */
     public boolean allows(Worker worker) {
         return (zones == null || zones.contains(worker.zone()))
                 && (kinds == null || kinds.contains(worker.kind()));
     }
 
-    /** Whether every worker of the other placement is one of this placement too. */
+    /** Returns whether this placement allows every worker that the other one allows. */
     public boolean contains(Placement other) {
         return (zones == null || (other.zones != null && zones.containsAll(other.zones)))
                 && (kinds == null || (other.kinds != null && kinds.containsAll(other.kinds)));
@@ -41,7 +41,7 @@
         return bound == null ? null : bound.stream().sorted().distinct().toList();
     }
 
-    /** Whether all zones and kinds named exist. */
+    /** Returns whether all zones and kinds of this placement exist. */
     boolean isWithin(int zoneCount, int kindCount) {
         return (zones == null || (zones.get(0) >= 0 && zones.get(zones.size() - 1) < zoneCount))
                 && (kinds == null
--- a/src/main/java/cresschute/dispatch/QuotaMeter.java
+++ b/src/main/java/cresschute/dispatch/QuotaMeter.java
@@ -1,18 +1,21 @@
 package cresschute.dispatch;
 
 /**
- * Token bucket of one tenant at this dispatcher: says whether a request is within the tenant's
- * quota, by the dispatcher's even part of it.
+ * Token bucket of one tenant at this dispatcher. It determines whether a request is within this
+ * dispatcher's share of the tenant's quota.
  */
 final class QuotaMeter {
 
-    /** Quota that may be saved up, us. */
+    /** Time over which unused quota accumulates, us. */
     private static final double BURST_US = 2_000_000;
 
-    /** Least that may be saved up, requests: arrivals bunch by chance. */
+    /** Minimum bucket size, requests; arrivals bunch by chance. */
     private static final double MIN_BURST = 3;
 
-    /** Factor on an even part: traffic is not spread evenly over the dispatchers. */
+    /**
+     * Factor on an even share of the quota, because traffic is not spread evenly over the
+     * dispatchers.
+     */
     private static final double UNEVEN_TRAFFIC_FACTOR = 1.5;
 
     private final double quotaPerUs;
@@ -20,23 +23,23 @@
     private long refilledAtUs;
 
     /**
-     * An empty bucket.
+     * Creates an empty bucket.
      *
-     * @param quotaPerUs requests a us
+     * @param quotaPerUs quota of this dispatcher, requests per us
      */
     QuotaMeter(double quotaPerUs) {
         this.quotaPerUs = quotaPerUs;
     }
 
-    /** The meter of a tenant at one of {@code dispatchers}. */
+    /** Returns the meter of a tenant at one of {@code dispatchers}. */
     static QuotaMeter of(Tenant tenant, int dispatchers) {
         return new QuotaMeter(UNEVEN_TRAFFIC_FACTOR * tenant.quotaPerS() / dispatchers / 1e6);
     }
 
     /**
-     * Takes the tokens of an arrival if a whole one is left.
+     * Takes the tokens of an arrival if at least one token is left.
      *
-     * @param requests tokens to take; 0 for a retry of a request that took its own
+     * @param requests tokens to take; 0 for a retry, because the first send has taken one
      * @return whether the arrival is within the quota
      */
     boolean take(long nowUs, int requests) {
--- a/src/main/java/cresschute/dispatch/RequestClass.java
+++ b/src/main/java/cresschute/dispatch/RequestClass.java
@@ -3,17 +3,19 @@
 /**
  * A class of requests.
  *
- * @param priorityWeight value of one request answered in time, at least 0
- * @param latencyObjectiveUs an answer is in time within this plus {@code latencyObjectiveStretch}
- *     times the job's running time, us; above 0
- * @param latencyObjectiveStretch at least 0
- * @param deadlineUs when clients give up, us after their send; above 0
- * @param idempotency what a duplicate may do
- * @param deduplicationScope the workers among which a duplicate of a keyed request is dropped
- * @param deduplicationWindowUs how long it is dropped, us from the first send that may have run; at
+ * @param priorityWeight value of one request that is answered in time, at least 0
+ * @param latencyObjectiveUs an answer is in time within this time plus {@code
+ *     latencyObjectiveStretch} times the job's running time, us; above 0
+ * @param latencyObjectiveStretch factor on the job's running time in the latency objective, at
  *     least 0
- * @param placement the only workers that requests may be sent to
- * @param maxAttempts attempts of one request, within those of {@link AttemptLimits}; at least 1
+ * @param deadlineUs time after their send at which clients give up, us; above 0
+ * @param idempotency effect of a duplicate
+ * @param deduplicationScope the workers that drop a duplicate of a keyed request
+ * @param deduplicationWindowUs time for which they drop it, us from the first send that may have
+ *     run; at least 0
+ * @param placement the workers that requests may be sent to
+ * @param maxAttempts maximum number of attempts of one request, at least 1; {@link AttemptLimits}
+ *     may set a lower one
  */
 public record RequestClass(
         double priorityWeight,
@@ -26,10 +28,10 @@
         Placement placement,
         int maxAttempts) {
 
-    /** The {@code maxAttempts} of a class without a limit of its own. */
+    /** The {@code maxAttempts} of a class without its own limit. */
     public static final int UNLIMITED_ATTEMPTS = Integer.MAX_VALUE;
 
-    /** A class without a limit of its own on attempts. */
+    /** Creates a class without its own limit on attempts. */
     public RequestClass(
             double priorityWeight,
             long latencyObjectiveUs,
@@ -54,7 +56,8 @@
     /**
      * Checks the values.
      *
-     * @throws IllegalArgumentException naming the first value that is missing or out of bounds
+     * @throws IllegalArgumentException if a value is missing or out of bounds; the message names
+     *     the first such value
      */
     public RequestClass {
         Preconditions.require(maxAttempts >= 1, "class maxAttempts");
--- a/src/main/java/cresschute/dispatch/RetryPolicy.java
+++ b/src/main/java/cresschute/dispatch/RetryPolicy.java
@@ -3,22 +3,24 @@
 import java.util.Optional;
 
 /**
- * Decides whether another attempt of a request may be sent, by the idempotency of its class.
+ * Decides whether another attempt of a request may be sent, depending on the idempotency of its
+ * class.
  *
- * <p>Inputs: the attempts sent and their outcomes, the class's idempotency, deduplication scope and
- * window in us, the limits in force and those at the request's arrival.
+ * <p>Inputs: the attempts sent and their outcomes; the class's idempotency, deduplication scope and
+ * window in us; the current attempt limits and those at the request's arrival.
  *
- * <p>Rule: a safe request may always be sent again; a keyed one that may have run only within the
- * window, counted from the send of the first attempt that may have run, and to workers that drop a
- * duplicate of it; an unsafe one only while nothing may have run. Attempts stay within the lower of
- * both limits, and {@link DeadlinePolicy} leaves time for them.
+ * <p>Rule: a safe request may always be retried. A keyed request that may have run is retried only
+ * within the deduplication window, which starts at the send of the first attempt that may have run,
+ * and only at workers that drop its duplicate. An unsafe request is retried only if no attempt may
+ * have run. The lower of both attempt limits applies, and {@link DeadlinePolicy} must leave time
+ * for the attempt.
  *
- * <p>Reason: an attempt that ended without an answer may still take effect.
+ * <p>Reason: an attempt that ended without an answer may still have its effect.
  *
- * <p>Never: it does not allow an attempt that could have an effect twice, and it does not take a
- * rejection as full for proof that nothing ran where a worker may shed what it had begun.
+ * <p>Guarantees: it never allows an attempt that could repeat an effect. A rejection as full is not
+ * proof that nothing ran if {@link DispatchSettings#fullMayHaveRun}.
  *
- * <p>Called on the dispatcher's thread alone.
+ * <p>Called only on the dispatcher's thread.
  */
 final class RetryPolicy {
 
@@ -32,7 +34,7 @@
         this.deadlines = deadlines;
     }
 
-    /** Whether another attempt may be sent now. */
+    /** Returns whether another attempt may be sent now. */
     boolean allowsAttempt(PendingRequest request, long nowUs) {
         return isHarmless(request, nowUs)
                 && request.attemptsSent() < maxAttempts(request)
@@ -51,7 +53,7 @@
         return Math.min(settings.get().limits().maxAttempts(), request.maxAttempts());
     }
 
-    /** Whether an attempt with this outcome may have had its effect. */
+    /** Returns whether an attempt with this outcome may have had its effect. */
     boolean mayHaveRun(Outcome outcome) {
         return switch (outcome) {
             case CONNECT_FAILED, NOT_SENT -> false;
@@ -60,7 +62,7 @@
         };
     }
 
-    /** Notes that an attempt may have had its effect, which bounds all further ones. */
+    /** Records that an attempt may have had its effect, which restricts all further attempts. */
     void markMayHaveRun(PendingRequest request, AttemptRecord attempt) {
         final RequestClass requestClass = request.requestClass();
         request.markMayHaveRun(
@@ -70,12 +72,12 @@
                         : Optional.empty());
     }
 
-    /** Until when a duplicate of an attempt is dropped, us. */
+    /** Returns the time until which a duplicate of an attempt is dropped, us. */
     long deduplicatedUntilUs(PendingRequest request, AttemptRecord attempt) {
         return attempt.sentUs() + request.requestClass().deduplicationWindowUs();
     }
 
-    /** The workers that drop a duplicate of an attempt; empty where all do. */
+    /** Returns the workers that drop a duplicate of an attempt; empty if all workers do. */
     Optional<WorkerGroup> deduplicationGroup(PendingRequest request, AttemptRecord attempt) {
         return workers.deduplicationGroup(request.requestClass(), attempt.worker().endpoint());
     }
--- a/src/main/java/cresschute/dispatch/ServiceTimeEstimator.java
+++ b/src/main/java/cresschute/dispatch/ServiceTimeEstimator.java
@@ -1,25 +1,25 @@
 package cresschute.dispatch;
 
 /**
- * Estimates how long jobs run: the running time of each class, the mean job over all classes, and
- * the pace of each worker.
+ * Estimates how long jobs run: the running time of each class, the mean running time over all
+ * classes, and the slowdown of each worker.
  *
- * <p>Inputs: running-time hints, progress reports and durations of served attempts, all in us;
+ * <p>Inputs: running-time hints, progress reports and durations of served attempts, all in us; and
  * slots of jobs.
  *
- * <p>Rule: estimates are exponential moving averages of weight {@value #SAMPLE_WEIGHT}. A sample is
- * {@code (end - start report) / (1 - fraction done then)} where the start was reported in time,
- * else the attempt's duration. A duration without a start report holds waiting, so above the
- * estimate it weighs {@value #WAITING_WEIGHT} times as much. A worker's pace follows running time /
- * estimate, at most {@value #MAX_RATIO}.
+ * <p>Rule: estimates are exponential moving averages with sample weight {@value #SAMPLE_WEIGHT}. A
+ * sample is {@code (end - start report) / (1 - fraction done then)} if the start was reported
+ * before the end, otherwise the attempt's duration. A duration without a start report may include
+ * waiting, so if it is above the estimate, its weight is multiplied by {@value #WAITING_WEIGHT}. A
+ * worker's slowdown follows running time / estimate, at most {@value #MAX_RATIO}.
  *
  * <p>Reason: the work of a class, its latency bound and a worker's expected delay all scale with
- * the running time, which clients seldom state.
+ * the running time, which clients seldom send.
  *
- * <p>Never: it does not learn a class's running time from jobs that came with a hint, nor from
- * attempts that were not served.
+ * <p>Guarantees: it never learns a class's running time from the duration of jobs that came with a
+ * hint, nor from attempts that were not served.
  *
- * <p>Called on the dispatcher's thread alone.
+ * <p>Called only on the dispatcher's thread.
  */
 final class ServiceTimeEstimator {
 
@@ -29,13 +29,13 @@
     /** Weight of one job in the mean slots. */
     private static final double SLOTS_WEIGHT = SAMPLE_WEIGHT / 2;
 
-    /** Weight kept by a duration above the estimate that may hold waiting. */
+    /** Factor on the weight of a duration above the estimate that may include waiting. */
     private static final double WAITING_WEIGHT = 0.2;
 
-    /** Largest ratio that one job adds to a worker's pace. */
+    /** Largest ratio that one job contributes to a worker's slowdown. */
     private static final double MAX_RATIO = 3;
 
-    /** Fraction done beyond which a start report dates no start. */
+    /** Fraction done from which a first progress report does not determine the start. */
     private static final double MAX_FRACTION_AT_START = 0.95;
 
     private final CurrentSettings settings;
@@ -56,26 +56,26 @@
         return meanRunningTimeUs;
     }
 
-    /** Slots of a mean job. */
+    /** Mean slots of a job. */
     double meanSlots() {
         return meanSlots;
     }
 
-    /** Takes in the slots of an arriving job. */
+    /** Records the slots of an arriving job. */
     void jobArrived(double slots) {
         meanSlots += SLOTS_WEIGHT * (slots - meanSlots);
     }
 
-    /** Takes in the running time that came with a job, us. */
+    /** Records the running time that came with a job, us. */
     void hintReceived(ClassState classState, long runningTimeUs) {
         classState.learnRunningTime(runningTimeUs, SAMPLE_WEIGHT);
     }
 
     /**
-     * Takes in a served attempt.
+     * Records a served attempt.
      *
-     * @param elapsedUs its duration from send to end, us
-     * @param capacityFraction capacity fraction of its worker now, in (0, 1]
+     * @param elapsedUs duration of the attempt from send to end, us
+     * @param capacityFraction current capacity fraction of the worker, in (0, 1]
      */
     void attemptServed(
             PendingRequest request,
@@ -83,7 +83,7 @@
             long nowUs,
             long elapsedUs,
             double capacityFraction) {
-        // A start report that is read only with the end dates no start.
+        // A start report that arrives together with the end does not determine the start.
         final boolean startKnown =
                 attempt.hasReportedStart()
                         && attempt.startReportedAtUs() < nowUs
@@ -106,14 +106,17 @@
         }
     }
 
-    /** Takes in that an attempt is late: its worker counts as {@value #MAX_RATIO} times slower. */
+    /**
+     * Records that an attempt is late, as a sample in which its worker is {@value #MAX_RATIO} times
+     * slower than estimated.
+     */
     void attemptLate(AttemptRecord attempt) {
         attempt.worker().learnSlowdown(MAX_RATIO * attempt.worker().slowdown());
     }
 
     /**
-     * How long an attempt has waited at its worker before its job started, us, as far as start and
-     * progress reports say.
+     * Returns the time that an attempt has waited at its worker before its job started, us,
+     * estimated from start and progress reports.
      */
     double waitAtWorkerUs(PendingRequest request, AttemptRecord attempt, long nowUs) {
         if (attempt.hasReportedStart()) {
--- a/src/main/java/cresschute/dispatch/SlowStart.java
+++ b/src/main/java/cresschute/dispatch/SlowStart.java
@@ -4,41 +4,44 @@
 import java.util.SplittableRandom;
 
 /**
- * Decides whether a worker that is warming up may get a job: slow start.
+ * Slow start: decides whether a worker that is warming up may get a job.
  *
- * <p>Inputs: the worker's age in us, {@link SlowStartSettings}, the number of dispatchers, the
+ * <p>Inputs: the worker's age in us, {@link SlowStartSettings}, the number of dispatchers, and the
  * expected work of the job and of a mean job in slot-us.
  *
  * <p>Rule: a worker of age a has the capacity fraction {@code f = f0 + (1 - f0) * a / d} until the
  * warm-up duration d, then 1. In each window of {@code overloadAfterUs} this dispatcher may send it
+ * its share of
  *
  * <pre>
- * part = {@value #SAFETY} * overload factor * f * slots / slowness * window / dispatchers
+ * share = {@value #SAFETY} * overload factor * f * slots / slowness * window / dispatchers
  * </pre>
  *
- * <p>slot-us of work, kept as tokens of the worker, and the sum of the parts to all warming
- * workers, kept as tokens of the dispatcher. A job is allowed while the dispatcher's tokens are not
- * below 0, the worker's tokens cover the job but for what the other dispatchers leave of it ({@code
- * (1 - 1 / dispatchers) * (work + mean work)}), and the job is small beside what all dispatchers
- * may send or the worker tolerates.
+ * <p>slot-us of work. Tokens of the worker account for this share, and tokens of the dispatcher for
+ * the sum of its shares over all warming workers. A job is allowed if the dispatcher's tokens are
+ * not below 0; if the worker's tokens cover its work, less an allowance for the other dispatchers
+ * of {@code (1 - 1 / dispatchers) * (work + mean work)}; and if the job is small compared with what
+ * all dispatchers together may send, or with what the worker tolerates, in a window.
  *
- * <p>Reason: dispatchers do not see one another's sends, and a worker that gets more than it can
- * take while it warms up falls over.
+ * <p>Reason: dispatchers do not see one another's sends, and a worker that gets more work than it
+ * can take while it warms up fails.
  *
- * <p>Never: it does not hold back a worker that is warm, and it does not let dispatchers that start
- * together send their first jobs together.
+ * <p>Guarantees: it never withholds jobs from a warm worker, and dispatchers that start together do
+ * not send their first jobs together.
  *
- * <p>Called on the dispatcher's thread alone.
+ * <p>Called only on the dispatcher's thread.
  */
 final class SlowStart {
 
-    /** Part of the stated limit that is used: work and capacity are estimates. */
+    /** Fraction of the configured limit that is used, because work and capacity are estimates. */
     private static final double SAFETY = 0.4;
 
-    /** Largest job, as a part of what all dispatchers may send in a window. */
+    /**
+     * Largest job, as a fraction of the work that all dispatchers together may send in a window.
+     */
     private static final double MAX_JOB_FRACTION = 0.5;
 
-    /** Largest job, as a part of what the worker tolerates in a window. */
+    /** Largest job, as a fraction of the work that the worker tolerates in a window. */
     private static final double MAX_JOB_TOLERATED_FRACTION = 0.18;
 
     private final CurrentSettings settings;
@@ -54,12 +57,15 @@
         this.random = random;
     }
 
-    /** Starts the refill of the dispatcher's tokens. */
+    /** Starts refilling the dispatcher's tokens. */
     void started(long nowUs) {
         refilledAtUs = nowUs;
     }
 
-    /** Takes in a new worker: each dispatcher begins at a random point of a mean job. */
+    /**
+     * Starts the warm-up of a new worker. The dispatcher's tokens begin at a random negative value
+     * of up to one mean job, so that dispatchers do not send their first jobs together.
+     */
     void workerAdded(WorkerInstance worker, long nowUs) {
         worker.startWarmUp(nowUs);
         if (tokens >= 0) {
@@ -70,7 +76,9 @@
         }
     }
 
-    /** Least capacity fraction that a worker has now, in (0, 1]; 1 where it is warm. */
+    /**
+     * Returns the lowest capacity fraction that a worker may have now, in (0, 1]; 1 if it is warm.
+     */
     double capacityFraction(WorkerInstance worker, long nowUs) {
         final SlowStartSettings slowStartSettings = settings.get().slowStart();
         final long startedAtUs = worker.endpoint().startedAtUs();
@@ -90,7 +98,7 @@
         return capacityFraction(worker, nowUs) < 1;
     }
 
-    /** Work that this dispatcher may send to a worker in each window, slot-us. */
+    /** Returns the work that this dispatcher may send to a worker in each window, slot-us. */
     private double workPerWindow(WorkerInstance worker, long nowUs) {
         final SlowStartSettings slowStartSettings = settings.get().slowStart();
         return SAFETY
@@ -102,7 +110,7 @@
                 / settings.get().dispatchers();
     }
 
-    /** Refills the dispatcher's tokens by the windows since the last refill. */
+    /** Refills the dispatcher's tokens for the time since the last refill. */
     void refill(Collection<WorkerInstance> workers, long nowUs) {
         final double elapsedUs = Math.max(1, nowUs - refilledAtUs);
         refilledAtUs = nowUs;
@@ -120,7 +128,10 @@
         tokens = Math.min(perWindow, tokens + windows * perWindow);
     }
 
-    /** Whether a request's next attempt may go to a worker; refills the worker's tokens. */
+    /**
+     * Returns whether a request's next attempt may be sent to a worker. Refills the worker's
+     * tokens.
+     */
     boolean allows(WorkerInstance worker, PendingRequest request, long nowUs) {
         final int dispatchers = settings.get().dispatchers();
         final SlowStartSettings slowStartSettings = settings.get().slowStart();
@@ -131,8 +142,8 @@
         if (!isWarmingUp(worker, nowUs)) {
             return true;
         }
-        // The more dispatchers divide the limit, the smaller is a part beside a job: each may be
-        // one job ahead of its part.
+        // The more dispatchers divide the limit, the smaller each share is compared with a job, so
+        // each dispatcher may be one job ahead of its share.
         final double othersFraction = 1 - 1.0 / dispatchers;
         final double meanWork = serviceTimes.meanRunningTimeUs() * serviceTimes.meanSlots();
         final double totalPerWindow = windowShare * dispatchers;
--- a/src/main/java/cresschute/dispatch/SlowStartSettings.java
+++ b/src/main/java/cresschute/dispatch/SlowStartSettings.java
@@ -1,13 +1,13 @@
 package cresschute.dispatch;
 
 /**
- * The behaviour of a worker that is warming up: sent more than {@code overloadFactor} times its
- * capacity of the moment for {@code overloadAfterUs}, it falls over.
+ * Behaviour of a worker that is warming up. It fails if it gets more than {@code overloadFactor}
+ * times its current capacity for {@code overloadAfterUs}.
  *
- * @param initialCapacityFraction fraction of its capacity at its start, in (0, 1]
- * @param warmUpDurationUs time until it has its whole capacity, us; at least 0
- * @param overloadFactor above 0
- * @param overloadAfterUs length of the window in which overload counts, us; at least 0
+ * @param initialCapacityFraction fraction of its full capacity at its start, in (0, 1]
+ * @param warmUpDurationUs time from its start until it has its full capacity, us; at least 0
+ * @param overloadFactor multiple of its current capacity above which it is overloaded; above 0
+ * @param overloadAfterUs length of the window over which overload is measured, us; at least 0
  */
 public record SlowStartSettings(
         double initialCapacityFraction,
@@ -15,13 +15,14 @@
         double overloadFactor,
         long overloadAfterUs) {
 
-    /** Slack for chance, in standard errors of the jobs in a window. */
+    /** Allowance for chance, in standard errors of the number of jobs in a window. */
     private static final double CHANCE_SLACK = 2;
 
     /**
      * Checks the values.
      *
-     * @throws IllegalArgumentException naming the first value that is out of bounds
+     * @throws IllegalArgumentException if a value is out of bounds; the message names the first
+     *     such value
      */
     public SlowStartSettings {
         Preconditions.require(
@@ -33,11 +34,11 @@
     }
 
     /**
-     * Jobs of mean work within {@code overloadAfterUs} that a warming worker takes, chance
-     * included.
+     * Returns the number of jobs of mean work that a warming worker tolerates within {@code
+     * overloadAfterUs}, with an allowance for chance.
      *
-     * @param jobsAtOverload how many jobs {@code overloadFactor} times its capacity of the moment
-     *     are
+     * @param jobsAtOverload number of jobs that make up {@code overloadFactor} times its current
+     *     capacity
      */
     public double toleratedJobs(double jobsAtOverload) {
         return jobsAtOverload + CHANCE_SLACK * (Math.sqrt(jobsAtOverload) + 1);
--- a/src/main/java/cresschute/dispatch/Tenant.java
+++ b/src/main/java/cresschute/dispatch/Tenant.java
@@ -3,8 +3,8 @@
 /**
  * A customer with a quota.
  *
- * @param name its name
- * @param quotaPerS requests a second within its quota, over all dispatchers together; at least 0
+ * @param name name of the tenant
+ * @param quotaPerS quota in requests per second, over all dispatchers together; at least 0
  */
 public record Tenant(String name, double quotaPerS) {
 
--- a/src/main/java/cresschute/dispatch/WeightSource.java
+++ b/src/main/java/cresschute/dispatch/WeightSource.java
@@ -1,13 +1,16 @@
 package cresschute.dispatch;
 
-/** What the weight of a worker in the endpoint list means. */
+/** Meaning of a worker's weight in the endpoint list. */
 public enum WeightSource {
-    /** Nothing. */
+    /** The weight has no meaning. */
     NONE,
-    /** Its nominal size. */
+    /** The worker's nominal size. */
     NOMINAL,
-    /** A rough guess of its size. */
+    /** A rough estimate of the worker's size. */
     ROUGH,
-    /** Its size over one plus the requests in flight per core, at the time of the list. */
+    /**
+     * The worker's size divided by one plus its requests in flight per core, when the list was
+     * made.
+     */
     LIVE
 }
--- a/src/main/java/cresschute/dispatch/WorkerGroup.java
+++ b/src/main/java/cresschute/dispatch/WorkerGroup.java
@@ -6,15 +6,15 @@
 import java.util.TreeMap;
 
 /**
- * The dispatchable workers of one placement, of one of its zones or of one of its cells, and a
- * consistent-hash ring over them. The group of a whole placement also carries the estimate of its
- * capacity. It decides nothing.
+ * The dispatchable workers of one placement, of one of its zones or of one of its cells, with a
+ * consistent-hash ring over them. The group of a whole placement also holds the estimate of its
+ * capacity. It makes no decisions.
  */
 final class WorkerGroup {
 
-    /** Which workers of a placement a group holds. */
+    /** The workers of a placement that a group holds. */
     enum Scope {
-        /** All of them; the only scope with a capacity of its own. */
+        /** All of them; the only scope with a capacity estimate. */
         ALL,
         /** Those of one zone. */
         ZONE,
@@ -23,28 +23,31 @@
 
         private static final int COUNT = values().length;
 
-        /** How many groups a worker belongs to for each placement that allows it. */
+        /** Number of groups that a worker belongs to for each placement that allows it. */
         static int count() {
             return COUNT;
         }
     }
 
-    /** Points of each member on the ring: enough for even parts, few to keep up. */
+    /**
+     * Points of each member on the ring: enough for an even distribution, and few enough to update
+     * cheaply.
+     */
     private static final int POINTS_PER_MEMBER = 16;
 
     private final int groupIndex;
 
-    /** Built at first use: the points of large groups would be megabytes. */
+    /** Null until first use, because the points of large groups take megabytes. */
     private TreeMap<Long, WorkerInstance> ring;
 
     private final List<WorkerInstance> members = new ArrayList<>();
     private final CapacityEstimator capacity;
 
     /**
-     * An empty group.
+     * Creates an empty group.
      *
-     * @param groupIndex number of the placement and scope; a worker is in one group of each slot at
-     *     most
+     * @param groupIndex number of the placement and scope; a worker is in at most one group of each
+     *     index
      */
     WorkerGroup(int groupIndex) {
         this.groupIndex = groupIndex;
@@ -52,20 +55,20 @@
                 groupIndex % Scope.count() == Scope.ALL.ordinal() ? new CapacityEstimator() : null;
     }
 
-    /** Whether this is the group of a whole placement. */
+    /** Returns whether this is the group of a whole placement, which has a capacity estimate. */
     boolean hasCapacity() {
         return capacity != null;
     }
 
     /**
-     * The capacity of a whole placement's group.
+     * Returns the capacity estimate of a whole placement's group.
      *
      * @throws IllegalStateException if this is the group of a zone or cell
      */
     CapacityEstimator capacity() {
         if (capacity == null) {
             throw new IllegalStateException(
-                    "group of slot " + groupIndex + " has no capacity estimate");
+                    "group " + groupIndex + " is a zone or cell and has no capacity estimate");
         }
         return capacity;
     }
@@ -78,7 +81,7 @@
         return members.size();
     }
 
-    /** A member by its position, which changes as members leave. */
+    /** Returns the member at a position. Positions change when members leave. */
     WorkerInstance member(int position) {
         return members.get(position);
     }
@@ -97,7 +100,7 @@
         }
     }
 
-    /** Removes a member; the last one takes its position. */
+    /** Removes a member. The last member takes its position. */
     void remove(WorkerInstance worker) {
         final WorkerInstance last = members.remove(members.size() - 1);
         if (last != worker) {
@@ -110,8 +113,8 @@
     }
 
     /**
-     * The member at or after a point of the ring, with its own point. All dispatchers with the same
-     * members have the same ring.
+     * Returns the first member at or after a point of the ring, with its point. All dispatchers
+     * with the same members have the same ring.
      */
     Map.Entry<Long, WorkerInstance> successor(long point) {
         if (ring == null) {
@@ -122,12 +125,15 @@
         return next == null ? ring.firstEntry() : next;
     }
 
-    /** Where a key's search begins; mixed once more than the members' points, to be distinct. */
+    /**
+     * Returns the point at which the search for a key starts. It is mixed once more than the
+     * members' points, so that it is distinct from them.
+     */
     static long pointOf(long key) {
         return mix(mix(key));
     }
 
-    /** The finaliser of SplitMix64 (Steele, Lea and Flood, 2014). */
+    /** Finaliser of SplitMix64 (Steele, Lea and Flood, 2014). */
     private static long mix(long value) {
         long mixed = value + 0x9e3779b97f4a7c15L;
         mixed = (mixed ^ mixed >>> 30) * 0xbf58476d1ce4e5b9L;
--- a/src/main/java/cresschute/dispatch/WorkerIndex.java
+++ b/src/main/java/cresschute/dispatch/WorkerIndex.java
@@ -10,7 +10,7 @@
 
 /**
  * The workers of the endpoint list, indexed by number and grouped by placement, zone and cell. It
- * keeps the index up to date and decides nothing.
+ * makes no decisions.
  */
 final class WorkerIndex {
 
@@ -21,9 +21,9 @@
     private final Map<Integer, WorkerKind> kinds = new LinkedHashMap<>();
 
     /**
-     * An index without workers.
+     * Creates an index without workers.
      *
-     * @param classPlacements the placement of each request class, in order
+     * @param classPlacements the placement of each request class, in class order
      */
     WorkerIndex(List<Placement> classPlacements) {
         classes = classPlacements.size();
@@ -35,7 +35,7 @@
         capacitiesFor(Placement.ANYWHERE);
     }
 
-    /** The worker of this number; null where it is not listed. */
+    /** Returns the worker with this number; null if it is not listed. */
     WorkerInstance find(int id) {
         return workers.get(id);
     }
@@ -44,12 +44,15 @@
         return workers.containsKey(id);
     }
 
-    /** All listed workers, in the order in which they were first listed. */
+    /** Returns all listed workers, in the order in which they were first listed. */
     Collection<WorkerInstance> workers() {
         return workers.values();
     }
 
-    /** Adds a new incarnation, in the place of the one before; it is not dispatchable yet. */
+    /**
+     * Adds a new worker instance, which replaces an earlier one of the same number. It is not
+     * dispatchable yet.
+     */
     WorkerInstance add(Worker entry) {
         final WorkerInstance worker =
                 new WorkerInstance(
@@ -62,13 +65,13 @@
         return worker;
     }
 
-    /** Forgets the workers to which nothing may be sent. */
+    /** Removes the workers that are not dispatchable. */
     void removeUndispatchable() {
         workers.values().removeIf(worker -> !worker.isDispatchable());
     }
 
     /**
-     * The group of a placement and scope.
+     * Returns the group of a placement and scope.
      *
      * @param number number of the zone or cell; 0 for {@link WorkerGroup.Scope#ALL}
      */
@@ -80,7 +83,7 @@
                 key -> new WorkerGroup(groupIndex));
     }
 
-    /** The group of this scope that a worker of the placement belongs to. */
+    /** Returns the group of this scope that a worker of the placement belongs to. */
     WorkerGroup groupOf(Placement placement, WorkerGroup.Scope scope, Worker worker) {
         return group(
                 placement,
@@ -93,8 +96,8 @@
     }
 
     /**
-     * The workers open to a class that drop a duplicate of what this worker may have run; empty
-     * where all workers do.
+     * Returns the workers of a class's placement that drop a duplicate of a request that this
+     * worker may have run; empty if all workers do.
      */
     Optional<WorkerGroup> deduplicationGroup(RequestClass requestClass, Worker worker) {
         return switch (requestClass.deduplicationScope()) {
@@ -106,7 +109,10 @@
         };
     }
 
-    /** The capacities that work of a placement uses: its own and those of all that contain it. */
+    /**
+     * Returns the capacities that work of a placement uses: those of the placement itself and of
+     * all placements that contain it.
+     */
     List<CapacityEstimator> capacitiesFor(Placement placement) {
         return placements.stream()
                 .filter(wider -> wider.contains(placement))
@@ -114,7 +120,7 @@
                 .toList();
     }
 
-    /** The capacities of all placements. */
+    /** Returns the capacities of all placements. */
     List<CapacityEstimator> capacities() {
         return groups.values().stream()
                 .filter(WorkerGroup::hasCapacity)
@@ -133,10 +139,10 @@
     }
 
     /**
-     * Takes in classes that came after the start: new placements get their groups, and each worker
-     * joins those that are open to it.
+     * Adds the placements of classes that were added after the start. Each worker joins the groups
+     * of the placements that allow it.
      *
-     * @param classPlacements the placement of every request class, in order
+     * @param classPlacements the placement of every request class, in class order
      */
     void addPlacements(List<Placement> classPlacements) {
         classes = classPlacements.size();
--- a/src/main/java/cresschute/dispatch/WorkerInstance.java
+++ b/src/main/java/cresschute/dispatch/WorkerInstance.java
@@ -5,12 +5,12 @@
 import java.util.List;
 
 /**
- * What is known of one incarnation of a worker process: its entry in the endpoint list, the load of
- * it, its pace and its health. It keeps state for the rules and decides nothing.
+ * The state of one run of a worker process: its entry in the endpoint list, load, slowdown and
+ * health. It makes no decisions.
  */
 final class WorkerInstance {
 
-    /** Weight of one running time in the slowness of a worker. */
+    /** Weight of one sample in the slowness of a worker. */
     private static final double SLOWNESS_WEIGHT = 0.15;
 
     private final WorkerKind kind;
@@ -35,10 +35,10 @@
     private final ArrayDeque<PendingRequest> queryingRequests = new ArrayDeque<>();
 
     /**
-     * An incarnation that is in none of its groups yet.
+     * Creates an instance that has not joined its groups yet.
      *
-     * @param positions how many positions in groups it needs, one for each group slot
-     * @param classes how many request classes there are
+     * @param positions number of positions in groups that it needs, one for each group index
+     * @param classes number of request classes
      */
     WorkerInstance(
             Worker endpoint,
@@ -58,7 +58,10 @@
         return groups.stream().filter(WorkerGroup::hasCapacity).map(WorkerGroup::capacity).toList();
     }
 
-    /** Gives it the groups of more placements or classes; only while it is not dispatchable. */
+    /**
+     * Replaces its groups after placements or classes were added; allowed only while it is not
+     * dispatchable.
+     */
     void setGroups(List<WorkerGroup> memberships, int positionCount, int classes) {
         groups = memberships;
         capacities = capacitiesOf(memberships);
@@ -78,7 +81,7 @@
         return kind;
     }
 
-    /** Whether an entry of the list is about this incarnation of the worker, in any state. */
+    /** Returns whether an entry of the list describes this instance of the worker, in any state. */
     boolean isSameInstance(Worker entry) {
         return endpoint.startedAtUs() == entry.startedAtUs()
                 && endpoint.zone() == entry.zone()
@@ -86,7 +89,7 @@
                 && endpoint.cell() == entry.cell();
     }
 
-    /** Takes its entry from the endpoint list. */
+    /** Stores the worker's new entry of the endpoint list. */
     void updateEndpoint(Worker entry) {
         endpoint = entry;
         missingFromList = false;
@@ -100,12 +103,15 @@
         missingFromList = missing;
     }
 
-    /** Whether new attempts may go to it: it is listed as ready and a member of its groups. */
+    /**
+     * Returns whether new attempts may be sent to it: it is listed as ready and has joined its
+     * groups.
+     */
     boolean isDispatchable() {
         return dispatchable;
     }
 
-    /** Adds it to all its groups; does nothing where it is in them. */
+    /** Adds it to all its groups, unless it has joined them. */
     void joinGroups() {
         if (!dispatchable) {
             groups.forEach(group -> group.add(this));
@@ -113,7 +119,7 @@
         }
     }
 
-    /** Removes it from all its groups; does nothing where it is in none. */
+    /** Removes it from all its groups, if it has joined them. */
     void leaveGroups() {
         if (dispatchable) {
             groups.forEach(group -> group.remove(this));
@@ -121,7 +127,7 @@
         }
     }
 
-    /** Its position among the members of the group of this slot. */
+    /** Its position among the members of the group with this index. */
     int position(int groupIndex) {
         return positions[groupIndex];
     }
@@ -130,7 +136,9 @@
         positions[groupIndex] = position;
     }
 
-    /** Adds an ending as evidence to the capacity of each group that it belongs to. */
+    /**
+     * Adds the ending of an attempt as evidence to the capacity of each group that it belongs to.
+     */
     void addEvidence(CapacityEstimator.Evidence evidence, double priorityWeight) {
         for (final CapacityEstimator capacity : capacities) {
             capacity.addEvidence(evidence, priorityWeight);
@@ -152,14 +160,14 @@
         ownSlots = Math.max(0, ownSlots - slots);
     }
 
-    /** Slots that this dispatcher's attempts in flight take. */
+    /** Slots that this dispatcher's attempts in flight take at the worker. */
     double ownSlots() {
         return ownSlots;
     }
 
     /**
-     * Takes in the slots in use or queued for, by all dispatchers, as a report says now. A report
-     * is late: attempts sent since the one before are not in it yet.
+     * Records the slots in use or queued for by all dispatchers, from a report. A report lags
+     * behind: it does not include attempts sent since the previous report.
      */
     void slotsReported(double slotsInUse, long nowUs) {
         otherSlots = Math.max(0, slotsInUse - Math.min(ownSlots, ownSlotsAtReport));
@@ -171,34 +179,34 @@
         kind.otherSlotsReported(otherSlots);
     }
 
-    /** Slots in use or queued for by other dispatchers, at the time of the last report. */
+    /** Slots in use or queued for by other dispatchers, as of the last report. */
     double otherSlots() {
         return otherSlots;
     }
 
-    /** Time of the last report of its load, us. */
+    /** Time of the last load report, us. */
     long otherSlotsAtUs() {
         return otherSlotsAtUs;
     }
 
-    /** Takes in a job's running time over its class's estimate. */
+    /** Records a job's running time, divided by the estimate of its class. */
     void learnRunningTime(double ratio) {
         learnSlowdown(ratio);
         kind.learnRunSlowness(ratio);
     }
 
-    /** Takes in a job's time at the worker over the running time of its class. */
+    /** Records a job's time at the worker, divided by the running time of its class. */
     void learnSlowdown(double ratio) {
         slowness += SLOWNESS_WEIGHT * (ratio / kind.slowness() - slowness);
         kind.learnSlowness(ratio);
     }
 
-    /** Running time here over the estimate of the class. */
+    /** Factor by which jobs run longer at this worker than the estimate of their class. */
     double slowdown() {
         return kind.slowness() * slowness;
     }
 
-    /** Takes in a sign of progress: the worker is not stalled. */
+    /** Records a progress report or other sign of progress: the worker is no longer stalled. */
     void progressReported(long nowUs) {
         lastProgressUs = nowUs;
         stalledUntilUs = 0;
@@ -232,7 +240,7 @@
         return stalledUntilUs > nowUs;
     }
 
-    /** Marks it unresponsive for one class; does nothing for a class it does not know. */
+    /** Marks it unresponsive for one class; ignores an unknown class. */
     void unresponsiveUntil(int requestClass, long untilUs) {
         if (requestClass >= 0 && requestClass < unresponsiveUntilUs.length) {
             unresponsiveUntilUs[requestClass] = untilUs;
@@ -243,23 +251,23 @@
         return unresponsiveUntilUs[requestClass] > nowUs;
     }
 
-    /** Whether it is ejected, stalled or unresponsive for the class now. */
+    /** Returns whether it is ejected, stalled or unresponsive for the class now. */
     boolean isEjected(int requestClass, long nowUs) {
         return Math.max(stalledUntilUs, Math.max(ejectedUntilUs, unresponsiveUntilUs[requestClass]))
                 > nowUs;
     }
 
-    /** Starts its bucket of warm-up tokens. */
+    /** Starts refilling the warm-up tokens. */
     void startWarmUp(long nowUs) {
         warmUpTokensAtUs = nowUs;
     }
 
     /**
-     * Refills the bucket of warm-up tokens.
+     * Refills the warm-up tokens.
      *
-     * @param refill tokens that come in each window, and the most that are kept, slot-us
+     * @param refill tokens added in each window, and the maximum kept, slot-us
      * @param windowUs length of a window, us
-     * @return the tokens left, slot-us; below 0 where work was sent ahead
+     * @return the tokens left, slot-us; below 0 if more work was sent than the tokens covered
      */
     double refillWarmUpTokens(long nowUs, double refill, long windowUs) {
         warmUpTokens =
@@ -272,12 +280,14 @@
         warmUpTokens -= work;
     }
 
-    /** Notes that a load query was sent to it for this request. */
+    /** Records that a load query was sent to it for this request. */
     void addQueryingRequest(PendingRequest request) {
         queryingRequests.add(request);
     }
 
-    /** The request of the oldest load query without a report; null where there is none. */
+    /**
+     * Removes and returns the request of the oldest unanswered load query; null if there is none.
+     */
     PendingRequest pollQueryingRequest() {
         return queryingRequests.poll();
     }
--- a/src/main/java/cresschute/dispatch/WorkerKind.java
+++ b/src/main/java/cresschute/dispatch/WorkerKind.java
@@ -1,20 +1,22 @@
 package cresschute.dispatch;
 
 /**
- * What the workers of one kind have in common: slots, slowness and the load that other dispatchers
- * usually put on them. It keeps state for the rules and decides nothing.
+ * State that the workers of one kind share: slots, slowness and the usual load by other
+ * dispatchers. It makes no decisions.
  */
 final class WorkerKind {
 
-    /** Requests per core under which a live weight says nothing of the cores. */
+    /** Requests per core below which a live weight is not used to estimate the cores. */
     private static final double MIN_REQUESTS_PER_CORE = 0.05;
 
     private static final int MAX_CORES = 64;
 
-    /** Weight of one worker's sample in the mean of its kind, after the first samples. */
+    /** Weight of one worker's sample in the mean of its kind; the first samples weigh more. */
     private static final double SAMPLE_WEIGHT = 0.02;
 
-    /** Running times that the initial mean counts for: a single job says little. */
+    /**
+     * Number of running times that the initial mean counts for, because a single job says little.
+     */
     private static final int PRIOR_RUNS = 3;
 
     private double cores;
@@ -25,22 +27,28 @@
     private int runSamples;
     private double usualOtherSlots;
 
-    /** Slots of one worker, at least 1. */
+    /** Estimated slots of one worker, at least 1. */
     double slots() {
         return Math.max(1, cores);
     }
 
-    /** Time of a job here, waiting included, over the running time of its class. */
+    /**
+     * Time of a job at a worker of this kind, including waiting, divided by the running time of its
+     * class.
+     */
     double slowness() {
         return slowness;
     }
 
-    /** Running time of a job here over that of its class, without waiting. */
+    /**
+     * Running time of a job at a worker of this kind, without waiting, divided by that of its
+     * class.
+     */
     double runSlowness() {
         return runSlowness;
     }
 
-    /** Slots that other dispatchers usually use or wait for at a worker. */
+    /** Mean slots that other dispatchers use or queue for at a worker. */
     double usualOtherSlots() {
         return usualOtherSlots;
     }
@@ -49,7 +57,10 @@
         usualOtherSlots += SAMPLE_WEIGHT * (slots - usualOtherSlots);
     }
 
-    /** Takes in a running time alone: waiting behind other jobs is no lack of capacity. */
+    /**
+     * Records a running time ratio without waiting, because waiting behind other jobs is no lack of
+     * capacity.
+     */
     void learnRunSlowness(double ratio) {
         runSlowness +=
                 Math.max(SAMPLE_WEIGHT, 1.0 / (++runSamples + PRIOR_RUNS)) * (ratio - runSlowness);
@@ -60,7 +71,8 @@
     }
 
     /**
-     * Requests in flight at a worker of this live weight; the cores are estimated along with it.
+     * Returns the requests in flight at a worker with this live weight, and updates the estimate of
+     * the cores.
      */
     double requestsAt(double liveWeight) {
         idleWeight = Math.max(idleWeight, liveWeight);
@@ -72,11 +84,11 @@
     }
 
     /**
-     * Slots in use or queued for by a report. Waiting jobs count beside the busy slots, so a long
-     * queue differs from a worker that is just full.
+     * Returns the slots in use or queued for according to a report. Waiting jobs count in addition
+     * to the busy slots, so that a long queue is distinguished from a worker that is just full.
      *
-     * @param meanSlots slots of a mean job
-     * @return slots, or a negative value where the report says nothing of the load
+     * @param meanSlots mean slots of a job
+     * @return slots, or a negative value if the report holds no load
      */
     double slotsInUse(LoadReport report, double meanSlots) {
         cores = Math.max(cores, Math.round(report.freeSlots()));
--- a/src/main/java/cresschute/dispatch/WorkerLoadEstimator.java
+++ b/src/main/java/cresschute/dispatch/WorkerLoadEstimator.java
@@ -3,23 +3,26 @@
 /**
  * Estimates how many slots of a worker are in use or queued for, by this dispatcher and the others.
  *
- * <p>Inputs: this dispatcher's attempts in flight in slots, load reports, live weights of the
- * endpoint list, and the age of the last of them in us.
+ * <p>Inputs: this dispatcher's attempts in flight in slots; load reports and live weights of the
+ * endpoint list; and the age of the last of them in us.
  *
  * <p>Rule: {@code own + usual + exp(-age / mean running time) * (reported - usual)}, where {@code
- * reported} are the other dispatchers' slots of the last report and {@code usual} their mean over
- * the worker's kind.
+ * reported} are the other dispatchers' slots of the last report, and {@code usual} is their mean
+ * over the worker's kind.
  *
- * <p>Reason: the own slots are exact, a report is old after about one running time, and between
- * reports the mean of the kind is the best guess.
+ * <p>Reason: the own slots are exact; a report is out of date after about one running time, and
+ * then the mean of the kind is the best estimate.
  *
- * <p>Never: it does not take a report without a load for an idle worker.
+ * <p>Guarantees: a report without a load is never treated as a report of an idle worker.
  *
- * <p>Called on the dispatcher's thread alone.
+ * <p>Called only on the dispatcher's thread.
  */
 final class WorkerLoadEstimator {
 
-    /** Slots beyond those of a worker that still count as free: estimates are not whole numbers. */
+    /**
+     * Slots by which a job may exceed a worker's slots and still count as fitting, because
+     * estimates are not whole numbers.
+     */
     private static final double SLOT_TOLERANCE = 0.5;
 
     private final CurrentSettings settings;
@@ -30,7 +33,7 @@
         this.serviceTimes = serviceTimes;
     }
 
-    /** Takes in a load report; {@link LoadReport#NONE} changes nothing. */
+    /** Records a load report; {@link LoadReport#NONE} changes nothing. */
     void loadReported(WorkerInstance worker, LoadReport report, long nowUs) {
         final double slots = worker.kind().slotsInUse(report, serviceTimes.meanSlots());
         if (slots >= 0) {
@@ -38,7 +41,7 @@
         }
     }
 
-    /** Takes in a weight of the endpoint list, where it is {@link WeightSource#LIVE}. */
+    /** Records a weight of the endpoint list, if it is {@link WeightSource#LIVE}. */
     void weightListed(WorkerInstance worker, double weight, long nowUs) {
         if (settings.get().weightSource() == WeightSource.LIVE && weight > 0) {
             worker.slotsReported(
@@ -46,12 +49,12 @@
         }
     }
 
-    /** Takes in that a worker rejected an attempt as full: all its slots are others'. */
+    /** Records that a worker rejected an attempt as full: other dispatchers use all its slots. */
     void rejectedAsFull(WorkerInstance worker, long nowUs) {
         worker.slotsReported(worker.ownSlots() + worker.kind().slots(), nowUs);
     }
 
-    /** Slots in use or queued for now. */
+    /** Returns the estimated slots in use or queued for now. */
     double slotsInUse(WorkerInstance worker, long nowUs) {
         final double trust =
                 Math.exp((worker.otherSlotsAtUs() - nowUs) / serviceTimes.meanRunningTimeUs());
@@ -60,12 +63,12 @@
                 + trust * (worker.otherSlots() - worker.kind().usualOtherSlots());
     }
 
-    /** Whether a job of so many slots would start at once. */
+    /** Returns whether a job of this many slots would start at once. */
     boolean hasFreeSlots(WorkerInstance worker, double slots, long nowUs) {
         return slotsInUse(worker, nowUs) + slots <= worker.kind().slots() + SLOT_TOLERANCE;
     }
 
-    /** Whether any slot seems free. */
+    /** Returns whether the worker has a free slot, according to the estimate. */
     boolean hasFreeSlot(WorkerInstance worker, long nowUs) {
         return slotsInUse(worker, nowUs) < worker.kind().slots();
     }
--- a/src/main/java/cresschute/dispatch/WorkerSelector.java
+++ b/src/main/java/cresschute/dispatch/WorkerSelector.java
@@ -7,43 +7,46 @@
 import java.util.SplittableRandom;
 
 /**
- * Selects the worker of an attempt: power of two choices by expected latency.
+ * Selects the worker of an attempt by the power of two choices, compared by expected latency.
  *
- * <p>Inputs: the workers open to the request, their pace, slots in use, slots, capacity fraction
- * and ejections; the running time of the job in us; prices of a zone crossing and of a data
- * transfer in parts of one request's value.
+ * <p>Inputs: the workers that the request may be sent to, with their slowdown, slots in use, slots,
+ * capacity fraction and ejections; the running time of the job in us; the prices of a zone crossing
+ * and of a data transfer as fractions of one request's value.
  *
- * <p>Rule: at most {@value #MAX_DRAWS} workers are drawn, every second one from the dispatcher's
- * own zone, until enough of them have capacity; a job that needs data draws in the order of its
- * key's hash ring instead. With e = slots in use + slots of the job - slots of the worker,
+ * <p>Rule: at most {@value #MAX_DRAWS} workers are sampled, every second one from the dispatcher's
+ * own zone, until enough of them have capacity. For a job that needs data, the workers are taken in
+ * the order of the hash ring instead, starting at its data key. With e = slots in use + slots of
+ * the job - slots of the worker,
  *
  * <pre>
- * expected latency = pace / capacity fraction
+ * expected latency = slowdown / capacity fraction
  *                    * (running time + mean running time * (e + sqrt(e^2 + 1)) / 2 / slots)
  * cost             = expected latency * (1 + {@value #PRICE_WEIGHT} * price)
  * </pre>
  *
- * <p>The least cost comes first. Where all workers drawn are ejected, they count as if none were
- * (panic threshold).
+ * <p>The worker with the lowest cost comes first. If all sampled workers are ejected, ejection is
+ * ignored (panic threshold).
  *
- * <p>Reason: two choices keep queues short without the herding of one best worker; other
- * dispatchers' sends are not seen, so a wait grows likely smoothly as a worker fills; equal rings
- * give dispatchers the same worker for a key, where its data is.
+ * <p>Reason: two choices keep queues short, while a single best worker would attract all
+ * dispatchers at once (herding). The expected wait rises smoothly as a worker fills, because a
+ * dispatcher does not see the sends of others. Equal rings give all dispatchers the same worker for
+ * a data key, which then holds the data.
  *
- * <p>Never: it does not leave the placement of the class or the group that drops duplicates, and
- * does not return the worker of the last attempt or one that {@link SlowStart} holds back.
+ * <p>Guarantees: it never selects a worker outside the placement of the class or outside the group
+ * that drops duplicates, nor the worker of the last attempt, nor one that {@link SlowStart} does
+ * not allow.
  *
- * <p>Called on the dispatcher's thread alone.
+ * <p>Called only on the dispatcher's thread.
  */
 final class WorkerSelector {
 
-    /** Increase of the expected latency for each unit of price. */
+    /** Relative increase of the expected latency per unit of price. */
     private static final double PRICE_WEIGHT = 20;
 
-    /** Workers with capacity that end a search. */
+    /** Number of workers with capacity that ends the sampling. */
     private static final int CHOICES = 2;
 
-    /** Draws in search of workers with capacity. */
+    /** Maximum number of samples. */
     private static final int MAX_DRAWS = 8;
 
     private final CurrentSettings settings;
@@ -68,17 +71,17 @@
         this.random = random;
     }
 
-    /** Draws workers for a request's next attempt: the search ends with two that have capacity. */
+    /** Samples workers for a request's next attempt until two of them have capacity. */
     List<WorkerInstance> select(PendingRequest request, long nowUs) {
         return select(request, CHOICES, nowUs);
     }
 
     /**
-     * Draws workers for a request's next attempt. Every draw takes one random number, whether the
-     * job needs data or not.
+     * Samples workers for a request's next attempt. Every sample takes one random number, whether
+     * the job needs data or not.
      *
-     * @param choices how many with capacity end the search
-     * @return the workers drawn, least cost first; empty where none may be sent to
+     * @param choices number of workers with capacity that ends the sampling
+     * @return the sampled workers by ascending cost; empty if no worker may get the attempt
      */
     List<WorkerInstance> select(PendingRequest request, int choices, long nowUs) {
         final WorkerGroup candidates = request.candidates();
@@ -116,13 +119,13 @@
         return drawn;
     }
 
-    /** Whether a job would start at once at a worker that is not ejected. */
+    /** Returns whether a worker is not ejected and the job would start there at once. */
     boolean hasCapacity(WorkerInstance worker, PendingRequest request, long nowUs) {
         return !outliers.isEjected(worker, request.classIndex(), nowUs)
                 && loads.hasFreeSlots(worker, request.slots(), nowUs);
     }
 
-    /** Expected latency in us, increased by the prices of this worker. */
+    /** Returns the expected latency in us, increased by the prices of this worker. */
     double cost(WorkerInstance worker, PendingRequest request, long nowUs) {
         final DispatchSettings current = settings.get();
         final double zonePrice =
--- a/src/main/java/cresschute/dispatch/WorkerState.java
+++ b/src/main/java/cresschute/dispatch/WorkerState.java
@@ -1,12 +1,12 @@
 package cresschute.dispatch;
 
-/** The state of a worker in the endpoint list. */
+/** State of a worker in the endpoint list. */
 public enum WorkerState {
-    /** It takes new attempts. */
+    /** The worker takes new attempts. */
     READY("ready"),
-    /** It finishes its attempts in flight and takes no new ones. */
+    /** The worker finishes its attempts in flight and takes no new ones. */
     DRAINING("draining"),
-    /** It does not run. */
+    /** The worker does not run. */
     GONE("gone");
 
     private final String wireName;
@@ -15,7 +15,7 @@
         this.wireName = wireName;
     }
 
-    /** The word in a row that consoles are shown. */
+    /** The name of the state in rows sent to consoles. */
     public String wireName() {
         return wireName;
     }
--- a/src/main/java/cresschute/dispatch/package-info.java
+++ b/src/main/java/cresschute/dispatch/package-info.java
@@ -1,19 +1,21 @@
 /**
- * The decisions of one dispatcher: which requests are admitted, where their attempts go, when they
- * are retried, hedged or given up, and which workers are ejected.
+ * The decisions of one dispatcher: which requests are admitted, which worker gets an attempt, when
+ * requests are retried, hedged or given up, and which workers are ejected.
  *
  * <p>Entry: the host calls {@link cresschute.dispatch.DispatcherEvents} on a {@link
  * cresschute.dispatch.Dispatcher}, which calls {@link cresschute.dispatch.DispatcherActions} back.
- * Begin reading there; each rule is a class that states its inputs, formula and reason.
+ * Start reading there. Each policy is a class whose comment gives its inputs, rule, reason and
+ * guarantees.
  *
- * <p>State: the workers of the endpoint list and what is learned of them ({@link
- * cresschute.dispatch.WorkerIndex}), the pending requests, and the estimates of each rule. All of
- * it is in memory and lives as long as the dispatcher.
+ * <p>State: the workers of the endpoint list with their estimates ({@link
+ * cresschute.dispatch.WorkerIndex}), the pending requests, and the state of each policy. All state
+ * is in memory and lives as long as the dispatcher.
  *
- * <p>Threads: none of its own. All calls to one dispatcher come on one thread; the clock is an
- * argument of each event and chance comes from a seed, so the same events give the same actions.
+ * <p>Threads: the package starts none. The host makes all calls to a dispatcher on one thread. The
+ * time is an argument of each event and random numbers come from a seed, so the same seed and
+ * events produce the same actions.
  *
- * <p>Uses the JDK alone, without input or output. The host of a node, the simulator's adapter, the
- * settings and the test bed use it; no other package decides.
+ * <p>Dependencies: only the JDK, without input or output. The host in a node, the simulator
+ * adapter, the settings and the testbed use it. No other package makes dispatch decisions.
  */
 package cresschute.dispatch;
--- a/src/main/java/cresschute/simulator/FrameReader.java
+++ b/src/main/java/cresschute/simulator/FrameReader.java
@@ -6,9 +6,9 @@
 import java.nio.ByteOrder;
 
 /**
- * Reads batches: a header, then records of a code, a length and that many bytes of fields, all
- * little endian. Every method that reads throws {@link MalformedInputException} where the bytes do
- * not follow that.
+ * Reads batches. A batch is a header followed by records; a record is a code, a length and that
+ * many bytes of fields. All numbers are little endian. Every read method throws {@link
+ * MalformedInputException} if the bytes do not have this format.
  */
 final class FrameReader {
 
@@ -27,7 +27,7 @@
         this.in = in;
     }
 
-    /** Reads the next batch completely; false at the end of the input. */
+    /** Reads the next batch completely. Returns false at the end of the input. */
     boolean nextBatch() throws IOException {
         final int headerBytes = in.readNBytes(frame.array(), 0, HEADER_BYTES);
         if (headerBytes == 0) {
@@ -59,7 +59,7 @@
         return true;
     }
 
-    /** Moves to the batch's next record; false when all have been read. */
+    /** Moves to the next record of the batch. Returns false after the last one. */
     boolean nextRecord() {
         frame.position(recordEnd);
         if (recordsLeft == 0) {
@@ -81,7 +81,7 @@
         return true;
     }
 
-    /** Clock of the batch, us. */
+    /** Time of the batch on the simulator's clock, us. */
     long clockUs() {
         return clockUs;
     }
@@ -91,7 +91,7 @@
         return sequence;
     }
 
-    /** Code of the current record, of {@link WireCodes}. */
+    /** Code of the current record; see {@link WireCodes}. */
     int code() {
         return recordCode;
     }
@@ -106,7 +106,7 @@
         return frame.getShort() & 0xffff;
     }
 
-    /** An unsigned value of 32 bits, as the bits of an int. */
+    /** Reads an unsigned 32-bit value and returns its bits as an int. */
     int u32() {
         requireBytes(Integer.BYTES);
         return frame.getInt();
--- a/src/main/java/cresschute/simulator/FrameWriter.java
+++ b/src/main/java/cresschute/simulator/FrameWriter.java
@@ -6,7 +6,9 @@
 import java.nio.ByteOrder;
 import java.nio.charset.StandardCharsets;
 
-/** Collects the records of one reply, little endian, and writes it with its header. */
+/**
+ * Collects the records of one reply and writes them with a header. All numbers are little endian.
+ */
 final class FrameWriter {
 
     private static final int HEADER_BYTES = 12;
@@ -20,7 +22,7 @@
         clear();
     }
 
-    /** Starts a record whose fields will fill {@code length} bytes. */
+    /** Starts a record; the caller must then write exactly {@code length} bytes of fields. */
     FrameWriter record(int code, int length) {
         if (frame.remaining() < RECORD_HEADER_BYTES + length) {
             final int wanted = frame.capacity() * 2 + RECORD_HEADER_BYTES + length;
@@ -51,7 +53,7 @@
         return this;
     }
 
-    /** Writes a complete record of an instance and a text, which is cut where it is long. */
+    /** Writes a complete record of an instance and a text. A long text is truncated. */
     void text(int code, int instance, String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         if (bytes.length > MAX_TEXT_BYTES) {
@@ -61,7 +63,7 @@
         frame.putShort((short) bytes.length).put(bytes);
     }
 
-    /** Writes the reply to the batch of that sequence number and starts the next one. */
+    /** Writes the reply to the batch with this sequence number and starts an empty reply. */
     void flushTo(OutputStream out, int sequence) throws IOException {
         final int length = frame.position();
         frame.putInt(0, records).putInt(Integer.BYTES, length).putInt(2 * Integer.BYTES, sequence);
--- a/src/main/java/cresschute/simulator/Main.java
+++ b/src/main/java/cresschute/simulator/Main.java
@@ -5,14 +5,17 @@
 import java.io.FileOutputStream;
 import java.io.IOException;
 
-/** The command line: {@code benchlink} speaks the simulator's wire on standard input and output. */
+/**
+ * Command line entry point. {@code benchlink} speaks the simulator's wire protocol on standard
+ * input and output.
+ */
 public final class Main {
 
     private Main() {}
 
     /**
-     * Runs the named subcommand; exits with 2 on bad usage or malformed input, with 1 on a broken
-     * stream.
+     * Runs the subcommand. Exits with 2 on wrong usage or malformed input, and with 1 on an I/O
+     * error.
      */
     public static void main(String[] args) {
         if (args.length != 1 || !args[0].equals("benchlink")) {
--- a/src/main/java/cresschute/simulator/MalformedInputException.java
+++ b/src/main/java/cresschute/simulator/MalformedInputException.java
@@ -1,6 +1,6 @@
 package cresschute.simulator;
 
-/** Input that does not follow the wire; the message is one plain line. */
+/** Thrown for input that violates the wire protocol. The message is a single line. */
 final class MalformedInputException extends RuntimeException {
 
     private static final long serialVersionUID = 1L;
--- a/src/main/java/cresschute/simulator/ReportLayout.java
+++ b/src/main/java/cresschute/simulator/ReportLayout.java
@@ -11,10 +11,10 @@
  */
 record ReportLayout(int freeSlotsAt, int outstandingAt, int waitingAt) {
 
-    /** The position of a value that the reports do not hold. */
+    /** Position of a value that the reports do not contain. */
     static final int MISSING = -1;
 
-    /** Reads the next load report; a value that it does not hold is negative. */
+    /** Reads the next load report. A value that it does not contain is negative. */
     LoadReport read(FrameReader reader) {
         final int count = reader.u8();
         double freeSlots = LoadReport.NONE.freeSlots();
--- a/src/main/java/cresschute/simulator/SettingsParser.java
+++ b/src/main/java/cresschute/simulator/SettingsParser.java
@@ -16,12 +16,12 @@
 import java.util.Map;
 
 /**
- * Reads the {@code path=value} lines of a launch as {@link DispatchSettings}. It maps the wire's
- * words to the terms of the dispatch package; unknown keys are ignored.
+ * Parses the {@code path=value} lines of a launch record into {@link DispatchSettings}. It maps the
+ * names on the wire to the terms of the dispatch package and ignores unknown keys.
  */
 public final class SettingsParser {
 
-    /** A kind below 0 sets no bound. */
+    /** Kind number on the wire of a class that may run at workers of any kind. */
     private static final int ANY_KIND = -1;
 
     private final Map<String, String> values = new HashMap<>();
@@ -36,15 +36,15 @@
     }
 
     /**
-     * Reads the settings that an instance is launched with.
+     * Parses the settings that an instance is launched with.
      *
-     * @throws IllegalArgumentException naming the setting, if one is missing or not usable
+     * @throws IllegalArgumentException if a setting is missing or invalid; the message names it
      */
     public static DispatchSettings parse(String text) {
         return new SettingsParser(text).settings();
     }
 
-    /** The positions of the known values in the load reports of these settings. */
+    /** Returns the positions of the known values in load reports, according to these settings. */
     static ReportLayout reportLayout(String text) {
         final SettingsParser parser = new SettingsParser(text);
         final List<String> fields = parser.list("report.fields");
@@ -124,9 +124,9 @@
     }
 
     /**
-     * The placement of a class.
+     * Parses the placement of a class.
      *
-     * @param onlyKind the one kind that can run it, or {@link #ANY_KIND}
+     * @param onlyKind the only kind of worker that can run the class, or {@link #ANY_KIND}
      */
     private Placement placement(String prefix, int onlyKind) {
         final List<Integer> runsOn = numbers(prefix + "runsOn");
@@ -137,7 +137,7 @@
         return new Placement(numbers(prefix + "zonesOpen"), open ? List.of(onlyKind) : List.of());
     }
 
-    /** The numbers of a list; null, which sets no bound, where the key is absent. */
+    /** Parses a list of numbers. Returns null, which means no restriction, if the key is absent. */
     private List<Integer> numbers(String key) {
         return values.containsKey(key)
                 ? list(key).stream().map(value -> (int) parse(key, value)).toList()
@@ -153,9 +153,10 @@
                             string("tenants." + i + ".name", Integer.toString(i)),
                             number("tenants." + i + ".quotaPerS")));
         }
-        // Requests name their tenant by its index, so two of one name would split its quota.
+        // Requests refer to a tenant by its index, so two tenants of the same name would split its
+        // quota.
         if (tenants.stream().map(Tenant::name).distinct().count() != count) {
-            throw new IllegalArgumentException("a tenant is named twice");
+            throw new IllegalArgumentException("tenants.*.name: two tenants have the same name");
         }
         return tenants;
     }
@@ -226,6 +227,6 @@
     }
 
     private static IllegalArgumentException invalidValue(String key, String value) {
-        return new IllegalArgumentException("setting " + key + " has an unusable value: " + value);
+        return new IllegalArgumentException("setting " + key + " has an invalid value: " + value);
     }
 }
--- a/src/main/java/cresschute/simulator/SimulatorAdapter.java
+++ b/src/main/java/cresschute/simulator/SimulatorAdapter.java
@@ -19,10 +19,11 @@
 import java.util.Map;
 
 /**
- * Hosts one dispatcher for each instance and carries events and actions between them and the wire.
+ * Hosts one dispatcher for each instance and converts between their events and actions and the
+ * simulator's wire protocol.
  *
- * <p>It runs on its caller's thread until the input ends. An instance whose dispatcher throws is
- * dropped and reported; malformed input ends the run.
+ * <p>It runs on its caller's thread until the input ends. If a dispatcher throws, its instance is
+ * removed and the exception is reported in the reply. Malformed input ends the run.
  */
 final class SimulatorAdapter {
 
@@ -30,7 +31,7 @@
     private static final int MARK_CLIENT_RETRY = 2;
     private static final int EVERY_PEER = -1;
 
-    /** A peer message: a worker of four bytes and a class of two. */
+    /** Length of a peer message: a worker of four bytes and a class of two bytes. */
     private static final int UNRESPONSIVE_MESSAGE_BYTES = 6;
 
     private static final int SIGNAL_STARTED = 1;
@@ -48,10 +49,10 @@
     }
 
     /**
-     * Answers batches until the input ends.
+     * Reads batches and writes a reply to each until the input ends.
      *
-     * @throws MalformedInputException if the input does not follow the wire
-     * @throws IOException if a stream breaks
+     * @throws MalformedInputException if the input violates the wire protocol
+     * @throws IOException if reading the input or writing the output fails
      */
     void run() throws IOException {
         while (reader.nextBatch()) {
@@ -123,7 +124,9 @@
                     case 1 -> EndpointListForm.FULL;
                     case 2 -> EndpointListForm.CACHED;
                     case 3 -> EndpointListForm.FAILED;
-                    default -> throw new MalformedInputException("registry of unknown form");
+                    default ->
+                            throw new MalformedInputException(
+                                    "registry record has an unknown form");
                 };
         reader.u64();
         final int catalog = reader.u32();
@@ -152,7 +155,9 @@
                         case 0 -> WorkerState.GONE;
                         case 1 -> WorkerState.READY;
                         case 2 -> WorkerState.DRAINING;
-                        default -> throw new MalformedInputException("worker of unknown condition");
+                        default ->
+                                throw new MalformedInputException(
+                                        "catalog record has a worker of unknown state");
                     };
             workers.add(new Worker(id, zone, kind, cell, state, reader.f32(), reader.u64()));
         }
@@ -199,7 +204,10 @@
         instance.dispatcher().loadReported(nowUs, worker, outcome, instance.reports().read(reader));
     }
 
-    /** Reads what {@link InstanceActions#reportUnresponsive} of another instance wrote. */
+    /**
+     * Reads a message that {@link InstanceActions#reportUnresponsive} of another instance wrote.
+     * Messages of another length are ignored.
+     */
     private void deliverPeerMessage(DispatcherEvents dispatcher, long nowUs) {
         reader.u32();
         if (reader.u16() == UNRESPONSIVE_MESSAGE_BYTES) {
@@ -217,7 +225,7 @@
             case 10 -> Outcome.BROKEN;
             case 1 -> Outcome.CANCELLED;
             case 9 -> Outcome.NOT_SENT;
-            default -> throw new MalformedInputException("outcome of unknown disposition " + code);
+            default -> throw new MalformedInputException("unknown outcome code " + code);
         };
     }
 
@@ -233,10 +241,10 @@
         }
     }
 
-    /** A dispatcher and the layout of its load reports. */
+    /** A dispatcher with the layout of its load reports. */
     private record Instance(DispatcherEvents dispatcher, ReportLayout reports) {}
 
-    /** Writes one instance's actions into the reply. */
+    /** Writes the actions of one instance into the reply. */
     private record InstanceActions(int instance, FrameWriter reply) implements DispatcherActions {
 
         @Override
--- a/src/main/java/cresschute/simulator/WireCodes.java
+++ b/src/main/java/cresschute/simulator/WireCodes.java
@@ -1,6 +1,9 @@
 package cresschute.simulator;
 
-/** Record codes of the wire, by the wire's names: events first, then actions. */
+/**
+ * Record codes of the simulator's wire protocol, under the protocol's names: events first, then
+ * actions.
+ */
 final class WireCodes {
 
     static final int LAUNCH = 1;
--- a/src/main/java/cresschute/simulator/package-info.java
+++ b/src/main/java/cresschute/simulator/package-info.java
@@ -1,16 +1,15 @@
 /**
- * The simulator's wire: hosts one dispatcher for each simulated instance and carries events and
- * actions between them and a simulator at the other end of standard input and output.
+ * The simulator adapter. It hosts one dispatcher for each simulated instance and exchanges events
+ * and actions with a simulator over standard input and output.
  *
- * <p>Entry: {@link cresschute.simulator.Main}. A batch of events is read, each event goes to the
- * dispatcher of its instance, and one reply holds all actions that follow.
+ * <p>Entry: {@link cresschute.simulator.Main}. The adapter reads a batch of events, delivers each
+ * event to the dispatcher of its instance, and writes one reply with all resulting actions.
  *
- * <p>State: the dispatchers of the instances and the worker catalogs that were sent, until the
- * input ends. The words of the wire are mapped to the terms of {@link cresschute.dispatch} here and
- * nowhere else.
+ * <p>State: the dispatchers of the instances and the worker catalogs received, until the input
+ * ends. Only this package maps the names on the wire to the terms of {@link cresschute.dispatch}.
  *
- * <p>Threads: one, the caller's; it blocks on the input.
+ * <p>Threads: only the caller's, which blocks on the input.
  *
- * <p>Uses the dispatch package alone. The command line and the node use it.
+ * <p>Dependencies: only the dispatch package. The command line and the node use this package.
  */
 package cresschute.simulator;
--- a/src/test/java/cresschute/dispatch/AdmissionControllerTest.java
+++ b/src/test/java/cresschute/dispatch/AdmissionControllerTest.java
@@ -11,7 +11,7 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** Which part of the requests is admitted. */
+/** Checks which fraction of the requests is admitted. */
 class AdmissionControllerTest {
 
     private static final Placement ONE_KIND = new Placement(null, List.of(0));
@@ -22,7 +22,7 @@
     private final CapacityEstimator kind =
             workers.group(ONE_KIND, WorkerGroup.Scope.ALL, 0).capacity();
 
-    /** Leaves so much of a capacity to the fill; a new one is 0. */
+    /** Sets the unallocated work of a capacity, slots; that of a new one is 0. */
     private static void allocatable(CapacityEstimator capacity, double slots) {
         capacity.allocate(capacity.unallocated() - slots);
     }
--- a/src/test/java/cresschute/dispatch/AttemptFeedbackTest.java
+++ b/src/test/java/cresschute/dispatch/AttemptFeedbackTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** What the estimators learn from an attempt. */
+/** Checks which outcomes count as overload and which count against the worker. */
 class AttemptFeedbackTest {
 
     private static final long NOW = 100 * SECOND;
@@ -17,7 +17,7 @@
     private final WorkerInstance worker = fixture.ready(1, 0, 0);
     private final CapacityEstimator capacity = fixture.workers.capacities().get(0);
 
-    /** Whether the budget decreased after 100 attempts. */
+    /** Returns whether the budget is finite, that is, decreased, after 100 attempts. */
     private boolean isOverload(Outcome outcome, long timeoutUs, boolean requestClosed) {
         for (int id = 0; id < 100; id++) {
             final PendingRequest request = fixture.request(id, NOW, NOW + timeoutUs);
--- a/src/test/java/cresschute/dispatch/CapacityEstimatorTest.java
+++ b/src/test/java/cresschute/dispatch/CapacityEstimatorTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** How the budget of work follows the endings of attempts. */
+/** Checks how the budget follows the endings of attempts. */
 class CapacityEstimatorTest {
 
     private static final double INTERVAL_US = 400_000;
@@ -33,8 +33,8 @@
     @Test
     void decreasesFromOfferedWorkByAtMostAFifth() {
         adjust(10, CapacityEstimator.Evidence.OVERLOAD, 1000);
-        // Without finished jobs endings are remembered 15 times as long, and each counts as much
-        // less.
+        // Without finished jobs, endings are remembered 15 times as long, and the decrease is
+        // divided by 15.
         assertThat(capacity.budget()).isCloseTo(10 * (1 - 0.2 / 15), within(1e-9));
     }
 
@@ -86,7 +86,7 @@
             capacity.slotsReported(5, 5);
             adjust(10, CapacityEstimator.Evidence.OVERLOAD, 100);
         }
-        // 5 slots of work finish a us, and 0.8 of them are kept busy.
+        // 5 slot-us of work finish per us, and 0.8 of them are kept busy.
         assertThat(capacity.budget()).isCloseTo(4, within(0.1));
     }
 
--- a/src/test/java/cresschute/dispatch/DeadlinePolicyTest.java
+++ b/src/test/java/cresschute/dispatch/DeadlinePolicyTest.java
@@ -8,12 +8,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** When a request is given up, and how. */
+/** Checks when a request is given up, and with which answer. */
 class DeadlinePolicyTest {
 
     private static final long NOW = 100 * SECOND;
 
-    /** An answer is in time for 0.2 s and twice the running time of 0.4 s. */
+    /** An answer is in time within 0.2 s plus twice the running time of 0.4 s. */
     private static final long IN_TIME_US = SECOND;
 
     private static PolicyFixture withObjective(long latencyObjectiveUs) {
@@ -101,7 +101,7 @@
                 .isEqualTo(DeadlinePolicy.FinalReply.FAILED);
     }
 
-    @ParameterizedTest(name = "{0} ms missing, marked: {1}")
+    @ParameterizedTest(name = "timeout shorter by {0} ms, marked as retry: {1}")
     @CsvSource({
         "0, false, true",
         "1000, false, true",
--- a/src/test/java/cresschute/dispatch/DispatchSettingsTest.java
+++ b/src/test/java/cresschute/dispatch/DispatchSettingsTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Settings are checked by name. */
+/** Checks that an invalid setting is named. */
 class DispatchSettingsTest {
 
     @Test
--- a/src/test/java/cresschute/dispatch/DispatcherAdmissionTest.java
+++ b/src/test/java/cresschute/dispatch/DispatcherAdmissionTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What is shed under overload, and what is no overload. */
+/** Checks what is shed under overload, and what does not count as overload. */
 class DispatcherAdmissionTest {
 
     private static long rejectedUnsent(RecordingHost host, int requestClass, int fromId) {
@@ -52,7 +52,7 @@
         assertThat(rejectedUnsent(host, 1, 2900)).isZero();
     }
 
-    @ParameterizedTest(name = "given up after {0} ms, of 1000 in which it is in time")
+    @ParameterizedTest(name = "client gives up after {0} ms, an answer is in time for 1000 ms")
     @CsvSource({"300, true", "1500, false"})
     void keepsBudgetIfClientsGiveUpEarly(long waitMs, boolean keptOpen) {
         final RecordingHost host =
@@ -145,7 +145,7 @@
             }
             host.advanceTime(id % 4 == 0 ? SECOND * 27 / 10 : SECOND * 27 / 100);
         }
-        // Half of them end badly: what does not fit is shed down to the floor.
+        // Half of them time out, so requests beyond the budget are shed down to the floor.
         assertThat(host.rejected).filteredOn(id -> id >= 200).hasSizeGreaterThan(150);
     }
 
--- a/src/test/java/cresschute/dispatch/DispatcherDeadlineTest.java
+++ b/src/test/java/cresschute/dispatch/DispatcherDeadlineTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** When a request counts as a late retry. */
+/** Checks when a request counts as a late retry. */
 class DispatcherDeadlineTest {
 
     @Test
@@ -25,8 +25,10 @@
         assertThat(host.rejected).containsExactly(2);
     }
 
-    /** Advised retries come after 0.4 s at most, and a request may be in time for 1 s. */
-    @ParameterizedTest(name = "{0} ms of the time are missing, marked as retry: {1}")
+    /**
+     * A request is in time for 1 s, and a retry counts up to two Retry-After times (0.4 s) later.
+     */
+    @ParameterizedTest(name = "timeout shorter by {0} ms, marked as retry: {1}")
     @CsvSource({
         "0, false, 2",
         "900, false, 2",
@@ -62,8 +64,8 @@
         host.advanceTime(SECOND / 10);
         host.dispatcher.jobProgressed(host.nowUs, 1, 0, host.lastSend().worker(), 0);
         host.end(1, 0, host.lastSend().worker(), Outcome.SERVED);
-        // 0.1 s of running and a latency objective of 0.2 s: it may wait for 0.3 s of the 0.4 s and
-        // is not rejected.
+        // The running time is 0.1 s. With a latency objective of 0.2 s and a stretch of 2, an
+        // answer is in time for 0.4 s. This retry is 0.3 s old, so it is not rejected.
         host.dispatcher.requestArrived(
                 host.nowUs, 2, new Job(0, 0, 1, 0, 0, true), host.nowUs + 4_700_000);
         assertThat(host.sends).hasSize(2);
--- a/src/test/java/cresschute/dispatch/DispatcherEndpointListTest.java
+++ b/src/test/java/cresschute/dispatch/DispatcherEndpointListTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What follows from the endpoint list, and when it is polled. */
+/** Checks the effects of the endpoint list, and when it is polled. */
 class DispatcherEndpointListTest {
 
     private static RecordingHost hostThatClosesIdleConnections(long withinUs) {
@@ -58,7 +58,9 @@
         assertThat(host.idleClosed).isEmpty();
     }
 
-    /** The index must not lose count of its groups' members. */
+    /**
+     * Guards against an index that loses track of its groups' members when a worker's zone changes.
+     */
     @Test
     void treatsWorkerWithAnotherZoneAsNewInstance() {
         final RecordingHost host =
--- a/src/test/java/cresschute/dispatch/DispatcherHealthTest.java
+++ b/src/test/java/cresschute/dispatch/DispatcherHealthTest.java
@@ -14,7 +14,7 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** Slow start, ejection and unresponsive workers. */
+/** Checks slow start, ejection and unresponsive workers. */
 class DispatcherHealthTest {
 
     @Test
@@ -30,8 +30,8 @@
                                 .dispatchers(4)
                                 .build());
         host.list(EndpointListForm.CACHED, workerIn(WorkerState.READY, 1, host.nowUs));
-        // Jobs are estimated to run 0.4 s; while warming up, it does 0.2 to 0.25 s of work in the
-        // first second.
+        // Jobs are estimated to run 0.4 s. While warming up, the worker does 0.2 to 0.25 s of work
+        // in the first second.
         for (int id = 0; id < 100; id++) {
             host.request(id, 0);
             host.advanceTime(SECOND / 100);
@@ -39,7 +39,9 @@
         assertThat(host.sends.size() * 0.4).isLessThanOrEqualTo(0.25 * 3 / 4);
     }
 
-    /** Waiting behind other jobs is no lack of capacity of the kind. */
+    /**
+     * Guards against treating a wait behind other jobs as a lack of capacity of the worker kind.
+     */
     @Test
     void keepsWarmingWorkersShareIfJobsWaitedBehindOthers() {
         final int[] sends = new int[2];
@@ -141,7 +143,7 @@
                 host.end(id, 0, host.lastSend().worker(), Outcome.SERVED);
             }
         }
-        // Both draws fall on the same worker a quarter of the time.
+        // Both samples are the same worker a quarter of the time.
         assertThat(host.sends.stream().filter(send -> send.worker() == 1).count() * 3)
                 .isLessThan(host.sends.size());
     }
--- a/src/test/java/cresschute/dispatch/DispatcherHedgingTest.java
+++ b/src/test/java/cresschute/dispatch/DispatcherHedgingTest.java
@@ -11,10 +11,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** When a request is sent to a second worker beside its attempt in flight. */
+/** Checks when a request is hedged: sent to a second worker while its attempt is in flight. */
 class DispatcherHedgingTest {
 
-    /** The stalled worker gets no new jobs either. */
+    /** Also checks that the stalled worker gets no new jobs. */
     @ParameterizedTest
     @EnumSource
     void hedgesJobWithoutProgressReportsIfClassAllows(Idempotency idempotency) {
@@ -63,8 +63,8 @@
         if (started) {
             host.dispatcher.jobProgressed(host.nowUs, 1, 0, first, 0);
         }
-        // It may wait for the objective of 1 s and the 2 s that the stretch adds to its running
-        // time: the hedge is due after half of these 3 s.
+        // The job may wait 3 s: the objective of 1 s, and the 2 s by which the stretch exceeds its
+        // running time. The hedge is due after half of that.
         host.advanceTime(SECOND * 14 / 10);
         assertThat(host.sends).hasSize(1);
         host.advanceTime(SECOND * 2 / 10);
@@ -77,7 +77,10 @@
         }
     }
 
-    /** A report from before the hedge was due is too old: it says nothing of free slots now. */
+    /**
+     * A report from before the hedge was due must not be used, because it does not show the free
+     * slots now.
+     */
     @ParameterizedTest(name = "{0} free slots")
     @CsvSource({"0, 1", "3, 2"})
     void hedgesOnlyAtWorkerThatReportsFreeSlots(int free, int sends) {
@@ -106,7 +109,7 @@
         final int first = host.lastSend().worker();
         host.queried.clear();
         host.advanceTime(2 * SECOND);
-        assertThat(host.sends).as("sent by the reports from before").hasSize(1);
+        assertThat(host.sends).as("sends before new load reports").hasSize(1);
         assertThat(host.queried).doesNotContain(first).hasSize(2);
         host.queried.forEach(
                 worker ->
--- a/src/test/java/cresschute/dispatch/DispatcherLoadQueryTest.java
+++ b/src/test/java/cresschute/dispatch/DispatcherLoadQueryTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** When workers are asked for their load before a send. */
+/** Checks when workers are queried for their load before a send. */
 class DispatcherLoadQueryTest {
 
     private static RecordingHost queryingHost() {
@@ -40,7 +40,7 @@
         }
     }
 
-    /** What holds when the request is sent counts, not what held when workers were queried. */
+    /** The state of client and workers at the send counts, not the state at the query. */
     @ParameterizedTest
     @ValueSource(strings = {"left", "drained", "both"})
     void usesStateAtSendForRequestThatWaitedForQuery(String what) {
@@ -100,7 +100,7 @@
         assertThat(host.sends).hasSize(2);
     }
 
-    @ParameterizedTest(name = "{0} dispatchers, a report {1} ms old: queried anew {2}")
+    @ParameterizedTest(name = "{0} dispatchers, a report {1} ms old: queried again {2}")
     @CsvSource({"1, 1000, false", "14, 1000, true", "14, 100, false"})
     void treatsReportAsStaleSoonerWithMoreDispatchers(
             int dispatchers, long ageMs, boolean queriedAgain) {
@@ -165,7 +165,7 @@
         assertThat(host.sends).hasSize(1);
     }
 
-    /** A late report must not steer a keyed request out of its group. */
+    /** Guards against a late report that sends a keyed request to a worker outside its group. */
     @Test
     void ignoresEarlierQueryReportsAfterSend() {
         final RecordingHost host =
--- a/src/test/java/cresschute/dispatch/DispatcherPropertyTest.java
+++ b/src/test/java/cresschute/dispatch/DispatcherPropertyTest.java
@@ -13,8 +13,8 @@
 import net.jqwik.api.Property;
 
 /**
- * Feeds a dispatcher random legal sequences of events and checks every action against the rules,
- * without looking into it. It scripts events and does not imitate workers.
+ * Delivers random valid sequences of events to a dispatcher and checks every action against the
+ * policies. The dispatcher is a black box, and no worker behaviour is simulated.
  */
 class DispatcherPropertyTest {
 
@@ -86,8 +86,8 @@
         }
 
         /**
-         * At a draining worker every idle connection is closed in the event that makes or finds it
-         * idle.
+         * Checks that the idle connections to a draining worker are closed within the event that
+         * starts the drain or leaves a connection idle.
          */
         private void assertIdleClosed(int worker, boolean draining) {
             if (draining && settings.closeOnDrainWithinUs() < DispatchSettings.UNLIMITED) {
@@ -119,7 +119,7 @@
             }
             advanceTime(20 * SECOND);
             assertThat(unanswered.values())
-                    .as("requests without their answer")
+                    .as("requests without an answer")
                     .allMatch(request -> request.closed);
         }
 
@@ -277,7 +277,7 @@
             if (inFlightAt != null && requestClass.idempotency() == Idempotency.KEYED) {
                 assertThat(group(requestClass, worker))
                         .isEqualTo(group(requestClass, workerOf(inFlightAt)));
-                // The window is that of the attempt in flight: one before it never ran.
+                // The window starts at the attempt in flight, because no earlier attempt ran.
                 assertThat(nowUs)
                         .as("a keyed request is hedged within the window of its attempt in flight")
                         .isLessThanOrEqualTo(
@@ -351,20 +351,20 @@
 
         @Override
         public void queryLoad(int workerId) {
-            assertThat(settings.allowsLoadQueries()).as("load queries only where allowed").isTrue();
+            assertThat(settings.allowsLoadQueries()).as("load queries only if allowed").isTrue();
             assertThat(listed).as("load queries only of listed workers").containsKey(workerId);
             loadQueries.add(workerId);
         }
 
         @Override
         public void reportUnresponsive(int workerId, int requestClass) {
-            assertThat(settings.allowsPeerMessages()).as("messages only where allowed").isTrue();
+            assertThat(settings.allowsPeerMessages()).as("peer messages only if allowed").isTrue();
         }
 
         @Override
         public void closeIdleConnections(int workerId) {
             assertThat(settings.closeOnDrainWithinUs())
-                    .as("closes only where a time is stated")
+                    .as("closes idle connections only if a time is set")
                     .isLessThan(DispatchSettings.UNLIMITED);
             closed.add(workerId);
         }
--- a/src/test/java/cresschute/dispatch/DispatcherRetryTest.java
+++ b/src/test/java/cresschute/dispatch/DispatcherRetryTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** What may be sent again, where and how often. */
+/** Checks which requests are retried, at which workers and how often. */
 class DispatcherRetryTest {
 
     private static final Placement WEST = new Placement(List.of(1), null);
@@ -105,7 +105,7 @@
         assertThat(host.rejected).containsExactly(1);
     }
 
-    /** The lower limit holds for retries and for hedged requests. */
+    /** The lower limit applies to retries and to hedged requests. */
     @ParameterizedTest
     @CsvSource({"1, 1", "2, 2", "4, 4", "9, 4"})
     void staysWithinLowerLimitOfClassAndSettings(int ofClass, int sent) {
@@ -138,7 +138,10 @@
         assertThat(hedging.sends).hasSize(Math.min(2, ofClass));
     }
 
-    /** All workers drop a duplicate of it within the window: so long the rejection holds true. */
+    /**
+     * A rejection promises that a retry does no harm. That is true only within the window, in which
+     * all workers drop a duplicate.
+     */
     @Test
     void rejectsKeyedRequestOnlyWithinWindowIfAllWorkersDropIt() {
         final RecordingHost host = hostOfClass(Idempotency.KEYED, DeduplicationScope.ALL);
@@ -226,7 +229,9 @@
         }
     }
 
-    /** What was not sent says nothing of any worker, and its worker is selected anew. */
+    /**
+     * An attempt that was not sent is no evidence about its worker, and a worker is selected again.
+     */
     @ParameterizedTest
     @EnumSource
     void retriesAttemptNotSentAndKeepsBudget(Idempotency idempotency) {
--- a/src/test/java/cresschute/dispatch/DispatcherSelectionTest.java
+++ b/src/test/java/cresschute/dispatch/DispatcherSelectionTest.java
@@ -15,7 +15,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Which worker gets an attempt. */
+/** Checks which worker gets an attempt. */
 class DispatcherSelectionTest {
 
     private static final Placement WEST = new Placement(List.of(1), null);
@@ -108,7 +108,9 @@
         assertThat(dataWorkers).hasSizeGreaterThan(8);
     }
 
-    /** The home of a data key, after it has rejected a job of that key as full. */
+    /**
+     * Returns the worker that holds a data key, after it has rejected a job of that key as full.
+     */
     private static int fullDataWorkerOf(long dataKey, RecordingHost host) {
         final int dataWorker = workersOfKey(dataKey, host).get(0);
         host.request(1, new Job(0, 0, 1, 0, dataKey, false));
--- a/src/test/java/cresschute/dispatch/DispatcherTest.java
+++ b/src/test/java/cresschute/dispatch/DispatcherTest.java
@@ -9,7 +9,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** One answer for each request, whatever happens to it on its way. */
+/** Checks that each request gets exactly one answer. */
 class DispatcherTest {
 
     @Test
--- a/src/test/java/cresschute/dispatch/EndpointListPollerTest.java
+++ b/src/test/java/cresschute/dispatch/EndpointListPollerTest.java
@@ -7,7 +7,7 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 
-/** When the endpoint list is polled. */
+/** Checks when the endpoint list is polled. */
 class EndpointListPollerTest {
 
     private static EndpointListPoller poller(long seed) {
--- a/src/test/java/cresschute/dispatch/EndpointListUpdaterTest.java
+++ b/src/test/java/cresschute/dispatch/EndpointListUpdaterTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What the endpoint list does to the index of workers. */
+/** Checks how the endpoint list changes the worker index. */
 class EndpointListUpdaterTest {
 
     private static final long NOW = 100 * SECOND;
--- a/src/test/java/cresschute/dispatch/HedgingPolicyTest.java
+++ b/src/test/java/cresschute/dispatch/HedgingPolicyTest.java
@@ -8,12 +8,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Whether a request is hedged. */
+/** Checks when a hedge is due and allowed. */
 class HedgingPolicyTest {
 
     private static final long NOW = 100 * SECOND;
 
-    /** A latency objective of 1 s and jobs of 2 s: a job may wait for 3 s. */
+    /** With a latency objective of 1 s, a stretch of 2 and jobs of 2 s, a job may wait 3 s. */
     private static PolicyFixture fixture(Idempotency idempotency) {
         return new PolicyFixture(
                 TestSettings.hedging(
--- a/src/test/java/cresschute/dispatch/LoadQueryPolicyTest.java
+++ b/src/test/java/cresschute/dispatch/LoadQueryPolicyTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** When workers are queried for their load. */
+/** Checks when workers are queried for their load. */
 class LoadQueryPolicyTest {
 
     private static final long NOW = 100 * SECOND;
@@ -27,7 +27,10 @@
                 .toList();
     }
 
-    /** A report is old after six mean running times of 0.4 s, over the dispatchers. */
+    /**
+     * A report is stale after six mean running times of 0.4 s, divided by the number of
+     * dispatchers.
+     */
     @ParameterizedTest(name = "{0} dispatchers, {1} ms old: {2}")
     @CsvSource({"1, 2400, false", "1, 2401, true", "4, 600, false", "4, 601, true"})
     void queriesIfOlderOfTwoReportsIsStale(int dispatchers, long ageMs, boolean queries) {
--- a/src/test/java/cresschute/dispatch/OpenRequest.java
+++ b/src/test/java/cresschute/dispatch/OpenRequest.java
@@ -3,19 +3,19 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** What a checker of the rules knows of one request. */
+/** State of one request in {@link DispatcherPropertyTest}. */
 final class OpenRequest {
 
     final RequestClass requestClass;
     final long deadlineUs;
 
-    /** The workers of the attempts in flight, by the attempt's number. */
+    /** Worker of each attempt in flight, by attempt number. */
     final Map<Integer, Integer> attempts = new LinkedHashMap<>();
 
     int sent;
     boolean closed;
 
-    /** Where an attempt first may have run; null while none may have. */
+    /** Worker of the first attempt that may have run; null if there is none. */
     Worker mayHaveRunAt;
 
     long mayHaveRunSinceUs;
--- a/src/test/java/cresschute/dispatch/OutlierDetectorTest.java
+++ b/src/test/java/cresschute/dispatch/OutlierDetectorTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Which workers are ejected, and for how long. */
+/** Checks which workers are ejected, and for how long. */
 class OutlierDetectorTest {
 
     private static final long NOW = 100 * SECOND;
--- a/src/test/java/cresschute/dispatch/PolicyFilesTest.java
+++ b/src/test/java/cresschute/dispatch/PolicyFilesTest.java
@@ -11,7 +11,9 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The deploy file's {@code policy} names every source file of the decision module. */
+/**
+ * Checks that {@code policy} in the deploy file lists every source file of the dispatch package.
+ */
 class PolicyFilesTest {
 
     private static final Path DEPLOY_FILE = Path.of("deploy/balancer.toml");
--- a/src/test/java/cresschute/dispatch/PolicyFixture.java
+++ b/src/test/java/cresschute/dispatch/PolicyFixture.java
@@ -3,7 +3,9 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** The rules of one dispatcher, put together as it does it, for tests of one of them. */
+/**
+ * The policies of one dispatcher, connected as in {@link Dispatcher}, for tests of a single policy.
+ */
 final class PolicyFixture {
 
     static final long SECOND = 1_000_000;
@@ -48,7 +50,9 @@
         feedback = new AttemptFeedback(serviceTimes, loads, slowStart, outliers, deadlines);
     }
 
-    /** The rules of one class of {@link TestSettings#requestClass} and plain settings. */
+    /**
+     * Creates the policies for one class of {@link TestSettings#requestClass} and default settings.
+     */
     static PolicyFixture of(Idempotency idempotency, DeduplicationScope scope) {
         return new PolicyFixture(
                 TestSettings.settings(List.of(TestSettings.requestClass(1, idempotency, scope))));
@@ -58,7 +62,7 @@
         return of(Idempotency.SAFE, DeduplicationScope.ALL);
     }
 
-    /** A dispatchable worker that started long ago. */
+    /** Adds a dispatchable worker that started long ago. */
     WorkerInstance ready(int id, int zone, int cell) {
         return ready(RecordingHost.worker(id, zone, cell));
     }
@@ -69,7 +73,7 @@
         return worker;
     }
 
-    /** A request of the first class that arrives now and is due in 5 s. */
+    /** Creates a request of the first class that arrives now and has its deadline in 5 s. */
     PendingRequest request(int id, long nowUs) {
         return request(id, nowUs, nowUs + 5 * SECOND);
     }
--- a/src/test/java/cresschute/dispatch/QuotaMeterTest.java
+++ b/src/test/java/cresschute/dispatch/QuotaMeterTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What is within a tenant's quota. */
+/** Checks which arrivals are within a tenant's quota. */
 class QuotaMeterTest {
 
     @Test
--- a/src/test/java/cresschute/dispatch/RandomSettings.java
+++ b/src/test/java/cresschute/dispatch/RandomSettings.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Random;
 
-/** Draws legal settings, with one class of each idempotency. */
+/** Generates random valid settings, with one class of each idempotency. */
 final class RandomSettings {
 
     private static final long SECOND = 1_000_000;
@@ -62,7 +62,10 @@
                 random.nextBoolean() ? DispatchSettings.UNLIMITED : random.nextInt(1_000_000));
     }
 
-    /** Some of the first numbers, or null for no bound. */
+    /**
+     * Returns a random non-empty subset of the numbers below {@code count}, or null for no
+     * restriction.
+     */
     private List<Integer> anyOf(int count) {
         final List<Integer> some = new ArrayList<>();
         for (int i = 0; i < count; i++) {
--- a/src/test/java/cresschute/dispatch/RecordingHost.java
+++ b/src/test/java/cresschute/dispatch/RecordingHost.java
@@ -3,7 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The host of a dispatcher under test: feeds it events with a clock and records its actions. */
+/**
+ * Host of a dispatcher under test: delivers events to it on a simulated clock and records its
+ * actions.
+ */
 final class RecordingHost implements DispatcherActions {
 
     record Send(int request, int worker) {}
@@ -57,7 +60,7 @@
                 nowUs, id, attempt, worker, outcome, 100_000, served, LoadReport.NONE);
     }
 
-    /** Lets time pass, with the dispatcher's own timer and nothing else. */
+    /** Advances the clock and fires the dispatcher's timer when it is due. */
     void advanceTime(long us) {
         final long untilUs = nowUs + us;
         while (timerAtUs <= untilUs) {
--- a/src/test/java/cresschute/dispatch/RetryPolicyTest.java
+++ b/src/test/java/cresschute/dispatch/RetryPolicyTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Whether another attempt may be sent. */
+/** Checks whether another attempt may be sent. */
 class RetryPolicyTest {
 
     private static final long NOW = 100 * SECOND;
--- a/src/test/java/cresschute/dispatch/ServiceTimeEstimatorTest.java
+++ b/src/test/java/cresschute/dispatch/ServiceTimeEstimatorTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** How running times are learned. */
+/** Checks how running times are learned. */
 class ServiceTimeEstimatorTest {
 
     private static final long NOW = 100 * SECOND;
@@ -73,7 +73,7 @@
         final PendingRequest request = fixture.request(1, NOW);
         final AttemptRecord attempt = request.startAttempt(worker, NOW);
         fixture.serviceTimes.attemptLate(attempt);
-        // The kind takes its first sample in full, the worker 15 % of it.
+        // The kind takes its first sample in full, and the worker 15 % of it.
         assertThat(worker.slowdown()).isCloseTo(3 * 1.3, within(1e-9));
     }
 
--- a/src/test/java/cresschute/dispatch/SettingsChangeTest.java
+++ b/src/test/java/cresschute/dispatch/SettingsChangeTest.java
@@ -14,7 +14,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Settings that change while a dispatcher runs hold at once, and never add attempts to a request.
+ * Checks that settings changed at run time apply at once, and that a higher limit never adds
+ * attempts to a pending request.
  */
 class SettingsChangeTest {
 
@@ -49,7 +50,7 @@
                 .allMatch(send -> send.worker() == 2 || send.worker() == 3);
         host.request(21, 0);
         assertThat(host.sends).hasSize(21);
-        // A worker that comes after the change joins the new class's group as well.
+        // A worker that is listed after the change also joins the new class's group.
         host.list(EndpointListForm.CHANGES, at(4, 1));
         final List<Integer> later = new ArrayList<>();
         for (int id = 22; id <= 60; id++) {
@@ -85,7 +86,7 @@
         assertThat(more.sends).hasSize(3);
     }
 
-    /** A request is hedged only where it was allowed at its arrival and is allowed now. */
+    /** A request is hedged only if hedging was allowed at its arrival and is allowed now. */
     @ParameterizedTest(name = "hedging allowed before {0}, after {1}")
     @CsvSource({"false, true", "true, false"})
     void hedgesOnlyIfSettingsAtArrivalAndCurrentOnesAllowIt(boolean before, boolean after) {
--- a/src/test/java/cresschute/dispatch/SlowStartTest.java
+++ b/src/test/java/cresschute/dispatch/SlowStartTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What a worker that is warming up may get. */
+/** Checks how much work a worker that is warming up may get. */
 class SlowStartTest {
 
     private static final long NOW = 100 * SECOND;
