--- a/src/test/java/cresschute/dispatch/TestHosts.java
+++ b/src/test/java/cresschute/dispatch/TestHosts.java
@@ -7,17 +7,20 @@
 
 import java.util.List;
 
-/** Hosts that several tests begin with. */
+/** Creates the hosts that several tests start with. */
 final class TestHosts {
 
     private TestHosts() {}
 
-    /** A host of one class, without a list. */
+    /** Returns a host with one class and without an endpoint list. */
     static RecordingHost hostOfClass(Idempotency idempotency, DeduplicationScope scope) {
         return new RecordingHost(settings(List.of(requestClass(1, idempotency, scope))));
     }
 
-    /** A host of one job that has started, whose worker reports progress each second. */
+    /**
+     * Returns a host with one job that has started. Its worker is expected to report progress every
+     * second.
+     */
     static RecordingHost hostWithRunningJob(Idempotency idempotency) {
         final RequestClass hedgeableClass =
                 new RequestClass(
@@ -42,19 +45,22 @@
         return host;
     }
 
-    /** A host of a safe class and two workers in two zones and cells. */
+    /** Returns a host with a safe class and two workers in different zones and cells. */
     static RecordingHost twoSafeWorkers() {
         return hostOfClass(Idempotency.SAFE, DeduplicationScope.ALL)
                 .list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 1, 1));
     }
 
-    /** A host of a safe class and three workers. */
+    /** Returns a host with a safe class and three workers. */
     static RecordingHost threeSafeWorkers() {
         return hostOfClass(Idempotency.SAFE, DeduplicationScope.ALL)
                 .list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 0, 0), worker(3, 0, 0));
     }
 
-    /** A host of two classes of equal work and unlike priority weight, and four workers. */
+    /**
+     * Returns a host with four workers and two classes of equal work and different priority
+     * weights.
+     */
     static RecordingHost twoClasses() {
         final RecordingHost host =
                 new RecordingHost(
@@ -72,7 +78,10 @@
                 worker(4, 1, 1));
     }
 
-    /** Offers 100 requests a second; of each ten, seven are served and the others end as given. */
+    /**
+     * Sends 100 requests per second. Of each ten, seven are served and the others end with {@code
+     * beyond}.
+     */
     static void offer(RecordingHost host, int fromId, int toId, Outcome beyond) {
         int served = 0;
         for (int id = fromId; id < toId; id++) {
@@ -86,7 +95,7 @@
         }
     }
 
-    /** A host of two classes after 20 s of {@link #offer}. */
+    /** Returns a host with two classes after 20 s of {@link #offer}. */
     static RecordingHost underLoad(Outcome beyond) {
         final RecordingHost host = twoClasses();
         offer(host, 0, 2000, beyond);
--- a/src/test/java/cresschute/dispatch/TestSettings.java
+++ b/src/test/java/cresschute/dispatch/TestSettings.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Settings of three zones and two kinds of worker, changed one by one from a plain default. */
+/** Builder of settings with three zones and two kinds of worker. */
 final class TestSettings {
 
     private static final long SECOND = 1_000_000;
@@ -36,14 +36,14 @@
                 Placement.ANYWHERE);
     }
 
-    /** As {@link #requestClass}, of weight 1 and with a placement. */
+    /** Same as {@link #requestClass}, with weight 1 and a placement. */
     static RequestClass placedClass(
             Idempotency idempotency, DeduplicationScope scope, Placement placement) {
         return new RequestClass(
                 1, 200_000, 2, 5 * SECOND, idempotency, scope, 3 * SECOND, placement);
     }
 
-    /** The plain default. */
+    /** The default settings. */
     static DispatchSettings settings(List<RequestClass> classes) {
         return new TestSettings(classes).build();
     }
@@ -55,7 +55,7 @@
         return settings.build();
     }
 
-    /** Workers may be asked for their load. */
+    /** Workers may be queried for their load. */
     static DispatchSettings withLoadQueries(List<RequestClass> classes) {
         return withLoadQueries(classes, 1);
     }
@@ -71,14 +71,14 @@
         return new TestSettings(classes).hedging().build();
     }
 
-    /** As {@link #hedging}, and workers may be asked for their load. */
+    /** Same as {@link #hedging}, and workers may be queried for their load. */
     static DispatchSettings hedgingWithLoadQueries(List<RequestClass> classes) {
         final TestSettings settings = new TestSettings(classes).hedging();
         settings.allowsLoadQueries = true;
         return settings.build();
     }
 
-    /** Clients are advised to come back after up to 0.2 s. */
+    /** Rejected clients are advised to retry after at most 0.2 s. */
     static DispatchSettings advisingRetries(List<RequestClass> classes) {
         return new TestSettings(classes).limits(new AttemptLimits(4, SECOND / 5, false)).build();
     }
--- a/src/test/java/cresschute/dispatch/WorkerLoadEstimatorTest.java
+++ b/src/test/java/cresschute/dispatch/WorkerLoadEstimatorTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** How many slots of a worker count as in use. */
+/** Checks how many slots of a worker count as in use. */
 class WorkerLoadEstimatorTest {
 
     private static final long NOW = 100 * SECOND;
--- a/src/test/java/cresschute/dispatch/WorkerSelectorTest.java
+++ b/src/test/java/cresschute/dispatch/WorkerSelectorTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which workers are selected for an attempt. */
+/** Checks which workers are selected for an attempt. */
 class WorkerSelectorTest {
 
     private static final long NOW = 100 * SECOND;
@@ -46,7 +46,7 @@
         final WorkerInstance near = fixture.ready(1, 0, 0);
         final WorkerInstance far = fixture.ready(2, 1, 1);
         final PendingRequest request = fixture.request(1, NOW);
-        // 20 times the price of 0.02 makes an answer count as 40 % longer.
+        // The price of 0.02 times the price weight of 20 increases the cost by 40 %.
         assertThat(fixture.selector.cost(far, request, NOW))
                 .isEqualTo(fixture.selector.cost(near, request, NOW) * 1.4);
     }
--- a/src/test/java/cresschute/dispatch/WorkerVisitCounter.java
+++ b/src/test/java/cresschute/dispatch/WorkerVisitCounter.java
@@ -11,8 +11,8 @@
 import java.util.RandomAccess;
 
 /**
- * Counts how often a dispatcher looks at one of its workers, by instrumented collections in the
- * place of its own.
+ * Counts how often a dispatcher accesses one of its workers. It replaces the dispatcher's
+ * collections by counting ones.
  */
 public final class WorkerVisitCounter {
 
@@ -21,7 +21,8 @@
     private WorkerVisitCounter() {}
 
     /**
-     * Puts counting collections into a dispatcher that has its list; its classes may go anywhere.
+     * Installs counting collections in a dispatcher that has received its endpoint list. All its
+     * classes must allow all workers.
      */
     public static WorkerVisitCounter of(Dispatcher dispatcher, int zones) {
         final WorkerVisitCounter visits = new WorkerVisitCounter();
@@ -65,7 +66,7 @@
         throw new IllegalStateException(owner + " has no field of " + type);
     }
 
-    /** Visits since the last call. */
+    /** Returns the visits since the last call. */
     public long take() {
         final long taken = count;
         count = 0;
--- a/src/test/java/cresschute/simulator/FrameTest.java
+++ b/src/test/java/cresschute/simulator/FrameTest.java
@@ -13,7 +13,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** The bytes of batches and replies. */
+/** Checks the byte format of batches and replies. */
 class FrameTest {
 
     private static final String TWO_INSTANCES =
--- a/src/test/java/cresschute/simulator/SettingsParserTest.java
+++ b/src/test/java/cresschute/simulator/SettingsParserTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** How the settings of a launch are read. */
+/** Checks how the settings of a launch are parsed. */
 class SettingsParserTest {
 
     static final String SMALL =
--- a/src/test/java/cresschute/simulator/SimulatorAdapterTest.java
+++ b/src/test/java/cresschute/simulator/SimulatorAdapterTest.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What the adapter carries between the wire and the dispatchers. */
+/** Checks the conversion between the simulator's wire protocol and the dispatchers. */
 class SimulatorAdapterTest {
 
     private final ByteArrayOutputStream input = new ByteArrayOutputStream();
@@ -92,7 +92,7 @@
         input.writeBytes(bytes);
     }
 
-    /** Runs the batches and returns each action of the last reply as its code and fields. */
+    /** Runs all batches and returns the actions of the last reply, each with its record header. */
     private List<ByteBuffer> lastReply() throws IOException {
         final ByteArrayOutputStream out = new ByteArrayOutputStream();
         new SimulatorAdapter(new ByteArrayInputStream(input.toByteArray()), out).run();
