--- a/src/main/java/cresschute/node/EndpointListPublisher.java
+++ b/src/main/java/cresschute/node/EndpointListPublisher.java
@@ -7,10 +7,10 @@
 import java.util.List;
 
 /**
- * Publishes the endpoint list to the dispatcher: takes in what discovery answers, lays the
- * operators' overlay over it, and then recalls attempts whose worker the change rules out. Owns the
- * registry's contents, the time of the newest answer and whether a worker was ever ready. Lives as
- * long as the node; call from the event loop.
+ * Publishes the endpoint list to the dispatcher: applies discovery's answers to the registry and
+ * the operators' overlay to the workers' states, and then cancels unsent attempts whose worker is
+ * no longer eligible. Owns the registry's contents, the time of the newest answer and whether a
+ * worker was ever ready. Lives as long as the node; call from the event loop.
  */
 final class EndpointListPublisher {
 
@@ -20,7 +20,7 @@
     private boolean ready;
     private long updatedAtUs;
 
-    /** Publishes nothing yet; changes the registry, and recalls attempts. */
+    /** Creates a publisher that updates the registry and cancels unsent attempts. */
     EndpointListPublisher(
             LoopContext context, WorkerRegistry registry, AttemptController attempts) {
         this.context = context;
@@ -29,27 +29,27 @@
     }
 
     /**
-     * Takes in a list or a change and publishes it.
+     * Applies a list or a change and publishes it.
      *
-     * @param form how the dispatcher is to take it
+     * @param form how the dispatcher must interpret it
      * @param list the list or the change
      */
     void publish(EndpointListForm form, EndpointList list) {
         final List<Worker> listed = registry.apply(list);
         listed.forEach(each -> context.loads().listed(registry.name(each.id())));
-        final List<Worker> workers = overlaid(listed);
+        final List<Worker> workers = withOverlay(listed);
         ready |= workers.stream().anyMatch(worker -> worker.state() == WorkerState.READY);
         updatedAtUs = context.nowUs();
-        // A full list implies that the workers that it leaves out are gone.
+        // Workers missing from a full list are gone.
         context.listener()
                 .endpointListChanged(updatedAtUs, list.full() ? registry.listed() : listed);
         report(form, workers);
-        attempts.recallMisdirected();
+        attempts.cancelUnsentToChangedWorkers();
     }
 
     /**
-     * Publishes these workers again, as the overlay of their states has changed. The dispatcher is
-     * notified in the next turn; attempts that have sent nothing to them are recalled at once.
+     * Publishes these workers again because the overlay of their states has changed. The dispatcher
+     * is notified in the next turn; unsent attempts at these workers are cancelled at once.
      */
     void republish(Collection<String> names) {
         final List<Worker> listed =
@@ -60,31 +60,31 @@
                         .filter(each -> each.state() != WorkerState.GONE)
                         .toList();
         if (!listed.isEmpty()) {
-            report(EndpointListForm.CHANGES, overlaid(listed));
-            attempts.recallMisdirected();
+            report(EndpointListForm.CHANGES, withOverlay(listed));
+            attempts.cancelUnsentToChangedWorkers();
         }
     }
 
-    /** Reports that a watch has failed; the list that is held stays in force. */
+    /** Reports that a watch has failed; the current list stays in force. */
     void reportFailed() {
         report(EndpointListForm.FAILED, List.of());
     }
 
     private void report(EndpointListForm form, List<Worker> workers) {
-        context.turn().gather(now -> context.dispatcher().endpointListChanged(now, form, workers));
+        context.turn().enqueue(now -> context.dispatcher().endpointListChanged(now, form, workers));
     }
 
-    private List<Worker> overlaid(List<Worker> workers) {
-        return workers.stream().map(this::overlaid).toList();
+    private List<Worker> withOverlay(List<Worker> workers) {
+        return workers.stream().map(this::withOverlay).toList();
     }
 
-    private Worker overlaid(Worker worker) {
+    private Worker withOverlay(Worker worker) {
         final WorkerState state =
                 context.listener().effectiveState(registry.name(worker.id()), worker.state());
         return state == worker.state() ? worker : WorkerRegistry.withState(worker, state);
     }
 
-    /** Whether the dispatcher was ever notified of a worker that takes work. */
+    /** Returns true once a published list has contained a ready worker. */
     boolean hasHadReadyWorker() {
         return ready;
     }
--- a/src/main/java/cresschute/node/Invariant.java
+++ b/src/main/java/cresschute/node/Invariant.java
@@ -4,12 +4,12 @@
 import java.util.TreeMap;
 
 /**
- * Checks what must hold: asserted where assertions are enabled ({@code java -ea}), else counted by
- * name. Owns the counts. Call from the event loop, save where stated.
+ * Checks invariants. A violation is counted by name and, if assertions are enabled ({@code java
+ * -ea}), fails an assertion. Owns the counts. Call from the event loop, except where stated.
  */
 public final class Invariant {
 
-    private final Map<String, Long> breaches = new TreeMap<>();
+    private final Map<String, Long> violations = new TreeMap<>();
 
     /** Written on the event loop alone; read from other threads as well. */
     private volatile long total;
@@ -17,28 +17,28 @@
     /**
      * Checks a condition.
      *
-     * @param condition what must hold
-     * @param name the name under which a breach is counted
+     * @param condition the condition that must hold
+     * @param name the name under which a violation is counted
      * @return the condition
      */
     @SuppressWarnings("NonAtomicVolatileUpdate") // Only the event loop writes it.
-    public boolean holds(boolean condition, String name) {
+    public boolean check(boolean condition, String name) {
         if (!condition) {
             total = total + 1;
-            breaches.merge(name, 1L, Long::sum);
+            violations.merge(name, 1L, Long::sum);
             assert false : "invariant broken: " + name;
         }
         return condition;
     }
 
-    /** Breaches so far, of all names together. Any thread. */
+    /** The number of violations so far, of all names together. Any thread. */
     public long total() {
         return total;
     }
 
-    /** The breaches by name. */
+    /** The numbers of violations by name. */
     @Override
     public String toString() {
-        return breaches.toString();
+        return violations.toString();
     }
 }
--- a/src/test/java/cresschute/logs/EventNamesTest.java
+++ b/src/test/java/cresschute/logs/EventNamesTest.java
@@ -12,13 +12,13 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The on-call page lists every log event. */
+/** Checks that the on-call page lists the name of every log event. */
 class EventNamesTest {
 
     private static final Pattern NAMED = Pattern.compile("LogEvent\\.of\\(\\s*\"([a-z_]+)\"");
 
     @Test
-    void pageListsEveryEvent() throws IOException {
+    void onCallPageListsEveryEvent() throws IOException {
         final Set<String> names = new TreeSet<>();
         try (Stream<Path> files = Files.walk(Path.of("src/main/java"))) {
             for (final Path file : files.filter(Files::isRegularFile).toList()) {
--- a/src/test/java/cresschute/node/ConnectCrossingRulesTest.java
+++ b/src/test/java/cresschute/node/ConnectRaceTest.java
@@ -18,35 +18,41 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Events that cross with a connection to a worker being established. See docs/results/crossings.md.
+ * Races between events and the establishment of a connection to a worker. See
+ * docs/results/crossings.md.
  */
 @Timeout(30)
-class ConnectCrossingRulesTest extends CrossingFixture {
+class ConnectRaceTest extends RaceFixture {
 
-    /** Leaving did not stop the write: the job ran for nobody, up to the connect time-out later. */
+    /**
+     * Guards against sending a request after its client has left: the job ran without a recipient,
+     * up to the connect timeout later.
+     */
     @Test
-    void nothingIsSentForAClientThatLeftWhileTheConnectionCameUp() throws Exception {
-        try (TestNode node = patient(SENDS);
+    void sendsNothingForClientThatLeftDuringConnect() throws Exception {
+        try (TestNode node = withLongConnectTimeout(SEND_AT_ONCE);
                 Peer other = node.client()) {
-            fill(node.worker);
+            fillBacklog(node.worker);
             final Peer client = node.client().write(request("r1", "", ""));
             assertThat(node.event()).startsWith("requested 1");
-            untilItHasTurned(node);
-            client.leave();
+            awaitTurn(node);
+            client.disconnect();
             assertThat(node.event()).isEqualTo("left 1");
             assertThat(node.event()).startsWith("ended 1 0 CANCELLED closed true");
-            acceptFilled(node.worker);
+            acceptBacklog(node.worker);
             other.write(request("r2", "", ""));
             assertThat(node.worker().read()).contains("X-Request-Id: r2");
         }
     }
 
-    /** The same where the module gave the request up before its connection was there. */
+    /**
+     * The same race if the dispatcher rejected the request before its connection was established.
+     */
     @Test
-    void nothingIsSentForARequestThatWasRefusedWhileTheConnectionCameUp() throws Exception {
-        try (TestNode node = patient(SENDS);
+    void sendsNothingForRequestRejectedDuringConnect() throws Exception {
+        try (TestNode node = withLongConnectTimeout(SEND_AT_ONCE);
                 Peer client = node.client()) {
-            fill(node.worker);
+            fillBacklog(node.worker);
             client.write(request("r1", "", ""));
             assertThat(node.event()).startsWith("requested 1");
             node.act(actions -> actions.reject(1, 0));
@@ -56,17 +62,16 @@
     }
 
     /**
-     * Connecting may take longer than a drain's grace: what is told meanwhile ends the attempt,
-     * unsent.
+     * Connecting may take longer than the grace period of a drain, so a change of the worker's list
+     * entry during the connect ends the attempt unsent.
      */
     @ParameterizedTest
     @ValueSource(strings = {"draining", "gone", "left out", "moved", "restarted"})
-    void nothingIsSentToAWorkerOfWhichMoreWasToldWhileTheConnectionCameUp(String what)
-            throws Exception {
-        try (TestNode node = patient(SENDS);
+    void sendsNothingToWorkerWhoseListEntryChangedDuringConnect(String what) throws Exception {
+        try (TestNode node = withLongConnectTimeout(SEND_AT_ONCE);
                 Peer client = node.client();
                 ServerSocket moved = Peer.listen()) {
-            fill(node.worker);
+            fillBacklog(node.worker);
             node.act(DispatcherActions::pollEndpointList);
             final Peer discovery = node.discovery();
             discovery.read();
@@ -95,12 +100,13 @@
     }
 
     @Test
-    void nothingIsSentToAWorkerThatAnOperatorTookOutWhileTheConnectionCameUp(@TempDir Path shared)
+    void sendsNothingToWorkerThatOperatorDisabledDuringConnect(@TempDir Path shared)
             throws Exception {
         try (TestNode node = new TestNode(shared, null);
                 Peer client = node.client()) {
-            fill(node.worker);
-            // The call is carried out within the connect time-out, which here is the usual one.
+            fillBacklog(node.worker);
+            // The operator's call is completed within the connect timeout, which has its default
+            // here.
             try (Peer operator = Peer.connect(node.server.managementAddress())) {
                 client.write(request("r1", "", ""));
                 assertThat(node.event()).startsWith("requested 1");
@@ -113,40 +119,40 @@
     }
 
     /**
-     * The client leaves and its worker drains, in this order and the other one: one end, nothing
-     * sent.
+     * The client leaves and its worker drains, in either order: the attempt ends once and nothing
+     * is sent.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void endsOnceWhereAClientLeavesAndItsWorkerDrains(boolean leavesFirst) throws Exception {
-        try (TestNode node = patient(SENDS);
+    void endsAttemptOnceIfClientLeavesAndWorkerDrains(boolean leavesFirst) throws Exception {
+        try (TestNode node = withLongConnectTimeout(SEND_AT_ONCE);
                 Peer client = node.client()) {
-            fill(node.worker);
+            fillBacklog(node.worker);
             node.act(DispatcherActions::pollEndpointList);
             final Peer discovery = node.discovery();
             discovery.read();
             client.write(request("r1", "", ""));
             assertThat(eventStarting(node, "requested")).startsWith("requested 1");
-            untilItHasTurned(node);
-            final String news =
+            awaitTurn(node);
+            final String change =
                     answer("200 OK", "", list(2, false, entry("s-1", node.worker, "DRAINING")));
             if (leavesFirst) {
-                client.leave();
+                client.disconnect();
                 assertThat(eventStarting(node, "left")).isEqualTo("left 1");
                 assertThat(node.event()).startsWith("ended 1 0 CANCELLED closed true");
-                discovery.write(news);
+                discovery.write(change);
                 assertThat(node.event()).startsWith("listed CHANGES 0DRAINING");
             } else {
-                holding(
+                whileLoopBlocked(
                         node,
                         actions -> {
-                            discovery.write(news);
-                            client.leave();
+                            discovery.write(change);
+                            client.disconnect();
                         });
                 assertThat(eventStarting(node, "ended")).startsWith("ended 1 0 ");
             }
-            // A call after the news shows that the watch went on and that no further end came
-            // before it.
+            // A call after the change shows that the watch continued and that no second end was
+            // reported before it.
             assertThat(discovery.read()).contains("since=2&");
             node.act(actions -> actions.startTimer(5, 0));
             assertThat(node.events.stream().filter(each -> each.startsWith("ended")).count())
@@ -155,83 +161,86 @@
     }
 
     /**
-     * The head was made when the attempt was chosen, and told the time that connecting took as
-     * left.
+     * Guards against a head that is built when the worker is chosen: it stated the time spent on
+     * connecting as still remaining.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void tellsWhatIsLeftWhenTheConnectionIsUp(boolean further) throws Exception {
-        try (TestNode node = patient(further ? SENDS : HOLDS);
+    void statesRemainingTimeOnceConnected(boolean isHedge) throws Exception {
+        try (TestNode node = withLongConnectTimeout(isHedge ? SEND_AT_ONCE : SEND_NOTHING);
                 Peer client = node.client()) {
             final long sentNs = System.nanoTime();
             client.write(request("r1", "", ""));
             assertThat(node.event()).startsWith("requested 1");
-            if (further) {
-                hang(node);
+            if (isHedge) {
+                readWithoutAnswering(node);
             }
-            fill(node.worker);
+            fillBacklog(node.worker);
             node.act(actions -> actions.send(1, 0, Long.MAX_VALUE));
-            untilTimerRan(node);
-            acceptFilled(node.worker);
-            assertTellsWhatIsLeft(node.worker().read(), sentNs);
+            awaitDelayedTimer(node);
+            acceptBacklog(node.worker);
+            assertStatesRemainingTime(node.worker().read(), sentNs);
         }
     }
 
-    /** The same on a connection that was kept, for an attempt that the module held back. */
+    /** The same on a kept connection, for an attempt that the dispatcher delayed. */
     @Test
-    void tellsWhatIsLeftOnAKeptConnection() throws Exception {
-        try (TestNode node = new TestNode(HOLDS);
+    void statesRemainingTimeOnKeptConnection() throws Exception {
+        try (TestNode node = new TestNode(SEND_NOTHING);
                 Peer client = node.client();
                 Peer next = node.client()) {
             final long sentNs = System.nanoTime();
-            final Peer worker = keptWithRequestHeld(node, client, next);
-            untilTimerRan(node);
+            final Peer worker = keepConnectionWithPendingRequest(node, client, next);
+            awaitDelayedTimer(node);
             node.act(actions -> actions.send(2, 0, Long.MAX_VALUE));
-            assertTellsWhatIsLeft(worker.read(), sentNs);
+            assertStatesRemainingTime(worker.read(), sentNs);
         }
     }
 
     /**
-     * The same for a request that waited behind others of its connection until there was room for
-     * it.
+     * The same for a request that waited behind others on its client connection until the pipeline
+     * had room for it.
      */
     @Test
-    void tellsWhatIsLeftAfterAWaitForRoom() throws Exception {
-        try (TestNode node = new TestNode(HOLDS);
+    void statesRemainingTimeAfterPipelineWait() throws Exception {
+        try (TestNode node = new TestNode(SEND_NOTHING);
                 Peer client = node.client()) {
             final long sentNs = System.nanoTime();
             for (int i = 1; i <= 17; i++) {
                 client.write(request("r" + i, "", ""));
             }
             assertThat(eventStarting(node, "requested 16")).isNotNull();
-            untilTimerRan(node);
+            awaitDelayedTimer(node);
             node.act(actions -> actions.reject(1, 0));
             assertThat(eventStarting(node, "requested 17")).isNotNull();
             node.act(actions -> actions.send(17, 0, Long.MAX_VALUE));
-            assertTellsWhatIsLeft(node.worker().read(), sentNs);
+            assertStatesRemainingTime(node.worker().read(), sentNs);
         }
     }
 
     /**
-     * A stalled loop handles the connection before the timer that ends its attempt: no byte goes
-     * out.
+     * A stalled loop handles the new connection before the timer that ends the attempt: no byte is
+     * sent.
      */
     @Test
-    void beginsNoAttemptWhoseTimeIsUp() throws Exception {
-        try (TestNode node = patient(HOLDS);
+    void sendsNothingForAttemptPastItsDeadline() throws Exception {
+        try (TestNode node = withLongConnectTimeout(SEND_NOTHING);
                 Peer client = node.client()) {
-            fill(node.worker);
+            fillBacklog(node.worker);
             client.write(request("r1", "", ""));
             assertThat(node.event()).startsWith("requested 1");
-            node.act(actions -> actions.send(1, 0, System.currentTimeMillis() * 1_000 + HELD_US));
-            untilItHasTurned(node);
-            // Its SYN is sent again a second after the first, well after the time of the attempt is
-            // up.
+            node.act(
+                    actions ->
+                            actions.send(
+                                    1, 0, System.currentTimeMillis() * 1_000 + TIMER_DELAY_US));
+            awaitTurn(node);
+            // The SYN is retransmitted one second after the first, well after the attempt's
+            // deadline.
             final List<Peer> accepted = new ArrayList<>();
-            holding(
+            whileLoopBlocked(
                     node,
                     actions -> {
-                        acceptFilled(node.worker);
+                        acceptBacklog(node.worker);
                         accepted.add(node.worker());
                     });
             assertThat(accepted.get(0).isClosedByOther()).isTrue();
--- a/src/test/java/cresschute/node/IdleLifecycle.java
+++ b/src/test/java/cresschute/node/IdleLifecycle.java
@@ -11,8 +11,8 @@
 
 /**
  * A request life cycle with an endpoint list of two workers, a clock that the test advances and a
- * dispatcher that does nothing; and the parts of the control service on it, which a test calls on
- * its own thread.
+ * dispatcher that does nothing, together with the parts of the control service that use it. The
+ * test calls all of it on its own thread.
  */
 final class IdleLifecycle {
 
@@ -20,12 +20,12 @@
     final NodeConfig config;
     final RequestLifecycle lifecycle;
     final OperatorEventLog events = new OperatorEventLog(() -> this.nowUs);
-    final DurableDrains drains = new DurableDrains(loop.eventLoop(), new UnobservedDrains());
+    final DurableDrains drains = new DurableDrains(loop.eventLoop(), new NoOpDrainListener());
     final ControlContext node;
     final WorkerHealthMonitor health;
     long nowUs = 1_700_000_000_000_000L;
 
-    private static final class UnobservedDrains implements DrainListener {
+    private static final class NoOpDrainListener implements DrainListener {
 
         @Override
         public void drainChanged(DrainOperation operation) {
@@ -74,9 +74,9 @@
         }
     }
 
-    /** The endpoint list is known, and the health monitor notified of it. */
+    /** Publishes the endpoint list and notifies the health monitor of it. */
     IdleLifecycle started() {
-        lifecycle.start(null, () -> {}, config.known());
+        lifecycle.start(null, () -> {}, config.initialEndpoints());
         health.endpointListChanged(nowUs, lifecycle.registry().listed());
         return this;
     }
--- a/src/test/java/cresschute/node/MainTest.java
+++ b/src/test/java/cresschute/node/MainTest.java
@@ -13,11 +13,11 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The program as a process of its own. */
+/** Tests the program as a separate process. */
 @Timeout(30)
 class MainTest {
 
-    private static final String IGNORED =
+    private static final String SIGHUP_IGNORED_MESSAGE =
             "SIGHUP is ignored, as this process was started with it ignored";
 
     private static ProgramProcess serve(String config, String discovery) throws Exception {
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void endsWithOneLineAndTwoOnBadConfiguration() throws Exception {
+    void exitsWithCode2AndOneLineWithoutConfiguration() throws Exception {
         try (ProgramProcess node = serve("", "")) {
             assertThat(node.remainingLines())
                     .containsExactly("cresschute: BALANCER_CONFIG is not set");
@@ -41,9 +41,12 @@
         }
     }
 
-    /** SIGHUP ends no process; the file's address of discovery goes before the environment's. */
+    /**
+     * SIGHUP does not end the process, and after a reload the discovery address in the file
+     * overrides the one in the environment.
+     */
     @Test
-    void followsTheFilesDiscoveryOnSighup(@TempDir Path folder) throws Exception {
+    void readsDiscoveryAddressFromFileOnSighup(@TempDir Path folder) throws Exception {
         final Path config = folder.resolve("config.json");
         try (ServerSocket workerServer = Peer.listen();
                 ServerSocket old = Peer.listen();
@@ -56,7 +59,8 @@
                 Peer.accept(old).read();
                 Files.writeString(config, "{\"name\":");
                 node.signal("HUP");
-                node.awaitLine("not reloaded, the old configuration stays: configuration: ");
+                node.awaitLine(
+                        "not reloaded, the current configuration stays in force: configuration: ");
                 Files.writeString(config, TestNode.config(next, known));
                 node.signal("HUP");
                 final Peer discovery = Peer.accept(next);
@@ -64,14 +68,15 @@
                 discovery.write(TestNode.answer("200 OK", "", TestNode.list(9, true, "")));
                 assertThat(discovery.read()).startsWith("GET /registry/instances?since=9&");
                 assertThat(node.process().isAlive()).isTrue();
-                assertThat(node.linesSoFar()).noneMatch(line -> line.contains(IGNORED));
+                assertThat(node.linesSoFar())
+                        .noneMatch(line -> line.contains(SIGHUP_IGNORED_MESSAGE));
             }
         }
     }
 
-    /** Under a parent that ignores the signal the JVM never receives it. */
+    /** The JVM never receives the signal if its parent process ignores it. */
     @Test
-    void saysWhereSighupIsIgnored(@TempDir Path folder) throws Exception {
+    void logsThatSighupIsIgnored(@TempDir Path folder) throws Exception {
         final Path config = folder.resolve("config.json");
         try (ServerSocket workerServer = Peer.listen();
                 ServerSocket discovery = Peer.listen()) {
@@ -85,13 +90,13 @@
                     new ArrayList<>(List.of("sh", "-c", "trap '' HUP; exec \"$@\"", "sh"));
             command.addAll(ProgramProcess.commandInheritingSignals("serve"));
             try (ProgramProcess node = serve(command, config.toString(), "")) {
-                node.awaitLine(IGNORED);
+                node.awaitLine(SIGHUP_IGNORED_MESSAGE);
                 node.awaitLine(" listens on ");
                 final Peer watch = Peer.accept(discovery);
                 assertThat(watch.read()).startsWith("GET /registry/instances");
                 Files.writeString(config, "{\"name\":");
                 node.signal("HUP");
-                // The node goes on: nothing was read, and a stop works as always.
+                // The node keeps running: it did not read the file, and SIGTERM stops it as usual.
                 watch.write(TestNode.answer("200 OK", "", TestNode.list(9, true, "")));
                 assertThat(watch.read()).startsWith("GET /registry/instances?since=9&");
                 node.signal("TERM");
@@ -99,15 +104,17 @@
                         .noneMatch(line -> line.contains("reloaded"))
                         .last()
                         .asString()
-                        .contains("stopped: everything taken is answered");
+                        .contains("stopped: all accepted requests are answered");
                 assertThat(node.exitCode()).isEqualTo(143);
             }
         }
     }
 
-    /** The log stays open until the process ends. */
+    /**
+     * Log handlers must stay open until the process ends, or the last lines of a shutdown are lost.
+     */
     @Test
-    void answersWhatItTookAfterSigterm(@TempDir Path folder) throws Exception {
+    void answersOpenRequestsAfterSigterm(@TempDir Path folder) throws Exception {
         final Path config = folder.resolve("config.json");
         try (ServerSocket workerServer = Peer.listen();
                 ServerSocket discovery = Peer.listen()) {
@@ -134,7 +141,7 @@
                 assertThat(node.remainingLines())
                         .last()
                         .asString()
-                        .contains("stopped: everything taken is answered");
+                        .contains("stopped: all accepted requests are answered");
                 assertThat(node.exitCode()).isEqualTo(143);
             }
         }
