--- a/src/test/java/cresschute/dispatch/RulesPropertyTest.java
+++ b/src/test/java/cresschute/dispatch/DispatcherPropertyTest.java
@@ -13,10 +13,10 @@
 import net.jqwik.api.Property;
 
 /**
- * Feeds a dispatcher random legal sequences of events and checks every action against the rules,
- * without looking into it. It scripts events and does not imitate workers.
+ * Delivers random valid sequences of events to a dispatcher and checks every action against the
+ * policies. The dispatcher is a black box, and no worker behaviour is simulated.
  */
-class RulesPropertyTest {
+class DispatcherPropertyTest {
 
     private static final long SECOND = 1_000_000;
     private static final int STEPS = 1500;
@@ -86,8 +86,8 @@
         }
 
         /**
-         * At a draining worker every idle connection is closed in the event that makes or finds it
-         * idle.
+         * Checks that the idle connections to a draining worker are closed within the event that
+         * starts the drain or leaves a connection idle.
          */
         private void assertIdleClosed(int worker, boolean draining) {
             if (draining && settings.closeOnDrainWithinUs() < DispatchSettings.UNLIMITED) {
@@ -98,7 +98,7 @@
         void run() {
             list(EndpointListForm.CACHED);
             for (int step = 0; step < STEPS; step++) {
-                pass(random.nextInt(40_000));
+                advanceTime(random.nextInt(40_000));
                 switch (random.nextInt(20)) {
                     case 0 ->
                             list(
@@ -117,9 +117,9 @@
                     default -> end();
                 }
             }
-            pass(20 * SECOND);
+            advanceTime(20 * SECOND);
             assertThat(unanswered.values())
-                    .as("requests without their answer")
+                    .as("requests without an answer")
                     .allMatch(request -> request.closed);
         }
 
@@ -128,7 +128,7 @@
             dispatcher.attemptEnded(nowUs, id, 9, 3, Outcome.BROKEN, 1, false, LoadReport.NONE);
         }
 
-        private void pass(long us) {
+        private void advanceTime(long us) {
             final long untilUs = nowUs + us;
             while (timerAtUs <= untilUs || nextDeadlineUs() <= untilUs) {
                 nowUs = Math.max(nowUs, Math.min(timerAtUs, nextDeadlineUs()));
@@ -163,9 +163,9 @@
 
         private void request() {
             final int type = random.nextInt(settings.classes().size());
-            final RequestClass stated = settings.classes().get(type);
+            final RequestClass requestClass = settings.classes().get(type);
             final int id = requests++;
-            unanswered.put(id, new OpenRequest(stated, nowUs + stated.deadlineUs()));
+            unanswered.put(id, new OpenRequest(requestClass, nowUs + requestClass.deadlineUs()));
             final Job job =
                     new Job(
                             type,
@@ -174,7 +174,7 @@
                             (long) random.nextInt(2) * random.nextInt(900_000),
                             random.nextInt(3),
                             false);
-            dispatcher.requestArrived(nowUs, id, job, nowUs + stated.deadlineUs());
+            dispatcher.requestArrived(nowUs, id, job, nowUs + requestClass.deadlineUs());
         }
 
         private Integer anyRequestInFlight() {
@@ -252,7 +252,7 @@
         @Override
         public void send(int requestId, int workerId, long deadlineUs) {
             final OpenRequest request = unanswered.get(requestId);
-            final RequestClass stated = request.stated;
+            final RequestClass requestClass = request.requestClass;
             assertThat(request.closed).as("sent after the final answer").isFalse();
             assertThat(request.attempts)
                     .as("attempts in flight")
@@ -262,8 +262,8 @@
             assertThat(worker.state())
                     .as("sent to a draining or gone worker")
                     .isEqualTo(WorkerState.READY);
-            final List<Integer> zones = stated.placement().zones();
-            final List<Integer> kinds = stated.placement().kinds();
+            final List<Integer> zones = requestClass.placement().zones();
+            final List<Integer> kinds = requestClass.placement().kinds();
             assertThat(zones == null || zones.contains(worker.zone()))
                     .as("zone open to the class")
                     .isTrue();
@@ -274,25 +274,28 @@
             final Map.Entry<Integer, Integer> inFlight =
                     request.attempts.entrySet().stream().findFirst().orElse(null);
             final Integer inFlightAt = inFlight == null ? null : inFlight.getValue();
-            if (inFlightAt != null && stated.idempotency() == Idempotency.KEYED) {
-                assertThat(group(stated, worker)).isEqualTo(group(stated, workerOf(inFlightAt)));
-                // The window is that of the attempt in flight: one before it never ran.
+            if (inFlightAt != null && requestClass.idempotency() == Idempotency.KEYED) {
+                assertThat(group(requestClass, worker))
+                        .isEqualTo(group(requestClass, workerOf(inFlightAt)));
+                // The window starts at the attempt in flight, because no earlier attempt ran.
                 assertThat(nowUs)
                         .as("a keyed request is hedged within the window of its attempt in flight")
                         .isLessThanOrEqualTo(
                                 sentAtUs.get(requestId).get(inFlight.getKey())
-                                        + stated.deduplicationWindowUs());
+                                        + requestClass.deduplicationWindowUs());
             }
             if (request.mayHaveRunAt != null || inFlightAt != null) {
-                assertThat(stated.idempotency())
+                assertThat(requestClass.idempotency())
                         .as("an effect may be doubled")
                         .isNotEqualTo(Idempotency.UNSAFE);
-                if (stated.idempotency() == Idempotency.KEYED && request.mayHaveRunAt != null) {
+                if (requestClass.idempotency() == Idempotency.KEYED
+                        && request.mayHaveRunAt != null) {
                     assertThat(nowUs)
                             .isLessThanOrEqualTo(
-                                    request.mayHaveRunSinceUs + stated.deduplicationWindowUs());
-                    assertThat(group(stated, worker))
-                            .isEqualTo(group(stated, request.mayHaveRunAt));
+                                    request.mayHaveRunSinceUs
+                                            + requestClass.deduplicationWindowUs());
+                    assertThat(group(requestClass, worker))
+                            .isEqualTo(group(requestClass, request.mayHaveRunAt));
                 }
             }
             sentAtUs.computeIfAbsent(requestId, id -> new LinkedHashMap<>())
@@ -304,8 +307,8 @@
             return new Worker(worker, worker % 3, worker % 2, worker % 4, WorkerState.READY, 1, 0);
         }
 
-        private static int group(RequestClass stated, Worker worker) {
-            return switch (stated.deduplicationScope()) {
+        private static int group(RequestClass requestClass, Worker worker) {
+            return switch (requestClass.deduplicationScope()) {
                 case ALL -> 0;
                 case ZONE -> worker.zone();
                 case CELL -> worker.cell();
@@ -327,9 +330,9 @@
             final OpenRequest request = unanswered.get(requestId);
             final boolean mayRun = request.mayHaveRunAt != null || !request.attempts.isEmpty();
             final boolean dropped =
-                    request.stated.idempotency() == Idempotency.KEYED
-                            && request.stated.deduplicationScope() == DeduplicationScope.ALL;
-            assertThat(request.stated.idempotency() == Idempotency.SAFE || dropped || !mayRun)
+                    request.requestClass.idempotency() == Idempotency.KEYED
+                            && request.requestClass.deduplicationScope() == DeduplicationScope.ALL;
+            assertThat(request.requestClass.idempotency() == Idempotency.SAFE || dropped || !mayRun)
                     .as("a rejection promises that a retry does no harm")
                     .isTrue();
             assertThat(retryAfterUs).isBetween(0L, settings.limits().maxRetryAfterUs());
@@ -348,20 +351,20 @@
 
         @Override
         public void queryLoad(int workerId) {
-            assertThat(settings.allowsLoadQueries()).as("load queries only where allowed").isTrue();
+            assertThat(settings.allowsLoadQueries()).as("load queries only if allowed").isTrue();
             assertThat(listed).as("load queries only of listed workers").containsKey(workerId);
             loadQueries.add(workerId);
         }
 
         @Override
         public void reportUnresponsive(int workerId, int requestClass) {
-            assertThat(settings.allowsPeerMessages()).as("messages only where allowed").isTrue();
+            assertThat(settings.allowsPeerMessages()).as("peer messages only if allowed").isTrue();
         }
 
         @Override
         public void closeIdleConnections(int workerId) {
             assertThat(settings.closeOnDrainWithinUs())
-                    .as("closes only where a time is stated")
+                    .as("closes idle connections only if a time is set")
                     .isLessThan(DispatchSettings.UNLIMITED);
             closed.add(workerId);
         }
@@ -373,7 +376,7 @@
     }
 
     @Property(seed = "31", tries = 150)
-    void holdsTheRulesUnderAnyOrderOfEvents(@ForAll long seed) {
+    void followsPoliciesForAnyOrderOfEvents(@ForAll long seed) {
         new Checker(seed).run();
     }
 }
--- a/src/test/java/cresschute/dispatch/DispatcherHosts.java
+++ b/src/test/java/cresschute/dispatch/TestHosts.java
@@ -1,25 +1,28 @@
 package cresschute.dispatch;
 
-import static cresschute.dispatch.RecordingActions.SECOND;
-import static cresschute.dispatch.RecordingActions.worker;
+import static cresschute.dispatch.RecordingHost.SECOND;
+import static cresschute.dispatch.RecordingHost.worker;
 import static cresschute.dispatch.TestSettings.requestClass;
 import static cresschute.dispatch.TestSettings.settings;
 
 import java.util.List;
 
-/** Hosts that several tests begin with. */
-final class DispatcherHosts {
+/** Creates the hosts that several tests start with. */
+final class TestHosts {
 
-    private DispatcherHosts() {}
+    private TestHosts() {}
 
-    /** A host of one class, without a list. */
-    static RecordingActions hostWith(Idempotency idempotency, DeduplicationScope scope) {
-        return new RecordingActions(settings(List.of(requestClass(1, idempotency, scope))));
+    /** Returns a host with one class and without an endpoint list. */
+    static RecordingHost hostOfClass(Idempotency idempotency, DeduplicationScope scope) {
+        return new RecordingHost(settings(List.of(requestClass(1, idempotency, scope))));
     }
 
-    /** A host of one job that has started, whose worker reports progress each second. */
-    static RecordingActions hostWithARunningJob(Idempotency idempotency) {
-        final RequestClass patient =
+    /**
+     * Returns a host with one job that has started. Its worker is expected to report progress every
+     * second.
+     */
+    static RecordingHost hostWithRunningJob(Idempotency idempotency) {
+        final RequestClass hedgeableClass =
                 new RequestClass(
                         1,
                         SECOND,
@@ -29,8 +32,8 @@
                         DeduplicationScope.CELL,
                         SECOND * 4,
                         Placement.ANYWHERE);
-        final RecordingActions host =
-                new RecordingActions(TestSettings.hedging(List.of(patient)))
+        final RecordingHost host =
+                new RecordingHost(TestSettings.hedging(List.of(hedgeableClass)))
                         .list(
                                 EndpointListForm.CACHED,
                                 worker(1, 0, 0),
@@ -42,22 +45,25 @@
         return host;
     }
 
-    /** A host of a safe class and two workers in two zones and cells. */
-    static RecordingActions twoSafeWorkers() {
-        return hostWith(Idempotency.SAFE, DeduplicationScope.ALL)
+    /** Returns a host with a safe class and two workers in different zones and cells. */
+    static RecordingHost twoSafeWorkers() {
+        return hostOfClass(Idempotency.SAFE, DeduplicationScope.ALL)
                 .list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 1, 1));
     }
 
-    /** A host of a safe class and three workers. */
-    static RecordingActions threeSafeWorkers() {
-        return hostWith(Idempotency.SAFE, DeduplicationScope.ALL)
+    /** Returns a host with a safe class and three workers. */
+    static RecordingHost threeSafeWorkers() {
+        return hostOfClass(Idempotency.SAFE, DeduplicationScope.ALL)
                 .list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 0, 0), worker(3, 0, 0));
     }
 
-    /** A host of two classes of equal work and unlike priority weight, and four workers. */
-    static RecordingActions twoClasses() {
-        final RecordingActions host =
-                new RecordingActions(
+    /**
+     * Returns a host with four workers and two classes of equal work and different priority
+     * weights.
+     */
+    static RecordingHost twoClasses() {
+        final RecordingHost host =
+                new RecordingHost(
                         settings(
                                 List.of(
                                         requestClass(
@@ -72,8 +78,11 @@
                 worker(4, 1, 1));
     }
 
-    /** Offers 100 requests a second; of each ten, seven are served and the others end as given. */
-    static void offer(RecordingActions host, int fromId, int toId, Outcome beyond) {
+    /**
+     * Sends 100 requests per second. Of each ten, seven are served and the others end with {@code
+     * beyond}.
+     */
+    static void offer(RecordingHost host, int fromId, int toId, Outcome beyond) {
         int served = 0;
         for (int id = fromId; id < toId; id++) {
             served = id % 10 == 0 ? 0 : served;
@@ -82,13 +91,13 @@
             if (host.sends.size() > before) {
                 host.end(id, 0, host.lastSend().worker(), served++ < 7 ? Outcome.SERVED : beyond);
             }
-            host.pass(SECOND / 100);
+            host.advanceTime(SECOND / 100);
         }
     }
 
-    /** A host of two classes after 20 s of {@link #offer}. */
-    static RecordingActions underLoad(Outcome beyond) {
-        final RecordingActions host = twoClasses();
+    /** Returns a host with two classes after 20 s of {@link #offer}. */
+    static RecordingHost underLoad(Outcome beyond) {
+        final RecordingHost host = twoClasses();
         offer(host, 0, 2000, beyond);
         return host;
     }
--- a/src/test/java/cresschute/scale/DecisionCostScaleTest.java
+++ b/src/test/java/cresschute/scale/DecisionCostScaleTest.java
@@ -5,7 +5,7 @@
 import cresschute.dispatch.EndpointListForm;
 import cresschute.dispatch.Outcome;
 import cresschute.dispatch.WorkerState;
-import cresschute.dispatch.WorkerVisits;
+import cresschute.dispatch.WorkerVisitCounter;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -44,7 +44,7 @@
      */
     private static double visitsPerDecision(int workers) {
         final ScriptedHost host = host(workers);
-        final WorkerVisits visits = WorkerVisits.of(host.module, PlannedSize.ZONES);
+        final WorkerVisitCounter visits = WorkerVisitCounter.of(host.module, PlannedSize.ZONES);
         long total = 0;
         for (int i = 0; i < DECISIONS; i++) {
             host.nowUs += BETWEEN_DECISIONS_US;
@@ -78,7 +78,7 @@
     void timersVisitEachWorkerAFewTimesPerSecond() {
         for (final int workers : new int[] {PlannedSize.TENTH_OF_WORKERS, PlannedSize.WORKERS}) {
             final ScriptedHost host = host(workers);
-            final WorkerVisits visits = WorkerVisits.of(host.module, PlannedSize.ZONES);
+            final WorkerVisitCounter visits = WorkerVisitCounter.of(host.module, PlannedSize.ZONES);
             final int seconds = 20;
             host.advance(seconds * PlannedSize.SECOND_US);
             assertThat((double) visits.take() / workers / seconds)
@@ -91,7 +91,7 @@
     void listChangeVisitsEachWorkerAFewTimes() {
         for (final int workers : new int[] {PlannedSize.TENTH_OF_WORKERS, PlannedSize.WORKERS}) {
             final ScriptedHost host = host(workers);
-            final WorkerVisits visits = WorkerVisits.of(host.module, PlannedSize.ZONES);
+            final WorkerVisitCounter visits = WorkerVisitCounter.of(host.module, PlannedSize.ZONES);
             host.list(
                     EndpointListForm.CHANGES,
                     List.of(PlannedSize.worker(3, WorkerState.DRAINING, 0)));
