--- a/src/main/java/cresschute/node/http/DiscoveryClient.java
+++ b/src/main/java/cresschute/node/http/DiscoveryClient.java
@@ -37,21 +37,22 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Watches the endpoint list of the discovery service by long polls: one call after the other on one
- * connection, until a call fails.
+ * Watches the endpoint list of the discovery service by long polling: it sends one call after the
+ * other on one connection until a call fails.
  *
- * <p>There is one call at a time, and one connection: what arrives on an older one is discarded. A
- * call that falls silent, whose response never ends or whose connection is not established in time
- * is repeated on a new connection, and asks for a response without a wait, by {@link
- * DiscoveryCallSchedule}, which works out the bounds. Only when the repeats are used up is the
- * failure reported, as any other failure is at once; {@link #watch} is then called again 0.5 to 1.5
- * s later.
+ * <p>Only one call and one connection are in use at a time; data from an older connection is
+ * discarded. If a call gets no complete response in time, or its connection is not established in
+ * time, it is retried on a new connection and asks for an immediate response. {@link
+ * DiscoveryCallSchedule} sets the timeouts and delays. A timeout is reported as a failure only
+ * after the last retry, any other failure at once. {@link #watch} is then called again after 0.5 to
+ * 1.5 s.
  *
- * <p>A list that is older than the one held is accepted only from a service at a new address, or
- * where the service responds the same when asked for its whole list: a stale response must not
- * bring a drained worker back, and a service that counts anew must not be rejected for good.
+ * <p>A list with a lower version than the current one is accepted only from a service at a new
+ * address, or if the service returns an older version again when asked for its full list. This
+ * keeps a stale response from bringing a drained worker back, and still accepts a service that
+ * restarted its version count.
  *
- * <p>Owns its connection and the timer of the call, and closes them in one place. Call from the
+ * <p>Owns its connection and the timer of the call, and closes both in one place. Call from the
  * event loop.
  */
 public final class DiscoveryClient implements Discovery {
@@ -70,26 +71,26 @@
     /** The connection in use, or being established; null while there is none. */
     private Channel channel;
 
-    /** Ends the call under way, or begins the next repeat. */
+    /** Times out the current call, or starts the next retry; null before the first call. */
     private Future<?> timer;
 
-    /** Whether a watch is open: calls go on until one fails. */
+    /** Whether a watch is active: calls follow one another until one fails. */
     private boolean watching;
 
-    /** Whether a watch was ever asked for. */
+    /** Whether {@link #watch} was ever called. */
     private boolean watchRequested;
 
-    /** Whether the address is new, and its whole list not received. */
+    /** Whether the address has changed and no list was received from the new one yet. */
     private boolean addressChanged;
 
-    /** Whether an older list was rejected, so that the whole list is asked for. */
+    /** Whether an older list was rejected, so that the next call requests the full list. */
     private boolean olderListRejected;
 
     /**
-     * A client that does nothing until it is asked to watch.
+     * Creates a client that is idle until {@link #watch} is called.
      *
      * @param address where the discovery service listens
-     * @param random spreads the repeats of many dispatchers
+     * @param random jitter that spreads the retries of many dispatchers
      */
     public DiscoveryClient(
             EventLoop loop,
@@ -132,8 +133,9 @@
     }
 
     /**
-     * Turns to the service at another address. The call under way ends, which is no failure; if a
-     * watch was ever asked for, the whole list is asked for there at once.
+     * Changes the address of the service. The current call is cancelled, which is not reported as a
+     * failure. If a watch was ever requested, the full list is requested from the new address at
+     * once.
      */
     public void changeAddress(InetSocketAddress next) {
         if (next.equals(address)) {
@@ -153,7 +155,7 @@
     private void call() {
         timer =
                 loop.schedule(
-                        () -> callTimedOut("no answer in time"),
+                        () -> callTimedOut("no response in time"),
                         schedule.timeoutMs(requestsFullList()),
                         TimeUnit.MILLISECONDS);
         if (channel != null && channel.isActive()) {
@@ -177,8 +179,8 @@
     }
 
     /**
-     * Whether the next call asks for the whole list: the first one, and where changes since the
-     * version held would not do, at a new address or after an older list.
+     * Whether the next call requests the full list: at the first call, at a new address and after
+     * an older list, where changes since the current version would not be sufficient.
      */
     private boolean requestsFullList() {
         return lifecycle.listVersion() < 0 || addressChanged || olderListRejected;
@@ -200,14 +202,15 @@
         channel.writeAndFlush(request);
     }
 
-    /** The call brought nothing in time: repeats it, or reports a failure. */
+    /** Retries a call that timed out, or reports its failure after the last retry. */
     private void callTimedOut(String reason) {
         final OptionalLong pauseMs = watching ? schedule.recordTimeout() : OptionalLong.empty();
         if (pauseMs.isEmpty()) {
             fail(reason);
             return;
         }
-        faults.fault(PeerFault.DISCOVERY_CALL_FAILED, null, reason + "; asked again at once");
+        faults.fault(
+                PeerFault.DISCOVERY_CALL_FAILED, null, reason + "; retrying on a new connection");
         closeConnection();
         if (pauseMs.getAsLong() == 0) {
             call();
@@ -220,7 +223,7 @@
 
     private void responseReceived(FullHttpResponse response) {
         if (!response.status().equals(HttpResponseStatus.OK)) {
-            fail("answered " + response.status());
+            fail("expected status 200, got " + response.status());
             return;
         }
         final EndpointList list;
@@ -229,23 +232,23 @@
                     EndpointList.parse(
                             Json.object(response.content().toString(StandardCharsets.UTF_8)));
         } catch (JsonParseException e) {
-            fail("bad list: " + e.getMessage());
+            fail("malformed endpoint list: " + e.getMessage());
             return;
         } catch (RuntimeException e) {
-            // Whatever the parser stumbles over, the list in force stays and the watch goes on.
-            fail("unreadable list: " + e);
+            // On any error in the parser the current list stays in use and the watch is retried.
+            fail("cannot parse endpoint list: " + e);
             return;
         }
         if (isRejectedAsOlder(list)) {
             final long held = lifecycle.listVersion();
-            fail("version " + list.version() + " is older than " + held);
+            fail("list version " + list.version() + " is older than the current " + held);
             olderListRejected = true;
             return;
         }
         addressChanged = false;
         olderListRejected = false;
         schedule.reset();
-        // The call's timer still runs: if the life cycle fails on the list, it opens a new watch.
+        // The call's timer still runs: if the lifecycle throws on the list, it starts a new call.
         lifecycle.endpointListReceived(list);
         timer.cancel(false);
         if (!HttpUtil.isKeepAlive(response)) {
@@ -253,7 +256,7 @@
             channel = null;
             last.close();
         }
-        // At once: the service ends a watch whose next call does not come within 200 ms.
+        // Call at once: the service ends a watch if its next call does not arrive within 200 ms.
         call();
     }
 
@@ -292,14 +295,14 @@
         }
     }
 
-    /** Passes on what the connection in use brings; older ones are ignored. */
+    /** Handles the responses of the current connection and ignores those of older ones. */
     private final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
             if (ctx.channel() == channel && watching) {
                 if (response.decoderResult().isFailure()) {
-                    fail("malformed answer");
+                    fail("malformed HTTP response");
                 } else {
                     responseReceived(response);
                 }
--- a/src/main/java/cresschute/node/http/DuplicateResponseDetector.java
+++ b/src/main/java/cresschute/node/http/DuplicateResponseDetector.java
@@ -7,13 +7,15 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Detects a second response to the exchange before on a reused connection, which would otherwise be
- * taken for the response to the present one.
+ * Detects a duplicate of the previous exchange's response on a reused connection, which would
+ * otherwise be taken for the response to the current exchange.
  *
- * <p>Soon after a response, its connection may bring that response once more. Until then a response
- * that names no request, one with another status than 200, is held: if another response follows, it
- * was a duplicate; if none follows within {@value #ACCEPT_DELAY_MS} ms of its end, it is accepted
- * as the present exchange's. A response with status 200 names its request in its lines.
+ * <p>A worker may send a response a second time shortly after the first. A response with status 200
+ * carries the request ID in its lines; with any other status it carries none. If the current
+ * exchange started within {@value #DUPLICATE_WINDOW_MS} ms after the previous one, a response with
+ * another status than 200 is therefore held. If another response follows, the held one was a
+ * duplicate. If none follows within {@value #ACCEPT_DELAY_MS} ms of its end, it is accepted as the
+ * response to the current exchange.
  *
  * <p>One per connection, used for one exchange after the other; owns the timer of the held
  * response. Call from the connection's event loop.
@@ -21,12 +23,12 @@
 final class DuplicateResponseDetector {
 
     /**
-     * How soon after a response an exchange on its connection may still meet that response a second
-     * time, ms.
+     * An exchange that starts within this time after the previous response may receive a duplicate
+     * of it, ms.
      */
     static final long DUPLICATE_WINDOW_MS = 100;
 
-    /** How long after its end a held response is accepted if nothing follows, ms. */
+    /** Delay from the end of a held response until it is accepted if nothing follows, ms. */
     static final long ACCEPT_DELAY_MS = 50;
 
     private boolean duplicatePossible;
@@ -35,11 +37,11 @@
     /** The head of a response that may be a duplicate, or null. */
     private HttpResponse heldResponse;
 
-    /** Accepts the held response, or null while its end is not read. */
+    /** Accepts the held response; null until the end of that response is read. */
     private Future<?> acceptTimer;
 
     /**
-     * An exchange begins on a reused connection.
+     * Notes that an exchange starts on a reused connection.
      *
      * @param idleNs how long the connection was idle
      */
@@ -47,26 +49,26 @@
         duplicatePossible = idleNs < TimeUnit.MILLISECONDS.toNanos(DUPLICATE_WINDOW_MS);
     }
 
-    /** Whether what is received may belong to the exchange before. */
+    /** Whether received data may belong to the previous exchange. */
     boolean isDuplicatePossible() {
         return duplicatePossible;
     }
 
-    /** Whether more responses than requests were received on this connection. */
+    /** Whether this connection has received more responses than it sent requests. */
     boolean hasSeenDuplicate() {
         return duplicateSeen;
     }
 
-    /** A response turned out to belong to the exchange before. */
+    /** Notes that a response belonged to the previous exchange. */
     void duplicateSeen() {
         duplicatePossible = false;
         duplicateSeen = true;
     }
 
     /**
-     * The head of a response was received.
+     * Notes that the head of a response was received, before {@link #holdIfSuspect}.
      *
-     * @return whether the one held before it is a duplicate by this
+     * @return whether a response was held, which is thereby known to be a duplicate
      */
     boolean headReceived() {
         cancel();
@@ -92,21 +94,21 @@
         return false;
     }
 
-    /** Whether a response is held, so that its content is held too. */
+    /** Whether a response is held, so that its content must not be passed to the exchange. */
     boolean isHolding() {
         return heldResponse != null;
     }
 
     /**
-     * The held response has ended.
+     * Starts the timer that accepts the held response, whose end was read.
      *
-     * @param accept called unless another response is received in time; calls {@link #accept}
+     * @param accept called unless another response is received in time; must call {@link #accept}
      */
     void heldResponseEnded(EventLoop loop, Runnable accept) {
         acceptTimer = loop.schedule(accept, ACCEPT_DELAY_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Accepts the held response as the present exchange's, and returns its head. */
+    /** Accepts the held response as that of the current exchange, and returns its head. */
     HttpResponse accept() {
         final HttpResponse accepted = heldResponse;
         heldResponse = null;
@@ -115,7 +117,7 @@
         return accepted;
     }
 
-    /** Cancels the timer: a held response is neither accepted nor taken for a duplicate. */
+    /** Cancels the timer: a held response is neither accepted nor counted as a duplicate. */
     void cancel() {
         if (acceptTimer != null) {
             acceptTimer.cancel(false);
--- a/src/main/java/cresschute/node/http/RequestIdMismatchException.java
+++ b/src/main/java/cresschute/node/http/RequestIdMismatchException.java
@@ -2,12 +2,12 @@
 
 import com.google.gson.JsonParseException;
 
-/** A line of a worker's response names another request than the one that was sent. */
+/** Thrown if a line of a worker's response carries another request ID than the request sent. */
 final class RequestIdMismatchException extends JsonParseException {
 
     private static final long serialVersionUID = 1L;
 
     RequestIdMismatchException() {
-        super("a line about another request");
+        super("id of the line is not the id of the request");
     }
 }
