--- a/src/main/java/cresschute/flow/BodyBuffer.java
+++ b/src/main/java/cresschute/flow/BodyBuffer.java
@@ -8,18 +8,19 @@
 import java.util.function.Consumer;
 
 /**
- * A body in transit between one sender and its readers, in pieces, with backpressure: pieces are
- * appended within the credit of a {@link BufferBudget}, and released as readers acknowledge them.
+ * Buffers a body in transit between one sender and its readers, in pieces and with backpressure:
+ * pieces are appended within the credit of a {@link BufferBudget}, and released as readers
+ * acknowledge them.
  *
  * <p>Life cycle: {@code OPEN}, then {@code COMPLETE} or {@code ABORTED}, and {@code CLOSED} from
- * any of these. Up to the replay limit all of the body is kept, and any number of readers go over
- * it from byte 0, each at its own pace: a retry or a hedged request needs that. Once more is
- * appended, the reader that is furthest continues alone, the others are detached, and acknowledged
- * pieces are released.
+ * any of these. Up to the replay limit the whole body is kept, and any number of readers can read
+ * it from byte 0, each at its own pace, as a retry or a hedged request requires. Once the body
+ * exceeds the limit, the furthest reader continues alone, the other readers are detached, and
+ * acknowledged pieces are released.
  *
- * <p>Pure: pieces are of any type and counted by their cost, in bytes; {@code releaser} is called
- * once for each piece when it is no longer held here. A reader that passes a piece on retains it
- * until it is written. Not thread-safe: owned by one thread.
+ * <p>Pure: pieces may be of any type and are counted by their cost, in bytes; {@code releaser} is
+ * called once for each piece when the buffer no longer holds it. A reader that forwards a piece
+ * retains it until it is written. Not thread-safe: owned by one thread.
  *
  * @param <P> a piece, such as a buffer
  */
@@ -27,13 +28,13 @@
 
     /** How much of the body has been received. */
     public enum State {
-        /** More pieces may come. */
+        /** More pieces may follow. */
         OPEN,
-        /** All of it was received. */
+        /** The whole body was received. */
         COMPLETE,
-        /** Only a part was received, and no more will be. */
+        /** Only a part was received, and no more will follow. */
         ABORTED,
-        /** Everything is released. */
+        /** All pieces are released. */
         CLOSED
     }
 
@@ -45,10 +46,10 @@
     private final List<Piece<P>> pieces = new ArrayList<>();
     private final List<Reader> readers = new ArrayList<>();
 
-    /** Pieces released so far, so the number of the first one in {@link #pieces}. */
+    /** Number of pieces released so far, which is the index of the first one in {@link #pieces}. */
     private int releasedPieces;
 
-    /** Acquired of the reservation and not used by a piece. */
+    /** Bytes acquired from the reservation and not used by a piece. */
     private long credit;
 
     private long appendedCost;
@@ -56,12 +57,12 @@
     private State state = State.OPEN;
 
     /**
-     * Creates a body of which nothing was received.
+     * Creates an empty, open body.
      *
-     * @param reservation its part of the budget, which is closed with it
-     * @param replayLimit cost up to which all of it is kept, bytes; at most what the reservation
-     *     can hold at all
-     * @param releaser called with each piece when it is released
+     * @param reservation its reservation of the budget, which is closed with the body
+     * @param replayLimit cost up to which the whole body is kept, bytes; at most what the
+     *     reservation can hold
+     * @param releaser called once with each piece when it is released
      */
     public BodyBuffer(
             BufferBudget.Reservation reservation, long replayLimit, Consumer<P> releaser) {
@@ -73,8 +74,8 @@
     // ---- Sender's side ----
 
     /**
-     * Credit to append up to {@code wanted} bytes now. Where there is none, the reservation
-     * notifies once there is some. Unused credit stays.
+     * Acquires credit to append up to {@code wanted} bytes now. If there is none, the reservation
+     * notifies its owner once there is some. Unused credit is kept.
      *
      * @return between 0 and {@code wanted}; 0 unless the body is open
      */
@@ -84,7 +85,9 @@
         }
         acquireCredit(wanted);
         if (credit < wanted && replayable && isBlockedByReplay()) {
-            // Nothing but the pieces kept for a replay can become free: progress matters more.
+            // Only releasing the pieces kept for a replay can free credit: end the replay, as the
+            // body
+            // would not progress otherwise.
             endReplay();
             acquireCredit(wanted);
         }
@@ -92,7 +95,8 @@
     }
 
     /**
-     * Asks until there is enough or nothing: a reservation only waits once it was given nothing.
+     * Acquires until there is enough, or until an attempt yields nothing: a reservation starts to
+     * wait for credit only then.
      */
     private void acquireCredit(long wanted) {
         long acquired = Long.MAX_VALUE;
@@ -120,13 +124,18 @@
     /**
      * Appends a piece.
      *
-     * @param cost bytes that it takes of the credit
-     * @throws IllegalStateException if the body is not open or the credit does not suffice
+     * @param cost bytes of credit that the piece uses
+     * @throws IllegalStateException if the body is not open or the credit is insufficient
      */
     public void append(P content, long cost) {
         if (state != State.OPEN || cost > credit) {
             throw new IllegalStateException(
-                    "a piece of " + cost + " bytes with a credit of " + credit + ", " + state);
+                    "cannot append "
+                            + cost
+                            + " bytes: credit is "
+                            + credit
+                            + ", state is "
+                            + state);
         }
         pieces.add(new Piece<>(content, cost));
         credit -= cost;
@@ -137,12 +146,12 @@
         notifyReaders();
     }
 
-    /** All of the body was received. */
+    /** Notes that the whole body was received. */
     public void complete() {
         end(State.COMPLETE);
     }
 
-    /** No more of the body will be received, and it is not complete. */
+    /** Notes that the rest of the body will not be received. */
     public void abort() {
         end(State.ABORTED);
     }
@@ -184,7 +193,7 @@
 
     // ---- Readers' side ----
 
-    /** Whether a new reader could begin at byte 0. */
+    /** Whether a new reader can begin at byte 0. */
     public boolean canReplay() {
         return state != State.CLOSED && (replayable || (releasedPieces == 0 && readers.isEmpty()));
     }
@@ -192,10 +201,9 @@
     /**
      * Opens a reader that begins at byte 0.
      *
-     * @param onChange called whenever there is more to read, no more will come, or the reader was
+     * @param onChange called whenever there is more to read, the body has ended, or the reader was
      *     detached
-     * @return the reader; empty where part of the body is released or another reader continues
-     *     alone
+     * @return the reader; empty if part of the body is released or another reader continues alone
      */
     public Optional<Reader> openReader(Runnable onChange) {
         if (!canReplay()) {
@@ -225,12 +233,12 @@
             return acknowledged;
         }
 
-        /** Whether it may go on: not detached, and the body is not closed. */
+        /** Whether the reader may continue: it is not detached, and the body is not closed. */
         public boolean isAttached() {
             return state != State.CLOSED && readers.contains(this);
         }
 
-        /** The next piece; null where none was received yet or the reader is not attached. */
+        /** Returns the next piece; null if none was received yet or the reader is not attached. */
         public P next() {
             return isAttached() && read < receivedPieces()
                     ? pieces.get(read++ - releasedPieces).content()
@@ -238,7 +246,8 @@
         }
 
         /**
-         * The first piece that was read and not acknowledged yet is written.
+         * Acknowledges the first piece that was read and not acknowledged yet. Does nothing if the
+         * reader is not attached.
          *
          * @throws IllegalStateException if there is no such piece
          */
@@ -265,7 +274,7 @@
             return isAttached() && state == State.COMPLETE && acknowledged == receivedPieces();
         }
 
-        /** Reads no further. Idempotent. */
+        /** Ends this reader, which reads no further pieces. Idempotent. */
         public void detach() {
             readers.remove(this);
         }
@@ -278,7 +287,7 @@
         return state;
     }
 
-    /** Cost of everything appended so far, bytes. */
+    /** Total cost of the pieces appended so far, bytes. */
     public long appendedCost() {
         return appendedCost;
     }
--- a/src/main/java/cresschute/flow/BufferBudget.java
+++ b/src/main/java/cresschute/flow/BufferBudget.java
@@ -9,12 +9,13 @@
 
 /**
  * The byte budget that all buffered bodies of a node share. Each admitted body owns a window, which
- * no other body can use, so that none starves. Bytes outside of the windows are lent on demand, in
- * the order of asking; bytes that are released go first to the bodies that wait for credit.
+ * no other body can use, so that no body starves. Bodies borrow the bytes outside of the windows on
+ * demand, in the order of their requests; released bytes go first to the bodies that wait for
+ * credit.
  *
  * <p>The fewer bytes are free, the fewer each body can borrow, so that stalled bodies leave space
- * for the windows of others: the dynamic thresholds of shared-memory switches (Choudhury and Hahne,
- * IEEE/ACM Transactions on Networking 6(2), 1998), with a fraction of the free bytes as threshold.
+ * for the windows of others. This is the dynamic threshold of shared-memory switches (Choudhury and
+ * Hahne, IEEE/ACM Transactions on Networking 6(2), 1998), here a fraction of the free bytes.
  *
  * <p>Pure: it counts bytes and holds none; no clock, no I/O. Not thread-safe: owned by one thread,
  * on which callbacks run as well.
@@ -24,42 +25,42 @@
     private final BufferLimits limits;
     private final Map<String, Long> windowBytesByClient = new HashMap<>();
 
-    /** Bodies that asked for credit in vain, in the order of asking. */
+    /** Bodies that requested credit and got none, in the order of their requests. */
     private final Deque<Reservation> waiting = new ArrayDeque<>();
 
     private long windowBytes;
     private long borrowedBytes;
 
-    /** Creates a budget of which nothing is in use. */
+    /** Creates an unused budget. */
     public BufferBudget(BufferLimits limits) {
         this.limits = limits;
     }
 
-    /** Why a body is not admitted. */
+    /** The reason why a body is not admitted. */
     public enum RejectionReason {
-        /** The free bytes of the budget do not hold a window. */
+        /** The budget has fewer free bytes than a window needs. */
         BUDGET_EXHAUSTED,
-        /** The bodies of the client own as many bytes as one client may. */
+        /** With another window, the bodies of the client would exceed the limit per client. */
         CLIENT_LIMIT_REACHED
     }
 
-    /** Either a reservation or the reason why there is none. */
+    /** Either a reservation, or the reason for the rejection. */
     public record Admission(
             Optional<Reservation> reservation, Optional<RejectionReason> rejection) {}
 
     /**
      * Reserves a window for a body, if it fits.
      *
-     * @param client the client to whose limit the window counts
-     * @param onCredit called whenever there is credit after it was asked for in vain; may acquire
-     *     at once
+     * @param client the client whose limit the window counts against
+     * @param onCredit called when there is credit after {@link Reservation#acquire} returned 0; may
+     *     call it again at once
      */
     public Admission reserve(String client, Runnable onCredit) {
         final long ofClient = windowBytesByClient.getOrDefault(client, 0L);
         if (ofClient + limits.windowBytes() > limits.maxWindowBytesPerClient()) {
             return rejected(RejectionReason.CLIENT_LIMIT_REACHED);
         }
-        // Borrowed bytes cannot be called back, so a window has to be free now.
+        // Borrowed bytes cannot be reclaimed, so a window must be free now.
         if (inUse() + limits.windowBytes() > limits.totalBytes()) {
             return rejected(RejectionReason.BUDGET_EXHAUSTED);
         }
@@ -72,7 +73,7 @@
         return new Admission(Optional.empty(), Optional.of(reason));
     }
 
-    /** Bytes that are owned or borrowed now; never above the total. */
+    /** Bytes that bodies own or have borrowed now; never more than the total. */
     public long inUse() {
         return windowBytes + borrowedBytes;
     }
@@ -82,14 +83,14 @@
         return waiting.size();
     }
 
-    /** Bytes that one body may have borrowed in all at this moment. */
+    /** Current limit for the bytes that one body has borrowed. */
     private long borrowLimit() {
         return Math.min(
                 limits.maxBorrowedBytes(),
                 (limits.totalBytes() - inUse()) / limits.borrowDivisor());
     }
 
-    /** Notifies each waiting body once; one that asks again goes behind the others. */
+    /** Notifies each waiting body at most once; a body that has to wait again is queued last. */
     private void grantToWaiting() {
         for (int left = waiting.size();
                 left > 0 && !waiting.isEmpty() && borrowLimit() > 0;
@@ -115,7 +116,7 @@
                 (before, change) -> before + change == 0 ? null : before + change);
     }
 
-    /** What one body holds of the budget, from its admission until {@link #close}. */
+    /** The share of one body in the budget, from its admission until {@link #close}. */
     public final class Reservation {
 
         private final String client;
@@ -139,9 +140,10 @@
         }
 
         /**
-         * Acquires credit. If there is none, the body waits, and is notified once there is some.
+         * Acquires credit. If there is none, the body waits and is notified once there is some,
+         * unless it has borrowed its maximum.
          *
-         * @param wanted bytes asked for
+         * @param wanted requested bytes
          * @return bytes acquired, between 0 and {@code wanted}
          */
         public long acquire(long wanted) {
@@ -153,7 +155,7 @@
             final long acquired = Math.min(wanted, own) + toBorrow;
             held += acquired;
             borrowedBytes += toBorrow;
-            // A body at its own maximum waits for nothing but what it releases itself.
+            // A body at its maximum is not queued: only bytes that it releases itself can help it.
             if (acquired == 0 && borrowed() < limits.maxBorrowedBytes() && !queued) {
                 queued = true;
                 waiting.addLast(this);
@@ -164,7 +166,7 @@
         /**
          * Releases bytes that are no longer held.
          *
-         * @throws IllegalArgumentException if it does not hold so many
+         * @throws IllegalArgumentException if {@code bytes} is negative or more than {@link #held}
          */
         public void release(long bytes) {
             if (bytes < 0 || bytes > held) {
--- a/src/main/java/cresschute/flow/BufferLimits.java
+++ b/src/main/java/cresschute/flow/BufferLimits.java
@@ -1,13 +1,13 @@
 package cresschute.flow;
 
 /**
- * The limits of a {@link BufferBudget}, all in bytes but the divisor.
+ * The limits of a {@link BufferBudget}; all but the divisor are in bytes.
  *
- * @param totalBytes what all bodies together may hold at a time
- * @param windowBytes what a body owns from its reservation until its close
- * @param maxBorrowedBytes what one body may hold beyond its window
- * @param borrowDivisor a body borrows no more than the free bytes divided by this; 1 or above
- * @param maxWindowBytesPerClient windows of one client's bodies together
+ * @param totalBytes maximum of all bodies together
+ * @param windowBytes bytes that a body owns from its reservation until it is closed
+ * @param maxBorrowedBytes maximum of one body beyond its window
+ * @param borrowDivisor a body may borrow at most the free bytes divided by this; 1 or more
+ * @param maxWindowBytesPerClient maximum of the windows of one client's bodies together
  */
 public record BufferLimits(
         long totalBytes,
@@ -19,7 +19,8 @@
     /**
      * Checks the limits.
      *
-     * @throws IllegalArgumentException if they do not allow a single window, or are negative
+     * @throws IllegalArgumentException if they do not allow a single window, a limit is negative,
+     *     or the divisor is below 1
      */
     public BufferLimits {
         if (windowBytes <= 0
--- a/src/main/java/cresschute/flow/TransferMonitor.java
+++ b/src/main/java/cresschute/flow/TransferMonitor.java
@@ -1,10 +1,10 @@
 package cresschute.flow;
 
 /**
- * Detects a peer that sends or takes a body too slowly: it transferred nothing for the stall
- * timeout, or less than the minimum rate over a span of that length. Only time counts during which
- * the transfer depended on this peer ({@link #setActive}): a sender without credit, or a receiver
- * with nothing under way, waits for others.
+ * Detects a peer that sends or receives a body too slowly: it transferred nothing for the stall
+ * timeout, or less than the minimum rate over a period of that length. Only active time counts, in
+ * which the transfer depends on this peer ({@link #setActive}): a sender without credit, or a
+ * receiver to which no data is being sent, waits for others.
  *
  * <p>Pure: the clock is passed in, microseconds. Not thread-safe: owned by one thread.
  */
@@ -17,7 +17,7 @@
     private boolean active;
     private long countedUntilUs;
 
-    /** Active time and bytes since the rate was last checked. */
+    /** Active time since the rate was last checked; {@link #bytes} were transferred in it. */
     private long activeUs;
 
     private long bytes;
@@ -29,8 +29,8 @@
      * Creates a monitor of a transfer that does not depend on the peer yet.
      *
      * @param minBytesPerS minimum rate, bytes per second
-     * @param stallTimeoutUs longest active time without a byte, and the span over which the rate is
-     *     measured, microseconds
+     * @param stallTimeoutUs longest active time without a byte, and the period over which the rate
+     *     is measured, microseconds
      */
     public TransferMonitor(long minBytesPerS, long stallTimeoutUs, long nowUs) {
         this.minBytesPerUs = minBytesPerS / US_PER_S;
@@ -38,13 +38,13 @@
         this.countedUntilUs = nowUs;
     }
 
-    /** From now on the transfer depends on this peer, or does not. */
+    /** Sets whether the transfer depends on this peer from now on. */
     public void setActive(boolean nowActive, long nowUs) {
         countTime(nowUs);
         active = nowActive;
     }
 
-    /** Bytes were transferred. */
+    /** Records that bytes were transferred. */
     public void transferred(long count, long nowUs) {
         countTime(nowUs);
         if (count > 0) {
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Whether the peer is too slow; to be called several times within the stall timeout. */
+    /** Whether the peer is too slow; must be called several times within each stall timeout. */
     public boolean isTooSlow(long nowUs) {
         countTime(nowUs);
         if (stalledUs > stallTimeoutUs) {
