--- a/src/main/java/cresschute/node/http/HttpAttempt.java
+++ b/src/main/java/cresschute/node/http/HttpAttempt.java
@@ -23,13 +23,13 @@
 import io.netty.handler.codec.http.HttpVersion;
 
 /**
- * An attempt of a request at a worker: the request as its client sent it, and a response in lines
- * ({@link ProgressLine}), which a streamed result may follow.
+ * An attempt of a request at one worker. It sends the request as received from the client and reads
+ * a response of lines ({@link ProgressLine}), which a streamed result may follow.
  *
- * <p>Ends once, and reports that to its {@link AttemptListener}: by a line, by the status of the
- * response, by a break, or by {@link #giveUp}, which reports nothing. What has no end in its
- * response is decided by the request's last byte: before that is written the job cannot have run,
- * after that it may have.
+ * <p>An attempt ends once, by a line, by the status of the response, by a broken connection or by
+ * {@link #giveUp}. Each end but {@code giveUp} is reported to its {@link AttemptListener}. If the
+ * connection breaks before the response states the outcome, the outcome depends on the last byte of
+ * the request: until it is written the job cannot have run, afterwards it may have.
  *
  * <p>Owns the transfer of a streamed body, and the connection's autoRead while it receives a
  * streamed result. Call from the event loop.
@@ -48,30 +48,30 @@
     private final AttemptListener listener;
     private final RateLimitedLog faults;
 
-    /** What writes a streamed body, or null. */
+    /** Writes a streamed body; null if the request is sent whole. */
     private final BodyTransfer transfer;
 
     private ProgressLineReader lineReader = new ProgressLineReader();
 
-    /** The load report of the response's head. */
+    /** The load report in the response's header, or {@link LoadReport#NONE}. */
     private LoadReport headerLoad = LoadReport.NONE;
 
-    /** The outcome that the response's status states; null where its lines do. */
+    /** The outcome given by the response's status; null if its lines give it. */
     private Outcome statusOutcome;
 
-    /** Whether a line named another request where the response before may come twice. */
+    /** Whether the response being read is a duplicate of the previous exchange's response. */
     private boolean staleResponse;
 
-    /** A streamed result from its first byte on, or null. */
+    /** The streamed result; null before its first byte and if there is none. */
     private StreamedResponseBody result;
 
-    /** Whether a read of the result was requested and is not over. */
+    /** Whether a requested read of the result has not completed yet. */
     private boolean readPending;
 
     /**
-     * An attempt that has not begun.
+     * Creates an attempt that has not begun.
      *
-     * @param host the worker's address as the Host header has it
+     * @param host the worker's address, as in the Host header
      */
     HttpAttempt(
             String host, RequestContent content, AttemptListener listener, RateLimitedLog faults) {
@@ -136,8 +136,9 @@
     }
 
     /**
-     * The worker holds a slot for the job from here on. Reported as its start: a job whose client
-     * sends a long body slowly would else look like one that its worker does not start.
+     * Reports the first written bytes as the start of the job: from here on the worker holds a slot
+     * for it. Otherwise a job whose client sends a long body slowly would look like one that its
+     * worker does not start.
      */
     @Override
     public void transferProgressed() {
@@ -149,7 +150,9 @@
         markWritten();
     }
 
-    /** No fault of the worker's, and the job cannot have run: its last byte was never written. */
+    /**
+     * Ends as cancelled: the worker is not at fault, and without its last byte the job cannot run.
+     */
     @Override
     public void transferAborted() {
         endBeforeWritten(Outcome.CANCELLED);
@@ -162,7 +165,8 @@
 
     private void endBeforeWritten(Outcome outcome) {
         if (result != null) {
-            // A worker may begin its result before it has all of the body: the end was reported.
+            // A worker may begin its result before it has received all of the body; the end of the
+            // attempt is reported already.
             abortResult();
         } else {
             end(outcome, LoadReport.NONE, null);
@@ -183,13 +187,14 @@
         statusOutcome = outcomeOf(response);
     }
 
-    /** The outcome that a status states, or null where the lines do. */
+    /** The outcome given by the status; null if the lines give it. */
     private static Outcome outcomeOf(HttpResponse response) {
         final int status = response.status().code();
         if (status == OK) {
             return null;
         }
-        // Only the worker's own mark proves that nothing ran; a proxy may send a 503 as well.
+        // Only the worker's X-Not-Run header proves that the job did not run: a proxy may send a
+        // 503 as well.
         if ((status == UNAVAILABLE || status == GATEWAY_TIMEOUT)
                 && NOT_RUN_VALUE.equals(response.headers().get(HeaderNames.NOT_RUN))) {
             return Outcome.FULL;
@@ -209,7 +214,7 @@
         } else if (lineReader.add(chunk)) {
             readLines();
         } else {
-            endWithBadResponse(new JsonParseException("a line is too long"));
+            endWithBadResponse(new JsonParseException("a line is longer than 256 KiB"));
         }
     }
 
@@ -226,8 +231,8 @@
         }
     }
 
-    /** The load that a line reports, or else that of the head. */
-    @SuppressWarnings("ReferenceEquality") // NONE itself stands for a line without a report.
+    /** The load report of the line, or that of the header if the line has none. */
+    @SuppressWarnings("ReferenceEquality") // The NONE instance marks a line without a report.
     private LoadReport latestLoad(ProgressLine line) {
         return line.load() == LoadReport.NONE ? headerLoad : line.load();
     }
@@ -296,11 +301,13 @@
         if (stream instanceof StreamedResponseBody body) {
             result = body;
             result.setSource(this);
-            // The read that is under way counts as the first one requested.
+            // The read in progress counts as the first requested one.
             readPending = true;
             connection().stopAutoRead();
         } else if (stream == null) {
-            endWithBadResponse(new JsonParseException("a long result of a class that has none"));
+            endWithBadResponse(
+                    new JsonParseException(
+                            "a streamed result for a request class without streamed results"));
         } else {
             cancel();
         }
@@ -309,7 +316,10 @@
     private void forwardToResult(ByteBuf chunk) {
         final long maxBytes = result.hasStatedLength() ? result.statedLength() : Long.MAX_VALUE;
         if (!result.collect(chunk, connection().allocator(), maxBytes)) {
-            faults.fault(PeerFault.BAD_WORKER_ANSWER, host, "a result is longer than it said");
+            faults.fault(
+                    PeerFault.BAD_WORKER_ANSWER,
+                    host,
+                    "result exceeds its stated length; closing the connection");
             abortResult();
         }
     }
@@ -333,11 +343,16 @@
 
     @Override
     public void sourceTooSlow() {
-        faults.fault(PeerFault.BODY_TOO_SLOW, host, "it made too little of a result");
+        faults.fault(
+                PeerFault.BODY_TOO_SLOW,
+                host,
+                "worker sends the result too slowly; closing the connection");
         abortResult();
     }
 
-    /** Whether the response's end completes the result: by its trailer, or by its length. */
+    /**
+     * Whether the result is complete at the end of the response, by its trailer or by its length.
+     */
     private boolean isResultComplete(String state) {
         return result.matchesStatedLength()
                 && (state == null ? result.hasStatedLength() : state.equals(JOB_STATE_DONE));
@@ -388,7 +403,7 @@
         if (isWritten()) {
             return Outcome.TIMED_OUT;
         }
-        // A client that sends a long body slowly is no fault of the worker's.
+        // The worker is not at fault if a client sends a long body slowly.
         return transfer != null ? Outcome.CANCELLED : Outcome.CONNECT_FAILED;
     }
 }
--- a/src/main/java/cresschute/node/http/HttpExchange.java
+++ b/src/main/java/cresschute/node/http/HttpExchange.java
@@ -8,10 +8,10 @@
 /**
  * One request to a worker and its response.
  *
- * <p>Life cycle: created, begun on a {@link WorkerConnection} that carries no other exchange while
- * it lasts, written, over once its outcome is reported. What the connection receives after that is
- * discarded. It ends with {@link #responseCompleted}, {@link #connectionBroken} or {@link #cancel}.
- * Call from the event loop.
+ * <p>Life cycle: created; begun on a {@link WorkerConnection}, which carries no other exchange
+ * until this one ends; written; over once its outcome is reported. Anything that the connection
+ * receives afterwards is discarded. The exchange ends with {@link #responseCompleted}, {@link
+ * #connectionBroken} or {@link #cancel}. Call from the event loop.
  */
 abstract class HttpExchange {
 
@@ -23,35 +23,35 @@
     // ---- The request ----
 
     /**
-     * The request: whole, or its head where {@link #bodyTransfer} writes the body. Called right
-     * before it is written.
+     * Returns the full request, or only its head if {@link #bodyTransfer} writes the body. Called
+     * right before it is written.
      *
      * @throws IllegalArgumentException if it cannot be encoded
      */
     abstract HttpRequest request();
 
-    /** What writes a streamed body, or null where the request is whole. */
+    /** The transfer that writes a streamed body; null if {@link #request} includes the body. */
     BodyTransfer bodyTransfer() {
         return null;
     }
 
-    /** Whether it is still wanted once a new connection for it is up; it is over if not. */
+    /** Whether to send the request once its new connection is established; if not, it is over. */
     boolean mayBegin() {
         return true;
     }
 
-    /** Begins on this connection: its first byte is about to be written. */
+    /** Begins the exchange on this connection; called before the first byte is written. */
     final void begin(WorkerConnection on) {
         connection = on;
         begun = true;
     }
 
-    /** Whether a byte of the request may be on the wire. */
+    /** Whether bytes of the request may have been sent. */
     final boolean isBegun() {
         return begun;
     }
 
-    /** The last byte of the request is written: from now on it may have run. */
+    /** Notes that the last byte of the request is written: from now on the job may have run. */
     final void markWritten() {
         written = true;
     }
@@ -60,46 +60,48 @@
         return written;
     }
 
-    /** The connection in use, or null before the exchange has begun and after its end. */
+    /** The connection in use; null before the exchange begins and after it ends. */
     final WorkerConnection connection() {
         return connection;
     }
 
     // ---- The response ----
 
-    /** The head of the response. */
+    /** Handles the head of the response. */
     abstract void headReceived(HttpResponse response);
 
-    /** A part of the response's body. */
+    /** Handles a part of the response's body. */
     abstract void contentReceived(ByteBuf content);
 
-    /** All that was ready on the connection has been read. */
+    /** Called when all data that was available on the connection has been read. */
     void readCompleted() {}
 
     /**
-     * Whether the response that ends now belongs to the exchange before on this connection, so that
-     * this one's own is still due.
+     * Whether the response that has just ended belongs to the previous exchange on this connection,
+     * so that the response to this exchange is still to come.
      */
     boolean isStaleResponse() {
         return false;
     }
 
-    /** That response has ended; this exchange's own comes next. */
+    /** Called at the end of a stale response; the response to this exchange comes next. */
     void staleResponseEnded() {}
 
     /**
-     * The response is complete.
+     * Handles the end of the response.
      *
-     * @param trailers the headers behind its body
+     * @param trailers the trailer fields after its body
      */
     abstract void responseCompleted(HttpHeaders trailers);
 
-    /** The connection was not established, or has ended; part of the response may have come. */
+    /**
+     * Called if the connection was not established, or has ended before the end of the response.
+     */
     abstract void connectionBroken();
 
     // ---- The end ----
 
-    /** The outcome is reported; nothing more is. */
+    /** Marks the outcome as reported: nothing more is reported afterwards. */
     final void markOver() {
         over = true;
     }
@@ -109,12 +111,12 @@
         return over;
     }
 
-    /** Leaves its connection, which may be used by another exchange. */
+    /** Releases its connection, which another exchange may use then. */
     final void leaveConnection() {
         connection = null;
     }
 
-    /** Ends the exchange and closes its connection; nothing is reported any more. */
+    /** Ends the exchange without reporting an outcome, and closes its connection. */
     final void cancel() {
         over = true;
         if (connection != null) {
--- a/src/main/java/cresschute/node/http/HttpLoadQuery.java
+++ b/src/main/java/cresschute/node/http/HttpLoadQuery.java
@@ -20,15 +20,15 @@
 import java.util.concurrent.Future;
 
 /**
- * A load query: asks a worker for a sign of life, and for its load report as a header or as the
- * body of the response. Ends once, with a response, a break or its timer, which it owns. Call from
- * the event loop.
+ * A load query: checks that a worker responds, and reads its load report from a header or from the
+ * body of the response. Ends once, by a response, a broken connection or its timeout; owns the
+ * timer of the timeout. Call from the event loop.
  */
 final class HttpLoadQuery extends HttpExchange {
 
     private static final String PATH = "/stats";
 
-    /** A body that is longer than this, bytes, is cut off. */
+    /** Once the body has this length, chunks that follow are discarded; in characters. */
     private static final int MAX_BODY_BYTES = 4096;
 
     private final String host;
@@ -39,9 +39,9 @@
     private HttpResponse response;
 
     /**
-     * A query that has not begun.
+     * Creates a query that has not begun.
      *
-     * @param host the worker's address as the Host header has it
+     * @param host the worker's address, as in the Host header
      */
     HttpLoadQuery(String host, LoadQueryListener listener, RateLimitedLog faults) {
         this.host = host;
@@ -54,7 +54,7 @@
         timeout = timer;
     }
 
-    /** Its time is over. */
+    /** Ends the query as timed out and closes its connection. */
     void timedOut() {
         end(Outcome.TIMED_OUT, LoadReport.NONE);
         cancel();
@@ -87,7 +87,10 @@
         try {
             end(isOk ? Outcome.SERVED : Outcome.ERROR, loadReport(isOk));
         } catch (JsonParseException e) {
-            faults.fault(PeerFault.BAD_WORKER_ANSWER, host, "to a load query: " + e.getMessage());
+            faults.fault(
+                    PeerFault.BAD_WORKER_ANSWER,
+                    host,
+                    "malformed response to a load query: " + e.getMessage());
             end(Outcome.ERROR, LoadReport.NONE);
         }
     }
--- a/src/main/java/cresschute/node/http/LoadReportParser.java
+++ b/src/main/java/cresschute/node/http/LoadReportParser.java
@@ -6,11 +6,12 @@
 import cresschute.node.Json;
 
 /**
- * Parses load reports in their two forms: a header's list of names with values, and a JSON object.
+ * Parses load reports in their two forms: a header with {@code name=number} pairs separated by
+ * commas, and a JSON object.
  */
 final class LoadReportParser {
 
-    /** What a report has for a figure that the worker does not state. */
+    /** The value of a figure that the worker does not report. */
     private static final double NOT_STATED = -1;
 
     private LoadReportParser() {}
@@ -18,8 +19,8 @@
     /**
      * Parses a header.
      *
-     * @param header its value; null or blank for {@link LoadReport#NONE}
-     * @throws JsonParseException if a part of it is no name with a number
+     * @param header the header's value; null or blank results in {@link LoadReport#NONE}
+     * @throws JsonParseException if a value is not a number
      */
     static LoadReport parseHeader(String header) {
         if (header == null || header.isBlank()) {
@@ -33,16 +34,16 @@
                         pair.substring(0, Math.max(0, split)).strip(),
                         Double.valueOf(pair.substring(split + 1).strip()));
             } catch (NumberFormatException e) {
-                throw new JsonParseException("unusable load report: " + header);
+                throw new JsonParseException("load report is not a list of name=number: " + header);
             }
         }
         return parse(fields);
     }
 
     /**
-     * Parses an object; figures that it lacks count as not stated.
+     * Parses a JSON object; missing figures count as not reported.
      *
-     * @throws JsonParseException if a figure is no number
+     * @throws JsonParseException if a figure is not a number
      */
     static LoadReport parse(JsonObject fields) {
         final double outstanding =
@@ -56,7 +57,7 @@
     /**
      * Parses the body of a response to a load query, in either form.
      *
-     * @throws JsonParseException if it is neither
+     * @throws JsonParseException if it has neither form
      */
     static LoadReport parseBody(String body) {
         return body.stripLeading().startsWith("{") ? parse(Json.object(body)) : parseHeader(body);
--- a/src/main/java/cresschute/node/http/ProgressLine.java
+++ b/src/main/java/cresschute/node/http/ProgressLine.java
@@ -9,12 +9,12 @@
 /**
  * One line of a worker's response. Immutable.
  *
- * @param outcome how the attempt ended; null unless it is the end
- * @param fractionDone how much of the job is done, 0 to 1
+ * @param outcome how the attempt ended; null unless the kind is {@link Kind#END}
+ * @param fractionDone fraction of the job that is done, 0 to 1
  * @param load the worker's load report, or {@link LoadReport#NONE}
- * @param text at the end of a job that is served, what its client gets; where a result follows, its
- *     content type, or null; else null
- * @param resultLength bytes of the result that follows, or {@link
+ * @param text the result for the client if the job was served; the content type, or null, if a
+ *     streamed result follows; otherwise null
+ * @param resultLength length of the streamed result that follows, bytes, or {@link
  *     StreamedResponseBody#UNKNOWN_LENGTH}
  */
 record ProgressLine(
@@ -25,9 +25,9 @@
         String text,
         long resultLength) {
 
-    /** What a line says of the attempt. */
+    /** The kind of event that a line reports. */
     enum Kind {
-        /** The job has started, or is so far. */
+        /** The job has started or made progress. */
         PROGRESS,
         /** A streamed result follows this line. */
         RESULT_FOLLOWS,
@@ -54,9 +54,9 @@
     /**
      * Parses a line.
      *
-     * @param requestId the request that was sent
-     * @throws RequestIdMismatchException if the line names another request
-     * @throws JsonParseException if it is malformed in any other way
+     * @param requestId ID of the request that was sent
+     * @throws RequestIdMismatchException if the line carries another request ID
+     * @throws JsonParseException if the line is malformed
      */
     static ProgressLine parse(String line, String requestId) {
         final JsonObject json = Json.object(line);
@@ -76,15 +76,15 @@
             case "failed" -> end(Outcome.ERROR, null, load);
             case "returned" -> end(Outcome.FULL, null, load);
             case "lost" -> end(Outcome.BROKEN, null, load);
-            default -> throw new JsonParseException("unknown state " + state);
+            default -> throw new JsonParseException("unknown state: " + state);
         };
     }
 
-    /** A content type of printable characters, which can stand in a head, or null. */
+    /** The content type, or null. It is printable ASCII, so that it is safe in a header. */
     private static String contentType(JsonObject json) {
         final String type = json.has("type") ? Json.string(json, "type") : null;
         if (type != null && !type.chars().allMatch(each -> each >= ' ' && each <= '~')) {
-            throw new JsonParseException("type is unusable");
+            throw new JsonParseException("type has characters other than printable ASCII");
         }
         return type;
     }
@@ -95,7 +95,7 @@
         }
         final double length = Json.number(json, "length", -1);
         if (!(length >= 0 && length <= MAX_RESULT_BYTES && length == Math.rint(length))) {
-            throw new JsonParseException("length is unusable");
+            throw new JsonParseException("length is not a whole number from 0 to 2^50");
         }
         return (long) length;
     }
@@ -103,7 +103,7 @@
     private static double fractionDone(JsonObject json) {
         final double share = Json.number(json, "share", 0);
         if (!(share >= 0 && share <= 1)) {
-            throw new JsonParseException("share is out of range");
+            throw new JsonParseException("share is not between 0 and 1");
         }
         return share;
     }
--- a/src/main/java/cresschute/node/http/ProgressLineReader.java
+++ b/src/main/java/cresschute/node/http/ProgressLineReader.java
@@ -5,28 +5,28 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Cuts a response into lines, wherever its chunks begin and end. The buffer grows as needed and is
- * compacted in place. One per response; used by one thread.
+ * Splits a response into lines, independent of its chunk boundaries. The buffer grows as needed and
+ * is compacted in place. One per response; used by one thread.
  */
 final class ProgressLineReader {
 
-    /** The longest line, with what has arrived behind it, bytes. */
+    /** Limit for an unread line together with the data received after it, bytes. */
     static final int MAX_BYTES = 256 * 1024;
 
     private static final int INITIAL_BYTES = 512;
 
     private byte[] bytes = new byte[INITIAL_BYTES];
 
-    /** Where the first line that was not taken begins. */
+    /** Index of the first unread byte. */
     private int start;
 
-    /** Up to where no line end was found. */
+    /** Index up to which the unread bytes have no line end. */
     private int scanned;
 
-    /** Where what has arrived ends. */
+    /** Index after the last received byte. */
     private int end;
 
-    /** Adds a chunk; false, with nothing added, where a line would grow beyond its limit. */
+    /** Adds a chunk. Returns false, and adds nothing, if that would exceed the limit. */
     boolean add(ByteBuf chunk) {
         final int count = chunk.readableBytes();
         if (end - start + count > MAX_BYTES) {
@@ -40,7 +40,7 @@
         return true;
     }
 
-    /** Moves what is left to the front, into a larger array where so many bytes more do not fit. */
+    /** Moves the unread bytes to the front, of a larger array if {@code count} more do not fit. */
     private void compact(int count) {
         final int needed = end - start + count;
         final byte[] target =
@@ -52,7 +52,7 @@
         start = 0;
     }
 
-    /** Takes the next line that has ended and is not blank, stripped; null where there is none. */
+    /** Removes and returns the next complete line that is not blank, stripped; null if none. */
     String nextLine() {
         for (; scanned < end; scanned++) {
             if (bytes[scanned] == '\n') {
@@ -67,14 +67,14 @@
         return null;
     }
 
-    /** Takes the bytes behind the lines that were taken, as they are. */
+    /** Removes and returns all unread bytes. */
     ByteBuf takeRemaining() {
         final ByteBuf remaining = Unpooled.wrappedBuffer(bytes, start, end - start);
         skipAll();
         return remaining;
     }
 
-    /** Takes the line that the end of the response ends, stripped; empty where there is none. */
+    /** Removes and returns the line without a line end at the end of the response, stripped. */
     String takeLastLine() {
         final String line = text(end);
         skipAll();
