--- a/src/main/java/cresschute/node/http/StreamedBodies.java
+++ b/src/main/java/cresschute/node/http/StreamedBodies.java
@@ -14,15 +14,15 @@
 import java.util.Set;
 
 /**
- * The streamed bodies of a node: the budget of memory that they take from, and the sweep that gives
- * up those whose sender or receiver is too slow. Bodies add and remove themselves; each closes its
- * own account. Call from the event loop.
+ * The streamed bodies of a node: their shared memory budget, and the periodic sweep that ends the
+ * transfers whose sender or receiver is too slow. Bodies add and remove themselves, and each closes
+ * its own reservation of the budget. Call from the event loop.
  */
 final class StreamedBodies {
 
     /**
-     * A body is lent no more than what is free over this: of bodies that stand still each then
-     * holds two to three windows, and many more can be opened.
+     * A body may borrow at most the free bytes divided by this. A stalled body then holds two to
+     * three windows, which leaves space to open many more.
      */
     private static final long BORROW_DIVISOR = 64;
 
@@ -33,7 +33,7 @@
     private final Set<BodyTransfer> transfers = new LinkedHashSet<>();
     private final Set<StreamedResponseBody> results = new LinkedHashSet<>();
 
-    /** An empty budget of the size that the settings state. */
+    /** Creates an empty budget of the size in the settings. */
     StreamedBodies(Bodies settings, RequestLifecycle lifecycle) {
         this.settings = settings;
         this.lifecycle = lifecycle;
@@ -61,9 +61,9 @@
     /**
      * Opens a request's body.
      *
-     * @param client the address of its client's host
-     * @param length bytes that the head states, or {@link StreamedRequestBody#UNKNOWN_LENGTH}
-     * @param onCapacity called when more of it can be read than before
+     * @param client address of the client's host
+     * @param length length stated in the head, bytes, or {@link StreamedRequestBody#UNKNOWN_LENGTH}
+     * @param onCapacity called when there is capacity to read more of it
      * @return null where the budget has no window for it; that is logged
      */
     StreamedRequestBody openRequestBody(
@@ -81,9 +81,9 @@
     }
 
     /**
-     * Opens a result, of which nothing is there yet.
+     * Opens a result that has not begun.
      *
-     * @param client the address of the host of its request's client
+     * @param client address of the host of the request's client
      * @return null where the budget has no window for it; that is logged
      */
     StreamedResponseBody openResponseBody(
@@ -99,7 +99,7 @@
     }
 
     /**
-     * Passes a reservation's notices on to its result, which can be made only after the
+     * Forwards the callbacks of a reservation to its result, which can be created only after the
      * reservation.
      */
     private static final class CapacityCallback implements Runnable {
@@ -123,9 +123,9 @@
                                 case BUDGET_EXHAUSTED ->
                                         "the budget of " + settings.budget() + " bytes is in use";
                                 case CLIENT_LIMIT_REACHED ->
-                                        "its bodies own "
+                                        "the bodies of this client would own more than "
                                                 + settings.maxPerClientBytes()
-                                                + " bytes already";
+                                                + " bytes, the limit per client";
                             });
         }
         return admission.reservation().orElse(null);
@@ -152,14 +152,17 @@
         results.remove(result);
     }
 
-    /** Gives up peers that take too little, and workers that send too little of a result. */
+    /**
+     * Ends the transfers to peers that receive too slowly, and results that workers send too
+     * slowly.
+     */
     void sweep() {
         List.copyOf(transfers).forEach(BodyTransfer::checkPeerRate);
         List.copyOf(results).forEach(StreamedResponseBody::checkSourceRate);
     }
 
     /**
-     * Logs that a side of a body was too slow.
+     * Logs that a sender or receiver of a body was too slow.
      *
      * @param peer its address
      */
--- a/src/main/java/cresschute/node/http/StreamedBody.java
+++ b/src/main/java/cresschute/node/http/StreamedBody.java
@@ -11,9 +11,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A body on its way from one peer to another, a request's or a result. It is read in pieces that
- * are copied from what the codec passes on, so that the memory held is the memory counted however
- * small the chunks, and written by {@link BodyTransfer}s.
+ * A body in transit from one peer to another: the body of a request, or a result. Received data is
+ * copied from the codec's buffers into pieces, so that the memory in use equals the memory counted
+ * even for very small chunks. {@link BodyTransfer}s write the pieces.
  *
  * <p>Owns its buffers and its reservation of the budget, and closes both once it is retired and its
  * transfers have ended. Call from the event loop.
@@ -21,15 +21,15 @@
 abstract class StreamedBody {
 
     /**
-     * The most that is read at a time, bytes. Together with what a short body may have grown to
-     * before it was known to be long, it must fit into the least window.
+     * The largest single read, bytes. It must fit into the smallest window together with the bytes
+     * that were buffered before a body of unknown length turned out to be long.
      */
     private static final int MAX_READ_BYTES = 32 * 1024;
 
     private static final int MIN_READ_BYTES = 64;
     private static final int FIRST_READ_BYTES = 2048;
 
-    /** What holding a piece takes beside its bytes. */
+    /** Memory overhead of a buffered piece, bytes. */
     private static final int PIECE_OVERHEAD_BYTES = 256;
 
     private static final int MAX_PIECE_COST = MAX_READ_BYTES + PIECE_OVERHEAD_BYTES;
@@ -39,7 +39,7 @@
     private final BodyBuffer<ByteBuf> body;
     private final TransferMonitor senderMonitor;
 
-    /** The piece that is being filled, or null. */
+    /** The piece that received data is copied into, or null. */
     private ByteBuf currentPiece;
 
     private long bytesRead;
@@ -49,9 +49,9 @@
     private int transfers;
 
     /**
-     * A body of which nothing is read.
+     * Creates a body of which nothing was read.
      *
-     * @param spoolBytes what is kept of it for a further transfer
+     * @param spoolBytes cost up to which the body is kept for further transfers, bytes
      */
     StreamedBody(
             StreamedBodies owner,
@@ -64,14 +64,14 @@
         this.senderMonitor = newMonitor();
     }
 
-    /** The present, us, from an arbitrary origin. */
+    /** The current time, us, from an arbitrary origin. */
     static long nowUs() {
         return TimeUnit.NANOSECONDS.toMicros(System.nanoTime());
     }
 
     /**
-     * For connections on which streamed bodies arrive: one read brings no more than {@link
-     * #hasCapacity} asks capacity for.
+     * The receive buffer allocator for connections that carry streamed bodies: one read returns at
+     * most as many bytes as {@link #hasCapacity} requests capacity for.
      */
     static RecvByteBufAllocator boundedReads() {
         return new AdaptiveRecvByteBufAllocator(MIN_READ_BYTES, FIRST_READ_BYTES, MAX_READ_BYTES);
@@ -81,28 +81,28 @@
         return owner;
     }
 
-    /** A monitor of one side of this body, by its class's limits. */
+    /** Creates a monitor of the sender or a receiver, with the limits of the request class. */
     final TransferMonitor newMonitor() {
         return new TransferMonitor(limits.minRateBytesPerS(), limits.stallUs(), nowUs());
     }
 
     // ---- Reading ----
 
-    /** Bytes that were read. */
+    /** Number of bytes read so far. */
     final long bytesRead() {
         return bytesRead;
     }
 
-    /** What was read so far costs of the budget, all together, bytes. */
+    /** Total cost of the pieces read so far, bytes of the budget. */
     final long readCost() {
         return body.appendedCost();
     }
 
     /**
-     * Takes in what was read.
+     * Adds data that was read.
      *
-     * @param maxBytes the longest that the body may be
-     * @return false where it is longer, or no more may come
+     * @param maxBytes the maximum length of the body
+     * @return false if the body would be longer, or is no longer open
      */
     final boolean collect(ByteBuf content, ByteBufAllocator allocator, long maxBytes) {
         final int count = content.readableBytes();
@@ -124,7 +124,7 @@
         return true;
     }
 
-    /** Passes what was read so far on to the transfers. */
+    /** Makes the data read so far available to the transfers. */
     final void endPiece(ByteBufAllocator allocator) {
         if (currentPiece == null) {
             return;
@@ -136,7 +136,8 @@
             return;
         }
         if (piece.readableBytes() < MAX_READ_BYTES / 2) {
-            // A large buffer must not be held for a few bytes: the budget counts capacities.
+            // Copied to a small buffer: the budget counts the capacity of a buffer, not its
+            // content.
             piece = copyToSize(piece, allocator);
         }
         final int cost = piece.capacity() + PIECE_OVERHEAD_BYTES;
@@ -152,8 +153,8 @@
     }
 
     /**
-     * Whether there is capacity for another read. Where there is none, {@link #capacityFreed} is
-     * called once there may be some.
+     * Whether there is capacity for another read. If not, {@link #capacityFreed} is called once
+     * there may be.
      */
     final boolean hasCapacity() {
         final boolean fits = body.credit(MAX_PIECE_COST) >= MAX_PIECE_COST;
@@ -161,33 +162,33 @@
         return fits;
     }
 
-    /** There may be capacity for another read. */
+    /** Called when there may be capacity for another read. */
     abstract void capacityFreed();
 
-    /** Its last byte was read. */
+    /** Notes that the last byte of the body was read. */
     final void complete(ByteBufAllocator allocator) {
         endPiece(allocator);
         body.complete();
     }
 
-    /** No more of it will come, and it is incomplete. */
+    /** Notes that the rest of the body will not be received. */
     final void abort() {
         body.abort();
     }
 
-    /** Whether its sender, while it is to send, sends less than the least rate. */
+    /** Whether the sender is below the minimum rate while there is capacity to read. */
     final boolean isSenderTooSlow() {
         return body.state() == BodyBuffer.State.OPEN && senderMonitor.isTooSlow(nowUs());
     }
 
     // ---- Writing ----
 
-    /** Whether a further transfer could begin at its first byte. */
+    /** Whether another transfer could begin at the first byte. */
     public final boolean isReplayable() {
         return body.canReplay();
     }
 
-    /** A transfer of it to a peer; whether it can still begin shows when it is started. */
+    /** Creates a transfer to a peer. Whether it can still begin is decided when it is started. */
     final BodyTransfer newTransfer(BodyTransferListener listener) {
         transfers++;
         final BodyTransfer transfer = new BodyTransfer(this, listener);
@@ -196,27 +197,27 @@
     }
 
     /**
-     * A reader for a transfer, or null where none can begin at the first byte.
+     * Opens a reader for a transfer; null if the first byte is no longer available.
      *
-     * @param onChange called when there is more to send, or no more will come
+     * @param onChange called when there is more to send, or the body has ended
      */
     final BodyBuffer<ByteBuf>.Reader newReader(Runnable onChange) {
         return body.openReader(onChange).orElse(null);
     }
 
-    /** Whether the rest of it will never come. */
+    /** Whether the rest of the body will not become available. */
     final boolean isLost() {
         return body.state() == BodyBuffer.State.ABORTED || body.state() == BodyBuffer.State.CLOSED;
     }
 
-    /** A transfer has written a piece, which may free capacity. */
+    /** Called when a transfer has written a piece, which may free capacity. */
     final void pieceSent() {
         if (body.state() == BodyBuffer.State.OPEN) {
             capacityFreed();
         }
     }
 
-    /** A transfer writes no more. */
+    /** Called when a transfer has ended. */
     final void transferEnded(BodyTransfer transfer) {
         owner.remove(transfer);
         if (--transfers == 0 && retired) {
@@ -225,8 +226,8 @@
     }
 
     /**
-     * No further transfer will begin. Transfers under way go on where all of the body is there;
-     * otherwise the body is closed now.
+     * Marks that no further transfer will begin. Current transfers continue if the body is
+     * complete; otherwise the body is closed at once.
      */
     final void retire() {
         retired = true;
--- a/src/main/java/cresschute/node/http/StreamedRequestBody.java
+++ b/src/main/java/cresschute/node/http/StreamedRequestBody.java
@@ -5,13 +5,13 @@
 import cresschute.settings.ApplianceSettings.ClassBodies;
 
 /**
- * A request's body on its way from its client's connection to its attempts. The first bytes of it,
- * up to the spool's size, are kept for a further attempt. Closed by the {@link PendingResponse} of
- * its request. Call from the event loop.
+ * The body of a request, in transit from the client's connection to the attempts. It is kept for
+ * further attempts up to the size of the spool. Closed by the {@link PendingResponse} of its
+ * request. Call from the event loop.
  */
 final class StreamedRequestBody extends StreamedBody implements RequestBody {
 
-    /** The length of a body whose head states none. */
+    /** The length of a body if the request's head states none. */
     static final long UNKNOWN_LENGTH = -1;
 
     private final long spoolBytes;
@@ -19,10 +19,10 @@
     private final Runnable onCapacity;
 
     /**
-     * A body of which nothing is read.
+     * Creates a body of which nothing was read.
      *
-     * @param spoolBytes what is kept for a further attempt
-     * @param length bytes that the head states, or {@link #UNKNOWN_LENGTH}
+     * @param spoolBytes cost up to which the body is kept for further attempts, bytes
+     * @param length length stated in the head, bytes, or {@link #UNKNOWN_LENGTH}
      * @param onCapacity called when there may be capacity for another read
      */
     StreamedRequestBody(
@@ -38,7 +38,7 @@
         this.onCapacity = onCapacity;
     }
 
-    /** Bytes that its client's head states, or {@link #UNKNOWN_LENGTH}. */
+    /** Length stated in the request's head, bytes, or {@link #UNKNOWN_LENGTH}. */
     long length() {
         return length;
     }
@@ -48,7 +48,7 @@
         onCapacity.run();
     }
 
-    /** Whether more was read than is kept, so that there is no use in waiting for the end. */
+    /** Whether more was read than the spool keeps, so that waiting for the end would not help. */
     boolean isBeyondSpool() {
         return readCost() > spoolBytes;
     }
--- a/src/main/java/cresschute/node/http/StreamedResponseBody.java
+++ b/src/main/java/cresschute/node/http/StreamedResponseBody.java
@@ -6,25 +6,25 @@
 import io.netty.buffer.ByteBufAllocator;
 
 /**
- * A streamed result on its way from an attempt to its request's client. Its window of the budget is
- * reserved when the request is submitted, so that a job that has run is never lost for want of
- * capacity.
+ * A streamed result in transit from an attempt to the client of its request. Its window of the
+ * budget is reserved when the request is submitted, so that the result of a job that has run is
+ * never lost for lack of capacity.
  *
- * <p>Opened with its request, begun by the attempt that brings the first byte, ended by {@link
- * #finish}, closed by {@link #drop}. Call from the event loop.
+ * <p>Life cycle: opened with its request, begun by the attempt that receives the first byte, ended
+ * by {@link #finish}, closed by {@link #drop}. Call from the event loop.
  */
 final class StreamedResponseBody extends StreamedBody implements ResultStream {
 
-    /** The length of a result of which the worker states none. */
+    /** The length of a result if the worker states none. */
     static final long UNKNOWN_LENGTH = -1;
 
-    /** The attempt that the result comes from. */
+    /** The attempt that receives the result. */
     interface Source {
 
-        /** There may be capacity for another read. */
+        /** Called when there may be capacity for another read. */
         void resumeReading();
 
-        /** The worker sends less than the least rate. */
+        /** Called when the worker sends below the minimum rate. */
         void sourceTooSlow();
     }
 
@@ -33,7 +33,7 @@
     private long statedLength = UNKNOWN_LENGTH;
     private Source source;
 
-    /** A result that has not begun. */
+    /** Creates a result that has not begun. */
     StreamedResponseBody(
             StreamedBodies owner,
             BufferBudget.Reservation reservation,
@@ -44,10 +44,10 @@
     }
 
     /**
-     * Its first byte is about to come.
+     * Begins the result; called before its first byte.
      *
-     * @param contentType as the worker states it, or null
-     * @param length bytes that the worker states, or {@link #UNKNOWN_LENGTH}
+     * @param contentType content type stated by the worker, or null
+     * @param length length stated by the worker, bytes, or {@link #UNKNOWN_LENGTH}
      */
     void begin(String contentType, long length) {
         type = contentType;
@@ -55,17 +55,17 @@
         owner().add(this);
     }
 
-    /** The attempt that it comes from; notified until the result is finished or dropped. */
+    /** Sets the attempt that is notified until the result is finished or dropped. */
     void setSource(Source attempt) {
         source = attempt;
     }
 
-    /** The content type that the worker states, or null. */
+    /** Content type stated by the worker, or null. */
     String type() {
         return type;
     }
 
-    /** Bytes that the worker states, or {@link #UNKNOWN_LENGTH}. */
+    /** Length stated by the worker, bytes, or {@link #UNKNOWN_LENGTH}. */
     long statedLength() {
         return statedLength;
     }
@@ -74,7 +74,7 @@
         return statedLength != UNKNOWN_LENGTH;
     }
 
-    /** Whether as many bytes were read as were stated. */
+    /** Whether the stated number of bytes was read, or none is stated. */
     boolean matchesStatedLength() {
         return !hasStatedLength() || bytesRead() == statedLength;
     }
@@ -86,7 +86,7 @@
         }
     }
 
-    /** Notifies a source that sends too little; called by the sweep. */
+    /** Notifies the source if its worker sends too slowly; called by the sweep. */
     void checkSourceRate() {
         if (source != null && isSenderTooSlow()) {
             source.sourceTooSlow();
@@ -104,7 +104,7 @@
         }
     }
 
-    /** It is written, or not needed any more. */
+    /** Releases the result after it was written, or if it is no longer needed. */
     void drop() {
         owner().remove(this);
         source = null;
--- a/src/main/java/cresschute/node/http/WorkerConnection.java
+++ b/src/main/java/cresschute/node/http/WorkerConnection.java
@@ -20,16 +20,16 @@
 
 /**
  * The channel handler of one connection to a worker. It carries one {@link HttpExchange} at a time;
- * requests are not pipelined, and none is written a second time.
+ * requests are neither pipelined nor written a second time.
  *
- * <p>Life cycle: connected by {@link WorkerConnectionPool}, {@link #start}, then idle in the pool
- * or closed; an idle one is started again, or closes itself when its time is over. Owns its
- * channel, the idle timer and the timer for the end of a response; all are released when the
- * channel closes. Call from the event loop.
+ * <p>Life cycle: connected by {@link WorkerConnectionPool}, started by {@link #start}, then idle in
+ * the pool or closed. An idle connection is started again, or closes itself after its idle timeout.
+ * Owns its channel, the idle timer and the timer for the end of a response; all are released when
+ * the channel closes. Call from the event loop.
  */
 final class WorkerConnection extends SimpleChannelInboundHandler<HttpObject> {
 
-    /** How long a response may go on after its outcome, ms; then the connection is closed. */
+    /** Time from the outcome of an attempt until its response must have ended, ms. */
     private static final long RESPONSE_END_TIMEOUT_MS = 1_000;
 
     private final InetSocketAddress address;
@@ -37,19 +37,19 @@
     private final DuplicateResponseDetector duplicates = new DuplicateResponseDetector();
     private Channel channel;
 
-    /** The exchange under way, or null while idle. */
+    /** The current exchange, or null while idle. */
     private HttpExchange exchange;
 
-    /** Whether the worker keeps the connection after the response under way. */
+    /** Whether the worker keeps the connection open after the current response. */
     private boolean keepAlive;
 
-    /** Whether the response that is being read is an informational one, which is discarded. */
+    /** Whether the current response is informational (1xx), which is discarded. */
     private boolean informational;
 
     /** Whether nothing was received since the connection was reused. */
     private boolean reusedWithoutData;
 
-    /** Whether this side closes the connection. */
+    /** Whether this side has closed the connection. */
     private boolean closing;
 
     private Future<?> idleTimer;
@@ -58,7 +58,7 @@
     /** When it became idle, by {@link System#nanoTime}. */
     private long idleSinceNs;
 
-    /** A connection that is not established yet. */
+    /** Creates the handler of a connection that is not established yet. */
     WorkerConnection(InetSocketAddress address, WorkerConnectionPool pool) {
         this.address = address;
         this.pool = pool;
@@ -75,7 +75,7 @@
 
     // ---- The request ----
 
-    /** Starts an exchange on this connection, which is established and idle. */
+    /** Starts an exchange; the connection must be established and idle. */
     void start(HttpExchange next) {
         if (idleTimer != null) {
             idleTimer.cancel(false);
@@ -89,7 +89,7 @@
         try {
             request = next.request();
         } catch (IllegalArgumentException e) {
-            // What cannot be encoded never runs; the attempt still needs an end.
+            // A request that cannot be encoded never runs, but its attempt must end.
             exceptionCaught(null, e);
             return;
         }
@@ -125,7 +125,8 @@
     protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
         reusedWithoutData = false;
         if (exchange == null) {
-            // A worker that responds twice proves nothing about how long workers keep connections.
+            // A worker that responds twice says nothing about how long workers keep idle
+            // connections, so keep-alive stays enabled.
             if (!closing) {
                 pool.unexpectedResponse(address);
             }
@@ -175,7 +176,7 @@
         if (content instanceof LastHttpContent last) {
             responseEnded(current, last.trailingHeaders());
         } else if (current.isOver() && !wasOver) {
-            // The outcome is known, but the worker may never end its response.
+            // The outcome is known, but the worker might never end its response.
             responseEndTimer =
                     channel.eventLoop()
                             .schedule(this::close, RESPONSE_END_TIMEOUT_MS, TimeUnit.MILLISECONDS);
@@ -200,7 +201,7 @@
         }
     }
 
-    /** The timer holds its exchange, with the request's body, in memory until it is cancelled. */
+    /** Until it is cancelled, the timer keeps the exchange and the request's body in memory. */
     private void cancelResponseEndTimer() {
         if (responseEndTimer != null) {
             responseEndTimer.cancel(false);
@@ -208,7 +209,7 @@
         }
     }
 
-    /** Whether lines that name another request may be a duplicate of the response before. */
+    /** Whether lines with another request ID may be a duplicate of the previous response. */
     boolean mayReceiveDuplicate() {
         return duplicates.isDuplicatePossible();
     }
@@ -221,12 +222,12 @@
         ctx.fireChannelReadComplete();
     }
 
-    /** From now on each read is requested by {@link #read}. */
+    /** Disables automatic reads: each read must be requested by {@link #read}. */
     void stopAutoRead() {
         channel.config().setAutoRead(false);
     }
 
-    /** From now on the connection is read whenever bytes arrive. */
+    /** Enables automatic reads: the connection is read whenever bytes arrive. */
     void resumeAutoRead() {
         channel.config().setAutoRead(true);
     }
@@ -242,7 +243,7 @@
 
     // ---- Idle, and closed ----
 
-    /** It is idle from now on, and closes itself after so long, us. */
+    /** Marks the connection as idle; it closes itself after {@code idleUs}, us. */
     void closeAfterIdle(long idleUs) {
         idleSinceNs = System.nanoTime();
         idleTimer = channel.eventLoop().schedule(this::close, idleUs, TimeUnit.MICROSECONDS);
@@ -253,8 +254,8 @@
     }
 
     /**
-     * Reads what has arrived on this idle connection: a close, or bytes that were not requested,
-     * close it now, so that no request is written to it.
+     * Reads pending data on this idle connection. If the worker has closed it or has sent
+     * unexpected bytes, it is closed now, so that no request is written to it.
      *
      * @return whether it can be used
      */
@@ -263,7 +264,7 @@
         return channel.isActive();
     }
 
-    /** Closes the connection; an exchange under way is reported as broken. */
+    /** Closes the connection; the current exchange, if any, is notified that it broke. */
     void close() {
         closing = true;
         if (channel != null) {
@@ -277,7 +278,7 @@
             idleTimer.cancel(false);
         }
         cancelResponseEndTimer();
-        // A response that is held is not known to be this exchange's: it ends as broken.
+        // A held response may not belong to this exchange, so the exchange ends as broken.
         duplicates.cancel();
         pool.connectionClosed(this);
         if (!closing && (reusedWithoutData || (exchange == null && keepAlive))) {
--- a/src/main/java/cresschute/node/http/WorkerConnectionPool.java
+++ b/src/main/java/cresschute/node/http/WorkerConnectionPool.java
@@ -26,21 +26,22 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * All connections to workers. An exchange takes the idle connection to its worker that was used
- * last, or a new one; at the limit an idle connection to another worker is closed for it.
+ * The pool of all connections to workers. An exchange uses the idle connection to its worker that
+ * was used most recently, or opens a new one; if the limit is reached, an idle connection is closed
+ * first.
  *
- * <p>Owns the idle connections by address and the count of all; a connection under way is closed by
- * its exchange. Lives as long as the node. Call from the event loop.
+ * <p>Owns the idle connections by address and the count of all connections; a connection in use is
+ * closed by its exchange. Lives as long as the node. Call from the event loop.
  */
 public final class WorkerConnectionPool implements WorkerClient {
 
-    /** An idle connection is closed at this fraction of the time at which its worker closes it. */
+    /** Idle timeout, as a fraction of the time after which workers close an idle connection. */
     private static final double IDLE_FRACTION = 0.75;
 
-    /** How long a load query may take, ms. */
+    /** Timeout of a load query, ms. */
     private static final long LOAD_QUERY_TIMEOUT_MS = 350;
 
-    /** How long no connection is kept after an idle one was closed by its worker, s. */
+    /** How long no connection is kept idle after a worker has closed an idle one, s. */
     private static final long REUSE_PAUSE_S = 15;
 
     private static final long US_PER_MS = 1_000;
@@ -51,21 +52,21 @@
     private final Bootstrap bootstrap;
     private final Map<InetSocketAddress, Deque<WorkerConnection>> idle = new HashMap<>();
 
-    /** How long a connection is kept idle, us. */
+    /** Idle timeout of connections, us. */
     private long maxIdleUs;
 
     private int openConnections;
 
-    /** Until when no connection is kept, by {@link System#nanoTime}. */
+    /** Time until which no connection is kept idle, by {@link System#nanoTime}. */
     private long reusePausedUntilNs = System.nanoTime();
 
     /**
-     * An empty pool.
+     * Creates an empty pool.
      *
      * @param connectTimeoutUs how long a connection may take to be established, us
      * @param connIdleUs how long workers keep an idle connection, us
-     * @param maxConnections connections that may be open at a time
-     * @param streamedResults whether results may be passed on as they are made
+     * @param maxConnections maximum number of open connections
+     * @param streamedResults whether results may be streamed
      */
     public WorkerConnectionPool(
             EventLoop loop,
@@ -91,8 +92,8 @@
     }
 
     /**
-     * Takes these limits for connections that are opened, or become idle, from now on. Where idle
-     * ones are to be kept less long than before, those that are idle now are closed.
+     * Applies the settings to connections that are opened, or become idle, from now on. If the idle
+     * timeout becomes shorter, the connections that are idle now are closed.
      *
      * @param connectTimeoutUs how long a connection may take to be established, us
      * @param connIdleUs how long workers keep an idle connection, us
@@ -137,7 +138,10 @@
             return;
         }
         if (openConnections >= maxConnections && !closeOneIdle()) {
-            faults.fault(PeerFault.NO_CONNECTION_LEFT, host(address), "all are in use");
+            faults.fault(
+                    PeerFault.NO_CONNECTION_LEFT,
+                    host(address),
+                    "all connections are in use; the exchange ends as not connected");
             loop.execute(exchange::connectionBroken);
             return;
         }
@@ -145,7 +149,7 @@
         connect(address, exchange);
     }
 
-    /** The idle connection that was used last and is still usable, or null. */
+    /** Removes and returns the usable idle connection that was used most recently, or null. */
     private WorkerConnection takeIdle(InetSocketAddress address) {
         final Deque<WorkerConnection> connections = idle.get(address);
         if (connections == null) {
@@ -212,7 +216,7 @@
         }
     }
 
-    /** Takes back a connection whose exchange is over. */
+    /** Returns a connection to the pool after its exchange has ended. */
     void release(WorkerConnection connection) {
         if (System.nanoTime() < reusePausedUntilNs) {
             connection.close();
@@ -224,16 +228,17 @@
     }
 
     /**
-     * A worker, or what lies before it, closed a kept connection before the stated time. A request
-     * that meets this ends as a reset, and a keyed one is then bound to its group, whereas a new
-     * connection costs milliseconds: so for a while no connection is kept, to any worker.
+     * Notes that a worker, or a proxy in front of it, closed an idle connection before the stated
+     * time. A request sent on such a connection ends as a reset, and a keyed request is then bound
+     * to its deduplication scope, whereas a new connection costs only milliseconds. Therefore no
+     * connection to any worker is kept idle for a while.
      */
     void idleConnectionClosedByWorker() {
         reusePausedUntilNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(REUSE_PAUSE_S);
         closeAllIdle();
     }
 
-    /** A connection that was established is closed. */
+    /** Called when a connection that was established is closed. */
     void connectionClosed(WorkerConnection connection) {
         openConnections--;
         final Deque<WorkerConnection> connections = idle.get(connection.address());
@@ -247,19 +252,22 @@
 
     // ---- Faults ----
 
-    /** Bytes were received that no request asked for; the connection that brought them ends. */
+    /** Logs a response without a request; the connection that received it is not reused. */
     void unexpectedResponse(InetSocketAddress address) {
-        faults.fault(PeerFault.BAD_WORKER_ANSWER, host(address), "to nothing that was asked");
+        faults.fault(
+                PeerFault.BAD_WORKER_ANSWER,
+                host(address),
+                "response without a request; the connection is not reused");
     }
 
-    /** A connection failed; a break is an outcome of its exchange, anything else is logged. */
+    /** Logs a failed connection, except for I/O errors, which are an outcome of its exchange. */
     void connectionFailed(InetSocketAddress address, Throwable cause) {
         if (!(cause instanceof IOException)) {
             faults.fault(PeerFault.WORKER_CONNECTION, host(address), String.valueOf(cause));
         }
     }
 
-    /** Connections to workers that are open or being established. */
+    /** Number of connections to workers that are open or being established. */
     public int openConnections() {
         return openConnections;
     }
