--- a/src/test/java/cresschute/flow/BodyBufferTest.java
+++ b/src/test/java/cresschute/flow/BodyBufferTest.java
@@ -48,7 +48,7 @@
         first.acknowledge();
         add("def");
         final BodyBuffer<String>.Reader second = body.openReader(this::onChange).orElseThrow();
-        // The first reader continues beside it.
+        // The first reader continues independently.
         assertThat(first.next()).isEqualTo("def");
         assertThat(second.next()).isEqualTo("abc");
         assertThat(second.next()).isEqualTo("def");
@@ -72,7 +72,7 @@
         reader.acknowledge();
         assertThat(body.canReplay()).isTrue();
         add("ghijkl");
-        // Beyond the limit, acknowledged pieces are released and the others are still to be read.
+        // Beyond the limit, acknowledged pieces are released; the others can still be read.
         assertThat(released).containsExactly("abcdef");
         assertThat(body.openReader(this::onChange)).isEmpty();
         assertThat(reader.next()).isEqualTo("ghijkl");
@@ -83,7 +83,7 @@
     }
 
     /**
-     * A request and its hedged request whose body outgrows the replay limit: the reader that is
+     * If the body of a request with a hedged request exceeds the replay limit, the reader that is
      * behind is detached and notified.
      */
     @Test
@@ -103,12 +103,12 @@
         assertThat(behind.next()).isNull();
         behind.acknowledge();
         assertThat(ahead.next()).isEqualTo("ghijkl");
-        // No reader may begin again once the remaining one is detached.
+        // No reader may begin at byte 0 again, even after the remaining one is detached.
         ahead.detach();
         assertThat(body.canReplay()).isFalse();
     }
 
-    /** Nothing was read yet, so nothing is released, however much was appended. */
+    /** As long as no piece was read, none is released, even beyond the replay limit. */
     @Test
     void bodyWithoutReadersIsReadableBeyondReplayLimit() {
         add("abcdef");
@@ -118,7 +118,7 @@
         assertThat(body.openReader(this::onChange)).isEmpty();
     }
 
-    /** Pieces kept for a replay block the only reader: they are released, and replay ends. */
+    /** Pieces kept for a replay use all credit and block the only reader: the replay ends. */
     @Test
     void replayEndsWhenNothingElseFreesCredit() {
         final BufferBudget small = new BufferBudget(new BufferLimits(8, 8, 0, 1, 8));
@@ -150,9 +150,9 @@
     }
 
     /**
-     * Any interleaving of credit, pieces, readers, completion and abort of several bodies of one
-     * budget: each reader gets all pieces in order, the pieces held are within the budget, and at
-     * the end each piece was released once and the budget is unused.
+     * Random interleavings of credit, pieces, readers, completion and abort of several bodies that
+     * share a budget: each reader gets all pieces in order, the buffered pieces stay within the
+     * budget, and at the end each piece was released once and the budget is unused.
      */
     @Property(tries = 400, seed = "92")
     void anyInterleavingKeepsOrderAndBudget(@ForAll Random random) {
@@ -183,7 +183,7 @@
             assertThat(bodies.stream().mapToLong(ModelledBody::unreleasedBytes).sum())
                     .isLessThanOrEqualTo(total);
         }
-        // Each remaining body can be finished while the others are stalled: no deadlock.
+        // No deadlock: each remaining body can be finished while the others are stalled.
         for (final ModelledBody modelled : bodies) {
             modelled.finish(random);
             modelled.check();
@@ -191,7 +191,7 @@
         assertThat(shared.inUse()).isZero();
     }
 
-    /** One body of the property, with a plain model of what it must do. */
+    /** A body under test, with a simple model of its expected state. */
     private static final class ModelledBody {
         private final List<Long> added = new ArrayList<>();
         private final Set<Integer> releasedPieces = new HashSet<>();
@@ -253,7 +253,7 @@
             final BodyBuffer<Integer>.Reader next = body.openReader(() -> {}).orElse(null);
             assertThat(next != null).isEqualTo(can);
             if (next != null) {
-                // It begins at byte 0, so nothing may be released yet.
+                // A reader begins at byte 0, so no piece may be released yet.
                 assertThat(releasedPieces).isEmpty();
                 if (!readers.isEmpty() && random.nextBoolean()) {
                     readers.remove(0).reader.detach();
@@ -300,7 +300,7 @@
         }
     }
 
-    /** One reader, with a plain model of its progress. */
+    /** A reader under test, with a simple model of its progress. */
     private static final class ModelledReader {
         private final BodyBuffer<Integer>.Reader reader;
         private int taken;
--- a/src/test/java/cresschute/flow/BufferBudgetTest.java
+++ b/src/test/java/cresschute/flow/BufferBudgetTest.java
@@ -12,7 +12,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** The budget is never exceeded, no body starves, and credit goes out in the order of asking. */
+/** The budget is never exceeded, no body starves, and credit is granted in request order. */
 class BufferBudgetTest {
 
     private final List<String> granted = new ArrayList<>();
@@ -46,7 +46,7 @@
         final Reservation one = open(budget, "one");
         assertThat(one.acquire(1_000)).isEqualTo(50);
         assertThat(one.acquire(1)).isZero();
-        // It can only get what it releases itself, so it is not queued.
+        // It can only acquire bytes that it releases itself, so it is not queued.
         assertThat(budget.waiting()).isZero();
     }
 
@@ -60,7 +60,7 @@
             assertThat(lent).isPositive().isLessThan(last);
             last = lent;
         }
-        // With a fixed maximum, two of them could borrow all of it.
+        // With a fixed maximum, two bodies could borrow the whole budget.
         assertThat(budget.inUse()).isLessThan(700);
     }
 
@@ -98,7 +98,7 @@
     }
 
     /**
-     * Any order of reserving, acquiring, releasing and closing: the bytes in use are the sum over
+     * Random sequences of reserve, acquire, release and close: the bytes in use are the sum over
      * the reservations, and no body starves.
      */
     @Property(tries = 500, seed = "91")
--- a/src/test/java/cresschute/flow/TransferMonitorTest.java
+++ b/src/test/java/cresschute/flow/TransferMonitorTest.java
@@ -6,13 +6,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A peer is too slow by its rate or by a stall, and only in time that depends on it. */
+/** A peer is too slow by its rate or by a stall; only time in which it is active counts. */
 class TransferMonitorTest {
 
     private static final long S = 1_000_000;
     private final TransferMonitor monitor = new TransferMonitor(1_000, 10 * S, 0);
 
-    /** One byte per second is no stall but below the minimum rate. */
+    /** One byte per second is not a stall, but below the minimum rate. */
     @ParameterizedTest
     @CsvSource({"1, 10", "999, 10", "1000, -1", "5000, -1"})
     void rateBelowTheMinimumIsTooSlow(long bytesEachSecond, int tooSlowAtS) {
@@ -25,7 +25,7 @@
         assertThat(tooSlowSince).isEqualTo(tooSlowAtS);
     }
 
-    /** A stall counts however much was transferred before it. */
+    /** A stall counts even if many bytes were transferred before it. */
     @Test
     void stallIsTooSlow() {
         monitor.setActive(true, 0);
@@ -34,7 +34,7 @@
         assertThat(monitor.isTooSlow(11 * S + 1)).isTrue();
     }
 
-    /** Time in which a peer waits for others does not count. */
+    /** Time in which the peer waits for others does not count. */
     @Test
     void inactiveTimeDoesNotCount() {
         monitor.setActive(true, 0);
--- a/src/test/java/cresschute/node/DiscoveryRaceTest.java
+++ b/src/test/java/cresschute/node/DiscoveryRaceTest.java
@@ -10,13 +10,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Events that cross in the calls to discovery. See docs/results/crossings.md. */
+/** Races between events in the calls to discovery. See docs/results/crossings.md. */
 @Timeout(30)
 class DiscoveryRaceTest extends CrossingFixture {
 
     /**
-     * The module's pause and a second call were to fit into the 6 s after which news counts as
-     * told.
+     * Guards against reporting a timed-out watch as a failure: the dispatcher's pause and a second
+     * call must fit into the 6 s within which a change must take effect.
      */
     @Test
     void reopensSilentWatchAtOnce() throws Exception {
@@ -25,7 +25,8 @@
             final Peer again = node.discovery();
             assertThat(again.read()).contains("?since=1&timeout_ms=1 ");
             assertThat(silent.isClosedByOther()).isTrue();
-            // What the silent one says now is not heard.
+            // The response to the timed-out call is ignored, and the next watch continues from
+            // version 2.
             again.write(
                     answer("200 OK", "", list(2, false, entry("s-1", node.worker, "DRAINING"))));
             assertThat(node.event()).isEqualTo("listed CHANGES 0DRAINING7000");
@@ -34,8 +35,8 @@
     }
 
     /**
-     * A second silence was told as a failure: with the module's pause, the third call came after
-     * 7.05 s.
+     * Guards against reporting a second timeout as a failure: with the dispatcher's pause, the
+     * third call started only after 7.05 s.
      */
     @Test
     void retriesAtOnceAfterSecondSilentCall() throws Exception {
@@ -53,7 +54,9 @@
         }
     }
 
-    /** The first call of a whole list states no wait, and was waited for as long as a watch. */
+    /**
+     * Guards against the timeout of a watch being used for a full list, whose call states no wait.
+     */
     @Test
     void retriesFullListCallThatTimesOut() throws Exception {
         try (TestNode node = new TestNode(HOLDS);
@@ -74,7 +77,7 @@
         }
     }
 
-    /** An answer that trickles and never ends is a silent one. */
+    /** A response that starts and never ends counts as a timeout. */
     @Test
     void reopensWatchWhoseResponseNeverEnds() throws Exception {
         try (TestNode node = new TestNode(HOLDS)) {
@@ -86,8 +89,8 @@
     }
 
     /**
-     * A stale list brought a drained worker back; a discovery service that counts anew is believed
-     * in the end.
+     * Guards against a stale list that brings a drained worker back. A discovery service that
+     * restarts its version count is still accepted at the second response.
      */
     @Test
     void acceptsOlderListOnlyAfterSecondResponse() throws Exception {
@@ -106,8 +109,8 @@
     }
 
     /**
-     * The old discovery service's answer lies unread when the file names another one: it is not
-     * taken.
+     * A response of the previous discovery service that is unread when the configuration changes to
+     * another address is ignored.
      */
     @Test
     void ignoresResponseOfPreviousDiscoveryAddress() throws Exception {
--- a/src/test/java/cresschute/node/DiscoverySocketRulesTest.java
+++ b/src/test/java/cresschute/node/DiscoverySocketRulesTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The rules of the protocol with discovery, one by one, over real sockets. */
+/** Tests each rule of the protocol with discovery over real sockets. */
 @Timeout(30)
 class DiscoverySocketRulesTest extends SocketFixture {
 
@@ -29,7 +29,7 @@
             assertThat(node.event()).isEqualTo("listed FAILED");
             discovery.write(
                     answer("200 OK", "", list(2, false, entry("s-2", node.worker, "DRAINING"))));
-            // The module does not ask again: the call that follows is the watch's own.
+            // The dispatcher does not poll again: the watch sends the next call by itself.
             assertThat(discovery.read()).contains("since=2&");
             assertThat(node.event()).isEqualTo("listed CHANGES 1DRAINING7000");
             discovery.write(answer("200 OK", "", list(3, true, entry("s-1", moved, "SERVING"))));
--- a/src/test/java/cresschute/node/LongBodyFixture.java
+++ b/src/test/java/cresschute/node/LongBodyFixture.java
@@ -9,7 +9,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What the tests of long bodies and of long results share: limits, heads, and what a node holds.
+ * Shared by the tests of long bodies and long results: limits, request heads, and the bytes that a
+ * node buffers.
  */
 final class LongBodyFixture {
 
@@ -17,7 +18,7 @@
     static final int MIB = KIB * KIB;
     static final long BUDGET = 16 * MIB;
 
-    /** What one body, or one result, may hold: its window and what it may be lent. */
+    /** Most bytes that one body or result may buffer: its window and what it may borrow. */
     static final long MAX_BYTES_PER_BODY = 256 * KIB;
 
     static final long LONG_STALL_TIMEOUT_US = 20_000_000;
@@ -25,7 +26,7 @@
     private static final long WINDOW = 128 * KIB;
     private static final long SPOOL = 160 * KIB;
 
-    /** What may be refused, break or end a test's other side. */
+    /** I/O of a peer that runs in another thread, where it may fail. */
     interface IoAction {
         void run() throws IOException;
     }
@@ -51,7 +52,7 @@
                 bodies(new ClassBodies(64 * MIB, KIB, stallUs, true, deadlineToFirst)), 1);
     }
 
-    /** The head of a request with a body of this length, or in chunks where it is below 0. */
+    /** The head of a request with a body of this length, or a chunked one if it is below 0. */
     static String head(String id, long length, String headers) {
         return "POST /check?obj=2a HTTP/1.1\r\nHost: api\r\nX-Request-Id: "
                 + id
@@ -72,12 +73,12 @@
                 });
     }
 
-    /** Bytes that long bodies hold or own. */
+    /** Bytes of the budget that long bodies own or have borrowed. */
     static long bufferedBytes(TestNode node) throws Exception {
         return node.server.loop().submit(node.server::bodyBytes).get(8, TimeUnit.SECONDS);
     }
 
-    /** Waits until nothing of any body is held any more. */
+    /** Waits until no bytes of any body are buffered or reserved. */
     static void awaitNoBufferedBytes(TestNode node) throws Exception {
         while (bufferedBytes(node) > 0) {
             Thread.onSpinWait();
--- a/src/test/java/cresschute/node/LongBodyRulesTest.java
+++ b/src/test/java/cresschute/node/LongBodyRulesTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Long bodies over real sockets, one rule each: passed on as they arrive, within a bound. */
+/** Long bodies over real sockets: forwarded as they arrive, with bounded buffers. */
 @Timeout(60)
 class LongBodyRulesTest {
 
@@ -42,15 +42,14 @@
                         .startsWith("POST /check?obj=2a HTTP/1.1\r\n")
                         .containsIgnoringCase("Content-Length: " + MIB + "\r\n");
                 worker.readBytes(0, MIB / 2 - 32 * KIB);
-                // The worker's slot is held from here on, and the module is oversized so.
+                // The worker holds a slot from here on, which the dispatcher learns as progress 0.
                 assertThat(node.event()).startsWith("requested 1");
                 assertThat(node.event()).startsWith("progressed 1 0 0.0");
                 client.writeBytes(MIB / 2, MIB / 2);
                 worker.readBytes(MIB / 2 - 32 * KIB, MIB / 2 + 32 * KIB);
                 worker.write(DONE);
                 assertThat(client.read()).startsWith("HTTP/1.1 200 OK\r\n").endsWith("yes");
-                // The connection goes on with the next request, a short one, and so does the
-                // worker's.
+                // Both connections are reused for the next request, a short one.
                 client.write(request("r1", "", "short"));
                 assertThat(worker.read()).endsWith("short");
                 worker.write(DONE);
@@ -60,7 +59,7 @@
         }
     }
 
-    /** Its length is oversized by nobody: it becomes long on its way, and goes on in chunks. */
+    /** A body of unknown length outgrows the limit of short bodies and is forwarded in chunks. */
     @Test
     void streamsChunkedBodyThatOutgrowsBufferedLimit() throws Exception {
         try (TestNode node = node(1);
@@ -71,7 +70,7 @@
                     runAsync(
                             () -> {
                                 for (int i = 0; i < 100; i++) {
-                                    // Extensions and a trailer are read past.
+                                    // Chunk extensions and a trailer are ignored.
                                     client.write(Integer.toHexString(chunk) + ";note=" + i + "\r\n")
                                             .writeBytes((long) i * chunk, chunk)
                                             .write("\r\n");
@@ -89,7 +88,7 @@
         }
     }
 
-    /** What is held is within the budget, however fast the client and however slow the worker. */
+    /** The buffered bytes stay within the limit if the client is faster than the worker. */
     @Test
     void buffersWithinLimitWhileWorkerReadsNothing() throws Exception {
         final long length = 24L * MIB;
@@ -104,8 +103,9 @@
             try (Peer worker = node.worker()) {
                 worker.readHead();
                 long held = 0;
-                // Its window and what it may be lent, as nobody else wants any: then reading has
-                // stopped.
+                // The body fills its window and what it may borrow, as no other body needs any;
+                // then
+                // reading stops.
                 while (held <= MAX_BYTES_PER_BODY - 64 * KIB) {
                     held = bufferedBytes(node);
                     assertThat(held).isLessThanOrEqualTo(MAX_BYTES_PER_BODY);
@@ -122,7 +122,7 @@
         }
     }
 
-    /** A body that is kept goes to a further attempt from its first byte. */
+    /** A body within the spool is sent to the next attempt from its first byte. */
     @Test
     void retriesSpooledBodyFromFirstByteAfterReset() throws Exception {
         try (TestNode node = node(2);
@@ -142,7 +142,7 @@
         }
     }
 
-    /** A hedged request has all of a body that is kept, beside the first, each at its own pace. */
+    /** A hedged request sends the whole spooled body, independently of the first attempt. */
     @Test
     void hedgedRequestSendsWholeSpooledBody() throws Exception {
         try (TestNode node = node(1);
@@ -157,7 +157,7 @@
                     second.readHead();
                     second.readBytes(0, 100 * KIB).write(DONE);
                     assertThat(client.read()).startsWith("HTTP/1.1 200 OK\r\n");
-                    // The other one is not cut short by it.
+                    // The first attempt still receives the rest of the body.
                     first.readBytes(30 * KIB, 70 * KIB);
                 }
             }
@@ -165,7 +165,7 @@
         }
     }
 
-    /** A body that is partly gone goes to no second worker, and that counts for no loss there. */
+    /** A partly released body is not sent to a second worker, which is not blamed for that. */
     @Test
     void doesNotStartHedgedRequestBeyondSpool() throws Exception {
         try (TestNode node = node(1);
@@ -184,7 +184,8 @@
     }
 
     /**
-     * Beyond the spool nothing is sent again; as the last byte never went out, it cannot have run.
+     * Beyond the spool a body cannot be sent again. The job cannot have run, as the last byte of
+     * its request was never written, so the request is rejected.
      */
     @Test
     void rejectsRequestWhoseAttemptBreaksBeyondSpool() throws Exception {
@@ -225,7 +226,9 @@
         }
     }
 
-    /** Before any of it is read, also where the client waits to be oversized to go on. */
+    /**
+     * Rejected before any byte of it is read, also for a client that sends Expect: 100-continue.
+     */
     @Test
     void rejectsBodyAtOnceWhenBudgetIsExhausted() throws Exception {
         try (TestNode node = node(1);
@@ -242,7 +245,7 @@
                     .startsWith("HTTP/1.1 503 ")
                     .containsIgnoringCase("Retry-After: 1\r\n");
             assertThat(node.events).noneMatch(event -> event.startsWith("requested"));
-            // Short bodies need none of that room.
+            // Short bodies do not use the budget.
             try (Peer other = node.client()) {
                 other.write(request("r1", "", "short"));
                 try (Peer worker = node.worker()) {
@@ -281,7 +284,7 @@
         }
     }
 
-    /** What is no chunk ends the body, and with it a request that was taken. */
+    /** A malformed chunk ends the body, and with it a request that was already submitted. */
     @Test
     void rejectsUnterminatedChunkExtension() throws Exception {
         try (TestNode node = node(1);
@@ -300,7 +303,7 @@
         }
     }
 
-    /** What comes beyond a stated length is no part of the body, and as a request it is none. */
+    /** Bytes beyond the stated length are not part of the body, nor a valid next request. */
     @Test
     void doesNotForwardBytesBeyondStatedLength() throws Exception {
         try (TestNode node = node(1);
@@ -311,14 +314,14 @@
                 worker.readBytes(0, MIB / 2);
                 assertThat(client.isClosedByOther()).isTrue();
                 assertThat(worker.hasNews()).isFalse();
-                // The job has its body whole and runs on, for nobody.
+                // The job has received its whole body and continues, although its client is gone.
                 worker.write(DONE);
                 awaitNoBufferedBytes(node);
             }
         }
     }
 
-    /** Nothing for the longest stall, while it is the client's turn. */
+    /** The client sends nothing for the stall timeout, while the node waits for it. */
     @Test
     void timesOutClientThatStopsSending() throws Exception {
         try (TestNode node = bodies(300_000, 1);
@@ -329,7 +332,7 @@
         }
     }
 
-    /** A worker that takes nothing is at fault, its client is not. */
+    /** The worker reads nothing for the stall timeout; it is at fault and its client is not. */
     @Test
     void abandonsWorkerThatStopsReading() throws Exception {
         final long length = 32L * MIB;
@@ -344,12 +347,12 @@
                         .startsWith("ended 1 0 CONNECT_FAILED closed true");
                 awaitNoBufferedBytes(node);
             }
-            // The node may have answered and closed before all was written.
+            // The node may respond and close the connection before the client has written all.
             writing.exceptionally(closed -> null).join();
         }
     }
 
-    /** Told to stop, the node carries what it took to its end. */
+    /** A node that stops completes the requests that it has accepted. */
     @Test
     void stopWaitsForBodiesInTransit() throws Exception {
         try (TestNode node = node(1);
@@ -359,7 +362,7 @@
                 worker.readHead();
                 final CompletableFuture<Void> stopped = node.server.stop();
                 worker.readBytes(0, MIB / 4);
-                // Until no more is accepted; the connection that is at work stays.
+                // Waits until the node accepts no connections; the connection in use stays open.
                 while (!refuses(node)) {
                     Thread.onSpinWait();
                 }
@@ -384,7 +387,7 @@
         }
     }
 
-    /** Chunks of one byte: what is held for each of them is counted, not only its byte. */
+    /** With chunks of one byte, the memory overhead of each chunk counts as well as its byte. */
     @Test
     void buffersWithinLimitForFloodOfOneByteChunks() throws Exception {
         final int thousands = 400;
--- a/src/test/java/cresschute/node/LongResultRulesTest.java
+++ b/src/test/java/cresschute/node/LongResultRulesTest.java
@@ -24,8 +24,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Long results over real sockets, one rule each: passed on as they are made, and never broken but
- * whole.
+ * Long results over real sockets: forwarded as they are produced, and an incomplete result never
+ * looks like a complete one.
  */
 @Timeout(60)
 class LongResultRulesTest {
@@ -43,7 +43,7 @@
                 + line("r1", "\"state\":\"result\"" + rest);
     }
 
-    /** A client whose request is at the worker, which has read it. */
+    /** A client that has sent a request with a short body and waits for the result. */
     private static Peer clientAwaitingResult(TestNode node, String headers) throws Exception {
         return node.client().write(request("r1", headers, "body"));
     }
@@ -61,12 +61,12 @@
                         .containsIgnoringCase("transfer-encoding: chunked\r\n");
                 assertThat(node.event()).startsWith("requested 1");
                 assertThat(node.event()).startsWith("progressed 1 0 0.0");
-                // For the module the job has run; its answer is still on its way.
+                // For the dispatcher the job has run, although its result is still being sent.
                 assertThat(node.event()).startsWith("ended 1 0 SERVED closed true");
                 worker.writeChunk(40 * KIB, 10 * KIB).write("0\r\nX-Job-State: done\r\n\r\n");
                 client.readChunks(50 * KIB);
                 awaitNoBufferedBytes(node);
-                // Both connections go on with the next request.
+                // Both connections are reused for the next request.
                 client.write(request("r1", "", "again"));
                 worker.read();
                 worker.write(
@@ -79,7 +79,7 @@
         }
     }
 
-    /** What is held is within the bound, however fast the worker and however slow the client. */
+    /** The buffered bytes stay within the limit if the worker is faster than the client. */
     @Test
     void buffersWithinLimitWhileClientReadsNothing() throws Exception {
         final long length = 24L * MIB;
@@ -112,7 +112,8 @@
     }
 
     /**
-     * Whatever ends a result early: its client sees no end of it, or fewer bytes than were told.
+     * Guards against an incomplete result that its client takes for a complete one: if a result
+     * ends early, the client must get no final chunk, or fewer bytes than stated.
      */
     @ParameterizedTest
     @ValueSource(strings = {"break", "0\r\n\r\n", "0\r\nX-Job-State: failed\r\n\r\n"})
@@ -143,7 +144,9 @@
                 Peer client = clientAwaitingResult(node, "")) {
             try (Peer worker = node.worker()) {
                 worker.read();
-                // Beside: the node hangs up as soon as it is too long, maybe before all is written.
+                // In another thread: the node closes the connection once the result is too long,
+                // maybe
+                // before all of it is written.
                 runAsync(
                         () ->
                                 worker.write(result(",\"length\":" + stated))
@@ -156,7 +159,7 @@
         }
     }
 
-    /** A client that knows no chunks learns of the end by the close, and of a break by a reset. */
+    /** HTTP/1.0 has no chunks: a close marks a complete result, a reset an incomplete one. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void http10ClientSeesWhetherResultIsComplete(boolean complete) throws Exception {
@@ -174,7 +177,7 @@
         }
     }
 
-    /** The first byte of one copy's result gives up the other copy, without blame on its worker. */
+    /** The first byte of a result cancels the other attempt, whose worker is not blamed. */
     @Test
     void firstResultByteCancelsOtherAttempt() throws Exception {
         try (TestNode node = results(LONG_STALL_TIMEOUT_US, false);
@@ -218,8 +221,8 @@
     }
 
     /**
-     * A worker that begins its result before it has all of the body: its attempt has ended by that,
-     * and must not end again as the rest of the body is lost.
+     * A worker may begin its result before it has received the whole body, which ends its attempt.
+     * Guards against a second end of the attempt when the rest of the body is lost.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
@@ -244,7 +247,7 @@
         }
     }
 
-    /** A line of this kind from a worker of a class that has no long results is no answer. */
+    /** A line that announces a long result is malformed if the class has no long results. */
     @Test
     void rejectsStreamedResultOfClassWithoutThem() throws Exception {
         try (TestNode node = LongBodyFixture.bodies(LONG_STALL_TIMEOUT_US, 1);
@@ -257,7 +260,7 @@
         }
     }
 
-    /** Before it is taken: a job that has run is never lost for want of room. */
+    /** Rejected before it is sent to a worker, so that no job runs whose result has no capacity. */
     @Test
     void rejectsRequestWhenBudgetCannotHoldItsResult() throws Exception {
         try (TestNode node = results(LONG_STALL_TIMEOUT_US, false);
@@ -276,14 +279,16 @@
                         .containsIgnoringCase("Retry-After: 1\r\n");
                 assertThat(List.of(one.read(), two.read(), three.read()))
                         .allMatch(each -> each.endsWith("body"));
-                // The connection stays, and there is room once another is answered.
+                // The client's connection stays open, and the end of a request frees the capacity
+                // of
+                // its result.
                 one.reset();
                 assertThat(first.read()).startsWith("HTTP/1.1 503 ");
             }
         }
     }
 
-    /** Nothing comes for the longest stall, although there is room. */
+    /** The worker sends nothing for the stall timeout, although there is capacity. */
     @Test
     void abandonsWorkerWhoseResultStalls() throws Exception {
         try (TestNode node = results(300_000, false);
@@ -298,7 +303,7 @@
         }
     }
 
-    /** A client that takes nothing for the longest stall is given up, and the worker is free. */
+    /** The client reads nothing for the stall timeout: the worker's connection is closed. */
     @Test
     void abandonsClientThatStopsReading() throws Exception {
         try (TestNode node = results(1_000_000, false);
@@ -323,7 +328,7 @@
         }
     }
 
-    /** The class says which byte of the result must be there by the deadline. */
+    /** A setting of the class decides whether the first or the last byte must meet the deadline. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void deadlineAppliesToFirstOrLastByteByClass(boolean toFirst) throws Exception {
@@ -333,7 +338,7 @@
                 worker.read();
                 worker.write(result(",\"length\":200")).writeChunk(0, 100);
                 client.readHead();
-                // The node's own clock tells when the time is over.
+                // Waits on the node's own event loop until the deadline has passed.
                 node.server.loop().schedule(() -> {}, 600, TimeUnit.MILLISECONDS).get();
                 if (toFirst) {
                     worker.writeChunk(100, 100).write("0\r\n\r\n");
@@ -345,7 +350,7 @@
         }
     }
 
-    /** Answers keep the order of their requests, long or not. */
+    /** Responses keep the order of their requests, also behind a long result. */
     @Test
     void keepsResponseOrderBehindLongResult() throws Exception {
         try (TestNode node = results(LONG_STALL_TIMEOUT_US, false);
@@ -371,7 +376,7 @@
         }
     }
 
-    /** Told to stop, the node carries a result to its end. */
+    /** A node that stops still sends the rest of a result. */
     @Test
     void stopWaitsForResultsInTransit() throws Exception {
         try (TestNode node = results(LONG_STALL_TIMEOUT_US, false);
@@ -385,8 +390,8 @@
                 assertThat(stopped).isNotDone();
                 worker.writeChunk(100, 100).write("0\r\nX-Job-State: done\r\n\r\n");
                 client.readChunks(200);
-                // A connection that carried it while the stop was told ends with the stop, or by
-                // its client.
+                // A connection that was in use when the stop began ends with the stop, or when its
+                // client closes it.
                 client.reset();
                 stopped.get(8, TimeUnit.SECONDS);
             }
--- a/src/test/java/cresschute/node/WorkerSocketRulesTest.java
+++ b/src/test/java/cresschute/node/WorkerSocketRulesTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The rules of the protocol with workers, one by one, over real sockets. */
+/** Tests each rule of the protocol with workers over real sockets. */
 @Timeout(30)
 class WorkerSocketRulesTest extends SocketFixture {
 
@@ -36,8 +36,8 @@
     }
 
     /**
-     * Once one copy has answered, the other's connection is closed: its worker may drop it
-     * unstarted.
+     * Once one attempt has responded, the connection of the other is closed, so that its worker can
+     * drop the job before it starts.
      */
     @Test
     void cancelsOtherAttemptOnceOneHasResponded() throws Exception {
@@ -167,11 +167,13 @@
         }
     }
 
-    /** A cut-off machine: its backlog is full here, so that a new connection never comes up. */
+    /**
+     * An unreachable machine, simulated by a full backlog: a new connection is never established.
+     */
     @Test
     void timesOutConnectionAttempt() throws Exception {
-        // All are held: a connection that nobody holds is closed as soon as the garbage collector
-        // finds it.
+        // The connections are kept in a list, because an unreferenced one is closed by the garbage
+        // collector.
         final List<Peer> held = new ArrayList<>();
         try (TestNode node = new TestNode();
                 Peer client = node.client()) {
@@ -206,14 +208,14 @@
             first.write(answer("503 No", "X-Not-Run: 1\r\n", ""));
             final long idleNs = System.nanoTime();
             assertThat(first.isClosedByOther()).isTrue();
-            // Well before the 2 s at which the worker would close it.
+            // Well before the 2 s after which the worker would close it.
             assertThat(System.nanoTime() - idleNs).isBetween(1_000_000_000L, 2_000_000_000L);
         }
     }
 
     /**
-     * Kept connections that workers had dropped unsaid cost an attempt each, and bound keyed
-     * requests.
+     * Guards against reusing idle connections that workers have already closed: each cost an
+     * attempt and bound its keyed request to its deduplication scope.
      */
     @Test
     void disablesKeepAliveAfterWorkerClosedIdleConnection() throws Exception {
--- a/src/test/java/cresschute/node/http/DiscoveryCallScheduleTest.java
+++ b/src/test/java/cresschute/node/http/DiscoveryCallScheduleTest.java
@@ -10,21 +10,21 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Sums of the schedule over every order of calls without an answer, by a stated clock. */
+/** Adds up timeouts and delays for each sequence of up to three calls without a response. */
 class DiscoveryCallScheduleTest {
 
-    /** A change counts as told so long after discovery had it and could be reached, ms. */
+    /** A change must take effect within this time after discovery has it and is reachable, ms. */
     private static final long MAX_PROPAGATION_MS = 6_000;
 
-    /** Left for the answer that brings the change, and for the loop, ms. */
+    /** Reserve for the response with the change and for delays of the event loop, ms. */
     private static final long RESPONSE_MARGIN_MS = 1_000;
 
-    /** The longest pause of the module's after a failure, its tick included, ms. */
+    /** The dispatcher's longest pause after a failure, including its tick, ms. */
     private static final long DISPATCHER_PAUSE_MS = 1_550;
 
     private static final long CONNECT_MS = 1_000;
 
-    /** Draws the longest pause each time. */
+    /** Always returns the longest delay. */
     private static final RandomGenerator LONGEST =
             new RandomGenerator() {
                 @Override
@@ -39,8 +39,9 @@
             };
 
     /**
-     * When the next call begins, ms after the first, each letter being a call: silent, or not
-     * connected.
+     * Time from the start of the first call to the start of the call after the given ones, ms.
+     *
+     * @param calls one letter per call: {@code s} gets no response, {@code c} gets no connection
      */
     private static long nextCallMs(String calls, boolean fullList) {
         final DiscoveryCallSchedule schedule = new DiscoveryCallSchedule(LONGEST);
@@ -88,7 +89,7 @@
                 .isLessThanOrEqualTo(MAX_PROPAGATION_MS - RESPONSE_MARGIN_MS);
     }
 
-    /** Three are beyond what discovery can be said to have been reachable for; the page says so. */
+    /** Three timeouts exceed the limit, but discovery was unreachable for that long. */
     @Test
     void threeTimeoutsInARowCountAsFailure() {
         assertThat(nextCallMs("sss", false)).isEqualTo(7_500);
@@ -108,7 +109,7 @@
                                 + DiscoveryCallSchedule.RESPONSE_TIMEOUT_MS);
     }
 
-    /** Calls of many dispatchers fall silent at once where discovery stands still. */
+    /** The calls of many dispatchers time out at the same time if discovery stops responding. */
     @Test
     void jitterSpreadsSecondRetriesOfManyDispatchers() {
         final List<Long> pauses =
@@ -129,7 +130,7 @@
                             pauses.stream()
                                     .filter(pause -> pause >= start && pause < start + 50)
                                     .count())
-                    .as("repeats from %d ms on", start)
+                    .as("retries from %d ms on", start)
                     .isBetween(10L, 45L);
         }
     }
--- a/src/test/java/cresschute/node/http/DuplicateResponseDetectorTest.java
+++ b/src/test/java/cresschute/node/http/DuplicateResponseDetectorTest.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** A response without a request's name is held where the one before may come twice. */
+/** A response without a request ID is held while it may be a duplicate of the previous one. */
 class DuplicateResponseDetectorTest {
 
     private static final long DUPLICATE_WINDOW_NS =
--- a/src/test/java/cresschute/node/http/HttpAttemptTest.java
+++ b/src/test/java/cresschute/node/http/HttpAttemptTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Whether a job may have run is decided by its last byte, which kernel buffers hide from a socket
- * test.
+ * The outcome of an unanswered attempt depends on whether the last byte of the request was written.
+ * A test over sockets cannot control that, because of the buffers of the kernel.
  */
 class HttpAttemptTest {
 
--- a/src/test/java/cresschute/node/http/RecordingAttemptListener.java
+++ b/src/test/java/cresschute/node/http/RecordingAttemptListener.java
@@ -7,7 +7,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Records how an attempt ended, and fails on any other event. */
+/** Records the outcomes of an attempt, and fails on any other event. */
 final class RecordingAttemptListener implements AttemptListener {
 
     final List<Outcome> ends = new ArrayList<>();
@@ -19,17 +19,17 @@
 
     @Override
     public void progressed(double fractionDone) {
-        throw new AssertionError("nothing of the kind came back");
+        throw new AssertionError("unexpected event of the attempt");
     }
 
     @Override
     public ResultStream resultBegins(String type, long length, LoadReport report) {
-        throw new AssertionError("nothing of the kind came back");
+        throw new AssertionError("unexpected event of the attempt");
     }
 
     @Override
-    public void resultEnded(boolean whole) {
-        throw new AssertionError("nothing of the kind came back");
+    public void resultEnded(boolean complete) {
+        throw new AssertionError("unexpected event of the attempt");
     }
 
     @Override
--- a/src/test/java/cresschute/node/http/WorkerConnectionTest.java
+++ b/src/test/java/cresschute/node/http/WorkerConnectionTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A connection whose time is turned by hand: what is left of an attempt once its answer is whole.
+ * The timers of a connection after the outcome of an attempt is known. The test controls the clock.
  */
 class WorkerConnectionTest {
 
@@ -56,7 +56,7 @@
         return ns < 0 ? -1 : TimeUnit.NANOSECONDS.toMillis(ns);
     }
 
-    /** Only the timer of the idle connection is left, which holds nothing of the attempt. */
+    /** Only the timer of the idle connection remains, which does not reference the attempt. */
     @Test
     void completeResponseLeavesNoTimerOfItsAttempt() {
         assertThat(recorded.ends).containsExactly(Outcome.SERVED);
@@ -64,7 +64,10 @@
         assertThat(untilNextTimerMs()).isEqualTo(3_000);
     }
 
-    /** A worker that tells the outcome and does not end its answer is given up after a second. */
+    /**
+     * If a worker reports the outcome but does not end its response, the connection closes after 1
+     * s.
+     */
     @Test
     void closesConnectionWhenResponseDoesNotEnd() {
         assertThat(untilNextTimerMs()).isEqualTo(1_000);
