--- a/src/main/java/cresschute/node/http/HttpAttempt.java
+++ b/src/main/java/cresschute/node/http/HttpAttempt.java
@@ -27,7 +27,7 @@
  * a response of lines ({@link ProgressLine}), which a streamed result may follow.
  *
  * <p>An attempt ends once, by a line, by the status of the response, by a broken connection or by
- * {@link #giveUp}. Each end but {@code giveUp} is reported to its {@link AttemptListener}. If the
+ * {@link #abort}. Each end but {@code abort} is reported to its {@link AttemptListener}. If the
  * connection breaks before the response states the outcome, the outcome depends on the last byte of
  * the request: until it is written the job cannot have run, afterwards it may have.
  *
@@ -397,7 +397,7 @@
     }
 
     @Override
-    public Outcome giveUp() {
+    public Outcome abort() {
         cancel();
         stopTransfer();
         if (isWritten()) {
--- a/src/test/java/cresschute/node/ShutdownCrossingRulesTest.java
+++ b/src/test/java/cresschute/node/ShutdownRaceTest.java
@@ -12,13 +12,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Events that cross with a shutdown. See docs/results/crossings.md. */
+/** Tests events that race with a shutdown. See docs/results/crossings.md. */
 @Timeout(30)
-class ShutdownCrossingRulesTest extends CrossingFixture {
+class ShutdownRaceTest extends CrossingFixture {
 
-    /** What waited to be accepted was reset with the listener. */
+    /** Regression: connections that waited to be accepted were reset when the listener closed. */
     @Test
-    void acceptsWhoeverCameBeforeTheListenerCloses() throws Exception {
+    void acceptsConnectionsQueuedBeforeListenerCloses() throws Exception {
         try (TestNode node = new TestNode()) {
             holding(
                     node,
@@ -37,9 +37,9 @@
         }
     }
 
-    /** A request that lay unread on an idle connection was reset by its closing. */
+    /** Regression: closing an idle connection reset it while a request lay unread. */
     @Test
-    void takesWhatCameOnAnIdleConnectionBeforeItClosesIt() throws Exception {
+    void servesRequestUnreadOnIdleConnectionBeforeClosing() throws Exception {
         try (TestNode node = new TestNode();
                 Peer client = node.client()) {
             final Peer worker = kept(node, client);
@@ -57,10 +57,11 @@
     }
 
     /**
-     * A close with the next request unread is a reset, and a reset can eat the answer just written.
+     * Closing a socket with unread data sends a reset, and the reset can discard the answer just
+     * written.
      */
     @Test
-    void endsAfterTheLastAnswerWithoutAReset() throws Exception {
+    void closesAfterLastAnswerWithoutReset() throws Exception {
         try (TestNode node = new TestNode(HOLDS);
                 Peer client = node.client()) {
             client.write(request("r1", "", ""));
@@ -80,11 +81,11 @@
     }
 
     /**
-     * A request taken late in a stop, at a worker that hangs, had no answer when the platform
-     * killed it.
+     * Regression: a request accepted late in a shutdown and sent to a hanging worker had no answer
+     * when the platform killed the node.
      */
     @Test
-    void answersAllBeforeThePlatformKillsIt() throws Exception {
+    void answersAllRequestsBeforePlatformKill() throws Exception {
         try (TestNode node = new TestNode();
                 Peer early = node.client();
                 Peer late = node.client()) {
@@ -108,10 +109,11 @@
     }
 
     /**
-     * The signal comes while the node starts: whoever still gets in is let go, and the node ends.
+     * SIGTERM arrives while the node starts: it closes connections that clients still open, and
+     * stops.
      */
     @Test
-    void endsWhereItIsToldToBeforeItListens() throws Exception {
+    void stopsWhenAskedBeforeListening() throws Exception {
         try (ServerSocket discovery = Peer.listen()) {
             final NodeServer node =
                     new NodeServer(
@@ -126,9 +128,12 @@
         }
     }
 
-    /** What may have had its effect is failed then, and not refused. */
+    /**
+     * Requests that may have taken effect must fail rather than be rejected, because a rejection
+     * promises that a retry does no harm.
+     */
     @Test
-    void failsWhatMayHaveRunBeforeThePlatformKillsIt() throws Exception {
+    void failsRequestsThatMayHaveRunBeforePlatformKill() throws Exception {
         try (TestNode node = new TestNode();
                 Peer client = node.client()) {
             client.write(
--- a/src/test/java/cresschute/node/http/HttpAttemptTest.java
+++ b/src/test/java/cresschute/node/http/HttpAttemptTest.java
@@ -40,9 +40,9 @@
 
     @ParameterizedTest
     @CsvSource({"false, CONNECT_FAILED", "true, TIMED_OUT"})
-    void outcomeOfGiveUpDependsOnLastByteWritten(boolean written, Outcome outcome) {
+    void outcomeOfAbortDependsOnLastByteWritten(boolean written, Outcome outcome) {
         markWrittenIf(written);
-        assertThat(attempt.giveUp()).isEqualTo(outcome);
+        assertThat(attempt.abort()).isEqualTo(outcome);
         attempt.connectionBroken();
         assertThat(recorded.ends).isEmpty();
     }
