--- a/src/main/java/cresschute/node/http/DiscoveryCallSchedule.java
+++ b/src/main/java/cresschute/node/http/DiscoveryCallSchedule.java
@@ -31,8 +31,8 @@
  *
  * <p>Three timeouts in a row exceed the limit, but discovery was then unreachable for that long.
  * Only timeouts are retried at once. A service that refuses is called again after the dispatcher's
- * jittered pause, so that the dispatchers do not all call a service at once that has just restarted
- * or is too busy to respond.
+ * jittered pause: it may have just restarted or be too busy to respond, and must not get the calls
+ * of all dispatchers at the same time.
  */
 final class DiscoveryCallSchedule {
 
--- a/src/main/java/cresschute/node/http/HttpAttempt.java
+++ b/src/main/java/cresschute/node/http/HttpAttempt.java
@@ -151,7 +151,8 @@
     }
 
     /**
-     * Ends as cancelled: the worker is not at fault, and without its last byte the job cannot run.
+     * Ends as cancelled: the worker is not at fault, and the job cannot have run because the last
+     * byte of the request was never written.
      */
     @Override
     public void transferAborted() {
--- a/src/main/java/cresschute/node/http/WorkerConnection.java
+++ b/src/main/java/cresschute/node/http/WorkerConnection.java
@@ -29,7 +29,10 @@
  */
 final class WorkerConnection extends SimpleChannelInboundHandler<HttpObject> {
 
-    /** Time from the outcome of an attempt until its response must have ended, ms. */
+    /**
+     * How long a response may continue after the outcome of its attempt, ms. The connection is then
+     * closed.
+     */
     private static final long RESPONSE_END_TIMEOUT_MS = 1_000;
 
     private final InetSocketAddress address;
--- a/src/main/java/cresschute/node/http/WorkerConnectionPool.java
+++ b/src/main/java/cresschute/node/http/WorkerConnectionPool.java
@@ -27,8 +27,8 @@
 
 /**
  * The pool of all connections to workers. An exchange uses the idle connection to its worker that
- * was used most recently, or opens a new one; if the limit is reached, an idle connection is closed
- * first.
+ * was used most recently, or opens a new one; if the limit is reached, an idle connection to
+ * another worker is closed first.
  *
  * <p>Owns the idle connections by address and the count of all connections; a connection in use is
  * closed by its exchange. Lives as long as the node. Call from the event loop.
--- a/src/test/java/cresschute/node/http/WorkerConnectionTest.java
+++ b/src/test/java/cresschute/node/http/WorkerConnectionTest.java
@@ -65,8 +65,7 @@
     }
 
     /**
-     * If a worker reports the outcome but does not end its response, the connection closes after 1
-     * s.
+     * The connection closes one second after the outcome if the worker does not end its response.
      */
     @Test
     void closesConnectionWhenResponseDoesNotEnd() {
