--- a/src/main/java/cresschute/node/DispatcherTurn.java
+++ b/src/main/java/cresschute/node/DispatcherTurn.java
@@ -115,7 +115,7 @@
                 LogEvent.of(
                                 "module_failed",
                                 "the dispatcher failed on an event; failing the request of the"
-                                    + " event, if any")
+                                        + " event, if any")
                         .because(e)
                         .log(LOG, Level.ERROR);
                 event.failed();
@@ -134,7 +134,7 @@
                 LogEvent.of(
                                 "action_failed",
                                 "an action of the dispatcher failed; continuing with the next"
-                                    + " action")
+                                        + " action")
                         .because(e)
                         .log(LOG, Level.ERROR);
                 invariant.check(false, "action failed");
--- a/src/test/java/cresschute/node/ClientCloseCrossingRulesTest.java
+++ b/src/test/java/cresschute/node/ClientCloseRaceTest.java
@@ -16,14 +16,14 @@
 
 /** Events that cross with the close of a client. See docs/results/crossings.md. */
 @Timeout(30)
-class ClientCloseCrossingRulesTest extends RaceFixture {
+class ClientCloseRaceTest extends RaceFixture {
 
     /**
      * The end came behind the request in one pass, and was read one pass later: the job was sent
      * for nobody.
      */
     @Test
-    void sendsNothingForAClientWhoseEndCameWithItsRequest() throws Exception {
+    void sendsNothingForClientThatClosesRightAfterItsRequest() throws Exception {
         try (TestNode node = new TestNode()) {
             final Peer client = node.client().write(request("r1", "", ""));
             assertThat(node.event()).startsWith("requested 1");
@@ -32,11 +32,11 @@
             worker.write(done("r1"));
             client.read();
             assertThat(eventStarting(node, "ended")).contains("SERVED");
-            whileLoopBlocked(node, actions -> client.write(request("r2", "", "")).leave());
+            whileLoopBlocked(node, actions -> client.write(request("r2", "", "")).disconnect());
             assertThat(eventStarting(node, "requested")).startsWith("requested 2");
             assertThat(node.event()).isEqualTo("left 2");
             assertThat(node.event()).startsWith("ended 2 0 NOT_SENT closed true");
-            assertThat(worker.hasNews()).isFalse();
+            assertThat(worker.hasUnreadBytes()).isFalse();
         }
     }
 
@@ -46,7 +46,7 @@
      */
     @ParameterizedTest
     @EnumSource
-    void sendsNothingOnAKeptConnectionForAClientWhoseCloseIsUnread(Close close) throws Exception {
+    void sendsNothingOnIdleConnectionWhileCloseOfClientIsUnread(Close close) throws Exception {
         try (TestNode node = new TestNode(SEND_NOTHING);
                 Peer client = node.client();
                 Peer next = node.client()) {
@@ -60,13 +60,13 @@
             assertThat(eventStarting(node, "ended")).startsWith("ended 2 0 NOT_SENT closed true");
             client.write(request("r3", "", ""));
             assertThat(eventStarting(node, "requested")).startsWith("requested ");
-            assertThat(worker.hasNews()).isFalse();
+            assertThat(worker.hasUnreadBytes()).isFalse();
         }
     }
 
     /** The same for a further attempt, chosen while the one before is out. */
     @Test
-    void sendsNoFurtherAttemptForAClientWhoseCloseIsUnread() throws Exception {
+    void sendsNoFurtherAttemptWhileCloseOfClientIsUnread() throws Exception {
         try (TestNode node = new TestNode();
                 Peer client = node.client()) {
             client.write(request("r1", "", ""));
@@ -74,7 +74,7 @@
             whileLoopBlocked(
                     node,
                     actions -> {
-                        client.leave();
+                        client.disconnect();
                         actions.send(1, 0, Long.MAX_VALUE);
                     });
             assertThat(eventStarting(node, "ended")).startsWith("ended 1 1 NOT_SENT closed true");
@@ -87,7 +87,7 @@
      */
     @ParameterizedTest
     @EnumSource
-    void sendsNothingOnANewConnectionForAClientWhoseCloseIsUnread(Close close) throws Exception {
+    void sendsNothingOnNewConnectionWhileCloseOfClientIsUnread(Close close) throws Exception {
         try (TestNode node = withLongConnectTimeout(SEND_AT_ONCE);
                 Peer client = node.client()) {
             fillBacklog(node.worker);
@@ -112,7 +112,7 @@
      * else.
      */
     @Test
-    void takesAHalfCloseForLeavingAndServesOthers() throws Exception {
+    void treatsHalfCloseAsCloseAndServesOtherClients() throws Exception {
         try (TestNode node = new TestNode(SEND_NOTHING);
                 Peer client = node.client();
                 Peer other = node.client()) {
@@ -120,7 +120,7 @@
             assertThat(node.event()).startsWith("requested 1");
             other.write(request("r2", "", ""));
             assertThat(node.event()).startsWith("requested 2");
-            client.endSending();
+            client.shutdownOutput();
             assertThat(node.event()).isEqualTo("left 1");
             assertThat(client.isClosedByOther()).isTrue();
             node.act(actions -> actions.reject(2, 0));
@@ -131,7 +131,7 @@
     /** With 16 requests taken, reading was paused, and nobody saw that the client had left. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void seesAClientLeaveThatHasSentMoreThanIsTakenAhead(boolean resets) throws Exception {
+    void noticesCloseOfClientWithQueuedRequests(boolean resets) throws Exception {
         try (TestNode node = new TestNode(SEND_NOTHING)) {
             final Peer client = node.client();
             for (int i = 1; i <= 16; i++) {
@@ -142,7 +142,7 @@
             if (resets) {
                 client.reset();
             } else {
-                client.leave();
+                client.disconnect();
             }
             for (int i = 1; i <= 16; i++) {
                 assertThat(node.event()).isEqualTo("left " + i);
@@ -156,25 +156,25 @@
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void sendsNothingForAClientWhoseReadingIsPausedForWantOfRoom(boolean connecting)
+    void sendsNothingWhileReadingOfClientIsPausedForLackOfCapacity(boolean connecting)
             throws Exception {
         final Bodies bodies =
-                LongBodyNode.bodies(new ClassBodies(8L << 20, 1024, 20_000_000, false, false));
+                LongBodyFixture.bodies(new ClassBodies(8L << 20, 1024, 20_000_000, false, false));
         try (TestNode node =
                         withLongConnectTimeout(connecting ? SEND_AT_ONCE : SEND_NOTHING, bodies);
                 Peer other = node.client()) {
             if (connecting) {
                 fillBacklog(node.worker);
             }
-            final Peer client = node.client().write(LongBodyNode.head("r1", 8L << 20, ""));
-            client.writeBytes(0, LongBodyNode.MAX_OF_ONE);
+            final Peer client = node.client().write(LongBodyFixture.head("r1", 8L << 20, ""));
+            client.writeBytes(0, LongBodyFixture.MAX_BYTES_PER_BODY);
             assertThat(eventStarting(node, "requested")).startsWith("requested 1");
-            client.leave();
+            client.disconnect();
             // By the node's own clock; more than the time after which nobody can be taken to be
             // there.
             assertThat(RequestLifecycle.MAX_READ_PAUSE_US).isLessThan(100_000);
             node.act(actions -> actions.startTimer(5, 150_000));
-            assertThat(eventStarting(node, "woken")).isEqualTo("woken 5");
+            assertThat(eventStarting(node, "timer fired")).isEqualTo("timer fired 5");
             if (connecting) {
                 acceptBacklog(node.worker);
                 // Its connection came up, and ends without a byte.
@@ -194,7 +194,7 @@
     }
 
     @Test
-    void takesWhatWaitsBehindOthersInOrderOnceThereIsPlace() throws Exception {
+    void submitsQueuedRequestsInOrderAsOthersComplete() throws Exception {
         try (TestNode node = new TestNode(SEND_NOTHING);
                 Peer client = node.client()) {
             for (int i = 1; i <= 18; i++) {
@@ -214,23 +214,23 @@
 
     /** One client's flood is rejected or closed on, and others are served. */
     @Test
-    void endsAFloodOfRequestsWithoutAnswers() throws Exception {
+    void closesConnectionWithTooManyUnansweredRequests() throws Exception {
         try (TestNode node = new TestNode(SEND_NOTHING);
-                Peer flood = node.client();
-                Peer usual = node.client()) {
+                Peer flooding = node.client();
+                Peer other = node.client()) {
             final StringBuilder requests = new StringBuilder();
             for (int i = 0; i <= 120; i++) {
                 requests.append(request("f" + i, "", ""));
             }
             try {
-                flood.write(requests.toString());
+                flooding.write(requests.toString());
             } catch (IOException e) {
                 // Closed on before all of it was written.
             }
-            assertThat(flood.readToEnd())
+            assertThat(flooding.readToEnd())
                     .satisfiesAnyOf(
                             end -> assertThat(end).isNull(), end -> assertThat(end).isEmpty());
-            usual.write(request("r1", "", ""));
+            other.write(request("r1", "", ""));
             assertThat(eventStarting(node, "requested 17")).startsWith("requested 17");
         }
     }
--- a/src/test/java/cresschute/node/ConnectRaceTest.java
+++ b/src/test/java/cresschute/node/ConnectRaceTest.java
@@ -36,7 +36,7 @@
             final Peer client = node.client().write(request("r1", "", ""));
             assertThat(node.event()).startsWith("requested 1");
             awaitTurn(node);
-            client.leave();
+            client.disconnect();
             assertThat(node.event()).isEqualTo("left 1");
             assertThat(node.event()).startsWith("ended 1 0 CANCELLED closed true");
             acceptBacklog(node.worker);
@@ -137,7 +137,7 @@
             final String change =
                     answer("200 OK", "", list(2, false, entry("s-1", node.worker, "DRAINING")));
             if (leavesFirst) {
-                client.leave();
+                client.disconnect();
                 assertThat(eventStarting(node, "left")).isEqualTo("left 1");
                 assertThat(node.event()).startsWith("ended 1 0 CANCELLED closed true");
                 discovery.write(change);
@@ -147,7 +147,7 @@
                         node,
                         actions -> {
                             discovery.write(change);
-                            client.leave();
+                            client.disconnect();
                         });
                 assertThat(eventStarting(node, "ended")).startsWith("ended 1 0 ");
             }
--- a/src/test/java/cresschute/node/DiscoveryCrossingRulesTest.java
+++ b/src/test/java/cresschute/node/DiscoveryRaceTest.java
@@ -12,14 +12,14 @@
 
 /** Events that cross in the calls to discovery. See docs/results/crossings.md. */
 @Timeout(30)
-class DiscoveryCrossingRulesTest extends RaceFixture {
+class DiscoveryRaceTest extends RaceFixture {
 
     /**
      * The module's pause and a second call were to fit into the 6 s after which news counts as
      * told.
      */
     @Test
-    void opensASilentWatchAnewAtOnce() throws Exception {
+    void reopensSilentWatchAtOnce() throws Exception {
         try (TestNode node = new TestNode(SEND_NOTHING)) {
             final Peer silent = watch(node);
             final Peer again = node.discovery();
@@ -38,14 +38,14 @@
      * 7.05 s.
      */
     @Test
-    void asksAThirdTimeAtOnceWhereTheRepeatIsSilentToo() throws Exception {
+    void retriesAtOnceAfterSecondSilentCall() throws Exception {
         try (TestNode node = new TestNode(SEND_NOTHING)) {
             watch(node);
-            final Peer silentToo = node.discovery();
-            assertThat(silentToo.read()).contains("?since=1&timeout_ms=1 ");
+            final Peer secondSilent = node.discovery();
+            assertThat(secondSilent.read()).contains("?since=1&timeout_ms=1 ");
             final Peer third = node.discovery();
             assertThat(third.read()).contains("?since=1&timeout_ms=1 ");
-            assertThat(silentToo.isClosedByOther()).isTrue();
+            assertThat(secondSilent.isClosedByOther()).isTrue();
             third.write(
                     answer("200 OK", "", list(2, false, entry("s-1", node.worker, "DRAINING"))));
             assertThat(node.event()).isEqualTo("listed CHANGES 0DRAINING7000");
@@ -55,7 +55,7 @@
 
     /** The first call of a whole list states no wait, and was waited for as long as a watch. */
     @Test
-    void asksAgainForAWholeListThatDoesNotCome() throws Exception {
+    void retriesFullListCallThatTimesOut() throws Exception {
         try (TestNode node = new TestNode(SEND_NOTHING);
                 ServerSocket next = Peer.listen()) {
             watch(node);
@@ -76,7 +76,7 @@
 
     /** An answer that trickles and never ends is a silent one. */
     @Test
-    void opensAWatchAnewWhoseAnswerNeverEnds() throws Exception {
+    void reopensWatchWhoseResponseNeverEnds() throws Exception {
         try (TestNode node = new TestNode(SEND_NOTHING)) {
             final Peer endless = watch(node);
             endless.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n{\r\n");
@@ -90,7 +90,7 @@
      * in the end.
      */
     @Test
-    void doubtsAnOlderListOnce() throws Exception {
+    void acceptsOlderListOnlyAfterSecondResponse() throws Exception {
         try (TestNode node = new TestNode(SEND_NOTHING)) {
             final Peer stale = watch(node);
             stale.write(answer("200 OK", "", list(0, true, entry("s-2", node.worker, "SERVING"))));
@@ -110,7 +110,7 @@
      * taken.
      */
     @Test
-    void hearsNothingOfTheOldDiscoveryAfterTheMove() throws Exception {
+    void ignoresResponseOfPreviousDiscoveryAddress() throws Exception {
         try (TestNode node = new TestNode(SEND_NOTHING);
                 ServerSocket next = Peer.listen()) {
             final Peer old = watch(node);
--- a/src/test/java/cresschute/node/IdleConnectionRaceTest.java
+++ b/src/test/java/cresschute/node/IdleConnectionRaceTest.java
@@ -27,7 +27,7 @@
             whileLoopBlocked(
                     node,
                     actions -> {
-                        worker.leave();
+                        worker.disconnect();
                         actions.send(2, 0, Long.MAX_VALUE);
                     });
             final Peer fresh = node.worker();
@@ -111,7 +111,7 @@
             final Peer worker = keepConnectionWithPendingRequest(node, client, next);
             node.act(actions -> actions.send(2, 0, Long.MAX_VALUE));
             assertThat(worker.read()).contains("X-Request-Id: r2");
-            worker.write(answer("503 No", "X-Not-Run: 1\r\n", "")).leave();
+            worker.write(answer("503 No", "X-Not-Run: 1\r\n", "")).disconnect();
             assertThat(eventStarting(node, "ended 2")).startsWith("ended 2 0 BROKEN closed false");
         }
     }
--- a/src/test/java/cresschute/node/LongBodyNode.java
+++ b/src/test/java/cresschute/node/LongBodyFixture.java
@@ -11,30 +11,35 @@
 /**
  * What the tests of long bodies and of long results share: limits, heads, and what a node holds.
  */
-final class LongBodyNode {
+final class LongBodyFixture {
 
     static final int KIB = 1024;
     static final int MIB = KIB * KIB;
     static final long BUDGET = 16 * MIB;
 
     /** What one body, or one result, may hold: its window and what it may be lent. */
-    static final long MAX_OF_ONE = 256 * KIB;
+    static final long MAX_BYTES_PER_BODY = 256 * KIB;
 
-    static final long PATIENT_US = 20_000_000;
+    static final long LONG_STALL_TIMEOUT_US = 20_000_000;
 
     private static final long WINDOW = 128 * KIB;
     private static final long SPOOL = 160 * KIB;
 
     /** What may be refused, break or end a test's other side. */
-    interface Play {
+    interface IoAction {
         void run() throws IOException;
     }
 
-    private LongBodyNode() {}
+    private LongBodyFixture() {}
 
     static Bodies bodies(ClassBodies each) {
         return new Bodies(
-                BUDGET, WINDOW, MAX_OF_ONE - WINDOW, SPOOL, 3 * WINDOW, List.of(each, each));
+                BUDGET,
+                WINDOW,
+                MAX_BYTES_PER_BODY - WINDOW,
+                SPOOL,
+                3 * WINDOW,
+                List.of(each, each));
     }
 
     static TestNode bodies(long stallUs, int sends) throws Exception {
@@ -56,11 +61,11 @@
                 + "\r\n\r\n";
     }
 
-    static CompletableFuture<Void> beside(Play play) {
+    static CompletableFuture<Void> runAsync(IoAction action) {
         return CompletableFuture.runAsync(
                 () -> {
                     try {
-                        play.run();
+                        action.run();
                     } catch (IOException e) {
                         throw new UncheckedIOException(e);
                     }
@@ -68,13 +73,13 @@
     }
 
     /** Bytes that long bodies hold or own. */
-    static long held(TestNode node) throws Exception {
+    static long bufferedBytes(TestNode node) throws Exception {
         return node.server.loop().submit(node.server::bodyBytes).get(8, TimeUnit.SECONDS);
     }
 
     /** Waits until nothing of any body is held any more. */
-    static void untilFree(TestNode node) throws Exception {
-        while (held(node) > 0) {
+    static void awaitNoBufferedBytes(TestNode node) throws Exception {
+        while (bufferedBytes(node) > 0) {
             Thread.onSpinWait();
         }
     }
--- a/src/test/java/cresschute/node/RaceFixture.java
+++ b/src/test/java/cresschute/node/RaceFixture.java
@@ -145,7 +145,7 @@
     /** Waits until a timer of the node with a delay of {@value #TIMER_DELAY_US} us has fired. */
     static void awaitDelayedTimer(TestNode node) throws InterruptedException {
         node.act(actions -> actions.startTimer(5, TIMER_DELAY_US));
-        assertThat(eventStarting(node, "woken")).isEqualTo("woken 5");
+        assertThat(eventStarting(node, "timer fired")).isEqualTo("timer fired 5");
     }
 
     /**
@@ -154,7 +154,7 @@
      */
     static void awaitTurn(TestNode node) throws InterruptedException {
         node.act(actions -> actions.startTimer(6, 0));
-        assertThat(eventStarting(node, "woken")).isEqualTo("woken 6");
+        assertThat(eventStarting(node, "timer fired")).isEqualTo("timer fired 6");
     }
 
     /**
@@ -179,14 +179,14 @@
 
         void by(Peer client) throws IOException {
             switch (this) {
-                case END -> client.leave();
+                case END -> client.disconnect();
                 case RESET -> client.reset();
-                case HALF -> client.endSending();
+                case HALF -> client.shutdownOutput();
                 default -> {
                     for (int i = 1; i <= 20; i++) {
                         client.write(request("behind" + i, "", "body"));
                     }
-                    client.leave();
+                    client.disconnect();
                 }
             }
         }
