--- a/src/main/java/cresschute/node/Attempt.java
+++ b/src/main/java/cresschute/node/Attempt.java
@@ -113,7 +113,7 @@
         return !ended && call != null && !call.hasBegun();
     }
 
-    /** Whether it has ended. */
+    /** Returns true if the attempt has ended. */
     boolean isEnded() {
         return ended;
     }
--- a/src/main/java/cresschute/node/ClientRequest.java
+++ b/src/main/java/cresschute/node/ClientRequest.java
@@ -124,7 +124,7 @@
         return closed;
     }
 
-    /** Whether an answer was sent. */
+    /** Returns true if an answer was sent. */
     boolean isAnswered() {
         return answered;
     }
@@ -194,7 +194,7 @@
         return attemptsStarted++;
     }
 
-    /** How many attempt numbers were assigned. */
+    /** The number of attempts that were assigned a number. */
     int attemptsStarted() {
         return attemptsStarted;
     }
@@ -223,12 +223,12 @@
         mayHaveRun |= attemptMayHaveRun;
     }
 
-    /** Whether an attempt has ended whose job may have had its effect. */
+    /** Returns true if an attempt has ended whose job may have had its effect. */
     boolean mayHaveRun() {
         return mayHaveRun;
     }
 
-    /** Whether an attempt is in flight. */
+    /** Returns true if an attempt is in flight. */
     boolean hasAttempts() {
         return !attempts.isEmpty();
     }
@@ -238,7 +238,7 @@
         return List.copyOf(attempts);
     }
 
-    /** Whether a byte of any attempt in flight may be on the wire. */
+    /** Returns true if a byte of any attempt in flight may be on the wire. */
     boolean isOnWire() {
         for (final Attempt attempt : attempts) {
             if (attempt.hasBegun()) {
--- a/src/test/java/cresschute/scale/ExchangeScaleTest.java
+++ b/src/test/java/cresschute/scale/ExchangeScaleTest.java
@@ -42,7 +42,7 @@
                         demands,
                         List.of(new Kind(9, 1, 0.7), new Kind(10, 1, 0.3)),
                         PlannedSize.TENTH_OF_WORKERS,
-                        PlannedSize.WORKERS_A_CELL,
+                        PlannedSize.WORKERS_PER_CELL,
                         LOAD,
                         1.5,
                         SEED),
--- a/src/test/java/cresschute/scale/FleetScaleTest.java
+++ b/src/test/java/cresschute/scale/FleetScaleTest.java
@@ -46,7 +46,7 @@
                         demands,
                         List.of(new Kind(9, 1, 0.7), new Kind(10, 1, 0.3)),
                         workers,
-                        PlannedSize.WORKERS_A_CELL,
+                        PlannedSize.WORKERS_PER_CELL,
                         load,
                         1.5,
                         SEED),
--- a/src/test/java/cresschute/scale/PlannedSize.java
+++ b/src/test/java/cresschute/scale/PlannedSize.java
@@ -31,7 +31,7 @@
     static final int DISPATCHERS = 7;
     static final int ZONES = 7;
     static final int FIRST_ZONE_OF_SECOND_REGION = 4;
-    static final int WORKERS_A_CELL = 20;
+    static final int WORKERS_PER_CELL = 20;
     static final long MEAN_RUN_US = 30 * SECOND_US;
 
     /** Class numbers of urgent requests, usual requests, and requests that must not run twice. */
@@ -112,6 +112,6 @@
     }
 
     static Worker worker(int id, WorkerState state, long startedAtUs) {
-        return new Worker(id, id % ZONES, id % 2, id / WORKERS_A_CELL, state, 1, startedAtUs);
+        return new Worker(id, id % ZONES, id % 2, id / WORKERS_PER_CELL, state, 1, startedAtUs);
     }
 }
