--- a/src/main/java/cresschute/node/AttemptController.java
+++ b/src/main/java/cresschute/node/AttemptController.java
@@ -103,7 +103,7 @@
                             "an attempt could not be started; it ends as a failed connection")
                     .with("request", request.requestId())
                     .with("worker", registry.name(worker))
-                    .because(e)
+                    .withCause(e)
                     .log(LOG, Level.ERROR);
             end(attempt, Outcome.CONNECT_FAILED, LoadReport.NONE, null);
         }
--- a/src/main/java/cresschute/node/DispatcherTurn.java
+++ b/src/main/java/cresschute/node/DispatcherTurn.java
@@ -116,7 +116,7 @@
                                 "module_failed",
                                 "the dispatcher failed on an event; failing the request of the"
                                         + " event, if any")
-                        .because(e)
+                        .withCause(e)
                         .log(LOG, Level.ERROR);
                 event.failed();
                 invariant.check(false, "module failed");
@@ -135,7 +135,7 @@
                                 "action_failed",
                                 "an action of the dispatcher failed; continuing with the next"
                                         + " action")
-                        .because(e)
+                        .withCause(e)
                         .log(LOG, Level.ERROR);
                 invariant.check(false, "action failed");
             }
--- a/src/main/java/cresschute/node/RequestLifecycle.java
+++ b/src/main/java/cresschute/node/RequestLifecycle.java
@@ -18,8 +18,8 @@
  * in one turn; then the dispatcher's actions run in order. This class makes no decisions itself. It
  * is the entry point for the client listeners and the discovery client; its parts own the state:
  * {@link OpenRequests}, {@link AttemptController}, {@link EndpointListPublisher}, {@link
- * LoadQueries}, {@link ShutdownAnswers} and {@link DispatcherTurn}. Lives as long as the node; call
- * from the event loop.
+ * LoadQueries}, {@link ShutdownResponder} and {@link DispatcherTurn}. Lives as long as the node;
+ * call from the event loop.
  */
 public final class RequestLifecycle {
 
@@ -51,7 +51,7 @@
     private final AttemptController attempts;
     private final EndpointListPublisher endpoints;
     private final LoadQueries loadQueries;
-    private final ShutdownAnswers shutdownAnswers;
+    private final ShutdownResponder shutdownResponder;
     private WorkerClient workers;
     private Discovery discovery;
 
@@ -113,7 +113,7 @@
         attempts = new AttemptController(context, settings, requests, registry, faults);
         endpoints = new EndpointListPublisher(context, registry, attempts);
         loadQueries = new LoadQueries(context, registry);
-        shutdownAnswers = new ShutdownAnswers(context, settings, requests);
+        shutdownResponder = new ShutdownResponder(context, settings, requests);
     }
 
     /**
@@ -195,7 +195,7 @@
      * Answers all unanswered requests after this delay in microseconds, and later requests at once.
      */
     void answerAllAfter(long delayUs) {
-        shutdownAnswers.answerAllAfter(delayUs);
+        shutdownResponder.answerAllAfter(delayUs);
     }
 
     /**
--- a/src/test/java/cresschute/node/IdleLifecycle.java
+++ b/src/test/java/cresschute/node/IdleLifecycle.java
@@ -76,7 +76,7 @@
 
     /** Publishes the endpoint list and notifies the health monitor of it. */
     IdleLifecycle started() {
-        lifecycle.start(null, () -> {}, config.known());
+        lifecycle.start(null, () -> {}, config.initialEndpoints());
         health.endpointListChanged(nowUs, lifecycle.registry().listed());
         return this;
     }
