--- a/src/main/java/cresschute/node/http/DiscoveryCallSchedule.java
+++ b/src/main/java/cresschute/node/http/DiscoveryCallSchedule.java
@@ -25,7 +25,8 @@
  * 1,550 each</td>
  * <td>1,550 n</td></tr>
  * <tr><td>a long poll gets no response, then discovery refuses once</td><td>4,800</td></tr>
- * <tr><td>three calls in a row get no response: reported as failed, then the dispatcher's pause</td>
+ * <tr><td>three calls in a row get no response: reported as failed, then the dispatcher's
+ * pause</td>
  * <td>7,500</td></tr>
  * </table>
  *
