--- a/src/main/java/cresschute/dispatch/Dispatcher.java
+++ b/src/main/java/cresschute/dispatch/Dispatcher.java
@@ -7,19 +7,19 @@
 import java.util.SplittableRandom;
 
 /**
- * One dispatcher: takes the host's events, calls the rules and emits actions. It holds the pending
- * requests and decides nothing itself.
+ * One dispatcher. It receives events from its host, consults the policies, and calls actions on the
+ * host. It keeps the pending requests; every decision is made by a policy class.
  *
  * <p>A request arrives, is admitted ({@link AdmissionController}) and attempted: a worker is
  * selected ({@link WorkerSelector}), perhaps after load queries ({@link LoadQueryPolicy}). When an
- * attempt ends, the estimates and the worker's health learn from it, and the request is closed or
- * attempted again ({@link RetryPolicy}) until it is given up ({@link DeadlinePolicy}). A timer
- * checks the pending requests for late and stalled attempts ({@link OutlierDetector}) and hedges
- * them ({@link HedgingPolicy}).
+ * attempt ends, its outcome updates the estimates and the worker's health, and the request is
+ * closed or retried ({@link RetryPolicy}) until {@link DeadlinePolicy} gives it up. A timer checks
+ * the pending requests for late and stalled attempts ({@link OutlierDetector}) and hedges them
+ * ({@link HedgingPolicy}).
  *
- * <p>Life cycle: it starts with the first {@link #endpointListChanged} and has no end. All calls
- * come on one thread; actions are called on it from within an event. The same seed and events give
- * the same actions.
+ * <p>Life cycle: it starts with the first {@link #endpointListChanged} and is never stopped. The
+ * host makes all calls on one thread, and actions are called on that thread from within an event.
+ * The same seed and events produce the same actions.
  */
 public final class Dispatcher implements DispatcherEvents {
 
@@ -45,9 +45,9 @@
     private final Map<Integer, PendingRequest> pending = new LinkedHashMap<>();
 
     /**
-     * A dispatcher that has not started.
+     * Creates a dispatcher that has not started.
      *
-     * @param seed of all its random numbers
+     * @param seed seed of all random numbers of this dispatcher
      */
     public Dispatcher(DispatchSettings settings, long seed, DispatcherActions actions) {
         final SplittableRandom random = new SplittableRandom(seed);
@@ -78,7 +78,7 @@
     public void settingsChanged(long nowUs, DispatchSettings next) {
         final DispatchSettings before = settings.get();
         settings.replace(next);
-        workers.grow(placements(next));
+        workers.addPlacements(placements(next));
         admission.settingsChanged(before);
         deadlines.settingsChanged();
     }
@@ -86,7 +86,7 @@
     @Override
     public void endpointListChanged(long nowUs, EndpointListForm form, List<Worker> entries) {
         if (form == EndpointListForm.FAILED) {
-            poller.failed(nowUs);
+            poller.pollFailed(nowUs);
             return;
         }
         endpointList.apply(form, entries, nowUs);
@@ -106,9 +106,9 @@
     public void requestArrived(long nowUs, int requestId, Job job, long deadlineUs) {
         final DemandBucket bucket = admission.bucketOf(job, nowUs);
         if (job.runningTimeHintUs() > Job.NO_HINT) {
-            serviceTimes.hintReceived(bucket.owner(), job.runningTimeHintUs());
+            serviceTimes.hintReceived(bucket.classState(), job.runningTimeHintUs());
         }
-        final long firstSentUs = deadlines.firstSentUs(bucket.owner(), job, deadlineUs, nowUs);
+        final long firstSentUs = deadlines.firstSentUs(bucket.classState(), job, deadlineUs, nowUs);
         final PendingRequest request =
                 new PendingRequest(
                         requestId, bucket, job, firstSentUs, deadlineUs, settings.get().limits());
@@ -126,34 +126,34 @@
     }
 
     /**
-     * Sends the next attempt, or queries loads before it, or gives the request up where no further
-     * attempt is allowed. Where no worker may be sent to now, the request stays pending, and the
-     * next check tries again, until it is too late for an attempt.
+     * Sends the next attempt, queries worker loads before it, or gives the request up if no further
+     * attempt is allowed. If no worker is available now, the request stays pending and the next
+     * check tries again, until it is too late for an attempt.
      */
     private void attempt(PendingRequest request, long nowUs) {
         if (!retries.allowsAttempt(request, nowUs)) {
             giveUp(request, nowUs);
             return;
         }
-        final WorkerInstance reported = request.bestReported();
-        final boolean mayUseReported =
-                reported != null
-                        && reported.isDispatchable()
-                        && slowStart.allows(reported, request, nowUs);
-        if (mayUseReported
+        final WorkerInstance bestQueried = request.bestQueried();
+        final boolean mayUseQueried =
+                bestQueried != null
+                        && bestQueried.isDispatchable()
+                        && slowStart.allows(bestQueried, request, nowUs);
+        if (mayUseQueried
                 && (!loadQueries.allowsAnotherRound(request)
-                        || selector.hasCapacity(reported, request, nowUs))) {
-            send(request, reported, nowUs);
+                        || selector.hasCapacity(bestQueried, request, nowUs))) {
+            send(request, bestQueried, nowUs);
             return;
         }
         final List<WorkerInstance> selected = selector.select(request, nowUs);
         if (loadQueries.shouldQuery(request, selected, nowUs)) {
-            queryLoad(request, selector.select(request, loadQueries.workersWanted(), nowUs));
-        } else if (mayUseReported
+            queryLoad(request, selector.select(request, loadQueries.workersPerRound(), nowUs));
+        } else if (mayUseQueried
                 && (selected.isEmpty()
-                        || selector.cost(reported, request, nowUs)
+                        || selector.cost(bestQueried, request, nowUs)
                                 < selector.cost(selected.get(0), request, nowUs))) {
-            send(request, reported, nowUs);
+            send(request, bestQueried, nowUs);
         } else if (!selected.isEmpty()) {
             send(request, selected.get(0), nowUs);
         }
@@ -180,63 +180,63 @@
         if (worker == null) {
             return;
         }
-        loads.reported(worker, report, nowUs);
+        loads.loadReported(worker, report, nowUs);
         if (outcome != Outcome.SERVED) {
-            outliers.ended(worker, outcome, nowUs);
+            outliers.recordOutcome(worker, outcome, nowUs);
         }
         final PendingRequest request = worker.pollQueryingRequest();
         if (request == null || !request.endQuery(worker)) {
             return;
         }
-        if (outcome == Outcome.SERVED && isBestReported(worker, request, nowUs)) {
-            request.setBestReported(worker);
+        if (outcome == Outcome.SERVED && isBestQueried(worker, request, nowUs)) {
+            request.setBestQueried(worker);
         }
         if (!request.hasPendingQueries() && !request.hasAttemptInFlight()) {
             attempt(request, nowUs);
         }
     }
 
-    private boolean isBestReported(WorkerInstance worker, PendingRequest request, long nowUs) {
-        return request.bestReported() == null
+    private boolean isBestQueried(WorkerInstance worker, PendingRequest request, long nowUs) {
+        return request.bestQueried() == null
                 || selector.cost(worker, request, nowUs)
-                        < selector.cost(request.bestReported(), request, nowUs);
+                        < selector.cost(request.bestQueried(), request, nowUs);
     }
 
     @Override
     public void jobProgressed(
-            long nowUs, int requestId, int number, int workerId, double fractionDone) {
-        final AttemptRecord attempt = findAttempt(pending.get(requestId), number);
+            long nowUs, int requestId, int attemptNumber, int workerId, double fractionDone) {
+        final AttemptRecord attempt = findAttempt(pending.get(requestId), attemptNumber);
         if (attempt != null) {
             attempt.progressReported(nowUs, fractionDone);
             attempt.worker().progressReported(nowUs);
         }
     }
 
-    private static AttemptRecord findAttempt(PendingRequest request, int number) {
-        return request == null ? null : request.findAttempt(number);
+    private static AttemptRecord findAttempt(PendingRequest request, int attemptNumber) {
+        return request == null ? null : request.findAttempt(attemptNumber);
     }
 
     @Override
     public void attemptEnded(
             long nowUs,
             int requestId,
-            int number,
+            int attemptNumber,
             int workerId,
             Outcome outcome,
             long elapsedUs,
             boolean requestClosed,
             LoadReport report) {
         final PendingRequest request = pending.get(requestId);
-        final AttemptRecord attempt = findAttempt(request, number);
+        final AttemptRecord attempt = findAttempt(request, attemptNumber);
         if (attempt == null) {
             return;
         }
         final WorkerInstance worker = attempt.worker();
         request.endAttempt(attempt);
         worker.releaseSlots(request.slots());
-        feedback.endedAt(worker, request, outcome, report, nowUs);
+        feedback.recordLoadAndOutcome(worker, request, outcome, report, nowUs);
         endpointList.attemptEnded(workerId);
-        feedback.learn(request, attempt, outcome, elapsedUs, nowUs);
+        feedback.updateEstimates(request, attempt, outcome, elapsedUs, nowUs);
         feedback.addEvidence(request, attempt, outcome, requestClosed);
         if (outcome != Outcome.SERVED && !request.mayHaveRun() && retries.mayHaveRun(outcome)) {
             retries.markMayHaveRun(request, attempt);
@@ -251,7 +251,7 @@
         }
     }
 
-    /** Sends the one final answer. */
+    /** Closes the request and sends its only final answer. */
     private void giveUp(PendingRequest request, long nowUs) {
         close(request);
         switch (deadlines.replyTo(request, nowUs)) {
@@ -286,12 +286,12 @@
     @Override
     public void timerFired(long nowUs, long token) {
         actions.startTimer(CHECK_TIMER, deadlines.checkIntervalUs());
-        if (poller.takeDue(nowUs)) {
+        if (poller.takeDuePoll(nowUs)) {
             actions.pollEndpointList();
         }
-        if (admission.isFillDue(nowUs)) {
+        if (admission.isAllocationDue(nowUs)) {
             slowStart.refill(workers.workers(), nowUs);
-            admission.refill(nowUs);
+            admission.reallocate(nowUs);
         }
         for (final PendingRequest request : pending.values().toArray(new PendingRequest[0])) {
             if (!request.hasAttemptInFlight()) {
@@ -303,18 +303,21 @@
         }
     }
 
-    /** Looks for a late, unresponsive or stalled attempt before it ends. */
+    /**
+     * Checks whether an attempt in flight is late, unresponsive or stalled, and hedges it if that
+     * is due and allowed.
+     */
     private void check(PendingRequest request, AttemptRecord attempt, long nowUs) {
-        final double waitedUs = serviceTimes.waitedUs(request, attempt, nowUs);
-        final double waitUs = attempt.sentUs() - request.firstSentUs() + waitedUs;
-        if (!attempt.isLate() && waitUs > request.slackUs()) {
-            feedback.late(request, attempt, nowUs);
+        final double waitAtWorkerUs = serviceTimes.waitAtWorkerUs(request, attempt, nowUs);
+        final double totalWaitUs = attempt.sentUs() - request.firstSentUs() + waitAtWorkerUs;
+        if (!attempt.isLate() && totalWaitUs > request.slackUs()) {
+            feedback.recordLateAttempt(request, attempt, nowUs);
         }
-        if (outliers.detectUnresponsive(attempt, waitedUs, nowUs)) {
+        if (outliers.detectUnresponsive(attempt, waitAtWorkerUs, nowUs)) {
             reportUnresponsive(attempt.worker(), request.classIndex(), nowUs);
         }
         final boolean stalled = outliers.detectStalled(attempt, nowUs);
-        if (hedging.isDue(request, attempt, waitUs, stalled, nowUs)
+        if (hedging.isDue(request, attempt, totalWaitUs, stalled, nowUs)
                 && hedging.isAllowed(request, attempt, nowUs)) {
             hedge(request, attempt, nowUs);
         }
@@ -327,10 +330,10 @@
         workerReportedUnresponsive(nowUs, worker.id(), requestClass);
     }
 
-    /** Sends a hedged request to a worker with capacity, or queries loads to find one. */
+    /** Sends a hedged request to a worker with capacity, or queries worker loads to find one. */
     private void hedge(PendingRequest request, AttemptRecord attempt, long nowUs) {
-        WorkerInstance worker = request.bestReported();
-        request.setBestReported(null);
+        WorkerInstance worker = request.bestQueried();
+        request.setBestQueried(null);
         if (worker == null && !request.hasPendingQueries() && nowUs >= request.nextHedgeQueryUs()) {
             final List<WorkerInstance> selected = selectForHedge(request, attempt, nowUs);
             if (loadQueries.isAllowed()) {
@@ -351,7 +354,10 @@
         }
     }
 
-    /** Selects among those that drop a duplicate of the attempt, where that is needed. */
+    /**
+     * Selects workers for a hedged request; if it needs deduplication, only workers that drop a
+     * duplicate of the attempt.
+     */
     private List<WorkerInstance> selectForHedge(
             PendingRequest request, AttemptRecord attempt, long nowUs) {
         if (!hedging.needsDeduplication(request)) {
--- a/src/test/java/cresschute/dispatch/AttemptFeedbackTest.java
+++ b/src/test/java/cresschute/dispatch/AttemptFeedbackTest.java
@@ -1,6 +1,6 @@
 package cresschute.dispatch;
 
-import static cresschute.dispatch.Rules.SECOND;
+import static cresschute.dispatch.PolicyFixture.SECOND;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import org.junit.jupiter.api.Test;
@@ -8,21 +8,21 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** What the estimators learn from an attempt. */
+/** Checks which outcomes count as overload and which count against the worker. */
 class AttemptFeedbackTest {
 
     private static final long NOW = 100 * SECOND;
 
-    private final Rules rules = Rules.ofSafeClass();
-    private final WorkerInstance worker = rules.ready(1, 0, 0);
-    private final CapacityEstimator capacity = rules.workers.capacities().get(0);
+    private final PolicyFixture fixture = PolicyFixture.ofSafeClass();
+    private final WorkerInstance worker = fixture.ready(1, 0, 0);
+    private final CapacityEstimator capacity = fixture.workers.capacities().get(0);
 
-    /** Whether the budget decreased after 100 attempts. */
+    /** Returns whether the budget is finite, that is, decreased, after 100 attempts. */
     private boolean isOverload(Outcome outcome, long timeoutUs, boolean requestClosed) {
         for (int id = 0; id < 100; id++) {
-            final PendingRequest request = rules.request(id, NOW, NOW + timeoutUs);
+            final PendingRequest request = fixture.request(id, NOW, NOW + timeoutUs);
             final AttemptRecord attempt = request.startAttempt(worker, NOW);
-            rules.feedback.addEvidence(request, attempt, outcome, requestClosed);
+            fixture.feedback.addEvidence(request, attempt, outcome, requestClosed);
         }
         return adjusted();
     }
@@ -45,57 +45,57 @@
         "TIMED_OUT, true",
         "CONNECT_FAILED, true"
     })
-    void takesTimeoutsAndFailedConnectionsForOverload(Outcome outcome, boolean overload) {
+    void countsTimeoutsAndFailedConnectionsAsOverload(Outcome outcome, boolean overload) {
         assertThat(isOverload(outcome, 5 * SECOND, false)).isEqualTo(overload);
     }
 
     @Test
-    void takesNoTimeoutOfAnImpatientClientForOverload() {
+    void doesNotCountTimeoutOfShortDeadlineAsOverload() {
         assertThat(isOverload(Outcome.TIMED_OUT, SECOND / 2, false)).isFalse();
     }
 
     @Test
-    void takesNoTimeoutOfAClosedRequestForOverload() {
+    void doesNotCountTimeoutOfClosedRequestAsOverload() {
         assertThat(isOverload(Outcome.TIMED_OUT, 5 * SECOND, true)).isFalse();
     }
 
     @Test
-    void countsALateAttemptBeforeItsEnd() {
+    void countsLateAttemptBeforeItsEnd() {
         for (int id = 0; id < 100; id++) {
-            final PendingRequest request = rules.request(id, NOW);
-            rules.feedback.late(request, request.startAttempt(worker, NOW), NOW);
+            final PendingRequest request = fixture.request(id, NOW);
+            fixture.feedback.recordLateAttempt(request, request.startAttempt(worker, NOW), NOW);
         }
         assertThat(adjusted()).isTrue();
     }
 
     @Test
-    void doesNotCountTheEndOfALateAttemptAgain() {
+    void doesNotCountLateAttemptAgainAtItsEnd() {
         for (int id = 0; id < 100; id++) {
-            final PendingRequest request = rules.request(id, NOW);
+            final PendingRequest request = fixture.request(id, NOW);
             final AttemptRecord attempt = request.startAttempt(worker, NOW);
             attempt.markLate();
-            rules.feedback.addEvidence(request, attempt, Outcome.TIMED_OUT, false);
+            fixture.feedback.addEvidence(request, attempt, Outcome.TIMED_OUT, false);
         }
         assertThat(adjusted()).isFalse();
     }
 
     @Test
-    void takesNoLateAttemptAtAStalledWorkerForOverload() {
+    void doesNotCountLateAttemptAtStalledWorkerAsOverload() {
         worker.stalledUntil(NOW + SECOND);
         for (int id = 0; id < 100; id++) {
-            final PendingRequest request = rules.request(id, NOW);
-            rules.feedback.late(request, request.startAttempt(worker, NOW), NOW);
+            final PendingRequest request = fixture.request(id, NOW);
+            fixture.feedback.recordLateAttempt(request, request.startAttempt(worker, NOW), NOW);
         }
         assertThat(adjusted()).isFalse();
     }
 
     @ParameterizedTest
     @EnumSource(names = {"UNUSABLE", "TIMED_OUT"})
-    void doesNotCountAgainstTheWorkerWhatItCouldNotServe(Outcome outcome) {
+    void doesNotCountUnservableRequestAgainstWorker(Outcome outcome) {
         for (int id = 0; id < 10; id++) {
-            final PendingRequest request = rules.request(id, NOW, NOW + SECOND / 2);
-            rules.feedback.endedAt(worker, request, outcome, LoadReport.NONE, NOW);
+            final PendingRequest request = fixture.request(id, NOW, NOW + SECOND / 2);
+            fixture.feedback.recordLoadAndOutcome(worker, request, outcome, LoadReport.NONE, NOW);
         }
-        assertThat(rules.outliers.isEjected(worker, 0, NOW)).isFalse();
+        assertThat(fixture.outliers.isEjected(worker, 0, NOW)).isFalse();
     }
 }
--- a/src/test/java/cresschute/dispatch/DispatchSettingsTest.java
+++ b/src/test/java/cresschute/dispatch/DispatchSettingsTest.java
@@ -6,11 +6,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Settings are checked by name. */
+/** Checks that an invalid setting is named. */
 class DispatchSettingsTest {
 
     @Test
-    void rejectsContradictorySettingsByName() {
+    void namesInvalidSetting() {
         assertThatThrownBy(() -> settings(List.of())).hasMessageContaining("classes");
         assertThatThrownBy(() -> new Tenant("a", -1)).hasMessageContaining("quotaPerS");
         assertThatThrownBy(
--- a/src/test/java/cresschute/dispatch/DispatcherHedgingTest.java
+++ b/src/test/java/cresschute/dispatch/DispatcherHedgingTest.java
@@ -1,8 +1,8 @@
 package cresschute.dispatch;
 
-import static cresschute.dispatch.DispatcherHosts.hostWithARunningJob;
-import static cresschute.dispatch.RecordingActions.SECOND;
-import static cresschute.dispatch.RecordingActions.worker;
+import static cresschute.dispatch.RecordingHost.SECOND;
+import static cresschute.dispatch.RecordingHost.worker;
+import static cresschute.dispatch.TestHosts.hostWithRunningJob;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.List;
@@ -11,18 +11,18 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** When a request is sent to a second worker beside its attempt in flight. */
+/** Checks when a request is hedged: sent to a second worker while its attempt is in flight. */
 class DispatcherHedgingTest {
 
-    /** The stalled worker gets no new jobs either. */
+    /** Also checks that the stalled worker gets no new jobs. */
     @ParameterizedTest
     @EnumSource
-    void hedgesAJobWhoseProgressReportsStopWhereItsClassAllows(Idempotency idempotency) {
-        final RecordingActions host = hostWithARunningJob(idempotency);
+    void hedgesJobWithoutProgressReportsIfClassAllows(Idempotency idempotency) {
+        final RecordingHost host = hostWithRunningJob(idempotency);
         final int first = host.lastSend().worker();
-        host.pass(SECOND * 3 / 2);
+        host.advanceTime(SECOND * 3 / 2);
         assertThat(host.sends).hasSize(1);
-        host.pass(SECOND);
+        host.advanceTime(SECOND);
         assertThat(host.sends).hasSize(idempotency == Idempotency.UNSAFE ? 1 : 2);
         if (idempotency == Idempotency.KEYED) {
             assertThat((host.lastSend().worker() - 1) / 2).isEqualTo((first - 1) / 2);
@@ -33,15 +33,14 @@
         }
         assertThat(host.sends)
                 .hasSize(18)
-                .extracting(RecordingActions.Send::worker)
+                .extracting(RecordingHost.Send::worker)
                 .doesNotContain(first);
     }
 
     @ParameterizedTest(name = "{0}, start reported: {1}")
     @CsvSource({"SAFE, false, 2", "SAFE, true, 1", "KEYED, false, 2", "UNSAFE, false, 1"})
-    void hedgesAJobThatHasNotStartedAfterHalfItsSlack(
-            Idempotency idempotency, boolean started, int sends) {
-        final RequestClass patient =
+    void hedgesJobNotStartedAfterHalfItsSlack(Idempotency idempotency, boolean started, int sends) {
+        final RequestClass hedgeableClass =
                 new RequestClass(
                         1,
                         SECOND,
@@ -51,8 +50,8 @@
                         DeduplicationScope.CELL,
                         SECOND * 4,
                         Placement.ANYWHERE);
-        final RecordingActions host =
-                new RecordingActions(TestSettings.hedging(List.of(patient)))
+        final RecordingHost host =
+                new RecordingHost(TestSettings.hedging(List.of(hedgeableClass)))
                         .list(
                                 EndpointListForm.CACHED,
                                 worker(1, 0, 0),
@@ -64,11 +63,11 @@
         if (started) {
             host.dispatcher.jobProgressed(host.nowUs, 1, 0, first, 0);
         }
-        // It may wait for the objective of 1 s and the 2 s that the stretch adds to its running
-        // time: the hedge is due after half of these 3 s.
-        host.pass(SECOND * 14 / 10);
+        // The job may wait 3 s: the objective of 1 s, and the 2 s by which the stretch exceeds its
+        // running time. The hedge is due after half of that.
+        host.advanceTime(SECOND * 14 / 10);
         assertThat(host.sends).hasSize(1);
-        host.pass(SECOND * 2 / 10);
+        host.advanceTime(SECOND * 2 / 10);
         assertThat(host.sends).hasSize(sends);
         if (sends == 2) {
             assertThat(host.lastSend().worker()).isNotEqualTo(first);
@@ -78,11 +77,14 @@
         }
     }
 
-    /** A report from before the hedge was due is too old: it says nothing of free slots now. */
+    /**
+     * A report from before the hedge was due must not be used, because it does not show the free
+     * slots now.
+     */
     @ParameterizedTest(name = "{0} free slots")
     @CsvSource({"0, 1", "3, 2"})
-    void hedgesOnlyAtAWorkerThatReportsFreeSlots(int free, int sends) {
-        final RequestClass patient =
+    void hedgesOnlyAtWorkerThatReportsFreeSlots(int free, int sends) {
+        final RequestClass hedgeableClass =
                 new RequestClass(
                         1,
                         SECOND,
@@ -92,8 +94,8 @@
                         DeduplicationScope.ALL,
                         0,
                         Placement.ANYWHERE);
-        final RecordingActions host =
-                new RecordingActions(TestSettings.hedgingWithLoadQueries(List.of(patient)))
+        final RecordingHost host =
+                new RecordingHost(TestSettings.hedgingWithLoadQueries(List.of(hedgeableClass)))
                         .list(
                                 EndpointListForm.CACHED,
                                 worker(1, 0, 0),
@@ -106,8 +108,8 @@
         }
         final int first = host.lastSend().worker();
         host.queried.clear();
-        host.pass(2 * SECOND);
-        assertThat(host.sends).as("sent by the reports from before").hasSize(1);
+        host.advanceTime(2 * SECOND);
+        assertThat(host.sends).as("sends before new load reports").hasSize(1);
         assertThat(host.queried).doesNotContain(first).hasSize(2);
         host.queried.forEach(
                 worker ->
@@ -116,15 +118,15 @@
                                 worker,
                                 Outcome.SERVED,
                                 new LoadReport(free, -1, 4 - free)));
-        host.pass(SECOND / 10);
+        host.advanceTime(SECOND / 10);
         assertThat(host.sends).hasSize(sends);
     }
 
     @Test
-    void doesNotHedgeAJobThatReportsProgress() {
-        final RecordingActions host = hostWithARunningJob(Idempotency.SAFE);
+    void doesNotHedgeJobThatReportsProgress() {
+        final RecordingHost host = hostWithRunningJob(Idempotency.SAFE);
         for (int second = 1; second <= 4; second++) {
-            host.pass(SECOND);
+            host.advanceTime(SECOND);
             host.dispatcher.jobProgressed(host.nowUs, 1, 0, host.lastSend().worker(), 0.2 * second);
         }
         assertThat(host.sends).hasSize(1);
--- a/src/test/java/cresschute/dispatch/Rules.java
+++ b/src/test/java/cresschute/dispatch/PolicyFixture.java
@@ -3,8 +3,10 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** The rules of one dispatcher, put together as it does it, for tests of one of them. */
-final class Rules {
+/**
+ * The policies of one dispatcher, connected as in {@link Dispatcher}, for tests of a single policy.
+ */
+final class PolicyFixture {
 
     static final long SECOND = 1_000_000;
     static final long SEED = 7;
@@ -24,14 +26,16 @@
     final EndpointListPoller poller;
     final AttemptFeedback feedback;
 
-    Rules(DispatchSettings stated) {
-        this(stated, SEED);
+    PolicyFixture(DispatchSettings initialSettings) {
+        this(initialSettings, SEED);
     }
 
-    Rules(DispatchSettings stated, long seed) {
+    PolicyFixture(DispatchSettings initialSettings, long seed) {
         final SplittableRandom random = new SplittableRandom(seed);
-        settings = new CurrentSettings(stated);
-        workers = new WorkerIndex(stated.classes().stream().map(RequestClass::placement).toList());
+        settings = new CurrentSettings(initialSettings);
+        workers =
+                new WorkerIndex(
+                        initialSettings.classes().stream().map(RequestClass::placement).toList());
         serviceTimes = new ServiceTimeEstimator(settings);
         loads = new WorkerLoadEstimator(settings, serviceTimes);
         slowStart = new SlowStart(settings, serviceTimes, random);
@@ -46,19 +50,21 @@
         feedback = new AttemptFeedback(serviceTimes, loads, slowStart, outliers, deadlines);
     }
 
-    /** The rules of one class of {@link TestSettings#requestClass} and plain settings. */
-    static Rules of(Idempotency idempotency, DeduplicationScope scope) {
-        return new Rules(
+    /**
+     * Creates the policies for one class of {@link TestSettings#requestClass} and default settings.
+     */
+    static PolicyFixture of(Idempotency idempotency, DeduplicationScope scope) {
+        return new PolicyFixture(
                 TestSettings.settings(List.of(TestSettings.requestClass(1, idempotency, scope))));
     }
 
-    static Rules ofSafeClass() {
+    static PolicyFixture ofSafeClass() {
         return of(Idempotency.SAFE, DeduplicationScope.ALL);
     }
 
-    /** A dispatchable worker that started long ago. */
+    /** Adds a dispatchable worker that started long ago. */
     WorkerInstance ready(int id, int zone, int cell) {
-        return ready(RecordingActions.worker(id, zone, cell));
+        return ready(RecordingHost.worker(id, zone, cell));
     }
 
     WorkerInstance ready(Worker entry) {
@@ -67,7 +73,7 @@
         return worker;
     }
 
-    /** A request of the first class that arrives now and is due in 5 s. */
+    /** Creates a request of the first class that arrives now and has its deadline in 5 s. */
     PendingRequest request(int id, long nowUs) {
         return request(id, nowUs, nowUs + 5 * SECOND);
     }
--- a/src/test/java/cresschute/dispatch/SettingsChangeTest.java
+++ b/src/test/java/cresschute/dispatch/SettingsChangeTest.java
@@ -1,6 +1,6 @@
 package cresschute.dispatch;
 
-import static cresschute.dispatch.RecordingActions.SECOND;
+import static cresschute.dispatch.RecordingHost.SECOND;
 import static cresschute.dispatch.TestSettings.placedClass;
 import static cresschute.dispatch.TestSettings.requestClass;
 import static cresschute.dispatch.TestSettings.settings;
@@ -14,7 +14,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Settings that change while a dispatcher runs hold at once, and never add attempts to a request.
+ * Checks that settings changed at run time apply at once, and that a higher limit never adds
+ * attempts to a pending request.
  */
 class SettingsChangeTest {
 
@@ -30,10 +31,10 @@
     }
 
     @Test
-    void sendsANewClassWithinItsNewPlacement() {
+    void sendsNewClassWithinItsPlacement() {
         final DispatchSettings start = settings(List.of(SAFE));
-        final RecordingActions host =
-                new RecordingActions(start)
+        final RecordingHost host =
+                new RecordingHost(start)
                         .list(EndpointListForm.CACHED, at(1, 0), at(2, 1), at(3, 1));
         final RequestClass second =
                 placedClass(
@@ -49,7 +50,7 @@
                 .allMatch(send -> send.worker() == 2 || send.worker() == 3);
         host.request(21, 0);
         assertThat(host.sends).hasSize(21);
-        // A worker that comes after the change joins the new class's group as well.
+        // A worker that is listed after the change also joins the new class's group.
         host.list(EndpointListForm.CHANGES, at(4, 1));
         final List<Integer> later = new ArrayList<>();
         for (int id = 22; id <= 60; id++) {
@@ -60,35 +61,35 @@
     }
 
     @Test
-    void appliesALowerLimitToPendingRequestsAndAHigherOneOnlyToLaterOnes() {
-        final RecordingActions fewer =
-                new RecordingActions(with(List.of(SAFE), 4))
+    void appliesLowerLimitToPendingRequestsAndHigherOnlyToLaterOnes() {
+        final RecordingHost fewer =
+                new RecordingHost(with(List.of(SAFE), 4))
                         .list(EndpointListForm.CACHED, at(1, 0), at(2, 0));
         fewer.request(1, 0);
         fewer.dispatcher.settingsChanged(fewer.nowUs, with(List.of(SAFE), 1));
         fewer.end(1, 0, fewer.lastSend().worker(), Outcome.FULL);
-        fewer.pass(SECOND);
+        fewer.advanceTime(SECOND);
         assertThat(fewer.sends).hasSize(1);
         assertThat(fewer.rejected).containsExactly(1);
 
-        final RecordingActions more =
-                new RecordingActions(with(List.of(SAFE), 1))
+        final RecordingHost more =
+                new RecordingHost(with(List.of(SAFE), 1))
                         .list(EndpointListForm.CACHED, at(1, 0), at(2, 0));
         more.request(1, 0);
         more.dispatcher.settingsChanged(more.nowUs, with(List.of(SAFE), 4));
         more.end(1, 0, more.lastSend().worker(), Outcome.FULL);
-        more.pass(SECOND);
+        more.advanceTime(SECOND);
         assertThat(more.sends).hasSize(1);
         more.request(2, 0);
         more.end(2, 0, more.lastSend().worker(), Outcome.FULL);
-        more.pass(SECOND);
+        more.advanceTime(SECOND);
         assertThat(more.sends).hasSize(3);
     }
 
-    /** A request is hedged only where it was allowed at its arrival and is allowed now. */
+    /** A request is hedged only if hedging was allowed at its arrival and is allowed now. */
     @ParameterizedTest(name = "hedging allowed before {0}, after {1}")
     @CsvSource({"false, true", "true, false"})
-    void hedgesOnlyWhereSettingsAtArrivalAndInForceAllowIt(boolean before, boolean after) {
+    void hedgesOnlyIfSettingsAtArrivalAndCurrentOnesAllowIt(boolean before, boolean after) {
         final List<RequestClass> classes =
                 List.of(
                         new RequestClass(
@@ -102,23 +103,23 @@
                                 Placement.ANYWHERE));
         final DispatchSettings with = TestSettings.hedging(classes);
         final DispatchSettings without = new TestSettings(classes).progressUs(SECOND).build();
-        final RecordingActions host =
-                new RecordingActions(before ? with : without)
+        final RecordingHost host =
+                new RecordingHost(before ? with : without)
                         .list(EndpointListForm.CACHED, at(1, 0), at(2, 0), at(3, 0), at(4, 0));
         host.request(1, 0);
         host.dispatcher.settingsChanged(host.nowUs, after ? with : without);
-        host.pass(SECOND * 5 / 2);
+        host.advanceTime(SECOND * 5 / 2);
         assertThat(host.sends).hasSize(1);
         host.dispatcher.settingsChanged(host.nowUs, with);
         host.request(2, 0);
-        host.pass(SECOND * 5 / 2);
+        host.advanceTime(SECOND * 5 / 2);
         assertThat(host.sends.stream().filter(send -> send.request() == 2)).hasSize(2);
     }
 
     @Test
-    void rejectsSettingsThatChangeAClassInForce() {
+    void rejectsSettingsThatChangeCurrentClass() {
         final DispatchSettings start = settings(List.of(SAFE));
-        final RecordingActions host = new RecordingActions(start);
+        final RecordingHost host = new RecordingHost(start);
         final RequestClass changed = requestClass(2, Idempotency.SAFE, DeduplicationScope.ALL);
         assertThatThrownBy(
                         () ->
--- a/src/test/java/cresschute/node/DiscoveryRaceTest.java
+++ b/src/test/java/cresschute/node/DiscoveryRaceTest.java
@@ -12,7 +12,7 @@
 
 /** Races between events in the calls to discovery. See docs/results/crossings.md. */
 @Timeout(30)
-class DiscoveryRaceTest extends CrossingFixture {
+class DiscoveryRaceTest extends RaceFixture {
 
     /**
      * Guards against reporting a timed-out watch as a failure: the dispatcher's pause and a second
@@ -20,7 +20,7 @@
      */
     @Test
     void reopensSilentWatchAtOnce() throws Exception {
-        try (TestNode node = new TestNode(HOLDS)) {
+        try (TestNode node = new TestNode(SEND_NOTHING)) {
             final Peer silent = watch(node);
             final Peer again = node.discovery();
             assertThat(again.read()).contains("?since=1&timeout_ms=1 ");
@@ -40,7 +40,7 @@
      */
     @Test
     void retriesAtOnceAfterSecondSilentCall() throws Exception {
-        try (TestNode node = new TestNode(HOLDS)) {
+        try (TestNode node = new TestNode(SEND_NOTHING)) {
             watch(node);
             final Peer secondSilent = node.discovery();
             assertThat(secondSilent.read()).contains("?since=1&timeout_ms=1 ");
@@ -59,7 +59,7 @@
      */
     @Test
     void retriesFullListCallThatTimesOut() throws Exception {
-        try (TestNode node = new TestNode(HOLDS);
+        try (TestNode node = new TestNode(SEND_NOTHING);
                 ServerSocket next = Peer.listen()) {
             watch(node);
             reload(
@@ -80,7 +80,7 @@
     /** A response that starts and never ends counts as a timeout. */
     @Test
     void reopensWatchWhoseResponseNeverEnds() throws Exception {
-        try (TestNode node = new TestNode(HOLDS)) {
+        try (TestNode node = new TestNode(SEND_NOTHING)) {
             final Peer endless = watch(node);
             endless.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n{\r\n");
             final Peer again = node.discovery();
@@ -94,7 +94,7 @@
      */
     @Test
     void acceptsOlderListOnlyAfterSecondResponse() throws Exception {
-        try (TestNode node = new TestNode(HOLDS)) {
+        try (TestNode node = new TestNode(SEND_NOTHING)) {
             final Peer stale = watch(node);
             stale.write(answer("200 OK", "", list(0, true, entry("s-2", node.worker, "SERVING"))));
             assertThat(node.event()).isEqualTo("listed FAILED");
@@ -114,7 +114,7 @@
      */
     @Test
     void ignoresResponseOfPreviousDiscoveryAddress() throws Exception {
-        try (TestNode node = new TestNode(HOLDS);
+        try (TestNode node = new TestNode(SEND_NOTHING);
                 ServerSocket next = Peer.listen()) {
             final Peer old = watch(node);
             final String text =
@@ -123,7 +123,7 @@
                                     ":" + node.discovery.getLocalPort() + "\"",
                                     ":" + next.getLocalPort() + "\"");
             final NodeConfig moved = NodeConfigParser.parse(text, java.util.Map.of());
-            holding(
+            whileLoopBlocked(
                     node,
                     actions -> {
                         old.write(
--- a/src/test/java/cresschute/node/FleetSizeTest.java
+++ b/src/test/java/cresschute/node/FleetSizeTest.java
@@ -16,18 +16,18 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The program under the deploy file's bounds of memory: one of 1,024 dispatchers before 1,024
- * workers.
+ * Runs the program with the memory limits of the deploy file, as one of 1,024 dispatchers in front
+ * of 1,024 workers.
  */
 @Timeout(60)
 class FleetSizeTest {
 
-    private static final int MANY = 1_024;
+    private static final int FLEET_SIZE = 1_024;
 
     /** The smallest memory limit of a dispatcher, KiB. */
     private static final long MIN_MEMORY_KIB = 144 * 1024;
 
-    /** Every flag of the run line that bounds memory. */
+    /** All flags of the run line that limit memory. */
     private static List<String> memoryFlags() throws Exception {
         final String run =
                 Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
@@ -46,7 +46,7 @@
     }
 
     private static String entries(ServerSocket workerServer, int first, String state) {
-        return IntStream.range(first, first + MANY)
+        return IntStream.range(first, first + FLEET_SIZE)
                 .mapToObj(
                         i ->
                                 TestNode.entry("s-" + i, workerServer, state)
@@ -54,13 +54,13 @@
                 .collect(Collectors.joining(","));
     }
 
-    /** The same JSON with a value on each line, indented, as lists may be. */
+    /** The same JSON with each value on its own indented line, as lists may be formatted. */
     private static String indented(String json) {
         return json.replace(",", ",\n          ").replace("{", "{\n          ");
     }
 
     @Test
-    void listsOfManyWorkersAndDispatchersAreServedFrom(@TempDir Path folder) throws Exception {
+    void servesWithListOfManyWorkersWithinMemoryLimit(@TempDir Path folder) throws Exception {
         final Path config = folder.resolve("config.json");
         try (ServerSocket workerServer = Peer.listen();
                 ServerSocket discovery = Peer.listen()) {
@@ -71,7 +71,7 @@
                                     indented(
                                             TestNode.list(
                                                     1, true, entries(workerServer, 0, "SERVING"))))
-                            .replace("\"balancers\":1", "\"balancers\":" + MANY));
+                            .replace("\"balancers\":1", "\"balancers\":" + FLEET_SIZE));
             final ProcessBuilder builder =
                     new ProcessBuilder(ProgramProcess.command(memoryFlags(), "serve"));
             builder.environment().put("BALANCER_CONFIG", config.toString());
@@ -79,8 +79,8 @@
                 final int port = ProgramProcess.portIn(node.awaitLine("listens on"));
                 final Peer watch = Peer.accept(discovery);
                 assertThat(watch.read()).contains("since=1&");
-                // Half of the first workers go and as many new ones come, in a list cut at odd
-                // places.
+                // Half of the first workers are removed and as many new ones added, in a list that
+                // is split at arbitrary places.
                 final String next =
                         TestNode.answer(
                                 "200 OK",
@@ -89,7 +89,7 @@
                                         TestNode.list(
                                                 2,
                                                 true,
-                                                entries(workerServer, MANY / 2, "SERVING"))));
+                                                entries(workerServer, FLEET_SIZE / 2, "SERVING"))));
                 for (int at = 0; at < next.length(); at += 9_973) {
                     watch.write(next.substring(at, Math.min(next.length(), at + 9_973)));
                 }
--- a/src/test/java/cresschute/node/KeptConnectionCrossingRulesTest.java
+++ b/src/test/java/cresschute/node/IdleConnectionRaceTest.java
@@ -10,21 +10,21 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Events that cross on connections to workers that are kept. See docs/results/crossings.md. */
+/** Races between events on kept (idle) connections to workers. See docs/results/crossings.md. */
 @Timeout(30)
-class KeptConnectionCrossingRulesTest extends CrossingFixture {
+class IdleConnectionRaceTest extends RaceFixture {
 
     /**
-     * Written to a connection whose end was in the buffer, the request ended as a reset and may
-     * have run.
+     * Guards against writing a request to a connection whose end was already in the receive buffer:
+     * the attempt ended as a reset, so the request counted as one that may have run.
      */
     @Test
-    void writesNoRequestToAKeptConnectionThatHasEnded() throws Exception {
-        try (TestNode node = new TestNode(HOLDS);
+    void writesNoRequestToClosedKeptConnection() throws Exception {
+        try (TestNode node = new TestNode(SEND_NOTHING);
                 Peer client = node.client();
                 Peer next = node.client()) {
-            final Peer worker = keptWithRequestHeld(node, client, next);
-            holding(
+            final Peer worker = keepConnectionWithPendingRequest(node, client, next);
+            whileLoopBlocked(
                     node,
                     actions -> {
                         worker.disconnect();
@@ -38,8 +38,8 @@
     }
 
     /**
-     * A second answer that names no request was taken for the next request's: as proof that it
-     * never ran.
+     * Guards against taking a duplicate response without a request id for the response to the next
+     * request, and thereby as proof that the next request never ran.
      */
     @ParameterizedTest
     @CsvSource(
@@ -50,12 +50,13 @@
                     500 No | X-Load: x0=1
                     200 OK | X-Load: x0=1
                     """)
-    void takesNoAnswerThatWasThereBeforeTheRequest(String status, String header) throws Exception {
-        try (TestNode node = new TestNode(HOLDS);
+    void ignoresResponseReceivedBeforeRequestWasWritten(String status, String header)
+            throws Exception {
+        try (TestNode node = new TestNode(SEND_NOTHING);
                 Peer client = node.client();
                 Peer next = node.client()) {
-            final Peer worker = keptWithRequestHeld(node, client, next);
-            holding(
+            final Peer worker = keepConnectionWithPendingRequest(node, client, next);
+            whileLoopBlocked(
                     node,
                     actions -> {
                         worker.write(answer(status, header + "\r\n", ""));
@@ -70,8 +71,8 @@
     }
 
     /**
-     * The second answer comes after the next request was written; that one's own follows, and alone
-     * counts.
+     * The duplicate response arrives after the next request was written. The next request's own
+     * response follows, and only that one counts.
      */
     @ParameterizedTest
     @CsvSource(
@@ -83,12 +84,12 @@
                     200 OK | X-Load: x0=1 | {"id":"r1","from":"s-1","state":"returned"}
                     200 OK | X-Load: x0=1 | {"id":"r1","from":"s-1","state":"done","result":"again"}
                     """)
-    void passesOverASecondAnswerToTheRequestBefore(String status, String header, String line)
+    void skipsDuplicateResponseToPreviousRequest(String status, String header, String line)
             throws Exception {
-        try (TestNode node = new TestNode(HOLDS);
+        try (TestNode node = new TestNode(SEND_NOTHING);
                 Peer client = node.client();
                 Peer next = node.client()) {
-            final Peer worker = keptWithRequestHeld(node, client, next);
+            final Peer worker = keepConnectionWithPendingRequest(node, client, next);
             node.act(actions -> actions.send(2, 0, Long.MAX_VALUE));
             assertThat(worker.read()).contains("X-Request-Id: r2");
             worker.write(answer(status, header + "\r\n", line) + done("r2"));
@@ -98,13 +99,16 @@
         }
     }
 
-    /** Whether it was the next request's own answer is never known: it may have run. */
+    /**
+     * The node cannot know whether the response belonged to the next request, so that request may
+     * have run.
+     */
     @Test
-    void takesNoSecondAnswerForProofWhereTheConnectionEndsBehindIt() throws Exception {
-        try (TestNode node = new TestNode(HOLDS);
+    void treatsLoneDuplicateResponseBeforeCloseAsBroken() throws Exception {
+        try (TestNode node = new TestNode(SEND_NOTHING);
                 Peer client = node.client();
                 Peer next = node.client()) {
-            final Peer worker = keptWithRequestHeld(node, client, next);
+            final Peer worker = keepConnectionWithPendingRequest(node, client, next);
             node.act(actions -> actions.send(2, 0, Long.MAX_VALUE));
             assertThat(worker.read()).contains("X-Request-Id: r2");
             worker.write(answer("503 No", "X-Not-Run: 1\r\n", "")).disconnect();
@@ -112,11 +116,14 @@
         }
     }
 
-    /** One worker's second answer had every kept connection to all others closed for 15 s. */
+    /**
+     * Guards against closing too much: a duplicate response of one worker caused every kept
+     * connection to all other workers to be closed for 15 s.
+     */
     @ParameterizedTest
     @ValueSource(
             strings = {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", "what is this\r\n\r\n", "x"})
-    void closesAloneTheKeptConnectionOnWhichBytesCameUnasked(String bytes) throws Exception {
+    void closesOnlyTheKeptConnectionThatReceivedUnsolicitedBytes(String bytes) throws Exception {
         try (TestNode node = new TestNode();
                 Peer client = node.client();
                 Peer other = node.client()) {
--- a/src/test/java/cresschute/node/SettingsReloadRaceTest.java
+++ b/src/test/java/cresschute/node/SettingsReloadRaceTest.java
@@ -12,7 +12,7 @@
 
 /** Tests events that race with a reload of the settings. See docs/results/crossings.md. */
 @Timeout(30)
-class SettingsReloadRaceTest extends CrossingFixture {
+class SettingsReloadRaceTest extends RaceFixture {
 
     /**
      * A request whose head is read under the old settings and whose last byte arrives under the new
@@ -52,7 +52,7 @@
      */
     @Test
     void usesNoFieldOfPreviousRequestOnConnection() throws Exception {
-        try (TestNode node = new TestNode(HOLDS);
+        try (TestNode node = new TestNode(SEND_NOTHING);
                 Peer client = node.client()) {
             client.write(
                     "POST /file?obj=2a HTTP/1.1\r\nX-Request-Id: r1\r\nIdempotency-Key: k\r\n"
@@ -79,7 +79,7 @@
      */
     @Test
     void countsEachRequestAgainstItsOwnTenant() throws Exception {
-        try (TestNode node = TestNode.configured(SHARED, HOLDS);
+        try (TestNode node = TestNode.configured(WITH_TENANTS, SEND_NOTHING);
                 Peer client = node.client()) {
             client.write(
                     request("r1", "X-Tenant: beta co\r\n", "")
@@ -88,7 +88,7 @@
             assertThat(node.event()).isEqualTo("requested 2 class 0 key 42");
             // Only the name of the first tenant changes; its index and all other settings stay the
             // same.
-            reload(node, text -> SHARED.apply(text).replace("alpha", "gamma"));
+            reload(node, text -> WITH_TENANTS.apply(text).replace("alpha", "gamma"));
             assertThat(node.event()).startsWith("settings changed");
             client.write(request("r3", "X-Tenant: gamma\r\n", ""));
             assertThat(node.event()).isEqualTo("requested 3 class 0 key 42");
@@ -104,7 +104,7 @@
                 "X-Tenant: alpha\r\nX-Tenant: beta co\r\n"
             })
     void answers400ToRequestWithoutUsableTenant(String headers) throws Exception {
-        try (TestNode node = TestNode.configured(SHARED, HOLDS);
+        try (TestNode node = TestNode.configured(WITH_TENANTS, SEND_NOTHING);
                 Peer client = node.client()) {
             client.write(request("r1", headers, ""));
             assertThat(client.read()).startsWith("HTTP/1.1 400").containsIgnoringCase("X-Tenant");
@@ -125,9 +125,9 @@
                                         text.replace(
                                                 "\"connIdleUs\":2000000",
                                                 "\"connIdleUs\":60000000"),
-                                SENDS);
+                                SEND_AT_ONCE);
                 Peer client = node.client()) {
-            final Peer worker = kept(node, client);
+            final Peer worker = keepConnection(node, client);
             reload(node, text -> text.replace("\"connIdleUs\":2000000", "\"connIdleUs\":50000000"));
             assertThat(worker.isClosedByOther()).isTrue();
         }
@@ -139,9 +139,10 @@
                 text -> text.replace("deadlineUs\":5000000", "deadlineUs\":60000000");
         try (TestNode node =
                         TestNode.configured(
-                                text -> patient.apply(text).replace("250000", "40000000"), SENDS);
+                                text -> patient.apply(text).replace("250000", "40000000"),
+                                SEND_AT_ONCE);
                 Peer client = node.client()) {
-            fill(node.worker);
+            fillBacklog(node.worker);
             reload(node, patient);
             client.write(request("r1", "", ""));
             assertThat(eventStarting(node, "ended"))
@@ -155,23 +156,23 @@
      */
     @Test
     void neverEvictsClientWithUnreadRequest() throws Exception {
-        try (TestNode node = new TestNode(HOLDS);
+        try (TestNode node = new TestNode(SEND_NOTHING);
                 Peer early = node.client()) {
             // 83 of the 200 descriptors are for clients. The request of the 82nd client shows that
             // all 82 are accepted.
             for (int i = 2; i <= 82; i++) {
-                held.add(node.client());
+                peers.add(node.client());
             }
-            held.get(held.size() - 1).write(request("last", "", ""));
+            peers.get(peers.size() - 1).write(request("last", "", ""));
             assertThat(node.event()).startsWith("requested 1");
-            holding(
+            whileLoopBlocked(
                     node,
                     actions -> {
-                        held.add(node.client());
+                        peers.add(node.client());
                         early.write(request("early", "", ""));
                     });
             assertThat(eventStarting(node, "requested")).startsWith("requested 2");
-            assertThat(held.get(0).isClosedByOther()).isTrue();
+            assertThat(peers.get(0).isClosedByOther()).isTrue();
         }
     }
 }
