--- a/src/test/java/cresschute/node/ClientCloseRaceTest.java
+++ b/src/test/java/cresschute/node/ClientCloseRaceTest.java
@@ -16,7 +16,7 @@
 
 /** Races between a client's close and other events. See docs/results/crossings.md. */
 @Timeout(30)
-class ClientCloseRaceTest extends CrossingFixture {
+class ClientCloseRaceTest extends RaceFixture {
 
     /**
      * A close that arrived right after a request, in the same pass of the event loop, was read one
@@ -32,7 +32,7 @@
             worker.write(done("r1"));
             client.read();
             assertThat(eventStarting(node, "ended")).contains("SERVED");
-            holding(node, actions -> client.write(request("r2", "", "")).disconnect());
+            whileLoopBlocked(node, actions -> client.write(request("r2", "", "")).disconnect());
             assertThat(eventStarting(node, "requested")).startsWith("requested 2");
             assertThat(node.event()).isEqualTo("left 2");
             assertThat(node.event()).startsWith("ended 2 0 NOT_SENT closed true");
@@ -47,11 +47,11 @@
     @ParameterizedTest
     @EnumSource
     void sendsNothingOnIdleConnectionWhileCloseOfClientIsUnread(Close close) throws Exception {
-        try (TestNode node = new TestNode(HOLDS);
+        try (TestNode node = new TestNode(SEND_NOTHING);
                 Peer client = node.client();
                 Peer next = node.client()) {
-            final Peer worker = keptWithRequestHeld(node, client, next);
-            holding(
+            final Peer worker = keepConnectionWithPendingRequest(node, client, next);
+            whileLoopBlocked(
                     node,
                     actions -> {
                         close.by(next);
@@ -70,8 +70,8 @@
         try (TestNode node = new TestNode();
                 Peer client = node.client()) {
             client.write(request("r1", "", ""));
-            hang(node);
-            holding(
+            readWithoutAnswering(node);
+            whileLoopBlocked(
                     node,
                     actions -> {
                         client.disconnect();
@@ -88,17 +88,17 @@
     @ParameterizedTest
     @EnumSource
     void sendsNothingOnNewConnectionWhileCloseOfClientIsUnread(Close close) throws Exception {
-        try (TestNode node = patient(SENDS);
+        try (TestNode node = withLongConnectTimeout(SEND_AT_ONCE);
                 Peer client = node.client()) {
-            fill(node.worker);
+            fillBacklog(node.worker);
             client.write(request("r1", "", ""));
             assertThat(node.event()).startsWith("requested 1");
-            untilItHasTurned(node);
+            awaitTurn(node);
             final List<Peer> accepted = new ArrayList<>();
-            holding(
+            whileLoopBlocked(
                     node,
                     actions -> {
-                        acceptFilled(node.worker);
+                        acceptBacklog(node.worker);
                         accepted.add(node.worker());
                         close.by(client);
                     });
@@ -112,7 +112,7 @@
      */
     @Test
     void treatsHalfCloseAsCloseAndServesOtherClients() throws Exception {
-        try (TestNode node = new TestNode(HOLDS);
+        try (TestNode node = new TestNode(SEND_NOTHING);
                 Peer client = node.client();
                 Peer other = node.client()) {
             client.write(request("r1", "", ""));
@@ -133,7 +133,7 @@
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void noticesCloseOfClientWithQueuedRequests(boolean resets) throws Exception {
-        try (TestNode node = new TestNode(HOLDS)) {
+        try (TestNode node = new TestNode(SEND_NOTHING)) {
             final Peer client = node.client();
             for (int i = 1; i <= 16; i++) {
                 client.write(request("r" + i, "", ""));
@@ -161,14 +161,15 @@
     void sendsNothingWhileReadingOfClientIsPausedForLackOfCapacity(boolean connecting)
             throws Exception {
         final Bodies bodies =
-                LongBodyNode.bodies(new ClassBodies(8L << 20, 1024, 20_000_000, false, false));
-        try (TestNode node = patient(connecting ? SENDS : HOLDS, bodies);
+                LongBodyFixture.bodies(new ClassBodies(8L << 20, 1024, 20_000_000, false, false));
+        try (TestNode node =
+                        withLongConnectTimeout(connecting ? SEND_AT_ONCE : SEND_NOTHING, bodies);
                 Peer other = node.client()) {
             if (connecting) {
-                fill(node.worker);
+                fillBacklog(node.worker);
             }
-            final Peer client = node.client().write(LongBodyNode.head("r1", 8L << 20, ""));
-            client.writeBytes(0, LongBodyNode.MAX_OF_ONE);
+            final Peer client = node.client().write(LongBodyFixture.head("r1", 8L << 20, ""));
+            client.writeBytes(0, LongBodyFixture.MAX_BYTES_PER_BODY);
             assertThat(eventStarting(node, "requested")).startsWith("requested 1");
             client.disconnect();
             // Waits, by the node's own clock, for longer than the time after which a client whose
@@ -177,7 +178,7 @@
             node.act(actions -> actions.startTimer(5, 150_000));
             assertThat(eventStarting(node, "timer fired")).isEqualTo("timer fired 5");
             if (connecting) {
-                acceptFilled(node.worker);
+                acceptBacklog(node.worker);
                 // The worker connection was established, and is closed without a byte sent.
                 assertThat(node.worker().isClosedByOther()).isTrue();
                 assertThat(eventStarting(node, "ended"))
@@ -196,7 +197,7 @@
 
     @Test
     void submitsQueuedRequestsInOrderAsOthersComplete() throws Exception {
-        try (TestNode node = new TestNode(HOLDS);
+        try (TestNode node = new TestNode(SEND_NOTHING);
                 Peer client = node.client()) {
             for (int i = 1; i <= 18; i++) {
                 client.write(request("r" + i, "", ""));
@@ -216,7 +217,7 @@
     /** A client with too many unanswered requests is disconnected, and others are served. */
     @Test
     void closesConnectionWithTooManyUnansweredRequests() throws Exception {
-        try (TestNode node = new TestNode(HOLDS);
+        try (TestNode node = new TestNode(SEND_NOTHING);
                 Peer flooding = node.client();
                 Peer other = node.client()) {
             final StringBuilder requests = new StringBuilder();
--- a/src/test/java/cresschute/node/OperatorEventLogTest.java
+++ b/src/test/java/cresschute/node/OperatorEventLogTest.java
@@ -8,7 +8,7 @@
 class OperatorEventLogTest {
 
     @Test
-    void eventsAreNumberedAndStampedInOrder() {
+    void numbersAndTimestampsEventsInOrder() {
         final long[] nowUs = {5};
         final OperatorEventLog log = new OperatorEventLog(() -> nowUs[0]);
         log.record(OperatorEventKind.DRAINED, "w1", "w1 drained by ann");
@@ -20,9 +20,9 @@
                         new OperatorEvent(2, 9, "node_stopping", null, "the node is stopping"));
     }
 
-    /** The words are part of the protocol in docs/console.md and of the log. */
+    /** The names are part of the console protocol in docs/console.md and of the log format. */
     @Test
-    void kindsKeepTheirWords() {
+    void kindsKeepTheirWireNames() {
         assertThat(OperatorEventKind.values())
                 .extracting(OperatorEventKind::wireName)
                 .containsExactly(
--- a/src/test/java/cresschute/node/CrossingFixture.java
+++ b/src/test/java/cresschute/node/RaceFixture.java
@@ -19,21 +19,21 @@
 import org.junit.jupiter.api.AfterEach;
 
 /**
- * What the tests of crossing events share: each crossing is forced, by a worker that does not
- * accept yet, or by a peer that writes or closes while the node's loop is held.
+ * Base class of the race tests. Each race is forced, either by a worker that does not accept
+ * connections yet, or by a peer that writes or closes while the node's event loop is blocked.
  */
-abstract class CrossingFixture {
+abstract class RaceFixture {
 
-    static final BiConsumer<DispatcherActions, Integer> HOLDS = (actions, request) -> {};
+    static final BiConsumer<DispatcherActions, Integer> SEND_NOTHING = (actions, request) -> {};
 
-    static final BiConsumer<DispatcherActions, Integer> SENDS =
+    static final BiConsumer<DispatcherActions, Integer> SEND_AT_ONCE =
             (actions, request) -> actions.send(request, 0, Long.MAX_VALUE);
 
-    final List<Peer> held = new ArrayList<>();
+    final List<Peer> peers = new ArrayList<>();
 
     @AfterEach
-    void letGo() throws IOException {
-        for (final Peer peer : held) {
+    void closePeers() throws IOException {
+        for (final Peer peer : peers) {
             peer.close();
         }
     }
@@ -51,14 +51,16 @@
     }
 
     /**
-     * A node to whose worker connections do not come up until it accepts, which may take for ever.
+     * Starts a node with a connect timeout of 20 s, so that a connection to its worker stays
+     * pending until the worker accepts it.
      */
-    static TestNode patient(BiConsumer<DispatcherActions, Integer> onRequest) throws Exception {
-        return patient(onRequest, null);
+    static TestNode withLongConnectTimeout(BiConsumer<DispatcherActions, Integer> onRequest)
+            throws Exception {
+        return withLongConnectTimeout(onRequest, null);
     }
 
-    static TestNode patient(BiConsumer<DispatcherActions, Integer> onRequest, Bodies bodies)
-            throws Exception {
+    static TestNode withLongConnectTimeout(
+            BiConsumer<DispatcherActions, Integer> onRequest, Bodies bodies) throws Exception {
         return TestNode.configured(
                 text ->
                         text.replace(
@@ -68,34 +70,35 @@
     }
 
     /**
-     * Fills a listener's queue: further connections come up only once some of these are accepted.
+     * Fills a listener's accept backlog: further connections are established only once some of
+     * these are accepted.
      */
-    void fill(ServerSocket listener) throws IOException {
+    void fillBacklog(ServerSocket listener) throws IOException {
         for (int i = 0; i <= Peer.BACKLOG; i++) {
-            held.add(Peer.connect(listener.getLocalSocketAddress()));
+            peers.add(Peer.connect(listener.getLocalSocketAddress()));
         }
     }
 
-    void acceptFilled(ServerSocket listener) throws IOException {
+    void acceptBacklog(ServerSocket listener) throws IOException {
         for (int i = 0; i <= Peer.BACKLOG; i++) {
-            held.add(Peer.accept(listener));
+            peers.add(Peer.accept(listener));
         }
     }
 
     /**
-     * Something a test does while the loop is held: nothing that it makes ready is read before it
-     * ends.
+     * An action of a test that runs while the loop is blocked: nothing that it makes readable is
+     * read before it ends.
      */
     @FunctionalInterface
-    interface WhileHeld {
+    interface WhileLoopBlocked {
         void run(DispatcherActions actions) throws Exception;
     }
 
     /**
-     * Holds the loop; what the module asks for meanwhile is carried out before anything else is
-     * read.
+     * Blocks the loop while the action runs; the dispatcher actions that it requests run before
+     * anything else is read.
      */
-    static void holding(TestNode node, WhileHeld then) throws Exception {
+    static void whileLoopBlocked(TestNode node, WhileLoopBlocked then) throws Exception {
         final CompletableFuture<Void> over = new CompletableFuture<>();
         node.act(
                 actions -> {
@@ -110,12 +113,12 @@
     }
 
     /**
-     * Takes an attempt and answers nothing. Held: a socket that nobody refers to may be closed at
-     * any time.
+     * Reads an attempt and sends no answer. Keeps a reference to the peer, because an unreferenced
+     * socket may be closed at any time.
      */
-    void hang(TestNode node) throws IOException {
+    void readWithoutAnswering(TestNode node) throws IOException {
         final Peer worker = node.worker();
-        held.add(worker);
+        peers.add(worker);
         worker.read();
     }
 
@@ -129,38 +132,45 @@
 
     static final long DEADLINE_US = 5_000_000;
 
-    static final long HELD_US = 400_000;
+    static final long TIMER_DELAY_US = 400_000;
 
-    /** What the node keeps of a request's time for the way of its answer, and for rounding, us. */
+    /**
+     * The part of a request's time that the node reserves for the transmission of the answer and
+     * for rounding, us.
+     */
     static final long MARGIN_US = 15_002;
 
-    static final Pattern TOLD = Pattern.compile("(?i)X-Deadline: ([0-9]+)u\r\n");
+    static final Pattern DEADLINE_HEADER = Pattern.compile("(?i)X-Deadline: ([0-9]+)u\r\n");
 
-    /** Waits until the node's own timer has run for {@value #HELD_US} us. */
-    static void untilTimerRan(TestNode node) throws InterruptedException {
-        node.act(actions -> actions.startTimer(5, HELD_US));
+    /** Waits until a timer of the node with a delay of {@value #TIMER_DELAY_US} us has fired. */
+    static void awaitDelayedTimer(TestNode node) throws InterruptedException {
+        node.act(actions -> actions.startTimer(5, TIMER_DELAY_US));
         assertThat(eventStarting(node, "timer fired")).isEqualTo("timer fired 5");
     }
 
-    /** Waits until what the module asked for is carried out: connecting is a task of its own. */
-    static void untilItHasTurned(TestNode node) throws InterruptedException {
+    /**
+     * Waits for the next turn, until the dispatcher's actions have run: connecting is a separate
+     * task of the loop.
+     */
+    static void awaitTurn(TestNode node) throws InterruptedException {
         node.act(actions -> actions.startTimer(6, 0));
         assertThat(eventStarting(node, "timer fired")).isEqualTo("timer fired 6");
     }
 
     /**
-     * What an attempt told its worker: no more than is left, and no less than that and the margin.
+     * Checks the deadline that an attempt stated to its worker: at most the remaining time, and at
+     * least that minus the margin.
      */
-    static void assertTellsWhatIsLeft(String head, long clientSentNs) {
-        final Matcher told = TOLD.matcher(head);
-        assertThat(told.find()).as(head).isTrue();
-        assertThat(Long.parseLong(told.group(1)))
-                .isLessThanOrEqualTo(DEADLINE_US - HELD_US)
+    static void assertStatesRemainingTime(String head, long clientSentNs) {
+        final Matcher stated = DEADLINE_HEADER.matcher(head);
+        assertThat(stated.find()).as(head).isTrue();
+        assertThat(Long.parseLong(stated.group(1)))
+                .isLessThanOrEqualTo(DEADLINE_US - TIMER_DELAY_US)
                 .isGreaterThanOrEqualTo(
                         DEADLINE_US - MARGIN_US - (System.nanoTime() - clientSentNs) / 1_000);
     }
 
-    /** The ways in which a client's close comes to lie unread. */
+    /** The ways in which a client closes its connection so that the close stays unread. */
     enum Close {
         END,
         RESET,
@@ -182,8 +192,10 @@
         }
     }
 
-    /** Serves r1, as the module sends it, on a connection to the worker that is kept. */
-    static Peer kept(TestNode node, Peer client) throws IOException {
+    /**
+     * Serves r1 as soon as the dispatcher sends it, and keeps the connection to the worker open.
+     */
+    static Peer keepConnection(TestNode node, Peer client) throws IOException {
         client.write(request("r1", "", ""));
         final Peer worker = node.worker();
         worker.read();
@@ -193,9 +205,11 @@
     }
 
     /**
-     * Serves r1 on a connection to the worker that is kept, with r2 taken and held by the module.
+     * Serves r1, keeps the connection to the worker open, and submits r2, which the dispatcher does
+     * not send yet.
      */
-    static Peer keptWithRequestHeld(TestNode node, Peer client, Peer next) throws Exception {
+    static Peer keepConnectionWithPendingRequest(TestNode node, Peer client, Peer next)
+            throws Exception {
         client.write(request("r1", "", ""));
         assertThat(node.event()).startsWith("requested 1");
         node.act(actions -> actions.send(1, 0, Long.MAX_VALUE));
@@ -208,21 +222,26 @@
         return worker;
     }
 
-    static final UnaryOperator<String> SHARED =
+    static final UnaryOperator<String> WITH_TENANTS =
             text ->
                     text.replace(
                             "\"zones\":",
                             "\"tenants\":[{\"name\":\"alpha\",\"quotaPerS\":5},{\"name\":\"beta"
                                     + " co\",\"quotaPerS\":7}],\"zones\":");
 
-    /** Takes this configuration in place of the node's own; it is in force when this returns. */
+    /**
+     * Reloads the node with a changed configuration, which is in force when this method returns.
+     */
     static void reload(TestNode node, UnaryOperator<String> change) throws Exception {
         final String text = change.apply(node.configText());
         node.server.reload(() -> NodeConfigParser.parse(text, java.util.Map.of()));
         node.server.loop().submit(() -> {}).get(8, TimeUnit.SECONDS);
     }
 
-    /** Begins a watch; the connection on which discovery has its first call, unanswered. */
+    /**
+     * Begins a watch. Returns discovery's end of the connection, with the first call still
+     * unanswered.
+     */
     static Peer watch(TestNode node) throws Exception {
         node.act(DispatcherActions::pollEndpointList);
         final Peer discovery = node.discovery();
--- a/src/test/java/cresschute/node/ShutdownCrossingRulesTest.java
+++ b/src/test/java/cresschute/node/ShutdownRaceTest.java
@@ -12,19 +12,19 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Events that cross with a shutdown. See docs/results/crossings.md. */
+/** Tests events that race with a shutdown. See docs/results/crossings.md. */
 @Timeout(30)
-class ShutdownCrossingRulesTest extends CrossingFixture {
+class ShutdownRaceTest extends RaceFixture {
 
-    /** What waited to be accepted was reset with the listener. */
+    /** Regression: connections that waited to be accepted were reset when the listener closed. */
     @Test
-    void acceptsWhoeverCameBeforeTheListenerCloses() throws Exception {
+    void acceptsConnectionsQueuedBeforeListenerCloses() throws Exception {
         try (TestNode node = new TestNode()) {
-            holding(
+            whileLoopBlocked(
                     node,
                     actions -> {
-                        held.add(node.client().write(request("r1", "", "")));
-                        held.add(node.client().write(request("r2", "", "")));
+                        peers.add(node.client().write(request("r1", "", "")));
+                        peers.add(node.client().write(request("r2", "", "")));
                         node.server.clientListener().stopAccepting();
                     });
             final Peer first = node.worker();
@@ -32,18 +32,18 @@
             for (final Peer worker : List.of(first, second)) {
                 worker.write(done(worker.read().contains("X-Request-Id: r1") ? "r1" : "r2"));
             }
-            assertThat(held.get(0).read()).endsWith("of r1");
-            assertThat(held.get(1).read()).endsWith("of r2");
+            assertThat(peers.get(0).read()).endsWith("of r1");
+            assertThat(peers.get(1).read()).endsWith("of r2");
         }
     }
 
-    /** A request that lay unread on an idle connection was reset by its closing. */
+    /** Regression: closing an idle connection reset it while a request lay unread. */
     @Test
-    void takesWhatCameOnAnIdleConnectionBeforeItClosesIt() throws Exception {
+    void servesRequestUnreadOnIdleConnectionBeforeClosing() throws Exception {
         try (TestNode node = new TestNode();
                 Peer client = node.client()) {
-            final Peer worker = kept(node, client);
-            holding(
+            final Peer worker = keepConnection(node, client);
+            whileLoopBlocked(
                     node,
                     actions -> {
                         client.write(request("r2", "", ""));
@@ -57,15 +57,16 @@
     }
 
     /**
-     * A close with the next request unread is a reset, and a reset can eat the answer just written.
+     * Closing a socket with unread data sends a reset, and the reset can discard the answer just
+     * written.
      */
     @Test
-    void endsAfterTheLastAnswerWithoutAReset() throws Exception {
-        try (TestNode node = new TestNode(HOLDS);
+    void closesAfterLastAnswerWithoutReset() throws Exception {
+        try (TestNode node = new TestNode(SEND_NOTHING);
                 Peer client = node.client()) {
             client.write(request("r1", "", ""));
             assertThat(node.event()).startsWith("requested 1");
-            holding(
+            whileLoopBlocked(
                     node,
                     actions -> {
                         node.server.clientListener().stopAccepting();
@@ -80,16 +81,16 @@
     }
 
     /**
-     * A request taken late in a stop, at a worker that hangs, had no answer when the platform
-     * killed it.
+     * Regression: a request accepted late in a shutdown and sent to a hanging worker had no answer
+     * when the platform killed the node.
      */
     @Test
-    void answersAllBeforeThePlatformKillsIt() throws Exception {
+    void answersAllRequestsBeforePlatformKill() throws Exception {
         try (TestNode node = new TestNode();
                 Peer early = node.client();
                 Peer late = node.client()) {
             early.write(request("r1", "", ""));
-            hang(node);
+            readWithoutAnswering(node);
             final String request = request("r2", "", "body");
             late.write(request.substring(0, request.length() - 1));
             final CompletableFuture<Void> stopped = node.server.stop();
@@ -97,7 +98,7 @@
                     node.server.loop().schedule(() -> {}, 3_700, TimeUnit.MILLISECONDS);
             assertThat(node.client().isClosedByOther()).isTrue();
             late.write(request.substring(request.length() - 1));
-            hang(node);
+            readWithoutAnswering(node);
             assertThat(early.read()).startsWith("HTTP/1.1 503");
             assertThat(late.read())
                     .startsWith("HTTP/1.1 503")
@@ -108,10 +109,11 @@
     }
 
     /**
-     * The signal comes while the node starts: whoever still gets in is let go, and the node ends.
+     * SIGTERM arrives while the node starts: it closes connections that clients still open, and
+     * stops.
      */
     @Test
-    void endsWhereItIsToldToBeforeItListens() throws Exception {
+    void stopsWhenAskedBeforeListening() throws Exception {
         try (ServerSocket discovery = Peer.listen()) {
             final NodeServer node =
                     new NodeServer(
@@ -126,15 +128,18 @@
         }
     }
 
-    /** What may have had its effect is failed then, and not refused. */
+    /**
+     * Requests that may have taken effect must fail rather than be rejected, because a rejection
+     * promises that a retry does no harm.
+     */
     @Test
-    void failsWhatMayHaveRunBeforeThePlatformKillsIt() throws Exception {
+    void failsRequestsThatMayHaveRunBeforePlatformKill() throws Exception {
         try (TestNode node = new TestNode();
                 Peer client = node.client()) {
             client.write(
                     "POST /file HTTP/1.1\r\nX-Request-Id: r1\r\nIdempotency-Key: k\r\n"
                             + "Content-Length: 0\r\n\r\n");
-            hang(node);
+            readWithoutAnswering(node);
             final CompletableFuture<Void> stopped = node.server.stop();
             node.server.stop();
             assertThat(client.read()).startsWith("HTTP/1.1 500");
--- a/src/test/java/cresschute/node/UpgradeRulesTest.java
+++ b/src/test/java/cresschute/node/UpgradeRulesTest.java
@@ -14,9 +14,9 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * An upgrade as the platform makes it: two processes on the listener that the platform holds, the
- * old one stopped once the new one is ready. Here both are nodes of one JVM, on one listening
- * channel.
+ * Tests an upgrade as the platform performs it: two processes share the listener that the platform
+ * holds, and the old one is stopped once the new one is ready. Here both are nodes in one JVM that
+ * share one listening channel.
  */
 @Timeout(30)
 class UpgradeRulesTest {
@@ -25,15 +25,15 @@
         return "{\"id\":\"" + id + "\",\"from\":\"s-1\",\"state\":\"done\",\"result\":\"yes\"}\n";
     }
 
-    /** Waits until all tasks that were handed to a node's event loop have run. */
-    private static void settle(TestNode node) throws Exception {
+    /** Waits until all tasks submitted to a node's event loop have run. */
+    private static void awaitLoopTasks(TestNode node) throws Exception {
         for (int i = 0; i < 2; i++) {
             node.server.loop().submit(() -> {}).get(8, TimeUnit.SECONDS);
         }
     }
 
     @Test
-    void handsThePassedListenerOverWithoutRefusingOrResetting() throws Exception {
+    void handsOverPassedListenerWithoutRefusingOrResetting() throws Exception {
         try (ServerSocketChannel platform =
                         ServerSocketChannel.open()
                                 .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
@@ -46,19 +46,18 @@
             assertThat(idle.read()).startsWith("HTTP/1.1 200");
             try (TestNode next = new TestNode(platform)) {
                 final CompletableFuture<Void> stopped = old.server.stop();
-                settle(old);
-                // New connections wait in the platform's queue for the new process alone.
+                awaitLoopTasks(old);
+                // Only the new process accepts connections from the platform's queue now.
                 final Peer late = Peer.connect(addr).write(request("r2", "", ""));
                 final Peer second = next.worker();
                 assertThat(second.read()).contains("X-Request-Id: r2");
                 second.write(answer("200 OK", "", done("r2")));
                 assertThat(late.read()).startsWith("HTTP/1.1 200");
-                // The old process ends its idle connection with a close, never a reset, and then
-                // itself.
+                // The old process closes its idle connection without a reset, and then stops.
                 assertThat(idle.readToEnd()).isNotNull().isEmpty();
                 stopped.get(8, TimeUnit.SECONDS);
                 final Peer after = Peer.connect(addr).write(request("r3", "", ""));
-                // On the open connection to the worker: the new process goes on alone.
+                // The new process keeps serving, on its open connection to the worker.
                 assertThat(second.read()).contains("X-Request-Id: r3");
                 assertThat(platform.isOpen()).isTrue();
                 after.close();
