--- a/src/test/java/cresschute/dispatch/CapacityEstimatorTest.java
+++ b/src/test/java/cresschute/dispatch/CapacityEstimatorTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** How the budget of work follows the endings of attempts. */
+/** Checks how the budget follows the endings of attempts. */
 class CapacityEstimatorTest {
 
     private static final double INTERVAL_US = 400_000;
@@ -24,22 +24,22 @@
     }
 
     @Test
-    void hasNoBoundBeforeASignOfOverload() {
+    void isUnboundedBeforeFirstOverload() {
         adjust(100, CapacityEstimator.Evidence.IN_TIME, 1000);
         assertThat(capacity.budget()).isInfinite();
         assertThat(capacity.unallocated()).isInfinite();
     }
 
     @Test
-    void decreasesFromTheOfferedWorkByAFifthAtMost() {
+    void decreasesFromOfferedWorkByAtMostAFifth() {
         adjust(10, CapacityEstimator.Evidence.OVERLOAD, 1000);
-        // Without finished jobs endings are remembered 15 times as long, and each counts as much
-        // less.
+        // Without finished jobs, endings are remembered 15 times as long, and the decrease is
+        // divided by 15.
         assertThat(capacity.budget()).isCloseTo(10 * (1 - 0.2 / 15), within(1e-9));
     }
 
     @Test
-    void toleratesATenthOfBadEndings() {
+    void toleratesTenthOfBadEndings() {
         for (int i = 0; i < 90; i++) {
             capacity.addEvidence(CapacityEstimator.Evidence.IN_TIME, 1);
         }
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void toleratesLessWhereTheMarginalWorkBringsLittle() {
+    void toleratesLessIfMarginalWorkHasLowWeight() {
         capacity.addOffered(10);
         for (int i = 0; i < 95; i++) {
             capacity.addEvidence(CapacityEstimator.Evidence.IN_TIME, 1);
@@ -61,13 +61,13 @@
     }
 
     @Test
-    void countsARejectionAsFullLessThanALateEnding() {
+    void countsRejectionAsFullLessThanLateEnding() {
         adjust(10, CapacityEstimator.Evidence.REJECTED_AS_FULL, 100);
         assertThat(capacity.budget()).isInfinite();
     }
 
     @Test
-    void increasesByATwentiethWhileItBindsAndNothingIsBad() {
+    void increasesByATwentiethIfWorkExceedsBudgetAndNoEndingIsBad() {
         adjust(10, CapacityEstimator.Evidence.OVERLOAD, 100);
         for (int i = 0; i < 1000; i++) {
             adjust(0, CapacityEstimator.Evidence.IN_TIME, 1);
@@ -80,18 +80,18 @@
     }
 
     @Test
-    void doesNotFallUnderTheRateAtWhichWorkFinishesWithMostSlotsBusy() {
+    void doesNotDecreaseBelowFinishRateWithMostSlotsBusy() {
         for (int i = 0; i < 200; i++) {
             capacity.jobFinished(5 * INTERVAL_US);
             capacity.slotsReported(5, 5);
             adjust(10, CapacityEstimator.Evidence.OVERLOAD, 100);
         }
-        // 5 slots of work finish a us, and 0.8 of them are kept busy.
+        // 5 slot-us of work finish per us, and 0.8 of them are kept busy.
         assertThat(capacity.budget()).isCloseTo(4, within(0.1));
     }
 
     @Test
-    void allocatesAnewAfterEachAdjustment() {
+    void resetsUnallocatedWorkAtEachAdjustment() {
         adjust(10, CapacityEstimator.Evidence.OVERLOAD, 100);
         capacity.allocate(3);
         assertThat(capacity.unallocated()).isCloseTo(capacity.budget() - 3, within(1e-9));
--- a/src/test/java/cresschute/dispatch/DispatcherDeadlineTest.java
+++ b/src/test/java/cresschute/dispatch/DispatcherDeadlineTest.java
@@ -1,8 +1,8 @@
 package cresschute.dispatch;
 
-import static cresschute.dispatch.DispatcherHosts.twoSafeWorkers;
-import static cresschute.dispatch.RecordingActions.SECOND;
-import static cresschute.dispatch.RecordingActions.worker;
+import static cresschute.dispatch.RecordingHost.SECOND;
+import static cresschute.dispatch.RecordingHost.worker;
+import static cresschute.dispatch.TestHosts.twoSafeWorkers;
 import static cresschute.dispatch.TestSettings.requestClass;
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -11,12 +11,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** When a request counts as a late retry. */
+/** Checks when a request counts as a late retry. */
 class DispatcherDeadlineTest {
 
     @Test
-    void rejectsARetryWhoseLatencyObjectiveHasPassed() {
-        final RecordingActions host = twoSafeWorkers();
+    void rejectsRetryAfterItsLatencyObjective() {
+        final RecordingHost host = twoSafeWorkers();
         host.request(1, 0);
         host.end(1, 0, host.lastSend().worker(), Outcome.SERVED);
         host.dispatcher.requestArrived(
@@ -25,8 +25,10 @@
         assertThat(host.rejected).containsExactly(2);
     }
 
-    /** Advised retries come after 0.4 s at most, and a request may be in time for 1 s. */
-    @ParameterizedTest(name = "{0} ms of the time are missing, marked as retry: {1}")
+    /**
+     * A request is in time for 1 s, and a retry counts up to two Retry-After times (0.4 s) later.
+     */
+    @ParameterizedTest(name = "timeout shorter by {0} ms, marked as retry: {1}")
     @CsvSource({
         "0, false, 2",
         "900, false, 2",
@@ -36,9 +38,9 @@
         "1200, true, 1",
         "4000, true, 1"
     })
-    void takesNoImpatientClientForARetry(long missingMs, boolean marked, int sends) {
-        final RecordingActions host =
-                new RecordingActions(
+    void distinguishesShortTimeoutFromRetry(long missingMs, boolean marked, int sends) {
+        final RecordingHost host =
+                new RecordingHost(
                                 TestSettings.advisingRetries(
                                         List.of(
                                                 requestClass(
@@ -56,14 +58,14 @@
     }
 
     @Test
-    void learnsNoRunningTimeFromAStartReportedWithTheEnd() {
-        final RecordingActions host = twoSafeWorkers();
+    void ignoresStartReportThatArrivesWithEnd() {
+        final RecordingHost host = twoSafeWorkers();
         host.request(1, 0);
-        host.pass(SECOND / 10);
+        host.advanceTime(SECOND / 10);
         host.dispatcher.jobProgressed(host.nowUs, 1, 0, host.lastSend().worker(), 0);
         host.end(1, 0, host.lastSend().worker(), Outcome.SERVED);
-        // 0.1 s of running and a latency objective of 0.2 s: it may wait for 0.3 s of the 0.4 s and
-        // is not rejected.
+        // The running time is 0.1 s. With a latency objective of 0.2 s and a stretch of 2, an
+        // answer is in time for 0.4 s. This retry is 0.3 s old, so it is not rejected.
         host.dispatcher.requestArrived(
                 host.nowUs, 2, new Job(0, 0, 1, 0, 0, true), host.nowUs + 4_700_000);
         assertThat(host.sends).hasSize(2);
--- a/src/test/java/cresschute/dispatch/DispatcherLoadQueryTest.java
+++ b/src/test/java/cresschute/dispatch/DispatcherLoadQueryTest.java
@@ -1,7 +1,7 @@
 package cresschute.dispatch;
 
-import static cresschute.dispatch.RecordingActions.SECOND;
-import static cresschute.dispatch.RecordingActions.worker;
+import static cresschute.dispatch.RecordingHost.SECOND;
+import static cresschute.dispatch.RecordingHost.worker;
 import static cresschute.dispatch.TestSettings.requestClass;
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -12,21 +12,21 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** When workers are asked for their load before a send. */
+/** Checks when workers are queried for their load before a send. */
 class DispatcherLoadQueryTest {
 
-    private static RecordingActions queryingHost() {
-        return new RecordingActions(
+    private static RecordingHost queryingHost() {
+        return new RecordingHost(
                         TestSettings.withLoadQueries(
                                 List.of(requestClass(1, Idempotency.SAFE, DeduplicationScope.ALL))))
                 .list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 0, 1));
     }
 
     @Test
-    void queriesTheSelectedWorkersWhereReportsAreOld() {
-        final RecordingActions host = queryingHost();
+    void queriesSelectedWorkersIfReportsAreStale() {
+        final RecordingHost host = queryingHost();
         for (int id = 0; id < 20; id++) {
-            host.pass(5 * SECOND);
+            host.advanceTime(5 * SECOND);
             host.queried.clear();
             host.request(id, 0);
             assertThat(host.queried).containsExactlyInAnyOrder(1, 2);
@@ -40,12 +40,12 @@
         }
     }
 
-    /** What holds when the request is sent counts, not what held when workers were queried. */
+    /** The state of client and workers at the send counts, not the state at the query. */
     @ParameterizedTest
     @ValueSource(strings = {"left", "drained", "both"})
-    void sendsARequestHeldForAQueryByTheStateAtItsSend(String what) {
-        final RecordingActions host = queryingHost();
-        host.pass(5 * SECOND);
+    void usesStateAtSendForRequestThatWaitedForQuery(String what) {
+        final RecordingHost host = queryingHost();
+        host.advanceTime(5 * SECOND);
         host.queried.clear();
         host.request(1, 0);
         assertThat(host.queried).containsExactlyInAnyOrder(1, 2);
@@ -57,17 +57,17 @@
         }
         host.dispatcher.loadReported(host.nowUs, 1, Outcome.SERVED, new LoadReport(4, -1, 0));
         host.dispatcher.loadReported(host.nowUs, 2, Outcome.SERVED, new LoadReport(0, -1, 9));
-        host.pass(SECOND);
+        host.advanceTime(SECOND);
         assertThat(host.sends)
-                .extracting(RecordingActions.Send::worker)
+                .extracting(RecordingHost.Send::worker)
                 .isEqualTo(what.equals("drained") ? List.of(2) : List.of());
     }
 
     @Test
-    void sendsToTheShorterQueueOfTwoFullWorkers() {
-        final RecordingActions host = queryingHost();
+    void sendsToShorterQueueOfTwoFullWorkers() {
+        final RecordingHost host = queryingHost();
         for (int id = 0; id < 20; id++) {
-            host.pass(5 * SECOND);
+            host.advanceTime(5 * SECOND);
             host.request(id, 0);
             host.dispatcher.loadReported(
                     host.nowUs, 1, Outcome.SERVED, new LoadReport(0, -1, id % 2 * 6));
@@ -79,15 +79,15 @@
     }
 
     @Test
-    void queriesThreeWhereReportsAreOldAndNoneWhereTheyAreFresh() {
-        final RecordingActions host =
-                new RecordingActions(
+    void queriesThreeWorkersOnlyIfReportsAreStale() {
+        final RecordingHost host =
+                new RecordingHost(
                         TestSettings.withLoadQueries(
                                 List.of(
                                         requestClass(
                                                 1, Idempotency.SAFE, DeduplicationScope.ALL))));
         host.list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 0, 0), worker(3, 0, 0));
-        host.pass(10 * SECOND);
+        host.advanceTime(10 * SECOND);
         host.request(1, 0);
         assertThat(host.queried).containsExactlyInAnyOrder(1, 2, 3);
         for (int worker = 1; worker <= 3; worker++) {
@@ -100,44 +100,44 @@
         assertThat(host.sends).hasSize(2);
     }
 
-    @ParameterizedTest(name = "{0} dispatchers, a report {1} ms old: queried anew {2}")
+    @ParameterizedTest(name = "{0} dispatchers, a report {1} ms old: queried again {2}")
     @CsvSource({"1, 1000, false", "14, 1000, true", "14, 100, false"})
-    void takesAReportForOldSoonerTheMoreDispatchersSend(
-            int dispatchers, long ageMs, boolean queriedAnew) {
-        final RecordingActions host =
-                new RecordingActions(
+    void treatsReportAsStaleSoonerWithMoreDispatchers(
+            int dispatchers, long ageMs, boolean queriedAgain) {
+        final RecordingHost host =
+                new RecordingHost(
                         TestSettings.withLoadQueries(
                                 List.of(requestClass(1, Idempotency.SAFE, DeduplicationScope.ALL)),
                                 dispatchers));
         host.list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 0, 0));
-        host.pass(10 * SECOND);
+        host.advanceTime(10 * SECOND);
         host.request(1, 0);
         host.dispatcher.loadReported(host.nowUs, 1, Outcome.SERVED, new LoadReport(4, -1, -1));
         host.dispatcher.loadReported(host.nowUs, 2, Outcome.SERVED, new LoadReport(4, -1, -1));
         host.end(1, 0, host.lastSend().worker(), Outcome.SERVED);
-        host.pass(ageMs * 1000);
+        host.advanceTime(ageMs * 1000);
         host.queried.clear();
         host.request(2, 0);
-        assertThat(host.queried.isEmpty()).isEqualTo(!queriedAnew);
-        assertThat(host.sends).hasSize(queriedAnew ? 1 : 2);
+        assertThat(host.queried.isEmpty()).isEqualTo(!queriedAgain);
+        assertThat(host.sends).hasSize(queriedAgain ? 1 : 2);
     }
 
     @Test
-    void doesNotWaitForAWorkerThatDoesNotAnswer() {
-        final RecordingActions host = queryingHost();
-        host.pass(5 * SECOND);
+    void doesNotWaitForWorkerThatDoesNotAnswer() {
+        final RecordingHost host = queryingHost();
+        host.advanceTime(5 * SECOND);
         host.request(1, 0);
         host.dispatcher.loadReported(host.nowUs, 2, Outcome.SERVED, LoadReport.NONE);
-        host.pass(SECOND / 10);
-        assertThat(host.sends).containsExactly(new RecordingActions.Send(1, 2));
+        host.advanceTime(SECOND / 10);
+        assertThat(host.sends).containsExactly(new RecordingHost.Send(1, 2));
         host.dispatcher.loadReported(host.nowUs, 1, Outcome.TIMED_OUT, LoadReport.NONE);
         assertThat(host.sends).hasSize(1);
     }
 
     @Test
-    void boundsTheQueriesOfOneRequest() {
-        final RecordingActions host =
-                new RecordingActions(
+    void limitsQueriesOfOneRequest() {
+        final RecordingHost host =
+                new RecordingHost(
                                 TestSettings.withLoadQueries(
                                         List.of(
                                                 requestClass(
@@ -149,7 +149,7 @@
                                 IntStream.rangeClosed(1, 40)
                                         .mapToObj(id -> worker(id, 0, 0))
                                         .toArray(Worker[]::new));
-        host.pass(60 * SECOND);
+        host.advanceTime(60 * SECOND);
         host.request(1, 0);
         int queries = 0;
         while (!host.queried.isEmpty() && queries <= 40) {
@@ -165,22 +165,23 @@
         assertThat(host.sends).hasSize(1);
     }
 
-    /** A late report must not steer a keyed request out of its group. */
+    /** Guards against a late report that sends a keyed request to a worker outside its group. */
     @Test
-    void forgetsReportsToEarlierQueriesOnceARequestIsSent() {
-        final RecordingActions host =
-                new RecordingActions(
+    void ignoresEarlierQueryReportsAfterSend() {
+        final RecordingHost host =
+                new RecordingHost(
                         TestSettings.withLoadQueries(
                                 List.of(
                                         requestClass(
                                                 1, Idempotency.KEYED, DeduplicationScope.CELL))));
-        host.list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 1, 1)).pass(5 * SECOND);
+        host.list(EndpointListForm.CACHED, worker(1, 0, 0), worker(2, 1, 1))
+                .advanceTime(5 * SECOND);
         host.request(1, 0);
         host.dispatcher.loadReported(host.nowUs, 2, Outcome.SERVED, LoadReport.NONE);
-        host.pass(SECOND / 10);
+        host.advanceTime(SECOND / 10);
         host.dispatcher.loadReported(host.nowUs, 1, Outcome.SERVED, LoadReport.NONE);
         host.end(1, 0, 2, Outcome.BROKEN);
-        host.pass(SECOND);
-        assertThat(host.sends).containsOnly(new RecordingActions.Send(1, 2));
+        host.advanceTime(SECOND);
+        assertThat(host.sends).containsOnly(new RecordingHost.Send(1, 2));
     }
 }
--- a/src/test/java/cresschute/dispatch/RecordingActions.java
+++ b/src/test/java/cresschute/dispatch/RecordingHost.java
@@ -3,8 +3,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The host of a dispatcher under test: feeds it events with a clock and records its actions. */
-final class RecordingActions implements DispatcherActions {
+/**
+ * Host of a dispatcher under test: delivers events to it on a simulated clock and records its
+ * actions.
+ */
+final class RecordingHost implements DispatcherActions {
 
     record Send(int request, int worker) {}
 
@@ -22,7 +25,7 @@
     long nowUs = SECOND;
     private long timerAtUs = Long.MAX_VALUE;
 
-    RecordingActions(DispatchSettings settings) {
+    RecordingHost(DispatchSettings settings) {
         dispatcher = new Dispatcher(settings, 7, this);
     }
 
@@ -34,7 +37,7 @@
         return new Worker(id, 0, 0, 0, state, 1, startedAtUs);
     }
 
-    RecordingActions list(EndpointListForm form, Worker... workers) {
+    RecordingHost list(EndpointListForm form, Worker... workers) {
         dispatcher.endpointListChanged(nowUs, form, List.of(workers));
         return this;
     }
@@ -57,8 +60,8 @@
                 nowUs, id, attempt, worker, outcome, 100_000, served, LoadReport.NONE);
     }
 
-    /** Lets time pass, with the dispatcher's own timer and nothing else. */
-    void pass(long us) {
+    /** Advances the clock and fires the dispatcher's timer when it is due. */
+    void advanceTime(long us) {
         final long untilUs = nowUs + us;
         while (timerAtUs <= untilUs) {
             nowUs = timerAtUs;
--- a/src/test/java/cresschute/dispatch/WorkerVisits.java
+++ b/src/test/java/cresschute/dispatch/WorkerVisitCounter.java
@@ -11,20 +11,21 @@
 import java.util.RandomAccess;
 
 /**
- * Counts how often a dispatcher looks at one of its workers, by instrumented collections in the
- * place of its own.
+ * Counts how often a dispatcher accesses one of its workers. It replaces the dispatcher's
+ * collections by counting ones.
  */
-public final class WorkerVisits {
+public final class WorkerVisitCounter {
 
     private long count;
 
-    private WorkerVisits() {}
+    private WorkerVisitCounter() {}
 
     /**
-     * Puts counting collections into a dispatcher that has its list; its classes may go anywhere.
+     * Installs counting collections in a dispatcher that has received its endpoint list. All its
+     * classes must allow all workers.
      */
-    public static WorkerVisits of(Dispatcher dispatcher, int zones) {
-        final WorkerVisits visits = new WorkerVisits();
+    public static WorkerVisitCounter of(Dispatcher dispatcher, int zones) {
+        final WorkerVisitCounter visits = new WorkerVisitCounter();
         try {
             final WorkerIndex index =
                     (WorkerIndex) fieldOfType(Dispatcher.class, WorkerIndex.class).get(dispatcher);
@@ -65,7 +66,7 @@
         throw new IllegalStateException(owner + " has no field of " + type);
     }
 
-    /** Visits since the last call. */
+    /** Returns the visits since the last call. */
     public long take() {
         final long taken = count;
         count = 0;
