--- a/src/main/java/cresschute/control/files/AtomicFile.java
+++ b/src/main/java/cresschute/control/files/AtomicFile.java
@@ -59,7 +59,7 @@
      *
      * @return its new path
      */
-    Path putAside() throws IOException {
+    Path quarantine() throws IOException {
         final Path aside = file.resolveSibling(file.getFileName() + REJECTED_SUFFIX);
         Files.move(file, aside, StandardCopyOption.REPLACE_EXISTING);
         return aside;
--- a/src/main/java/cresschute/control/files/PrivateFolder.java
+++ b/src/main/java/cresschute/control/files/PrivateFolder.java
@@ -18,7 +18,7 @@
      *
      * @throws IOException if it cannot be made
      */
-    public static void make(Path folder) throws IOException {
+    public static void create(Path folder) throws IOException {
         if (!Files.isDirectory(folder)) {
             Files.createDirectories(
                     folder,
--- a/src/main/java/cresschute/control/files/SharedOperatorState.java
+++ b/src/main/java/cresschute/control/files/SharedOperatorState.java
@@ -186,7 +186,7 @@
 
     private void poll() {
         try {
-            readIfChanged().ifPresent(found -> notifyOwner(() -> listener.stateFound(found)));
+            readIfChanged().ifPresent(found -> notifyOwner(() -> listener.stateChanged(found)));
         } catch (IOException | RuntimeException e) {
             LogEvent.of(
                             "operators_state_unread",
@@ -220,7 +220,7 @@
         } catch (NoSuchFileException e) {
             return Optional.empty();
         } catch (DamagedFileException e) {
-            final Path aside = file.putAside();
+            final Path aside = file.quarantine();
             LogEvent.of(
                             "operators_state_refused",
                             "the operators' state "
--- a/src/main/java/cresschute/control/files/SharedStateListener.java
+++ b/src/main/java/cresschute/control/files/SharedStateListener.java
@@ -10,7 +10,7 @@
 public interface SharedStateListener {
 
     /** A state newer than any before was found in the file, as another process wrote it. */
-    void stateFound(OperatorState found);
+    void stateChanged(OperatorState found);
 
     /** Is notified of the end of one change. */
     interface ChangeListener {
--- a/src/main/java/cresschute/control/files/StateFolder.java
+++ b/src/main/java/cresschute/control/files/StateFolder.java
@@ -58,7 +58,7 @@
      * @throws IOException if it cannot be made or locked
      */
     public static StateFolder open(Path folder) throws IOException {
-        PrivateFolder.make(folder);
+        PrivateFolder.create(folder);
         final FileChannel channel =
                 FileChannel.open(
                         folder.resolve("lock"),
@@ -104,7 +104,7 @@
         } catch (NoSuchFileException e) {
             return Optional.empty();
         } catch (DamagedFileException e) {
-            final Path aside = file.putAside();
+            final Path aside = file.quarantine();
             LogEvent.of(
                             "snapshot_refused",
                             "snapshot "
--- a/src/main/java/cresschute/control/socket/ControlServer.java
+++ b/src/main/java/cresschute/control/socket/ControlServer.java
@@ -113,7 +113,7 @@
 
     private void makePrivateFolder() throws IOException {
         final Path folder = file.toAbsolutePath().getParent();
-        PrivateFolder.make(folder);
+        PrivateFolder.create(folder);
         final Set<PosixFilePermission> granted = EnumSet.copyOf(PERMISSIONS_OF_OTHERS);
         granted.retainAll(Files.getPosixFilePermissions(folder));
         if (!granted.isEmpty()) {
@@ -173,7 +173,7 @@
     }
 
     /** The number of connected consoles. */
-    public int sessions() {
+    public int sessionCount() {
         return sessions.size();
     }
 
--- a/src/main/java/cresschute/node/ControlService.java
+++ b/src/main/java/cresschute/node/ControlService.java
@@ -196,7 +196,7 @@
     }
 
     private int consoleCount() {
-        return server.map(ControlServer::sessions).orElse(0);
+        return server.map(ControlServer::sessionCount).orElse(0);
     }
 
     /** The handler of console requests; null before {@link #open}. */
--- a/src/main/java/cresschute/node/ManagementService.java
+++ b/src/main/java/cresschute/node/ManagementService.java
@@ -247,7 +247,7 @@
     // ---- The state in force ----
 
     @Override
-    public void stateFound(OperatorState found) {
+    public void stateChanged(OperatorState found) {
         if (found.generation() <= stored.generation()) {
             return;
         }
--- a/src/test/java/cresschute/ControlPeer.java
+++ b/src/test/java/cresschute/TestConsole.java
@@ -15,20 +15,20 @@
 import java.nio.file.Path;
 
 /** A console driven by hand: writes lines, or parts of them, and reads the node's. */
-public final class ControlPeer implements Closeable {
+public final class TestConsole implements Closeable {
 
     private final SocketChannel channel;
     private final BufferedReader in;
     private int last;
 
     /** Connects to a node's control socket. */
-    public ControlPeer(Path socket) throws IOException {
+    public TestConsole(Path socket) throws IOException {
         channel = SocketChannel.open(UnixDomainSocketAddress.of(socket));
         in = new BufferedReader(Channels.newReader(channel, StandardCharsets.UTF_8));
     }
 
     /** Writes bytes as they are. */
-    public ControlPeer write(String text) throws IOException {
+    public TestConsole write(String text) throws IOException {
         final ByteBuffer bytes = ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8));
         while (bytes.hasRemaining()) {
             channel.write(bytes);
--- a/src/test/java/cresschute/cli/ConsoleProgramTest.java
+++ b/src/test/java/cresschute/cli/ConsoleProgramTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.google.gson.JsonObject;
-import cresschute.ControlPeer;
+import cresschute.TestConsole;
 import cresschute.ProgramProcess;
 import cresschute.node.Json;
 import cresschute.testbed.Fleet;
@@ -68,7 +68,7 @@
     }
 
     private JsonObject worker(String id) throws IOException {
-        try (ControlPeer peer = new ControlPeer(socket)) {
+        try (TestConsole peer = new TestConsole(socket)) {
             return peer.worker(id);
         }
     }
@@ -363,10 +363,10 @@
                 final String op = "round-" + round;
                 final boolean confirmed = round % 2 == 0;
                 final ProgramProcess first = serve(script);
-                try (ControlPeer peer = new ControlPeer(socket)) {
+                try (TestConsole peer = new TestConsole(socket)) {
                     peer.write(
                             "{\"v\":1,\"id\":\"1\","
-                                    + ControlPeer.operation("drain", op, "w1")
+                                    + TestConsole.operation("drain", op, "w1")
                                     + "}\n");
                     if (confirmed) {
                         assertThat(peer.read().get("outcome").getAsString()).isEqualTo("done");
@@ -378,7 +378,7 @@
                 // It left its socket behind, and died with the lock of its folder.
                 assertThat(Files.exists(socket)).isTrue();
                 final ProgramProcess second = serve(script);
-                try (ControlPeer peer = new ControlPeer(socket)) {
+                try (TestConsole peer = new TestConsole(socket)) {
                     if (confirmed) {
                         assertThat(peer.worker("w1").has("drain")).isTrue();
                         goesTo(port, w2);
--- a/src/test/java/cresschute/control/files/AtomicFileTest.java
+++ b/src/test/java/cresschute/control/files/AtomicFileTest.java
@@ -41,7 +41,7 @@
     @Test
     void fileThatIsPutAsideKeepsItsBytes() throws IOException {
         file().replace(new byte[] {1});
-        assertThat(file().putAside())
+        assertThat(file().quarantine())
                 .isEqualTo(folder.resolve("state.refused"))
                 .hasBinaryContent(new byte[] {1});
         assertThatThrownBy(() -> file().read()).isInstanceOf(NoSuchFileException.class);
--- a/src/test/java/cresschute/control/socket/ControlProtocolFormatTest.java
+++ b/src/test/java/cresschute/control/socket/ControlProtocolFormatTest.java
@@ -4,7 +4,7 @@
 
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
-import cresschute.ControlPeer;
+import cresschute.TestConsole;
 import cresschute.console.ControlLink;
 import cresschute.control.ControlCommand;
 import cresschute.control.ControlRequest;
@@ -112,7 +112,7 @@
     }
 
     private String answer(String request) throws Exception {
-        try (ControlPeer peer = new ControlPeer(socket)) {
+        try (TestConsole peer = new TestConsole(socket)) {
             return peer.write(request + "\n").read().toString();
         }
     }
@@ -208,7 +208,7 @@
     /** Updates carry no {@code re}; all else is as in an answer. */
     @Test
     void updatesAreSentAsByAnEarlierNode() throws Exception {
-        try (ControlPeer peer = new ControlPeer(socket)) {
+        try (TestConsole peer = new TestConsole(socket)) {
             peer.ask("\"do\":\"subscribe\"");
             peer.ask("\"do\":\"events\"");
             loop.submit(
--- a/src/test/java/cresschute/control/socket/ControlServerTest.java
+++ b/src/test/java/cresschute/control/socket/ControlServerTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.google.gson.JsonObject;
-import cresschute.ControlPeer;
+import cresschute.TestConsole;
 import cresschute.control.ControlRequest;
 import cresschute.control.DrainOperation;
 import cresschute.control.EventRing;
@@ -93,7 +93,7 @@
     @Test
     void requestsAreAnsweredOnlyAsFastAsAnswersAreRead() throws Exception {
         final int requests = 300;
-        try (ControlPeer peer = new ControlPeer(socket)) {
+        try (TestConsole peer = new TestConsole(socket)) {
             final StringBuilder all = new StringBuilder();
             for (int i = 0; i < requests; i++) {
                 all.append("{\"v\":1,\"id\":\"").append(i).append("\",\"do\":\"workers\"}\n");
@@ -102,7 +102,7 @@
             Awaitility.await().until(() -> requestsRead.get() >= 2);
             // Another console is served meanwhile, after which the loop has been through all there
             // was.
-            try (ControlPeer other = new ControlPeer(socket)) {
+            try (TestConsole other = new TestConsole(socket)) {
                 other.ask("\"do\":\"events\"");
                 other.ask("\"do\":\"events\"");
             }
@@ -121,7 +121,7 @@
      */
     @Test
     void consoleThatReadsAgainGetsTheNewestOnly() throws Exception {
-        try (ControlPeer peer = new ControlPeer(socket)) {
+        try (TestConsole peer = new TestConsole(socket)) {
             peer.ask("\"do\":\"subscribe\"");
             final int changes = 200;
             for (int i = 1; i <= changes; i++) {
@@ -157,7 +157,7 @@
     /** A console that has stopped reading is closed after the stall timeout. */
     @Test
     void consoleThatNeverReadsIsClosed() throws Exception {
-        try (ControlPeer peer = new ControlPeer(socket)) {
+        try (TestConsole peer = new TestConsole(socket)) {
             peer.write("{\"v\":1,\"id\":\"1\",\"do\":\"subscribe\"}\n");
             Awaitility.await().until(() -> loop.submit(server::hasSubscribers).get());
             final long startUs = 1_000_000;
@@ -178,10 +178,10 @@
             }
             loop.submit(() -> server.publish(startUs + ControlSession.STALL_TIMEOUT_US - 1))
                     .syncUninterruptibly();
-            assertThat(loop.submit(server::sessions).get()).isEqualTo(1);
+            assertThat(loop.submit(server::sessionCount).get()).isEqualTo(1);
             loop.submit(() -> server.publish(startUs + ControlSession.STALL_TIMEOUT_US))
                     .syncUninterruptibly();
-            Awaitility.await().until(() -> loop.submit(server::sessions).get() == 0);
+            Awaitility.await().until(() -> loop.submit(server::sessionCount).get() == 0);
         }
     }
 }
--- a/src/test/java/cresschute/testbed/ControlledFleetTest.java
+++ b/src/test/java/cresschute/testbed/ControlledFleetTest.java
@@ -4,7 +4,7 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import com.google.gson.JsonObject;
-import cresschute.ControlPeer;
+import cresschute.TestConsole;
 import cresschute.control.socket.ControlServer;
 import cresschute.testbed.Observation.RequestAnswered;
 import cresschute.testbed.Observation.RequestSent;
@@ -60,8 +60,8 @@
         assertThat(Files.exists(socket)).isFalse();
     }
 
-    private ControlPeer peer() throws IOException {
-        return new ControlPeer(socket);
+    private TestConsole peer() throws IOException {
+        return new TestConsole(socket);
     }
 
     private void await(Condition condition) {
@@ -93,17 +93,17 @@
     }
 
     private boolean isDrained(String worker) throws IOException {
-        try (ControlPeer peer = peer()) {
+        try (TestConsole peer = peer()) {
             return peer.worker(worker).has("drain");
         }
     }
 
-    private void drain(ControlPeer peer, String op, String worker) throws IOException {
+    private void drain(TestConsole peer, String op, String worker) throws IOException {
         assertThat(peer.operate("drain", op, worker)).isEqualTo("done: ");
         fleet.drainedAt(worker, fleet.nowUs());
     }
 
-    private void undrain(ControlPeer peer, String op, String worker) throws IOException {
+    private void undrain(TestConsole peer, String op, String worker) throws IOException {
         // Before it is asked for: from then on work may come.
         fleet.undrained(worker);
         assertThat(peer.operate("undrain", op, worker)).isEqualTo("done: ");
@@ -112,7 +112,7 @@
     @Test
     void drainedWorkerGetsNothingNewAndOthersGoOn() throws IOException {
         more(30);
-        try (ControlPeer peer = peer()) {
+        try (TestConsole peer = peer()) {
             drain(peer, "o1", "w1");
             more(60);
             final int before = fleet.seen().size();
@@ -140,14 +140,14 @@
     @Test
     void sessionCutBeforeTheRequestIsWholeChangesNothing() throws IOException {
         final String request =
-                "{\"v\":1,\"id\":\"1\"," + ControlPeer.operation("drain", "o", "w1") + "}\n";
+                "{\"v\":1,\"id\":\"1\"," + TestConsole.operation("drain", "o", "w1") + "}\n";
         for (int cut = 0; cut < request.length(); cut += 7) {
-            try (ControlPeer peer = peer()) {
+            try (TestConsole peer = peer()) {
                 peer.write(request.substring(0, cut));
             }
         }
         // Without its end the line is not whole, even if all of its JSON is there.
-        try (ControlPeer peer = peer()) {
+        try (TestConsole peer = peer()) {
             peer.write(request.strip());
         }
         assertThat(isDrained("w1")).isFalse();
@@ -158,17 +158,17 @@
     void sessionCutAfterTheRequestLeavesADrainThatCanBeAskedForAgain() throws IOException {
         for (int round = 0; round < 10; round++) {
             final String op = "round-" + round;
-            try (ControlPeer peer = peer()) {
+            try (TestConsole peer = peer()) {
                 peer.write(
                         "{\"v\":1,\"id\":\"1\","
-                                + ControlPeer.operation("drain", op, "w2")
+                                + TestConsole.operation("drain", op, "w2")
                                 + "}\n");
                 if (round % 2 == 0) {
                     peer.read();
                 }
             }
             await(() -> isDrained("w2"));
-            try (ControlPeer next = peer()) {
+            try (TestConsole next = peer()) {
                 assertThat(next.operate("drain", op, "w2")).isEqualTo("done: ");
                 assertThat(next.operate("drain", "other-" + op, "w2"))
                         .isEqualTo("already: drained by ann");
@@ -189,11 +189,11 @@
 
     @Test
     void twoConsolesDrainTheSameWorker() throws IOException {
-        try (ControlPeer one = peer();
-                ControlPeer other = peer()) {
-            one.write("{\"v\":1,\"id\":\"a\"," + ControlPeer.operation("drain", "a", "w3") + "}\n");
+        try (TestConsole one = peer();
+                TestConsole other = peer()) {
+            one.write("{\"v\":1,\"id\":\"a\"," + TestConsole.operation("drain", "a", "w3") + "}\n");
             other.write(
-                    "{\"v\":1,\"id\":\"b\"," + ControlPeer.operation("drain", "b", "w3") + "}\n");
+                    "{\"v\":1,\"id\":\"b\"," + TestConsole.operation("drain", "b", "w3") + "}\n");
             final Set<String> outcomes = new HashSet<>();
             outcomes.add(one.read().get("outcome").getAsString());
             outcomes.add(other.read().get("outcome").getAsString());
@@ -212,7 +212,7 @@
     void drainHoldsOverTheWorkersRestart() throws IOException {
         more(10);
         fleet.begin(InjectedFault.Kind.CRASH, "w4");
-        try (ControlPeer peer = peer()) {
+        try (TestConsole peer = peer()) {
             await(() -> peer.worker("w4").get("state").getAsString().equals("gone"));
             drain(peer, "o1", "w4");
             fleet.end(InjectedFault.Kind.CRASH, "w4");
@@ -227,7 +227,7 @@
 
     @Test
     void drainHoldsOverAWholeNewListAndADrainOfTheLists() throws IOException {
-        try (ControlPeer peer = peer()) {
+        try (TestConsole peer = peer()) {
             drain(peer, "o1", "w5");
             fleet.reportFullList();
             more(20);
@@ -247,11 +247,11 @@
 
     @Test
     void lastWorkerIsDrainedOnlyByForce() throws IOException {
-        try (ControlPeer peer = peer()) {
+        try (TestConsole peer = peer()) {
             for (int i = 1; i <= 5; i++) {
                 assertThat(
                                 peer.ask(
-                                                ControlPeer.operation("drain", "o" + i, "w" + i)
+                                                TestConsole.operation("drain", "o" + i, "w" + i)
                                                         + ",\"force\":true")
                                         .get("outcome")
                                         .getAsString())
@@ -262,7 +262,7 @@
             assertThat(peer.operate("drain", "o7", "w9"))
                     .isEqualTo("refused: no worker is called w9");
             assertThat(
-                            peer.ask(ControlPeer.operation("drain", "o8", "w6") + ",\"force\":true")
+                            peer.ask(TestConsole.operation("drain", "o8", "w6") + ",\"force\":true")
                                     .get("outcome")
                                     .getAsString())
                     .isEqualTo("done");
@@ -282,9 +282,9 @@
 
     @Test
     void drainEndsByItself() throws IOException {
-        try (ControlPeer peer = peer()) {
+        try (TestConsole peer = peer()) {
             assertThat(
-                            peer.ask(ControlPeer.operation("drain", "o", "w1") + ",\"for_ms\":3000")
+                            peer.ask(TestConsole.operation("drain", "o", "w1") + ",\"for_ms\":3000")
                                     .get("outcome")
                                     .getAsString())
                     .isEqualTo("done");
@@ -302,13 +302,13 @@
     void consoleResumesFromANumber() throws IOException {
         final String boot;
         final long number;
-        try (ControlPeer peer = peer()) {
+        try (TestConsole peer = peer()) {
             final JsonObject first = peer.ask("\"do\":\"subscribe\"");
             assertThat(first.get("whole").getAsBoolean()).isTrue();
             boot = first.get("boot").getAsString();
             number = first.get("number").getAsLong();
         }
-        try (ControlPeer peer = peer()) {
+        try (TestConsole peer = peer()) {
             drain(peer, "o", "w1");
             final JsonObject next =
                     peer.ask(
@@ -341,8 +341,8 @@
      */
     @Test
     void consoleThatStopsReadingHoldsNobodyUp() throws IOException {
-        try (ControlPeer deaf = peer();
-                ControlPeer peer = peer()) {
+        try (TestConsole deaf = peer();
+                TestConsole peer = peer()) {
             deaf.write("{\"v\":1,\"id\":\"1\",\"do\":\"subscribe\"}\n");
             final Thread flood =
                     new Thread(
@@ -371,13 +371,13 @@
 
     @Test
     void sessionsAndLinesAreBounded() throws IOException {
-        final List<ControlPeer> peers = new ArrayList<>();
+        final List<TestConsole> peers = new ArrayList<>();
         try {
             for (int i = 0; i < ControlServer.MAX_SESSIONS; i++) {
                 peers.add(peer());
                 peers.get(i).ask("\"do\":\"events\"");
             }
-            try (ControlPeer more = peer()) {
+            try (TestConsole more = peer()) {
                 assertThat(more.read().get("error").getAsString())
                         .isEqualTo("there are 16 consoles already; close one first");
                 assertThat(more.read()).isNull();
@@ -392,14 +392,14 @@
             assertThat(peers.get(1).worker("w1").get("id").getAsString()).isEqualTo("w1");
             await(
                     () -> {
-                        try (ControlPeer again = peer()) {
+                        try (TestConsole again = peer()) {
                             // Its place is free again once the loop has seen the end of the other.
                             again.write("{\"v\":1,\"id\":\"1\",\"do\":\"events\"}\n");
                             return again.read().get("ok").getAsBoolean();
                         }
                     });
         } finally {
-            for (final ControlPeer each : peers) {
+            for (final TestConsole each : peers) {
                 each.close();
             }
         }
--- a/src/test/java/cresschute/testbed/LargeFleetTest.java
+++ b/src/test/java/cresschute/testbed/LargeFleetTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.google.gson.JsonObject;
-import cresschute.ControlPeer;
+import cresschute.TestConsole;
 import java.nio.file.Path;
 import java.util.HashMap;
 import java.util.Map;
@@ -30,7 +30,7 @@
     void newsOfAThousandWorkersAddUp() throws Exception {
         final Path socket = folder.resolve("s");
         try (LargeFleet site = new LargeFleet(1_000, 1, socket);
-                ControlPeer peer = new ControlPeer(socket)) {
+                TestConsole peer = new TestConsole(socket)) {
             final Map<String, JsonObject> held = new HashMap<>();
             take(held, peer.ask("\"do\":\"subscribe\""));
             while (held.size() < 1_002) {
@@ -60,7 +60,7 @@
             }
             assertThat(drains).isGreaterThan(50);
             // An operator among all of that is heard at once, and sees what was asked for.
-            try (ControlPeer operator = new ControlPeer(socket)) {
+            try (TestConsole operator = new TestConsole(socket)) {
                 assertThat(operator.operate("drain", "o", "w500")).isEqualTo("done: ");
             }
             JsonObject row = held.get("w/w500");
