--- a/src/main/java/cresschute/control/files/SharedStateListener.java
+++ b/src/main/java/cresschute/control/files/SharedStateListener.java
@@ -5,7 +5,7 @@
 /**
  * Is notified of changes of a {@link SharedOperatorState}, on the executor of its owner. Every
  * {@link SharedOperatorState#change} is followed by exactly one {@link ChangeListener#stored} or
- * {@link Change#notDurable}, unless the executor has ended.
+ * {@link ChangeListener#notDurable}, unless the executor has ended.
  */
 public interface SharedStateListener {
 
--- a/src/main/java/cresschute/control/socket/ControlServer.java
+++ b/src/main/java/cresschute/control/socket/ControlServer.java
@@ -41,12 +41,14 @@
     public static final int MAX_SESSIONS = 16;
 
     /** Bytes that may wait for a console; above it, nothing is read from it and no update sent. */
-    static final int MAX_UNREAD_BYTES = 512 * 1024;
+    static final int HIGH_WATER_MARK_BYTES = 512 * 1024;
 
-    /** Bytes below which a console that was above {@link #MAX_UNREAD_BYTES} is served again. */
-    private static final int LOW_UNREAD_BYTES = 64 * 1024;
+    /**
+     * Bytes below which a console that was above {@link #HIGH_WATER_MARK_BYTES} is served again.
+     */
+    private static final int LOW_WATER_MARK_BYTES = 64 * 1024;
 
-    private static final Set<PosixFilePermission> PERMISSIONS_OF_OTHERS =
+    private static final Set<PosixFilePermission> NON_OWNER_PERMISSIONS =
             EnumSet.of(
                     PosixFilePermission.GROUP_READ,
                     PosixFilePermission.GROUP_WRITE,
@@ -61,7 +63,7 @@
     private final ControlHandler handler;
     private final Set<ControlSession> sessions = new LinkedHashSet<>();
     private Channel server;
-    private long lastSession;
+    private long lastSessionNumber;
 
     /** A server that does not listen yet. */
     public ControlServer(EventLoop loop, Path file, ControlHandler handler) {
@@ -77,7 +79,7 @@
      * @throws IOException if the folder is open to others, or the socket cannot be made
      */
     public void listen() throws IOException {
-        makePrivateFolder();
+        createPrivateFolder();
         removeStaleSocket();
         final ChannelFuture bound =
                 new ServerBootstrap()
@@ -85,7 +87,8 @@
                         .channel(NioServerDomainSocketChannel.class)
                         .childOption(
                                 ChannelOption.WRITE_BUFFER_WATER_MARK,
-                                new WriteBufferWaterMark(LOW_UNREAD_BYTES, MAX_UNREAD_BYTES))
+                                new WriteBufferWaterMark(
+                                        LOW_WATER_MARK_BYTES, HIGH_WATER_MARK_BYTES))
                         .childHandler(
                                 new ChannelInitializer<Channel>() {
                                     @Override
@@ -111,10 +114,10 @@
                 .log(LOG, Level.INFO);
     }
 
-    private void makePrivateFolder() throws IOException {
+    private void createPrivateFolder() throws IOException {
         final Path folder = file.toAbsolutePath().getParent();
         PrivateFolder.create(folder);
-        final Set<PosixFilePermission> granted = EnumSet.copyOf(PERMISSIONS_OF_OTHERS);
+        final Set<PosixFilePermission> granted = EnumSet.copyOf(NON_OWNER_PERMISSIONS);
         granted.retainAll(Files.getPosixFilePermissions(folder));
         if (!granted.isEmpty()) {
             throw new IOException(
@@ -135,13 +138,13 @@
                             + " is there and is no socket; name another file for the control"
                             + " socket");
         }
-        if (isAnswered()) {
+        if (acceptsConnections()) {
             throw new ControlSocketInUseException(file);
         }
         Files.delete(file);
     }
 
-    private boolean isAnswered() {
+    private boolean acceptsConnections() {
         try {
             SocketChannel.open(UnixDomainSocketAddress.of(file)).close();
             return true;
@@ -151,7 +154,7 @@
     }
 
     private void accept(Channel channel) {
-        final ControlSession session = new ControlSession(++lastSession, channel, handler);
+        final ControlSession session = new ControlSession(++lastSessionNumber, channel, handler);
         if (sessions.size() >= MAX_SESSIONS) {
             session.reject("there are " + MAX_SESSIONS + " consoles already; close one first");
             return;
--- a/src/main/java/cresschute/control/socket/ControlSession.java
+++ b/src/main/java/cresschute/control/socket/ControlSession.java
@@ -17,9 +17,9 @@
  * One console's connection: answers its requests, and sends the changes that it subscribed to.
  *
  * <p>Backpressure: nothing is read from the console and no change is sent to it while {@link
- * ControlServer#MAX_UNREAD_BYTES} wait for it. A console that stops reading costs a bounded amount
- * of memory, is closed after {@link #STALL_TIMEOUT_US}, and gets the newest state if it reads again
- * before.
+ * ControlServer#HIGH_WATER_MARK_BYTES} wait for it. A console that stops reading costs a bounded
+ * amount of memory, is closed after {@link #STALL_TIMEOUT_US}, and gets the newest state if it
+ * reads again before.
  *
  * <p>Life: from the accepted connection to its close. All of it is on the node's loop.
  */
@@ -36,10 +36,10 @@
     private final long number;
     private final Channel channel;
     private final ControlHandler handler;
-    private boolean subscribed;
-    private boolean eventsFollowed;
-    private long sentVersion;
-    private long sentEvent;
+    private boolean subscribedToRows;
+    private boolean subscribedToEvents;
+    private long lastSentVersion;
+    private long lastSentEvent;
     private long stalledSinceUs = NOT_STALLED;
     private long lastUpdateUs;
 
@@ -54,7 +54,7 @@
 
     /** Whether the console subscribed to rows. */
     boolean isSubscribed() {
-        return subscribed;
+        return subscribedToRows;
     }
 
     /** Sends the reason and closes. */
@@ -89,7 +89,7 @@
                 answerRows(request, handler.table().since(0));
             }
             case SUBSCRIBE -> subscribe(request);
-            case EVENTS -> followEvents(request);
+            case EVENTS -> subscribeToEvents(request);
             case DRAIN, UNDRAIN ->
                     handler.execute(
                             request.operation(),
@@ -108,19 +108,19 @@
         // A version of another run of the node cannot be compared.
         final boolean isComparable = request.incarnation().equals(handler.incarnation());
         final TableDelta rows = handler.table().since(isComparable ? request.sinceVersion() : 0);
-        subscribed = true;
-        sentVersion = rows.version();
+        subscribedToRows = true;
+        lastSentVersion = rows.version();
         answerRows(request, rows);
     }
 
-    private void followEvents(ControlRequest request) {
+    private void subscribeToEvents(ControlRequest request) {
         // A request that names no run means this one.
         final boolean isComparable =
                 request.incarnation().isEmpty()
                         || request.incarnation().equals(handler.incarnation());
         final EventBatch events = handler.events().after(isComparable ? request.afterEvent() : 0);
-        eventsFollowed = true;
-        sentEvent = handler.events().lastNumber();
+        subscribedToEvents = true;
+        lastSentEvent = handler.events().lastNumber();
         write(
                 ControlMessages.answer(
                         request.id(),
@@ -148,24 +148,25 @@
         stalledSinceUs = NOT_STALLED;
         final Optional<TableDelta> rows = unsentRows();
         final Optional<EventBatch> events = unsentEvents();
-        final boolean heartbeatDue = subscribed && nowUs - lastUpdateUs >= HEARTBEAT_INTERVAL_US;
+        final boolean heartbeatDue =
+                subscribedToRows && nowUs - lastUpdateUs >= HEARTBEAT_INTERVAL_US;
         if (rows.isPresent() || events.isPresent() || heartbeatDue) {
             lastUpdateUs = nowUs;
-            sentVersion = rows.map(TableDelta::version).orElse(sentVersion);
-            sentEvent = handler.events().lastNumber();
+            lastSentVersion = rows.map(TableDelta::version).orElse(lastSentVersion);
+            lastSentEvent = handler.events().lastNumber();
             write(ControlMessages.update(handler.incarnation(), rows, events));
         }
     }
 
     private Optional<TableDelta> unsentRows() {
-        return subscribed && handler.table().version() != sentVersion
-                ? Optional.of(handler.table().since(sentVersion))
+        return subscribedToRows && handler.table().version() != lastSentVersion
+                ? Optional.of(handler.table().since(lastSentVersion))
                 : Optional.empty();
     }
 
     private Optional<EventBatch> unsentEvents() {
-        return eventsFollowed && handler.events().lastNumber() != sentEvent
-                ? Optional.of(handler.events().after(sentEvent))
+        return subscribedToEvents && handler.events().lastNumber() != lastSentEvent
+                ? Optional.of(handler.events().after(lastSentEvent))
                 : Optional.empty();
     }
 
--- a/src/main/java/cresschute/control/socket/ManagementServer.java
+++ b/src/main/java/cresschute/control/socket/ManagementServer.java
@@ -33,21 +33,24 @@
 
     private final EventLoop loop;
     private final InetSocketAddress address;
-    private final int maxCallers;
+    private final int maxConnections;
     private final ManagementHandler handler;
-    private final Set<Channel> callers = new LinkedHashSet<>();
+    private final Set<Channel> connections = new LinkedHashSet<>();
     private Channel server;
 
     /**
      * A server that does not listen yet.
      *
-     * @param maxCallers connections at a time; a further one gets a 400 answer and is closed
+     * @param maxConnections connections at a time; a further one gets a 400 answer and is closed
      */
     public ManagementServer(
-            EventLoop loop, InetSocketAddress address, int maxCallers, ManagementHandler handler) {
+            EventLoop loop,
+            InetSocketAddress address,
+            int maxConnections,
+            ManagementHandler handler) {
         this.loop = loop;
         this.address = address;
-        this.maxCallers = maxCallers;
+        this.maxConnections = maxConnections;
         this.handler = handler;
     }
 
@@ -57,7 +60,7 @@
                 new ServerBootstrap()
                         .group(loop)
                         .channel(NioServerSocketChannel.class)
-                        .option(ChannelOption.RECVBUF_ALLOCATOR, oneAcceptARead())
+                        .option(ChannelOption.RECVBUF_ALLOCATOR, oneAcceptPerRead())
                         .childOption(ChannelOption.TCP_NODELAY, true)
                         .childHandler(
                                 new ChannelInitializer<Channel>() {
@@ -72,20 +75,20 @@
     }
 
     /** A caller over the limit is closed before the next one is accepted. */
-    private static RecvByteBufAllocator oneAcceptARead() {
+    private static RecvByteBufAllocator oneAcceptPerRead() {
         return new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(1);
     }
 
     private void accept(Channel channel) {
-        if (callers.size() >= maxCallers) {
+        if (connections.size() >= maxConnections) {
             channel.writeAndFlush(
                             ManagementSession.line(
-                                    "400 " + maxCallers + " callers are here; call again"))
+                                    "400 " + maxConnections + " callers are here; call again"))
                     .addListener(ChannelFutureListener.CLOSE);
             return;
         }
-        callers.add(channel);
-        channel.closeFuture().addListener(closed -> callers.remove(channel));
+        connections.add(channel);
+        channel.closeFuture().addListener(closed -> connections.remove(channel));
         final ManagementSession session = new ManagementSession(loop, handler);
         channel.pipeline()
                 .addLast(
@@ -105,6 +108,6 @@
         if (server != null) {
             server.close();
         }
-        Set.copyOf(callers).forEach(Channel::close);
+        Set.copyOf(connections).forEach(Channel::close);
     }
 }
--- a/src/main/java/cresschute/control/socket/ManagementSession.java
+++ b/src/main/java/cresschute/control/socket/ManagementSession.java
@@ -35,7 +35,7 @@
 
     private final EventLoop loop;
     private final ManagementHandler handler;
-    private boolean hasBytes;
+    private boolean callStarted;
     private boolean answered;
     private ScheduledFuture<?> incompleteCallTimer;
     private ScheduledFuture<?> idleTimer;
@@ -57,7 +57,7 @@
         return new ChannelInboundHandlerAdapter() {
             @Override
             public void channelRead(ChannelHandlerContext ctx, Object message) {
-                hasBytes = true;
+                callStarted = true;
                 ctx.fireChannelRead(message);
             }
         };
@@ -75,7 +75,7 @@
     }
 
     private void answerIncompleteCall(ChannelHandlerContext ctx) {
-        if (hasBytes && !answered) {
+        if (callStarted && !answered) {
             answer(
                     ctx,
                     "400 incomplete call: no end of line came within "
--- a/src/main/java/cresschute/health/ConditionRules.java
+++ b/src/main/java/cresschute/health/ConditionRules.java
@@ -25,13 +25,13 @@
     private static final long US_PER_S = 1_000_000;
 
     /** How long a worker that holds no job stays unresponsive, and failed connections count. */
-    private static final long UNTRIED_US = 30 * US_PER_S;
+    private static final long UNRESPONSIVE_HOLD_US = 30 * US_PER_S;
 
     /** The shortest time for which jobs that only wait may be without a sign. */
-    private static final long MIN_QUEUED_SILENCE_US = 10 * US_PER_S;
+    private static final long MIN_QUEUED_INACTIVITY_US = 10 * US_PER_S;
 
     /** Fewer than two may be heavy jobs, which say nothing of their worker. */
-    private static final int MIN_HELD_UP = 2;
+    private static final int MIN_DELAYED_JOBS = 2;
 
     private final HealthThresholds thresholds;
 
@@ -51,66 +51,66 @@
                 .orElseGet(() -> new Assessment(WorkerCondition.HEALTHY, ""));
     }
 
-    private static Optional<Assessment> holds(WorkerCondition condition, String reason) {
+    private static Optional<Assessment> assessment(WorkerCondition condition, String reason) {
         return Optional.of(new Assessment(condition, reason));
     }
 
     private static Optional<Assessment> removed(WorkerHealth worker) {
         return worker.isRemoved()
-                ? holds(
+                ? assessment(
                         WorkerCondition.REMOVED,
-                        "not on the list" + (worker.isIdle() ? "" : "; " + stillOut(worker)))
+                        "not on the list" + (worker.isIdle() ? "" : "; " + inFlightText(worker)))
                 : Optional.empty();
     }
 
     private static Optional<Assessment> draining(WorkerHealth worker) {
         return worker.isDraining()
-                ? holds(
+                ? assessment(
                         WorkerCondition.DRAINING,
                         (worker.isDrainedByOperator() ? "by an operator" : "by the list")
                                 + "; "
-                                + (worker.isIdle() ? "nothing is out there" : stillOut(worker)))
+                                + (worker.isIdle() ? "nothing is out there" : inFlightText(worker)))
                 : Optional.empty();
     }
 
-    private static String stillOut(WorkerHealth worker) {
+    private static String inFlightText(WorkerHealth worker) {
         return worker.attempts().size() + " still out";
     }
 
     private Optional<Assessment> unresponsive(long nowUs, WorkerHealth worker) {
         if (worker.connectFailures() >= thresholds.maxConnectFailures()
-                && nowUs - worker.lastConnectFailureUs() < UNTRIED_US) {
-            return holds(
+                && nowUs - worker.lastConnectFailureUs() < UNRESPONSIVE_HOLD_US) {
+            return assessment(
                     WorkerCondition.UNRESPONSIVE,
                     worker.connectFailures() + " connections in a row failed");
         }
-        return worker.isIdle() ? stillUnresponsive(nowUs, worker) : withoutSign(nowUs, worker);
+        return worker.isIdle() ? heldUnresponsive(nowUs, worker) : inactive(nowUs, worker);
     }
 
     /** A worker without jobs cannot give a sign, so it stays unresponsive for a while. */
-    private static Optional<Assessment> stillUnresponsive(long nowUs, WorkerHealth worker) {
+    private static Optional<Assessment> heldUnresponsive(long nowUs, WorkerHealth worker) {
         final ConditionTracker before = worker.condition();
         return before.is(WorkerCondition.UNRESPONSIVE)
-                        && worker.lastSignUs() <= before.sinceUs()
-                        && nowUs - before.sinceUs() < UNTRIED_US
-                ? holds(WorkerCondition.UNRESPONSIVE, before.reason())
+                        && worker.lastActivityUs() <= before.sinceUs()
+                        && nowUs - before.sinceUs() < UNRESPONSIVE_HOLD_US
+                ? assessment(WorkerCondition.UNRESPONSIVE, before.reason())
                 : Optional.empty();
     }
 
     /** Jobs that only wait give no sign: jobs of other dispatchers may be before them. */
-    private Optional<Assessment> withoutSign(long nowUs, WorkerHealth worker) {
+    private Optional<Assessment> inactive(long nowUs, WorkerHealth worker) {
         final boolean reportsProgress =
                 thresholds.progressIntervalUs() > 0
                         && worker.attempts().stream().anyMatch(TrackedAttempt::isStarted);
-        final long maxSilenceUs =
+        final long maxInactivityUs =
                 reportsProgress
                         ? thresholds.unresponsiveAfterUs()
-                        : Math.max(thresholds.unresponsiveAfterUs(), MIN_QUEUED_SILENCE_US);
+                        : Math.max(thresholds.unresponsiveAfterUs(), MIN_QUEUED_INACTIVITY_US);
         final long oldestUs =
                 worker.attempts().stream().mapToLong(TrackedAttempt::sentUs).min().orElse(nowUs);
-        final long silenceUs = nowUs - Math.max(worker.lastSignUs(), oldestUs);
-        return silenceUs >= maxSilenceUs
-                ? holds(
+        final long inactivityUs = nowUs - Math.max(worker.lastActivityUs(), oldestUs);
+        return inactivityUs >= maxInactivityUs
+                ? assessment(
                         WorkerCondition.UNRESPONSIVE,
                         "nothing heard of its " + worker.attempts().size() + " jobs")
                 : Optional.empty();
@@ -118,37 +118,37 @@
 
     private Optional<Assessment> warmingUp(long nowUs, WorkerHealth worker) {
         return worker.isStartedWithin(nowUs, thresholds.warmUpUs())
-                ? holds(WorkerCondition.WARMING_UP, "started a short while ago")
+                ? assessment(WorkerCondition.WARMING_UP, "started a short while ago")
                 : Optional.empty();
     }
 
     private Optional<Assessment> slow(long nowUs, WorkerHealth worker) {
-        return mostJobsHeldUp(nowUs, worker).or(() -> longerThanElsewhere(worker));
+        return mostJobsDelayed(nowUs, worker).or(() -> slowerThanOtherWorkers(worker));
     }
 
-    private static Optional<Assessment> mostJobsHeldUp(long nowUs, WorkerHealth worker) {
+    private static Optional<Assessment> mostJobsDelayed(long nowUs, WorkerHealth worker) {
         int comparable = 0;
-        int heldUp = 0;
+        int delayed = 0;
         for (final TrackedAttempt attempt : worker.attempts()) {
             if (attempt.isComparable()) {
                 comparable++;
-                heldUp += attempt.isHeldUp(nowUs) ? 1 : 0;
+                delayed += attempt.isDelayed(nowUs) ? 1 : 0;
             }
         }
-        return heldUp >= MIN_HELD_UP && 2 * heldUp > comparable
-                ? holds(
+        return delayed >= MIN_DELAYED_JOBS && 2 * delayed > comparable
+                ? assessment(
                         WorkerCondition.SLOW,
-                        heldUp + " of " + comparable + " running jobs are held up")
+                        delayed + " of " + comparable + " running jobs are held up")
                 : Optional.empty();
     }
 
-    private Optional<Assessment> longerThanElsewhere(WorkerHealth worker) {
+    private Optional<Assessment> slowerThanOtherWorkers(WorkerHealth worker) {
         final double limit =
                 worker.condition().is(WorkerCondition.SLOW)
                         ? thresholds.slowUntilFactor()
                         : thresholds.slowFromFactor();
         return worker.slowness().isAtLeast(limit)
-                ? holds(
+                ? assessment(
                         WorkerCondition.SLOW,
                         "jobs run "
                                 + Math.round(worker.slowness().factor() * 10) / 10.0
@@ -159,12 +159,12 @@
     private Optional<Assessment> overloaded(long nowUs, WorkerHealth worker) {
         final ReportedLoad load = worker.load();
         if (load.isFresh(nowUs, thresholds.reportMaxAgeUs()) && load.isFull()) {
-            return holds(
+            return assessment(
                     WorkerCondition.OVERLOADED,
                     "no free slot and " + (int) load.queued() + " waiting");
         }
         return nowUs - worker.lastRejectionUs() < thresholds.reportMaxAgeUs()
-                ? holds(WorkerCondition.OVERLOADED, "it turned jobs away")
+                ? assessment(WorkerCondition.OVERLOADED, "it turned jobs away")
                 : Optional.empty();
     }
 }
--- a/src/main/java/cresschute/health/TrackedAttempt.java
+++ b/src/main/java/cresschute/health/TrackedAttempt.java
@@ -10,7 +10,7 @@
 public final class TrackedAttempt {
 
     /** A running job this many times as old as the median of its class is held up. */
-    private static final double HELD_UP_FACTOR = 3;
+    private static final double DELAYED_FACTOR = 3;
 
     private static final long NOT_STARTED = 0;
 
@@ -29,7 +29,7 @@
     /** The worker reported that the job started, or its progress. */
     public void progressReported(long nowUs) {
         startedUs = startedUs == NOT_STARTED ? nowUs : startedUs;
-        worker.signReceived(nowUs);
+        worker.activityObserved(nowUs);
     }
 
     /**
@@ -78,7 +78,7 @@
     }
 
     /** Whether the job runs much longer than the median of its class; only if comparable. */
-    boolean isHeldUp(long nowUs) {
-        return nowUs - startedUs > HELD_UP_FACTOR * requestClass.medianRunTimeUs();
+    boolean isDelayed(long nowUs) {
+        return nowUs - startedUs > DELAYED_FACTOR * requestClass.medianRunTimeUs();
     }
 }
--- a/src/main/java/cresschute/health/WorkerHealth.java
+++ b/src/main/java/cresschute/health/WorkerHealth.java
@@ -37,7 +37,7 @@
     private final SlownessEstimator slowness = new SlownessEstimator();
     private final ConditionTracker condition = new ConditionTracker();
     private WorkerListing listing;
-    private long lastSignUs;
+    private long lastActivityUs;
     private long lastRejectionUs = NEVER;
     private ReportedLoad load = ReportedLoad.NONE;
     private int connectFailures;
@@ -47,12 +47,12 @@
      * A worker without attempts or condition.
      *
      * @param classes number of request classes
-     * @param lastSignUs when there was a sign of it
+     * @param lastActivityUs when there was a sign of it
      */
-    WorkerHealth(int classes, WorkerListing listing, long lastSignUs) {
+    WorkerHealth(int classes, WorkerListing listing, long lastActivityUs) {
         this.inFlightByClass = new int[classes];
         this.listing = listing;
-        this.lastSignUs = lastSignUs;
+        this.lastActivityUs = lastActivityUs;
     }
 
     // ---- Events ----
@@ -71,15 +71,15 @@
     void attemptStarted(long nowUs, TrackedAttempt attempt) {
         if (attempts.isEmpty()) {
             // It had no job to report about until now.
-            lastSignUs = Math.max(lastSignUs, nowUs);
+            lastActivityUs = Math.max(lastActivityUs, nowUs);
         }
         attempts.add(attempt);
         inFlightByClass[attempt.requestClass().number()]++;
     }
 
     /** It reported something about a job. */
-    void signReceived(long nowUs) {
-        lastSignUs = nowUs;
+    void activityObserved(long nowUs) {
+        lastActivityUs = nowUs;
         connectFailures = 0;
     }
 
@@ -93,7 +93,7 @@
                 lastConnectFailureUs = nowUs;
             }
             case TIMED_OUT, CANCELLED, NOT_SENT -> {}
-            default -> signReceived(nowUs);
+            default -> activityObserved(nowUs);
         }
         if (outcome == Outcome.FULL) {
             lastRejectionUs = nowUs;
@@ -163,8 +163,8 @@
     }
 
     /** When it last reported or answered something, or was sent its first job. */
-    long lastSignUs() {
-        return lastSignUs;
+    long lastActivityUs() {
+        return lastActivityUs;
     }
 
     /** Failed connections since the last sign. */
--- a/src/test/java/cresschute/cli/ConsoleProgramTest.java
+++ b/src/test/java/cresschute/cli/ConsoleProgramTest.java
@@ -3,8 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.google.gson.JsonObject;
-import cresschute.TestConsole;
 import cresschute.ProgramProcess;
+import cresschute.TestConsole;
 import cresschute.node.Json;
 import cresschute.testbed.Fleet;
 import cresschute.testbed.FleetReport;
--- a/src/test/java/cresschute/control/ControlRequestTest.java
+++ b/src/test/java/cresschute/control/ControlRequestTest.java
@@ -36,14 +36,14 @@
                     {"v":1,"id":"1","do":"drain","op":"o","worker":"w","force":"yes"}  | force is neither true nor false
                     {"v":1,"id":"1","do":"drain","op":"o","worker":"w\\u001b[2J"}      | worker has control characters, or more than 200
                     """)
-    void invalidLinesAreRejectedWithTheReason(String line, String error) {
+    void rejectsInvalidLinesWithTheReason(String line, String error) {
         assertThatThrownBy(() -> ControlRequest.parse(line))
                 .isInstanceOf(InvalidControlRequestException.class)
                 .hasMessageContaining(error);
     }
 
     @Test
-    void deepNestingIsRejected() {
+    void rejectsDeepNesting() {
         assertThatThrownBy(() -> ControlRequest.parse("[".repeat(ControlRequest.MAX_LINE_LENGTH)))
                 .isInstanceOf(InvalidControlRequestException.class);
         assertThatThrownBy(() -> ControlRequest.parse("{\"a\":".repeat(3_000)))
--- a/src/test/java/cresschute/control/DrainRegistryTest.java
+++ b/src/test/java/cresschute/control/DrainRegistryTest.java
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void overlayMakesAStateWorseAndNeverBetter() {
+    void drainNeverImprovesTheListedState() {
         assertThat(drains.apply(drain("1", "a"), FLEET, 0).result())
                 .isEqualTo(OperationResult.APPLIED);
         assertThat(drains.effectiveState("a", WorkerState.READY)).isEqualTo(WorkerState.DRAINING);
@@ -63,7 +63,7 @@
      * A console that was cut off sends its operation again; meanwhile another one has undone it.
      */
     @Test
-    void operationSentAgainDoesNothing() {
+    void repeatedOperationHasNoSecondEffect() {
         final OperationOutcome first = drains.apply(drain("1", "a"), FLEET, 0);
         drains.apply(undo("2", "a"), FLEET, 1);
         assertThat(drains.apply(drain("1", "a"), FLEET, 2)).isEqualTo(first);
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void secondConsoleIsNotifiedWhoDrained() {
+    void repeatedDrainNamesTheFirstOperator() {
         drains.apply(drain("1", "a"), FLEET, 5);
         assertThat(drains.apply(new DrainOperation("2", true, "a", S, "bob", "", false), FLEET, 9))
                 .isEqualTo(new OperationOutcome(OperationResult.UNCHANGED, "drained by ann: disk"));
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void lastWorkerOfAClassIsDrainedOnlyByForce() {
+    void rejectsUnforcedDrainOfLastWorkerOfAClass() {
         assertThat(drains.apply(drain("1", "c"), FLEET, 0))
                 .isEqualTo(
                         new OperationOutcome(
@@ -111,7 +111,7 @@
     }
 
     @Test
-    void lastWorkerOfABoundCellIsNotDrained() {
+    void rejectsDrainOfLastWorkerOfABoundCell() {
         final FleetView bound = new FleetView(FLEET.workers(), List.of(), Set.of(1));
         assertThat(drains.apply(drain("1", "a"), bound, 0).result())
                 .isEqualTo(OperationResult.APPLIED);
@@ -128,7 +128,7 @@
      * One that is restarting and not on the list can be drained by force, and is when it is back.
      */
     @Test
-    void unknownWorkerNeedsForce() {
+    void rejectsUnforcedDrainOfUnknownWorker() {
         assertThat(drains.apply(drain("1", "x"), FLEET, 0))
                 .isEqualTo(new OperationOutcome(OperationResult.REJECTED, "no worker is called x"));
         drains.apply(new DrainOperation("2", true, "x", S, "ann", "", true), FLEET, 0);
@@ -136,7 +136,7 @@
     }
 
     @Test
-    void drainsEndWhenTheirTimeIsUp() {
+    void drainsExpireAtTheirEnd() {
         drains.apply(new DrainOperation("1", true, "a", 3 * S, "ann", "", false), FLEET, S);
         assertThat(drains.nextEndUs()).isEqualTo(4 * S);
         assertThat(drains.expire(4 * S - 1)).isEmpty();
@@ -152,7 +152,7 @@
     }
 
     @Test
-    void drainsAreLimited() {
+    void rejectsDrainsOverTheLimit() {
         for (int i = 0; i < DrainRegistry.MAX_DRAINS; i++) {
             drains.apply(new DrainOperation("o" + i, true, "w" + i, S, "ann", "", true), FLEET, 0);
         }
@@ -164,7 +164,7 @@
     }
 
     @Test
-    void memoryOfOperationsIsBounded() {
+    void forgetsTheOldestOperationOverTheLimit() {
         for (int i = 0; i <= DrainRegistry.MAX_COMPLETED; i++) {
             drains.apply(undo("u" + i, "a"), FLEET, 0);
         }
@@ -181,7 +181,7 @@
      * never loses its last one unforced.
      */
     @Property(tries = 300, seed = "81")
-    void agreesWithAPlainModel(@ForAll Random random) {
+    void matchesReferenceModel(@ForAll Random random) {
         DrainRegistry tested = new DrainRegistry();
         final Map<String, Long> model = new HashMap<>();
         final Set<String> applied = new HashSet<>();
--- a/src/test/java/cresschute/control/DrainSnapshotFormatTest.java
+++ b/src/test/java/cresschute/control/DrainSnapshotFormatTest.java
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void drainsAndOperationsOfAnEarlierVersionAreInForce() throws Exception {
+    void restoresDrainsAndOperationsOfAnEarlierVersion() throws Exception {
         final DrainSnapshot read = DrainSnapshot.decode(bytes(DRAINS));
         assertThat(read.generation()).isEqualTo(41);
         final DrainRegistry drains = new DrainRegistry();
@@ -131,7 +131,7 @@
     }
 
     @Test
-    void undrainOfAnEarlierVersionIsRemembered() throws Exception {
+    void restoresUndrainOfAnEarlierVersion() throws Exception {
         final DrainSnapshot read = DrainSnapshot.decode(bytes(UNDRAINED));
         assertThat(read)
                 .isEqualTo(
@@ -160,7 +160,7 @@
     }
 
     @Test
-    void emptySnapshotOfAnEarlierVersionIsRead() throws Exception {
+    void readsEmptySnapshotOfAnEarlierVersion() throws Exception {
         final DrainSnapshot read = DrainSnapshot.decode(bytes(NO_DRAINS));
         assertThat(read).isEqualTo(new DrainSnapshot(1, List.of(), List.of()));
         assertThat(text(read.encode())).isEqualTo(NO_DRAINS);
@@ -177,7 +177,7 @@
     }
 
     @Test
-    void bansAndNodeDrainOfAnEarlierVersionAreInForce() throws Exception {
+    void restoresBansAndNodeDrainOfAnEarlierVersion() throws Exception {
         assertOperatorsState(BANNED, 7, Set.of("w1", "w2"), false);
         assertOperatorsState(NODE_DRAINED, 8, Set.of(), true);
         assertOperatorsState(BANNED_AND_DRAINED, 9, Set.of("w1", "w2"), true);
@@ -185,7 +185,7 @@
 
     /** The calls of operators lead to these very files. */
     @Test
-    void callsOfOperatorsWriteWhatAnEarlierVersionWrote() throws Exception {
+    void managementCallsKeepTheStoredFormat() throws Exception {
         OperatorState state = OperatorState.NONE.withGeneration(6);
         state =
                 state.apply(ManagementCall.parse("disable-server w2"))
--- a/src/test/java/cresschute/control/DrainSnapshotTest.java
+++ b/src/test/java/cresschute/control/DrainSnapshotTest.java
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void snapshotIsReadCompleteOrNotAtAll() throws Exception {
+    void rejectsTornAndChangedSnapshots() throws Exception {
         final byte[] bytes = some().encode();
         assertThat(DrainSnapshot.decode(bytes)).isEqualTo(some());
         for (int i = 0; i < bytes.length; i++) {
@@ -45,7 +45,7 @@
 
     /** An older file that was given a newer number would undo what came after it. */
     @Test
-    void generationIsUnderTheChecksum() {
+    void checksumCoversTheGeneration() {
         final String text = new String(some().encode(), StandardCharsets.UTF_8);
         assertThatThrownBy(
                         () ->
@@ -60,7 +60,7 @@
      * drain.
      */
     @Test
-    void restartDoesNotForgetOperations() throws Exception {
+    void restartKeepsCompletedOperations() throws Exception {
         final DrainSnapshot read = DrainSnapshot.decode(some().encode());
         final DrainRegistry drains = new DrainRegistry();
         drains.restore(
--- a/src/test/java/cresschute/control/ManagementCallTest.java
+++ b/src/test/java/cresschute/control/ManagementCallTest.java
@@ -50,14 +50,14 @@
     }
 
     @Test
-    void rejectsAnIdThatNoListHolds() {
+    void rejectsWorkerIdWithControlCharacters() {
         assertThatThrownBy(() -> ManagementCall.parse("disable-server s\u00071"))
                 .hasMessageContaining("no list names a worker s?1");
     }
 
     @ParameterizedTest
     @CsvSource({"201", "513"})
-    void boundsTheLengthOfIdsAndCalls(int length) {
+    void rejectsIdsAndCallsOverTheLengthLimit(int length) {
         assertThatThrownBy(() -> ManagementCall.parse("disable-server " + "s".repeat(length)))
                 .isInstanceOf(InvalidManagementCallException.class);
     }
--- a/src/test/java/cresschute/control/OperatorStateTest.java
+++ b/src/test/java/cresschute/control/OperatorStateTest.java
@@ -15,7 +15,7 @@
     }
 
     @Test
-    void callRepeatedChangesTheGenerationAlone() throws Exception {
+    void repeatedCallChangesOnlyTheGeneration() throws Exception {
         final OperatorState once = OperatorState.NONE.apply(call("disable-server w1"));
         final OperatorState twice = once.apply(call("disable-server w1"));
         assertThat(twice).isEqualTo(once.withGeneration(2));
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void differenceNamesBansOfEitherStateAlone() throws Exception {
+    void differenceHasBansOfExactlyOneState() throws Exception {
         final OperatorState one =
                 OperatorState.NONE
                         .apply(call("disable-server w1"))
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void bansAreLimitedAndAWorkerThatIsBannedStaysSo() throws Exception {
+    void rejectsFurtherBansOverTheLimit() throws Exception {
         final OperatorState full =
                 new OperatorState(
                         1,
--- a/src/test/java/cresschute/control/VersionedTableTest.java
+++ b/src/test/java/cresschute/control/VersionedTableTest.java
@@ -22,7 +22,7 @@
     }
 
     @Property(tries = 300, seed = "82")
-    void deltasAddUpToTheTable(@ForAll Random random) {
+    void applyingDeltasReproducesTheTable(@ForAll Random random) {
         final VersionedTable table = new VersionedTable();
         final Map<String, String> model = new HashMap<>();
         final Map<String, String> fastRows = new HashMap<>();
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void sameRowIsNoChange() {
+    void puttingTheSameTextKeepsTheVersion() {
         final VersionedTable table = new VersionedTable();
         table.put("w", "1");
         table.put("w", "1");
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void readerOfEventsLearnsHowManyItMissed() {
+    void eventBatchCountsMissedEvents() {
         final EventRing ring = new EventRing();
         assertThat(ring.after(0).events()).isEmpty();
         for (int i = 1; i <= EventRing.MAX_EVENTS + 10; i++) {
--- a/src/test/java/cresschute/control/files/AtomicFileTest.java
+++ b/src/test/java/cresschute/control/files/AtomicFileTest.java
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void replaceLeavesTheNewBytesAlone() throws IOException {
+    void replaceLeavesOnlyTheNewBytes() throws IOException {
         file().replace(new byte[] {1, 2, 3});
         file().replace(new byte[] {4});
         file().syncFolder();
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void fileThatIsPutAsideKeepsItsBytes() throws IOException {
+    void quarantinedFileKeepsItsBytes() throws IOException {
         file().replace(new byte[] {1});
         assertThat(file().quarantine())
                 .isEqualTo(folder.resolve("state.refused"))
--- a/src/test/java/cresschute/control/files/SharedOperatorStateFormatTest.java
+++ b/src/test/java/cresschute/control/files/SharedOperatorStateFormatTest.java
@@ -73,14 +73,14 @@
     }
 
     @Test
-    void newerOfTwoCompleteSnapshotsIsInForce() throws IOException {
+    void loadsTheNewerOfTwoCompleteSnapshots() throws IOException {
         write("drains.0", GENERATION_8);
         write("drains.1", GENERATION_9);
         assertThat(load()).isEqualTo(snapshot(9));
     }
 
     @Test
-    void completeSnapshotIsInForceBesideATornOne() throws IOException {
+    void loadsTheCompleteSnapshotWhenTheOtherIsTorn() throws IOException {
         write("drains.0", GENERATION_8);
         write("drains.1", torn(GENERATION_9));
         assertThat(load()).isEqualTo(snapshot(8));
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void snapshotsAreWrittenAsAnEarlierVersionWroteThem() throws IOException {
+    void snapshotFilesKeepTheirFormat() throws IOException {
         try (StateFolder state = StateFolder.open(folder)) {
             for (final long generation : new long[] {8, 9}) {
                 assertThat(StateFolderTest.store(state, snapshot(generation))).isNull();
@@ -132,7 +132,7 @@
     }
 
     @Test
-    void operatorsStateIsTakenUpAndWrittenOn() throws Exception {
+    void loadsAndUpdatesStateOfAnEarlierVersion() throws Exception {
         write(OPERATORS_FILE, BANNED);
         final OperatorState[] found = new OperatorState[1];
         openAndCall(found, "ready");
@@ -151,7 +151,7 @@
 
     /** It counts as no state, is put aside, and the next change starts anew. */
     @Test
-    void tornOperatorsStateIsPutAside() throws Exception {
+    void quarantinesTornState() throws Exception {
         write(OPERATORS_FILE, torn(BANNED));
         final OperatorState[] found = new OperatorState[1];
         openAndCall(found, "drain");
--- a/src/test/java/cresschute/control/files/SharedOperatorStateTest.java
+++ b/src/test/java/cresschute/control/files/SharedOperatorStateTest.java
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void changesOfBothProcessesAddUp() throws Exception {
+    void appliesChangesOfBothProcesses() throws Exception {
         try (SharedOperatorState one = open();
                 SharedOperatorState other = open()) {
             final OperatorState first = ChangeEnd.of(one, "disable-server w1").end.join();
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void changeThatCannotBeWrittenIsReported() throws Exception {
+    void reportsChangeThatCannotBeWritten() throws Exception {
         try (SharedOperatorState shared = open()) {
             // A folder in the way of the file that is written aside: also root cannot write there.
             Files.createDirectory(folder.resolve("cresschute-operators.new"));
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void changeAfterTheEndIsReportedAsNotDurable() throws Exception {
+    void reportsChangeAfterCloseAsNotDurable() throws Exception {
         final SharedOperatorState shared = open();
         shared.close();
         assertThat(ChangeEnd.of(shared, "drain").end)
--- a/src/test/java/cresschute/control/files/StateFolderTest.java
+++ b/src/test/java/cresschute/control/files/StateFolderTest.java
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void newestIsLoadedAfterEachWrite() throws IOException {
+    void loadsTheNewestSnapshot() throws IOException {
         assertThat(load().generation()).isZero();
         storeUpTo(5);
         assertThat(load()).isEqualTo(snapshot(5));
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void olderOneIsUsedWhereTheNewestIsDamaged() throws IOException {
+    void loadsTheOlderSnapshotWhenTheNewestIsDamaged() throws IOException {
         storeUpTo(5);
         final Path newest = folder().resolve("drains.1");
         final byte[] bytes = Files.readAllBytes(newest);
@@ -93,7 +93,7 @@
 
     /** A process that died while it wrote aside: what was confirmed before stands. */
     @Test
-    void halfWrittenFileIsIgnored() throws IOException {
+    void ignoresPartiallyWrittenTemporaryFile() throws IOException {
         storeUpTo(2);
         Files.write(folder().resolve("drains.new"), new byte[] {1, 2, 3});
         assertThat(load()).isEqualTo(snapshot(2));
@@ -104,7 +104,7 @@
     }
 
     @Test
-    void bothDamagedStartsWithNothing() throws IOException {
+    void startsEmptyWhenBothSnapshotsAreDamaged() throws IOException {
         storeUpTo(2);
         Files.write(folder().resolve("drains.0"), new byte[] {1});
         Files.write(folder().resolve("drains.1"), new byte[0]);
@@ -112,7 +112,7 @@
     }
 
     @Test
-    void folderBelongsToOneNode() throws IOException {
+    void rejectsSecondNodeOnTheSameFolder() throws IOException {
         try (StateFolder state = StateFolder.open(folder())) {
             assertThatThrownBy(() -> StateFolder.open(folder()))
                     .isInstanceOf(StateFolderInUseException.class)
@@ -124,7 +124,7 @@
 
     /** What cannot be written is reported, and the generations before it stay. */
     @Test
-    void failedWriteIsReported() throws IOException {
+    void reportsFailedWriteAndKeepsEarlierSnapshots() throws IOException {
         storeUpTo(2);
         // A folder in the way of the file that is written aside: also root cannot write there.
         Files.createDirectory(folder().resolve("drains.new"));
--- a/src/test/java/cresschute/control/socket/ControlProtocolFormatTest.java
+++ b/src/test/java/cresschute/control/socket/ControlProtocolFormatTest.java
@@ -120,7 +120,7 @@
     // ---- What consoles write ----
 
     @Test
-    void consolesWriteTheRequestsOfAnEarlierVersion() {
+    void consoleRequestsKeepTheirFormat() {
         assertThat(ControlLink.request("1", "workers")).hasToString(WORKERS);
         final Map<String, Object> drain = new LinkedHashMap<>();
         drain.put("op", "op-1");
@@ -133,7 +133,7 @@
     }
 
     @Test
-    void requestsOfAnEarlierConsoleAreUnderstood() throws Exception {
+    void parsesRequestsOfAnEarlierConsole() throws Exception {
         assertThat(ControlRequest.parse(WORKERS))
                 .isEqualTo(new ControlRequest("1", ControlCommand.WORKERS, 0, "", 0, null));
         assertThat(ControlRequest.parse(SUBSCRIBE))
@@ -179,7 +179,7 @@
     // ---- What nodes answer ----
 
     @Test
-    void rowsAreAnsweredAsByAnEarlierNode() throws Exception {
+    void rowAnswersKeepTheirFormat() throws Exception {
         assertThat(answer(WORKERS))
                 .isEqualTo(
                         "{\"re\":\"1\",\"ok\":true,\"boot\":\"run-1\",\"number\":3,"
@@ -193,7 +193,7 @@
     }
 
     @Test
-    void eventsAreAnsweredAsByAnEarlierNode() throws Exception {
+    void eventAnswersKeepTheirFormat() throws Exception {
         assertThat(
                         answer(
                                 "{\"v\":1,\"id\":\"e\",\"do\":\"events\",\"after\":0,\"boot\":\"run-1\"}"))
@@ -207,7 +207,7 @@
 
     /** Updates carry no {@code re}; all else is as in an answer. */
     @Test
-    void updatesAreSentAsByAnEarlierNode() throws Exception {
+    void updatesKeepTheirFormat() throws Exception {
         try (TestConsole peer = new TestConsole(socket)) {
             peer.ask("\"do\":\"subscribe\"");
             peer.ask("\"do\":\"events\"");
@@ -232,7 +232,7 @@
     }
 
     @Test
-    void operationsAreAnsweredAsByAnEarlierNode() throws Exception {
+    void operationAnswersKeepTheirFormat() throws Exception {
         assertThat(answer(DRAIN)).isEqualTo("{\"re\":\"o1\",\"ok\":true,\"outcome\":\"done\"}");
         assertThat(executed)
                 .isEqualTo(
@@ -242,7 +242,7 @@
     }
 
     @Test
-    void rejectionsAreAnsweredAsByAnEarlierNode() throws Exception {
+    void rejectionsKeepTheirFormat() throws Exception {
         assertThat(answer("{\"v\":1,\"id\":\"x\",\"do\":\"fly\"}"))
                 .isEqualTo(
                         "{\"re\":\"x\",\"ok\":false,\"error\":\"do is 'fly'; there are workers,"
--- a/src/test/java/cresschute/control/socket/ControlServerTest.java
+++ b/src/test/java/cresschute/control/socket/ControlServerTest.java
@@ -91,7 +91,7 @@
      * hold every answer.
      */
     @Test
-    void requestsAreAnsweredOnlyAsFastAsAnswersAreRead() throws Exception {
+    void stopsReadingRequestsWhileAnswersAreUnread() throws Exception {
         final int requests = 300;
         try (TestConsole peer = new TestConsole(socket)) {
             final StringBuilder all = new StringBuilder();
@@ -120,7 +120,7 @@
      * each row, once.
      */
     @Test
-    void consoleThatReadsAgainGetsTheNewestOnly() throws Exception {
+    void consoleThatResumesReadingGetsOnlyTheNewestRows() throws Exception {
         try (TestConsole peer = new TestConsole(socket)) {
             peer.ask("\"do\":\"subscribe\"");
             final int changes = 200;
@@ -156,7 +156,7 @@
 
     /** A console that has stopped reading is closed after the stall timeout. */
     @Test
-    void consoleThatNeverReadsIsClosed() throws Exception {
+    void closesConsoleThatStopsReading() throws Exception {
         try (TestConsole peer = new TestConsole(socket)) {
             peer.write("{\"v\":1,\"id\":\"1\",\"do\":\"subscribe\"}\n");
             Awaitility.await().until(() -> loop.submit(server::hasSubscribers).get());
--- a/src/test/java/cresschute/health/ConditionRulesTest.java
+++ b/src/test/java/cresschute/health/ConditionRulesTest.java
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void eachRulePrecedesTheMilderOnes() {
+    void firstRuleThatHoldsDecides() {
         expect(NOW_US, WorkerCondition.HEALTHY, "");
         send().ended(NOW_US, Outcome.FULL, LoadReport.NONE);
         expect(NOW_US, WorkerCondition.OVERLOADED, "it turned jobs away");
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void jobsWithProgressReportsAreExpectedToReport() {
+    void startedJobsHaveAShorterInactivityLimit() {
         final TrackedAttempt attempt = send();
         expect(NOW_US + 10 * S - 1, WorkerCondition.HEALTHY, "");
         expect(NOW_US + 10 * S, WorkerCondition.UNRESPONSIVE, "nothing heard of its 1 jobs");
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void otherProcessForgetsSlownessAndFailedConnections() {
+    void newProcessResetsSlownessAndFailedConnections() {
         for (int i = 0; i < 5; i++) {
             worker.slowness().add(300, 100);
             send().ended(NOW_US, Outcome.CONNECT_FAILED, LoadReport.NONE);
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void oldReportsAndRejectionsDoNotCount() {
+    void ignoresOldReportsAndRejections() {
         send().ended(NOW_US, Outcome.FULL, new LoadReport(0, -1, 3));
         expect(NOW_US + 5 * S - 1, WorkerCondition.OVERLOADED, "no free slot and 3 waiting");
         expect(NOW_US + 5 * S, WorkerCondition.HEALTHY, "");
--- a/src/test/java/cresschute/health/ConditionTrackerTest.java
+++ b/src/test/java/cresschute/health/ConditionTrackerTest.java
@@ -18,7 +18,7 @@
     }
 
     @Test
-    void firstAssessmentHoldsAtOnce() {
+    void firstAssessmentTakesEffectAtOnce() {
         assertThat(tracker.condition()).isEmpty();
         assess(5, WorkerCondition.SLOW);
         assertThat(tracker.condition()).contains(WorkerCondition.SLOW);
@@ -37,7 +37,7 @@
         "DRAINING, HEALTHY, 0",
         "REMOVED, WARMING_UP, 0"
     })
-    void changeHoldsAfterItsDelay(WorkerCondition from, WorkerCondition to, long delayMs) {
+    void changeTakesEffectAfterItsDelay(WorkerCondition from, WorkerCondition to, long delayMs) {
         assess(0, from);
         assess(MS, to);
         for (long ms = 1; ms < delayMs; ms++) {
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void interruptionBeginsTheDelayAnew() {
+    void interruptionRestartsTheDelay() {
         assess(0, WorkerCondition.HEALTHY);
         assess(100 * MS, WorkerCondition.SLOW);
         assess(500 * MS, WorkerCondition.HEALTHY);
--- a/src/test/java/cresschute/health/HealthTrackerTest.java
+++ b/src/test/java/cresschute/health/HealthTrackerTest.java
@@ -96,7 +96,7 @@
 
     /** Jobs of other dispatchers may be before them in the queue. */
     @Test
-    void queuedJobsMayBeWithoutProgressForLonger() {
+    void queuedJobsHaveALongerInactivityLimit() {
         final TrackedAttempt attempt = tracker.attemptSent(nowUs, 1, 0);
         pass(9 * S);
         assertThat(condition(1)).isEqualTo(WorkerCondition.HEALTHY);
@@ -170,10 +170,10 @@
         pass(3 * S);
         assertThat(changes).isEmpty();
         // Two of two held up are caused by the worker.
-        final List<TrackedAttempt> heldUp = List.of(start(1), start(1));
+        final List<TrackedAttempt> delayed = List.of(start(1), start(1));
         for (int i = 0; i < 4; i++) {
             nowUs += S;
-            heldUp.forEach(each -> each.progressReported(nowUs));
+            delayed.forEach(each -> each.progressReported(nowUs));
             evaluate();
         }
         assertThat(condition(1)).isEqualTo(WorkerCondition.SLOW);
@@ -241,7 +241,7 @@
     }
 
     @Test
-    void figuresCoverTheLastMinuteAndTenMinutes() {
+    void ratesAndLatenciesCoverTheirWindows() {
         for (int i = 0; i < 30; i++) {
             serve(0, 100 * MS);
         }
--- a/src/test/java/cresschute/health/LatencyWindowTest.java
+++ b/src/test/java/cresschute/health/LatencyWindowTest.java
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void percentilesAreThoseOfTheWindowWithinASixteenth() {
+    void percentilesAreAccurateWithinASixteenth() {
         for (int i = 1; i <= 100; i++) {
             window.add(S, 10L * i * MS);
         }
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void valuesAreBetweenZeroAndAnHour() {
+    void clampsValuesToZeroAndOneHour() {
         window.add(0, -1);
         assertThat(at(0).p50Ms()).isZero();
         final LatencyWindow longRuns = new LatencyWindow(10 * S, 3);
--- a/src/test/java/cresschute/health/SlownessEstimatorTest.java
+++ b/src/test/java/cresschute/health/SlownessEstimatorTest.java
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void followsLaterJobsAFifthOfTheWayEach() {
+    void laterJobsHaveAWeightOfOneFifth() {
         add(5, 100);
         add(1, 3_200);
         assertThat(slowness.factor()).isCloseTo(2, within(1e-9));
