--- a/src/main/java/cresschute/cli/TrialCommand.java
+++ b/src/main/java/cresschute/cli/TrialCommand.java
@@ -3,7 +3,7 @@
 import com.google.gson.JsonObject;
 import cresschute.cli.ControlClient.NoAnswer;
 import cresschute.console.ControlLink;
-import cresschute.console.ScreenCost;
+import cresschute.console.ScreenBenchmark;
 import cresschute.logs.RoutedLoggerFinder;
 import cresschute.logs.structured.StructuredLog;
 import cresschute.testbed.Fleet;
@@ -360,13 +360,13 @@
     // ---- What a screen costs ----
 
     private int screen(PrintWriter out) {
-        ScreenCost.measure(WIDE, CHURN, count);
+        ScreenBenchmark.measure(WIDE, CHURN, count);
         out.println(
                 "| workers, of which changed | ms to take the news in and draw 120x50: p50 | p99 |"
                         + " max |\n"
                         + "| --- | --- | --- | --- |");
         for (final int changed : new int[] {0, CHURN / 10, CHURN, WIDE}) {
-            final Histogram ns = ScreenCost.measure(WIDE, changed, count);
+            final Histogram ns = ScreenBenchmark.measure(WIDE, changed, count);
             out.println(
                     String.format(
                             Locale.ROOT,
--- a/src/main/java/cresschute/cli/WorkerOperation.java
+++ b/src/main/java/cresschute/cli/WorkerOperation.java
@@ -145,14 +145,14 @@
     private static void awaitNothingInFlight(String worker, ControlClient talk)
             throws NoAnswer, InterruptedException {
         final SiteModel model = new SiteModel();
-        model.take(talk.ask(ControlLink.request("2", "subscribe")), System.currentTimeMillis());
+        model.apply(talk.ask(ControlLink.request("2", "subscribe")), System.currentTimeMillis());
         while (model.worker(worker) != null
                 && model.worker(worker).get("in_flight").getAsInt() > 0) {
             final JsonObject line = talk.next(SiteModel.STALE_AFTER_MS * 4);
             if (line == null) {
                 throw new NoAnswer("the node has gone silent", true);
             }
-            model.take(line, System.currentTimeMillis());
+            model.apply(line, System.currentTimeMillis());
         }
     }
 }
--- a/src/main/java/cresschute/cli/WorkersCommand.java
+++ b/src/main/java/cresschute/cli/WorkersCommand.java
@@ -47,7 +47,7 @@
         final PrintWriter out = spec.commandLine().getOut();
         final SiteModel model = new SiteModel();
         try (ControlClient talk = new ControlClient(socket)) {
-            model.take(
+            model.apply(
                     talk.ask(ControlLink.request("1", watch ? "subscribe" : "workers")),
                     System.currentTimeMillis());
             print(out, model, json);
@@ -56,7 +56,7 @@
             while (watch && !out.checkError()) {
                 final JsonObject line = talk.next(REPRINT_MS);
                 if (line != null) {
-                    model.take(line, System.currentTimeMillis());
+                    model.apply(line, System.currentTimeMillis());
                 }
                 if (System.currentTimeMillis() - printedMs >= REPRINT_MS) {
                     if (!json) {
--- a/src/main/java/cresschute/console/Console.java
+++ b/src/main/java/cresschute/console/Console.java
@@ -25,47 +25,47 @@
  */
 public final class Console {
 
-    private static final int MAX_QUEUED = 256;
-    private static final long TICK_MS = 250;
+    private static final int MAX_QUEUED_INPUTS = 256;
+    private static final long IDLE_DRAW_INTERVAL_MS = 250;
 
     /** Drawn no more often than this, however much the node sends. */
-    private static final long DRAW_MS = 100;
+    private static final long MIN_DRAW_INTERVAL_MS = 100;
 
-    private static final long RECONNECT_MS = 500;
+    private static final long RECONNECT_DELAY_MS = 500;
 
     private final Terminal terminal;
     private final Path socket;
-    private final String who;
+    private final String userName;
     private final boolean colorWanted;
-    private final BlockingQueue<Runnable> inputs = new ArrayBlockingQueue<>(MAX_QUEUED);
+    private final BlockingQueue<Runnable> inputs = new ArrayBlockingQueue<>(MAX_QUEUED_INPUTS);
     private final SiteModel model = new SiteModel();
     private final ScreenState state = new ScreenState();
     private final Map<String, JsonObject> unanswered = new LinkedHashMap<>();
     private final Display display;
     private ControlLink link;
-    private long connectAtMs;
-    private int linkNumber;
+    private long nextConnectMs;
+    private int lastLinkNumber;
     private int lastRequest;
     private boolean quit;
-    private boolean dirty = true;
+    private boolean redrawNeeded = true;
     private boolean resized = true;
-    private long drawnMs;
+    private long lastDrawnMs;
     private Size size = new Size(0, 0);
 
     /** A console on a terminal, for the node at a control socket. */
-    public Console(Terminal terminal, Path socket, String who, boolean colorWanted) {
+    public Console(Terminal terminal, Path socket, String userName, boolean colorWanted) {
         this.terminal = terminal;
         this.socket = socket;
-        this.who = who;
+        this.userName = userName;
         this.colorWanted = colorWanted;
         this.display = new Display(terminal, true);
     }
 
     /** Shows it until the person leaves; the terminal is then as it was. */
     public void run() throws IOException, InterruptedException {
-        final Attributes before = terminal.enterRawMode();
-        terminal.handle(Terminal.Signal.WINCH, signal -> offer(() -> resized = true));
-        terminal.handle(Terminal.Signal.INT, signal -> offer(() -> quit = true));
+        final Attributes originalAttributes = terminal.enterRawMode();
+        terminal.handle(Terminal.Signal.WINCH, signal -> enqueue(() -> resized = true));
+        terminal.handle(Terminal.Signal.INT, signal -> enqueue(() -> quit = true));
         terminal.puts(Capability.enter_ca_mode);
         terminal.puts(Capability.cursor_invisible);
         terminal.flush();
@@ -74,11 +74,11 @@
             while (!quit) {
                 connectIfDue();
                 draw();
-                final Runnable input = inputs.poll(untilNextDraw(), TimeUnit.MILLISECONDS);
-                dirty |= input == null;
+                final Runnable input = inputs.poll(msUntilNextDraw(), TimeUnit.MILLISECONDS);
+                redrawNeeded |= input == null;
                 for (Runnable next = input; next != null; next = inputs.poll()) {
                     next.run();
-                    dirty = true;
+                    redrawNeeded = true;
                 }
             }
         } finally {
@@ -87,16 +87,18 @@
             }
             terminal.puts(Capability.cursor_visible);
             terminal.puts(Capability.exit_ca_mode);
-            terminal.setAttributes(before);
+            terminal.setAttributes(originalAttributes);
             terminal.flush();
         }
     }
 
-    private long untilNextDraw() {
-        return dirty ? Math.max(1, DRAW_MS - (System.currentTimeMillis() - drawnMs)) : TICK_MS;
+    private long msUntilNextDraw() {
+        return redrawNeeded
+                ? Math.max(1, MIN_DRAW_INTERVAL_MS - (System.currentTimeMillis() - lastDrawnMs))
+                : IDLE_DRAW_INTERVAL_MS;
     }
 
-    private void offer(Runnable input) {
+    private void enqueue(Runnable input) {
         try {
             inputs.put(input);
         } catch (InterruptedException e) {
@@ -105,22 +107,22 @@
     }
 
     private void readKeys() {
-        final Keys keys = new Keys(timeoutMs -> terminal.reader().read(timeoutMs));
+        final KeyReader keys = new KeyReader(timeoutMs -> terminal.reader().read(timeoutMs));
         final Thread reader =
                 new Thread(
                         () -> {
                             try {
-                                Keys.Key key = keys.next();
+                                KeyReader.Key key = keys.next();
                                 while (key != null) {
-                                    final Keys.Key taken = key;
-                                    offer(() -> act(state.key(taken, model)));
+                                    final KeyReader.Key pressed = key;
+                                    enqueue(() -> perform(state.handleKey(pressed, model)));
                                     key = keys.next();
                                 }
                             } catch (IOException e) {
                                 // The terminal is gone, as when a line is cut: there is nobody to
                                 // show anything to.
                             }
-                            offer(() -> quit = true);
+                            enqueue(() -> quit = true);
                         },
                         "console-keys");
         reader.setDaemon(true);
@@ -130,27 +132,27 @@
     // ---- The node ----
 
     private void connectIfDue() {
-        if (link != null || System.currentTimeMillis() < connectAtMs) {
+        if (link != null || System.currentTimeMillis() < nextConnectMs) {
             return;
         }
-        final int mine = ++linkNumber;
+        final int linkNumber = ++lastLinkNumber;
         try {
             link =
                     ControlLink.open(
                             socket,
-                            line -> offer(() -> taken(mine, line)),
-                            why -> offer(() -> ended(mine, why)));
+                            line -> enqueue(() -> receiveLine(linkNumber, line)),
+                            reason -> enqueue(() -> connectionEnded(linkNumber, reason)));
             model.connected(System.currentTimeMillis());
-            if (mine > 1) {
-                state.say("connected");
+            if (linkNumber > 1) {
+                state.showMessage("connected");
             }
-            final JsonObject follow = ControlLink.request("rows", "subscribe");
-            follow.addProperty("from", model.number());
-            follow.addProperty("boot", model.boot());
-            link.send(follow);
+            final JsonObject subscription = ControlLink.request("rows", "subscribe");
+            subscription.addProperty("from", model.version());
+            subscription.addProperty("boot", model.incarnation());
+            link.send(subscription);
             final JsonObject events = ControlLink.request("events", "events");
-            events.addProperty("after", model.lastEvent());
-            events.addProperty("boot", model.boot());
+            events.addProperty("after", model.lastEventNumber());
+            events.addProperty("boot", model.incarnation());
             link.send(events);
             // The node may have received them before the disconnection; their ids make them
             // idempotent.
@@ -158,12 +160,12 @@
                 link.send(each);
             }
         } catch (IOException e) {
-            ended(mine, e.getMessage());
+            connectionEnded(linkNumber, e.getMessage());
         }
     }
 
-    private void ended(int of, String why) {
-        if (of != linkNumber) {
+    private void connectionEnded(int linkNumber, String reason) {
+        if (linkNumber != lastLinkNumber) {
             return;
         }
         if (link != null) {
@@ -171,84 +173,84 @@
         }
         link = null;
         model.disconnected();
-        connectAtMs = System.currentTimeMillis() + RECONNECT_MS;
-        state.say(why);
+        nextConnectMs = System.currentTimeMillis() + RECONNECT_DELAY_MS;
+        state.showMessage(reason);
     }
 
-    private void taken(int of, JsonObject line) {
-        if (of != linkNumber) {
+    private void receiveLine(int linkNumber, JsonObject line) {
+        if (linkNumber != lastLinkNumber) {
             return;
         }
         if (line.has("ok") && !line.get("ok").getAsBoolean()) {
             unanswered.remove(ScreenState.text(line, "re"));
-            state.say(ScreenState.text(line, "error"));
+            state.showMessage(ScreenState.text(line, "error"));
             return;
         }
-        model.take(line, System.currentTimeMillis());
+        model.apply(line, System.currentTimeMillis());
         final JsonObject request =
                 line.has("outcome") ? unanswered.remove(ScreenState.text(line, "re")) : null;
         if (request != null) {
-            answered(request, line);
+            showOutcome(request, line);
         }
     }
 
-    private void answered(JsonObject request, JsonObject answer) {
+    private void showOutcome(JsonObject request, JsonObject answer) {
         final String worker = ScreenState.text(answer, "worker");
         final boolean drain = request.get("do").getAsString().equals("drain");
         switch (ScreenState.text(answer, "outcome")) {
             case "done" ->
-                    state.say(
+                    state.showMessage(
                             drain
                                     ? worker
                                             + " is draining; "
                                             + answer.get("in_flight").getAsInt()
                                             + " still out"
                                     : worker + " takes work again, unless the list says otherwise");
-            case "already" -> state.say(worker + ": " + ScreenState.text(answer, "why"));
+            case "already" -> state.showMessage(worker + ": " + ScreenState.text(answer, "why"));
             default -> {
                 if (drain && !request.has("force")) {
-                    state.offerForce(worker, ScreenState.text(answer, "why"));
+                    state.confirmForcedDrain(worker, ScreenState.text(answer, "why"));
                 } else {
-                    state.say(ScreenState.text(answer, "why"));
+                    state.showMessage(ScreenState.text(answer, "why"));
                 }
             }
         }
         if (answer.has("keep_error")) {
-            state.say(worker + ": " + ScreenState.text(answer, "keep_error"));
+            state.showMessage(worker + ": " + ScreenState.text(answer, "keep_error"));
         }
     }
 
-    private void act(ScreenState.Action action) {
+    private void perform(ScreenState.Action action) {
         switch (action) {
             case QUIT -> quit = true;
-            case DRAIN -> operate("drain", false);
-            case FORCED_DRAIN -> operate("drain", true);
-            case UNDRAIN -> operate("undrain", false);
+            case DRAIN -> sendOperation("drain", false);
+            case FORCED_DRAIN -> sendOperation("drain", true);
+            case UNDRAIN -> sendOperation("undrain", false);
             case NOTHING -> {}
         }
     }
 
-    private void operate(String what, boolean force) {
+    private void sendOperation(String operation, boolean force) {
         final String id = "o" + ++lastRequest;
         final Map<String, Object> fields = new LinkedHashMap<>();
         fields.put("op", UUID.randomUUID().toString());
-        fields.put("worker", state.asked());
-        fields.put("who", who);
+        fields.put("worker", state.target());
+        fields.put("who", userName);
         if (force) {
             fields.put("force", true);
         }
-        final JsonObject request = ControlLink.request(id, what, fields);
+        final JsonObject request = ControlLink.request(id, operation, fields);
         unanswered.put(id, request);
-        state.say(
-                what
+        state.showMessage(
+                operation
                         + " of "
-                        + state.asked()
+                        + state.target()
                         + (link == null ? " waits for the connection" : " sent"));
         if (link != null) {
             try {
                 link.send(request);
             } catch (IOException e) {
-                ended(linkNumber, "the connection broke: " + e.getMessage());
+                connectionEnded(lastLinkNumber, "the connection broke: " + e.getMessage());
             }
         }
     }
@@ -257,7 +259,7 @@
 
     private void draw() {
         final long nowMs = System.currentTimeMillis();
-        if (!dirty || (nowMs - drawnMs < DRAW_MS && !resized)) {
+        if (!redrawNeeded || (nowMs - lastDrawnMs < MIN_DRAW_INTERVAL_MS && !resized)) {
             return;
         }
         if (resized) {
@@ -272,15 +274,15 @@
             display.clear();
             terminal.puts(Capability.clear_screen);
         }
-        dirty = false;
-        drawnMs = nowMs;
+        redrawNeeded = false;
+        lastDrawnMs = nowMs;
         final Integer colors = terminal.getNumericCapability(Capability.max_colors);
         final Charset charset = terminal.encoding();
         display.update(
                 ScreenView.draw(
                         model,
                         state,
-                        new ScreenView.Look(
+                        new ScreenView.ScreenFormat(
                                 Math.max(ScreenView.MIN_COLUMNS, size.getColumns()),
                                 Math.max(ScreenView.MIN_ROWS, size.getRows()),
                                 colorWanted && colors != null && colors >= 8,
--- a/src/main/java/cresschute/console/ControlLink.java
+++ b/src/main/java/cresschute/console/ControlLink.java
@@ -59,7 +59,7 @@
     }
 
     private void read(Consumer<JsonObject> lines, Consumer<String> ended) {
-        String why = "the node closed the connection";
+        String reason = "the node closed the connection";
         try (BufferedReader in =
                 new BufferedReader(Channels.newReader(channel, StandardCharsets.UTF_8))) {
             String line = in.readLine();
@@ -68,32 +68,32 @@
                 line = in.readLine();
             }
         } catch (IOException e) {
-            why = "the connection broke: " + e.getMessage();
+            reason = "the connection broke: " + e.getMessage();
         } catch (JsonParseException | IllegalStateException e) {
             // Also a line that was cut off in its middle, as by a node that was killed.
-            why = "the node's words were cut off";
+            reason = "the node's words were cut off";
         }
-        ended.accept(why);
+        ended.accept(reason);
     }
 
     /** A request of this kind, with its version and mark. */
-    public static JsonObject request(String id, String what) {
+    public static JsonObject request(String id, String type) {
         final JsonObject request = new JsonObject();
         request.addProperty("v", ControlRequest.VERSION);
         request.addProperty("id", id);
-        request.addProperty("do", what);
+        request.addProperty("do", type);
         return request;
     }
 
     /** The same with further fields; values are texts, numbers or truth values. */
-    public static JsonObject request(String id, String what, Map<String, Object> fields) {
-        final JsonObject request = request(id, what);
+    public static JsonObject request(String id, String type, Map<String, Object> fields) {
+        final JsonObject request = request(id, type);
         fields.forEach(
                 (name, value) -> {
                     if (value instanceof Number number) {
                         request.addProperty(name, number);
-                    } else if (value instanceof Boolean truth) {
-                        request.addProperty(name, truth);
+                    } else if (value instanceof Boolean flag) {
+                        request.addProperty(name, flag);
                     } else {
                         request.addProperty(name, String.valueOf(value));
                     }
--- a/src/main/java/cresschute/console/Keys.java
+++ b/src/main/java/cresschute/console/KeyReader.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 
 /** Turns the bytes that a terminal sends for keys into keys. */
-final class Keys {
+final class KeyReader {
 
     private static final int ESC = 27;
     private static final int CTRL_C = 3;
@@ -12,7 +12,7 @@
     private static final int BACKSPACE = 8;
 
     /** Longest gap within a sequence, ms; after that, an escape was the key itself. */
-    private static final long SEQUENCE_MS = 60;
+    private static final long MAX_SEQUENCE_GAP_MS = 60;
 
     enum Kind {
         CHAR,
@@ -46,7 +46,7 @@
 
     private final Source source;
 
-    Keys(Source source) {
+    KeyReader(Source source) {
         this.source = source;
     }
 
@@ -55,7 +55,7 @@
         final int first = source.read(0);
         return switch (first) {
             case -1 -> null;
-            case ESC -> sequence();
+            case ESC -> readSequence();
             case '\r', '\n' -> Key.of(Kind.ENTER);
             case CTRL_C, CTRL_D -> Key.of(Kind.QUIT);
             case DELETE, BACKSPACE -> Key.of(Kind.BACKSPACE);
@@ -63,8 +63,8 @@
         };
     }
 
-    private Key sequence() throws IOException {
-        final int second = source.read(SEQUENCE_MS);
+    private Key readSequence() throws IOException {
+        final int second = source.read(MAX_SEQUENCE_GAP_MS);
         if (second < 0) {
             return Key.of(Kind.ESCAPE);
         }
@@ -72,11 +72,11 @@
             return Key.of(Kind.UNKNOWN);
         }
         final StringBuilder parameters = new StringBuilder();
-        int next = source.read(SEQUENCE_MS);
+        int next = source.read(MAX_SEQUENCE_GAP_MS);
         // Digits and semicolons, then one letter or a tilde.
         while (next >= ' ' && next < '@' && parameters.length() < 8) {
             parameters.append((char) next);
-            next = source.read(SEQUENCE_MS);
+            next = source.read(MAX_SEQUENCE_GAP_MS);
         }
         final Kind kind =
                 switch (next) {
--- a/src/main/java/cresschute/console/ScreenCost.java
+++ b/src/main/java/cresschute/console/ScreenBenchmark.java
@@ -2,16 +2,16 @@
 
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
-import cresschute.console.ScreenView.Look;
+import cresschute.console.ScreenView.ScreenFormat;
 import java.time.ZoneOffset;
 import org.HdrHistogram.Histogram;
 
 /** Measures what drawing the screen of a large site costs. */
-public final class ScreenCost {
+public final class ScreenBenchmark {
 
     private static final long MAX_NS = 10_000_000_000L;
 
-    private ScreenCost() {}
+    private ScreenBenchmark() {}
 
     /**
      * Applies changes of some workers and draws the screen, again and again.
@@ -25,14 +25,14 @@
         final ScreenState state = new ScreenState();
         final long nowMs = 1_700_000_000_000L;
         model.connected(nowMs);
-        model.take(changes(true, 0, workers, 0), nowMs);
-        final Look look = new Look(120, 50, true, true, ZoneOffset.UTC);
+        model.apply(changes(true, 0, workers, 0), nowMs);
+        final ScreenFormat format = new ScreenFormat(120, 50, true, true, ZoneOffset.UTC);
         final Histogram times = new Histogram(MAX_NS, 2);
         for (int i = 0; i < drawings; i++) {
             final JsonObject changes = changes(false, i * changed % workers, changed, i);
             final long startNs = System.nanoTime();
-            model.take(changes, nowMs);
-            ScreenView.draw(model, state, look, nowMs);
+            model.apply(changes, nowMs);
+            ScreenView.draw(model, state, format, nowMs);
             times.recordValue(Math.min(MAX_NS, System.nanoTime() - startNs));
         }
         return times;
--- a/src/main/java/cresschute/console/ScreenState.java
+++ b/src/main/java/cresschute/console/ScreenState.java
@@ -38,10 +38,10 @@
     private Order order = Order.NAME;
     private Mode mode = Mode.BROWSE;
     private String selected;
-    private int place;
+    private int selectedRow;
     private String filter = "";
     private String message = "";
-    private String asked;
+    private String target;
 
     Mode mode() {
         return mode;
@@ -64,11 +64,11 @@
     }
 
     /** The worker that a confirmation is about. */
-    String asked() {
-        return asked;
+    String target() {
+        return target;
     }
 
-    void say(String text) {
+    void showMessage(String text) {
         message = text;
     }
 
@@ -78,42 +78,42 @@
     List<JsonObject> rows(SiteModel model) {
         final List<JsonObject> rows = new ArrayList<>();
         for (final JsonObject row : model.workers()) {
-            if (filter.isEmpty() || matches(row)) {
+            if (filter.isEmpty() || matchesFilter(row)) {
                 rows.add(row);
             }
         }
         rows.sort(comparator());
-        int at = -1;
+        int index = -1;
         for (int i = 0; i < rows.size(); i++) {
             if (text(rows.get(i), "id").equals(selected)) {
-                at = i;
+                index = i;
             }
         }
-        if (at < 0 && !rows.isEmpty()) {
+        if (index < 0 && !rows.isEmpty()) {
             // Its worker went: the one that has taken its place is the nearest.
-            at = Math.min(place, rows.size() - 1);
-            selected = text(rows.get(at), "id");
+            index = Math.min(selectedRow, rows.size() - 1);
+            selected = text(rows.get(index), "id");
         } else if (rows.isEmpty()) {
             selected = null;
         }
-        place = Math.max(0, at);
+        selectedRow = Math.max(0, index);
         return rows;
     }
 
-    int place() {
-        return place;
+    int selectedRow() {
+        return selectedRow;
     }
 
-    private boolean matches(JsonObject row) {
-        final String wanted = filter.toLowerCase(Locale.ROOT);
-        return text(row, "id").toLowerCase(Locale.ROOT).contains(wanted)
-                || text(row, "state").contains(wanted)
-                || text(row, "kind").toLowerCase(Locale.ROOT).contains(wanted);
+    private boolean matchesFilter(JsonObject row) {
+        final String lowerCaseFilter = filter.toLowerCase(Locale.ROOT);
+        return text(row, "id").toLowerCase(Locale.ROOT).contains(lowerCaseFilter)
+                || text(row, "state").contains(lowerCaseFilter)
+                || text(row, "kind").toLowerCase(Locale.ROOT).contains(lowerCaseFilter);
     }
 
     private Comparator<JsonObject> comparator() {
         final Comparator<JsonObject> byName =
-                Comparator.comparing(row -> text(row, "id"), ScreenState::byNumber);
+                Comparator.comparing(row -> text(row, "id"), ScreenState::compareNames);
         return switch (order) {
             case NAME -> byName;
             case STATE ->
@@ -134,16 +134,16 @@
      * w2 before w10: of names that differ in the number at their end alone, the shorter one comes
      * first.
      */
-    private static int byNumber(String one, String other) {
-        final int head = headLength(one);
-        return one.length() != other.length()
-                        && head == headLength(other)
-                        && one.regionMatches(0, other, 0, head)
-                ? Integer.compare(one.length(), other.length())
-                : one.compareTo(other);
+    private static int compareNames(String first, String second) {
+        final int prefix = prefixLength(first);
+        return first.length() != second.length()
+                        && prefix == prefixLength(second)
+                        && first.regionMatches(0, second, 0, prefix)
+                ? Integer.compare(first.length(), second.length())
+                : first.compareTo(second);
     }
 
-    private static int headLength(String name) {
+    private static int prefixLength(String name) {
         int length = name.length();
         while (length > 0 && Character.isDigit(name.charAt(length - 1))) {
             length--;
@@ -171,12 +171,12 @@
     }
 
     /** Takes a key; rows must have been asked for since the model changed. */
-    Action key(Keys.Key key, SiteModel model) {
+    Action handleKey(KeyReader.Key key, SiteModel model) {
         return switch (mode) {
-            case BROWSE -> browse(key, model);
-            case FILTER -> filtering(key);
-            case CONFIRM_DRAIN -> confirm(key, 'y', Action.DRAIN);
-            case CONFIRM_FORCE -> confirm(key, 'F', Action.FORCED_DRAIN);
+            case BROWSE -> handleBrowseKey(key, model);
+            case FILTER -> handleFilterKey(key);
+            case CONFIRM_DRAIN -> handleConfirmationKey(key, 'y', Action.DRAIN);
+            case CONFIRM_FORCE -> handleConfirmationKey(key, 'F', Action.FORCED_DRAIN);
             case HELP -> {
                 mode = Mode.BROWSE;
                 yield Action.NOTHING;
@@ -184,33 +184,33 @@
         };
     }
 
-    private Action browse(Keys.Key key, SiteModel model) {
+    private Action handleBrowseKey(KeyReader.Key key, SiteModel model) {
         message = "";
         switch (key.kind()) {
-            case UP -> move(-1, model);
-            case DOWN -> move(1, model);
-            case PAGE_UP -> move(-10, model);
-            case PAGE_DOWN -> move(10, model);
-            case HOME -> move(Integer.MIN_VALUE / 2, model);
-            case END -> move(Integer.MAX_VALUE / 2, model);
+            case UP -> moveSelection(-1, model);
+            case DOWN -> moveSelection(1, model);
+            case PAGE_UP -> moveSelection(-10, model);
+            case PAGE_DOWN -> moveSelection(10, model);
+            case HOME -> moveSelection(Integer.MIN_VALUE / 2, model);
+            case END -> moveSelection(Integer.MAX_VALUE / 2, model);
             case ESCAPE -> filter = "";
             case QUIT -> {
                 return Action.QUIT;
             }
             case CHAR -> {
-                return letter(key.character(), model);
+                return handleCharacter(key.character(), model);
             }
             default -> {}
         }
         return Action.NOTHING;
     }
 
-    private Action letter(char letter, SiteModel model) {
-        switch (letter) {
-            case 'j' -> move(1, model);
-            case 'k' -> move(-1, model);
-            case 'g' -> move(Integer.MIN_VALUE / 2, model);
-            case 'G' -> move(Integer.MAX_VALUE / 2, model);
+    private Action handleCharacter(char character, SiteModel model) {
+        switch (character) {
+            case 'j' -> moveSelection(1, model);
+            case 'k' -> moveSelection(-1, model);
+            case 'g' -> moveSelection(Integer.MIN_VALUE / 2, model);
+            case 'G' -> moveSelection(Integer.MAX_VALUE / 2, model);
             case 's' -> order = Order.values()[(order.ordinal() + 1) % Order.values().length];
             case '/' -> mode = Mode.FILTER;
             case '?', 'h' -> mode = Mode.HELP;
@@ -222,7 +222,7 @@
                 if (selected == null) {
                     message = "no worker is selected";
                 } else {
-                    asked = selected;
+                    target = selected;
                     mode = Mode.CONFIRM_DRAIN;
                 }
             }
@@ -231,24 +231,24 @@
                 if (selected == null) {
                     message = "no worker is selected";
                 } else {
-                    asked = selected;
+                    target = selected;
                     return Action.UNDRAIN;
                 }
             }
-            default -> message = "'" + letter + "' means nothing here; ? shows the keys";
+            default -> message = "'" + character + "' means nothing here; ? shows the keys";
         }
         return Action.NOTHING;
     }
 
-    private void move(int by, SiteModel model) {
+    private void moveSelection(int offset, SiteModel model) {
         final List<JsonObject> rows = rows(model);
         if (!rows.isEmpty()) {
-            place = Math.max(0, Math.min(rows.size() - 1, place + by));
-            selected = text(rows.get(place), "id");
+            selectedRow = Math.max(0, Math.min(rows.size() - 1, selectedRow + offset));
+            selected = text(rows.get(selectedRow), "id");
         }
     }
 
-    private Action filtering(Keys.Key key) {
+    private Action handleFilterKey(KeyReader.Key key) {
         switch (key.kind()) {
             case ENTER -> mode = Mode.BROWSE;
             case ESCAPE -> {
@@ -267,22 +267,22 @@
         return Action.NOTHING;
     }
 
-    private Action confirm(Keys.Key key, char yes, Action action) {
+    private Action handleConfirmationKey(KeyReader.Key key, char yes, Action action) {
         mode = Mode.BROWSE;
-        if (key.kind() == Keys.Kind.QUIT) {
+        if (key.kind() == KeyReader.Kind.QUIT) {
             return Action.QUIT;
         }
-        if (key.kind() == Keys.Kind.CHAR && key.character() == yes) {
+        if (key.kind() == KeyReader.Kind.CHAR && key.character() == yes) {
             return action;
         }
-        message = asked + " is left as it is";
+        message = target + " is left as it is";
         return Action.NOTHING;
     }
 
     /** A drain was refused: it can be forced. */
-    void offerForce(String worker, String why) {
-        asked = worker;
-        message = why;
+    void confirmForcedDrain(String worker, String reason) {
+        target = worker;
+        message = reason;
         mode = Mode.CONFIRM_FORCE;
     }
 }
--- a/src/main/java/cresschute/console/ScreenText.java
+++ b/src/main/java/cresschute/console/ScreenText.java
@@ -2,7 +2,7 @@
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
-import cresschute.console.ScreenView.Look;
+import cresschute.console.ScreenView.ScreenFormat;
 import java.time.Instant;
 import java.time.format.DateTimeFormatter;
 import java.util.Locale;
@@ -13,13 +13,13 @@
 /** Formats figures and text for the cells and lines of a screen. */
 final class ScreenText {
 
-    private static final String SPARKS = " ▁▂▃▄▅▆▇█";
-    private static final String PLAIN_SPARKS = " .:-=+*%#";
+    private static final String SPARKLINE_LEVELS = " ▁▂▃▄▅▆▇█";
+    private static final String ASCII_SPARKLINE_LEVELS = " .:-=+*%#";
     private static final DateTimeFormatter CLOCK =
             DateTimeFormatter.ofPattern("HH:mm:ss", Locale.ROOT);
-    private static final long S_MS = 1_000;
-    private static final long MINUTE_S = 60;
-    private static final long HOUR_S = 3_600;
+    private static final long MS_PER_SECOND = 1_000;
+    private static final long SECONDS_PER_MINUTE = 60;
+    private static final long SECONDS_PER_HOUR = 3_600;
 
     /**
      * A column of a table.
@@ -32,37 +32,42 @@
 
     private ScreenText() {}
 
-    static AttributedString line(String text, AttributedStyle style, Look look) {
-        return fit(new AttributedString(text, style), style, look);
+    static AttributedString line(String text, AttributedStyle style, ScreenFormat format) {
+        return fit(new AttributedString(text, style), style, format);
     }
 
     /** As wide as the screen, by the columns that characters take there. */
-    static AttributedString fit(AttributedString text, AttributedStyle style, Look look) {
-        final AttributedString cut = text.columnSubSequence(0, look.columns());
-        final int missing = look.columns() - cut.columnLength();
-        return missing <= 0
-                ? cut
+    static AttributedString fit(AttributedString text, AttributedStyle style, ScreenFormat format) {
+        final AttributedString truncated = text.columnSubSequence(0, format.columns());
+        final int padding = format.columns() - truncated.columnLength();
+        return padding <= 0
+                ? truncated
                 : new AttributedStringBuilder()
-                        .append(cut)
-                        .styled(style, " ".repeat(missing))
+                        .append(truncated)
+                        .styled(style, " ".repeat(padding))
                         .toAttributedString();
     }
 
     static String pad(String text, Column column) {
-        final AttributedString full = new AttributedString(text);
-        final String cut =
-                full.columnLength() <= column.width()
+        final AttributedString attributed = new AttributedString(text);
+        final String truncated =
+                attributed.columnLength() <= column.width()
                         ? text
-                        : full.columnSubSequence(0, column.width() - 1) + "~";
-        final String gap =
-                " ".repeat(Math.max(0, column.width() - new AttributedString(cut).columnLength()));
-        return column.left() ? cut + gap : gap + cut;
+                        : attributed.columnSubSequence(0, column.width() - 1) + "~";
+        final String padding =
+                " "
+                        .repeat(
+                                Math.max(
+                                        0,
+                                        column.width()
+                                                - new AttributedString(truncated).columnLength()));
+        return column.left() ? truncated + padding : padding + truncated;
     }
 
     /**
      * Replaces control characters: names and reasons come from others and must not move the cursor.
      */
-    static String clean(String text) {
+    static String replaceControlCharacters(String text) {
         final StringBuilder out = new StringBuilder();
         text.codePoints()
                 .forEach(
@@ -77,7 +82,9 @@
     }
 
     static String ms(double ms) {
-        return ms < 0 ? "-" : ms < 9_950 ? Math.round(ms) + "ms" : Math.round(ms / S_MS) + "s";
+        return ms < 0
+                ? "-"
+                : ms < 9_950 ? Math.round(ms) + "ms" : Math.round(ms / MS_PER_SECOND) + "s";
     }
 
     static String count(double count) {
@@ -85,16 +92,20 @@
     }
 
     static String age(long ms) {
-        final long s = Math.max(0, ms) / S_MS;
-        return s < 2 * MINUTE_S ? s + "s" : s < 2 * HOUR_S ? s / MINUTE_S + "m" : s / HOUR_S + "h";
+        final long s = Math.max(0, ms) / MS_PER_SECOND;
+        return s < 2 * SECONDS_PER_MINUTE
+                ? s + "s"
+                : s < 2 * SECONDS_PER_HOUR
+                        ? s / SECONDS_PER_MINUTE + "m"
+                        : s / SECONDS_PER_HOUR + "h";
     }
 
-    static String clock(long ms, Look look) {
-        return CLOCK.format(Instant.ofEpochMilli(ms).atZone(look.zone()));
+    static String clock(long ms, ScreenFormat format) {
+        return CLOCK.format(Instant.ofEpochMilli(ms).atZone(format.zone()));
     }
 
-    static String sparks(JsonArray counts, Look look) {
-        final String scale = look.unicode() ? SPARKS : PLAIN_SPARKS;
+    static String sparkline(JsonArray counts, ScreenFormat format) {
+        final String scale = format.unicode() ? SPARKLINE_LEVELS : ASCII_SPARKLINE_LEVELS;
         int max = 1;
         for (final JsonElement count : counts) {
             max = Math.max(max, count.getAsInt());
--- a/src/main/java/cresschute/console/ScreenView.java
+++ b/src/main/java/cresschute/console/ScreenView.java
@@ -19,7 +19,7 @@
 
     static final int MIN_COLUMNS = 40;
     static final int MIN_ROWS = 6;
-    private static final int FULL_HINTS = 60;
+    private static final int MIN_COLUMNS_FOR_ALL_KEYS = 60;
 
     /**
      * Size and abilities of a terminal.
@@ -27,64 +27,65 @@
      * @param color whether it has colours and they are wanted
      * @param unicode whether it shows block characters
      */
-    record Look(int columns, int rows, boolean color, boolean unicode, ZoneId zone) {}
+    record ScreenFormat(int columns, int rows, boolean color, boolean unicode, ZoneId zone) {}
 
     private ScreenView() {}
 
     /** The whole screen. */
-    static List<AttributedString> draw(SiteModel model, ScreenState state, Look look, long nowMs) {
+    static List<AttributedString> draw(
+            SiteModel model, ScreenState state, ScreenFormat format, long nowMs) {
         final List<AttributedString> lines = new ArrayList<>();
         final Freshness freshness = model.freshness(nowMs);
-        lines.add(head(model, freshness, look, nowMs));
+        lines.add(header(model, freshness, format, nowMs));
         if (state.mode() == ScreenState.Mode.HELP) {
-            help(lines, look);
+            addHelp(lines, format);
         } else if (freshness == Freshness.LOADING) {
-            lines.add(ScreenText.line("", AttributedStyle.DEFAULT, look));
+            lines.add(ScreenText.line("", AttributedStyle.DEFAULT, format));
             lines.add(
                     ScreenText.line(
                             "  loading: the node has told nothing yet",
                             AttributedStyle.DEFAULT,
-                            look));
+                            format));
         } else {
-            body(lines, model, state, look, nowMs, freshness != Freshness.LIVE);
+            addTables(lines, model, state, format, nowMs, freshness != Freshness.LIVE);
         }
-        while (lines.size() < look.rows() - 1) {
-            lines.add(ScreenText.line("", AttributedStyle.DEFAULT, look));
+        while (lines.size() < format.rows() - 1) {
+            lines.add(ScreenText.line("", AttributedStyle.DEFAULT, format));
         }
         final List<AttributedString> shown =
-                new ArrayList<>(lines.subList(0, Math.min(lines.size(), look.rows() - 1)));
-        shown.add(foot(model, state, look));
+                new ArrayList<>(lines.subList(0, Math.min(lines.size(), format.rows() - 1)));
+        shown.add(footer(model, state, format));
         return shown;
     }
 
-    private static AttributedString head(
-            SiteModel model, Freshness freshness, Look look, long nowMs) {
+    private static AttributedString header(
+            SiteModel model, Freshness freshness, ScreenFormat format, long nowMs) {
         final String status =
                 switch (freshness) {
                     case LOADING -> "LOADING";
                     case LIVE -> "LIVE";
-                    case STALE -> "STALE since " + ScreenText.clock(model.lastLineMs(), look);
+                    case STALE -> "STALE since " + ScreenText.clock(model.lastLineMs(), format);
                     case RECONNECTING ->
                             "RECONNECTING, STALE since "
-                                    + ScreenText.clock(model.lastLineMs(), look);
+                                    + ScreenText.clock(model.lastLineMs(), format);
                 };
         final JsonObject node = model.node();
         final StringBuilder text = new StringBuilder(" ");
         if (node != null) {
-            text.append(ScreenText.clean(ScreenState.text(node, "name")));
+            text.append(ScreenText.replaceControlCharacters(ScreenState.text(node, "name")));
             for (final String part : nodeFigures(node, nowMs)) {
-                if (text.length() + 3 + part.length() + 2 + status.length() <= look.columns()) {
+                if (text.length() + 3 + part.length() + 2 + status.length() <= format.columns()) {
                     text.append(" | ").append(part);
                 }
             }
         }
-        final int gap = Math.max(1, look.columns() - text.length() - status.length() - 1);
+        final int padding = Math.max(1, format.columns() - text.length() - status.length() - 1);
         return ScreenText.line(
-                text + " ".repeat(gap) + status,
+                text + " ".repeat(padding) + status,
                 freshness == Freshness.LIVE
                         ? AttributedStyle.INVERSE
                         : AttributedStyle.INVERSE.bold(),
-                look);
+                format);
     }
 
     /** Figures of the node, the most important first. */
@@ -110,15 +111,15 @@
         return parts;
     }
 
-    private static void body(
+    private static void addTables(
             List<AttributedString> lines,
             SiteModel model,
             ScreenState state,
-            Look look,
+            ScreenFormat format,
             long nowMs,
             boolean outdated) {
         final List<JsonObject> rows = state.rows(model);
-        final int rowsLeft = look.rows() - 3;
+        final int rowsLeft = format.rows() - 3;
         int classLines = Math.min(model.classes().size(), Math.max(1, rowsLeft / 4)) + 1;
         int eventLines = Math.max(2, rowsLeft / 5);
         if (rowsLeft < 12) {
@@ -128,13 +129,17 @@
             classLines = 0;
         }
         final int workerLines = Math.max(1, rowsLeft - classLines - eventLines - 1);
-        final AttributedStyle plain =
+        final AttributedStyle rowStyle =
                 outdated ? AttributedStyle.DEFAULT.faint() : AttributedStyle.DEFAULT;
-        lines.add(WorkerRowsView.titles(state, look));
+        lines.add(WorkerRowsView.header(state, format));
         final int first =
-                Math.max(0, Math.min(state.place() - workerLines / 2, rows.size() - workerLines));
+                Math.max(
+                        0,
+                        Math.min(state.selectedRow() - workerLines / 2, rows.size() - workerLines));
         for (int i = first; i < Math.min(rows.size(), first + workerLines); i++) {
-            lines.add(WorkerRowsView.worker(rows.get(i), i == state.place(), plain, look, nowMs));
+            lines.add(
+                    WorkerRowsView.row(
+                            rows.get(i), i == state.selectedRow(), rowStyle, format, nowMs));
         }
         if (rows.isEmpty()) {
             lines.add(
@@ -142,17 +147,19 @@
                             model.workers().isEmpty()
                                     ? "  the list names no worker"
                                     : "  no worker matches '" + state.filter() + "'; Esc shows all",
-                            plain,
-                            look));
+                            rowStyle,
+                            format));
         }
         while (lines.size() < 2 + workerLines) {
-            lines.add(ScreenText.line("", plain, look));
+            lines.add(ScreenText.line("", rowStyle, format));
         }
-        lines.add(WorkerRowsView.selection(model, state, rows.size(), workerLines, look, nowMs));
+        lines.add(
+                WorkerRowsView.selectedWorkerLine(
+                        model, state, rows.size(), workerLines, format, nowMs));
         if (classLines > 0) {
-            addClasses(lines, model, classLines - 1, plain, look);
+            addClasses(lines, model, classLines - 1, rowStyle, format);
         }
-        addEvents(lines, model, eventLines, plain, look);
+        addEvents(lines, model, eventLines, rowStyle, format);
     }
 
     private static void addClasses(
@@ -160,17 +167,18 @@
             SiteModel model,
             int count,
             AttributedStyle style,
-            Look look) {
+            ScreenFormat format) {
         lines.add(
                 ScreenText.line(
-                        format(
-                                look, "CLASS", "ASKED", "ADMIT", "SERVED", "REFUSED", "FAILED",
+                        tableLine(
+                                format, "CLASS", "ASKED", "ADMIT", "SERVED", "REFUSED", "FAILED",
                                 "INTIME", "P99"),
                         AttributedStyle.DEFAULT.underline(),
-                        look));
+                        format));
         model.classes().stream()
                 .limit(count)
-                .forEach(each -> lines.add(ScreenText.line(classLine(each, look), style, look)));
+                .forEach(
+                        each -> lines.add(ScreenText.line(classLine(each, format), style, format)));
     }
 
     private static void addEvents(
@@ -178,7 +186,7 @@
             SiteModel model,
             int count,
             AttributedStyle style,
-            Look look) {
+            ScreenFormat format) {
         final List<JsonObject> events = model.events();
         events.subList(Math.max(0, events.size() - count), events.size())
                 .forEach(
@@ -187,19 +195,20 @@
                                         ScreenText.line(
                                                 " "
                                                         + ScreenText.clock(
-                                                                each.get("at_ms").getAsLong(), look)
+                                                                each.get("at_ms").getAsLong(),
+                                                                format)
                                                         + " "
-                                                        + ScreenText.clean(
+                                                        + ScreenText.replaceControlCharacters(
                                                                 ScreenState.text(each, "text")),
                                                 style,
-                                                look)));
+                                                format)));
     }
 
-    private static String classLine(JsonObject row, Look look) {
+    private static String classLine(JsonObject row, ScreenFormat format) {
         final double admitted = ScreenState.number(row, "admitted");
-        return format(
-                look,
-                ScreenText.clean(ScreenState.text(row, "id")),
+        return tableLine(
+                format,
+                ScreenText.replaceControlCharacters(ScreenState.text(row, "id")),
                 ScreenText.count(ScreenState.number(row, "asked")),
                 admitted < 0 ? "-" : Math.round(admitted * 100) + "%",
                 ScreenText.count(ScreenState.number(row, "served")),
@@ -209,12 +218,12 @@
                 ScreenText.ms(ScreenState.number(row, "p99_ms")));
     }
 
-    private static String format(Look look, String name, String... figures) {
+    private static String tableLine(ScreenFormat format, String name, String... figures) {
         final StringBuilder text =
                 new StringBuilder(" ")
                         .append(ScreenText.pad(name, new ScreenText.Column("", 12, true, 0)));
         // On a small screen, only the figures asked, served and refused.
-        final boolean small = look.columns() < 12 + 1 + figures.length * 8;
+        final boolean small = format.columns() < 12 + 1 + figures.length * 8;
         for (int i = 0; i < figures.length; i++) {
             if (!small || i == 0 || i == 2 || i == 3) {
                 text.append(' ')
@@ -224,7 +233,7 @@
         return text.toString();
     }
 
-    private static void help(List<AttributedString> lines, Look look) {
+    private static void addHelp(List<AttributedString> lines, ScreenFormat format) {
         for (final String text :
                 List.of(
                         "",
@@ -245,20 +254,21 @@
                         "  gone      the list" + " does not have it",
                         "",
                         "  any key goes back")) {
-            lines.add(ScreenText.line(text, AttributedStyle.DEFAULT, look));
+            lines.add(ScreenText.line(text, AttributedStyle.DEFAULT, format));
         }
     }
 
-    private static AttributedString foot(SiteModel model, ScreenState state, Look look) {
-        final JsonObject asked = state.asked() == null ? null : model.worker(state.asked());
+    private static AttributedString footer(
+            SiteModel model, ScreenState state, ScreenFormat format) {
+        final JsonObject target = state.target() == null ? null : model.worker(state.target());
         final String text =
                 switch (state.mode()) {
                     case FILTER -> "/" + state.filter() + "_";
                     case CONFIRM_DRAIN ->
                             " Drain "
-                                    + ScreenText.clean(state.asked())
+                                    + ScreenText.replaceControlCharacters(state.target())
                                     + "? "
-                                    + (asked == null ? 0 : asked.get("in_flight").getAsInt())
+                                    + (target == null ? 0 : target.get("in_flight").getAsInt())
                                     + " out there. y or n";
                     case CONFIRM_FORCE -> " " + state.message() + ". F drains it anyway";
                     case HELP -> "";
@@ -266,16 +276,16 @@
                             !state.message().isEmpty()
                                     ? " " + state.message()
                                     : (state.filter().isEmpty() ? "" : "[/" + state.filter() + "]")
-                                            + (look.columns() < FULL_HINTS
+                                            + (format.columns() < MIN_COLUMNS_FOR_ALL_KEYS
                                                     ? " d drain  u undo  ? help  q quit"
                                                     : " d drain  u undo  / filter  s sort  ? help "
                                                             + " q quit");
                 };
         return ScreenText.line(
-                ScreenText.clean(text),
+                ScreenText.replaceControlCharacters(text),
                 state.mode() == ScreenState.Mode.BROWSE
                         ? AttributedStyle.DEFAULT
                         : AttributedStyle.DEFAULT.bold(),
-                look);
+                format);
     }
 }
--- a/src/main/java/cresschute/console/SiteModel.java
+++ b/src/main/java/cresschute/console/SiteModel.java
@@ -22,8 +22,8 @@
     /** A node sends a line every second; after so long without one its figures are stale, ms. */
     public static final long STALE_AFTER_MS = 3_000;
 
-    private static final String WORKER = "w/";
-    private static final String CLASS = "c/";
+    private static final String WORKER_PREFIX = "w/";
+    private static final String CLASS_PREFIX = "c/";
 
     /** How up to date the state is. */
     public enum Freshness {
@@ -41,9 +41,9 @@
     private final Map<String, JsonObject> classes = new LinkedHashMap<>();
     private final Deque<JsonObject> events = new ArrayDeque<>();
     private JsonObject node;
-    private String boot = "";
-    private long number;
-    private long lastEvent;
+    private String incarnation = "";
+    private long version;
+    private long lastEventNumber;
     private long lastLineMs;
     private boolean connected;
     private boolean loaded;
@@ -60,13 +60,13 @@
     }
 
     /** Takes a line of the node in. */
-    public void take(JsonObject line, long nowMs) {
+    public void apply(JsonObject line, long nowMs) {
         lastLineMs = nowMs;
-        if (line.has("boot") && !line.get("boot").getAsString().equals(boot)) {
+        if (line.has("boot") && !line.get("boot").getAsString().equals(incarnation)) {
             // Another incarnation of the node: its versions and its events begin anew.
-            boot = line.get("boot").getAsString();
-            number = 0;
-            lastEvent = 0;
+            incarnation = line.get("boot").getAsString();
+            version = 0;
+            lastEventNumber = 0;
             events.clear();
         }
         if (line.has("rows")) {
@@ -74,17 +74,17 @@
                 workers.clear();
                 classes.clear();
             }
-            line.getAsJsonArray("gone").forEach(key -> drop(key.getAsString()));
+            line.getAsJsonArray("gone").forEach(key -> removeRow(key.getAsString()));
             line.getAsJsonObject("rows")
                     .entrySet()
-                    .forEach(each -> put(each.getKey(), each.getValue()));
-            number = line.get("number").getAsLong();
+                    .forEach(each -> putRow(each.getKey(), each.getValue()));
+            version = line.get("number").getAsLong();
             loaded = true;
         }
         if (line.has("events")) {
             for (final JsonElement event : line.getAsJsonArray("events")) {
                 events.addLast(event.getAsJsonObject());
-                lastEvent = event.getAsJsonObject().get("n").getAsLong();
+                lastEventNumber = event.getAsJsonObject().get("n").getAsLong();
             }
             while (events.size() > MAX_EVENTS) {
                 events.pollFirst();
@@ -92,21 +92,21 @@
         }
     }
 
-    private void put(String key, JsonElement row) {
-        if (key.startsWith(WORKER)) {
-            workers.put(key.substring(WORKER.length()), row.getAsJsonObject());
-        } else if (key.startsWith(CLASS)) {
-            classes.put(key.substring(CLASS.length()), row.getAsJsonObject());
+    private void putRow(String key, JsonElement row) {
+        if (key.startsWith(WORKER_PREFIX)) {
+            workers.put(key.substring(WORKER_PREFIX.length()), row.getAsJsonObject());
+        } else if (key.startsWith(CLASS_PREFIX)) {
+            classes.put(key.substring(CLASS_PREFIX.length()), row.getAsJsonObject());
         } else if (key.equals("node")) {
             node = row.getAsJsonObject();
         }
     }
 
-    private void drop(String key) {
-        if (key.startsWith(WORKER)) {
-            workers.remove(key.substring(WORKER.length()));
-        } else if (key.startsWith(CLASS)) {
-            classes.remove(key.substring(CLASS.length()));
+    private void removeRow(String key) {
+        if (key.startsWith(WORKER_PREFIX)) {
+            workers.remove(key.substring(WORKER_PREFIX.length()));
+        } else if (key.startsWith(CLASS_PREFIX)) {
+            classes.remove(key.substring(CLASS_PREFIX.length()));
         }
     }
 
@@ -151,17 +151,17 @@
     }
 
     /** The incarnation of the node whose rows these are. */
-    public String boot() {
-        return boot;
+    public String incarnation() {
+        return incarnation;
     }
 
     /** The version of the rows. */
-    public long number() {
-        return number;
+    public long version() {
+        return version;
     }
 
     /** The number of the last event read. */
-    public long lastEvent() {
-        return lastEvent;
+    public long lastEventNumber() {
+        return lastEventNumber;
     }
 }
--- a/src/main/java/cresschute/console/WorkerRowsView.java
+++ b/src/main/java/cresschute/console/WorkerRowsView.java
@@ -1,7 +1,7 @@
 package cresschute.console;
 
 import com.google.gson.JsonObject;
-import cresschute.console.ScreenView.Look;
+import cresschute.console.ScreenView.ScreenFormat;
 import java.util.List;
 import java.util.Locale;
 import org.jline.utils.AttributedString;
@@ -28,7 +28,7 @@
     private WorkerRowsView() {}
 
     /** The line of titles; a star marks the column that the rows are sorted by. */
-    static AttributedString titles(ScreenState state, Look look) {
+    static AttributedString header(ScreenState state, ScreenFormat format) {
         final StringBuilder text = new StringBuilder(" ");
         final String sorted =
                 switch (state.order()) {
@@ -39,7 +39,7 @@
                     case RATE -> "/S";
                 };
         for (final ScreenText.Column column : COLUMNS) {
-            if (look.columns() >= column.minColumns()) {
+            if (format.columns() >= column.minColumns()) {
                 text.append(
                                 ScreenText.pad(
                                         column.title().equals(sorted)
@@ -49,26 +49,30 @@
                         .append(' ');
             }
         }
-        return ScreenText.line(text.toString(), AttributedStyle.DEFAULT.underline(), look);
+        return ScreenText.line(text.toString(), AttributedStyle.DEFAULT.underline(), format);
     }
 
     /** The line of one worker. */
-    static AttributedString worker(
-            JsonObject row, boolean selected, AttributedStyle plain, Look look, long nowMs) {
+    static AttributedString row(
+            JsonObject row,
+            boolean selected,
+            AttributedStyle rowStyle,
+            ScreenFormat format,
+            long nowMs) {
         final String state = ScreenState.text(row, "state");
         final AttributedStringBuilder out = new AttributedStringBuilder();
-        final AttributedStyle style = selected ? plain.inverse() : plain;
+        final AttributedStyle style = selected ? rowStyle.inverse() : rowStyle;
         out.styled(style, selected ? ">" : " ");
         for (final ScreenText.Column column : COLUMNS) {
-            if (look.columns() < column.minColumns()) {
+            if (format.columns() < column.minColumns()) {
                 continue;
             }
-            final String text = cell(column, row, look, nowMs);
-            final boolean colored = column.title().equals("STATE") && look.color();
+            final String text = cell(column, row, format, nowMs);
+            final boolean colored = column.title().equals("STATE") && format.color();
             out.styled(colored ? color(state, style) : style, ScreenText.pad(text, column));
             out.styled(style, " ");
         }
-        return ScreenText.fit(out.toAttributedString(), style, look);
+        return ScreenText.fit(out.toAttributedString(), style, format);
     }
 
     private static AttributedStyle color(String state, AttributedStyle style) {
@@ -83,17 +87,17 @@
     }
 
     /** The state of the selected worker in words, and its place where rows are out of sight. */
-    static AttributedString selection(
+    static AttributedString selectedWorkerLine(
             SiteModel model,
             ScreenState state,
             int rowCount,
             int visibleRows,
-            Look look,
+            ScreenFormat format,
             long nowMs) {
         final StringBuilder text = new StringBuilder(" ");
         final JsonObject row = state.selected() == null ? null : model.worker(state.selected());
         if (row != null) {
-            text.append(ScreenText.clean(ScreenState.text(row, "id")))
+            text.append(ScreenText.replaceControlCharacters(ScreenState.text(row, "id")))
                     .append(": ")
                     .append(ScreenState.text(row, "state"))
                     .append(" for ")
@@ -102,23 +106,24 @@
                 text.append(", ").append(ScreenState.text(row, "why"));
             }
             if (row.has("drain")) {
-                appendDrain(text, row.getAsJsonObject("drain"), look);
+                appendDrain(text, row.getAsJsonObject("drain"), format);
             }
         }
         if (rowCount > visibleRows) {
-            final String more = " " + (state.place() + 1) + "/" + rowCount;
-            final int width = look.columns() - more.length() - 1;
+            final String position = " " + (state.selectedRow() + 1) + "/" + rowCount;
+            final int width = format.columns() - position.length() - 1;
             if (text.length() > width) {
                 text.setLength(Math.max(0, width));
             }
-            text.append(" ".repeat(Math.max(0, width - text.length()))).append(more);
+            text.append(" ".repeat(Math.max(0, width - text.length()))).append(position);
         }
-        return ScreenText.line(text.toString(), AttributedStyle.DEFAULT.bold(), look);
+        return ScreenText.line(text.toString(), AttributedStyle.DEFAULT.bold(), format);
     }
 
-    private static String cell(ScreenText.Column column, JsonObject row, Look look, long nowMs) {
+    private static String cell(
+            ScreenText.Column column, JsonObject row, ScreenFormat format, long nowMs) {
         return switch (column.title()) {
-            case "WORKER" -> ScreenText.clean(ScreenState.text(row, "id"));
+            case "WORKER" -> ScreenText.replaceControlCharacters(ScreenState.text(row, "id"));
             case "STATE" -> ScreenState.text(row, "state");
             case "OUT" -> String.valueOf(row.get("in_flight").getAsInt());
             case "/S" -> String.format(Locale.ROOT, "%.1f", ScreenState.number(row, "rate"));
@@ -130,18 +135,20 @@
                     row.get("report_ms").getAsLong() == 0
                             ? "-"
                             : ScreenText.age(nowMs - row.get("report_ms").getAsLong());
-            default -> ScreenText.sparks(row.getAsJsonArray("sparks"), look);
+            default -> ScreenText.sparkline(row.getAsJsonArray("sparks"), format);
         };
     }
 
-    private static void appendDrain(StringBuilder text, JsonObject drain, Look look) {
-        text.append("; drained by ").append(ScreenText.clean(ScreenState.text(drain, "who")));
+    private static void appendDrain(StringBuilder text, JsonObject drain, ScreenFormat format) {
+        text.append("; drained by ")
+                .append(ScreenText.replaceControlCharacters(ScreenState.text(drain, "who")));
         if (!ScreenState.text(drain, "reason").isEmpty()) {
-            text.append(": ").append(ScreenText.clean(ScreenState.text(drain, "reason")));
+            text.append(": ")
+                    .append(ScreenText.replaceControlCharacters(ScreenState.text(drain, "reason")));
         }
         if (drain.has("until_ms")) {
             text.append(", until ")
-                    .append(ScreenText.clock(drain.get("until_ms").getAsLong(), look));
+                    .append(ScreenText.clock(drain.get("until_ms").getAsLong(), format));
         }
     }
 }
--- a/src/main/java/cresschute/console/WorkerTable.java
+++ b/src/main/java/cresschute/console/WorkerTable.java
@@ -22,7 +22,8 @@
                     String.format(
                                     Locale.ROOT,
                                     "%-16s %-9s %4d %6.1f %7s %7s %5s %5s  %s",
-                                    ScreenText.clean(ScreenState.text(row, "id")),
+                                    ScreenText.replaceControlCharacters(
+                                            ScreenState.text(row, "id")),
                                     ScreenState.text(row, "state"),
                                     row.get("in_flight").getAsInt(),
                                     ScreenState.number(row, "rate"),
@@ -30,16 +31,16 @@
                                     ScreenText.ms(ScreenState.number(row, "p99_ms")),
                                     ScreenText.count(ScreenState.number(row, "queue")),
                                     ScreenText.count(ScreenState.number(row, "free")),
-                                    ScreenText.clean(why(row, nowMs)))
+                                    ScreenText.replaceControlCharacters(reason(row, nowMs)))
                             .stripTrailing());
         }
         return lines;
     }
 
-    private static String why(JsonObject row, long nowMs) {
-        final String why = ScreenState.text(row, "why");
-        return why.isEmpty()
+    private static String reason(JsonObject row, long nowMs) {
+        final String reason = ScreenState.text(row, "why");
+        return reason.isEmpty()
                 ? ""
-                : why + ", for " + ScreenText.age(nowMs - row.get("since_ms").getAsLong());
+                : reason + ", for " + ScreenText.age(nowMs - row.get("since_ms").getAsLong());
     }
 }
--- a/src/test/java/cresschute/console/KeysTest.java
+++ b/src/test/java/cresschute/console/KeyReaderTest.java
@@ -2,14 +2,14 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cresschute.console.Keys.Kind;
+import cresschute.console.KeyReader.Kind;
 import java.io.IOException;
 import java.io.StringReader;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** The keys that the byte sequences of terminals stand for. */
-class KeysTest {
+class KeyReaderTest {
 
     @ParameterizedTest
     @CsvSource(
@@ -32,7 +32,7 @@
                     \u0004       | QUIT
                     \u007f       | BACKSPACE
                     """)
-    void keysOfTerminals(String typed, Kind kind) throws IOException {
+    void decodesTerminalSequences(String typed, Kind kind) throws IOException {
         // CsvSource trims control characters at the ends as blanks.
         final String sequence =
                 typed == null
@@ -47,8 +47,8 @@
                                 ? "\u001b" + typed
                                 : typed;
         final StringReader in = new StringReader(sequence);
-        final Keys keys =
-                new Keys(
+        final KeyReader keys =
+                new KeyReader(
                         timeoutMs -> {
                             final int next = in.read();
                             return next < 0 && timeoutMs > 0 ? -2 : next;
--- a/src/test/java/cresschute/console/ScreenTest.java
+++ b/src/test/java/cresschute/console/ScreenTest.java
@@ -4,10 +4,10 @@
 
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
-import cresschute.console.Keys.Kind;
+import cresschute.console.KeyReader.Kind;
 import cresschute.console.ScreenState.Action;
 import cresschute.console.ScreenState.Mode;
-import cresschute.console.ScreenView.Look;
+import cresschute.console.ScreenView.ScreenFormat;
 import cresschute.console.SiteModel.Freshness;
 import java.time.ZoneOffset;
 import java.util.ArrayList;
@@ -24,7 +24,8 @@
 class ScreenTest {
 
     private static final long NOW = 1_700_000_100_000L;
-    private static final Look USUAL = new Look(80, 24, false, false, ZoneOffset.UTC);
+    private static final ScreenFormat USUAL_FORMAT =
+            new ScreenFormat(80, 24, false, false, ZoneOffset.UTC);
 
     private final SiteModel model = new SiteModel();
     private final ScreenState state = new ScreenState();
@@ -67,7 +68,7 @@
 
     private void load(String... rows) {
         model.connected(NOW);
-        model.take(
+        model.apply(
                 line(
                         "{\"boot\":\"b\",\"number\":5,\"whole\":true,\"rows\":{"
                                 + String.join(",", rows)
@@ -76,7 +77,7 @@
     }
 
     private void change(String rows, String gone) {
-        model.take(
+        model.apply(
                 line(
                         "{\"boot\":\"b\",\"number\":6,\"whole\":false,\"rows\":{"
                                 + rows
@@ -86,8 +87,8 @@
                 NOW);
     }
 
-    private List<String> screen(Look look) {
-        return ScreenView.draw(model, state, look, NOW).stream()
+    private List<String> screen(ScreenFormat format) {
+        return ScreenView.draw(model, state, format, NOW).stream()
                 .map(AttributedString::toString)
                 .map(String::stripTrailing)
                 .toList();
@@ -96,27 +97,27 @@
     private Action press(String keys) {
         Action action = Action.NOTHING;
         for (int i = 0; i < keys.length(); i++) {
-            action = state.key(new Keys.Key(Kind.CHAR, keys.charAt(i)), model);
+            action = state.handleKey(new KeyReader.Key(Kind.CHAR, keys.charAt(i)), model);
         }
         return action;
     }
 
     @Test
-    void usualScreen() {
+    void drawsTablesOnUsualScreen() {
         load(
                 worker("w1", "taking", 3),
                 worker("w2", "silent", 10),
                 worker("w10", "draining", 0),
                 CLASS,
                 node(false));
-        model.take(
+        model.apply(
                 line(
                         "{\"boot\":\"b\",\"missed\":0,\"events\":[{\"n\":1,\"at_ms\":"
                                 + NOW
                                 + ",\"kind\":\"condition\",\"worker\":\"w2\",\"text\":\"w2 is"
                                 + " silent\"}]}"),
                 NOW);
-        assertThat(String.join("\n", screen(USUAL)))
+        assertThat(String.join("\n", screen(USUAL_FORMAT)))
                 .isEqualTo(
                         """
                          desk-1 | open 12 | worth kept 98% | list 41, 2s ago                       LIVE
@@ -153,7 +154,10 @@
                 worker("a-worker-with-a-long-name", "slowing", 1),
                 CLASS,
                 node(false));
-        assertThat(String.join("\n", screen(new Look(40, 14, false, false, ZoneOffset.UTC))))
+        assertThat(
+                        String.join(
+                                "\n",
+                                screen(new ScreenFormat(40, 14, false, false, ZoneOffset.UTC))))
                 .isEqualTo(
                         """
                          desk-1 | open 12 | worth kept 98% LIVE
@@ -175,7 +179,7 @@
 
     /** Every line is just as wide as the screen, and there are just as many as it is high. */
     @Property(tries = 200, seed = "83")
-    void screenIsFilledExactly(@ForAll Random random) {
+    void everyLineFillsTheScreen(@ForAll Random random) {
         final List<String> rows = new ArrayList<>(List.of(node(random.nextBoolean())));
         final int workers = random.nextInt(40);
         for (int i = 0; i < workers; i++) {
@@ -197,40 +201,40 @@
         for (int i = 0; i < random.nextInt(30); i++) {
             press(String.valueOf("jkgGsd/?yn".charAt(random.nextInt(10))));
         }
-        final Look look =
-                new Look(
+        final ScreenFormat format =
+                new ScreenFormat(
                         40 + random.nextInt(120),
                         6 + random.nextInt(60),
                         random.nextBoolean(),
                         random.nextBoolean(),
                         ZoneOffset.UTC);
-        final List<AttributedString> drawn = ScreenView.draw(model, state, look, NOW);
-        assertThat(drawn).hasSize(look.rows());
-        assertThat(drawn).allMatch(each -> each.columnLength() == look.columns());
+        final List<AttributedString> drawn = ScreenView.draw(model, state, format, NOW);
+        assertThat(drawn).hasSize(format.rows());
+        assertThat(drawn).allMatch(each -> each.columnLength() == format.columns());
     }
 
     @Test
     void loadingStaleAndReconnectingAreNeverShownAsLive() {
         assertThat(model.freshness(NOW)).isEqualTo(Freshness.LOADING);
-        assertThat(String.join("\n", screen(USUAL)))
+        assertThat(String.join("\n", screen(USUAL_FORMAT)))
                 .contains("LOADING", "the node has told nothing yet");
         model.connected(NOW);
         assertThat(model.freshness(NOW)).isEqualTo(Freshness.LOADING);
         load(worker("w1", "taking", 3), node(false));
         assertThat(model.freshness(NOW + SiteModel.STALE_AFTER_MS - 1)).isEqualTo(Freshness.LIVE);
         assertThat(model.freshness(NOW + SiteModel.STALE_AFTER_MS)).isEqualTo(Freshness.STALE);
-        assertThat(ScreenView.draw(model, state, USUAL, NOW + 9_000).get(0).toString())
+        assertThat(ScreenView.draw(model, state, USUAL_FORMAT, NOW + 9_000).get(0).toString())
                 .endsWith("STALE since 22:15:00 ");
         model.disconnected();
-        assertThat(screen(USUAL).get(0)).endsWith("RECONNECTING, STALE since 22:15:00");
+        assertThat(screen(USUAL_FORMAT).get(0)).endsWith("RECONNECTING, STALE since 22:15:00");
         // The rows stay, as the last that is known.
-        assertThat(screen(USUAL).get(2)).startsWith(">w1");
+        assertThat(screen(USUAL_FORMAT).get(2)).startsWith(">w1");
     }
 
     @Test
-    void stoppingNodeIsTold() {
+    void showsThatNodeIsStopping() {
         load(worker("w1", "taking", 3), node(true));
-        assertThat(screen(USUAL).get(0)).contains("STOPPING");
+        assertThat(screen(USUAL_FORMAT).get(0)).contains("STOPPING");
     }
 
     /** Workers join, leave and change their places while the cursor stands on one. */
@@ -241,23 +245,23 @@
                 worker("w4", "taking", 1),
                 worker("w6", "taking", 2),
                 node(false));
-        screen(USUAL);
+        screen(USUAL_FORMAT);
         press("j");
         assertThat(state.selected()).isEqualTo("w4");
         change(worker("w1", "taking", 9) + "," + worker("w3", "silent", 9), "\"w/w2\"");
-        screen(USUAL);
+        screen(USUAL_FORMAT);
         assertThat(state.selected()).isEqualTo("w4");
         press("ss");
-        screen(USUAL);
+        screen(USUAL_FORMAT);
         assertThat(state.selected()).isEqualTo("w4");
         assertThat(state.order()).isEqualTo(ScreenState.Order.OUT);
         // It goes: the one in its place takes over, and not the first.
         final List<JsonObject> rows = state.rows(model);
         change("", "\"w/w4\"");
-        screen(USUAL);
+        screen(USUAL_FORMAT);
         assertThat(state.selected()).isEqualTo(ScreenState.text(rows.get(rows.size() - 2), "id"));
         change("", "\"w/w1\",\"w/w3\",\"w/w6\"");
-        assertThat(String.join("\n", screen(USUAL))).contains("the list names no worker");
+        assertThat(String.join("\n", screen(USUAL_FORMAT))).contains("the list names no worker");
         assertThat(press("d")).isEqualTo(Action.NOTHING);
         assertThat(state.message()).isEqualTo("no worker is selected");
     }
@@ -267,62 +271,66 @@
      * then.
      */
     @Test
-    void confirmationIsAboutTheWorkerThatWasAskedFor() {
+    void confirmationKeepsItsWorkerWhileRowsChange() {
         load(worker("w1", "taking", 3), worker("w2", "taking", 7), node(false));
-        screen(USUAL);
+        screen(USUAL_FORMAT);
         press("jd");
         assertThat(state.mode()).isEqualTo(Mode.CONFIRM_DRAIN);
         change("", "\"w/w2\"");
-        assertThat(screen(USUAL).get(23)).isEqualTo(" Drain w2? 0 out there. y or n");
+        assertThat(screen(USUAL_FORMAT).get(23)).isEqualTo(" Drain w2? 0 out there. y or n");
         change(worker("w2", "taking", 7), "");
-        assertThat(screen(USUAL).get(23)).isEqualTo(" Drain w2? 7 out there. y or n");
+        assertThat(screen(USUAL_FORMAT).get(23)).isEqualTo(" Drain w2? 7 out there. y or n");
         assertThat(press("y")).isEqualTo(Action.DRAIN);
-        assertThat(state.asked()).isEqualTo("w2");
+        assertThat(state.target()).isEqualTo("w2");
         press("d");
         assertThat(press("n")).isEqualTo(Action.NOTHING);
         assertThat(state.message()).endsWith("is left as it is");
-        state.offerForce("w2", "w2 is the last worker that may run file");
-        assertThat(screen(USUAL).get(23))
+        state.confirmForcedDrain("w2", "w2 is the last worker that may run file");
+        assertThat(screen(USUAL_FORMAT).get(23))
                 .isEqualTo(" w2 is the last worker that may run file. F drains it anyway");
         assertThat(press("f")).isEqualTo(Action.NOTHING);
-        state.offerForce("w2", "w2 is the last worker that may run file");
+        state.confirmForcedDrain("w2", "w2 is the last worker that may run file");
         assertThat(press("F")).isEqualTo(Action.FORCED_DRAIN);
     }
 
     @Test
-    void filterNarrowsAndEscapeWidens() {
+    void filterLimitsRowsAndEscapeClearsIt() {
         load(
                 worker("w1", "taking", 3),
                 worker("w2", "silent", 7),
                 worker("x1", "taking", 0),
                 node(false));
         press("/SIL");
-        assertThat(screen(USUAL).get(23)).isEqualTo("/SIL_");
+        assertThat(screen(USUAL_FORMAT).get(23)).isEqualTo("/SIL_");
         assertThat(state.rows(model)).hasSize(1);
-        state.key(Keys.Key.of(Kind.ENTER), model);
-        assertThat(screen(USUAL).get(23)).startsWith("[/SIL] d drain");
+        state.handleKey(KeyReader.Key.of(Kind.ENTER), model);
+        assertThat(screen(USUAL_FORMAT).get(23)).startsWith("[/SIL] d drain");
         assertThat(state.selected()).isEqualTo("w2");
-        state.key(Keys.Key.of(Kind.ESCAPE), model);
+        state.handleKey(KeyReader.Key.of(Kind.ESCAPE), model);
         assertThat(state.rows(model)).hasSize(3);
         assertThat(state.selected()).isEqualTo("w2");
         press("/zz");
-        assertThat(String.join("\n", screen(USUAL)))
+        assertThat(String.join("\n", screen(USUAL_FORMAT)))
                 .contains("no worker matches 'zz'; Esc shows all");
     }
 
     /** Names and reasons come from others: they must not move the cursor or turn the text round. */
     @ParameterizedTest
     @ValueSource(strings = {"a\u001b[2Jb", "a\u0007b", "a\u202eb", "a\nb", "a\u009bb"})
-    void foreignTextIsCleaned(String text) {
-        assertThat(ScreenText.clean(text)).matches("a\\?[^\\p{Cntrl}]*b");
+    void replacesControlCharactersInReceivedText(String text) {
+        assertThat(ScreenText.replaceControlCharacters(text)).matches("a\\?[^\\p{Cntrl}]*b");
     }
 
     @Test
-    void colourIsLeftOutWhereItIsNotWanted() {
+    void omitsColourWhereItIsNotWanted() {
         load(worker("w1", "silent", 3), worker("w2", "silent", 3), node(false));
-        final String plain = ScreenView.draw(model, state, USUAL, NOW).get(3).toAnsi();
+        final String plain = ScreenView.draw(model, state, USUAL_FORMAT, NOW).get(3).toAnsi();
         final String colored =
-                ScreenView.draw(model, state, new Look(80, 24, true, true, ZoneOffset.UTC), NOW)
+                ScreenView.draw(
+                                model,
+                                state,
+                                new ScreenFormat(80, 24, true, true, ZoneOffset.UTC),
+                                NOW)
                         .get(3)
                         .toAnsi();
         assertThat(plain).doesNotContain("[31").doesNotContain(";31");
@@ -331,21 +339,21 @@
 
     /** A node that started anew counts from 1 again; what it sent before does not count. */
     @Test
-    void anotherRunOfTheNodeStartsThePictureAnew() {
+    void newIncarnationResetsRowsAndEvents() {
         load(worker("w1", "taking", 3), node(false));
-        model.take(
+        model.apply(
                 line(
                         "{\"boot\":\"b\",\"missed\":0,\"events\":[{\"n\":7,\"at_ms\":1,\"kind\":\"k\","
                             + "\"text\":\"old\"}]}"),
                 NOW);
-        assertThat(model.lastEvent()).isEqualTo(7);
-        model.take(
+        assertThat(model.lastEventNumber()).isEqualTo(7);
+        model.apply(
                 line(
                         "{\"boot\":\"c\",\"number\":1,\"whole\":true,\"rows\":{"
                                 + worker("w9", "cold", 0)
                                 + "},\"gone\":[]}"),
                 NOW);
-        assertThat(model.lastEvent()).isZero();
+        assertThat(model.lastEventNumber()).isZero();
         assertThat(model.events()).isEmpty();
         assertThat(model.workers()).hasSize(1);
     }
