--- a/src/main/java/cresschute/testbed/DiscoveryStandIn.java
+++ b/src/main/java/cresschute/testbed/DiscoveryStandIn.java
@@ -144,19 +144,19 @@
      * due.
      */
     void set(WorkerStandIn worker, String state, long startedMs) {
-        set(worker.make(), worker.address(), state, startedMs);
+        set(worker.spec(), worker.address(), state, startedMs);
     }
 
     /** The same of a worker that is nowhere but on the list. */
     public void set(
-            WorkerStandIn.Make make, InetSocketAddress address, String state, long startedMs) {
+            WorkerStandIn.Spec spec, InetSocketAddress address, String state, long startedMs) {
         final Entry entry =
                 new Entry(
-                        make.id(),
+                        spec.id(),
                         address,
-                        make.zone(),
-                        make.kind(),
-                        make.cell(),
+                        spec.zone(),
+                        spec.kind(),
+                        spec.cell(),
                         state,
                         startedMs);
         loop.schedule(() -> publish(entry), lateUs, TimeUnit.MICROSECONDS);
--- a/src/main/java/cresschute/testbed/Fleet.java
+++ b/src/main/java/cresschute/testbed/Fleet.java
@@ -8,7 +8,7 @@
 import cresschute.settings.SettingsFile;
 import cresschute.testbed.JobClass.Demand;
 import cresschute.testbed.Observation.OperatorDrained;
-import cresschute.testbed.Observation.SendCame;
+import cresschute.testbed.Observation.AttemptReceived;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -126,7 +126,7 @@
                         loop,
                         recorder,
                         RandomSource.XO_SHI_RO_256_PP.create(plan.seed() + 100 + number),
-                        new WorkerStandIn.Make(
+                        new WorkerStandIn.Spec(
                                 "w" + (number + 1),
                                 cell,
                                 "local",
@@ -157,13 +157,13 @@
                                 .map(
                                         each ->
                                                 "(\""
-                                                        + each.make().id()
+                                                        + each.spec().id()
                                                         + "\", \"127.0.0.1:"
                                                         + each.address().getPort()
                                                         + "\", \""
-                                                        + each.make().kind()
+                                                        + each.spec().kind()
                                                         + "\", "
-                                                        + each.make().cell()
+                                                        + each.spec().cell()
                                                         + ")")
                                 .collect(Collectors.joining(", "))
                         + "]\n"
@@ -200,7 +200,7 @@
         for (final InjectedFault fault : plan.faults()) {
             if (fault.worker() != null
                     && workers.stream()
-                            .noneMatch(each -> each.make().id().equals(fault.worker()))) {
+                            .noneMatch(each -> each.spec().id().equals(fault.worker()))) {
                 throw new IllegalArgumentException(
                         "no worker is called '"
                                 + fault.worker()
@@ -228,7 +228,7 @@
                 !fault.kind().isOfWorker()
                         ? null
                         : workers.stream()
-                                .filter(each -> each.make().id().equals(fault.worker()))
+                                .filter(each -> each.spec().id().equals(fault.worker()))
                                 .findFirst()
                                 .orElseGet(() -> workers.get(chance.nextInt(workers.size())));
         loop.schedule(() -> begin(fault, worker), fault.atUs(), TimeUnit.MICROSECONDS);
@@ -312,7 +312,7 @@
 
     private WorkerStandIn workerCalled(String id) {
         return workers.stream()
-                .filter(each -> each.make().id().equals(id))
+                .filter(each -> each.spec().id().equals(id))
                 .findFirst()
                 .orElseThrow();
     }
@@ -334,7 +334,7 @@
     public long lastSendUs(String worker) {
         final List<Observation> seen = recorder.seen();
         for (int i = seen.size() - 1; i >= 0; i--) {
-            if (seen.get(i) instanceof SendCame send && send.worker().equals(worker)) {
+            if (seen.get(i) instanceof AttemptReceived send && send.worker().equals(worker)) {
                 return send.firstByteUs();
             }
         }
@@ -351,10 +351,10 @@
      */
     public Map<String, Long> sends(long fromUs, long toUs) {
         return recorder.seen().stream()
-                .filter(SendCame.class::isInstance)
-                .map(SendCame.class::cast)
+                .filter(AttemptReceived.class::isInstance)
+                .map(AttemptReceived.class::cast)
                 .filter(each -> each.firstByteUs() > fromUs && each.firstByteUs() <= toUs)
-                .collect(Collectors.groupingBy(SendCame::worker, Collectors.counting()));
+                .collect(Collectors.groupingBy(AttemptReceived::worker, Collectors.counting()));
     }
 
     /** Discovery forgets what it has reported, so that its next answer is a whole list. */
--- a/src/main/java/cresschute/testbed/LargeFleet.java
+++ b/src/main/java/cresschute/testbed/LargeFleet.java
@@ -37,7 +37,7 @@
     private final EventLoop loop = group.next();
     private final UniformRandomProvider chance;
     private final DiscoveryStandIn discovery;
-    private final List<WorkerStandIn.Make> workers = new ArrayList<>();
+    private final List<WorkerStandIn.Spec> workers = new ArrayList<>();
     private final boolean[] drains;
     private final NodeServer node;
 
@@ -48,7 +48,7 @@
         drains = new boolean[count];
         final InetSocketAddress at = discovery.start();
         for (int i = 0; i < count; i++) {
-            workers.add(new WorkerStandIn.Make("w" + (i + 1), i % 10, "local", "std", 4, 1));
+            workers.add(new WorkerStandIn.Spec("w" + (i + 1), i % 10, "local", "std", 4, 1));
         }
         CompletableFuture.runAsync(
                         () -> workers.forEach(each -> discovery.set(each, NOWHERE, "SERVING", 0)),
--- a/src/main/java/cresschute/testbed/LoadClients.java
+++ b/src/main/java/cresschute/testbed/LoadClients.java
@@ -2,7 +2,7 @@
 
 import com.google.gson.JsonObject;
 import cresschute.dispatch.Idempotency;
-import cresschute.testbed.Observation.AnswerTooMany;
+import cresschute.testbed.Observation.UnexpectedAnswer;
 import cresschute.testbed.Observation.RequestAnswered;
 import cresschute.testbed.Observation.RequestLost;
 import cresschute.testbed.Observation.RequestSent;
@@ -320,7 +320,7 @@
 
         void answered(FullHttpResponse response) {
             if (!over()) {
-                recorder.add(new AnswerTooMany(recorder.nowUs(), id));
+                recorder.add(new UnexpectedAnswer(recorder.nowUs(), id));
                 return;
             }
             final int status = response.status().code();
@@ -427,7 +427,7 @@
             final Try answered = current;
             current = null;
             if (answered == null) {
-                recorder.add(new AnswerTooMany(recorder.nowUs(), "a connection without a req"));
+                recorder.add(new UnexpectedAnswer(recorder.nowUs(), "a connection without a req"));
                 return;
             }
             // Kept before the answer is acted on, so that a try that follows at once may use it.
--- a/src/main/java/cresschute/testbed/Observation.java
+++ b/src/main/java/cresschute/testbed/Observation.java
@@ -46,7 +46,7 @@
             implements Observation {}
 
     /** An answer came where none was owed. */
-    record AnswerTooMany(@SerializedName("us") long us, @SerializedName("what") String what)
+    record UnexpectedAnswer(@SerializedName("us") long us, @SerializedName("what") String what)
             implements Observation {}
 
     /** The run ended while a client was waiting, before its time was up. */
@@ -59,7 +59,7 @@
      * @param firstByteUs when its first byte came
      * @param work what it adds to the worker's load: slots times microseconds at speed 1
      */
-    record SendCame(
+    record AttemptReceived(
             @SerializedName("us") long us,
             @SerializedName("firstByteUs") long firstByteUs,
             @SerializedName("worker") String worker,
@@ -70,7 +70,7 @@
             implements Observation {}
 
     /** A worker turned a request away and will never run it. */
-    record SendTurnedAway(
+    record AttemptRejected(
             @SerializedName("us") long us,
             @SerializedName("worker") String worker,
             @SerializedName("id") String id)
@@ -95,7 +95,7 @@
      * The effect of a job took place: at its end, once for each run, and never for a repeat that is
      * dropped.
      */
-    record EffectMade(
+    record EffectApplied(
             @SerializedName("us") long us,
             @SerializedName("worker") String worker,
             @SerializedName("id") String id,
@@ -110,7 +110,7 @@
             implements Observation {}
 
     /** A worker was sent too much after its start and has fallen over for good. */
-    record WorkerFell(@SerializedName("us") long us, @SerializedName("worker") String worker)
+    record WorkerOverloaded(@SerializedName("us") long us, @SerializedName("worker") String worker)
             implements Observation {}
 
     /** Discovery has written this to the node. */
--- a/src/main/java/cresschute/testbed/RuleChecker.java
+++ b/src/main/java/cresschute/testbed/RuleChecker.java
@@ -3,18 +3,18 @@
 import cresschute.dispatch.DeduplicationScope;
 import cresschute.dispatch.Idempotency;
 import cresschute.dispatch.SlowStartSettings;
-import cresschute.testbed.Observation.AnswerTooMany;
-import cresschute.testbed.Observation.EffectMade;
+import cresschute.testbed.Observation.UnexpectedAnswer;
+import cresschute.testbed.Observation.EffectApplied;
 import cresschute.testbed.Observation.OperatorDrained;
 import cresschute.testbed.Observation.RequestAnswered;
 import cresschute.testbed.Observation.RequestLost;
 import cresschute.testbed.Observation.RequestSent;
 import cresschute.testbed.Observation.RequestUnanswered;
 import cresschute.testbed.Observation.RunDone;
-import cresschute.testbed.Observation.SendCame;
-import cresschute.testbed.Observation.SendTurnedAway;
+import cresschute.testbed.Observation.AttemptReceived;
+import cresschute.testbed.Observation.AttemptRejected;
 import cresschute.testbed.Observation.WorkerBooted;
-import cresschute.testbed.Observation.WorkerFell;
+import cresschute.testbed.Observation.WorkerOverloaded;
 import cresschute.testbed.Observation.WorkerListed;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -116,7 +116,7 @@
                             answer.us(),
                             answer.id() + " was served with what no worker made");
                 }
-            } else if (each instanceof AnswerTooMany answer) {
+            } else if (each instanceof UnexpectedAnswer answer) {
                 breach(
                         Rule.ONE_ANSWER,
                         answer.us(),
@@ -140,21 +140,21 @@
      */
     private void repeats(List<Observation> seen) {
         final Map<String, JobClass> classOf = new HashMap<>();
-        final Map<String, List<SendCame>> sends = new LinkedHashMap<>();
+        final Map<String, List<AttemptReceived>> sends = new LinkedHashMap<>();
         final Set<String> turnedAway = new HashSet<>();
         for (final Observation each : seen) {
             if (each instanceof RequestSent request && classes.containsKey(request.className())) {
                 classOf.put(request.id(), classes.get(request.className()));
-            } else if (each instanceof SendCame send) {
+            } else if (each instanceof AttemptReceived send) {
                 sends.computeIfAbsent(send.id(), unseen -> new ArrayList<>()).add(send);
-            } else if (each instanceof SendTurnedAway away) {
+            } else if (each instanceof AttemptRejected away) {
                 turnedAway.add(away.worker() + " " + away.id());
             }
         }
         sends.forEach(
                 (id, all) -> {
                     final JobClass stated = classOf.get(id);
-                    final SendCame last = all.get(all.size() - 1);
+                    final AttemptReceived last = all.get(all.size() - 1);
                     if (stated == null) {
                         breach(
                                 Rule.NO_EFFECT_TWICE,
@@ -173,7 +173,7 @@
                                         + stated.maxAttempts()
                                         + " are allowed");
                     }
-                    final List<SendCame> mayRun =
+                    final List<AttemptReceived> mayRun =
                             all.stream()
                                     .filter(
                                             send ->
@@ -186,9 +186,9 @@
                 });
     }
 
-    private void harmful(String id, JobClass stated, List<SendCame> mayRun) {
-        final SendCame first = mayRun.get(0);
-        for (final SendCame again : mayRun.subList(1, mayRun.size())) {
+    private void harmful(String id, JobClass stated, List<AttemptReceived> mayRun) {
+        final AttemptReceived first = mayRun.get(0);
+        for (final AttemptReceived again : mayRun.subList(1, mayRun.size())) {
             if (stated.effect() == Idempotency.UNSAFE) {
                 breach(
                         Rule.NO_EFFECT_TWICE,
@@ -211,10 +211,10 @@
 
     /** What came of it: one effect a key, whichever retry of a client's brought it. */
     private void effects(List<Observation> seen) {
-        final Map<String, EffectMade> first = new HashMap<>();
+        final Map<String, EffectApplied> first = new HashMap<>();
         for (final Observation each : seen) {
-            if (each instanceof EffectMade effect && effect.key() != null) {
-                final EffectMade before = first.putIfAbsent(effect.key(), effect);
+            if (each instanceof EffectApplied effect && effect.key() != null) {
+                final EffectApplied before = first.putIfAbsent(effect.key(), effect);
                 if (before != null) {
                     breach(
                             Rule.NO_EFFECT_TWICE,
@@ -255,14 +255,14 @@
                 } else {
                     byOperator.remove(drained.worker());
                 }
-            } else if (each instanceof SendCame send) {
+            } else if (each instanceof AttemptReceived send) {
                 kept(send, byList.get(send.worker()), "the list told that it leaves");
                 kept(send, byOperator.get(send.worker()), "an operator's drain was confirmed");
             }
         }
     }
 
-    private void kept(SendCame send, Long sinceUs, String what) {
+    private void kept(AttemptReceived send, Long sinceUs, String what) {
         if (sinceUs != null && send.firstByteUs() > sinceUs + DRAIN_WITHIN_US) {
             breach(
                     Rule.DRAINS_KEPT,
@@ -278,14 +278,14 @@
     }
 
     private static long drainTime(Observation seen) {
-        return seen instanceof SendCame send ? send.firstByteUs() : seen.us();
+        return seen instanceof AttemptReceived send ? send.firstByteUs() : seen.us();
     }
 
     // ---- Cold starts ----
 
     private void coldStarts(List<Observation> seen) {
         final Map<String, WorkerBooted> boots = new HashMap<>();
-        final Map<String, List<SendCame>> recent = new HashMap<>();
+        final Map<String, List<AttemptReceived>> recent = new HashMap<>();
         final Set<String> reported = new HashSet<>();
         for (final Observation each : seen) {
             if (each instanceof WorkerBooted boot) {
@@ -294,9 +294,9 @@
                 reported.remove(boot.worker());
             } else if (each instanceof WorkerListed notice && notice.startedMs() > 0) {
                 reported.add(notice.worker());
-            } else if (each instanceof WorkerFell fell) {
+            } else if (each instanceof WorkerOverloaded fell) {
                 breach(Rule.COLD_STARTS_KEPT, fell.us(), fell.worker() + " fell over");
-            } else if (each instanceof SendCame send
+            } else if (each instanceof AttemptReceived send
                     && boots.containsKey(send.worker())
                     && reported.contains(send.worker())) {
                 cold(send, boots.get(send.worker()), recent.get(send.worker()));
@@ -304,14 +304,14 @@
         }
     }
 
-    private void cold(SendCame send, WorkerBooted boot, List<SendCame> recent) {
+    private void cold(AttemptReceived send, WorkerBooted boot, List<AttemptReceived> recent) {
         final long age = send.us() - boot.us();
         if (age >= coldStart.warmUpDurationUs()) {
             return;
         }
         recent.add(send);
         recent.removeIf(old -> old.us() <= send.us() - coldStart.overloadAfterUs());
-        final double sent = recent.stream().mapToDouble(SendCame::work).sum();
+        final double sent = recent.stream().mapToDouble(AttemptReceived::work).sum();
         final double bound = coldBudget(coldStart, boot.capacity(), age);
         if (sent > bound * COLD_SLACK) {
             breach(
--- a/src/main/java/cresschute/testbed/WorkerStandIn.java
+++ b/src/main/java/cresschute/testbed/WorkerStandIn.java
@@ -4,13 +4,13 @@
 import com.google.gson.JsonParseException;
 import cresschute.dispatch.SlowStartSettings;
 import cresschute.node.Json;
-import cresschute.testbed.Observation.EffectMade;
+import cresschute.testbed.Observation.EffectApplied;
 import cresschute.testbed.Observation.RunDone;
 import cresschute.testbed.Observation.RunStarted;
-import cresschute.testbed.Observation.SendCame;
-import cresschute.testbed.Observation.SendTurnedAway;
+import cresschute.testbed.Observation.AttemptReceived;
+import cresschute.testbed.Observation.AttemptRejected;
 import cresschute.testbed.Observation.WorkerBooted;
-import cresschute.testbed.Observation.WorkerFell;
+import cresschute.testbed.Observation.WorkerOverloaded;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -56,7 +56,7 @@
     private static final int MAX_WAITING_A_SLOT = 8;
 
     /** What a worker is. */
-    public record Make(String id, int cell, String zone, String kind, int slots, double speed) {
+    public record Spec(String id, int cell, String zone, String kind, int slots, double speed) {
 
         double capacity() {
             return slots * speed;
@@ -66,12 +66,12 @@
     private final EventLoop loop;
     private final Recorder recorder;
     private final UniformRandomProvider chance;
-    private final Make make;
+    private final Spec spec;
     private final CellKeys keys;
     private final SlowStartSettings coldStart;
     private final Deque<Job> waiting = new ArrayDeque<>();
     private final List<Job> running = new ArrayList<>();
-    private final Deque<SendCame> sentCold = new ArrayDeque<>();
+    private final Deque<AttemptReceived> sentCold = new ArrayDeque<>();
     private final Deque<Report> reports = new ArrayDeque<>();
     private final LoopbackServer server;
     private InetSocketAddress address;
@@ -92,13 +92,13 @@
             EventLoop loop,
             Recorder recorder,
             UniformRandomProvider chance,
-            Make make,
+            Spec spec,
             CellKeys keys,
             SlowStartSettings coldStart) {
         this.loop = loop;
         this.recorder = recorder;
         this.chance = chance;
-        this.make = make;
+        this.spec = spec;
         this.keys = keys;
         this.coldStart = coldStart;
         server =
@@ -113,8 +113,8 @@
                                                 new Handler()));
     }
 
-    Make make() {
-        return make;
+    Spec spec() {
+        return spec;
     }
 
     CellKeys keys() {
@@ -178,7 +178,7 @@
         bootedUs = recorder.nowUs();
         sentCold.clear();
         reports.clear();
-        recorder.add(new WorkerBooted(bootedUs, make.id(), make.capacity()));
+        recorder.add(new WorkerBooted(bootedUs, spec.id(), spec.capacity()));
         report();
         warm();
     }
@@ -232,7 +232,7 @@
     private double speed() {
         return silent
                 ? 0
-                : make.speed()
+                : spec.speed()
                         / slowness
                         * RuleChecker.shareAt(coldStart, recorder.nowUs() - bootedUs);
     }
@@ -246,7 +246,7 @@
     }
 
     private double freeSlots() {
-        return make.slots() - running.stream().mapToDouble(job -> job.slots).sum();
+        return spec.slots() - running.stream().mapToDouble(job -> job.slots).sum();
     }
 
     /** The first one waits until it fits, and all others behind it. */
@@ -329,7 +329,7 @@
         }
 
         void start() {
-            recorder.add(new RunStarted(recorder.nowUs(), make.id(), id));
+            recorder.add(new RunStarted(recorder.nowUs(), spec.id(), id));
             line("started", null, null);
             settledUs = recorder.nowUs();
             plan();
@@ -372,10 +372,10 @@
         private void done() {
             running.remove(this);
             progress.cancel(false);
-            final String result = make.id() + " did " + id;
-            recorder.add(new RunDone(recorder.nowUs(), make.id(), id, result));
+            final String result = spec.id() + " did " + id;
+            recorder.add(new RunDone(recorder.nowUs(), spec.id(), id, result));
             if (key != null) {
-                recorder.add(new EffectMade(recorder.nowUs(), make.id(), id, key));
+                recorder.add(new EffectApplied(recorder.nowUs(), spec.id(), id, key));
                 keys.done(key, result);
             }
             line("done", null, result);
@@ -400,7 +400,7 @@
                 line("lost", null, null);
                 return;
             }
-            recorder.add(new RunDone(recorder.nowUs(), make.id(), id, result));
+            recorder.add(new RunDone(recorder.nowUs(), spec.id(), id, result));
             line("done", null, result);
         }
 
@@ -411,7 +411,7 @@
             head();
             final JsonObject line = new JsonObject();
             line.addProperty("id", id);
-            line.addProperty("from", make.id());
+            line.addProperty("from", spec.id());
             line.addProperty("state", state);
             if (share != null) {
                 line.addProperty("share", Math.max(0, Math.min(1, share)));
@@ -488,17 +488,17 @@
                 final JsonObject body =
                         Json.object(request.content().toString(StandardCharsets.UTF_8));
                 workUs = Math.max(1, (long) Json.number(body, "work_us", DEFAULT_WORK_US));
-                slots = Math.max(1, Math.min(make.slots(), Json.number(body, "slots", 1)));
+                slots = Math.max(1, Math.min(spec.slots(), Json.number(body, "slots", 1)));
             } catch (JsonParseException e) {
                 // Other clients' bodies are their own matter: such a job takes the usual time.
                 workUs = DEFAULT_WORK_US;
             }
-            final SendCame send =
-                    new SendCame(
+            final AttemptReceived send =
+                    new AttemptReceived(
                             recorder.nowUs(),
                             firstByteUs,
-                            make.id(),
-                            make.cell(),
+                            spec.id(),
+                            spec.cell(),
                             id,
                             key,
                             workUs * slots);
@@ -510,8 +510,8 @@
                 LoopbackServer.reset(ctx.channel());
                 return;
             }
-            if (waiting.size() >= MAX_WAITING_A_SLOT * make.slots()) {
-                recorder.add(new SendTurnedAway(recorder.nowUs(), make.id(), id));
+            if (waiting.size() >= MAX_WAITING_A_SLOT * spec.slots()) {
+                recorder.add(new AttemptRejected(recorder.nowUs(), spec.id(), id));
                 final DefaultFullHttpResponse full =
                         LoopbackServer.answer(HttpResponseStatus.SERVICE_UNAVAILABLE, "");
                 final Report reported = reported();
@@ -537,7 +537,7 @@
         }
 
         /** Whether it falls over by this: it was sent more than it can take while it is cold. */
-        private boolean falls(SendCame send) {
+        private boolean falls(AttemptReceived send) {
             final long age = send.us() - bootedUs;
             if (age >= coldStart.warmUpDurationUs()) {
                 return false;
@@ -546,13 +546,13 @@
             while (sentCold.peek().us() <= send.us() - coldStart.overloadAfterUs()) {
                 sentCold.poll();
             }
-            final double sent = sentCold.stream().mapToDouble(SendCame::work).sum();
+            final double sent = sentCold.stream().mapToDouble(AttemptReceived::work).sum();
             if (sent
-                    <= RuleChecker.coldBudget(coldStart, make.capacity(), age)
+                    <= RuleChecker.coldBudget(coldStart, spec.capacity(), age)
                             * RuleChecker.COLD_SLACK) {
                 return false;
             }
-            recorder.add(new WorkerFell(recorder.nowUs(), make.id()));
+            recorder.add(new WorkerOverloaded(recorder.nowUs(), spec.id()));
             crash();
             return true;
         }
--- a/src/main/java/cresschute/testbed/bodies/BodiesTrial.java
+++ b/src/main/java/cresschute/testbed/bodies/BodiesTrial.java
@@ -70,7 +70,7 @@
                 SmallRequests small = new SmallRequests()) {
             site.writeSettings(script, small.startWorkers(SMALL_WORKERS));
             try (NodeProcess node = new NodeProcess(script, NODE_OPTIONS);
-                    MemoryLine memory = new MemoryLine(node);
+                    MemorySampler memory = new MemorySampler(node);
                     PlainRelay plain = new PlainRelay(site.anyWorker())) {
                 speeds(node.address(), plain.address(), memory);
                 slowReaders(node.address(), memory);
@@ -105,14 +105,14 @@
                 target,
                 pair.isResult() ? 0 : bytes,
                 false,
-                LineSpeed.of(pair.isResult() ? 0 : pair.client()),
-                LineSpeed.of(pair.isResult() ? pair.client() : 0),
+                TransferProfile.of(pair.isResult() ? 0 : pair.client()),
+                TransferProfile.of(pair.isResult() ? pair.client() : 0),
                 leaveAfter,
                 ownLines);
     }
 
-    private BodyClient.Came play(BodyClient.Plan plan) {
-        final BodyClient.Came came = BodyClient.run(plan);
+    private BodyClient.Result play(BodyClient.Plan plan) {
+        final BodyClient.Result came = BodyClient.run(plan);
         if (plan.leaveAfter() < 0 && !(came.status() == 200 && came.whole())) {
             wrong.add(
                     plan.target()
@@ -128,7 +128,7 @@
 
     // ---- Unlike speeds ----
 
-    private void speeds(InetSocketAddress node, InetSocketAddress plain, MemoryLine memory) {
+    private void speeds(InetSocketAddress node, InetSocketAddress plain, MemorySampler memory) {
         final long fast = 40_000_000;
         final List<Pair> pairs =
                 List.of(
@@ -165,7 +165,7 @@
         }
     }
 
-    private static double rate(BodyClient.Came came) {
+    private static double rate(BodyClient.Result came) {
         return came.bytes() / MB / (came.ns() / 1e9);
     }
 
@@ -180,9 +180,9 @@
     }
 
     /** A client at modem speed while a worker would send all of it at once. */
-    private void slowReaders(InetSocketAddress node, MemoryLine memory) {
+    private void slowReaders(InetSocketAddress node, MemorySampler memory) {
         final double since = memory.now();
-        final BodyClient.Came came =
+        final BodyClient.Result came =
                 play(
                         plan(
                                 node,
@@ -198,7 +198,7 @@
 
     // ---- Beside small requests ----
 
-    private void besideSmallRequests(NodeProcess node, SmallRequests small, MemoryLine memory)
+    private void besideSmallRequests(NodeProcess node, SmallRequests small, MemorySampler memory)
             throws InterruptedException {
         row(
                 "\n"
@@ -219,7 +219,7 @@
     }
 
     private void smallRequests(
-            String what, NodeProcess node, SmallRequests small, MemoryLine memory)
+            String what, NodeProcess node, SmallRequests small, MemorySampler memory)
             throws InterruptedException {
         final double since = memory.now();
         final long cpuNs = node.cpuNs();
@@ -241,7 +241,7 @@
     /** Bodies and results, half of each, that flow slowly until they are asked to leave. */
     private final class Slow {
         private static final long RATE = 20_000;
-        private final List<CompletableFuture<BodyClient.Came>> all = new ArrayList<>();
+        private final List<CompletableFuture<BodyClient.Result>> all = new ArrayList<>();
         private final int wanted;
 
         Slow(InetSocketAddress node, int count) throws InterruptedException {
@@ -265,8 +265,8 @@
         void leave() {
             int served = 0;
             int refused = 0;
-            for (final CompletableFuture<BodyClient.Came> each : all) {
-                final BodyClient.Came came =
+            for (final CompletableFuture<BodyClient.Result> each : all) {
+                final BodyClient.Result came =
                         each.orTimeout(MAX_TRANSFER_S, TimeUnit.SECONDS).join();
                 served += came.status() == 200 && came.whole() ? 1 : 0;
                 refused += came.status() == 503 ? 1 : 0;
--- a/src/main/java/cresschute/testbed/bodies/BodyClient.java
+++ b/src/main/java/cresschute/testbed/bodies/BodyClient.java
@@ -30,8 +30,8 @@
             String target,
             long upload,
             boolean chunked,
-            LineSpeed up,
-            LineSpeed down,
+            TransferProfile up,
+            TransferProfile down,
             long leaveAfter,
             boolean ownLines) {}
 
@@ -42,11 +42,11 @@
      * @param whole whether its body ended as it should, and each byte was the right one
      * @param bytes bytes of the body that went up, or of the result that came down
      */
-    record Came(int status, boolean whole, long bytes, long ns, String text) {}
+    record Result(int status, boolean whole, long bytes, long ns, String text) {}
 
     private BodyClient() {}
 
-    static Came run(Plan plan) {
+    static Result run(Plan plan) {
         final long startNs = System.nanoTime();
         int status = 0;
         long sent = 0;
@@ -73,7 +73,7 @@
             // The returned count says how far it came.
             text.append(e.getMessage());
         }
-        return new Came(
+        return new Result(
                 status,
                 whole,
                 Math.max(sent, expected.count()),
--- a/src/main/java/cresschute/testbed/bodies/BodyWorker.java
+++ b/src/main/java/cresschute/testbed/bodies/BodyWorker.java
@@ -89,8 +89,8 @@
         final Map<String, String> headers = line.headers();
         final String id = headers.get("x-request-id");
         final long result = asked(first, "result", 0);
-        final LineSpeed in = LineSpeed.of(asked(first, "in", 0));
-        final LineSpeed out = LineSpeed.of(asked(first, "out", 0));
+        final TransferProfile in = TransferProfile.of(asked(first, "in", 0));
+        final TransferProfile out = TransferProfile.of(asked(first, "out", 0));
         final long stall = asked(first, "stall", -1);
         final long reset = asked(first, "reset", -1);
         final boolean breaksIn = result == 0;
@@ -140,8 +140,8 @@
         line.write("0\r\nX-Job-State: done\r\n\r\n");
     }
 
-    private static LineSpeed troubled(LineSpeed speed, long stall, long reset) {
-        final LineSpeed stalling = stall < 0 ? speed : speed.stalling(stall, STALL_MS);
+    private static TransferProfile troubled(TransferProfile speed, long stall, long reset) {
+        final TransferProfile stalling = stall < 0 ? speed : speed.stalling(stall, STALL_MS);
         return reset < 0 ? stalling : stalling.resetting(reset);
     }
 
--- a/src/main/java/cresschute/testbed/bodies/MemoryLine.java
+++ b/src/main/java/cresschute/testbed/bodies/MemorySampler.java
@@ -14,7 +14,7 @@
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
 /** A node's memory over time, sampled by a thread of its own, and the chart of it. */
-final class MemoryLine implements AutoCloseable {
+final class MemorySampler implements AutoCloseable {
 
     private static final long EVERY_MS = 100;
     private static final int DRAWN = 400;
@@ -31,7 +31,7 @@
     private final List<Sample> samples = new ArrayList<>();
     private volatile boolean closed;
 
-    MemoryLine(NodeProcess node) {
+    MemorySampler(NodeProcess node) {
         this.node = node;
         this.directAtStart = node.memoryHeld().direct();
         BodyWorker.daemon(this::sample);
--- a/src/main/java/cresschute/testbed/bodies/PacedSocket.java
+++ b/src/main/java/cresschute/testbed/bodies/PacedSocket.java
@@ -26,8 +26,8 @@
     private final Socket socket;
     private final InputStream in;
     private final OutputStream out;
-    private Line reading = new Line(LineSpeed.FULL);
-    private Line writing = new Line(LineSpeed.FULL);
+    private Line reading = new Line(TransferProfile.FULL);
+    private Line writing = new Line(TransferProfile.FULL);
 
     PacedSocket(Socket socket) throws IOException {
         this.socket = socket;
@@ -36,7 +36,7 @@
         out = socket.getOutputStream();
     }
 
-    void speeds(LineSpeed read, LineSpeed write) {
+    void speeds(TransferProfile read, TransferProfile write) {
         reading = new Line(read);
         writing = new Line(write);
     }
@@ -106,12 +106,12 @@
 
     /** One direction's progress. */
     private final class Line {
-        private final LineSpeed speed;
+        private final TransferProfile speed;
         private final TokenBucket bucket;
         private long at;
         private boolean stalled;
 
-        Line(LineSpeed speed) {
+        Line(TransferProfile speed) {
             this.speed = speed;
             this.bucket =
                     new TokenBucket(
--- a/src/main/java/cresschute/testbed/capacity/HollowDiscovery.java
+++ b/src/main/java/cresschute/testbed/capacity/HollowDiscovery.java
@@ -3,7 +3,7 @@
 import com.google.gson.JsonObject;
 import cresschute.testbed.DiscoveryStandIn;
 import cresschute.testbed.Recorder;
-import cresschute.testbed.WorkerStandIn.Make;
+import cresschute.testbed.WorkerStandIn.Spec;
 import io.netty.channel.EventLoop;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -24,7 +24,7 @@
 
     private final EventLoop loop;
     private final Recorder recorder;
-    private final List<Make> makes;
+    private final List<Spec> specs;
     private final List<InetSocketAddress> addresses;
     private final UniformRandomProvider chance;
     private final DiscoveryStandIn standIn;
@@ -43,10 +43,10 @@
         this.loop = loop;
         this.recorder = recorder;
         this.addresses = List.copyOf(addresses);
-        makes = new Site(plan).workers();
+        specs = new Site(plan).workers();
         chance = RandomSource.XO_SHI_RO_256_PP.create(plan.seed() + 3);
-        drains = new boolean[makes.size()];
-        startedMs = new long[makes.size()];
+        drains = new boolean[specs.size()];
+        startedMs = new long[specs.size()];
         changesPerSecond = plan.listChangesPerSecond();
         standIn =
                 new DiscoveryStandIn(
@@ -62,7 +62,7 @@
     InetSocketAddress start() {
         loop.submit(
                         () -> {
-                            for (int i = 0; i < makes.size(); i++) {
+                            for (int i = 0; i < specs.size(); i++) {
                                 report(i, "SERVING");
                             }
                         })
@@ -80,7 +80,7 @@
     }
 
     private void drainOne() {
-        final int number = chance.nextInt(makes.size());
+        final int number = chance.nextInt(specs.size());
         if (drains[number]) {
             return;
         }
@@ -100,7 +100,7 @@
     }
 
     private void report(int number, String state) {
-        standIn.set(makes.get(number), addresses.get(number), state, startedMs[number]);
+        standIn.set(specs.get(number), addresses.get(number), state, startedMs[number]);
     }
 
     /** What was counted so far. On the loop. */
--- a/src/main/java/cresschute/testbed/capacity/HollowWorkers.java
+++ b/src/main/java/cresschute/testbed/capacity/HollowWorkers.java
@@ -4,13 +4,13 @@
 import cresschute.node.Json;
 import cresschute.testbed.CellKeys;
 import cresschute.testbed.LoopbackServer;
-import cresschute.testbed.Observation.EffectMade;
+import cresschute.testbed.Observation.EffectApplied;
 import cresschute.testbed.Observation.RunDone;
 import cresschute.testbed.Observation.RunStarted;
-import cresschute.testbed.Observation.SendCame;
-import cresschute.testbed.Observation.SendTurnedAway;
+import cresschute.testbed.Observation.AttemptReceived;
+import cresschute.testbed.Observation.AttemptRejected;
 import cresschute.testbed.Recorder;
-import cresschute.testbed.WorkerStandIn.Make;
+import cresschute.testbed.WorkerStandIn.Spec;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
@@ -62,8 +62,8 @@
     }
 
     /** Starts the worker of this number and returns where it listens; not on the loop. */
-    InetSocketAddress start(Make make, int number) throws UnknownHostException {
-        final Worker worker = new Worker(make);
+    InetSocketAddress start(Spec spec, int number) throws UnknownHostException {
+        final Worker worker = new Worker(spec);
         final LoopbackServer server = new LoopbackServer(loop, channel -> accept(channel, worker));
         return server.listen(
                 InetAddress.getByAddress(
@@ -124,21 +124,21 @@
     // ---- Workers and their jobs ----
 
     private static final class Worker {
-        private final Make make;
+        private final Spec spec;
         private final Deque<Job> waiting = new ArrayDeque<>(2);
         private int running;
 
-        Worker(Make make) {
-            this.make = make;
+        Worker(Spec spec) {
+            this.spec = spec;
         }
 
         String report() {
-            return "\"x0\":" + (make.slots() - running) + ",\"queue\":" + waiting.size();
+            return "\"x0\":" + (spec.slots() - running) + ",\"queue\":" + waiting.size();
         }
     }
 
     private void startWaiting(Worker worker) {
-        while (worker.running < worker.make.slots() && !worker.waiting.isEmpty()) {
+        while (worker.running < worker.spec.slots() && !worker.waiting.isEmpty()) {
             final Job job = worker.waiting.poll();
             if (job.channel.isActive()) {
                 job.start();
@@ -150,7 +150,7 @@
     }
 
     private CellKeys keysOf(Worker worker) {
-        return keys.computeIfAbsent(worker.make.cell(), unseen -> new CellKeys(repeatWindowUs));
+        return keys.computeIfAbsent(worker.spec.cell(), unseen -> new CellKeys(repeatWindowUs));
     }
 
     private final class Job {
@@ -174,7 +174,7 @@
             worker.running++;
             running++;
             startedUs = recorder.nowUs();
-            recorder.add(new RunStarted(startedUs, worker.make.id(), id));
+            recorder.add(new RunStarted(startedUs, worker.spec.id(), id));
             line(TrafficKind.START_LINE, line("started"));
             loop.schedule(this::done, workUs, TimeUnit.MICROSECONDS);
             reportProgress();
@@ -205,10 +205,10 @@
             if (progress != null) {
                 progress.cancel(false);
             }
-            final String result = worker.make.id() + " did " + id;
-            recorder.add(new RunDone(recorder.nowUs(), worker.make.id(), id, result));
+            final String result = worker.spec.id() + " did " + id;
+            recorder.add(new RunDone(recorder.nowUs(), worker.spec.id(), id, result));
             if (key != null) {
-                recorder.add(new EffectMade(recorder.nowUs(), worker.make.id(), id, key));
+                recorder.add(new EffectApplied(recorder.nowUs(), worker.spec.id(), id, key));
                 keysOf(worker).done(key, result);
             }
             end(result);
@@ -218,7 +218,7 @@
         /** The result of another run under the same key, or null where that run is lost. */
         void repeat(String result) {
             if (result != null) {
-                recorder.add(new RunDone(recorder.nowUs(), worker.make.id(), id, result));
+                recorder.add(new RunDone(recorder.nowUs(), worker.spec.id(), id, result));
             }
             end(result);
         }
@@ -242,7 +242,7 @@
             return "{\"id\":\""
                     + id
                     + "\",\"from\":\""
-                    + worker.make.id()
+                    + worker.spec.id()
                     + "\",\"state\":\""
                     + state
                     + '"';
@@ -307,16 +307,16 @@
                                             "work_us",
                                             1));
             recorder.add(
-                    new SendCame(
+                    new AttemptReceived(
                             recorder.nowUs(),
                             firstByteUs,
-                            worker.make.id(),
-                            worker.make.cell(),
+                            worker.spec.id(),
+                            worker.spec.cell(),
                             id,
                             key,
                             workUs));
-            if (worker.waiting.size() >= MAX_WAITING_A_SLOT * worker.make.slots()) {
-                recorder.add(new SendTurnedAway(recorder.nowUs(), worker.make.id(), id));
+            if (worker.waiting.size() >= MAX_WAITING_A_SLOT * worker.spec.slots()) {
+                recorder.add(new AttemptRejected(recorder.nowUs(), worker.spec.id(), id));
                 final String report =
                         "x-load: " + worker.report().replace("\"", "").replace(':', '=') + "\r\n";
                 traffic.add(TrafficKind.LOAD_REPORT, report.length());
--- a/src/main/java/cresschute/testbed/capacity/PeerMain.java
+++ b/src/main/java/cresschute/testbed/capacity/PeerMain.java
@@ -6,7 +6,7 @@
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
 import cresschute.testbed.Recorder;
-import cresschute.testbed.WorkerStandIn.Make;
+import cresschute.testbed.WorkerStandIn.Spec;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -156,15 +156,15 @@
             loops.add(group.next());
         }
         final List<InetSocketAddress> addresses = new ArrayList<>();
-        final List<Make> makes = site.workers();
-        for (int i = 0; i < makes.size(); i++) {
-            final Make make = makes.get(i);
-            if (Site.partOf(make, parts) == part) {
-                final EventLoop shared = loops.get(make.cell() / parts % WORKER_LOOPS);
+        final List<Spec> specs = site.workers();
+        for (int i = 0; i < specs.size(); i++) {
+            final Spec spec = specs.get(i);
+            if (Site.partOf(spec, parts) == part) {
+                final EventLoop shared = loops.get(spec.cell() / parts % WORKER_LOOPS);
                 addresses.add(
                         workers.computeIfAbsent(
                                         shared, unseen -> new HollowWorkers(shared, recorder, site))
-                                .start(make, i));
+                                .start(spec, i));
             }
         }
         return addresses;
--- a/src/main/java/cresschute/testbed/capacity/Site.java
+++ b/src/main/java/cresschute/testbed/capacity/Site.java
@@ -70,12 +70,12 @@
     // ---- Workers ----
 
     /** The workers, in the order of the list; kinds and zones are spread over it. */
-    List<WorkerStandIn.Make> workers() {
-        final List<WorkerStandIn.Make> workers = new ArrayList<>();
+    List<WorkerStandIn.Spec> workers() {
+        final List<WorkerStandIn.Spec> workers = new ArrayList<>();
         for (int i = 0; i < plan.workers(); i++) {
             final boolean accelerated = isAccelerated(i);
             workers.add(
-                    new WorkerStandIn.Make(
+                    new WorkerStandIn.Spec(
                             "w" + (i + 1),
                             i / WORKERS_A_CELL,
                             zone(i % plan.zones()),
@@ -87,8 +87,8 @@
     }
 
     /** Which of so many processes a worker is in: that of its cell. */
-    static int partOf(WorkerStandIn.Make make, int parts) {
-        return make.cell() % parts;
+    static int partOf(WorkerStandIn.Spec spec, int parts) {
+        return spec.cell() % parts;
     }
 
     private boolean isAccelerated(int number) {
--- a/src/main/java/cresschute/testbed/model/BaselineModule.java
+++ b/src/main/java/cresschute/testbed/model/BaselineModule.java
@@ -90,11 +90,11 @@
     }
 
     private int choose() {
-        final int first = any();
+        final int first = randomWorker();
         return switch (policy) {
             case RANDOM -> first;
             case POWER_OF_TWO_STALE -> {
-                final int second = any();
+                final int second = randomWorker();
                 yield reported.getOrDefault(second, 0.0) < reported.getOrDefault(first, 0.0)
                         ? second
                         : first;
@@ -103,7 +103,7 @@
         };
     }
 
-    private int any() {
+    private int randomWorker() {
         return ready.get(random.nextInt(ready.size()));
     }
 
--- a/src/main/java/cresschute/testbed/model/DispatcherMeter.java
+++ b/src/main/java/cresschute/testbed/model/DispatcherMeter.java
@@ -10,47 +10,47 @@
 /** Counts what one dispatcher of the model sends, asks and learns. */
 public final class DispatcherMeter {
 
-    private static final int FIRST_AGES = 1024;
+    private static final int INITIAL_CAPACITY = 1024;
 
     private final Map<Integer, Long> reportedAtUs = new HashMap<>();
     private final Map<Outcome, Long> outcomes = new EnumMap<>(Outcome.class);
-    private long[] agesUs = new long[FIRST_AGES];
+    private long[] agesUs = new long[INITIAL_CAPACITY];
     private int ages;
     private long sends;
-    private long unknown;
-    private long probes;
-    private long inVain;
+    private long sendsWithoutLoadReport;
+    private long loadQueries;
+    private long unreachableCalls;
     private final Map<Integer, Long> repeatedStarts = new HashMap<>();
 
     /** Forgets the counts; what is believed of workers stays. */
-    public void restart() {
+    public void reset() {
         outcomes.clear();
         ages = 0;
         sends = 0;
-        unknown = 0;
-        probes = 0;
-        inVain = 0;
+        sendsWithoutLoadReport = 0;
+        loadQueries = 0;
+        unreachableCalls = 0;
         repeatedStarts.clear();
     }
 
     /** Forgets how many calls were in vain. */
-    public void restartInVain() {
-        inVain = 0;
+    public void resetUnreachableCalls() {
+        unreachableCalls = 0;
     }
 
     void sent(long nowUs, int workerId) {
         sends++;
         final Long atUs = reportedAtUs.get(workerId);
         if (atUs == null) {
-            unknown++;
+            sendsWithoutLoadReport++;
             return;
         }
         agesUs = ages == agesUs.length ? Arrays.copyOf(agesUs, 2 * ages) : agesUs;
         agesUs[ages++] = nowUs - atUs;
     }
 
-    void inVain() {
-        inVain++;
+    void unreachableCall() {
+        unreachableCalls++;
     }
 
     void started(int requestClass, int startsBefore) {
@@ -59,8 +59,8 @@
         }
     }
 
-    void probed() {
-        probes++;
+    void loadQuerySent() {
+        loadQueries++;
     }
 
     void ended(long nowUs, int workerId, Outcome outcome, LoadReport report) {
@@ -80,13 +80,13 @@
     }
 
     /** Attempts sent to a worker that had reported nothing to this dispatcher yet. */
-    public long sendsToUnknown() {
-        return unknown;
+    public long sendsWithoutLoadReport() {
+        return sendsWithoutLoadReport;
     }
 
     /** Attempts and probes sent to a worker that was down or beyond a cut network. */
-    public long callsInVain() {
-        return inVain;
+    public long unreachableCalls() {
+        return unreachableCalls;
     }
 
     /** Starts of jobs of a class whose request had a job started before. */
@@ -95,8 +95,8 @@
     }
 
     /** Probes sent. */
-    public long probes() {
-        return probes;
+    public long loadQueries() {
+        return loadQueries;
     }
 
     /** Attempts that ended so. */
@@ -108,7 +108,7 @@
      * Time between a worker's last report to this dispatcher and each send to it, in rising order,
      * us. The report itself may have been old by the worker's own refresh and delay.
      */
-    public long[] beliefAgesUs() {
+    public long[] loadReportAgesUs() {
         final long[] sorted = Arrays.copyOf(agesUs, ages);
         Arrays.sort(sorted);
         return sorted;
--- a/src/main/java/cresschute/testbed/model/EventQueue.java
+++ b/src/main/java/cresschute/testbed/model/EventQueue.java
@@ -9,12 +9,13 @@
  */
 final class EventQueue {
 
-    private record Plan(long atUs, long number, Runnable event) {}
+    private record ScheduledEvent(long atUs, long sequence, Runnable event) {}
 
-    private final PriorityQueue<Plan> plans =
+    private final PriorityQueue<ScheduledEvent> events =
             new PriorityQueue<>(
-                    Comparator.comparingLong(Plan::atUs).thenComparingLong(Plan::number));
-    private long planned;
+                    Comparator.comparingLong(ScheduledEvent::atUs)
+                            .thenComparingLong(ScheduledEvent::sequence));
+    private long scheduled;
     private long nowUs;
 
     EventQueue(long startUs) {
@@ -26,18 +27,18 @@
     }
 
     /** Plans an event; what lies in the past happens next. */
-    void at(long atUs, Runnable event) {
-        plans.add(new Plan(Math.max(atUs, nowUs), planned++, event));
+    void scheduleAt(long atUs, Runnable event) {
+        events.add(new ScheduledEvent(Math.max(atUs, nowUs), scheduled++, event));
     }
 
-    void after(long delayUs, Runnable event) {
-        at(nowUs + delayUs, event);
+    void scheduleAfter(long delayUs, Runnable event) {
+        scheduleAt(nowUs + delayUs, event);
     }
 
     /** Lets all happen that is planned up to this moment, and what that plans. */
     void runUntil(long untilUs) {
-        while (!plans.isEmpty() && plans.peek().atUs() <= untilUs) {
-            final Plan next = plans.poll();
+        while (!events.isEmpty() && events.peek().atUs() <= untilUs) {
+            final ScheduledEvent next = events.poll();
             nowUs = next.atUs();
             next.event().run();
         }
--- a/src/main/java/cresschute/testbed/model/ExchangingModules.java
+++ b/src/main/java/cresschute/testbed/model/ExchangingModules.java
@@ -39,8 +39,8 @@
     private final ModuleMaker maker;
     private final long bytesPerS;
     private final List<Dispatcher> dispatchers = new ArrayList<>();
-    private long answered;
-    private long probes;
+    private long answeredFromPeers;
+    private long loadQueries;
     private long bytes;
 
     /**
@@ -62,20 +62,20 @@
     }
 
     /** Forgets the counts so far. */
-    public void restart() {
-        answered = 0;
-        probes = 0;
+    public void reset() {
+        answeredFromPeers = 0;
+        loadQueries = 0;
         bytes = 0;
     }
 
     /** Loads that the view gave, for probes and unasked. */
-    public long answered() {
-        return answered;
+    public long answeredFromPeers() {
+        return answeredFromPeers;
     }
 
     /** Probes that reached the fleet. */
-    public long probes() {
-        return probes;
+    public long loadQueries() {
+        return loadQueries;
     }
 
     /** Bytes sent by all dispatchers, with the heads of IP and UDP. */
@@ -236,11 +236,11 @@
         public void queryLoad(int workerId) {
             final OptionalInt known = exchange.outstanding(nowUs, name(workerId));
             if (known.isPresent()) {
-                answered++;
+                answeredFromPeers++;
                 answers.add(new int[] {workerId, known.getAsInt()});
                 actions.startTimer(ANSWER_TOKEN, 0);
             } else {
-                probes++;
+                loadQueries++;
                 actions.queryLoad(workerId);
             }
         }
--- a/src/main/java/cresschute/testbed/model/FleetCapacity.java
+++ b/src/main/java/cresschute/testbed/model/FleetCapacity.java
@@ -41,18 +41,18 @@
 
     private static final long SECOND_US = 1_000_000;
     private static final int ZONES = 7;
-    private static final int WORKERS_A_CELL = 20;
+    private static final int WORKERS_PER_CELL = 20;
     private static final int TENANTS = 54;
 
     /** Starts a second of one worker: 300 over 1,400. */
-    private static final double STARTS_A_WORKER = 300.0 / 1_400;
+    private static final double STARTS_PER_WORKER = 300.0 / 1_400;
 
     private static final double LOAD = 0.69;
     private static final long MEAN_RUN_US = 30 * SECOND_US;
     private static final long DEADLINE_US = 300 * SECOND_US;
     private static final long WARM_UP_S = 90;
     private static final long MEASURED_S = 60;
-    private static final double SKEW = 1.5;
+    private static final double TRAFFIC_SKEW = 1.5;
     private static final List<RequestClass> CLASSES =
             List.of(
                     requestClass(10, 5_400_000, 1.3),
@@ -81,7 +81,7 @@
     }
 
     private static DispatchSettings settings(Point point) {
-        final double quotaPerS = 1.3 * STARTS_A_WORKER * point.workers() / TENANTS;
+        final double quotaPerS = 1.3 * STARTS_PER_WORKER * point.workers() / TENANTS;
         final List<Tenant> tenants =
                 IntStream.range(0, TENANTS)
                         .mapToObj(i -> new Tenant("tenant-" + i, quotaPerS))
@@ -130,9 +130,9 @@
                                 DEMANDS,
                                 KINDS,
                                 point.workers(),
-                                WORKERS_A_CELL,
+                                WORKERS_PER_CELL,
                                 LOAD,
-                                SKEW,
+                                TRAFFIC_SKEW,
                                 point.seed()),
                         maker);
         return built[0];
@@ -141,16 +141,18 @@
     /** Runs a fleet and tells what was measured, by name and unit; the same for the same seed. */
     public static Map<String, Double> measure(Point point) {
         final FleetModel fleet = fleet(point);
-        fleet.pass(WARM_UP_S * SECOND_US);
-        fleet.meters().forEach(DispatcherMeter::restart);
-        fleet.pass(MEASURED_S * SECOND_US);
+        fleet.advance(WARM_UP_S * SECOND_US);
+        fleet.meters().forEach(DispatcherMeter::reset);
+        fleet.advance(MEASURED_S * SECOND_US);
         final Map<String, Double> measures = new LinkedHashMap<>();
-        final double probes = fleet.meters().stream().mapToLong(DispatcherMeter::probes).sum();
-        measures.put("probes_per_second_per_worker", probes / MEASURED_S / point.workers());
-        measures.put("probes_per_second_per_dispatcher", probes / MEASURED_S / point.dispatchers());
+        final double loadQueries =
+                fleet.meters().stream().mapToLong(DispatcherMeter::loadQueries).sum();
+        measures.put("probes_per_second_per_worker", loadQueries / MEASURED_S / point.workers());
+        measures.put(
+                "probes_per_second_per_dispatcher", loadQueries / MEASURED_S / point.dispatchers());
         final long[] agesUs =
                 fleet.meters().stream()
-                        .flatMapToLong(meter -> LongStream.of(meter.beliefAgesUs()))
+                        .flatMapToLong(meter -> LongStream.of(meter.loadReportAgesUs()))
                         .sorted()
                         .toArray();
         measures.put("belief_age_p50_seconds", quantileS(agesUs, 0.5));
@@ -186,12 +188,12 @@
 
     /** Tasks that run on average at this size. */
     public static long running(int workers) {
-        return Math.round(workers * STARTS_A_WORKER * MEAN_RUN_US / SECOND_US);
+        return Math.round(workers * STARTS_PER_WORKER * MEAN_RUN_US / SECOND_US);
     }
 
     /** Starts a second at this size. */
     public static double startsPerSecond(int workers) {
-        return workers * STARTS_A_WORKER;
+        return workers * STARTS_PER_WORKER;
     }
 
     /** Tenants of every size. */
--- a/src/main/java/cresschute/testbed/model/FleetModel.java
+++ b/src/main/java/cresschute/testbed/model/FleetModel.java
@@ -28,7 +28,7 @@
      * us.
      */
     public record Demand(
-            double share, double meanWorkUs, double deviationUs, double partWithTwoSlots) {}
+            double share, double meanWorkUs, double deviationUs, double twoSlotFraction) {}
 
     /** A kind of worker: its slots, a core's speed and its part of all workers. */
     public record Kind(int slots, double speed, double share) {}
@@ -58,28 +58,28 @@
     /**
      * What cold workers were sent in a window of the rule, over what they bore then.
      *
-     * @param falls cold workers that fell by the work sent
-     * @param fallsByCount cold workers that would have fallen by the number of jobs alone
+     * @param overloads cold workers that fell by the work sent
+     * @param overloadsByJobCount cold workers that would have fallen by the number of jobs alone
      * @param maxWorkRatio the worst window by work
      * @param maxCountRatio the worst window by number of jobs
      * @param sends jobs sent to cold workers, by class
      */
-    public record ColdTally(
-            int falls,
-            int fallsByCount,
+    public record ColdStartTally(
+            int overloads,
+            int overloadsByJobCount,
             double maxWorkRatio,
             double maxCountRatio,
             List<Integer> sends) {}
 
     /** A client's request, from its first try on. */
-    static final class First {
+    static final class ClientRequest {
         final int requestClass;
         final long atUs;
         long startedUs = -1;
         long servedUs = -1;
         boolean inTime;
 
-        First(int requestClass, long atUs) {
+        ClientRequest(int requestClass, long atUs) {
             this.requestClass = requestClass;
             this.atUs = atUs;
         }
@@ -88,23 +88,23 @@
     private static final long START_US = 10_000_000_000L;
 
     /** A change of the list is known to a dispatcher this long after it at the latest. */
-    private static final long NOTICE_US = 3_000_000;
+    private static final long MAX_LIST_DELAY_US = 3_000_000;
 
     /** A connection without a sign of life from the other end is given up after this. */
-    private static final long BREAK_US = 5_000_000;
+    private static final long CONNECTION_TIMEOUT_US = 5_000_000;
 
-    private static final int RETRIES = 2;
-    private static final double HONOURED = 0.85;
-    private static final long BACKOFF_US = 50_000;
+    private static final int MAX_RETRIES = 2;
+    private static final double RETRY_AFTER_HONOURED_FRACTION = 0.85;
+    private static final long MEAN_BACKOFF_US = 50_000;
 
     private final Plan plan;
     private final SplittableRandom random;
-    private final EventQueue agenda = new EventQueue(START_US);
+    private final EventQueue eventQueue = new EventQueue(START_US);
     private final RegionLink link = new RegionLink();
     private final Map<Integer, ModelWorker> workers = new LinkedHashMap<>();
     private final List<ModelDispatcher> dispatchers = new ArrayList<>();
     private final List<Double> weights = new ArrayList<>();
-    private final List<First> firsts = new ArrayList<>();
+    private final List<ClientRequest> requests = new ArrayList<>();
     private final int[] coldSends;
     private double burst = 1;
     private boolean arriving = true;
@@ -127,7 +127,7 @@
             final long seed = random.nextLong();
             dispatchers.add(
                     new ModelDispatcher(
-                            agenda,
+                            eventQueue,
                             workers,
                             link,
                             reported.zone(),
@@ -136,7 +136,7 @@
             weights.add(Math.pow(plan.skew(), 2 * random.nextDouble() - 1));
         }
         dispatchers.forEach(each -> each.listed(EndpointListForm.CACHED, listed));
-        agenda.after(0, this::arrive);
+        eventQueue.scheduleAfter(0, this::arrive);
     }
 
     /** Makes a decision module for a dispatcher. */
@@ -185,7 +185,7 @@
         workers.put(
                 id,
                 new ModelWorker(
-                        agenda,
+                        eventQueue,
                         plan.settings().slowStart(),
                         id,
                         id % zones,
@@ -204,7 +204,7 @@
                                 each.share()
                                         / shares
                                         * each.meanWorkUs()
-                                        * (1 + each.partWithTwoSlots()))
+                                        * (1 + each.twoSlotFraction()))
                 .sum();
     }
 
@@ -221,14 +221,14 @@
     // ---- What happens ----
 
     /** Lets time pass. */
-    public void pass(long us) {
-        agenda.runUntil(agenda.nowUs() + us);
+    public void advance(long us) {
+        eventQueue.runUntil(eventQueue.nowUs() + us);
     }
 
     /** Lets all that is under way come to its end; nothing new arrives. */
     public void drain() {
         arriving = false;
-        pass(
+        advance(
                 plan.settings().classes().stream()
                                 .mapToLong(RequestClass::deadlineUs)
                                 .max()
@@ -247,7 +247,9 @@
      */
     public void cutRegions(int firstZone) {
         link.cut(firstZone);
-        agenda.after(BREAK_US, () -> dispatchers.forEach(ModelDispatcher::breakUnreachable));
+        eventQueue.scheduleAfter(
+                CONNECTION_TIMEOUT_US,
+                () -> dispatchers.forEach(ModelDispatcher::breakUnreachable));
     }
 
     /** Joins the regions again; the changes of the list that were held back come at once. */
@@ -274,22 +276,22 @@
     }
 
     /** Workers vanish without a word; the list reports it later. */
-    public void lose(Collection<Integer> ids) {
+    public void crashWorkers(Collection<Integer> ids) {
         ids.forEach(
                 id -> {
-                    workers.get(id).lose();
+                    workers.get(id).crash();
                     report(workers.get(id).listed(WorkerState.GONE));
                 });
     }
 
     /** Workers are back, or new, as cold processes; the list reports it later. */
-    public void start(Collection<Integer> ids) {
+    public void startWorkers(Collection<Integer> ids) {
         ids.forEach(
                 id -> {
                     if (!workers.containsKey(id)) {
                         addWorker(id);
                     }
-                    workers.get(id).startAnew();
+                    workers.get(id).restart();
                     report(workers.get(id).listed(WorkerState.READY));
                 });
     }
@@ -305,16 +307,16 @@
     }
 
     /** Workers fail this part of their jobs from now on. */
-    public void failPart(Collection<Integer> ids, double part) {
-        ids.forEach(id -> workers.get(id).failPart(part));
+    public void failFraction(Collection<Integer> ids, double part) {
+        ids.forEach(id -> workers.get(id).failFraction(part));
     }
 
     private void report(Worker entry) {
         // The list is late by as much for all, and each watch by a little more.
-        final long lateUs = 500_000 + random.nextLong(NOTICE_US - 1_000_000);
+        final long lateUs = 500_000 + random.nextLong(MAX_LIST_DELAY_US - 1_000_000);
         dispatchers.forEach(
                 each ->
-                        agenda.after(
+                        eventQueue.scheduleAfter(
                                 lateUs + random.nextLong(500_000),
                                 () ->
                                         link.deliver(
@@ -328,8 +330,9 @@
 
     private void arrive() {
         if (arriving) {
-            firstTry(drawClass(), drawTenant(), this::anyDispatcher);
-            agenda.after((long) (exponential() * 1e6 / (ratePerS() * burst)), this::arrive);
+            submit(drawClass(), drawTenant(), this::anyDispatcher);
+            eventQueue.scheduleAfter(
+                    (long) (exponential() * 1e6 / (ratePerS() * burst)), this::arrive);
         }
     }
 
@@ -351,9 +354,9 @@
     /** Requests of one tenant that come to one dispatcher in one instant. */
     public Gang gang(int requestClass, int tenant, int count) {
         final ModelDispatcher dispatcher = anyDispatcher();
-        final List<First> members = new ArrayList<>();
+        final List<ClientRequest> members = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            members.add(firstTry(requestClass, tenant, () -> dispatcher));
+            members.add(submit(requestClass, tenant, () -> dispatcher));
         }
         return new Gang(members);
     }
@@ -363,17 +366,18 @@
         return tenants == 0 ? 0 : random.nextInt(tenants);
     }
 
-    private First firstTry(int requestClass, int tenant, Supplier<ModelDispatcher> dispatcher) {
+    private ClientRequest submit(
+            int requestClass, int tenant, Supplier<ModelDispatcher> dispatcher) {
         final Demand demand = plan.demands().get(requestClass);
         final double cv = demand.deviationUs() / demand.meanWorkUs();
         final double sigma = Math.sqrt(Math.log(1 + cv * cv));
         final double workUs =
                 demand.meanWorkUs() * Math.exp(sigma * random.nextGaussian() - sigma * sigma / 2);
-        final int slots = random.nextDouble() < demand.partWithTwoSlots() ? 2 : 1;
-        final First first = new First(requestClass, agenda.nowUs());
-        firsts.add(first);
-        tryAt(dispatcher.get(), first, tenant, workUs, slots, 0);
-        return first;
+        final int slots = random.nextDouble() < demand.twoSlotFraction() ? 2 : 1;
+        final ClientRequest request = new ClientRequest(requestClass, eventQueue.nowUs());
+        requests.add(request);
+        sendTo(dispatcher.get(), request, tenant, workUs, slots, 0);
+        return request;
     }
 
     private ModelDispatcher anyDispatcher() {
@@ -385,51 +389,56 @@
         return dispatchers.get(index);
     }
 
-    private void tryAt(
+    private void sendTo(
             ModelDispatcher dispatcher,
-            First first,
+            ClientRequest request,
             int tenant,
             double workUs,
             int slots,
             int retries) {
-        final RequestClass stated = plan.settings().classes().get(first.requestClass);
-        final long leftUs = first.atUs + stated.deadlineUs() - agenda.nowUs();
+        final RequestClass requestSettings = plan.settings().classes().get(request.requestClass);
+        final long leftUs = request.atUs + requestSettings.deadlineUs() - eventQueue.nowUs();
         if (leftUs <= 0) {
             return;
         }
-        dispatcher.take(
-                first.requestClass,
+        dispatcher.receive(
+                request.requestClass,
                 tenant,
                 workUs,
                 slots,
                 leftUs,
-                new ModelDispatcher.Client() {
+                new ModelDispatcher.ClientListener() {
                     @Override
                     public void started() {
-                        first.startedUs = first.startedUs < 0 ? agenda.nowUs() : first.startedUs;
+                        request.startedUs =
+                                request.startedUs < 0 ? eventQueue.nowUs() : request.startedUs;
                     }
 
                     @Override
                     public void served() {
-                        first.servedUs = agenda.nowUs();
-                        first.inTime =
-                                first.servedUs - first.atUs
-                                        <= stated.latencyObjectiveUs()
-                                                + stated.latencyObjectiveStretch() * workUs;
+                        request.servedUs = eventQueue.nowUs();
+                        request.inTime =
+                                request.servedUs - request.atUs
+                                        <= requestSettings.latencyObjectiveUs()
+                                                + requestSettings.latencyObjectiveStretch()
+                                                        * workUs;
                     }
 
                     @Override
                     public void refused(long retryAfterUs) {
-                        if (retries < RETRIES) {
-                            final long adviceUs = random.nextDouble() < HONOURED ? retryAfterUs : 0;
+                        if (retries < MAX_RETRIES) {
+                            final long adviceUs =
+                                    random.nextDouble() < RETRY_AFTER_HONOURED_FRACTION
+                                            ? retryAfterUs
+                                            : 0;
                             final long waitUs =
-                                    Math.max(adviceUs, (long) (exponential() * BACKOFF_US));
-                            agenda.after(
+                                    Math.max(adviceUs, (long) (exponential() * MEAN_BACKOFF_US));
+                            eventQueue.scheduleAfter(
                                     waitUs,
                                     () ->
-                                            tryAt(
+                                            sendTo(
                                                     anyDispatcher(),
-                                                    first,
+                                                    request,
                                                     tenant,
                                                     workUs,
                                                     slots,
@@ -450,16 +459,16 @@
      * What became of a class's requests that first came in the seconds from one on, up to another.
      */
     public Tally tally(int requestClass, double fromS, double toS) {
-        final List<First> of =
-                firsts.stream()
+        final List<ClientRequest> of =
+                requests.stream()
                         .filter(
-                                first ->
-                                        first.requestClass == requestClass
-                                                && first.atUs - START_US >= fromS * 1e6
-                                                && first.atUs - START_US < toS * 1e6)
+                                request ->
+                                        request.requestClass == requestClass
+                                                && request.atUs - START_US >= fromS * 1e6
+                                                && request.atUs - START_US < toS * 1e6)
                         .toList();
-        final int inTime = (int) of.stream().filter(first -> first.inTime).count();
-        final int served = (int) of.stream().filter(first -> first.servedUs >= 0).count();
+        final int inTime = (int) of.stream().filter(request -> request.inTime).count();
+        final int served = (int) of.stream().filter(request -> request.servedUs >= 0).count();
         return new Tally(of.size(), inTime, served - inTime, of.size() - served);
     }
 
@@ -468,14 +477,14 @@
      * us.
      */
     public long[] startDelaysUs(int requestClass, double fromS, double toS) {
-        return firsts.stream()
+        return requests.stream()
                 .filter(
-                        first ->
-                                first.requestClass == requestClass
-                                        && first.startedUs >= 0
-                                        && first.atUs - START_US >= fromS * 1e6
-                                        && first.atUs - START_US < toS * 1e6)
-                .mapToLong(first -> first.startedUs - first.atUs)
+                        request ->
+                                request.requestClass == requestClass
+                                        && request.startedUs >= 0
+                                        && request.atUs - START_US >= fromS * 1e6
+                                        && request.atUs - START_US < toS * 1e6)
+                .mapToLong(request -> request.startedUs - request.atUs)
                 .sorted()
                 .toArray();
     }
@@ -486,20 +495,20 @@
     }
 
     /** Sends over first tries: 1 where nothing is sent twice and nothing refused. */
-    public double sendsARequest() {
+    public double sendsPerRequest() {
         return (double) dispatchers.stream().mapToLong(each -> each.sends).sum()
-                / Math.max(1, firsts.size());
+                / Math.max(1, requests.size());
     }
 
     /** Cold workers that were pushed over. */
-    public long fallen() {
-        return workers.values().stream().filter(ModelWorker::fell).count();
+    public long overloadedWorkers() {
+        return workers.values().stream().filter(ModelWorker::overloaded).count();
     }
 
     /** What cold workers were sent, and how near to a fall, or beyond, they came. */
-    public ColdTally coldTally() {
-        return new ColdTally(
-                (int) fallen(),
+    public ColdStartTally coldStartTally() {
+        return new ColdStartTally(
+                (int) overloadedWorkers(),
                 (int)
                         workers.values().stream()
                                 .filter(worker -> worker.maxColdCountRatio() > 1)
--- a/src/main/java/cresschute/testbed/model/Gang.java
+++ b/src/main/java/cresschute/testbed/model/Gang.java
@@ -5,9 +5,9 @@
 /** Requests of one tenant that arrived in one instant, as they fared. */
 public final class Gang {
 
-    private final List<FleetModel.First> members;
+    private final List<FleetModel.ClientRequest> members;
 
-    Gang(List<FleetModel.First> members) {
+    Gang(List<FleetModel.ClientRequest> members) {
         this.members = List.copyOf(members);
     }
 
--- a/src/main/java/cresschute/testbed/model/ModelDispatcher.java
+++ b/src/main/java/cresschute/testbed/model/ModelDispatcher.java
@@ -20,7 +20,7 @@
 final class ModelDispatcher implements DispatcherActions {
 
     /** How a try ended for its client. */
-    interface Client {
+    interface ClientListener {
         /** A worker has begun to run the job, for the first time or anew. */
         void started();
 
@@ -31,17 +31,17 @@
         void failed();
     }
 
-    private static final class Open {
+    private static final class OpenRequest {
         private final int requestClass;
         private final double workUs;
         private final int slots;
-        private final Client client;
-        private final Map<Integer, Integer> out = new HashMap<>();
+        private final ClientListener client;
+        private final Map<Integer, Integer> inFlight = new HashMap<>();
         private int sent;
         private int starts;
         private boolean closed;
 
-        Open(int requestClass, double workUs, int slots, Client client) {
+        OpenRequest(int requestClass, double workUs, int slots, ClientListener client) {
             this.requestClass = requestClass;
             this.workUs = workUs;
             this.slots = slots;
@@ -50,20 +50,20 @@
     }
 
     private static final long CONNECT_TIMEOUT_US = 250_000;
-    private static final long PROBE_TIMEOUT_US = 350_000;
+    private static final long LOAD_QUERY_TIMEOUT_US = 350_000;
 
     /** A way from a dispatcher to a worker or back, its turn and a handshake included, us. */
-    private static final long WAY_US = 2_000;
+    private static final long ONE_WAY_US = 2_000;
 
     /** The answer's way, taken off what a client waits. */
-    private static final long MARGIN_US = 15_000;
+    private static final long RESPONSE_MARGIN_US = 15_000;
 
-    private final EventQueue agenda;
+    private final EventQueue eventQueue;
     private final Map<Integer, ModelWorker> workers;
     private final RegionLink link;
     final int zone;
     private final DispatcherEvents module;
-    private final Map<Integer, Open> open = new HashMap<>();
+    private final Map<Integer, OpenRequest> openRequests = new HashMap<>();
     private final DispatcherMeter meter = new DispatcherMeter();
 
     /** Jobs sent to cold workers by all dispatchers, by class. */
@@ -73,13 +73,13 @@
     long sends;
 
     ModelDispatcher(
-            EventQueue agenda,
+            EventQueue eventQueue,
             Map<Integer, ModelWorker> workers,
             RegionLink link,
             int zone,
             Function<DispatcherActions, DispatcherEvents> module,
             int[] coldSends) {
-        this.agenda = agenda;
+        this.eventQueue = eventQueue;
         this.workers = workers;
         this.link = link;
         this.zone = zone;
@@ -88,11 +88,11 @@
     }
 
     void listed(EndpointListForm form, List<Worker> entries) {
-        module.endpointListChanged(agenda.nowUs(), form, entries);
+        module.endpointListChanged(eventQueue.nowUs(), form, entries);
     }
 
     /** Whether a worker's machine is up and the network leads there. */
-    private boolean reaches(ModelWorker worker) {
+    private boolean canReach(ModelWorker worker) {
         return worker.isUp() && link.connects(zone, worker.zone);
     }
 
@@ -101,18 +101,18 @@
      * run.
      */
     void breakUnreachable() {
-        List.copyOf(open.keySet())
+        List.copyOf(openRequests.keySet())
                 .forEach(
                         requestId ->
-                                List.copyOf(open.get(requestId).out.entrySet())
+                                List.copyOf(openRequests.get(requestId).inFlight.entrySet())
                                         .forEach(
                                                 sent -> {
-                                                    if (!reaches(workers.get(sent.getValue()))) {
+                                                    if (!canReach(workers.get(sent.getValue()))) {
                                                         end(
                                                                 requestId,
                                                                 sent.getKey(),
                                                                 Outcome.BROKEN,
-                                                                agenda.nowUs());
+                                                                eventQueue.nowUs());
                                                     }
                                                 }));
     }
@@ -122,27 +122,33 @@
         return meter;
     }
 
-    void take(int requestClass, int tenant, double workUs, int slots, long waitUs, Client client) {
+    void receive(
+            int requestClass,
+            int tenant,
+            double workUs,
+            int slots,
+            long waitUs,
+            ClientListener client) {
         final int id = ++lastId;
-        open.put(id, new Open(requestClass, workUs, slots, client));
+        openRequests.put(id, new OpenRequest(requestClass, workUs, slots, client));
         module.requestArrived(
-                agenda.nowUs(),
+                eventQueue.nowUs(),
                 id,
                 new Job(requestClass, tenant, slots, 0, 0, false),
-                agenda.nowUs() + waitUs - MARGIN_US);
+                eventQueue.nowUs() + waitUs - RESPONSE_MARGIN_US);
     }
 
     @Override
     public void send(int requestId, int workerId, long deadlineUs) {
-        agenda.after(0, () -> sendNow(requestId, workerId, deadlineUs));
+        eventQueue.scheduleAfter(0, () -> sendNow(requestId, workerId, deadlineUs));
     }
 
     private void sendNow(int requestId, int workerId, long deadlineUs) {
-        final Open request = open.get(requestId);
+        final OpenRequest request = openRequests.get(requestId);
         final int number = request.sent++;
         if (request.closed) {
             module.attemptEnded(
-                    agenda.nowUs(),
+                    eventQueue.nowUs(),
                     requestId,
                     number,
                     workerId,
@@ -153,26 +159,26 @@
             return;
         }
         sends++;
-        final long sentUs = agenda.nowUs();
+        final long sentUs = eventQueue.nowUs();
         meter.sent(sentUs, workerId);
-        request.out.put(number, workerId);
+        request.inFlight.put(number, workerId);
         final ModelWorker worker = workers.get(workerId);
-        if (!reaches(worker)) {
-            meter.inVain();
-            agenda.after(
+        if (!canReach(worker)) {
+            meter.unreachableCall();
+            eventQueue.scheduleAfter(
                     CONNECT_TIMEOUT_US,
                     () -> end(requestId, number, Outcome.CONNECT_FAILED, sentUs));
             return;
         }
         coldSends[request.requestClass] += worker.isCold() ? 1 : 0;
-        agenda.at(deadlineUs, () -> end(requestId, number, Outcome.TIMED_OUT, sentUs));
-        agenda.after(
-                WAY_US,
+        eventQueue.scheduleAt(deadlineUs, () -> end(requestId, number, Outcome.TIMED_OUT, sentUs));
+        eventQueue.scheduleAfter(
+                ONE_WAY_US,
                 () ->
-                        worker.take(
+                        worker.receive(
                                 request.workUs,
                                 request.slots,
-                                new ModelWorker.Sender() {
+                                new ModelWorker.JobListener() {
                                     @Override
                                     public void started() {
                                         meter.started(request.requestClass, request.starts++);
@@ -182,13 +188,14 @@
 
                                     @Override
                                     public void progressed(double fractionDone) {
-                                        agenda.after(
-                                                WAY_US,
+                                        eventQueue.scheduleAfter(
+                                                ONE_WAY_US,
                                                 () -> {
                                                     if (link.connects(zone, worker.zone)
-                                                            && request.out.containsKey(number)) {
+                                                            && request.inFlight.containsKey(
+                                                                    number)) {
                                                         module.jobProgressed(
-                                                                agenda.nowUs(),
+                                                                eventQueue.nowUs(),
                                                                 requestId,
                                                                 number,
                                                                 workerId,
@@ -199,8 +206,8 @@
 
                                     @Override
                                     public void ended(Outcome outcome) {
-                                        agenda.after(
-                                                WAY_US,
+                                        eventQueue.scheduleAfter(
+                                                ONE_WAY_US,
                                                 () -> {
                                                     if (link.connects(zone, worker.zone)) {
                                                         end(requestId, number, outcome, sentUs);
@@ -211,12 +218,12 @@
     }
 
     private void end(int requestId, int number, Outcome outcome, long sentUs) {
-        final Open request = open.get(requestId);
-        final Integer workerId = request.out.remove(number);
+        final OpenRequest request = openRequests.get(requestId);
+        final Integer workerId = request.inFlight.remove(number);
         if (workerId == null) {
             return;
         }
-        final long nowUs = agenda.nowUs();
+        final long nowUs = eventQueue.nowUs();
         final boolean answers = outcome == Outcome.SERVED && !request.closed;
         request.closed |= answers;
         final LoadReport report =
@@ -234,14 +241,14 @@
                 request.closed,
                 report);
         if (answers) {
-            List.copyOf(request.out.keySet())
+            List.copyOf(request.inFlight.keySet())
                     .forEach(other -> end(requestId, other, Outcome.CANCELLED, sentUs));
             request.client.served();
         }
     }
 
     private void answer(int requestId, Runnable reported) {
-        final Open request = open.get(requestId);
+        final OpenRequest request = openRequests.get(requestId);
         if (!request.closed) {
             request.closed = true;
             reported.run();
@@ -250,18 +257,23 @@
 
     @Override
     public void reject(int requestId, long retryAfterUs) {
-        agenda.after(
-                0, () -> answer(requestId, () -> open.get(requestId).client.refused(retryAfterUs)));
+        eventQueue.scheduleAfter(
+                0,
+                () ->
+                        answer(
+                                requestId,
+                                () -> openRequests.get(requestId).client.refused(retryAfterUs)));
     }
 
     @Override
     public void fail(int requestId) {
-        agenda.after(0, () -> answer(requestId, () -> open.get(requestId).client.failed()));
+        eventQueue.scheduleAfter(
+                0, () -> answer(requestId, () -> openRequests.get(requestId).client.failed()));
     }
 
     @Override
     public void startTimer(long token, long delayUs) {
-        agenda.after(delayUs, () -> module.timerFired(agenda.nowUs(), token));
+        eventQueue.scheduleAfter(delayUs, () -> module.timerFired(eventQueue.nowUs(), token));
     }
 
     @Override
@@ -272,18 +284,18 @@
     @Override
     public void queryLoad(int workerId) {
         final ModelWorker worker = workers.get(workerId);
-        final boolean up = reaches(worker);
-        meter.probed();
+        final boolean up = canReach(worker);
+        meter.loadQuerySent();
         if (!up) {
-            meter.inVain();
+            meter.unreachableCall();
         }
-        agenda.after(
-                up ? 2 * WAY_US : PROBE_TIMEOUT_US,
+        eventQueue.scheduleAfter(
+                up ? 2 * ONE_WAY_US : LOAD_QUERY_TIMEOUT_US,
                 () -> {
                     final LoadReport report = up ? worker.visible() : LoadReport.NONE;
-                    meter.reported(agenda.nowUs(), workerId, report);
+                    meter.reported(eventQueue.nowUs(), workerId, report);
                     module.loadReported(
-                            agenda.nowUs(),
+                            eventQueue.nowUs(),
                             workerId,
                             up ? Outcome.SERVED : Outcome.CONNECT_FAILED,
                             report);
--- a/src/main/java/cresschute/testbed/model/ModelWorker.java
+++ b/src/main/java/cresschute/testbed/model/ModelWorker.java
@@ -15,7 +15,7 @@
 final class ModelWorker {
 
     /** Where a job's news go. */
-    interface Sender {
+    interface JobListener {
         void started();
 
         void progressed(double fractionDone);
@@ -23,12 +23,12 @@
         void ended(Outcome outcome);
     }
 
-    private static final class Held {
+    private static final class Job {
         private final double workUs;
         private final int slots;
-        private final Sender sender;
+        private final JobListener sender;
 
-        Held(double workUs, int slots, Sender sender) {
+        Job(double workUs, int slots, JobListener sender) {
             this.workUs = workUs;
             this.slots = slots;
             this.sender = sender;
@@ -38,12 +38,12 @@
     /** Steps in which a warming worker's work is added up, us. */
     private static final long WARMING_STEP_US = 50_000;
 
-    private static final long PROGRESS_US = 1_000_000;
-    private static final long REPORT_US = 1_300_000;
+    private static final long PROGRESS_INTERVAL_US = 1_000_000;
+    private static final long REPORT_INTERVAL_US = 1_300_000;
     private static final long REPORT_DELAY_US = 250_000;
-    private static final int QUEUE_A_SLOT = 12;
+    private static final int MAX_QUEUED_PER_SLOT = 12;
 
-    private final EventQueue agenda;
+    private final EventQueue eventQueue;
     private final SlowStartSettings cold;
     final int id;
     final int zone;
@@ -51,22 +51,22 @@
     final int cell;
     private final int slots;
     private final double speed;
-    private final ArrayDeque<Held> queue = new ArrayDeque<>();
-    private final ArrayDeque<long[]> colds = new ArrayDeque<>();
+    private final ArrayDeque<Job> queue = new ArrayDeque<>();
+    private final ArrayDeque<long[]> coldJobs = new ArrayDeque<>();
     private int busy;
     private long startedUs;
     private boolean up = true;
-    private int run;
-    private double slower = 1;
-    private double failing;
+    private int processNumber;
+    private double slowdown = 1;
+    private double failedFraction;
     private LoadReport visible = LoadReport.NONE;
     private final double meanWorkUs;
-    private boolean fell;
+    private boolean overloaded;
     private double maxColdCountRatio;
     private double maxColdWorkRatio;
 
     ModelWorker(
-            EventQueue agenda,
+            EventQueue eventQueue,
             SlowStartSettings cold,
             int id,
             int zone,
@@ -75,7 +75,7 @@
             int slots,
             double speed,
             double meanWorkUs) {
-        this.agenda = agenda;
+        this.eventQueue = eventQueue;
         this.cold = cold;
         this.id = id;
         this.zone = zone;
@@ -84,16 +84,17 @@
         this.slots = slots;
         this.speed = speed;
         this.meanWorkUs = meanWorkUs;
-        agenda.after((long) id * 7_919 % REPORT_US, this::report);
+        eventQueue.scheduleAfter((long) id * 7_919 % REPORT_INTERVAL_US, this::report);
     }
 
     private void report() {
         if (up) {
             final LoadReport seen = new LoadReport(slots - busy, -1, queue.size());
-            final int of = run;
-            agenda.after(REPORT_DELAY_US, () -> visible = of == run ? seen : visible);
+            final int startedBy = processNumber;
+            eventQueue.scheduleAfter(
+                    REPORT_DELAY_US, () -> visible = startedBy == processNumber ? seen : visible);
         }
-        agenda.after(REPORT_US, this::report);
+        eventQueue.scheduleAfter(REPORT_INTERVAL_US, this::report);
     }
 
     double trueLoad() {
@@ -113,32 +114,32 @@
     }
 
     /** Its process and all it holds are gone without a word. */
-    void lose() {
+    void crash() {
         up = false;
-        run++;
+        processNumber++;
         queue.clear();
         busy = 0;
         visible = LoadReport.NONE;
     }
 
     /** A new process, cold. */
-    void startAnew() {
-        lose();
+    void restart() {
+        crash();
         up = true;
-        startedUs = agenda.nowUs();
-        colds.clear();
+        startedUs = eventQueue.nowUs();
+        coldJobs.clear();
     }
 
     void slowDown(double times) {
-        slower = times;
+        slowdown = times;
     }
 
     /** From now on it fails this part of its jobs as soon as they start. */
-    void failPart(double part) {
-        failing = part;
+    void failFraction(double part) {
+        failedFraction = part;
     }
 
-    private double warmth(long atUs) {
+    private double capacityFraction(long atUs) {
         final long ageUs = atUs - startedUs;
         return startedUs == 0 || ageUs >= cold.warmUpDurationUs()
                 ? 1
@@ -148,25 +149,25 @@
 
     /** Whether it has started too lately to do all that it will. */
     boolean isCold() {
-        return warmth(agenda.nowUs()) < 1;
+        return capacityFraction(eventQueue.nowUs()) < 1;
     }
 
     /** Whether it was pushed over while it was cold. */
-    boolean fell() {
-        return fell;
+    boolean overloaded() {
+        return overloaded;
     }
 
     /** A job's last byte has come. */
-    void take(double workUs, int needed, Sender sender) {
-        noteCold(workUs * needed);
+    void receive(double workUs, int needed, JobListener sender) {
+        recordColdJob(workUs * needed);
         if (!up) {
             return;
         }
-        if (queue.size() >= QUEUE_A_SLOT * slots) {
+        if (queue.size() >= MAX_QUEUED_PER_SLOT * slots) {
             sender.ended(Outcome.FULL);
             return;
         }
-        queue.add(new Held(workUs, Math.min(slots, needed), sender));
+        queue.add(new Job(workUs, Math.min(slots, needed), sender));
         startWaiting();
     }
 
@@ -184,57 +185,59 @@
      * Counts the jobs and their work in the window that ends now; by their work, it falls over the
      * bound.
      */
-    private void noteCold(double work) {
-        final long nowUs = agenda.nowUs();
-        if (!up || warmth(nowUs) >= 1) {
+    private void recordColdJob(double work) {
+        final long nowUs = eventQueue.nowUs();
+        if (!up || capacityFraction(nowUs) >= 1) {
             return;
         }
-        colds.add(new long[] {nowUs, (long) work});
-        while (colds.peek()[0] < nowUs - cold.overloadAfterUs()) {
-            colds.poll();
+        coldJobs.add(new long[] {nowUs, (long) work});
+        while (coldJobs.peek()[0] < nowUs - cold.overloadAfterUs()) {
+            coldJobs.poll();
         }
-        final double sent = colds.stream().mapToLong(each -> each[1]).sum() / meanWorkUs;
+        final double sent = coldJobs.stream().mapToLong(each -> each[1]).sum() / meanWorkUs;
         final double bound =
                 cold.toleratedJobs(
                         cold.overloadFactor()
-                                * warmth(nowUs)
+                                * capacityFraction(nowUs)
                                 * slots
                                 * speed
                                 * cold.overloadAfterUs()
                                 / meanWorkUs);
-        maxColdCountRatio = Math.max(maxColdCountRatio, colds.size() / bound);
+        maxColdCountRatio = Math.max(maxColdCountRatio, coldJobs.size() / bound);
         maxColdWorkRatio = Math.max(maxColdWorkRatio, sent / bound);
         if (sent > bound) {
-            fell = true;
-            lose();
+            overloaded = true;
+            crash();
         }
     }
 
     private void startWaiting() {
         while (!queue.isEmpty() && busy + queue.peek().slots <= slots) {
-            final Held held = queue.poll();
-            busy += held.slots;
-            held.sender.started();
-            final int of = run;
+            final Job job = queue.poll();
+            busy += job.slots;
+            job.sender.started();
+            final int startedBy = processNumber;
             // Failing is spread evenly over its jobs, by the work they bring.
-            final boolean fails = held.workUs % 1000 < failing * 1000;
-            final long ranUs = fails ? WARMING_STEP_US : runningUs(held.workUs);
-            for (long reported = PROGRESS_US; reported < ranUs; reported += PROGRESS_US) {
+            final boolean fails = job.workUs % 1000 < failedFraction * 1000;
+            final long ranUs = fails ? WARMING_STEP_US : runningUs(job.workUs);
+            for (long reported = PROGRESS_INTERVAL_US;
+                    reported < ranUs;
+                    reported += PROGRESS_INTERVAL_US) {
                 final double share = (double) reported / ranUs;
-                agenda.after(
+                eventQueue.scheduleAfter(
                         reported,
                         () -> {
-                            if (of == run) {
-                                held.sender.progressed(share);
+                            if (startedBy == processNumber) {
+                                job.sender.progressed(share);
                             }
                         });
             }
-            agenda.after(
+            eventQueue.scheduleAfter(
                     ranUs,
                     () -> {
-                        if (of == run) {
-                            busy -= held.slots;
-                            held.sender.ended(fails ? Outcome.ERROR : Outcome.SERVED);
+                        if (startedBy == processNumber) {
+                            busy -= job.slots;
+                            job.sender.ended(fails ? Outcome.ERROR : Outcome.SERVED);
                             startWaiting();
                         }
                     });
@@ -242,12 +245,12 @@
     }
 
     private long runningUs(double workUs) {
-        final long nowUs = agenda.nowUs();
-        double left = workUs * slower / speed;
+        final long nowUs = eventQueue.nowUs();
+        double left = workUs * slowdown / speed;
         long passed = 0;
-        while (left > 0 && warmth(nowUs + passed) < 1) {
-            final double step = Math.min(WARMING_STEP_US, left / warmth(nowUs + passed));
-            left -= step * warmth(nowUs + passed);
+        while (left > 0 && capacityFraction(nowUs + passed) < 1) {
+            final double step = Math.min(WARMING_STEP_US, left / capacityFraction(nowUs + passed));
+            left -= step * capacityFraction(nowUs + passed);
             passed += (long) Math.ceil(step);
         }
         return passed + (long) left;
--- a/src/test/java/cresschute/scale/ExchangeScaleTest.java
+++ b/src/test/java/cresschute/scale/ExchangeScaleTest.java
@@ -50,10 +50,10 @@
     }
 
     private static long loadQueries(FleetModel fleet) {
-        fleet.pass(WARM_UP_S * PlannedSize.SECOND_US);
-        fleet.meters().forEach(DispatcherMeter::restart);
-        fleet.pass(SECONDS * PlannedSize.SECOND_US);
-        return fleet.meters().stream().mapToLong(DispatcherMeter::probes).sum();
+        fleet.advance(WARM_UP_S * PlannedSize.SECOND_US);
+        fleet.meters().forEach(DispatcherMeter::reset);
+        fleet.advance(SECONDS * PlannedSize.SECOND_US);
+        return fleet.meters().stream().mapToLong(DispatcherMeter::loadQueries).sum();
     }
 
     /** Some load queries remain, because a part of the lookups is verified at the worker itself. */
@@ -70,7 +70,7 @@
                 .as("load queries with the exchange, of %d without", without)
                 .isPositive()
                 .isLessThan(without / 5);
-        assertThat(exchange.answered())
+        assertThat(exchange.answeredFromPeers())
                 .as("load queries that the exchange answered")
                 .isGreaterThan(without / 2);
         assertThat(exchange.bytes())
--- a/src/test/java/cresschute/scale/FleetScaleTest.java
+++ b/src/test/java/cresschute/scale/FleetScaleTest.java
@@ -67,11 +67,11 @@
         final int workers = PlannedSize.TENTH_OF_WORKERS;
         final FleetModel fleet =
                 fleet(workers, dispatchers, PlannedSize.MEAN_RUN_US, USUAL_LOAD, Dispatcher::new);
-        fleet.pass(40 * PlannedSize.SECOND_US);
-        fleet.meters().forEach(DispatcherMeter::restart);
+        fleet.advance(40 * PlannedSize.SECOND_US);
+        fleet.meters().forEach(DispatcherMeter::reset);
         final int seconds = 40;
-        fleet.pass(seconds * PlannedSize.SECOND_US);
-        final long loadQueries = sum(fleet, DispatcherMeter::probes);
+        fleet.advance(seconds * PlannedSize.SECOND_US);
+        final long loadQueries = sum(fleet, DispatcherMeter::loadQueries);
         final long sends = sum(fleet, DispatcherMeter::sends);
         assertThat(sends).as("sends").isGreaterThan(20L * seconds);
         assertThat((double) loadQueries / sends)
@@ -103,7 +103,7 @@
                     fleet.gang(
                             PlannedSize.USUAL + i % 2, i % PlannedSize.TENANTS, PlannedSize.GANG));
         }
-        fleet.pass(15 * PlannedSize.SECOND_US);
+        fleet.advance(15 * PlannedSize.SECOND_US);
         assertThat(answers.maxOpen())
                 .as("open at a time")
                 .isGreaterThanOrEqualTo(PlannedSize.RUNNING);
@@ -131,23 +131,23 @@
                         5 * PlannedSize.SECOND_US,
                         0.4,
                         answers.wrap(Dispatcher::new));
-        fleet.pass(10 * PlannedSize.SECOND_US);
+        fleet.advance(10 * PlannedSize.SECOND_US);
         fleet.cutRegions(PlannedSize.FIRST_ZONE_OF_SECOND_REGION);
-        fleet.pass(2 * PlannedSize.SECOND_US);
+        fleet.advance(2 * PlannedSize.SECOND_US);
         final List<Integer> lost = fleet.up().stream().filter(id -> id % 5 == 0).toList();
-        fleet.lose(lost);
-        fleet.pass(18 * PlannedSize.SECOND_US);
+        fleet.crashWorkers(lost);
+        fleet.advance(18 * PlannedSize.SECOND_US);
         final List<Integer> back = lost.subList(0, lost.size() / 2);
-        fleet.start(back);
-        fleet.pass(10 * PlannedSize.SECOND_US);
-        assertThat(sum(fleet, DispatcherMeter::callsInVain))
+        fleet.startWorkers(back);
+        fleet.advance(10 * PlannedSize.SECOND_US);
+        assertThat(sum(fleet, DispatcherMeter::unreachableCalls))
                 .as("failed calls during the partition")
                 .isPositive();
         fleet.joinRegions();
-        fleet.pass(2 * PlannedSize.SECOND_US);
-        fleet.meters().forEach(DispatcherMeter::restartInVain);
-        fleet.pass(10 * PlannedSize.SECOND_US);
-        assertThat(sum(fleet, DispatcherMeter::callsInVain))
+        fleet.advance(2 * PlannedSize.SECOND_US);
+        fleet.meters().forEach(DispatcherMeter::resetUnreachableCalls);
+        fleet.advance(10 * PlannedSize.SECOND_US);
+        assertThat(sum(fleet, DispatcherMeter::unreachableCalls))
                 .as("sends and load queries to workers that are gone")
                 .isZero();
         assertThat(fleet.up()).as("workers up").hasSize(workers - lost.size() + back.size());
--- a/src/test/java/cresschute/testbed/ControlledFleetTest.java
+++ b/src/test/java/cresschute/testbed/ControlledFleetTest.java
@@ -8,7 +8,7 @@
 import cresschute.control.socket.ControlServer;
 import cresschute.testbed.Observation.RequestAnswered;
 import cresschute.testbed.Observation.RequestSent;
-import cresschute.testbed.Observation.SendCame;
+import cresschute.testbed.Observation.AttemptReceived;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -74,7 +74,7 @@
     }
 
     private static boolean goesTo(Observation seen, String worker) {
-        return seen instanceof SendCame send && send.worker().equals(worker);
+        return seen instanceof AttemptReceived send && send.worker().equals(worker);
     }
 
     private List<Observation> since(int before) {
--- a/src/test/java/cresschute/testbed/FleetTest.java
+++ b/src/test/java/cresschute/testbed/FleetTest.java
@@ -7,7 +7,7 @@
 import cresschute.testbed.Observation.RequestSent;
 import cresschute.testbed.Observation.RunDone;
 import cresschute.testbed.Observation.RunStarted;
-import cresschute.testbed.Observation.SendCame;
+import cresschute.testbed.Observation.AttemptReceived;
 import cresschute.testbed.Observation.WorkerBooted;
 import cresschute.testbed.Observation.WorkerListed;
 import cresschute.testbed.RequestOutcomes.End;
@@ -106,7 +106,7 @@
             await(
                     fleet,
                     seen -> {
-                        if (seen instanceof SendCame send && send.worker().equals("w1")) {
+                        if (seen instanceof AttemptReceived send && send.worker().equals("w1")) {
                             troubled.add(send.id());
                         }
                         return seen instanceof RequestAnswered answer
@@ -159,7 +159,9 @@
     @Test
     void silentWorkerRunsNothingUntilItSpeaksAgain() {
         try (Fleet fleet = fleet("silent:w1@0s+4s")) {
-            await(fleet, seen -> seen instanceof SendCame send && send.worker().equals("w1"));
+            await(
+                    fleet,
+                    seen -> seen instanceof AttemptReceived send && send.worker().equals("w1"));
             await(fleet, seen -> seen instanceof RunDone done && !done.worker().equals("w1"));
             assertThat(fleet.seen())
                     .noneMatch(seen -> seen instanceof RunDone done && done.worker().equals("w1"));
@@ -194,7 +196,7 @@
                                 return seen.subList(before, seen.size()).stream()
                                         .anyMatch(
                                                 each ->
-                                                        each instanceof SendCame send
+                                                        each instanceof AttemptReceived send
                                                                 && send.worker().equals("w1"));
                             });
             sound(cut(fleet));
@@ -224,7 +226,7 @@
             assertThat(fleet.seen().subList(before, fleet.seen().size()))
                     .noneMatch(
                             seen ->
-                                    seen instanceof SendCame send
+                                    seen instanceof AttemptReceived send
                                             && send.worker().equals("w1")
                                             && send.firstByteUs()
                                                     > reportedUs + RuleChecker.DRAIN_WITHIN_US);
--- a/src/test/java/cresschute/testbed/FaultTest.java
+++ b/src/test/java/cresschute/testbed/InjectedFaultTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** The words for faults and times. */
-class FaultTest {
+class InjectedFaultTest {
 
     @Test
     void listsAreRead() {
--- a/src/test/java/cresschute/testbed/RuleCheckerTest.java
+++ b/src/test/java/cresschute/testbed/RuleCheckerTest.java
@@ -5,8 +5,8 @@
 import cresschute.dispatch.DeduplicationScope;
 import cresschute.dispatch.Idempotency;
 import cresschute.dispatch.SlowStartSettings;
-import cresschute.testbed.Observation.AnswerTooMany;
-import cresschute.testbed.Observation.EffectMade;
+import cresschute.testbed.Observation.UnexpectedAnswer;
+import cresschute.testbed.Observation.EffectApplied;
 import cresschute.testbed.Observation.OperatorDrained;
 import cresschute.testbed.Observation.RequestAnswered;
 import cresschute.testbed.Observation.RequestLost;
@@ -14,10 +14,10 @@
 import cresschute.testbed.Observation.RequestUnanswered;
 import cresschute.testbed.Observation.RequestUnfinished;
 import cresschute.testbed.Observation.RunDone;
-import cresschute.testbed.Observation.SendCame;
-import cresschute.testbed.Observation.SendTurnedAway;
+import cresschute.testbed.Observation.AttemptReceived;
+import cresschute.testbed.Observation.AttemptRejected;
 import cresschute.testbed.Observation.WorkerBooted;
-import cresschute.testbed.Observation.WorkerFell;
+import cresschute.testbed.Observation.WorkerOverloaded;
 import cresschute.testbed.Observation.WorkerListed;
 import cresschute.testbed.RequestOutcomes.End;
 import java.util.ArrayList;
@@ -58,7 +58,7 @@
     }
 
     private void came(long us, String worker, int cell, String id) {
-        seen.add(new SendCame(us, us, worker, cell, id, null, S));
+        seen.add(new AttemptReceived(us, us, worker, cell, id, null, S));
     }
 
     private void served(String id, String result) {
@@ -74,7 +74,7 @@
         sent("b", "keyed");
         came(2, "w1", 0, "b");
         came(3, "w2", 0, "b");
-        seen.add(new EffectMade(9, "w2", "b", "k"));
+        seen.add(new EffectApplied(9, "w2", "b", "k"));
         seen.add(new RequestAnswered(9, "b", 503, "refused"));
         sent("c", "safe");
         seen.add(new RequestUnfinished(9, "c"));
@@ -91,7 +91,7 @@
         seen.add(new RequestLost(4, "b"));
         sent("c", "safe");
         seen.add(new RequestUnanswered(5, "c"));
-        seen.add(new AnswerTooMany(6, "d"));
+        seen.add(new UnexpectedAnswer(6, "d"));
         sent("e", "safe");
         came(1, "w1", 0, "e");
         served("e", "made up");
@@ -146,16 +146,16 @@
     void whatWasTurnedAwayDoesNotCount() {
         sent("a", "unsafe");
         came(1, "w1", 0, "a");
-        seen.add(new SendTurnedAway(1, "w1", "a"));
+        seen.add(new AttemptRejected(1, "w1", "a"));
         came(2, "w2", 1, "a");
         assertThat(breaches()).isEmpty();
     }
 
     @Test
     void keyTakesEffectOnce() {
-        seen.add(new EffectMade(1, "w1", "a", "k1"));
-        seen.add(new EffectMade(2, "w1", "b", "k2"));
-        seen.add(new EffectMade(3, "w2", "again-a", "k1"));
+        seen.add(new EffectApplied(1, "w1", "a", "k1"));
+        seen.add(new EffectApplied(2, "w1", "b", "k2"));
+        seen.add(new EffectApplied(3, "w2", "again-a", "k1"));
         assertThat(breaches())
                 .containsExactly("NO_EFFECT_TWICE: key k1 took effect at w1 and again at w2");
     }
@@ -169,7 +169,7 @@
         seen.add(new WorkerListed(S + 300_000, "w1", "DRAINING", 0));
         came(S + 450_000, "w1", 0, "a");
         // Its last byte came late, its first byte in time: for drains the first one counts.
-        seen.add(new SendCame(S + 900_000, S + 440_000, "w1", 0, "b", null, S));
+        seen.add(new AttemptReceived(S + 900_000, S + 440_000, "w1", 0, "b", null, S));
         assertThat(breaches()).isEmpty();
         came(S + 451_000, "w1", 0, "c");
         assertThat(breaches())
@@ -214,7 +214,7 @@
         seen.remove(seen.size() - 1);
         came(11 * S, "w1", 0, "b");
         assertThat(breaches()).isEmpty();
-        seen.add(new WorkerFell(12 * S, "w1"));
+        seen.add(new WorkerOverloaded(12 * S, "w1"));
         assertThat(breaches()).containsExactly("COLD_STARTS_KEPT: w1 fell over");
     }
 
--- a/src/test/java/cresschute/testbed/StandInsTest.java
+++ b/src/test/java/cresschute/testbed/StandInsTest.java
@@ -5,11 +5,11 @@
 import com.google.gson.JsonObject;
 import cresschute.dispatch.SlowStartSettings;
 import cresschute.node.Json;
-import cresschute.testbed.Observation.EffectMade;
+import cresschute.testbed.Observation.EffectApplied;
 import cresschute.testbed.Observation.RunDone;
 import cresschute.testbed.Observation.RunStarted;
-import cresschute.testbed.Observation.SendTurnedAway;
-import cresschute.testbed.Observation.WorkerFell;
+import cresschute.testbed.Observation.AttemptRejected;
+import cresschute.testbed.Observation.WorkerOverloaded;
 import cresschute.testbed.Observation.WorkerListed;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
@@ -59,7 +59,7 @@
                         loop,
                         recorder,
                         RandomSource.XO_SHI_RO_256_PP.create(1L),
-                        new WorkerStandIn.Make(id, 0, "local", "std", slots, 1),
+                        new WorkerStandIn.Spec(id, 0, "local", "std", slots, 1),
                         keys,
                         COLD);
         worker.start();
@@ -136,7 +136,9 @@
                     .until(
                             () ->
                                     recorder.seen().stream()
-                                                    .filter(Observation.SendCame.class::isInstance)
+                                                    .filter(
+                                                            Observation.AttemptReceived.class
+                                                                    ::isInstance)
                                                     .count()
                                             == sent);
         }
@@ -145,7 +147,7 @@
         assertThat(full.lines().takeWhile(line -> !line.isEmpty()).map(String::toLowerCase))
                 .contains("x-not-run: 1")
                 .anyMatch(line -> line.startsWith("x-load: x0="));
-        await(SendTurnedAway.class, 1);
+        await(AttemptRejected.class, 1);
         await(RunStarted.class, 3);
         assertThat(
                         recorder.seen().stream()
@@ -170,7 +172,7 @@
         final BufferedReader after = send(other.address(), job("c", key, 400_000));
         assertThat(lineWith(after, "done").get("result").getAsString()).isEqualTo("w1 did a");
         await(RunDone.class, 3);
-        assertThat(recorder.seen().stream().filter(EffectMade.class::isInstance)).hasSize(1);
+        assertThat(recorder.seen().stream().filter(EffectApplied.class::isInstance)).hasSize(1);
     }
 
     /** A run that dies with its worker frees its key. */
@@ -212,12 +214,14 @@
                 .until(
                         () ->
                                 recorder.seen().stream()
-                                                .filter(Observation.SendCame.class::isInstance)
+                                                .filter(
+                                                        Observation.AttemptReceived.class
+                                                                ::isInstance)
                                                 .count()
                                         == 2);
-        assertThat(recorder.seen()).noneMatch(WorkerFell.class::isInstance);
+        assertThat(recorder.seen()).noneMatch(WorkerOverloaded.class::isInstance);
         send(at, job("c", "", 900_000));
-        await(WorkerFell.class, 1);
+        await(WorkerOverloaded.class, 1);
     }
 
     @Test
--- a/src/test/java/cresschute/testbed/bodies/BodyPeersTest.java
+++ b/src/test/java/cresschute/testbed/bodies/BodyPeersTest.java
@@ -63,15 +63,15 @@
                 target,
                 upload,
                 false,
-                LineSpeed.FULL,
-                LineSpeed.FULL,
+                TransferProfile.FULL,
+                TransferProfile.FULL,
                 -1,
                 false);
     }
 
     @Test
     void everyByteArrivesEachWayAtUnlikeSpeeds() {
-        final BodyClient.Came up = BodyClient.run(plan("/upload?in=20000000", 20 * MB));
+        final BodyClient.Result up = BodyClient.run(plan("/upload?in=20000000", 20 * MB));
         assertThat(up.status()).isEqualTo(200);
         assertThat(up.text()).startsWith(20 * MB + " ");
         final BodyClient.Plan slowly =
@@ -81,13 +81,16 @@
                         "/report?result=" + 20 * MB,
                         0,
                         false,
-                        LineSpeed.FULL,
-                        LineSpeed.of(20 * MB),
+                        TransferProfile.FULL,
+                        TransferProfile.of(20 * MB),
                         -1,
                         false);
-        final BodyClient.Came down = BodyClient.run(slowly);
+        final BodyClient.Result down = BodyClient.run(slowly);
         assertThat(down)
-                .extracting(BodyClient.Came::status, BodyClient.Came::whole, BodyClient.Came::bytes)
+                .extracting(
+                        BodyClient.Result::status,
+                        BodyClient.Result::whole,
+                        BodyClient.Result::bytes)
                 .containsExactly(200, true, 20L * MB);
     }
 
@@ -100,8 +103,8 @@
                         "/upload",
                         3 * MB,
                         true,
-                        LineSpeed.FULL,
-                        LineSpeed.FULL,
+                        TransferProfile.FULL,
+                        TransferProfile.FULL,
                         -1,
                         false);
         assertThat(BodyClient.run(plan).text()).startsWith(3 * MB + " ");
@@ -111,7 +114,7 @@
     /** It cannot have run, and is never sent a second time beyond what is kept. */
     @Test
     void workerThatBreaksWithinABodyHasNotRunIt() {
-        final BodyClient.Came came = BodyClient.run(plan("/upload?reset=1000000", 20 * MB));
+        final BodyClient.Result came = BodyClient.run(plan("/upload?reset=1000000", 20 * MB));
         assertThat(came.status()).isEqualTo(503);
         assertThat(site.ran("b1")).isFalse();
     }
@@ -125,11 +128,11 @@
     @Test
     void resultThatBreaksOrStallsIsNotWhole() {
         for (final String fault : List.of("reset", "stall")) {
-            final BodyClient.Came came =
+            final BodyClient.Result came =
                     BodyClient.run(plan("/report?result=" + 20 * MB + "&" + fault + "=1000000", 0));
             assertThat(came)
                     .as(fault)
-                    .extracting(BodyClient.Came::status, BodyClient.Came::whole)
+                    .extracting(BodyClient.Result::status, BodyClient.Result::whole)
                     .containsExactly(200, false);
         }
     }
@@ -144,8 +147,8 @@
                         "/upload",
                         100_000,
                         false,
-                        LineSpeed.of(40_000),
-                        LineSpeed.FULL,
+                        TransferProfile.of(40_000),
+                        TransferProfile.FULL,
                         -1,
                         false);
         assertThat(BodyClient.run(line).status()).isEqualTo(200);
@@ -156,8 +159,8 @@
                         "/upload",
                         MB,
                         false,
-                        LineSpeed.of(40),
-                        LineSpeed.FULL,
+                        TransferProfile.of(40),
+                        TransferProfile.FULL,
                         -1,
                         false);
         assertThat(BodyClient.run(loris).status()).isEqualTo(408);
@@ -174,11 +177,11 @@
                         "/report?result=" + 300 * MB,
                         0,
                         false,
-                        LineSpeed.FULL,
-                        LineSpeed.of(7_000),
+                        TransferProfile.FULL,
+                        TransferProfile.of(7_000),
                         14_000,
                         false);
-        final BodyClient.Came came = BodyClient.run(modem);
+        final BodyClient.Result came = BodyClient.run(modem);
         assertThat(came.status()).isEqualTo(200);
         assertThat(came.bytes()).isGreaterThanOrEqualTo(14_000);
         assertThat(BodyClient.run(plan("/upload", 2 * MB)).status()).isEqualTo(200);
--- a/src/test/java/cresschute/testbed/capacity/CapacityPlanTest.java
+++ b/src/test/java/cresschute/testbed/capacity/CapacityPlanTest.java
@@ -4,7 +4,7 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import cresschute.testbed.JobClass;
-import cresschute.testbed.WorkerStandIn.Make;
+import cresschute.testbed.WorkerStandIn.Spec;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.HashSet;
@@ -24,16 +24,16 @@
 
     @Test
     void siteHasTheAcceleratorsAndRoomForTheJobs() {
-        final List<Make> workers = new Site(WHOLE).workers();
+        final List<Spec> workers = new Site(WHOLE).workers();
         assertThat(workers).hasSize(1_400);
         final int accelerators =
                 workers.stream()
                         .filter(each -> each.kind().equals("accelerated"))
-                        .mapToInt(Make::slots)
+                        .mapToInt(Spec::slots)
                         .sum();
         assertThat(accelerators).isEqualTo(1_800);
-        assertThat(workers.stream().mapToInt(Make::slots).sum()).isGreaterThan(9_100);
-        assertThat(workers.stream().map(Make::zone).distinct()).hasSize(7);
+        assertThat(workers.stream().mapToInt(Spec::slots).sum()).isGreaterThan(9_100);
+        assertThat(workers.stream().map(Spec::zone).distinct()).hasSize(7);
         assertThat(workers.stream().map(each -> each.zone().substring(0, 2)).distinct()).hasSize(2);
     }
 
@@ -106,9 +106,9 @@
                                 .workers().stream()
                                         .collect(
                                                 Collectors.groupingBy(
-                                                        Make::cell,
+                                                        Spec::cell,
                                                         Collectors.mapping(
-                                                                make -> Site.partOf(make, 2),
+                                                                spec -> Site.partOf(spec, 2),
                                                                 Collectors.toSet())))
                                         .values())
                 .allMatch(parts -> parts.size() == 1);
--- a/src/test/java/cresschute/testbed/capacity/ObservationFileFormatTest.java
+++ b/src/test/java/cresschute/testbed/capacity/ObservationFileFormatTest.java
@@ -46,7 +46,8 @@
         assertThat(read).hasSize(Observation.class.getPermittedSubclasses().length);
         assertThat(read.get(0))
                 .isEqualTo(new Observation.RequestSent(1, "i", "o", "c", "k", 2, 0.5, 3));
-        assertThat(read.get(6)).isEqualTo(new Observation.SendCame(7, 6, "w1", 4, "i", "k", 1.5));
+        assertThat(read.get(6))
+                .isEqualTo(new Observation.AttemptReceived(7, 6, "w1", 4, "i", "k", 1.5));
         assertThat(read.get(13)).isEqualTo(new Observation.WorkerListed(14, "w1", "serving", 5));
         final Path again = folder.resolve("again");
         try (ObservationFile file = new ObservationFile(again)) {
--- a/src/test/java/cresschute/testbed/capacity/RequestOutcomesTest.java
+++ b/src/test/java/cresschute/testbed/capacity/RequestOutcomesTest.java
@@ -8,7 +8,7 @@
 import cresschute.testbed.Observation.RequestLost;
 import cresschute.testbed.Observation.RequestSent;
 import cresschute.testbed.Observation.RunStarted;
-import cresschute.testbed.Observation.SendCame;
+import cresschute.testbed.Observation.AttemptReceived;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -89,7 +89,7 @@
     void observationsOutliveTheirProcess(@TempDir Path folder) throws Exception {
         final Path first = folder.resolve("first");
         final Path second = folder.resolve("second");
-        final SendCame came = new SendCame(7, 6, "w1", 3, "a", null, 12);
+        final AttemptReceived came = new AttemptReceived(7, 6, "w1", 3, "a", null, 12);
         final RequestSent sent = new RequestSent(5, "a", "a", "batch", "key", 1, 1, 1);
         try (ObservationFile one = new ObservationFile(first);
                 ObservationFile two = new ObservationFile(second)) {
--- a/src/test/java/cresschute/testbed/model/FleetModelTest.java
+++ b/src/test/java/cresschute/testbed/model/FleetModelTest.java
@@ -12,7 +12,7 @@
 import cresschute.dispatch.RequestClass;
 import cresschute.dispatch.SlowStartSettings;
 import cresschute.dispatch.WeightSource;
-import cresschute.testbed.model.FleetModel.ColdTally;
+import cresschute.testbed.model.FleetModel.ColdStartTally;
 import cresschute.testbed.model.FleetModel.Demand;
 import cresschute.testbed.model.FleetModel.Kind;
 import cresschute.testbed.model.FleetModel.Plan;
@@ -42,7 +42,7 @@
      * Short checks, longer reports and long keyed jobs; workers tell of their load and may be
      * probed.
      */
-    private static final List<RequestClass> REPORTED =
+    private static final List<RequestClass> CLASSES_WITH_LOAD_REPORTS =
             List.of(
                     new RequestClass(
                             2,
@@ -72,14 +72,14 @@
                             40 * SECOND,
                             Placement.ANYWHERE));
 
-    private static final List<Demand> REPORTED_WORK =
+    private static final List<Demand> WORK_WITH_LOAD_REPORTS =
             List.of(
                     new Demand(0.49, 830_000, 400_000, 0),
                     new Demand(0.27, 3_200_000, 1_400_000, 0.2),
                     new Demand(0.24, 5_000_000, 2_500_000, 0.2));
 
     /** Classes that may not be repeated, of very uneven work; nothing is told of load. */
-    private static final List<RequestClass> UNTOLD =
+    private static final List<RequestClass> CLASSES_WITHOUT_LOAD_REPORTS =
             List.of(
                     new RequestClass(
                             5,
@@ -109,7 +109,7 @@
                             0,
                             Placement.ANYWHERE));
 
-    private static final List<Demand> UNTOLD_WORK =
+    private static final List<Demand> WORK_WITHOUT_LOAD_REPORTS =
             List.of(
                     new Demand(0.46, 680_000, 1_500_000, 0),
                     new Demand(0.43, 2_750_000, 5_500_000, 0),
@@ -151,8 +151,8 @@
         final SlowStartSettings cold = new SlowStartSettings(0.32, 8_800_000, 3, SECOND);
         return new FleetModel(
                 new Plan(
-                        settings(dispatchers, REPORTED, cold, true),
-                        REPORTED_WORK,
+                        settings(dispatchers, CLASSES_WITH_LOAD_REPORTS, cold, true),
+                        WORK_WITH_LOAD_REPORTS,
                         List.of(new Kind(5, 1.5, 0.31), new Kind(4, 0.97, 0.69)),
                         workers,
                         6,
@@ -162,12 +162,12 @@
                 Dispatcher::new);
     }
 
-    private static FleetModel pendingEvents(double load, long seed) {
+    private static FleetModel fleetWithoutLoadReports(double load, long seed) {
         final SlowStartSettings cold = new SlowStartSettings(0.13, 24 * SECOND, 3, 2 * SECOND);
         return new FleetModel(
                 new Plan(
-                        settings(DISPATCHERS, UNTOLD, cold, false),
-                        UNTOLD_WORK,
+                        settings(DISPATCHERS, CLASSES_WITHOUT_LOAD_REPORTS, cold, false),
+                        WORK_WITHOUT_LOAD_REPORTS,
                         List.of(
                                 new Kind(3, 2, 0.31),
                                 new Kind(2, 1.2, 0.31),
@@ -184,19 +184,19 @@
      * Some workers slow and some failing, a burst, and a zone lost in second 15 to 30, cold after
      * it.
      */
-    private static void loseAZone(FleetModel fleet) {
+    private static void loseZone(FleetModel fleet) {
         fleet.slowDown(List.of(1, 9, 17, 25), 4);
-        fleet.failPart(List.of(3, 11, 19), 0.7);
-        fleet.pass(13 * SECOND);
+        fleet.failFraction(List.of(3, 11, 19), 0.7);
+        fleet.advance(13 * SECOND);
         fleet.burst(1.6);
-        fleet.pass(2 * SECOND);
+        fleet.advance(2 * SECOND);
         final List<Integer> zone = fleet.up().stream().filter(id -> fleet.zoneOf(id) == 2).toList();
-        fleet.lose(zone);
-        fleet.pass(3 * SECOND);
+        fleet.crashWorkers(zone);
+        fleet.advance(3 * SECOND);
         fleet.burst(1);
-        fleet.pass(12 * SECOND);
-        fleet.start(zone);
-        fleet.pass(15 * SECOND);
+        fleet.advance(12 * SECOND);
+        fleet.startWorkers(zone);
+        fleet.advance(15 * SECOND);
         fleet.drain();
     }
 
@@ -205,34 +205,34 @@
      * burst.
      */
     private static void replaceMost(FleetModel fleet) {
-        fleet.pass(7 * SECOND);
+        fleet.advance(7 * SECOND);
         final List<Integer> all = new ArrayList<>(fleet.up());
         final int step = WORKERS * 6 / 10 / 3;
         for (int i = 0; i < 3; i++) {
             final int first = WORKERS + i * step;
             fleet.drainWorkers(all.subList(i * step, (i + 1) * step));
-            fleet.start(IntStream.range(first, first + step).boxed().toList());
+            fleet.startWorkers(IntStream.range(first, first + step).boxed().toList());
             fleet.burst(i == 1 ? 1.4 : 1);
-            fleet.pass(7 * SECOND / 3);
+            fleet.advance(7 * SECOND / 3);
         }
-        fleet.pass(31 * SECOND);
+        fleet.advance(31 * SECOND);
         fleet.drain();
     }
 
     /** Low load, a third of the workers back cold and a tenth as many new ones; then a burst. */
     static FleetModel coldUnderBurst(int dispatchers, int workers, double burst, long seed) {
         final FleetModel fleet = reported(dispatchers, workers, 0.35, seed);
-        fleet.pass(2 * SECOND);
+        fleet.advance(2 * SECOND);
         final List<Integer> cold = new ArrayList<>(fleet.up().subList(0, workers / 3));
-        fleet.lose(cold);
-        fleet.pass(4 * SECOND);
+        fleet.crashWorkers(cold);
+        fleet.advance(4 * SECOND);
         IntStream.range(workers, workers + workers / 10).forEach(cold::add);
-        fleet.start(cold);
-        fleet.pass(7 * SECOND / 2);
+        fleet.startWorkers(cold);
+        fleet.advance(7 * SECOND / 2);
         fleet.burst(burst);
-        fleet.pass(3 * SECOND);
+        fleet.advance(3 * SECOND);
         fleet.burst(1);
-        fleet.pass(3 * SECOND);
+        fleet.advance(3 * SECOND);
         return fleet;
     }
 
@@ -241,7 +241,7 @@
         return (double) tally.inTime() / tally.asked();
     }
 
-    private static void everyClassKeeps(
+    private static void assertEveryClassServed(
             FleetModel fleet, double share, double shareAfter, double afterS) {
         for (int requestClass = 0; requestClass < 3; requestClass++) {
             assertThat(inTime(fleet, requestClass, 0, 45))
@@ -251,35 +251,34 @@
                     .as("served of class %d after", requestClass)
                     .isGreaterThan(shareAfter);
         }
-        assertThat(fleet.fallen()).as("cold workers pushed over").isZero();
+        assertThat(fleet.overloadedWorkers()).as("cold workers pushed over").isZero();
     }
 
     @ParameterizedTest
     @CsvSource({"0.5, 0.75, 0.9, 1", "0.5, 0.75, 0.9, 2", "0.65, 0.6, 0.7, 3", "0.65, 0.6, 0.7, 4"})
-    void everyClassIsServedThroughTheLossOfAZone(
-            double load, double share, double shareAfter, long seed) {
+    void servesEveryClassDuringLossOfZone(double load, double share, double shareAfter, long seed) {
         final FleetModel fleet = reported(load, seed);
-        loseAZone(fleet);
-        everyClassKeeps(fleet, share, shareAfter, 38);
-        assertThat(fleet.sendsARequest()).as("sends a request").isLessThan(1.3);
+        loseZone(fleet);
+        assertEveryClassServed(fleet, share, shareAfter, 38);
+        assertThat(fleet.sendsPerRequest()).as("sends a request").isLessThan(1.3);
     }
 
     @ParameterizedTest
     @CsvSource({"0.5, 0.95, 0.95, 1", "0.65, 0.88, 0.92, 2"})
-    void everyClassIsServedThroughTheReplacementOfMost(
+    void servesEveryClassWhileMostWorkersAreReplaced(
             double load, double share, double after, long seed) {
         final FleetModel fleet = reported(load, seed);
         replaceMost(fleet);
-        everyClassKeeps(fleet, share, after, 22);
+        assertEveryClassServed(fleet, share, after, 22);
     }
 
     /** Nothing tells of load there: the shares are what a choice without sight reaches. */
     @ParameterizedTest
     @CsvSource({"0.4, 0.65, 1", "0.4, 0.65, 2"})
-    void everyClassIsServedWhereNothingTellsOfLoad(double load, double share, long seed) {
-        final FleetModel lost = pendingEvents(load, seed);
-        loseAZone(lost);
-        final FleetModel replaced = pendingEvents(load, seed);
+    void servesEveryClassWithoutLoadReports(double load, double share, long seed) {
+        final FleetModel lost = fleetWithoutLoadReports(load, seed);
+        loseZone(lost);
+        final FleetModel replaced = fleetWithoutLoadReports(load, seed);
         replaceMost(replaced);
         for (int requestClass = 0; requestClass < 3; requestClass++) {
             assertThat(inTime(lost, requestClass, 0, 45))
@@ -298,11 +297,12 @@
      */
     @ParameterizedTest
     @ValueSource(ints = {2, 20, 100})
-    void coldWorkersBearWhatAllDispatchersSendTogether(int dispatchers) {
+    void dispatchersTogetherDoNotOverloadColdWorkers(int dispatchers) {
         final int[] sends = new int[3];
         for (long seed = 11; seed <= 20; seed++) {
-            final ColdTally tally = coldUnderBurst(dispatchers, WORKERS, 3, seed).coldTally();
-            assertThat(tally.falls()).as("falls, seed %d", seed).isZero();
+            final ColdStartTally tally =
+                    coldUnderBurst(dispatchers, WORKERS, 3, seed).coldStartTally();
+            assertThat(tally.overloads()).as("falls, seed %d", seed).isZero();
             assertThat(tally.maxWorkRatio())
                     .as("worst window by work, seed %d", seed)
                     .isLessThan(0.95);
@@ -319,11 +319,11 @@
     }
 
     @Test
-    void theSameSeedIsTheSameRun() {
+    void sameSeedGivesSameRun() {
         final List<Tally> runs = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
             final FleetModel fleet = reported(0.65, 5);
-            loseAZone(fleet);
+            loseZone(fleet);
             runs.add(fleet.tally(0, 0, 45));
         }
         assertThat(runs.get(0)).isEqualTo(runs.get(1));
--- a/src/test/java/cresschute/testbed/model/ModelWorkerTest.java
+++ b/src/test/java/cresschute/testbed/model/ModelWorkerTest.java
@@ -13,20 +13,20 @@
     private static final long SECOND = 1_000_000;
     private static final long MEAN_WORK_US = 100_000;
 
-    private final EventQueue agenda = new EventQueue(SECOND);
+    private final EventQueue eventQueue = new EventQueue(SECOND);
     // Half of 2 slots for a second, doubled: 20 jobs of 0.1 s; it hardly warms while it is looked
     // at.
     private final SlowStartSettings rule =
             new SlowStartSettings(0.5, 1_000_000 * SECOND, 2, SECOND);
     private final ModelWorker worker =
-            new ModelWorker(agenda, rule, 0, 0, 0, 0, 2, 1, MEAN_WORK_US);
+            new ModelWorker(eventQueue, rule, 0, 0, 0, 0, 2, 1, MEAN_WORK_US);
 
     private void send(int jobs, long workUs) {
         for (int i = 0; i < jobs; i++) {
-            worker.take(
+            worker.receive(
                     workUs,
                     1,
-                    new ModelWorker.Sender() {
+                    new ModelWorker.JobListener() {
                         @Override
                         public void started() {
                             // Only what the worker counts is looked at.
@@ -46,46 +46,46 @@
     }
 
     @Test
-    void bearsTwoRootsAndTwoJobsBeyondWhatIsStated() {
+    void toleratesTwiceTheRootPlusTwoJobsBeyondExpectedCount() {
         assertThat(rule.toleratedJobs(0)).isEqualTo(2);
         assertThat(rule.toleratedJobs(4)).isEqualTo(10);
         assertThat(rule.toleratedJobs(100)).isEqualTo(122);
     }
 
     @Test
-    void fallsByTheFirstJobBeyondTheBound() {
-        worker.startAnew();
+    void firstJobBeyondBoundOverloadsWorker() {
+        worker.restart();
         // 20 + 2 x 4.47 + 2 = 30.9 jobs.
         send(30, MEAN_WORK_US);
-        assertThat(worker.fell()).isFalse();
+        assertThat(worker.overloaded()).isFalse();
         assertThat(worker.maxColdCountRatio()).isCloseTo(30 / 30.944, within(0.001));
         send(1, MEAN_WORK_US);
-        assertThat(worker.fell()).isTrue();
+        assertThat(worker.overloaded()).isTrue();
         assertThat(worker.isUp()).isFalse();
     }
 
     @Test
-    void countsNumberAndWorkApart() {
-        worker.startAnew();
+    void countsJobsAndWorkSeparately() {
+        worker.restart();
         send(10, 2 * MEAN_WORK_US);
         assertThat(worker.maxColdWorkRatio()).isCloseTo(20 / 30.944, within(0.001));
         assertThat(worker.maxColdCountRatio()).isCloseTo(10 / 30.944, within(0.001));
     }
 
     @Test
-    void countsOnlyWhatCameWithinTheWindow() {
-        worker.startAnew();
+    void countsOnlyJobsWithinWindow() {
+        worker.restart();
         send(20, MEAN_WORK_US);
-        agenda.runUntil(agenda.nowUs() + SECOND + 1);
+        eventQueue.runUntil(eventQueue.nowUs() + SECOND + 1);
         send(20, MEAN_WORK_US);
-        assertThat(worker.fell()).isFalse();
+        assertThat(worker.overloaded()).isFalse();
         assertThat(worker.maxColdCountRatio()).isCloseTo(20 / 30.944, within(0.001));
     }
 
     @Test
-    void aWarmWorkerBearsAnyNumber() {
+    void warmWorkerToleratesAnyNumberOfJobs() {
         send(1000, MEAN_WORK_US);
-        assertThat(worker.fell()).isFalse();
+        assertThat(worker.overloaded()).isFalse();
         assertThat(worker.maxColdCountRatio()).isZero();
     }
 }
