--- a/src/main/java/cresschute/control/BanLimitReachedException.java
+++ b/src/main/java/cresschute/control/BanLimitReachedException.java
@@ -1,11 +1,14 @@
 package cresschute.control;
 
-/** No further worker can be banned. The message names the limit and is the answer to the call. */
+/**
+ * Thrown when the maximum number of workers is banned already. The message names the limit and is
+ * sent as the answer to the call.
+ */
 public final class BanLimitReachedException extends IllegalStateException {
 
     private static final long serialVersionUID = 1L;
 
-    /** Names the number of workers that can be banned at a time. */
+    /** Creates an exception whose message names the maximum number of banned workers. */
     BanLimitReachedException(int maxBanned) {
         super(maxBanned + " workers are out; enable one first");
     }
--- a/src/main/java/cresschute/control/ChecksummedFile.java
+++ b/src/main/java/cresschute/control/ChecksummedFile.java
@@ -11,7 +11,7 @@
  * body and a checksum over generation and body; then the body. A file that is torn, changed or of
  * another kind is rejected. Immutable by convention; pure.
  *
- * @param generation increases with every write, over restarts and processes too
+ * @param generation increases with every write, also across restarts and processes
  * @param body the bytes after the header line
  */
 public record ChecksummedFile(long generation, byte[] body) {
@@ -21,7 +21,11 @@
                     "([a-z-]{1,40} [0-9]{1,3}) generation=([0-9]{1,18}) bytes=([0-9]{1,9})"
                             + " crc32c=([0-9a-f]{8})");
 
-    /** The bytes of a file of this kind, such as {@code "cresschute-drains 1"}. */
+    /**
+     * Encodes a complete file.
+     *
+     * @param kind the kind and format version in the header, such as {@code "cresschute-drains 1"}
+     */
     static byte[] encode(String kind, long generation, byte[] body) {
         final byte[] header =
                 (kind
@@ -48,23 +52,24 @@
         final Matcher header =
                 HEADER.matcher(new String(bytes, 0, headerLength, StandardCharsets.ISO_8859_1));
         if (headerLength == bytes.length || !header.matches() || !header.group(1).equals(kind)) {
-            throw new DamagedFileException("its first line is not that of a file of " + kind);
+            throw new DamagedFileException(
+                    "its header line is not that of the file format " + kind);
         }
         final int bodyLength = bytes.length - headerLength - 1;
         final int expectedLength = Integer.parseInt(header.group(3));
         if (bodyLength != expectedLength) {
             throw new DamagedFileException(
-                    "it holds " + bodyLength + " bytes of " + expectedLength);
+                    "its body has " + bodyLength + " bytes; its header states " + expectedLength);
         }
         final byte[] body = Arrays.copyOfRange(bytes, headerLength + 1, bytes.length);
         final long generation = Long.parseLong(header.group(2));
         if (!checksum(generation, body).equals(header.group(4))) {
-            throw new DamagedFileException("its checksum is not that of its content");
+            throw new DamagedFileException("its checksum does not match its generation and body");
         }
         return new ChecksummedFile(generation, body);
     }
 
-    /** Bytes before the first line feed; all where there is none. */
+    /** Returns the number of bytes before the first line feed, or of all bytes if there is none. */
     private static int headerLength(byte[] bytes) {
         int length = 0;
         while (length < bytes.length && bytes[length] != '\n') {
@@ -73,7 +78,10 @@
         return length;
     }
 
-    /** Over the generation too: an old file under a newer one would undo later changes. */
+    /**
+     * Covers the generation as well: otherwise an old file with a newer generation would undo later
+     * changes.
+     */
     private static String checksum(long generation, byte[] body) {
         final CRC32C crc = new CRC32C();
         crc.update(Long.toString(generation).getBytes(StandardCharsets.US_ASCII));
--- a/src/main/java/cresschute/control/ClassPlacement.java
+++ b/src/main/java/cresschute/control/ClassPlacement.java
@@ -3,9 +3,9 @@
 import cresschute.dispatch.Placement;
 
 /**
- * A request class, and which workers may run it. Immutable.
+ * A request class and the workers that may run it. Immutable.
  *
  * @param name the class's name in the settings
- * @param placement its bounds of zones and kinds
+ * @param placement the zones and worker kinds in which the class may run
  */
 public record ClassPlacement(String name, Placement placement) {}
--- a/src/main/java/cresschute/control/CompletedOperation.java
+++ b/src/main/java/cresschute/control/CompletedOperation.java
@@ -3,8 +3,9 @@
 import com.google.gson.annotations.SerializedName;
 
 /**
- * An operation and how it ended. It is remembered, and stored in a {@link DrainSnapshot}, so that
- * the same operation sent again is answered the same and changes nothing. Immutable.
+ * A drain operation and its outcome. The {@link DrainRegistry} keeps it and a {@link DrainSnapshot}
+ * stores it, so that an operation that is sent again gets the same answer and changes nothing.
+ * Immutable.
  */
 public record CompletedOperation(
         @SerializedName("operation") DrainOperation operation,
--- a/src/main/java/cresschute/control/ControlCommand.java
+++ b/src/main/java/cresschute/control/ControlCommand.java
@@ -3,17 +3,17 @@
 import java.util.Optional;
 import java.util.stream.Stream;
 
-/** What a console may ask for. */
+/** The commands that a console can send. */
 public enum ControlCommand {
-    /** All rows, once. */
+    /** Requests all rows once. */
     WORKERS("workers"),
-    /** The rows, and their changes from then on. */
+    /** Requests the rows and subscribes to their changes. */
     SUBSCRIBE("subscribe"),
-    /** The events, and new ones from then on. */
+    /** Requests the events and subscribes to new ones. */
     EVENTS("events"),
-    /** Start a drain. */
+    /** Starts a drain. */
     DRAIN("drain"),
-    /** End a drain. */
+    /** Ends a drain. */
     UNDRAIN("undrain");
 
     private final String wireName;
@@ -22,17 +22,17 @@
         this.wireName = wireName;
     }
 
-    /** The word in a request and in the log. */
+    /** Returns the command's word in a request and in the log. */
     public String wireName() {
         return wireName;
     }
 
-    /** Whether the request carries a {@link DrainOperation}. */
+    /** Returns whether a request with this command carries a {@link DrainOperation}. */
     public boolean isOperation() {
         return this == DRAIN || this == UNDRAIN;
     }
 
-    /** The command of this name on the wire, if there is one. */
+    /** Returns the command with this word on the wire, or empty if there is none. */
     static Optional<ControlCommand> ofWireName(String word) {
         return Stream.of(values()).filter(each -> each.wireName.equals(word)).findFirst();
     }
--- a/src/main/java/cresschute/control/ControlRequestParser.java
+++ b/src/main/java/cresschute/control/ControlRequestParser.java
@@ -8,15 +8,15 @@
 import java.util.Set;
 
 /**
- * Reads one line from a console and maps the protocol's words to {@link ControlRequest}. Used for
- * one line and then dropped; pure.
+ * Parses one line from a console and maps the words of the protocol to a {@link ControlRequest}. An
+ * instance parses a single line. Pure.
  */
 final class ControlRequestParser {
 
     private static final int MAX_TEXT_LENGTH = 200;
     private static final long US_PER_MS = 1_000;
 
-    /** A hundred years. */
+    /** The maximum duration of a drain: a hundred years. */
     private static final long MAX_DURATION_MS = 100L * 366 * 24 * 3_600_000;
 
     private static final long NO_DURATION = Long.MAX_VALUE;
@@ -40,7 +40,7 @@
     /**
      * Parses one line.
      *
-     * @throws InvalidControlRequestException if the line is no valid request
+     * @throws InvalidControlRequestException if the line is not a valid request
      */
     static ControlRequest parse(String line) throws InvalidControlRequestException {
         return new ControlRequestParser(parseObject(line)).request();
@@ -55,7 +55,7 @@
             }
             return element.getAsJsonObject();
         } catch (JsonParseException | StackOverflowError e) {
-            // Deep nesting ends the parser's recursion with an overflow.
+            // The parser is recursive: deeply nested input overflows the stack.
             throw new InvalidControlRequestException(
                     null, "a request is one JSON object a line; this is no JSON");
         }
@@ -160,7 +160,7 @@
         }
         final String text = value.getAsString();
         if (text.length() > MAX_TEXT_LENGTH || text.chars().anyMatch(Character::isISOControl)) {
-            // Control characters would move the cursor on the screens of others and split the log.
+            // Control characters would move the cursor on other consoles and split log lines.
             throw new InvalidControlRequestException(
                     id, field + " has control characters, or more than " + MAX_TEXT_LENGTH);
         }
--- a/src/main/java/cresschute/control/Drain.java
+++ b/src/main/java/cresschute/control/Drain.java
@@ -3,13 +3,14 @@
 import com.google.gson.annotations.SerializedName;
 
 /**
- * An operator's drain that is in force: its worker gets no new work. Immutable. It is stored in a
- * {@link DrainSnapshot}; the stored words are those of {@code @SerializedName}.
+ * An operator's drain of a worker that is in force: the worker gets no new requests. Immutable.
+ * Drains are stored in a {@link DrainSnapshot} under the names in {@code @SerializedName}.
  *
  * @param worker the worker's id as the endpoint list names it
- * @param startedAtUs Unix time, us
- * @param endsAtUs when it ends by itself, Unix time in us, or {@link DrainRegistry#NO_END_US}
- * @param operator who asked for it, as their console names them
+ * @param startedAtUs when the drain started, Unix time in microseconds
+ * @param endsAtUs when the drain expires, Unix time in microseconds, or {@link
+ *     DrainRegistry#NO_END_US}
+ * @param operator the operator who started the drain, as named by their console
  * @param reason the operator's reason, or empty
  */
 public record Drain(
@@ -19,12 +20,12 @@
         @SerializedName("who") String operator,
         @SerializedName("reason") String reason) {
 
-    /** Whether the drain ends by itself. */
+    /** Returns whether the drain expires. */
     public boolean hasEnd() {
         return endsAtUs != DrainRegistry.NO_END_US;
     }
 
-    /** The operator's name, with the reason after it where one was given. */
+    /** Returns the operator's name, followed by the reason if it is not empty. */
     public String attribution() {
         return DrainOperation.attribution(operator, reason);
     }
--- a/src/main/java/cresschute/control/DrainRegistry.java
+++ b/src/main/java/cresschute/control/DrainRegistry.java
@@ -8,40 +8,44 @@
 import java.util.Optional;
 
 /**
- * The operators' drains in force, as an overlay on the endpoint list, and the operations that led
- * to them.
+ * The operators' drains in force, as an overlay on the endpoint list, and the most recent drain
+ * operations.
  *
- * <p>Owned state: one {@link Drain} a worker, and the last {@value #MAX_COMPLETED} operations with
- * their outcomes. Both live as long as the process; {@link #restore} takes up what a {@link
- * DrainSnapshot} holds, and the owner stores a snapshot after each change.
+ * <p>Owned state: at most one {@link Drain} per worker, and the last {@value #MAX_COMPLETED}
+ * operations with their outcomes. Both are held in memory; {@link #restore} loads them from a
+ * {@link DrainSnapshot}, and the owner stores a snapshot after each change.
  *
- * <p>Operations are idempotent by their id: one that is sent again, as after a broken connection,
- * gets the first outcome and has no second effect.
+ * <p>Operations are idempotent by their id: an operation that is sent again, for example after a
+ * broken connection, gets the first outcome and has no second effect.
  *
- * <p>Pure: the clock is passed in, nothing is read or written. Not thread-safe; it is used on the
- * node's loop alone.
+ * <p>Pure: does no I/O, and the clock is passed in. Not thread-safe; used only on the node's event
+ * loop.
  */
 public final class DrainRegistry {
 
-    /** Operations that are remembered; an older one that is sent again counts as new. */
+    /**
+     * Maximum number of completed operations that are kept; an older operation that is sent again
+     * is applied as a new one.
+     */
     static final int MAX_COMPLETED = 1_024;
 
-    /** Drains in force at a time; a site has fewer workers. */
+    /** Maximum number of drains in force; a site has fewer workers. */
     static final int MAX_DRAINS = 10_000;
 
-    /** The end, or the duration, of a drain that does not end by itself. */
+    /** The end and the duration of a drain that does not expire. */
     public static final long NO_END_US = Long.MAX_VALUE;
 
     private final Map<String, Drain> drains = new LinkedHashMap<>();
     private final Map<String, CompletedOperation> completed = new LinkedHashMap<>();
 
     /**
-     * Applies an operation, once.
+     * Applies an operation unless it was applied before.
      *
-     * @param operation what is asked
-     * @param fleet what a drain is judged by; an operation that ends a drain does not use it
-     * @param nowUs Unix time, us
-     * @return its outcome; the first one where the operation was applied before
+     * @param operation the operation to apply
+     * @param fleet the state of the fleet that decides whether a drain is accepted; not used by an
+     *     operation that ends a drain
+     * @param nowUs Unix time in microseconds
+     * @return the outcome of the operation; the first outcome if it was applied before
      */
     public OperationOutcome apply(DrainOperation operation, FleetView fleet, long nowUs) {
         final CompletedOperation before = completed.get(operation.id());
@@ -57,7 +61,7 @@
         return outcome;
     }
 
-    /** Whether an operation under this id was completed and is still remembered. */
+    /** Returns whether an operation with this id was completed and is still kept. */
     public boolean isCompleted(String operationId) {
         return completed.containsKey(operationId);
     }
@@ -89,7 +93,9 @@
         return OperationOutcome.APPLIED;
     }
 
-    /** The end of a drain that starts now; a sum that would overflow has no end. */
+    /**
+     * Returns the end of a drain that starts now, or {@link #NO_END_US} if the sum would overflow.
+     */
     private static long endOf(DrainOperation operation, long nowUs) {
         return operation.durationUs() > NO_END_US - nowUs
                 ? NO_END_US
@@ -111,7 +117,7 @@
                 : rejectionUnlessForced(operation.worker(), fleet);
     }
 
-    /** Why a drain would leave work without a worker, if it would. */
+    /** Returns the rejection of a drain that would leave requests without a worker, or empty. */
     private Optional<DrainRejection> rejectionUnlessForced(String name, FleetView fleet) {
         final Optional<ListedWorker> listed =
                 fleet.workers().stream().filter(each -> each.name().equals(name)).findFirst();
@@ -119,7 +125,8 @@
             return Optional.of(new DrainRejection.UnknownWorker(name));
         }
         if (!isReady(listed.get())) {
-            // It gets no new work as it is; a worker that is restarting comes back drained.
+            // It gets no new requests anyway; a worker that is restarting is drained once it is
+            // back.
             return Optional.empty();
         }
         final Worker leaving = listed.get().worker();
@@ -146,11 +153,11 @@
     }
 
     /**
-     * The state of a worker for the dispatcher: the worse of what the endpoint list and the
-     * operators say.
+     * Returns the state of a worker that the dispatcher uses: the worse of its state in the
+     * endpoint list and its operator drain.
      *
      * @param worker the worker's id in the endpoint list
-     * @param listed its state there
+     * @param listed the worker's state in the endpoint list
      */
     public WorkerState effectiveState(String worker, WorkerState listed) {
         return listed == WorkerState.READY && drains.containsKey(worker)
@@ -159,10 +166,10 @@
     }
 
     /**
-     * Ends the drains whose end has come.
+     * Removes the drains that have expired.
      *
-     * @param nowUs Unix time, us
-     * @return their workers, whose effective state may have changed by it
+     * @param nowUs Unix time in microseconds
+     * @return the workers of these drains; their effective state may have changed
      */
     public List<String> expire(long nowUs) {
         final List<String> ended =
@@ -174,32 +181,32 @@
         return ended;
     }
 
-    /** When the next drain ends by itself, Unix time in us, or {@link #NO_END_US}. */
+    /** Returns when the next drain expires, Unix time in microseconds, or {@link #NO_END_US}. */
     public long nextEndUs() {
         return drains.values().stream().mapToLong(Drain::endsAtUs).min().orElse(NO_END_US);
     }
 
-    /** The drain of a worker, if it has one. */
+    /** Returns the drain of a worker, or empty if there is none. */
     public Optional<Drain> drainOf(String worker) {
         return Optional.ofNullable(drains.get(worker));
     }
 
-    /** The drains in force, oldest first, as a snapshot holds them. */
+    /** Returns the drains in force, oldest first, in the order of a snapshot. */
     public List<Drain> inForce() {
         return List.copyOf(drains.values());
     }
 
-    /** The operations that are remembered, oldest first, as a snapshot holds them. */
+    /** Returns the completed operations that are kept, oldest first, in the order of a snapshot. */
     public List<CompletedOperation> completed() {
         return List.copyOf(completed.values());
     }
 
-    /** Replaces the drains in force, and forgets all operations. */
+    /** Replaces the drains in force and removes all completed operations. */
     public void restore(List<Drain> stored) {
         restore(stored, List.of());
     }
 
-    /** Replaces the drains in force and the remembered operations by those of a snapshot. */
+    /** Replaces the drains in force and the completed operations with those of a snapshot. */
     public void restore(List<Drain> stored, List<CompletedOperation> operations) {
         drains.clear();
         stored.forEach(each -> drains.put(each.worker(), each));
--- a/src/main/java/cresschute/control/DrainRejection.java
+++ b/src/main/java/cresschute/control/DrainRejection.java
@@ -1,19 +1,19 @@
 package cresschute.control;
 
 /**
- * Why a drain operation was rejected, by type: conflict, limit reached, not found, or work that
- * would be left without a worker. A forced drain ({@link DrainOperation#isForced}) is rejected for
- * the first two alone. Immutable; the message goes to the operator.
+ * Why a drain operation was rejected: conflict, limit reached, worker not found, or requests left
+ * without a worker. A forced drain ({@link DrainOperation#isForced}) is rejected only for the first
+ * two. Immutable. The message is sent to the operator.
  */
 public sealed interface DrainRejection {
 
-    /** The reason in words, which names the worker, operation or limit in question. */
+    /** Returns the reason as text, which names the worker, operation or limit concerned. */
     String message();
 
     /**
      * Not found: the endpoint list names no such worker.
      *
-     * @param worker the id that was given
+     * @param worker the worker's id in the operation
      */
     record UnknownWorker(String worker) implements DrainRejection {
         @Override
@@ -23,9 +23,9 @@
     }
 
     /**
-     * Conflict: another operation was completed under this id.
+     * Conflict: an operation with the same id but other contents was completed before.
      *
-     * @param operationId the id that both carry
+     * @param operationId the id of both operations
      */
     record OperationIdReused(String operationId) implements DrainRejection {
         @Override
@@ -35,9 +35,9 @@
     }
 
     /**
-     * Limit reached: no further drain can be in force.
+     * Limit reached: the maximum number of drains is in force.
      *
-     * @param maxDrains drains that can be in force at a time
+     * @param maxDrains the maximum number of drains in force
      */
     record DrainLimitReached(int maxDrains) implements DrainRejection {
         @Override
@@ -47,10 +47,10 @@
     }
 
     /**
-     * Requests of a class would have no worker.
+     * The drain would leave a request class without a worker.
      *
      * @param worker the worker to be drained
-     * @param requestClass the class that no other ready worker may run
+     * @param requestClass the request class that no other ready worker may run
      */
     record OnlyWorkerOfClass(String worker, String requestClass) implements DrainRejection {
         @Override
@@ -60,8 +60,8 @@
     }
 
     /**
-     * Requests in flight with an idempotency key could not be retried, as a retry stays in the cell
-     * of the first attempt.
+     * The drain would prevent retries of requests in flight that carry an idempotency key, because
+     * a retry stays in the cell of the first attempt.
      *
      * @param worker the worker to be drained
      * @param cell the cell that has no other ready worker
--- a/src/main/java/cresschute/control/DrainSnapshot.java
+++ b/src/main/java/cresschute/control/DrainSnapshot.java
@@ -7,12 +7,12 @@
 import java.util.List;
 
 /**
- * The stored state of a node's drains: those in force and the operations that were completed. As a
- * file it is a {@link ChecksummedFile} whose body is JSON. Immutable; pure.
+ * The stored drain state of a node: the drains in force and the completed operations. It is stored
+ * as a {@link ChecksummedFile} whose body is JSON. Immutable; pure.
  *
- * @param generation increases by one with every snapshot, over restarts too
+ * @param generation increases by one with every snapshot, also across restarts
  * @param drains the drains in force, oldest first
- * @param completed the operations that are remembered, oldest first
+ * @param completed the completed operations that are kept, oldest first
  */
 public record DrainSnapshot(
         long generation, List<Drain> drains, List<CompletedOperation> completed) {
@@ -24,12 +24,12 @@
             @SerializedName("drains") List<Drain> drains,
             @SerializedName("operations") List<CompletedOperation> completed) {}
 
-    /** The state of a node that has stored nothing yet. */
+    /** Returns the state of a node that has stored nothing yet. */
     public static DrainSnapshot empty() {
         return new DrainSnapshot(0, List.of(), List.of());
     }
 
-    /** The bytes of a file. */
+    /** Encodes the snapshot as a complete file. */
     public byte[] encode() {
         return ChecksummedFile.encode(
                 FILE_KIND,
@@ -51,7 +51,7 @@
                     file.generation(), List.copyOf(body.drains()), List.copyOf(body.completed()));
         } catch (JsonParseException | NullPointerException | IllegalArgumentException e) {
             throw new DamagedFileException(
-                    "its content is not that of a snapshot: " + e.getMessage());
+                    "its body is not a valid drain snapshot: " + e.getMessage());
         }
     }
 }
--- a/src/main/java/cresschute/control/EventBatch.java
+++ b/src/main/java/cresschute/control/EventBatch.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * The events after some number. Immutable.
+ * The events after a given event number. Immutable.
  *
  * @param events oldest first
- * @param missed events after that number that are no longer held
+ * @param missed number of events after that number that are no longer kept
  */
 public record EventBatch(List<OperatorEvent> events, long missed) {}
--- a/src/main/java/cresschute/control/EventRing.java
+++ b/src/main/java/cresschute/control/EventRing.java
@@ -5,21 +5,21 @@
 import java.util.List;
 
 /**
- * The last {@value #MAX_EVENTS} events of a node, numbered in order; a new one replaces the oldest.
- * They live as long as the process and are not stored. A reader passes the number that it has read
- * up to, and learns how many events it missed.
+ * A ring buffer of the last {@value #MAX_EVENTS} events of a node, numbered in order. Events are
+ * held in memory and are not stored. A reader passes the number of the last event that it has and
+ * gets the later events and the number of events that it missed.
  *
- * <p>Pure. Not thread-safe; it is used on the node's loop alone.
+ * <p>Pure. Not thread-safe; used only on the node's event loop.
  */
 public final class EventRing {
 
-    /** Events that are held. */
+    /** Maximum number of events that are kept. */
     public static final int MAX_EVENTS = 1_000;
 
     private final Deque<OperatorEvent> events = new ArrayDeque<>();
     private long lastNumber;
 
-    /** Adds an event under the next number; its parameters are those of {@link OperatorEvent}. */
+    /** Adds an event with the next number; the parameters are those of {@link OperatorEvent}. */
     public void add(long atUs, String kind, String worker, String text) {
         events.addLast(new OperatorEvent(++lastNumber, atUs, kind, worker, text));
         if (events.size() > MAX_EVENTS) {
@@ -27,12 +27,14 @@
         }
     }
 
-    /** The number of the newest event, or 0 before the first. */
+    /** Returns the number of the newest event, or 0 before the first. */
     public long lastNumber() {
         return lastNumber;
     }
 
-    /** The events after a number; none where the number is of the newest or of none yet. */
+    /**
+     * Returns the events after a number; none if it is the number of the newest event or higher.
+     */
     public EventBatch after(long number) {
         if (number >= lastNumber) {
             return new EventBatch(List.of(), 0);
--- a/src/main/java/cresschute/control/FleetView.java
+++ b/src/main/java/cresschute/control/FleetView.java
@@ -4,10 +4,10 @@
 import java.util.Set;
 
 /**
- * The state of the fleet by which a drain is accepted or rejected, at one moment. Immutable.
+ * A snapshot of the fleet that decides whether a drain is accepted. Immutable.
  *
- * @param workers the endpoint list without any drain
- * @param classes the request classes and where they may run
+ * @param workers the workers in the endpoint list, without the operators' drains
+ * @param classes the request classes and their placements
  * @param boundCells cells in which requests with an idempotency key have an attempt in flight, so
  *     that their retries must stay there
  */
--- a/src/main/java/cresschute/control/ListedWorker.java
+++ b/src/main/java/cresschute/control/ListedWorker.java
@@ -3,9 +3,9 @@
 import cresschute.dispatch.Worker;
 
 /**
- * A worker as the endpoint list has it, without any drain. Immutable.
+ * A worker of the endpoint list, without the operators' drains. Immutable.
  *
- * @param name its id in the endpoint list
- * @param worker its state and place
+ * @param name the worker's id in the endpoint list
+ * @param worker the worker's state and location
  */
 public record ListedWorker(String name, Worker worker) {}
--- a/src/main/java/cresschute/control/ManagementCall.java
+++ b/src/main/java/cresschute/control/ManagementCall.java
@@ -5,31 +5,31 @@
 import java.util.stream.Stream;
 
 /**
- * One call of the platform's operators: a line of plain words, as {@code docs/operators.md} lists
- * them. The answer is one line too, which begins with {@code 200} or {@code 400}. Immutable; pure.
+ * A call of the platform's operators: one line of words, listed in {@code docs/operators.md}. The
+ * answer is one line that begins with {@code 200} or {@code 400}. Immutable; pure.
  *
- * @param command what is asked
+ * @param command the requested command
  * @param worker the worker's id in the endpoint list, for {@link ManagementCommand#DISABLE_SERVER}
  *     and {@link ManagementCommand#ENABLE_SERVER}; null for the others
  */
 public record ManagementCall(ManagementCommand command, String worker) {
 
-    /** Characters of a call, without its end of line. */
+    /** Maximum length of a call, in characters without the line end. */
     public static final int MAX_LINE_LENGTH = 512;
 
-    /** Characters of a worker's id. */
+    /** Maximum length of a worker's id, in characters. */
     static final int MAX_WORKER_ID_LENGTH = 200;
 
-    /** Characters of an unknown word that an answer repeats. */
+    /** Maximum length of an invalid word that is quoted in an answer, in characters. */
     private static final int MAX_QUOTED_LENGTH = 40;
 
     /**
-     * Reads a call: words separated by spaces or tabs, without the end of line. The command may be
-     * in any case.
+     * Parses a call: words separated by spaces or tabs, without the line end. The command is
+     * case-insensitive.
      *
-     * @throws InvalidManagementCallException for an empty or too long line, an unknown command, a
-     *     missing or extra word, or an id that no list could hold: control characters, or more than
-     *     {@value #MAX_WORKER_ID_LENGTH} characters
+     * @throws InvalidManagementCallException if the line is empty or too long, the command is
+     *     unknown, a word is missing or extra, or the worker id is invalid: characters other than
+     *     printable ASCII, or more than {@value #MAX_WORKER_ID_LENGTH} characters
      */
     public static ManagementCall parse(String line) throws InvalidManagementCallException {
         if (line.length() > MAX_LINE_LENGTH) {
@@ -76,7 +76,10 @@
                 .collect(Collectors.joining(", "));
     }
 
-    /** A word as an answer repeats it: short, and without characters that break the line. */
+    /**
+     * Returns a word as quoted in an answer: truncated, with characters other than printable ASCII
+     * replaced, so that it cannot break the line.
+     */
     private static String printable(String word) {
         final StringBuilder shown = new StringBuilder();
         word.codePoints()
--- a/src/main/java/cresschute/control/ManagementCommand.java
+++ b/src/main/java/cresschute/control/ManagementCommand.java
@@ -3,15 +3,15 @@
 import java.util.Optional;
 import java.util.stream.Stream;
 
-/** What the platform's operators may call, each under the word that they write. */
+/** The commands of the platform's operators. */
 public enum ManagementCommand {
-    /** Asks whether this process is ready to serve. */
+    /** Asks whether the node is ready to serve. */
     READY("ready", false),
-    /** Bans a worker: it gets no new work until it is enabled again. */
+    /** Bans a worker: it gets no new requests until it is enabled again. */
     DISABLE_SERVER("disable-server", true),
     /** Ends a worker's ban. */
     ENABLE_SERVER("enable-server", true),
-    /** Drains the node: it is not ready, and closes its clients' connections. */
+    /** Drains the node: it reports not ready and closes its clients' connections. */
     DRAIN("drain", false),
     /** Ends the node's drain. */
     RESUME("resume", false);
@@ -24,17 +24,17 @@
         this.takesWorker = takesWorker;
     }
 
-    /** The word of the call. */
+    /** Returns the command's word in a call. */
     public String word() {
         return word;
     }
 
-    /** Whether a worker's id follows the word. */
+    /** Returns whether a worker's id follows the command. */
     boolean takesWorker() {
         return takesWorker;
     }
 
-    /** The command of this word, if there is one. */
+    /** Returns the command with this word, or empty if there is none. */
     static Optional<ManagementCommand> ofWord(String word) {
         return Stream.of(values()).filter(each -> each.word.equals(word)).findFirst();
     }
--- a/src/main/java/cresschute/control/OperationResult.java
+++ b/src/main/java/cresschute/control/OperationResult.java
@@ -3,19 +3,19 @@
 import com.google.gson.annotations.SerializedName;
 
 /**
- * How an operation ended. Snapshots store the word of {@code @SerializedName}; answers to consoles
- * carry {@link #wireName}.
+ * The result of a drain operation. Snapshots store the name in {@code @SerializedName}; answers to
+ * consoles carry {@link #wireName}.
  */
 public enum OperationResult {
-    /** It changed the drains in force. */
+    /** The operation changed the drains in force. */
     @SerializedName("DONE")
     APPLIED("done"),
 
-    /** The state asked for was in force already. */
+    /** The requested state was already in force. */
     @SerializedName("ALREADY")
     UNCHANGED("already"),
 
-    /** It was rejected and changed nothing. */
+    /** The operation was rejected and changed nothing. */
     @SerializedName("REFUSED")
     REJECTED("refused");
 
@@ -25,7 +25,7 @@
         this.wireName = wireName;
     }
 
-    /** The word in an answer to a console. */
+    /** Returns the result's word in an answer to a console. */
     public String wireName() {
         return wireName;
     }
--- a/src/main/java/cresschute/control/OperatorState.java
+++ b/src/main/java/cresschute/control/OperatorState.java
@@ -12,20 +12,21 @@
 import java.util.TreeSet;
 
 /**
- * What the platform's operators have asked of a node, and what stays in force until they undo it:
- * the banned workers, and whether the node is drained. Both processes of an upgrade are one node
- * and share this state in a file, a {@link ChecksummedFile} whose body is JSON. Immutable; pure.
+ * The state that the platform's operators have set and that stays in force until they reset it: the
+ * banned workers and whether the node is drained. During an upgrade the old and the new process
+ * belong to the same node and share this state in a file, a {@link ChecksummedFile} whose body is
+ * JSON. Immutable; pure.
  *
  * @param generation increases with every change, whichever process makes it
- * @param banned ids of the workers that get no new work, whatever the endpoint list says
- * @param drained whether the node is not ready and closes its clients' connections
+ * @param banned ids of the workers that get no new requests, regardless of the endpoint list
+ * @param drained whether the node is drained: not ready, and closing its clients' connections
  */
 public record OperatorState(long generation, SortedSet<String> banned, boolean drained) {
 
-    /** Workers that can be banned at a time; a site has far fewer. */
+    /** Maximum number of banned workers; a site has far fewer workers. */
     public static final int MAX_BANNED = 10_000;
 
-    /** No ban and no drain. */
+    /** The state without bans and without a drain of the node. */
     public static final OperatorState NONE = new OperatorState(0, new TreeSet<>(), false);
 
     private static final String FILE_KIND = "cresschute-operators 1";
@@ -35,16 +36,16 @@
             @SerializedName("banned") List<String> banned,
             @SerializedName("drained") boolean drained) {}
 
-    /** Takes a copy of the banned ids. */
+    /** Copies the banned ids. */
     public OperatorState {
         banned = Collections.unmodifiableSortedSet(new TreeSet<>(banned));
     }
 
     /**
-     * The state after a call. A call repeated is harmless: only the generation increases. {@link
-     * ManagementCommand#READY} changes nothing.
+     * Returns the state after a call. Calls are idempotent: repeating one only increases the
+     * generation. {@link ManagementCommand#READY} changes nothing.
      *
-     * @throws BanLimitReachedException if {@value #MAX_BANNED} other workers are banned already
+     * @throws BanLimitReachedException if {@value #MAX_BANNED} other workers are already banned
      */
     public OperatorState apply(ManagementCall call) {
         final TreeSet<String> nextBanned = new TreeSet<>(banned);
@@ -67,12 +68,12 @@
         return new OperatorState(generation + 1, nextBanned, nextDrained);
     }
 
-    /** This state under another generation. */
+    /** Returns this state with another generation. */
     public OperatorState withGeneration(long newGeneration) {
         return new OperatorState(newGeneration, banned, drained);
     }
 
-    /** The bytes of a file. */
+    /** Encodes the state as a complete file. */
     public byte[] encode() {
         return ChecksummedFile.encode(
                 FILE_KIND,
@@ -93,22 +94,23 @@
                     GSON.fromJson(new String(file.body(), StandardCharsets.UTF_8), Body.class);
             if (body.banned().size() > MAX_BANNED
                     || body.banned().stream().anyMatch(Objects::isNull)) {
-                throw new DamagedFileException("it names no usable workers");
+                throw new DamagedFileException(
+                        "its list of banned workers is too long or contains null");
             }
             return new OperatorState(
                     file.generation(), new TreeSet<>(body.banned()), body.drained());
         } catch (JsonParseException | NullPointerException e) {
             throw new DamagedFileException(
-                    "its content is not that of operators' state: " + e.getMessage());
+                    "its body is not a valid operators' state: " + e.getMessage());
         }
     }
 
-    /** Whether a worker is banned. */
+    /** Returns whether a worker is banned. */
     public boolean isBanned(String worker) {
         return banned.contains(worker);
     }
 
-    /** The workers that are banned in one of the two states and not in the other. */
+    /** Returns the workers that are banned in exactly one of the two states. */
     public Set<String> banDifference(OperatorState other) {
         final TreeSet<String> different = new TreeSet<>(banned);
         different.addAll(other.banned);
--- a/src/main/java/cresschute/control/TableDelta.java
+++ b/src/main/java/cresschute/control/TableDelta.java
@@ -4,10 +4,10 @@
 import java.util.Map;
 
 /**
- * The changes of a {@link VersionedTable} after some version. Immutable by convention.
+ * The changes of a {@link VersionedTable} after a given version. Immutable by convention.
  *
- * @param isComplete whether it holds all rows and replaces what the reader had
- * @param version the version that the reader holds once it has applied this
+ * @param isComplete whether this holds all rows and replaces the rows that the reader has
+ * @param version the table version that the reader has after it applies this delta
  * @param rows rows that are new or changed, by key
  * @param removed keys of rows that were removed
  */
--- a/src/main/java/cresschute/control/VersionedTable.java
+++ b/src/main/java/cresschute/control/VersionedTable.java
@@ -8,19 +8,19 @@
 
 /**
  * The rows that consoles show, as text by key. Every change increases the version of the table, and
- * each row has the version of its last change.
+ * each row records the version of its last change.
  *
- * <p>A reader that holds some version gets the rows that are newer, however many changes lie
- * between: what is unsent to a slow reader is at most the newest text of each row, never a queue of
- * changes. The last {@value #MAX_REMOVED} removals are held; a reader from before them gets all
- * rows.
+ * <p>A reader that has some version gets only the rows with a newer version, regardless of the
+ * number of changes since. The data not yet sent to a slow reader is therefore at most the newest
+ * text of each row, never a queue of changes. The last {@value #MAX_REMOVED} removals are kept; a
+ * reader with an older version gets all rows.
  *
- * <p>The table lives as long as the process and is not stored: versions of different runs of a node
- * cannot be compared. Pure. Not thread-safe; it is used on the node's loop alone.
+ * <p>The table is held in memory and is not stored, so versions of different incarnations of a node
+ * cannot be compared. Pure. Not thread-safe; used only on the node's event loop.
  */
 public final class VersionedTable {
 
-    /** Removals that are held. */
+    /** Maximum number of removals that are kept. */
     static final int MAX_REMOVED = 4_096;
 
     private record Row(String text, long version) {}
@@ -31,10 +31,10 @@
     private final Deque<Removal> removed = new ArrayDeque<>();
     private long version;
 
-    /** The oldest version whose later removals are all held. */
+    /** The oldest version after which every removal is still kept. */
     private long oldestKnownVersion;
 
-    /** Sets a row; a text that the row has already is no change. */
+    /** Sets a row. Does nothing if the row already has this text. */
     public void put(String key, String text) {
         final Row old = rows.get(key);
         if (old == null || !old.text().equals(text)) {
@@ -42,7 +42,7 @@
         }
     }
 
-    /** Removes a row, if there is one. */
+    /** Removes a row if it exists. */
     public void remove(String key) {
         if (rows.remove(key) != null) {
             removed.addLast(new Removal(key, ++version));
@@ -52,16 +52,16 @@
         }
     }
 
-    /** The version of the newest change, or 0 before the first. */
+    /** Returns the version of the newest change, or 0 before the first. */
     public long version() {
         return version;
     }
 
     /**
-     * The changes after a version.
+     * Returns the changes after a version.
      *
-     * @param since the version that the reader holds; 0 or less for none. One that this table
-     *     cannot compare, as it is too old or of another run, counts as none
+     * @param since the version that the reader has; 0 or less if it has none. A version that is too
+     *     old, or newer than this table's and therefore of another incarnation, counts as none
      */
     public TableDelta since(long since) {
         if (since <= 0 || since < oldestKnownVersion || since > version) {
--- a/src/main/java/cresschute/control/files/AtomicFile.java
+++ b/src/main/java/cresschute/control/files/AtomicFile.java
@@ -9,9 +9,9 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * A file that is replaced as a whole: at any moment it holds the bytes of one complete write, also
- * if the process or the machine stops in the middle of another. Stateless but for its paths; every
- * method blocks, and one thread at a time may write.
+ * A file that is replaced atomically: at any moment it holds the bytes of one complete write, even
+ * if the process or the machine stops in the middle of a later write. The only state is the two
+ * paths. Every method blocks; only one thread at a time may write.
  */
 final class AtomicFile {
 
@@ -21,15 +21,18 @@
     private final Path temporary;
 
     /**
-     * @param file the file itself
-     * @param temporary where the next bytes are written before they replace it; in the same folder
+     * @param file the path of the file
+     * @param temporary the path to which new bytes are written before they replace the file; in the
+     *     same folder
      */
     AtomicFile(Path file, Path temporary) {
         this.file = file;
         this.temporary = temporary;
     }
 
-    /** Writes the bytes beside the file, syncs them to the disk and renames them over the file. */
+    /**
+     * Writes the bytes to the temporary file, syncs it to the disk and renames it over the file.
+     */
     void replace(byte[] bytes) throws IOException {
         try (FileChannel out =
                 FileChannel.open(
@@ -46,7 +49,7 @@
         Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE);
     }
 
-    /** Syncs the folder to the disk, without which a rename may be lost with the power. */
+    /** Syncs the folder to the disk. Without this, a power failure may undo the rename. */
     void syncFolder() throws IOException {
         final Path folder = file.toAbsolutePath().getParent();
         try (FileChannel channel = FileChannel.open(folder, StandardOpenOption.READ)) {
@@ -55,9 +58,10 @@
     }
 
     /**
-     * Renames the file, so that the next {@link #replace} does not overwrite it.
+     * Renames a damaged file so that the next {@link #replace} does not overwrite it. An earlier
+     * quarantined file is replaced.
      *
-     * @return its new path
+     * @return the new path of the file
      */
     Path quarantine() throws IOException {
         final Path aside = file.resolveSibling(file.getFileName() + REJECTED_SUFFIX);
@@ -65,12 +69,12 @@
         return aside;
     }
 
-    /** The bytes of the file. */
+    /** Returns the bytes of the file. */
     byte[] read() throws IOException {
         return Files.readAllBytes(file);
     }
 
-    /** Where the file is. */
+    /** Returns the path of the file. */
     Path path() {
         return file;
     }
--- a/src/main/java/cresschute/control/files/PrivateFolder.java
+++ b/src/main/java/cresschute/control/files/PrivateFolder.java
@@ -5,7 +5,7 @@
 import java.nio.file.Path;
 import java.nio.file.attribute.PosixFilePermissions;
 
-/** Makes folders that only the node's own user may use. Stateless; any thread. */
+/** Creates folders that only the node's own user can access. Stateless; callable on any thread. */
 public final class PrivateFolder {
 
     private static final String OWNER_ONLY = "rwx------";
@@ -13,10 +13,10 @@
     private PrivateFolder() {}
 
     /**
-     * Makes a folder and its missing parents with mode 0700. A folder that exists keeps its mode.
+     * Creates a folder and its missing parents with mode 0700. An existing folder keeps its mode.
      * Blocks.
      *
-     * @throws IOException if it cannot be made
+     * @throws IOException if the folder cannot be created
      */
     public static void create(Path folder) throws IOException {
         if (!Files.isDirectory(folder)) {
--- a/src/main/java/cresschute/control/files/SharedOperatorState.java
+++ b/src/main/java/cresschute/control/files/SharedOperatorState.java
@@ -24,25 +24,27 @@
 import java.util.function.UnaryOperator;
 
 /**
- * The {@link OperatorState} in a folder that both processes of an upgrade share.
+ * The {@link OperatorState}, stored in a folder that the old and the new process of an upgrade
+ * share.
  *
- * <p>The file is an {@link AtomicFile}. A process changes it under a lock, from what it holds at
- * that moment, and each process polls it every {@value #POLL_INTERVAL_MS} ms for changes of the
- * other. A damaged file counts as no state and is put aside. Generations increase from the newest
- * that this process has read or written: a process that began after a damaged file was put aside
- * does not know the older ones, and others ignore its changes until its generations pass theirs.
+ * <p>The file is an {@link AtomicFile}. A process reads, changes and writes it under a file lock,
+ * and polls it every {@value #POLL_INTERVAL_MS} ms for changes by the other process. A damaged file
+ * is quarantined and counts as no state. Generations increase from the newest that this process has
+ * read or written. A process that started after a damaged file was quarantined does not know the
+ * older generations, so other processes ignore its changes until its generation exceeds theirs.
  *
- * <p>A change is stored once its file is renamed into place. The folder is not synced: the change
- * outlives the process, and perhaps not a loss of power.
+ * <p>A change is stored once the file is renamed into place. The folder is not synced: the change
+ * survives the end of the process, but possibly not a power failure.
  *
- * <p>Life: from {@link #open} to {@link #close}. One thread of its own reads and writes; the
- * listeners are notified on the owner's executor, and nothing else of the owner's is touched.
+ * <p>Life cycle: from {@link #open} to {@link #close}. A dedicated thread reads and writes the
+ * file. Listeners are notified on the owner's executor; the thread accesses no other state of the
+ * owner.
  */
 public final class SharedOperatorState implements AutoCloseable {
 
     /**
-     * How often the file is polled, ms: a ban by the other process is in force well within the 400
-     * ms that the platform allows.
+     * Interval at which the file is polled, in milliseconds. A ban by the other process takes
+     * effect well within the 400 ms that the platform allows.
      */
     static final long POLL_INTERVAL_MS = 100;
 
@@ -51,8 +53,8 @@
     private static final Logger LOG = System.getLogger("cresschute.state");
 
     /**
-     * Held with the file lock: a file lock belongs to the process, and a second one by another
-     * instance in it would fail.
+     * Held together with the file lock. A file lock belongs to the whole process, so a second
+     * instance in the same process would fail to acquire it.
      */
     private static final Object PROCESS_LOCK = new Object();
 
@@ -68,13 +70,13 @@
                         return thread;
                     });
 
-    /** The file as it was last read or written; used on the file thread alone. */
+    /** The stamp of the file when it was last read or written; used only on the file thread. */
     private Optional<FileStamp> lastStamp = Optional.empty();
 
-    /** The newest generation read or written; used on the file thread alone. */
+    /** The newest generation read or written; used only on the file thread. */
     private long lastGeneration = -1;
 
-    /** Attributes by which a change of the file is detected without reading it. */
+    /** Attributes that detect a change of the file without reading it. */
     private record FileStamp(Object fileKey, long modifiedMs, long size) {
 
         static FileStamp of(Path file) throws IOException {
@@ -88,9 +90,10 @@
     }
 
     /**
-     * A shared state and what it held when it was opened.
+     * An opened shared state and the state that the file held.
      *
-     * @param shared is closed by the owner
+     * @param shared the shared state, which the caller closes
+     * @param found the state in the file, or {@link OperatorState#NONE}
      */
     public record Opened(SharedOperatorState shared, OperatorState found) {}
 
@@ -102,11 +105,11 @@
     }
 
     /**
-     * Opens the folder, makes it where it is missing, reads the state and begins to poll. Blocks.
+     * Creates the folder if it is missing, reads the state and starts polling. Blocks.
      *
-     * @param owner where the listener is notified: the owner's loop
+     * @param owner runs the notifications of the listeners: the owner's event loop
      * @param listener is notified of changes by other processes
-     * @throws IOException if the folder cannot be made or read
+     * @throws IOException if the folder cannot be created or read
      */
     public static Opened open(Path folder, Executor owner, SharedStateListener listener)
             throws IOException {
@@ -131,12 +134,12 @@
     // ---- Changes by this process ----
 
     /**
-     * Changes the state in the file. Does not block; changes are written in the order given, each
-     * once the other process has released the lock of the file.
+     * Changes the state in the file. Does not block; changes are written in the order of the calls,
+     * each after the other process has released the file lock.
      *
-     * @param change is applied on the file thread to what the file holds then
-     * @param changeListener is notified once on the owner's executor, unless that has ended; on the
-     *     caller's thread after {@link #close}
+     * @param change is applied on the file thread to the state in the file at that time
+     * @param changeListener is notified once: on the owner's executor unless that has ended, or on
+     *     the caller's thread after {@link #close}
      */
     public void change(
             UnaryOperator<OperatorState> change,
@@ -190,13 +193,14 @@
         } catch (IOException | RuntimeException e) {
             LogEvent.of(
                             "operators_state_unread",
-                            "the operators' state could not be read: " + e.getMessage())
+                            "could not read the operators' state; keeping the last known state: "
+                                    + e.getMessage())
                     .with("detail", String.valueOf(e.getMessage()))
                     .log(LOG, Level.WARNING);
         }
     }
 
-    /** The state in the file, if it is newer than any that was read or written before. */
+    /** Returns the state in the file if it is newer than any that was read or written before. */
     private Optional<OperatorState> readIfChanged() throws IOException {
         final FileStamp stamp;
         try {
@@ -223,9 +227,9 @@
             final Path aside = file.quarantine();
             LogEvent.of(
                             "operators_state_refused",
-                            "the operators' state "
+                            "operators' state file "
                                     + file.path()
-                                    + " is refused and put aside as "
+                                    + " is damaged; treated it as missing and renamed it to "
                                     + aside.getFileName()
                                     + ": "
                                     + e.getMessage())
@@ -239,15 +243,19 @@
         try {
             owner.execute(notification);
         } catch (RejectedExecutionException e) {
-            // The owner ended meanwhile: what is written stays for the next process.
+            // The owner has ended: the stored state remains for the next process.
             LogEvent.of(
                             "operators_state_listener_ended",
-                            "the operators' state changed as the node ended")
+                            "the node's event loop has ended; a change of the operators' state is"
+                                + " not reported to it")
                     .log(LOG, Level.DEBUG);
         }
     }
 
-    /** Ends polling; a change under way is finished first. Blocks; not on the owner's loop. */
+    /**
+     * Stops polling, after waiting up to {@value #CLOSE_TIMEOUT_S} s for changes that are queued or
+     * being written. Blocks; do not call on the owner's event loop.
+     */
     @Override
     public void close() {
         fileThread.shutdown();
--- a/src/main/java/cresschute/control/files/SharedStateListener.java
+++ b/src/main/java/cresschute/control/files/SharedStateListener.java
@@ -3,22 +3,22 @@
 import cresschute.control.OperatorState;
 
 /**
- * Is notified of changes of a {@link SharedOperatorState}, on the executor of its owner. Every
- * {@link SharedOperatorState#change} is followed by exactly one {@link ChangeListener#stored} or
- * {@link ChangeListener#notDurable}, unless the executor has ended.
+ * Receives changes of a {@link SharedOperatorState} on the owner's executor. Every {@link
+ * SharedOperatorState#change} is followed by exactly one {@link ChangeListener#stored} or {@link
+ * ChangeListener#notDurable}, unless the executor has ended.
  */
 public interface SharedStateListener {
 
-    /** A state newer than any before was found in the file, as another process wrote it. */
+    /** Called when another process has written a newer state to the file. */
     void stateChanged(OperatorState found);
 
-    /** Is notified of the end of one change. */
+    /** Receives the result of one change. */
     interface ChangeListener {
 
-        /** The change is in the file; {@code written} is the state with it. */
+        /** Called when the file holds the change; {@code written} is the state after it. */
         void stored(OperatorState written);
 
-        /** The change could not be written; the file is unchanged. */
+        /** Called when the change could not be written; the file is unchanged. */
         void notDurable(NotDurableException failure);
     }
 }
--- a/src/main/java/cresschute/control/files/SnapshotListener.java
+++ b/src/main/java/cresschute/control/files/SnapshotListener.java
@@ -1,11 +1,11 @@
 package cresschute.control.files;
 
-/** Is notified of the end of one {@link StateFolder#store}, once, on the executor given to it. */
+/** Receives the result of one {@link StateFolder#store}: one call, on the executor passed to it. */
 public interface SnapshotListener {
 
-    /** The snapshot is on the disk. */
+    /** Called when the snapshot is on the disk. */
     void stored();
 
-    /** The snapshot could not be written; earlier ones are unchanged. */
+    /** Called when the snapshot could not be stored; the previous snapshot is unchanged. */
     void notDurable(NotDurableException failure);
 }
--- a/src/main/java/cresschute/control/files/StateFolder.java
+++ b/src/main/java/cresschute/control/files/StateFolder.java
@@ -21,14 +21,14 @@
 /**
  * The folder in which a node stores its {@link DrainSnapshot}s.
  *
- * <p>Two files take turns by generation, each an {@link AtomicFile}, so that the newest snapshot
- * that was confirmed is always complete on the disk. A damaged file is put aside and the other one
- * is used.
+ * <p>Snapshots alternate by generation between two files, each an {@link AtomicFile}, so that the
+ * newest confirmed snapshot is always complete on the disk. A damaged file is quarantined and the
+ * other one is used.
  *
- * <p>Life: {@link #open} locks the folder for this node, {@link #load} reads what an earlier run
- * stored, {@link #close} writes what is queued and unlocks. Snapshots are written by one thread of
- * its own, in the order given; that thread touches nothing of the caller's and notifies the
- * caller's executor.
+ * <p>Life cycle: {@link #open} locks the folder for this node, {@link #load} reads the snapshot of
+ * an earlier process, {@link #close} writes the queued snapshots and unlocks. A dedicated thread
+ * writes snapshots in the order of the calls; it accesses no state of the caller and notifies
+ * listeners on the caller's executor.
  */
 public final class StateFolder implements AutoCloseable {
 
@@ -52,10 +52,10 @@
     }
 
     /**
-     * Locks a folder, and makes it where it is missing. Blocks.
+     * Locks a folder, and creates it if it is missing. Blocks.
      *
-     * @throws StateFolderInUseException if another node has it
-     * @throws IOException if it cannot be made or locked
+     * @throws StateFolderInUseException if another node has locked it
+     * @throws IOException if it cannot be created or locked
      */
     public static StateFolder open(Path folder) throws IOException {
         PrivateFolder.create(folder);
@@ -69,7 +69,7 @@
                 return new StateFolder(folder, channel);
             }
         } catch (OverlappingFileLockException e) {
-            // Another node of this process has it, which is the same as another process.
+            // Another node in this process holds the lock; treated like another process.
         }
         channel.close();
         throw new StateFolderInUseException(folder);
@@ -81,9 +81,9 @@
     }
 
     /**
-     * The newest complete snapshot, or the empty one. Blocks.
+     * Returns the newest complete snapshot, or the empty one if there is none. Blocks.
      *
-     * @throws IOException if a file that exists cannot be read or put aside
+     * @throws IOException if an existing file cannot be read or quarantined
      */
     public DrainSnapshot load() throws IOException {
         Optional<DrainSnapshot> newest = Optional.empty();
@@ -109,7 +109,7 @@
                             "snapshot_refused",
                             "snapshot "
                                     + file.path()
-                                    + " is refused and put aside as "
+                                    + " is damaged; ignored it and renamed it to "
                                     + aside.getFileName()
                                     + ": "
                                     + e.getMessage())
@@ -120,10 +120,10 @@
     }
 
     /**
-     * Stores a snapshot. Does not block; snapshots are written in the order given.
+     * Stores a snapshot. Does not block; snapshots are written in the order of the calls.
      *
-     * @param snapshot of a generation one higher than the snapshot before
-     * @param executor where the listener is notified
+     * @param snapshot its generation is one higher than that of the previous snapshot
+     * @param executor runs the notification of the listener
      * @param listener is notified once, unless the executor has ended
      */
     public void store(DrainSnapshot snapshot, Executor executor, SnapshotListener listener) {
@@ -142,17 +142,21 @@
                     try {
                         executor.execute(notification);
                     } catch (RejectedExecutionException e) {
-                        // The node ended meanwhile, and with it whoever waited for an answer.
+                        // The node has ended, and with it the clients that waited for an answer.
                         LogEvent.of(
                                         "snapshot_listener_ended",
-                                        "a snapshot was written as the node ended")
+                                        "the node's event loop has ended; the result of a snapshot"
+                                            + " is not reported to it")
                                 .with("generation", snapshot.generation())
                                 .log(LOG, Level.DEBUG);
                     }
                 });
     }
 
-    /** Writes the snapshots that are queued, then unlocks the folder. Blocks; not on the loop. */
+    /**
+     * Waits up to {@value #CLOSE_TIMEOUT_S} s until the queued snapshots are written, then unlocks
+     * the folder. Blocks; do not call on the event loop.
+     */
     @Override
     public void close() {
         writer.shutdown();
@@ -162,7 +166,11 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (IOException e) {
-            LogEvent.of("state_folder", "the lock of " + folder + " could not be released")
+            LogEvent.of(
+                            "state_folder",
+                            "could not release the lock of state folder "
+                                    + folder
+                                    + "; it ends with the process")
                     .withCause(e)
                     .log(LOG, Level.WARNING);
         }
--- a/src/main/java/cresschute/control/files/StateFolderInUseException.java
+++ b/src/main/java/cresschute/control/files/StateFolderInUseException.java
@@ -3,12 +3,12 @@
 import java.io.IOException;
 import java.nio.file.Path;
 
-/** Conflict: another node, of this process or another, has the state folder. */
+/** Thrown when another node, in this or another process, has locked the state folder. */
 public final class StateFolderInUseException extends IOException {
 
     private static final long serialVersionUID = 1L;
 
-    /** Names the folder. */
+    /** Creates an exception whose message names the folder. */
     StateFolderInUseException(Path folder) {
         super("another node uses the state folder " + folder);
     }
--- a/src/main/java/cresschute/control/socket/ControlHandler.java
+++ b/src/main/java/cresschute/control/socket/ControlHandler.java
@@ -7,29 +7,32 @@
 import cresschute.control.VersionedTable;
 import java.util.function.Consumer;
 
-/** The node's side of the control socket. All methods are called on the node's loop. */
+/**
+ * Handles the requests of the control socket; implemented by the node. All methods are called on
+ * the node's event loop.
+ */
 public interface ControlHandler {
 
     /**
-     * Identifies this run of the node: table versions and event numbers of different runs cannot be
-     * compared.
+     * Returns the incarnation of the node. Table versions and event numbers of different
+     * incarnations cannot be compared.
      */
     String incarnation();
 
-    /** The rows for consoles, as of the last {@link #refresh}. */
+    /** Returns the rows for consoles, as of the last {@link #refresh}. */
     VersionedTable table();
 
-    /** The events for consoles. */
+    /** Returns the events for consoles. */
     EventRing events();
 
-    /** Brings all rows of the table up to date now. */
+    /** Updates all rows of the table. */
     void refresh();
 
     /**
      * Executes an operation.
      *
-     * @param answer is called once with the answer's fields, after the change is stored or could
-     *     not be stored
+     * @param answer is called once with the fields of the answer, after the change was stored or
+     *     failed to be stored
      */
     void execute(DrainOperation operation, Consumer<JsonObject> answer);
 
--- a/src/main/java/cresschute/control/socket/ControlMessages.java
+++ b/src/main/java/cresschute/control/socket/ControlMessages.java
@@ -10,8 +10,8 @@
 import java.util.Optional;
 
 /**
- * The lines that a node writes to consoles, in the words of the protocol in {@code
- * docs/console.md}. Stateless.
+ * Formats the lines that a node writes to consoles, as the protocol in {@code docs/console.md}
+ * defines them. Stateless.
  */
 final class ControlMessages {
 
@@ -20,7 +20,10 @@
 
     private ControlMessages() {}
 
-    /** A request that was rejected, with its id where that could be read. */
+    /**
+     * Formats the answer to an invalid or rejected request, with the request's id if it could be
+     * read.
+     */
     static String error(Optional<String> requestId, String reason) {
         final JsonObject message = new JsonObject();
         requestId.ifPresent(id -> message.addProperty("re", id));
@@ -29,7 +32,7 @@
         return message.toString();
     }
 
-    /** An answer whose further fields are given. */
+    /** Formats an answer with these fields. */
     static String answer(String requestId, JsonObject fields) {
         final JsonObject message = new JsonObject();
         message.addProperty("re", requestId);
@@ -37,7 +40,7 @@
         return message.toString();
     }
 
-    /** An answer with rows or events. */
+    /** Formats an answer with rows or events. */
     static String answer(
             String requestId,
             String incarnation,
@@ -47,7 +50,10 @@
                 "\"re\":" + GSON.toJson(requestId) + ",\"ok\":true,", incarnation, rows, events);
     }
 
-    /** A line that answers no request: what changed since the last one, perhaps nothing. */
+    /**
+     * Formats an update, which answers no request and holds the changes since the last line,
+     * possibly none.
+     */
     static String update(
             String incarnation, Optional<TableDelta> rows, Optional<EventBatch> events) {
         return content("", incarnation, rows, events);
@@ -68,7 +74,7 @@
         return message.append('}').toString();
     }
 
-    /** The texts of rows are JSON already. */
+    /** The text of each row is already JSON. */
     private static void appendRows(StringBuilder message, TableDelta delta) {
         message.append(",\"number\":")
                 .append(delta.version())
--- a/src/main/java/cresschute/control/socket/ControlServer.java
+++ b/src/main/java/cresschute/control/socket/ControlServer.java
@@ -29,22 +29,27 @@
 import java.util.Set;
 
 /**
- * The Unix domain socket at which consoles connect. It owns the socket file, the listening channel
- * and the sessions.
+ * The server of the control socket, a Unix domain socket to which consoles connect. It owns the
+ * socket file, the listening channel and the sessions.
  *
- * <p>The file's mode is the permission: 0600 in a folder of 0700. Life: {@link #listen} once,
- * {@link #close} once. All of it is on the node's loop, save {@link #listen}, which blocks.
+ * <p>Access is controlled by file permissions: mode 0600 in a folder with mode 0700. Life cycle:
+ * {@link #listen} once, {@link #close} once. All methods run on the node's event loop, except
+ * {@link #listen}, which blocks.
  */
 public final class ControlServer {
 
-    /** Sessions at a time. */
+    /** Maximum number of sessions. */
     public static final int MAX_SESSIONS = 16;
 
-    /** Bytes that may wait for a console; above it, nothing is read from it and no update sent. */
+    /**
+     * High water mark of the bytes not yet written to a console. Above it, nothing is read from the
+     * console and no update is sent to it.
+     */
     static final int HIGH_WATER_MARK_BYTES = 512 * 1024;
 
     /**
-     * Bytes below which a console that was above {@link #HIGH_WATER_MARK_BYTES} is served again.
+     * Low water mark: a console that exceeded {@link #HIGH_WATER_MARK_BYTES} is served again below
+     * it.
      */
     private static final int LOW_WATER_MARK_BYTES = 64 * 1024;
 
@@ -65,7 +70,7 @@
     private Channel server;
     private long lastSessionNumber;
 
-    /** A server that does not listen yet. */
+    /** Creates a server that does not listen yet. */
     public ControlServer(EventLoop loop, Path file, ControlHandler handler) {
         this.loop = loop;
         this.file = file;
@@ -73,10 +78,10 @@
     }
 
     /**
-     * Listens. Blocks, so not on the loop.
+     * Binds the socket and starts to accept consoles. Blocks; do not call on the event loop.
      *
      * @throws ControlSocketInUseException if another node listens there
-     * @throws IOException if the folder is open to others, or the socket cannot be made
+     * @throws IOException if group or others can access the folder, or the socket cannot be created
      */
     public void listen() throws IOException {
         createPrivateFolder();
@@ -107,7 +112,7 @@
                     bound.cause());
         }
         server = bound.channel();
-        // Between bind and this the mode of the folder keeps others out.
+        // Until this call the mode of the folder denies access to other users.
         Files.setPosixFilePermissions(file, PosixFilePermissions.fromString("rw-------"));
         LogEvent.of("control_listening", "consoles can connect at " + file)
                 .with("file", file)
@@ -127,7 +132,10 @@
         }
     }
 
-    /** Removes the socket of a node that was killed; one that answers is another node's. */
+    /**
+     * Removes the socket file of a node that was killed. A socket that accepts connections belongs
+     * to a running node.
+     */
     private void removeStaleSocket() throws IOException {
         if (!Files.exists(file, LinkOption.NOFOLLOW_LINKS)) {
             return;
@@ -135,7 +143,7 @@
         if (Files.isRegularFile(file, LinkOption.NOFOLLOW_LINKS) || Files.isDirectory(file)) {
             throw new IOException(
                     file
-                            + " is there and is no socket; name another file for the control"
+                            + " exists and is not a socket; configure another file for the control"
                             + " socket");
         }
         if (acceptsConnections()) {
@@ -161,8 +169,8 @@
         }
         sessions.add(session);
         channel.closeFuture().addListener(closed -> sessions.remove(session));
-        // One read can bring many short requests: the flow control passes them on one by one, so
-        // that none is answered while too much of the earlier answers is unread.
+        // One read can return many short requests. FlowControlHandler passes them on one at a time,
+        // so that no request is answered while the write buffer is above the high water mark.
         channel.pipeline()
                 .addLast(
                         new LineBasedFrameDecoder(ControlRequest.MAX_LINE_LENGTH),
@@ -170,20 +178,21 @@
                         session);
     }
 
-    /** Whether any console subscribed to rows. */
+    /** Returns whether any console has subscribed to rows. */
     public boolean hasSubscribers() {
         return sessions.stream().anyMatch(ControlSession::isSubscribed);
     }
 
-    /** The number of connected consoles. */
+    /** Returns the number of connected consoles. */
     public int sessionCount() {
         return sessions.size();
     }
 
     /**
-     * Sends each console what changed for it, as far as it reads; called a few times a second.
+     * Sends each console its pending changes, unless its write buffer is above the high water mark.
+     * Call a few times a second.
      *
-     * @param nowUs the loop's clock, us
+     * @param nowUs time of the event loop's clock, microseconds
      */
     public void publish(long nowUs) {
         for (final ControlSession session : new ArrayList<>(sessions)) {
@@ -191,7 +200,9 @@
         }
     }
 
-    /** Closes the listener and all sessions, and removes the socket file. On the loop. */
+    /**
+     * Closes the listener and all sessions, and removes the socket file. Call on the event loop.
+     */
     public void close() {
         if (server != null) {
             server.close();
@@ -199,8 +210,12 @@
             try {
                 Files.deleteIfExists(file);
             } catch (IOException e) {
-                // The next start finds that nobody listens there, and removes it.
-                LogEvent.of("control_file_left", "the control socket " + file + " was left behind")
+                // The next start removes the file, because no node accepts connections there.
+                LogEvent.of(
+                                "control_file_left",
+                                "could not delete the control socket "
+                                        + file
+                                        + "; the next start removes it")
                         .withCause(e)
                         .log(LOG, Level.WARNING);
             }
--- a/src/main/java/cresschute/control/socket/ControlSession.java
+++ b/src/main/java/cresschute/control/socket/ControlSession.java
@@ -16,19 +16,20 @@
 /**
  * One console's connection: answers its requests, and sends the changes that it subscribed to.
  *
- * <p>Backpressure: nothing is read from the console and no change is sent to it while {@link
- * ControlServer#HIGH_WATER_MARK_BYTES} wait for it. A console that stops reading costs a bounded
- * amount of memory, is closed after {@link #STALL_TIMEOUT_US}, and gets the newest state if it
- * reads again before.
+ * <p>Backpressure: nothing is read from the console and no change is sent to it while its write
+ * buffer is above {@link ControlServer#HIGH_WATER_MARK_BYTES}. A console that stops reading
+ * therefore uses a bounded amount of memory. It is closed after {@link #STALL_TIMEOUT_US}; if it
+ * resumes reading earlier, it gets the newest state.
  *
- * <p>Life: from the accepted connection to its close. All of it is on the node's loop.
+ * <p>Life cycle: from the accepted connection to its close. All methods run on the node's event
+ * loop.
  */
 final class ControlSession extends SimpleChannelInboundHandler<ByteBuf> {
 
-    /** A console that reads nothing for so long is closed, us. */
+    /** Time after which a console that does not read is closed, microseconds. */
     static final long STALL_TIMEOUT_US = 30_000_000;
 
-    /** A subscribed console gets a line at least this often, also if nothing changed, us. */
+    /** Interval at which a subscribed console gets a line even if nothing changed, microseconds. */
     private static final long HEARTBEAT_INTERVAL_US = 1_000_000;
 
     private static final long NOT_STALLED = 0;
@@ -44,7 +45,7 @@
     private long lastUpdateUs;
 
     /**
-     * @param number counts the sessions of the node, for the log
+     * @param number consecutive number of the session, for the log
      */
     ControlSession(long number, Channel channel, ControlHandler handler) {
         this.number = number;
@@ -52,12 +53,12 @@
         this.handler = handler;
     }
 
-    /** Whether the console subscribed to rows. */
+    /** Returns whether the console has subscribed to rows. */
     boolean isSubscribed() {
         return subscribedToRows;
     }
 
-    /** Sends the reason and closes. */
+    /** Sends the reason and closes the connection. */
     void reject(String reason) {
         channel.writeAndFlush(line(ControlMessages.error(Optional.empty(), reason)))
                 .addListener(ChannelFutureListener.CLOSE);
@@ -105,7 +106,7 @@
 
     private void subscribe(ControlRequest request) {
         handler.refresh();
-        // A version of another run of the node cannot be compared.
+        // The version of another incarnation of the node cannot be compared.
         final boolean isComparable = request.incarnation().equals(handler.incarnation());
         final TableDelta rows = handler.table().since(isComparable ? request.sinceVersion() : 0);
         subscribedToRows = true;
@@ -114,7 +115,7 @@
     }
 
     private void subscribeToEvents(ControlRequest request) {
-        // A request that names no run means this one.
+        // A request without an incarnation refers to the current one.
         final boolean isComparable =
                 request.incarnation().isEmpty()
                         || request.incarnation().equals(handler.incarnation());
@@ -132,10 +133,11 @@
     // ---- Updates ----
 
     /**
-     * Sends what changed since the last line, or a heartbeat where that is due, if the console has
-     * read enough of what was sent before; closes a console that is stalled for too long.
+     * Sends the changes since the last line, or a heartbeat if one is due, unless the write buffer
+     * is above the high water mark. Closes a console that has been stalled for {@link
+     * #STALL_TIMEOUT_US}.
      *
-     * @param nowUs the loop's clock, us
+     * @param nowUs time of the event loop's clock, microseconds
      */
     void publish(long nowUs) {
         if (!channel.isWritable()) {
@@ -175,7 +177,8 @@
     private void write(String message) {
         channel.writeAndFlush(line(message));
         if (!channel.isWritable()) {
-            // Bounds the memory: a console that does not read its answers cannot ask for more.
+            // Bounds the memory: no further requests are read until the console has read its
+            // answers.
             channel.config().setAutoRead(false);
         }
     }
--- a/src/main/java/cresschute/control/socket/ControlSocketInUseException.java
+++ b/src/main/java/cresschute/control/socket/ControlSocketInUseException.java
@@ -3,12 +3,12 @@
 import java.io.IOException;
 import java.nio.file.Path;
 
-/** Conflict: another node listens on the control socket. */
+/** Thrown when another node listens on the control socket. */
 public final class ControlSocketInUseException extends IOException {
 
     private static final long serialVersionUID = 1L;
 
-    /** Names the socket. */
+    /** Creates an exception whose message names the socket. */
     ControlSocketInUseException(Path socket) {
         super("another node listens on the control socket " + socket);
     }
--- a/src/main/java/cresschute/control/socket/ManagementServer.java
+++ b/src/main/java/cresschute/control/socket/ManagementServer.java
@@ -18,17 +18,17 @@
 import java.util.Set;
 
 /**
- * The management listener of the platform's operators: TCP, one call and one answer a connection,
- * which is then closed. It owns the listening channel and the accepted ones, each a {@link
- * ManagementSession}.
+ * The management listener of the platform's operators. It uses TCP: each connection carries one
+ * call and one answer and is then closed. It owns the listening channel and the accepted channels,
+ * each with a {@link ManagementSession}.
  *
- * <p>Life: {@link #listen} once, {@link #close} once. All of it is on the node's loop, save {@link
- * #listen}, which may be called on any thread. Connections do not wait for each other; when a call
- * is answered is up to the {@link ManagementHandler}.
+ * <p>Life cycle: {@link #listen} once, {@link #close} once. All methods run on the node's event
+ * loop, except {@link #listen}, which may be called on any thread. Connections are independent of
+ * each other; the {@link ManagementHandler} decides when a call is answered.
  */
 public final class ManagementServer {
 
-    /** Bytes of the longest end of line, CR LF. */
+    /** Length of the longest line end, CR LF, in bytes. */
     private static final int LINE_END_LENGTH = 2;
 
     private final EventLoop loop;
@@ -39,9 +39,10 @@
     private Channel server;
 
     /**
-     * A server that does not listen yet.
+     * Creates a server that does not listen yet.
      *
-     * @param maxConnections connections at a time; a further one gets a 400 answer and is closed
+     * @param maxConnections the maximum number of open connections; a further one gets a 400 answer
+     *     and is closed
      */
     public ManagementServer(
             EventLoop loop,
@@ -54,7 +55,7 @@
         this.handler = handler;
     }
 
-    /** Binds. The future fails if the address cannot be listened on. */
+    /** Binds the address. The returned future fails if that is not possible. */
     public ChannelFuture listen() {
         final ChannelFuture bound =
                 new ServerBootstrap()
@@ -74,7 +75,10 @@
         return bound;
     }
 
-    /** A caller over the limit is closed before the next one is accepted. */
+    /**
+     * Accepts one connection per read, so that a connection over the limit is closed before the
+     * next one is accepted.
+     */
     private static RecvByteBufAllocator oneAcceptPerRead() {
         return new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(1);
     }
@@ -98,7 +102,7 @@
                         session);
     }
 
-    /** The address that it listens on, once bound. */
+    /** Returns the bound address; call only once bound. */
     public SocketAddress localAddress() {
         return server.localAddress();
     }
--- a/src/main/java/cresschute/control/socket/ManagementSession.java
+++ b/src/main/java/cresschute/control/socket/ManagementSession.java
@@ -18,17 +18,22 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One operator's connection: reads one call, writes one answer and closes. It owns its two timers;
- * a caller that sends nothing, or half a call, holds one connection and delays nobody.
+ * One operator's connection: reads one call, writes one answer and closes. It owns two timers. A
+ * caller that sends nothing or an incomplete call uses one connection and does not delay other
+ * callers.
  *
- * <p>Life: from the accepted connection to its close. All of it is on the node's loop.
+ * <p>Life cycle: from the accepted connection to its close. All methods run on the node's event
+ * loop.
  */
 final class ManagementSession extends ChannelInboundHandlerAdapter {
 
-    /** A call whose end of line has not come by then is answered as incomplete, ms. */
+    /** Time after which a call without a line end is answered as incomplete, milliseconds. */
     static final long INCOMPLETE_CALL_TIMEOUT_MS = 2_000;
 
-    /** A connection without an answer is closed by then, ms. */
+    /**
+     * Time after which a connection is closed if no call has been passed to the handler and no
+     * answer sent, milliseconds.
+     */
     static final long IDLE_TIMEOUT_MS = 5_000;
 
     private static final Logger LOG = System.getLogger("cresschute.management");
@@ -40,19 +45,22 @@
     private ScheduledFuture<?> incompleteCallTimer;
     private ScheduledFuture<?> idleTimer;
 
-    /** Serves one connection on this loop. */
+    /** Creates the handler of one connection on this event loop. */
     ManagementSession(EventLoop loop, ManagementHandler handler) {
         this.loop = loop;
         this.handler = handler;
     }
 
-    /** The bytes of an answer: one line. */
+    /** Encodes an answer as one line; line breaks in the text become spaces. */
     static ByteBuf line(String text) {
         return Unpooled.copiedBuffer(
                 text.replace('\n', ' ').replace('\r', ' ') + "\n", StandardCharsets.UTF_8);
     }
 
-    /** A handler that stands before the line decoder and notes that a call has begun. */
+    /**
+     * Returns a handler for the position before the line decoder, which records that a call has
+     * started.
+     */
     ChannelHandler firstBytesDetector() {
         return new ChannelInboundHandlerAdapter() {
             @Override
@@ -111,7 +119,8 @@
             answer(ctx, "400 " + e.getMessage());
             return;
         }
-        // The handler answers, perhaps later: the timers end and further lines are ignored.
+        // The handler answers, possibly later: the timers have no effect and further lines are
+        // ignored.
         answered = true;
         LogEvent.of("operators_called", "operators call: " + line.strip())
                 .with("call", call.command().word())
--- a/src/main/java/cresschute/health/Assessment.java
+++ b/src/main/java/cresschute/health/Assessment.java
@@ -1,8 +1,9 @@
 package cresschute.health;
 
 /**
- * What {@link ConditionRules} find about a worker at one moment.
+ * The result of the {@link ConditionRules} for a worker at one moment.
  *
- * @param reason for people; empty where there is nothing to explain
+ * @param condition the condition of the first rule that holds
+ * @param reason why the rule holds, shown to operators; empty for a healthy worker
  */
 record Assessment(WorkerCondition condition, String reason) {}
--- a/src/main/java/cresschute/health/ClassHealth.java
+++ b/src/main/java/cresschute/health/ClassHealth.java
@@ -4,7 +4,7 @@
 
 /**
  * Counts and latencies of one request class, and the median running time of its jobs on all
- * workers. Owned by {@link HealthTracker}; same thread.
+ * workers. Owned by {@link HealthTracker} and used on its thread.
  */
 final class ClassHealth {
 
@@ -13,14 +13,14 @@
     private static final long TEN_MINUTES_SLICE_US = 120_000_000;
     private static final int TEN_MINUTES_SLICES = 5;
 
-    /** Running times count towards the median for two minutes. */
+    /** Running times are kept for two minutes to compute the median. */
     private static final long RUN_TIME_SLICE_US = 20_000_000;
 
     private static final int RUN_TIME_SLICES = 6;
     private static final int MIN_SAMPLES_FOR_MEDIAN = 5;
     private static final long US_PER_MS = 1_000;
 
-    /** Median running time while too few jobs were served to have one. */
+    /** Value of the median running time while too few jobs have been served. */
     private static final long NO_MEDIAN = 0;
 
     private final int number;
@@ -48,17 +48,17 @@
         return new RollingCounts(SLICE_US, SLICES_PER_MINUTE);
     }
 
-    /** The number of the class. */
+    /** Returns the number of the class. */
     int number() {
         return number;
     }
 
-    /** A request arrived. */
+    /** Counts an arrived request. */
     void requestArrived(long nowUs) {
         arrived.add(nowUs, 1);
     }
 
-    /** See {@link HealthTracker#requestEnded}. */
+    /** Counts a request that ended; see {@link HealthTracker#requestEnded}. */
     void requestEnded(
             long nowUs, RequestResult result, int attempts, long latencyUs, long runTimeUs) {
         admitted.add(nowUs, attempts > 0 ? 1 : 0);
@@ -77,12 +77,12 @@
         }
     }
 
-    /** An attempt of a request was sent. */
+    /** Counts an attempt that was sent. */
     void attemptStarted() {
         inFlight++;
     }
 
-    /** An attempt of a request ended. */
+    /** Counts an attempt that ended. */
     void attemptEnded() {
         inFlight--;
     }
@@ -93,7 +93,7 @@
     }
 
     /**
-     * Computes the median running time anew.
+     * Recomputes the median running time.
      *
      * @param scratch a histogram that is overwritten
      */
@@ -106,29 +106,38 @@
                         : scratch.getValueAtPercentile(50) * US_PER_MS;
     }
 
-    /** Whether enough jobs were served lately, each for a millisecond or more, for a median. */
+    /**
+     * Returns whether there is a median: enough jobs were served in the last two minutes and the
+     * median is at least a millisecond.
+     */
     boolean hasMedian() {
         return medianRunTimeUs > NO_MEDIAN;
     }
 
-    /** Median running time on all workers, microseconds; only where {@link #hasMedian}. */
+    /**
+     * Returns the median running time on all workers in microseconds; valid only if {@link
+     * #hasMedian}.
+     */
     long medianRunTimeUs() {
         return medianRunTimeUs;
     }
 
-    /** Priority weight of the last minute's requests that met their objective. */
+    /** Returns the priority weight of the requests that met their objective in the last minute. */
     double weightWithinObjective(long nowUs) {
         return objective.priorityWeight() * withinObjective.sum(nowUs);
     }
 
-    /** Priority weight of the last minute's requests that were answered in any way. */
+    /**
+     * Returns the priority weight of the requests that were served, rejected or failed in the last
+     * minute.
+     */
     double weightAnswered(long nowUs) {
         return objective.priorityWeight()
                 * (served.sum(nowUs) + rejected.sum(nowUs) + failed.sum(nowUs));
     }
 
     /**
-     * Its health now.
+     * Returns the current health of the class.
      *
      * @param scratch a histogram that is overwritten
      */
--- a/src/main/java/cresschute/health/ClassHealthSnapshot.java
+++ b/src/main/java/cresschute/health/ClassHealthSnapshot.java
@@ -1,7 +1,7 @@
 package cresschute.health;
 
 /**
- * How a request class was served in the last minute.
+ * The health of a request class: counts of the last minute and latencies.
  *
  * @param arrived requests that arrived
  * @param admitted requests that ended after at least one attempt
@@ -10,7 +10,7 @@
  * @param failed requests that failed
  * @param withinObjective served requests that met their latency objective, as measured at the
  *     dispatcher
- * @param inFlight attempts in flight now
+ * @param inFlight attempts currently in flight
  * @param lastMinute latency of requests served in the last minute
  * @param lastTenMinutes latency of requests served in the last ten minutes
  */
--- a/src/main/java/cresschute/health/ConditionChange.java
+++ b/src/main/java/cresschute/health/ConditionChange.java
@@ -6,9 +6,9 @@
  * A change of a worker's condition.
  *
  * @param worker number of the worker
- * @param from the condition before; empty where this is the worker's first one
- * @param to the condition from now on
- * @param reason why, for people; empty where there is nothing to explain
+ * @param from the previous condition; empty for the worker's first condition
+ * @param to the new condition
+ * @param reason the reason of the change, shown to operators; empty for a healthy worker
  */
 public record ConditionChange(
         int worker, Optional<WorkerCondition> from, WorkerCondition to, String reason) {}
--- a/src/main/java/cresschute/health/ConditionRules.java
+++ b/src/main/java/cresschute/health/ConditionRules.java
@@ -3,44 +3,53 @@
 import java.util.Optional;
 
 /**
- * Assesses the condition of a worker from what was observed of it. Each rule has a method, which
- * returns the reason if the rule holds; the first one that does decides:
+ * Assesses the condition of a worker from the observations of it. Each rule is a method that
+ * returns an assessment if the rule holds. The first rule that holds decides:
  *
  * <ol>
  *   <li>REMOVED: the endpoint list does not contain the worker.
  *   <li>DRAINING: an operator or the endpoint list drains it.
- *   <li>UNRESPONSIVE: connections fail, or nothing is received about the jobs it holds.
+ *   <li>UNRESPONSIVE: connections fail, or the worker sends nothing about its jobs.
  *   <li>WARMING_UP: its process started a short while ago.
- *   <li>SLOW: most of its running jobs are held up, or its jobs run longer than elsewhere.
+ *   <li>SLOW: most of its running jobs are delayed, or its jobs run longer than on other workers.
  *   <li>OVERLOADED: it reports a queue and no free slot, or it rejected a job.
  *   <li>HEALTHY: none of these.
  * </ol>
  *
- * <p>The order goes from what makes the later rules meaningless to what is mildest. Without state;
- * {@link ConditionTracker} says when an assessment comes into force. Reasons are shown to people
- * and are part of console rows.
+ * <p>A rule precedes those that are meaningless or milder when it holds. Stateless; {@link
+ * ConditionTracker} decides when an assessment takes effect. Reasons are shown to operators and are
+ * part of console rows.
  */
 final class ConditionRules {
 
     private static final long US_PER_S = 1_000_000;
 
-    /** How long a worker that holds no job stays unresponsive, and failed connections count. */
+    /**
+     * How long a worker without jobs stays unresponsive, and how long failed connections count, in
+     * microseconds.
+     */
     private static final long UNRESPONSIVE_HOLD_US = 30 * US_PER_S;
 
-    /** The shortest time for which jobs that only wait may be without a sign. */
+    /**
+     * Minimum inactivity after which a worker with only queued jobs is unresponsive, in
+     * microseconds.
+     */
     private static final long MIN_QUEUED_INACTIVITY_US = 10 * US_PER_S;
 
-    /** Fewer than two may be heavy jobs, which say nothing of their worker. */
+    /**
+     * Minimum number of delayed jobs for a slow worker. A single one may just be a heavy job, which
+     * says nothing about the worker.
+     */
     private static final int MIN_DELAYED_JOBS = 2;
 
     private final HealthThresholds thresholds;
 
-    /** Creates rules with these limits. */
+    /** Creates rules with these thresholds. */
     ConditionRules(HealthThresholds thresholds) {
         this.thresholds = thresholds;
     }
 
-    /** The condition by the first rule that holds. */
+    /** Returns the assessment of the first rule that holds. */
     Assessment assess(long nowUs, WorkerHealth worker) {
         return removed(worker)
                 .or(() -> draining(worker))
@@ -87,7 +96,10 @@
         return worker.isIdle() ? heldUnresponsive(nowUs, worker) : inactive(nowUs, worker);
     }
 
-    /** A worker without jobs cannot give a sign, so it stays unresponsive for a while. */
+    /**
+     * A worker without jobs has no way to show activity, so it stays unresponsive for {@link
+     * #UNRESPONSIVE_HOLD_US}.
+     */
     private static Optional<Assessment> heldUnresponsive(long nowUs, WorkerHealth worker) {
         final ConditionTracker before = worker.condition();
         return before.is(WorkerCondition.UNRESPONSIVE)
@@ -97,7 +109,10 @@
                 : Optional.empty();
     }
 
-    /** Jobs that only wait give no sign: jobs of other dispatchers may be before them. */
+    /**
+     * Queued jobs cause no activity, because jobs of other dispatchers may be ahead of them. A
+     * worker without started jobs therefore has a longer limit.
+     */
     private Optional<Assessment> inactive(long nowUs, WorkerHealth worker) {
         final boolean reportsProgress =
                 thresholds.progressIntervalUs() > 0
--- a/src/main/java/cresschute/health/ConditionTracker.java
+++ b/src/main/java/cresschute/health/ConditionTracker.java
@@ -3,19 +3,19 @@
 import java.util.Optional;
 
 /**
- * The condition in force of one worker. It follows the assessments with a delay: another condition
- * comes into force once it was assessed for a while without a break, so that a worker near a limit
- * does not change to and fro.
+ * The effective condition of one worker. It follows the assessments with a delay: a new condition
+ * takes effect once it has been assessed without interruption for that delay, so that a worker near
+ * a threshold does not flap between conditions.
  *
  * <pre>
- *   change                                  comes into force
+ *   change                                  takes effect
  *   first assessment                        at once
  *   to or from DRAINING or REMOVED          at once: it is stated, not observed
  *   to a better condition, or OVERLOADED    after {@link HealthThresholds#betterAfterUs}
  *   to a worse condition                    after {@link HealthThresholds#worseAfterUs}
  * </pre>
  *
- * <p>An overload comes and goes with the load, hence the longer delay. Used by one thread.
+ * <p>OVERLOADED has the longer delay because overload fluctuates with the load. Not thread-safe.
  */
 final class ConditionTracker {
 
@@ -23,32 +23,32 @@
     private String reason = "";
     private long sinceUs;
 
-    /** A condition that was assessed but is not in force yet, or null. */
+    /** The assessed condition that has not taken effect yet, or null. */
     private WorkerCondition candidate;
 
     private long candidateSinceUs;
 
-    /** The condition in force; empty before the first assessment. */
+    /** Returns the condition in force; empty before the first assessment. */
     Optional<WorkerCondition> condition() {
         return Optional.ofNullable(condition);
     }
 
-    /** Whether this condition is in force. */
+    /** Returns whether this condition is in force. */
     boolean is(WorkerCondition other) {
         return condition == other;
     }
 
-    /** Why the condition is in force, for people; empty where there is nothing to explain. */
+    /** Returns the reason of the condition, shown to operators; empty for a healthy worker. */
     String reason() {
         return reason;
     }
 
-    /** When the condition came into force, microseconds. */
+    /** Returns when the condition took effect, microseconds. */
     long sinceUs() {
         return sinceUs;
     }
 
-    /** Takes in an assessment. */
+    /** Updates the condition with a new assessment. */
     void update(long nowUs, Assessment assessment, HealthThresholds thresholds) {
         final WorkerCondition assessed = assessment.condition();
         if (assessed == condition) {
--- a/src/main/java/cresschute/health/HealthThresholds.java
+++ b/src/main/java/cresschute/health/HealthThresholds.java
@@ -1,21 +1,22 @@
 package cresschute.health;
 
 /**
- * The limits by which {@link ConditionRules} assesses a worker. The two limits of slowness have a
- * gap, and a new condition counts only once it has held for a while, so that a worker near a limit
- * does not change to and fro.
+ * The thresholds of {@link ConditionRules} and {@link ConditionTracker}. The two slowness factors
+ * differ, and a new condition takes effect only after a delay, so that a worker near a threshold
+ * does not flap between conditions.
  *
- * @param progressIntervalUs how often workers report the progress of running jobs, microseconds; 0
- *     where they do not
- * @param unresponsiveAfterUs no sign of any running job for this long: unresponsive; microseconds
- * @param reportMaxAgeUs age up to which a load report counts, microseconds
- * @param slowFromFactor a worker whose jobs run this many times as long as elsewhere becomes slow
- * @param slowUntilFactor a slow worker stays slow down to this factor
- * @param worseAfterUs a worse condition counts after it has held for this long, microseconds
- * @param betterAfterUs a better condition, and an overload, counts after it has held for this long,
- *     microseconds
- * @param maxConnectFailures this many failed connections in a row: unresponsive
- * @param warmUpUs a worker warms up for this long after its process started, microseconds
+ * @param progressIntervalUs interval at which workers report the progress of running jobs,
+ *     microseconds; 0 if they do not
+ * @param unresponsiveAfterUs a worker with running jobs is unresponsive after no activity for this
+ *     long, microseconds
+ * @param reportMaxAgeUs maximum age of a load report that is used, microseconds
+ * @param slowFromFactor a worker becomes slow when its jobs run this many times as long as on other
+ *     workers
+ * @param slowUntilFactor a slow worker stays slow while the factor is at least this
+ * @param worseAfterUs delay until a worse condition takes effect, microseconds
+ * @param betterAfterUs delay until a better condition, or OVERLOADED, takes effect, microseconds
+ * @param maxConnectFailures a worker is unresponsive after this many failed connections in a row
+ * @param warmUpUs how long a worker is warming up after its process started, microseconds
  */
 public record HealthThresholds(
         long progressIntervalUs,
@@ -30,7 +31,7 @@
 
     private static final long US_PER_S = 1_000_000;
 
-    /** Where workers report no progress. */
+    /** Used if workers do not report progress. */
     private static final long DEFAULT_UNRESPONSIVE_AFTER_US = 10 * US_PER_S;
 
     private static final long DEFAULT_REPORT_MAX_AGE_US = 5 * US_PER_S;
@@ -41,10 +42,12 @@
     private static final int DEFAULT_MAX_CONNECT_FAILURES = 3;
 
     /**
-     * The default limits: 5 s for the age of reports, slow from a factor of 2.2 to one of 1.5,
-     * worse after 0.5 s, better after 2 s, 3 failed connections. A worker that reports progress is
-     * unresponsive after 2.2 intervals and 0.5 s, so that a report may be late by one interval on a
-     * loaded machine; one that does not, after 10 s.
+     * Returns the default thresholds: reports count up to an age of 5 s, a worker becomes slow from
+     * a factor of 2.2 and stays slow down to 1.5, a worse condition takes effect after 0.5 s and a
+     * better one after 2 s, and 3 failed connections make a worker unresponsive. A worker that
+     * reports progress is unresponsive after 2.2 report intervals plus 0.5 s, so that a report may
+     * be late by one interval on a loaded machine. A worker that does not report progress is
+     * unresponsive after 10 s.
      */
     public static HealthThresholds defaults(long progressIntervalUs, long warmUpUs) {
         return new HealthThresholds(
--- a/src/main/java/cresschute/health/HealthTracker.java
+++ b/src/main/java/cresschute/health/HealthTracker.java
@@ -11,21 +11,21 @@
 import org.HdrHistogram.IntCountsHistogram;
 
 /**
- * Observes the health of workers and request classes: it is notified of listings, attempts, load
- * reports and requests, and derives each worker's {@link WorkerCondition} with its reason, rates
- * and latencies. It only describes; dispatching decisions are made elsewhere.
+ * Tracks the health of workers and request classes. From listings, attempts, load reports and
+ * requests it derives each worker's {@link WorkerCondition} with its reason, rates and latencies.
+ * It only describes health and makes no dispatching decisions.
  *
- * <p>Life cycle: created with the request classes; workers are added by {@link #workerListed} or
- * {@link #attemptSent} and dropped by {@link #evaluate} some time after they were removed from the
- * endpoint list.
+ * <p>Life cycle: created with the request classes. {@link #workerListed} and {@link #attemptSent}
+ * add workers; {@link #evaluate} drops a worker ten minutes after it was removed from the endpoint
+ * list, once it has no attempt in flight.
  *
- * <p>Not thread-safe: one thread, the node's event loop, makes all calls. The clock is passed in:
- * times are microseconds of a clock that never goes backwards. Memory is bounded by the workers
- * that are listed or were within the last ten minutes, about 16 kB each.
+ * <p>Not thread-safe: all calls are made on the node's event loop. The clock is passed in; times
+ * are microseconds of a monotonic clock. Memory is bounded by the number of workers that are listed
+ * or were listed in the last ten minutes, about 16 kB each.
  */
 public final class HealthTracker {
 
-    /** How long a removed worker is kept, microseconds. */
+    /** How long a removed worker is kept before it is dropped, microseconds. */
     static final long REMOVED_KEPT_US = 600_000_000L;
 
     private final HealthThresholds thresholds;
@@ -33,13 +33,13 @@
     private final List<ClassHealth> classes = new ArrayList<>();
     private final Map<Integer, WorkerHealth> workers = new LinkedHashMap<>();
 
-    /** Reused for every percentile. */
+    /** Scratch histogram, reused for every computation of percentiles. */
     private final IntCountsHistogram scratch = new IntCountsHistogram(1);
 
     /**
-     * Creates a tracker that knows no worker.
+     * Creates a tracker without workers.
      *
-     * @param objectives one for each request class, in the order of their numbers
+     * @param objectives the objective of each request class, in the order of the class numbers
      */
     public HealthTracker(HealthThresholds thresholds, List<LatencyObjective> objectives) {
         this.thresholds = thresholds;
@@ -49,7 +49,10 @@
 
     // ---- Events ----
 
-    /** The endpoint list or an operator states something about a worker, perhaps again. */
+    /**
+     * Updates what the endpoint list and the operators state about a worker; repeating it has no
+     * effect.
+     */
     public void workerListed(long nowUs, int worker, WorkerListing listing) {
         final WorkerHealth known = workers.get(worker);
         if (known != null) {
@@ -60,9 +63,9 @@
     }
 
     /**
-     * An attempt was sent to a worker.
+     * Tracks an attempt that was sent to a worker; adds the worker if it is unknown.
      *
-     * @return the attempt, to be notified of its progress and its end
+     * @return the tracked attempt, which the caller notifies of progress and of its end
      */
     public TrackedAttempt attemptSent(long nowUs, int worker, int requestClass) {
         final WorkerHealth target =
@@ -76,7 +79,7 @@
         return attempt;
     }
 
-    /** A worker answered a load query; one that is not known is ignored. */
+    /** Records a worker's answer to a load query; ignored for an unknown worker. */
     public void loadReported(long nowUs, int worker, LoadReport report) {
         final WorkerHealth known = workers.get(worker);
         if (known != null) {
@@ -84,17 +87,17 @@
         }
     }
 
-    /** A request arrived. */
+    /** Counts an arrived request. */
     public void requestArrived(long nowUs, int requestClass) {
         classes.get(requestClass).requestArrived(nowUs);
     }
 
     /**
-     * A request was answered, or its client left. Called for every request, hence without an object
-     * for the parameters.
+     * Records that a request was answered or that its client left. Called for every request, so the
+     * parameters are not wrapped in an object.
      *
-     * @param attempts attempts that were sent for it
-     * @param latencyUs time since it arrived, microseconds
+     * @param attempts number of attempts sent for the request
+     * @param latencyUs time since the request arrived, microseconds
      * @param runTimeUs running time of the job that served it, microseconds; ignored for other
      *     results
      */
@@ -111,8 +114,8 @@
     // ---- Conditions ----
 
     /**
-     * Assesses all workers anew and drops those removed long ago; to be called a few times a
-     * second.
+     * Reassesses all workers and drops removed ones after {@link #REMOVED_KEPT_US}. Call a few
+     * times a second.
      *
      * @return the changes of conditions since the last call
      */
@@ -141,31 +144,31 @@
 
     // ---- Queries ----
 
-    /** Numbers of the known workers, in the order they became known. */
+    /** Returns the numbers of the known workers, in the order in which they were added. */
     public List<Integer> workers() {
         return List.copyOf(workers.keySet());
     }
 
-    /** Attempts in flight at a worker; 0 where it is not known. */
+    /** Returns the number of attempts in flight at a worker; 0 if the worker is unknown. */
     public int inFlight(int worker) {
         final WorkerHealth known = workers.get(worker);
         return known == null ? 0 : known.attempts().size();
     }
 
-    /** The health of a worker; empty where it is not known. */
+    /** Returns the health of a worker; empty if the worker is unknown. */
     public Optional<WorkerHealthSnapshot> worker(long nowUs, int worker) {
         return Optional.ofNullable(workers.get(worker))
                 .map(known -> known.snapshot(nowUs, scratch));
     }
 
-    /** The health of a request class. */
+    /** Returns the health of a request class. */
     public ClassHealthSnapshot requestClass(long nowUs, int requestClass) {
         return classes.get(requestClass).snapshot(nowUs, scratch);
     }
 
     /**
-     * Of the requests answered in the last minute, the fraction that met their latency objective,
-     * weighted by the priority of their classes; empty where none was answered.
+     * Returns the fraction of the requests answered in the last minute that met their latency
+     * objective, weighted by the priority weight of their classes; empty if none was answered.
      */
     public OptionalDouble weightedServedFraction(long nowUs) {
         double withinObjective = 0;
--- a/src/main/java/cresschute/health/LatencyPercentiles.java
+++ b/src/main/java/cresschute/health/LatencyPercentiles.java
@@ -8,6 +8,6 @@
  */
 public record LatencyPercentiles(long p50Ms, long p99Ms) {
 
-    /** No job was served; console rows show it as -1. */
+    /** Used if no job was served; console rows show both values as -1. */
     public static final LatencyPercentiles NONE = new LatencyPercentiles(-1, -1);
 }
--- a/src/main/java/cresschute/health/LatencyWindow.java
+++ b/src/main/java/cresschute/health/LatencyWindow.java
@@ -4,10 +4,11 @@
 import org.HdrHistogram.IntCountsHistogram;
 
 /**
- * Latencies in a sliding window: one histogram for each slice of time, which is reset and reused
- * once its slice has left the window. Values are stored in milliseconds with one significant digit,
- * so that a percentile is off by a sixteenth at most; values above an hour count as an hour. A
- * histogram grows with its largest value, to about 1 KiB at an hour. Used by one thread.
+ * Latencies in a sliding window, with one histogram for each time slice. A histogram is reset and
+ * reused once its slice has left the window. Values are stored in milliseconds with one significant
+ * digit, so a percentile has a relative error of at most 1/16. Values above an hour are recorded as
+ * an hour. A histogram grows with its largest value, up to about 1 KiB for one hour. Not
+ * thread-safe.
  */
 final class LatencyWindow {
 
@@ -19,7 +20,7 @@
     /** Created on first use: most workers serve few jobs. */
     private final IntCountsHistogram[] histograms;
 
-    /** Number of the slice that each histogram holds, counted from time 0. */
+    /** Slice number of each histogram, counted from time 0. */
     private final long[] sliceNumbers;
 
     /**
@@ -47,7 +48,7 @@
         histograms[index].recordValue(Math.min(MAX_MS, Math.max(0, latencyUs / US_PER_MS)));
     }
 
-    /** Adds all values in the window, in milliseconds, to the caller's histogram. */
+    /** Adds all values in the window, in milliseconds, to a histogram. */
     void addTo(AbstractHistogram sum, long nowUs) {
         final long oldestSlice = nowUs / sliceUs - histograms.length + 1;
         for (int i = 0; i < histograms.length; i++) {
@@ -60,7 +61,7 @@
     }
 
     /**
-     * Percentiles over the window.
+     * Returns the percentiles of the values in the window.
      *
      * @param scratch a histogram that is overwritten
      */
--- a/src/main/java/cresschute/health/RequestResult.java
+++ b/src/main/java/cresschute/health/RequestResult.java
@@ -2,12 +2,12 @@
 
 /** How a request ended. */
 public enum RequestResult {
-    /** A worker served it. */
+    /** A worker served the request. */
     SERVED,
-    /** The dispatcher rejected it. */
+    /** The dispatcher rejected the request. */
     REJECTED,
-    /** It was accepted but no worker served it. */
+    /** The request was accepted but no worker served it. */
     FAILED,
-    /** Its client closed the connection before an answer. */
+    /** The client closed the connection before the request was answered. */
     CLIENT_LEFT
 }
--- a/src/main/java/cresschute/health/RollingCounts.java
+++ b/src/main/java/cresschute/health/RollingCounts.java
@@ -5,7 +5,7 @@
 /**
  * Counts events in a sliding window that is divided into slices of equal length. The window ends
  * with the current slice, so it covers the last {@code slices - 1} slices and the elapsed part of
- * the current one. Used by one thread.
+ * the current one. Not thread-safe.
  */
 final class RollingCounts {
 
@@ -26,19 +26,19 @@
         counts = new double[slices];
     }
 
-    /** Adds to the current slice. */
+    /** Adds an amount to the current slice. */
     void add(long nowUs, double amount) {
         advance(nowUs);
         counts[(int) (newestSlice % counts.length)] += amount;
     }
 
-    /** Sum over the window. */
+    /** Returns the sum over the window. */
     double sum(long nowUs) {
         advance(nowUs);
         return Arrays.stream(counts).sum();
     }
 
-    /** Counts of all slices, the oldest first; the last one is that of the current slice. */
+    /** Returns the counts of all slices, oldest first; the last one is the current slice. */
     int[] perSlice(long nowUs) {
         advance(nowUs);
         final int[] perSlice = new int[counts.length];
--- a/src/main/java/cresschute/health/SlownessEstimator.java
+++ b/src/main/java/cresschute/health/SlownessEstimator.java
@@ -1,10 +1,11 @@
 package cresschute.health;
 
 /**
- * Estimates how many times as long as elsewhere a worker's jobs run: an exponentially weighted mean
- * of the logarithms of the ratio of a job's running time to the median of its class. Logarithms,
- * because running times spread by factors and one heavy job must not outweigh many usual ones. The
- * first samples have equal weights. Used by one thread.
+ * Estimates how slow a worker is: the factor by which its jobs run longer than on all workers. The
+ * estimate is an exponentially weighted mean of the logarithms of the ratio of a job's running time
+ * to the median of its class. It uses logarithms because running times vary by factors and one
+ * heavy job must not outweigh many usual ones. The first samples have equal weights. Not
+ * thread-safe.
  */
 final class SlownessEstimator {
 
@@ -17,8 +18,8 @@
     /**
      * Adds a served job.
      *
-     * @param runTimeUs how long it ran, microseconds
-     * @param medianUs the median of its class on all workers, microseconds, above 0
+     * @param runTimeUs running time of the job, microseconds
+     * @param medianUs median running time of its class on all workers, microseconds, above 0
      */
     void add(long runTimeUs, long medianUs) {
         meanLogRatio +=
@@ -27,17 +28,22 @@
         samples++;
     }
 
-    /** Whether enough jobs were served for an estimate, and it is at least {@code factor}. */
+    /**
+     * Returns whether enough jobs were served for an estimate and the estimate is at least {@code
+     * factor}.
+     */
     boolean isAtLeast(double factor) {
         return samples >= MIN_SAMPLES && factor() >= factor;
     }
 
-    /** The estimate: 1 where jobs run as long as elsewhere, 2 where they run twice as long. */
+    /**
+     * Returns the estimate: 1 if jobs run as long as on other workers, 2 if they run twice as long.
+     */
     double factor() {
         return Math.exp(meanLogRatio);
     }
 
-    /** Forgets everything, as for a new process. */
+    /** Discards all samples, for example when the worker's process was restarted. */
     void reset() {
         samples = 0;
         meanLogRatio = 0;
--- a/src/main/java/cresschute/health/TrackedAttempt.java
+++ b/src/main/java/cresschute/health/TrackedAttempt.java
@@ -5,11 +5,11 @@
 
 /**
  * An attempt in flight, from {@link HealthTracker#attemptSent} until {@link #ended}. Used on the
- * tracker's thread.
+ * thread of the tracker.
  */
 public final class TrackedAttempt {
 
-    /** A running job this many times as old as the median of its class is held up. */
+    /** A job is delayed if it has run for more than this multiple of the median of its class. */
     private static final double DELAYED_FACTOR = 3;
 
     private static final long NOT_STARTED = 0;
@@ -19,23 +19,27 @@
     private final long sentUs;
     private long startedUs = NOT_STARTED;
 
-    /** Creates an attempt that was sent at this time, microseconds. */
+    /**
+     * Creates an attempt.
+     *
+     * @param sentUs when the attempt was sent, microseconds
+     */
     TrackedAttempt(WorkerHealth worker, ClassHealth requestClass, long sentUs) {
         this.worker = worker;
         this.requestClass = requestClass;
         this.sentUs = sentUs;
     }
 
-    /** The worker reported that the job started, or its progress. */
+    /** Records that the worker reported the start or the progress of the job. */
     public void progressReported(long nowUs) {
         startedUs = startedUs == NOT_STARTED ? nowUs : startedUs;
         worker.activityObserved(nowUs);
     }
 
     /**
-     * The attempt ended; called once.
+     * Records the end of the attempt; called once.
      *
-     * @param report the load that the worker stated with its response, or {@link LoadReport#NONE}
+     * @param report the load report in the worker's response, or {@link LoadReport#NONE}
      */
     public void ended(long nowUs, Outcome outcome, LoadReport report) {
         worker.attemptEnded(nowUs, this, outcome);
@@ -50,34 +54,37 @@
     }
 
     /**
-     * How long the job has run, microseconds: since it started, or since it was sent where no start
-     * was reported.
+     * Returns the running time of the job in microseconds: since its start, or since it was sent if
+     * no start was reported.
      */
     public long runTimeUs(long nowUs) {
         return nowUs - (isStarted() ? startedUs : sentUs);
     }
 
-    /** The class of its request. */
+    /** Returns the class of the request. */
     ClassHealth requestClass() {
         return requestClass;
     }
 
-    /** When it was sent, microseconds. */
+    /** Returns when the attempt was sent, microseconds. */
     long sentUs() {
         return sentUs;
     }
 
-    /** Whether the worker reported that the job started. */
+    /** Returns whether the worker reported that the job started. */
     boolean isStarted() {
         return startedUs != NOT_STARTED;
     }
 
-    /** Whether the job runs and its class has a median to compare it with. */
+    /** Returns whether the job is running and its class has a median to compare it with. */
     boolean isComparable() {
         return isStarted() && requestClass.hasMedian();
     }
 
-    /** Whether the job runs much longer than the median of its class; only if comparable. */
+    /**
+     * Returns whether the job has run much longer than the median of its class; valid only if
+     * {@link #isComparable}.
+     */
     boolean isDelayed(long nowUs) {
         return nowUs - startedUs > DELAYED_FACTOR * requestClass.medianRunTimeUs();
     }
--- a/src/main/java/cresschute/health/WorkerHealth.java
+++ b/src/main/java/cresschute/health/WorkerHealth.java
@@ -9,8 +9,8 @@
 import org.HdrHistogram.AbstractHistogram;
 
 /**
- * What is known of one worker: its listing, the attempts in flight, the last sign of life, counts
- * and latencies, and the condition that follows from them. Owned by {@link HealthTracker}; same
+ * The health of one worker: its listing, the attempts in flight, the last activity, counts and
+ * latencies, and the condition derived from them. Owned by {@link HealthTracker} and used on its
  * thread. Times are microseconds of the tracker's clock.
  */
 final class WorkerHealth {
@@ -24,7 +24,7 @@
     private static final long TEN_MINUTES_SLICE_US = 120 * US_PER_S;
     private static final int TEN_MINUTES_SLICES = 5;
 
-    /** A time so long ago that every limit has passed, and differences do not overflow. */
+    /** A time before every limit; halved so that differences to it do not overflow. */
     private static final long NEVER = Long.MIN_VALUE / 2;
 
     private final List<TrackedAttempt> attempts = new ArrayList<>();
@@ -44,10 +44,10 @@
     private long lastConnectFailureUs;
 
     /**
-     * A worker without attempts or condition.
+     * Creates a worker without attempts or a condition.
      *
      * @param classes number of request classes
-     * @param lastActivityUs when there was a sign of it
+     * @param lastActivityUs when the worker last showed activity
      */
     WorkerHealth(int classes, WorkerListing listing, long lastActivityUs) {
         this.inFlightByClass = new int[classes];
@@ -57,33 +57,34 @@
 
     // ---- Events ----
 
-    /** The endpoint list or an operator states something about it, perhaps again. */
+    /** Updates what the endpoint list and the operators state about the worker. */
     void listed(WorkerListing next) {
         if (next.processStartUs() != listing.processStartUs()) {
-            // Another process: neither speed nor connections of the old one say anything of it.
+            // The worker was restarted: the speed and the failed connections of the old process do
+            // not apply.
             slowness.reset();
             connectFailures = 0;
         }
         listing = next;
     }
 
-    /** An attempt was sent to it. */
+    /** Adds an attempt that was sent to the worker. */
     void attemptStarted(long nowUs, TrackedAttempt attempt) {
         if (attempts.isEmpty()) {
-            // It had no job to report about until now.
+            // Without a job the worker had nothing to report until now.
             lastActivityUs = Math.max(lastActivityUs, nowUs);
         }
         attempts.add(attempt);
         inFlightByClass[attempt.requestClass().number()]++;
     }
 
-    /** It reported something about a job. */
+    /** Records that the worker reported or answered something. */
     void activityObserved(long nowUs) {
         lastActivityUs = nowUs;
         connectFailures = 0;
     }
 
-    /** An attempt at it ended in some way. */
+    /** Removes an attempt that has ended. */
     void attemptEnded(long nowUs, TrackedAttempt attempt, Outcome outcome) {
         attempts.remove(attempt);
         inFlightByClass[attempt.requestClass().number()]--;
@@ -100,7 +101,7 @@
         }
     }
 
-    /** It served an attempt that has just ended. */
+    /** Records that the worker served an attempt that has just ended. */
     void served(long nowUs, TrackedAttempt attempt) {
         served.add(nowUs, 1);
         lastMinute.add(nowUs, nowUs - attempt.sentUs());
@@ -110,90 +111,95 @@
         }
     }
 
-    /** It did not serve an attempt that has just ended. */
+    /** Records that the worker did not serve an attempt that has just ended. */
     void notServed(long nowUs, Outcome outcome) {
         failed.add(nowUs, outcome == Outcome.NOT_SENT ? 0 : 1);
     }
 
-    /** A load report came, perhaps one without a load. */
+    /** Records a load report, which may contain no load. */
     void loadReported(long nowUs, LoadReport report) {
         load = load.updatedBy(nowUs, report);
     }
 
-    /** Assesses it anew. */
+    /** Reassesses the condition of the worker. */
     void evaluate(long nowUs, ConditionRules rules, HealthThresholds thresholds) {
         condition.update(nowUs, rules.assess(nowUs, this), thresholds);
     }
 
-    // ---- What the rules and the tracker ask ----
+    // ---- Queries ----
 
-    /** The condition in force. */
+    /** Returns the tracker of the condition in force. */
     ConditionTracker condition() {
         return condition;
     }
 
-    /** Whether the endpoint list no longer contains it. */
+    /** Returns whether the endpoint list no longer contains the worker. */
     boolean isRemoved() {
         return listing.state() == WorkerState.GONE;
     }
 
-    /** Whether an operator drains it. */
+    /** Returns whether an operator drains the worker. */
     boolean isDrainedByOperator() {
         return listing.drainedByOperator();
     }
 
-    /** Whether an operator or the endpoint list drains it. */
+    /** Returns whether an operator or the endpoint list drains the worker. */
     boolean isDraining() {
         return isDrainedByOperator() || listing.state() == WorkerState.DRAINING;
     }
 
-    /** Whether its process is known to have started less than {@code spanUs} ago. */
+    /**
+     * Returns whether the worker's process is known to have started less than {@code spanUs} ago.
+     */
     boolean isStartedWithin(long nowUs, long spanUs) {
         return listing.processStartUs() > 0 && nowUs - listing.processStartUs() < spanUs;
     }
 
-    /** Attempts in flight at it, in the order they were sent. */
+    /** Returns the attempts in flight at the worker, in the order in which they were sent. */
     List<TrackedAttempt> attempts() {
         return Collections.unmodifiableList(attempts);
     }
 
-    /** Whether no attempt is in flight at it. */
+    /** Returns whether no attempt is in flight at the worker. */
     boolean isIdle() {
         return attempts.isEmpty();
     }
 
-    /** When it last reported or answered something, or was sent its first job. */
+    /**
+     * Returns when the worker last reported or answered something, or was sent a job while it had
+     * none.
+     */
     long lastActivityUs() {
         return lastActivityUs;
     }
 
-    /** Failed connections since the last sign. */
+    /** Returns the number of failed connections since the last activity. */
     int connectFailures() {
         return connectFailures;
     }
 
-    /** When a connection last failed; only where {@link #connectFailures} is above 0. */
+    /** Returns when a connection last failed; valid only if {@link #connectFailures} is above 0. */
     long lastConnectFailureUs() {
         return lastConnectFailureUs;
     }
 
-    /** When it last rejected a job for lack of capacity; long ago where it never did. */
+    /** Returns when the worker last rejected a job for lack of capacity, or {@link #NEVER}. */
     long lastRejectionUs() {
         return lastRejectionUs;
     }
 
-    /** The load it last reported. */
+    /** Returns the load that the worker last reported. */
     ReportedLoad load() {
         return load;
     }
 
-    /** How slow its jobs are compared with other workers. */
+    /** Returns the estimate of how slow its jobs are compared with other workers. */
     SlownessEstimator slowness() {
         return slowness;
     }
 
     /**
-     * Its health now.
+     * Returns the current health of the worker.
      *
      * @param scratch a histogram that is overwritten
      */
--- a/src/main/java/cresschute/health/WorkerListing.java
+++ b/src/main/java/cresschute/health/WorkerListing.java
@@ -3,15 +3,15 @@
 import cresschute.dispatch.WorkerState;
 
 /**
- * What the endpoint list and the operators state about a worker.
+ * The state of a worker as set by the endpoint list and the operators.
  *
- * @param state its state on the endpoint list
- * @param drainedByOperator whether an operator drains it
- * @param processStartUs when its process started, microseconds; 0 where that is unknown. Another
- *     value than before means another process.
+ * @param state the worker's state in the endpoint list
+ * @param drainedByOperator whether an operator drains the worker
+ * @param processStartUs when the worker's process started, microseconds; 0 if unknown. A changed
+ *     value means that the process was restarted.
  */
 public record WorkerListing(WorkerState state, boolean drainedByOperator, long processStartUs) {
 
-    /** A worker that got a job before the endpoint list mentioned it. */
+    /** The listing of a worker that was sent a job before it appeared in the endpoint list. */
     static final WorkerListing UNLISTED = new WorkerListing(WorkerState.READY, false, 0);
 }
--- a/src/test/java/cresschute/control/DrainSnapshotTest.java
+++ b/src/test/java/cresschute/control/DrainSnapshotTest.java
@@ -40,7 +40,7 @@
             }
         }
         assertThatThrownBy(() -> DrainSnapshot.decode(Arrays.copyOf(bytes, bytes.length + 1)))
-                .hasMessageMatching("it holds [0-9]+ bytes of [0-9]+");
+                .hasMessageMatching("its body has [0-9]+ bytes; its header states [0-9]+");
     }
 
     /** An older file that was given a newer number would undo what came after it. */
@@ -52,7 +52,7 @@
                                 DrainSnapshot.decode(
                                         text.replace("generation=41", "generation=43")
                                                 .getBytes(StandardCharsets.UTF_8)))
-                .hasMessage("its checksum is not that of its content");
+                .hasMessage("its checksum does not match its generation and body");
     }
 
     /**
--- a/src/test/java/cresschute/testbed/ControlledFleetTest.java
+++ b/src/test/java/cresschute/testbed/ControlledFleetTest.java
@@ -455,7 +455,7 @@
                         () ->
                                 new Fleet(new Fleet.Plan(2, 1, 1, List.of(), file.toString(), null))
                                         .start())
-                .hasMessageContaining("is there and is no socket");
+                .hasMessageContaining("exists and is not a socket");
         assertThat(Files.exists(file)).isTrue();
     }
 }
