--- a/src/main/java/cresschute/control/ChecksummedFile.java
+++ b/src/main/java/cresschute/control/ChecksummedFile.java
@@ -79,8 +79,8 @@
     }
 
     /**
-     * Covers the generation as well: otherwise an old file with a newer generation would undo later
-     * changes.
+     * Returns the checksum of generation and body. It covers the generation because otherwise an
+     * old file with a newer generation would undo later changes.
      */
     private static String checksum(long generation, byte[] body) {
         final CRC32C crc = new CRC32C();
--- a/src/main/java/cresschute/control/files/SharedOperatorState.java
+++ b/src/main/java/cresschute/control/files/SharedOperatorState.java
@@ -247,7 +247,7 @@
             LogEvent.of(
                             "operators_state_listener_ended",
                             "the node's event loop has ended; a change of the operators' state is"
-                                + " not reported to it")
+                                    + " not reported to it")
                     .log(LOG, Level.DEBUG);
         }
     }
--- a/src/main/java/cresschute/control/files/StateFolder.java
+++ b/src/main/java/cresschute/control/files/StateFolder.java
@@ -146,7 +146,7 @@
                         LogEvent.of(
                                         "snapshot_listener_ended",
                                         "the node's event loop has ended; the result of a snapshot"
-                                            + " is not reported to it")
+                                                + " is not reported to it")
                                 .with("generation", snapshot.generation())
                                 .log(LOG, Level.DEBUG);
                     }
@@ -170,7 +170,7 @@
                             "state_folder",
                             "could not release the lock of state folder "
                                     + folder
-                                    + "; it ends with the process")
+                                    + "; the lock ends with the process")
                     .withCause(e)
                     .log(LOG, Level.WARNING);
         }
--- a/src/main/java/cresschute/health/ConditionRules.java
+++ b/src/main/java/cresschute/health/ConditionRules.java
@@ -16,9 +16,9 @@
  *   <li>HEALTHY: none of these.
  * </ol>
  *
- * <p>A rule precedes those that are meaningless or milder when it holds. Stateless; {@link
- * ConditionTracker} decides when an assessment takes effect. Reasons are shown to operators and are
- * part of console rows.
+ * <p>A rule precedes the rules that are meaningless while it holds; the remaining order is from the
+ * most to the least severe. Stateless; {@link ConditionTracker} decides when an assessment takes
+ * effect. Reasons are shown to operators and are part of console rows.
  */
 final class ConditionRules {
 
--- a/src/main/java/cresschute/health/WorkerHealth.java
+++ b/src/main/java/cresschute/health/WorkerHealth.java
@@ -24,7 +24,10 @@
     private static final long TEN_MINUTES_SLICE_US = 120 * US_PER_S;
     private static final int TEN_MINUTES_SLICES = 5;
 
-    /** A time before every limit; halved so that differences to it do not overflow. */
+    /**
+     * A time so far in the past that every limit has passed; half of the minimum, so that
+     * differences to it do not overflow.
+     */
     private static final long NEVER = Long.MIN_VALUE / 2;
 
     private final List<TrackedAttempt> attempts = new ArrayList<>();
--- a/src/test/java/cresschute/TestConsole.java
+++ b/src/test/java/cresschute/TestConsole.java
@@ -14,7 +14,10 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 
-/** A console driven by hand: writes lines, or parts of them, and reads the node's. */
+/**
+ * A console for tests: writes lines or parts of lines to the control socket and reads the node's
+ * lines.
+ */
 public final class TestConsole implements Closeable {
 
     private final SocketChannel channel;
@@ -27,7 +30,7 @@
         in = new BufferedReader(Channels.newReader(channel, StandardCharsets.UTF_8));
     }
 
-    /** Writes bytes as they are. */
+    /** Writes a text unchanged. */
     public TestConsole write(String text) throws IOException {
         final ByteBuffer bytes = ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8));
         while (bytes.hasRemaining()) {
@@ -36,15 +39,15 @@
         return this;
     }
 
-    /** The next line, or null at the end. */
+    /** Reads the next line; returns null at the end of the stream. */
     public JsonObject read() throws IOException {
         final String line = in.readLine();
         return line == null ? null : JsonParser.parseString(line).getAsJsonObject();
     }
 
     /**
-     * Sends a request with these fields and returns its answer; other lines before it are passed
-     * over.
+     * Sends a request with these fields and returns its answer; skips other lines before the
+     * answer.
      */
     public JsonObject ask(String fields) throws IOException {
         final String id = "t" + ++last;
@@ -53,17 +56,17 @@
         while (line != null && !(line.has("re") && line.get("re").getAsString().equals(id))) {
             line = read();
         }
-        assertThat(line).as("an answer to " + fields).isNotNull();
+        assertThat(line).as("answer to " + fields).isNotNull();
         return line;
     }
 
-    /** The outcome of an operation. */
+    /** Sends an operation and returns its outcome and reason. */
     public String operate(String what, String op, String worker) throws IOException {
         final JsonObject answer = ask(operation(what, op, worker));
         return answer.get("outcome").getAsString() + ": " + answer.get("why").getAsString();
     }
 
-    /** The fields of an operation on a worker, in the name of operator {@code ann}. */
+    /** Returns the fields of an operation on a worker by operator {@code ann}. */
     public static String operation(String what, String op, String worker) {
         return "\"do\":\""
                 + what
@@ -74,7 +77,7 @@
                 + "\",\"who\":\"ann\"";
     }
 
-    /** A worker's row as the node shows it now. */
+    /** Requests the rows and returns the row of a worker. */
     public JsonObject worker(String id) throws IOException {
         return ask("\"do\":\"workers\"").getAsJsonObject("rows").getAsJsonObject("w/" + id);
     }
--- a/src/test/java/cresschute/control/ControlRequestTest.java
+++ b/src/test/java/cresschute/control/ControlRequestTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Lines from consoles: what they mean, and what is wrong with them. */
+/** Tests the parsing of lines from consoles and the reasons for which they are rejected. */
 class ControlRequestTest {
 
     @ParameterizedTest
--- a/src/test/java/cresschute/control/DrainRegistryTest.java
+++ b/src/test/java/cresschute/control/DrainRegistryTest.java
@@ -16,7 +16,10 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** Operations are applied once, rejections name their reason, and drains agree with a model. */
+/**
+ * Tests that operations are applied once, that rejections state their reason, and that drains match
+ * a reference model.
+ */
 class DrainRegistryTest {
 
     private static final long S = 1_000_000;
@@ -60,7 +63,8 @@
     }
 
     /**
-     * A console that was cut off sends its operation again; meanwhile another one has undone it.
+     * Guards against a repeated drain: a console that lost its connection sends a drain again after
+     * another console has ended that drain.
      */
     @Test
     void repeatedOperationHasNoSecondEffect() {
@@ -103,7 +107,7 @@
                                         0)
                                 .result())
                 .isEqualTo(OperationResult.APPLIED);
-        // What drains already does not count as left.
+        // Drained workers do not count as remaining workers.
         assertThat(drains.apply(drain("4", "b"), FLEET, 0))
                 .isEqualTo(
                         new OperationOutcome(
@@ -125,7 +129,8 @@
     }
 
     /**
-     * One that is restarting and not on the list can be drained by force, and is when it is back.
+     * A worker that is restarting, and so not in the endpoint list, can be drained by force; the
+     * drain is in force when the worker is back.
      */
     @Test
     void rejectsUnforcedDrainOfUnknownWorker() {
@@ -168,7 +173,7 @@
         for (int i = 0; i <= DrainRegistry.MAX_COMPLETED; i++) {
             drains.apply(undo("u" + i, "a"), FLEET, 0);
         }
-        // The oldest is forgotten: under its id another operation is a new one.
+        // The oldest operation was dropped: another operation with its id is applied as a new one.
         assertThat(drains.apply(drain("u0", "a"), FLEET, 0).result())
                 .isEqualTo(OperationResult.APPLIED);
         assertThat(drains.apply(drain("u2", "b"), FLEET, 0).result())
@@ -176,9 +181,9 @@
     }
 
     /**
-     * Against a plain model, operations sent up to three times and a restart from a snapshot in
-     * between: a worker drains exactly while the model says so, and a class with a worker left
-     * never loses its last one unforced.
+     * Compares the registry with a reference model, with operations that are sent up to three times
+     * and restarts from a snapshot. A worker is drained exactly when the model says so, and an
+     * unforced drain never takes the last worker of a class.
      */
     @Property(tries = 300, seed = "81")
     void matchesReferenceModel(@ForAll Random random) {
--- a/src/test/java/cresschute/control/DrainSnapshotFormatTest.java
+++ b/src/test/java/cresschute/control/DrainSnapshotFormatTest.java
@@ -9,9 +9,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Files that an earlier version left on disks: each is read with its full meaning and written again
- * byte by byte. The literals are what that version wrote; they are never adapted to a renaming in
- * the code.
+ * Guards the stored file formats across upgrades: a file of an earlier version is read completely
+ * and written again byte by byte. The literals are files that the earlier version wrote; do not
+ * adapt them when names in the code change.
  */
 class DrainSnapshotFormatTest {
 
@@ -183,7 +183,7 @@
         assertOperatorsState(BANNED_AND_DRAINED, 9, Set.of("w1", "w2"), true);
     }
 
-    /** The calls of operators lead to these very files. */
+    /** Management calls produce exactly the stored files above. */
     @Test
     void managementCallsKeepTheStoredFormat() throws Exception {
         OperatorState state = OperatorState.NONE.withGeneration(6);
--- a/src/test/java/cresschute/control/DrainSnapshotTest.java
+++ b/src/test/java/cresschute/control/DrainSnapshotTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A snapshot is read as it was written, and anything else is rejected. */
+/** Tests that a snapshot is read as written and that a torn or changed one is rejected. */
 class DrainSnapshotTest {
 
     private static DrainSnapshot some() {
@@ -43,7 +43,10 @@
                 .hasMessageMatching("its body has [0-9]+ bytes; its header states [0-9]+");
     }
 
-    /** An older file that was given a newer number would undo what came after it. */
+    /**
+     * Guards against an old file whose generation was changed to a newer one: it would undo later
+     * changes.
+     */
     @Test
     void checksumCoversTheGeneration() {
         final String text = new String(some().encode(), StandardCharsets.UTF_8);
@@ -56,8 +59,8 @@
     }
 
     /**
-     * Operations are stored too: an undo that is sent again after a restart must not undo a later
-     * drain.
+     * Guards against lost operations: an undrain that is sent again after a restart must not end a
+     * later drain.
      */
     @Test
     void restartKeepsCompletedOperations() throws Exception {
--- a/src/test/java/cresschute/control/VersionedTableTest.java
+++ b/src/test/java/cresschute/control/VersionedTableTest.java
@@ -10,7 +10,9 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** The deltas that a reader applies add up to the table, however rarely it reads. */
+/**
+ * Tests that a reader that applies the deltas has the rows of the table, however rarely it reads.
+ */
 class VersionedTableTest {
 
     private static void apply(Map<String, String> rows, TableDelta delta) {
@@ -79,7 +81,10 @@
         assertThat(table.since(before + 1).isComplete()).isFalse();
     }
 
-    /** A version that this table never had is of another run of the node. */
+    /**
+     * A version that the table has not reached, or a negative one, belongs to another incarnation
+     * of the node or is invalid.
+     */
     @Test
     void unknownVersionGetsAllRows() {
         final VersionedTable table = new VersionedTable();
--- a/src/test/java/cresschute/control/files/SharedOperatorStateFormatTest.java
+++ b/src/test/java/cresschute/control/files/SharedOperatorStateFormatTest.java
@@ -18,8 +18,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Folders that an earlier version left: the names of the files, a torn file beside a complete one,
- * and the bytes that are written next. The literals are what that version wrote.
+ * Guards the stored format of drains and operators' state across upgrades: file names, a torn file
+ * next to a complete one, and the bytes written next. The literals are files that an earlier
+ * version wrote.
  */
 @Timeout(30)
 class SharedOperatorStateFormatTest {
@@ -149,7 +150,10 @@
                         """);
     }
 
-    /** It counts as no state, is put aside, and the next change starts anew. */
+    /**
+     * A torn file counts as no state and is quarantined; the next change starts from an empty
+     * state.
+     */
     @Test
     void quarantinesTornState() throws Exception {
         write(OPERATORS_FILE, torn(BANNED));
--- a/src/test/java/cresschute/control/files/SharedOperatorStateTest.java
+++ b/src/test/java/cresschute/control/files/SharedOperatorStateTest.java
@@ -15,7 +15,9 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Two processes of an upgrade on one folder, here two instances. */
+/**
+ * Tests a folder shared by the two processes of an upgrade; two instances stand for the processes.
+ */
 @Timeout(30)
 class SharedOperatorStateTest {
 
@@ -23,7 +25,7 @@
 
     private final BlockingQueue<OperatorState> found = new LinkedBlockingQueue<>();
 
-    /** The end of one change: the state as written, or the failure. */
+    /** The result of one change: the written state or the failure. */
     private static final class ChangeEnd implements SharedStateListener.ChangeListener {
         private final CompletableFuture<OperatorState> end = new CompletableFuture<>();
 
@@ -58,7 +60,7 @@
             assertThat(first.banned()).containsExactly("w1");
             assertThat(second.banned()).containsExactly("w1", "w2");
             assertThat(second.generation()).isGreaterThan(first.generation());
-            // The first process finds what the second wrote.
+            // The first instance polls the state that the second one wrote.
             OperatorState newest = found.poll(8, TimeUnit.SECONDS);
             while (!newest.equals(second)) {
                 newest = found.poll(8, TimeUnit.SECONDS);
@@ -70,7 +72,7 @@
     @Test
     void reportsChangeThatCannotBeWritten() throws Exception {
         try (SharedOperatorState shared = open()) {
-            // A folder in the way of the file that is written aside: also root cannot write there.
+            // A folder in place of the temporary file makes the write fail, even for root.
             Files.createDirectory(folder.resolve("cresschute-operators.new"));
             assertThat(ChangeEnd.of(shared, "drain").end)
                     .failsWithin(8, TimeUnit.SECONDS)
--- a/src/test/java/cresschute/control/files/StateFolderTest.java
+++ b/src/test/java/cresschute/control/files/StateFolderTest.java
@@ -17,7 +17,9 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Two generations of snapshots on a disk that loses, tears and flips what it was given. */
+/**
+ * Tests that the newest complete snapshot is loaded when files are torn, damaged or not writable.
+ */
 @Timeout(30)
 class StateFolderTest {
 
@@ -36,7 +38,7 @@
                 List.of());
     }
 
-    /** The failure of the store, or null where the snapshot was stored. */
+    /** Stores a snapshot; returns the failure, or null if the snapshot was stored. */
     static NotDurableException store(StateFolder state, DrainSnapshot snapshot) {
         final CompletableFuture<NotDurableException> ended = new CompletableFuture<>();
         state.store(
@@ -86,12 +88,14 @@
         final byte[] bytes = Files.readAllBytes(newest);
         Files.write(newest, Arrays.copyOf(bytes, bytes.length / 2));
         assertThat(load()).isEqualTo(snapshot(4));
-        // It is put aside, so that nothing is lost when its place is written again.
+        // The damaged file is quarantined, so that the next snapshot does not overwrite it.
         assertThat(Files.exists(newest)).isFalse();
         assertThat(Files.size(folder().resolve("drains.1.refused"))).isEqualTo(bytes.length / 2);
     }
 
-    /** A process that died while it wrote aside: what was confirmed before stands. */
+    /**
+     * A process that died while writing the temporary file leaves the confirmed snapshots intact.
+     */
     @Test
     void ignoresPartiallyWrittenTemporaryFile() throws IOException {
         storeUpTo(2);
@@ -122,11 +126,11 @@
         assertThat(load()).isEqualTo(snapshot(1));
     }
 
-    /** What cannot be written is reported, and the generations before it stay. */
+    /** A failed write is reported and keeps the earlier snapshots. */
     @Test
     void reportsFailedWriteAndKeepsEarlierSnapshots() throws IOException {
         storeUpTo(2);
-        // A folder in the way of the file that is written aside: also root cannot write there.
+        // A folder in place of the temporary file makes the write fail, even for root.
         Files.createDirectory(folder().resolve("drains.new"));
         try (StateFolder state = StateFolder.open(folder())) {
             final NotDurableException failure = store(state, snapshot(3));
--- a/src/test/java/cresschute/control/socket/ControlProtocolFormatTest.java
+++ b/src/test/java/cresschute/control/socket/ControlProtocolFormatTest.java
@@ -28,9 +28,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The lines of the control socket as an earlier version wrote them, both ways: consoles and nodes
- * of different versions understand each other. The literals are never adapted to a renaming in the
- * code.
+ * Guards the format of the control protocol in both directions, so that consoles and nodes of
+ * different versions understand each other. The literals are the lines that an earlier version
+ * wrote; do not adapt them when names in the code change.
  */
 @Timeout(30)
 class ControlProtocolFormatTest {
@@ -77,7 +77,7 @@
 
         @Override
         public void refresh() {
-            // The rows do not change by themselves.
+            // The test changes the rows itself.
         }
 
         @Override
@@ -89,7 +89,7 @@
 
         @Override
         public void audit(long session, ControlRequest request) {
-            // Nobody reads the log.
+            // The log is not tested here.
         }
     }
 
@@ -117,7 +117,7 @@
         }
     }
 
-    // ---- What consoles write ----
+    // ---- Requests ----
 
     @Test
     void consoleRequestsKeepTheirFormat() {
@@ -176,7 +176,7 @@
                                         false)));
     }
 
-    // ---- What nodes answer ----
+    // ---- Answers and updates ----
 
     @Test
     void rowAnswersKeepTheirFormat() throws Exception {
@@ -205,7 +205,7 @@
                             + " node is stopping\"}]}");
     }
 
-    /** Updates carry no {@code re}; all else is as in an answer. */
+    /** Updates have no {@code re}; their other fields are those of an answer. */
     @Test
     void updatesKeepTheirFormat() throws Exception {
         try (TestConsole peer = new TestConsole(socket)) {
--- a/src/test/java/cresschute/control/socket/ControlServerTest.java
+++ b/src/test/java/cresschute/control/socket/ControlServerTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The control socket by itself, with a handler whose one row is large. */
+/** Tests the backpressure of the control server with a handler whose only row is large. */
 @Timeout(30)
 class ControlServerTest {
 
@@ -58,7 +58,7 @@
 
         @Override
         public void refresh() {
-            // Its one row does not change by itself.
+            // The test changes the row itself.
         }
 
         @Override
@@ -87,8 +87,8 @@
     }
 
     /**
-     * A few hundred requests in one packet, none of whose answers is read, do not make the node
-     * hold every answer.
+     * Guards against unbounded memory: a console sends hundreds of requests in one write and reads
+     * no answer.
      */
     @Test
     void stopsReadingRequestsWhileAnswersAreUnread() throws Exception {
@@ -100,13 +100,13 @@
             }
             peer.write(all.toString());
             Awaitility.await().until(() -> requestsRead.get() >= 2);
-            // Another console is served meanwhile, after which the loop has been through all there
-            // was.
+            // Another console is served meanwhile. After its second answer the loop has processed
+            // everything that was readable before.
             try (TestConsole other = new TestConsole(socket)) {
                 other.ask("\"do\":\"events\"");
                 other.ask("\"do\":\"events\"");
             }
-            // What fits below the mark and in the kernel's buffers, and no more.
+            // Only the answers that fit below the high water mark and into the kernel's buffers.
             assertThat(requestsRead.get()).isLessThan(12);
             for (int i = 0; i < requests; i++) {
                 assertThat(peer.read().get("re").getAsString()).isEqualTo(String.valueOf(i));
@@ -116,8 +116,8 @@
     }
 
     /**
-     * Changes wait in the table and in no queue: a console that reads again gets the newest text of
-     * each row, once.
+     * Guards against a queue of updates per console: pending changes stay in the table, and a
+     * console that resumes reading gets only the newest text of each row.
      */
     @Test
     void consoleThatResumesReadingGetsOnlyTheNewestRows() throws Exception {
@@ -154,7 +154,7 @@
         }
     }
 
-    /** A console that has stopped reading is closed after the stall timeout. */
+    /** A console that stops reading is closed after the stall timeout. */
     @Test
     void closesConsoleThatStopsReading() throws Exception {
         try (TestConsole peer = new TestConsole(socket)) {
--- a/src/test/java/cresschute/health/ConditionRulesTest.java
+++ b/src/test/java/cresschute/health/ConditionRulesTest.java
@@ -7,7 +7,7 @@
 import cresschute.dispatch.WorkerState;
 import org.junit.jupiter.api.Test;
 
-/** The order of the rules: the first one that holds decides. */
+/** Tests the order of the rules: the first rule that holds decides. */
 class ConditionRulesTest {
 
     private static final long S = 1_000_000;
--- a/src/test/java/cresschute/health/ConditionTrackerTest.java
+++ b/src/test/java/cresschute/health/ConditionTrackerTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** When an assessment comes into force. */
+/** Tests when an assessment takes effect. */
 class ConditionTrackerTest {
 
     private static final long MS = 1_000;
--- a/src/test/java/cresschute/health/HealthTrackerTest.java
+++ b/src/test/java/cresschute/health/HealthTrackerTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Every condition, how it ends, and that no condition changes to and fro. */
+/** Tests how each condition begins and ends, and that conditions do not flap. */
 class HealthTrackerTest {
 
     private static final long MS = 1_000;
@@ -66,7 +66,7 @@
         return snapshot(worker).condition();
     }
 
-    /** Gives the class a median running time of 200 ms, to be slow against. */
+    /** Gives the class a median running time of 200 ms, the reference for slowness. */
     private void serveAtUsualSpeed() {
         for (int i = 0; i < 40; i++) {
             serve(i % 4, 200 * MS);
@@ -87,14 +87,14 @@
         assertThat(snapshot(1).reason()).isEqualTo("nothing heard of its 1 jobs");
         attempt.progressReported(nowUs);
         pass(S);
-        // A better condition comes into force later than a worse one does.
+        // A better condition takes effect after a longer delay than a worse one.
         assertThat(condition(1)).isEqualTo(WorkerCondition.UNRESPONSIVE);
         attempt.progressReported(nowUs);
         pass(2 * S);
         assertThat(changes).containsExactly("1:silent", "1:taking");
     }
 
-    /** Jobs of other dispatchers may be before them in the queue. */
+    /** Jobs of other dispatchers may be ahead in the worker's queue. */
     @Test
     void queuedJobsHaveALongerInactivityLimit() {
         final TrackedAttempt attempt = tracker.attemptSent(nowUs, 1, 0);
@@ -103,7 +103,7 @@
         pass(2 * S);
         assertThat(condition(1)).isEqualTo(WorkerCondition.UNRESPONSIVE);
         attempt.ended(nowUs, Outcome.TIMED_OUT, LoadReport.NONE);
-        // A time-out is no sign of the worker; without attempts it stays unresponsive for a while.
+        // A time-out is not activity; without attempts the worker stays unresponsive for a while.
         pass(5 * S);
         assertThat(condition(1)).isEqualTo(WorkerCondition.UNRESPONSIVE);
         pass(30 * S);
@@ -144,7 +144,7 @@
         assertThat(changes).containsExactly("3:slowing", "3:taking");
     }
 
-    /** Between the two limits of slowness the condition stays what it was. */
+    /** Guards against flapping: between the two slowness factors the condition does not change. */
     @Test
     void conditionIsStableBetweenTheLimits() {
         serveAtUsualSpeed();
@@ -169,7 +169,7 @@
         heavy.ended(nowUs, Outcome.SERVED, LoadReport.NONE);
         pass(3 * S);
         assertThat(changes).isEmpty();
-        // Two of two held up are caused by the worker.
+        // Two of two running jobs are delayed, which is attributed to the worker.
         final List<TrackedAttempt> delayed = List.of(start(1), start(1));
         for (int i = 0; i < 4; i++) {
             nowUs += S;
@@ -273,7 +273,10 @@
                 .containsExactly(1, 2, 2, 1);
     }
 
-    /** A thousand workers, each with every slice of time in use, as the class comment states. */
+    /**
+     * Guards the memory bound in the comment of {@link HealthTracker}: a thousand workers, each
+     * with every time slice in use.
+     */
     @Test
     void memoryOfAThousandWorkersIsBounded() {
         final HealthTracker large =
--- a/src/test/java/cresschute/health/LatencyWindowTest.java
+++ b/src/test/java/cresschute/health/LatencyWindowTest.java
@@ -5,7 +5,7 @@
 import org.HdrHistogram.IntCountsHistogram;
 import org.junit.jupiter.api.Test;
 
-/** Latencies of a sliding window. */
+/** Tests percentiles over a sliding window. */
 class LatencyWindowTest {
 
     private static final long MS = 1_000;
--- a/src/test/java/cresschute/health/RollingCountsTest.java
+++ b/src/test/java/cresschute/health/RollingCountsTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Counts of a sliding window. */
+/** Tests counts over a sliding window. */
 class RollingCountsTest {
 
     private static final long SLICE_US = 10;
--- a/src/test/java/cresschute/health/SlownessEstimatorTest.java
+++ b/src/test/java/cresschute/health/SlownessEstimatorTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** How many times as long as elsewhere jobs run. */
+/** Tests the estimate of how many times as long as on other workers jobs run. */
 class SlownessEstimatorTest {
 
     private final SlownessEstimator slowness = new SlownessEstimator();
