--- a/src/main/java/cresschute/control/DrainRegistry.java
+++ b/src/main/java/cresschute/control/DrainRegistry.java
@@ -48,16 +48,16 @@
      * @return the outcome of the operation; the first outcome if it was applied before
      */
     public OperationOutcome apply(DrainOperation operation, FleetView fleet, long nowUs) {
-        final CompletedOperation before = completed.get(operation.id());
-        if (before != null) {
-            return before.operation().equals(operation)
-                    ? before.outcome()
+        final CompletedOperation previous = completed.get(operation.id());
+        if (previous != null) {
+            return previous.operation().equals(operation)
+                    ? previous.outcome()
                     : OperationOutcome.rejected(
                             new DrainRejection.OperationIdReused(operation.id()));
         }
         final OperationOutcome outcome =
                 operation.isDrain() ? startDrain(operation, fleet, nowUs) : endDrain(operation);
-        remember(new CompletedOperation(operation, outcome));
+        keepCompleted(new CompletedOperation(operation, outcome));
         return outcome;
     }
 
@@ -66,7 +66,7 @@
         return completed.containsKey(operationId);
     }
 
-    private void remember(CompletedOperation operation) {
+    private void keepCompleted(CompletedOperation operation) {
         completed.put(operation.operation().id(), operation);
         if (completed.size() > MAX_COMPLETED) {
             completed.remove(completed.keySet().iterator().next());
@@ -129,21 +129,21 @@
             // back.
             return Optional.empty();
         }
-        final Worker leaving = listed.get().worker();
+        final Worker drained = listed.get().worker();
         final List<Worker> remaining =
                 fleet.workers().stream()
                         .filter(each -> !each.name().equals(name) && isReady(each))
                         .map(ListedWorker::worker)
                         .toList();
         for (final ClassPlacement each : fleet.classes()) {
-            if (each.placement().allows(leaving)
+            if (each.placement().allows(drained)
                     && remaining.stream().noneMatch(each.placement()::allows)) {
                 return Optional.of(new DrainRejection.OnlyWorkerOfClass(name, each.name()));
             }
         }
-        if (fleet.boundCells().contains(leaving.cell())
-                && remaining.stream().noneMatch(worker -> worker.cell() == leaving.cell())) {
-            return Optional.of(new DrainRejection.OnlyWorkerOfBoundCell(name, leaving.cell()));
+        if (fleet.boundCells().contains(drained.cell())
+                && remaining.stream().noneMatch(worker -> worker.cell() == drained.cell())) {
+            return Optional.of(new DrainRejection.OnlyWorkerOfBoundCell(name, drained.cell()));
         }
         return Optional.empty();
     }
--- a/src/main/java/cresschute/control/ManagementCall.java
+++ b/src/main/java/cresschute/control/ManagementCall.java
@@ -57,7 +57,7 @@
                         () ->
                                 new InvalidManagementCallException(
                                         "no call is named "
-                                                + printable(word)
+                                                + quote(word)
                                                 + "; calls are: "
                                                 + usage()));
     }
@@ -65,7 +65,7 @@
     private static String workerId(String word) throws InvalidManagementCallException {
         if (word.length() > MAX_WORKER_ID_LENGTH
                 || !word.chars().allMatch(c -> c > ' ' && c < 0x7f)) {
-            throw new InvalidManagementCallException("no list names a worker " + printable(word));
+            throw new InvalidManagementCallException("no list names a worker " + quote(word));
         }
         return word;
     }
@@ -80,11 +80,11 @@
      * Returns a word as quoted in an answer: truncated, with characters other than printable ASCII
      * replaced, so that it cannot break the line.
      */
-    private static String printable(String word) {
-        final StringBuilder shown = new StringBuilder();
+    private static String quote(String word) {
+        final StringBuilder quoted = new StringBuilder();
         word.codePoints()
                 .limit(MAX_QUOTED_LENGTH)
-                .forEach(c -> shown.append(c >= ' ' && c < 0x7f ? (char) c : '?'));
-        return shown + (word.length() > MAX_QUOTED_LENGTH ? "..." : "");
+                .forEach(c -> quoted.append(c >= ' ' && c < 0x7f ? (char) c : '?'));
+        return quoted + (word.length() > MAX_QUOTED_LENGTH ? "..." : "");
     }
 }
--- a/src/main/java/cresschute/control/files/AtomicFile.java
+++ b/src/main/java/cresschute/control/files/AtomicFile.java
@@ -64,9 +64,9 @@
      * @return the new path of the file
      */
     Path quarantine() throws IOException {
-        final Path aside = file.resolveSibling(file.getFileName() + REJECTED_SUFFIX);
-        Files.move(file, aside, StandardCopyOption.REPLACE_EXISTING);
-        return aside;
+        final Path quarantined = file.resolveSibling(file.getFileName() + REJECTED_SUFFIX);
+        Files.move(file, quarantined, StandardCopyOption.REPLACE_EXISTING);
+        return quarantined;
     }
 
     /** Returns the bytes of the file. */
--- a/src/main/java/cresschute/control/files/SharedOperatorState.java
+++ b/src/main/java/cresschute/control/files/SharedOperatorState.java
@@ -224,13 +224,13 @@
         } catch (NoSuchFileException e) {
             return Optional.empty();
         } catch (DamagedFileException e) {
-            final Path aside = file.quarantine();
+            final Path quarantined = file.quarantine();
             LogEvent.of(
                             "operators_state_refused",
                             "operators' state file "
                                     + file.path()
                                     + " is damaged; treated it as missing and renamed it to "
-                                    + aside.getFileName()
+                                    + quarantined.getFileName()
                                     + ": "
                                     + e.getMessage())
                     .with("detail", e.getMessage())
--- a/src/main/java/cresschute/control/files/StateFolder.java
+++ b/src/main/java/cresschute/control/files/StateFolder.java
@@ -104,13 +104,13 @@
         } catch (NoSuchFileException e) {
             return Optional.empty();
         } catch (DamagedFileException e) {
-            final Path aside = file.quarantine();
+            final Path quarantined = file.quarantine();
             LogEvent.of(
                             "snapshot_refused",
                             "snapshot "
                                     + file.path()
                                     + " is damaged; ignored it and renamed it to "
-                                    + aside.getFileName()
+                                    + quarantined.getFileName()
                                     + ": "
                                     + e.getMessage())
                     .with("detail", e.getMessage())
--- a/src/main/java/cresschute/health/ConditionRules.java
+++ b/src/main/java/cresschute/health/ConditionRules.java
@@ -160,8 +160,8 @@
     private Optional<Assessment> slowerThanOtherWorkers(WorkerHealth worker) {
         final double limit =
                 worker.condition().is(WorkerCondition.SLOW)
-                        ? thresholds.slowUntilFactor()
-                        : thresholds.slowFromFactor();
+                        ? thresholds.slowExitFactor()
+                        : thresholds.slowEnterFactor();
         return worker.slowness().isAtLeast(limit)
                 ? assessment(
                         WorkerCondition.SLOW,
--- a/src/main/java/cresschute/health/ConditionTracker.java
+++ b/src/main/java/cresschute/health/ConditionTracker.java
@@ -11,8 +11,8 @@
  *   change                                  takes effect
  *   first assessment                        at once
  *   to or from DRAINING or REMOVED          at once: it is stated, not observed
- *   to a better condition, or OVERLOADED    after {@link HealthThresholds#betterAfterUs}
- *   to a worse condition                    after {@link HealthThresholds#worseAfterUs}
+ *   to a better condition, or OVERLOADED    after {@link HealthThresholds#betterDelayUs}
+ *   to a worse condition                    after {@link HealthThresholds#worseDelayUs}
  * </pre>
  *
  * <p>OVERLOADED has the longer delay because overload fluctuates with the load. Not thread-safe.
@@ -73,7 +73,7 @@
             return 0;
         }
         return next == WorkerCondition.OVERLOADED || next.isBetterThan(condition)
-                ? thresholds.betterAfterUs()
-                : thresholds.worseAfterUs();
+                ? thresholds.betterDelayUs()
+                : thresholds.worseDelayUs();
     }
 }
--- a/src/main/java/cresschute/health/HealthThresholds.java
+++ b/src/main/java/cresschute/health/HealthThresholds.java
@@ -10,11 +10,11 @@
  * @param unresponsiveAfterUs a worker with running jobs is unresponsive after no activity for this
  *     long, microseconds
  * @param reportMaxAgeUs maximum age of a load report that is used, microseconds
- * @param slowFromFactor a worker becomes slow when its jobs run this many times as long as on other
- *     workers
- * @param slowUntilFactor a slow worker stays slow while the factor is at least this
- * @param worseAfterUs delay until a worse condition takes effect, microseconds
- * @param betterAfterUs delay until a better condition, or OVERLOADED, takes effect, microseconds
+ * @param slowEnterFactor a worker becomes slow when its jobs run this many times as long as on
+ *     other workers
+ * @param slowExitFactor a slow worker stays slow while the factor is at least this
+ * @param worseDelayUs delay until a worse condition takes effect, microseconds
+ * @param betterDelayUs delay until a better condition, or OVERLOADED, takes effect, microseconds
  * @param maxConnectFailures a worker is unresponsive after this many failed connections in a row
  * @param warmUpUs how long a worker is warming up after its process started, microseconds
  */
@@ -22,10 +22,10 @@
         long progressIntervalUs,
         long unresponsiveAfterUs,
         long reportMaxAgeUs,
-        double slowFromFactor,
-        double slowUntilFactor,
-        long worseAfterUs,
-        long betterAfterUs,
+        double slowEnterFactor,
+        double slowExitFactor,
+        long worseDelayUs,
+        long betterDelayUs,
         int maxConnectFailures,
         long warmUpUs) {
 
@@ -35,10 +35,10 @@
     private static final long DEFAULT_UNRESPONSIVE_AFTER_US = 10 * US_PER_S;
 
     private static final long DEFAULT_REPORT_MAX_AGE_US = 5 * US_PER_S;
-    private static final double DEFAULT_SLOW_FROM_FACTOR = 2.2;
-    private static final double DEFAULT_SLOW_UNTIL_FACTOR = 1.5;
-    private static final long DEFAULT_WORSE_AFTER_US = US_PER_S / 2;
-    private static final long DEFAULT_BETTER_AFTER_US = 2 * US_PER_S;
+    private static final double DEFAULT_SLOW_ENTER_FACTOR = 2.2;
+    private static final double DEFAULT_SLOW_EXIT_FACTOR = 1.5;
+    private static final long DEFAULT_WORSE_DELAY_US = US_PER_S / 2;
+    private static final long DEFAULT_BETTER_DELAY_US = 2 * US_PER_S;
     private static final int DEFAULT_MAX_CONNECT_FAILURES = 3;
 
     /**
@@ -56,10 +56,10 @@
                         ? progressIntervalUs * 22 / 10 + US_PER_S / 2
                         : DEFAULT_UNRESPONSIVE_AFTER_US,
                 DEFAULT_REPORT_MAX_AGE_US,
-                DEFAULT_SLOW_FROM_FACTOR,
-                DEFAULT_SLOW_UNTIL_FACTOR,
-                DEFAULT_WORSE_AFTER_US,
-                DEFAULT_BETTER_AFTER_US,
+                DEFAULT_SLOW_ENTER_FACTOR,
+                DEFAULT_SLOW_EXIT_FACTOR,
+                DEFAULT_WORSE_DELAY_US,
+                DEFAULT_BETTER_DELAY_US,
                 DEFAULT_MAX_CONNECT_FAILURES,
                 warmUpUs);
     }
--- a/src/main/java/cresschute/health/SlownessEstimator.java
+++ b/src/main/java/cresschute/health/SlownessEstimator.java
@@ -10,7 +10,7 @@
 final class SlownessEstimator {
 
     private static final int MIN_SAMPLES = 5;
-    private static final double WEIGHT_OF_NEWEST = 0.2;
+    private static final double NEWEST_WEIGHT = 0.2;
 
     private double meanLogRatio;
     private int samples;
@@ -24,7 +24,7 @@
     void add(long runTimeUs, long medianUs) {
         meanLogRatio +=
                 (Math.log(Math.max(1, runTimeUs) / (double) medianUs) - meanLogRatio)
-                        * (samples < MIN_SAMPLES ? 1.0 / (samples + 1) : WEIGHT_OF_NEWEST);
+                        * (samples < MIN_SAMPLES ? 1.0 / (samples + 1) : NEWEST_WEIGHT);
         samples++;
     }
 
--- a/src/test/java/cresschute/TestConsole.java
+++ b/src/test/java/cresschute/TestConsole.java
@@ -22,7 +22,7 @@
 
     private final SocketChannel channel;
     private final BufferedReader in;
-    private int last;
+    private int lastId;
 
     /** Connects to a node's control socket. */
     public TestConsole(Path socket) throws IOException {
@@ -50,7 +50,7 @@
      * answer.
      */
     public JsonObject ask(String fields) throws IOException {
-        final String id = "t" + ++last;
+        final String id = "t" + ++lastId;
         write("{\"v\":1,\"id\":\"" + id + "\"," + fields + "}\n");
         JsonObject line = read();
         while (line != null && !(line.has("re") && line.get("re").getAsString().equals(id))) {
@@ -61,17 +61,17 @@
     }
 
     /** Sends an operation and returns its outcome and reason. */
-    public String operate(String what, String op, String worker) throws IOException {
-        final JsonObject answer = ask(operation(what, op, worker));
+    public String operate(String command, String operationId, String worker) throws IOException {
+        final JsonObject answer = ask(operation(command, operationId, worker));
         return answer.get("outcome").getAsString() + ": " + answer.get("why").getAsString();
     }
 
     /** Returns the fields of an operation on a worker by operator {@code ann}. */
-    public static String operation(String what, String op, String worker) {
+    public static String operation(String command, String operationId, String worker) {
         return "\"do\":\""
-                + what
+                + command
                 + "\",\"op\":\""
-                + op
+                + operationId
                 + "\",\"worker\":\""
                 + worker
                 + "\",\"who\":\"ann\"";
--- a/src/test/java/cresschute/control/DrainRegistryTest.java
+++ b/src/test/java/cresschute/control/DrainRegistryTest.java
@@ -42,7 +42,7 @@
         return new DrainOperation(id, true, worker, DrainRegistry.NO_END_US, "ann", "disk", false);
     }
 
-    private static DrainOperation undo(String id, String worker) {
+    private static DrainOperation undrain(String id, String worker) {
         return new DrainOperation(id, false, worker, DrainRegistry.NO_END_US, "ann", "", false);
     }
 
@@ -55,7 +55,7 @@
                 .isEqualTo(WorkerState.DRAINING);
         assertThat(drains.effectiveState("a", WorkerState.GONE)).isEqualTo(WorkerState.GONE);
         assertThat(drains.effectiveState("b", WorkerState.READY)).isEqualTo(WorkerState.READY);
-        assertThat(drains.apply(undo("2", "a"), FLEET, 0).result())
+        assertThat(drains.apply(undrain("2", "a"), FLEET, 0).result())
                 .isEqualTo(OperationResult.APPLIED);
         assertThat(drains.effectiveState("a", WorkerState.DRAINING))
                 .isEqualTo(WorkerState.DRAINING);
@@ -69,7 +69,7 @@
     @Test
     void repeatedOperationHasNoSecondEffect() {
         final OperationOutcome first = drains.apply(drain("1", "a"), FLEET, 0);
-        drains.apply(undo("2", "a"), FLEET, 1);
+        drains.apply(undrain("2", "a"), FLEET, 1);
         assertThat(drains.apply(drain("1", "a"), FLEET, 2)).isEqualTo(first);
         assertThat(drains.inForce()).isEmpty();
         assertThat(drains.apply(drain("1", "b"), FLEET, 3))
@@ -86,7 +86,7 @@
                 .isEqualTo(new OperationOutcome(OperationResult.UNCHANGED, "drained by ann: disk"));
         assertThat(drains.inForce())
                 .containsExactly(new Drain("a", 5, DrainRegistry.NO_END_US, "ann", "disk"));
-        assertThat(drains.apply(undo("3", "b"), FLEET, 9))
+        assertThat(drains.apply(undrain("3", "b"), FLEET, 9))
                 .isEqualTo(
                         new OperationOutcome(
                                 OperationResult.UNCHANGED, "not drained by an operator"));
@@ -171,7 +171,7 @@
     @Test
     void forgetsTheOldestOperationOverTheLimit() {
         for (int i = 0; i <= DrainRegistry.MAX_COMPLETED; i++) {
-            drains.apply(undo("u" + i, "a"), FLEET, 0);
+            drains.apply(undrain("u" + i, "a"), FLEET, 0);
         }
         // The oldest operation was dropped: another operation with its id is applied as a new one.
         assertThat(drains.apply(drain("u0", "a"), FLEET, 0).result())
--- a/src/test/java/cresschute/control/DrainSnapshotTest.java
+++ b/src/test/java/cresschute/control/DrainSnapshotTest.java
@@ -11,7 +11,7 @@
 /** Tests that a snapshot is read as written and that a torn or changed one is rejected. */
 class DrainSnapshotTest {
 
-    private static DrainSnapshot some() {
+    private static DrainSnapshot sampleSnapshot() {
         final DrainRegistry drains = new DrainRegistry();
         drains.restore(
                 List.of(
@@ -26,8 +26,8 @@
 
     @Test
     void rejectsTornAndChangedSnapshots() throws Exception {
-        final byte[] bytes = some().encode();
-        assertThat(DrainSnapshot.decode(bytes)).isEqualTo(some());
+        final byte[] bytes = sampleSnapshot().encode();
+        assertThat(DrainSnapshot.decode(bytes)).isEqualTo(sampleSnapshot());
         for (int i = 0; i < bytes.length; i++) {
             final byte[] torn = Arrays.copyOf(bytes, i);
             assertThatThrownBy(() -> DrainSnapshot.decode(torn))
@@ -49,7 +49,7 @@
      */
     @Test
     void checksumCoversTheGeneration() {
-        final String text = new String(some().encode(), StandardCharsets.UTF_8);
+        final String text = new String(sampleSnapshot().encode(), StandardCharsets.UTF_8);
         assertThatThrownBy(
                         () ->
                                 DrainSnapshot.decode(
@@ -64,7 +64,7 @@
      */
     @Test
     void restartKeepsCompletedOperations() throws Exception {
-        final DrainSnapshot read = DrainSnapshot.decode(some().encode());
+        final DrainSnapshot read = DrainSnapshot.decode(sampleSnapshot().encode());
         final DrainRegistry drains = new DrainRegistry();
         drains.restore(
                 List.of(new Drain("w2", 8, DrainRegistry.NO_END_US, "ann", "")), read.completed());
--- a/src/test/java/cresschute/control/files/SharedOperatorStateFormatTest.java
+++ b/src/test/java/cresschute/control/files/SharedOperatorStateFormatTest.java
@@ -101,21 +101,21 @@
     }
 
     private static OperatorState change(SharedOperatorState shared, ManagementCall call) {
-        final CompletableFuture<OperatorState> ended = new CompletableFuture<>();
+        final CompletableFuture<OperatorState> result = new CompletableFuture<>();
         shared.change(
                 state -> state.apply(call),
                 new SharedStateListener.ChangeListener() {
                     @Override
                     public void stored(OperatorState written) {
-                        ended.complete(written);
+                        result.complete(written);
                     }
 
                     @Override
                     public void notDurable(NotDurableException failure) {
-                        ended.completeExceptionally(failure);
+                        result.completeExceptionally(failure);
                     }
                 });
-        return ended.join();
+        return result.join();
     }
 
     private OperatorState openAndCall(OperatorState[] found, String... calls) throws Exception {
--- a/src/test/java/cresschute/control/files/SharedOperatorStateTest.java
+++ b/src/test/java/cresschute/control/files/SharedOperatorStateTest.java
@@ -26,24 +26,24 @@
     private final BlockingQueue<OperatorState> found = new LinkedBlockingQueue<>();
 
     /** The result of one change: the written state or the failure. */
-    private static final class ChangeEnd implements SharedStateListener.ChangeListener {
-        private final CompletableFuture<OperatorState> end = new CompletableFuture<>();
+    private static final class ChangeResult implements SharedStateListener.ChangeListener {
+        private final CompletableFuture<OperatorState> result = new CompletableFuture<>();
 
         @Override
         public void stored(OperatorState written) {
-            end.complete(written);
+            result.complete(written);
         }
 
         @Override
         public void notDurable(NotDurableException failure) {
-            end.completeExceptionally(failure);
+            result.completeExceptionally(failure);
         }
 
-        static ChangeEnd of(SharedOperatorState shared, String call) throws Exception {
+        static ChangeResult of(SharedOperatorState shared, String call) throws Exception {
             final ManagementCall parsed = ManagementCall.parse(call);
-            final ChangeEnd changeEnd = new ChangeEnd();
-            shared.change(state -> state.apply(parsed), changeEnd);
-            return changeEnd;
+            final ChangeResult changeResult = new ChangeResult();
+            shared.change(state -> state.apply(parsed), changeResult);
+            return changeResult;
         }
     }
 
@@ -55,8 +55,8 @@
     void appliesChangesOfBothProcesses() throws Exception {
         try (SharedOperatorState one = open();
                 SharedOperatorState other = open()) {
-            final OperatorState first = ChangeEnd.of(one, "disable-server w1").end.join();
-            final OperatorState second = ChangeEnd.of(other, "disable-server w2").end.join();
+            final OperatorState first = ChangeResult.of(one, "disable-server w1").result.join();
+            final OperatorState second = ChangeResult.of(other, "disable-server w2").result.join();
             assertThat(first.banned()).containsExactly("w1");
             assertThat(second.banned()).containsExactly("w1", "w2");
             assertThat(second.generation()).isGreaterThan(first.generation());
@@ -74,7 +74,7 @@
         try (SharedOperatorState shared = open()) {
             // A folder in place of the temporary file makes the write fail, even for root.
             Files.createDirectory(folder.resolve("cresschute-operators.new"));
-            assertThat(ChangeEnd.of(shared, "drain").end)
+            assertThat(ChangeResult.of(shared, "drain").result)
                     .failsWithin(8, TimeUnit.SECONDS)
                     .withThrowableOfType(java.util.concurrent.ExecutionException.class)
                     .withCauseInstanceOf(NotDurableException.class)
@@ -86,7 +86,7 @@
     void reportsChangeAfterCloseAsNotDurable() throws Exception {
         final SharedOperatorState shared = open();
         shared.close();
-        assertThat(ChangeEnd.of(shared, "drain").end)
+        assertThat(ChangeResult.of(shared, "drain").result)
                 .isCompletedExceptionally()
                 .failsWithin(8, TimeUnit.SECONDS)
                 .withThrowableOfType(java.util.concurrent.ExecutionException.class)
--- a/src/test/java/cresschute/control/files/StateFolderTest.java
+++ b/src/test/java/cresschute/control/files/StateFolderTest.java
@@ -40,25 +40,25 @@
 
     /** Stores a snapshot; returns the failure, or null if the snapshot was stored. */
     static NotDurableException store(StateFolder state, DrainSnapshot snapshot) {
-        final CompletableFuture<NotDurableException> ended = new CompletableFuture<>();
+        final CompletableFuture<NotDurableException> result = new CompletableFuture<>();
         state.store(
                 snapshot,
                 Runnable::run,
                 new SnapshotListener() {
                     @Override
                     public void stored() {
-                        ended.complete(null);
+                        result.complete(null);
                     }
 
                     @Override
                     public void notDurable(NotDurableException failure) {
-                        ended.complete(failure);
+                        result.complete(failure);
                     }
                 });
-        return ended.join();
+        return result.join();
     }
 
-    private void storeUpTo(long generation) throws IOException {
+    private void storeGenerationsUpTo(long generation) throws IOException {
         try (StateFolder state = StateFolder.open(folder())) {
             for (long each = 1; each <= generation; each++) {
                 assertThat(store(state, snapshot(each))).isNull();
@@ -75,7 +75,7 @@
     @Test
     void loadsTheNewestSnapshot() throws IOException {
         assertThat(load().generation()).isZero();
-        storeUpTo(5);
+        storeGenerationsUpTo(5);
         assertThat(load()).isEqualTo(snapshot(5));
         assertThat(PosixFilePermissions.toString(Files.getPosixFilePermissions(folder())))
                 .isEqualTo("rwx------");
@@ -83,7 +83,7 @@
 
     @Test
     void loadsTheOlderSnapshotWhenTheNewestIsDamaged() throws IOException {
-        storeUpTo(5);
+        storeGenerationsUpTo(5);
         final Path newest = folder().resolve("drains.1");
         final byte[] bytes = Files.readAllBytes(newest);
         Files.write(newest, Arrays.copyOf(bytes, bytes.length / 2));
@@ -98,7 +98,7 @@
      */
     @Test
     void ignoresPartiallyWrittenTemporaryFile() throws IOException {
-        storeUpTo(2);
+        storeGenerationsUpTo(2);
         Files.write(folder().resolve("drains.new"), new byte[] {1, 2, 3});
         assertThat(load()).isEqualTo(snapshot(2));
         try (StateFolder state = StateFolder.open(folder())) {
@@ -109,7 +109,7 @@
 
     @Test
     void startsEmptyWhenBothSnapshotsAreDamaged() throws IOException {
-        storeUpTo(2);
+        storeGenerationsUpTo(2);
         Files.write(folder().resolve("drains.0"), new byte[] {1});
         Files.write(folder().resolve("drains.1"), new byte[0]);
         assertThat(load().drains()).isEmpty();
@@ -129,7 +129,7 @@
     /** A failed write is reported and keeps the earlier snapshots. */
     @Test
     void reportsFailedWriteAndKeepsEarlierSnapshots() throws IOException {
-        storeUpTo(2);
+        storeGenerationsUpTo(2);
         // A folder in place of the temporary file makes the write fail, even for root.
         Files.createDirectory(folder().resolve("drains.new"));
         try (StateFolder state = StateFolder.open(folder())) {
--- a/src/test/java/cresschute/control/socket/ControlProtocolFormatTest.java
+++ b/src/test/java/cresschute/control/socket/ControlProtocolFormatTest.java
@@ -112,8 +112,8 @@
     }
 
     private String answer(String request) throws Exception {
-        try (TestConsole peer = new TestConsole(socket)) {
-            return peer.write(request + "\n").read().toString();
+        try (TestConsole console = new TestConsole(socket)) {
+            return console.write(request + "\n").read().toString();
         }
     }
 
@@ -208,9 +208,9 @@
     /** Updates have no {@code re}; their other fields are those of an answer. */
     @Test
     void updatesKeepTheirFormat() throws Exception {
-        try (TestConsole peer = new TestConsole(socket)) {
-            peer.ask("\"do\":\"subscribe\"");
-            peer.ask("\"do\":\"events\"");
+        try (TestConsole console = new TestConsole(socket)) {
+            console.ask("\"do\":\"subscribe\"");
+            console.ask("\"do\":\"events\"");
             loop.submit(
                             () -> {
                                 table.put("w/w1", "{\"id\":\"w1\",\"n\":2}");
@@ -222,7 +222,7 @@
                                 server.publish(1);
                             })
                     .syncUninterruptibly();
-            assertThat(peer.read())
+            assertThat(console.read())
                     .hasToString(
                             "{\"boot\":\"run-1\",\"number\":4,\"whole\":false,"
                                 + "\"rows\":{\"w/w1\":{\"id\":\"w1\",\"n\":2}},\"gone\":[],\"missed\":0,\"events\":["
--- a/src/test/java/cresschute/control/socket/ControlServerTest.java
+++ b/src/test/java/cresschute/control/socket/ControlServerTest.java
@@ -27,7 +27,7 @@
 @Timeout(30)
 class ControlServerTest {
 
-    private static final int ROW = 300_000;
+    private static final int ROW_LENGTH = 300_000;
 
     private final EventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -75,7 +75,7 @@
     @BeforeEach
     void listen() throws Exception {
         socket = folder.resolve("s");
-        table.put("w/w1", "{\"text\":\"" + "x".repeat(ROW) + "\"}");
+        table.put("w/w1", "{\"text\":\"" + "x".repeat(ROW_LENGTH) + "\"}");
         server = new ControlServer(loop, socket, new LargeRowHandler());
         server.listen();
     }
@@ -93,23 +93,23 @@
     @Test
     void stopsReadingRequestsWhileAnswersAreUnread() throws Exception {
         final int requests = 300;
-        try (TestConsole peer = new TestConsole(socket)) {
+        try (TestConsole console = new TestConsole(socket)) {
             final StringBuilder all = new StringBuilder();
             for (int i = 0; i < requests; i++) {
                 all.append("{\"v\":1,\"id\":\"").append(i).append("\",\"do\":\"workers\"}\n");
             }
-            peer.write(all.toString());
+            console.write(all.toString());
             Awaitility.await().until(() -> requestsRead.get() >= 2);
             // Another console is served meanwhile. After its second answer the loop has processed
             // everything that was readable before.
-            try (TestConsole other = new TestConsole(socket)) {
-                other.ask("\"do\":\"events\"");
-                other.ask("\"do\":\"events\"");
+            try (TestConsole otherConsole = new TestConsole(socket)) {
+                otherConsole.ask("\"do\":\"events\"");
+                otherConsole.ask("\"do\":\"events\"");
             }
             // Only the answers that fit below the high water mark and into the kernel's buffers.
             assertThat(requestsRead.get()).isLessThan(12);
             for (int i = 0; i < requests; i++) {
-                assertThat(peer.read().get("re").getAsString()).isEqualTo(String.valueOf(i));
+                assertThat(console.read().get("re").getAsString()).isEqualTo(String.valueOf(i));
             }
             assertThat(requestsRead.get()).isEqualTo(requests + 2);
         }
@@ -121,8 +121,8 @@
      */
     @Test
     void consoleThatResumesReadingGetsOnlyTheNewestRows() throws Exception {
-        try (TestConsole peer = new TestConsole(socket)) {
-            peer.ask("\"do\":\"subscribe\"");
+        try (TestConsole console = new TestConsole(socket)) {
+            console.ask("\"do\":\"subscribe\"");
             final int changes = 200;
             for (int i = 1; i <= changes; i++) {
                 final int change = i;
@@ -133,7 +133,7 @@
                                             "{\"n\":"
                                                     + change
                                                     + ",\"text\":\""
-                                                    + "x".repeat(ROW)
+                                                    + "x".repeat(ROW_LENGTH)
                                                     + "\"}");
                                     server.publish(change);
                                 })
@@ -142,7 +142,7 @@
             int updates = 0;
             int newest = 0;
             while (newest < changes) {
-                final JsonObject update = peer.read();
+                final JsonObject update = console.read();
                 final int next =
                         update.getAsJsonObject("rows").getAsJsonObject("w/w1").get("n").getAsInt();
                 assertThat(next).isGreaterThan(newest);
@@ -157,8 +157,8 @@
     /** A console that stops reading is closed after the stall timeout. */
     @Test
     void closesConsoleThatStopsReading() throws Exception {
-        try (TestConsole peer = new TestConsole(socket)) {
-            peer.write("{\"v\":1,\"id\":\"1\",\"do\":\"subscribe\"}\n");
+        try (TestConsole console = new TestConsole(socket)) {
+            console.write("{\"v\":1,\"id\":\"1\",\"do\":\"subscribe\"}\n");
             Awaitility.await().until(() -> loop.submit(server::hasSubscribers).get());
             final long startUs = 1_000_000;
             for (int i = 0; i < 40; i++) {
@@ -170,7 +170,7 @@
                                             "{\"n\":"
                                                     + change
                                                     + ",\"text\":\""
-                                                    + "x".repeat(ROW)
+                                                    + "x".repeat(ROW_LENGTH)
                                                     + "\"}");
                                     server.publish(startUs);
                                 })
--- a/src/test/java/cresschute/health/HealthTrackerTest.java
+++ b/src/test/java/cresschute/health/HealthTrackerTest.java
@@ -15,7 +15,7 @@
 
     private static final long MS = 1_000;
     private static final long S = 1_000 * MS;
-    private static final long EVALUATION_US = 250 * MS;
+    private static final long EVALUATION_INTERVAL_US = 250 * MS;
 
     private final HealthTracker tracker =
             new HealthTracker(
@@ -39,9 +39,9 @@
         }
     }
 
-    private void pass(long us) {
-        for (long left = us; left > 0; left -= EVALUATION_US) {
-            nowUs += Math.min(left, EVALUATION_US);
+    private void advance(long us) {
+        for (long left = us; left > 0; left -= EVALUATION_INTERVAL_US) {
+            nowUs += Math.min(left, EVALUATION_INTERVAL_US);
             evaluate();
         }
     }
@@ -52,9 +52,9 @@
         return attempt;
     }
 
-    private void serve(int worker, long ranUs) {
+    private void serve(int worker, long runTimeUs) {
         final TrackedAttempt attempt = start(worker);
-        nowUs += ranUs;
+        nowUs += runTimeUs;
         attempt.ended(nowUs, Outcome.SERVED, LoadReport.NONE);
     }
 
@@ -78,19 +78,19 @@
     void unresponsiveWhenRunningJobsReportNoProgress() {
         serveAtUsualSpeed();
         final TrackedAttempt attempt = start(1);
-        pass(2 * S);
+        advance(2 * S);
         attempt.progressReported(nowUs);
-        pass(2 * S);
+        advance(2 * S);
         assertThat(condition(1)).isEqualTo(WorkerCondition.HEALTHY);
-        pass(2 * S);
+        advance(2 * S);
         assertThat(condition(1)).isEqualTo(WorkerCondition.UNRESPONSIVE);
         assertThat(snapshot(1).reason()).isEqualTo("nothing heard of its 1 jobs");
         attempt.progressReported(nowUs);
-        pass(S);
+        advance(S);
         // A better condition takes effect after a longer delay than a worse one.
         assertThat(condition(1)).isEqualTo(WorkerCondition.UNRESPONSIVE);
         attempt.progressReported(nowUs);
-        pass(2 * S);
+        advance(2 * S);
         assertThat(changes).containsExactly("1:silent", "1:taking");
     }
 
@@ -98,15 +98,15 @@
     @Test
     void queuedJobsHaveALongerInactivityLimit() {
         final TrackedAttempt attempt = tracker.attemptSent(nowUs, 1, 0);
-        pass(9 * S);
+        advance(9 * S);
         assertThat(condition(1)).isEqualTo(WorkerCondition.HEALTHY);
-        pass(2 * S);
+        advance(2 * S);
         assertThat(condition(1)).isEqualTo(WorkerCondition.UNRESPONSIVE);
         attempt.ended(nowUs, Outcome.TIMED_OUT, LoadReport.NONE);
         // A time-out is not activity; without attempts the worker stays unresponsive for a while.
-        pass(5 * S);
+        advance(5 * S);
         assertThat(condition(1)).isEqualTo(WorkerCondition.UNRESPONSIVE);
-        pass(30 * S);
+        advance(30 * S);
         assertThat(condition(1)).isEqualTo(WorkerCondition.HEALTHY);
     }
 
@@ -115,11 +115,11 @@
         for (int i = 0; i < 3; i++) {
             tracker.attemptSent(nowUs, 2, 0).ended(nowUs, Outcome.CONNECT_FAILED, LoadReport.NONE);
         }
-        pass(S);
+        advance(S);
         assertThat(condition(2)).isEqualTo(WorkerCondition.UNRESPONSIVE);
         assertThat(snapshot(2).reason()).isEqualTo("3 connections in a row failed");
         serve(2, 100 * MS);
-        pass(3 * S);
+        advance(3 * S);
         assertThat(condition(2)).isEqualTo(WorkerCondition.HEALTHY);
     }
 
@@ -131,7 +131,7 @@
             serve(0, 200 * MS);
             evaluate();
         }
-        pass(S);
+        advance(S);
         assertThat(condition(3)).isEqualTo(WorkerCondition.SLOW);
         assertThat(snapshot(3).reason())
                 .matches("jobs run [3-5]\\.[0-9] times as long as elsewhere");
@@ -140,7 +140,7 @@
             serve(3, 200 * MS);
             evaluate();
         }
-        pass(3 * S);
+        advance(3 * S);
         assertThat(changes).containsExactly("3:slowing", "3:taking");
     }
 
@@ -167,7 +167,7 @@
             evaluate();
         }
         heavy.ended(nowUs, Outcome.SERVED, LoadReport.NONE);
-        pass(3 * S);
+        advance(3 * S);
         assertThat(changes).isEmpty();
         // Two of two running jobs are delayed, which is attributed to the worker.
         final List<TrackedAttempt> delayed = List.of(start(1), start(1));
@@ -191,7 +191,7 @@
         assertThat(condition(0)).isEqualTo(WorkerCondition.OVERLOADED);
         assertThat(snapshot(0).reason()).isEqualTo("no free slot and 3 waiting");
         attempt.ended(nowUs, Outcome.SERVED, LoadReport.NONE);
-        pass(8 * S);
+        advance(8 * S);
         assertThat(condition(0)).isEqualTo(WorkerCondition.HEALTHY);
         assertThat(snapshot(0).load().queued()).isEqualTo(3);
     }
@@ -200,7 +200,7 @@
     void overloadedWhenItRejectsJobs() {
         for (int i = 0; i < 12; i++) {
             tracker.attemptSent(nowUs, 0, 0).ended(nowUs, Outcome.FULL, LoadReport.NONE);
-            pass(EVALUATION_US);
+            advance(EVALUATION_INTERVAL_US);
         }
         assertThat(condition(0)).isEqualTo(WorkerCondition.OVERLOADED);
         assertThat(snapshot(0).failed()).isEqualTo(12);
@@ -225,7 +225,7 @@
         evaluate();
         assertThat(changes)
                 .containsExactly("0:draining", "0:taking", "0:draining", "0:gone", "0:cold");
-        pass(11 * S);
+        advance(11 * S);
         assertThat(condition(0)).isEqualTo(WorkerCondition.HEALTHY);
     }
 
@@ -233,7 +233,7 @@
     void removedWorkersAreDroppedOnceNoAttemptIsInFlight() {
         final TrackedAttempt attempt = start(0);
         tracker.workerListed(nowUs, 0, new WorkerListing(WorkerState.GONE, false, 0));
-        pass(HealthTracker.REMOVED_KEPT_US + S);
+        advance(HealthTracker.REMOVED_KEPT_US + S);
         assertThat(snapshot(0).reason()).isEqualTo("not on the list; 1 still out");
         attempt.ended(nowUs, Outcome.SERVED, LoadReport.NONE);
         evaluate();
@@ -251,11 +251,11 @@
         assertThat(busy.lastMinute().p50Ms()).isBetween(95L, 106L);
         assertThat(busy.lastMinute().p99Ms()).isBetween(2_800L, 3_200L);
         assertThat(Arrays.stream(busy.servedPerSlice()).sum()).isEqualTo(31);
-        pass(70 * S);
+        advance(70 * S);
         assertThat(snapshot(0).servedPerS()).isZero();
         assertThat(snapshot(0).lastMinute()).isEqualTo(new LatencyPercentiles(-1, -1));
         assertThat(snapshot(0).lastTenMinutes().p50Ms()).isBetween(95L, 106L);
-        pass(601 * S);
+        advance(601 * S);
         assertThat(snapshot(0).lastTenMinutes().p50Ms()).isEqualTo(-1);
     }
 
@@ -286,21 +286,21 @@
                                 new LatencyObjective(1, S, 2),
                                 new LatencyObjective(1, S, 2),
                                 new LatencyObjective(1, S, 2)));
-        final long before = used();
+        final long before = usedHeapBytes();
         for (long at = 0; at < 600; at += 5) {
             for (int worker = 0; worker < 1_000; worker++) {
                 final TrackedAttempt attempt = large.attemptSent(at * S, worker, worker % 3);
                 attempt.ended(at * S + 25 * S, Outcome.SERVED, new LoadReport(1, 1, 1));
             }
         }
-        final long each = (used() - before) / 1_000;
+        final long each = (usedHeapBytes() - before) / 1_000;
         System.out.println("health: " + each + " bytes a worker at 1,000 workers");
         // Other tests run in this process, so the figure is rough.
         assertThat(each).isLessThan(40_000L);
         assertThat(large.workers()).hasSize(1_000);
     }
 
-    private static long used() {
+    private static long usedHeapBytes() {
         final Runtime runtime = Runtime.getRuntime();
         for (int i = 0; i < 3; i++) {
             System.gc();
