--- a/src/main/java/cresschute/cli/CheckCommand.java
+++ b/src/main/java/cresschute/cli/CheckCommand.java
@@ -63,7 +63,7 @@
         } else if (sound) {
             out.print(
                     show
-                            ? result.settings().shown()
+                            ? result.settings().formattedScript()
                             : file
                                     + ": "
                                     + result.settings().classes().size()
@@ -71,7 +71,7 @@
                                     + result.settings().workers().size()
                                     + " workers, no errors\n");
         } else {
-            result.problems().forEach(problem -> err.println(problem.line(file.toString())));
+            result.problems().forEach(problem -> err.println(problem.format(file.toString())));
         }
         out.flush();
         return sound ? ExitCodes.DONE : ExitCodes.FAILED;
@@ -81,8 +81,8 @@
         final JsonArray errors = new JsonArray();
         for (final Problem problem : result.problems()) {
             final JsonObject error = new JsonObject();
-            error.addProperty("line", problem.at().line());
-            error.addProperty("column", problem.at().column());
+            error.addProperty("line", problem.position().line());
+            error.addProperty("column", problem.position().column());
             error.addProperty("message", problem.message());
             errors.add(error);
         }
@@ -91,7 +91,7 @@
         object.addProperty("valid", result.settings() != null);
         object.add("errors", errors);
         if (show && result.settings() != null) {
-            object.addProperty("settings", result.settings().shown());
+            object.addProperty("settings", result.settings().formattedScript());
         }
         return object;
     }
--- a/src/main/java/cresschute/cli/ControlSocket.java
+++ b/src/main/java/cresschute/cli/ControlSocket.java
@@ -1,6 +1,6 @@
 package cresschute.cli;
 
-import cresschute.settings.ApplianceSettings;
+import cresschute.settings.NodeSettings;
 import java.nio.file.InvalidPathException;
 import java.nio.file.Path;
 import java.util.Map;
@@ -32,7 +32,7 @@
             return socket;
         }
         if (settings != null) {
-            final ApplianceSettings read;
+            final NodeSettings read;
             try {
                 read = SettingsOf.file(settings);
             } catch (SettingsOf.UnusableFile e) {
--- a/src/main/java/cresschute/cli/ServeCommand.java
+++ b/src/main/java/cresschute/cli/ServeCommand.java
@@ -4,7 +4,7 @@
 import cresschute.logs.structured.StructuredLog;
 import cresschute.node.ConfigException;
 import cresschute.node.NodeConfig;
-import cresschute.settings.ApplianceSettings;
+import cresschute.settings.NodeSettings;
 import java.io.PrintWriter;
 import java.lang.System.Logger.Level;
 import java.net.SocketException;
@@ -48,7 +48,7 @@
         if (file == null) {
             throw new ParameterException(spec.commandLine(), "no --settings FILE is given");
         }
-        final ApplianceSettings settings;
+        final NodeSettings settings;
         try {
             settings = SettingsOf.file(file);
         } catch (SettingsOf.UnusableFile e) {
@@ -83,7 +83,7 @@
         return GOES_ON;
     }
 
-    private static NodeConfig node(ApplianceSettings settings) {
+    private static NodeConfig node(NodeSettings settings) {
         return NodeConfig.of(
                 settings,
                 settings.seed() == null ? new SecureRandom().nextLong() : settings.seed());
--- a/src/main/java/cresschute/cli/SettingsOf.java
+++ b/src/main/java/cresschute/cli/SettingsOf.java
@@ -1,6 +1,6 @@
 package cresschute.cli;
 
-import cresschute.settings.ApplianceSettings;
+import cresschute.settings.NodeSettings;
 import cresschute.settings.SettingsFile;
 import java.io.IOException;
 import java.nio.file.NoSuchFileException;
@@ -30,11 +30,11 @@
     }
 
     /** The settings of a file. */
-    static ApplianceSettings file(Path file) throws UnusableFile {
+    static NodeSettings file(Path file) throws UnusableFile {
         final SettingsFile.Result result = read(file);
         if (result.settings() == null) {
             throw new UnusableFile(
-                    result.problems().stream().map(each -> each.line(file.toString())).toList());
+                    result.problems().stream().map(each -> each.format(file.toString())).toList());
         }
         return result.settings();
     }
--- a/src/main/java/cresschute/node/ActiveSettings.java
+++ b/src/main/java/cresschute/node/ActiveSettings.java
@@ -4,7 +4,7 @@
 import cresschute.dispatch.Idempotency;
 import cresschute.dispatch.Outcome;
 import cresschute.dispatch.RequestClass;
-import cresschute.settings.ApplianceSettings.ClassBodies;
+import cresschute.settings.NodeSettings.ClassBodies;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
@@ -33,7 +33,7 @@
                 config.bodies() == null
                         ? Collections.nCopies(config.classes().size(), false)
                         : config.bodies().classes().stream()
-                                .map(ClassBodies::deadlineToFirst)
+                                .map(ClassBodies::deadlineToFirstByte)
                                 .toList();
         apply(config.classes(), config.settings());
     }
--- a/src/main/java/cresschute/node/NodeConfig.java
+++ b/src/main/java/cresschute/node/NodeConfig.java
@@ -2,9 +2,9 @@
 
 import cresschute.dispatch.DispatchSettings;
 import cresschute.dispatch.WorkerState;
-import cresschute.settings.ApplianceSettings;
-import cresschute.settings.ApplianceSettings.Bodies;
-import cresschute.settings.ApplianceSettings.Peers;
+import cresschute.settings.NodeSettings;
+import cresschute.settings.NodeSettings.Bodies;
+import cresschute.settings.NodeSettings.Peers;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
@@ -147,7 +147,7 @@
      * @param settings the settings
      * @param seed the seed of all random choices
      */
-    public static NodeConfig of(ApplianceSettings settings, long seed) {
+    public static NodeConfig of(NodeSettings settings, long seed) {
         final List<EndpointList.Endpoint> workers =
                 settings.workers().stream()
                         .map(
@@ -169,13 +169,13 @@
                 settings.listen(),
                 settings.discovery(),
                 seed,
-                settings.module(),
+                settings.dispatch(),
                 settings.classes(),
                 settings.zones(),
                 settings.kinds(),
                 settings.connectTimeoutUs(),
                 settings.idleTimeoutUs(),
-                settings.sockets(),
+                settings.maxFileDescriptors(),
                 new EndpointList(-1, true, workers),
                 settings.controlSocket(),
                 settings.stateFolder(),
--- a/src/main/java/cresschute/node/PeerLoads.java
+++ b/src/main/java/cresschute/node/PeerLoads.java
@@ -6,7 +6,7 @@
 import cresschute.peers.LoadMessageCodec;
 import cresschute.peers.socket.ExchangeLog;
 import cresschute.peers.socket.PeerSocket;
-import cresschute.settings.ApplianceSettings.Peers;
+import cresschute.settings.NodeSettings.Peers;
 import cresschute.settings.SettingsFile;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.EventLoop;
--- a/src/main/java/cresschute/node/http/ClientListener.java
+++ b/src/main/java/cresschute/node/http/ClientListener.java
@@ -323,12 +323,14 @@
 
     /** The maximum body size of a class, bytes. */
     long maxBodyBytes(int requestClass) {
-        return bodies == null ? RequestBodyBuffer.MAX_BYTES : bodies.limits(requestClass).longest();
+        return bodies == null
+                ? RequestBodyBuffer.MAX_BYTES
+                : bodies.limits(requestClass).maxBodyBytes();
     }
 
     /** Whether the results of a class may be streamed. */
     boolean allowsStreamedResults(int requestClass) {
-        return bodies != null && bodies.limits(requestClass).longResults();
+        return bodies != null && bodies.limits(requestClass).streamsResults();
     }
 
     /**
--- a/src/main/java/cresschute/node/http/StreamedBodies.java
+++ b/src/main/java/cresschute/node/http/StreamedBodies.java
@@ -6,8 +6,8 @@
 import cresschute.flow.BufferLimits;
 import cresschute.node.PeerFault;
 import cresschute.node.RequestLifecycle;
-import cresschute.settings.ApplianceSettings.Bodies;
-import cresschute.settings.ApplianceSettings.ClassBodies;
+import cresschute.settings.NodeSettings.Bodies;
+import cresschute.settings.NodeSettings.ClassBodies;
 import io.netty.buffer.ByteBufAllocator;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -40,12 +40,13 @@
         this.budget =
                 new BufferBudget(
                         new BufferLimits(
-                                settings.budget(),
-                                settings.window(),
-                                settings.lent(),
+                                settings.budgetBytes(),
+                                settings.windowBytes(),
+                                settings.maxLentBytes(),
                                 BORROW_DIVISOR,
                                 settings.maxPerClientBytes()));
-        this.maxBytes = settings.classes().stream().mapToLong(ClassBodies::longest).max().orElse(0);
+        this.maxBytes =
+                settings.classes().stream().mapToLong(ClassBodies::maxBodyBytes).max().orElse(0);
     }
 
     /** The limits of a class. */
@@ -75,7 +76,7 @@
                         this,
                         reservation,
                         limits(requestClass),
-                        settings.spool(),
+                        settings.maxSpoolBytes(),
                         length,
                         onCapacity);
     }
@@ -121,7 +122,9 @@
                             client,
                             switch (admission.rejection().get()) {
                                 case BUDGET_EXHAUSTED ->
-                                        "the budget of " + settings.budget() + " bytes is in use";
+                                        "the budget of "
+                                                + settings.budgetBytes()
+                                                + " bytes is in use";
                                 case CLIENT_LIMIT_REACHED ->
                                         "the bodies of this client would own more than "
                                                 + settings.maxPerClientBytes()
--- a/src/main/java/cresschute/node/http/StreamedBody.java
+++ b/src/main/java/cresschute/node/http/StreamedBody.java
@@ -3,7 +3,7 @@
 import cresschute.flow.BodyBuffer;
 import cresschute.flow.BufferBudget;
 import cresschute.flow.TransferMonitor;
-import cresschute.settings.ApplianceSettings.ClassBodies;
+import cresschute.settings.NodeSettings.ClassBodies;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
 import io.netty.channel.AdaptiveRecvByteBufAllocator;
--- a/src/main/java/cresschute/node/http/StreamedBodyReceiver.java
+++ b/src/main/java/cresschute/node/http/StreamedBodyReceiver.java
@@ -1,6 +1,6 @@
 package cresschute.node.http;
 
-import cresschute.settings.ApplianceSettings.ClassBodies;
+import cresschute.settings.NodeSettings.ClassBodies;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
 import java.util.concurrent.TimeUnit;
--- a/src/main/java/cresschute/node/http/StreamedRequestBody.java
+++ b/src/main/java/cresschute/node/http/StreamedRequestBody.java
@@ -2,7 +2,7 @@
 
 import cresschute.flow.BufferBudget;
 import cresschute.node.RequestBody;
-import cresschute.settings.ApplianceSettings.ClassBodies;
+import cresschute.settings.NodeSettings.ClassBodies;
 
 /**
  * The body of a request, in transit from the client's connection to the attempts. It is kept for
--- a/src/main/java/cresschute/node/http/StreamedResponseBody.java
+++ b/src/main/java/cresschute/node/http/StreamedResponseBody.java
@@ -2,7 +2,7 @@
 
 import cresschute.flow.BufferBudget;
 import cresschute.node.ResultStream;
-import cresschute.settings.ApplianceSettings.ClassBodies;
+import cresschute.settings.NodeSettings.ClassBodies;
 import io.netty.buffer.ByteBufAllocator;
 
 /**
--- a/src/main/java/cresschute/settings/ApplianceSettings.java
+++ b/src/main/java/cresschute/settings/NodeSettings.java
@@ -8,28 +8,28 @@
  * The typed settings of a script that passed all checks.
  *
  * @param seed for random choices, or null for a new one at each start
- * @param module the settings of the dispatcher; its zones, kinds and classes are indexes of the
+ * @param dispatch the settings of the dispatcher; its zones, kinds and classes are indexes of the
  *     names here
  * @param classes the classes' names
  * @param zones the zones' names
  * @param kinds the names of the kinds of worker
  * @param workers the fixed list, or with discovery the list to begin with
  * @param discovery where the discovery service listens, or null where the list is fixed
- * @param sockets file descriptors that the process may hold
+ * @param maxFileDescriptors file descriptors that the process may hold
  * @param logFormat {@code text} or {@code json}
  * @param logLevel {@code debug}, {@code info}, {@code warning} or {@code error}
  * @param controlSocket the control socket's file, or null
  * @param stateFolder the folder for state, or null
  * @param bodies memory for streamed bodies, or null where no class allows any
  * @param peers the other dispatchers, or null where no counts are exchanged
- * @param shown the settings in force as a script of their own, with all that holds without being
- *     stated
+ * @param formattedScript the settings in force as a script of their own, with all that holds
+ *     without being stated
  */
-public record ApplianceSettings(
+public record NodeSettings(
         String name,
         InetSocketAddress listen,
         Long seed,
-        DispatchSettings module,
+        DispatchSettings dispatch,
         List<String> classes,
         List<String> zones,
         List<String> kinds,
@@ -37,14 +37,14 @@
         InetSocketAddress discovery,
         long connectTimeoutUs,
         long idleTimeoutUs,
-        int sockets,
+        int maxFileDescriptors,
         String logFormat,
         String logLevel,
         String controlSocket,
         String stateFolder,
         Bodies bodies,
         Peers peers,
-        String shown) {
+        String formattedScript) {
 
     /**
      * The exchange with the other dispatchers.
@@ -66,28 +66,28 @@
      * @param classes what each class allows, in their order
      */
     public record Bodies(
-            long budget,
-            long window,
-            long lent,
-            long spool,
+            long budgetBytes,
+            long windowBytes,
+            long maxLentBytes,
+            long maxSpoolBytes,
             long maxPerClientBytes,
             List<ClassBodies> classes) {}
 
     /**
      * What a class allows of bodies.
      *
-     * @param longest bytes
+     * @param maxBodyBytes bytes
      * @param minRateBytesPerS bytes a second, over the longest stall
      * @param stallUs the longest time without a byte
-     * @param longResults whether a result may come as it is made
-     * @param deadlineToFirst whether the deadline of such a result counts to its first byte
+     * @param streamsResults whether a result may come as it is made
+     * @param deadlineToFirstByte whether the deadline of such a result counts to its first byte
      */
     public record ClassBodies(
-            long longest,
+            long maxBodyBytes,
             long minRateBytesPerS,
             long stallUs,
-            boolean longResults,
-            boolean deadlineToFirst) {}
+            boolean streamsResults,
+            boolean deadlineToFirstByte) {}
 
     /** A worker of the list. */
     public record WorkerEntry(
--- a/src/main/java/cresschute/settings/Problem.java
+++ b/src/main/java/cresschute/settings/Problem.java
@@ -3,15 +3,15 @@
 import cresschute.settings.script.Position;
 
 /** Something wrong with a settings script. */
-public record Problem(Position at, String message) implements Comparable<Problem> {
+public record Problem(Position position, String message) implements Comparable<Problem> {
 
     @Override
     public int compareTo(Problem other) {
-        return at.compareTo(other.at);
+        return position.compareTo(other.position);
     }
 
     /** The line that reports it: the file, line and column, and what is wrong. */
-    public String line(String file) {
-        return file + ":" + at + ": " + message;
+    public String format(String file) {
+        return file + ":" + position + ": " + message;
     }
 }
--- a/src/main/java/cresschute/settings/SettingsBuilder.java
+++ b/src/main/java/cresschute/settings/SettingsBuilder.java
@@ -9,10 +9,10 @@
 import cresschute.dispatch.RequestClass;
 import cresschute.dispatch.SlowStartSettings;
 import cresschute.dispatch.WeightSource;
-import cresschute.settings.ApplianceSettings.Bodies;
-import cresschute.settings.ApplianceSettings.ClassBodies;
-import cresschute.settings.ApplianceSettings.Peers;
-import cresschute.settings.ApplianceSettings.WorkerEntry;
+import cresschute.settings.NodeSettings.Bodies;
+import cresschute.settings.NodeSettings.ClassBodies;
+import cresschute.settings.NodeSettings.Peers;
+import cresschute.settings.NodeSettings.WorkerEntry;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -29,7 +29,7 @@
         this.blocks = blocks;
     }
 
-    ApplianceSettings build() {
+    NodeSettings build() {
         final Statement node = blocks.single(NodeSchema.NODE);
         final Statement limits = blocks.single(NodeSchema.LIMITS);
         final Statement discovery =
@@ -55,7 +55,7 @@
                                                 worker.get(WorkerSchema.WORKER_CELL).intValue(),
                                                 worker.get(WorkerSchema.WORKER_WEIGHT)))
                         .toList();
-        return new ApplianceSettings(
+        return new NodeSettings(
                 node.get(NodeSchema.NODE_NAME),
                 node.get(NodeSchema.NODE_LISTEN),
                 node.get(NodeSchema.SEED),
--- a/src/main/java/cresschute/settings/SettingsFile.java
+++ b/src/main/java/cresschute/settings/SettingsFile.java
@@ -33,7 +33,7 @@
      * @param settings the settings, or null where there are problems
      * @param problems what is wrong, in the order of the text
      */
-    public record Result(ApplianceSettings settings, List<Problem> problems) {}
+    public record Result(NodeSettings settings, List<Problem> problems) {}
 
     /** The shortest key that dispatchers may share, bytes. */
     static final int MIN_KEY_BYTES = 16;
--- a/src/main/java/cresschute/testbed/Fleet.java
+++ b/src/main/java/cresschute/testbed/Fleet.java
@@ -3,7 +3,7 @@
 import cresschute.dispatch.SlowStartSettings;
 import cresschute.node.NodeConfig;
 import cresschute.node.NodeServer;
-import cresschute.settings.ApplianceSettings;
+import cresschute.settings.NodeSettings;
 import cresschute.settings.Problem;
 import cresschute.settings.SettingsFile;
 import cresschute.testbed.JobClass.Demand;
@@ -75,7 +75,7 @@
     private final UniformRandomProvider chance;
     private final List<WorkerStandIn> workers = new ArrayList<>();
     private final DiscoveryStandIn discovery;
-    private final ApplianceSettings settings;
+    private final NodeSettings settings;
     private final List<JobClass> classes;
     private final LoadClients clients;
     private final NodeServer node;
@@ -89,7 +89,7 @@
         discovery = new DiscoveryStandIn(loop, recorder);
         try {
             discoveryAt = discovery.start();
-            final ApplianceSettings bare = settings(discoveryAt, List.of());
+            final NodeSettings bare = settings(discoveryAt, List.of());
             for (int i = 0; i < plan.workers(); i++) {
                 workers.add(worker(i, bare));
             }
@@ -116,7 +116,7 @@
         }
     }
 
-    private WorkerStandIn worker(int number, ApplianceSettings bare) {
+    private WorkerStandIn worker(int number, NodeSettings bare) {
         final boolean big = chance.nextDouble() < BIG_SHARE;
         final double speed =
                 big ? 1.3 + 0.4 * chance.nextDouble() : 0.85 + 0.25 * chance.nextDouble();
@@ -134,21 +134,21 @@
                                 big ? 5 : 4,
                                 speed),
                         number < CELLS ? new CellKeys(windowUs(bare)) : workers.get(cell).keys(),
-                        bare.module().slowStart());
+                        bare.dispatch().slowStart());
         worker.start();
         onLoop(() -> discovery.set(worker, "SERVING", 0));
         return worker;
     }
 
-    private static long windowUs(ApplianceSettings settings) {
-        return settings.module().classes().stream()
+    private static long windowUs(NodeSettings settings) {
+        return settings.dispatch().classes().stream()
                 .mapToLong(each -> each.deduplicationWindowUs())
                 .max()
                 .orElse(0);
     }
 
     /** The settings come from a script, as a site's do; the addresses are put before it. */
-    private ApplianceSettings settings(InetSocketAddress discovery, List<WorkerStandIn> workers) {
+    private NodeSettings settings(InetSocketAddress discovery, List<WorkerStandIn> workers) {
         final String script =
                 "DIRECTOR = \"127.0.0.1:"
                         + discovery.getPort()
@@ -363,7 +363,7 @@
     }
 
     private SlowStartSettings coldStart() {
-        return settings.module().slowStart();
+        return settings.dispatch().slowStart();
     }
 
     private void onLoop(Runnable call) {
--- a/src/main/java/cresschute/testbed/JobClass.java
+++ b/src/main/java/cresschute/testbed/JobClass.java
@@ -3,7 +3,7 @@
 import cresschute.dispatch.DeduplicationScope;
 import cresschute.dispatch.Idempotency;
 import cresschute.dispatch.RequestClass;
-import cresschute.settings.ApplianceSettings;
+import cresschute.settings.NodeSettings;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -31,11 +31,11 @@
      * The classes of settings; a job takes a fifth of its latency objective on average, and all are
      * sent as often.
      */
-    static List<JobClass> of(ApplianceSettings settings, List<Demand> demands) {
+    static List<JobClass> of(NodeSettings settings, List<Demand> demands) {
         final List<JobClass> classes = new ArrayList<>();
         for (int i = 0; i < settings.classes().size(); i++) {
             final String name = settings.classes().get(i);
-            final RequestClass stated = settings.module().classes().get(i);
+            final RequestClass stated = settings.dispatch().classes().get(i);
             final Demand demand =
                     demands.stream()
                             .filter(each -> each.className().equals(name))
@@ -52,7 +52,8 @@
                             stated.deduplicationScope(),
                             stated.deduplicationWindowUs(),
                             Math.min(
-                                    stated.maxAttempts(), settings.module().limits().maxAttempts()),
+                                    stated.maxAttempts(),
+                                    settings.dispatch().limits().maxAttempts()),
                             demand.share(),
                             demand.meanWorkUs()));
         }
--- a/src/test/java/cresschute/node/ClientCloseRaceTest.java
+++ b/src/test/java/cresschute/node/ClientCloseRaceTest.java
@@ -3,8 +3,8 @@
 import static cresschute.node.TestNode.request;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cresschute.settings.ApplianceSettings.Bodies;
-import cresschute.settings.ApplianceSettings.ClassBodies;
+import cresschute.settings.NodeSettings.Bodies;
+import cresschute.settings.NodeSettings.ClassBodies;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/test/java/cresschute/node/LongBodyFixture.java
+++ b/src/test/java/cresschute/node/LongBodyFixture.java
@@ -1,7 +1,7 @@
 package cresschute.node;
 
-import cresschute.settings.ApplianceSettings.Bodies;
-import cresschute.settings.ApplianceSettings.ClassBodies;
+import cresschute.settings.NodeSettings.Bodies;
+import cresschute.settings.NodeSettings.ClassBodies;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.util.List;
--- a/src/test/java/cresschute/node/LongBodyRulesTest.java
+++ b/src/test/java/cresschute/node/LongBodyRulesTest.java
@@ -13,7 +13,7 @@
 import static cresschute.node.TestNode.request;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cresschute.settings.ApplianceSettings.ClassBodies;
+import cresschute.settings.NodeSettings.ClassBodies;
 import java.io.IOException;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
--- a/src/test/java/cresschute/node/PeerLoadsTest.java
+++ b/src/test/java/cresschute/node/PeerLoadsTest.java
@@ -10,8 +10,8 @@
 import cresschute.peers.LoadMessage;
 import cresschute.peers.LoadMessageCodec;
 import cresschute.peers.WorkerKeys;
-import cresschute.settings.ApplianceSettings;
-import cresschute.settings.ApplianceSettings.Peers;
+import cresschute.settings.NodeSettings;
+import cresschute.settings.NodeSettings.Peers;
 import cresschute.settings.SettingsFile;
 import java.io.IOException;
 import java.net.DatagramPacket;
@@ -130,7 +130,7 @@
         address = node.start();
     }
 
-    private ApplianceSettings settings() {
+    private NodeSettings settings() {
         return SettingsFile.parse(
                         """
                         node(name = "n0", listen = "127.0.0.1:0", dispatchers = 3)
--- a/src/test/java/cresschute/node/PipelinedBodyRulesTest.java
+++ b/src/test/java/cresschute/node/PipelinedBodyRulesTest.java
@@ -9,7 +9,7 @@
 import static cresschute.node.TestNode.request;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cresschute.settings.ApplianceSettings.ClassBodies;
+import cresschute.settings.NodeSettings.ClassBodies;
 import java.util.function.UnaryOperator;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
--- a/src/test/java/cresschute/node/RaceFixture.java
+++ b/src/test/java/cresschute/node/RaceFixture.java
@@ -5,7 +5,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cresschute.dispatch.DispatcherActions;
-import cresschute.settings.ApplianceSettings.Bodies;
+import cresschute.settings.NodeSettings.Bodies;
 import java.io.IOException;
 import java.net.ServerSocket;
 import java.util.ArrayList;
--- a/src/test/java/cresschute/node/TestNode.java
+++ b/src/test/java/cresschute/node/TestNode.java
@@ -10,7 +10,7 @@
 import cresschute.dispatch.LoadReport;
 import cresschute.dispatch.Outcome;
 import cresschute.dispatch.Worker;
-import cresschute.settings.ApplianceSettings.Bodies;
+import cresschute.settings.NodeSettings.Bodies;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
--- a/src/test/java/cresschute/settings/PeersSettingsTest.java
+++ b/src/test/java/cresschute/settings/PeersSettingsTest.java
@@ -22,11 +22,11 @@
 
     private static List<String> problems(String text) {
         return SettingsFile.parse(text).problems().stream()
-                .map(problem -> problem.line("f"))
+                .map(problem -> problem.format("f"))
                 .toList();
     }
 
-    private static ApplianceSettings settings(String text) {
+    private static NodeSettings settings(String text) {
         final SettingsFile.Result result = SettingsFile.parse(text);
         assertThat(result.problems()).isEmpty();
         return result.settings();
@@ -48,7 +48,7 @@
 
     @Test
     void peersReachTheSettingsAndAreShown() {
-        final ApplianceSettings settings =
+        final NodeSettings settings =
                 settings(
                         PEERS_NODE
                                 + peers(
@@ -56,14 +56,14 @@
                                         ", bytes_per_second = 900"));
         assertThat(settings.peers())
                 .isEqualTo(
-                        new ApplianceSettings.Peers(
+                        new NodeSettings.Peers(
                                 IpAddress.parse("10.0.0.1:7946"),
                                 List.of(
                                         IpAddress.parse("10.0.0.2:7946"),
                                         IpAddress.parse("[::1]:7947")),
                                 "/k",
                                 900));
-        assertThat(settings(settings.shown())).isEqualTo(settings);
+        assertThat(settings(settings.formattedScript())).isEqualTo(settings);
         assertThat(
                         settings(PEERS_NODE + peers("\"10.0.0.2:7946\", \"10.0.0.3:7946\"", ""))
                                 .peers()
--- a/src/test/java/cresschute/settings/SettingsFileTest.java
+++ b/src/test/java/cresschute/settings/SettingsFileTest.java
@@ -29,11 +29,11 @@
 
     private static List<String> problems(String text) {
         return SettingsFile.parse(text).problems().stream()
-                .map(problem -> problem.line("f"))
+                .map(problem -> problem.format("f"))
                 .toList();
     }
 
-    private static ApplianceSettings settings(String text) {
+    private static NodeSettings settings(String text) {
         final SettingsFile.Result result = SettingsFile.parse(text);
         assertThat(result.problems()).isEmpty();
         return result.settings();
@@ -41,41 +41,41 @@
 
     @Test
     void smallestScriptTakesItsDefaults() {
-        final ApplianceSettings settings = settings(NODE + WORKER + CLASS);
+        final NodeSettings settings = settings(NODE + WORKER + CLASS);
         assertThat(settings.seed()).isNull();
         assertThat(settings.discovery()).isNull();
-        assertThat(settings.module().endpointListIsPolled()).isFalse();
+        assertThat(settings.dispatch().endpointListIsPolled()).isFalse();
         assertThat(settings.zones()).containsExactly("local");
         assertThat(settings.kinds()).containsExactly("worker");
-        assertThat(settings.sockets()).isEqualTo(1024);
-        assertThat(settings.module().limits().maxRetryAfterUs()).isEqualTo(2_000_000);
+        assertThat(settings.maxFileDescriptors()).isEqualTo(1024);
+        assertThat(settings.dispatch().limits().maxRetryAfterUs()).isEqualTo(2_000_000);
     }
 
     @Test
     void everyFieldReachesTheSettings() throws IOException {
-        final ApplianceSettings settings =
+        final NodeSettings settings =
                 settings(Files.readString(Path.of("src/test/resources/full.star")));
         assertThat(settings)
                 .usingRecursiveComparison()
-                .ignoringFields("shown", "module")
+                .ignoringFields("formattedScript", "dispatch")
                 .isEqualTo(
-                        new ApplianceSettings(
+                        new NodeSettings(
                                 "n7",
                                 IpAddress.parse("[::1]:9000"),
                                 5L,
-                                settings.module(),
+                                settings.dispatch(),
                                 List.of("quick", "file"),
                                 List.of("east", "west"),
                                 List.of("big", "small"),
                                 List.of(
-                                        new ApplianceSettings.WorkerEntry(
+                                        new NodeSettings.WorkerEntry(
                                                 "w1",
                                                 IpAddress.parse("10.0.0.1:91"),
                                                 "west",
                                                 "big",
                                                 3,
                                                 2.5),
-                                        new ApplianceSettings.WorkerEntry(
+                                        new NodeSettings.WorkerEntry(
                                                 "w2",
                                                 IpAddress.parse("10.0.0.2:91"),
                                                 "east",
@@ -90,24 +90,24 @@
                                 "debug",
                                 "/run/c.sock",
                                 "/var/c",
-                                new ApplianceSettings.Bodies(
+                                new NodeSettings.Bodies(
                                         16 << 20,
                                         256 << 10,
                                         1 << 20,
                                         300 << 10,
                                         4 << 20,
                                         List.of(
-                                                new ApplianceSettings.ClassBodies(
+                                                new NodeSettings.ClassBodies(
                                                         64 << 10,
                                                         1 << 10,
                                                         10_000_000,
                                                         false,
                                                         false),
-                                                new ApplianceSettings.ClassBodies(
+                                                new NodeSettings.ClassBodies(
                                                         1L << 30, 2 << 10, 5_000_000, true, true))),
                                 null,
                                 null));
-        final var module = settings.module();
+        final var module = settings.dispatch();
         assertThat(module.dispatchers()).isEqualTo(2);
         assertThat(module.zone()).isZero();
         assertThat(module.endpointListIsPolled()).isTrue();
@@ -146,8 +146,8 @@
     @Test
     void shownSettingsReadBackTheSame() throws IOException {
         for (final String file : List.of("src/test/resources/full.star", "deploy/appliance.star")) {
-            final ApplianceSettings once = settings(Files.readString(Path.of(file)));
-            assertThat(settings(once.shown())).isEqualTo(once);
+            final NodeSettings once = settings(Files.readString(Path.of(file)));
+            assertThat(settings(once.formattedScript())).isEqualTo(once);
         }
     }
 
