--- a/src/main/java/cresschute/settings/SettingsFile.java
+++ b/src/main/java/cresschute/settings/SettingsFile.java
@@ -48,14 +48,14 @@
      */
     public static Result read(Path file) throws IOException {
         // Checked before the file is read into memory.
-        if (Files.size(file) > 4L * Bounds.USUAL.textChars()) {
+        if (Files.size(file) > 4L * Bounds.DEFAULT.scriptChars()) {
             return new Result(
                     null,
                     List.of(
                             new Problem(
                                     Position.START,
                                     "the script is too long; at most "
-                                            + Bounds.USUAL.textChars()
+                                            + Bounds.DEFAULT.scriptChars()
                                             + " characters are allowed")));
         }
         try {
@@ -123,7 +123,7 @@
                         return Values.NONE;
                     });
         }
-        final List<ScriptError> errors = Script.run(text, host, Bounds.USUAL);
+        final List<ScriptError> errors = Script.run(text, host, Bounds.DEFAULT);
         errors.forEach(error -> problems.add(new Problem(error.position(), error.getMessage())));
         // After an error in the script, a block that is missing may just not have been reached.
         new SettingsChecks(blocks, problems, keyProblem).check(errors.isEmpty());
--- a/src/main/java/cresschute/settings/Statement.java
+++ b/src/main/java/cresschute/settings/Statement.java
@@ -112,7 +112,9 @@
         }
         return value instanceof Long || value instanceof Double
                 ? value.toString()
-                : value instanceof Boolean truth ? truth ? "True" : "False" : Values.kind(value);
+                : value instanceof Boolean truth
+                        ? truth ? "True" : "False"
+                        : Values.typeName(value);
     }
 
     private void problem(List<Problem> problems, Position where, String message) {
--- a/src/main/java/cresschute/settings/script/AssignmentExecutor.java
+++ b/src/main/java/cresschute/settings/script/AssignmentExecutor.java
@@ -13,7 +13,7 @@
     private final VariableBinder variables;
     private final Subscripts subscripts;
     private final Operators operators;
-    private final StepLimit stepLimit;
+    private final ResourceLimiter limiter;
 
     AssignmentExecutor(
             Environment environment,
@@ -21,13 +21,13 @@
             VariableBinder variables,
             Subscripts subscripts,
             Operators operators,
-            StepLimit stepLimit) {
+            ResourceLimiter limiter) {
         this.environment = environment;
         this.expressions = expressions;
         this.variables = variables;
         this.subscripts = subscripts;
         this.operators = operators;
-        this.stepLimit = stepLimit;
+        this.limiter = limiter;
     }
 
     void execute(ScriptParser.AssignmentContext assignment, Scope scope) throws ScriptError {
@@ -98,8 +98,8 @@
         if (operator.equals("+")
                 && old instanceof ListValue list
                 && value instanceof ListValue more) {
-            stepLimit.cells(more.elements().size(), at);
-            list.changeable(at).addAll(List.copyOf(more.elements()));
+            limiter.allocateCells(more.elements().size(), at);
+            list.mutable(at).addAll(List.copyOf(more.elements()));
             return;
         }
         final Object result = operators.apply(operator, old, value, at);
--- a/src/main/java/cresschute/settings/script/Builtin.java
+++ b/src/main/java/cresschute/settings/script/Builtin.java
@@ -24,10 +24,10 @@
             Position at,
             List<Argument> positional,
             Map<String, Argument> named,
-            StepLimit stepLimit) {
+            ResourceLimiter limiter) {
 
         /** The positional arguments, which must be so many, and no named ones. */
-        List<Argument> exactly(int min, int max) throws ScriptError {
+        List<Argument> requirePositional(int min, int max) throws ScriptError {
             if (!named.isEmpty()) {
                 throw new ScriptError(
                         named.values().iterator().next().at(),
@@ -54,31 +54,35 @@
             return positional.get(index).value();
         }
 
-        ScriptError wrong(int index, String allowed) {
+        ScriptError typeError(int index, String allowed) {
             final Argument argument = positional.get(index);
             return new ScriptError(
                     argument.at(),
-                    name + " was given " + Values.kind(argument.value()) + "; it takes " + allowed);
+                    name
+                            + " was given "
+                            + Values.typeName(argument.value())
+                            + "; it takes "
+                            + allowed);
         }
 
-        String text(int index) throws ScriptError {
+        String string(int index) throws ScriptError {
             if (value(index) instanceof String text) {
                 return text;
             }
-            throw wrong(index, "a text");
+            throw typeError(index, "a text");
         }
 
         /** The text that is the only argument. */
-        String onlyText() throws ScriptError {
-            exactly(1, 1);
-            return text(0);
+        String onlyString() throws ScriptError {
+            requirePositional(1, 1);
+            return string(0);
         }
 
-        long whole(int index) throws ScriptError {
+        long integer(int index) throws ScriptError {
             if (value(index) instanceof Long number) {
                 return number;
             }
-            throw wrong(index, "a whole number");
+            throw typeError(index, "a whole number");
         }
     }
 }
--- a/src/main/java/cresschute/settings/script/BuiltinFunctions.java
+++ b/src/main/java/cresschute/settings/script/BuiltinFunctions.java
@@ -15,12 +15,12 @@
 
     private final Operators operators;
     private final Sequences sequences;
-    private final StepLimit stepLimit;
+    private final ResourceLimiter limiter;
 
-    BuiltinFunctions(Operators operators, Sequences sequences, StepLimit stepLimit) {
+    BuiltinFunctions(Operators operators, Sequences sequences, ResourceLimiter limiter) {
         this.operators = operators;
         this.sequences = sequences;
-        this.stepLimit = stepLimit;
+        this.limiter = limiter;
     }
 
     Map<String, Builtin> all() {
@@ -29,22 +29,24 @@
         all.put("range", this::range);
         all.put(
                 "str",
-                call -> Values.text(call.exactly(1, 1).get(0).value(), stepLimit, call.at()));
-        all.put("bool", call -> Values.truth(call.exactly(1, 1).get(0).value()));
+                call ->
+                        Values.text(
+                                call.requirePositional(1, 1).get(0).value(), limiter, call.at()));
+        all.put("bool", call -> Values.isTruthy(call.requirePositional(1, 1).get(0).value()));
         all.put("int", this::toInteger);
         all.put("float", this::toFloat);
         all.put(
                 "list",
                 call ->
                         new ListValue(
-                                call.exactly(0, 1).isEmpty()
+                                call.requirePositional(0, 1).isEmpty()
                                         ? new ArrayList<>()
                                         : sequences.elementsOfFirst(call)));
         all.put(
                 "tuple",
                 call ->
                         new TupleValue(
-                                call.exactly(0, 1).isEmpty()
+                                call.requirePositional(0, 1).isEmpty()
                                         ? List.of()
                                         : sequences.elementsOfFirst(call)));
         all.put("sorted", call -> new ListValue(sorted(sequences.elementsOfOnly(call), call.at())));
@@ -55,20 +57,21 @@
                     Collections.reverse(elements);
                     return new ListValue(elements);
                 });
-        all.put("enumerate", this::enumerated);
-        all.put("zip", this::zipped);
-        all.put("min", call -> extreme(call, -1));
-        all.put("max", call -> extreme(call, 1));
-        all.put("any", call -> sequences.elementsOfOnly(call).stream().anyMatch(Values::truth));
-        all.put("all", call -> sequences.elementsOfOnly(call).stream().allMatch(Values::truth));
-        all.put("type", call -> Values.kind(call.exactly(1, 1).get(0).value()));
+        all.put("enumerate", this::enumerate);
+        all.put("zip", this::zip);
+        all.put("min", call -> minOrMax(call, -1));
+        all.put("max", call -> minOrMax(call, 1));
+        all.put("any", call -> sequences.elementsOfOnly(call).stream().anyMatch(Values::isTruthy));
+        all.put("all", call -> sequences.elementsOfOnly(call).stream().allMatch(Values::isTruthy));
+        all.put("type", call -> Values.typeName(call.requirePositional(1, 1).get(0).value()));
         all.put(
                 "fail",
                 call -> {
                     final StringBuilder text = new StringBuilder();
-                    for (final Builtin.Argument argument : call.exactly(1, Integer.MAX_VALUE)) {
+                    for (final Builtin.Argument argument :
+                            call.requirePositional(1, Integer.MAX_VALUE)) {
                         text.append(text.isEmpty() ? "" : " ")
-                                .append(Values.text(argument.value(), stepLimit, call.at()));
+                                .append(Values.text(argument.value(), limiter, call.at()));
                     }
                     throw new ScriptError(call.at(), "fail: " + text);
                 });
@@ -76,7 +79,7 @@
     }
 
     private Object length(Builtin.Call call) throws ScriptError {
-        final Object value = call.exactly(1, 1).get(0).value();
+        final Object value = call.requirePositional(1, 1).get(0).value();
         if (value instanceof String text) {
             return (long) text.length();
         } else if (value instanceof DictValue dict) {
@@ -88,22 +91,22 @@
         } else if (value instanceof TupleValue tuple) {
             return (long) tuple.elements().size();
         }
-        throw call.wrong(0, "a text, a list, a tuple, a dict or a range");
+        throw call.typeError(0, "a text, a list, a tuple, a dict or a range");
     }
 
     private Object range(Builtin.Call call) throws ScriptError {
-        final int arguments = call.exactly(1, 3).size();
-        final long step = arguments == 3 ? call.whole(2) : 1;
+        final int arguments = call.requirePositional(1, 3).size();
+        final long step = arguments == 3 ? call.integer(2) : 1;
         if (step == 0) {
             throw new ScriptError(call.positional().get(2).at(), "range cannot step by 0");
         }
         return arguments == 1
-                ? new RangeValue(0, call.whole(0), 1)
-                : new RangeValue(call.whole(0), call.whole(1), step);
+                ? new RangeValue(0, call.integer(0), 1)
+                : new RangeValue(call.integer(0), call.integer(1), step);
     }
 
     private Object toInteger(Builtin.Call call) throws ScriptError {
-        final Object value = call.exactly(1, 1).get(0).value();
+        final Object value = call.requirePositional(1, 1).get(0).value();
         if (value instanceof Long || value instanceof Boolean) {
             return value instanceof Boolean truth ? (Long) (truth ? 1L : 0L) : value;
         } else if (value instanceof Double number && Math.abs(number) < 9e18) {
@@ -111,38 +114,38 @@
         } else if (value instanceof String text && text.matches("[+-]?[0-9]{1,18}")) {
             return Long.parseLong(text);
         }
-        throw call.wrong(0, "a number, a truth value, or a text of digits");
+        throw call.typeError(0, "a number, a truth value, or a text of digits");
     }
 
     private Object toFloat(Builtin.Call call) throws ScriptError {
-        final Object value = call.exactly(1, 1).get(0).value();
+        final Object value = call.requirePositional(1, 1).get(0).value();
         if (value instanceof Number number) {
             return number.doubleValue();
         } else if (value instanceof String text
                 && text.matches("[+-]?[0-9]+([.][0-9]*)?([eE][+-]?[0-9]+)?")) {
             return Double.parseDouble(text);
         }
-        throw call.wrong(0, "a number, or a text that is one");
+        throw call.typeError(0, "a number, or a text that is one");
     }
 
-    private Object enumerated(Builtin.Call call) throws ScriptError {
+    private Object enumerate(Builtin.Call call) throws ScriptError {
         final List<Object> pairs = new ArrayList<>();
         final List<Object> elements = sequences.elementsOfOnly(call);
-        stepLimit.cells(3L * elements.size(), call.at());
+        limiter.allocateCells(3L * elements.size(), call.at());
         for (int i = 0; i < elements.size(); i++) {
             pairs.add(new TupleValue(List.of((long) i, elements.get(i))));
         }
         return new ListValue(pairs);
     }
 
-    private Object zipped(Builtin.Call call) throws ScriptError {
+    private Object zip(Builtin.Call call) throws ScriptError {
         final List<List<Object>> columns = new ArrayList<>();
         int rows = Integer.MAX_VALUE;
-        for (final Builtin.Argument argument : call.exactly(1, Integer.MAX_VALUE)) {
+        for (final Builtin.Argument argument : call.requirePositional(1, Integer.MAX_VALUE)) {
             columns.add(sequences.elements(argument.value(), argument.at()));
             rows = Math.min(rows, columns.get(columns.size() - 1).size());
         }
-        stepLimit.cells((long) rows * (columns.size() + 1), call.at());
+        limiter.allocateCells((long) rows * (columns.size() + 1), call.at());
         final List<Object> out = new ArrayList<>();
         for (int row = 0; row < rows; row++) {
             final List<Object> tuple = new ArrayList<>();
@@ -154,8 +157,8 @@
         return new ListValue(out);
     }
 
-    private Object extreme(Builtin.Call call, int sign) throws ScriptError {
-        call.exactly(1, Integer.MAX_VALUE);
+    private Object minOrMax(Builtin.Call call, int sign) throws ScriptError {
+        call.requirePositional(1, Integer.MAX_VALUE);
         final List<Object> all =
                 call.positional().size() == 1
                         ? sequences.elementsOfFirst(call)
--- a/src/main/java/cresschute/settings/script/BuiltinMethods.java
+++ b/src/main/java/cresschute/settings/script/BuiltinMethods.java
@@ -13,52 +13,52 @@
 final class BuiltinMethods {
 
     private final Sequences sequences;
-    private final StepLimit stepLimit;
+    private final ResourceLimiter limiter;
 
-    BuiltinMethods(Sequences sequences, StepLimit stepLimit) {
+    BuiltinMethods(Sequences sequences, ResourceLimiter limiter) {
         this.sequences = sequences;
-        this.stepLimit = stepLimit;
+        this.limiter = limiter;
     }
 
     /** The method of a value under a name, or null where it has none. */
     Builtin method(Object receiver, String name) {
         if (receiver instanceof String text) {
-            return textMethod(text, name);
+            return stringMethod(text, name);
         } else if (receiver instanceof ListValue list) {
             return listMethod(list, name);
         }
         return receiver instanceof DictValue dict ? dictMethod(dict, name) : null;
     }
 
-    private Builtin textMethod(String text, String name) {
+    private Builtin stringMethod(String text, String name) {
         return switch (name) {
-            case "format" -> call -> Texts.format(text, call);
+            case "format" -> call -> Strings.format(text, call);
             case "join" -> call -> join(text, call);
             case "split" ->
                     call -> {
-                        final String by = call.onlyText();
+                        final String by = call.onlyString();
                         if (by.isEmpty()) {
                             throw new ScriptError(
                                     call.at(), "split takes a text that is not empty");
                         }
-                        stepLimit.cells(text.length(), call.at());
+                        limiter.allocateCells(text.length(), call.at());
                         return new ListValue(
                                 new ArrayList<>(List.of(text.split(Pattern.quote(by), -1))));
                     };
             case "replace" -> call -> replace(text, call);
-            case "strip" -> call -> counted(text.strip(), call);
-            case "lower" -> call -> counted(text.toLowerCase(Locale.ROOT), call);
-            case "upper" -> call -> counted(text.toUpperCase(Locale.ROOT), call);
-            case "startswith" -> call -> text.startsWith(call.onlyText());
-            case "endswith" -> call -> text.endsWith(call.onlyText());
+            case "strip" -> call -> allocated(text.strip(), call);
+            case "lower" -> call -> allocated(text.toLowerCase(Locale.ROOT), call);
+            case "upper" -> call -> allocated(text.toUpperCase(Locale.ROOT), call);
+            case "startswith" -> call -> text.startsWith(call.onlyString());
+            case "endswith" -> call -> text.endsWith(call.onlyString());
             default -> null;
         };
     }
 
     /** The result of a method without arguments, its memory counted. */
-    private String counted(String text, Builtin.Call call) throws ScriptError {
-        call.exactly(0, 0);
-        stepLimit.text(text.length(), call.at());
+    private String allocated(String text, Builtin.Call call) throws ScriptError {
+        call.requirePositional(0, 0);
+        limiter.allocateText(text.length(), call.at());
         return text;
     }
 
@@ -69,25 +69,25 @@
             if (!(part instanceof String text)) {
                 throw new ScriptError(
                         call.positional().get(0).at(),
-                        "join takes a sequence of texts; here is " + Values.kind(part));
+                        "join takes a sequence of texts; here is " + Values.typeName(part));
             }
             parts.add(text);
             chars += text.length() + gap.length();
         }
-        stepLimit.text(chars, call.at());
+        limiter.allocateText(chars, call.at());
         return String.join(gap, parts);
     }
 
     private String replace(String text, Builtin.Call call) throws ScriptError {
-        call.exactly(2, 2);
-        final String from = call.text(0);
-        final String to = call.text(1);
+        call.requirePositional(2, 2);
+        final String from = call.string(0);
+        final String to = call.string(1);
         if (from.isEmpty()) {
             throw new ScriptError(
                     call.positional().get(0).at(), "replace takes a text that is not empty");
         }
         // Counted as if every part matched, before any of it is built.
-        stepLimit.text(
+        limiter.allocateText(
                 text.length() + (long) text.length() / from.length() * to.length(), call.at());
         return text.replace(from, to);
     }
@@ -96,26 +96,22 @@
         return switch (name) {
             case "append" ->
                     call -> {
-                        call.exactly(1, 1);
-                        stepLimit.cells(1, call.at());
-                        list.changeable(call.at()).add(call.value(0));
+                        call.requirePositional(1, 1);
+                        limiter.allocateCells(1, call.at());
+                        list.mutable(call.at()).add(call.value(0));
                         return Values.NONE;
                     };
             case "extend" ->
                     call -> {
-                        list.changeable(call.at()).addAll(sequences.elementsOfOnly(call));
+                        list.mutable(call.at()).addAll(sequences.elementsOfOnly(call));
                         return Values.NONE;
                     };
             case "index" ->
                     call -> {
-                        call.exactly(1, 1);
+                        call.requirePositional(1, 1);
                         for (int i = 0; i < list.elements().size(); i++) {
                             if (Values.equal(
-                                    list.elements().get(i),
-                                    call.value(0),
-                                    0,
-                                    stepLimit,
-                                    call.at())) {
+                                    list.elements().get(i), call.value(0), 0, limiter, call.at())) {
                                 return (long) i;
                             }
                         }
@@ -129,28 +125,28 @@
         return switch (name) {
             case "get" ->
                     call -> {
-                        call.exactly(1, 2);
+                        call.requirePositional(1, 2);
                         final Object found =
-                                dict.entries().get(Operators.key(call.value(0), call.at()));
+                                dict.entries().get(Operators.dictKey(call.value(0), call.at()));
                         return found != null
                                 ? found
                                 : call.positional().size() == 2 ? call.value(1) : Values.NONE;
                     };
             case "keys" ->
                     call -> {
-                        call.exactly(0, 0);
+                        call.requirePositional(0, 0);
                         return new ListValue(sequences.elements(dict, call.at()));
                     };
             case "values" ->
                     call -> {
-                        call.exactly(0, 0);
-                        stepLimit.cells(dict.entries().size(), call.at());
+                        call.requirePositional(0, 0);
+                        limiter.allocateCells(dict.entries().size(), call.at());
                         return new ListValue(new ArrayList<>(dict.entries().values()));
                     };
             case "items" ->
                     call -> {
-                        call.exactly(0, 0);
-                        stepLimit.cells(3L * dict.entries().size(), call.at());
+                        call.requirePositional(0, 0);
+                        limiter.allocateCells(3L * dict.entries().size(), call.at());
                         final List<Object> items = new ArrayList<>();
                         dict.entries()
                                 .forEach(
@@ -160,12 +156,12 @@
                     };
             case "update" ->
                     call -> {
-                        call.exactly(1, 1);
+                        call.requirePositional(1, 1);
                         if (!(call.value(0) instanceof DictValue other)) {
-                            throw call.wrong(0, "a dict");
+                            throw call.typeError(0, "a dict");
                         }
-                        stepLimit.cells(other.entries().size(), call.at());
-                        dict.changeable(call.at()).putAll(new LinkedHashMap<>(other.entries()));
+                        limiter.allocateCells(other.entries().size(), call.at());
+                        dict.mutable(call.at()).putAll(new LinkedHashMap<>(other.entries()));
                         return Values.NONE;
                     };
             default -> null;
--- a/src/main/java/cresschute/settings/script/DepthBoundParser.java
+++ b/src/main/java/cresschute/settings/script/DepthBoundParser.java
@@ -8,7 +8,7 @@
 abstract class DepthBoundParser extends Parser {
 
     /** Rules within rules; a pair of brackets takes about a dozen. */
-    private static final int MAX_RULES = 1_000;
+    private static final int MAX_RULE_DEPTH = 1_000;
 
     private int depth;
 
@@ -19,12 +19,12 @@
     /**
      * Unchecked, since generated code calls what throws it; {@link Script} turns it into an error.
      */
-    static final class TooDeep extends RuntimeException {
+    static final class NestingTooDeepException extends RuntimeException {
 
         private static final long serialVersionUID = 1L;
         private final transient Position position;
 
-        TooDeep(Position position) {
+        NestingTooDeepException(Position position) {
             super(null, null, false, false);
             this.position = position;
         }
@@ -38,8 +38,8 @@
     public void enterRule(ParserRuleContext localctx, int state, int ruleIndex) {
         super.enterRule(localctx, state, ruleIndex);
         depth++;
-        if (depth > MAX_RULES) {
-            throw new TooDeep(Script.position(getCurrentToken()));
+        if (depth > MAX_RULE_DEPTH) {
+            throw new NestingTooDeepException(Script.position(getCurrentToken()));
         }
     }
 
--- a/src/main/java/cresschute/settings/script/DisplayEvaluator.java
+++ b/src/main/java/cresschute/settings/script/DisplayEvaluator.java
@@ -12,13 +12,13 @@
 
     private final ExpressionEvaluator expressions;
     private final VariableBinder variables;
-    private final StepLimit stepLimit;
+    private final ResourceLimiter limiter;
 
     DisplayEvaluator(
-            ExpressionEvaluator expressions, VariableBinder variables, StepLimit stepLimit) {
+            ExpressionEvaluator expressions, VariableBinder variables, ResourceLimiter limiter) {
         this.expressions = expressions;
         this.variables = variables;
-        this.stepLimit = stepLimit;
+        this.limiter = limiter;
     }
 
     Object list(ScriptParser.ListDisplayContext display, Position at, Scope scope)
@@ -31,7 +31,7 @@
                 display.comprehension(),
                 scope,
                 inner -> {
-                    stepLimit.cells(1, at);
+                    limiter.allocateCells(1, at);
                     elements.add(expressions.eval(display.test(0), inner));
                 });
         return new ListValue(elements);
@@ -58,10 +58,11 @@
     private boolean addEntry(
             ScriptParser.EntryContext entry, DictValue dict, Position at, Scope scope)
             throws ScriptError {
-        stepLimit.cells(2, at);
+        limiter.allocateCells(2, at);
         final Object key =
-                Operators.key(expressions.eval(entry.test(0), scope), Script.position(entry.start));
-        return dict.changeable(at).put(key, expressions.eval(entry.test(1), scope)) == null;
+                Operators.dictKey(
+                        expressions.eval(entry.test(0), scope), Script.position(entry.start));
+        return dict.mutable(at).put(key, expressions.eval(entry.test(1), scope)) == null;
     }
 
     @FunctionalInterface
@@ -93,7 +94,7 @@
             return;
         }
         if (clauses.getChild(next) instanceof ScriptParser.IfClauseContext condition) {
-            if (Values.truth(expressions.eval(condition.orTest(), scope))) {
+            if (Values.isTruthy(expressions.eval(condition.orTest(), scope))) {
                 runClause(clauses, next + 1, scope, body);
             }
             return;
@@ -106,7 +107,7 @@
         try {
             final Iterator<Object> elements = Sequences.iterator(all, Script.position(start));
             while (elements.hasNext()) {
-                stepLimit.step(Script.position(start));
+                limiter.countStep(Script.position(start));
                 variables.bind(
                         loop.targets().NAME(), elements.next(), Script.position(start), scope);
                 runClause(clauses, next + 1, scope, body);
--- a/src/main/java/cresschute/settings/script/ExpressionEvaluator.java
+++ b/src/main/java/cresschute/settings/script/ExpressionEvaluator.java
@@ -22,7 +22,7 @@
 
     private final Environment environment;
     private final Operators operators;
-    private final StepLimit stepLimit;
+    private final ResourceLimiter limiter;
     private final Subscripts subscripts;
     private final BuiltinMethods methods;
     private final DisplayEvaluator displays;
@@ -33,14 +33,13 @@
             Operators operators,
             Subscripts subscripts,
             Sequences sequences,
-            StepLimit stepLimit) {
+            ResourceLimiter limiter) {
         this.environment = environment;
         this.operators = operators;
         this.subscripts = subscripts;
-        this.stepLimit = stepLimit;
-        methods = new BuiltinMethods(sequences, stepLimit);
-        displays =
-                new DisplayEvaluator(this, new VariableBinder(environment, sequences), stepLimit);
+        this.limiter = limiter;
+        methods = new BuiltinMethods(sequences, limiter);
+        displays = new DisplayEvaluator(this, new VariableBinder(environment, sequences), limiter);
     }
 
     /** Evaluates one expression, or several with commas between them to a tuple. */
@@ -53,7 +52,7 @@
 
     List<Object> evalAll(List<ScriptParser.TestContext> tests, Position at, Scope scope)
             throws ScriptError {
-        stepLimit.cells(tests.size(), at);
+        limiter.allocateCells(tests.size(), at);
         final List<Object> values = new ArrayList<>();
         for (final ScriptParser.TestContext test : tests) {
             values.add(eval(test, scope));
@@ -69,7 +68,7 @@
         }
         final ParserRuleContext context = (ParserRuleContext) tree;
         final Position at = Script.position(context.start);
-        stepLimit.step(at);
+        limiter.countStep(at);
         depth++;
         try {
             if (depth > MAX_DEPTH) {
@@ -89,14 +88,16 @@
             return evalAtom(atom, at, scope);
         } else if (context instanceof ScriptParser.TestContext choice) {
             return eval(
-                    Values.truth(eval(choice.orTest(1), scope)) ? choice.orTest(0) : choice.test(),
+                    Values.isTruthy(eval(choice.orTest(1), scope))
+                            ? choice.orTest(0)
+                            : choice.test(),
                     scope);
         } else if (context instanceof ScriptParser.OrTestContext or) {
             return evalUntil(or.andTest(), true, scope);
         } else if (context instanceof ScriptParser.AndTestContext and) {
             return evalUntil(and.notTest(), false, scope);
         } else if (context instanceof ScriptParser.NotTestContext not) {
-            return !Values.truth(eval(not.notTest(), scope));
+            return !Values.isTruthy(eval(not.notTest(), scope));
         } else if (context instanceof ScriptParser.ComparisonContext comparison) {
             return operators.compare(
                     comparison.comparator().getText(),
@@ -105,7 +106,7 @@
                     at);
         } else if (context instanceof ScriptParser.UnaryContext unary) {
             final Object value = eval(unary.unary(), scope);
-            final Object negated = operators.negated(value, at);
+            final Object negated = operators.negate(value, at);
             return unary.getChild(0).getText().equals("-") ? negated : value;
         }
         Object value = eval((ParserRuleContext) context.getChild(0), scope);
@@ -122,7 +123,7 @@
         Object value = null;
         for (final ParserRuleContext part : parts) {
             value = eval(part, scope);
-            if (Values.truth(value) == wanted) {
+            if (Values.isTruthy(value) == wanted) {
                 break;
             }
         }
@@ -143,7 +144,7 @@
                 if (method == null) {
                     throw new ScriptError(
                             Script.position(member.NAME().getSymbol()),
-                            Values.kind(value) + " has no method '" + name + "'");
+                            Values.typeName(value) + " has no method '" + name + "'");
                 }
                 value = method;
             } else if (suffix instanceof ScriptParser.CallContext call) {
@@ -170,7 +171,7 @@
             Scope scope)
             throws ScriptError {
         if (!(function instanceof Builtin builtin)) {
-            throw new ScriptError(at, Values.kind(function) + " cannot be called");
+            throw new ScriptError(at, Values.typeName(function) + " cannot be called");
         }
         final List<Argument> positional = new ArrayList<>();
         final Map<String, Argument> named = new LinkedHashMap<>();
@@ -191,7 +192,7 @@
                         value.at(), "an argument without a name follows one with a name");
             }
         }
-        return builtin.call(new Call(name, at, positional, named, stepLimit));
+        return builtin.call(new Call(name, at, positional, named, limiter));
     }
 
     private Object evalAtom(ScriptParser.AtomContext atom, Position at, Scope scope)
@@ -203,7 +204,7 @@
         } else if (atom instanceof ScriptParser.RealContext real) {
             return Double.parseDouble(real.getText());
         } else if (atom instanceof ScriptParser.TextContext text) {
-            return joinedLiterals(text, at);
+            return concatenateLiterals(text, at);
         } else if (atom instanceof ScriptParser.GroupContext group) {
             return group.expressionList() == null
                     ? new TupleValue(List.of())
@@ -228,12 +229,13 @@
     }
 
     /** String literals that follow each other make one string. */
-    private String joinedLiterals(ScriptParser.TextContext text, Position at) throws ScriptError {
+    private String concatenateLiterals(ScriptParser.TextContext text, Position at)
+            throws ScriptError {
         final StringBuilder joined = new StringBuilder();
         for (final TerminalNode part : text.STRING()) {
-            joined.append(Texts.unquoted(part.getText(), Script.position(part.getSymbol())));
+            joined.append(Strings.unquoted(part.getText(), Script.position(part.getSymbol())));
         }
-        stepLimit.text(joined.length(), at);
+        limiter.allocateText(joined.length(), at);
         return joined.toString();
     }
 }
--- a/src/main/java/cresschute/settings/script/Interpreter.java
+++ b/src/main/java/cresschute/settings/script/Interpreter.java
@@ -13,28 +13,28 @@
     private final StatementExecutor statements;
 
     Interpreter(Map<String, Builtin> hostFunctions, Bounds bounds) {
-        final StepLimit stepLimit = new StepLimit(bounds);
-        final Operators operators = new Operators(stepLimit);
-        final Sequences sequences = new Sequences(stepLimit);
-        final Subscripts subscripts = new Subscripts(stepLimit);
-        environment = new Environment(builtins(hostFunctions, operators, sequences, stepLimit));
+        final ResourceLimiter limiter = new ResourceLimiter(bounds);
+        final Operators operators = new Operators(limiter);
+        final Sequences sequences = new Sequences(limiter);
+        final Subscripts subscripts = new Subscripts(limiter);
+        environment = new Environment(builtins(hostFunctions, operators, sequences, limiter));
         final VariableBinder variables = new VariableBinder(environment, sequences);
         final ExpressionEvaluator expressions =
-                new ExpressionEvaluator(environment, operators, subscripts, sequences, stepLimit);
+                new ExpressionEvaluator(environment, operators, subscripts, sequences, limiter);
         final AssignmentExecutor assignments =
                 new AssignmentExecutor(
-                        environment, expressions, variables, subscripts, operators, stepLimit);
+                        environment, expressions, variables, subscripts, operators, limiter);
         statements =
-                new StatementExecutor(environment, expressions, assignments, variables, stepLimit);
+                new StatementExecutor(environment, expressions, assignments, variables, limiter);
     }
 
     private static Map<String, Object> builtins(
             Map<String, Builtin> hostFunctions,
             Operators operators,
             Sequences sequences,
-            StepLimit stepLimit) {
+            ResourceLimiter limiter) {
         final Map<String, Object> builtins = new HashMap<>();
-        builtins.putAll(new BuiltinFunctions(operators, sequences, stepLimit).all());
+        builtins.putAll(new BuiltinFunctions(operators, sequences, limiter).all());
         Units.addTo(builtins);
         builtins.putAll(hostFunctions);
         return builtins;
--- a/src/main/java/cresschute/settings/script/Operators.java
+++ b/src/main/java/cresschute/settings/script/Operators.java
@@ -11,25 +11,25 @@
 /** What operators do with each kind of value. Whole numbers are of 64 bits and never wrap. */
 final class Operators {
 
-    private final StepLimit stepLimit;
+    private final ResourceLimiter limiter;
 
-    Operators(StepLimit stepLimit) {
-        this.stepLimit = stepLimit;
+    Operators(ResourceLimiter limiter) {
+        this.limiter = limiter;
     }
 
     Object apply(String operator, Object a, Object b, Position at) throws ScriptError {
         try {
             final Object result =
                     switch (operator) {
-                        case "+" -> plus(a, b, at);
-                        case "-" -> minus(a, b);
-                        case "*" -> times(a, b, at);
-                        case "/" -> divided(a, b, at);
-                        case "//" -> floored(a, b, at);
+                        case "+" -> add(a, b, at);
+                        case "-" -> subtract(a, b);
+                        case "*" -> multiply(a, b, at);
+                        case "/" -> divide(a, b, at);
+                        case "//" -> floorDivide(a, b, at);
                         default ->
                                 a instanceof String format
-                                        ? Texts.percent(format, b, stepLimit, at)
-                                        : rest(a, b, at);
+                                        ? Strings.percent(format, b, limiter, at)
+                                        : modulo(a, b, at);
                     };
             if (result == null) {
                 throw new ScriptError(
@@ -37,9 +37,9 @@
                         "'"
                                 + operator
                                 + "' cannot join "
-                                + Values.kind(a)
+                                + Values.typeName(a)
                                 + " and "
-                                + Values.kind(b));
+                                + Values.typeName(b));
             }
             return result;
         } catch (ArithmeticException e) {
@@ -47,7 +47,7 @@
         }
     }
 
-    private Object plus(Object a, Object b, Position at) throws ScriptError {
+    private Object add(Object a, Object b, Position at) throws ScriptError {
         if (a instanceof Long x && b instanceof Long y) {
             return Math.addExact(x, y);
         } else if (a instanceof Number x && b instanceof Number y) {
@@ -57,24 +57,25 @@
                 && x.dimension() == y.dimension()) {
             return new Quantity(x.dimension(), x.amount() + y.amount());
         } else if (a instanceof String x && b instanceof String y) {
-            stepLimit.text((long) x.length() + y.length(), at);
+            limiter.allocateText((long) x.length() + y.length(), at);
             return x + y;
         } else if (a instanceof ListValue x && b instanceof ListValue y) {
-            return new ListValue(joined(x.elements(), y.elements(), at));
+            return new ListValue(concatenate(x.elements(), y.elements(), at));
         } else if (a instanceof TupleValue x && b instanceof TupleValue y) {
-            return new TupleValue(joined(x.elements(), y.elements(), at));
+            return new TupleValue(concatenate(x.elements(), y.elements(), at));
         }
         return null;
     }
 
-    private List<Object> joined(List<Object> a, List<Object> b, Position at) throws ScriptError {
-        stepLimit.cells((long) a.size() + b.size(), at);
+    private List<Object> concatenate(List<Object> a, List<Object> b, Position at)
+            throws ScriptError {
+        limiter.allocateCells((long) a.size() + b.size(), at);
         final List<Object> joined = new ArrayList<>(a);
         joined.addAll(b);
         return joined;
     }
 
-    private static Object minus(Object a, Object b) {
+    private static Object subtract(Object a, Object b) {
         if (a instanceof Long x && b instanceof Long y) {
             return Math.subtractExact(x, y);
         } else if (a instanceof Number x && b instanceof Number y) {
@@ -87,7 +88,7 @@
         return null;
     }
 
-    private Object times(Object a, Object b, Position at) throws ScriptError {
+    private Object multiply(Object a, Object b, Position at) throws ScriptError {
         if (a instanceof Long x && b instanceof Long y) {
             return Math.multiplyExact(x, y);
         } else if (a instanceof Number x && b instanceof Number y) {
@@ -97,15 +98,15 @@
         } else if (a instanceof Number x && b instanceof Quantity y) {
             return new Quantity(y.dimension(), y.amount() * x.doubleValue());
         } else if (a instanceof Long count && !(b instanceof Long) && !(b instanceof Double)) {
-            return repeated(b, count, at);
+            return repeat(b, count, at);
         }
-        return b instanceof Long count ? repeated(a, count, at) : null;
+        return b instanceof Long count ? repeat(a, count, at) : null;
     }
 
-    private Object repeated(Object value, long count, Position at) throws ScriptError {
+    private Object repeat(Object value, long count, Position at) throws ScriptError {
         final long times = Math.max(0, count);
         if (value instanceof String text) {
-            stepLimit.text(Math.multiplyExact(text.length(), times), at);
+            limiter.allocateText(Math.multiplyExact(text.length(), times), at);
             return text.repeat((int) times);
         }
         if (!(value instanceof ListValue) && !(value instanceof TupleValue)) {
@@ -113,7 +114,7 @@
         }
         final List<Object> elements =
                 value instanceof ListValue list ? list.elements() : ((TupleValue) value).elements();
-        stepLimit.cells(Math.multiplyExact(elements.size(), times), at);
+        limiter.allocateCells(Math.multiplyExact(elements.size(), times), at);
         final List<Object> repeated = new ArrayList<>();
         for (long i = 0; i < times && !elements.isEmpty(); i++) {
             repeated.addAll(elements);
@@ -121,7 +122,7 @@
         return value instanceof ListValue ? new ListValue(repeated) : new TupleValue(repeated);
     }
 
-    private static Object divided(Object a, Object b, Position at) throws ScriptError {
+    private static Object divide(Object a, Object b, Position at) throws ScriptError {
         if (a instanceof Number x && b instanceof Number y) {
             return x.doubleValue() / divisor(y, at);
         } else if (a instanceof Quantity x && b instanceof Number y) {
@@ -134,7 +135,7 @@
         return null;
     }
 
-    private static Object floored(Object a, Object b, Position at) throws ScriptError {
+    private static Object floorDivide(Object a, Object b, Position at) throws ScriptError {
         if (a instanceof Long x && b instanceof Long y) {
             divisor(y, at);
             if (x == Long.MIN_VALUE && y == -1) {
@@ -147,7 +148,7 @@
         return null;
     }
 
-    private static Object rest(Object a, Object b, Position at) throws ScriptError {
+    private static Object modulo(Object a, Object b, Position at) throws ScriptError {
         if (a instanceof Long x && b instanceof Long y) {
             divisor(y, at);
             return Math.floorMod(x, y);
@@ -165,7 +166,7 @@
         return number.doubleValue();
     }
 
-    Object negated(Object value, Position at) throws ScriptError {
+    Object negate(Object value, Position at) throws ScriptError {
         if (value instanceof Long number) {
             if (number == Long.MIN_VALUE) {
                 throw new ScriptError(at, "the result is beyond 64 bits");
@@ -176,13 +177,13 @@
         } else if (value instanceof Quantity quantity) {
             return new Quantity(quantity.dimension(), -quantity.amount());
         }
-        throw new ScriptError(at, "'-' cannot stand before " + Values.kind(value));
+        throw new ScriptError(at, "'-' cannot stand before " + Values.typeName(value));
     }
 
     boolean compare(String operator, Object a, Object b, Position at) throws ScriptError {
         return switch (operator) {
-            case "==" -> Values.equal(a, b, 0, stepLimit, at);
-            case "!=" -> !Values.equal(a, b, 0, stepLimit, at);
+            case "==" -> Values.equal(a, b, 0, limiter, at);
+            case "!=" -> !Values.equal(a, b, 0, limiter, at);
             case "<" -> order(a, b, at) < 0;
             case "<=" -> order(a, b, at) <= 0;
             case ">" -> order(a, b, at) > 0;
@@ -193,7 +194,7 @@
     }
 
     int order(Object a, Object b, Position at) throws ScriptError {
-        stepLimit.step(at);
+        limiter.countStep(at);
         if (a instanceof Long x && b instanceof Long y) {
             return Long.compare(x, y);
         } else if (a instanceof Number x && b instanceof Number y) {
@@ -207,35 +208,35 @@
         }
         throw new ScriptError(
                 at,
-                Values.kind(a)
+                Values.typeName(a)
                         + " and "
-                        + Values.kind(b)
+                        + Values.typeName(b)
                         + " have no order; numbers, texts, times and sizes have");
     }
 
     private boolean contains(Object all, Object one, Position at) throws ScriptError {
         if (all instanceof String text && one instanceof String part) {
-            stepLimit.steps(text.length(), at);
+            limiter.countSteps(text.length(), at);
             return text.contains(part);
         } else if (all instanceof DictValue dict) {
-            return dict.entries().containsKey(key(one, at));
+            return dict.entries().containsKey(dictKey(one, at));
         } else if (all instanceof RangeValue range) {
-            return one instanceof Long number && within(range, number);
+            return one instanceof Long number && contains(range, number);
         } else if (all instanceof ListValue || all instanceof TupleValue) {
             final List<Object> elements =
                     all instanceof ListValue list ? list.elements() : ((TupleValue) all).elements();
             for (final Object element : elements) {
-                if (Values.equal(element, one, 0, stepLimit, at)) {
+                if (Values.equal(element, one, 0, limiter, at)) {
                     return true;
                 }
             }
             return false;
         }
         throw new ScriptError(
-                at, "'in' cannot look for " + Values.kind(one) + " in " + Values.kind(all));
+                at, "'in' cannot look for " + Values.typeName(one) + " in " + Values.typeName(all));
     }
 
-    private static boolean within(RangeValue range, long number) {
+    private static boolean contains(RangeValue range, long number) {
         final boolean between =
                 range.step() > 0
                         ? number >= range.start() && number < range.stop()
@@ -244,12 +245,13 @@
     }
 
     /** A value as a dict's key. */
-    static Object key(Object value, Position at) throws ScriptError {
+    static Object dictKey(Object value, Position at) throws ScriptError {
         if (value instanceof String || value instanceof Long || value instanceof Boolean) {
             return value;
         }
         throw new ScriptError(
                 at,
-                Values.kind(value) + " cannot be a key; texts, whole numbers, True and False can");
+                Values.typeName(value)
+                        + " cannot be a key; texts, whole numbers, True and False can");
     }
 }
--- a/src/main/java/cresschute/settings/script/StepLimit.java
+++ b/src/main/java/cresschute/settings/script/ResourceLimiter.java
@@ -4,15 +4,15 @@
  * Counts the steps and the memory of one run of a script, and throws at the first bound that is
  * exceeded.
  */
-final class StepLimit {
+final class ResourceLimiter {
 
-    private static final int CHARS_A_CELL = 8;
+    private static final int CHARS_PER_CELL = 8;
 
     private final Bounds bounds;
     private long steps;
     private long cells;
 
-    StepLimit(Bounds bounds) {
+    ResourceLimiter(Bounds bounds) {
         this.bounds = bounds;
     }
 
@@ -20,11 +20,11 @@
         return bounds;
     }
 
-    void step(Position at) throws ScriptError {
-        steps(1, at);
+    void countStep(Position at) throws ScriptError {
+        countSteps(1, at);
     }
 
-    void steps(long count, Position at) throws ScriptError {
+    void countSteps(long count, Position at) throws ScriptError {
         steps += count;
         if (steps > bounds.steps()) {
             throw new ScriptError(
@@ -34,7 +34,7 @@
     }
 
     /** Called before the memory is taken, so that what is too large is never built. */
-    void cells(long count, Position at) throws ScriptError {
+    void allocateCells(long count, Position at) throws ScriptError {
         // Subtracts, as a sum could overflow: a single count may be near the largest long.
         if (count > bounds.cells() - cells) {
             throw new ScriptError(
@@ -46,11 +46,11 @@
         cells += count;
     }
 
-    void text(long chars, Position at) throws ScriptError {
-        cells(1 + chars / CHARS_A_CELL, at);
+    void allocateText(long chars, Position at) throws ScriptError {
+        allocateCells(1 + chars / CHARS_PER_CELL, at);
     }
 
-    void nesting(int depth, Position at) throws ScriptError {
+    void checkNesting(int depth, Position at) throws ScriptError {
         if (depth > bounds.nesting()) {
             throw new ScriptError(
                     at,
--- a/src/main/java/cresschute/settings/script/Script.java
+++ b/src/main/java/cresschute/settings/script/Script.java
@@ -22,7 +22,7 @@
     private static final int MAX_SYNTAX_ERRORS = 20;
 
     /** With more alternatives, an error does not list them. */
-    private static final int MAX_EXPECTED = 4;
+    private static final int MAX_LISTED_ALTERNATIVES = 4;
 
     private Script() {}
 
@@ -33,12 +33,12 @@
      * @return what is wrong with it, in the order of the text; nothing if it ran through
      */
     public static List<ScriptError> run(String text, Map<String, Builtin> host, Bounds bounds) {
-        if (text.length() > bounds.textChars()) {
+        if (text.length() > bounds.scriptChars()) {
             return List.of(
                     new ScriptError(
                             Position.START,
                             "the script is too long; at most "
-                                    + bounds.textChars()
+                                    + bounds.scriptChars()
                                     + " characters are allowed"));
         }
         final List<ScriptError> errors = new ArrayList<>();
@@ -47,7 +47,8 @@
             lexer.removeErrorListeners();
             final ScriptParser parser =
                     new ScriptParser(
-                            new CommonTokenStream(new ListTokenSource(ScriptTokens.of(lexer))));
+                            new CommonTokenStream(
+                                    new ListTokenSource(ScriptTokens.tokenize(lexer))));
             parser.removeErrorListeners();
             parser.addErrorListener(new SyntaxErrors(errors));
             final ScriptParser.FileContext file = parser.file();
@@ -56,7 +57,7 @@
             }
         } catch (ScriptError e) {
             errors.add(e);
-        } catch (DepthBoundParser.TooDeep e) {
+        } catch (DepthBoundParser.NestingTooDeepException e) {
             errors.add(new ScriptError(e.position(), "the text is nested too deeply"));
         }
         return errors;
@@ -86,19 +87,19 @@
                 int column,
                 String message,
                 RecognitionException e) {
-            final boolean known =
+            final boolean lineHasError =
                     errors.stream().anyMatch(error -> error.position().line() == line);
-            if (!known && errors.size() < MAX_SYNTAX_ERRORS) {
+            if (!lineHasError && errors.size() < MAX_SYNTAX_ERRORS) {
                 errors.add(
                         new ScriptError(
                                 position((Token) offending),
                                 "unexpected "
-                                        + name((Token) offending)
-                                        + expected((ScriptParser) recognizer)));
+                                        + describe((Token) offending)
+                                        + expectedTokens((ScriptParser) recognizer)));
             }
         }
 
-        private static String name(Token token) {
+        private static String describe(Token token) {
             return switch (token.getType()) {
                 case Token.EOF -> "end of the script";
                 case ScriptParser.NEWLINE -> "end of line";
@@ -107,19 +108,19 @@
             };
         }
 
-        private static String expected(ScriptParser parser) {
+        private static String expectedTokens(ScriptParser parser) {
             final IntervalSet expected = parser.getExpectedTokens();
-            if (expected.size() == 0 || expected.size() > MAX_EXPECTED) {
+            if (expected.size() == 0 || expected.size() > MAX_LISTED_ALTERNATIVES) {
                 return "";
             }
             final List<String> names = new ArrayList<>();
             for (final int type : expected.toList()) {
-                names.add(allowed(type, parser));
+                names.add(tokenDescription(type, parser));
             }
             return "; expected " + String.join(" or ", names);
         }
 
-        private static String allowed(int type, ScriptParser parser) {
+        private static String tokenDescription(int type, ScriptParser parser) {
             return switch (type) {
                 case Token.EOF -> "the end";
                 case ScriptParser.NEWLINE -> "the end of the line";
--- a/src/main/java/cresschute/settings/script/ScriptTokens.java
+++ b/src/main/java/cresschute/settings/script/ScriptTokens.java
@@ -38,34 +38,34 @@
                     "with",
                     "yield");
 
-    private final List<Token> laidOut = new ArrayList<>();
+    private final List<Token> output = new ArrayList<>();
     private final Deque<Integer> indents = new ArrayDeque<>(List.of(0));
     private final Deque<Token> brackets = new ArrayDeque<>();
-    private boolean lineBegins = true;
+    private boolean atLineStart = true;
 
     private ScriptTokens() {}
 
-    static List<Token> of(Lexer lexer) throws ScriptError {
+    static List<Token> tokenize(Lexer lexer) throws ScriptError {
         final ScriptTokens tokens = new ScriptTokens();
         Token token = lexer.nextToken();
         while (token.getType() != Token.EOF) {
-            tokens.take(token);
+            tokens.accept(token);
             token = lexer.nextToken();
         }
-        tokens.end(token);
-        return tokens.laidOut;
+        tokens.finish(token);
+        return tokens.output;
     }
 
-    private void take(Token token) throws ScriptError {
+    private void accept(Token token) throws ScriptError {
         if (token.getType() == ScriptLexer.NEWLINE) {
-            if (brackets.isEmpty() && !lineBegins) {
-                laidOut.add(token);
-                lineBegins = true;
+            if (brackets.isEmpty() && !atLineStart) {
+                output.add(token);
+                atLineStart = true;
             }
             return;
         }
         if (token.getType() == ScriptLexer.UNKNOWN) {
-            throw unknown(token);
+            throw unknownCharacter(token);
         }
         if (token.getType() == ScriptLexer.NAME && RESERVED.contains(token.getText())) {
             throw new ScriptError(
@@ -74,19 +74,19 @@
                             + token.getText()
                             + "' is not part of the language; docs/settings.md lists what is");
         }
-        if (lineBegins && brackets.isEmpty()) {
-            indent(token);
+        if (atLineStart && brackets.isEmpty()) {
+            updateIndentation(token);
         }
-        lineBegins = false;
+        atLineStart = false;
         switch (token.getText()) {
             case "(", "[", "{" -> brackets.push(token);
             case ")", "]", "}" -> brackets.poll();
             default -> {}
         }
-        laidOut.add(token);
+        output.add(token);
     }
 
-    private static ScriptError unknown(Token token) {
+    private static ScriptError unknownCharacter(Token token) {
         return new ScriptError(
                 Script.position(token),
                 switch (token.getText()) {
@@ -97,7 +97,7 @@
                 });
     }
 
-    private void indent(Token token) throws ScriptError {
+    private void updateIndentation(Token token) throws ScriptError {
         final int column = token.getCharPositionInLine();
         if (column > indents.peek()) {
             indents.push(column);
@@ -113,26 +113,26 @@
         }
     }
 
-    private void end(Token eof) throws ScriptError {
+    private void finish(Token eof) throws ScriptError {
         if (!brackets.isEmpty()) {
             throw new ScriptError(
                     Script.position(brackets.peek()),
                     "this '" + brackets.peek().getText() + "' is never closed");
         }
-        if (!lineBegins) {
+        if (!atLineStart) {
             add(ScriptParser.NEWLINE, "end of line", eof);
         }
         while (indents.peek() > 0) {
             indents.pop();
             add(ScriptParser.DEDENT, "less indentation", eof);
         }
-        laidOut.add(eof);
+        output.add(eof);
     }
 
     private void add(int type, String text, Token where) {
         final CommonToken token = new CommonToken(where);
         token.setType(type);
         token.setText(text);
-        laidOut.add(token);
+        output.add(token);
     }
 }
--- a/src/main/java/cresschute/settings/script/Sequences.java
+++ b/src/main/java/cresschute/settings/script/Sequences.java
@@ -12,10 +12,10 @@
 /** Iteration over lists, tuples, ranges and the keys of dicts. */
 final class Sequences {
 
-    private final StepLimit stepLimit;
+    private final ResourceLimiter limiter;
 
-    Sequences(StepLimit stepLimit) {
-        this.stepLimit = stepLimit;
+    Sequences(ResourceLimiter limiter) {
+        this.limiter = limiter;
     }
 
     /** The elements of a call's first argument. */
@@ -25,15 +25,15 @@
 
     /** The same, where that argument must be the only one. */
     List<Object> elementsOfOnly(Builtin.Call call) throws ScriptError {
-        call.exactly(1, 1);
+        call.requirePositional(1, 1);
         return elementsOfFirst(call);
     }
 
     /** The elements of a sequence, as a new list. */
     List<Object> elements(Object value, Position at) throws ScriptError {
         final long size = size(value, at);
-        stepLimit.cells(size, at);
-        stepLimit.steps(size, at);
+        limiter.allocateCells(size, at);
+        limiter.countSteps(size, at);
         final List<Object> elements = new ArrayList<>();
         iterator(value, at).forEachRemaining(elements::add);
         return elements;
@@ -84,23 +84,24 @@
 
     private static ScriptError noSequence(Object value, Position at) {
         return new ScriptError(
-                at, Values.kind(value) + " is no sequence; a list, a tuple, a dict or a range is");
+                at,
+                Values.typeName(value) + " is no sequence; a list, a tuple, a dict or a range is");
     }
 
     /** Forbids changes of a list or a dict until the iteration over it ends. */
     static void beginIteration(Object sequence) {
-        changeIterators(sequence, 1);
+        adjustIteratorCount(sequence, 1);
     }
 
     static void endIteration(Object sequence) {
-        changeIterators(sequence, -1);
+        adjustIteratorCount(sequence, -1);
     }
 
-    private static void changeIterators(Object sequence, int change) {
+    private static void adjustIteratorCount(Object sequence, int change) {
         if (sequence instanceof ListValue list) {
-            list.changeIterators(change);
+            list.adjustIteratorCount(change);
         } else if (sequence instanceof DictValue dict) {
-            dict.changeIterators(change);
+            dict.adjustIteratorCount(change);
         }
     }
 }
--- a/src/main/java/cresschute/settings/script/StatementExecutor.java
+++ b/src/main/java/cresschute/settings/script/StatementExecutor.java
@@ -25,24 +25,24 @@
     private final AssignmentExecutor assignments;
     private final VariableBinder variables;
     private final CallStack calls;
-    private final StepLimit stepLimit;
+    private final ResourceLimiter limiter;
 
     StatementExecutor(
             Environment environment,
             ExpressionEvaluator expressions,
             AssignmentExecutor assignments,
             VariableBinder variables,
-            StepLimit stepLimit) {
+            ResourceLimiter limiter) {
         this.environment = environment;
         this.expressions = expressions;
         this.assignments = assignments;
         this.variables = variables;
-        this.stepLimit = stepLimit;
-        calls = new CallStack(stepLimit.bounds().calls());
+        this.limiter = limiter;
+        calls = new CallStack(limiter.bounds().calls());
     }
 
     Completion execute(ScriptParser.StatementContext statement, Scope scope) throws ScriptError {
-        stepLimit.step(Script.position(statement.start));
+        limiter.countStep(Script.position(statement.start));
         if (statement.simpleLine() != null) {
             return executeLine(statement.simpleLine(), scope);
         } else if (statement.ifStatement() != null) {
@@ -90,7 +90,7 @@
     private Completion executeIf(ScriptParser.IfStatementContext branch, Scope scope)
             throws ScriptError {
         for (int i = 0; i < branch.test().size(); i++) {
-            if (Values.truth(expressions.eval(branch.test(i), scope))) {
+            if (Values.isTruthy(expressions.eval(branch.test(i), scope))) {
                 return executeSuite(branch.suite(i), scope);
             }
         }
@@ -107,7 +107,7 @@
         Sequences.beginIteration(all);
         try {
             while (elements.hasNext()) {
-                stepLimit.step(at);
+                limiter.countStep(at);
                 variables.bind(loop.targets().NAME(), elements.next(), at, scope);
                 final Completion completion = executeSuite(loop.suite(), scope);
                 if (completion == Completion.BREAK) {
--- a/src/main/java/cresschute/settings/script/Texts.java
+++ b/src/main/java/cresschute/settings/script/Strings.java
@@ -4,9 +4,9 @@
 import java.util.List;
 
 /** Literals of texts, and the two ways of formatting them. */
-final class Texts {
+final class Strings {
 
-    private Texts() {}
+    private Strings() {}
 
     /** What a literal with its quotes stands for. */
     static String unquoted(String literal, Position at) throws ScriptError {
@@ -42,7 +42,7 @@
     }
 
     /** Fills in {@code %s}, {@code %d}, {@code %r} and {@code %%}. */
-    static String percent(String format, Object values, StepLimit stepLimit, Position at)
+    static String percent(String format, Object values, ResourceLimiter limiter, Position at)
             throws ScriptError {
         final List<Object> given =
                 values instanceof TupleValue tuple ? tuple.elements() : List.of(values);
@@ -73,18 +73,18 @@
             }
             final Object value = given.get(used++);
             if (kind == 'd' && !(value instanceof Long)) {
-                throw new ScriptError(at, "%d takes a whole number, not " + Values.kind(value));
+                throw new ScriptError(at, "%d takes a whole number, not " + Values.typeName(value));
             }
-            final String text = Values.text(value, stepLimit, at);
+            final String text = Values.text(value, limiter, at);
             out.append(kind == 'r' && value instanceof String ? Values.quoted(text) : text);
-            stepLimit.text(text.length(), at);
+            limiter.allocateText(text.length(), at);
         }
         if (used < given.size()) {
             throw new ScriptError(
                     at,
                     "the format asks for " + used + " of the " + given.size() + " values given");
         }
-        stepLimit.text(out.length(), at);
+        limiter.allocateText(out.length(), at);
         return out.toString();
     }
 
@@ -104,8 +104,8 @@
                 final String field = format.substring(i + 1, end);
                 final Object value =
                         field(field.isEmpty() ? Integer.toString(next++) : field, call);
-                final String text = Values.text(value, call.stepLimit(), call.at());
-                call.stepLimit().text(text.length(), call.at());
+                final String text = Values.text(value, call.limiter(), call.at());
+                call.limiter().allocateText(text.length(), call.at());
                 out.append(text);
                 i = end;
             } else if (character == '}' && !doubled) {
@@ -115,7 +115,7 @@
                 i += character == '{' || character == '}' ? 1 : 0;
             }
         }
-        call.stepLimit().text(out.length(), call.at());
+        call.limiter().allocateText(out.length(), call.at());
         return out.toString();
     }
 
--- a/src/main/java/cresschute/settings/script/Subscripts.java
+++ b/src/main/java/cresschute/settings/script/Subscripts.java
@@ -10,10 +10,10 @@
 /** Elements and slices of texts, lists, tuples, ranges and dicts, for reading and for writing. */
 final class Subscripts {
 
-    private final StepLimit stepLimit;
+    private final ResourceLimiter limiter;
 
-    Subscripts(StepLimit stepLimit) {
-        this.stepLimit = stepLimit;
+    Subscripts(ResourceLimiter limiter) {
+        this.limiter = limiter;
     }
 
     static Object element(Object value, Object key, Position at) throws ScriptError {
@@ -27,7 +27,7 @@
         } else if (value instanceof RangeValue range) {
             return range.at(index(key, (int) Math.min(Integer.MAX_VALUE, range.size()), at));
         } else if (value instanceof DictValue dict) {
-            final Object found = dict.entries().get(Operators.key(key, at));
+            final Object found = dict.entries().get(Operators.dictKey(key, at));
             if (found == null) {
                 throw new ScriptError(
                         at,
@@ -36,7 +36,7 @@
             }
             return found;
         }
-        throw new ScriptError(at, Values.kind(value) + " has no elements");
+        throw new ScriptError(at, Values.typeName(value) + " has no elements");
     }
 
     Object slice(Object value, Object low, Object high, Position at) throws ScriptError {
@@ -48,15 +48,15 @@
                                 : value instanceof TupleValue tuple ? tuple.elements().size() : -1;
         if (size < 0) {
             throw new ScriptError(
-                    at, Values.kind(value) + " cannot be cut; a text, a list and a tuple can");
+                    at, Values.typeName(value) + " cannot be cut; a text, a list and a tuple can");
         }
         final int from = bound(low, 0, size, at);
         final int to = Math.max(from, bound(high, size, size, at));
         if (value instanceof String text) {
-            stepLimit.text(to - from, at);
+            limiter.allocateText(to - from, at);
             return text.substring(from, to);
         }
-        stepLimit.cells(to - from, at);
+        limiter.allocateCells(to - from, at);
         final List<Object> elements =
                 value instanceof ListValue list ? list.elements() : ((TupleValue) value).elements();
         final List<Object> part = new ArrayList<>(elements.subList(from, to));
@@ -65,21 +65,21 @@
 
     void setElement(Object container, Object key, Object value, Position at) throws ScriptError {
         if (container instanceof ListValue list) {
-            list.changeable(at).set(index(key, list.elements().size(), at), value);
+            list.mutable(at).set(index(key, list.elements().size(), at), value);
         } else if (container instanceof DictValue dict) {
-            stepLimit.cells(2, at);
-            dict.changeable(at).put(Operators.key(key, at), value);
+            limiter.allocateCells(2, at);
+            dict.mutable(at).put(Operators.dictKey(key, at), value);
         } else {
             throw new ScriptError(
                     at,
-                    Values.kind(container)
+                    Values.typeName(container)
                             + " has no elements that can be set; a list and a dict have");
         }
     }
 
     private static int index(Object key, int size, Position at) throws ScriptError {
         if (!(key instanceof Long number)) {
-            throw new ScriptError(at, "an index is a whole number, not " + Values.kind(key));
+            throw new ScriptError(at, "an index is a whole number, not " + Values.typeName(key));
         }
         final long index = number < 0 ? number + size : number;
         if (index < 0 || index >= size) {
@@ -100,7 +100,7 @@
             return defaultValue;
         }
         if (!(bound instanceof Long number)) {
-            throw new ScriptError(at, "an index is a whole number, not " + Values.kind(bound));
+            throw new ScriptError(at, "an index is a whole number, not " + Values.typeName(bound));
         }
         return (int) Math.max(0, Math.min(size, number < 0 ? number + size : number));
     }
--- a/src/main/java/cresschute/settings/script/Values.java
+++ b/src/main/java/cresschute/settings/script/Values.java
@@ -37,7 +37,7 @@
     public static final class ListValue {
 
         private final List<Object> elements;
-        private int walkers;
+        private int activeIterators;
 
         ListValue(List<Object> elements) {
             this.elements = elements;
@@ -48,15 +48,15 @@
             return Collections.unmodifiableList(elements);
         }
 
-        List<Object> changeable(Position at) throws ScriptError {
-            if (walkers > 0) {
+        List<Object> mutable(Position at) throws ScriptError {
+            if (activeIterators > 0) {
                 throw new ScriptError(at, "the list may not change while a loop goes through it");
             }
             return elements;
         }
 
-        void changeIterators(int change) {
-            walkers += change;
+        void adjustIteratorCount(int change) {
+            activeIterators += change;
         }
     }
 
@@ -89,27 +89,27 @@
     public static final class DictValue {
 
         private final Map<Object, Object> entries = new LinkedHashMap<>();
-        private int walkers;
+        private int activeIterators;
 
         /** The entries as they are now, not to be changed. */
         public Map<Object, Object> entries() {
             return Collections.unmodifiableMap(entries);
         }
 
-        Map<Object, Object> changeable(Position at) throws ScriptError {
-            if (walkers > 0) {
+        Map<Object, Object> mutable(Position at) throws ScriptError {
+            if (activeIterators > 0) {
                 throw new ScriptError(at, "the dict may not change while a loop goes through it");
             }
             return entries;
         }
 
-        void changeIterators(int change) {
-            walkers += change;
+        void adjustIteratorCount(int change) {
+            activeIterators += change;
         }
     }
 
     /** The name of a value's kind, as errors give it. */
-    public static String kind(Object value) {
+    public static String typeName(Object value) {
         if (value == NONE) {
             return "None";
         } else if (value instanceof Boolean) {
@@ -134,7 +134,7 @@
         return "a function";
     }
 
-    static boolean truth(Object value) {
+    static boolean isTruthy(Object value) {
         if (value instanceof Boolean truth) {
             return truth;
         } else if (value instanceof Long number) {
@@ -158,20 +158,20 @@
     }
 
     /** Whether two values are equal; walks down them, which counts. */
-    static boolean equal(Object a, Object b, int depth, StepLimit stepLimit, Position at)
+    static boolean equal(Object a, Object b, int depth, ResourceLimiter limiter, Position at)
             throws ScriptError {
-        stepLimit.step(at);
-        stepLimit.nesting(depth, at);
+        limiter.countStep(at);
+        limiter.checkNesting(depth, at);
         if (a instanceof Number x && b instanceof Number y) {
             return (a instanceof Long && b instanceof Long)
                     ? x.longValue() == y.longValue()
                     : x.doubleValue() == y.doubleValue();
         }
         if (a instanceof ListValue x && b instanceof ListValue y) {
-            return equalAll(x.elements, y.elements, depth, stepLimit, at);
+            return equalAll(x.elements, y.elements, depth, limiter, at);
         }
         if (a instanceof TupleValue x && b instanceof TupleValue y) {
-            return equalAll(x.elements(), y.elements(), depth, stepLimit, at);
+            return equalAll(x.elements(), y.elements(), depth, limiter, at);
         }
         if (a instanceof DictValue x && b instanceof DictValue y) {
             if (!x.entries.keySet().equals(y.entries.keySet())) {
@@ -179,11 +179,7 @@
             }
             for (final Map.Entry<Object, Object> entry : x.entries.entrySet()) {
                 if (!equal(
-                        entry.getValue(),
-                        y.entries.get(entry.getKey()),
-                        depth + 1,
-                        stepLimit,
-                        at)) {
+                        entry.getValue(), y.entries.get(entry.getKey()), depth + 1, limiter, at)) {
                     return false;
                 }
             }
@@ -193,13 +189,13 @@
     }
 
     private static boolean equalAll(
-            List<Object> a, List<Object> b, int depth, StepLimit stepLimit, Position at)
+            List<Object> a, List<Object> b, int depth, ResourceLimiter limiter, Position at)
             throws ScriptError {
         if (a.size() != b.size()) {
             return false;
         }
         for (int i = 0; i < a.size(); i++) {
-            if (!equal(a.get(i), b.get(i), depth + 1, stepLimit, at)) {
+            if (!equal(a.get(i), b.get(i), depth + 1, limiter, at)) {
                 return false;
             }
         }
@@ -207,29 +203,29 @@
     }
 
     /** A value's text, as {@code str} makes it. */
-    static String text(Object value, StepLimit stepLimit, Position at) throws ScriptError {
+    static String text(Object value, ResourceLimiter limiter, Position at) throws ScriptError {
         if (value instanceof String text) {
             return text;
         }
         final StringBuilder out = new StringBuilder();
-        write(value, out, 0, stepLimit, at);
+        write(value, out, 0, limiter, at);
         return out.toString();
     }
 
     /** Counts as it writes: a small value that holds itself many times over has a huge text. */
     private static void write(
-            Object value, StringBuilder out, int depth, StepLimit stepLimit, Position at)
+            Object value, StringBuilder out, int depth, ResourceLimiter limiter, Position at)
             throws ScriptError {
-        stepLimit.step(at);
-        stepLimit.nesting(depth, at);
+        limiter.countStep(at);
+        limiter.checkNesting(depth, at);
         final int before = out.length();
         if (value instanceof String text) {
-            stepLimit.text(text.length(), at);
+            limiter.allocateText(text.length(), at);
             out.append(quoted(text));
         } else if (value instanceof Quantity quantity) {
             out.append(text(quantity));
         } else if (value instanceof ListValue list) {
-            writeAll(list.elements, "[", "]", out, depth, stepLimit, at);
+            writeAll(list.elements, "[", "]", out, depth, limiter, at);
         } else if (value instanceof TupleValue tuple) {
             writeAll(
                     tuple.elements(),
@@ -237,7 +233,7 @@
                     tuple.elements().size() == 1 ? ",)" : ")",
                     out,
                     depth,
-                    stepLimit,
+                    limiter,
                     at);
         } else if (value instanceof RangeValue range) {
             out.append("range(")
@@ -251,9 +247,9 @@
             String gap = "{";
             for (final Map.Entry<Object, Object> entry : dict.entries.entrySet()) {
                 out.append(gap);
-                write(entry.getKey(), out, depth + 1, stepLimit, at);
+                write(entry.getKey(), out, depth + 1, limiter, at);
                 out.append(": ");
-                write(entry.getValue(), out, depth + 1, stepLimit, at);
+                write(entry.getValue(), out, depth + 1, limiter, at);
                 gap = ", ";
             }
             out.append(dict.entries.isEmpty() ? "{}" : "}");
@@ -263,7 +259,7 @@
             out.append(value);
         }
         if (depth == 0) {
-            stepLimit.text(out.length() - before, at);
+            limiter.allocateText(out.length() - before, at);
         }
     }
 
@@ -273,13 +269,13 @@
             String close,
             StringBuilder out,
             int depth,
-            StepLimit stepLimit,
+            ResourceLimiter limiter,
             Position at)
             throws ScriptError {
         String gap = open;
         for (final Object element : elements) {
             out.append(gap);
-            write(element, out, depth + 1, stepLimit, at);
+            write(element, out, depth + 1, limiter, at);
             gap = ", ";
         }
         out.append(elements.isEmpty() ? open : "").append(close);
--- a/src/test/java/cresschute/settings/ScriptTest.java
+++ b/src/test/java/cresschute/settings/ScriptTest.java
@@ -37,7 +37,7 @@
     }
 
     private static List<String> run(String text) {
-        return run(text, Bounds.USUAL);
+        return run(text, Bounds.DEFAULT);
     }
 
     @ParameterizedTest
@@ -283,7 +283,7 @@
 
     @Test
     void textBeyondItsBoundIsNotRead() {
-        assertThat(run("#".repeat(Bounds.USUAL.textChars() + 1)))
+        assertThat(run("#".repeat(Bounds.DEFAULT.scriptChars() + 1)))
                 .containsExactly(
                         "1:1: the script is too long; at most 262144 characters are allowed");
     }
