--- a/src/main/java/cresschute/cli/CapacityCommand.java
+++ b/src/main/java/cresschute/cli/CapacityCommand.java
@@ -39,10 +39,10 @@
         })
 final class CapacityCommand implements Callable<Integer> {
 
-    private static final int INTERRUPTED = 130;
+    private static final int EXIT_INTERRUPTED = 130;
     private static final int MAX_REPETITIONS = 100;
-    private static final double ACCELERATORS_A_WORKER = 1_800 / 1_400.0;
-    private static final String UNKNOWN = "unknown";
+    private static final double ACCELERATORS_PER_WORKER = 1_800 / 1_400.0;
+    private static final String UNKNOWN_COMMIT = "unknown";
 
     @Option(names = "--workers", paramLabel = "N", description = "listed workers (default: 1400)")
     private Integer workers;
@@ -194,7 +194,7 @@
             return ExitCodes.FAILED;
         } finally {
             ended.countDown();
-            forget(hook);
+            removeShutdownHook(hook);
         }
     }
 
@@ -205,7 +205,7 @@
             final NeedChart chart = new NeedChart();
             for (int i = 0; i < points.size() && interrupted.getCount() > 0; i++) {
                 if (points.size() > 1) {
-                    progress(
+                    printProgress(
                             "point "
                                     + (i + 1)
                                     + " of "
@@ -214,7 +214,8 @@
                                     + points.get(i).axis());
                 }
                 final CapacityResult result =
-                        new CapacityExperiment(points.get(i).plan(), this::progress, interrupted)
+                        new CapacityExperiment(
+                                        points.get(i).plan(), this::printProgress, interrupted)
                                 .run();
                 if (file != null) {
                     file.add(points.get(i), result);
@@ -229,7 +230,7 @@
                 chart.draw(charts);
             }
         }
-        return interrupted.getCount() == 0 ? INTERRUPTED : code;
+        return interrupted.getCount() == 0 ? EXIT_INTERRUPTED : code;
     }
 
     /** The commit that the program was built from, where it still stands in its working tree. */
@@ -254,9 +255,9 @@
                             .start();
             final String out =
                     new String(git.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-            return out.isBlank() ? UNKNOWN : out.strip();
+            return out.isBlank() ? UNKNOWN_COMMIT : out.strip();
         } catch (IOException e) {
-            return UNKNOWN;
+            return UNKNOWN_COMMIT;
         }
     }
 
@@ -268,7 +269,7 @@
         }
     }
 
-    private static void forget(Thread hook) {
+    private static void removeShutdownHook(Thread hook) {
         try {
             Runtime.getRuntime().removeShutdownHook(hook);
         } catch (IllegalStateException e) {
@@ -299,33 +300,33 @@
     }
 
     private CapacityPlan plan() {
-        final int count = or(workers, 1_400, 200);
+        final int count = valueOrDefault(workers, 1_400, 200);
         return new CapacityPlan(
                 count,
                 accelerators != null
                         ? accelerators
-                        : (int) Math.round(count * ACCELERATORS_A_WORKER),
-                or(running, 9_100, 240),
-                or(starts, 300.0, 80.0),
-                or(tenants, 54, 54),
-                or(dispatchers, 7, 2),
+                        : (int) Math.round(count * ACCELERATORS_PER_WORKER),
+                valueOrDefault(running, 9_100, 240),
+                valueOrDefault(starts, 300.0, 80.0),
+                valueOrDefault(tenants, 54, 54),
+                valueOrDefault(dispatchers, 7, 2),
                 zones,
                 regions,
-                or(gang, 128, 32),
+                valueOrDefault(gang, 128, 32),
                 changesADay,
                 listChanges,
-                or(seconds, 60.0, 8.0),
+                valueOrDefault(seconds, 60.0, 8.0),
                 seed,
                 memoryMb);
     }
 
-    private <T> T or(T given, T full, T small) {
-        return given != null ? given : quick ? small : full;
+    private <T> T valueOrDefault(T option, T defaultValue, T quickValue) {
+        return option != null ? option : quick ? quickValue : defaultValue;
     }
 
-    private void progress(String what) {
+    private void printProgress(String text) {
         final PrintWriter err = spec.commandLine().getErr();
-        err.println(what);
+        err.println(text);
         err.flush();
     }
 
--- a/src/main/java/cresschute/cli/CapacityPageCommand.java
+++ b/src/main/java/cresschute/cli/CapacityPageCommand.java
@@ -60,17 +60,18 @@
     @Spec private CommandSpec spec;
 
     private final List<Measurement> measurements = new ArrayList<>();
-    private final List<FaultMeasurement> faults = new ArrayList<>();
+    private final List<FaultMeasurement> faultMeasurements = new ArrayList<>();
 
     @Override
     public Integer call() throws IOException {
         final PrintWriter err = spec.commandLine().getErr();
-        final String before;
-        final String after;
+        final String current;
+        final String updated;
         try {
-            before = read(page);
+            current = read(page);
             readMeasurements();
-            after = CapacityPage.write(before, CapacityTables.of(measurements, faults));
+            updated =
+                    CapacityPage.write(current, CapacityTables.of(measurements, faultMeasurements));
         } catch (CsvFormatException e) {
             err.println("cresschute: " + e.getMessage());
             return ExitCodes.UNUSABLE;
@@ -81,7 +82,7 @@
             err.println("cresschute: " + e.getFile() + ": no such file");
             return ExitCodes.UNUSABLE;
         }
-        return check ? compare(before, after) : write(after);
+        return check ? compare(current, updated) : write(updated);
     }
 
     private void readMeasurements() throws IOException, CsvFormatException {
@@ -96,15 +97,15 @@
         for (final Path file : files) {
             final String text = read(file);
             if (FaultFile.isOne(text)) {
-                faults.addAll(FaultFile.parse(file.toString(), text));
+                faultMeasurements.addAll(FaultFile.parse(file.toString(), text));
             } else {
                 measurements.addAll(MeasurementFile.parse(file.toString(), text));
             }
         }
     }
 
-    private int write(String after) throws IOException {
-        Files.writeString(page, after, StandardCharsets.UTF_8);
+    private int write(String updated) throws IOException {
+        Files.writeString(page, updated, StandardCharsets.UTF_8);
         spec.commandLine()
                 .getOut()
                 .println(
@@ -112,21 +113,21 @@
                                 + ": written from "
                                 + measurements.size()
                                 + " measurements and "
-                                + faults.size()
+                                + faultMeasurements.size()
                                 + " of faults");
         return ExitCodes.DONE;
     }
 
-    private int compare(String before, String after) {
-        if (before.equals(after)) {
+    private int compare(String current, String updated) {
+        if (current.equals(updated)) {
             return ExitCodes.DONE;
         }
-        final List<String> said = before.lines().toList();
-        final List<String> computed = after.lines().toList();
+        final List<String> currentLines = current.lines().toList();
+        final List<String> updatedLines = updated.lines().toList();
         int line = 0;
-        while (line < said.size()
-                && line < computed.size()
-                && said.get(line).equals(computed.get(line))) {
+        while (line < currentLines.size()
+                && line < updatedLines.size()
+                && currentLines.get(line).equals(updatedLines.get(line))) {
             line++;
         }
         spec.commandLine()
--- a/src/main/java/cresschute/cli/CheckCommand.java
+++ b/src/main/java/cresschute/cli/CheckCommand.java
@@ -52,8 +52,8 @@
         }
         final SettingsFile.Result result;
         try {
-            result = SettingsOf.read(file);
-        } catch (SettingsOf.UnusableFile e) {
+            result = SettingsLoader.read(file);
+        } catch (SettingsLoader.UnusableSettingsException e) {
             e.lines().forEach(err::println);
             return ExitCodes.UNUSABLE;
         }
--- a/src/main/java/cresschute/cli/Commands.java
+++ b/src/main/java/cresschute/cli/Commands.java
@@ -43,16 +43,16 @@
 
     /** Runs a command line and returns its exit code. */
     static int execute(String... args) {
-        return line().execute(args);
+        return commandLine().execute(args);
     }
 
     /** The command line, ready to run. */
-    static CommandLine line() {
+    static CommandLine commandLine() {
         return new CommandLine(new Commands())
-                .setParameterExceptionHandler((e, args) -> unusable(e))
+                .setParameterExceptionHandler((e, args) -> reportUsageError(e))
                 .setExecutionExceptionHandler(
-                        (e, line, parsed) -> {
-                            line.getErr().println("cresschute: " + plain(e));
+                        (e, commandLine, parsed) -> {
+                            commandLine.getErr().println("cresschute: " + firstLine(e));
                             return ExitCodes.FAILED;
                         })
                 .setExitCodeExceptionMapper(e -> ExitCodes.FAILED);
@@ -64,18 +64,18 @@
     }
 
     /** One line of what is wrong and one of where to look, in place of picocli's page of help. */
-    private static int unusable(ParameterException e) {
+    private static int reportUsageError(ParameterException e) {
         final PrintWriter err = e.getCommandLine().getErr();
         err.println(
                 "cresschute: "
-                        + plain(e)
+                        + firstLine(e)
                         + "; try '"
                         + e.getCommandLine().getCommandSpec().qualifiedName()
                         + " --help'");
         return ExitCodes.UNUSABLE;
     }
 
-    private static String plain(Exception e) {
+    private static String firstLine(Exception e) {
         final String message =
                 e.getMessage() == null ? e.getClass().getSimpleName() : e.getMessage();
         return message.lines().findFirst().orElse(e.getClass().getSimpleName());
--- a/src/main/java/cresschute/cli/CompletionCommand.java
+++ b/src/main/java/cresschute/cli/CompletionCommand.java
@@ -18,7 +18,9 @@
 
     @Override
     public Integer call() {
-        spec.commandLine().getOut().println(AutoComplete.bash("cresschute", Commands.line()));
+        spec.commandLine()
+                .getOut()
+                .println(AutoComplete.bash("cresschute", Commands.commandLine()));
         spec.commandLine().getOut().flush();
         return ExitCodes.DONE;
     }
--- a/src/main/java/cresschute/cli/ConsoleCommand.java
+++ b/src/main/java/cresschute/cli/ConsoleCommand.java
@@ -24,16 +24,16 @@
         })
 final class ConsoleCommand implements Callable<Integer> {
 
-    @Mixin private ControlSocket node;
+    @Mixin private ControlSocketOptions controlSocket;
 
     @Spec private CommandSpec spec;
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        final Path socket = node.find(spec, System.getenv());
-        final Screen screen = Screen.ofProcess();
-        final String kind = System.getenv().getOrDefault("TERM", "dumb");
-        if (!screen.isTerminal() || kind.equals("dumb")) {
+        final Path socket = controlSocket.find(spec, System.getenv());
+        final OutputTerminal output = OutputTerminal.ofProcess();
+        final String terminalType = System.getenv().getOrDefault("TERM", "dumb");
+        if (!output.isTerminal() || terminalType.equals("dumb")) {
             spec.commandLine()
                     .getErr()
                     .println(
@@ -43,7 +43,11 @@
         }
         // The system's own stty reads and sets the terminal: no native library is needed for it.
         try (Terminal terminal = TerminalBuilder.builder().system(true).provider("exec").build()) {
-            new Console(terminal, socket, ControlSocket.who(System.getenv()), screen.hasColor())
+            new Console(
+                            terminal,
+                            socket,
+                            ControlSocketOptions.userName(System.getenv()),
+                            output.hasColor())
                     .run();
         }
         return ExitCodes.DONE;
--- a/src/main/java/cresschute/cli/ControlClient.java
+++ b/src/main/java/cresschute/cli/ControlClient.java
@@ -14,19 +14,19 @@
  */
 final class ControlClient implements AutoCloseable {
 
-    private static final int MAX_QUEUED = 64;
-    private static final long ANSWER_S = 10;
+    private static final int MAX_QUEUED_LINES = 64;
+    private static final long ANSWER_TIMEOUT_S = 10;
 
-    private final BlockingQueue<JsonObject> lines = new ArrayBlockingQueue<>(MAX_QUEUED);
+    private final BlockingQueue<JsonObject> lines = new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
     private final ControlLink link;
 
     /** The request was refused as such, or there is no node; its message is for the person. */
-    static final class NoAnswer extends Exception {
+    static final class RequestFailedException extends Exception {
 
         private static final long serialVersionUID = 1L;
         private final boolean retryable;
 
-        NoAnswer(String message, boolean worthRetrying) {
+        RequestFailedException(String message, boolean worthRetrying) {
             super(message, null, false, false);
             this.retryable = worthRetrying;
         }
@@ -37,23 +37,23 @@
         }
     }
 
-    ControlClient(Path socket) throws NoAnswer {
+    ControlClient(Path socket) throws RequestFailedException {
         try {
             link =
                     ControlLink.open(
                             socket,
-                            this::put,
-                            why -> {
+                            this::enqueue,
+                            reason -> {
                                 final JsonObject end = new JsonObject();
-                                end.addProperty("ended", why);
-                                put(end);
+                                end.addProperty("ended", reason);
+                                enqueue(end);
                             });
         } catch (IOException e) {
-            throw new NoAnswer(e.getMessage(), true);
+            throw new RequestFailedException(e.getMessage(), true);
         }
     }
 
-    private void put(JsonObject line) {
+    private void enqueue(JsonObject line) {
         try {
             lines.put(line);
         } catch (InterruptedException e) {
@@ -62,31 +62,32 @@
     }
 
     /** Sends a request and returns its answer; other lines that come before it are passed over. */
-    JsonObject ask(JsonObject request) throws NoAnswer, InterruptedException {
+    JsonObject request(JsonObject request) throws RequestFailedException, InterruptedException {
         try {
             link.send(request);
         } catch (IOException e) {
-            throw new NoAnswer("the connection broke: " + e.getMessage(), true);
+            throw new RequestFailedException("the connection broke: " + e.getMessage(), true);
         }
         final String id = request.get("id").getAsString();
-        JsonObject line = next(ANSWER_S * 1000);
+        JsonObject line = nextLine(ANSWER_TIMEOUT_S * 1000);
         while (line != null && !(line.has("re") && line.get("re").getAsString().equals(id))) {
-            line = next(ANSWER_S * 1000);
+            line = nextLine(ANSWER_TIMEOUT_S * 1000);
         }
         if (line == null) {
-            throw new NoAnswer("the node has not answered for " + ANSWER_S + " s", true);
+            throw new RequestFailedException(
+                    "the node has not answered for " + ANSWER_TIMEOUT_S + " s", true);
         }
         return line;
     }
 
     /** The next line, or null if none comes in time. */
-    JsonObject next(long timeoutMs) throws NoAnswer, InterruptedException {
+    JsonObject nextLine(long timeoutMs) throws RequestFailedException, InterruptedException {
         final JsonObject line = lines.poll(timeoutMs, TimeUnit.MILLISECONDS);
         if (line != null && line.has("ended")) {
-            throw new NoAnswer(line.get("ended").getAsString(), true);
+            throw new RequestFailedException(line.get("ended").getAsString(), true);
         }
         if (line != null && line.has("ok") && !line.get("ok").getAsBoolean()) {
-            throw new NoAnswer(line.get("error").getAsString(), false);
+            throw new RequestFailedException(line.get("error").getAsString(), false);
         }
         return line;
     }
--- a/src/main/java/cresschute/cli/ControlSocket.java
+++ b/src/main/java/cresschute/cli/ControlSocketOptions.java
@@ -9,15 +9,16 @@
 import picocli.CommandLine.ParameterException;
 
 /** The options by which a command finds the control socket of a node. */
-final class ControlSocket {
+final class ControlSocketOptions {
 
     /** Names the socket where no option does. */
-    static final String VARIABLE = "CRESSCHUTE_SOCKET";
+    static final String ENVIRONMENT_VARIABLE = "CRESSCHUTE_SOCKET";
 
     @Option(
             names = "--socket",
             paramLabel = "FILE",
-            description = "the node's control socket (default: what " + VARIABLE + " names)")
+            description =
+                    "the node's control socket (default: what " + ENVIRONMENT_VARIABLE + " names)")
     private Path socket;
 
     @Option(
@@ -32,35 +33,37 @@
             return socket;
         }
         if (settings != null) {
-            final ApplianceSettings read;
+            final ApplianceSettings loaded;
             try {
-                read = SettingsOf.file(settings);
-            } catch (SettingsOf.UnusableFile e) {
+                loaded = SettingsLoader.load(settings);
+            } catch (SettingsLoader.UnusableSettingsException e) {
                 throw new ParameterException(spec.commandLine(), e.lines().get(0));
             }
-            if (read.controlSocket() == null) {
+            if (loaded.controlSocket() == null) {
                 throw new ParameterException(
                         spec.commandLine(),
                         settings
                                 + " states no control(socket = ...); its node can have no console");
             }
-            return Path.of(read.controlSocket());
+            return Path.of(loaded.controlSocket());
         }
-        final String named = environment.getOrDefault(VARIABLE, "");
-        if (named.isEmpty()) {
+        final String fromEnvironment = environment.getOrDefault(ENVIRONMENT_VARIABLE, "");
+        if (fromEnvironment.isEmpty()) {
             throw new ParameterException(
                     spec.commandLine(),
-                    "which node? give --socket FILE or --settings FILE, or set " + VARIABLE);
+                    "which node? give --socket FILE or --settings FILE, or set "
+                            + ENVIRONMENT_VARIABLE);
         }
         try {
-            return Path.of(named);
+            return Path.of(fromEnvironment);
         } catch (InvalidPathException e) {
-            throw new ParameterException(spec.commandLine(), VARIABLE + ": " + e.getMessage());
+            throw new ParameterException(
+                    spec.commandLine(), ENVIRONMENT_VARIABLE + ": " + e.getMessage());
         }
     }
 
     /** Who is asking, as the node's log and other consoles see it. */
-    static String who(Map<String, String> environment) {
+    static String userName(Map<String, String> environment) {
         final String user =
                 environment.getOrDefault(
                         "SUDO_USER",
--- a/src/main/java/cresschute/cli/DemoCommand.java
+++ b/src/main/java/cresschute/cli/DemoCommand.java
@@ -114,13 +114,13 @@
             out.flush();
             return ExitCodes.DONE;
         }
-        final Screen screen = Screen.ofProcess();
-        final long forUs = forUs();
+        final OutputTerminal terminal = OutputTerminal.ofProcess();
+        final long durationUs = durationUs();
         // Set before anything of the node's is loaded: its log would run through the picture.
         final StructuredLog log = new StructuredLog(false, verbose ? Level.INFO : Level.ERROR);
         RoutedLoggerFinder.setSink(log);
         final CountDownLatch interrupted = new CountDownLatch(1);
-        final CountDownLatch ended = new CountDownLatch(1);
+        final CountDownLatch reported = new CountDownLatch(1);
         try (Fleet fleet = fleet()) {
             final Thread hook =
                     new Thread(
@@ -129,7 +129,7 @@
                                 // printed.
                                 interrupted.countDown();
                                 try {
-                                    ended.await();
+                                    reported.await();
                                 } catch (InterruptedException e) {
                                     Thread.currentThread().interrupt();
                                 }
@@ -137,18 +137,18 @@
                             "demo-interrupted");
             Runtime.getRuntime().addShutdownHook(hook);
             fleet.start();
-            final boolean complete = watch(fleet, forUs, screen, interrupted);
-            final FleetReport report = finish(fleet, screen, complete);
-            ended.countDown();
-            forget(hook);
+            final boolean complete = watch(fleet, durationUs, terminal, interrupted);
+            final FleetReport report = finish(fleet, terminal, complete);
+            reported.countDown();
+            removeShutdownHook(hook);
             return report.isSound() ? ExitCodes.DONE : ExitCodes.FAILED;
         } finally {
-            ended.countDown();
+            reported.countDown();
             log.close();
         }
     }
 
-    private static void forget(Thread hook) {
+    private static void removeShutdownHook(Thread hook) {
         try {
             Runtime.getRuntime().removeShutdownHook(hook);
         } catch (IllegalStateException e) {
@@ -156,25 +156,25 @@
         }
     }
 
-    private long forUs() {
+    private long durationUs() {
         try {
             final long us = Durations.parseUs(duration);
             if (us <= 0 || us > MAX_US) {
-                throw unusable("--for: '" + duration + "' is out of range; allowed: up to 60m");
+                throw usageError("--for: '" + duration + "' is out of range; allowed: up to 60m");
             }
             return us;
         } catch (IllegalArgumentException e) {
-            throw unusable("--for: " + e.getMessage());
+            throw usageError("--for: " + e.getMessage());
         }
     }
 
     private Fleet fleet() {
         if (workers < 1 || workers > MAX_WORKERS) {
-            throw unusable(
+            throw usageError(
                     "--workers: " + workers + " is out of range; allowed: 1 to " + MAX_WORKERS);
         }
         if (!(rate > 0 && rate <= MAX_RATE)) {
-            throw unusable(
+            throw usageError(
                     "--rate: "
                             + rate
                             + " is out of range; allowed: above 0, up to "
@@ -190,38 +190,40 @@
                             socket == null ? null : socket.toAbsolutePath().toString(),
                             null));
         } catch (IllegalArgumentException e) {
-            throw unusable("--trouble: " + e.getMessage());
+            throw usageError("--trouble: " + e.getMessage());
         }
     }
 
-    private ParameterException unusable(String why) {
-        return new ParameterException(spec.commandLine(), why);
+    private ParameterException usageError(String reason) {
+        return new ParameterException(spec.commandLine(), reason);
     }
 
     /** Watches it until all is answered; false where it was interrupted before. */
-    private boolean watch(Fleet fleet, long forUs, Screen screen, CountDownLatch interrupted)
+    private boolean watch(
+            Fleet fleet, long durationUs, OutputTerminal terminal, CountDownLatch interrupted)
             throws InterruptedException {
         final long startNs = System.nanoTime();
-        boolean arriving = true;
+        boolean submitting = true;
         while (true) {
             if (interrupted.await(REFRESH_MS, TimeUnit.MILLISECONDS)) {
                 return false;
             }
-            final long ranUs = (System.nanoTime() - startNs) / 1000;
-            if (arriving && ranUs >= forUs) {
-                arriving = false;
+            final long elapsedUs = (System.nanoTime() - startNs) / 1000;
+            if (submitting && elapsedUs >= durationUs) {
+                submitting = false;
                 fleet.stopArriving();
             }
             final int waiting = fleet.waiting();
-            if (!arriving && (waiting == 0 || ranUs > forUs + MAX_WAIT_MS * 1000)) {
+            if (!submitting && (waiting == 0 || elapsedUs > durationUs + MAX_WAIT_MS * 1000)) {
                 return true;
             }
-            progress(fleet, screen, ranUs, forUs, waiting);
+            printProgress(fleet, terminal, elapsedUs, durationUs, waiting);
         }
     }
 
-    private void progress(Fleet fleet, Screen screen, long ranUs, long forUs, int waiting) {
-        if (!screen.isTerminal() || json) {
+    private void printProgress(
+            Fleet fleet, OutputTerminal terminal, long elapsedUs, long durationUs, int waiting) {
+        if (!terminal.isTerminal() || json) {
             return;
         }
         // A report takes longer the longer the run is; it may take a twentieth of the time.
@@ -230,51 +232,51 @@
             lastReport = fleet.report();
             nextReportNs = nowNs + REPORT_INTERVAL_FACTOR * (System.nanoTime() - nowNs);
         }
-        final FleetReport now = lastReport;
+        final FleetReport report = lastReport;
         final String line =
                 String.format(
                         "%3ds of %ds  %s",
-                        ranUs / 1_000_000,
-                        forUs / 1_000_000,
-                        now.outcomes().asked()
+                        elapsedUs / 1_000_000,
+                        durationUs / 1_000_000,
+                        report.outcomes().asked()
                                 + " asked, "
                                 + waiting
                                 + " waiting, "
-                                + (now.isSound() ? "rules kept" : "A RULE IS BROKEN"));
+                                + (report.isSound() ? "rules kept" : "A RULE IS BROKEN"));
         final PrintWriter err = spec.commandLine().getErr();
         // One column is left free: in the last one a terminal would begin a new line.
         err.print(
                 "\r"
-                        + (line.length() < screen.columns()
-                                ? line + " ".repeat(screen.columns() - 1 - line.length())
-                                : line.substring(0, screen.columns() - 1)));
+                        + (line.length() < terminal.columns()
+                                ? line + " ".repeat(terminal.columns() - 1 - line.length())
+                                : line.substring(0, terminal.columns() - 1)));
         err.flush();
     }
 
-    private FleetReport finish(Fleet fleet, Screen screen, boolean complete) {
+    private FleetReport finish(Fleet fleet, OutputTerminal terminal, boolean complete) {
         fleet.stop();
         final FleetReport report = fleet.report();
         final PrintWriter out = spec.commandLine().getOut();
-        if (screen.isTerminal() && !json) {
-            spec.commandLine().getErr().print("\r" + " ".repeat(screen.columns() - 1) + "\r");
+        if (terminal.isTerminal() && !json) {
+            spec.commandLine().getErr().print("\r" + " ".repeat(terminal.columns() - 1) + "\r");
             spec.commandLine().getErr().flush();
         }
         if (json) {
             out.println(report.json());
         } else {
-            final List<String> lines = report.table(screen.columns());
+            final List<String> lines = report.table(terminal.columns());
             out.println(
                     (complete ? "" : "interrupted; so far:\n")
                             + lines.stream()
-                                    .map(line -> colored(line, screen))
+                                    .map(line -> colored(line, terminal))
                                     .collect(Collectors.joining("\n")));
         }
         out.flush();
         return report;
     }
 
-    private static String colored(String line, Screen screen) {
-        return !screen.hasColor()
+    private static String colored(String line, OutputTerminal terminal) {
+        return !terminal.hasColor()
                 ? line
                 : line.replace("BROKEN", "\u001b[31mBROKEN\u001b[0m")
                         .replaceFirst(" kept$", " \u001b[32mkept\u001b[0m");
--- a/src/main/java/cresschute/cli/DrainCommand.java
+++ b/src/main/java/cresschute/cli/DrainCommand.java
@@ -24,7 +24,7 @@
         })
 final class DrainCommand implements Callable<Integer> {
 
-    @Mixin private WorkerOperation operating;
+    @Mixin private WorkerOperation workerOperation;
 
     @Option(
             names = "--for",
@@ -51,12 +51,12 @@
     public Integer call() throws InterruptedException {
         final Map<String, Object> fields = new HashMap<>(Map.of("reason", reason, "force", force));
         if (duration != null) {
-            fields.put("for_ms", forMs());
+            fields.put("for_ms", durationMs());
         }
-        return operating.run(spec, "drain", fields, wait);
+        return workerOperation.run(spec, "drain", fields, wait);
     }
 
-    private long forMs() {
+    private long durationMs() {
         try {
             final long ms = WorkerOperation.durationMs(duration);
             if (ms > 0) {
--- a/src/main/java/cresschute/cli/EventsCommand.java
+++ b/src/main/java/cresschute/cli/EventsCommand.java
@@ -2,7 +2,7 @@
 
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
-import cresschute.cli.ControlClient.NoAnswer;
+import cresschute.cli.ControlClient.RequestFailedException;
 import cresschute.console.ControlLink;
 import java.io.PrintWriter;
 import java.time.Instant;
@@ -28,9 +28,9 @@
 
     private static final DateTimeFormatter TIME =
             DateTimeFormatter.ofPattern("yyyy-MM-dd HH:mm:ss", Locale.ROOT);
-    private static final long LOOK_MS = 1_000;
+    private static final long POLL_MS = 1_000;
 
-    @Mixin private ControlSocket node;
+    @Mixin private ControlSocketOptions controlSocket;
 
     @Option(names = "--follow", description = "go on until interrupted")
     private boolean follow;
@@ -50,19 +50,19 @@
     @Override
     public Integer call() throws InterruptedException {
         final PrintWriter out = spec.commandLine().getOut();
-        try (ControlClient talk = new ControlClient(node.find(spec, System.getenv()))) {
+        try (ControlClient client = new ControlClient(controlSocket.find(spec, System.getenv()))) {
             final JsonObject request = ControlLink.request("1", "events");
             request.addProperty("after", after);
-            print(out, talk.ask(request));
+            print(out, client.request(request));
             // A reader that has gone, as after `| head`, ends it.
             while (follow && !out.checkError()) {
-                final JsonObject line = talk.next(LOOK_MS);
+                final JsonObject line = client.nextLine(POLL_MS);
                 if (line != null) {
                     print(out, line);
                 }
             }
             return ExitCodes.DONE;
-        } catch (NoAnswer e) {
+        } catch (RequestFailedException e) {
             spec.commandLine().getErr().println("cresschute: " + e.getMessage());
             return ExitCodes.FAILED;
         }
--- a/src/main/java/cresschute/cli/LabCommand.java
+++ b/src/main/java/cresschute/cli/LabCommand.java
@@ -92,7 +92,7 @@
             final PrintWriter out = spec.commandLine().getOut();
             final Path folder = Files.createTempDirectory("cresschute-lab");
             try {
-                final List<String> wrong =
+                final List<String> failures =
                         new BodiesTrial(
                                         new BodiesTrial.Size(
                                                 megabytes * 1_000_000L, rounds, slow, seconds),
@@ -100,11 +100,11 @@
                                 .run(folder, chart);
                 out.println(
                         "\n"
-                                + (wrong.isEmpty()
+                                + (failures.isEmpty()
                                         ? "Every byte and every answer was as it should be."
-                                        : "WRONG: " + String.join("; ", wrong)));
+                                        : "WRONG: " + String.join("; ", failures)));
                 out.flush();
-                return wrong.isEmpty() ? ExitCodes.DONE : ExitCodes.FAILED;
+                return failures.isEmpty() ? ExitCodes.DONE : ExitCodes.FAILED;
             } finally {
                 Files.deleteIfExists(folder.resolve("bodies.star"));
                 Files.deleteIfExists(folder);
--- a/src/main/java/cresschute/cli/Main.java
+++ b/src/main/java/cresschute/cli/Main.java
@@ -20,13 +20,13 @@
         // finds on the class path.
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
         if (args.length == 1 && args[0].equals("serve")) {
-            serveOnPlatform();
+            serveFromEnvironment();
         } else if (args.length == 1 && args[0].equals("benchlink")) {
             cresschute.simulator.Main.main(args);
         } else {
             try {
                 final int code = Commands.execute(args);
-                if (code != ServeCommand.GOES_ON) {
+                if (code != ServeCommand.STILL_RUNNING) {
                     System.exit(code);
                 }
             } catch (NoClassDefFoundError e) {
@@ -38,9 +38,9 @@
         }
     }
 
-    private static void serveOnPlatform() {
+    private static void serveFromEnvironment() {
         try {
-            Serving.start(
+            NodeRunner.start(
                     NodeConfigParser.load(System.getenv()),
                     () -> NodeConfigParser.reload(System.getenv()),
                     () -> {});
@@ -51,8 +51,8 @@
         }
     }
 
-    private static void exit(int code, String why) {
-        System.err.println("cresschute: " + why);
+    private static void exit(int code, String message) {
+        System.err.println("cresschute: " + message);
         System.exit(code);
     }
 }
--- a/src/main/java/cresschute/cli/Serving.java
+++ b/src/main/java/cresschute/cli/NodeRunner.java
@@ -11,28 +11,28 @@
 import java.util.concurrent.Callable;
 
 /** A node as the main work of the process: it heeds the process's signals. */
-final class Serving {
+final class NodeRunner {
 
     private static final Logger LOG = System.getLogger("cresschute.node");
 
-    private Serving() {}
+    private NodeRunner() {}
 
     /**
      * Starts a node and returns once clients can connect.
      *
      * @param reload reads the configuration anew, on the thread of the signal
-     * @param stopped run at the very end, once all that the node took is answered
+     * @param afterStop run at the very end, once all that the node took is answered
      * @throws ConfigException where the platform said that it passes a listener, and none can be
      *     taken
      */
-    static void start(NodeConfig config, Callable<NodeConfig> reload, Runnable stopped)
+    static void start(NodeConfig config, Callable<NodeConfig> reload, Runnable afterStop)
             throws ConfigException {
         final NodeServer node =
                 new NodeServer(
                         config, config.operators().passedListener() ? PassedListener.take() : null);
         // Before clients can connect: without a handler, a SIGHUP ends the JVM.
-        final boolean reloads = ReloadSignal.handle(() -> node.reload(reload));
-        if (!reloads) {
+        final boolean reloadsOnSignal = ReloadSignal.handle(() -> node.reload(reload));
+        if (!reloadsOnSignal) {
             LogEvent.of(
                             "reload_signal_ignored",
                             "SIGHUP is ignored, as this process was started with it ignored:"
@@ -46,7 +46,7 @@
                         new Thread(
                                 () -> {
                                     node.stop().join();
-                                    stopped.run();
+                                    afterStop.run();
                                 },
                                 "stop"));
         node.start();
--- a/src/main/java/cresschute/cli/Screen.java
+++ b/src/main/java/cresschute/cli/OutputTerminal.java
@@ -12,29 +12,30 @@
  * @param columns its width
  * @param hasColor whether colours are wanted
  */
-record Screen(boolean isTerminal, int columns, boolean hasColor) {
+record OutputTerminal(boolean isTerminal, int columns, boolean hasColor) {
 
-    private static final int USUAL_COLUMNS = 80;
+    private static final int DEFAULT_COLUMNS = 80;
     private static final int MIN_COLUMNS = 40;
 
     /** The screen of this process. */
     @SuppressWarnings("SystemConsoleNull") // On Java 17, null where there is no terminal.
-    static Screen ofProcess() {
+    static OutputTerminal ofProcess() {
         return of(System.getenv(), System.console() != null);
     }
 
     /** The screen that an environment describes. */
-    static Screen of(Map<String, String> environment, boolean isTerminal) {
+    static OutputTerminal of(Map<String, String> environment, boolean isTerminal) {
         final String columns = environment.getOrDefault("COLUMNS", "");
         final int width =
                 columns.matches("[0-9]{1,4}")
                         ? Integer.parseInt(columns)
-                        : isTerminal ? terminalColumns() : USUAL_COLUMNS;
+                        : isTerminal ? terminalColumns() : DEFAULT_COLUMNS;
         // Any value but an empty one, by the convention of no-color.org.
-        final boolean plain =
+        final boolean colorless =
                 !environment.getOrDefault("NO_COLOR", "").isEmpty()
                         || environment.getOrDefault("TERM", "dumb").equals("dumb");
-        return new Screen(isTerminal, Math.max(MIN_COLUMNS, width), isTerminal && !plain);
+        return new OutputTerminal(
+                isTerminal, Math.max(MIN_COLUMNS, width), isTerminal && !colorless);
     }
 
     /**
@@ -53,9 +54,9 @@
                             .split(" ");
             return size.length == 2 && size[1].matches("[1-9][0-9]{0,3}")
                     ? Integer.parseInt(size[1])
-                    : USUAL_COLUMNS;
+                    : DEFAULT_COLUMNS;
         } catch (IOException e) {
-            return USUAL_COLUMNS;
+            return DEFAULT_COLUMNS;
         }
     }
 }
--- a/src/main/java/cresschute/cli/RequestCostTrial.java
+++ b/src/main/java/cresschute/cli/RequestCostTrial.java
@@ -59,11 +59,11 @@
     /** A node in a process of its own, with the memory bounds of the platform's command line. */
     int requests() throws IOException, InterruptedException {
         final Path script = folder.resolve("site.star");
-        final Path collections = folder.resolve("gc.log");
+        final Path collectionLog = folder.resolve("gc.log");
         final List<String> options = new ArrayList<>(PLATFORM_OPTIONS);
-        options.add("-Xlog:gc:file=" + collections);
+        options.add("-Xlog:gc:file=" + collectionLog);
         try (SmallRequests load = new SmallRequests()) {
-            Files.writeString(script, smallSite(load.startWorkers(TrialCommand.WORKERS)));
+            Files.writeString(script, settingsScript(load.startWorkers(TrialCommand.WORKERS)));
             try (NodeProcess node = new NodeProcess(script, options)) {
                 load.connect(node.address(), CLIENTS);
                 out.println(
@@ -77,13 +77,13 @@
                                 + "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |"
                                 + " --- |");
                 for (int round = 0; round <= rounds; round++) {
-                    final List<String> before = Files.readAllLines(collections);
+                    final List<String> before = Files.readAllLines(collectionLog);
                     final long allocatedBefore = node.allocated();
                     final long cpuNs = node.cpuNs();
                     final Histogram us = load.run(rate, seconds * 1_000L);
                     final long usedNs = node.cpuNs() - cpuNs;
                     final long allocated = node.allocated() - allocatedBefore;
-                    final List<String> logged = Files.readAllLines(collections);
+                    final List<String> logged = Files.readAllLines(collectionLog);
                     final List<String> during = logged.subList(before.size(), logged.size());
                     final long requests = Math.max(1, rate * (long) seconds);
                     out.println(
@@ -113,8 +113,8 @@
         return ExitCodes.DONE;
     }
 
-    private static String smallSite(List<InetSocketAddress> workers) {
-        final StringBuilder site =
+    private static String settingsScript(List<InetSocketAddress> workers) {
+        final StringBuilder script =
                 new StringBuilder(
                         """
                         node(name = "small", listen = "127.0.0.1:0", seed = 1)
@@ -122,19 +122,19 @@
                         limits(sockets = 4096)
                         """);
         for (int i = 0; i < workers.size(); i++) {
-            site.append("worker(id = \"w")
+            script.append("worker(id = \"w")
                     .append(i + 1)
                     .append("\", address = \"127.0.0.1:")
                     .append(workers.get(i).getPort())
                     .append("\")\n");
         }
-        return site.toString();
+        return script.toString();
     }
 
     /**
      * What one node used: CPU for a request, and the heap that it held after its requests; medians.
      */
-    private record Used(double usPerRequest, double heapMb) {}
+    private record ResourceUse(double usPerRequest, double heapMb) {}
 
     /** A node for each length of the list, in turn, with the same requests. */
     int endpointLists() throws IOException, InterruptedException {
@@ -145,11 +145,11 @@
                         + LIST_LENGTHS[0]
                         + " | not served |\n"
                         + "| --- | --- | --- | --- | --- | --- |");
-        Used first = null;
+        ResourceUse baseline = null;
         for (final int listed : LIST_LENGTHS) {
             try (SmallRequests load = new SmallRequests()) {
                 final Path script = folder.resolve("listed" + listed + ".star");
-                Files.writeString(script, smallSite(load.startWorkers(listed)));
+                Files.writeString(script, settingsScript(load.startWorkers(listed)));
                 final List<Double> us = new ArrayList<>();
                 final List<Double> heap = new ArrayList<>();
                 long notServed = 0;
@@ -169,19 +169,20 @@
                 }
                 us.sort(null);
                 heap.sort(null);
-                final Used used = new Used(TrialCommand.median(us), TrialCommand.median(heap));
-                first = first == null ? used : first;
+                final ResourceUse use =
+                        new ResourceUse(TrialCommand.median(us), TrialCommand.median(heap));
+                baseline = baseline == null ? use : baseline;
                 out.println(
                         String.format(
                                 Locale.ROOT,
                                 "| %d | %.0f (%.0f to %.0f) | %.2f | %.1f | %.2f | %d |",
                                 listed,
-                                used.usPerRequest(),
+                                use.usPerRequest(),
                                 us.get(0),
                                 us.get(us.size() - 1),
-                                used.usPerRequest() / first.usPerRequest(),
-                                used.heapMb(),
-                                used.heapMb() / first.heapMb(),
+                                use.usPerRequest() / baseline.usPerRequest(),
+                                use.heapMb(),
+                                use.heapMb() / baseline.heapMb(),
                                 notServed));
                 out.flush();
             }
--- a/src/main/java/cresschute/cli/ServeCommand.java
+++ b/src/main/java/cresschute/cli/ServeCommand.java
@@ -36,7 +36,7 @@
 final class ServeCommand implements Callable<Integer> {
 
     /** In place of an exit code: the node goes on when the command has returned. */
-    static final int GOES_ON = -1;
+    static final int STILL_RUNNING = -1;
 
     @Option(names = "--settings", paramLabel = "FILE", description = "the settings script")
     private Path file;
@@ -50,8 +50,8 @@
         }
         final ApplianceSettings settings;
         try {
-            settings = SettingsOf.file(file);
-        } catch (SettingsOf.UnusableFile e) {
+            settings = SettingsLoader.load(file);
+        } catch (SettingsLoader.UnusableSettingsException e) {
             final PrintWriter err = spec.commandLine().getErr();
             e.lines().forEach(err::println);
             return ExitCodes.UNUSABLE;
@@ -62,7 +62,7 @@
                         Level.valueOf(settings.logLevel().toUpperCase(Locale.ROOT)));
         RoutedLoggerFinder.setSink(log);
         try {
-            Serving.start(node(settings), () -> reread(file), log::close);
+            NodeRunner.start(node(settings), () -> reload(file), log::close);
         } catch (ConfigException e) {
             log.close();
             spec.commandLine().getErr().println("cresschute: " + e.getMessage());
@@ -80,7 +80,7 @@
                                             : ""));
             return ExitCodes.FAILED;
         }
-        return GOES_ON;
+        return STILL_RUNNING;
     }
 
     private static NodeConfig node(ApplianceSettings settings) {
@@ -89,10 +89,10 @@
                 settings.seed() == null ? new SecureRandom().nextLong() : settings.seed());
     }
 
-    private static NodeConfig reread(Path file) throws ConfigException {
+    private static NodeConfig reload(Path file) throws ConfigException {
         try {
-            return node(SettingsOf.file(file));
-        } catch (SettingsOf.UnusableFile e) {
+            return node(SettingsLoader.load(file));
+        } catch (SettingsLoader.UnusableSettingsException e) {
             throw new ConfigException(String.join(" | ", e.lines()));
         }
     }
--- a/src/main/java/cresschute/cli/SettingsOf.java
+++ b/src/main/java/cresschute/cli/SettingsLoader.java
@@ -8,17 +8,17 @@
 import java.util.List;
 
 /** Brings settings scripts to the commands. */
-final class SettingsOf {
+final class SettingsLoader {
 
-    private SettingsOf() {}
+    private SettingsLoader() {}
 
     /** A file that cannot be read, or states what cannot be used. */
-    static final class UnusableFile extends Exception {
+    static final class UnusableSettingsException extends Exception {
 
         private static final long serialVersionUID = 1L;
         private final transient List<String> lines;
 
-        UnusableFile(List<String> lines) {
+        UnusableSettingsException(List<String> lines) {
             super(lines.get(0), null, false, false);
             this.lines = List.copyOf(lines);
         }
@@ -30,23 +30,24 @@
     }
 
     /** The settings of a file. */
-    static ApplianceSettings file(Path file) throws UnusableFile {
+    static ApplianceSettings load(Path file) throws UnusableSettingsException {
         final SettingsFile.Result result = read(file);
         if (result.settings() == null) {
-            throw new UnusableFile(
+            throw new UnusableSettingsException(
                     result.problems().stream().map(each -> each.line(file.toString())).toList());
         }
         return result.settings();
     }
 
     /** What came of a file; one that cannot be read is an exception. */
-    static SettingsFile.Result read(Path file) throws UnusableFile {
+    static SettingsFile.Result read(Path file) throws UnusableSettingsException {
         try {
             return SettingsFile.read(file);
         } catch (IOException e) {
-            final String why =
+            final String reason =
                     e instanceof NoSuchFileException ? "there is no such file" : e.toString();
-            throw new UnusableFile(List.of("cresschute: cannot read " + file + ": " + why));
+            throw new UnusableSettingsException(
+                    List.of("cresschute: cannot read " + file + ": " + reason));
         }
     }
 }
--- a/src/main/java/cresschute/cli/TrialCommand.java
+++ b/src/main/java/cresschute/cli/TrialCommand.java
@@ -1,7 +1,7 @@
 package cresschute.cli;
 
 import com.google.gson.JsonObject;
-import cresschute.cli.ControlClient.NoAnswer;
+import cresschute.cli.ControlClient.RequestFailedException;
 import cresschute.console.ControlLink;
 import cresschute.console.ScreenBenchmark;
 import cresschute.logs.RoutedLoggerFinder;
@@ -55,9 +55,9 @@
 
     private static final double RATE = 25;
     static final int WORKERS = 8;
-    private static final long SETTLED_MS = 500;
-    private static final int WIDE = 1_000;
-    private static final int CHURN = 200;
+    private static final long SETTLE_MS = 500;
+    private static final int LARGE_SITE_WORKERS = 1_000;
+    private static final int CHANGES_PER_SECOND = 200;
 
     @Parameters(paramLabel = "TRIAL", description = "${COMPLETION-CANDIDATES}")
     private Trial trial;
@@ -101,7 +101,7 @@
     @Spec private CommandSpec spec;
 
     @Override
-    public Integer call() throws IOException, InterruptedException, NoAnswer {
+    public Integer call() throws IOException, InterruptedException, RequestFailedException {
         // Set before anything of the node's is loaded: its log would run through the tables.
         final StructuredLog log = new StructuredLog(false, Level.ERROR);
         RoutedLoggerFinder.setSink(log);
@@ -127,13 +127,14 @@
 
     // ---- How soon new work stops ----
 
-    private int drains(PrintWriter out, Path folder) throws NoAnswer, InterruptedException {
+    private int drains(PrintWriter out, Path folder)
+            throws RequestFailedException, InterruptedException {
         final Path socket = folder.resolve("s");
-        final Histogram confirmed = new Histogram(3);
-        final Histogram stopped = new Histogram(3);
-        final Spans othersDrained = new Spans();
-        final Spans nobodyDrained = new Spans();
-        int more = 0;
+        final Histogram confirmationTimes = new Histogram(3);
+        final Histogram lastSendTimes = new Histogram(3);
+        final SendRates ratesWhileAnotherIsDrained = new SendRates();
+        final SendRates ratesWithoutDrains = new SendRates();
+        int drainsWithLaterSends = 0;
         final FleetReport report;
         try (Fleet fleet =
                 new Fleet(
@@ -145,39 +146,42 @@
                                 socket.toString(),
                                 folder.resolve("state").toString()))) {
             fleet.start();
-            Thread.sleep(4 * SETTLED_MS);
-            try (ControlClient talk = new ControlClient(socket)) {
+            Thread.sleep(4 * SETTLE_MS);
+            try (ControlClient client = new ControlClient(socket)) {
                 for (int i = 0; i < count; i++) {
                     final String worker = "w" + (i % WORKERS + 1);
-                    final long askedUs = fleet.nowUs();
-                    operate(talk, "drain", i, worker);
+                    final long requestedUs = fleet.nowUs();
+                    operate(client, "drain", i, worker);
                     final long doneUs = fleet.nowUs();
                     fleet.drainedAt(worker, doneUs);
-                    Thread.sleep(SETTLED_MS);
-                    final long lastUs = Math.max(0, fleet.lastSendUs(worker) - askedUs);
-                    confirmed.recordValue(doneUs - askedUs);
-                    stopped.recordValue(lastUs);
-                    more += lastUs > 0 ? 1 : 0;
-                    othersDrained.add(fleet, worker, doneUs);
+                    Thread.sleep(SETTLE_MS);
+                    final long lastUs = Math.max(0, fleet.lastSendUs(worker) - requestedUs);
+                    confirmationTimes.recordValue(doneUs - requestedUs);
+                    lastSendTimes.recordValue(lastUs);
+                    drainsWithLaterSends += lastUs > 0 ? 1 : 0;
+                    ratesWhileAnotherIsDrained.add(fleet, worker, doneUs);
                     fleet.undrained(worker);
-                    operate(talk, "undrain", i, worker);
+                    operate(client, "undrain", i, worker);
                     final long undoneUs = fleet.nowUs();
-                    Thread.sleep(SETTLED_MS);
-                    nobodyDrained.add(fleet, null, undoneUs);
+                    Thread.sleep(SETTLE_MS);
+                    ratesWithoutDrains.add(fleet, null, undoneUs);
                 }
             }
             fleet.stop();
             report = fleet.report();
         }
         out.println("| of " + count + " drains, ms | p50 | p99 | max |\n| --- | --- | --- | --- |");
-        out.println("| until the node had kept and confirmed it | " + figures(confirmed) + " |");
+        out.println(
+                "| until the node had kept and confirmed it | "
+                        + percentiles(confirmationTimes)
+                        + " |");
         out.println(
                 "| until the first byte of the last new work at the worker | "
-                        + figures(stopped)
+                        + percentiles(lastSendTimes)
                         + " |");
         out.println(
                 "\nDrains after which any new work came: "
-                        + more
+                        + drainsWithLaterSends
                         + ". Reqs: "
                         + report.outcomes().asked()
                         + ", worth kept "
@@ -194,16 +198,16 @@
                         + " ratio |\n"
                         + "| --- | --- | --- | --- |");
         for (int i = 1; i <= WORKERS; i++) {
-            final double calm = nobodyDrained.perS("w" + i);
-            final double drained = othersDrained.perS("w" + i);
+            final double rateWithoutDrains = ratesWithoutDrains.perSecond("w" + i);
+            final double rateWhileDrained = ratesWhileAnotherIsDrained.perSecond("w" + i);
             out.println(
                     String.format(
                             Locale.ROOT,
                             "| w%d | %.2f | %.2f | %.2f |",
                             i,
-                            calm,
-                            drained,
-                            drained / calm));
+                            rateWithoutDrains,
+                            rateWhileDrained,
+                            rateWhileDrained / rateWithoutDrains));
         }
         report.breaches().forEach(each -> out.println("- " + each.what()));
         return report.isSound() ? ExitCodes.DONE : ExitCodes.FAILED;
@@ -213,7 +217,7 @@
      * What workers were sent over many spans of time, each of which leaves out one worker at the
      * most.
      */
-    private static final class Spans {
+    private static final class SendRates {
         private final Map<String, Long> sends = new HashMap<>();
         private final Map<String, Long> us = new HashMap<>();
 
@@ -229,21 +233,21 @@
             }
         }
 
-        double perS(String worker) {
+        double perSecond(String worker) {
             return sends.get(worker) * 1e6 / us.get(worker);
         }
     }
 
-    private static void operate(ControlClient talk, String what, int number, String worker)
-            throws NoAnswer, InterruptedException {
+    private static void operate(ControlClient client, String operation, int number, String worker)
+            throws RequestFailedException, InterruptedException {
         final JsonObject answer =
-                talk.ask(
+                client.request(
                         ControlLink.request(
-                                what + number,
-                                what,
+                                operation + number,
+                                operation,
                                 Map.of(
                                         "op",
-                                        what + "-" + number,
+                                        operation + "-" + number,
                                         "worker",
                                         worker,
                                         "who",
@@ -251,11 +255,11 @@
                                         "force",
                                         true)));
         if (!answer.get("outcome").getAsString().equals("done")) {
-            throw new IllegalStateException("a " + what + " was not done: " + answer);
+            throw new IllegalStateException("a " + operation + " was not done: " + answer);
         }
     }
 
-    private static String figures(Histogram us) {
+    private static String percentiles(Histogram us) {
         return String.format(
                 Locale.ROOT,
                 "%.1f | %.1f | %.1f",
@@ -267,32 +271,43 @@
     // ---- What consoles cost ----
 
     @FunctionalInterface
-    private interface Cpu {
+    private interface CpuClock {
         long ns();
     }
 
-    private int consoles(PrintWriter out, Path folder) throws NoAnswer, InterruptedException {
+    private int consoles(PrintWriter out, Path folder)
+            throws RequestFailedException, InterruptedException {
         out.println(
                 "| site | consoles | node's CPU, per cent of a core: median (least to most) | heap"
                         + " after a collection, MB: median |\n"
                         + "| --- | --- | --- | --- |");
-        final Path one = folder.resolve("fleet");
+        final Path fleetSocket = folder.resolve("fleet");
         try (Fleet fleet =
-                new Fleet(new Fleet.Plan(WORKERS, RATE, seed, List.of(), one.toString(), null))) {
+                new Fleet(
+                        new Fleet.Plan(
+                                WORKERS, RATE, seed, List.of(), fleetSocket.toString(), null))) {
             fleet.start();
-            consoles(out, "8 workers, " + (int) RATE + " jobs a second", one, fleet::nodeCpuNs);
+            consoles(
+                    out,
+                    "8 workers, " + (int) RATE + " jobs a second",
+                    fleetSocket,
+                    fleet::nodeCpuNs);
         }
-        final Path two = folder.resolve("wide");
-        try (LargeFleet site = new LargeFleet(WIDE, seed, two)) {
-            site.churn(CHURN);
-            consoles(out, WIDE + " workers, " + CHURN + " changes a second", two, site::nodeCpuNs);
+        final Path largeSiteSocket = folder.resolve("wide");
+        try (LargeFleet site = new LargeFleet(LARGE_SITE_WORKERS, seed, largeSiteSocket)) {
+            site.churn(CHANGES_PER_SECOND);
+            consoles(
+                    out,
+                    LARGE_SITE_WORKERS + " workers, " + CHANGES_PER_SECOND + " changes a second",
+                    largeSiteSocket,
+                    site::nodeCpuNs);
         }
         return ExitCodes.DONE;
     }
 
-    private void consoles(PrintWriter out, String site, Path socket, Cpu cpu)
-            throws NoAnswer, InterruptedException {
-        final int[] numbers = {0, 1, 8};
+    private void consoles(PrintWriter out, String site, Path socket, CpuClock cpu)
+            throws RequestFailedException, InterruptedException {
+        final int[] consoleCounts = {0, 1, 8};
         final List<List<Double>> cpuPercents =
                 List.of(new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
         final List<List<Double>> heaps =
@@ -300,51 +315,51 @@
         // In turn, so that the program's warming falls on all of them; the first round is for that
         // alone.
         for (int round = 0; round <= rounds; round++) {
-            for (int which = 0; which < numbers.length; which++) {
+            for (int index = 0; index < consoleCounts.length; index++) {
                 final List<ControlLink> links = new ArrayList<>();
                 try {
-                    for (int i = 0; i < numbers[which]; i++) {
-                        links.add(follow(socket));
+                    for (int i = 0; i < consoleCounts[index]; i++) {
+                        links.add(openConsole(socket));
                     }
-                    Thread.sleep(SETTLED_MS);
+                    Thread.sleep(SETTLE_MS);
                     final long beforeNs = cpu.ns();
                     final long startNs = System.nanoTime();
                     Thread.sleep(seconds * 1_000L);
                     final double cpuPercent =
                             100.0 * (cpu.ns() - beforeNs) / (System.nanoTime() - startNs);
                     if (round > 0) {
-                        cpuPercents.get(which).add(cpuPercent);
-                        heaps.get(which).add(heapMb());
+                        cpuPercents.get(index).add(cpuPercent);
+                        heaps.get(index).add(heapMb());
                     }
                 } finally {
                     links.forEach(ControlLink::close);
                 }
             }
         }
-        for (int which = 0; which < numbers.length; which++) {
-            final List<Double> sorted = cpuPercents.get(which).stream().sorted().toList();
+        for (int index = 0; index < consoleCounts.length; index++) {
+            final List<Double> sorted = cpuPercents.get(index).stream().sorted().toList();
             out.println(
                     String.format(
                             Locale.ROOT,
                             "| %s | %d | %.2f (%.2f to %.2f) | %.1f |",
                             site,
-                            numbers[which],
+                            consoleCounts[index],
                             median(sorted),
                             sorted.get(0),
                             sorted.get(sorted.size() - 1),
-                            median(heaps.get(which).stream().sorted().toList())));
+                            median(heaps.get(index).stream().sorted().toList())));
         }
         out.flush();
     }
 
-    private static ControlLink follow(Path socket) throws NoAnswer {
+    private static ControlLink openConsole(Path socket) throws RequestFailedException {
         try {
             final ControlLink link = ControlLink.open(socket, line -> {}, why -> {});
             link.send(ControlLink.request("1", "subscribe"));
             link.send(ControlLink.request("2", "events"));
             return link;
         } catch (IOException e) {
-            throw new NoAnswer(e.getMessage(), false);
+            throw new RequestFailedException(e.getMessage(), false);
         }
     }
 
@@ -360,18 +375,19 @@
     // ---- What a screen costs ----
 
     private int screen(PrintWriter out) {
-        ScreenBenchmark.measure(WIDE, CHURN, count);
+        ScreenBenchmark.measure(LARGE_SITE_WORKERS, CHANGES_PER_SECOND, count);
         out.println(
                 "| workers, of which changed | ms to take the news in and draw 120x50: p50 | p99 |"
                         + " max |\n"
                         + "| --- | --- | --- | --- |");
-        for (final int changed : new int[] {0, CHURN / 10, CHURN, WIDE}) {
-            final Histogram ns = ScreenBenchmark.measure(WIDE, changed, count);
+        for (final int changed :
+                new int[] {0, CHANGES_PER_SECOND / 10, CHANGES_PER_SECOND, LARGE_SITE_WORKERS}) {
+            final Histogram ns = ScreenBenchmark.measure(LARGE_SITE_WORKERS, changed, count);
             out.println(
                     String.format(
                             Locale.ROOT,
                             "| %d, %d | %.2f | %.2f | %.2f |",
-                            WIDE,
+                            LARGE_SITE_WORKERS,
                             changed,
                             ns.getValueAtPercentile(50) / 1e6,
                             ns.getValueAtPercentile(99) / 1e6,
--- a/src/main/java/cresschute/cli/UndrainCommand.java
+++ b/src/main/java/cresschute/cli/UndrainCommand.java
@@ -15,12 +15,12 @@
         footer = {"", "Example: cresschute undrain w3"})
 final class UndrainCommand implements Callable<Integer> {
 
-    @Mixin private WorkerOperation operating;
+    @Mixin private WorkerOperation workerOperation;
 
     @Spec private CommandSpec spec;
 
     @Override
     public Integer call() throws InterruptedException {
-        return operating.run(spec, "undrain", Map.of(), false);
+        return workerOperation.run(spec, "undrain", Map.of(), false);
     }
 }
--- a/src/main/java/cresschute/cli/WorkerOperation.java
+++ b/src/main/java/cresschute/cli/WorkerOperation.java
@@ -1,7 +1,7 @@
 package cresschute.cli;
 
 import com.google.gson.JsonObject;
-import cresschute.cli.ControlClient.NoAnswer;
+import cresschute.cli.ControlClient.RequestFailedException;
 import cresschute.console.ControlLink;
 import cresschute.console.SiteModel;
 import java.io.PrintWriter;
@@ -22,7 +22,7 @@
  */
 final class WorkerOperation {
 
-    @Mixin private ControlSocket node;
+    @Mixin private ControlSocketOptions controlSocket;
 
     @Parameters(paramLabel = "WORKER", description = "its name, as the list has it")
     private String worker;
@@ -41,11 +41,11 @@
     /**
      * How long a node may be away, as while it starts again, before the outcome counts as unknown.
      */
-    private static final long MAX_ABSENCE_MS = 15_000;
+    private static final long MAX_UNAVAILABLE_MS = 15_000;
 
     private static final long RETRY_INTERVAL_MS = 300;
     private static final Pattern DURATION = Pattern.compile("([0-9]{1,9})(ms|s|m|h|d)");
-    private static final Map<String, Long> UNITS =
+    private static final Map<String, Long> MS_PER_UNIT =
             Map.of("ms", 1L, "s", 1_000L, "m", 60_000L, "h", 3_600_000L, "d", 86_400_000L);
 
     /**
@@ -57,36 +57,36 @@
         if (!matcher.matches()) {
             throw new IllegalArgumentException("'" + text + "' is no time");
         }
-        return Long.parseLong(matcher.group(1)) * UNITS.get(matcher.group(2));
+        return Long.parseLong(matcher.group(1)) * MS_PER_UNIT.get(matcher.group(2));
     }
 
     /**
      * Carries it out and prints the outcome; with {@code wait}, once nothing is out at the worker.
      *
-     * @param what {@code drain} or {@code undrain}
-     * @param further fields of the request
+     * @param type {@code drain} or {@code undrain}
+     * @param extraFields fields of the request
      */
-    int run(CommandSpec spec, String what, Map<String, Object> further, boolean wait)
+    int run(CommandSpec spec, String type, Map<String, Object> extraFields, boolean wait)
             throws InterruptedException {
-        final Map<String, Object> fields = new LinkedHashMap<>(further);
+        final Map<String, Object> fields = new LinkedHashMap<>(extraFields);
         fields.put("op", operation == null ? UUID.randomUUID().toString() : operation);
         fields.put("worker", worker);
-        fields.put("who", ControlSocket.who(System.getenv()));
-        final JsonObject request = ControlLink.request("1", what, fields);
-        final Path socket = node.find(spec, System.getenv());
+        fields.put("who", ControlSocketOptions.userName(System.getenv()));
+        final JsonObject request = ControlLink.request("1", type, fields);
+        final Path socket = controlSocket.find(spec, System.getenv());
         final PrintWriter out = spec.commandLine().getOut();
         final PrintWriter err = spec.commandLine().getErr();
-        final long untilMs = System.currentTimeMillis() + MAX_ABSENCE_MS;
-        boolean sent = false;
+        final long deadlineMs = System.currentTimeMillis() + MAX_UNAVAILABLE_MS;
+        boolean connected = false;
         while (true) {
-            try (ControlClient talk = new ControlClient(socket)) {
-                sent = true;
-                final JsonObject answer = talk.ask(request);
-                return printOutcome(request, answer, talk, wait, json, out, err);
-            } catch (NoAnswer e) {
+            try (ControlClient client = new ControlClient(socket)) {
+                connected = true;
+                final JsonObject answer = client.request(request);
+                return printOutcome(request, answer, client, wait, json, out, err);
+            } catch (RequestFailedException e) {
                 // The node may have received it; its id makes a retry idempotent. A node that was
                 // never reached is reported at once.
-                if (!e.isRetryable() || !sent || System.currentTimeMillis() >= untilMs) {
+                if (!e.isRetryable() || !connected || System.currentTimeMillis() >= deadlineMs) {
                     err.println("cresschute: " + e.getMessage());
                     return ExitCodes.FAILED;
                 }
@@ -98,12 +98,12 @@
     private static int printOutcome(
             JsonObject request,
             JsonObject answer,
-            ControlClient talk,
+            ControlClient client,
             boolean wait,
             boolean json,
             PrintWriter out,
             PrintWriter err)
-            throws NoAnswer, InterruptedException {
+            throws RequestFailedException, InterruptedException {
         final String worker = answer.get("worker").getAsString();
         final String outcome = answer.get("outcome").getAsString();
         final boolean drain = request.get("do").getAsString().equals("drain");
@@ -133,7 +133,7 @@
             return ExitCodes.FAILED;
         }
         if (wait && drain) {
-            awaitNothingInFlight(worker, talk);
+            awaitNoRequestInFlight(worker, client);
             if (!json) {
                 out.println(worker + ": nothing is out there any more");
                 out.flush();
@@ -142,15 +142,16 @@
         return ExitCodes.DONE;
     }
 
-    private static void awaitNothingInFlight(String worker, ControlClient talk)
-            throws NoAnswer, InterruptedException {
+    private static void awaitNoRequestInFlight(String worker, ControlClient client)
+            throws RequestFailedException, InterruptedException {
         final SiteModel model = new SiteModel();
-        model.apply(talk.ask(ControlLink.request("2", "subscribe")), System.currentTimeMillis());
+        model.apply(
+                client.request(ControlLink.request("2", "subscribe")), System.currentTimeMillis());
         while (model.worker(worker) != null
                 && model.worker(worker).get("in_flight").getAsInt() > 0) {
-            final JsonObject line = talk.next(SiteModel.STALE_AFTER_MS * 4);
+            final JsonObject line = client.nextLine(SiteModel.STALE_AFTER_MS * 4);
             if (line == null) {
-                throw new NoAnswer("the node has gone silent", true);
+                throw new RequestFailedException("the node has gone silent", true);
             }
             model.apply(line, System.currentTimeMillis());
         }
--- a/src/main/java/cresschute/cli/WorkersCommand.java
+++ b/src/main/java/cresschute/cli/WorkersCommand.java
@@ -2,7 +2,7 @@
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
-import cresschute.cli.ControlClient.NoAnswer;
+import cresschute.cli.ControlClient.RequestFailedException;
 import cresschute.console.ControlLink;
 import cresschute.console.SiteModel;
 import cresschute.console.WorkerTable;
@@ -24,9 +24,9 @@
         footer = {"", "Example: cresschute workers --watch"})
 final class WorkersCommand implements Callable<Integer> {
 
-    private static final long REPRINT_MS = 2_000;
+    private static final long PRINT_INTERVAL_MS = 2_000;
 
-    @Mixin private ControlSocket node;
+    @Mixin private ControlSocketOptions controlSocket;
 
     @Option(names = "--watch", description = "print them again every 2 s until interrupted")
     private boolean watch;
@@ -38,7 +38,7 @@
 
     @Override
     public Integer call() throws InterruptedException {
-        return print(spec, node.find(spec, System.getenv()), watch, json);
+        return print(spec, controlSocket.find(spec, System.getenv()), watch, json);
     }
 
     /** Prints them once, or again and again. */
@@ -46,19 +46,19 @@
             throws InterruptedException {
         final PrintWriter out = spec.commandLine().getOut();
         final SiteModel model = new SiteModel();
-        try (ControlClient talk = new ControlClient(socket)) {
+        try (ControlClient client = new ControlClient(socket)) {
             model.apply(
-                    talk.ask(ControlLink.request("1", watch ? "subscribe" : "workers")),
+                    client.request(ControlLink.request("1", watch ? "subscribe" : "workers")),
                     System.currentTimeMillis());
             print(out, model, json);
             long printedMs = System.currentTimeMillis();
             // A reader that has gone, as after `| head`, ends it.
             while (watch && !out.checkError()) {
-                final JsonObject line = talk.next(REPRINT_MS);
+                final JsonObject line = client.nextLine(PRINT_INTERVAL_MS);
                 if (line != null) {
                     model.apply(line, System.currentTimeMillis());
                 }
-                if (System.currentTimeMillis() - printedMs >= REPRINT_MS) {
+                if (System.currentTimeMillis() - printedMs >= PRINT_INTERVAL_MS) {
                     if (!json) {
                         out.println();
                     }
@@ -67,7 +67,7 @@
                 }
             }
             return ExitCodes.DONE;
-        } catch (NoAnswer e) {
+        } catch (RequestFailedException e) {
             spec.commandLine().getErr().println("cresschute: " + e.getMessage());
             return ExitCodes.FAILED;
         }
@@ -75,15 +75,15 @@
 
     private static void print(PrintWriter out, SiteModel model, boolean json) {
         if (json) {
-            final JsonObject picture = new JsonObject();
-            picture.add("node", model.node());
+            final JsonObject snapshot = new JsonObject();
+            snapshot.add("node", model.node());
             final JsonArray workers = new JsonArray();
             model.workers().forEach(workers::add);
-            picture.add("workers", workers);
+            snapshot.add("workers", workers);
             final JsonArray classes = new JsonArray();
             model.classes().forEach(classes::add);
-            picture.add("classes", classes);
-            out.println(picture);
+            snapshot.add("classes", classes);
+            out.println(snapshot);
         } else {
             WorkerTable.lines(model, System.currentTimeMillis()).forEach(out::println);
         }
--- a/src/test/java/cresschute/DocumentationTest.java
+++ b/src/test/java/cresschute/DocumentationTest.java
@@ -26,12 +26,12 @@
     private static final Path ARCHITECTURE = Path.of("docs/architecture.md");
 
     /** The column of the glossary that says where a term stands. */
-    private static final int WHERE = 3;
+    private static final int WHERE_COLUMN = 3;
 
     private static final Pattern CODE_SPAN = Pattern.compile("`([^`\n]+)`");
 
     /** A type, perhaps after its package and before a member. */
-    private static final Pattern TYPE =
+    private static final Pattern TYPE_REFERENCE =
             Pattern.compile(
                     "(?:[a-z]+\\.)*((?:[A-Z]\\w*[a-z]\\w*)(?:\\.[A-Z]\\w*)*)(?:[.#]([a-z]\\w*))?");
 
@@ -44,7 +44,7 @@
     private static final Set<String> SIMPLE_NAMES =
             CLASSES.stream().map(JavaClass::getSimpleName).collect(Collectors.toSet());
 
-    private static boolean isMember(JavaClass type, String name) {
+    private static boolean hasMember(JavaClass type, String name) {
         return type.getAllMembers().stream()
                 .filter(member -> !(member instanceof JavaCodeUnit unit && unit.isConstructor()))
                 .map(JavaMember::getName)
@@ -57,15 +57,15 @@
         final String typeName = "cresschute." + parts[0];
         return CLASSES.stream()
                 .filter(type -> type.getName().replace('$', '.').equals(typeName))
-                .anyMatch(type -> parts.length == 1 || isMember(type, parts[1]));
+                .anyMatch(type -> parts.length == 1 || hasMember(type, parts[1]));
     }
 
     @Test
-    void everyTermOfTheGlossaryNamesATypeOrMemberThatExists() throws IOException {
+    void glossaryNamesExistingTypesAndMembers() throws IOException {
         final List<String> named = new ArrayList<>();
         for (final String line : Files.readAllLines(GLOSSARY)) {
             if (line.startsWith("| ") && !line.startsWith("| ---") && !line.contains("| where |")) {
-                final String where = line.split("\\|")[WHERE].strip();
+                final String where = line.split("\\|")[WHERE_COLUMN].strip();
                 assertThat(where).as(line).matches("`[^`]+`");
                 named.add(where.substring(1, where.length() - 1));
             }
@@ -79,17 +79,17 @@
         final String simpleName = nested[nested.length - 1];
         return CLASSES.stream()
                 .filter(each -> each.getSimpleName().equals(simpleName))
-                .anyMatch(each -> type.group(2) == null || isMember(each, type.group(2)));
+                .anyMatch(each -> type.group(2) == null || hasMember(each, type.group(2)));
     }
 
     @Test
-    void everyTypeOnTheArchitecturePageExists() throws IOException {
+    void architecturePageNamesExistingTypes() throws IOException {
         final String page = Files.readString(ARCHITECTURE);
         final List<MatchResult> types = new ArrayList<>();
         CODE_SPAN
                 .matcher(page)
                 .results()
-                .map(span -> TYPE.matcher(span.group(1)))
+                .map(span -> TYPE_REFERENCE.matcher(span.group(1)))
                 .filter(type -> type.matches())
                 .forEach(type -> types.add(type.toMatchResult()));
         assertThat(types).hasSizeGreaterThan(40);
@@ -100,7 +100,7 @@
     }
 
     @Test
-    void everyTypeInADiagramOfTheArchitecturePageExists() throws IOException {
+    void architectureDiagramsNameExistingTypes() throws IOException {
         final List<String> named =
                 DIAGRAM.matcher(Files.readString(ARCHITECTURE))
                         .results()
--- a/src/test/java/cresschute/KnownFailuresTest.java
+++ b/src/test/java/cresschute/KnownFailuresTest.java
@@ -17,19 +17,19 @@
  */
 class KnownFailuresTest {
 
-    private static final String RED =
+    private static final String KNOWN_FAILURE =
             "cresschute.node.MainTest#first, mvn test -Dtest=MainTest seed 31, no answer, issue 7";
 
     @TempDir private Path folder;
 
     @BeforeEach
-    void copyTheScript() throws IOException {
+    void copyScript() throws IOException {
         Files.createDirectories(folder.resolve(".ci"));
         Files.copy(Path.of(".ci/run"), folder.resolve(".ci/run"));
         Files.createDirectories(folder.resolve("bin"));
-        program("javac", "exit 0");
+        writeProgram("javac", "exit 0");
         // The copied list of exclusions is gone after the run.
-        program(
+        writeProgram(
                 "mvn",
                 """
                 echo "$*" | sed 's/excludesFile=[^ ]*/excludesFile=F/' >>calls
@@ -40,14 +40,14 @@
                 """);
     }
 
-    private void program(String name, String text) throws IOException {
+    private void writeProgram(String name, String text) throws IOException {
         final Path file =
                 Files.writeString(folder.resolve("bin").resolve(name), "#!/bin/sh\n" + text);
         Files.setPosixFilePermissions(file, PosixFilePermissions.fromString("rwxr-xr-x"));
     }
 
     /** What the script prints, its exit code last. */
-    private List<String> run(int verifyCode, int redCode) throws Exception {
+    private List<String> runScript(int verifyCode, int redCode) throws Exception {
         final ProcessBuilder builder =
                 new ProcessBuilder("bash", folder.resolve(".ci/run").toString());
         builder.environment().put("PATH", folder.resolve("bin") + ":" + System.getenv("PATH"));
@@ -60,7 +60,7 @@
         }
     }
 
-    private void known(String... lines) throws IOException {
+    private void writeKnownFailures(String... lines) throws IOException {
         Files.write(folder.resolve("KNOWN-RED.txt"), List.of(lines));
     }
 
@@ -71,17 +71,17 @@
     }
 
     @Test
-    void withoutTheFileVerifyDecides() throws Exception {
-        assertThat(run(0, 1)).containsExactly("exit 0");
-        assertThat(run(3, 0)).containsExactly("exit 3");
+    void usesExitCodeOfVerifyWithoutTheFile() throws Exception {
+        assertThat(runScript(0, 1)).containsExactly("exit 0");
+        assertThat(runScript(3, 0)).containsExactly("exit 3");
         assertThat(calls()).containsExactly("-B verify", "-B verify");
     }
 
     @Test
-    void onlyTheNamedTestsMayFail() throws Exception {
-        known(RED);
-        assertThat(run(0, 1))
-                .contains("  " + RED)
+    void allowsOnlyListedTestsToFail() throws Exception {
+        writeKnownFailures(KNOWN_FAILURE);
+        assertThat(runScript(0, 1))
+                .contains("  " + KNOWN_FAILURE)
                 .contains("KNOWN-RED: cresschute.node.MainTest#first fails, or could not be run")
                 .endsWith("exit 0");
         assertThat(calls())
@@ -93,33 +93,33 @@
     }
 
     @Test
-    void anythingElseThatFailsStillFails() throws Exception {
-        known(RED);
-        assertThat(run(1, 1)).contains("  " + RED).endsWith("exit 1");
+    void failsIfAnyOtherTestFails() throws Exception {
+        writeKnownFailures(KNOWN_FAILURE);
+        assertThat(runScript(1, 1)).contains("  " + KNOWN_FAILURE).endsWith("exit 1");
     }
 
     @Test
-    void testThatPassesAgainIsTold() throws Exception {
-        known(RED);
-        assertThat(run(0, 0))
+    void reportsListedTestThatPasses() throws Exception {
+        writeKnownFailures(KNOWN_FAILURE);
+        assertThat(runScript(0, 0))
                 .contains("KNOWN-RED: cresschute.node.MainTest#first passes now; take its line out")
                 .endsWith("exit 0");
     }
 
     @Test
-    void unusableFileFailsBeforeAnyTestRuns() throws Exception {
-        known(RED, RED, RED, RED);
-        assertThat(run(0, 0)).endsWith("exit 1");
-        known();
-        assertThat(run(0, 0)).endsWith("exit 1");
-        known("cresschute.node.MainTest, mvn test seed 31, a whole class, issue 7");
-        assertThat(run(0, 0)).endsWith("exit 1");
-        known("cresschute.node.*#first, mvn test seed 31, a pattern, issue 7");
-        assertThat(run(0, 0)).endsWith("exit 1");
-        known("cresschute.node.MainTest#first, mvn test seed 31, no issue");
-        assertThat(run(0, 0)).endsWith("exit 1");
-        known("cresschute.node.MainTest#first, , no command, issue 7");
-        assertThat(run(0, 0)).endsWith("exit 1");
+    void rejectsUnusableFileBeforeAnyTestRuns() throws Exception {
+        writeKnownFailures(KNOWN_FAILURE, KNOWN_FAILURE, KNOWN_FAILURE, KNOWN_FAILURE);
+        assertThat(runScript(0, 0)).endsWith("exit 1");
+        writeKnownFailures();
+        assertThat(runScript(0, 0)).endsWith("exit 1");
+        writeKnownFailures("cresschute.node.MainTest, mvn test seed 31, a whole class, issue 7");
+        assertThat(runScript(0, 0)).endsWith("exit 1");
+        writeKnownFailures("cresschute.node.*#first, mvn test seed 31, a pattern, issue 7");
+        assertThat(runScript(0, 0)).endsWith("exit 1");
+        writeKnownFailures("cresschute.node.MainTest#first, mvn test seed 31, no issue");
+        assertThat(runScript(0, 0)).endsWith("exit 1");
+        writeKnownFailures("cresschute.node.MainTest#first, , no command, issue 7");
+        assertThat(runScript(0, 0)).endsWith("exit 1");
         assertThat(calls()).isEmpty();
     }
 }
--- a/src/test/java/cresschute/LayoutTest.java
+++ b/src/test/java/cresschute/LayoutTest.java
@@ -23,27 +23,27 @@
     private static final String ALL = "cresschute..";
 
     /** Classes of these packages use nothing of the program's but what is in the others. */
-    private static void mayUse(String[] packages, String... others) {
+    private static void mayDependOn(String[] packages, String... others) {
         final String[] all = new String[packages.length + others.length];
         System.arraycopy(packages, 0, all, 0, packages.length);
         System.arraycopy(others, 0, all, packages.length, others.length);
-        final DescribedPredicate<JavaClass> foreign =
+        final DescribedPredicate<JavaClass> notAllowed =
                 JavaClass.Predicates.resideInAPackage(ALL)
                         .and(JavaClass.Predicates.resideOutsideOfPackages(all));
         noClasses()
                 .that()
                 .resideInAnyPackage(packages)
                 .should()
-                .dependOnClassesThat(foreign)
+                .dependOnClassesThat(notAllowed)
                 .check(CLASSES);
     }
 
-    private static String[] of(String... packages) {
+    private static String[] packages(String... packages) {
         return packages;
     }
 
     @Test
-    void moduleUsesTheJdkAlone() {
+    void dispatchModuleUsesOnlyTheJdk() {
         noClasses()
                 .that()
                 .resideInAPackage("cresschute.dispatch")
@@ -58,7 +58,7 @@
      * the only other receivers of a dispatcher's events.
      */
     @Test
-    void decisionsAreMadeInTheDispatchPackageAlone() {
+    void onlyDispatchPackageMakesDecisions() {
         noClasses()
                 .that()
                 .resideOutsideOfPackages("cresschute.dispatch", "cresschute.testbed..")
@@ -79,14 +79,17 @@
     }
 
     @Test
-    void everyPackageUsesOnlyWhatItMay() {
-        mayUse(of("cresschute.simulator.."), "cresschute.dispatch");
-        mayUse(of("cresschute.logs"));
-        mayUse(of("cresschute.logs.structured.."), "cresschute.logs");
-        mayUse(of("cresschute.settings.script.."));
-        mayUse(of("cresschute.settings"), "cresschute.dispatch", "cresschute.settings.script");
-        mayUse(
-                of("cresschute.node", "cresschute.node.http"),
+    void packagesUseOnlyAllowedPackages() {
+        mayDependOn(packages("cresschute.simulator.."), "cresschute.dispatch");
+        mayDependOn(packages("cresschute.logs"));
+        mayDependOn(packages("cresschute.logs.structured.."), "cresschute.logs");
+        mayDependOn(packages("cresschute.settings.script.."));
+        mayDependOn(
+                packages("cresschute.settings"),
+                "cresschute.dispatch",
+                "cresschute.settings.script");
+        mayDependOn(
+                packages("cresschute.node", "cresschute.node.http"),
                 "cresschute.dispatch",
                 "cresschute.simulator",
                 "cresschute.settings",
@@ -95,19 +98,19 @@
                 "cresschute.control..",
                 "cresschute.flow",
                 "cresschute.peers..");
-        mayUse(of("cresschute.peers"));
-        mayUse(of("cresschute.peers.socket"), "cresschute.peers", "cresschute.logs");
-        mayUse(of("cresschute.health"), "cresschute.dispatch");
-        mayUse(of("cresschute.flow"));
-        mayUse(of("cresschute.capacity"));
-        mayUse(of("cresschute.control"), "cresschute.dispatch");
-        mayUse(
-                of("cresschute.control.socket", "cresschute.control.files"),
+        mayDependOn(packages("cresschute.peers"));
+        mayDependOn(packages("cresschute.peers.socket"), "cresschute.peers", "cresschute.logs");
+        mayDependOn(packages("cresschute.health"), "cresschute.dispatch");
+        mayDependOn(packages("cresschute.flow"));
+        mayDependOn(packages("cresschute.capacity"));
+        mayDependOn(packages("cresschute.control"), "cresschute.dispatch");
+        mayDependOn(
+                packages("cresschute.control.socket", "cresschute.control.files"),
                 "cresschute.control",
                 "cresschute.logs");
-        mayUse(of("cresschute.console"), "cresschute.control");
-        mayUse(
-                of("cresschute.testbed.."),
+        mayDependOn(packages("cresschute.console"), "cresschute.control");
+        mayDependOn(
+                packages("cresschute.testbed.."),
                 "cresschute.dispatch",
                 "cresschute.node",
                 "cresschute.settings",
@@ -119,7 +122,7 @@
      * The core has no protocol's types; the class that puts a node together names its HTTP parts.
      */
     @Test
-    void coreKnowsNoProtocol() {
+    void coreDoesNotDependOnHttp() {
         noClasses()
                 .that()
                 .resideInAPackage("cresschute.node")
@@ -132,7 +135,7 @@
     }
 
     @Test
-    void nothingKnowsTheCommandLine() {
+    void nothingDependsOnTheCommandLine() {
         noClasses()
                 .that()
                 .resideOutsideOfPackage("cresschute.cli..")
@@ -143,7 +146,7 @@
     }
 
     @Test
-    void onlyTheCommandLineKnowsTheLab() {
+    void onlyTheCommandLineDependsOnTheTestbed() {
         noClasses()
                 .that()
                 .resideOutsideOfPackages("cresschute.testbed..", "cresschute.cli..")
@@ -192,7 +195,7 @@
      * them.
      */
     @Test
-    void capacityUsesStatisticsAlone() {
+    void capacityUsesOnlyJdkAndStatistics() {
         noClasses()
                 .that()
                 .resideInAPackage("cresschute.capacity..")
@@ -212,7 +215,7 @@
 
     /** The screen's parts that decide what is drawn know neither the terminal nor the socket. */
     @Test
-    void screenIsDrawnWithoutInputOrOutput() {
+    void screenModelDoesNoInputOrOutput() {
         noClasses()
                 .that()
                 .haveSimpleName("ScreenView")
@@ -228,7 +231,7 @@
 
     /** The structured log and its library are put in place by the command line alone. */
     @Test
-    void structuredLogIsTheCommandLinesMatter() {
+    void onlyTheCommandLineUsesTheStructuredLog() {
         noClasses()
                 .that()
                 .resideOutsideOfPackages("cresschute.logs.structured..", "cresschute.cli..")
--- a/src/test/java/cresschute/cli/CapacityPageCommandTest.java
+++ b/src/test/java/cresschute/cli/CapacityPageCommandTest.java
@@ -27,25 +27,25 @@
     @TempDir private Path folder;
     private Path page;
 
-    private record Ran(int code, String out, String err) {}
+    private record CommandResult(int code, String out, String err) {}
 
     @BeforeEach
     void copyPage() throws IOException {
         page = Files.copy(PAGE, folder.resolve("page.md"));
     }
 
-    private static Ran run(String... args) {
+    private static CommandResult run(String... args) {
         final StringWriter out = new StringWriter();
         final StringWriter err = new StringWriter();
         final CommandLine line =
-                Commands.line()
+                Commands.commandLine()
                         .setOut(new PrintWriter(out, true))
                         .setErr(new PrintWriter(err, true));
-        return new Ran(line.execute(args), out.toString(), err.toString());
+        return new CommandResult(line.execute(args), out.toString(), err.toString());
     }
 
-    private Ran page(String... more) {
-        final String[] args = new String[6 + more.length];
+    private CommandResult page(String... options) {
+        final String[] args = new String[6 + options.length];
         System.arraycopy(
                 new String[] {
                     "lab",
@@ -59,11 +59,11 @@
                 args,
                 0,
                 6);
-        System.arraycopy(more, 0, args, 6, more.length);
+        System.arraycopy(options, 0, args, 6, options.length);
         return run(args);
     }
 
-    private void measure(String name, String rows) throws IOException {
+    private void writeMeasurements(String name, String rows) throws IOException {
         Files.writeString(
                 folder.resolve(name),
                 MeasurementFile.VERSION_LINE
@@ -74,19 +74,19 @@
     }
 
     @Test
-    void keptPageSaysWhatTheKeptMeasurementsSay() {
-        assertThat(run("lab", "capacity-page", "--check")).isEqualTo(new Ran(0, "", ""));
+    void committedPageMatchesCommittedMeasurements() {
+        assertThat(run("lab", "capacity-page", "--check")).isEqualTo(new CommandResult(0, "", ""));
     }
 
     @Test
-    void newMeasurementsChangeThePageAndOnlyIts() throws IOException {
-        measure(
+    void newMeasurementsChangeOnlyTheTablesOfThePage() throws IOException {
+        writeMeasurements(
                 "a.csv",
                 String.format(ROW, 100, 2)
                         + String.format(ROW, 200, 3)
                         + String.format(ROW, 400, 5));
         final String before = Files.readString(page);
-        final Ran checked = page("--check");
+        final CommandResult checked = page("--check");
         assertThat(checked.code()).isEqualTo(1);
         assertThat(checked.err())
                 .matches(
@@ -109,11 +109,11 @@
     }
 
     @Test
-    void fileThatCannotBeUsedIsNamedInOneLine() throws IOException {
-        measure("a.csv", String.format(ROW, -100, 2));
-        final Ran ran = page();
-        assertThat(ran.code()).isEqualTo(2);
-        assertThat(ran.err())
+    void reportsUnusableFileInOneLine() throws IOException {
+        writeMeasurements("a.csv", String.format(ROW, -100, 2));
+        final CommandResult result = page();
+        assertThat(result.code()).isEqualTo(2);
+        assertThat(result.err())
                 .isEqualTo(
                         "cresschute: "
                                 + folder.resolve("a.csv")
@@ -125,7 +125,7 @@
         Files.delete(page);
         assertThat(page())
                 .isEqualTo(
-                        new Ran(
+                        new CommandResult(
                                 2,
                                 "",
                                 "cresschute: " + page + ": no such file" + System.lineSeparator()));
--- a/src/test/java/cresschute/cli/CapacityProgramTest.java
+++ b/src/test/java/cresschute/cli/CapacityProgramTest.java
@@ -36,7 +36,7 @@
     /** Hollow workers, hollow clients and discovery. */
     private static final int PEERS = 3;
 
-    private static final List<String> SMALL =
+    private static final List<String> SMALL_EXPERIMENT =
             List.of(
                     "lab",
                     "capacity",
@@ -56,8 +56,8 @@
                     "--changes-a-day",
                     "86400");
 
-    private static Process small(String... more) throws Exception {
-        final List<String> arguments = new ArrayList<>(SMALL);
+    private static Process startSmallExperiment(String... more) throws Exception {
+        final List<String> arguments = new ArrayList<>(SMALL_EXPERIMENT);
         arguments.addAll(Arrays.asList(more));
         return start(program(arguments.toArray(new String[0])));
     }
@@ -71,7 +71,7 @@
         return processes;
     }
 
-    private static void noneIsLeft(List<ProcessHandle> processes) {
+    private static void assertAllEnded(List<ProcessHandle> processes) {
         Awaitility.await()
                 .atMost(Duration.ofSeconds(10))
                 .until(() -> processes.stream().noneMatch(ProcessHandle::isAlive));
@@ -83,24 +83,25 @@
     }
 
     @Test
-    void smallExperimentCountsWhatItSawAndLeavesNoProcess(@TempDir Path folder) throws Exception {
+    void smallExperimentPrintsConsistentResultAndLeavesNoProcess(@TempDir Path folder)
+            throws Exception {
         final Path csv = folder.resolve("small.csv");
-        final Process experiment = small("--seconds", "3", "--csv", csv.toString());
+        final Process experiment = startSmallExperiment("--seconds", "3", "--csv", csv.toString());
         try (BufferedReader log = experiment.errorReader();
                 BufferedReader out = experiment.inputReader()) {
             final List<ProcessHandle> processes = processes(experiment, log);
             log.lines().forEach(later -> {});
             final JsonObject result = lastLine(out);
-            consistent(result);
+            assertConsistent(result);
             assertThat(ProgramProcess.exitCode(experiment)).isZero();
-            noneIsLeft(processes);
-            readable(result, Files.readAllLines(csv));
+            assertAllEnded(processes);
+            assertRowsMatch(result, Files.readAllLines(csv));
         } finally {
             experiment.destroyForcibly();
         }
     }
 
-    private static void consistent(JsonObject result) {
+    private static void assertConsistent(JsonObject result) {
         assertThat(result.get("workers").getAsInt()).isEqualTo(40);
         assertThat(result.get("dispatchers").getAsInt()).isEqualTo(DISPATCHERS);
         assertThat(result.get("unanswered").getAsInt()).isZero();
@@ -138,7 +139,7 @@
     }
 
     /** One row for each role and measure, with the size in each. */
-    private static void readable(JsonObject result, List<String> lines) {
+    private static void assertRowsMatch(JsonObject result, List<String> lines) {
         assertThat(lines.get(0)).isEqualTo(MeasurementFile.FIRST_LINE);
         assertThat(lines.get(1)).isEqualTo(String.join(",", MeasurementFile.COLUMNS));
         final List<Map<String, String>> rows =
@@ -182,15 +183,15 @@
 
     /** Ctrl-C: what was measured until then is printed as partial, and nothing goes on. */
     @Test
-    void interruptedExperimentTellsWhatItMeasured() throws Exception {
-        final Process experiment = small("--seconds", "600");
+    void interruptedExperimentPrintsPartialResult() throws Exception {
+        final Process experiment = startSmallExperiment("--seconds", "600");
         try (BufferedReader log = experiment.errorReader();
                 BufferedReader out = experiment.inputReader()) {
             final List<ProcessHandle> processes = processes(experiment, log);
             signal(experiment, "INT");
             final JsonObject result = lastLine(out);
             assertThat(ProgramProcess.exitCode(experiment)).isEqualTo(130);
-            noneIsLeft(processes);
+            assertAllEnded(processes);
             assertThat(result.get("partial").getAsBoolean()).isTrue();
             assertThat(result.get("partial_because").getAsString()).isEqualTo("interrupted");
             assertThat(result.get("starts_per_second").getAsDouble()).isPositive();
@@ -201,8 +202,8 @@
 
     /** A hollow process that dies ends it; what was measured until then is kept. */
     @Test
-    void deathOfTheHollowWorkersEndsTheExperiment() throws Exception {
-        final Process experiment = small("--seconds", "600");
+    void exitOfHollowWorkersEndsTheExperiment() throws Exception {
+        final Process experiment = startSmallExperiment("--seconds", "600");
         try (BufferedReader log = experiment.errorReader();
                 BufferedReader out = experiment.inputReader()) {
             final List<ProcessHandle> processes = processes(experiment, log);
@@ -215,7 +216,7 @@
             }
             final JsonObject result = lastLine(out);
             assertThat(ProgramProcess.exitCode(experiment)).isEqualTo(1);
-            noneIsLeft(processes);
+            assertAllEnded(processes);
             assertThat(result.get("partial").getAsBoolean()).isTrue();
             assertThat(result.get("partial_because").getAsString())
                     .startsWith("the process of the hollow workers ended");
@@ -229,11 +230,11 @@
     /** Whoever kills the experiment outright ends its processes with it. */
     @Test
     void killedExperimentLeavesNoProcess() throws Exception {
-        final Process experiment = small("--seconds", "600");
+        final Process experiment = startSmallExperiment("--seconds", "600");
         try (BufferedReader log = experiment.errorReader()) {
             final List<ProcessHandle> processes = processes(experiment, log);
             experiment.destroyForcibly();
-            noneIsLeft(processes);
+            assertAllEnded(processes);
         } finally {
             experiment.destroyForcibly();
         }
--- a/src/test/java/cresschute/cli/CommandsTest.java
+++ b/src/test/java/cresschute/cli/CommandsTest.java
@@ -23,17 +23,17 @@
 
     private static final String SAMPLE = "deploy/appliance.star";
 
-    private record Ran(int code, String out, String err) {}
+    private record CommandResult(int code, String out, String err) {}
 
-    private static Ran run(String... args) {
+    private static CommandResult run(String... args) {
         final StringWriter out = new StringWriter();
         final StringWriter err = new StringWriter();
         final CommandLine line =
-                Commands.line()
+                Commands.commandLine()
                         .setOut(new PrintWriter(out, true))
                         .setErr(new PrintWriter(err, true));
         final int code = line.execute(args);
-        return new Ran(code, out.toString(), err.toString());
+        return new CommandResult(code, out.toString(), err.toString());
     }
 
     /** Words that cannot be used: one line with a hint, and 2. */
@@ -71,23 +71,23 @@
                     lab capacity --sweep speed  | --sweep: 'speed' is no axis; allowed: workers, running, starts, tenants, dispatchers, list-changes, settings-changes, all; try 'cresschute lab capacity --help'
                     lab capacity --csv no/x.csv | --csv: there is no folder no; try 'cresschute lab capacity --help'
                     """)
-    void unusableWordsAreToldInOneLine(String words, String message) {
-        final Ran ran = run(words == null ? new String[0] : words.split(" +"));
-        assertThat(ran.err()).isEqualTo("cresschute: " + message + System.lineSeparator());
-        assertThat(ran.out()).isEmpty();
-        assertThat(ran.code()).isEqualTo(2);
+    void reportsUnusableArgumentsInOneLine(String arguments, String message) {
+        final CommandResult result = run(arguments == null ? new String[0] : arguments.split(" +"));
+        assertThat(result.err()).isEqualTo("cresschute: " + message + System.lineSeparator());
+        assertThat(result.out()).isEmpty();
+        assertThat(result.code()).isEqualTo(2);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"", "serve", "benchlink", "check", "demo", "version", "completion"})
     void everyCommandHasHelpWithAnExample(String command) {
-        final Ran ran = command.isEmpty() ? run("--help") : run(command, "--help");
-        assertThat(ran.code()).isZero();
-        assertThat(ran.out()).contains("Usage: cresschute").contains("Example: ");
+        final CommandResult result = command.isEmpty() ? run("--help") : run(command, "--help");
+        assertThat(result.code()).isZero();
+        assertThat(result.out()).contains("Usage: cresschute").contains("Example: ");
     }
 
     @Test
-    void versionIsToldInBothForms() {
+    void printsVersionAsTextAndJson() {
         assertThat(run("version").out()).startsWith("cresschute ").contains(" on Java 17");
         assertThat(Json.object(run("version", "--json").out()).keySet())
                 .containsExactly("version", "java");
@@ -102,9 +102,10 @@
     }
 
     @Test
-    void soundFileIsToldInBothForms() {
+    void reportsValidFileAsTextAndJson() {
         assertThat(run("check", SAMPLE))
-                .isEqualTo(new Ran(0, SAMPLE + ": 3 classes, 4 workers, no errors\n", ""));
+                .isEqualTo(
+                        new CommandResult(0, SAMPLE + ": 3 classes, 4 workers, no errors\n", ""));
         assertThat(run("check", "--show", SAMPLE).out())
                 .startsWith("node(\n    name = \"desk-1\",\n");
         final JsonObject json = Json.object(run("check", "--json", "--show", SAMPLE).out());
@@ -114,18 +115,18 @@
     }
 
     @Test
-    void errorsOfAFileAreToldInBothForms(@TempDir Path folder) throws IOException {
+    void reportsErrorsOfAFileAsTextAndJson(@TempDir Path folder) throws IOException {
         final Path file = folder.resolve("bad.star");
         Files.writeString(file, "node(name = \"n\")\nlimits(attemps = 2)\n");
-        final Ran ran = run("check", file.toString());
-        assertThat(ran.code()).isEqualTo(1);
-        assertThat(ran.err().lines())
+        final CommandResult result = run("check", file.toString());
+        assertThat(result.code()).isEqualTo(1);
+        assertThat(result.err().lines())
                 .contains(
                         file
                                 + ":1:1: node: listen is missing; required: an IP address with a"
                                 + " port, such as \"127.0.0.1:9000\"",
                         file + ":2:18: limits has no field 'attemps'; did you mean 'attempts'?");
-        final Ran json = run("check", "--json", file.toString());
+        final CommandResult json = run("check", "--json", file.toString());
         assertThat(json.code()).isEqualTo(1);
         final JsonObject error =
                 Json.object(json.out()).getAsJsonArray("errors").get(3).getAsJsonObject();
@@ -136,16 +137,16 @@
     }
 
     @Test
-    void missingFileIsToldInOneLine() {
+    void reportsMissingFileInOneLine() {
         assertThat(run("check", "none.star"))
                 .isEqualTo(
-                        new Ran(
+                        new CommandResult(
                                 2,
                                 "",
                                 "cresschute: cannot read none.star: there is no such file\n"));
         assertThat(run("serve", "--settings", "none.star"))
                 .isEqualTo(
-                        new Ran(
+                        new CommandResult(
                                 2,
                                 "",
                                 "cresschute: cannot read none.star: there is no such file\n"));
@@ -165,7 +166,7 @@
                     100 | dumb | -     | true  | 100 | false
                     x   | -    | -     | false | 80 | false
                     """)
-    void screenIsReadFromTheEnvironment(
+    void readsOutputTerminalFromEnvironment(
             String columns,
             String term,
             String noColor,
@@ -180,6 +181,7 @@
         if (noColor != null) {
             environment.put("NO_COLOR", noColor);
         }
-        assertThat(Screen.of(environment, terminal)).isEqualTo(new Screen(terminal, width, color));
+        assertThat(OutputTerminal.of(environment, terminal))
+                .isEqualTo(new OutputTerminal(terminal, width, color));
     }
 }
--- a/src/test/java/cresschute/cli/ConsoleProgramTest.java
+++ b/src/test/java/cresschute/cli/ConsoleProgramTest.java
@@ -43,7 +43,7 @@
     private Path socket;
 
     @BeforeEach
-    void nameSocket() {
+    void setSocketPath() {
         socket = folder.resolve("s");
     }
 
@@ -52,11 +52,11 @@
                 List.of("-ea", "-XX:TieredStopAtLevel=1", "-XX:+UseSerialGC"), args);
     }
 
-    private Fleet fleet(String troubles) {
+    private Fleet fleet(String faults) {
         final Fleet fleet =
                 new Fleet(
                         new Fleet.Plan(
-                                5, 15, 1, InjectedFault.parse(troubles), socket.toString(), null));
+                                5, 15, 1, InjectedFault.parse(faults), socket.toString(), null));
         fleet.start();
         return fleet;
     }
@@ -73,7 +73,7 @@
         }
     }
 
-    private static void sound(Fleet fleet) {
+    private static void assertAllRulesKept(Fleet fleet) {
         fleet.stop();
         final FleetReport report = fleet.report();
         assertThat(report.breaches()).isEmpty();
@@ -93,7 +93,7 @@
      * others go on.
      */
     @Test
-    void sessionAtATerminalDrainsWhatItMeant() throws Exception {
+    void drainStaysInForceAfterTerminalDisconnects() throws Exception {
         try (Fleet fleet = fleet("")) {
             try (VirtualScreen screen = console(80, 24, Map.of("USER", "wanjiru"))) {
                 screen.await("LIVE");
@@ -107,7 +107,7 @@
                 screen.type("y");
                 screen.await("w3 is draining");
                 // Cut off: the terminal goes and the program with it, and the drain holds.
-                screen.cut();
+                screen.disconnect();
             }
             final JsonObject drain = worker("w3").getAsJsonObject("drain");
             assertThat(drain.get("who").getAsString()).isEqualTo("wanjiru");
@@ -117,14 +117,15 @@
                 screen.await("the drain", text -> row(screen, "w3").contains("draining"));
                 screen.type("jj");
                 screen.await("drained by wanjiru");
-                final Set<String> busy = new HashSet<>();
+                final Set<String> workersWithSends = new HashSet<>();
                 screen.await(
                         "work at all others",
                         text -> {
-                            busy.addAll(fleet.sends(drainedUs + 400_000, Long.MAX_VALUE).keySet());
-                            return busy.size() >= 4;
+                            workersWithSends.addAll(
+                                    fleet.sends(drainedUs + 400_000, Long.MAX_VALUE).keySet());
+                            return workersWithSends.size() >= 4;
                         });
-                assertThat(busy).containsExactlyInAnyOrder("w1", "w2", "w4", "w5");
+                assertThat(workersWithSends).containsExactlyInAnyOrder("w1", "w2", "w4", "w5");
                 fleet.undrained("w3");
                 screen.type("u");
                 screen.await("w3 takes work again");
@@ -139,22 +140,22 @@
             for (final String other : List.of("w1", "w2", "w4", "w5")) {
                 assertThat(worker(other).has("drain")).isFalse();
             }
-            sound(fleet);
+            assertAllRulesKept(fleet);
         }
     }
 
     /** Cut between the question and the answer: nothing was meant yet, so nothing is done. */
     @Test
-    void sessionCutAtTheQuestionDrainsNothing() throws Exception {
+    void disconnectBeforeConfirmationDrainsNothing() throws Exception {
         try (Fleet fleet = fleet("")) {
             try (VirtualScreen screen = console(80, 24, Map.of())) {
                 screen.await("LIVE");
                 screen.type("d");
                 screen.await("Drain w1? ");
-                screen.cut();
+                screen.disconnect();
             }
             assertThat(worker("w1").has("drain")).isFalse();
-            sound(fleet);
+            assertAllRulesKept(fleet);
         }
     }
 
@@ -163,7 +164,7 @@
      * live.
      */
     @Test
-    void screenTellsThatItsPictureIsOldAndComesBack() throws Exception {
+    void screenShowsStaleRowsUntilNodeReturns() throws Exception {
         try (VirtualScreen screen = console(40, 12, Map.of("NO_COLOR", "1"))) {
             screen.await("LOADING");
             try (Fleet first = fleet("crash:w2@1s+1s")) {
@@ -171,13 +172,13 @@
                 assertThat(screen.lines()).allMatch(line -> line.length() <= 40);
                 screen.resize(100, 30);
                 screen.await("QUEUE FREE REPORT LAST MINUTE");
-                sound(first);
+                assertAllRulesKept(first);
             }
             screen.await("RECONNECTING, STALE since ");
             assertThat(row(screen, "w1")).isNotEmpty();
             try (Fleet second = fleet("")) {
                 screen.await("LIVE");
-                sound(second);
+                assertAllRulesKept(second);
             }
             screen.type("?");
             screen.await("any key goes back");
@@ -192,7 +193,7 @@
      * drained.
      */
     @Test
-    void oneOfAThousandIsDrainedWhileTheListChangesUnderTheScreen() throws Exception {
+    void drainsSelectedWorkerWhileOtherRowsChange() throws Exception {
         try (LargeFleet site = new LargeFleet(1_000, 1, socket);
                 VirtualScreen screen = console(100, 30, Map.of())) {
             screen.await("1/1000");
@@ -218,43 +219,44 @@
     }
 
     @Test
-    void dumbTerminalGetsLines() throws Exception {
+    void dumbTerminalGetsPlainLines() throws Exception {
         try (Fleet fleet = fleet("")) {
             try (VirtualScreen screen = console(80, 24, Map.of("TERM", "dumb"))) {
                 screen.await("this is no terminal that can show a screen");
                 screen.await("WORKER           STATE");
             }
-            sound(fleet);
+            assertAllRulesKept(fleet);
         }
     }
 
     // ---- Commands ----
 
-    private record Ran(int code, String out, String err) {}
+    private record CommandResult(int code, String out, String err) {}
 
-    private Ran run(String... args) {
+    private CommandResult run(String... args) {
         final List<String> all = new ArrayList<>(List.of(args));
         all.addAll(List.of("--socket", socket.toString()));
         final StringWriter out = new StringWriter();
         final StringWriter err = new StringWriter();
         final CommandLine line =
-                Commands.line()
+                Commands.commandLine()
                         .setOut(new PrintWriter(out, true))
                         .setErr(new PrintWriter(err, true));
-        return new Ran(
+        return new CommandResult(
                 line.execute(all.toArray(String[]::new)),
                 out.toString().strip(),
                 err.toString().strip());
     }
 
     @Test
-    void commandsDrainAndShow() {
+    void commandsDrainWorkersAndPrintThem() {
         try (Fleet fleet = fleet("")) {
             assertThat(run("workers").out().lines().map(each -> each.split(" +")[0]))
                     .containsExactly("WORKER", "w1", "w2", "w3", "w4", "w5");
-            final JsonObject picture = Json.object(run("workers", "--json").out());
-            assertThat(picture.keySet()).containsExactly("node", "workers", "classes");
-            final Ran drain = run("drain", "w2", "--for", "2h", "--reason", "disk", "--wait");
+            final JsonObject snapshot = Json.object(run("workers", "--json").out());
+            assertThat(snapshot.keySet()).containsExactly("node", "workers", "classes");
+            final CommandResult drain =
+                    run("drain", "w2", "--for", "2h", "--reason", "disk", "--wait");
             assertThat(drain.code()).isZero();
             assertThat(drain.out())
                     .matches(
@@ -264,7 +266,7 @@
             assertThat(run("drain", "w2").code()).isZero();
             assertThat(run("drain", "w9"))
                     .isEqualTo(
-                            new Ran(
+                            new CommandResult(
                                     1,
                                     "",
                                     "cresschute: no worker is called w9; --force drains it"
@@ -286,7 +288,7 @@
                                     .map(Json::object)
                                     .map(each -> each.get("kind").getAsString()))
                     .contains("drained", "undrained");
-            sound(fleet);
+            assertAllRulesKept(fleet);
         }
     }
 
@@ -302,17 +304,17 @@
                     workers              | no node answers at
                     events               | no node answers at
                     """)
-    void wrongWordsAndAbsentNodesAreTold(String words, String message) {
-        final Ran ran = run(words.split(" "));
-        assertThat(ran.err()).startsWith("cresschute: " + message);
-        assertThat(ran.code()).isEqualTo(message.startsWith("no node") ? 1 : 2);
+    void reportsUnusableArgumentsAndAbsentNode(String arguments, String message) {
+        final CommandResult result = run(arguments.split(" "));
+        assertThat(result.err()).startsWith("cresschute: " + message);
+        assertThat(result.code()).isEqualTo(message.startsWith("no node") ? 1 : 2);
     }
 
     @Test
-    void socketMustBeNamed() {
+    void reportsMissingControlSocket() {
         final StringWriter err = new StringWriter();
         final int code =
-                Commands.line()
+                Commands.commandLine()
                         .setErr(new PrintWriter(err, true))
                         .execute("workers", "--settings", "deploy/appliance.star");
         assertThat(err.toString()).contains("states no control(socket = ...)");
@@ -321,7 +323,7 @@
 
     // ---- Kills ----
 
-    private ProgramProcess serve(Path script) throws Exception {
+    private ProgramProcess startNode(Path script) throws Exception {
         final ProgramProcess node =
                 ProgramProcess.start(
                         new ProcessBuilder(program("serve", "--settings", script.toString())));
@@ -335,7 +337,7 @@
      * effect either way.
      */
     @Test
-    void killedNodeKeepsWhatItConfirmed() throws Exception {
+    void killedNodeKeepsConfirmedDrains() throws Exception {
         final Path script = folder.resolve("site.star");
         try (ServerSocket w1 = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
                 ServerSocket w2 = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
@@ -362,7 +364,7 @@
             for (int round = 0; round < 4; round++) {
                 final String op = "round-" + round;
                 final boolean confirmed = round % 2 == 0;
-                final ProgramProcess first = serve(script);
+                final ProgramProcess first = startNode(script);
                 try (ControlPeer peer = new ControlPeer(socket)) {
                     peer.write(
                             "{\"v\":1,\"id\":\"1\","
@@ -377,11 +379,11 @@
                 }
                 // It left its socket behind, and died with the lock of its folder.
                 assertThat(Files.exists(socket)).isTrue();
-                final ProgramProcess second = serve(script);
+                final ProgramProcess second = startNode(script);
                 try (ControlPeer peer = new ControlPeer(socket)) {
                     if (confirmed) {
                         assertThat(peer.worker("w1").has("drain")).isTrue();
-                        goesTo(port, w2);
+                        assertRequestsReach(port, w2);
                     }
                     assertThat(peer.operate("drain", op, "w1")).isEqualTo("done: ");
                     assertThat(peer.worker("w1").has("drain")).isTrue();
@@ -394,7 +396,7 @@
         }
     }
 
-    private static void goesTo(int port, ServerSocket worker) throws IOException {
+    private static void assertRequestsReach(int port, ServerSocket worker) throws IOException {
         for (int i = 0; i < 6; i++) {
             try (Socket client = new Socket()) {
                 client.setSoTimeout(8_000);
--- a/src/test/java/cresschute/cli/ProgramTest.java
+++ b/src/test/java/cresschute/cli/ProgramTest.java
@@ -31,11 +31,11 @@
 class ProgramTest {
 
     /** The words before the JVM's options on a command line: {@code env}, its option, the JVM. */
-    private static final int OPTIONS_AT = 3;
+    private static final int JVM_OPTIONS_INDEX = 3;
 
     private static final int SOCKET_WAIT_MS = 20_000;
 
-    private static ServerSocket listen() throws IOException {
+    private static ServerSocket openServerSocket() throws IOException {
         final ServerSocket server = new ServerSocket(0, 10, InetAddress.getLoopbackAddress());
         server.setSoTimeout(SOCKET_WAIT_MS);
         return server;
@@ -76,7 +76,7 @@
 
     /** Ctrl-C: all of it ends, and the table of what was seen so far is printed. */
     @Test
-    void interruptedDemoPrintsItsTable() throws Exception {
+    void interruptedDemoPrintsPartialTable() throws Exception {
         final ProcessBuilder builder = program("demo", "--for", "10m", "--rate", "50", "--verbose");
         builder.environment().putAll(Map.of("COLUMNS", "40", "NO_COLOR", "1"));
         final Process demo = start(builder);
@@ -96,9 +96,9 @@
     }
 
     @Test
-    void servesByAScriptAndRereadsIt(@TempDir Path folder) throws Exception {
+    void servesFromScriptAndReloadsItOnHangup(@TempDir Path folder) throws Exception {
         final Path file = folder.resolve("site.star");
-        try (ServerSocket worker = listen()) {
+        try (ServerSocket worker = openServerSocket()) {
             Files.writeString(
                     file, script(0, worker.getLocalPort(), "format = \"json\", level = \"debug\""));
             final Process node = start(program("serve", "--settings", file.toString()));
@@ -108,7 +108,7 @@
                         .containsExactly(
                                 "time", "message", "logger", "level", "event", "node", "address");
                 final String address = listening.get("address").getAsString();
-                serveOne(address, worker);
+                assertServesOneRequest(address, worker);
                 final JsonObject attempt = Json.object(lineWith(log, "\"attempt_ended\""));
                 assertThat(attempt.get("worker").getAsString()).isEqualTo("w1");
                 final JsonObject answered = Json.object(lineWith(log, "\"request_answered\""));
@@ -134,7 +134,7 @@
                 assertThat(reloaded.get("held").getAsString()).isEmpty();
                 assertThat(reloaded.get("message").getAsString())
                         .contains("classes changed: check");
-                serveOne(address, worker);
+                assertServesOneRequest(address, worker);
                 signal(node, "TERM");
                 assertThat(lineWith(log, "\"stopped\"")).isNotNull();
                 assertThat(ProgramProcess.exitCode(node)).isEqualTo(143);
@@ -144,7 +144,8 @@
         }
     }
 
-    private static void serveOne(String address, ServerSocket worker) throws IOException {
+    private static void assertServesOneRequest(String address, ServerSocket worker)
+            throws IOException {
         final int colon = address.lastIndexOf(':');
         try (Socket client = new Socket()) {
             client.setSoTimeout(SOCKET_WAIT_MS);
@@ -183,9 +184,9 @@
     }
 
     @Test
-    void portInUseIsToldInOneLine(@TempDir Path folder) throws Exception {
+    void reportsPortInUseInOneLine(@TempDir Path folder) throws Exception {
         final Path file = folder.resolve("site.star");
-        try (ServerSocket taken = listen()) {
+        try (ServerSocket taken = openServerSocket()) {
             Files.writeString(file, script(taken.getLocalPort(), 1, ""));
             final Process node = start(program("serve", "--settings", file.toString()));
             assertThat(node.errorReader().lines())
@@ -199,7 +200,7 @@
     }
 
     @Test
-    void unusableScriptTellsAllThatIsWrong(@TempDir Path folder) throws Exception {
+    void reportsAllErrorsOfAScript(@TempDir Path folder) throws Exception {
         final Path file = folder.resolve("site.star");
         Files.writeString(file, script(0, 0, "format = 1, level = 2"));
         final Process node = start(program("serve", "--settings", file.toString()));
@@ -216,7 +217,7 @@
     @Test
     void platformStartLoadsNeitherParserNorStructuredLog() throws Exception {
         final ProcessBuilder builder = program("serve");
-        builder.command().add(OPTIONS_AT, "-Xlog:class+load:stdout");
+        builder.command().add(JVM_OPTIONS_INDEX, "-Xlog:class+load:stdout");
         builder.environment().remove("BALANCER_CONFIG");
         final Process node = start(builder.redirectErrorStream(true));
         final List<String> lines = node.inputReader().lines().toList();
@@ -246,9 +247,9 @@
      * Nor what is for an operator: the small node has no memory for services that nobody can use.
      */
     @Test
-    void platformNodeLoadsNothingOfTheOperators() throws Exception {
+    void platformNodeLoadsNoOperatorServices() throws Exception {
         final ProcessBuilder builder = program("serve");
-        builder.command().add(OPTIONS_AT, "-Xlog:class+load:stdout");
+        builder.command().add(JVM_OPTIONS_INDEX, "-Xlog:class+load:stdout");
         builder.environment().put("BALANCER_CONFIG", "deploy/rehearsal.json");
         final Process node = start(builder.redirectErrorStream(true));
         try (BufferedReader out = node.inputReader()) {
--- a/src/test/java/cresschute/cli/VirtualScreen.java
+++ b/src/test/java/cresschute/cli/VirtualScreen.java
@@ -19,8 +19,8 @@
 /** A program on a pseudo-terminal of the system's own, and what a person would see of it. */
 final class VirtualScreen implements AutoCloseable {
 
-    private static final long PATIENCE_S = 30;
-    private static final int CHARACTER = 0x1FFFFF;
+    private static final long MAX_WAIT_S = 30;
+    private static final int CHARACTER_MASK = 0x1FFFFF;
 
     private final Process process;
     private final ScreenTerminal terminal;
@@ -33,13 +33,13 @@
         this.columns = columns;
         this.rows = rows;
         terminal = new ScreenTerminal(columns, rows);
-        final String words =
+        final String quotedCommand =
                 String.join(" ", command.stream().map(each -> "'" + each + "'").toList());
         final ProcessBuilder builder =
                 new ProcessBuilder(
                         "script",
                         "-qfec",
-                        "stty rows " + rows + " cols " + columns + "; exec " + words,
+                        "stty rows " + rows + " cols " + columns + "; exec " + quotedCommand,
                         "/dev/null");
         builder.environment().putAll(Map.of("TERM", "xterm-256color", "LC_ALL", "C.UTF-8"));
         builder.environment().remove("COLUMNS");
@@ -73,7 +73,7 @@
         for (int row = 0; row < rows; row++) {
             final StringBuilder line = new StringBuilder();
             for (int column = 0; column < columns; column++) {
-                final int character = (int) (cells[row * columns + column] & CHARACTER);
+                final int character = (int) (cells[row * columns + column] & CHARACTER_MASK);
                 line.appendCodePoint(character == 0 ? ' ' : character);
             }
             lines.add(line.toString().stripTrailing());
@@ -86,13 +86,13 @@
     }
 
     /** Waits until the screen looks so. */
-    void await(String what, Predicate<String> wanted) {
+    void await(String description, Predicate<String> condition) {
         try {
             Awaitility.await()
-                    .atMost(Duration.ofSeconds(PATIENCE_S))
-                    .until(() -> wanted.test(text()));
+                    .atMost(Duration.ofSeconds(MAX_WAIT_S))
+                    .until(() -> condition.test(text()));
         } catch (ConditionTimeoutException e) {
-            throw new AssertionError("the screen never showed " + what + ":\n" + text(), e);
+            throw new AssertionError("the screen never showed " + description + ":\n" + text(), e);
         }
     }
 
@@ -112,7 +112,7 @@
                         .filter(each -> each.info().command().orElse("").endsWith("/java"))
                         .findFirst()
                         .orElseThrow();
-        final Path line = Files.readSymbolicLink(Path.of("/proc/" + program.pid() + "/fd/0"));
+        final Path device = Files.readSymbolicLink(Path.of("/proc/" + program.pid() + "/fd/0"));
         synchronized (this) {
             columns = newColumns;
             rows = newRows;
@@ -122,7 +122,7 @@
                 new ProcessBuilder(
                                 "stty",
                                 "-F",
-                                line.toString(),
+                                device.toString(),
                                 "rows",
                                 String.valueOf(newRows),
                                 "cols",
@@ -131,7 +131,7 @@
     }
 
     /** The line is cut, as when a connection to the box drops: the program gets a hang-up. */
-    void cut() throws InterruptedException {
+    void disconnect() throws InterruptedException {
         ProgramProcess.exitCode(process.destroyForcibly());
     }
 
