--- a/src/main/java/cresschute/cli/CapacityCommand.java
+++ b/src/main/java/cresschute/cli/CapacityCommand.java
@@ -3,9 +3,9 @@
 import cresschute.testbed.capacity.CapacityExperiment;
 import cresschute.testbed.capacity.CapacityPlan;
 import cresschute.testbed.capacity.CapacityResult;
+import cresschute.testbed.capacity.CostChart;
 import cresschute.testbed.capacity.MachineLimitException;
-import cresschute.testbed.capacity.MeasurementFile;
-import cresschute.testbed.capacity.NeedChart;
+import cresschute.testbed.capacity.MeasurementWriter;
 import cresschute.testbed.capacity.Sweep;
 import cresschute.testbed.capacity.UnusablePlanException;
 import java.io.IOException;
@@ -201,8 +201,8 @@
     private int measure(List<Sweep.Point> points, CountDownLatch interrupted)
             throws IOException, InterruptedException {
         int code = ExitCodes.DONE;
-        try (MeasurementFile file = csv == null ? null : new MeasurementFile(csv, commit())) {
-            final NeedChart chart = new NeedChart();
+        try (MeasurementWriter file = csv == null ? null : new MeasurementWriter(csv, commit())) {
+            final CostChart chart = new CostChart();
             for (int i = 0; i < points.size() && interrupted.getCount() > 0; i++) {
                 if (points.size() > 1) {
                     progress(
@@ -221,7 +221,7 @@
                 }
                 chart.add(points.get(i), result);
                 print(result);
-                code = result.isSound() ? code : ExitCodes.FAILED;
+                code = result.isSuccessful() ? code : ExitCodes.FAILED;
             }
             if (charts != null) {
                 System.setProperty("java.awt.headless", "true");
--- a/src/main/java/cresschute/testbed/capacity/CapacityExperiment.java
+++ b/src/main/java/cresschute/testbed/capacity/CapacityExperiment.java
@@ -41,13 +41,13 @@
     private final Consumer<String> progress;
     private final CountDownLatch interrupted;
     private final SharedClock clock = SharedClock.start();
-    private final List<PeerProcess> peers = new ArrayList<>();
-    private final List<PeerProcess> workers = new ArrayList<>();
+    private final List<StubProcess> peers = new ArrayList<>();
+    private final List<StubProcess> workers = new ArrayList<>();
     private final List<DispatcherProcess> dispatchers = new ArrayList<>();
     private final List<Sample> samples = new ArrayList<>();
     private final List<Double> heapsMb = new ArrayList<>();
-    private PeerProcess discovery;
-    private PeerProcess clients;
+    private StubProcess discovery;
+    private StubProcess clients;
     private Path folder;
 
     /**
@@ -80,7 +80,7 @@
         String partial = null;
         try {
             play();
-        } catch (PeerException e) {
+        } catch (ProcessFailureException e) {
             partial = e.getMessage();
         } catch (Interrupted e) {
             partial = "interrupted";
@@ -89,7 +89,7 @@
         }
         try {
             final List<Observation> seen =
-                    ObservationFile.read(peers.stream().map(PeerProcess::observations).toList());
+                    ObservationFile.read(peers.stream().map(StubProcess::observations).toList());
             final List<String> faults = new ArrayList<>();
             for (final DispatcherProcess each : dispatchers) {
                 faults.addAll(each.faults());
@@ -119,12 +119,12 @@
                         + " dispatchers");
         final int parts = Preflight.workerProcesses(plan, Preflight.descriptorLimit());
         for (int i = 0; i < parts; i++) {
-            workers.add(peer(PeerMain.Role.WORKERS, i));
+            workers.add(peer(StubProcessMain.Role.WORKERS, i));
         }
-        discovery = peer(PeerMain.Role.DISCOVERY, 0);
-        clients = peer(PeerMain.Role.CLIENTS, 0);
+        discovery = peer(StubProcessMain.Role.DISCOVERY, 0);
+        clients = peer(StubProcessMain.Role.CLIENTS, 0);
         final InetSocketAddress discoveryAt =
-                PeerProcess.addresses(discovery.start(plan, clock, 1, startWorkers())).get(0);
+                StubProcess.addresses(discovery.start(plan, clock, 1, startWorkers())).get(0);
         clients.start(plan, clock, 1, List.of());
         for (int i = 0; i < plan.dispatchers(); i++) {
             dispatchers.add(new DispatcherProcess(plan, i, discoveryAt, folder));
@@ -138,7 +138,7 @@
         final long startNs = System.nanoTime();
         while (discovery.ask("counts").get("watching").getAsInt() < plan.dispatchers()) {
             if (secondsSince(startNs) > LISTED_SECONDS) {
-                throw new PeerException("the dispatchers do not watch the list");
+                throw new ProcessFailureException("the dispatchers do not watch the list");
             }
             pause(LOOK_MS);
         }
@@ -151,38 +151,41 @@
      */
     private List<InetSocketAddress> startWorkers() throws IOException {
         final List<Iterator<InetSocketAddress>> started = new ArrayList<>();
-        for (final PeerProcess each : workers) {
+        for (final StubProcess each : workers) {
             started.add(
-                    PeerProcess.addresses(each.start(plan, clock, workers.size(), List.of()))
+                    StubProcess.addresses(each.start(plan, clock, workers.size(), List.of()))
                             .iterator());
         }
-        return new Site(plan)
+        return new ExperimentSetup(plan)
                 .workers().stream()
-                        .map(make -> started.get(Site.partOf(make, workers.size())).next())
+                        .map(
+                                make ->
+                                        started.get(ExperimentSetup.partOf(make, workers.size()))
+                                                .next())
                         .toList();
     }
 
-    private HollowWorkers.Counts workerCounts() throws IOException {
-        HollowWorkers.Counts sum = HollowWorkers.Counts.NONE;
-        for (final PeerProcess each : workers) {
-            sum = sum.plus(HollowWorkers.Counts.of(each.ask("counts")));
+    private StubWorkers.Counts workerCounts() throws IOException {
+        StubWorkers.Counts sum = StubWorkers.Counts.NONE;
+        for (final StubProcess each : workers) {
+            sum = sum.plus(StubWorkers.Counts.of(each.ask("counts")));
         }
         return sum;
     }
 
-    private PeerProcess peer(PeerMain.Role role, int part) throws IOException {
-        final PeerProcess peer = new PeerProcess(role, part, folder);
+    private StubProcess peer(StubProcessMain.Role role, int part) throws IOException {
+        final StubProcess peer = new StubProcess(role, part, folder);
         peers.add(peer);
         return peer;
     }
 
     private void ramp() throws IOException, InterruptedException, Interrupted {
         final long startNs = System.nanoTime();
-        final double longest = HollowClients.maxRampSeconds(plan);
+        final double longest = StubClients.maxRampSeconds(plan);
         int running = 0;
         while (running < REACHED * plan.running() && secondsSince(startNs) < longest) {
             pause(LOOK_MS);
-            final HollowWorkers.Counts counts = workerCounts();
+            final StubWorkers.Counts counts = workerCounts();
             running = counts.running();
             progress.accept(
                     "ramp: "
@@ -229,15 +232,15 @@
     }
 
     private Sample sample() throws IOException {
-        final HollowWorkers.Counts workerCounts = workerCounts();
+        final StubWorkers.Counts workerCounts = workerCounts();
         final JsonObject discoveryCounts = discovery.ask("counts");
         final JsonObject clientCounts = clients.ask("counts");
-        final List<ProcessUse> ofDispatchers = new ArrayList<>();
+        final List<ProcessUsage> ofDispatchers = new ArrayList<>();
         for (final DispatcherProcess each : dispatchers) {
             ofDispatchers.add(use(each.pid(), "a dispatcher"));
         }
-        ProcessUse ofWorkers = use(workers.get(0).pid(), WORKERS_PROCESS);
-        for (final PeerProcess each : workers.subList(1, workers.size())) {
+        ProcessUsage ofWorkers = use(workers.get(0).pid(), WORKERS_PROCESS);
+        for (final StubProcess each : workers.subList(1, workers.size())) {
             ofWorkers = ofWorkers.plus(use(each.pid(), WORKERS_PROCESS));
         }
         return new Sample(
@@ -253,17 +256,17 @@
                 clientCounts);
     }
 
-    private static ProcessUse use(long pid, String what) throws PeerException {
+    private static ProcessUsage use(long pid, String what) throws ProcessFailureException {
         try {
-            return ProcessUse.of(pid);
+            return ProcessUsage.of(pid);
         } catch (IOException | RuntimeException e) {
-            throw new PeerException(what + " ended");
+            throw new ProcessFailureException(what + " ended");
         }
     }
 
     private void measureHeaps() throws IOException {
         for (final DispatcherProcess each : dispatchers) {
-            final double heapMb = ProcessUse.heapMb(each.pid());
+            final double heapMb = ProcessUsage.heapMb(each.pid());
             if (Double.isFinite(heapMb)) {
                 heapsMb.add(heapMb);
             }
@@ -276,7 +279,8 @@
      */
     private void drain() throws IOException, InterruptedException, Interrupted {
         clients.ask("stop_arriving");
-        final double longest = SPARE_DRAIN_SECONDS + new Site(plan).deadlineUs() / US_A_SECOND;
+        final double longest =
+                SPARE_DRAIN_SECONDS + new ExperimentSetup(plan).deadlineUs() / US_A_SECOND;
         final long startNs = System.nanoTime();
         int open = clients.ask("counts").get("open").getAsInt();
         while (open > 0 && secondsSince(startNs) < longest) {
@@ -294,20 +298,20 @@
     }
 
     /** Looks meanwhile whether all processes are there. */
-    private void pause(long ms) throws InterruptedException, Interrupted, PeerException {
+    private void pause(long ms) throws InterruptedException, Interrupted, ProcessFailureException {
         if (interrupted.await(ms, TimeUnit.MILLISECONDS)) {
             throw new Interrupted();
         }
         for (int i = 0; i < dispatchers.size(); i++) {
             if (!dispatchers.get(i).isAlive()) {
-                throw new PeerException("dispatcher " + (i + 1) + " ended");
+                throw new ProcessFailureException("dispatcher " + (i + 1) + " ended");
             }
         }
     }
 
     @Override
     public void close() {
-        peers.forEach(PeerProcess::close);
+        peers.forEach(StubProcess::close);
         dispatchers.forEach(DispatcherProcess::close);
     }
 
--- a/src/main/java/cresschute/testbed/capacity/CapacityResult.java
+++ b/src/main/java/cresschute/testbed/capacity/CapacityResult.java
@@ -69,7 +69,7 @@
                             (measure, value) ->
                                     lines.add(
                                             "| "
-                                                    + role.word()
+                                                    + role.label()
                                                     + " "
                                                     + measure.replace('_', ' ')
                                                     + " | "
@@ -104,7 +104,7 @@
     }
 
     /** Whether it was measured whole, every request was answered and no rule was broken. */
-    public boolean isSound() {
+    public boolean isSuccessful() {
         return partial == null && rulesBroken.isEmpty() && figure(Role.CLIENT, "unanswered") == 0;
     }
 }
--- a/src/main/java/cresschute/testbed/capacity/NeedChart.java
+++ b/src/main/java/cresschute/testbed/capacity/CostChart.java
@@ -13,7 +13,7 @@
 import org.knowm.xchart.XYSeries.XYSeriesRenderStyle;
 
 /** Charts of what a dispatcher needs against the size, one for each axis and need. */
-public final class NeedChart {
+public final class CostChart {
 
     private static final int WIDTH = 800;
     private static final int HEIGHT = 420;
@@ -45,7 +45,7 @@
                     measured.stream()
                             .filter(
                                     each ->
-                                            each.point().axis().equals(axis.word())
+                                            each.point().axis().equals(axis.label())
                                                     && each.result().partial() == null)
                             .toList();
             if (!along.isEmpty()) {
@@ -75,7 +75,7 @@
                 new XYChartBuilder()
                         .width(WIDTH)
                         .height(HEIGHT)
-                        .xAxisTitle(axis.word())
+                        .xAxisTitle(axis.label())
                         .yAxisTitle(label)
                         .build();
         chart.getStyler()
@@ -84,6 +84,6 @@
         chart.getStyler().setYAxisMin(0.0);
         chart.addSeries(need, sizes, values);
         BitmapEncoder.saveBitmap(
-                chart, folder.resolve(need + "-" + axis.word()).toString(), BitmapFormat.PNG);
+                chart, folder.resolve(need + "-" + axis.label()).toString(), BitmapFormat.PNG);
     }
 }
--- a/src/main/java/cresschute/testbed/capacity/DispatcherProcess.java
+++ b/src/main/java/cresschute/testbed/capacity/DispatcherProcess.java
@@ -139,7 +139,7 @@
                 "discovery", discovery.getAddress().getHostAddress() + ":" + discovery.getPort());
         json.addProperty("seed", Long.toHexString(plan.seed() * 1_000 + number));
         json.add("limits", limits);
-        json.add("settings", new Site(plan).settings(number, changes));
+        json.add("settings", new ExperimentSetup(plan).settings(number, changes));
         return json;
     }
 
@@ -150,11 +150,11 @@
                 && System.nanoTime() - startNs < TimeUnit.MILLISECONDS.toNanos(START_MS)) {
             final Matcher reported = LISTENS.matcher(Files.readString(log));
             if (reported.find()) {
-                return PeerProcess.address(reported.group(1));
+                return StubProcess.address(reported.group(1));
             }
             Thread.sleep(LOOK_MS);
         }
-        throw new PeerException(
+        throw new ProcessFailureException(
                 "dispatcher "
                         + number
                         + " did not start: "
--- a/src/main/java/cresschute/testbed/capacity/Evaluation.java
+++ b/src/main/java/cresschute/testbed/capacity/Evaluation.java
@@ -53,7 +53,7 @@
         }
         evaluation.clients(seen);
         final List<String> broken = new ArrayList<>(faults);
-        RuleChecker.check(seen, new Site(plan).classes(), WARM)
+        RuleChecker.check(seen, new ExperimentSetup(plan).classes(), WARM)
                 .forEach(each -> broken.add(each.rule() + ": " + each.what()));
         return new CapacityResult(plan, evaluation.measures, broken, partial);
     }
@@ -103,21 +103,21 @@
         final Traffic all = workerTraffic().plus(discoveryTraffic());
         put(Role.DISPATCHER, "cpu_percent", sum / count);
         put(Role.DISPATCHER, "cpu_percent_max", max);
-        put(Role.DISPATCHER, "memory_mb", mean(ProcessUse::rssMb));
-        put(Role.DISPATCHER, "rss_mb", mean(ProcessUse::rssMb));
+        put(Role.DISPATCHER, "memory_mb", mean(ProcessUsage::rssMb));
+        put(Role.DISPATCHER, "rss_mb", mean(ProcessUsage::rssMb));
         put(
                 Role.DISPATCHER,
                 "rss_mb_max",
                 samples.stream()
                         .flatMap(each -> each.dispatchers().stream())
-                        .mapToDouble(ProcessUse::rssMb)
+                        .mapToDouble(ProcessUsage::rssMb)
                         .max()
                         .orElse(0));
         put(
                 Role.DISPATCHER,
                 "heap_mb",
                 heapsMb.stream().mapToDouble(each -> each).average().orElse(Double.NaN));
-        put(Role.DISPATCHER, "descriptors", mean(ProcessUse::descriptors));
+        put(Role.DISPATCHER, "descriptors", mean(ProcessUsage::descriptors));
         put(Role.DISPATCHER, "control_bytes_per_second", perSecond(all.controlBytes()) / count);
         put(
                 Role.DISPATCHER,
@@ -161,7 +161,7 @@
                 perSecond(all.messages(TrafficKind.REQUEST)) / count);
     }
 
-    private double mean(ToDoubleFunction<ProcessUse> figure) {
+    private double mean(ToDoubleFunction<ProcessUsage> figure) {
         return last().dispatchers().stream().mapToDouble(figure).average().orElse(0);
     }
 
--- a/src/main/java/cresschute/testbed/capacity/Site.java
+++ b/src/main/java/cresschute/testbed/capacity/ExperimentSetup.java
@@ -13,7 +13,7 @@
  * What follows from a plan: the workers, the classes of jobs, and the settings of the dispatchers.
  * Pure.
  */
-final class Site {
+final class ExperimentSetup {
 
     static final String URGENT = "urgent";
 
@@ -54,7 +54,7 @@
     private final CapacityPlan plan;
     private final int acceleratorWorkers;
 
-    Site(CapacityPlan plan) {
+    ExperimentSetup(CapacityPlan plan) {
         this.plan = plan;
         acceleratorWorkers =
                 plan.accelerators() == 0
--- a/src/main/java/cresschute/testbed/capacity/MeasurementFile.java
+++ b/src/main/java/cresschute/testbed/capacity/MeasurementWriter.java
@@ -17,10 +17,10 @@
  * Measurements in the long form: one row for each point, role and measure, written as they are
  * known. All fields are words and numbers, none of which needs quoting.
  */
-public final class MeasurementFile implements AutoCloseable {
+public final class MeasurementWriter implements AutoCloseable {
 
     /** The first line, by which readers know the form. */
-    public static final String FIRST_LINE = "# cresschute capacity measurements, version 1";
+    public static final String VERSION_LINE = "# cresschute capacity measurements, version 1";
 
     /** The columns, in order. */
     public static final List<String> COLUMNS =
@@ -49,14 +49,14 @@
     private int runs;
 
     /** Begins a file, which must not be there yet or is written anew. */
-    public MeasurementFile(Path file, String commit) throws IOException {
+    public MeasurementWriter(Path file, String commit) throws IOException {
         this(Files.newBufferedWriter(file), commit);
     }
 
-    MeasurementFile(Writer out, String commit) throws IOException {
+    MeasurementWriter(Writer out, String commit) throws IOException {
         this.out = out;
         this.commit = commit;
-        out.write(FIRST_LINE + "\n" + String.join(",", COLUMNS) + "\n");
+        out.write(VERSION_LINE + "\n" + String.join(",", COLUMNS) + "\n");
         out.flush();
     }
 
@@ -95,7 +95,7 @@
                     plan.dispatchers(),
                     plan.listChangesPerSecond(),
                     plan.settingsChangesPerSecond(),
-                    role.word(),
+                    role.label(),
                     measured.getKey(),
                     measured.getValue(),
                     result.partial() != null);
--- a/src/main/java/cresschute/testbed/capacity/Measures.java
+++ b/src/main/java/cresschute/testbed/capacity/Measures.java
@@ -39,7 +39,7 @@
         for (final Role role : Role.values()) {
             final JsonObject figures = new JsonObject();
             values.get(role).forEach((name, value) -> figures.addProperty(name, rounded(value)));
-            json.add(role.word(), figures);
+            json.add(role.label(), figures);
         }
         return json;
     }
--- a/src/main/java/cresschute/testbed/capacity/ProcessUse.java
+++ b/src/main/java/cresschute/testbed/capacity/ProcessUsage.java
@@ -17,7 +17,7 @@
  * @param rssMb resident memory
  * @param descriptors open files and sockets
  */
-record ProcessUse(double cpuSeconds, double rssMb, int descriptors) {
+record ProcessUsage(double cpuSeconds, double rssMb, int descriptors) {
 
     /** The kernel tells times in this unit to user space on all of its machines. */
     private static final double TICKS_A_SECOND = 100;
@@ -30,7 +30,7 @@
     private static final Pattern USED =
             Pattern.compile("generation\\s+total [0-9]+K, used ([0-9]+)K");
 
-    static ProcessUse of(long pid) throws IOException {
+    static ProcessUsage of(long pid) throws IOException {
         final Path folder = Path.of("/proc", Long.toString(pid));
         final String stat = Files.readString(folder.resolve("stat"));
         final String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
@@ -39,7 +39,7 @@
                         / TICKS_A_SECOND;
         final Matcher resident = RESIDENT.matcher(Files.readString(folder.resolve("status")));
         try (Stream<Path> descriptors = Files.list(folder.resolve("fd"))) {
-            return new ProcessUse(
+            return new ProcessUsage(
                     cpuSeconds,
                     resident.find() ? Long.parseLong(resident.group(1)) / KB_A_MB : 0,
                     (int) descriptors.count());
@@ -47,8 +47,8 @@
     }
 
     /** Of several processes together. */
-    ProcessUse plus(ProcessUse other) {
-        return new ProcessUse(
+    ProcessUsage plus(ProcessUsage other) {
+        return new ProcessUsage(
                 cpuSeconds + other.cpuSeconds,
                 rssMb + other.rssMb,
                 descriptors + other.descriptors);
--- a/src/main/java/cresschute/testbed/capacity/RequestOutcomes.java
+++ b/src/main/java/cresschute/testbed/capacity/RequestOutcomes.java
@@ -112,7 +112,7 @@
         for (final Tracked each : byOrigin.values()) {
             if (each.sentUs >= fromUs && each.sentUs < toUs) {
                 counted.add(each);
-                if (each.className.equals(Site.URGENT)) {
+                if (each.className.equals(ExperimentSetup.URGENT)) {
                     countUrgent(each);
                 }
             }
@@ -176,10 +176,10 @@
     int[] gangs() {
         final Map<String, int[]> gangs = new LinkedHashMap<>();
         for (final Tracked each : counted) {
-            if (each.origin.startsWith(HollowClients.GANG)) {
+            if (each.origin.startsWith(StubClients.GANG)) {
                 final String gang =
                         each.origin.substring(
-                                0, each.origin.indexOf('-', HollowClients.GANG.length()));
+                                0, each.origin.indexOf('-', StubClients.GANG.length()));
                 final int[] members = gangs.computeIfAbsent(gang, unseen -> new int[2]);
                 members[0]++;
                 members[1] += each.firstRefused ? 1 : 0;
--- a/src/main/java/cresschute/testbed/capacity/Role.java
+++ b/src/main/java/cresschute/testbed/capacity/Role.java
@@ -15,7 +15,7 @@
     CLIENT;
 
     /** Its name in results. */
-    public String word() {
+    public String label() {
         return name().toLowerCase(Locale.ROOT);
     }
 }
--- a/src/main/java/cresschute/testbed/capacity/RunTimes.java
+++ b/src/main/java/cresschute/testbed/capacity/RunTimes.java
@@ -18,7 +18,7 @@
     RunTimes(UniformRandomProvider chance, double meanUs) {
         this.chance = chance;
         scaleUs = SCALE * meanUs;
-        maxUs = Site.MAX_RUN_OVER_MEAN * meanUs;
+        maxUs = ExperimentSetup.MAX_RUN_OVER_MEAN * meanUs;
     }
 
     /** The running time of a job, us. */
--- a/src/main/java/cresschute/testbed/capacity/Sample.java
+++ b/src/main/java/cresschute/testbed/capacity/Sample.java
@@ -18,9 +18,9 @@
 record Sample(
         long ns,
         long us,
-        List<ProcessUse> dispatchers,
-        List<ProcessUse> peers,
-        HollowWorkers.Counts workers,
+        List<ProcessUsage> dispatchers,
+        List<ProcessUsage> peers,
+        StubWorkers.Counts workers,
         JsonObject discovery,
         JsonObject clients) {
 
--- a/src/main/java/cresschute/testbed/capacity/HollowClients.java
+++ b/src/main/java/cresschute/testbed/capacity/StubClients.java
@@ -16,7 +16,7 @@
  * tenant in one instant. Until the wanted number of jobs is open they come faster, each with what
  * is left of a run. All on one loop.
  */
-final class HollowClients {
+final class StubClients {
 
     /** Begins the id of each request of a gang, with the gang's number after it. */
     static final String GANG = "gang-";
@@ -50,12 +50,12 @@
     private long lastNumber;
     private long submitted;
 
-    HollowClients(EventLoop loop, Recorder recorder, CapacityPlan plan) {
+    StubClients(EventLoop loop, Recorder recorder, CapacityPlan plan) {
         this.loop = loop;
         this.plan = plan;
         this.recorder = recorder;
         chance = RandomSource.XO_SHI_RO_256_PP.create(plan.seed());
-        classes = new Site(plan).classes();
+        classes = new ExperimentSetup(plan).classes();
         runTimes =
                 new RunTimes(
                         RandomSource.XO_SHI_RO_256_PP.create(plan.seed() + 1), plan.meanRunUs());
@@ -164,12 +164,12 @@
         final long remainingRampUs =
                 ramping ? (long) ((plan.running() - clients.waiting()) / rate() * US_A_SECOND) : 0;
         final long workUs = ramping ? remainingRampUs + runTimes.remainder() : runTimes.next();
-        submit(drawClass(), "job-", workUs, Site.tenant(chance.nextInt(plan.tenants())));
+        submit(drawClass(), "job-", workUs, ExperimentSetup.tenant(chance.nextInt(plan.tenants())));
     }
 
     private void submitGang() {
         final long number = ++lastNumber;
-        final String tenant = Site.tenant(chance.nextInt(plan.tenants()));
+        final String tenant = ExperimentSetup.tenant(chance.nextInt(plan.tenants()));
         final JobClass stated = classes.get(1 + chance.nextInt(classes.size() - 1));
         final int size = gangSize(chance.nextInt(GANG_SIZES));
         for (int i = 0; i < size; i++) {
--- a/src/main/java/cresschute/testbed/capacity/HollowDiscovery.java
+++ b/src/main/java/cresschute/testbed/capacity/StubDiscovery.java
@@ -17,7 +17,7 @@
  * and serves again some seconds later, every second time as one that was started anew. All on one
  * loop.
  */
-final class HollowDiscovery {
+final class StubDiscovery {
 
     private static final long DRAINED_US = 3_000_000;
     private static final double US_A_SECOND = 1e6;
@@ -35,7 +35,7 @@
     private long bytes;
     private long changes;
 
-    HollowDiscovery(
+    StubDiscovery(
             EventLoop loop,
             Recorder recorder,
             CapacityPlan plan,
@@ -43,7 +43,7 @@
         this.loop = loop;
         this.recorder = recorder;
         this.addresses = List.copyOf(addresses);
-        makes = new Site(plan).workers();
+        makes = new ExperimentSetup(plan).workers();
         chance = RandomSource.XO_SHI_RO_256_PP.create(plan.seed() + 3);
         drains = new boolean[makes.size()];
         startedMs = new long[makes.size()];
--- a/src/main/java/cresschute/testbed/capacity/PeerProcess.java
+++ b/src/main/java/cresschute/testbed/capacity/StubProcess.java
@@ -18,14 +18,14 @@
 /**
  * A process of the experiment's own, as the one that started it sees it: it is asked and answers.
  */
-final class PeerProcess implements AutoCloseable {
+final class StubProcess implements AutoCloseable {
 
     /** How long an answer may take, s. */
     static final long ANSWER_SECONDS = 30;
 
     private static final int MAX_HEAP_MB = 1_024;
 
-    private final PeerMain.Role role;
+    private final StubProcessMain.Role role;
     private final int part;
     private final Process process;
     private final Path observations;
@@ -38,7 +38,7 @@
      *
      * @param part counts the processes of one role from 0
      */
-    PeerProcess(PeerMain.Role role, int part, Path folder) throws IOException {
+    StubProcess(StubProcessMain.Role role, int part, Path folder) throws IOException {
         this.role = role;
         this.part = part;
         observations = folder.resolve(name() + "-" + part + ".observations");
@@ -51,7 +51,7 @@
                         "-Xmx" + MAX_HEAP_MB + "m",
                         "-cp",
                         System.getProperty("java.class.path"),
-                        PeerMain.class.getName(),
+                        StubProcessMain.class.getName(),
                         role.name(),
                         observations.toString()));
         process = new ProcessBuilder(command).redirectError(log.toFile()).start();
@@ -79,7 +79,7 @@
     /** Has it begin its part of so many. */
     JsonObject start(
             CapacityPlan plan, SharedClock clock, int parts, List<InetSocketAddress> addresses)
-            throws PeerException {
+            throws ProcessFailureException {
         final JsonObject command = command("start");
         command.add("plan", new Gson().toJsonTree(plan));
         command.add("clock", new Gson().toJsonTree(clock));
@@ -89,14 +89,14 @@
         return ask(command);
     }
 
-    JsonObject begin(List<InetSocketAddress> addresses) throws PeerException {
+    JsonObject begin(List<InetSocketAddress> addresses) throws ProcessFailureException {
         final JsonObject command = command("begin");
         command.add("addresses", json(addresses));
         return ask(command);
     }
 
     /** Has it end these processes too, should the process that started them all be killed. */
-    void guard(List<Long> processes) throws PeerException {
+    void guard(List<Long> processes) throws ProcessFailureException {
         final JsonArray pids = new JsonArray();
         processes.forEach(pids::add);
         final JsonObject command = command("guard");
@@ -104,7 +104,7 @@
         ask(command);
     }
 
-    JsonObject ask(String command) throws PeerException {
+    JsonObject ask(String command) throws ProcessFailureException {
         return ask(command(command));
     }
 
@@ -114,7 +114,7 @@
         return command;
     }
 
-    private synchronized JsonObject ask(JsonObject command) throws PeerException {
+    private synchronized JsonObject ask(JsonObject command) throws ProcessFailureException {
         try {
             commands.write(command + "\n");
             commands.flush();
@@ -128,9 +128,9 @@
         throw ended();
     }
 
-    private PeerException ended() {
+    private ProcessFailureException ended() {
         try {
-            return new PeerException(
+            return new ProcessFailureException(
                     "the process of the hollow "
                             + name()
                             + " ended"
@@ -139,7 +139,7 @@
                                     .map(each -> ": " + each)
                                     .orElse(""));
         } catch (IOException e) {
-            return new PeerException("the process of the hollow " + name() + " ended");
+            return new ProcessFailureException("the process of the hollow " + name() + " ended");
         }
     }
 
--- a/src/main/java/cresschute/testbed/capacity/PeerMain.java
+++ b/src/main/java/cresschute/testbed/capacity/StubProcessMain.java
@@ -35,7 +35,7 @@
  * object a line on standard input and answers each with one on standard output; it ends when its
  * input does, so that it never outlives the process that started it.
  */
-public final class PeerMain {
+public final class StubProcessMain {
 
     /** What a process is. */
     enum Role {
@@ -50,15 +50,15 @@
     private final EventLoopGroup group;
     private final EventLoop loop;
     private final Role role;
-    private final Map<EventLoop, HollowWorkers> workers = new LinkedHashMap<>();
+    private final Map<EventLoop, StubWorkers> workers = new LinkedHashMap<>();
 
     /** Processes that end with this one's input, since they have none of their own. */
     private final List<ProcessHandle> guarded = new ArrayList<>();
 
-    private HollowClients clients;
-    private HollowDiscovery discovery;
+    private StubClients clients;
+    private StubDiscovery discovery;
 
-    private PeerMain(Role role) {
+    private StubProcessMain(Role role) {
         this.role = role;
         group =
                 new MultiThreadIoEventLoopGroup(
@@ -74,7 +74,7 @@
         final BufferedReader in =
                 new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
         try (ObservationFile file = new ObservationFile(Path.of(args[1]))) {
-            final PeerMain peer = new PeerMain(Role.valueOf(args[0]));
+            final StubProcessMain peer = new StubProcessMain(Role.valueOf(args[0]));
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 final JsonObject answer =
                         peer.take(JsonParser.parseString(line).getAsJsonObject(), file);
@@ -110,7 +110,7 @@
 
     private static <T> T on(EventLoop loop, Supplier<T> what) {
         return CompletableFuture.supplyAsync(what, loop)
-                .orTimeout(PeerProcess.ANSWER_SECONDS, TimeUnit.SECONDS)
+                .orTimeout(StubProcess.ANSWER_SECONDS, TimeUnit.SECONDS)
                 .join();
     }
 
@@ -129,17 +129,17 @@
             case WORKERS -> {
                 answer.add(
                         "addresses",
-                        PeerProcess.json(
+                        StubProcess.json(
                                 startWorkers(
-                                        new Site(plan),
+                                        new ExperimentSetup(plan),
                                         command.get("part").getAsInt(),
                                         command.get("parts").getAsInt(),
                                         recorder)));
             }
-            case CLIENTS -> clients = new HollowClients(loop, recorder, plan);
+            case CLIENTS -> clients = new StubClients(loop, recorder, plan);
             case DISCOVERY -> {
-                discovery = new HollowDiscovery(loop, recorder, plan, addresses(command));
-                answer.add("addresses", PeerProcess.json(List.of(discovery.start())));
+                discovery = new StubDiscovery(loop, recorder, plan, addresses(command));
+                answer.add("addresses", StubProcess.json(List.of(discovery.start())));
             }
         }
         return answer;
@@ -149,8 +149,8 @@
      * Starts one part of the workers. Those of a cell share what they know of keys, and so their
      * loop.
      */
-    private List<InetSocketAddress> startWorkers(Site site, int part, int parts, Recorder recorder)
-            throws IOException {
+    private List<InetSocketAddress> startWorkers(
+            ExperimentSetup site, int part, int parts, Recorder recorder) throws IOException {
         final List<EventLoop> loops = new ArrayList<>();
         for (int i = 0; i < WORKER_LOOPS; i++) {
             loops.add(group.next());
@@ -159,11 +159,11 @@
         final List<Make> makes = site.workers();
         for (int i = 0; i < makes.size(); i++) {
             final Make make = makes.get(i);
-            if (Site.partOf(make, parts) == part) {
+            if (ExperimentSetup.partOf(make, parts) == part) {
                 final EventLoop shared = loops.get(make.cell() / parts % WORKER_LOOPS);
                 addresses.add(
                         workers.computeIfAbsent(
-                                        shared, unseen -> new HollowWorkers(shared, recorder, site))
+                                        shared, unseen -> new StubWorkers(shared, recorder, site))
                                 .start(make, i));
             }
         }
@@ -174,7 +174,7 @@
         final JsonArray listed = command.getAsJsonArray("addresses");
         final List<InetSocketAddress> addresses = new ArrayList<>();
         for (final JsonElement each : listed) {
-            addresses.add(PeerProcess.address(each.getAsString()));
+            addresses.add(StubProcess.address(each.getAsString()));
         }
         return addresses;
     }
@@ -193,7 +193,7 @@
             case WORKERS ->
                     workers.entrySet().stream()
                             .map(each -> on(each.getKey(), each.getValue()::counts))
-                            .reduce(HollowWorkers.Counts.NONE, HollowWorkers.Counts::plus)
+                            .reduce(StubWorkers.Counts.NONE, StubWorkers.Counts::plus)
                             .json();
             case CLIENTS -> onLoop(clients::counts);
             case DISCOVERY -> onLoop(discovery::counts);
--- a/src/main/java/cresschute/testbed/capacity/HollowWorkers.java
+++ b/src/main/java/cresschute/testbed/capacity/StubWorkers.java
@@ -35,7 +35,7 @@
  * protocol, but a job there is a timer. They share loops, those of a cell one. They count what is
  * read and written, by kind.
  */
-final class HollowWorkers {
+final class StubWorkers {
 
     private static final int MAX_BODY_BYTES = 64 * 1024;
     private static final int MAX_WAITING_A_SLOT = 4;
@@ -54,7 +54,7 @@
     private long connections;
 
     /** Workers on this loop, none yet. */
-    HollowWorkers(EventLoop loop, Recorder recorder, Site site) {
+    StubWorkers(EventLoop loop, Recorder recorder, ExperimentSetup site) {
         this.loop = loop;
         this.recorder = recorder;
         this.progressUs = site.progressUs();
--- a/src/main/java/cresschute/testbed/capacity/Sweep.java
+++ b/src/main/java/cresschute/testbed/capacity/Sweep.java
@@ -22,7 +22,7 @@
         SETTINGS_CHANGES;
 
         /** Its name on the command line and in results. */
-        public String word() {
+        public String label() {
             return name().toLowerCase(Locale.ROOT).replace('_', '-');
         }
 
@@ -85,7 +85,7 @@
     public static List<Point> along(String axis, CapacityPlan largest, int repetitions) {
         final List<Axis> axes =
                 Arrays.stream(Axis.values())
-                        .filter(each -> axis.equals(ALL) || each.word().equals(axis))
+                        .filter(each -> axis.equals(ALL) || each.label().equals(axis))
                         .toList();
         if (axes.isEmpty()) {
             throw new UnusablePlanException(
@@ -93,7 +93,7 @@
                             + axis
                             + "' is no axis; allowed: "
                             + Arrays.stream(Axis.values())
-                                    .map(Axis::word)
+                                    .map(Axis::label)
                                     .collect(Collectors.joining(", "))
                             + ", all");
         }
@@ -104,7 +104,7 @@
                 for (final CapacityPlan plan : plans(each, fixed, largest)) {
                     points.add(
                             new Point(
-                                    each.word(), i, false, plan.withSeed(largest.seed() + i - 1)));
+                                    each.label(), i, false, plan.withSeed(largest.seed() + i - 1)));
                 }
             }
         }
--- a/src/main/java/cresschute/testbed/capacity/Traffic.java
+++ b/src/main/java/cresschute/testbed/capacity/Traffic.java
@@ -69,7 +69,7 @@
             final JsonObject counted = new JsonObject();
             counted.addProperty("messages", messages(kind));
             counted.addProperty("bytes", bytes(kind));
-            json.add(kind.word(), counted);
+            json.add(kind.label(), counted);
         }
         return json;
     }
@@ -77,7 +77,7 @@
     static Traffic of(JsonObject json) {
         final Traffic traffic = new Traffic();
         for (final TrafficKind kind : TrafficKind.values()) {
-            final JsonObject counted = json.getAsJsonObject(kind.word());
+            final JsonObject counted = json.getAsJsonObject(kind.label());
             traffic.messages[kind.ordinal()] = counted.get("messages").getAsLong();
             traffic.bytes[kind.ordinal()] = counted.get("bytes").getAsLong();
         }
--- a/src/main/java/cresschute/testbed/capacity/TrafficKind.java
+++ b/src/main/java/cresschute/testbed/capacity/TrafficKind.java
@@ -32,7 +32,7 @@
     }
 
     /** Its name in results. */
-    public String word() {
+    public String label() {
         return name().toLowerCase(java.util.Locale.ROOT);
     }
 }
--- a/src/test/java/cresschute/cli/CapacityProgramTest.java
+++ b/src/test/java/cresschute/cli/CapacityProgramTest.java
@@ -9,7 +9,7 @@
 import com.google.gson.JsonObject;
 import cresschute.ProgramProcess;
 import cresschute.node.Json;
-import cresschute.testbed.capacity.MeasurementFile;
+import cresschute.testbed.capacity.MeasurementWriter;
 import java.io.BufferedReader;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -139,8 +139,8 @@
 
     /** One row for each role and measure, with the size in each. */
     private static void readable(JsonObject result, List<String> lines) {
-        assertThat(lines.get(0)).isEqualTo(MeasurementFile.FIRST_LINE);
-        assertThat(lines.get(1)).isEqualTo(String.join(",", MeasurementFile.COLUMNS));
+        assertThat(lines.get(0)).isEqualTo(MeasurementWriter.VERSION_LINE);
+        assertThat(lines.get(1)).isEqualTo(String.join(",", MeasurementWriter.COLUMNS));
         final List<Map<String, String>> rows =
                 lines.subList(2, lines.size()).stream()
                         .map(line -> row(line.split(",", -1)))
@@ -172,12 +172,12 @@
     }
 
     private static Map<String, String> row(String[] fields) {
-        assertThat(fields).hasSize(MeasurementFile.COLUMNS.size());
-        return MeasurementFile.COLUMNS.stream()
+        assertThat(fields).hasSize(MeasurementWriter.COLUMNS.size());
+        return MeasurementWriter.COLUMNS.stream()
                 .collect(
                         Collectors.toMap(
                                 name -> name,
-                                name -> fields[MeasurementFile.COLUMNS.indexOf(name)]));
+                                name -> fields[MeasurementWriter.COLUMNS.indexOf(name)]));
     }
 
     /** Ctrl-C: what was measured until then is printed as partial, and nothing goes on. */
--- a/src/test/java/cresschute/testbed/capacity/CapacityPlanTest.java
+++ b/src/test/java/cresschute/testbed/capacity/CapacityPlanTest.java
@@ -24,7 +24,7 @@
 
     @Test
     void siteHasTheAcceleratorsAndRoomForTheJobs() {
-        final List<Make> workers = new Site(WHOLE).workers();
+        final List<Make> workers = new ExperimentSetup(WHOLE).workers();
         assertThat(workers).hasSize(1_400);
         final int accelerators =
                 workers.stream()
@@ -39,10 +39,12 @@
 
     @Test
     void classesShareAllJobs() {
-        assertThat(new Site(WHOLE).classes().stream().mapToDouble(JobClass::share).sum())
+        assertThat(new ExperimentSetup(WHOLE).classes().stream().mapToDouble(JobClass::share).sum())
                 .isBetween(0.999, 1.001);
         assertThat(
-                        new Site(new CapacityPlan(10, 0, 20, 10, 1, 1, 1, 1, 0, 0, 0, 1, 1, 0))
+                        new ExperimentSetup(
+                                        new CapacityPlan(
+                                                10, 0, 20, 10, 1, 1, 1, 1, 0, 0, 0, 1, 1, 0))
                                 .classes())
                 .extracting(JobClass::name)
                 .doesNotContain("accelerated");
@@ -64,7 +66,7 @@
     @ParameterizedTest
     @EnumSource(Sweep.Axis.class)
     void axisHasFourSizesAndTheWholeOneAtTheEnd(Sweep.Axis axis) {
-        final List<Sweep.Point> points = Sweep.along(axis.word(), WHOLE, 2);
+        final List<Sweep.Point> points = Sweep.along(axis.label(), WHOLE, 2);
         assertThat(points).hasSize(2 * 4 + 1);
         final Sweep.Point last = points.get(points.size() - 1);
         assertThat(last.heldOut()).isTrue();
@@ -102,13 +104,15 @@
         assertThat(Preflight.workerProcesses(WHOLE, 1_000_000)).isEqualTo(1);
         assertThat(Preflight.workerProcesses(WHOLE, 20_000)).isEqualTo(2);
         assertThat(
-                        new Site(WHOLE)
+                        new ExperimentSetup(WHOLE)
                                 .workers().stream()
                                         .collect(
                                                 Collectors.groupingBy(
                                                         Make::cell,
                                                         Collectors.mapping(
-                                                                make -> Site.partOf(make, 2),
+                                                                make ->
+                                                                        ExperimentSetup.partOf(
+                                                                                make, 2),
                                                                 Collectors.toSet())))
                                         .values())
                 .allMatch(parts -> parts.size() == 1);
--- a/src/test/java/cresschute/testbed/capacity/NeedChartTest.java
+++ b/src/test/java/cresschute/testbed/capacity/CostChartTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Charts of a sweep, and its rows. */
-class NeedChartTest {
+class CostChartTest {
 
     private static CapacityResult result(CapacityPlan plan, String partial) {
         final Measures measures = new Measures();
@@ -24,7 +24,7 @@
     @Test
     void eachMeasuredAxisHasAChartForEachNeed(@TempDir Path folder) throws Exception {
         System.setProperty("java.awt.headless", "true");
-        final NeedChart chart = new NeedChart();
+        final CostChart chart = new CostChart();
         Sweep.along("workers", CapacityPlanTest.WHOLE, 1)
                 .forEach(point -> chart.add(point, result(point.plan(), null)));
         Sweep.along("tenants", CapacityPlanTest.WHOLE, 1)
@@ -44,7 +44,7 @@
     void rowsNameTheirPoint(@TempDir Path folder) throws Exception {
         final Path file = folder.resolve("rows.csv");
         final List<Sweep.Point> points = Sweep.along("workers", CapacityPlanTest.WHOLE, 1);
-        try (MeasurementFile rows = new MeasurementFile(file, "abc")) {
+        try (MeasurementWriter rows = new MeasurementWriter(file, "abc")) {
             rows.add(points.get(0), result(points.get(0).plan(), null));
             rows.add(points.get(4), result(points.get(4).plan(), "interrupted"));
         }
--- a/src/test/java/cresschute/testbed/capacity/RequestOutcomesTest.java
+++ b/src/test/java/cresschute/testbed/capacity/RequestOutcomesTest.java
@@ -64,12 +64,12 @@
      */
     @Test
     void urgentStartCountsFromTheFirstTry() {
-        sent(1_000, "a", "a", Site.URGENT);
+        sent(1_000, "a", "a", ExperimentSetup.URGENT);
         answered(2_000, "a", 503);
         seen.add(new RunStarted(8_999, "w1", "again-a"));
-        sent(9_000, "again-a", "a", Site.URGENT);
+        sent(9_000, "again-a", "a", ExperimentSetup.URGENT);
         seen.add(new RunStarted(20_000, "w2", "again-a"));
-        sent(10_000, "b", "b", Site.URGENT);
+        sent(10_000, "b", "b", ExperimentSetup.URGENT);
         assertThat(outcomes().urgentStartMs(50)).isCloseTo(8, within(0.01));
         assertThat(outcomes().urgentNotStarted()).isEqualTo(1);
     }
