--- a/src/main/java/cresschute/capacity/CapacityModel.java
+++ b/src/main/java/cresschute/capacity/CapacityModel.java
@@ -17,13 +17,13 @@
 
     private record Series(Map<Axis, LinearFit> fits, Map<Axis, Double> base) {}
 
-    private final List<Measurement> all;
+    private final List<Measurement> measurements;
     private final Map<MeasureKey, Series> series = new LinkedHashMap<>();
 
     /** Fits all measurements along an axis that are neither held out nor partial. */
     public CapacityModel(List<Measurement> measurements) {
-        this.all = List.copyOf(measurements);
-        all.stream()
+        this.measurements = List.copyOf(measurements);
+        measurements.stream()
                 .filter(CapacityModel::isFitted)
                 .collect(
                         Collectors.groupingBy(
@@ -81,7 +81,7 @@
 
     /** All measurements, in the order of their files. */
     public List<Measurement> measurements() {
-        return all;
+        return measurements;
     }
 
     /** The measures that have at least one fit. */
--- a/src/main/java/cresschute/capacity/FaultFile.java
+++ b/src/main/java/cresschute/capacity/FaultFile.java
@@ -25,7 +25,7 @@
     private FaultFile() {}
 
     /** Whether a file's text says that it is one of faults. */
-    public static boolean isOne(String text) {
+    public static boolean isFaultFile(String text) {
         return text.startsWith("# cresschute capacity faults");
     }
 
--- a/src/main/java/cresschute/capacity/HeldOutCheck.java
+++ b/src/main/java/cresschute/capacity/HeldOutCheck.java
@@ -41,7 +41,7 @@
                                 HeldOutCheck::group, LinkedHashMap::new, Collectors.toList()))
                 .forEach(
                         (group, rows) -> {
-                            final List<Measurement> used = completeOnes(rows);
+                            final List<Measurement> used = completeOrAll(rows);
                             model.estimate(group.key(), group.sizes())
                                     .ifPresent(
                                             predicted -> checks.add(check(group, used, predicted)));
@@ -49,7 +49,7 @@
         return List.copyOf(checks);
     }
 
-    private static List<Measurement> completeOnes(List<Measurement> rows) {
+    private static List<Measurement> completeOrAll(List<Measurement> rows) {
         final List<Measurement> complete = rows.stream().filter(row -> !row.partial()).toList();
         return complete.isEmpty() ? rows : complete;
     }
--- a/src/main/java/cresschute/capacity/MessagesTable.java
+++ b/src/main/java/cresschute/capacity/MessagesTable.java
@@ -78,18 +78,23 @@
         return messages.table.textOr("");
     }
 
-    private void row(Role role, String what, String mechanism, String counts, String bytes) {
-        final Optional<Estimate> count = estimate(role, counts);
-        final Optional<Estimate> size = estimate(role, bytes);
-        final Optional<Double> one =
+    private void row(
+            Role role,
+            String description,
+            String mechanism,
+            String countMeasure,
+            String bytesMeasure) {
+        final Optional<Estimate> count = estimate(role, countMeasure);
+        final Optional<Estimate> size = estimate(role, bytesMeasure);
+        final Optional<Double> bytesPerMessage =
                 count.flatMap(number -> size.map(each -> each.value() / number.value()));
         table.row(
                 role.label(),
-                what,
+                description,
                 Mechanism.markdown(mechanism),
                 cell(count),
                 cell(size),
-                one.filter(Double::isFinite).map(Figures::number).orElse("-"));
+                bytesPerMessage.filter(Double::isFinite).map(Figures::number).orElse("-"));
     }
 
     private Optional<Estimate> estimate(Role role, String measure) {
--- a/src/main/java/cresschute/capacity/StateTable.java
+++ b/src/main/java/cresschute/capacity/StateTable.java
@@ -29,25 +29,27 @@
     static String text(CapacityModel model) {
         final StateTable state = new StateTable(model);
         final PlannedSize size = PlannedSize.OPERATORS;
-        state.none(
+        state.addUnmeasuredRow(
                 "client",
                 "nothing of the project's",
                 Mechanism.MISSING,
                 "clients are the operators' own");
-        state.dispatcher(
+        state.addDispatcherRow(
                 "worker list and what is learned of each worker",
                 "WorkerIndex",
                 Axis.WORKERS,
                 size.workers());
-        state.dispatcher(
+        state.addDispatcherRow(
                 "open requests and their attempts; one dispatcher's part, the slope is of all",
                 "RequestLifecycle",
                 Axis.RUNNING,
                 size.running());
-        state.dispatcher("tenants' share meters", "QuotaMeter", Axis.TENANTS, size.tenants());
-        state.none("worker", "load report, running tasks", Mechanism.MISSING, "stand-ins");
-        state.none("discovery", "the list and its versions", Mechanism.MISSING, "a stand-in");
-        state.none(
+        state.addDispatcherRow("tenants' share meters", "QuotaMeter", Axis.TENANTS, size.tenants());
+        state.addUnmeasuredRow(
+                "worker", "load report, running tasks", Mechanism.MISSING, "stand-ins");
+        state.addUnmeasuredRow(
+                "discovery", "the list and its versions", Mechanism.MISSING, "a stand-in");
+        state.addUnmeasuredRow(
                 "console",
                 "rows and health of each worker, events",
                 "HealthTracker",
@@ -55,11 +57,11 @@
         return state.table.textOr("");
     }
 
-    private void dispatcher(String what, String mechanism, Axis axis, int entries) {
+    private void addDispatcherRow(String description, String mechanism, Axis axis, int entries) {
         final Optional<LinearFit> fit = Optional.ofNullable(model.fits(HEAP).get(axis));
         table.row(
                 "dispatcher",
-                what,
+                description,
                 Mechanism.markdown(mechanism),
                 Figures.number(entries),
                 fit.map(
@@ -78,10 +80,11 @@
                 fit.map(each -> Figures.number(each.slope() * entries)).orElse("-"));
     }
 
-    private void none(String role, String what, String mechanism, String reason) {
+    private void addUnmeasuredRow(
+            String role, String description, String mechanism, String reason) {
         table.row(
                 role,
-                what,
+                description,
                 Mechanism.markdown(mechanism),
                 "-",
                 "**" + Figures.NOT_MEASURED + "**: " + reason,
--- a/src/main/java/cresschute/capacity/TrackedMeasure.java
+++ b/src/main/java/cresschute/capacity/TrackedMeasure.java
@@ -21,7 +21,12 @@
     CLIENT_REJECTED_FRACTION(Role.CLIENT, "refused_share", SERVICE, "share", null, "Dispatcher"),
     /** Requests without an answer. */
     CLIENT_UNANSWERED(
-            Role.CLIENT, "unanswered", SERVICE, "requests", Limits.NONE_MAY, "RequestLifecycle"),
+            Role.CLIENT,
+            "unanswered",
+            SERVICE,
+            "requests",
+            Limits.NONE_ALLOWED,
+            "RequestLifecycle"),
     /** Median start of urgent requests. */
     CLIENT_URGENT_P50(
             Role.CLIENT, "urgent_start_p50_ms", SERVICE, "ms", Limits.URGENT, "Dispatcher"),
@@ -35,7 +40,7 @@
     CLIENT_GANGS_COMPLETE(Role.CLIENT, "gangs_whole", SERVICE, "gangs", null, Mechanism.MISSING),
     /** Gangs of which only some requests were admitted: useless work. */
     CLIENT_GANGS_PARTIAL(
-            Role.CLIENT, "gangs_partial", SERVICE, "gangs", Limits.NONE_MAY, Mechanism.MISSING),
+            Role.CLIENT, "gangs_partial", SERVICE, "gangs", Limits.NONE_ALLOWED, Mechanism.MISSING),
     /** Gangs of which no request was admitted. */
     CLIENT_GANGS_REJECTED(Role.CLIENT, "gangs_refused", SERVICE, "gangs", null, Mechanism.MISSING),
     /** Retries by clients. */
@@ -241,7 +246,7 @@
 
     private static final class Limits {
         private static final ControlLimits CONTROL = ControlLimits.OPERATORS;
-        private static final Limit NONE_MAY = new Limit(0, "none may");
+        private static final Limit NONE_ALLOWED = new Limit(0, "none may");
         private static final Limit URGENT =
                 new Limit(PlannedSize.OPERATORS.urgentStartMs(), "operators: urgent start");
         private static final Limit ONE_CORE = new Limit(100, "one event loop");
--- a/src/main/java/cresschute/cli/CapacityPageCommand.java
+++ b/src/main/java/cresschute/cli/CapacityPageCommand.java
@@ -95,7 +95,7 @@
         files.sort(null);
         for (final Path file : files) {
             final String text = read(file);
-            if (FaultFile.isOne(text)) {
+            if (FaultFile.isFaultFile(text)) {
                 faults.addAll(FaultFile.parse(file.toString(), text));
             } else {
                 measurements.addAll(MeasurementFile.parse(file.toString(), text));
--- a/src/main/java/cresschute/testbed/capacity/ByteCounter.java
+++ b/src/main/java/cresschute/testbed/capacity/ByteCounter.java
@@ -14,22 +14,22 @@
 final class ByteCounter extends ChannelDuplexHandler {
 
     private final LongSupplier clock;
-    private final LongConsumer counted;
+    private final LongConsumer byteListener;
     private long firstByteUs;
-    private long readSinceTaken;
+    private long readBytes;
 
     /** {@code counted} gets the size of each piece that is read or written. */
-    ByteCounter(LongSupplier clock, LongConsumer counted) {
+    ByteCounter(LongSupplier clock, LongConsumer byteListener) {
         this.clock = clock;
-        this.counted = counted;
+        this.byteListener = byteListener;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         if (message instanceof ByteBuf bytes) {
             firstByteUs = firstByteUs == 0 ? clock.getAsLong() : firstByteUs;
-            readSinceTaken += bytes.readableBytes();
-            counted.accept(bytes.readableBytes());
+            readBytes += bytes.readableBytes();
+            byteListener.accept(bytes.readableBytes());
         }
         ctx.fireChannelRead(message);
     }
@@ -37,21 +37,21 @@
     @Override
     public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
         if (message instanceof ByteBuf bytes) {
-            counted.accept(bytes.readableBytes());
+            byteListener.accept(bytes.readableBytes());
         }
         ctx.write(message, promise);
     }
 
-    /** When the first byte since the last call of {@link #takeRead} came, us. */
+    /** When the first byte since the last call of {@link #takeReadBytes} came, us. */
     long firstByteUs() {
         return firstByteUs;
     }
 
     /** Bytes read since the last call of this. */
-    long takeRead() {
-        final long taken = readSinceTaken;
-        readSinceTaken = 0;
+    long takeReadBytes() {
+        final long bytes = readBytes;
+        readBytes = 0;
         firstByteUs = 0;
-        return taken;
+        return bytes;
     }
 }
--- a/src/main/java/cresschute/testbed/capacity/CapacityExperiment.java
+++ b/src/main/java/cresschute/testbed/capacity/CapacityExperiment.java
@@ -23,17 +23,17 @@
  */
 public final class CapacityExperiment implements AutoCloseable {
 
-    private static final long SAMPLE_MS = 1_000;
-    private static final long LOOK_MS = 100;
-    private static final long LISTED_SECONDS = 20;
-    private static final long SPARE_DRAIN_SECONDS = 10;
-    private static final String WORKERS_PROCESS = "the process of the hollow workers";
-    private static final double REACHED = 0.98;
-    private static final double NS_A_SECOND = 1e9;
-    private static final double US_A_SECOND = 1e6;
+    private static final long SAMPLE_INTERVAL_MS = 1_000;
+    private static final long POLL_INTERVAL_MS = 100;
+    private static final long WATCH_TIMEOUT_SECONDS = 20;
+    private static final long DRAIN_MARGIN_SECONDS = 10;
+    private static final String WORKERS_PROCESS_NAME = "the process of the hollow workers";
+    private static final double RAMP_COMPLETE_FRACTION = 0.98;
+    private static final double NS_PER_SECOND = 1e9;
+    private static final double US_PER_SECOND = 1e6;
 
     /** The end of an experiment before its time, with why. */
-    private static final class Interrupted extends Exception {
+    private static final class ExperimentInterruptedException extends Exception {
         private static final long serialVersionUID = 1L;
     }
 
@@ -41,7 +41,7 @@
     private final Consumer<String> progress;
     private final CountDownLatch interrupted;
     private final SharedClock clock = SharedClock.start();
-    private final List<StubProcess> peers = new ArrayList<>();
+    private final List<StubProcess> stubs = new ArrayList<>();
     private final List<StubProcess> workers = new ArrayList<>();
     private final List<DispatcherProcess> dispatchers = new ArrayList<>();
     private final List<Sample> samples = new ArrayList<>();
@@ -79,28 +79,29 @@
         folder = Files.createTempDirectory("cresschute-capacity");
         String partial = null;
         try {
-            play();
+            runStages();
         } catch (ProcessFailureException e) {
             partial = e.getMessage();
-        } catch (Interrupted e) {
+        } catch (ExperimentInterruptedException e) {
             partial = "interrupted";
         } finally {
             close();
         }
         try {
-            final List<Observation> seen =
-                    ObservationFile.read(peers.stream().map(StubProcess::observations).toList());
+            final List<Observation> observations =
+                    ObservationFile.read(stubs.stream().map(StubProcess::observations).toList());
             final List<String> faults = new ArrayList<>();
             for (final DispatcherProcess each : dispatchers) {
-                faults.addAll(each.faults());
+                faults.addAll(each.loggedFaults());
             }
-            return Evaluation.of(plan, samples, heapsMb, seen, faults, partial);
+            return Evaluation.of(plan, samples, heapsMb, observations, faults, partial);
         } finally {
             deleteFolder();
         }
     }
 
-    private void play() throws IOException, InterruptedException, Interrupted {
+    private void runStages()
+            throws IOException, InterruptedException, ExperimentInterruptedException {
         start();
         ramp();
         window();
@@ -110,7 +111,7 @@
 
     // ---- The stages ----
 
-    private void start() throws IOException, InterruptedException, Interrupted {
+    private void start() throws IOException, InterruptedException, ExperimentInterruptedException {
         progress.accept(
                 "starting "
                         + plan.workers()
@@ -119,30 +120,30 @@
                         + " dispatchers");
         final int parts = Preflight.workerProcesses(plan, Preflight.descriptorLimit());
         for (int i = 0; i < parts; i++) {
-            workers.add(peer(StubProcessMain.Role.WORKERS, i));
+            workers.add(startStub(StubProcessMain.Role.WORKERS, i));
         }
-        discovery = peer(StubProcessMain.Role.DISCOVERY, 0);
-        clients = peer(StubProcessMain.Role.CLIENTS, 0);
-        final InetSocketAddress discoveryAt =
+        discovery = startStub(StubProcessMain.Role.DISCOVERY, 0);
+        clients = startStub(StubProcessMain.Role.CLIENTS, 0);
+        final InetSocketAddress discoveryAddress =
                 StubProcess.addresses(discovery.start(plan, clock, 1, startWorkers())).get(0);
         clients.start(plan, clock, 1, List.of());
         for (int i = 0; i < plan.dispatchers(); i++) {
-            dispatchers.add(new DispatcherProcess(plan, i, discoveryAt, folder));
+            dispatchers.add(new DispatcherProcess(plan, i, discoveryAddress, folder));
         }
         discovery.guard(dispatchers.stream().map(DispatcherProcess::pid).toList());
-        final List<InetSocketAddress> dispatchersAt = new ArrayList<>();
+        final List<InetSocketAddress> dispatcherAddresses = new ArrayList<>();
         for (final DispatcherProcess each : dispatchers) {
-            dispatchersAt.add(each.awaitListening());
+            dispatcherAddresses.add(each.awaitListening());
         }
         // Each has the whole list once it watches for changes of it.
         final long startNs = System.nanoTime();
         while (discovery.ask("counts").get("watching").getAsInt() < plan.dispatchers()) {
-            if (secondsSince(startNs) > LISTED_SECONDS) {
+            if (secondsSince(startNs) > WATCH_TIMEOUT_SECONDS) {
                 throw new ProcessFailureException("the dispatchers do not watch the list");
             }
-            pause(LOOK_MS);
+            pause(POLL_INTERVAL_MS);
         }
-        clients.begin(dispatchersAt);
+        clients.begin(dispatcherAddresses);
     }
 
     /**
@@ -160,7 +161,9 @@
                 .workers().stream()
                         .map(
                                 make ->
-                                        started.get(ExperimentSetup.partOf(make, workers.size()))
+                                        started.get(
+                                                        ExperimentSetup.processIndex(
+                                                                make, workers.size()))
                                                 .next())
                         .toList();
     }
@@ -173,18 +176,19 @@
         return sum;
     }
 
-    private StubProcess peer(StubProcessMain.Role role, int part) throws IOException {
-        final StubProcess peer = new StubProcess(role, part, folder);
-        peers.add(peer);
-        return peer;
+    private StubProcess startStub(StubProcessMain.Role role, int part) throws IOException {
+        final StubProcess stub = new StubProcess(role, part, folder);
+        stubs.add(stub);
+        return stub;
     }
 
-    private void ramp() throws IOException, InterruptedException, Interrupted {
+    private void ramp() throws IOException, InterruptedException, ExperimentInterruptedException {
         final long startNs = System.nanoTime();
-        final double longest = StubClients.maxRampSeconds(plan);
+        final double maxSeconds = StubClients.maxRampSeconds(plan);
         int running = 0;
-        while (running < REACHED * plan.running() && secondsSince(startNs) < longest) {
-            pause(LOOK_MS);
+        while (running < RAMP_COMPLETE_FRACTION * plan.running()
+                && secondsSince(startNs) < maxSeconds) {
+            pause(POLL_INTERVAL_MS);
             final StubWorkers.Counts counts = workerCounts();
             running = counts.running();
             progress.accept(
@@ -204,13 +208,13 @@
         discovery.begin(List.of());
     }
 
-    private void window() throws IOException, InterruptedException, Interrupted {
+    private void window() throws IOException, InterruptedException, ExperimentInterruptedException {
         final long startNs = System.nanoTime();
         int changes = 0;
         samples.add(sample());
         while (secondsSince(startNs) < plan.seconds()) {
             final double leftMs = 1_000 * (plan.seconds() - secondsSince(startNs));
-            pause(Math.max(1, Math.min(SAMPLE_MS, (long) Math.ceil(leftMs))));
+            pause(Math.max(1, Math.min(SAMPLE_INTERVAL_MS, (long) Math.ceil(leftMs))));
             if (secondsSince(startNs) * plan.settingsChangesPerSecond() >= changes + 1) {
                 changes++;
                 for (final DispatcherProcess each : dispatchers) {
@@ -235,28 +239,28 @@
         final StubWorkers.Counts workerCounts = workerCounts();
         final JsonObject discoveryCounts = discovery.ask("counts");
         final JsonObject clientCounts = clients.ask("counts");
-        final List<ProcessUsage> ofDispatchers = new ArrayList<>();
+        final List<ProcessUsage> dispatcherUsage = new ArrayList<>();
         for (final DispatcherProcess each : dispatchers) {
-            ofDispatchers.add(use(each.pid(), "a dispatcher"));
+            dispatcherUsage.add(usage(each.pid(), "a dispatcher"));
         }
-        ProcessUsage ofWorkers = use(workers.get(0).pid(), WORKERS_PROCESS);
+        ProcessUsage workerUsage = usage(workers.get(0).pid(), WORKERS_PROCESS_NAME);
         for (final StubProcess each : workers.subList(1, workers.size())) {
-            ofWorkers = ofWorkers.plus(use(each.pid(), WORKERS_PROCESS));
+            workerUsage = workerUsage.plus(usage(each.pid(), WORKERS_PROCESS_NAME));
         }
         return new Sample(
                 System.nanoTime(),
                 clock.nowUs(),
-                ofDispatchers,
+                dispatcherUsage,
                 List.of(
-                        ofWorkers,
-                        use(discovery.pid(), "discovery"),
-                        use(clients.pid(), "the process of the hollow clients")),
+                        workerUsage,
+                        usage(discovery.pid(), "discovery"),
+                        usage(clients.pid(), "the process of the hollow clients")),
                 workerCounts,
                 discoveryCounts,
                 clientCounts);
     }
 
-    private static ProcessUsage use(long pid, String what) throws ProcessFailureException {
+    private static ProcessUsage usage(long pid, String what) throws ProcessFailureException {
         try {
             return ProcessUsage.of(pid);
         } catch (IOException | RuntimeException e) {
@@ -277,14 +281,14 @@
      * Waits until all that is open is answered; what is not when the longest job must be over,
      * stays.
      */
-    private void drain() throws IOException, InterruptedException, Interrupted {
+    private void drain() throws IOException, InterruptedException, ExperimentInterruptedException {
         clients.ask("stop_arriving");
-        final double longest =
-                SPARE_DRAIN_SECONDS + new ExperimentSetup(plan).deadlineUs() / US_A_SECOND;
+        final double maxSeconds =
+                DRAIN_MARGIN_SECONDS + new ExperimentSetup(plan).deadlineUs() / US_PER_SECOND;
         final long startNs = System.nanoTime();
         int open = clients.ask("counts").get("open").getAsInt();
-        while (open > 0 && secondsSince(startNs) < longest) {
-            pause(LOOK_MS);
+        while (open > 0 && secondsSince(startNs) < maxSeconds) {
+            pause(POLL_INTERVAL_MS);
             open = clients.ask("counts").get("open").getAsInt();
             progress.accept("waiting for " + open + " open requests");
         }
@@ -294,13 +298,14 @@
     }
 
     private static double secondsSince(long startNs) {
-        return (System.nanoTime() - startNs) / NS_A_SECOND;
+        return (System.nanoTime() - startNs) / NS_PER_SECOND;
     }
 
     /** Looks meanwhile whether all processes are there. */
-    private void pause(long ms) throws InterruptedException, Interrupted, ProcessFailureException {
+    private void pause(long ms)
+            throws InterruptedException, ExperimentInterruptedException, ProcessFailureException {
         if (interrupted.await(ms, TimeUnit.MILLISECONDS)) {
-            throw new Interrupted();
+            throw new ExperimentInterruptedException();
         }
         for (int i = 0; i < dispatchers.size(); i++) {
             if (!dispatchers.get(i).isAlive()) {
@@ -311,7 +316,7 @@
 
     @Override
     public void close() {
-        peers.forEach(StubProcess::close);
+        stubs.forEach(StubProcess::close);
         dispatchers.forEach(DispatcherProcess::close);
     }
 
--- a/src/main/java/cresschute/testbed/capacity/CapacityPlan.java
+++ b/src/main/java/cresschute/testbed/capacity/CapacityPlan.java
@@ -44,15 +44,15 @@
     private static final int MAX_TENANTS = 1_000;
     private static final int MAX_DISPATCHERS = 7;
     private static final int MAX_ZONES = 100;
-    private static final double MAX_CHANGES_A_DAY = 864_000;
+    private static final double MAX_CHANGES_PER_DAY = 864_000;
     private static final double MAX_LIST_CHANGES_PER_SECOND = 200;
     private static final double MAX_SECONDS = 900;
     private static final int MIN_MEMORY_MB = 160;
     private static final int MAX_MEMORY_MB = 4_096;
     private static final double MIN_MEAN_RUN_SECONDS = 0.1;
     private static final double MAX_MEAN_RUN_SECONDS = 120;
-    private static final double SECONDS_A_DAY = 86_400;
-    private static final double US_A_SECOND = 1e6;
+    private static final double SECONDS_PER_DAY = 86_400;
+    private static final double US_PER_SECOND = 1e6;
 
     /** All sizes are checked. */
     public CapacityPlan {
@@ -73,7 +73,7 @@
                             + " regions: a zone belongs to one region");
         }
         within("--gang", gang, 0, MAX_GANG);
-        within("--changes-a-day", changesADay, 0, MAX_CHANGES_A_DAY);
+        within("--changes-a-day", changesADay, 0, MAX_CHANGES_PER_DAY);
         within("--list-changes", listChangesPerSecond, 0, MAX_LIST_CHANGES_PER_SECOND);
         within("--seconds", seconds, 1, MAX_SECONDS);
         if (memoryMb != 0) {
@@ -115,12 +115,12 @@
 
     /** The mean running time of a job, us. */
     public double meanRunUs() {
-        return running / startsPerSecond * US_A_SECOND;
+        return running / startsPerSecond * US_PER_SECOND;
     }
 
     /** Changes of the dispatchers' settings in a second. */
     public double settingsChangesPerSecond() {
-        return changesADay / SECONDS_A_DAY;
+        return changesADay / SECONDS_PER_DAY;
     }
 
     /** The same with another number of workers, and as many accelerators a worker. */
@@ -249,7 +249,7 @@
                 zones,
                 regions,
                 gang,
-                perSecond * SECONDS_A_DAY,
+                perSecond * SECONDS_PER_DAY,
                 listChangesPerSecond,
                 seconds,
                 seed,
--- a/src/main/java/cresschute/testbed/capacity/CapacityResult.java
+++ b/src/main/java/cresschute/testbed/capacity/CapacityResult.java
@@ -11,11 +11,11 @@
  *
  * @param plan its size as asked for
  * @param measures the figures of each role
- * @param rulesBroken one line for each breach
+ * @param ruleViolations one line for each breach
  * @param partial why it was not measured whole, or null where it was
  */
 public record CapacityResult(
-        CapacityPlan plan, Measures measures, List<String> rulesBroken, String partial) {
+        CapacityPlan plan, Measures measures, List<String> ruleViolations, String partial) {
 
     /** The whole result as one JSON object. */
     public JsonObject json() {
@@ -34,7 +34,7 @@
         json.addProperty("seed", plan.seed());
         json.addProperty("unanswered", (long) figure(Role.CLIENT, "unanswered"));
         final JsonArray broken = new JsonArray();
-        rulesBroken.forEach(broken::add);
+        ruleViolations.forEach(broken::add);
         json.add("rules_broken", broken);
         json.addProperty("partial", partial != null);
         if (partial != null) {
@@ -78,7 +78,7 @@
         }
         lines.add("");
         lines.add(partial == null ? "Measured whole." : "PARTIAL: " + partial);
-        rulesBroken.forEach(each -> lines.add("RULE BROKEN: " + each));
+        ruleViolations.forEach(each -> lines.add("RULE BROKEN: " + each));
         return lines;
     }
 
@@ -105,6 +105,8 @@
 
     /** Whether it was measured whole, every request was answered and no rule was broken. */
     public boolean isSuccessful() {
-        return partial == null && rulesBroken.isEmpty() && figure(Role.CLIENT, "unanswered") == 0;
+        return partial == null
+                && ruleViolations.isEmpty()
+                && figure(Role.CLIENT, "unanswered") == 0;
     }
 }
--- a/src/main/java/cresschute/testbed/capacity/CostChart.java
+++ b/src/main/java/cresschute/testbed/capacity/CostChart.java
@@ -19,7 +19,7 @@
     private static final int HEIGHT = 420;
 
     /** A need, and how its axis is labelled. */
-    private static final Map<String, String> NEEDS =
+    private static final Map<String, String> MEASURES =
             new TreeMap<>(
                     Map.of(
                             "cpu_percent",
@@ -29,19 +29,19 @@
                             "control_bytes_per_second",
                             "control traffic of a dispatcher, B/s"));
 
-    private record Measured(Sweep.Point point, CapacityResult result) {}
+    private record MeasuredPoint(Sweep.Point point, CapacityResult result) {}
 
-    private final List<Measured> measured = new ArrayList<>();
+    private final List<MeasuredPoint> measured = new ArrayList<>();
 
     /** Adds what one size came to. */
     public void add(Sweep.Point point, CapacityResult result) {
-        measured.add(new Measured(point, result));
+        measured.add(new MeasuredPoint(point, result));
     }
 
     /** Draws a chart for each axis that was measured, into a folder that is there. */
     public void draw(Path folder) throws IOException {
         for (final Sweep.Axis axis : Sweep.Axis.values()) {
-            final List<Measured> along =
+            final List<MeasuredPoint> along =
                     measured.stream()
                             .filter(
                                     each ->
@@ -49,25 +49,25 @@
                                                     && each.result().partial() == null)
                             .toList();
             if (!along.isEmpty()) {
-                for (final Map.Entry<String, String> need : NEEDS.entrySet()) {
-                    draw(folder, axis, need.getKey(), need.getValue(), along);
+                for (final Map.Entry<String, String> measure : MEASURES.entrySet()) {
+                    draw(folder, axis, measure.getKey(), measure.getValue(), along);
                 }
             }
         }
     }
 
     private static void draw(
-            Path folder, Sweep.Axis axis, String need, String label, List<Measured> along)
+            Path folder, Sweep.Axis axis, String measure, String label, List<MeasuredPoint> along)
             throws IOException {
         final List<Double> sizes = new ArrayList<>();
         final List<Double> values = new ArrayList<>();
-        for (final Measured each : along) {
+        for (final MeasuredPoint each : along) {
             each.result()
                     .measures()
-                    .get(Role.DISPATCHER, need)
+                    .get(Role.DISPATCHER, measure)
                     .ifPresent(
                             value -> {
-                                sizes.add(axis.of(each.point().plan()));
+                                sizes.add(axis.sizeIn(each.point().plan()));
                                 values.add(value);
                             });
         }
@@ -82,8 +82,8 @@
                 .setDefaultSeriesRenderStyle(XYSeriesRenderStyle.Scatter)
                 .setLegendVisible(false);
         chart.getStyler().setYAxisMin(0.0);
-        chart.addSeries(need, sizes, values);
+        chart.addSeries(measure, sizes, values);
         BitmapEncoder.saveBitmap(
-                chart, folder.resolve(need + "-" + axis.label()).toString(), BitmapFormat.PNG);
+                chart, folder.resolve(measure + "-" + axis.label()).toString(), BitmapFormat.PNG);
     }
 }
--- a/src/main/java/cresschute/testbed/capacity/DispatcherProcess.java
+++ b/src/main/java/cresschute/testbed/capacity/DispatcherProcess.java
@@ -38,21 +38,21 @@
     /** Options of the run line that do, as it has them. */
     static final List<String> MEMORY_OPTIONS = List.of("-Xmx64m", "-XX:MaxDirectMemorySize=16m");
 
-    private static final int HEAP_PARTS = 2;
-    private static final int DIRECT_PARTS = 8;
+    private static final int HEAP_DIVISOR = 2;
+    private static final int DIRECT_MEMORY_DIVISOR = 8;
     private static final int OTHER_DESCRIPTORS = 48;
-    private static final double WORKER_PART = 0.45;
-    private static final double CONNECTIONS_OVER_RUNNING = 1.5;
+    private static final double WORKER_CONNECTION_FRACTION = 0.45;
+    private static final double CONNECTIONS_PER_RUNNING_JOB = 1.5;
 
     /** Probes of one request that may be out for a second at a time. */
-    private static final int PROBES_A_START = 3;
+    private static final int LOAD_QUERIES_PER_START = 3;
 
     private static final int SPARE_CONNECTIONS = 300;
-    private static final long START_MS = 30_000;
-    private static final long LOOK_MS = 20;
+    private static final long START_TIMEOUT_MS = 30_000;
+    private static final long POLL_INTERVAL_MS = 20;
     private static final int FIRST_HOST = 1;
     private static final Pattern FAULT = Pattern.compile("invariants broken|not reloaded");
-    private static final Pattern LISTENS = Pattern.compile("listens on /([0-9.]+:[0-9]+)");
+    private static final Pattern LISTENING = Pattern.compile("listens on /([0-9.]+:[0-9]+)");
 
     private final CapacityPlan plan;
     private final int number;
@@ -88,43 +88,47 @@
         return plan.memoryMb() == 0
                 ? MEMORY_OPTIONS
                 : List.of(
-                        "-Xmx" + plan.memoryMb() / HEAP_PARTS + "m",
-                        "-XX:MaxDirectMemorySize=" + plan.memoryMb() / DIRECT_PARTS + "m");
+                        "-Xmx" + plan.memoryMb() / HEAP_DIVISOR + "m",
+                        "-XX:MaxDirectMemorySize=" + plan.memoryMb() / DIRECT_MEMORY_DIVISOR + "m");
     }
 
     /** The jar where the program runs from one, as on the platform, and else its classes. */
     private static List<String> program() throws IOException {
-        final Path home =
+        final Path codeSource =
                 Path.of(
                         DispatcherProcess.class
                                 .getProtectionDomain()
                                 .getCodeSource()
                                 .getLocation()
                                 .getPath());
-        if (!Files.isRegularFile(home)) {
+        if (!Files.isRegularFile(codeSource)) {
             return List.of(
                     "-cp", System.getProperty("java.class.path"), "cresschute.cli.Main", "serve");
         }
-        final Path classes = home.resolveSibling("cresschute.jsa");
+        final Path classArchive = codeSource.resolveSibling("cresschute.jsa");
         final List<String> options = new ArrayList<>();
-        if (Files.exists(classes)) {
-            options.add("-XX:SharedArchiveFile=" + classes);
+        if (Files.exists(classArchive)) {
+            options.add("-XX:SharedArchiveFile=" + classArchive);
         }
-        options.addAll(List.of("-jar", home.toString(), "serve"));
+        options.addAll(List.of("-jar", codeSource.toString(), "serve"));
         return options;
     }
 
     /** Connections to workers that a dispatcher may hold; it has a few more from clients. */
     static int workerConnections(CapacityPlan plan) {
-        final double probing = PROBES_A_START * plan.startsPerSecond() / plan.dispatchers();
-        return (int) (CONNECTIONS_OVER_RUNNING * plan.running() / plan.dispatchers() + probing)
+        final double loadQueries =
+                LOAD_QUERIES_PER_START * plan.startsPerSecond() / plan.dispatchers();
+        return (int)
+                        (CONNECTIONS_PER_RUNNING_JOB * plan.running() / plan.dispatchers()
+                                + loadQueries)
                 + plan.gang()
                 + SPARE_CONNECTIONS;
     }
 
     /** Descriptors that a dispatcher is allowed. */
     static int descriptors(CapacityPlan plan) {
-        return OTHER_DESCRIPTORS + (int) Math.ceil(workerConnections(plan) / WORKER_PART);
+        return OTHER_DESCRIPTORS
+                + (int) Math.ceil(workerConnections(plan) / WORKER_CONNECTION_FRACTION);
     }
 
     private JsonObject config() {
@@ -147,12 +151,12 @@
     InetSocketAddress awaitListening() throws IOException, InterruptedException {
         final long startNs = System.nanoTime();
         while (process.isAlive()
-                && System.nanoTime() - startNs < TimeUnit.MILLISECONDS.toNanos(START_MS)) {
-            final Matcher reported = LISTENS.matcher(Files.readString(log));
+                && System.nanoTime() - startNs < TimeUnit.MILLISECONDS.toNanos(START_TIMEOUT_MS)) {
+            final Matcher reported = LISTENING.matcher(Files.readString(log));
             if (reported.find()) {
                 return StubProcess.address(reported.group(1));
             }
-            Thread.sleep(LOOK_MS);
+            Thread.sleep(POLL_INTERVAL_MS);
         }
         throw new ProcessFailureException(
                 "dispatcher "
@@ -172,7 +176,7 @@
     }
 
     /** What its log says of broken invariants and of settings that it refused, one line each. */
-    List<String> faults() throws IOException {
+    List<String> loggedFaults() throws IOException {
         return Files.readAllLines(log).stream()
                 .filter(line -> FAULT.matcher(line).find())
                 .map(line -> "INVARIANT: dispatcher " + number + ": " + line.strip())
@@ -189,6 +193,6 @@
 
     @Override
     public void close() {
-        ProcessCommand.end(process);
+        ProcessCommand.kill(process);
     }
 }
--- a/src/main/java/cresschute/testbed/capacity/Evaluation.java
+++ b/src/main/java/cresschute/testbed/capacity/Evaluation.java
@@ -10,7 +10,7 @@
 /** Turns the samples of a window and what was observed into figures. Pure. */
 final class Evaluation {
 
-    private static final double NS_A_SECOND = 1e9;
+    private static final double NS_PER_SECOND = 1e9;
     private static final double PERCENT = 100;
     private static final double P50 = 50;
     private static final double P99 = 99;
@@ -42,7 +42,7 @@
             CapacityPlan plan,
             List<Sample> samples,
             List<Double> heapsMb,
-            List<Observation> seen,
+            List<Observation> observations,
             List<String> faults,
             String partial) {
         final Evaluation evaluation = new Evaluation(plan, samples, heapsMb);
@@ -51,9 +51,9 @@
             evaluation.workers();
             evaluation.discovery();
         }
-        evaluation.clients(seen);
+        evaluation.clients(observations);
         final List<String> broken = new ArrayList<>(faults);
-        RuleChecker.check(seen, new ExperimentSetup(plan).classes(), WARM)
+        RuleChecker.check(observations, new ExperimentSetup(plan).classes(), WARM)
                 .forEach(each -> broken.add(each.rule() + ": " + each.what()));
         return new CapacityResult(plan, evaluation.measures, broken, partial);
     }
@@ -67,7 +67,7 @@
     }
 
     private double seconds() {
-        return samples.size() < 2 ? 0 : (last().ns() - first().ns()) / NS_A_SECOND;
+        return samples.size() < 2 ? 0 : (last().ns() - first().ns()) / NS_PER_SECOND;
     }
 
     private double perSecond(double count) {
@@ -168,7 +168,7 @@
     private void workers() {
         final Traffic traffic = workerTraffic();
         final double each = plan.workers();
-        peer(Role.WORKER, Sample.WORKERS);
+        putStubUsage(Role.WORKER, Sample.WORKERS);
         put(Role.WORKER, "running", samples.stream().mapToInt(Sample::running).average().orElse(0));
         put(Role.WORKER, "connections", last().workers().connections());
         put(
@@ -184,7 +184,7 @@
 
     private void discovery() {
         final Traffic traffic = discoveryTraffic();
-        peer(Role.DISCOVERY, Sample.DISCOVERY);
+        putStubUsage(Role.DISCOVERY, Sample.DISCOVERY);
         put(
                 Role.DISCOVERY,
                 "calls_per_second",
@@ -201,17 +201,17 @@
                                 - first().discovery().get("changes").getAsLong()));
     }
 
-    private void peer(Role role, int number) {
-        put(role, "cpu_percent", cpuPercent(sample -> sample.peers().get(number).cpuSeconds()));
-        put(role, "memory_mb", last().peers().get(number).rssMb());
+    private void putStubUsage(Role role, int number) {
+        put(role, "cpu_percent", cpuPercent(sample -> sample.stubs().get(number).cpuSeconds()));
+        put(role, "memory_mb", last().stubs().get(number).rssMb());
     }
 
-    private void clients(List<Observation> seen) {
+    private void clients(List<Observation> observations) {
         final long fromUs = samples.isEmpty() ? Long.MAX_VALUE : first().us();
         final long toUs = samples.isEmpty() ? Long.MAX_VALUE : last().us();
-        final RequestOutcomes outcomes = RequestOutcomes.of(seen, fromUs, toUs);
+        final RequestOutcomes outcomes = RequestOutcomes.of(observations, fromUs, toUs);
         if (samples.size() > 1) {
-            peer(Role.CLIENT, Sample.CLIENTS);
+            putStubUsage(Role.CLIENT, Sample.CLIENTS);
             final long connects =
                     last().clients().get("connects").getAsLong()
                             - first().clients().get("connects").getAsLong();
@@ -224,9 +224,9 @@
             put(Role.CLIENT, "open", samples.stream().mapToInt(Sample::open).average().orElse(0));
             put(Role.CLIENT, "requests_per_second", perSecond(outcomes.requests()));
         }
-        put(Role.CLIENT, "served_share", outcomes.servedShare());
-        put(Role.CLIENT, "refused_share", outcomes.refusedShare());
-        put(Role.CLIENT, "first_refused_share", outcomes.firstRefusedShare());
+        put(Role.CLIENT, "served_share", outcomes.servedFraction());
+        put(Role.CLIENT, "refused_share", outcomes.rejectedFraction());
+        put(Role.CLIENT, "first_refused_share", outcomes.firstRejectedFraction());
         put(Role.CLIENT, "unanswered", outcomes.unanswered());
         put(Role.CLIENT, "urgent_start_p50_ms", outcomes.urgentStartMs(P50));
         put(Role.CLIENT, "urgent_start_p99_ms", outcomes.urgentStartMs(P99));
--- a/src/main/java/cresschute/testbed/capacity/ExperimentSetup.java
+++ b/src/main/java/cresschute/testbed/capacity/ExperimentSetup.java
@@ -21,30 +21,30 @@
     static final long URGENT_START_US = 5_400_000;
 
     /** The longest run over the mean one. */
-    static final double MAX_RUN_OVER_MEAN = 2;
+    static final double MAX_RUN_TO_MEAN_RATIO = 2;
 
     /** How often one request may be sent to workers. */
     private static final int MAX_ATTEMPTS = 5;
 
     private static final String ACCELERATED = "accelerated";
-    private static final double URGENT_SHARE = 0.1;
-    private static final double KEYED_SHARE = 0.2;
-    private static final double UNSAFE_SHARE = 0.1;
-    private static final double ACCELERATED_SHARE = 0.3;
+    private static final double URGENT_FRACTION = 0.1;
+    private static final double KEYED_FRACTION = 0.2;
+    private static final double UNSAFE_FRACTION = 0.1;
+    private static final double MAX_ACCELERATED_FRACTION = 0.3;
 
     /** Part of the accelerators that jobs keep busy, at the most. */
-    private static final double ACCELERATORS_BUSY = 0.75;
+    private static final double MAX_ACCELERATOR_UTILIZATION = 0.75;
 
-    private static final int ACCELERATORS_A_WORKER = 4;
+    private static final int ACCELERATORS_PER_WORKER = 4;
 
     /** Slots over running jobs. */
-    private static final double SLOTS_OVER_RUNNING = 1.3;
+    private static final double SLOTS_PER_RUNNING_JOB = 1.3;
 
-    private static final int WORKERS_A_CELL = 20;
-    private static final double QUOTA_OVER_STARTS = 1.5;
+    private static final int WORKERS_PER_CELL = 20;
+    private static final double QUOTA_TO_STARTS_RATIO = 1.5;
     private static final double MAX_WAIT_US = 20e6;
-    private static final double RUNS_TO_DEADLINE = 4;
-    private static final double PROGRESS_NOTES_A_RUN = 6;
+    private static final double MEAN_RUNS_TO_DEADLINE = 4;
+    private static final double PROGRESS_LINES_PER_RUN = 6;
     private static final long MIN_PROGRESS_US = 1_000_000;
     private static final long IDLE_CONNECTION_US = 10_000_000;
     private static final long CONNECT_TIMEOUT_US = 250_000;
@@ -64,7 +64,7 @@
                                         Math.max(1, plan.workers() / 2),
                                         Math.ceil(
                                                 (double) plan.accelerators()
-                                                        / ACCELERATORS_A_WORKER));
+                                                        / ACCELERATORS_PER_WORKER));
     }
 
     // ---- Workers ----
@@ -77,7 +77,7 @@
             workers.add(
                     new WorkerStandIn.Make(
                             "w" + (i + 1),
-                            i / WORKERS_A_CELL,
+                            i / WORKERS_PER_CELL,
                             zone(i % plan.zones()),
                             accelerated ? ACCELERATED : "plain",
                             accelerated ? acceleratorSlots() : plainSlots(),
@@ -87,7 +87,7 @@
     }
 
     /** Which of so many processes a worker is in: that of its cell. */
-    static int partOf(WorkerStandIn.Make make, int parts) {
+    static int processIndex(WorkerStandIn.Make make, int parts) {
         return make.cell() % parts;
     }
 
@@ -101,17 +101,17 @@
     }
 
     private int plainSlots() {
-        final double slots = SLOTS_OVER_RUNNING * plan.running() * (1 - acceleratedShare());
+        final double slots = SLOTS_PER_RUNNING_JOB * plan.running() * (1 - acceleratedFraction());
         return (int)
                 Math.max(2, Math.ceil(slots / Math.max(1, plan.workers() - acceleratorWorkers)));
     }
 
-    private double acceleratedShare() {
+    private double acceleratedFraction() {
         return acceleratorWorkers == 0 || acceleratorWorkers == plan.workers()
                 ? 0
                 : Math.min(
-                        ACCELERATED_SHARE,
-                        ACCELERATORS_BUSY * plan.accelerators() / plan.running());
+                        MAX_ACCELERATED_FRACTION,
+                        MAX_ACCELERATOR_UTILIZATION * plan.accelerators() / plan.running());
     }
 
     /** The name of a zone, with its region's. */
@@ -123,16 +123,16 @@
 
     /** The longest running time, us. */
     long maxRunUs() {
-        return (long) (MAX_RUN_OVER_MEAN * plan.meanRunUs());
+        return (long) (MAX_RUN_TO_MEAN_RATIO * plan.meanRunUs());
     }
 
     /** How long clients wait, us. */
     long deadlineUs() {
-        return (long) (MAX_WAIT_US + RUNS_TO_DEADLINE * plan.meanRunUs());
+        return (long) (MAX_WAIT_US + MEAN_RUNS_TO_DEADLINE * plan.meanRunUs());
     }
 
     long progressUs() {
-        return Math.max(MIN_PROGRESS_US, (long) (plan.meanRunUs() / PROGRESS_NOTES_A_RUN));
+        return Math.max(MIN_PROGRESS_US, (long) (plan.meanRunUs() / PROGRESS_LINES_PER_RUN));
     }
 
     /** How long a keyed job's repeats are dropped, us. */
@@ -142,30 +142,36 @@
 
     /** The classes, urgent work first. */
     List<JobClass> classes() {
-        final double accelerated = acceleratedShare();
+        final double accelerated = acceleratedFraction();
         final List<JobClass> classes = new ArrayList<>();
-        classes.add(stated(URGENT, 4, URGENT_START_US, 1, Idempotency.SAFE, URGENT_SHARE));
+        classes.add(jobClass(URGENT, 4, URGENT_START_US, 1, Idempotency.SAFE, URGENT_FRACTION));
         classes.add(
-                stated("keyed", 2, (long) (MAX_WAIT_US / 2), 1.5, Idempotency.KEYED, KEYED_SHARE));
+                jobClass(
+                        "keyed",
+                        2,
+                        (long) (MAX_WAIT_US / 2),
+                        1.5,
+                        Idempotency.KEYED,
+                        KEYED_FRACTION));
         classes.add(
-                stated(
+                jobClass(
                         "unsafe",
                         2,
                         (long) (MAX_WAIT_US / 2),
                         1.5,
                         Idempotency.UNSAFE,
-                        UNSAFE_SHARE));
+                        UNSAFE_FRACTION));
         classes.add(
-                stated(
+                jobClass(
                         "batch",
                         1,
                         (long) (MAX_WAIT_US / 2),
                         1.5,
                         Idempotency.SAFE,
-                        1 - URGENT_SHARE - KEYED_SHARE - UNSAFE_SHARE - accelerated));
+                        1 - URGENT_FRACTION - KEYED_FRACTION - UNSAFE_FRACTION - accelerated));
         if (accelerated > 0) {
             classes.add(
-                    stated(
+                    jobClass(
                             ACCELERATED,
                             2,
                             (long) (MAX_WAIT_US / 2),
@@ -176,12 +182,12 @@
         return List.copyOf(classes);
     }
 
-    private JobClass stated(
+    private JobClass jobClass(
             String name,
             double value,
             long latencyObjectiveUs,
             double stretch,
-            Idempotency effect,
+            Idempotency idempotency,
             double share) {
         return new JobClass(
                 name,
@@ -189,8 +195,8 @@
                 latencyObjectiveUs,
                 stretch,
                 deadlineUs(),
-                effect,
-                effect == Idempotency.KEYED ? DeduplicationScope.CELL : DeduplicationScope.ALL,
+                idempotency,
+                idempotency == Idempotency.KEYED ? DeduplicationScope.CELL : DeduplicationScope.ALL,
                 repeatWindowUs(),
                 MAX_ATTEMPTS,
                 share,
@@ -215,7 +221,7 @@
         settings.addProperty("me", dispatcher);
         settings.addProperty("myZone", dispatcher % plan.zones());
         settings.add("zones", zones());
-        settings.add("hostTypes", words(List.of("plain", ACCELERATED)));
+        settings.add("hostTypes", jsonArray(List.of("plain", ACCELERATED)));
         settings.add("classes", classSettings());
         settings.add("tenants", tenants(change));
         settings.addProperty("overShareWorth", 0.5);
@@ -232,49 +238,49 @@
         for (int i = 0; i < plan.zones(); i++) {
             names.add(zone(i));
         }
-        return words(names);
+        return jsonArray(names);
     }
 
-    private static JsonArray words(List<String> words) {
+    private static JsonArray jsonArray(List<String> texts) {
         final JsonArray array = new JsonArray();
-        words.forEach(array::add);
+        texts.forEach(array::add);
         return array;
     }
 
     private JsonArray classSettings() {
         final JsonArray array = new JsonArray();
         for (final JobClass each : classes()) {
-            final JsonObject stated = new JsonObject();
-            stated.addProperty("name", each.name());
-            stated.addProperty("worth", each.priorityWeight());
-            stated.addProperty("goalTimeUs", each.latencyObjectiveUs());
-            stated.addProperty("aimStretch", each.latencyObjectiveStretch());
-            stated.addProperty("deadlineUs", each.deadlineUs());
-            stated.addProperty(
+            final JsonObject jobClass = new JsonObject();
+            jobClass.addProperty("name", each.name());
+            jobClass.addProperty("worth", each.priorityWeight());
+            jobClass.addProperty("goalTimeUs", each.latencyObjectiveUs());
+            jobClass.addProperty("aimStretch", each.latencyObjectiveStretch());
+            jobClass.addProperty("deadlineUs", each.deadlineUs());
+            jobClass.addProperty(
                     "idempotency",
                     switch (each.effect()) {
                         case SAFE -> "pure";
                         case KEYED -> "token";
                         case UNSAFE -> "side_effect";
                     });
-            stated.addProperty("group", each.effect() == Idempotency.KEYED ? "cell" : "all");
-            stated.addProperty("keyTtlUs", each.repeatWindowUs());
+            jobClass.addProperty("group", each.effect() == Idempotency.KEYED ? "cell" : "all");
+            jobClass.addProperty("keyTtlUs", each.repeatWindowUs());
             if (each.name().equals(ACCELERATED)) {
                 final JsonArray kinds = new JsonArray();
                 kinds.add(1);
-                stated.add("runsOn", kinds);
-            } else if (acceleratedShare() > 0) {
+                jobClass.add("runsOn", kinds);
+            } else if (acceleratedFraction() > 0) {
                 final JsonArray kinds = new JsonArray();
                 kinds.add(0);
-                stated.add("runsOn", kinds);
+                jobClass.add("runsOn", kinds);
             }
-            array.add(stated);
+            array.add(jobClass);
         }
         return array;
     }
 
     private JsonArray tenants(int change) {
-        final double quota = QUOTA_OVER_STARTS * plan.startsPerSecond() / plan.tenants();
+        final double quota = QUOTA_TO_STARTS_RATIO * plan.startsPerSecond() / plan.tenants();
         final JsonArray array = new JsonArray();
         for (int i = 0; i < plan.tenants(); i++) {
             final JsonObject tenant = new JsonObject();
@@ -310,7 +316,7 @@
     private static JsonObject report() {
         final JsonObject report = new JsonObject();
         report.addProperty("how", "answers");
-        report.add("fields", words(List.of("x0", "queue")));
+        report.add("fields", jsonArray(List.of("x0", "queue")));
         return report;
     }
 
--- a/src/main/java/cresschute/testbed/capacity/Preflight.java
+++ b/src/main/java/cresschute/testbed/capacity/Preflight.java
@@ -16,13 +16,13 @@
     /**
      * Connections that are closed, but not yet seen to be: some more than can be open at a time.
      */
-    private static final double CLOSING_TOO = 1.5;
+    private static final double CLOSING_CONNECTIONS_FACTOR = 1.5;
 
     private static final int MAX_WORKER_PROCESSES = 4;
-    private static final double DISPATCHER_MB = 200;
-    private static final double PEER_MB = 200;
-    private static final double KB_A_REQUEST = 80;
-    private static final double KB_A_MB = 1_024;
+    private static final double MIN_DISPATCHER_MB = 200;
+    private static final double STUB_MB = 200;
+    private static final double KB_PER_REQUEST = 80;
+    private static final double KB_PER_MB = 1_024;
     private static final Pattern DESCRIPTORS =
             Pattern.compile("Max open files\\s+\\S+\\s+([0-9]+)");
     private static final Pattern AVAILABLE = Pattern.compile("MemAvailable:\\s+([0-9]+) kB");
@@ -31,15 +31,16 @@
 
     /** Throws {@link MachineLimitException} with one line where something is missing. */
     static void check(CapacityPlan plan) throws IOException {
-        descriptors(plan, descriptorLimit());
-        memory(plan, number(AVAILABLE, "/proc/meminfo", Long.MAX_VALUE) / KB_A_MB);
+        checkDescriptors(plan, descriptorLimit());
+        checkMemory(plan, number(AVAILABLE, "/proc/meminfo", Long.MAX_VALUE) / KB_PER_MB);
         // Read by lines: such a file gives all of it to the first read, which must be large enough.
-        ports(plan, Files.readAllLines(Path.of("/proc/sys/net/ipv4/ip_local_port_range")).get(0));
+        checkPorts(
+                plan, Files.readAllLines(Path.of("/proc/sys/net/ipv4/ip_local_port_range")).get(0));
     }
 
-    private static long number(Pattern pattern, String file, long otherwise) throws IOException {
+    private static long number(Pattern pattern, String file, long defaultValue) throws IOException {
         final Matcher found = pattern.matcher(Files.readString(Path.of(file)));
-        return found.find() ? Long.parseLong(found.group(1)) : otherwise;
+        return found.find() ? Long.parseLong(found.group(1)) : defaultValue;
     }
 
     /** Descriptors that a process may be given. */
@@ -52,23 +53,30 @@
      * descriptors.
      */
     static int workerProcesses(CapacityPlan plan, long limit) {
-        return (int) Math.ceil(atWorkers(plan) / (double) Math.max(1, limit - OTHER_DESCRIPTORS));
+        return (int)
+                Math.ceil(
+                        workerDescriptors(plan) / (double) Math.max(1, limit - OTHER_DESCRIPTORS));
     }
 
     /** A listener each, and what all dispatchers may hold to them. */
-    private static double atWorkers(CapacityPlan plan) {
+    private static double workerDescriptors(CapacityPlan plan) {
         return plan.workers()
-                + CLOSING_TOO * plan.dispatchers() * DispatcherProcess.workerConnections(plan);
+                + CLOSING_CONNECTIONS_FACTOR
+                        * plan.dispatchers()
+                        * DispatcherProcess.workerConnections(plan);
     }
 
-    static void descriptors(CapacityPlan plan, long limit) {
-        final long atClients =
+    static void checkDescriptors(CapacityPlan plan, long limit) {
+        final long clientDescriptors =
                 OTHER_DESCRIPTORS
                         + (long) plan.dispatchers() * DispatcherProcess.workerConnections(plan);
-        final long atWorkers =
-                OTHER_DESCRIPTORS + (long) Math.ceil(atWorkers(plan) / MAX_WORKER_PROCESSES);
+        final long workerDescriptors =
+                OTHER_DESCRIPTORS
+                        + (long) Math.ceil(workerDescriptors(plan) / MAX_WORKER_PROCESSES);
         final long needed =
-                Math.max(Math.max(atWorkers, atClients), DispatcherProcess.descriptors(plan));
+                Math.max(
+                        Math.max(workerDescriptors, clientDescriptors),
+                        DispatcherProcess.descriptors(plan));
         if (needed > limit) {
             throw new MachineLimitException(
                     "descriptors: one process needs "
@@ -79,11 +87,11 @@
         }
     }
 
-    static void memory(CapacityPlan plan, double availableMb) {
+    static void checkMemory(CapacityPlan plan, double availableMb) {
         final double needed =
-                plan.dispatchers() * Math.max(DISPATCHER_MB, plan.memoryMb())
-                        + 3 * PEER_MB
-                        + plan.running() * KB_A_REQUEST / KB_A_MB;
+                plan.dispatchers() * Math.max(MIN_DISPATCHER_MB, plan.memoryMb())
+                        + 3 * STUB_MB
+                        + plan.running() * KB_PER_REQUEST / KB_PER_MB;
         if (needed > availableMb) {
             throw new MachineLimitException(
                     "memory: "
@@ -95,20 +103,20 @@
     }
 
     /** Each dispatcher is called from one address, which has a port for each connection. */
-    static void ports(CapacityPlan plan, String range) throws IOException {
-        final String[] ends = range.strip().split("\\s+");
-        final long ports = Long.parseLong(ends[1]) - Long.parseLong(ends[0]) + 1;
+    static void checkPorts(CapacityPlan plan, String range) throws IOException {
+        final String[] bounds = range.strip().split("\\s+");
+        final long availablePorts = Long.parseLong(bounds[1]) - Long.parseLong(bounds[0]) + 1;
         final long needed = DispatcherProcess.descriptors(plan);
-        if (needed > ports) {
+        if (needed > availablePorts) {
             throw new MachineLimitException(
                     "ports: up to "
                             + needed
                             + " connections to one dispatcher, "
-                            + ports
+                            + availablePorts
                             + " local ports (net.ipv4.ip_local_port_range)");
         }
-        try (ServerSocket probe = new ServerSocket(0, 1, InetAddress.getByName("127.20.0.1"))) {
-            if (probe.getLocalPort() == 0) {
+        try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName("127.20.0.1"))) {
+            if (socket.getLocalPort() == 0) {
                 throw new MachineLimitException("ports: none is free on 127.20.0.1");
             }
         } catch (IOException e) {
--- a/src/main/java/cresschute/testbed/capacity/ProcessCommand.java
+++ b/src/main/java/cresschute/testbed/capacity/ProcessCommand.java
@@ -7,7 +7,7 @@
 /** How the experiment's processes are started and ended. */
 final class ProcessCommand {
 
-    private static final long END_SECONDS = 10;
+    private static final long EXIT_TIMEOUT_SECONDS = 10;
 
     private ProcessCommand() {}
 
@@ -23,10 +23,10 @@
     }
 
     /** Ends a process at once and waits until it is gone. */
-    static void end(Process process) {
+    static void kill(Process process) {
         process.destroyForcibly();
         try {
-            process.waitFor(END_SECONDS, TimeUnit.SECONDS);
+            process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/cresschute/testbed/capacity/ProcessUsage.java
+++ b/src/main/java/cresschute/testbed/capacity/ProcessUsage.java
@@ -20,12 +20,12 @@
 record ProcessUsage(double cpuSeconds, double rssMb, int descriptors) {
 
     /** The kernel tells times in this unit to user space on all of its machines. */
-    private static final double TICKS_A_SECOND = 100;
+    private static final double TICKS_PER_SECOND = 100;
 
-    private static final int USER_TIME = 11;
-    private static final int SYSTEM_TIME = 12;
-    private static final double KB_A_MB = 1_024;
-    private static final long COMMAND_SECONDS = 20;
+    private static final int USER_TIME_FIELD = 11;
+    private static final int SYSTEM_TIME_FIELD = 12;
+    private static final double KB_PER_MB = 1_024;
+    private static final long COMMAND_TIMEOUT_SECONDS = 20;
     private static final Pattern RESIDENT = Pattern.compile("VmRSS:\\s+([0-9]+) kB");
     private static final Pattern USED =
             Pattern.compile("generation\\s+total [0-9]+K, used ([0-9]+)K");
@@ -35,13 +35,14 @@
         final String stat = Files.readString(folder.resolve("stat"));
         final String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
         final double cpuSeconds =
-                (Long.parseLong(fields[USER_TIME]) + Long.parseLong(fields[SYSTEM_TIME]))
-                        / TICKS_A_SECOND;
+                (Long.parseLong(fields[USER_TIME_FIELD])
+                                + Long.parseLong(fields[SYSTEM_TIME_FIELD]))
+                        / TICKS_PER_SECOND;
         final Matcher resident = RESIDENT.matcher(Files.readString(folder.resolve("status")));
         try (Stream<Path> descriptors = Files.list(folder.resolve("fd"))) {
             return new ProcessUsage(
                     cpuSeconds,
-                    resident.find() ? Long.parseLong(resident.group(1)) / KB_A_MB : 0,
+                    resident.find() ? Long.parseLong(resident.group(1)) / KB_PER_MB : 0,
                     (int) descriptors.count());
         }
     }
@@ -58,30 +59,30 @@
      * Heap in use of a Java process right after a collection, MB, or NaN where it cannot be had.
      */
     static double heapMb(long pid) throws IOException {
-        command(pid, "GC.run");
-        final Matcher used = USED.matcher(command(pid, "GC.heap_info"));
+        runJcmd(pid, "GC.run");
+        final Matcher used = USED.matcher(runJcmd(pid, "GC.heap_info"));
         double sumKb = 0;
         boolean found = false;
         while (used.find()) {
             sumKb += Long.parseLong(used.group(1));
             found = true;
         }
-        return found ? sumKb / KB_A_MB : Double.NaN;
+        return found ? sumKb / KB_PER_MB : Double.NaN;
     }
 
-    private static String command(long pid, String what) throws IOException {
+    private static String runJcmd(long pid, String command) throws IOException {
         final Path jcmd = Path.of(System.getProperty("java.home"), "bin", "jcmd");
         if (!Files.isExecutable(jcmd)) {
             return "";
         }
         final Process process =
-                new ProcessBuilder(List.of(jcmd.toString(), Long.toString(pid), what))
+                new ProcessBuilder(List.of(jcmd.toString(), Long.toString(pid), command))
                         .redirectErrorStream(true)
                         .start();
         final String out =
                 new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         try {
-            process.waitFor(COMMAND_SECONDS, TimeUnit.SECONDS);
+            process.waitFor(COMMAND_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/cresschute/testbed/capacity/RequestOutcomes.java
+++ b/src/main/java/cresschute/testbed/capacity/RequestOutcomes.java
@@ -21,61 +21,63 @@
  */
 final class RequestOutcomes {
 
-    private static final int TOO_MANY = 429;
-    private static final int UNAVAILABLE = 503;
+    private static final int TOO_MANY_REQUESTS = 429;
+    private static final int SERVICE_UNAVAILABLE = 503;
     private static final long MAX_START_US = TimeUnit.MINUTES.toMicros(30);
-    private static final int DIGITS = 3;
+    private static final int HISTOGRAM_DIGITS = 3;
 
     /** One request with all of its tries. */
-    private static final class Tracked {
+    private static final class TrackedRequest {
         private final String origin;
         private final String className;
         private final long sentUs;
         private int tries;
-        private int refusals;
-        private boolean firstRefused;
+        private int rejections;
+        private boolean firstRejected;
         private boolean served;
         private boolean failed;
         private boolean unanswered;
         private long startedUs = Long.MAX_VALUE;
 
-        Tracked(RequestSent first) {
+        TrackedRequest(RequestSent first) {
             origin = first.origin();
             className = first.className();
             sentUs = first.us();
         }
 
-        boolean refused() {
-            return !served && !failed && !unanswered && refusals == tries;
+        boolean isRejected() {
+            return !served && !failed && !unanswered && rejections == tries;
         }
     }
 
-    private final Map<String, Tracked> byOrigin = new LinkedHashMap<>();
-    private final Map<String, Tracked> byId = new HashMap<>();
-    private final Histogram urgentStarts = new Histogram(MAX_START_US, DIGITS);
-    private final List<Tracked> counted = new ArrayList<>();
+    private final Map<String, TrackedRequest> byOrigin = new LinkedHashMap<>();
+    private final Map<String, TrackedRequest> byId = new HashMap<>();
+    private final Histogram urgentStarts = new Histogram(MAX_START_US, HISTOGRAM_DIGITS);
+    private final List<TrackedRequest> countedRequests = new ArrayList<>();
     private int urgentNotStarted;
-    private int unansweredAll;
+    private int unansweredTotal;
 
     private RequestOutcomes() {}
 
-    static RequestOutcomes of(List<Observation> seen, long fromUs, long toUs) {
+    static RequestOutcomes of(List<Observation> observations, long fromUs, long toUs) {
         final RequestOutcomes outcomes = new RequestOutcomes();
         // Requests first: a client may note its sending later than a worker notes the start.
-        seen.stream()
+        observations.stream()
                 .filter(RequestSent.class::isInstance)
                 .map(RequestSent.class::cast)
                 .forEach(outcomes::register);
-        seen.forEach(outcomes::take);
+        observations.forEach(outcomes::observe);
         outcomes.count(fromUs, toUs);
         return outcomes;
     }
 
     private void register(RequestSent sent) {
-        byId.put(sent.id(), byOrigin.computeIfAbsent(sent.origin(), unseen -> new Tracked(sent)));
+        byId.put(
+                sent.id(),
+                byOrigin.computeIfAbsent(sent.origin(), unseen -> new TrackedRequest(sent)));
     }
 
-    private void take(Observation each) {
+    private void observe(Observation each) {
         if (each instanceof RequestSent sent) {
             byId.get(sent.id()).tries++;
         } else if (each instanceof RequestAnswered answer && byId.containsKey(answer.id())) {
@@ -85,33 +87,33 @@
         } else if (each instanceof RequestLost lost) {
             unanswered(lost.id());
         } else if (each instanceof RunStarted run && byId.containsKey(run.id())) {
-            final Tracked tracked = byId.get(run.id());
-            tracked.startedUs = Math.min(tracked.startedUs, run.us());
+            final TrackedRequest request = byId.get(run.id());
+            request.startedUs = Math.min(request.startedUs, run.us());
         }
     }
 
-    private static void answered(Tracked tracked, RequestAnswered answer) {
+    private static void answered(TrackedRequest request, RequestAnswered answer) {
         if (answer.status() == LoadClients.OK) {
-            tracked.served = true;
-        } else if (answer.status() == UNAVAILABLE || answer.status() == TOO_MANY) {
-            tracked.refusals++;
-            tracked.firstRefused |= tracked.tries == 1;
+            request.served = true;
+        } else if (answer.status() == SERVICE_UNAVAILABLE || answer.status() == TOO_MANY_REQUESTS) {
+            request.rejections++;
+            request.firstRejected |= request.tries == 1;
         } else {
-            tracked.failed = true;
+            request.failed = true;
         }
     }
 
     private void unanswered(String id) {
-        unansweredAll++;
+        unansweredTotal++;
         if (byId.containsKey(id)) {
             byId.get(id).unanswered = true;
         }
     }
 
     private void count(long fromUs, long toUs) {
-        for (final Tracked each : byOrigin.values()) {
+        for (final TrackedRequest each : byOrigin.values()) {
             if (each.sentUs >= fromUs && each.sentUs < toUs) {
-                counted.add(each);
+                countedRequests.add(each);
                 if (each.className.equals(ExperimentSetup.URGENT)) {
                     countUrgent(each);
                 }
@@ -119,7 +121,7 @@
         }
     }
 
-    private void countUrgent(Tracked each) {
+    private void countUrgent(TrackedRequest each) {
         if (each.startedUs == Long.MAX_VALUE) {
             urgentNotStarted++;
         } else {
@@ -129,36 +131,37 @@
     }
 
     int requests() {
-        return counted.size();
+        return countedRequests.size();
     }
 
     /** Of all that was observed, not of the span alone. */
     int unanswered() {
-        return unansweredAll;
+        return unansweredTotal;
     }
 
-    double servedShare() {
-        return share(counted.stream().filter(each -> each.served).count());
+    double servedFraction() {
+        return share(countedRequests.stream().filter(each -> each.served).count());
     }
 
     /** Those whose every try was refused. */
-    double refusedShare() {
-        return share(counted.stream().filter(Tracked::refused).count());
+    double rejectedFraction() {
+        return share(countedRequests.stream().filter(TrackedRequest::isRejected).count());
     }
 
     /** Those whose first try was refused, whatever came of the next. */
-    double firstRefusedShare() {
-        return share(counted.stream().filter(each -> each.firstRefused).count());
+    double firstRejectedFraction() {
+        return share(countedRequests.stream().filter(each -> each.firstRejected).count());
     }
 
     private double share(long count) {
-        return counted.isEmpty() ? 0 : (double) count / counted.size();
+        return countedRequests.isEmpty() ? 0 : (double) count / countedRequests.size();
     }
 
     double retriesPerRequest() {
-        return counted.isEmpty()
+        return countedRequests.isEmpty()
                 ? 0
-                : counted.stream().mapToInt(each -> each.tries - 1).sum() / (double) counted.size();
+                : countedRequests.stream().mapToInt(each -> each.tries - 1).sum()
+                        / (double) countedRequests.size();
     }
 
     /** When urgent jobs started, ms after their first try; NaN where none did. */
@@ -175,19 +178,21 @@
     /** Gangs by what became of their first tries: all taken, some refused, all refused. */
     int[] gangs() {
         final Map<String, int[]> gangs = new LinkedHashMap<>();
-        for (final Tracked each : counted) {
-            if (each.origin.startsWith(StubClients.GANG)) {
+        for (final TrackedRequest each : countedRequests) {
+            if (each.origin.startsWith(StubClients.GANG_ID_PREFIX)) {
                 final String gang =
                         each.origin.substring(
-                                0, each.origin.indexOf('-', StubClients.GANG.length()));
+                                0, each.origin.indexOf('-', StubClients.GANG_ID_PREFIX.length()));
                 final int[] members = gangs.computeIfAbsent(gang, unseen -> new int[2]);
                 members[0]++;
-                members[1] += each.firstRefused ? 1 : 0;
+                members[1] += each.firstRejected ? 1 : 0;
             }
         }
-        final int[] kinds = new int[3];
+        final int[] outcomes = new int[3];
         gangs.values()
-                .forEach(members -> kinds[members[1] == 0 ? 0 : members[1] < members[0] ? 1 : 2]++);
-        return kinds;
+                .forEach(
+                        members ->
+                                outcomes[members[1] == 0 ? 0 : members[1] < members[0] ? 1 : 2]++);
+        return outcomes;
     }
 }
--- a/src/main/java/cresschute/testbed/capacity/Sample.java
+++ b/src/main/java/cresschute/testbed/capacity/Sample.java
@@ -9,7 +9,7 @@
  * @param ns the monotonic clock
  * @param us the experiment's clock
  * @param dispatchers what each dispatcher has used
- * @param peers what the processes of the workers have used, together, of discovery and of the
+ * @param stubs what the processes of the workers have used, together, of discovery and of the
  *     clients
  * @param workers counts of the hollow workers
  * @param discovery counts of discovery
@@ -19,7 +19,7 @@
         long ns,
         long us,
         List<ProcessUsage> dispatchers,
-        List<ProcessUsage> peers,
+        List<ProcessUsage> stubs,
         StubWorkers.Counts workers,
         JsonObject discovery,
         JsonObject clients) {
--- a/src/main/java/cresschute/testbed/capacity/SharedClock.java
+++ b/src/main/java/cresschute/testbed/capacity/SharedClock.java
@@ -13,7 +13,7 @@
 record SharedClock(@SerializedName("startUs") long startUs, @SerializedName("startNs") long startNs)
         implements Clock {
 
-    private static final long NS_A_US = 1_000;
+    private static final long NS_PER_US = 1_000;
 
     static SharedClock start() {
         return new SharedClock(System.currentTimeMillis() * 1_000, System.nanoTime());
@@ -21,6 +21,6 @@
 
     @Override
     public long nowUs() {
-        return startUs + (System.nanoTime() - startNs) / NS_A_US;
+        return startUs + (System.nanoTime() - startNs) / NS_PER_US;
     }
 }
--- a/src/main/java/cresschute/testbed/capacity/StubClients.java
+++ b/src/main/java/cresschute/testbed/capacity/StubClients.java
@@ -19,33 +19,33 @@
 final class StubClients {
 
     /** Begins the id of each request of a gang, with the gang's number after it. */
-    static final String GANG = "gang-";
+    static final String GANG_ID_PREFIX = "gang-";
 
     /** Part of the requests that come in gangs. */
-    private static final double GANG_SHARE = 0.1;
+    private static final double GANG_FRACTION = 0.1;
 
     /** Gangs are the largest one, and halves of it. */
     private static final int GANG_SIZES = 4;
 
     /** Rate of the ramp over the plan's, and how long it grows to that. */
-    private static final double RAMP_OVER_STARTS = 1.6;
+    private static final double RAMP_RATE_FACTOR = 1.6;
 
-    private static final double GENTLE_SECONDS = 5;
-    private static final long STEP_US = 2_000;
-    private static final double US_A_SECOND = 1e6;
+    private static final double RATE_GROWTH_SECONDS = 5;
+    private static final long ARRIVAL_STEP_US = 2_000;
+    private static final double US_PER_SECOND = 1e6;
 
     private final EventLoop loop;
     private final CapacityPlan plan;
     private final Recorder recorder;
-    private final UniformRandomProvider chance;
+    private final UniformRandomProvider random;
     private final List<JobClass> classes;
     private final RunTimes runTimes;
     private final LoadClients clients;
     private boolean arriving;
     private boolean ramping = true;
-    private double dueSingles;
+    private double remainingToNextSingle;
     private double nextGangUs;
-    private long begunUs;
+    private long rampStartUs;
     private long lastStepUs;
     private long lastNumber;
     private long submitted;
@@ -54,7 +54,7 @@
         this.loop = loop;
         this.plan = plan;
         this.recorder = recorder;
-        chance = RandomSource.XO_SHI_RO_256_PP.create(plan.seed());
+        random = RandomSource.XO_SHI_RO_256_PP.create(plan.seed());
         classes = new ExperimentSetup(plan).classes();
         runTimes =
                 new RunTimes(
@@ -72,16 +72,16 @@
     void begin(List<SocketAddress> dispatchers) {
         clients.connectTo(dispatchers);
         arriving = true;
-        begunUs = recorder.nowUs();
-        lastStepUs = begunUs;
-        dueSingles = nextSingle();
+        rampStartUs = recorder.nowUs();
+        lastStepUs = rampStartUs;
+        remainingToNextSingle = drawExponential();
         step();
     }
 
     /** From now on requests come at the plan's rate, and gangs among them. On the loop. */
     void endRamp() {
         ramping = false;
-        nextGangUs = recorder.nowUs() + gangGapUs() * chance.nextDouble();
+        nextGangUs = recorder.nowUs() + gangIntervalUs() * random.nextDouble();
     }
 
     /** Nothing new comes from now on. On the loop. */
@@ -113,47 +113,49 @@
             return;
         }
         final long nowUs = recorder.nowUs();
-        final double elapsedSeconds = (nowUs - lastStepUs) / US_A_SECOND;
+        final double elapsedSeconds = (nowUs - lastStepUs) / US_PER_SECOND;
         lastStepUs = nowUs;
         // Arrivals by chance: the rate's sum until the next one is drawn anew after each.
-        dueSingles -= rate() * elapsedSeconds;
-        while (dueSingles <= 0 && (!ramping || clients.waiting() < plan.running())) {
+        remainingToNextSingle -= rate() * elapsedSeconds;
+        while (remainingToNextSingle <= 0 && (!ramping || clients.waiting() < plan.running())) {
             submitSingle();
-            dueSingles += nextSingle();
+            remainingToNextSingle += drawExponential();
         }
         if (!ramping && plan.gang() > 0 && nowUs >= nextGangUs) {
             submitGang();
-            nextGangUs += gangGapUs();
+            nextGangUs += gangIntervalUs();
         }
-        loop.schedule(this::step, STEP_US, TimeUnit.MICROSECONDS);
+        loop.schedule(this::step, ARRIVAL_STEP_US, TimeUnit.MICROSECONDS);
     }
 
-    private double nextSingle() {
-        return -Math.log(1 - chance.nextDouble());
+    private double drawExponential() {
+        return -Math.log(1 - random.nextDouble());
     }
 
     private double rate() {
         if (ramping) {
             // Guards against measuring a start-up: programs and connections get warm at a growing
             // rate.
-            final double grown = (lastStepUs - begunUs) / US_A_SECOND / GENTLE_SECONDS;
-            return RAMP_OVER_STARTS * plan.startsPerSecond() * Math.min(1, Math.max(0.05, grown));
+            final double growth = (lastStepUs - rampStartUs) / US_PER_SECOND / RATE_GROWTH_SECONDS;
+            return RAMP_RATE_FACTOR * plan.startsPerSecond() * Math.min(1, Math.max(0.05, growth));
         }
-        return plan.startsPerSecond() * (plan.gang() > 0 ? 1 - GANG_SHARE : 1);
+        return plan.startsPerSecond() * (plan.gang() > 0 ? 1 - GANG_FRACTION : 1);
     }
 
     /** How long the ramp may take, s. */
     static double maxRampSeconds(CapacityPlan plan) {
-        return 2 * (GENTLE_SECONDS + plan.running() / plan.startsPerSecond() / RAMP_OVER_STARTS);
+        return 2
+                * (RATE_GROWTH_SECONDS
+                        + plan.running() / plan.startsPerSecond() / RAMP_RATE_FACTOR);
     }
 
     /** Time from one gang to the next, us, so that gangs have their share of all requests. */
-    private double gangGapUs() {
+    private double gangIntervalUs() {
         double mean = 0;
         for (int i = 0; i < GANG_SIZES; i++) {
             mean += (double) gangSize(i) / GANG_SIZES;
         }
-        return mean / (GANG_SHARE * plan.startsPerSecond()) * US_A_SECOND;
+        return mean / (GANG_FRACTION * plan.startsPerSecond()) * US_PER_SECOND;
     }
 
     private int gangSize(int halvings) {
@@ -162,35 +164,37 @@
 
     private void submitSingle() {
         final long remainingRampUs =
-                ramping ? (long) ((plan.running() - clients.waiting()) / rate() * US_A_SECOND) : 0;
+                ramping
+                        ? (long) ((plan.running() - clients.waiting()) / rate() * US_PER_SECOND)
+                        : 0;
         final long workUs = ramping ? remainingRampUs + runTimes.remainder() : runTimes.next();
-        submit(drawClass(), "job-", workUs, ExperimentSetup.tenant(chance.nextInt(plan.tenants())));
+        submit(drawClass(), "job-", workUs, ExperimentSetup.tenant(random.nextInt(plan.tenants())));
     }
 
     private void submitGang() {
         final long number = ++lastNumber;
-        final String tenant = ExperimentSetup.tenant(chance.nextInt(plan.tenants()));
-        final JobClass stated = classes.get(1 + chance.nextInt(classes.size() - 1));
-        final int size = gangSize(chance.nextInt(GANG_SIZES));
+        final String tenant = ExperimentSetup.tenant(random.nextInt(plan.tenants()));
+        final JobClass jobClass = classes.get(1 + random.nextInt(classes.size() - 1));
+        final int size = gangSize(random.nextInt(GANG_SIZES));
         for (int i = 0; i < size; i++) {
-            submit(stated, GANG + number + "-", runTimes.next(), tenant);
+            submit(jobClass, GANG_ID_PREFIX + number + "-", runTimes.next(), tenant);
         }
     }
 
-    private void submit(JobClass stated, String prefix, long workUs, String tenant) {
+    private void submit(JobClass jobClass, String prefix, long workUs, String tenant) {
         submitted++;
         clients.submit(
-                stated,
-                prefix + ++lastNumber + "-" + Long.toHexString(chance.nextLong()),
+                jobClass,
+                prefix + ++lastNumber + "-" + Long.toHexString(random.nextLong()),
                 workUs,
                 tenant);
     }
 
     private JobClass drawClass() {
-        double left = chance.nextDouble();
+        double remaining = random.nextDouble();
         for (final JobClass each : classes) {
-            left -= each.share();
-            if (left < 0) {
+            remaining -= each.share();
+            if (remaining < 0) {
                 return each;
             }
         }
--- a/src/main/java/cresschute/testbed/capacity/StubDiscovery.java
+++ b/src/main/java/cresschute/testbed/capacity/StubDiscovery.java
@@ -19,16 +19,16 @@
  */
 final class StubDiscovery {
 
-    private static final long DRAINED_US = 3_000_000;
-    private static final double US_A_SECOND = 1e6;
+    private static final long DRAIN_DURATION_US = 3_000_000;
+    private static final double US_PER_SECOND = 1e6;
 
     private final EventLoop loop;
     private final Recorder recorder;
     private final List<Make> makes;
     private final List<InetSocketAddress> addresses;
-    private final UniformRandomProvider chance;
+    private final UniformRandomProvider random;
     private final DiscoveryStandIn standIn;
-    private final boolean[] drains;
+    private final boolean[] draining;
     private final long[] startedMs;
     private final double changesPerSecond;
     private long handshakes;
@@ -44,8 +44,8 @@
         this.recorder = recorder;
         this.addresses = List.copyOf(addresses);
         makes = new ExperimentSetup(plan).workers();
-        chance = RandomSource.XO_SHI_RO_256_PP.create(plan.seed() + 3);
-        drains = new boolean[makes.size()];
+        random = RandomSource.XO_SHI_RO_256_PP.create(plan.seed() + 3);
+        draining = new boolean[makes.size()];
         startedMs = new long[makes.size()];
         changesPerSecond = plan.listChangesPerSecond();
         standIn =
@@ -63,7 +63,7 @@
         loop.submit(
                         () -> {
                             for (int i = 0; i < makes.size(); i++) {
-                                report(i, "SERVING");
+                                list(i, "SERVING");
                             }
                         })
                 .syncUninterruptibly();
@@ -74,41 +74,42 @@
     void beginChanges() {
         if (changesPerSecond > 0) {
             // A change is a drain or its end: one drain for every two of them.
-            final long everyUs = (long) (2 * US_A_SECOND / changesPerSecond);
-            loop.scheduleAtFixedRate(this::drainOne, everyUs / 2, everyUs, TimeUnit.MICROSECONDS);
+            final long intervalUs = (long) (2 * US_PER_SECOND / changesPerSecond);
+            loop.scheduleAtFixedRate(
+                    this::drainOne, intervalUs / 2, intervalUs, TimeUnit.MICROSECONDS);
         }
     }
 
     private void drainOne() {
-        final int number = chance.nextInt(makes.size());
-        if (drains[number]) {
+        final int number = random.nextInt(makes.size());
+        if (draining[number]) {
             return;
         }
-        drains[number] = true;
+        draining[number] = true;
         changes++;
-        report(number, "DRAINING");
-        final boolean anew = changes % 2 == 0;
+        list(number, "DRAINING");
+        final boolean restarted = changes % 2 == 0;
         loop.schedule(
                 () -> {
-                    drains[number] = false;
-                    startedMs[number] = anew ? recorder.nowUs() / 1_000 : startedMs[number];
+                    draining[number] = false;
+                    startedMs[number] = restarted ? recorder.nowUs() / 1_000 : startedMs[number];
                     changes++;
-                    report(number, "SERVING");
+                    list(number, "SERVING");
                 },
-                DRAINED_US,
+                DRAIN_DURATION_US,
                 TimeUnit.MICROSECONDS);
     }
 
-    private void report(int number, String state) {
+    private void list(int number, String state) {
         standIn.set(makes.get(number), addresses.get(number), state, startedMs[number]);
     }
 
     /** What was counted so far. On the loop. */
     JsonObject counts() {
         final Traffic traffic = new Traffic();
-        traffic.more(TrafficKind.LIST, bytes);
+        traffic.addBytes(TrafficKind.LIST, bytes);
         for (long i = 0; i < handshakes; i++) {
-            traffic.handshake();
+            traffic.addHandshake();
         }
         final JsonObject counts = new JsonObject();
         counts.addProperty("calls", standIn.calls());
--- a/src/main/java/cresschute/testbed/capacity/StubProcess.java
+++ b/src/main/java/cresschute/testbed/capacity/StubProcess.java
@@ -21,7 +21,7 @@
 final class StubProcess implements AutoCloseable {
 
     /** How long an answer may take, s. */
-    static final long ANSWER_SECONDS = 30;
+    static final long ANSWER_TIMEOUT_SECONDS = 30;
 
     private static final int MAX_HEAP_MB = 1_024;
 
@@ -166,6 +166,6 @@
 
     @Override
     public void close() {
-        ProcessCommand.end(process);
+        ProcessCommand.kill(process);
     }
 }
--- a/src/main/java/cresschute/testbed/capacity/StubProcessMain.java
+++ b/src/main/java/cresschute/testbed/capacity/StubProcessMain.java
@@ -77,7 +77,7 @@
             final StubProcessMain peer = new StubProcessMain(Role.valueOf(args[0]));
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 final JsonObject answer =
-                        peer.take(JsonParser.parseString(line).getAsJsonObject(), file);
+                        peer.execute(JsonParser.parseString(line).getAsJsonObject(), file);
                 file.flush();
                 System.out.println(answer);
             }
@@ -86,14 +86,14 @@
         System.exit(0);
     }
 
-    private JsonObject take(JsonObject command, ObservationFile file) throws IOException {
+    private JsonObject execute(JsonObject command, ObservationFile file) throws IOException {
         return switch (command.get("command").getAsString()) {
             case "start" -> start(command, file);
             case "guard" -> guard(command);
             case "begin" -> onLoop(() -> begin(command));
-            case "end_ramp" -> onLoop(() -> done(clients::endRamp));
-            case "stop_arriving" -> onLoop(() -> done(clients::stopArriving));
-            case "abandon" -> onLoop(() -> done(clients::abandon));
+            case "end_ramp" -> onLoop(() -> run(clients::endRamp));
+            case "stop_arriving" -> onLoop(() -> run(clients::stopArriving));
+            case "abandon" -> onLoop(() -> run(clients::abandon));
             default -> counts();
         };
     }
@@ -104,18 +104,18 @@
         return new JsonObject();
     }
 
-    private JsonObject onLoop(Supplier<JsonObject> what) {
-        return on(loop, what);
+    private JsonObject onLoop(Supplier<JsonObject> task) {
+        return on(loop, task);
     }
 
-    private static <T> T on(EventLoop loop, Supplier<T> what) {
-        return CompletableFuture.supplyAsync(what, loop)
-                .orTimeout(StubProcess.ANSWER_SECONDS, TimeUnit.SECONDS)
+    private static <T> T on(EventLoop loop, Supplier<T> task) {
+        return CompletableFuture.supplyAsync(task, loop)
+                .orTimeout(StubProcess.ANSWER_TIMEOUT_SECONDS, TimeUnit.SECONDS)
                 .join();
     }
 
-    private static JsonObject done(Runnable what) {
-        what.run();
+    private static JsonObject run(Runnable task) {
+        task.run();
         return new JsonObject();
     }
 
@@ -159,7 +159,7 @@
         final List<Make> makes = site.workers();
         for (int i = 0; i < makes.size(); i++) {
             final Make make = makes.get(i);
-            if (ExperimentSetup.partOf(make, parts) == part) {
+            if (ExperimentSetup.processIndex(make, parts) == part) {
                 final EventLoop shared = loops.get(make.cell() / parts % WORKER_LOOPS);
                 addresses.add(
                         workers.computeIfAbsent(
--- a/src/main/java/cresschute/testbed/capacity/StubWorkers.java
+++ b/src/main/java/cresschute/testbed/capacity/StubWorkers.java
@@ -38,10 +38,11 @@
 final class StubWorkers {
 
     private static final int MAX_BODY_BYTES = 64 * 1024;
-    private static final int MAX_WAITING_A_SLOT = 4;
-    private static final int HOSTS_A_NET = 250;
-    private static final int FIRST_NET = 20;
-    private static final String HEAD = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
+    private static final int MAX_WAITING_PER_SLOT = 4;
+    private static final int HOSTS_PER_SUBNET = 250;
+    private static final int FIRST_SUBNET = 20;
+    private static final String RESPONSE_HEAD =
+            "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
     private static final String LAST_CHUNK = "0\r\n\r\n";
 
     private final EventLoop loop;
@@ -69,14 +70,14 @@
                 InetAddress.getByAddress(
                         new byte[] {
                             127,
-                            (byte) (FIRST_NET + number / HOSTS_A_NET / HOSTS_A_NET),
-                            (byte) (number / HOSTS_A_NET % HOSTS_A_NET),
-                            (byte) (number % HOSTS_A_NET + 1)
+                            (byte) (FIRST_SUBNET + number / HOSTS_PER_SUBNET / HOSTS_PER_SUBNET),
+                            (byte) (number / HOSTS_PER_SUBNET % HOSTS_PER_SUBNET),
+                            (byte) (number % HOSTS_PER_SUBNET + 1)
                         }));
     }
 
     private void accept(Channel channel, Worker worker) {
-        traffic.handshake();
+        traffic.addHandshake();
         connections++;
         channel.closeFuture().addListener(closed -> connections--);
         final ByteCounter counter = new ByteCounter(recorder::nowUs, size -> {});
@@ -137,7 +138,7 @@
         }
     }
 
-    private void startWaiting(Worker worker) {
+    private void startWaitingJobs(Worker worker) {
         while (worker.running < worker.make.slots() && !worker.waiting.isEmpty()) {
             final Job job = worker.waiting.poll();
             if (job.channel.isActive()) {
@@ -212,7 +213,7 @@
                 keysOf(worker).done(key, result);
             }
             end(result);
-            startWaiting(worker);
+            startWaitingJobs(worker);
         }
 
         /** The result of another run under the same key, or null where that run is lost. */
@@ -232,7 +233,7 @@
                             + report;
             if (channel.isActive()) {
                 traffic.add(TrafficKind.LOAD_REPORT, report.length());
-                traffic.more(TrafficKind.RESULT_LINE, LAST_CHUNK.length() - report.length());
+                traffic.addBytes(TrafficKind.RESULT_LINE, LAST_CHUNK.length() - report.length());
             }
             line(TrafficKind.RESULT_LINE, line);
             write(channel, LAST_CHUNK);
@@ -280,7 +281,7 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
             final long firstByteUs = counter.firstByteUs();
-            final long size = counter.takeRead();
+            final long size = counter.takeReadBytes();
             final String id = request.headers().get("X-Request-Id");
             if (request.uri().equals("/stats") || request.uri().equals("/health/live")) {
                 final String answer = answer("200 OK", "", "{" + worker.report() + "}");
@@ -290,11 +291,11 @@
                 write(ctx.channel(), answer("404 Not Found", "", ""));
             } else {
                 traffic.add(TrafficKind.REQUEST, size);
-                take(ctx.channel(), request, id, firstByteUs);
+                submit(ctx.channel(), request, id, firstByteUs);
             }
         }
 
-        private void take(Channel channel, FullHttpRequest request, String id, long firstByteUs) {
+        private void submit(Channel channel, FullHttpRequest request, String id, long firstByteUs) {
             final String key = request.headers().get("Idempotency-Key");
             final long workUs =
                     Math.max(
@@ -315,7 +316,7 @@
                             id,
                             key,
                             workUs));
-            if (worker.waiting.size() >= MAX_WAITING_A_SLOT * worker.make.slots()) {
+            if (worker.waiting.size() >= MAX_WAITING_PER_SLOT * worker.make.slots()) {
                 recorder.add(new SendTurnedAway(recorder.nowUs(), worker.make.id(), id));
                 final String report =
                         "x-load: " + worker.report().replace("\"", "").replace(':', '=') + "\r\n";
@@ -323,12 +324,12 @@
                 write(channel, answer("503 Service Unavailable", "x-not-run: 1\r\n" + report, ""));
                 return;
             }
-            write(channel, HEAD);
-            traffic.more(TrafficKind.REQUEST, HEAD.length());
+            write(channel, RESPONSE_HEAD);
+            traffic.addBytes(TrafficKind.REQUEST, RESPONSE_HEAD.length());
             final Job job = new Job(worker, id, key, workUs, channel);
             if (key == null || keysOf(worker).begins(key, recorder.nowUs(), job::repeat)) {
                 worker.waiting.add(job);
-                startWaiting(worker);
+                startWaitingJobs(worker);
             }
         }
 
--- a/src/main/java/cresschute/testbed/capacity/Sweep.java
+++ b/src/main/java/cresschute/testbed/capacity/Sweep.java
@@ -27,7 +27,7 @@
         }
 
         /** Where a plan lies along it. */
-        double of(CapacityPlan plan) {
+        double sizeIn(CapacityPlan plan) {
             return switch (this) {
                 case WORKERS -> plan.workers();
                 case RUNNING -> plan.running();
@@ -53,14 +53,14 @@
 
     private static final String ALL = "all";
     private static final int MAX_DISPATCHERS = 7;
-    private static final double[] PARTS = {0.25, 0.5, 0.75, 1};
-    private static final double[] STARTS_PARTS = {0.4, 0.6, 0.8, 1};
+    private static final double[] FRACTIONS = {0.25, 0.5, 0.75, 1};
+    private static final double[] STARTS_FRACTIONS = {0.4, 0.6, 0.8, 1};
 
     /**
      * The starts are fixed nearer to the largest size: fewer of them would be jobs that run for
      * long.
      */
-    private static final double FIXED_STARTS = 0.75;
+    private static final double FIXED_STARTS_FRACTION = 0.75;
 
     private static final double[] LIST_CHANGES_PER_SECOND = {0, 1, 4, 16};
     private static final double[] SETTINGS_CHANGES_PER_SECOND = {0, 0.1, 0.3, 1};
@@ -98,7 +98,7 @@
                             + ", all");
         }
         final List<Point> points = new ArrayList<>();
-        final CapacityPlan fixed = middle(largest);
+        final CapacityPlan fixed = fixedSizes(largest);
         for (int i = 1; i <= repetitions; i++) {
             for (final Axis each : axes) {
                 for (final CapacityPlan plan : plans(each, fixed, largest)) {
@@ -114,10 +114,10 @@
     }
 
     /** Half the size, so that each axis has points below and above what the others are fixed at. */
-    private static CapacityPlan middle(CapacityPlan largest) {
+    private static CapacityPlan fixedSizes(CapacityPlan largest) {
         return largest.withWorkers(Math.max(1, largest.workers() / 2))
                 .withRunning(Math.max(1, largest.running() / 2))
-                .withStarts(FIXED_STARTS * largest.startsPerSecond())
+                .withStarts(FIXED_STARTS_FRACTION * largest.startsPerSecond())
                 .withDispatchers((largest.dispatchers() + 1) / 2);
     }
 
@@ -127,21 +127,21 @@
                     case LIST_CHANGES -> LIST_CHANGES_PER_SECOND;
                     case SETTINGS_CHANGES -> SETTINGS_CHANGES_PER_SECOND;
                     case DISPATCHERS -> new double[] {1, 3, 5, MAX_DISPATCHERS};
-                    case STARTS -> STARTS_PARTS;
-                    default -> PARTS;
+                    case STARTS -> STARTS_FRACTIONS;
+                    default -> FRACTIONS;
                 };
         return Arrays.stream(values)
                 .mapToObj(
                         value ->
                                 switch (axis) {
                                     case WORKERS ->
-                                            fixed.withWorkers(part(value, largest.workers()));
+                                            fixed.withWorkers(fractionOf(value, largest.workers()));
                                     case RUNNING ->
-                                            fixed.withRunning(part(value, largest.running()));
+                                            fixed.withRunning(fractionOf(value, largest.running()));
                                     case STARTS ->
                                             fixed.withStarts(value * largest.startsPerSecond());
                                     case TENANTS ->
-                                            fixed.withTenants(part(value, largest.tenants()));
+                                            fixed.withTenants(fractionOf(value, largest.tenants()));
                                     case DISPATCHERS -> fixed.withDispatchers((int) value);
                                     case LIST_CHANGES -> fixed.withListChanges(value);
                                     case SETTINGS_CHANGES -> fixed.withSettingsChanges(value);
@@ -149,7 +149,7 @@
                 .toList();
     }
 
-    private static int part(double part, int whole) {
-        return (int) Math.max(1, Math.round(part * whole));
+    private static int fractionOf(double fraction, int whole) {
+        return (int) Math.max(1, Math.round(fraction * whole));
     }
 }
--- a/src/main/java/cresschute/testbed/capacity/Traffic.java
+++ b/src/main/java/cresschute/testbed/capacity/Traffic.java
@@ -19,11 +19,11 @@
     }
 
     /** Adds bytes to a message that was counted before. */
-    void more(TrafficKind kind, long size) {
+    void addBytes(TrafficKind kind, long size) {
         bytes[kind.ordinal()] += size;
     }
 
-    void handshake() {
+    void addHandshake() {
         add(TrafficKind.HANDSHAKE, HANDSHAKE_BYTES);
     }
 
--- a/src/test/java/cresschute/capacity/CapacityModelTest.java
+++ b/src/test/java/cresschute/capacity/CapacityModelTest.java
@@ -13,15 +13,15 @@
 
     private static final MeasureKey CPU = new MeasureKey(Role.DISPATCHER, "cpu_percent");
     private static final Sizes PLANNED = PlannedSize.OPERATORS.sizes();
-    private static final Sweep.Function LINEAR =
+    private static final MeasurementFileBuilder.Function LINEAR =
             sizes ->
                     3
                             + 0.01 * sizes.get(Axis.WORKERS)
                             + 0.2 * sizes.get(Axis.STARTS)
                             - 24.5 / sizes.get(Axis.DISPATCHERS);
 
-    private static Sweep linearSweep() {
-        final Sweep sweep = new Sweep();
+    private static MeasurementFileBuilder linearSweep() {
+        final MeasurementFileBuilder sweep = new MeasurementFileBuilder();
         List.of(50.0, 100.0, 200.0, 400.0)
                 .forEach(
                         size ->
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void sumOfSlopesGivesAnExactLinearFunctionBack() throws CsvFormatException {
+    void estimatesExactLinearFunctionFromItsSlopes() throws CsvFormatException {
         final CapacityModel model = new CapacityModel(linearSweep().measurements());
         final Estimate estimate = model.estimate(CPU, PLANNED).orElseThrow();
         assertThat(estimate.value()).isCloseTo(3 + 14 + 60 - 3.5, within(1e-6));
@@ -57,8 +57,8 @@
 
     /** A dispatcher does its part of what all of them do; what reaches a worker comes from all. */
     @Test
-    void whatAllDispatchersCostTogetherGoesByTheirNumber() throws CsvFormatException {
-        final Sweep sweep = new Sweep();
+    void workerMeasureIsLinearInNumberOfDispatchers() throws CsvFormatException {
+        final MeasurementFileBuilder sweep = new MeasurementFileBuilder();
         List.of(1.0, 3.0, 5.0)
                 .forEach(
                         size ->
@@ -78,8 +78,9 @@
     }
 
     @Test
-    void heldOutAndPartialValuesChangeNoFit() throws CsvFormatException {
-        final Sweep sweep = linearSweep().full("dispatcher", "cpu_percent", sizes -> 1e6);
+    void excludesHeldOutAndPartialValuesFromFits() throws CsvFormatException {
+        final MeasurementFileBuilder sweep =
+                linearSweep().atFullSize("dispatcher", "cpu_percent", sizes -> 1e6);
         sweep.row(
                 Axis.WORKERS.label(),
                 false,
@@ -96,9 +97,10 @@
     }
 
     @Test
-    void heldOutPointSaysHowFarTheFitsAreOff() throws CsvFormatException {
-        final Sweep sweep = linearSweep().full("dispatcher", "cpu_percent", sizes -> 70);
-        sweep.full("dispatcher", "heap_mb", sizes -> 20);
+    void reportsErrorOfFitsAtHeldOutPoint() throws CsvFormatException {
+        final MeasurementFileBuilder sweep =
+                linearSweep().atFullSize("dispatcher", "cpu_percent", sizes -> 70);
+        sweep.atFullSize("dispatcher", "heap_mb", sizes -> 20);
         final List<HeldOutCheck> checks = HeldOutCheck.of(new CapacityModel(sweep.measurements()));
         assertThat(checks).hasSize(1);
         assertThat(checks.get(0).measured()).isEqualTo(70);
@@ -108,8 +110,8 @@
     }
 
     @Test
-    void runThatVariesNothingIsInNoFit() throws CsvFormatException {
-        final Sweep sweep = linearSweep();
+    void excludesRunWithoutAxisFromFits() throws CsvFormatException {
+        final MeasurementFileBuilder sweep = linearSweep();
         sweep.row(
                 Axis.NONE,
                 false,
@@ -129,8 +131,8 @@
     }
 
     @Test
-    void partialPointIsUsedOnlyWhereThereIsNoWholeOne() throws CsvFormatException {
-        final Sweep sweep = linearSweep();
+    void usesPartialHeldOutPointOnlyWithoutCompleteOne() throws CsvFormatException {
+        final MeasurementFileBuilder sweep = linearSweep();
         final Map<Axis, Double> size = PLANNED.values();
         sweep.row(Axis.FULL, true, size, "dispatcher", "cpu_percent", sizes -> 10, true);
         assertThat(HeldOutCheck.of(new CapacityModel(sweep.measurements())).get(0))
@@ -145,9 +147,9 @@
     }
 
     @Test
-    void measureWithoutAFitHasNoEstimate() throws CsvFormatException {
-        final Sweep sweep =
-                new Sweep()
+    void givesNoEstimateWithoutFit() throws CsvFormatException {
+        final MeasurementFileBuilder sweep =
+                new MeasurementFileBuilder()
                         .along(Axis.WORKERS, 100, "dispatcher", "heap_mb", sizes -> 1)
                         .along(Axis.WORKERS, 200, "dispatcher", "heap_mb", sizes -> 2);
         final CapacityModel model = new CapacityModel(sweep.measurements());
@@ -157,7 +159,7 @@
     }
 
     @Test
-    void processorTimeWithoutRequestsLeavesOutWhatTheseCost() throws CsvFormatException {
+    void excludesRequestCostFromProcessorTimeWithoutRequests() throws CsvFormatException {
         final CapacityModel model = new CapacityModel(linearSweep().measurements());
         final Sizes wanted = TrackedMeasure.DISPATCHER_CONTROL_CPU.evaluatedAt(PLANNED);
         assertThat(wanted.on(Axis.STARTS)).isZero();
@@ -165,7 +167,7 @@
     }
 
     @Test
-    void plannedSizeIsTheOperators() {
+    void plannedSizeMatchesOperatorsFigures() {
         assertThat(PlannedSize.OPERATORS.meanOpenSeconds()).isCloseTo(30.3, within(0.05));
         assertThat(PlannedSize.OPERATORS.listChangesPerSecond())
                 .isCloseTo((1_500 + 2 * 98) / 86_400.0, within(1e-12));
@@ -175,7 +177,7 @@
     }
 
     @Test
-    void sizesMustBeWholeAndNotNegative() {
+    void rejectsMissingNegativeOrNonFiniteSizes() {
         assertThatThrownBy(() -> PLANNED.with(Axis.WORKERS, -1))
                 .isInstanceOf(IllegalArgumentException.class);
         assertThatThrownBy(() -> PLANNED.with(Axis.WORKERS, Double.NaN))
@@ -184,7 +186,7 @@
     }
 
     @Test
-    void limitOfZeroIsOverWhereAnythingIsNeeded() {
+    void ratioToZeroLimitIsInfiniteForAnyCost() {
         assertThat(new Limit(0, "none").ratio(0)).isZero();
         assertThat(new Limit(0, "none").ratio(1)).isInfinite();
         assertThat(new Limit(4, "four").ratio(1)).isEqualTo(0.25);
--- a/src/test/java/cresschute/capacity/CapacityTablesTest.java
+++ b/src/test/java/cresschute/capacity/CapacityTablesTest.java
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void withoutMeasurementsEveryNeedSaysThatAndWhy() {
+    void marksEveryMeasureAsNotMeasuredWithReason() {
         final Map<String, String> tables = CapacityTables.of(List.of(), List.of());
         assertThat(tables.get("runs")).isEqualTo("No run has been measured yet.\n");
         assertThat(tables.get("held-out")).contains("**not measured**");
@@ -43,8 +43,8 @@
     }
 
     @Test
-    void needIsHeldAgainstItsLimit() throws CsvFormatException {
-        final Sweep sweep = new Sweep();
+    void comparesCostWithItsLimit() throws CsvFormatException {
+        final MeasurementFileBuilder sweep = new MeasurementFileBuilder();
         List.of(100.0, 200.0, 400.0)
                 .forEach(
                         size ->
@@ -64,8 +64,8 @@
     }
 
     @Test
-    void worstRatioComesFirstAndTheUnmeasuredLast() throws CsvFormatException {
-        final Sweep sweep = new Sweep();
+    void sortsByFallingRatioWithUnmeasuredLast() throws CsvFormatException {
+        final MeasurementFileBuilder sweep = new MeasurementFileBuilder();
         List.of(100.0, 200.0, 400.0)
                 .forEach(
                         size ->
@@ -91,8 +91,8 @@
 
     /** A stand-in of 1,000 workers in one process says nothing of one worker's machine. */
     @Test
-    void standInsAndUnknownMeasuresAreLeftOut() throws CsvFormatException {
-        final Sweep sweep = new Sweep();
+    void omitsStandInCostsAndUnknownMeasures() throws CsvFormatException {
+        final MeasurementFileBuilder sweep = new MeasurementFileBuilder();
         List.of(100.0, 200.0, 400.0)
                 .forEach(
                         size ->
@@ -108,7 +108,8 @@
                                                 "dispatcher",
                                                 "colour",
                                                 sizes -> 1));
-        sweep.full("worker", "cpu_percent", sizes -> 90).full("dispatcher", "colour", sizes -> 1);
+        sweep.atFullSize("worker", "cpu_percent", sizes -> 90)
+                .atFullSize("dispatcher", "colour", sizes -> 1);
         final Map<String, String> tables = CapacityTables.of(sweep.measurements(), List.of());
         assertThat(tables.get("worker-needs"))
                 .contains(
@@ -120,7 +121,7 @@
     }
 
     @Test
-    void faultsAreToldByTheirMedian() {
+    void reportsMedianOfFaultMeasurements() {
         final List<FaultMeasurement> faults =
                 Stream.of(5.0, 1.0, 3.0)
                         .map(
@@ -157,23 +158,23 @@
                     -2.346, -2.35
                     NaN, -
                     """)
-    void figuresHaveThreeDigitsThatCount(double value, String text) {
+    void formatsFiguresWithThreeSignificantDigits(double value, String text) {
         assertThat(Figures.number(value)).isEqualTo(text);
     }
 
     // ---- Places in a page ----
 
-    private static String place(String page) throws MarkerException {
+    private static String writeTable(String page) throws MarkerException {
         return CapacityPage.write(page, Map.of("a", "new\nlines\n"));
     }
 
     @Test
-    void tableTakesThePlaceOfWhatWasThere() throws MarkerException {
+    void replacesTextBetweenMarkers() throws MarkerException {
         final String page = "text\n<!-- table: a -->\nold\n<!-- end table -->\nmore\n";
-        final String written = place(page);
+        final String written = writeTable(page);
         assertThat(written)
                 .isEqualTo("text\n<!-- table: a -->\nnew\nlines\n<!-- end table -->\nmore\n");
-        assertThat(place(written)).isEqualTo(written);
+        assertThat(writeTable(written)).isEqualTo(written);
     }
 
     @ParameterizedTest
@@ -188,8 +189,8 @@
                     <!-- end table -->                                  | an end of a table without its beginning
                     <!-- table: a -->;<!-- end table -->;<!-- table: a -->;<!-- end table --> | the table a comes twice
                     """)
-    void brokenMarkersAreNamed(String page, String message) {
-        assertThatThrownBy(() -> place(page.replace(';', '\n') + "\n"))
+    void rejectsMalformedMarkers(String page, String message) {
+        assertThatThrownBy(() -> writeTable(page.replace(';', '\n') + "\n"))
                 .isInstanceOf(MarkerException.class)
                 .hasMessage(message);
     }
@@ -209,7 +210,7 @@
 
     /** A page that names a class as the carrier of a need names one that there is. */
     @Test
-    void mechanismsAreClassesOfTheProgram() throws IOException {
+    void namesOnlyExistingClassesAsMechanisms() throws IOException {
         final Set<String> classes = classes();
         assertThat(
                         Stream.of(TrackedMeasure.values())
--- a/src/test/java/cresschute/capacity/LinearFitTest.java
+++ b/src/test/java/cresschute/capacity/LinearFitTest.java
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void norrisDataHaveTheCertifiedLine() {
+    void matchesCertifiedFitOfNorrisData() {
         final List<LinearFit.Point> points = new ArrayList<>();
         for (int i = 0; i < NORRIS.length; i += 2) {
             points.add(new LinearFit.Point(NORRIS[i + 1], NORRIS[i]));
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void exactLineHasNoInterval() {
+    void exactLineHasZeroConfidenceInterval() {
         final LinearFit fit = LinearFit.of(points(100, 5, 200, 7, 400, 11)).orElseThrow();
         assertThat(fit.at(1_400)).isCloseTo(31, within(1e-9));
         assertThat(fit.slopeHalfWidth()).isCloseTo(0, within(1e-9));
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void constantValuesHaveASlopeOfZero() {
+    void fitsZeroSlopeToConstantValues() {
         final LinearFit fit = LinearFit.of(points(1, 4, 2, 4, 3, 4)).orElseThrow();
         assertThat(fit.slope()).isZero();
         assertThat(fit.slopeHalfWidth()).isZero();
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void tooFewPointsOrOneSizeGiveNoLine() {
+    void givesNoFitForTooFewPointsOrOneSize() {
         assertThat(LinearFit.of(List.of())).isEmpty();
         assertThat(LinearFit.of(points(1, 1, 2, 2))).isEmpty();
         assertThat(LinearFit.of(points(5, 1, 5, 2, 5, 3))).isEmpty();
--- a/src/test/java/cresschute/capacity/Sweep.java
+++ b/src/test/java/cresschute/capacity/MeasurementFileBuilder.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 
 /** Builds the text of a file of measurements whose values follow a known function of the sizes. */
-final class Sweep {
+final class MeasurementFileBuilder {
 
     /** A value at these sizes. */
     interface Function {
@@ -38,12 +38,13 @@
     private int run;
 
     /** One row of a measurement along an axis, the others at the base. */
-    Sweep along(Axis axis, double size, String role, String measure, Function value) {
+    MeasurementFileBuilder along(
+            Axis axis, double size, String role, String measure, Function value) {
         return row(axis.label(), false, Map.of(axis, size), role, measure, value, false);
     }
 
     /** One row at full size, held out. */
-    Sweep full(String role, String measure, Function value) {
+    MeasurementFileBuilder atFullSize(String role, String measure, Function value) {
         return row(
                 Axis.FULL,
                 true,
@@ -55,7 +56,7 @@
     }
 
     /** One row with all that may be said of it. */
-    Sweep row(
+    MeasurementFileBuilder row(
             String axis,
             boolean heldOut,
             Map<Axis, Double> sizes,
--- a/src/test/java/cresschute/capacity/MeasurementFileTest.java
+++ b/src/test/java/cresschute/capacity/MeasurementFileTest.java
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void rowIsReadWhole() throws CsvFormatException {
+    void parsesAllFieldsOfRow() throws CsvFormatException {
         final List<Measurement> rows = MeasurementFile.parse("a.csv", HEAD + ROW + "\n");
         assertThat(rows).hasSize(1);
         final Measurement row = rows.get(0);
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void headAloneIsAFileWithoutRows() throws CsvFormatException {
+    void acceptsFileWithoutRows() throws CsvFormatException {
         assertThat(MeasurementFile.parse("a.csv", HEAD)).isEmpty();
     }
 
@@ -69,7 +69,7 @@
                     commit            | abc1234    | ''        | commit is empty
                     a field too few   | ,10,       | ,         | 17 fields where 18 are expected
                     """)
-    void badFieldIsToldWithItsLine(String name, String from, String to, String message) {
+    void rejectsMalformedFieldWithItsLine(String name, String from, String to, String message) {
         final CsvFormatException failure =
                 failure(HEAD + ROW + "\n" + ROW.replaceFirst(from, to) + "\n");
         assertThat(failure).as(name).hasMessage("a.csv:4: " + message);
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void negativeValueIsNoError() throws CsvFormatException {
+    void acceptsNegativeValue() throws CsvFormatException {
         assertThat(
                         MeasurementFile.parse("a.csv", HEAD + ROW.replace("12.5", "-1") + "\n")
                                 .get(0)
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void otherVersionAndOtherHeaderAreRefused() {
+    void rejectsOtherVersionOrHeader() {
         assertThat(failure(HEAD.replace("version 1", "version 2") + ROW + "\n"))
                 .hasMessage(
                         "a.csv:1: the first line must be '" + MeasurementFile.VERSION_LINE + "'");
@@ -100,7 +100,7 @@
 
     /** Truncated at any byte, a file is either rejected or has only complete rows. */
     @Test
-    void cutFileNeverGivesAnotherRow() throws CsvFormatException {
+    void truncatedFileNeverYieldsAlteredRow() throws CsvFormatException {
         final String file = HEAD + ROW + "\n" + ROW + "\n";
         final List<Measurement> rows = MeasurementFile.parse("a.csv", file);
         for (int length = 0; length < file.length(); length++) {
@@ -120,13 +120,13 @@
     }
 
     @Test
-    void faultsHaveAFormatOfTheirOwn() throws CsvFormatException {
+    void parsesFaultFile() throws CsvFormatException {
         final String head =
                 FaultFile.VERSION_LINE + "\n" + String.join(",", FaultFile.COLUMNS) + "\n";
         final String text =
                 head + "d1,abc1234,2026-12-02,3,zone-loss,1,seconds_until_back,41.5,false\n";
-        assertThat(FaultFile.isOne(text)).isTrue();
-        assertThat(FaultFile.isOne(HEAD)).isFalse();
+        assertThat(FaultFile.isFaultFile(text)).isTrue();
+        assertThat(FaultFile.isFaultFile(HEAD)).isFalse();
         assertThat(FaultFile.parse("f.csv", text))
                 .containsExactly(
                         new FaultMeasurement(
--- a/src/test/java/cresschute/testbed/capacity/CapacityPlanTest.java
+++ b/src/test/java/cresschute/testbed/capacity/CapacityPlanTest.java
@@ -19,12 +19,12 @@
 /** Sizes, what follows from them, and what the machine must have for them. */
 class CapacityPlanTest {
 
-    static final CapacityPlan WHOLE =
+    static final CapacityPlan FULL_SIZE =
             new CapacityPlan(1_400, 1_800, 9_100, 300, 54, 7, 7, 2, 128, 1_500, 0.5, 60, 1, 0);
 
     @Test
-    void siteHasTheAcceleratorsAndRoomForTheJobs() {
-        final List<Make> workers = new ExperimentSetup(WHOLE).workers();
+    void setupHasPlannedAcceleratorsAndSlotsForAllJobs() {
+        final List<Make> workers = new ExperimentSetup(FULL_SIZE).workers();
         assertThat(workers).hasSize(1_400);
         final int accelerators =
                 workers.stream()
@@ -38,8 +38,10 @@
     }
 
     @Test
-    void classesShareAllJobs() {
-        assertThat(new ExperimentSetup(WHOLE).classes().stream().mapToDouble(JobClass::share).sum())
+    void classFractionsSumToOne() {
+        assertThat(
+                        new ExperimentSetup(FULL_SIZE)
+                                .classes().stream().mapToDouble(JobClass::share).sum())
                 .isBetween(0.999, 1.001);
         assertThat(
                         new ExperimentSetup(
@@ -51,7 +53,7 @@
     }
 
     @Test
-    void runningTimesHaveTheirMeanAndTheirBound() {
+    void runTimesHaveRequestedMeanAndMaximum() {
         final RunTimes times = new RunTimes(RandomSource.XO_SHI_RO_256_PP.create(1), 30e6);
         double sum = 0;
         for (int i = 0; i < 100_000; i++) {
@@ -65,12 +67,12 @@
 
     @ParameterizedTest
     @EnumSource(Sweep.Axis.class)
-    void axisHasFourSizesAndTheWholeOneAtTheEnd(Sweep.Axis axis) {
-        final List<Sweep.Point> points = Sweep.along(axis.label(), WHOLE, 2);
+    void sweepHasFourSizesThenHeldOutFullSize(Sweep.Axis axis) {
+        final List<Sweep.Point> points = Sweep.along(axis.label(), FULL_SIZE, 2);
         assertThat(points).hasSize(2 * 4 + 1);
         final Sweep.Point last = points.get(points.size() - 1);
         assertThat(last.heldOut()).isTrue();
-        assertThat(last.plan()).isEqualTo(WHOLE);
+        assertThat(last.plan()).isEqualTo(FULL_SIZE);
         final Set<CapacityPlan> sizes =
                 points.subList(0, 8).stream()
                         .map(each -> each.plan().withSeed(0))
@@ -80,19 +82,19 @@
     }
 
     @Test
-    void orderOfAllAxesComesFromTheSeed() {
-        final List<Sweep.Point> points = Sweep.along("all", WHOLE, 1);
-        assertThat(points).hasSize(7 * 4 + 1).isEqualTo(Sweep.along("all", WHOLE, 1));
+    void seedDeterminesOrderOfPoints() {
+        final List<Sweep.Point> points = Sweep.along("all", FULL_SIZE, 1);
+        assertThat(points).hasSize(7 * 4 + 1).isEqualTo(Sweep.along("all", FULL_SIZE, 1));
         assertThat(
-                        Sweep.along("all", WHOLE.withSeed(2), 1).stream()
+                        Sweep.along("all", FULL_SIZE.withSeed(2), 1).stream()
                                 .map(each -> each.plan().withSeed(1)))
                 .isNotEqualTo(points.stream().map(Sweep.Point::plan).toList());
     }
 
     @Test
-    void lackOfDescriptorsNamesTheLimit() {
-        Preflight.descriptors(WHOLE, 20_000);
-        assertThatThrownBy(() -> Preflight.descriptors(WHOLE, 4_096))
+    void rejectsPlanOverDescriptorLimit() {
+        Preflight.checkDescriptors(FULL_SIZE, 20_000);
+        assertThatThrownBy(() -> Preflight.checkDescriptors(FULL_SIZE, 4_096))
                 .isInstanceOf(MachineLimitException.class)
                 .hasMessageStartingWith("descriptors: one process needs ")
                 .hasMessageContaining("the hard limit (ulimit -Hn) is 4096");
@@ -100,37 +102,38 @@
 
     /** Each worker is in one process, its cell with it. */
     @Test
-    void workersAreSpreadOverAsManyProcessesAsDescriptorsAsk() {
-        assertThat(Preflight.workerProcesses(WHOLE, 1_000_000)).isEqualTo(1);
-        assertThat(Preflight.workerProcesses(WHOLE, 20_000)).isEqualTo(2);
+    void spreadsWorkersOverProcessesByDescriptorLimit() {
+        assertThat(Preflight.workerProcesses(FULL_SIZE, 1_000_000)).isEqualTo(1);
+        assertThat(Preflight.workerProcesses(FULL_SIZE, 20_000)).isEqualTo(2);
         assertThat(
-                        new ExperimentSetup(WHOLE)
+                        new ExperimentSetup(FULL_SIZE)
                                 .workers().stream()
                                         .collect(
                                                 Collectors.groupingBy(
                                                         Make::cell,
                                                         Collectors.mapping(
                                                                 make ->
-                                                                        ExperimentSetup.partOf(
-                                                                                make, 2),
+                                                                        ExperimentSetup
+                                                                                .processIndex(
+                                                                                        make, 2),
                                                                 Collectors.toSet())))
                                         .values())
                 .allMatch(parts -> parts.size() == 1);
     }
 
     @Test
-    void lackOfMemoryOrPortsIsReportedInOneLine() {
-        assertThatThrownBy(() -> Preflight.memory(WHOLE, 500))
+    void rejectsPlanOverMemoryOrPortLimit() {
+        assertThatThrownBy(() -> Preflight.checkMemory(FULL_SIZE, 500))
                 .isInstanceOf(MachineLimitException.class)
                 .hasMessageMatching("memory: [0-9]+ MB are needed, 500 MB are available");
-        assertThatThrownBy(() -> Preflight.ports(WHOLE, "32768\t33000"))
+        assertThatThrownBy(() -> Preflight.checkPorts(FULL_SIZE, "32768\t33000"))
                 .isInstanceOf(MachineLimitException.class)
                 .hasMessageContaining("233 local ports (net.ipv4.ip_local_port_range)");
     }
 
     /** The dispatchers run as the platform runs them. */
     @Test
-    void dispatchersHaveTheOptionsOfTheRunLine() throws Exception {
+    void dispatchersUseOptionsOfRunLine() throws Exception {
         final String run =
                 Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
                         .filter(line -> line.startsWith("run = "))
--- a/src/test/java/cresschute/testbed/capacity/CostChartTest.java
+++ b/src/test/java/cresschute/testbed/capacity/CostChartTest.java
@@ -22,12 +22,12 @@
     }
 
     @Test
-    void eachMeasuredAxisHasAChartForEachNeed(@TempDir Path folder) throws Exception {
+    void drawsOneChartPerMeasuredAxisAndMeasure(@TempDir Path folder) throws Exception {
         System.setProperty("java.awt.headless", "true");
         final CostChart chart = new CostChart();
-        Sweep.along("workers", CapacityPlanTest.WHOLE, 1)
+        Sweep.along("workers", CapacityPlanTest.FULL_SIZE, 1)
                 .forEach(point -> chart.add(point, result(point.plan(), null)));
-        Sweep.along("tenants", CapacityPlanTest.WHOLE, 1)
+        Sweep.along("tenants", CapacityPlanTest.FULL_SIZE, 1)
                 .forEach(point -> chart.add(point, result(point.plan(), "interrupted")));
         chart.draw(folder);
         try (Stream<Path> files = Files.list(folder)) {
@@ -41,9 +41,9 @@
 
     /** What was not measured has no row; a partial point is marked in all of its rows. */
     @Test
-    void rowsNameTheirPoint(@TempDir Path folder) throws Exception {
+    void writesRowPerMeasureWithItsPoint(@TempDir Path folder) throws Exception {
         final Path file = folder.resolve("rows.csv");
-        final List<Sweep.Point> points = Sweep.along("workers", CapacityPlanTest.WHOLE, 1);
+        final List<Sweep.Point> points = Sweep.along("workers", CapacityPlanTest.FULL_SIZE, 1);
         try (MeasurementWriter rows = new MeasurementWriter(file, "abc")) {
             rows.add(points.get(0), result(points.get(0).plan(), null));
             rows.add(points.get(4), result(points.get(4).plan(), "interrupted"));
--- a/src/test/java/cresschute/testbed/capacity/ObservationFileFormatTest.java
+++ b/src/test/java/cresschute/testbed/capacity/ObservationFileFormatTest.java
@@ -39,7 +39,7 @@
     @TempDir private Path folder;
 
     @Test
-    void linesOfAnEarlierVersionAreReadAndWrittenAgain() throws Exception {
+    void readsAndRewritesLinesOfEarlierVersion() throws Exception {
         final Path earlier = folder.resolve("earlier");
         Files.writeString(earlier, LINES);
         final List<Observation> read = ObservationFile.read(List.of(earlier));
@@ -57,7 +57,7 @@
 
     /** What the process that starts an experiment tells the others. */
     @Test
-    void planAndClockAreReportedAsByAnEarlierVersion() {
+    void planAndClockKeepSerializedForm() {
         final Gson gson = new Gson();
         final String plan =
                 """
--- a/src/test/java/cresschute/testbed/capacity/RequestOutcomesTest.java
+++ b/src/test/java/cresschute/testbed/capacity/RequestOutcomesTest.java
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void refusedAndThenServedIsServed() {
+    void countsRejectedThenServedRequestAsServed() {
         sent(1, "a", "a", "batch");
         answered(2, "a", 503);
         sent(3, "again-a", "a", "batch");
@@ -43,19 +43,19 @@
         answered(6, "b", 429);
         sent(2_000_000, "late", "late", "batch");
         assertThat(outcomes().requests()).isEqualTo(2);
-        assertThat(outcomes().servedShare()).isEqualTo(0.5);
-        assertThat(outcomes().refusedShare()).isEqualTo(0.5);
-        assertThat(outcomes().firstRefusedShare()).isEqualTo(1);
+        assertThat(outcomes().servedFraction()).isEqualTo(0.5);
+        assertThat(outcomes().rejectedFraction()).isEqualTo(0.5);
+        assertThat(outcomes().firstRejectedFraction()).isEqualTo(1);
         assertThat(outcomes().retriesPerRequest()).isEqualTo(0.5);
         assertThat(outcomes().unanswered()).isZero();
     }
 
     @Test
-    void lostIsUnanswered() {
+    void countsLostRequestAsUnanswered() {
         sent(1, "a", "a", "batch");
         seen.add(new RequestLost(2, "a"));
         assertThat(outcomes().unanswered()).isEqualTo(1);
-        assertThat(outcomes().refusedShare()).isZero();
+        assertThat(outcomes().rejectedFraction()).isZero();
     }
 
     /**
@@ -63,7 +63,7 @@
      * counts.
      */
     @Test
-    void urgentStartCountsFromTheFirstTry() {
+    void measuresUrgentStartFromFirstTry() {
         sent(1_000, "a", "a", ExperimentSetup.URGENT);
         answered(2_000, "a", 503);
         seen.add(new RunStarted(8_999, "w1", "again-a"));
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void gangsAreCountedByTheirFirstTries() {
+    void countsGangsByOutcomeOfFirstTries() {
         for (final String id :
                 List.of("gang-1-1-x", "gang-1-2-x", "gang-2-3-x", "gang-2-4-x", "gang-3-5-x")) {
             sent(1, id, id, "batch");
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void observationsOutliveTheirProcess(@TempDir Path folder) throws Exception {
+    void readsObservationsOfKilledProcess(@TempDir Path folder) throws Exception {
         final Path first = folder.resolve("first");
         final Path second = folder.resolve("second");
         final SendCame came = new SendCame(7, 6, "w1", 3, "a", null, 12);
