--- a/src/main/java/cresschute/testbed/CellKeys.java
+++ b/src/main/java/cresschute/testbed/CellKeys.java
@@ -13,7 +13,7 @@
 public final class CellKeys {
 
     private static final class Entry {
-        private long fromUs;
+        private long startedUs;
         private String result;
         private final List<Consumer<String>> waiting = new ArrayList<>();
     }
@@ -32,11 +32,11 @@
      * @param otherwise called with the first run's result where it is not, or with null if that run
      *     is lost
      */
-    public boolean begins(String key, long nowUs, Consumer<String> otherwise) {
+    public boolean begin(String key, long nowUs, Consumer<String> otherwise) {
         final Entry entry = entries.get(key);
-        if (entry == null || (entry.result != null && nowUs > entry.fromUs + windowUs)) {
+        if (entry == null || (entry.result != null && nowUs > entry.startedUs + windowUs)) {
             final Entry first = new Entry();
-            first.fromUs = nowUs;
+            first.startedUs = nowUs;
             entries.put(key, first);
             return true;
         }
--- a/src/main/java/cresschute/testbed/DiscoveryStandIn.java
+++ b/src/main/java/cresschute/testbed/DiscoveryStandIn.java
@@ -71,7 +71,7 @@
     private final List<Change> changes = new ArrayList<>();
     private final List<Watch> watches = new ArrayList<>();
     private long version = 1;
-    private long lateUs;
+    private long reportDelayUs;
     private boolean down;
     private final LoopbackServer server;
     private long calls;
@@ -126,12 +126,12 @@
     // ---- What happens; all on the loop ----
 
     /** Changes are reported so much later than they happen. */
-    void late(long us) {
-        lateUs = us;
+    void setReportDelay(long us) {
+        reportDelayUs = us;
     }
 
     /** Whether it is down: open connections are reset, and new calls answered 503. */
-    void down(boolean now) {
+    void setDown(boolean now) {
         down = now;
         if (now) {
             watches.clear();
@@ -143,12 +143,12 @@
      * A worker's state, as {@code SERVING}, {@code DRAINING} or {@code DELETED}; told when it is
      * due.
      */
-    void set(WorkerStandIn worker, String state, long startedMs) {
-        set(worker.spec(), worker.address(), state, startedMs);
+    void setState(WorkerStandIn worker, String state, long startedMs) {
+        setState(worker.spec(), worker.address(), state, startedMs);
     }
 
     /** The same of a worker that is nowhere but on the list. */
-    public void set(
+    public void setState(
             WorkerStandIn.Spec spec, InetSocketAddress address, String state, long startedMs) {
         final Entry entry =
                 new Entry(
@@ -159,7 +159,7 @@
                         spec.cell(),
                         state,
                         startedMs);
-        loop.schedule(() -> publish(entry), lateUs, TimeUnit.MICROSECONDS);
+        loop.schedule(() -> publish(entry), reportDelayUs, TimeUnit.MICROSECONDS);
     }
 
     /**
@@ -171,7 +171,7 @@
         version++;
         final List<Watch> due = List.copyOf(watches);
         watches.clear();
-        due.forEach(watch -> whole(watch.ctx()));
+        due.forEach(watch -> sendFullList(watch.ctx()));
     }
 
     private void publish(Entry entry) {
@@ -187,7 +187,7 @@
         }
         final List<Watch> due = List.copyOf(watches);
         watches.clear();
-        due.forEach(watch -> changed(watch.ctx(), watch.since()));
+        due.forEach(watch -> sendChanges(watch.ctx(), watch.since()));
     }
 
     // ---- Calls ----
@@ -203,7 +203,7 @@
             } else if (!query.path().equals(PATH)) {
                 answer(ctx, HttpResponseStatus.NOT_FOUND, "");
             } else if (!query.parameters().containsKey("since")) {
-                whole(ctx);
+                sendFullList(ctx);
             } else {
                 watch(ctx, number(query, "since"), number(query, "timeout_ms"));
             }
@@ -227,7 +227,7 @@
 
     private void watch(ChannelHandlerContext ctx, long since, long timeoutMs) {
         if (since < version) {
-            changed(ctx, since);
+            sendChanges(ctx, since);
             return;
         }
         final Watch watch = new Watch(ctx, since);
@@ -235,22 +235,22 @@
         loop.schedule(
                 () -> {
                     if (watches.remove(watch)) {
-                        changed(ctx, since);
+                        sendChanges(ctx, since);
                     }
                 },
                 Math.min(timeoutMs, MAX_WAIT_MS),
                 TimeUnit.MILLISECONDS);
     }
 
-    private void whole(ChannelHandlerContext ctx) {
+    private void sendFullList(ChannelHandlerContext ctx) {
         final JsonArray servers = new JsonArray();
         entries.values().forEach(entry -> servers.add(entry.json()));
         report(ctx, true, servers);
     }
 
-    private void changed(ChannelHandlerContext ctx, long since) {
+    private void sendChanges(ChannelHandlerContext ctx, long since) {
         if (since < version - changes.size()) {
-            whole(ctx);
+            sendFullList(ctx);
             return;
         }
         final Set<String> ids = new HashSet<>();
--- a/src/main/java/cresschute/testbed/Fleet.java
+++ b/src/main/java/cresschute/testbed/Fleet.java
@@ -39,9 +39,9 @@
 public final class Fleet implements AutoCloseable {
 
     private static final int CELLS = 2;
-    private static final double BIG_SHARE = 0.3;
-    private static final long LATE_LIST_US = 200_000;
-    private static final long STOP_S = 10;
+    private static final double BIG_WORKER_SHARE = 0.3;
+    private static final long LIST_DELAY_US = 200_000;
+    private static final long MAX_STOP_WAIT_S = 10;
 
     /** The longest wait for a call on the loop, s. */
     private static final long MAX_LOOP_WAIT_S = 30;
@@ -72,7 +72,7 @@
     private final EventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final UniformRandomProvider chance;
+    private final UniformRandomProvider random;
     private final List<WorkerStandIn> workers = new ArrayList<>();
     private final DiscoveryStandIn discovery;
     private final ApplianceSettings settings;
@@ -84,14 +84,14 @@
     /** Starts discovery and workers, and builds the node; nothing is sent yet. */
     public Fleet(Plan plan) {
         this.plan = plan;
-        chance = RandomSource.XO_SHI_RO_256_PP.create(plan.seed());
+        random = RandomSource.XO_SHI_RO_256_PP.create(plan.seed());
         final InetSocketAddress discoveryAt;
         discovery = new DiscoveryStandIn(loop, recorder);
         try {
             discoveryAt = discovery.start();
-            final ApplianceSettings bare = settings(discoveryAt, List.of());
+            final ApplianceSettings settingsWithoutWorkers = settings(discoveryAt, List.of());
             for (int i = 0; i < plan.workers(); i++) {
-                workers.add(worker(i, bare));
+                workers.add(worker(i, settingsWithoutWorkers));
             }
             settings = settings(discoveryAt, workers);
             classes =
@@ -116,10 +116,10 @@
         }
     }
 
-    private WorkerStandIn worker(int number, ApplianceSettings bare) {
-        final boolean big = chance.nextDouble() < BIG_SHARE;
+    private WorkerStandIn worker(int number, ApplianceSettings settingsWithoutWorkers) {
+        final boolean big = random.nextDouble() < BIG_WORKER_SHARE;
         final double speed =
-                big ? 1.3 + 0.4 * chance.nextDouble() : 0.85 + 0.25 * chance.nextDouble();
+                big ? 1.3 + 0.4 * random.nextDouble() : 0.85 + 0.25 * random.nextDouble();
         final int cell = number % CELLS;
         final WorkerStandIn worker =
                 new WorkerStandIn(
@@ -133,10 +133,12 @@
                                 big ? "big" : "std",
                                 big ? 5 : 4,
                                 speed),
-                        number < CELLS ? new CellKeys(windowUs(bare)) : workers.get(cell).keys(),
-                        bare.module().slowStart());
+                        number < CELLS
+                                ? new CellKeys(windowUs(settingsWithoutWorkers))
+                                : workers.get(cell).keys(),
+                        settingsWithoutWorkers.module().slowStart());
         worker.start();
-        onLoop(() -> discovery.set(worker, "SERVING", 0));
+        onLoop(() -> discovery.setState(worker, "SERVING", 0));
         return worker;
     }
 
@@ -215,7 +217,7 @@
         final SocketAddress at = node.start();
         onLoop(
                 () -> {
-                    discovery.late(LATE_LIST_US);
+                    discovery.setReportDelay(LIST_DELAY_US);
                     clients.start(at);
                     plan.faults().forEach(this::plan);
                 });
@@ -230,7 +232,7 @@
                         : workers.stream()
                                 .filter(each -> each.spec().id().equals(fault.worker()))
                                 .findFirst()
-                                .orElseGet(() -> workers.get(chance.nextInt(workers.size())));
+                                .orElseGet(() -> workers.get(random.nextInt(workers.size())));
         loop.schedule(() -> begin(fault, worker), fault.atUs(), TimeUnit.MICROSECONDS);
         loop.schedule(
                 () -> end(fault, worker), fault.atUs() + fault.forUs(), TimeUnit.MICROSECONDS);
@@ -238,37 +240,37 @@
 
     private void begin(InjectedFault fault, WorkerStandIn worker) {
         switch (fault.kind()) {
-            case SLOW -> worker.slow(fault.factor());
-            case SILENT -> worker.silent(true);
-            case RESET -> worker.resets(fault.factor());
-            case GARBAGE -> worker.garbage(fault.factor());
-            case LATE -> worker.lateReports((long) (fault.factor() * 1e6));
+            case SLOW -> worker.setSlowdown(fault.factor());
+            case SILENT -> worker.setSilent(true);
+            case RESET -> worker.setResetShare(fault.factor());
+            case GARBAGE -> worker.setGarbageShare(fault.factor());
+            case LATE -> worker.setReportDelay((long) (fault.factor() * 1e6));
             case CRASH -> {
                 worker.crash();
-                discovery.set(worker, "DELETED", 0);
+                discovery.setState(worker, "DELETED", 0);
             }
-            case DRAIN -> discovery.set(worker, "DRAINING", 0);
-            case BURST -> clients.burst(fault.factor());
-            case TAIL -> clients.tail(fault.factor());
-            case DIRECTOR -> discovery.down(true);
+            case DRAIN -> discovery.setState(worker, "DRAINING", 0);
+            case BURST -> clients.setBurstFactor(fault.factor());
+            case TAIL -> clients.setTailFactor(fault.factor());
+            case DIRECTOR -> discovery.setDown(true);
         }
     }
 
     private void end(InjectedFault fault, WorkerStandIn worker) {
         switch (fault.kind()) {
-            case SLOW -> worker.slow(1);
-            case SILENT -> worker.silent(false);
-            case RESET -> worker.resets(0);
-            case GARBAGE -> worker.garbage(0);
-            case LATE -> worker.lateReports(0);
+            case SLOW -> worker.setSlowdown(1);
+            case SILENT -> worker.setSilent(false);
+            case RESET -> worker.setResetShare(0);
+            case GARBAGE -> worker.setGarbageShare(0);
+            case LATE -> worker.setReportDelay(0);
             case CRASH -> {
                 worker.boot();
-                discovery.set(worker, "SERVING", recorder.nowUs() / 1000);
+                discovery.setState(worker, "SERVING", recorder.nowUs() / 1000);
             }
-            case DRAIN -> discovery.set(worker, "SERVING", 0);
-            case BURST -> clients.burst(1);
-            case TAIL -> clients.tail(1);
-            case DIRECTOR -> discovery.down(false);
+            case DRAIN -> discovery.setState(worker, "SERVING", 0);
+            case BURST -> clients.setBurstFactor(1);
+            case TAIL -> clients.setTailFactor(1);
+            case DIRECTOR -> discovery.setDown(false);
         }
     }
 
@@ -302,15 +304,15 @@
 
     /** A worker's fault begins now. Not on the fleet's loop. */
     void begin(InjectedFault.Kind kind, String worker) {
-        onLoop(() -> begin(new InjectedFault(kind, worker, 1, 0, 0), workerCalled(worker)));
+        onLoop(() -> begin(new InjectedFault(kind, worker, 1, 0, 0), workerById(worker)));
     }
 
     /** A worker's fault ends now. Not on the fleet's loop. */
     void end(InjectedFault.Kind kind, String worker) {
-        onLoop(() -> end(new InjectedFault(kind, worker, 1, 0, 0), workerCalled(worker)));
+        onLoop(() -> end(new InjectedFault(kind, worker, 1, 0, 0), workerById(worker)));
     }
 
-    private WorkerStandIn workerCalled(String id) {
+    private WorkerStandIn workerById(String id) {
         return workers.stream()
                 .filter(each -> each.spec().id().equals(id))
                 .findFirst()
@@ -386,7 +388,7 @@
         closed = true;
         onLoop(clients::abandon);
         try {
-            node.stop().get(STOP_S, TimeUnit.SECONDS);
+            node.stop().get(MAX_STOP_WAIT_S, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             node.halt();
--- a/src/main/java/cresschute/testbed/FleetReport.java
+++ b/src/main/java/cresschute/testbed/FleetReport.java
@@ -24,7 +24,7 @@
     private static final int MAX_BREACHES_SHOWN = 10;
     private static final double P50 = 50;
     private static final double P99 = 99;
-    private static final int WIDE = 72;
+    private static final int WIDE_TABLE_COLUMNS = 72;
 
     /** Whether no rule was broken. */
     public boolean isSound() {
@@ -76,7 +76,7 @@
     /** The table, no line of it wider than so many columns as long as these are 40 or more. */
     public List<String> table(int columns) {
         final List<String> lines = new ArrayList<>();
-        if (columns >= WIDE) {
+        if (columns >= WIDE_TABLE_COLUMNS) {
             lines.add(
                     String.format(
                             Locale.ROOT,
@@ -188,6 +188,6 @@
 
     @Override
     public String toString() {
-        return table(WIDE).stream().collect(Collectors.joining("\n"));
+        return table(WIDE_TABLE_COLUMNS).stream().collect(Collectors.joining("\n"));
     }
 }
--- a/src/main/java/cresschute/testbed/LargeFleet.java
+++ b/src/main/java/cresschute/testbed/LargeFleet.java
@@ -29,13 +29,13 @@
     /** The longest wait for a call on the loop, or for the node's end, s. */
     private static final long MAX_WAIT_S = 30;
 
-    private static final InetSocketAddress NOWHERE =
+    private static final InetSocketAddress UNUSED_ADDRESS =
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
 
     private final EventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final UniformRandomProvider chance;
+    private final UniformRandomProvider random;
     private final DiscoveryStandIn discovery;
     private final List<WorkerStandIn.Spec> workers = new ArrayList<>();
     private final boolean[] drains;
@@ -43,7 +43,7 @@
 
     /** Starts discovery and node; the list is reported at once. */
     public LargeFleet(int count, long seed, Path controlSocket) {
-        chance = RandomSource.XO_SHI_RO_256_PP.create(seed);
+        random = RandomSource.XO_SHI_RO_256_PP.create(seed);
         discovery = new DiscoveryStandIn(loop, new Recorder());
         drains = new boolean[count];
         final InetSocketAddress at = discovery.start();
@@ -51,7 +51,11 @@
             workers.add(new WorkerStandIn.Spec("w" + (i + 1), i % 10, "local", "std", 4, 1));
         }
         CompletableFuture.runAsync(
-                        () -> workers.forEach(each -> discovery.set(each, NOWHERE, "SERVING", 0)),
+                        () ->
+                                workers.forEach(
+                                        each ->
+                                                discovery.setState(
+                                                        each, UNUSED_ADDRESS, "SERVING", 0)),
                         loop)
                 .orTimeout(MAX_WAIT_S, TimeUnit.SECONDS)
                 .join();
@@ -78,11 +82,11 @@
         loop.scheduleAtFixedRate(
                 () -> {
                     for (int i = 0; i < perS * STEP_MS / 1_000; i++) {
-                        final int worker = chance.nextInt(drains.length);
+                        final int worker = random.nextInt(drains.length);
                         drains[worker] = !drains[worker];
-                        discovery.set(
+                        discovery.setState(
                                 workers.get(worker),
-                                NOWHERE,
+                                UNUSED_ADDRESS,
                                 drains[worker] ? "DRAINING" : "SERVING",
                                 0);
                     }
--- a/src/main/java/cresschute/testbed/LoadClients.java
+++ b/src/main/java/cresschute/testbed/LoadClients.java
@@ -54,29 +54,29 @@
     public static final int OK = 200;
 
     private static final int REFUSED = 503;
-    private static final int TOO_MANY = 429;
-    private static final int MAX_TRIES = 3;
+    private static final int TOO_MANY_REQUESTS = 429;
+    private static final int MAX_ATTEMPTS = 3;
     private static final int MAX_ANSWER_BYTES = 1 << 20;
 
     /**
      * How long after its deadline a request is still listened for: an answer so late is late, but
      * it is one.
      */
-    private static final long LATE_BEYOND_US = 2_000_000;
+    private static final long LATE_ANSWER_WAIT_US = 2_000_000;
 
-    private static final double SPREAD = 0.45;
+    private static final double WORK_SIGMA = 0.45;
     private static final double TAIL_SHARE = 0.02;
-    private static final double WIDE_SHARE = 0.25;
+    private static final double TWO_SLOT_SHARE = 0.25;
 
     private final EventLoop loop;
     private final Recorder recorder;
-    private final UniformRandomProvider chance;
+    private final UniformRandomProvider random;
     private final List<JobClass> classes;
     private final double ratePerS;
-    private final ContinuousSampler spread;
-    private final ContinuousSampler gap;
+    private final ContinuousSampler workFactor;
+    private final ContinuousSampler arrivalGap;
     private final Map<SocketAddress, Deque<Connection>> idle = new HashMap<>();
-    private final Set<Try> open = new HashSet<>();
+    private final Set<ClientAttempt> open = new HashSet<>();
     private final Set<Connection> connections = new HashSet<>();
     private List<SocketAddress> nodes = List.of();
     private long connects;
@@ -90,21 +90,21 @@
     public LoadClients(
             EventLoop loop,
             Recorder recorder,
-            UniformRandomProvider chance,
+            UniformRandomProvider random,
             List<JobClass> classes,
             double ratePerS) {
         this.loop = loop;
         this.recorder = recorder;
-        this.chance = chance;
+        this.random = random;
         this.classes = classes;
         this.ratePerS = ratePerS;
         // A mean of 1: work varies by about half, as jobs of one class do.
-        this.spread =
+        this.workFactor =
                 LogNormalSampler.of(
-                        ZigguratSampler.NormalizedGaussian.of(chance),
-                        -SPREAD * SPREAD / 2,
-                        SPREAD);
-        this.gap = ZigguratSampler.Exponential.of(chance, 1);
+                        ZigguratSampler.NormalizedGaussian.of(random),
+                        -WORK_SIGMA * WORK_SIGMA / 2,
+                        WORK_SIGMA);
+        this.arrivalGap = ZigguratSampler.Exponential.of(random, 1);
     }
 
     // ---- Arrivals ----
@@ -112,7 +112,7 @@
     /** Begins to send to a node. On the loop. */
     void start(SocketAddress to) {
         connectTo(List.of(to));
-        next();
+        scheduleNextArrival();
     }
 
     /**
@@ -130,9 +130,9 @@
      * @param origin names the request in all its retries
      * @param tenant the customer, or null where there are none
      */
-    public void submit(JobClass stated, String origin, long workUs, String tenant) {
-        final String key = stated.effect() == Idempotency.KEYED ? "key-" + origin : null;
-        new Try(stated, origin, origin, key, workUs, 1, 1, tenant).send();
+    public void submit(JobClass jobClass, String origin, long workUs, String tenant) {
+        final String key = jobClass.effect() == Idempotency.KEYED ? "key-" + origin : null;
+        new ClientAttempt(jobClass, origin, origin, key, workUs, 1, 1, tenant).send();
     }
 
     /** Connections opened so far. On the loop. */
@@ -151,22 +151,22 @@
     }
 
     /** So many times the usual come from now on. */
-    void burst(double factor) {
+    void setBurstFactor(double factor) {
         burst = factor;
     }
 
     /** One job in fifty takes so many times the usual work from now on. */
-    void tail(double factor) {
+    void setTailFactor(double factor) {
         tail = factor;
     }
 
-    private void next() {
-        final long delayUs = (long) (gap.sample() * 1e6 / (ratePerS * burst));
+    private void scheduleNextArrival() {
+        final long delayUs = (long) (arrivalGap.sample() * 1e6 / (ratePerS * burst));
         loop.schedule(
                 () -> {
                     if (arriving) {
                         arrive();
-                        next();
+                        scheduleNextArrival();
                     }
                 },
                 delayUs,
@@ -174,21 +174,22 @@
     }
 
     private void arrive() {
-        final JobClass stated = draw();
-        final double heavy = chance.nextDouble() < TAIL_SHARE ? tail : 1;
-        final long workUs = Math.max(1, (long) (stated.meanWorkUs() * spread.sample() * heavy));
-        final double slots = chance.nextDouble() < WIDE_SHARE ? 2 : 1;
-        final String origin = "job-" + ++lastOrigin + "-" + Long.toHexString(chance.nextLong());
-        final String key = stated.effect() == Idempotency.KEYED ? "key-" + origin : null;
-        new Try(stated, origin, origin, key, workUs, slots, 1, null).send();
+        final JobClass jobClass = drawJobClass();
+        final double tailFactor = random.nextDouble() < TAIL_SHARE ? tail : 1;
+        final long workUs =
+                Math.max(1, (long) (jobClass.meanWorkUs() * workFactor.sample() * tailFactor));
+        final double slots = random.nextDouble() < TWO_SLOT_SHARE ? 2 : 1;
+        final String origin = "job-" + ++lastOrigin + "-" + Long.toHexString(random.nextLong());
+        final String key = jobClass.effect() == Idempotency.KEYED ? "key-" + origin : null;
+        new ClientAttempt(jobClass, origin, origin, key, workUs, slots, 1, null).send();
     }
 
-    private JobClass draw() {
-        double left = chance.nextDouble() * classes.stream().mapToDouble(JobClass::share).sum();
-        for (final JobClass stated : classes) {
-            left -= stated.share();
+    private JobClass drawJobClass() {
+        double left = random.nextDouble() * classes.stream().mapToDouble(JobClass::share).sum();
+        for (final JobClass jobClass : classes) {
+            left -= jobClass.share();
             if (left < 0) {
-                return stated;
+                return jobClass;
             }
         }
         return classes.get(classes.size() - 1);
@@ -202,8 +203,8 @@
     /** Ends all at once: what still waits is unfinished. On the loop. */
     public void abandon() {
         arriving = false;
-        for (final Try each : new ArrayList<>(open)) {
-            each.over();
+        for (final ClientAttempt each : new ArrayList<>(open)) {
+            each.close();
             recorder.add(new RequestUnfinished(recorder.nowUs(), each.id));
         }
         new ArrayList<>(connections).forEach(connection -> connection.channel.close());
@@ -212,8 +213,8 @@
     // ---- Tries ----
 
     /** One try of a job. */
-    private final class Try {
-        private final JobClass stated;
+    private final class ClientAttempt {
+        private final JobClass jobClass;
         private final String origin;
         private final String id;
         private final String key;
@@ -223,8 +224,8 @@
         private final String tenant;
         private Future<?> unanswered;
 
-        Try(
-                JobClass stated,
+        ClientAttempt(
+                JobClass jobClass,
                 String origin,
                 String id,
                 String key,
@@ -232,7 +233,7 @@
                 double slots,
                 int number,
                 String tenant) {
-            this.stated = stated;
+            this.jobClass = jobClass;
             this.origin = origin;
             this.id = id;
             this.key = key;
@@ -245,7 +246,7 @@
         void send() {
             open.add(this);
             final SocketAddress node =
-                    nodes.get(nodes.size() == 1 ? 0 : chance.nextInt(nodes.size()));
+                    nodes.get(nodes.size() == 1 ? 0 : random.nextInt(nodes.size()));
             final Connection kept =
                     idle.computeIfAbsent(node, unseen -> new ArrayDeque<>()).pollLast();
             if (kept != null) {
@@ -294,11 +295,11 @@
                             recorder.nowUs(),
                             id,
                             origin,
-                            stated.name(),
+                            jobClass.name(),
                             key,
                             workUs,
                             slots,
-                            stated.deadlineUs()));
+                            jobClass.deadlineUs()));
             unanswered =
                     loop.schedule(
                             () -> {
@@ -306,12 +307,12 @@
                                     recorder.add(new RequestUnanswered(recorder.nowUs(), id));
                                 }
                             },
-                            stated.deadlineUs() + LATE_BEYOND_US,
+                            jobClass.deadlineUs() + LATE_ANSWER_WAIT_US,
                             TimeUnit.MICROSECONDS);
         }
 
         /** Whether it was open until now. */
-        boolean over() {
+        boolean close() {
             if (unanswered != null) {
                 unanswered.cancel(false);
             }
@@ -319,7 +320,7 @@
         }
 
         void answered(FullHttpResponse response) {
-            if (!over()) {
+            if (!close()) {
                 recorder.add(new UnexpectedAnswer(recorder.nowUs(), id));
                 return;
             }
@@ -330,8 +331,8 @@
                             id,
                             status,
                             response.content().toString(StandardCharsets.UTF_8)));
-            final boolean refused = status == REFUSED || status == TOO_MANY;
-            if (refused || (status != OK && stated.effect() == Idempotency.SAFE)) {
+            final boolean refused = status == REFUSED || status == TOO_MANY_REQUESTS;
+            if (refused || (status != OK && jobClass.effect() == Idempotency.SAFE)) {
                 retry(retryAfterUs(response.headers().get(HttpHeaderNames.RETRY_AFTER, "0")));
             }
         }
@@ -345,12 +346,12 @@
         }
 
         private void retry(long adviceUs) {
-            if (number < MAX_TRIES && arriving) {
+            if (number < MAX_ATTEMPTS && arriving) {
                 final long delayUs =
-                        Math.max(adviceUs, (long) (200_000 * (0.5 + chance.nextDouble())));
-                final Try next =
-                        new Try(
-                                stated,
+                        Math.max(adviceUs, (long) (200_000 * (0.5 + random.nextDouble())));
+                final ClientAttempt next =
+                        new ClientAttempt(
+                                jobClass,
                                 origin,
                                 "again-" + number + "-" + origin,
                                 key,
@@ -377,12 +378,15 @@
                     new DefaultFullHttpRequest(
                             HttpVersion.HTTP_1_1,
                             HttpMethod.POST,
-                            "/" + stated.name() + "?obj=" + Integer.toHexString(origin.hashCode()),
+                            "/"
+                                    + jobClass.name()
+                                    + "?obj="
+                                    + Integer.toHexString(origin.hashCode()),
                             Unpooled.copiedBuffer(body.toString(), StandardCharsets.UTF_8));
             request.headers()
                     .set(HttpHeaderNames.HOST, "lab")
                     .set("X-Request-Id", id)
-                    .set("X-Deadline", stated.deadlineUs() / 1000 + "m")
+                    .set("X-Deadline", jobClass.deadlineUs() / 1000 + "m")
                     .set("X-Extras", "slots=" + slots);
             if (tenant != null) {
                 request.headers().set("X-Tenant", tenant);
@@ -403,7 +407,7 @@
 
         private final Channel channel;
         private final SocketAddress node;
-        private Try current;
+        private ClientAttempt current;
 
         Connection(Channel channel, SocketAddress node) {
             this.channel = channel;
@@ -411,7 +415,7 @@
             connections.add(this);
         }
 
-        void send(Try next) {
+        void send(ClientAttempt next) {
             current = next;
             channel.writeAndFlush(next.request())
                     .addListener(
@@ -424,7 +428,7 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
-            final Try answered = current;
+            final ClientAttempt answered = current;
             current = null;
             if (answered == null) {
                 recorder.add(new UnexpectedAnswer(recorder.nowUs(), "a connection without a req"));
@@ -443,9 +447,9 @@
         public void channelInactive(ChannelHandlerContext ctx) {
             connections.remove(this);
             idle.get(node).remove(this);
-            if (current != null && current.unanswered != null && current.over()) {
+            if (current != null && current.unanswered != null && current.close()) {
                 recorder.add(new RequestLost(recorder.nowUs(), current.id));
-            } else if (current != null && current.over()) {
+            } else if (current != null && current.close()) {
                 current.retry(0);
             }
             current = null;
--- a/src/main/java/cresschute/testbed/NodeProcess.java
+++ b/src/main/java/cresschute/testbed/NodeProcess.java
@@ -86,9 +86,10 @@
         reader.setDaemon(true);
         reader.start();
         try {
-            final VirtualMachine machine = VirtualMachine.attach(Long.toString(process.pid()));
-            final String at = machine.startLocalManagementAgent();
-            machine.detach();
+            final VirtualMachine virtualMachine =
+                    VirtualMachine.attach(Long.toString(process.pid()));
+            final String at = virtualMachine.startLocalManagementAgent();
+            virtualMachine.detach();
             connector = connect(at);
         } catch (AttachNotSupportedException e) {
             process.destroyForcibly();
--- a/src/main/java/cresschute/testbed/RequestOutcomes.java
+++ b/src/main/java/cresschute/testbed/RequestOutcomes.java
@@ -17,10 +17,10 @@
  */
 public final class RequestOutcomes {
 
-    private static final long LONGEST_US = 3_600_000_000L;
+    private static final long MAX_LATENCY_US = 3_600_000_000L;
     private static final int DIGITS = 3;
     private static final int REFUSED = 503;
-    private static final int TOO_MANY = 429;
+    private static final int TOO_MANY_REQUESTS = 429;
 
     /** How a job ended, as its last try did. */
     public enum End {
@@ -35,7 +35,7 @@
     public static final class OfClass {
 
         private final Map<End, Integer> ends = new HashMap<>();
-        private final Histogram servedUs = new Histogram(LONGEST_US, DIGITS);
+        private final Histogram servedUs = new Histogram(MAX_LATENCY_US, DIGITS);
         private int inTime;
         private int asked;
         private double priorityWeightAsked;
@@ -98,8 +98,8 @@
                 ends.putIfAbsent(lost.id(), lost);
             } else if (each instanceof RequestUnanswered none) {
                 ends.putIfAbsent(none.id(), none);
-            } else if (each instanceof RequestUnfinished cut) {
-                ends.putIfAbsent(cut.id(), cut);
+            } else if (each instanceof RequestUnfinished unfinished) {
+                ends.putIfAbsent(unfinished.id(), unfinished);
             }
         }
         final RequestOutcomes outcomes = new RequestOutcomes();
@@ -108,25 +108,26 @@
             jobClasses.stream()
                     .filter(each -> each.name().equals(job.first().className()))
                     .findFirst()
-                    .ifPresent(stated -> outcomes.count(job, stated, ends.get(job.last().id())));
+                    .ifPresent(
+                            jobClass -> outcomes.count(job, jobClass, ends.get(job.last().id())));
         }
         return outcomes;
     }
 
-    private void count(Job job, JobClass stated, Observation end) {
-        final OfClass ofClass = classes.get(stated.name());
+    private void count(Job job, JobClass jobClass, Observation end) {
+        final OfClass ofClass = classes.get(jobClass.name());
         final End how = end(end);
         ofClass.asked++;
         ofClass.ends.merge(how, 1, Integer::sum);
         if (how != End.UNFINISHED) {
-            ofClass.priorityWeightAsked += stated.priorityWeight();
+            ofClass.priorityWeightAsked += jobClass.priorityWeight();
         }
         if (how == End.SERVED) {
             final long tookUs = end.us() - job.first().us();
-            ofClass.servedUs.recordValue(Math.max(0, Math.min(LONGEST_US, tookUs)));
-            if (stated.isInTime(tookUs, job.first().workUs())) {
+            ofClass.servedUs.recordValue(Math.max(0, Math.min(MAX_LATENCY_US, tookUs)));
+            if (jobClass.isInTime(tookUs, job.first().workUs())) {
                 ofClass.inTime++;
-                ofClass.weightedServedFraction += stated.priorityWeight();
+                ofClass.weightedServedFraction += jobClass.priorityWeight();
             }
         }
     }
@@ -135,7 +136,7 @@
         if (end instanceof RequestAnswered answer) {
             return answer.status() == LoadClients.OK
                     ? End.SERVED
-                    : answer.status() == REFUSED || answer.status() == TOO_MANY
+                    : answer.status() == REFUSED || answer.status() == TOO_MANY_REQUESTS
                             ? End.REFUSED
                             : End.FAILED;
         }
--- a/src/main/java/cresschute/testbed/RuleChecker.java
+++ b/src/main/java/cresschute/testbed/RuleChecker.java
@@ -35,13 +35,13 @@
      * Nothing new goes to a worker later than this after the node was notified, us; plus what
      * sockets add.
      */
-    static final long DRAIN_WITHIN_US = 400_000 + 50_000;
+    static final long MAX_DRAIN_DELAY_US = 400_000 + 50_000;
 
     /**
      * What a cold worker may be sent beyond its budget, as a factor: chance makes short spans
      * uneven.
      */
-    static final double COLD_SLACK = 1.1;
+    static final double COLD_START_TOLERANCE = 1.1;
 
     /** A rule. */
     public enum Rule {
@@ -78,21 +78,21 @@
     public static List<Breach> check(
             List<Observation> seen, List<JobClass> classes, SlowStartSettings coldStart) {
         final RuleChecker checker = new RuleChecker(classes, coldStart);
-        checker.answers(seen);
-        checker.repeats(seen);
-        checker.effects(seen);
-        checker.drains(seen);
-        checker.coldStarts(seen);
+        checker.checkAnswers(seen);
+        checker.checkRepeats(seen);
+        checker.checkEffects(seen);
+        checker.checkDrains(seen);
+        checker.checkColdStarts(seen);
         return List.copyOf(checker.breaches);
     }
 
-    private void breach(Rule rule, long us, String what) {
+    private void report(Rule rule, long us, String what) {
         breaches.add(new Breach(rule, us, what));
     }
 
     // ---- One answer for each request ----
 
-    private void answers(List<Observation> seen) {
+    private void checkAnswers(List<Observation> seen) {
         final Set<String> sent = new HashSet<>();
         final Set<String> answered = new HashSet<>();
         final Map<String, Set<String>> results = new HashMap<>();
@@ -103,31 +103,31 @@
                 results.computeIfAbsent(done.id(), unseen -> new HashSet<>()).add(done.result());
             } else if (each instanceof RequestAnswered answer) {
                 if (!sent.contains(answer.id())) {
-                    breach(
+                    report(
                             Rule.ONE_ANSWER,
                             answer.us(),
                             "an answer to " + answer.id() + ", which nobody sent");
                 } else if (!answered.add(answer.id())) {
-                    breach(Rule.ONE_ANSWER, answer.us(), "a second answer to " + answer.id());
+                    report(Rule.ONE_ANSWER, answer.us(), "a second answer to " + answer.id());
                 } else if (answer.status() == LoadClients.OK
                         && !results.getOrDefault(answer.id(), Set.of()).contains(answer.body())) {
-                    breach(
+                    report(
                             Rule.ONE_ANSWER,
                             answer.us(),
                             answer.id() + " was served with what no worker made");
                 }
             } else if (each instanceof UnexpectedAnswer answer) {
-                breach(
+                report(
                         Rule.ONE_ANSWER,
                         answer.us(),
                         "an answer where none was owed: " + answer.what());
             } else if (each instanceof RequestLost lost) {
-                breach(
+                report(
                         Rule.ONE_ANSWER,
                         lost.us(),
                         "the connection of " + lost.id() + " ended without an answer");
             } else if (each instanceof RequestUnanswered none) {
-                breach(Rule.ONE_ANSWER, none.us(), "no answer to " + none.id());
+                report(Rule.ONE_ANSWER, none.us(), "no answer to " + none.id());
             }
         }
     }
@@ -138,7 +138,7 @@
      * How often, and where to, a request was sent: as its class permits, whether harm came of it or
      * not.
      */
-    private void repeats(List<Observation> seen) {
+    private void checkRepeats(List<Observation> seen) {
         final Map<String, JobClass> classOf = new HashMap<>();
         final Map<String, List<AttemptReceived>> sends = new LinkedHashMap<>();
         final Set<String> turnedAway = new HashSet<>();
@@ -153,24 +153,24 @@
         }
         sends.forEach(
                 (id, all) -> {
-                    final JobClass stated = classOf.get(id);
+                    final JobClass jobClass = classOf.get(id);
                     final AttemptReceived last = all.get(all.size() - 1);
-                    if (stated == null) {
-                        breach(
+                    if (jobClass == null) {
+                        report(
                                 Rule.NO_EFFECT_TWICE,
                                 last.us(),
                                 "workers were sent " + id + ", which no client sent");
                         return;
                     }
-                    if (all.size() > stated.maxAttempts()) {
-                        breach(
+                    if (all.size() > jobClass.maxAttempts()) {
+                        report(
                                 Rule.NO_EFFECT_TWICE,
                                 last.us(),
                                 id
                                         + " was sent "
                                         + all.size()
                                         + " times; "
-                                        + stated.maxAttempts()
+                                        + jobClass.maxAttempts()
                                         + " are allowed");
                     }
                     final List<AttemptReceived> mayRun =
@@ -180,22 +180,23 @@
                                                     !turnedAway.contains(
                                                             send.worker() + " " + send.id()))
                                     .toList();
-                    if (stated.effect() != Idempotency.SAFE && mayRun.size() > 1) {
-                        harmful(id, stated, mayRun);
+                    if (jobClass.effect() != Idempotency.SAFE && mayRun.size() > 1) {
+                        checkRepeatAllowed(id, jobClass, mayRun);
                     }
                 });
     }
 
-    private void harmful(String id, JobClass stated, List<AttemptReceived> mayRun) {
+    private void checkRepeatAllowed(String id, JobClass jobClass, List<AttemptReceived> mayRun) {
         final AttemptReceived first = mayRun.get(0);
         for (final AttemptReceived again : mayRun.subList(1, mayRun.size())) {
-            if (stated.effect() == Idempotency.UNSAFE) {
-                breach(
+            if (jobClass.effect() == Idempotency.UNSAFE) {
+                report(
                         Rule.NO_EFFECT_TWICE,
                         again.us(),
                         id + " is unsafe to repeat and was sent again");
-            } else if (stated.scope() == DeduplicationScope.CELL && again.cell() != first.cell()) {
-                breach(
+            } else if (jobClass.scope() == DeduplicationScope.CELL
+                    && again.cell() != first.cell()) {
+                report(
                         Rule.NO_EFFECT_TWICE,
                         again.us(),
                         id
@@ -203,20 +204,20 @@
                                 + first.cell()
                                 + " and again to cell "
                                 + again.cell());
-            } else if (again.us() > first.us() + stated.repeatWindowUs()) {
-                breach(Rule.NO_EFFECT_TWICE, again.us(), id + " was sent again after its window");
+            } else if (again.us() > first.us() + jobClass.repeatWindowUs()) {
+                report(Rule.NO_EFFECT_TWICE, again.us(), id + " was sent again after its window");
             }
         }
     }
 
     /** What came of it: one effect a key, whichever retry of a client's brought it. */
-    private void effects(List<Observation> seen) {
+    private void checkEffects(List<Observation> seen) {
         final Map<String, EffectApplied> first = new HashMap<>();
         for (final Observation each : seen) {
             if (each instanceof EffectApplied effect && effect.key() != null) {
                 final EffectApplied before = first.putIfAbsent(effect.key(), effect);
                 if (before != null) {
-                    breach(
+                    report(
                             Rule.NO_EFFECT_TWICE,
                             effect.us(),
                             "key "
@@ -233,7 +234,7 @@
     // ---- Drains ----
 
     /** A drain holds whoever asked for it: the list's and the operator's end each by themselves. */
-    private void drains(List<Observation> seen) {
+    private void checkDrains(List<Observation> seen) {
         final Map<String, Long> byList = new HashMap<>();
         final Map<String, Long> byOperator = new HashMap<>();
         // Sends are noted at their last byte, after what was notified since their first byte: so
@@ -241,7 +242,7 @@
         // all is
         // in order.
         final List<Observation> ordered = new ArrayList<>(seen);
-        ordered.sort((a, b) -> Long.compare(drainTime(a), drainTime(b)));
+        ordered.sort((a, b) -> Long.compare(orderTime(a), orderTime(b)));
         for (final Observation each : ordered) {
             if (each instanceof WorkerListed reported) {
                 if (reported.state().equals("SERVING")) {
@@ -256,15 +257,17 @@
                     byOperator.remove(drained.worker());
                 }
             } else if (each instanceof AttemptReceived send) {
-                kept(send, byList.get(send.worker()), "the list told that it leaves");
-                kept(send, byOperator.get(send.worker()), "an operator's drain was confirmed");
+                checkSentBeforeDrain(
+                        send, byList.get(send.worker()), "the list told that it leaves");
+                checkSentBeforeDrain(
+                        send, byOperator.get(send.worker()), "an operator's drain was confirmed");
             }
         }
     }
 
-    private void kept(AttemptReceived send, Long sinceUs, String what) {
-        if (sinceUs != null && send.firstByteUs() > sinceUs + DRAIN_WITHIN_US) {
-            breach(
+    private void checkSentBeforeDrain(AttemptReceived send, Long sinceUs, String what) {
+        if (sinceUs != null && send.firstByteUs() > sinceUs + MAX_DRAIN_DELAY_US) {
+            report(
                     Rule.DRAINS_KEPT,
                     send.us(),
                     send.worker()
@@ -277,13 +280,13 @@
         }
     }
 
-    private static long drainTime(Observation seen) {
+    private static long orderTime(Observation seen) {
         return seen instanceof AttemptReceived send ? send.firstByteUs() : seen.us();
     }
 
     // ---- Cold starts ----
 
-    private void coldStarts(List<Observation> seen) {
+    private void checkColdStarts(List<Observation> seen) {
         final Map<String, WorkerBooted> boots = new HashMap<>();
         final Map<String, List<AttemptReceived>> recent = new HashMap<>();
         final Set<String> reported = new HashSet<>();
@@ -295,16 +298,17 @@
             } else if (each instanceof WorkerListed notice && notice.startedMs() > 0) {
                 reported.add(notice.worker());
             } else if (each instanceof WorkerOverloaded fell) {
-                breach(Rule.COLD_STARTS_KEPT, fell.us(), fell.worker() + " fell over");
+                report(Rule.COLD_STARTS_KEPT, fell.us(), fell.worker() + " fell over");
             } else if (each instanceof AttemptReceived send
                     && boots.containsKey(send.worker())
                     && reported.contains(send.worker())) {
-                cold(send, boots.get(send.worker()), recent.get(send.worker()));
+                checkColdStart(send, boots.get(send.worker()), recent.get(send.worker()));
             }
         }
     }
 
-    private void cold(AttemptReceived send, WorkerBooted boot, List<AttemptReceived> recent) {
+    private void checkColdStart(
+            AttemptReceived send, WorkerBooted boot, List<AttemptReceived> recent) {
         final long age = send.us() - boot.us();
         if (age >= coldStart.warmUpDurationUs()) {
             return;
@@ -312,9 +316,9 @@
         recent.add(send);
         recent.removeIf(old -> old.us() <= send.us() - coldStart.overloadAfterUs());
         final double sent = recent.stream().mapToDouble(AttemptReceived::work).sum();
-        final double bound = coldBudget(coldStart, boot.capacity(), age);
-        if (sent > bound * COLD_SLACK) {
-            breach(
+        final double bound = coldStartBudget(coldStart, boot.capacity(), age);
+        if (sent > bound * COLD_START_TOLERANCE) {
+            report(
                     Rule.COLD_STARTS_KEPT,
                     send.us(),
                     send.worker()
@@ -333,15 +337,15 @@
      * Work that a worker may be sent within the time of tipping over, at an age: slots times
      * microseconds.
      */
-    static double coldBudget(SlowStartSettings coldStart, double capacity, long ageUs) {
+    static double coldStartBudget(SlowStartSettings coldStart, double capacity, long ageUs) {
         return coldStart.overloadFactor()
                 * capacity
-                * shareAt(coldStart, ageUs)
+                * capacityFractionAt(coldStart, ageUs)
                 * coldStart.overloadAfterUs();
     }
 
     /** The share of its capacity that a worker has at an age; it grows evenly until it is warm. */
-    static double shareAt(SlowStartSettings coldStart, long ageUs) {
+    static double capacityFractionAt(SlowStartSettings coldStart, long ageUs) {
         return ageUs >= coldStart.warmUpDurationUs()
                 ? 1
                 : coldStart.initialCapacityFraction()
--- a/src/main/java/cresschute/testbed/SmallRequests.java
+++ b/src/main/java/cresschute/testbed/SmallRequests.java
@@ -133,13 +133,14 @@
      * Sends requests for a while and returns, once the last is answered, the times of those served,
      * us.
      */
-    public Histogram run(int perS, long forMs) throws InterruptedException {
+    public Histogram run(int requestsPerS, long forMs) throws InterruptedException {
         final CompletableFuture<Void> done = new CompletableFuture<>();
         clients.execute(
                 () -> {
                     times.reset();
                     notServed = 0;
-                    step(clock.nowUs(), perS, 0, perS * forMs / 1_000, done);
+                    scheduleSends(
+                            clock.nowUs(), requestsPerS, 0, requestsPerS * forMs / 1_000, done);
                 });
         done.orTimeout(forMs + MAX_EXTRA_MS, TimeUnit.MILLISECONDS).join();
         return CompletableFuture.supplyAsync(times::copy, clients)
@@ -147,18 +148,19 @@
                 .join();
     }
 
-    private void step(long startUs, int perS, long begun, long all, CompletableFuture<Void> done) {
+    private void scheduleSends(
+            long startUs, int requestsPerS, long queued, long all, CompletableFuture<Void> done) {
         final long nowUs = clock.nowUs();
-        final long wanted = Math.min(all, (nowUs - startUs) * perS / 1_000_000);
-        for (long i = begun; i < wanted; i++) {
-            due.add(startUs + i * 1_000_000 / perS);
+        final long wanted = Math.min(all, (nowUs - startUs) * requestsPerS / 1_000_000);
+        for (long i = queued; i < wanted; i++) {
+            due.add(startUs + i * 1_000_000 / requestsPerS);
         }
         sendDue();
         if (times.getTotalCount() + notServed >= all) {
             done.complete(null);
         } else {
             clients.schedule(
-                    () -> step(startUs, perS, Math.max(begun, wanted), all, done),
+                    () -> scheduleSends(startUs, requestsPerS, Math.max(queued, wanted), all, done),
                     STEP_US,
                     TimeUnit.MICROSECONDS);
         }
--- a/src/main/java/cresschute/testbed/WorkerStandIn.java
+++ b/src/main/java/cresschute/testbed/WorkerStandIn.java
@@ -49,11 +49,11 @@
 
     private static final int MAX_BODY_BYTES = 128 * 1024;
     private static final long DEFAULT_WORK_US = 100_000;
-    private static final long PROGRESS_US = 1_000_000;
-    private static final long REPORT_US = 1_000_000;
+    private static final long PROGRESS_INTERVAL_US = 1_000_000;
+    private static final long REPORT_INTERVAL_US = 1_000_000;
     private static final long WARMING_STEP_US = 100_000;
     private static final long LISTEN_AGAIN_MS = 20;
-    private static final int MAX_WAITING_A_SLOT = 8;
+    private static final int MAX_WAITING_PER_SLOT = 8;
 
     /** What a worker is. */
     public record Spec(String id, int cell, String zone, String kind, int slots, double speed) {
@@ -65,7 +65,7 @@
 
     private final EventLoop loop;
     private final Recorder recorder;
-    private final UniformRandomProvider chance;
+    private final UniformRandomProvider random;
     private final Spec spec;
     private final CellKeys keys;
     private final SlowStartSettings coldStart;
@@ -75,29 +75,29 @@
     private final Deque<Report> reports = new ArrayDeque<>();
     private final LoopbackServer server;
     private InetSocketAddress address;
-    private double slowness = 1;
+    private double slowdown = 1;
     private boolean silent;
     private double resetShare;
     private double garbageShare;
-    private long reportsLateUs;
+    private long reportDelayUs;
     private long bootedUs = Long.MIN_VALUE / 2;
     private boolean dead;
 
     /** Told apart from what was planned before a crash. */
-    private int life;
+    private int processNumber;
 
     private record Report(long us, double freeSlots, int queue) {}
 
     WorkerStandIn(
             EventLoop loop,
             Recorder recorder,
-            UniformRandomProvider chance,
+            UniformRandomProvider random,
             Spec spec,
             CellKeys keys,
             SlowStartSettings coldStart) {
         this.loop = loop;
         this.recorder = recorder;
-        this.chance = chance;
+        this.random = random;
         this.spec = spec;
         this.keys = keys;
         this.coldStart = coldStart;
@@ -107,7 +107,7 @@
                         channel ->
                                 channel.pipeline()
                                         .addLast(
-                                                new FirstBytes(),
+                                                new FirstByteRecorder(),
                                                 new HttpServerCodec(),
                                                 new HttpObjectAggregator(MAX_BODY_BYTES),
                                                 new Handler()));
@@ -135,30 +135,30 @@
 
     // ---- Faults; all on the loop ----
 
-    void slow(double factor) {
-        replan(() -> slowness = factor);
+    void setSlowdown(double factor) {
+        changeSpeed(() -> slowdown = factor);
     }
 
-    void silent(boolean now) {
-        replan(() -> silent = now);
+    void setSilent(boolean now) {
+        changeSpeed(() -> silent = now);
     }
 
-    void resets(double share) {
+    void setResetShare(double share) {
         resetShare = share;
     }
 
-    void garbage(double share) {
+    void setGarbageShare(double share) {
         garbageShare = share;
     }
 
-    void lateReports(long lateUs) {
-        reportsLateUs = lateUs;
+    void setReportDelay(long delayUs) {
+        reportDelayUs = delayUs;
     }
 
     /** The process dies: its connections are reset, new ones refused, its jobs lost. */
     void crash() {
         dead = true;
-        life++;
+        processNumber++;
         server.stopListening();
         server.resetAll();
         final List<Job> lost = new ArrayList<>(running);
@@ -180,7 +180,7 @@
         reports.clear();
         recorder.add(new WorkerBooted(bootedUs, spec.id(), spec.capacity()));
         report();
-        warm();
+        scheduleWarmUpStep();
     }
 
     /**
@@ -188,12 +188,12 @@
      * again.
      */
     private void listenAgain() {
-        final int now = life;
+        final int now = processNumber;
         server.listenAgain(address)
                 .addListener(
                         (ChannelFutureListener)
                                 bound -> {
-                                    if (life != now) {
+                                    if (processNumber != now) {
                                         bound.channel().close();
                                     } else if (!bound.isSuccess()) {
                                         loop.schedule(
@@ -205,14 +205,14 @@
     }
 
     /** While it warms, what runs gets faster step by step. */
-    private void warm() {
-        final int now = life;
+    private void scheduleWarmUpStep() {
+        final int now = processNumber;
         if (recorder.nowUs() - bootedUs < coldStart.warmUpDurationUs()) {
             loop.schedule(
                     () -> {
-                        if (life == now) {
-                            replan(() -> {});
-                            warm();
+                        if (processNumber == now) {
+                            changeSpeed(() -> {});
+                            scheduleWarmUpStep();
                         }
                     },
                     WARMING_STEP_US,
@@ -222,7 +222,7 @@
 
     void close() {
         dead = true;
-        life++;
+        processNumber++;
         server.close();
     }
 
@@ -233,15 +233,15 @@
         return silent
                 ? 0
                 : spec.speed()
-                        / slowness
-                        * RuleChecker.shareAt(coldStart, recorder.nowUs() - bootedUs);
+                        / slowdown
+                        * RuleChecker.capacityFractionAt(coldStart, recorder.nowUs() - bootedUs);
     }
 
     /** Changes the speed of what runs: what is done so far was done at the old one. */
-    private void replan(Runnable change) {
-        running.forEach(Job::settle);
+    private void changeSpeed(Runnable change) {
+        running.forEach(Job::updateRemaining);
         change.run();
-        running.forEach(Job::plan);
+        running.forEach(Job::scheduleEnd);
         startWaiting();
     }
 
@@ -264,14 +264,14 @@
         while (reports.size() > 1 && nowUs - reports.peekFirst().us() > 60_000_000L) {
             reports.pollFirst();
         }
-        final int now = life;
+        final int now = processNumber;
         loop.schedule(
                 () -> {
-                    if (life == now && !dead) {
+                    if (processNumber == now && !dead) {
                         report();
                     }
                 },
-                (long) (REPORT_US * (1 + chance.nextDouble() / 2)),
+                (long) (REPORT_INTERVAL_US * (1 + random.nextDouble() / 2)),
                 TimeUnit.MICROSECONDS);
     }
 
@@ -279,7 +279,7 @@
     private Report reported() {
         Report reported = reports.peekFirst();
         for (final Report each : reports) {
-            reported = each.us() <= recorder.nowUs() - reportsLateUs ? each : reported;
+            reported = each.us() <= recorder.nowUs() - reportDelayUs ? each : reported;
         }
         return reported;
     }
@@ -301,7 +301,7 @@
         private final Channel channel;
         private final boolean garbled;
         private double leftUs;
-        private long settledUs;
+        private long updatedUs;
         private double rate;
         private Future<?> end;
         private Future<?> progress;
@@ -318,44 +318,44 @@
         }
 
         /** Says that it is taken; a silent worker does so once it speaks again. */
-        void head() {
+        void writeHead() {
             if (!silent && !headWritten) {
                 headWritten = true;
-                final DefaultHttpResponse head =
+                final DefaultHttpResponse writeHead =
                         new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-                HttpUtil.setTransferEncodingChunked(head, true);
-                channel.writeAndFlush(head);
+                HttpUtil.setTransferEncodingChunked(writeHead, true);
+                channel.writeAndFlush(writeHead);
             }
         }
 
         void start() {
             recorder.add(new RunStarted(recorder.nowUs(), spec.id(), id));
-            line("started", null, null);
-            settledUs = recorder.nowUs();
-            plan();
-            tick();
+            writeLine("started", null, null);
+            updatedUs = recorder.nowUs();
+            scheduleEnd();
+            scheduleProgress();
         }
 
         /** Progress is reported while it runs, and not while the worker is silent. */
-        private void tick() {
+        private void scheduleProgress() {
             progress =
                     loop.schedule(
                             () -> {
-                                settle();
-                                line("running", 1 - Math.max(0, leftUs) / workUs, null);
-                                tick();
+                                updateRemaining();
+                                writeLine("running", 1 - Math.max(0, leftUs) / workUs, null);
+                                scheduleProgress();
                             },
-                            PROGRESS_US,
+                            PROGRESS_INTERVAL_US,
                             TimeUnit.MICROSECONDS);
         }
 
-        void settle() {
+        void updateRemaining() {
             final long nowUs = recorder.nowUs();
-            leftUs -= (nowUs - settledUs) * rate;
-            settledUs = nowUs;
+            leftUs -= (nowUs - updatedUs) * rate;
+            updatedUs = nowUs;
         }
 
-        void plan() {
+        void scheduleEnd() {
             rate = speed();
             if (end != null) {
                 end.cancel(false);
@@ -364,12 +364,12 @@
                     rate <= 0
                             ? null
                             : loop.schedule(
-                                    this::done,
+                                    this::complete,
                                     (long) Math.max(0, leftUs / rate),
                                     TimeUnit.MICROSECONDS);
         }
 
-        private void done() {
+        private void complete() {
             running.remove(this);
             progress.cancel(false);
             final String result = spec.id() + " did " + id;
@@ -378,7 +378,7 @@
                 recorder.add(new EffectApplied(recorder.nowUs(), spec.id(), id, key));
                 keys.done(key, result);
             }
-            line("done", null, result);
+            writeLine("done", null, result);
             startWaiting();
         }
 
@@ -395,20 +395,20 @@
         }
 
         /** The result of another run under the same key. */
-        void repeat(String result) {
+        void completeAsDuplicate(String result) {
             if (result == null) {
-                line("lost", null, null);
+                writeLine("lost", null, null);
                 return;
             }
             recorder.add(new RunDone(recorder.nowUs(), spec.id(), id, result));
-            line("done", null, result);
+            writeLine("done", null, result);
         }
 
-        private void line(String state, Double share, String result) {
+        private void writeLine(String state, Double share, String result) {
             if (silent || !channel.isActive()) {
                 return;
             }
-            head();
+            writeHead();
             final JsonObject line = new JsonObject();
             line.addProperty("id", id);
             line.addProperty("from", spec.id());
@@ -433,7 +433,7 @@
     // ---- Requests ----
 
     /** Notes when the first byte of each request came. */
-    private static final class FirstBytes extends ChannelInboundHandlerAdapter {
+    private static final class FirstByteRecorder extends ChannelInboundHandlerAdapter {
         private long us;
 
         @Override
@@ -460,7 +460,7 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-            final long firstByteUs = ctx.pipeline().get(FirstBytes.class).take();
+            final long firstByteUs = ctx.pipeline().get(FirstByteRecorder.class).take();
             final String path = request.uri();
             if (path.equals("/stats") || path.equals("/health/live")) {
                 if (!silent) {
@@ -503,14 +503,14 @@
                             key,
                             workUs * slots);
             recorder.add(send);
-            if (falls(send)) {
+            if (overloads(send)) {
                 return;
             }
-            if (chance.nextDouble() < resetShare) {
+            if (random.nextDouble() < resetShare) {
                 LoopbackServer.reset(ctx.channel());
                 return;
             }
-            if (waiting.size() >= MAX_WAITING_A_SLOT * spec.slots()) {
+            if (waiting.size() >= MAX_WAITING_PER_SLOT * spec.slots()) {
                 recorder.add(new AttemptRejected(recorder.nowUs(), spec.id(), id));
                 final DefaultFullHttpResponse full =
                         LoopbackServer.answer(HttpResponseStatus.SERVICE_UNAVAILABLE, "");
@@ -528,16 +528,16 @@
                             workUs,
                             slots,
                             ctx.channel(),
-                            chance.nextDouble() < garbageShare);
-            job.head();
-            if (key == null || keys.begins(key, recorder.nowUs(), job::repeat)) {
+                            random.nextDouble() < garbageShare);
+            job.writeHead();
+            if (key == null || keys.begin(key, recorder.nowUs(), job::completeAsDuplicate)) {
                 waiting.add(job);
                 startWaiting();
             }
         }
 
         /** Whether it falls over by this: it was sent more than it can take while it is cold. */
-        private boolean falls(AttemptReceived send) {
+        private boolean overloads(AttemptReceived send) {
             final long age = send.us() - bootedUs;
             if (age >= coldStart.warmUpDurationUs()) {
                 return false;
@@ -548,8 +548,8 @@
             }
             final double sent = sentCold.stream().mapToDouble(AttemptReceived::work).sum();
             if (sent
-                    <= RuleChecker.coldBudget(coldStart, spec.capacity(), age)
-                            * RuleChecker.COLD_SLACK) {
+                    <= RuleChecker.coldStartBudget(coldStart, spec.capacity(), age)
+                            * RuleChecker.COLD_START_TOLERANCE) {
                 return false;
             }
             recorder.add(new WorkerOverloaded(recorder.nowUs(), spec.id()));
--- a/src/main/java/cresschute/testbed/bodies/BodiesSite.java
+++ b/src/main/java/cresschute/testbed/bodies/BodiesSite.java
@@ -23,11 +23,11 @@
 
     private final List<BodyWorker> workers = new ArrayList<>();
     private final Map<String, LongAdder> runs = new ConcurrentHashMap<>();
-    private final LongAdder wrong = new LongAdder();
+    private final LongAdder corruptedBodies = new LongAdder();
 
     BodiesSite(int count) throws IOException {
         for (int i = 0; i < count; i++) {
-            workers.add(new BodyWorker(runs, wrong));
+            workers.add(new BodyWorker(runs, corruptedBodies));
         }
     }
 
@@ -77,18 +77,18 @@
     /**
      * Jobs that ran more than once, and bodies that came to a worker with a byte that was another.
      */
-    List<String> broken() {
-        final List<String> broken = new ArrayList<>();
+    List<String> violations() {
+        final List<String> violations = new ArrayList<>();
         runs.forEach(
                 (id, count) -> {
                     if (count.sum() > 1) {
-                        broken.add(id + " ran " + count.sum() + " times");
+                        violations.add(id + " ran " + count.sum() + " times");
                     }
                 });
-        if (wrong.sum() > 0) {
-            broken.add(wrong.sum() + " bodies came changed");
+        if (corruptedBodies.sum() > 0) {
+            violations.add(corruptedBodies.sum() + " bodies came changed");
         }
-        return broken;
+        return violations;
     }
 
     /** Whether this job's body came whole to a worker. */
--- a/src/main/java/cresschute/testbed/bodies/BodiesTrial.java
+++ b/src/main/java/cresschute/testbed/bodies/BodiesTrial.java
@@ -28,8 +28,8 @@
     private static final int SMALL_WORKERS = 8;
     private static final int SMALL_CLIENTS = 50;
     private static final int SMALL_PER_S = 500;
-    private static final long MODEM = 7_000;
-    private static final int SETTLED_MS = 1_500;
+    private static final long MODEM_BYTES_PER_S = 7_000;
+    private static final int SETTLE_MS = 1_500;
 
     /** The longest that one transfer may take, s. */
     private static final long MAX_TRANSFER_S = 900;
@@ -53,7 +53,7 @@
     private final Size size;
     private final PrintWriter out;
     private final AtomicLong lastId = new AtomicLong();
-    private final List<String> wrong = new CopyOnWriteArrayList<>();
+    private final List<String> failures = new CopyOnWriteArrayList<>();
 
     /** Rows go to {@code out} as they are known. */
     public BodiesTrial(Size size, PrintWriter out) {
@@ -72,10 +72,10 @@
             try (NodeProcess node = new NodeProcess(script, NODE_OPTIONS);
                     MemorySampler memory = new MemorySampler(node);
                     PlainRelay plain = new PlainRelay(site.anyWorker())) {
-                speeds(node.address(), plain.address(), memory);
-                slowReaders(node.address(), memory);
-                besideSmallRequests(node, small, memory);
-                held(node);
+                measureThroughput(node.address(), plain.address(), memory);
+                measureSlowReader(node.address(), memory);
+                measureBesideSmallRequests(node, small, memory);
+                measureHeldMemory(node);
                 memory.draw(
                         chart,
                         "direct at the start + budget of "
@@ -83,9 +83,9 @@
                                 + " MB",
                         memory.directAtStart() + BodiesSite.BUDGET);
             }
-            wrong.addAll(site.broken());
+            failures.addAll(site.violations());
         }
-        return List.copyOf(wrong);
+        return List.copyOf(failures);
     }
 
     private void row(String form, Object... values) {
@@ -111,24 +111,25 @@
                 ownLines);
     }
 
-    private BodyClient.Result play(BodyClient.Plan plan) {
-        final BodyClient.Result came = BodyClient.run(plan);
-        if (plan.leaveAfter() < 0 && !(came.status() == 200 && came.whole())) {
-            wrong.add(
+    private BodyClient.Result runTransfer(BodyClient.Plan plan) {
+        final BodyClient.Result result = BodyClient.run(plan);
+        if (plan.leaveAfter() < 0 && !(result.status() == 200 && result.complete())) {
+            failures.add(
                     plan.target()
                             + ": status "
-                            + came.status()
+                            + result.status()
                             + " after "
-                            + came.bytes()
+                            + result.bytes()
                             + " bytes "
-                            + came.text());
+                            + result.text());
         }
-        return came;
+        return result;
     }
 
     // ---- Unlike speeds ----
 
-    private void speeds(InetSocketAddress node, InetSocketAddress plain, MemorySampler memory) {
+    private void measureThroughput(
+            InetSocketAddress node, InetSocketAddress plain, MemorySampler memory) {
         final long fast = 40_000_000;
         final List<Pair> pairs =
                 List.of(
@@ -144,17 +145,17 @@
                         + "| --- | --- | --- | --- | --- |",
                 Math.round(size.bytes() / MB));
         for (final Pair pair : pairs) {
-            play(plan(node, pair, size.bytes(), -1, false));
-            final double since = memory.now();
+            runTransfer(plan(node, pair, size.bytes(), -1, false));
+            final double since = memory.elapsedS();
             final List<Double> rates = new ArrayList<>();
             final List<Double> ratios = new ArrayList<>();
             for (int round = 0; round < size.rounds(); round++) {
-                final double through = rate(play(plan(node, pair, size.bytes(), -1, false)));
-                final double copied = rate(play(plan(plain, pair, size.bytes(), -1, true)));
+                final double through = rate(runTransfer(plan(node, pair, size.bytes(), -1, false)));
+                final double copied = rate(runTransfer(plan(plain, pair, size.bytes(), -1, true)));
                 rates.add(through);
                 ratios.add(through / copied);
             }
-            final NodeProcess.Memory most = memory.mostSince(since);
+            final NodeProcess.Memory most = memory.maxSince(since);
             row(
                     "| %s | %s | %s | %.1f | %.1f |",
                     pair.what(),
@@ -165,8 +166,8 @@
         }
     }
 
-    private static double rate(BodyClient.Result came) {
-        return came.bytes() / MB / (came.ns() / 1e9);
+    private static double rate(BodyClient.Result result) {
+        return result.bytes() / MB / (result.ns() / 1e9);
     }
 
     private static String spread(List<Double> values, String form) {
@@ -180,25 +181,26 @@
     }
 
     /** A client at modem speed while a worker would send all of it at once. */
-    private void slowReaders(InetSocketAddress node, MemorySampler memory) {
-        final double since = memory.now();
-        final BodyClient.Result came =
-                play(
+    private void measureSlowReader(InetSocketAddress node, MemorySampler memory) {
+        final double since = memory.elapsedS();
+        final BodyClient.Result result =
+                runTransfer(
                         plan(
                                 node,
-                                new Pair("", true, MODEM, 0),
+                                new Pair("", true, MODEM_BYTES_PER_S, 0),
                                 size.bytes(),
-                                MODEM * size.seconds(),
+                                MODEM_BYTES_PER_S * size.seconds(),
                                 false));
-        final NodeProcess.Memory most = memory.mostSince(since);
+        final NodeProcess.Memory most = memory.maxSince(since);
         row(
                 "| result, client at 7 kB/s, left after %d s | %.4f | | %.1f | %.1f |",
-                size.seconds(), rate(came), most.heap() / MB, most.direct() / MB);
+                size.seconds(), rate(result), most.heap() / MB, most.direct() / MB);
     }
 
     // ---- Beside small requests ----
 
-    private void besideSmallRequests(NodeProcess node, SmallRequests small, MemorySampler memory)
+    private void measureBesideSmallRequests(
+            NodeProcess node, SmallRequests small, MemorySampler memory)
             throws InterruptedException {
         row(
                 "\n"
@@ -208,10 +210,10 @@
                 SMALL_PER_S, size.seconds());
         // Not earlier: connections that bring nothing at first are closed.
         small.connect(node.address(), SMALL_CLIENTS);
-        small.run(SMALL_PER_S, SETTLED_MS);
+        small.run(SMALL_PER_S, SETTLE_MS);
         for (int round = 0; round < size.rounds(); round++) {
             smallRequests("alone", node, small, memory);
-            final Slow slow = new Slow(node.address(), size.slow());
+            final SlowTransfers slow = new SlowTransfers(node.address(), size.slow());
             smallRequests(
                     "beside " + slow.flowing() + " slow bodies and results", node, small, memory);
             slow.leave();
@@ -221,7 +223,7 @@
     private void smallRequests(
             String what, NodeProcess node, SmallRequests small, MemorySampler memory)
             throws InterruptedException {
-        final double since = memory.now();
+        final double since = memory.elapsedS();
         final long cpuNs = node.cpuNs();
         final long startNs = System.nanoTime();
         final Histogram us = small.run(SMALL_PER_S, size.seconds() * 1_000L);
@@ -235,16 +237,16 @@
                 us.getMaxValue() / 1e3,
                 small.notServed(),
                 cpu,
-                memory.mostSince(since).direct() / MB);
+                memory.maxSince(since).direct() / MB);
     }
 
     /** Bodies and results, half of each, that flow slowly until they are asked to leave. */
-    private final class Slow {
+    private final class SlowTransfers {
         private static final long RATE = 20_000;
         private final List<CompletableFuture<BodyClient.Result>> all = new ArrayList<>();
         private final int wanted;
 
-        Slow(InetSocketAddress node, int count) throws InterruptedException {
+        SlowTransfers(InetSocketAddress node, int count) throws InterruptedException {
             wanted = count;
             final long bytes = RATE * (size.seconds() + 4);
             for (int i = 0; i < count; i++) {
@@ -254,7 +256,7 @@
                                 () -> BodyClient.run(plan(node, pair, bytes, -1, false)),
                                 BodyWorker::daemon));
             }
-            Thread.sleep(SETTLED_MS);
+            Thread.sleep(SETTLE_MS);
         }
 
         /** Those that were not rejected. */
@@ -266,13 +268,13 @@
             int served = 0;
             int refused = 0;
             for (final CompletableFuture<BodyClient.Result> each : all) {
-                final BodyClient.Result came =
+                final BodyClient.Result result =
                         each.orTimeout(MAX_TRANSFER_S, TimeUnit.SECONDS).join();
-                served += came.status() == 200 && came.whole() ? 1 : 0;
-                refused += came.status() == 503 ? 1 : 0;
+                served += result.status() == 200 && result.complete() ? 1 : 0;
+                refused += result.status() == 503 ? 1 : 0;
             }
             if (served + refused < wanted) {
-                wrong.add(
+                failures.add(
                         "of "
                                 + wanted
                                 + " slow ones "
@@ -286,7 +288,7 @@
 
     // ---- What an open request holds ----
 
-    private void held(NodeProcess node) throws IOException, InterruptedException {
+    private void measureHeldMemory(NodeProcess node) throws IOException, InterruptedException {
         row(
                 "\n"
                         + "| open at a time | heap held, kB each | direct in use, kB each |\n"
@@ -296,15 +298,15 @@
         for (int i = 0; i < size.slow(); i++) {
             idle.add(new Socket(node.address().getAddress(), node.address().getPort()));
         }
-        each("connections that bring nothing", before, settled(node), size.slow());
+        perRequestRow("connections that bring nothing", before, settled(node), size.slow());
         for (final Socket socket : idle) {
             socket.close();
         }
-        flowing("bodies that flow at 20 kB/s", node, Slow.RATE, "");
-        flowing("bodies whose worker takes nothing", node, 0, "&stall=0");
+        measureFlowing("bodies that flow at 20 kB/s", node, SlowTransfers.RATE, "");
+        measureFlowing("bodies whose worker takes nothing", node, 0, "&stall=0");
     }
 
-    private void flowing(String what, NodeProcess node, long rate, String fault)
+    private void measureFlowing(String what, NodeProcess node, long rate, String fault)
             throws InterruptedException {
         final NodeProcess.Memory before = settled(node);
         final CountDownLatch ended = new CountDownLatch(size.slow());
@@ -329,11 +331,11 @@
                         ended.countDown();
                     });
         }
-        Thread.sleep(2 * SETTLED_MS);
+        Thread.sleep(2 * SETTLE_MS);
         final long open = ended.getCount();
-        each(open + " " + what, before, node.memoryHeld(), Math.max(1, open));
+        perRequestRow(open + " " + what, before, node.memoryHeld(), Math.max(1, open));
         if (!ended.await(MAX_TRANSFER_S, TimeUnit.SECONDS)) {
-            wrong.add(
+            failures.add(
                     ended.getCount()
                             + " "
                             + what
@@ -344,11 +346,11 @@
     }
 
     private static NodeProcess.Memory settled(NodeProcess node) throws InterruptedException {
-        Thread.sleep(SETTLED_MS);
+        Thread.sleep(SETTLE_MS);
         return node.memoryHeld();
     }
 
-    private void each(
+    private void perRequestRow(
             String what, NodeProcess.Memory before, NodeProcess.Memory after, long count) {
         row(
                 "| %s | %.1f | %.1f |",
--- a/src/main/java/cresschute/testbed/bodies/BodyClient.java
+++ b/src/main/java/cresschute/testbed/bodies/BodyClient.java
@@ -39,10 +39,10 @@
      * What came of it.
      *
      * @param status the answer's, or 0 where none came
-     * @param whole whether its body ended as it should, and each byte was the right one
+     * @param complete whether its body ended as it should, and each byte was the right one
      * @param bytes bytes of the body that went up, or of the result that came down
      */
-    record Result(int status, boolean whole, long bytes, long ns, String text) {}
+    record Result(int status, boolean complete, long bytes, long ns, String text) {}
 
     private BodyClient() {}
 
@@ -52,22 +52,22 @@
         long sent = 0;
         final SeededBytes expected = new SeededBytes(plan.id());
         final StringBuilder text = new StringBuilder();
-        boolean whole = false;
+        boolean complete = false;
         try (Socket socket = new Socket()) {
-            if (plan.down().bytesAS() > 0) {
+            if (plan.down().bytesPerS() > 0) {
                 // The kernel's room for what is not read yet counts as the line's, so it is kept
                 // small.
                 socket.setReceiveBufferSize(SMALL_WINDOW);
             }
             socket.connect(plan.to());
-            final PacedSocket line = new PacedSocket(socket);
-            line.speeds(plan.down(), plan.up());
-            sent = send(plan, line);
-            final String first = line.firstLine();
+            final PacedSocket connection = new PacedSocket(socket);
+            connection.speeds(plan.down(), plan.up());
+            sent = send(plan, connection);
+            final String first = connection.readFirstLine();
             if (first != null) {
                 status = Integer.parseInt(first.split(" ")[1]);
-                final HttpBody body = new HttpBody(line, line.headers());
-                whole = read(plan, body, status, expected, text);
+                final HttpBody body = new HttpBody(connection, connection.readHeaders());
+                complete = read(plan, body, status, expected, text);
             }
         } catch (IOException e) {
             // The returned count says how far it came.
@@ -75,14 +75,14 @@
         }
         return new Result(
                 status,
-                whole,
+                complete,
                 Math.max(sent, expected.count()),
                 System.nanoTime() - startNs,
                 text.toString());
     }
 
-    private static long send(Plan plan, PacedSocket line) throws IOException {
-        line.write(
+    private static long send(Plan plan, PacedSocket connection) throws IOException {
+        connection.write(
                 "POST "
                         + plan.target()
                         + " HTTP/1.1\r\nHost: node\r\nX-Request-Id: "
@@ -98,12 +98,12 @@
             for (long left = plan.upload(); left > 0; ) {
                 final int count = (int) Math.min(left, block.length);
                 made.fill(block, count);
-                line.write(plan.chunked() ? Integer.toHexString(count) + "\r\n" : "");
-                line.write(block, count);
-                line.write(plan.chunked() ? "\r\n" : "");
+                connection.write(plan.chunked() ? Integer.toHexString(count) + "\r\n" : "");
+                connection.write(block, count);
+                connection.write(plan.chunked() ? "\r\n" : "");
                 left -= count;
             }
-            line.write(plan.chunked() ? "0\r\n\r\n" : "");
+            connection.write(plan.chunked() ? "0\r\n\r\n" : "");
         } catch (IOException e) {
             // Closed by the node: its answer may still be there to be read.
             return made.count();
--- a/src/main/java/cresschute/testbed/bodies/BodyWorker.java
+++ b/src/main/java/cresschute/testbed/bodies/BodyWorker.java
@@ -22,22 +22,22 @@
 
     private static final int BACKLOG = 512;
     private static final int STALL_MS = 3_600_000;
-    private static final Pattern ASKED = Pattern.compile("([a-z]+)=([0-9]+)");
+    private static final Pattern PARAMETER = Pattern.compile("([a-z]+)=([0-9]+)");
 
     private final ServerSocket server;
     private final Set<PacedSocket> connections = ConcurrentHashMap.newKeySet();
     private final Map<String, LongAdder> runs;
-    private final LongAdder wrong;
+    private final LongAdder corruptedBodies;
 
     /**
      * Listens on a free port of the loopback address.
      *
      * @param runs counts here how often each job has run: its body came whole
-     * @param wrong counts here bodies of which a byte was another
+     * @param corruptedBodies counts here bodies of which a byte was another
      */
-    public BodyWorker(Map<String, LongAdder> runs, LongAdder wrong) throws IOException {
+    public BodyWorker(Map<String, LongAdder> runs, LongAdder corruptedBodies) throws IOException {
         this.runs = runs;
-        this.wrong = wrong;
+        this.corruptedBodies = corruptedBodies;
         server = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
         daemon(this::accept);
     }
@@ -66,11 +66,13 @@
     }
 
     private void serve(Socket socket) {
-        PacedSocket line = null;
+        PacedSocket connection = null;
         try (PacedSocket paced = new PacedSocket(socket)) {
-            line = paced;
+            connection = paced;
             connections.add(paced);
-            for (String first = paced.firstLine(); first != null; first = paced.firstLine()) {
+            for (String first = paced.readFirstLine();
+                    first != null;
+                    first = paced.readFirstLine()) {
                 serve(paced, first);
             }
         } catch (IOException e) {
@@ -79,25 +81,25 @@
             // one told.
             return;
         } finally {
-            if (line != null) {
-                connections.remove(line);
+            if (connection != null) {
+                connections.remove(connection);
             }
         }
     }
 
-    private void serve(PacedSocket line, String first) throws IOException {
-        final Map<String, String> headers = line.headers();
+    private void serve(PacedSocket connection, String first) throws IOException {
+        final Map<String, String> headers = connection.readHeaders();
         final String id = headers.get("x-request-id");
-        final long result = asked(first, "result", 0);
-        final TransferProfile in = TransferProfile.of(asked(first, "in", 0));
-        final TransferProfile out = TransferProfile.of(asked(first, "out", 0));
-        final long stall = asked(first, "stall", -1);
-        final long reset = asked(first, "reset", -1);
-        final boolean breaksIn = result == 0;
-        line.speeds(
-                breaksIn ? troubled(in, stall, reset) : in,
-                breaksIn ? out : troubled(out, stall, reset));
-        final HttpBody body = new HttpBody(line, headers);
+        final long result = parameter(first, "result", 0);
+        final TransferProfile in = TransferProfile.of(parameter(first, "in", 0));
+        final TransferProfile out = TransferProfile.of(parameter(first, "out", 0));
+        final long stall = parameter(first, "stall", -1);
+        final long reset = parameter(first, "reset", -1);
+        final boolean faultOnInput = result == 0;
+        connection.speeds(
+                faultOnInput ? withFaults(in, stall, reset) : in,
+                faultOnInput ? out : withFaults(out, stall, reset));
+        final HttpBody body = new HttpBody(connection, headers);
         final SeededBytes expected = new SeededBytes(id);
         final byte[] block = new byte[PacedSocket.BLOCK];
         boolean same = true;
@@ -105,14 +107,14 @@
             same &= body.isSmall() || expected.isNext(block, count);
         }
         if (!same) {
-            wrong.increment();
+            corruptedBodies.increment();
         }
         runs.computeIfAbsent(id, unseen -> new LongAdder()).increment();
-        line.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        chunk(line, "{\"id\":\"" + id + "\",\"state\":\"started\"}\n");
+        connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        chunk(connection, "{\"id\":\"" + id + "\",\"state\":\"started\"}\n");
         if (result == 0) {
             chunk(
-                    line,
+                    connection,
                     "{\"id\":\""
                             + id
                             + "\",\"state\":\"done\",\"result\":\""
@@ -120,11 +122,11 @@
                             + " "
                             + expected.sum()
                             + "\"}\n");
-            line.write("0\r\n\r\n");
+            connection.write("0\r\n\r\n");
             return;
         }
         chunk(
-                line,
+                connection,
                 "{\"id\":\""
                         + id
                         + "\",\"state\":\"result\",\"type\":\"application/octet-stream\"}\n");
@@ -132,31 +134,31 @@
         for (long left = result; left > 0; ) {
             final int count = (int) Math.min(left, block.length);
             made.fill(block, count);
-            line.write(Integer.toHexString(count) + "\r\n");
-            line.write(block, count);
-            line.write("\r\n");
+            connection.write(Integer.toHexString(count) + "\r\n");
+            connection.write(block, count);
+            connection.write("\r\n");
             left -= count;
         }
-        line.write("0\r\nX-Job-State: done\r\n\r\n");
+        connection.write("0\r\nX-Job-State: done\r\n\r\n");
     }
 
-    private static TransferProfile troubled(TransferProfile speed, long stall, long reset) {
+    private static TransferProfile withFaults(TransferProfile speed, long stall, long reset) {
         final TransferProfile stalling = stall < 0 ? speed : speed.stalling(stall, STALL_MS);
         return reset < 0 ? stalling : stalling.resetting(reset);
     }
 
-    private static void chunk(PacedSocket line, String text) throws IOException {
-        line.write(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
+    private static void chunk(PacedSocket connection, String text) throws IOException {
+        connection.write(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
     }
 
-    private static long asked(String first, String name, long otherwise) {
-        final Matcher matcher = ASKED.matcher(first);
+    private static long parameter(String first, String name, long defaultValue) {
+        final Matcher matcher = PARAMETER.matcher(first);
         while (matcher.find()) {
             if (matcher.group(1).equals(name)) {
                 return Long.parseLong(matcher.group(2));
             }
         }
-        return otherwise;
+        return defaultValue;
     }
 
     @Override
--- a/src/main/java/cresschute/testbed/bodies/HttpBody.java
+++ b/src/main/java/cresschute/testbed/bodies/HttpBody.java
@@ -8,7 +8,7 @@
 
     private static final int HEX = 16;
 
-    private final PacedSocket line;
+    private final PacedSocket connection;
     private final boolean chunked;
     private final boolean toTheEnd;
     private final long length;
@@ -16,8 +16,8 @@
     private boolean ended;
 
     /** The body of a message that may have one; without a length and chunks it goes to the end. */
-    HttpBody(PacedSocket line, Map<String, String> headers) {
-        this.line = line;
+    HttpBody(PacedSocket connection, Map<String, String> headers) {
+        this.connection = connection;
         chunked = "chunked".equalsIgnoreCase(headers.get("transfer-encoding"));
         length = Long.parseLong(headers.getOrDefault("content-length", "-1"));
         toTheEnd = !chunked && length < 0;
@@ -32,16 +32,16 @@
     /** The next bytes of it, or -1 after its last; one that ends early is an exception. */
     int read(byte[] into) throws IOException {
         if (chunked && left == 0 && !ended) {
-            left = Long.parseLong(line.line().split(";")[0].strip(), HEX);
+            left = Long.parseLong(connection.readLine().split(";")[0].strip(), HEX);
             if (left == 0) {
-                line.headers();
+                connection.readHeaders();
                 ended = true;
             }
         }
         if (ended || left == 0) {
             return -1;
         }
-        final int count = line.read(into, left);
+        final int count = connection.read(into, left);
         if (count < 0) {
             if (toTheEnd) {
                 ended = true;
@@ -51,7 +51,7 @@
         }
         left -= toTheEnd ? 0 : count;
         if (chunked && left == 0) {
-            line.line();
+            connection.readLine();
         }
         return count;
     }
--- a/src/main/java/cresschute/testbed/bodies/MemorySampler.java
+++ b/src/main/java/cresschute/testbed/bodies/MemorySampler.java
@@ -16,12 +16,12 @@
 /** A node's memory over time, sampled by a thread of its own, and the chart of it. */
 final class MemorySampler implements AutoCloseable {
 
-    private static final long EVERY_MS = 100;
-    private static final int DRAWN = 400;
+    private static final long SAMPLE_INTERVAL_MS = 100;
+    private static final int MAX_POINTS = 400;
     private static final int WIDTH = 900;
     private static final int HEIGHT = 420;
     private static final double MB = 1e6;
-    private static final double NS_A_S = 1e9;
+    private static final double NS_PER_S = 1e9;
 
     private record Sample(double s, NodeProcess.Memory memory) {}
 
@@ -42,9 +42,9 @@
             try {
                 final NodeProcess.Memory memory = node.memory();
                 synchronized (samples) {
-                    samples.add(new Sample((System.nanoTime() - startNs) / NS_A_S, memory));
+                    samples.add(new Sample((System.nanoTime() - startNs) / NS_PER_S, memory));
                 }
-                Thread.sleep(EVERY_MS);
+                Thread.sleep(SAMPLE_INTERVAL_MS);
             } catch (InterruptedException | RuntimeException e) {
                 // The node is being ended; there is nothing more to sample.
                 return;
@@ -59,12 +59,12 @@
     }
 
     /** Seconds since its start. */
-    double now() {
-        return (System.nanoTime() - startNs) / NS_A_S;
+    double elapsedS() {
+        return (System.nanoTime() - startNs) / NS_PER_S;
     }
 
     /** The most in use from then on. */
-    NodeProcess.Memory mostSince(double s) {
+    NodeProcess.Memory maxSince(double s) {
         final List<Sample> since = samples().stream().filter(each -> each.s() >= s).toList();
         return new NodeProcess.Memory(
                 since.stream().mapToLong(each -> each.memory().heap()).max().orElse(0),
@@ -77,7 +77,7 @@
 
     /** Draws all of it, with this bound beside it, as PNG. */
     void draw(Path to, String boundName, long bound) throws IOException {
-        final List<Sample> all = thinned(samples());
+        final List<Sample> all = downsample(samples());
         final XYChart chart =
                 new XYChartBuilder()
                         .width(WIDTH)
@@ -106,9 +106,9 @@
     /**
      * The most of each of some hundred spans: a peak is never left out, and the chart stays small.
      */
-    private static List<Sample> thinned(List<Sample> all) {
+    private static List<Sample> downsample(List<Sample> all) {
         final List<Sample> kept = new ArrayList<>();
-        final int each = Math.max(1, all.size() / DRAWN);
+        final int each = Math.max(1, all.size() / MAX_POINTS);
         for (int i = 0; i < all.size(); i += each) {
             final List<Sample> span = all.subList(i, Math.min(all.size(), i + each));
             kept.add(
--- a/src/main/java/cresschute/testbed/bodies/PacedSocket.java
+++ b/src/main/java/cresschute/testbed/bodies/PacedSocket.java
@@ -20,14 +20,14 @@
 final class PacedSocket implements Closeable {
 
     static final int BLOCK = 16 * 1024;
-    private static final int MOST_HEAD = 16 * 1024;
+    private static final int MAX_LINE_BYTES = 16 * 1024;
     private static final long MS = 1_000_000;
 
     private final Socket socket;
     private final InputStream in;
     private final OutputStream out;
-    private Line reading = new Line(TransferProfile.FULL);
-    private Line writing = new Line(TransferProfile.FULL);
+    private Direction reading = new Direction(TransferProfile.FULL);
+    private Direction writing = new Direction(TransferProfile.FULL);
 
     PacedSocket(Socket socket) throws IOException {
         this.socket = socket;
@@ -37,8 +37,8 @@
     }
 
     void speeds(TransferProfile read, TransferProfile write) {
-        reading = new Line(read);
-        writing = new Line(write);
+        reading = new Direction(read);
+        writing = new Direction(write);
     }
 
     // ---- Heads ----
@@ -48,15 +48,15 @@
     }
 
     /** The first line of a head, or null where the connection ended before it. */
-    String firstLine() throws IOException {
+    String readFirstLine() throws IOException {
         final int first = in.read();
-        return first < 0 ? null : (char) first + line();
+        return first < 0 ? null : (char) first + readLine();
     }
 
     /** The rest of a head, names in lower case. */
-    Map<String, String> headers() throws IOException {
+    Map<String, String> readHeaders() throws IOException {
         final Map<String, String> headers = new TreeMap<>();
-        for (String line = line(); !line.isEmpty(); line = line()) {
+        for (String line = readLine(); !line.isEmpty(); line = readLine()) {
             final int colon = line.indexOf(':');
             headers.put(
                     line.substring(0, colon).toLowerCase(Locale.ROOT),
@@ -65,10 +65,10 @@
         return headers;
     }
 
-    String line() throws IOException {
+    String readLine() throws IOException {
         final StringBuilder line = new StringBuilder();
         for (int next = in.read(); next != '\n'; next = in.read()) {
-            if (next < 0 || line.length() > MOST_HEAD) {
+            if (next < 0 || line.length() > MAX_LINE_BYTES) {
                 throw new IOException("ended within a line");
             }
             line.append((char) next);
@@ -79,8 +79,8 @@
     // ---- Bodies ----
 
     /** Some bytes of a body, at this side's speed; -1 at the connection's end. */
-    int read(byte[] into, long most) throws IOException {
-        final int wanted = reading.next((int) Math.min(into.length, most));
+    int read(byte[] into, long maxBytes) throws IOException {
+        final int wanted = reading.next((int) Math.min(into.length, maxBytes));
         return in.read(into, 0, wanted);
     }
 
@@ -105,18 +105,18 @@
     }
 
     /** One direction's progress. */
-    private final class Line {
+    private final class Direction {
         private final TransferProfile speed;
         private final TokenBucket bucket;
         private long at;
         private boolean stalled;
 
-        Line(TransferProfile speed) {
+        Direction(TransferProfile speed) {
             this.speed = speed;
             this.bucket =
                     new TokenBucket(
-                            speed.bytesAS(),
-                            Math.max(1, Math.min(BLOCK, speed.bytesAS() / 10)),
+                            speed.bytesPerS(),
+                            Math.max(1, Math.min(BLOCK, speed.bytesPerS() / 10)),
                             System.nanoTime());
         }
 
@@ -130,14 +130,14 @@
                 stalled = true;
                 sleepNs(speed.stallMs() * MS);
             }
-            final long mark =
+            final long nextFaultAt =
                     !stalled && speed.stallAt() > at
                             ? speed.stallAt()
                             : speed.resetAt() > at ? speed.resetAt() : Long.MAX_VALUE;
-            final long bounded = Math.min(wanted, mark - at);
+            final long bounded = Math.min(wanted, nextFaultAt - at);
             long free = bucket.take(bounded, System.nanoTime());
             while (free == 0) {
-                sleepNs(bucket.untilFreeNs(bounded));
+                sleepNs(bucket.nsUntilAvailable(bounded));
                 free = bucket.take(bounded, System.nanoTime());
             }
             at += free;
--- a/src/main/java/cresschute/testbed/bodies/SeededBytes.java
+++ b/src/main/java/cresschute/testbed/bodies/SeededBytes.java
@@ -14,7 +14,7 @@
 
     private static final int BLOCK = 8 * 1024;
 
-    private final UniformRandomProvider chance;
+    private final UniformRandomProvider random;
     private final CRC32C sum = new CRC32C();
     private final byte[] made = new byte[BLOCK];
     private final ByteBuffer words = ByteBuffer.wrap(made);
@@ -24,7 +24,7 @@
     SeededBytes(String name) {
         final CRC32C seed = new CRC32C();
         seed.update(name.getBytes(StandardCharsets.UTF_8));
-        chance = RandomSource.SPLIT_MIX_64.create(seed.getValue());
+        random = RandomSource.SPLIT_MIX_64.create(seed.getValue());
     }
 
     /** The next bytes of it. */
@@ -56,7 +56,7 @@
         if (at == BLOCK) {
             words.clear();
             while (words.hasRemaining()) {
-                words.putLong(chance.nextLong());
+                words.putLong(random.nextLong());
             }
             at = 0;
         }
--- a/src/main/java/cresschute/testbed/bodies/TokenBucket.java
+++ b/src/main/java/cresschute/testbed/bodies/TokenBucket.java
@@ -6,37 +6,37 @@
  */
 final class TokenBucket {
 
-    private static final double NS_A_S = 1e9;
+    private static final double NS_PER_S = 1e9;
 
-    private final double bytesAns;
+    private final double bytesPerNs;
     private final double burst;
-    private double free;
+    private double available;
     private long atNs;
 
     /** A full bucket; a rate of 0 is no bound. */
-    TokenBucket(long bytesAS, long burst, long nowNs) {
-        this.bytesAns = bytesAS / NS_A_S;
+    TokenBucket(long bytesPerS, long burst, long nowNs) {
+        this.bytesPerNs = bytesPerS / NS_PER_S;
         this.burst = burst;
-        this.free = burst;
+        this.available = burst;
         this.atNs = nowNs;
     }
 
     /** Takes as many of these bytes as are free, at the least none. */
     long take(long wanted, long nowNs) {
-        if (bytesAns == 0) {
+        if (bytesPerNs == 0) {
             return wanted;
         }
-        free = Math.min(burst, free + (nowNs - atNs) * bytesAns);
+        available = Math.min(burst, available + (nowNs - atNs) * bytesPerNs);
         atNs = nowNs;
-        final long taken = Math.min(wanted, (long) free);
-        free -= taken;
+        final long taken = Math.min(wanted, (long) available);
+        available -= taken;
         return taken;
     }
 
     /** How long after the last taking there are so many free, or a whole burst if that is less. */
-    long untilFreeNs(long wanted) {
-        return bytesAns == 0
+    long nsUntilAvailable(long wanted) {
+        return bytesPerNs == 0
                 ? 0
-                : (long) Math.ceil(Math.max(0, Math.min(wanted, burst) - free) / bytesAns);
+                : (long) Math.ceil(Math.max(0, Math.min(wanted, burst) - available) / bytesPerNs);
     }
 }
--- a/src/main/java/cresschute/testbed/capacity/HollowDiscovery.java
+++ b/src/main/java/cresschute/testbed/capacity/HollowDiscovery.java
@@ -100,7 +100,7 @@
     }
 
     private void report(int number, String state) {
-        standIn.set(specs.get(number), addresses.get(number), state, startedMs[number]);
+        standIn.setState(specs.get(number), addresses.get(number), state, startedMs[number]);
     }
 
     /** What was counted so far. On the loop. */
--- a/src/main/java/cresschute/testbed/capacity/HollowWorkers.java
+++ b/src/main/java/cresschute/testbed/capacity/HollowWorkers.java
@@ -326,7 +326,7 @@
             write(channel, HEAD);
             traffic.more(TrafficKind.REQUEST, HEAD.length());
             final Job job = new Job(worker, id, key, workUs, channel);
-            if (key == null || keysOf(worker).begins(key, recorder.nowUs(), job::repeat)) {
+            if (key == null || keysOf(worker).begin(key, recorder.nowUs(), job::repeat)) {
                 worker.waiting.add(job);
                 startWaiting(worker);
             }
--- a/src/test/java/cresschute/testbed/ControlledFleetTest.java
+++ b/src/test/java/cresschute/testbed/ControlledFleetTest.java
@@ -73,7 +73,7 @@
         boolean holds() throws Exception;
     }
 
-    private static boolean goesTo(Observation seen, String worker) {
+    private static boolean isAttemptAt(Observation seen, String worker) {
         return seen instanceof AttemptReceived send && send.worker().equals(worker);
     }
 
@@ -87,7 +87,7 @@
     }
 
     /** Lets so many more requests come. */
-    private void more(int requests) {
+    private void awaitRequests(int requests) {
         final long before = asked();
         await(() -> asked() >= before + requests);
     }
@@ -110,35 +110,36 @@
     }
 
     @Test
-    void drainedWorkerGetsNothingNewAndOthersGoOn() throws IOException {
-        more(30);
+    void sendsNothingNewToDrainedWorkerAndServesWithOthers() throws IOException {
+        awaitRequests(30);
         try (ControlPeer peer = peer()) {
             drain(peer, "o1", "w1");
-            more(60);
+            awaitRequests(60);
             final int before = fleet.seen().size();
-            more(40);
+            awaitRequests(40);
             final List<Observation> seen = fleet.seen();
-            assertThat(seen.subList(before, seen.size())).noneMatch(each -> goesTo(each, "w1"));
+            assertThat(seen.subList(before, seen.size()))
+                    .noneMatch(each -> isAttemptAt(each, "w1"));
             // How soon each of the others gets its next one is chance; that it does is not.
             for (final String other : List.of("w2", "w3", "w4", "w5", "w6")) {
                 await(
                         () ->
                                 fleet.seen().stream()
                                         .skip(before)
-                                        .anyMatch(each -> goesTo(each, other)));
+                                        .anyMatch(each -> isAttemptAt(each, other)));
             }
             await(() -> peer.worker("w1").get("in_flight").getAsInt() == 0);
             assertThat(peer.worker("w1").get("why").getAsString())
                     .isEqualTo("by an operator; nothing is out there");
             undrain(peer, "o2", "w1");
             final int after = fleet.seen().size();
-            await(() -> since(after).stream().anyMatch(each -> goesTo(each, "w1")));
+            await(() -> since(after).stream().anyMatch(each -> isAttemptAt(each, "w1")));
         }
     }
 
     /** Half a request is none, however often it is tried. */
     @Test
-    void sessionCutBeforeTheRequestIsWholeChangesNothing() throws IOException {
+    void ignoresRequestCutBeforeItsEnd() throws IOException {
         final String request =
                 "{\"v\":1,\"id\":\"1\"," + ControlPeer.operation("drain", "o", "w1") + "}\n";
         for (int cut = 0; cut < request.length(); cut += 7) {
@@ -155,7 +156,7 @@
 
     /** Cut at any point after that: the drain holds, once, and sending it again tells the same. */
     @Test
-    void sessionCutAfterTheRequestLeavesADrainThatCanBeAskedForAgain() throws IOException {
+    void drainSurvivesSessionCutAndIsIdempotent() throws IOException {
         for (int round = 0; round < 10; round++) {
             final String op = "round-" + round;
             try (ControlPeer peer = peer()) {
@@ -188,7 +189,7 @@
     }
 
     @Test
-    void twoConsolesDrainTheSameWorker() throws IOException {
+    void onlyOneOfTwoConsolesDrainsWorker() throws IOException {
         try (ControlPeer one = peer();
                 ControlPeer other = peer()) {
             one.write("{\"v\":1,\"id\":\"a\"," + ControlPeer.operation("drain", "a", "w3") + "}\n");
@@ -209,8 +210,8 @@
      * Drained while its process is away: it comes back drained, and takes work once that is undone.
      */
     @Test
-    void drainHoldsOverTheWorkersRestart() throws IOException {
-        more(10);
+    void drainOutlivesWorkerRestart() throws IOException {
+        awaitRequests(10);
         fleet.begin(InjectedFault.Kind.CRASH, "w4");
         try (ControlPeer peer = peer()) {
             await(() -> peer.worker("w4").get("state").getAsString().equals("gone"));
@@ -218,19 +219,19 @@
             fleet.end(InjectedFault.Kind.CRASH, "w4");
             await(() -> peer.worker("w4").get("state").getAsString().equals("draining"));
             final int before = fleet.seen().size();
-            more(60);
-            assertThat(since(before)).noneMatch(each -> goesTo(each, "w4"));
+            awaitRequests(60);
+            assertThat(since(before)).noneMatch(each -> isAttemptAt(each, "w4"));
             undrain(peer, "o2", "w4");
-            await(() -> since(before).stream().anyMatch(each -> goesTo(each, "w4")));
+            await(() -> since(before).stream().anyMatch(each -> isAttemptAt(each, "w4")));
         }
     }
 
     @Test
-    void drainHoldsOverAWholeNewListAndADrainOfTheLists() throws IOException {
+    void operatorDrainIsIndependentOfEndpointList() throws IOException {
         try (ControlPeer peer = peer()) {
             drain(peer, "o1", "w5");
             fleet.reportFullList();
-            more(20);
+            awaitRequests(20);
             assertThat(peer.worker("w5").get("state").getAsString()).isEqualTo("draining");
             fleet.begin(InjectedFault.Kind.DRAIN, "w5");
             await(() -> peer.worker("w5").get("listed").getAsString().equals("draining"));
@@ -238,15 +239,15 @@
             // The operator's word is undone, the list's is not.
             assertThat(peer.worker("w5").get("why").getAsString()).startsWith("by the list");
             final int before = fleet.seen().size();
-            more(40);
-            assertThat(since(before)).noneMatch(each -> goesTo(each, "w5"));
+            awaitRequests(40);
+            assertThat(since(before)).noneMatch(each -> isAttemptAt(each, "w5"));
             fleet.end(InjectedFault.Kind.DRAIN, "w5");
-            await(() -> since(before).stream().anyMatch(each -> goesTo(each, "w5")));
+            await(() -> since(before).stream().anyMatch(each -> isAttemptAt(each, "w5")));
         }
     }
 
     @Test
-    void lastWorkerIsDrainedOnlyByForce() throws IOException {
+    void drainsLastWorkerOnlyWithForce() throws IOException {
         try (ControlPeer peer = peer()) {
             for (int i = 1; i <= 5; i++) {
                 assertThat(
@@ -281,7 +282,7 @@
     }
 
     @Test
-    void drainEndsByItself() throws IOException {
+    void drainExpires() throws IOException {
         try (ControlPeer peer = peer()) {
             assertThat(
                             peer.ask(ControlPeer.operation("drain", "o", "w1") + ",\"for_ms\":3000")
@@ -299,7 +300,7 @@
      * It follows with the number it had; what it missed is told, and of another run it starts anew.
      */
     @Test
-    void consoleResumesFromANumber() throws IOException {
+    void consoleResumesFromNumber() throws IOException {
         final String boot;
         final long number;
         try (ControlPeer peer = peer()) {
@@ -340,16 +341,16 @@
      * It asks and follows and reads nothing: others are served, and it is told no more than fits.
      */
     @Test
-    void consoleThatStopsReadingHoldsNobodyUp() throws IOException {
-        try (ControlPeer deaf = peer();
+    void consoleThatStopsReadingDoesNotBlockOthers() throws IOException {
+        try (ControlPeer stalled = peer();
                 ControlPeer peer = peer()) {
-            deaf.write("{\"v\":1,\"id\":\"1\",\"do\":\"subscribe\"}\n");
+            stalled.write("{\"v\":1,\"id\":\"1\",\"do\":\"subscribe\"}\n");
             final Thread flood =
                     new Thread(
                             () -> {
                                 try {
                                     for (int i = 0; i < 20_000; i++) {
-                                        deaf.write(
+                                        stalled.write(
                                                 "{\"v\":1,\"id\":\""
                                                         + i
                                                         + "\",\"do\":\"workers\"}\n");
@@ -363,24 +364,24 @@
             // taken.
             await(() -> flood.getState() == Thread.State.RUNNABLE || !flood.isAlive());
             drain(peer, "o1", "w2");
-            more(40);
+            awaitRequests(40);
             undrain(peer, "o2", "w2");
             assertThat(flood.isAlive()).isTrue();
         }
     }
 
     @Test
-    void sessionsAndLinesAreBounded() throws IOException {
+    void limitsSessionsAndLineLength() throws IOException {
         final List<ControlPeer> peers = new ArrayList<>();
         try {
             for (int i = 0; i < ControlServer.MAX_SESSIONS; i++) {
                 peers.add(peer());
                 peers.get(i).ask("\"do\":\"events\"");
             }
-            try (ControlPeer more = peer()) {
-                assertThat(more.read().get("error").getAsString())
+            try (ControlPeer awaitRequests = peer()) {
+                assertThat(awaitRequests.read().get("error").getAsString())
                         .isEqualTo("there are 16 consoles already; close one first");
-                assertThat(more.read()).isNull();
+                assertThat(awaitRequests.read()).isNull();
             }
             peers.get(0).write("x".repeat(17_000) + "\n");
             assertThat(peers.get(0).read().get("error").getAsString())
@@ -406,7 +407,7 @@
     }
 
     @Test
-    void socketIsTheOwnersAlone() throws IOException {
+    void controlSocketIsAccessibleToOwnerOnly() throws IOException {
         assertThat(PosixFilePermissions.toString(Files.getPosixFilePermissions(socket)))
                 .isEqualTo("rw-------");
         assertThatThrownBy(
--- a/src/test/java/cresschute/testbed/FleetTest.java
+++ b/src/test/java/cresschute/testbed/FleetTest.java
@@ -47,7 +47,7 @@
     }
 
     /** Lets the run end: what was asked for is answered. */
-    private static FleetReport end(Fleet fleet) {
+    private static FleetReport finish(Fleet fleet) {
         fleet.stopArriving();
         Awaitility.await().atMost(Duration.ofSeconds(30)).until(() -> fleet.waiting() == 0);
         fleet.stop();
@@ -55,12 +55,12 @@
     }
 
     /** Cuts the run off: what waits is unfinished, and that is nobody's fault. */
-    private static FleetReport cut(Fleet fleet) {
+    private static FleetReport stopImmediately(Fleet fleet) {
         fleet.stop();
         return fleet.report();
     }
 
-    private static void sound(FleetReport report) {
+    private static void assertSound(FleetReport report) {
         assertThat(report.breaches()).isEmpty();
         assertThat(report.invariantBreaches()).isZero();
         assertThat(report.outcomes().ended(End.UNANSWERED)).isZero();
@@ -75,13 +75,13 @@
     }
 
     @Test
-    void calmSiteServesAll() {
+    void servesEveryRequestWithoutFaults() {
         // Well within what eight workers can do, so that nothing has to be refused.
         try (Fleet fleet = new Fleet(new Fleet.Plan(8, 12, SEED, List.of()))) {
             fleet.start();
             Awaitility.await().until(() -> count(fleet, RequestSent.class) >= 25);
-            final FleetReport report = end(fleet);
-            sound(report);
+            final FleetReport report = finish(fleet);
+            assertSound(report);
             assertThat(report.outcomes().ended(End.SERVED)).isEqualTo(report.outcomes().asked());
             assertThat(report.json().keySet())
                     .contains(
@@ -100,7 +100,7 @@
     /** Whatever goes wrong, every request has its one answer and nothing takes effect twice. */
     @ParameterizedTest
     @ValueSource(strings = {"reset:w1x1@0s", "garbage:w1x1@0s"})
-    void failedAttemptsAreMadeGoodElsewhere(String fault) {
+    void retriesFailedAttemptsOnOtherWorkers(String fault) {
         try (Fleet fleet = fleet(fault)) {
             final Set<String> troubled = new HashSet<>();
             await(
@@ -114,7 +114,7 @@
                                 && troubled.contains(answer.id())
                                 && !answer.body().startsWith("w1 ");
                     });
-            sound(cut(fleet));
+            assertSound(stopImmediately(fleet));
             assertThat(fleet.seen())
                     .noneMatch(
                             seen ->
@@ -152,12 +152,12 @@
                                     seen instanceof RunDone done
                                             && done.worker().equals("w1")
                                             && done.id().equals(run.id()));
-            sound(cut(fleet));
+            assertSound(stopImmediately(fleet));
         }
     }
 
     @Test
-    void silentWorkerRunsNothingUntilItSpeaksAgain() {
+    void silentWorkerRunsNothingUntilFaultEnds() {
         try (Fleet fleet = fleet("silent:w1@0s+4s")) {
             await(
                     fleet,
@@ -166,13 +166,13 @@
             assertThat(fleet.seen())
                     .noneMatch(seen -> seen instanceof RunDone done && done.worker().equals("w1"));
             await(fleet, seen -> seen instanceof RunDone done && done.worker().equals("w1"));
-            sound(cut(fleet));
+            assertSound(stopImmediately(fleet));
         }
     }
 
     /** It is back cold and told as such; the node spares it. */
     @Test
-    void crashedWorkerComesBackCold() {
+    void crashedWorkerRestartsCold() {
         try (Fleet fleet = fleet("crash:w1@1s+1s")) {
             await(
                     fleet,
@@ -199,12 +199,12 @@
                                                         each instanceof AttemptReceived send
                                                                 && send.worker().equals("w1"));
                             });
-            sound(cut(fleet));
+            assertSound(stopImmediately(fleet));
         }
     }
 
     @Test
-    void drainedWorkerGetsNothingNew() {
+    void sendsNothingNewToDrainingWorker() {
         try (Fleet fleet = fleet("drain:w1@500ms+30s")) {
             await(
                     fleet,
@@ -222,30 +222,30 @@
                             .findFirst()
                             .orElseThrow()
                             .us();
-            sound(cut(fleet));
+            assertSound(stopImmediately(fleet));
             assertThat(fleet.seen().subList(before, fleet.seen().size()))
                     .noneMatch(
                             seen ->
                                     seen instanceof AttemptReceived send
                                             && send.worker().equals("w1")
                                             && send.firstByteUs()
-                                                    > reportedUs + RuleChecker.DRAIN_WITHIN_US);
+                                                    > reportedUs + RuleChecker.MAX_DRAIN_DELAY_US);
         }
     }
 
     /** The list that the settings name is enough to serve by until discovery answers. */
     @Test
-    void servesByTheKnownListWhileTheDiscoveryIsDown() {
+    void servesWithConfiguredWorkersWhileDiscoveryIsDown() {
         try (Fleet fleet = fleet("director@0s+3s")) {
             await(fleet, FleetTest::serves);
             assertThat(fleet.seen()).noneMatch(WorkerListed.class::isInstance);
             await(fleet, WorkerListed.class::isInstance);
-            sound(cut(fleet));
+            assertSound(stopImmediately(fleet));
         }
     }
 
     @Test
-    void burstBringsMore() {
+    void burstMultipliesRequests() {
         try (Fleet calm = new Fleet(new Fleet.Plan(2, 20, SEED, List.of()));
                 Fleet burst =
                         new Fleet(
@@ -256,14 +256,14 @@
             Awaitility.await().until(() -> count(calm, RequestSent.class) >= 15);
             assertThat(count(burst, RequestSent.class))
                     .isGreaterThan(2 * count(calm, RequestSent.class));
-            final FleetReport report = cut(burst);
-            sound(report);
+            final FleetReport report = stopImmediately(burst);
+            assertSound(report);
             assertThat(report.outcomes().ended(End.UNFINISHED)).isPositive();
         }
     }
 
     @Test
-    void tailMakesSomeJobsHeavy() {
+    void tailFaultMakesSomeJobsLong() {
         try (Fleet fleet =
                 new Fleet(new Fleet.Plan(8, 100, SEED, InjectedFault.parse("tailx30@0s+30s")))) {
             fleet.start();
@@ -272,12 +272,12 @@
                     seen ->
                             seen instanceof RequestSent request
                                     && request.workUs() > 6 * 2_400_000);
-            sound(cut(fleet));
+            assertSound(stopImmediately(fleet));
         }
     }
 
     @Test
-    void faultOfNoWorkerIsReportedAtOnce() {
+    void rejectsFaultForUnknownWorker() {
         assertThatThrownBy(
                         () ->
                                 new Fleet(
@@ -287,10 +287,10 @@
     }
 
     @Test
-    void tableFitsNarrowScreens() {
+    void tableFitsRequestedWidth() {
         try (Fleet fleet = fleet("")) {
             await(fleet, FleetTest::serves);
-            final FleetReport report = cut(fleet);
+            final FleetReport report = stopImmediately(fleet);
             assertThat(report.table(40))
                     .allMatch(line -> line.length() <= 40)
                     .anyMatch(line -> line.equals("one answer         kept"));
--- a/src/test/java/cresschute/testbed/InjectedFaultTest.java
+++ b/src/test/java/cresschute/testbed/InjectedFaultTest.java
@@ -12,7 +12,7 @@
 class InjectedFaultTest {
 
     @Test
-    void listsAreRead() {
+    void parsesFaultLists() {
         assertThat(InjectedFault.parse("slow@5s, silent:w2@500ms+3s,burstx2.5@1m"))
                 .isEqualTo(
                         List.of(
@@ -41,7 +41,7 @@
                     slow@-5s    | '-5s' is no duration; allowed: a number and ms, s or m, such as 500ms
                     burst:w1@5s | burst befalls no worker; leave out ':w1'
                     """)
-    void wrongOnesAreReported(String text, String message) {
+    void rejectsInvalidFaults(String text, String message) {
         assertThatThrownBy(() -> InjectedFault.parse(text)).hasMessage(message);
     }
 }
--- a/src/test/java/cresschute/testbed/LargeFleetTest.java
+++ b/src/test/java/cresschute/testbed/LargeFleetTest.java
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void newsOfAThousandWorkersAddUp() throws Exception {
+    void consoleUpdatesMatchNodeStateUnderChurn() throws Exception {
         final Path socket = folder.resolve("s");
         try (LargeFleet site = new LargeFleet(1_000, 1, socket);
                 ControlPeer peer = new ControlPeer(socket)) {
--- a/src/test/java/cresschute/testbed/RuleCheckerTest.java
+++ b/src/test/java/cresschute/testbed/RuleCheckerTest.java
@@ -57,7 +57,7 @@
                         0, id, id, className, className.equals("safe") ? null : "k", S, 1, 5 * S));
     }
 
-    private void came(long us, String worker, int cell, String id) {
+    private void received(long us, String worker, int cell, String id) {
         seen.add(new AttemptReceived(us, us, worker, cell, id, null, S));
     }
 
@@ -67,13 +67,13 @@
     }
 
     @Test
-    void soundRunBreaksNothing() {
+    void acceptsSoundRun() {
         sent("a", "safe");
-        came(1, "w1", 0, "a");
+        received(1, "w1", 0, "a");
         served("a", "w1 did a");
         sent("b", "keyed");
-        came(2, "w1", 0, "b");
-        came(3, "w2", 0, "b");
+        received(2, "w1", 0, "b");
+        received(3, "w2", 0, "b");
         seen.add(new EffectApplied(9, "w2", "b", "k"));
         seen.add(new RequestAnswered(9, "b", 503, "refused"));
         sent("c", "safe");
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void everyRequestHasOneAnswer() {
+    void reportsRequestsWithoutExactlyOneAnswer() {
         sent("a", "safe");
         seen.add(new RequestAnswered(1, "a", 503, ""));
         seen.add(new RequestAnswered(2, "a", 503, ""));
@@ -93,10 +93,10 @@
         seen.add(new RequestUnanswered(5, "c"));
         seen.add(new UnexpectedAnswer(6, "d"));
         sent("e", "safe");
-        came(1, "w1", 0, "e");
+        received(1, "w1", 0, "e");
         served("e", "made up");
         sent("f", "safe");
-        came(1, "w1", 0, "f");
+        received(1, "w1", 0, "f");
         served("f", "w1 did e");
         assertThat(breaches())
                 .containsExactly(
@@ -110,28 +110,28 @@
     }
 
     @Test
-    void requestsAreSentAgainOnlyAsTheirClassPermits() {
+    void reportsRepeatsThatRequestClassForbids() {
         sent("a", "safe");
-        came(1, "w1", 0, "a");
-        came(2, "w2", 1, "a");
-        came(3, "w1", 0, "a");
+        received(1, "w1", 0, "a");
+        received(2, "w2", 1, "a");
+        received(3, "w1", 0, "a");
         sent("b", "safe");
         for (int i = 0; i < 4; i++) {
-            came(i, "w" + i, 0, "b");
+            received(i, "w" + i, 0, "b");
         }
         sent("c", "keyed");
-        came(1, "w1", 0, "c");
-        came(2, "w2", 1, "c");
+        received(1, "w1", 0, "c");
+        received(2, "w2", 1, "c");
         sent("d", "keyed");
-        came(1, "w1", 0, "d");
-        came(4 * S + 2, "w2", 0, "d");
+        received(1, "w1", 0, "d");
+        received(4 * S + 2, "w2", 0, "d");
         sent("e", "wide");
-        came(1, "w1", 0, "e");
-        came(2, "w2", 1, "e");
+        received(1, "w1", 0, "e");
+        received(2, "w2", 1, "e");
         sent("f", "unsafe");
-        came(1, "w1", 0, "f");
-        came(2, "w1", 0, "f");
-        came(3, "w1", 0, "g");
+        received(1, "w1", 0, "f");
+        received(2, "w1", 0, "f");
+        received(3, "w1", 0, "g");
         assertThat(breaches())
                 .containsExactly(
                         "NO_EFFECT_TWICE: b was sent 4 times; 3 are allowed",
@@ -143,16 +143,16 @@
 
     /** What a worker rejected never ran, so that it may go anywhere. */
     @Test
-    void whatWasTurnedAwayDoesNotCount() {
+    void ignoresAttemptsThatWorkerRejected() {
         sent("a", "unsafe");
-        came(1, "w1", 0, "a");
+        received(1, "w1", 0, "a");
         seen.add(new AttemptRejected(1, "w1", "a"));
-        came(2, "w2", 1, "a");
+        received(2, "w2", 1, "a");
         assertThat(breaches()).isEmpty();
     }
 
     @Test
-    void keyTakesEffectOnce() {
+    void reportsSecondEffectOfKey() {
         seen.add(new EffectApplied(1, "w1", "a", "k1"));
         seen.add(new EffectApplied(2, "w1", "b", "k2"));
         seen.add(new EffectApplied(3, "w2", "again-a", "k1"));
@@ -161,17 +161,17 @@
     }
 
     @Test
-    void nothingNewGoesToAWorkerThatDrains() {
+    void reportsSendToDrainingWorker() {
         sent("a", "safe");
         sent("b", "safe");
         sent("c", "safe");
         seen.add(new WorkerListed(S, "w1", "DRAINING", 0));
         seen.add(new WorkerListed(S + 300_000, "w1", "DRAINING", 0));
-        came(S + 450_000, "w1", 0, "a");
+        received(S + 450_000, "w1", 0, "a");
         // Its last byte came late, its first byte in time: for drains the first one counts.
         seen.add(new AttemptReceived(S + 900_000, S + 440_000, "w1", 0, "b", null, S));
         assertThat(breaches()).isEmpty();
-        came(S + 451_000, "w1", 0, "c");
+        received(S + 451_000, "w1", 0, "c");
         assertThat(breaches())
                 .containsExactly(
                         "DRAINS_KEPT: w1 was sent c 451 ms after the list told that it leaves");
@@ -181,12 +181,12 @@
 
     /** Whoever asked for it, a drain is kept; the end of one is not the end of the other. */
     @Test
-    void operatorsDrainIsKeptToo() {
+    void reportsSendDuringOperatorDrain() {
         sent("c", "safe");
         seen.add(new OperatorDrained(S, "w1", true));
         seen.add(new WorkerListed(S + 100_000, "w1", "DRAINING", 0));
         seen.add(new WorkerListed(S + 200_000, "w1", "SERVING", 0));
-        came(S + 451_000, "w1", 0, "c");
+        received(S + 451_000, "w1", 0, "c");
         assertThat(breaches())
                 .containsExactly(
                         "DRAINS_KEPT: w1 was sent c 451 ms after an operator's drain was"
@@ -196,23 +196,23 @@
     }
 
     @Test
-    void coldWorkerIsNotPushedOver() {
+    void reportsOverloadOfColdWorker() {
         // Half of 4 at the start, twice that in a second: 4 s of work.
         seen.add(new WorkerBooted(0, "w1", 4));
         seen.add(new WorkerListed(0, "w1", "SERVING", 5));
         for (int i = 0; i < 4; i++) {
             sent("a" + i, "safe");
-            came(1_000 + i, "w1", 0, "a" + i);
+            received(1_000 + i, "w1", 0, "a" + i);
         }
         assertThat(breaches()).isEmpty();
         sent("b", "safe");
-        came(2_000, "w1", 0, "b");
+        received(2_000, "w1", 0, "b");
         assertThat(breaches())
                 .containsExactly(
                         "COLD_STARTS_KEPT: w1 was sent 5000 ms of work within 1000 ms, 2 ms after"
                                 + " its start; it can take 4001");
         seen.remove(seen.size() - 1);
-        came(11 * S, "w1", 0, "b");
+        received(11 * S, "w1", 0, "b");
         assertThat(breaches()).isEmpty();
         seen.add(new WorkerOverloaded(12 * S, "w1"));
         assertThat(breaches()).containsExactly("COLD_STARTS_KEPT: w1 fell over");
@@ -220,17 +220,17 @@
 
     /** A node that was not told of a start cannot spare the worker. */
     @Test
-    void untoldStartsAreNoBreach() {
+    void ignoresStartsThatNodeWasNotToldOf() {
         seen.add(new WorkerBooted(0, "w1", 4));
         for (int i = 0; i < 9; i++) {
             sent("a" + i, "safe");
-            came(i, "w1", 0, "a" + i);
+            received(i, "w1", 0, "a" + i);
         }
         assertThat(breaches()).isEmpty();
     }
 
     @Test
-    void retriesCountAsPartOfTheFirstTry() {
+    void countsRetriesAsPartOfFirstAttempt() {
         seen.add(new RequestSent(0, "a", "a", "safe", null, S, 1, 5 * S));
         seen.add(new RequestAnswered(S, "a", 503, ""));
         seen.add(new RequestSent(S, "again-1-a", "a", "safe", null, S, 1, 5 * S));
--- a/src/test/java/cresschute/testbed/StandInsTest.java
+++ b/src/test/java/cresschute/testbed/StandInsTest.java
@@ -111,7 +111,7 @@
     }
 
     @Test
-    void workerTellsOfStartProgressAndEnd() throws IOException {
+    void workerReportsStartProgressAndEnd() throws IOException {
         final BufferedReader answer = send(worker("w1", 1).address(), job("a", "", 1_200_000));
         assertThat(answer.readLine()).isEqualTo("HTTP/1.1 200 OK");
         assertThat(lineWith(answer, "started").get("id").getAsString()).isEqualTo("a");
@@ -126,7 +126,7 @@
      * unstarted.
      */
     @Test
-    void workerQueuesAndTurnsAway() throws IOException {
+    void workerQueuesThenRejectsRequests() throws IOException {
         final WorkerStandIn worker = worker("w1", 1);
         for (int i = 0; i < 9; i++) {
             send(worker.address(), job("j" + i, "", i == 0 ? 3_000_000 : 50_000));
@@ -161,7 +161,7 @@
      * effect.
      */
     @Test
-    void cellDropsRepeatsOfAKey() throws IOException {
+    void cellDropsDuplicatesOfKey() throws IOException {
         final String key = "Idempotency-Key: k\r\n";
         final BufferedReader first = send(worker("w1", 2).address(), job("a", key, 400_000));
         await(RunStarted.class, 1);
@@ -177,7 +177,7 @@
 
     /** A run that dies with its worker frees its key. */
     @Test
-    void lostRunFreesItsKey() throws IOException {
+    void crashDuringRunReleasesKey() throws IOException {
         final String key = "Idempotency-Key: k\r\n";
         final WorkerStandIn dying = worker("w1", 2);
         send(dying.address(), job("a", key, 5_000_000));
@@ -189,7 +189,7 @@
 
     /** A cold one of two slots is sent more than twice its half capacity within a second. */
     @Test
-    void coldWorkerFallsOver() throws IOException {
+    void coldWorkerCrashesWhenOverloaded() throws IOException {
         final WorkerStandIn worker = worker("w1", 2);
         loop.submit(
                         () -> {
@@ -225,10 +225,10 @@
     }
 
     @Test
-    void reportsAreAsOldAsTheyAreSetToBe() throws IOException {
+    void loadReportsAreDelayedAsConfigured() throws IOException {
         final WorkerStandIn worker = worker("w1", 2);
         assertThat(Json.object(stats(worker)).get("x0").getAsDouble()).isEqualTo(2);
-        loop.submit(() -> worker.lateReports(60_000_000)).syncUninterruptibly();
+        loop.submit(() -> worker.setReportDelay(60_000_000)).syncUninterruptibly();
         send(worker.address(), job("a", "", 20_000_000));
         final WorkerStandIn fresh = worker("w2", 2);
         send(fresh.address(), job("b", "", 20_000_000));
@@ -250,27 +250,27 @@
     }
 
     @Test
-    void workerAnswers404WithoutAnId() throws IOException {
+    void workerAnswers404WithoutRequestId() throws IOException {
         assertThat(send(worker("w1", 1).address(), job(null, "", 1)).readLine())
                 .isEqualTo("HTTP/1.1 404 Not Found");
     }
 
     @Test
-    void discoveryTellsListAndChangesAndCanBeDown() throws IOException {
+    void discoveryServesListAndChangesAndCanGoDown() throws IOException {
         final DiscoveryStandIn discovery = new DiscoveryStandIn(loop, recorder);
         final InetSocketAddress at = discovery.start();
         final WorkerStandIn worker = worker("w1", 1);
-        loop.submit(() -> discovery.set(worker, "SERVING", 0)).syncUninterruptibly();
+        loop.submit(() -> discovery.setState(worker, "SERVING", 0)).syncUninterruptibly();
         Awaitility.await().until(() -> list(at, "").getAsJsonArray("servers").size() == 1);
         final long version = list(at, "").get("version").getAsLong();
         assertThat(list(at, "").get("full").getAsBoolean()).isTrue();
         assertThat(list(at, "?since=" + version + "&timeout_ms=50").getAsJsonArray("servers"))
                 .isEmpty();
-        loop.schedule(() -> discovery.set(worker, "DRAINING", 0), 100, TimeUnit.MILLISECONDS);
+        loop.schedule(() -> discovery.setState(worker, "DRAINING", 0), 100, TimeUnit.MILLISECONDS);
         final JsonObject changed = list(at, "?since=" + version + "&timeout_ms=20000");
         assertThat(changed.get("full").getAsBoolean()).isFalse();
         assertThat(changed.toString()).contains("\"state\":\"DRAINING\"");
-        loop.submit(() -> discovery.set(worker, "DELETED", 0)).syncUninterruptibly();
+        loop.submit(() -> discovery.setState(worker, "DELETED", 0)).syncUninterruptibly();
         assertThat(list(at, "?since=" + (version + 1) + "&timeout_ms=20000").toString())
                 .contains("DELETED");
         assertThat(
@@ -278,7 +278,7 @@
                                 .filter(WorkerListed.class::isInstance)
                                 .map(seen -> ((WorkerListed) seen).state()))
                 .contains("SERVING", "DRAINING", "DELETED");
-        loop.submit(() -> discovery.down(true)).syncUninterruptibly();
+        loop.submit(() -> discovery.setDown(true)).syncUninterruptibly();
         assertThat(send(at, get("/registry/instances")).readLine())
                 .isEqualTo("HTTP/1.1 503 Service Unavailable");
     }
--- a/src/test/java/cresschute/testbed/bodies/BodyPeersTest.java
+++ b/src/test/java/cresschute/testbed/bodies/BodyPeersTest.java
@@ -52,7 +52,7 @@
     void end() throws IOException {
         node.halt();
         site.close();
-        assertThat(site.broken()).isEmpty();
+        assertThat(site.violations()).isEmpty();
         assertThat(node.invariantBreaches()).isZero();
     }
 
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void everyByteArrivesEachWayAtUnlikeSpeeds() {
+    void transfersEveryByteBothWaysAtDifferentSpeeds() {
         final BodyClient.Result up = BodyClient.run(plan("/upload?in=20000000", 20 * MB));
         assertThat(up.status()).isEqualTo(200);
         assertThat(up.text()).startsWith(20 * MB + " ");
@@ -89,13 +89,13 @@
         assertThat(down)
                 .extracting(
                         BodyClient.Result::status,
-                        BodyClient.Result::whole,
+                        BodyClient.Result::complete,
                         BodyClient.Result::bytes)
                 .containsExactly(200, true, 20L * MB);
     }
 
     @Test
-    void chunksAreABodyToo() {
+    void forwardsChunkedBody() {
         final BodyClient.Plan plan =
                 new BodyClient.Plan(
                         to,
@@ -113,33 +113,33 @@
 
     /** It cannot have run, and is never sent a second time beyond what is kept. */
     @Test
-    void workerThatBreaksWithinABodyHasNotRunIt() {
-        final BodyClient.Result came = BodyClient.run(plan("/upload?reset=1000000", 20 * MB));
-        assertThat(came.status()).isEqualTo(503);
+    void answers503WhenWorkerResetsDuringBody() {
+        final BodyClient.Result result = BodyClient.run(plan("/upload?reset=1000000", 20 * MB));
+        assertThat(result.status()).isEqualTo(503);
         assertThat(site.ran("b1")).isFalse();
     }
 
     @Test
-    void workerThatStallsWithinABodyIsGivenUp() {
+    void answers503WhenWorkerStallsDuringBody() {
         assertThat(BodyClient.run(plan("/upload?stall=1000000", 40 * MB)).status()).isEqualTo(503);
         assertThat(site.ran("b1")).isFalse();
     }
 
     @Test
-    void resultThatBreaksOrStallsIsNotWhole() {
+    void truncatesResultWhenWorkerResetsOrStalls() {
         for (final String fault : List.of("reset", "stall")) {
-            final BodyClient.Result came =
+            final BodyClient.Result result =
                     BodyClient.run(plan("/report?result=" + 20 * MB + "&" + fault + "=1000000", 0));
-            assertThat(came)
+            assertThat(result)
                     .as(fault)
-                    .extracting(BodyClient.Result::status, BodyClient.Result::whole)
+                    .extracting(BodyClient.Result::status, BodyClient.Result::complete)
                     .containsExactly(200, false);
         }
     }
 
     /** A client on a slow line is served; one that sends a byte now and then is not. */
     @Test
-    void slowLineIsServedAndSlowLorisIsNot() {
+    void servesSlowClientAndRejectsSlowloris() {
         final BodyClient.Plan line =
                 new BodyClient.Plan(
                         to,
@@ -169,7 +169,7 @@
 
     /** A client that reads at modem speed is no reason to hold more, or to end. */
     @Test
-    void modemReaderLeavesWithoutTrace() {
+    void servesOthersAfterSlowReaderLeaves() {
         final BodyClient.Plan modem =
                 new BodyClient.Plan(
                         to,
@@ -181,9 +181,9 @@
                         TransferProfile.of(7_000),
                         14_000,
                         false);
-        final BodyClient.Result came = BodyClient.run(modem);
-        assertThat(came.status()).isEqualTo(200);
-        assertThat(came.bytes()).isGreaterThanOrEqualTo(14_000);
+        final BodyClient.Result result = BodyClient.run(modem);
+        assertThat(result.status()).isEqualTo(200);
+        assertThat(result.bytes()).isGreaterThanOrEqualTo(14_000);
         assertThat(BodyClient.run(plan("/upload", 2 * MB)).status()).isEqualTo(200);
     }
 }
