--- a/src/main/java/cresschute/testbed/model/BaselineModule.java
+++ b/src/main/java/cresschute/testbed/model/BaselineModule.java
@@ -17,20 +17,23 @@
 import java.util.function.IntToDoubleFunction;
 
 /**
- * A module to compare with: it admits all, chooses by one simple policy, never probes or hedges,
- * and fails a request whose only attempt fails.
+ * A baseline for comparison: it admits all requests, selects workers by one simple policy, sends no
+ * load queries or hedged requests, and fails a request whose only attempt fails.
  */
 final class BaselineModule implements DispatcherEvents {
 
-    /** How a worker is chosen. */
+    /** The policy by which a worker is selected. */
     enum Policy {
-        /** Any ready worker. */
+        /** Selects a ready worker at random. */
         RANDOM("random"),
-        /** The one of two with fewer jobs as last reported to this dispatcher. */
+        /**
+         * Selects the one of two random workers with fewer jobs in its last report to this
+         * dispatcher.
+         */
         POWER_OF_TWO_STALE("power_of_two_stale"),
         /**
-         * The one of all with the least load as it truly is: the bound, which no dispatcher can
-         * reach.
+         * Selects the worker with the least actual load. No dispatcher can know the actual load, so
+         * that this is an upper bound.
          */
         LEAST_OUTSTANDING_TRUE("least_outstanding_true");
 
@@ -40,14 +43,14 @@
             this.wireName = wireName;
         }
 
-        /** The policy that tables and commands write as this word. */
+        /** Returns the policy with this name in tables and commands. */
         static Policy of(String wireName) {
             for (final Policy each : values()) {
                 if (each.wireName.equals(wireName)) {
                     return each;
                 }
             }
-            throw new IllegalArgumentException("there is no policy '" + wireName + "'");
+            throw new IllegalArgumentException("unknown policy '" + wireName + "'");
         }
     }
 
@@ -140,32 +143,32 @@
 
     @Override
     public void clientLeft(long nowUs, int requestId) {
-        // Nothing is held for a request.
+        // No state is kept per request.
     }
 
     @Override
     public void jobProgressed(
             long nowUs, int requestId, int attempt, int workerId, double fractionDone) {
-        // Progress changes no choice.
+        // The policies ignore progress.
     }
 
     @Override
     public void loadReported(long nowUs, int workerId, Outcome outcome, LoadReport report) {
-        throw new IllegalStateException("no probe was sent");
+        throw new IllegalStateException("load reported, but no load query was sent");
     }
 
     @Override
     public void workerReportedUnresponsive(long nowUs, int workerId, int requestClass) {
-        // Only the whole worker is chosen or not.
+        // The policies select workers without regard to request classes.
     }
 
     @Override
     public void timerFired(long nowUs, long token) {
-        throw new IllegalStateException("no timer was set");
+        throw new IllegalStateException("timer fired, but none was started");
     }
 
     @Override
     public void settingsChanged(long nowUs, DispatchSettings settings) {
-        // No setting changes a choice.
+        // The policies have no settings.
     }
 }
--- a/src/main/java/cresschute/testbed/model/CapacityCsv.java
+++ b/src/main/java/cresschute/testbed/model/CapacityCsv.java
@@ -7,7 +7,8 @@
 import java.util.function.Function;
 
 /**
- * Writes what {@link FleetCapacity} measures as lines of the capacity table, one for each measure.
+ * Writes the measurements of {@link FleetCapacity} as lines of the capacity table, one line for
+ * each measure.
  */
 public final class CapacityCsv {
 
@@ -25,7 +26,7 @@
     private final String date;
     private final long seed;
 
-    /** Lines for runs of one seed of a model; commit and date are reported as they are given. */
+    /** Creates a writer for runs of a model with one seed; commit and date are written as given. */
     public CapacityCsv(
             Function<Point, Map<String, Double>> model,
             PrintWriter out,
@@ -39,7 +40,7 @@
         this.seed = seed;
     }
 
-    /** Writes all points up to this number of workers, each as soon as it is measured. */
+    /** Writes all points up to this number of workers, each as soon as it has been measured. */
     public void write(int maxWorkers) {
         out.print(HEAD);
         for (final int workers : WORKERS) {
--- a/src/main/java/cresschute/testbed/model/DispatcherMeter.java
+++ b/src/main/java/cresschute/testbed/model/DispatcherMeter.java
@@ -7,7 +7,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Counts what one dispatcher of the model sends, asks and learns. */
+/** Counts the attempts, load queries and load reports of one simulated dispatcher. */
 public final class DispatcherMeter {
 
     private static final int INITIAL_CAPACITY = 1024;
@@ -22,7 +22,7 @@
     private long unreachableCalls;
     private final Map<Integer, Long> repeatedStarts = new HashMap<>();
 
-    /** Forgets the counts; what is believed of workers stays. */
+    /** Resets the counts; the times of the last load reports stay. */
     public void reset() {
         outcomes.clear();
         ages = 0;
@@ -33,7 +33,7 @@
         repeatedStarts.clear();
     }
 
-    /** Forgets how many calls were in vain. */
+    /** Resets the count of calls to unreachable workers. */
     public void resetUnreachableCalls() {
         unreachableCalls = 0;
     }
@@ -74,39 +74,46 @@
         }
     }
 
-    /** Attempts sent. */
+    /** The number of attempts sent. */
     public long sends() {
         return sends;
     }
 
-    /** Attempts sent to a worker that had reported nothing to this dispatcher yet. */
+    /**
+     * The number of attempts sent to a worker that had not yet reported its load to this
+     * dispatcher.
+     */
     public long sendsWithoutLoadReport() {
         return sendsWithoutLoadReport;
     }
 
-    /** Attempts and probes sent to a worker that was down or beyond a cut network. */
+    /**
+     * The number of attempts and load queries sent to a worker that was down or beyond a cut
+     * network.
+     */
     public long unreachableCalls() {
         return unreachableCalls;
     }
 
-    /** Starts of jobs of a class whose request had a job started before. */
+    /** The number of job starts in a request class whose request already had a job started. */
     public long repeatedStarts(int requestClass) {
         return repeatedStarts.getOrDefault(requestClass, 0L);
     }
 
-    /** Probes sent. */
+    /** The number of load queries sent. */
     public long loadQueries() {
         return loadQueries;
     }
 
-    /** Attempts that ended so. */
+    /** The number of attempts that ended with this outcome. */
     public long ended(Outcome outcome) {
         return outcomes.getOrDefault(outcome, 0L);
     }
 
     /**
-     * Time between a worker's last report to this dispatcher and each send to it, in rising order,
-     * us. The report itself may have been old by the worker's own refresh and delay.
+     * The time from a worker's last load report to this dispatcher until each send to that worker,
+     * in ascending order, us. The report may have been older on arrival, because workers refresh
+     * and deliver their reports with a delay.
      */
     public long[] loadReportAgesUs() {
         final long[] sorted = Arrays.copyOf(agesUs, ages);
--- a/src/main/java/cresschute/testbed/model/EventQueue.java
+++ b/src/main/java/cresschute/testbed/model/EventQueue.java
@@ -4,8 +4,8 @@
 import java.util.PriorityQueue;
 
 /**
- * What is to happen in virtual time, one thing after the other; of the same moment, in order of
- * planning.
+ * Events in virtual time, run in order of time. Events with the same time run in the order in which
+ * they were scheduled.
  */
 final class EventQueue {
 
@@ -26,7 +26,7 @@
         return nowUs;
     }
 
-    /** Plans an event; what lies in the past happens next. */
+    /** Schedules an event; one whose time has passed runs next. */
     void scheduleAt(long atUs, Runnable event) {
         events.add(new ScheduledEvent(Math.max(atUs, nowUs), scheduled++, event));
     }
@@ -35,7 +35,7 @@
         scheduleAt(nowUs + delayUs, event);
     }
 
-    /** Lets all happen that is planned up to this moment, and what that plans. */
+    /** Runs all events that are due up to this time, including those that they schedule. */
     void runUntil(long untilUs) {
         while (!events.isEmpty() && events.peek().atUs() <= untilUs) {
             final ScheduledEvent next = events.poll();
--- a/src/main/java/cresschute/testbed/model/ExchangingModules.java
+++ b/src/main/java/cresschute/testbed/model/ExchangingModules.java
@@ -23,15 +23,15 @@
 import java.util.OptionalInt;
 
 /**
- * Makes modules whose dispatchers exchange their in-flight counts, as a node with peers does: a
- * probe that the view answers does not reach the fleet, and the module learns unasked what changed.
- * Messages between dispatchers arrive at once and none is lost.
+ * Creates modules whose dispatchers exchange in-flight counts, as nodes with peers do. A load query
+ * that the exchanged counts answer is not sent to the worker, and the module receives changed loads
+ * without a query. Messages between dispatchers arrive immediately and none is lost.
  */
 public final class ExchangingModules implements ModuleMaker {
 
     private static final long POLL_US = 50_000;
 
-    /** Tokens of this class's own timers, which no module uses. */
+    /** Tokens of this class's own timers; no module uses these values. */
     private static final long POLL_TOKEN = Long.MIN_VALUE;
 
     private static final long ANSWER_TOKEN = Long.MIN_VALUE + 1;
@@ -44,8 +44,9 @@
     private long bytes;
 
     /**
-     * Exchanges among the modules of another maker, each of which sends so many bytes a second at
-     * most.
+     * Creates an exchange among the modules of another factory.
+     *
+     * @param bytesPerS the most that each module sends, bytes per second
      */
     public ExchangingModules(ModuleMaker maker, long bytesPerS) {
         this.maker = maker;
@@ -61,24 +62,24 @@
         return dispatcher;
     }
 
-    /** Forgets the counts so far. */
+    /** Resets the counts. */
     public void reset() {
         answeredFromPeers = 0;
         loadQueries = 0;
         bytes = 0;
     }
 
-    /** Loads that the view gave, for probes and unasked. */
+    /** The number of loads that the exchanged counts provided, with or without a query. */
     public long answeredFromPeers() {
         return answeredFromPeers;
     }
 
-    /** Probes that reached the fleet. */
+    /** The number of load queries sent to workers. */
     public long loadQueries() {
         return loadQueries;
     }
 
-    /** Bytes sent by all dispatchers, with the heads of IP and UDP. */
+    /** The bytes sent by all dispatchers, including IP and UDP headers. */
     public long bytes() {
         return bytes;
     }
@@ -112,12 +113,14 @@
                             new ExchangeListener() {
                                 @Override
                                 public void keyCollision(String worker, String other) {
-                                    // Their load is probed; that is all there is to it here.
+                                    // The loads of these workers are queried; the model needs no
+                                    // further reaction.
                                 }
 
                                 @Override
                                 public void distrusted(int sender, long forUs) {
-                                    // The same.
+                                    // The loads that the sender reported are queried instead; no
+                                    // further reaction is needed.
                                 }
                             });
             actions.startTimer(POLL_TOKEN, POLL_US);
--- a/src/main/java/cresschute/testbed/model/FleetCapacity.java
+++ b/src/main/java/cresschute/testbed/model/FleetCapacity.java
@@ -23,19 +23,21 @@
 import java.util.stream.LongStream;
 
 /**
- * The fleet of the planned size in virtual time, and parts of it at the same load a worker: value
- * served, urgent starts, probes and the age of belief, for the module and for simple policies to
- * compare with.
+ * Measures the fleet of the planned size, and smaller fleets at the same load per worker, in
+ * virtual time. It measures the weight of requests served in time, urgent starts, load queries and
+ * the age of load reports, for the decision module and for simple baseline policies.
  */
 public final class FleetCapacity {
 
-    /** A fleet to measure: its numbers of workers and dispatchers, the policy, the chance. */
+    /**
+     * A fleet to measure: its numbers of workers and dispatchers, the policy and the random seed.
+     */
     public record Point(int workers, int dispatchers, String policy, long seed) {}
 
-    /** The module that is measured; the other policies are to compare with. */
+    /** The policy name of the decision module; the other policies are baselines. */
     public static final String MODULE = "module";
 
-    /** The policies to compare with. */
+    /** The names of the baseline policies. */
     public static final List<String> BASELINES =
             List.of("random", "power_of_two_stale", "least_outstanding_true");
 
@@ -44,7 +46,7 @@
     private static final int WORKERS_PER_CELL = 20;
     private static final int TENANTS = 54;
 
-    /** Starts a second of one worker: 300 over 1,400. */
+    /** Job starts per second per worker: 300 over 1,400. */
     private static final double STARTS_PER_WORKER = 300.0 / 1_400;
 
     private static final double LOAD = 0.69;
@@ -138,7 +140,10 @@
         return built[0];
     }
 
-    /** Runs a fleet and tells what was measured, by name and unit; the same for the same seed. */
+    /**
+     * Runs a fleet and returns the measurements by name, with the unit in the name. The same point
+     * gives the same result.
+     */
     public static Map<String, Double> measure(Point point) {
         final FleetModel fleet = fleet(point);
         fleet.advance(WARM_UP_S * SECOND_US);
@@ -178,7 +183,10 @@
         return inTime / asked;
     }
 
-    /** The value that this share of them does not exceed; not a number where there is none. */
+    /**
+     * The smallest value that at least this share of the values does not exceed, s; {@code NaN} if
+     * there are none.
+     */
     private static double quantileS(long[] sortedUs, double share) {
         return sortedUs.length == 0
                 ? Double.NaN
@@ -186,17 +194,17 @@
                         / SECOND_US;
     }
 
-    /** Tasks that run on average at this size. */
+    /** The average number of running jobs at this fleet size. */
     public static long running(int workers) {
         return Math.round(workers * STARTS_PER_WORKER * MEAN_RUN_US / SECOND_US);
     }
 
-    /** Starts a second at this size. */
+    /** Job starts per second at this fleet size. */
     public static double startsPerSecond(int workers) {
         return workers * STARTS_PER_WORKER;
     }
 
-    /** Tenants of every size. */
+    /** The number of tenants; it is the same at every fleet size. */
     public static int tenants() {
         return TENANTS;
     }
--- a/src/main/java/cresschute/testbed/model/FleetModel.java
+++ b/src/main/java/cresschute/testbed/model/FleetModel.java
@@ -17,30 +17,37 @@
 import java.util.function.Supplier;
 
 /**
- * A fleet in virtual time: many dispatchers, each with a decision module of its own, in front of
- * workers that they share. The same seed gives the same run. Times are microseconds; all happens on
- * the caller's thread.
+ * A simulation of a fleet in virtual time: many dispatchers, each with its own decision module, in
+ * front of shared workers. The same seed gives the same run. Times are in microseconds. Everything
+ * runs on the caller's thread.
  */
 public final class FleetModel {
 
     /**
-     * What is asked of a class: its part of all jobs, and mean and deviation of the work of one,
-     * us.
+     * The demand for a request class.
+     *
+     * @param share weight of the class among all jobs
+     * @param meanWorkUs mean work of a job, us
+     * @param deviationUs standard deviation of the work of a job, us
+     * @param twoSlotFraction fraction of jobs that need two slots
      */
     public record Demand(
             double share, double meanWorkUs, double deviationUs, double twoSlotFraction) {}
 
-    /** A kind of worker: its slots, a core's speed and its part of all workers. */
+    /**
+     * A kind of worker: its number of slots, the speed of a core and the kind's share of all
+     * workers.
+     */
     public record Kind(int slots, double speed, double share) {}
 
     /**
-     * The whole of a fleet.
+     * The configuration of a fleet.
      *
-     * @param settings the settings that each module gets; the zone is set for each dispatcher
-     * @param demands of each class of the settings, in their order
-     * @param load work asked for over what all workers can do while all are well
-     * @param skew how many times the mean a dispatcher may get: traffic is spread from 1/skew to
-     *     skew
+     * @param settings the settings of each module; the zone is set for each dispatcher
+     * @param demands the demand for each class of the settings, in their order
+     * @param load requested work divided by what all healthy workers can do
+     * @param skew the most traffic that a dispatcher may get, as a multiple of the mean; traffic is
+     *     spread from 1/skew to skew
      */
     public record Plan(
             DispatchSettings settings,
@@ -52,16 +59,17 @@
             double skew,
             long seed) {}
 
-    /** How many of a class's requests came within a time, and what became of them. */
+    /** The number of requests of a class that arrived in a time span, and their results. */
     public record Tally(int asked, int inTime, int late, int refused) {}
 
     /**
-     * What cold workers were sent in a window of the rule, over what they bore then.
+     * What cold workers were sent in a window of the slow-start rule, relative to what they
+     * tolerate.
      *
-     * @param overloads cold workers that fell by the work sent
-     * @param overloadsByJobCount cold workers that would have fallen by the number of jobs alone
-     * @param maxWorkRatio the worst window by work
-     * @param maxCountRatio the worst window by number of jobs
+     * @param overloads cold workers that crashed because of the work sent
+     * @param overloadsByJobCount cold workers whose bound the number of jobs alone exceeded
+     * @param maxWorkRatio the largest ratio in any window, by work
+     * @param maxCountRatio the largest ratio in any window, by number of jobs
      * @param sends jobs sent to cold workers, by class
      */
     public record ColdStartTally(
@@ -71,7 +79,7 @@
             double maxCountRatio,
             List<Integer> sends) {}
 
-    /** A client's request, from its first try on. */
+    /** A client's request, from its first attempt on; it lasts over all retries. */
     static final class ClientRequest {
         final int requestClass;
         final long atUs;
@@ -87,10 +95,10 @@
 
     private static final long START_US = 10_000_000_000L;
 
-    /** A change of the list is known to a dispatcher this long after it at the latest. */
+    /** The latest time after an endpoint list change at which a dispatcher receives it. */
     private static final long MAX_LIST_DELAY_US = 3_000_000;
 
-    /** A connection without a sign of life from the other end is given up after this. */
+    /** The time after which a connection is closed when the other end does not respond. */
     private static final long CONNECTION_TIMEOUT_US = 5_000_000;
 
     private static final int MAX_RETRIES = 2;
@@ -110,8 +118,8 @@
     private boolean arriving = true;
 
     /**
-     * A fleet that has just started; {@code module} makes one dispatcher's module from settings and
-     * seed.
+     * Creates a fleet that has just started; {@code module} creates one dispatcher's module from
+     * settings and seed.
      */
     public FleetModel(Plan plan, ModuleMaker module) {
         this.plan = plan;
@@ -139,10 +147,10 @@
         eventQueue.scheduleAfter(0, this::arrive);
     }
 
-    /** Makes a decision module for a dispatcher. */
+    /** Creates the decision module of a dispatcher. */
     public interface ModuleMaker {
 
-        /** A new module that acts by these actions. */
+        /** Creates a module that performs its decisions through {@code actions}. */
         DispatcherEvents make(DispatchSettings settings, long seed, DispatcherActions actions);
     }
 
@@ -208,7 +216,7 @@
                 .sum();
     }
 
-    /** Requests a second that all dispatchers get together, apart from bursts. */
+    /** Requests per second that all dispatchers receive together, without bursts. */
     public double ratePerS() {
         final double capacity =
                 plan.kinds().stream()
@@ -218,14 +226,14 @@
         return plan.load() * capacity / (meanWorkUs() / 1e6);
     }
 
-    // ---- What happens ----
+    // ---- Events ----
 
-    /** Lets time pass. */
+    /** Advances virtual time and runs the events that fall due, us. */
     public void advance(long us) {
         eventQueue.runUntil(eventQueue.nowUs() + us);
     }
 
-    /** Lets all that is under way come to its end; nothing new arrives. */
+    /** Runs until all pending requests have ended; no new requests arrive. */
     public void drain() {
         arriving = false;
         advance(
@@ -236,14 +244,14 @@
                         + 1_000_000);
     }
 
-    /** Traffic is so many times the usual from now on. */
+    /** Multiplies the usual arrival rate by this factor from now on. */
     public void burst(double times) {
         burst = times;
     }
 
     /**
-     * Cuts the network between the zones below this one and the others. Connections across it, and
-     * to workers that are down, break some seconds later.
+     * Cuts the network between the zones below {@code firstZone} and the others. Connections across
+     * the cut and to workers that are down break a few seconds later.
      */
     public void cutRegions(int firstZone) {
         link.cut(firstZone);
@@ -252,17 +260,23 @@
                 () -> dispatchers.forEach(ModelDispatcher::breakUnreachable));
     }
 
-    /** Joins the regions again; the changes of the list that were held back come at once. */
+    /**
+     * Restores the network between the regions; the queued endpoint list changes are delivered
+     * immediately.
+     */
     public void joinRegions() {
         link.restore();
     }
 
-    /** Slots in use and jobs that wait at a worker now, over its slots: what no dispatcher sees. */
+    /**
+     * The slots in use and waiting jobs of a worker, divided by its slots. No dispatcher can see
+     * this value.
+     */
     public double trueLoad(int worker) {
         return workers.get(worker).trueLoad();
     }
 
-    /** Workers by number that are up. */
+    /** The ids of the workers that are up. */
     public List<Integer> up() {
         return workers.values().stream()
                 .filter(ModelWorker::isUp)
@@ -275,7 +289,7 @@
         return workers.get(worker).zone;
     }
 
-    /** Workers vanish without a word; the list reports it later. */
+    /** Crashes workers without notice; the endpoint list reports it later. */
     public void crashWorkers(Collection<Integer> ids) {
         ids.forEach(
                 id -> {
@@ -284,7 +298,7 @@
                 });
     }
 
-    /** Workers are back, or new, as cold processes; the list reports it later. */
+    /** Starts workers, known or new, as cold processes; the endpoint list reports it later. */
     public void startWorkers(Collection<Integer> ids) {
         ids.forEach(
                 id -> {
@@ -296,23 +310,24 @@
                 });
     }
 
-    /** Workers drain: they end what they have and want nothing new. */
+    /** Drains workers: they finish their jobs and want no new ones. */
     public void drainWorkers(Collection<Integer> ids) {
         ids.forEach(id -> report(workers.get(id).listed(WorkerState.DRAINING)));
     }
 
-    /** Workers run so many times slower from now on. */
+    /** Slows workers down by this factor from now on. */
     public void slowDown(Collection<Integer> ids, double times) {
         ids.forEach(id -> workers.get(id).slowDown(times));
     }
 
-    /** Workers fail this part of their jobs from now on. */
+    /** Makes workers fail this fraction of their jobs from now on. */
     public void failFraction(Collection<Integer> ids, double part) {
         ids.forEach(id -> workers.get(id).failFraction(part));
     }
 
     private void report(Worker entry) {
-        // The list is late by as much for all, and each watch by a little more.
+        // All dispatchers share the delay of the endpoint list; each watch adds a small delay of
+        // its own.
         final long lateUs = 500_000 + random.nextLong(MAX_LIST_DELAY_US - 1_000_000);
         dispatchers.forEach(
                 each ->
@@ -351,7 +366,7 @@
         return requestClass;
     }
 
-    /** Requests of one tenant that come to one dispatcher in one instant. */
+    /** Sends requests of one tenant to one dispatcher at the same time. */
     public Gang gang(int requestClass, int tenant, int count) {
         final ModelDispatcher dispatcher = anyDispatcher();
         final List<ClientRequest> members = new ArrayList<>();
@@ -453,10 +468,11 @@
                 });
     }
 
-    // ---- What came of it ----
+    // ---- Results ----
 
     /**
-     * What became of a class's requests that first came in the seconds from one on, up to another.
+     * The results of the requests of a class whose first attempt came in the time span from {@code
+     * fromS} (inclusive) to {@code toS} (exclusive), s.
      */
     public Tally tally(int requestClass, double fromS, double toS) {
         final List<ClientRequest> of =
@@ -473,8 +489,8 @@
     }
 
     /**
-     * Times from first try to a worker's start of those of a class that started, in rising order,
-     * us.
+     * The times from first attempt to a worker's start for the requests of a class that started, in
+     * ascending order, us.
      */
     public long[] startDelaysUs(int requestClass, double fromS, double toS) {
         return requests.stream()
@@ -489,23 +505,23 @@
                 .toArray();
     }
 
-    /** What each dispatcher has sent, asked and learned so far. */
+    /** The counts of each dispatcher so far. */
     public List<DispatcherMeter> meters() {
         return dispatchers.stream().map(ModelDispatcher::meter).toList();
     }
 
-    /** Sends over first tries: 1 where nothing is sent twice and nothing refused. */
+    /** Attempts per client request: 1 if no request is sent twice and none is rejected. */
     public double sendsPerRequest() {
         return (double) dispatchers.stream().mapToLong(each -> each.sends).sum()
                 / Math.max(1, requests.size());
     }
 
-    /** Cold workers that were pushed over. */
+    /** The number of cold workers that were overloaded. */
     public long overloadedWorkers() {
         return workers.values().stream().filter(ModelWorker::overloaded).count();
     }
 
-    /** What cold workers were sent, and how near to a fall, or beyond, they came. */
+    /** What cold workers were sent, relative to the bound above which they crash. */
     public ColdStartTally coldStartTally() {
         return new ColdStartTally(
                 (int) overloadedWorkers(),
--- a/src/main/java/cresschute/testbed/model/Gang.java
+++ b/src/main/java/cresschute/testbed/model/Gang.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Requests of one tenant that arrived in one instant, as they fared. */
+/** The requests of one tenant that arrived at the same time, with their results. */
 public final class Gang {
 
     private final List<FleetModel.ClientRequest> members;
@@ -11,12 +11,12 @@
         this.members = List.copyOf(members);
     }
 
-    /** How many requests it has. */
+    /** The number of requests in the gang. */
     public int size() {
         return members.size();
     }
 
-    /** How many of them a worker began to run within this time of their arrival. */
+    /** The number of requests that a worker started within this time of their arrival, us. */
     public int startedWithin(long us) {
         return (int)
                 members.stream()
--- a/src/main/java/cresschute/testbed/model/ModelDispatcher.java
+++ b/src/main/java/cresschute/testbed/model/ModelDispatcher.java
@@ -13,15 +13,15 @@
 import java.util.function.Function;
 
 /**
- * One dispatcher of the model: the decision module with the host's duties around it. Sends, load
- * queries and news take the network's time; other attempts are given up once one has answered, as
- * the node's core does.
+ * One simulated dispatcher: the decision module and the duties of the node around it. Sends, load
+ * queries and responses take network time. When one attempt has succeeded, the others are
+ * cancelled, as in the node.
  */
 final class ModelDispatcher implements DispatcherActions {
 
-    /** How a try ended for its client. */
+    /** Receives the result of one client attempt. */
     interface ClientListener {
-        /** A worker has begun to run the job, for the first time or anew. */
+        /** A worker has started the job, for the first time or again. */
         void started();
 
         void served();
@@ -52,10 +52,12 @@
     private static final long CONNECT_TIMEOUT_US = 250_000;
     private static final long LOAD_QUERY_TIMEOUT_US = 350_000;
 
-    /** A way from a dispatcher to a worker or back, its turn and a handshake included, us. */
+    /**
+     * The one-way time between a dispatcher and a worker, processing and handshake included, us.
+     */
     private static final long ONE_WAY_US = 2_000;
 
-    /** The answer's way, taken off what a client waits. */
+    /** The time that the response needs to reach the client, taken off the client's wait. */
     private static final long RESPONSE_MARGIN_US = 15_000;
 
     private final EventQueue eventQueue;
@@ -66,7 +68,7 @@
     private final Map<Integer, OpenRequest> openRequests = new HashMap<>();
     private final DispatcherMeter meter = new DispatcherMeter();
 
-    /** Jobs sent to cold workers by all dispatchers, by class. */
+    /** Jobs sent to cold workers by all dispatchers, by request class. */
     private final int[] coldSends;
 
     private int lastId;
@@ -91,13 +93,13 @@
         module.endpointListChanged(eventQueue.nowUs(), form, entries);
     }
 
-    /** Whether a worker's machine is up and the network leads there. */
+    /** Returns whether the worker is up and the network to it is not cut. */
     private boolean canReach(ModelWorker worker) {
         return worker.isUp() && link.connects(zone, worker.zone);
     }
 
     /**
-     * Ends the attempts whose worker is not reached: their connections break, and the jobs may have
+     * Ends the attempts whose worker is unreachable: their connections break, and the jobs may have
      * run.
      */
     void breakUnreachable() {
@@ -117,7 +119,7 @@
                                                 }));
     }
 
-    /** What it has sent, asked and learned so far. */
+    /** The counts of this dispatcher so far. */
     DispatcherMeter meter() {
         return meter;
     }
@@ -278,7 +280,7 @@
 
     @Override
     public void pollEndpointList() {
-        // The model tells each change by itself once it is known.
+        // The model delivers each endpoint list change by itself.
     }
 
     @Override
@@ -304,11 +306,11 @@
 
     @Override
     public void reportUnresponsive(int workerId, int requestClass) {
-        throw new IllegalStateException("no peer messages in this model");
+        throw new IllegalStateException("the model does not support peer messages");
     }
 
     @Override
     public void closeIdleConnections(int workerId) {
-        // A connection costs nothing here.
+        // Connections have no cost in this model.
     }
 }
--- a/src/main/java/cresschute/testbed/model/ModelWorker.java
+++ b/src/main/java/cresschute/testbed/model/ModelWorker.java
@@ -8,13 +8,13 @@
 import java.util.ArrayDeque;
 
 /**
- * A worker: as many slots as cores, a bounded queue served in order, a cold start in which its
- * speed rises evenly, load reports that are refreshed now and then and arrive late. A cancel stops
- * nothing.
+ * A simulated worker: as many slots as cores, a bounded FIFO queue, a cold start during which its
+ * speed rises linearly, and load reports that are refreshed periodically and arrive late. A cancel
+ * does not stop a job.
  */
 final class ModelWorker {
 
-    /** Where a job's news go. */
+    /** Receives the events of one job. */
     interface JobListener {
         void started();
 
@@ -26,16 +26,16 @@
     private static final class Job {
         private final double workUs;
         private final int slots;
-        private final JobListener sender;
+        private final JobListener listener;
 
-        Job(double workUs, int slots, JobListener sender) {
+        Job(double workUs, int slots, JobListener listener) {
             this.workUs = workUs;
             this.slots = slots;
-            this.sender = sender;
+            this.listener = listener;
         }
     }
 
-    /** Steps in which a warming worker's work is added up, us. */
+    /** The step in which a warming worker's work is integrated, us. */
     private static final long WARMING_STEP_US = 50_000;
 
     private static final long PROGRESS_INTERVAL_US = 1_000_000;
@@ -113,7 +113,7 @@
         return new Worker(id, zone, kind, cell, state, 1, startedUs);
     }
 
-    /** Its process and all it holds are gone without a word. */
+    /** The process ends and loses all jobs without notice. */
     void crash() {
         up = false;
         processNumber++;
@@ -122,7 +122,7 @@
         visible = LoadReport.NONE;
     }
 
-    /** A new process, cold. */
+    /** Starts a new, cold process. */
     void restart() {
         crash();
         up = true;
@@ -134,7 +134,7 @@
         slowdown = times;
     }
 
-    /** From now on it fails this part of its jobs as soon as they start. */
+    /** Fails this fraction of its jobs as soon as they start, from now on. */
     void failFraction(double part) {
         failedFraction = part;
     }
@@ -147,43 +147,46 @@
                         + (1 - cold.initialCapacityFraction()) * ageUs / cold.warmUpDurationUs();
     }
 
-    /** Whether it has started too lately to do all that it will. */
+    /** Returns whether the worker is still warming up. */
     boolean isCold() {
         return capacityFraction(eventQueue.nowUs()) < 1;
     }
 
-    /** Whether it was pushed over while it was cold. */
+    /** Returns whether the worker was overloaded while it was cold. */
     boolean overloaded() {
         return overloaded;
     }
 
-    /** A job's last byte has come. */
-    void receive(double workUs, int needed, JobListener sender) {
+    /** Receives a complete job. */
+    void receive(double workUs, int needed, JobListener listener) {
         recordColdJob(workUs * needed);
         if (!up) {
             return;
         }
         if (queue.size() >= MAX_QUEUED_PER_SLOT * slots) {
-            sender.ended(Outcome.FULL);
+            listener.ended(Outcome.FULL);
             return;
         }
-        queue.add(new Job(workUs, Math.min(slots, needed), sender));
+        queue.add(new Job(workUs, Math.min(slots, needed), listener));
         startWaiting();
     }
 
-    /** The largest number of jobs in any window while cold, over what it bore then. */
+    /** The largest ratio of jobs in a window while cold to the number tolerated. */
     double maxColdCountRatio() {
         return maxColdCountRatio;
     }
 
-    /** The most work in any window while cold, over what it bore then; above 1 it fell. */
+    /**
+     * The largest ratio of work in a window while cold to the work tolerated; above 1 the worker
+     * crashed.
+     */
     double maxColdWorkRatio() {
         return maxColdWorkRatio;
     }
 
     /**
-     * Counts the jobs and their work in the window that ends now; by their work, it falls over the
-     * bound.
+     * Counts the jobs and their work in the window that ends now. The worker crashes if their work
+     * exceeds the bound.
      */
     private void recordColdJob(double work) {
         final long nowUs = eventQueue.nowUs();
@@ -215,9 +218,9 @@
         while (!queue.isEmpty() && busy + queue.peek().slots <= slots) {
             final Job job = queue.poll();
             busy += job.slots;
-            job.sender.started();
+            job.listener.started();
             final int startedBy = processNumber;
-            // Failing is spread evenly over its jobs, by the work they bring.
+            // Selects failing jobs evenly by the work that they bring.
             final boolean fails = job.workUs % 1000 < failedFraction * 1000;
             final long ranUs = fails ? WARMING_STEP_US : runningUs(job.workUs);
             for (long reported = PROGRESS_INTERVAL_US;
@@ -228,7 +231,7 @@
                         reported,
                         () -> {
                             if (startedBy == processNumber) {
-                                job.sender.progressed(share);
+                                job.listener.progressed(share);
                             }
                         });
             }
@@ -237,7 +240,7 @@
                     () -> {
                         if (startedBy == processNumber) {
                             busy -= job.slots;
-                            job.sender.ended(fails ? Outcome.ERROR : Outcome.SERVED);
+                            job.listener.ended(fails ? Outcome.ERROR : Outcome.SERVED);
                             startWaiting();
                         }
                     });
--- a/src/main/java/cresschute/testbed/model/RegionLink.java
+++ b/src/main/java/cresschute/testbed/model/RegionLink.java
@@ -4,21 +4,21 @@
 import java.util.List;
 
 /**
- * The network between two regions, up or cut. While it is cut no connection, answer or notice
- * passes from one region to the other; answers are lost, changes of the worker list come once it is
- * up again, in order.
+ * The network between two regions. While it is cut, no connection, response or endpoint list change
+ * passes between them. Responses are lost; endpoint list changes are queued and delivered in order
+ * when the network is restored.
  */
 final class RegionLink {
 
     private final List<Runnable> heldBack = new ArrayList<>();
     private int firstZoneOfSecondRegion = Integer.MAX_VALUE;
 
-    /** Cuts the network between the zones below this one and the others. */
+    /** Cuts the network between the zones below {@code firstZone} and the others. */
     void cut(int firstZone) {
         firstZoneOfSecondRegion = firstZone;
     }
 
-    /** Joins the regions again and delivers the changes of the list that were held back. */
+    /** Restores the network and delivers the queued endpoint list changes. */
     void restore() {
         firstZoneOfSecondRegion = Integer.MAX_VALUE;
         final List<Runnable> due = List.copyOf(heldBack);
@@ -30,7 +30,7 @@
         return zone < firstZoneOfSecondRegion == other < firstZoneOfSecondRegion;
     }
 
-    /** Delivers a change of the list now, or once the regions are joined again. */
+    /** Delivers an endpoint list change now, or when the network is restored. */
     void deliver(int toZone, int fromZone, Runnable change) {
         if (connects(toZone, fromZone)) {
             change.run();
--- a/src/test/java/cresschute/testbed/model/FleetModelTest.java
+++ b/src/test/java/cresschute/testbed/model/FleetModelTest.java
@@ -27,10 +27,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A fleet of 100 dispatchers that each see little traffic, in virtual time: every class keeps its
- * service in its own right while a third of the workers is lost and comes back cold, and while six
- * in ten are replaced. The seeds were not chosen for their results; a fleet's run is the same each
- * time.
+ * Guards against starving a request class: a fleet of 100 dispatchers, each with little traffic, in
+ * virtual time. Every class must be served while a third of the workers is lost and returns cold,
+ * and while six in ten are replaced. The seeds were not chosen for their results; a run is the same
+ * for the same seed.
  */
 class FleetModelTest {
 
@@ -39,8 +39,8 @@
     private static final int WORKERS = 60;
 
     /**
-     * Short checks, longer reports and long keyed jobs; workers tell of their load and may be
-     * probed.
+     * Short checks, longer reports and long keyed jobs; workers report their load and accept load
+     * queries.
      */
     private static final List<RequestClass> CLASSES_WITH_LOAD_REPORTS =
             List.of(
@@ -78,7 +78,7 @@
                     new Demand(0.27, 3_200_000, 1_400_000, 0.2),
                     new Demand(0.24, 5_000_000, 2_500_000, 0.2));
 
-    /** Classes that may not be repeated, of very uneven work; nothing is told of load. */
+    /** Classes of very uneven work, two of them unsafe to repeat; workers report no load. */
     private static final List<RequestClass> CLASSES_WITHOUT_LOAD_REPORTS =
             List.of(
                     new RequestClass(
@@ -181,8 +181,8 @@
     }
 
     /**
-     * Some workers slow and some failing, a burst, and a zone lost in second 15 to 30, cold after
-     * it.
+     * Slows some workers and makes some fail, adds a burst, and loses a zone from second 15 to 30;
+     * it returns cold.
      */
     private static void loseZone(FleetModel fleet) {
         fleet.slowDown(List.of(1, 9, 17, 25), 4);
@@ -201,7 +201,7 @@
     }
 
     /**
-     * Six in ten workers replaced by cold ones in three steps within 7 s, from second 7 on, and a
+     * Replaces six in ten workers by cold ones in three steps within 7 s, from second 7 on, with a
      * burst.
      */
     private static void replaceMost(FleetModel fleet) {
@@ -219,7 +219,10 @@
         fleet.drain();
     }
 
-    /** Low load, a third of the workers back cold and a tenth as many new ones; then a burst. */
+    /**
+     * At low load, restarts a third of the workers cold and adds a tenth as many new ones; then a
+     * burst follows.
+     */
     static FleetModel coldUnderBurst(int dispatchers, int workers, double burst, long seed) {
         final FleetModel fleet = reported(dispatchers, workers, 0.35, seed);
         fleet.advance(2 * SECOND);
@@ -245,13 +248,13 @@
             FleetModel fleet, double share, double shareAfter, double afterS) {
         for (int requestClass = 0; requestClass < 3; requestClass++) {
             assertThat(inTime(fleet, requestClass, 0, 45))
-                    .as("served of class %d", requestClass)
+                    .as("fraction of class %d in time", requestClass)
                     .isGreaterThan(share);
             assertThat(inTime(fleet, requestClass, afterS, 45))
-                    .as("served of class %d after", requestClass)
+                    .as("fraction of class %d in time after the failure", requestClass)
                     .isGreaterThan(shareAfter);
         }
-        assertThat(fleet.overloadedWorkers()).as("cold workers pushed over").isZero();
+        assertThat(fleet.overloadedWorkers()).as("overloaded cold workers").isZero();
     }
 
     @ParameterizedTest
@@ -260,7 +263,7 @@
         final FleetModel fleet = reported(load, seed);
         loseZone(fleet);
         assertEveryClassServed(fleet, share, shareAfter, 38);
-        assertThat(fleet.sendsPerRequest()).as("sends a request").isLessThan(1.3);
+        assertThat(fleet.sendsPerRequest()).as("attempts per client request").isLessThan(1.3);
     }
 
     @ParameterizedTest
@@ -272,7 +275,7 @@
         assertEveryClassServed(fleet, share, after, 22);
     }
 
-    /** Nothing tells of load there: the shares are what a choice without sight reaches. */
+    /** Without load reports, these shares are what a choice without load information reaches. */
     @ParameterizedTest
     @CsvSource({"0.4, 0.65, 1", "0.4, 0.65, 2"})
     void servesEveryClassWithoutLoadReports(double load, double share, long seed) {
@@ -291,9 +294,9 @@
     }
 
     /**
-     * Cold workers come in low load and a burst meets them halfway: what all dispatchers send to
-     * one of them together stays under what it bears, by number and by work, and jobs of every
-     * class still go to them.
+     * Cold workers start at low load and a burst arrives while they are half warm. What all
+     * dispatchers together send to one of them must stay below its bound, by number of jobs and by
+     * work, and jobs of every class must still reach them.
      */
     @ParameterizedTest
     @ValueSource(ints = {2, 20, 100})
@@ -302,20 +305,20 @@
         for (long seed = 11; seed <= 20; seed++) {
             final ColdStartTally tally =
                     coldUnderBurst(dispatchers, WORKERS, 3, seed).coldStartTally();
-            assertThat(tally.overloads()).as("falls, seed %d", seed).isZero();
+            assertThat(tally.overloads()).as("overloaded cold workers, seed %d", seed).isZero();
             assertThat(tally.maxWorkRatio())
-                    .as("worst window by work, seed %d", seed)
+                    .as("largest ratio in a window by work, seed %d", seed)
                     .isLessThan(0.95);
             assertThat(tally.maxCountRatio())
-                    .as("worst window by number, seed %d", seed)
+                    .as("largest ratio in a window by number of jobs, seed %d", seed)
                     .isLessThan(0.95);
             Arrays.setAll(
                     sends, requestClass -> sends[requestClass] + tally.sends().get(requestClass));
         }
         final double coldWorkers = 10 * (WORKERS / 3 + WORKERS / 10);
-        assertThat(sends[0] / coldWorkers).as("short jobs a cold worker").isGreaterThan(2);
-        assertThat(sends[1] / coldWorkers).as("longer jobs a cold worker").isGreaterThan(0.6);
-        assertThat(sends[2] / coldWorkers).as("long jobs a cold worker").isGreaterThan(0.12);
+        assertThat(sends[0] / coldWorkers).as("short jobs per cold worker").isGreaterThan(2);
+        assertThat(sends[1] / coldWorkers).as("longer jobs per cold worker").isGreaterThan(0.6);
+        assertThat(sends[2] / coldWorkers).as("long jobs per cold worker").isGreaterThan(0.12);
     }
 
     @Test
--- a/src/test/java/cresschute/testbed/model/ModelWorkerTest.java
+++ b/src/test/java/cresschute/testbed/model/ModelWorkerTest.java
@@ -7,15 +7,15 @@
 import cresschute.dispatch.SlowStartSettings;
 import org.junit.jupiter.api.Test;
 
-/** What the model counts at a cold worker, against the rule's own figures. */
+/** Checks what the model counts at a cold worker against the figures of the slow-start rule. */
 class ModelWorkerTest {
 
     private static final long SECOND = 1_000_000;
     private static final long MEAN_WORK_US = 100_000;
 
     private final EventQueue eventQueue = new EventQueue(SECOND);
-    // Half of 2 slots for a second, doubled: 20 jobs of 0.1 s; it hardly warms while it is looked
-    // at.
+    // Half of 2 slots for 1 s, doubled: 20 jobs of 0.1 s. The warm-up is so long that the worker
+    // hardly warms during a test.
     private final SlowStartSettings rule =
             new SlowStartSettings(0.5, 1_000_000 * SECOND, 2, SECOND);
     private final ModelWorker worker =
@@ -29,17 +29,17 @@
                     new ModelWorker.JobListener() {
                         @Override
                         public void started() {
-                            // Only what the worker counts is looked at.
+                            // Ignored: the tests check only the counts of the worker.
                         }
 
                         @Override
                         public void progressed(double fractionDone) {
-                            // Only what the worker counts is looked at.
+                            // Ignored: the tests check only the counts of the worker.
                         }
 
                         @Override
                         public void ended(Outcome outcome) {
-                            // Only what the worker counts is looked at.
+                            // Ignored: the tests check only the counts of the worker.
                         }
                     });
         }
