--- a/src/main/java/cresschute/testbed/capacity/Sample.java
+++ b/src/main/java/cresschute/testbed/capacity/Sample.java
@@ -9,7 +9,7 @@
  * @param ns the monotonic clock
  * @param us the experiment's clock
  * @param dispatchers what each dispatcher has used
- * @param peers what the processes of the workers have used, together, of discovery and of the
+ * @param stubs what the processes of the workers have used, together, of discovery and of the
  *     clients
  * @param workers counts of the hollow workers
  * @param discovery counts of discovery
@@ -18,9 +18,9 @@
 record Sample(
         long ns,
         long us,
-        List<ProcessUse> dispatchers,
-        List<ProcessUse> peers,
-        HollowWorkers.Counts workers,
+        List<ProcessUsage> dispatchers,
+        List<ProcessUsage> stubs,
+        StubWorkers.Counts workers,
         JsonObject discovery,
         JsonObject clients) {
 
