--- a/src/test/java/cresschute/control/DrainRegistryTest.java
+++ b/src/test/java/cresschute/control/DrainRegistryTest.java
@@ -16,7 +16,10 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** Operations are applied once, rejections name their reason, and drains agree with a model. */
+/**
+ * Tests that operations are applied once, that rejections state their reason, and that drains match
+ * a reference model.
+ */
 class DrainRegistryTest {
 
     private static final long S = 1_000_000;
@@ -39,7 +42,7 @@
         return new DrainOperation(id, true, worker, DrainRegistry.NO_END_US, "ann", "disk", false);
     }
 
-    private static DrainOperation undo(String id, String worker) {
+    private static DrainOperation undrain(String id, String worker) {
         return new DrainOperation(id, false, worker, DrainRegistry.NO_END_US, "ann", "", false);
     }
 
@@ -52,7 +55,7 @@
                 .isEqualTo(WorkerState.DRAINING);
         assertThat(drains.effectiveState("a", WorkerState.GONE)).isEqualTo(WorkerState.GONE);
         assertThat(drains.effectiveState("b", WorkerState.READY)).isEqualTo(WorkerState.READY);
-        assertThat(drains.apply(undo("2", "a"), FLEET, 0).result())
+        assertThat(drains.apply(undrain("2", "a"), FLEET, 0).result())
                 .isEqualTo(OperationResult.APPLIED);
         assertThat(drains.effectiveState("a", WorkerState.DRAINING))
                 .isEqualTo(WorkerState.DRAINING);
@@ -60,12 +63,13 @@
     }
 
     /**
-     * A console that was cut off sends its operation again; meanwhile another one has undone it.
+     * Guards against a repeated drain: a console that lost its connection sends a drain again after
+     * another console has ended that drain.
      */
     @Test
     void repeatedOperationHasNoSecondEffect() {
         final OperationOutcome first = drains.apply(drain("1", "a"), FLEET, 0);
-        drains.apply(undo("2", "a"), FLEET, 1);
+        drains.apply(undrain("2", "a"), FLEET, 1);
         assertThat(drains.apply(drain("1", "a"), FLEET, 2)).isEqualTo(first);
         assertThat(drains.inForce()).isEmpty();
         assertThat(drains.apply(drain("1", "b"), FLEET, 3))
@@ -82,7 +86,7 @@
                 .isEqualTo(new OperationOutcome(OperationResult.UNCHANGED, "drained by ann: disk"));
         assertThat(drains.inForce())
                 .containsExactly(new Drain("a", 5, DrainRegistry.NO_END_US, "ann", "disk"));
-        assertThat(drains.apply(undo("3", "b"), FLEET, 9))
+        assertThat(drains.apply(undrain("3", "b"), FLEET, 9))
                 .isEqualTo(
                         new OperationOutcome(
                                 OperationResult.UNCHANGED, "not drained by an operator"));
@@ -103,7 +107,7 @@
                                         0)
                                 .result())
                 .isEqualTo(OperationResult.APPLIED);
-        // What drains already does not count as left.
+        // Drained workers do not count as remaining workers.
         assertThat(drains.apply(drain("4", "b"), FLEET, 0))
                 .isEqualTo(
                         new OperationOutcome(
@@ -125,7 +129,8 @@
     }
 
     /**
-     * One that is restarting and not on the list can be drained by force, and is when it is back.
+     * A worker that is restarting, and so not in the endpoint list, can be drained by force; the
+     * drain is in force when the worker is back.
      */
     @Test
     void rejectsUnforcedDrainOfUnknownWorker() {
@@ -166,9 +171,9 @@
     @Test
     void forgetsTheOldestOperationOverTheLimit() {
         for (int i = 0; i <= DrainRegistry.MAX_COMPLETED; i++) {
-            drains.apply(undo("u" + i, "a"), FLEET, 0);
+            drains.apply(undrain("u" + i, "a"), FLEET, 0);
         }
-        // The oldest is forgotten: under its id another operation is a new one.
+        // The oldest operation was dropped: another operation with its id is applied as a new one.
         assertThat(drains.apply(drain("u0", "a"), FLEET, 0).result())
                 .isEqualTo(OperationResult.APPLIED);
         assertThat(drains.apply(drain("u2", "b"), FLEET, 0).result())
@@ -176,9 +181,9 @@
     }
 
     /**
-     * Against a plain model, operations sent up to three times and a restart from a snapshot in
-     * between: a worker drains exactly while the model says so, and a class with a worker left
-     * never loses its last one unforced.
+     * Compares the registry with a reference model, with operations that are sent up to three times
+     * and restarts from a snapshot. A worker is drained exactly when the model says so, and an
+     * unforced drain never takes the last worker of a class.
      */
     @Property(tries = 300, seed = "81")
     void matchesReferenceModel(@ForAll Random random) {
--- a/src/test/java/cresschute/control/socket/ControlServerTest.java
+++ b/src/test/java/cresschute/control/socket/ControlServerTest.java
@@ -23,11 +23,11 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The control socket by itself, with a handler whose one row is large. */
+/** Tests the backpressure of the control server with a handler whose only row is large. */
 @Timeout(30)
 class ControlServerTest {
 
-    private static final int ROW = 300_000;
+    private static final int ROW_LENGTH = 300_000;
 
     private final EventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -58,7 +58,7 @@
 
         @Override
         public void refresh() {
-            // Its one row does not change by itself.
+            // The test changes the row itself.
         }
 
         @Override
@@ -75,7 +75,7 @@
     @BeforeEach
     void listen() throws Exception {
         socket = folder.resolve("s");
-        table.put("w/w1", "{\"text\":\"" + "x".repeat(ROW) + "\"}");
+        table.put("w/w1", "{\"text\":\"" + "x".repeat(ROW_LENGTH) + "\"}");
         server = new ControlServer(loop, socket, new LargeRowHandler());
         server.listen();
     }
@@ -87,42 +87,42 @@
     }
 
     /**
-     * A few hundred requests in one packet, none of whose answers is read, do not make the node
-     * hold every answer.
+     * Guards against unbounded memory: a console sends hundreds of requests in one write and reads
+     * no answer.
      */
     @Test
     void stopsReadingRequestsWhileAnswersAreUnread() throws Exception {
         final int requests = 300;
-        try (TestConsole peer = new TestConsole(socket)) {
+        try (TestConsole console = new TestConsole(socket)) {
             final StringBuilder all = new StringBuilder();
             for (int i = 0; i < requests; i++) {
                 all.append("{\"v\":1,\"id\":\"").append(i).append("\",\"do\":\"workers\"}\n");
             }
-            peer.write(all.toString());
+            console.write(all.toString());
             Awaitility.await().until(() -> requestsRead.get() >= 2);
-            // Another console is served meanwhile, after which the loop has been through all there
-            // was.
-            try (TestConsole other = new TestConsole(socket)) {
-                other.ask("\"do\":\"events\"");
-                other.ask("\"do\":\"events\"");
+            // Another console is served meanwhile. After its second answer the loop has processed
+            // everything that was readable before.
+            try (TestConsole otherConsole = new TestConsole(socket)) {
+                otherConsole.ask("\"do\":\"events\"");
+                otherConsole.ask("\"do\":\"events\"");
             }
-            // What fits below the mark and in the kernel's buffers, and no more.
+            // Only the answers that fit below the high water mark and into the kernel's buffers.
             assertThat(requestsRead.get()).isLessThan(12);
             for (int i = 0; i < requests; i++) {
-                assertThat(peer.read().get("re").getAsString()).isEqualTo(String.valueOf(i));
+                assertThat(console.read().get("re").getAsString()).isEqualTo(String.valueOf(i));
             }
             assertThat(requestsRead.get()).isEqualTo(requests + 2);
         }
     }
 
     /**
-     * Changes wait in the table and in no queue: a console that reads again gets the newest text of
-     * each row, once.
+     * Guards against a queue of updates per console: pending changes stay in the table, and a
+     * console that resumes reading gets only the newest text of each row.
      */
     @Test
     void consoleThatResumesReadingGetsOnlyTheNewestRows() throws Exception {
-        try (TestConsole peer = new TestConsole(socket)) {
-            peer.ask("\"do\":\"subscribe\"");
+        try (TestConsole console = new TestConsole(socket)) {
+            console.ask("\"do\":\"subscribe\"");
             final int changes = 200;
             for (int i = 1; i <= changes; i++) {
                 final int change = i;
@@ -133,7 +133,7 @@
                                             "{\"n\":"
                                                     + change
                                                     + ",\"text\":\""
-                                                    + "x".repeat(ROW)
+                                                    + "x".repeat(ROW_LENGTH)
                                                     + "\"}");
                                     server.publish(change);
                                 })
@@ -142,7 +142,7 @@
             int updates = 0;
             int newest = 0;
             while (newest < changes) {
-                final JsonObject update = peer.read();
+                final JsonObject update = console.read();
                 final int next =
                         update.getAsJsonObject("rows").getAsJsonObject("w/w1").get("n").getAsInt();
                 assertThat(next).isGreaterThan(newest);
@@ -154,11 +154,11 @@
         }
     }
 
-    /** A console that has stopped reading is closed after the stall timeout. */
+    /** A console that stops reading is closed after the stall timeout. */
     @Test
     void closesConsoleThatStopsReading() throws Exception {
-        try (TestConsole peer = new TestConsole(socket)) {
-            peer.write("{\"v\":1,\"id\":\"1\",\"do\":\"subscribe\"}\n");
+        try (TestConsole console = new TestConsole(socket)) {
+            console.write("{\"v\":1,\"id\":\"1\",\"do\":\"subscribe\"}\n");
             Awaitility.await().until(() -> loop.submit(server::hasSubscribers).get());
             final long startUs = 1_000_000;
             for (int i = 0; i < 40; i++) {
@@ -170,7 +170,7 @@
                                             "{\"n\":"
                                                     + change
                                                     + ",\"text\":\""
-                                                    + "x".repeat(ROW)
+                                                    + "x".repeat(ROW_LENGTH)
                                                     + "\"}");
                                     server.publish(startUs);
                                 })
