--- a/src/main/java/cresschute/settings/Statement.java
+++ b/src/main/java/cresschute/settings/BlockDeclaration.java
@@ -10,8 +10,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** One call of a block, as it was read: the values of its fields, and their positions. */
-final class Statement {
+/**
+ * One call of a block function in a script: the values of the block's fields and their positions.
+ */
+final class BlockDeclaration {
 
     private final Block block;
     private final Position at;
@@ -19,7 +21,7 @@
     private final Map<String, Position> positions = new HashMap<>();
     private boolean valid = true;
 
-    private Statement(Block block, Position at) {
+    private BlockDeclaration(Block block, Position at) {
         this.block = block;
         this.at = at;
         for (final Field<?> field : block.fields()) {
@@ -29,18 +31,19 @@
         }
     }
 
-    /** What holds for a block that a script does not state. */
-    static Statement unstated(Block block) {
-        return new Statement(block, Position.START);
+    /** The default values of a block that a script does not declare. */
+    static BlockDeclaration ofDefaults(Block block) {
+        return new BlockDeclaration(block, Position.START);
     }
 
     /**
-     * Reads a call; what is wrong goes to the problems, all of it at once, and the rest is kept.
+     * Reads a call. Adds a problem for every invalid or missing field, and keeps the values of the
+     * valid fields.
      */
-    static Statement read(Block block, Call call, List<Problem> problems) {
-        final Statement statement = new Statement(block, call.at());
+    static BlockDeclaration read(Block block, Call call, List<Problem> problems) {
+        final BlockDeclaration declaration = new BlockDeclaration(block, call.at());
         if (!call.positional().isEmpty()) {
-            statement.problem(
+            declaration.addProblem(
                     problems,
                     call.positional().get(0).at(),
                     block.name() + ": an argument without a name; each is given as name = value");
@@ -48,20 +51,20 @@
         for (final Map.Entry<String, Argument> given : call.named().entrySet()) {
             block.field(given.getKey())
                     .ifPresentOrElse(
-                            field -> statement.take(field, given.getValue(), problems),
+                            field -> declaration.readField(field, given.getValue(), problems),
                             () ->
-                                    statement.problem(
+                                    declaration.addProblem(
                                             problems,
                                             given.getValue().at(),
                                             block.name()
                                                     + " has no field '"
                                                     + given.getKey()
                                                     + "'"
-                                                    + hint(block, given.getKey())));
+                                                    + fieldHint(block, given.getKey())));
         }
         for (final Field<?> field : block.fields()) {
             if (field.required() && !call.named().containsKey(field.name())) {
-                statement.problem(
+                declaration.addProblem(
                         problems,
                         call.at(),
                         block.name()
@@ -71,29 +74,29 @@
                                 + field.type().allowed());
             }
         }
-        return statement;
+        return declaration;
     }
 
-    private static String hint(Block block, String name) {
+    private static String fieldHint(Block block, String name) {
         final String nearest = Suggestion.hint(name, block.fieldNames());
         return nearest.isEmpty() ? "; it has " + String.join(", ", block.fieldNames()) : nearest;
     }
 
-    private void take(Field<?> field, Argument given, List<Problem> problems) {
+    private void readField(Field<?> field, Argument given, List<Problem> problems) {
         positions.put(field.name(), given.at());
         if (given.value() == Values.NONE && !field.required()) {
             return;
         }
         final Object value = field.read(given.value());
         if (value == null) {
-            problem(
+            addProblem(
                     problems,
                     given.at(),
                     block.name()
                             + ": "
                             + field.name()
                             + " is "
-                            + shown(given.value())
+                            + abbreviate(given.value())
                             + "; allowed: "
                             + field.type().allowed());
         } else {
@@ -101,8 +104,8 @@
         }
     }
 
-    /** What was given, in short. */
-    private static String shown(Object value) {
+    /** Formats a script value for an error message, shortened if it is a long text. */
+    private static String abbreviate(Object value) {
         final int maxChars = 40;
         if (value instanceof String text) {
             return Values.quoted(
@@ -117,12 +120,12 @@
                         : Values.typeName(value);
     }
 
-    private void problem(List<Problem> problems, Position where, String message) {
+    private void addProblem(List<Problem> problems, Position where, String message) {
         valid = false;
         problems.add(new Problem(where, message));
     }
 
-    /** Whether nothing was wrong with it. */
+    /** Whether all fields are valid and all required fields are set. */
     boolean isValid() {
         return valid;
     }
@@ -131,22 +134,23 @@
         return block;
     }
 
-    /** Where the call begins. */
+    /** The position at which the call begins. */
     Position at() {
         return at;
     }
 
-    /** Where a field is given, or else the call. */
+    /** The position of a field's value, or of the call if the field is not set. */
     Position at(Field<?> field) {
         return positions.getOrDefault(field.name(), at);
     }
 
-    boolean gives(Field<?> field) {
+    boolean isSet(Field<?> field) {
         return positions.containsKey(field.name());
     }
 
     /**
-     * The value of a field, or null where it has none; the type of the field is that of its value.
+     * Returns the value of a field, or null if it has none. The unchecked cast is safe, because the
+     * field's type produced the value.
      */
     @SuppressWarnings("unchecked")
     <T> T get(Field<T> field) {
--- a/src/main/java/cresschute/settings/BodiesSchema.java
+++ b/src/main/java/cresschute/settings/BodiesSchema.java
@@ -4,7 +4,7 @@
 
 import java.util.List;
 
-/** The block on memory for streamed bodies and results. */
+/** Schema of the block for the memory of streamed bodies and results. */
 final class BodiesSchema {
 
     static final Field<Long> BUDGET =
--- a/src/main/java/cresschute/settings/Field.java
+++ b/src/main/java/cresschute/settings/Field.java
@@ -1,34 +1,39 @@
 package cresschute.settings;
 
 /**
- * One setting of a block.
+ * One field of a block.
  *
- * @param defaultValue what holds where a script does not give it; null where there is no such value
- * @param required whether it must be given
- * @param meaning one line for the reference
+ * @param defaultValue value if a script does not set the field; null if there is none
+ * @param required whether a script must set the field
+ * @param description one line for the settings reference
  */
-record Field<T>(String name, FieldType<T> type, T defaultValue, boolean required, String meaning) {
+record Field<T>(
+        String name, FieldType<T> type, T defaultValue, boolean required, String description) {
 
-    static <T> Field<T> required(String name, FieldType<T> kind, String meaning) {
-        return new Field<>(name, kind, null, true, meaning);
+    static <T> Field<T> required(String name, FieldType<T> type, String description) {
+        return new Field<>(name, type, null, true, description);
     }
 
-    static <T> Field<T> optional(String name, FieldType<T> kind, T otherwise, String meaning) {
-        return new Field<>(name, kind, otherwise, false, meaning);
+    static <T> Field<T> optional(
+            String name, FieldType<T> type, T defaultValue, String description) {
+        return new Field<>(name, type, defaultValue, false, description);
     }
 
-    /** The value that a script gave, or null where it is not allowed; {@code None} is not given. */
+    /**
+     * Converts the value from a script; returns null if the value is not allowed. {@code None}
+     * leaves an optional field unset and is not passed here.
+     */
     T read(Object given) {
         return type.read().apply(given);
     }
 
-    /** What holds where it is not given, as a script would write it. */
-    String shownDefault() {
-        return defaultValue == null ? "" : type.show().apply(defaultValue);
+    /** The default value in script syntax; empty if there is none. */
+    String formattedDefault() {
+        return defaultValue == null ? "" : type.format().apply(defaultValue);
     }
 
     @SuppressWarnings("unchecked")
-    String show(Object value) {
-        return type.show().apply((T) value);
+    String format(Object value) {
+        return type.format().apply((T) value);
     }
 }
--- a/src/main/java/cresschute/settings/FieldType.java
+++ b/src/main/java/cresschute/settings/FieldType.java
@@ -13,20 +13,19 @@
 import java.util.regex.Pattern;
 
 /**
- * The type of a field: the values of a script that it allows, their conversion, and their
- * formatting.
+ * The type of a field: which script values it allows, and how they are converted and formatted.
  *
- * @param allowed what may be given, as errors and the reference say it
- * @param read the value held for one of a script, or null where it is not allowed
- * @param show the script's form of a value held
+ * @param allowed description of the allowed values for error messages and the settings reference
+ * @param read converts a script value; returns null if the value is not allowed
+ * @param format formats a converted value in script syntax
  */
-record FieldType<T>(String allowed, Function<Object, T> read, Function<T, String> show) {
+record FieldType<T>(String allowed, Function<Object, T> read, Function<T, String> format) {
 
     private static final Pattern NAME = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,63}");
 
     /**
-     * What fits into {@code sockaddr_un} with the zero at its end on every system that Java runs
-     * on.
+     * Longest path, in bytes, that fits into {@code sockaddr_un} with its terminating zero on every
+     * system that Java supports.
      */
     private static final int MAX_SOCKET_PATH_BYTES = 100;
 
@@ -41,8 +40,8 @@
                 Values::quoted);
     }
 
-    /** One of these words. */
-    static FieldType<String> choice(String... words) {
+    /** One of the given words. */
+    static FieldType<String> oneOf(String... words) {
         final List<String> known = List.of(words);
         final List<String> quoted = known.stream().map(Values::quoted).toList();
         return new FieldType<>(
@@ -76,20 +75,20 @@
     }
 
     /** True or False. */
-    static FieldType<Boolean> truth() {
+    static FieldType<Boolean> bool() {
         return new FieldType<>(
                 "True or False",
                 value -> value instanceof Boolean truth ? truth : null,
                 value -> value ? "True" : "False");
     }
 
-    /** A time within bounds in microseconds, held in microseconds. */
+    /** A time within the given bounds; bounds and value are in microseconds. */
     static FieldType<Long> time(long minUs, long maxUs) {
         return new FieldType<>(
                 "a time from "
-                        + time(minUs)
+                        + formatTime(minUs)
                         + " to "
-                        + time(maxUs)
+                        + formatTime(maxUs)
                         + ", such as "
                         + (maxUs >= US_PER_S ? "2 * s" : "20 * ms"),
                 value ->
@@ -99,17 +98,17 @@
                                         && quantity.amount() <= maxUs
                                 ? (Long) Math.round(quantity.amount())
                                 : null,
-                FieldType::time);
+                FieldType::formatTime);
     }
 
-    private static String time(long us) {
+    private static String formatTime(long us) {
         return us == 0 ? "0 * ms" : Values.text(new Quantity(Dimension.TIME, us));
     }
 
-    /** A size within bounds in bytes, held in bytes. */
+    /** A size within the given bounds; bounds and value are in bytes. */
     static FieldType<Long> size(long min, long max) {
         return new FieldType<>(
-                "a size from " + size(min) + " to " + size(max) + ", such as 2 * MiB",
+                "a size from " + formatSize(min) + " to " + formatSize(max) + ", such as 2 * MiB",
                 value ->
                         value instanceof Quantity quantity
                                         && quantity.dimension() == Dimension.SIZE
@@ -117,14 +116,14 @@
                                         && quantity.amount() <= max
                                 ? (Long) Math.round(quantity.amount())
                                 : null,
-                FieldType::size);
+                FieldType::formatSize);
     }
 
-    static String size(long bytes) {
+    static String formatSize(long bytes) {
         return Values.text(new Quantity(Dimension.SIZE, bytes));
     }
 
-    /** An IP address with a port, held as both. */
+    /** An IP address with a port. */
     static FieldType<InetSocketAddress> address() {
         return new FieldType<>(
                 "an IP address with a port, such as \"127.0.0.1:9000\"",
@@ -152,10 +151,12 @@
                     return List.copyOf(addresses);
                 },
                 value ->
-                        "[" + String.join(", ", value.stream().map(address.show()).toList()) + "]");
+                        "["
+                                + String.join(", ", value.stream().map(address.format()).toList())
+                                + "]");
     }
 
-    /** A path from the root. */
+    /** An absolute path. */
     static FieldType<String> path() {
         return new FieldType<>(
                 "a path that begins with '/'",
@@ -168,7 +169,7 @@
                 Values::quoted);
     }
 
-    /** A path from the root, short enough for the address of a Unix domain socket. */
+    /** An absolute path, short enough for the address of a Unix domain socket. */
     static FieldType<String> socketPath() {
         final FieldType<String> path = path();
         return new FieldType<>(
@@ -181,10 +182,10 @@
                             ? null
                             : read;
                 },
-                path.show());
+                path.format());
     }
 
-    /** A list of names, none of them twice. */
+    /** A list of distinct names. */
     static FieldType<List<String>> names() {
         final FieldType<String> name = name();
         return new FieldType<>(
--- a/src/main/java/cresschute/settings/JobClassSchema.java
+++ b/src/main/java/cresschute/settings/JobClassSchema.java
@@ -7,7 +7,7 @@
 
 import java.util.List;
 
-/** The blocks on request classes and on the objective that weighs them. */
+/** Schema of the blocks for request classes and for the weights of the service objective. */
 final class JobClassSchema {
 
     static final Field<String> CLASS_NAME =
@@ -33,12 +33,12 @@
     static final Field<String> IDEMPOTENCY =
             required(
                     "effect",
-                    FieldType.choice("safe", "keyed", "unsafe"),
+                    FieldType.oneOf("safe", "keyed", "unsafe"),
                     "what a repeat does: nothing, nothing within a window by its key, or harm");
     static final Field<String> DEDUPLICATION_SCOPE =
             optional(
                     "repeat_scope",
-                    FieldType.choice("all", "zone", "cell"),
+                    FieldType.oneOf("all", "zone", "cell"),
                     "all",
                     "keyed: the workers among which a repeat is dropped");
     static final Field<Long> DEDUPLICATION_WINDOW =
@@ -89,13 +89,13 @@
     static final Field<Boolean> LONG_RESULTS =
             optional(
                     "long_results",
-                    FieldType.truth(),
+                    FieldType.bool(),
                     false,
                     "whether workers may pass results on as they make them, see `bodies`");
     static final Field<String> DEADLINE_BYTE =
             optional(
                     "deadline_to",
-                    FieldType.choice("last", "first"),
+                    FieldType.oneOf("last", "first"),
                     "last",
                     "the byte of a long result by which `deadline` must be met");
     static final Block JOB_CLASS =
--- a/src/main/java/cresschute/settings/NodeSchema.java
+++ b/src/main/java/cresschute/settings/NodeSchema.java
@@ -8,7 +8,7 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 
-/** The blocks on the node itself: its name, limits, log, control socket and stored state. */
+/** Schema of the blocks for the node: name, limits, log, control socket and stored state. */
 final class NodeSchema {
 
     static final Field<String> NODE_NAME =
@@ -49,7 +49,7 @@
     static final Field<Boolean> HEDGED_REQUESTS =
             optional(
                     "second_copies",
-                    FieldType.truth(),
+                    FieldType.bool(),
                     false,
                     "whether a request may be out at two workers at a time");
     static final Field<Long> MAX_RETRY_AFTER =
@@ -77,7 +77,7 @@
                     seconds(10),
                     "when workers close a connection that stands idle");
     static final Field<Boolean> LOAD_QUERIES =
-            optional("probes", FieldType.truth(), false, "whether workers answer `GET /stats`");
+            optional("probes", FieldType.bool(), false, "whether workers answer `GET /stats`");
     static final Block LIMITS =
             new Block(
                     "limits",
@@ -96,13 +96,13 @@
     static final Field<String> LOG_FORMAT =
             optional(
                     "format",
-                    FieldType.choice("text", "json"),
+                    FieldType.oneOf("text", "json"),
                     "text",
                     "lines for people, or one JSON object a line");
     static final Field<String> LOG_LEVEL =
             optional(
                     "level",
-                    FieldType.choice("debug", "info", "warning", "error"),
+                    FieldType.oneOf("debug", "info", "warning", "error"),
                     "info",
                     "the least that is logged");
     static final Block LOGS =
--- a/src/main/java/cresschute/settings/NodeSettings.java
+++ b/src/main/java/cresschute/settings/NodeSettings.java
@@ -5,25 +5,24 @@
 import java.util.List;
 
 /**
- * The typed settings of a script that passed all checks.
+ * Typed settings of a node, from a settings script that passed all checks.
  *
- * @param seed for random choices, or null for a new one at each start
- * @param dispatch the settings of the dispatcher; its zones, kinds and classes are indexes of the
- *     names here
- * @param classes the classes' names
- * @param zones the zones' names
- * @param kinds the names of the kinds of worker
- * @param workers the fixed list, or with discovery the list to begin with
- * @param discovery where the discovery service listens, or null where the list is fixed
- * @param maxFileDescriptors file descriptors that the process may hold
+ * @param seed seed of the random number generator, or null for a new seed at each start
+ * @param dispatch settings of the dispatcher; its zones, kinds and classes are indexes into the
+ *     lists of names here
+ * @param classes names of the request classes
+ * @param zones names of the zones
+ * @param kinds names of the kinds of worker
+ * @param workers the fixed worker list, or the initial list if a discovery service is configured
+ * @param discovery address of the discovery service, or null if the worker list is fixed
+ * @param maxFileDescriptors maximum number of open file descriptors of the process
  * @param logFormat {@code text} or {@code json}
  * @param logLevel {@code debug}, {@code info}, {@code warning} or {@code error}
- * @param controlSocket the control socket's file, or null
- * @param stateFolder the folder for state, or null
- * @param bodies memory for streamed bodies, or null where no class allows any
- * @param peers the other dispatchers, or null where no counts are exchanged
- * @param formattedScript the settings in force as a script of their own, with all that holds
- *     without being stated
+ * @param controlSocket path of the control socket, or null if consoles cannot connect
+ * @param stateFolder path of the folder for stored state, or null if no state is stored
+ * @param bodies memory limits of streamed bodies, or null if no class allows streaming
+ * @param peers the other dispatchers, or null if no in-flight counts are exchanged
+ * @param formattedScript the settings in force as a script, defaults included
  */
 public record NodeSettings(
         String name,
@@ -47,12 +46,12 @@
         String formattedScript) {
 
     /**
-     * The exchange with the other dispatchers.
+     * Settings of the gossip exchange with the other dispatchers.
      *
-     * @param listen where this one takes their datagrams
-     * @param addresses where each of them listens
-     * @param keyFile the file of the key that all of them share
-     * @param bytesPerS bytes a second that this one sends at the most
+     * @param listen UDP address on which this dispatcher receives datagrams
+     * @param addresses UDP addresses of the other dispatchers
+     * @param keyFile path of the file with the key that all dispatchers share
+     * @param bytesPerS maximum send rate of this dispatcher, bytes per second
      */
     public record Peers(
             InetSocketAddress listen,
@@ -61,9 +60,9 @@
             long bytesPerS) {}
 
     /**
-     * Memory for streamed bodies, all in bytes.
+     * Memory limits of streamed bodies, in bytes.
      *
-     * @param classes what each class allows, in their order
+     * @param classes limits of each request class, in the order of the classes
      */
     public record Bodies(
             long budgetBytes,
@@ -74,13 +73,14 @@
             List<ClassBodies> classes) {}
 
     /**
-     * What a class allows of bodies.
+     * Body limits of one request class.
      *
-     * @param maxBodyBytes bytes
-     * @param minRateBytesPerS bytes a second, over the longest stall
-     * @param stallUs the longest time without a byte
-     * @param streamsResults whether a result may come as it is made
-     * @param deadlineToFirstByte whether the deadline of such a result counts to its first byte
+     * @param maxBodyBytes longest request body, bytes
+     * @param minRateBytesPerS lowest transfer rate, bytes per second, measured over {@code stallUs}
+     * @param stallUs longest time without a byte transferred, microseconds
+     * @param streamsResults whether workers may stream results
+     * @param deadlineToFirstByte whether the deadline of a streamed result applies to its first
+     *     byte rather than its last
      */
     public record ClassBodies(
             long maxBodyBytes,
@@ -89,7 +89,7 @@
             boolean streamsResults,
             boolean deadlineToFirstByte) {}
 
-    /** A worker of the list. */
+    /** One worker of the list. */
     public record WorkerEntry(
             String id,
             InetSocketAddress address,
--- a/src/main/java/cresschute/settings/PeersCheck.java
+++ b/src/main/java/cresschute/settings/PeersCheck.java
@@ -8,39 +8,46 @@
 import java.util.Set;
 import java.util.function.UnaryOperator;
 
-/** Checks the block on the exchange with the other dispatchers, by itself and against others. */
+/** Checks the {@code peers} block: its own fields and their consistency with other blocks. */
 final class PeersCheck {
 
-    /** Lower bound of the traffic to one peer: a message without entries, and a few entries. */
+    /**
+     * Minimum send rate per peer, bytes per second: enough for a message without entries plus a few
+     * entries every second.
+     */
     private static final long MIN_BYTES_PER_S_PER_PEER = 100;
 
-    private final StatedBlocks blocks;
+    private final BlockDeclarations blocks;
     private final List<Problem> problems;
-    private final UnaryOperator<String> keyProblem;
+    private final UnaryOperator<String> keyFileProblem;
 
     /**
-     * A check that adds to the problems.
+     * Creates a check that adds the problems it finds to the given list.
      *
-     * @param keyProblem what is wrong with a key file, by its path; null where nothing is
+     * @param keyFileProblem checks the key file at a path; returns what is wrong with it, or null
+     *     if nothing is
      */
-    PeersCheck(StatedBlocks blocks, List<Problem> problems, UnaryOperator<String> keyProblem) {
+    PeersCheck(
+            BlockDeclarations blocks,
+            List<Problem> problems,
+            UnaryOperator<String> keyFileProblem) {
         this.blocks = blocks;
         this.problems = problems;
-        this.keyProblem = keyProblem;
+        this.keyFileProblem = keyFileProblem;
     }
 
-    void check(Statement peers) {
+    void check(BlockDeclaration peers) {
         checkAddresses(peers, peers.get(PeersSchema.PEERS_ADDRESSES));
         checkRate(peers);
         checkKey(peers);
         checkOtherBlocks(peers);
     }
 
-    private void checkRate(Statement peers) {
+    private void checkRate(BlockDeclaration peers) {
         final int count = peers.get(PeersSchema.PEERS_ADDRESSES).size();
         final long bytesPerS = peers.get(PeersSchema.PEERS_BYTES_PER_SECOND);
         if (bytesPerS < MIN_BYTES_PER_S_PER_PEER * count) {
-            problem(
+            addProblem(
                     peers.at(PeersSchema.PEERS_BYTES_PER_SECOND),
                     "peers: bytes_per_second "
                             + bytesPerS
@@ -53,26 +60,26 @@
         }
     }
 
-    private void checkKey(Statement peers) {
+    private void checkKey(BlockDeclaration peers) {
         final String file = peers.get(PeersSchema.PEERS_KEY_FILE);
-        final String fault = keyProblem.apply(file);
-        if (fault != null) {
-            problem(
+        final String problem = keyFileProblem.apply(file);
+        if (problem != null) {
+            addProblem(
                     peers.at(PeersSchema.PEERS_KEY_FILE),
                     "peers: key_file "
                             + Values.quoted(file)
                             + " "
-                            + fault
+                            + problem
                             + "; it must hold at least "
                             + SettingsFile.MIN_KEY_BYTES
                             + " bytes");
         }
     }
 
-    private void checkOtherBlocks(Statement peers) {
+    private void checkOtherBlocks(BlockDeclaration peers) {
         if (!blocks.single(NodeSchema.LIMITS).get(NodeSchema.LOAD_QUERIES)
                 || !blocks.single(WorkerSchema.REPORTS).get(WorkerSchema.REPORTS_LOAD)) {
-            problem(
+            addProblem(
                     peers.at(),
                     "peers: needs limits(probes = True) and reports(load = True); a worker is "
                             + "asked itself wherever the peers' counts are not whole");
@@ -80,7 +87,7 @@
         final int count = peers.get(PeersSchema.PEERS_ADDRESSES).size();
         final long dispatchers = blocks.single(NodeSchema.NODE).get(NodeSchema.DISPATCHERS);
         if (dispatchers != count + 1) {
-            problem(
+            addProblem(
                     peers.at(PeersSchema.PEERS_ADDRESSES),
                     "peers: addresses names "
                             + count
@@ -91,14 +98,15 @@
         }
     }
 
-    private void checkAddresses(Statement peers, List<InetSocketAddress> addresses) {
+    private void checkAddresses(BlockDeclaration peers, List<InetSocketAddress> addresses) {
         final Position at = peers.at(PeersSchema.PEERS_ADDRESSES);
         if (addresses.isEmpty()) {
-            problem(at, "peers: addresses is empty; leave the block out where there are no peers");
+            addProblem(
+                    at, "peers: addresses is empty; leave the block out where there are no peers");
         }
         final InetSocketAddress own = peers.get(PeersSchema.PEERS_LISTEN);
         if (addresses.contains(own)) {
-            problem(
+            addProblem(
                     at,
                     "peers: addresses has "
                             + Values.quoted(IpAddress.format(own))
@@ -108,17 +116,17 @@
         final Set<InetSocketAddress> seen = new HashSet<>();
         for (final InetSocketAddress each : addresses) {
             if (!seen.add(each)) {
-                problem(
+                addProblem(
                         at,
                         "peers: addresses has " + Values.quoted(IpAddress.format(each)) + " twice");
             }
         }
         if (own.getPort() == 0 || addresses.stream().anyMatch(each -> each.getPort() == 0)) {
-            problem(peers.at(), "peers: port 0 is no port that others could send to");
+            addProblem(peers.at(), "peers: port 0 is no port that others could send to");
         }
     }
 
-    private void problem(Position at, String message) {
+    private void addProblem(Position at, String message) {
         problems.add(new Problem(at, message));
     }
 }
--- a/src/main/java/cresschute/settings/PeersSchema.java
+++ b/src/main/java/cresschute/settings/PeersSchema.java
@@ -6,7 +6,7 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 
-/** The block on the exchange with the other dispatchers. */
+/** Schema of the block for the gossip exchange with the other dispatchers. */
 final class PeersSchema {
 
     static final Field<InetSocketAddress> PEERS_LISTEN =
--- a/src/main/java/cresschute/settings/Problem.java
+++ b/src/main/java/cresschute/settings/Problem.java
@@ -2,7 +2,7 @@
 
 import cresschute.settings.script.Position;
 
-/** Something wrong with a settings script. */
+/** An error in a settings script. */
 public record Problem(Position position, String message) implements Comparable<Problem> {
 
     @Override
@@ -10,7 +10,7 @@
         return position.compareTo(other.position);
     }
 
-    /** The line that reports it: the file, line and column, and what is wrong. */
+    /** Formats the problem as one line: file, line, column and message. */
     public String format(String file) {
         return file + ":" + position + ": " + message;
     }
--- a/src/main/java/cresschute/settings/Schema.java
+++ b/src/main/java/cresschute/settings/Schema.java
@@ -5,14 +5,14 @@
 import java.util.Map;
 
 /**
- * Every block that a settings script may state, in the order of the reference. The fields of a
- * block, with their bounds and defaults, are declared in the class of its family.
+ * All blocks that a settings script may declare, in the order of the settings reference. The other
+ * {@code *Schema} classes declare the fields of the blocks, with their bounds and defaults.
  */
 final class Schema {
 
     static final int MAX_ATTEMPTS_PER_REQUEST = 5;
 
-    /** Upper bound of workers and of dispatchers. */
+    /** Maximum number of workers, and of dispatchers. */
     static final int MAX_ENTRIES = 10_000;
 
     static final long MAX_FILE_DESCRIPTORS = 1_000_000;
@@ -39,8 +39,8 @@
 
     private Schema() {}
 
-    /** The form of a block, with its values, that a script would give. */
-    static String show(Block block, Map<String, Object> values) {
+    /** Formats a block with the given field values in script syntax. */
+    static String formatBlock(Block block, Map<String, Object> values) {
         final StringBuilder out = new StringBuilder(block.name()).append("(\n");
         for (final Field<?> field : block.fields()) {
             final Object value = values.get(field.name());
@@ -48,15 +48,15 @@
                 out.append("    ")
                         .append(field.name())
                         .append(" = ")
-                        .append(field.show(value))
+                        .append(field.format(value))
                         .append(",\n");
             }
         }
         return out.append(")\n").toString();
     }
 
-    /** Names as errors list them. */
-    static String listed(List<String> names) {
+    /** Formats names for an error message: quoted and separated by commas. */
+    static String quotedList(List<String> names) {
         return String.join(", ", names.stream().map(Values::quoted).toList());
     }
 }
--- a/src/main/java/cresschute/settings/SchemaReference.java
+++ b/src/main/java/cresschute/settings/SchemaReference.java
@@ -1,18 +1,18 @@
 package cresschute.settings;
 
-/** Formats the schema as the reference in Markdown that {@code docs/settings.md} holds. */
+/** Formats the schema as the Markdown reference that is part of {@code docs/settings.md}. */
 final class SchemaReference {
 
     private SchemaReference() {}
 
-    /** The reference in Markdown, one table a block. */
+    /** Returns the reference in Markdown, with one table for each block. */
     static String markdown() {
         final StringBuilder out = new StringBuilder();
         for (final Block block : Schema.BLOCKS) {
             out.append("### `")
                     .append(block.name())
                     .append("`\n\n")
-                    .append(capital(block.meaning()))
+                    .append(capitalize(block.description()))
                     .append(". ")
                     .append(
                             block.min() > 0
@@ -33,9 +33,9 @@
                                         ? "required"
                                         : field.defaultValue() == null
                                                 ? ""
-                                                : "`" + field.shownDefault() + "`")
+                                                : "`" + field.formattedDefault() + "`")
                         .append(" | ")
-                        .append(field.meaning())
+                        .append(field.description())
                         .append(" |\n");
             }
             out.append('\n');
@@ -43,7 +43,7 @@
         return out.toString();
     }
 
-    private static String capital(String text) {
+    private static String capitalize(String text) {
         return Character.toUpperCase(text.charAt(0)) + text.substring(1);
     }
 }
--- a/src/main/java/cresschute/settings/SettingsBuilder.java
+++ b/src/main/java/cresschute/settings/SettingsBuilder.java
@@ -20,19 +20,19 @@
 import java.util.List;
 import java.util.Map;
 
-/** Builds the typed settings from the statements of a script in which nothing is wrong. */
+/** Builds the typed settings from the declarations of a script without problems. */
 final class SettingsBuilder {
 
-    private final StatedBlocks blocks;
+    private final BlockDeclarations blocks;
 
-    SettingsBuilder(StatedBlocks blocks) {
+    SettingsBuilder(BlockDeclarations blocks) {
         this.blocks = blocks;
     }
 
     NodeSettings build() {
-        final Statement node = blocks.single(NodeSchema.NODE);
-        final Statement limits = blocks.single(NodeSchema.LIMITS);
-        final Statement discovery =
+        final BlockDeclaration node = blocks.single(NodeSchema.NODE);
+        final BlockDeclaration limits = blocks.single(NodeSchema.LIMITS);
+        final BlockDeclaration discovery =
                 blocks.all(WorkerSchema.DISCOVERY).isEmpty()
                         ? null
                         : blocks.single(WorkerSchema.DISCOVERY);
@@ -83,31 +83,32 @@
         if (blocks.all(PeersSchema.PEERS).isEmpty()) {
             return null;
         }
-        final Statement stated = blocks.single(PeersSchema.PEERS);
+        final BlockDeclaration declaration = blocks.single(PeersSchema.PEERS);
         return new Peers(
-                stated.get(PeersSchema.PEERS_LISTEN),
-                stated.get(PeersSchema.PEERS_ADDRESSES),
-                stated.get(PeersSchema.PEERS_KEY_FILE),
-                stated.get(PeersSchema.PEERS_BYTES_PER_SECOND));
+                declaration.get(PeersSchema.PEERS_LISTEN),
+                declaration.get(PeersSchema.PEERS_ADDRESSES),
+                declaration.get(PeersSchema.PEERS_KEY_FILE),
+                declaration.get(PeersSchema.PEERS_BYTES_PER_SECOND));
     }
 
-    /** Whether a class allows bodies that are streamed, or such results. */
-    static boolean isStreamed(Statement jobClass) {
+    /** Whether a class allows streamed bodies or streamed results. */
+    static boolean allowsStreaming(BlockDeclaration jobClass) {
         return jobClass.get(JobClassSchema.MAX_BODY) > JobClassSchema.MAX_BODY.defaultValue()
                 || jobClass.get(JobClassSchema.LONG_RESULTS);
     }
 
     private Bodies bodies() {
-        if (blocks.all(JobClassSchema.JOB_CLASS).stream().noneMatch(SettingsBuilder::isStreamed)) {
+        if (blocks.all(JobClassSchema.JOB_CLASS).stream()
+                .noneMatch(SettingsBuilder::allowsStreaming)) {
             return null;
         }
-        final Statement stated = blocks.single(BodiesSchema.BODIES);
+        final BlockDeclaration declaration = blocks.single(BodiesSchema.BODIES);
         return new Bodies(
-                stated.get(BodiesSchema.BUDGET),
-                stated.get(BodiesSchema.WINDOW),
-                stated.get(BodiesSchema.MAX_LENT),
-                stated.get(BodiesSchema.MAX_SPOOL),
-                stated.get(BodiesSchema.MAX_PER_CLIENT),
+                declaration.get(BodiesSchema.BUDGET),
+                declaration.get(BodiesSchema.WINDOW),
+                declaration.get(BodiesSchema.MAX_LENT),
+                declaration.get(BodiesSchema.MAX_SPOOL),
+                declaration.get(BodiesSchema.MAX_PER_CLIENT),
                 blocks.all(JobClassSchema.JOB_CLASS).stream()
                         .map(
                                 each ->
@@ -122,8 +123,8 @@
     }
 
     /**
-     * All names that a node, its workers and its classes use, each once, in the order of the
-     * script.
+     * All distinct names that the node, the workers and the request classes use, in that order, and
+     * within each group in the order of the script.
      */
     private List<String> names(
             String first, Field<String> ofWorkers, Field<List<String>> ofClasses) {
@@ -137,13 +138,13 @@
     }
 
     private DispatchSettings dispatchSettings(
-            List<String> zones, List<String> kinds, Statement discovery) {
-        final Statement limits = blocks.single(NodeSchema.LIMITS);
-        final Statement reports = blocks.single(WorkerSchema.REPORTS);
-        final Statement slowStart = blocks.single(WorkerSchema.COLD_START);
-        final Statement objective = blocks.single(JobClassSchema.OBJECTIVE);
+            List<String> zones, List<String> kinds, BlockDeclaration discovery) {
+        final BlockDeclaration limits = blocks.single(NodeSchema.LIMITS);
+        final BlockDeclaration reports = blocks.single(WorkerSchema.REPORTS);
+        final BlockDeclaration slowStart = blocks.single(WorkerSchema.COLD_START);
+        final BlockDeclaration objective = blocks.single(JobClassSchema.OBJECTIVE);
         final List<RequestClass> classes = new ArrayList<>();
-        for (final Statement each : blocks.all(JobClassSchema.JOB_CLASS)) {
+        for (final BlockDeclaration each : blocks.all(JobClassSchema.JOB_CLASS)) {
             classes.add(
                     new RequestClass(
                             each.get(JobClassSchema.PRIORITY_WEIGHT),
@@ -195,8 +196,8 @@
                 DispatchSettings.UNLIMITED);
     }
 
-    /** Of a class's bound and that of all classes the lower one holds. */
-    private long maxAttempts(Statement jobClass) {
+    /** The lower of the class's own limit and the limit for all classes. */
+    private long maxAttempts(BlockDeclaration jobClass) {
         return Math.min(
                 jobClass.get(JobClassSchema.CLASS_MAX_ATTEMPTS),
                 blocks.single(NodeSchema.LIMITS).get(NodeSchema.MAX_ATTEMPTS));
@@ -225,22 +226,22 @@
         return names.isEmpty() ? null : names.stream().map(all::indexOf).toList();
     }
 
-    @SuppressWarnings("ReferenceEquality") // Each block is one constant of the schema.
+    @SuppressWarnings("ReferenceEquality") // Each block is a single constant of the schema.
     private String formatted() {
         final StringBuilder out = new StringBuilder();
         for (final Block block : Schema.BLOCKS) {
             final boolean optional =
                     block.max() == 1 && block.fields().stream().noneMatch(Field::required);
-            for (final Statement statement :
+            for (final BlockDeclaration declaration :
                     blocks.all(block).isEmpty() && optional
-                            ? List.of(Statement.unstated(block))
+                            ? List.of(BlockDeclaration.ofDefaults(block))
                             : blocks.all(block)) {
-                final Map<String, Object> values = new HashMap<>(statement.values());
+                final Map<String, Object> values = new HashMap<>(declaration.values());
                 values.computeIfPresent(
                         JobClassSchema.CLASS_MAX_ATTEMPTS.name(),
                         (name, own) ->
-                                block == JobClassSchema.JOB_CLASS ? maxAttempts(statement) : own);
-                out.append(out.isEmpty() ? "" : "\n").append(Schema.show(block, values));
+                                block == JobClassSchema.JOB_CLASS ? maxAttempts(declaration) : own);
+                out.append(out.isEmpty() ? "" : "\n").append(Schema.formatBlock(block, values));
             }
         }
         return out.toString();
--- a/src/main/java/cresschute/settings/SettingsChecks.java
+++ b/src/main/java/cresschute/settings/SettingsChecks.java
@@ -9,53 +9,59 @@
 import java.util.Set;
 import java.util.function.UnaryOperator;
 
-/** Checks what must hold between the fields and blocks that a script states. */
+/** Checks the consistency between the fields and blocks that a script declares. */
 final class SettingsChecks {
 
-    private final StatedBlocks blocks;
+    private final BlockDeclarations blocks;
     private final List<Problem> problems;
     private final PeersCheck peersCheck;
 
     /**
-     * Checks that add to the problems.
+     * Creates checks that add the problems they find to the given list.
      *
-     * @param keyProblem what is wrong with a key file, by its path; null where nothing is
+     * @param keyFileProblem checks the key file at a path; returns what is wrong with it, or null
+     *     if nothing is
      */
-    SettingsChecks(StatedBlocks blocks, List<Problem> problems, UnaryOperator<String> keyProblem) {
+    SettingsChecks(
+            BlockDeclarations blocks,
+            List<Problem> problems,
+            UnaryOperator<String> keyFileProblem) {
         this.blocks = blocks;
         this.problems = problems;
-        peersCheck = new PeersCheck(blocks, problems, keyProblem);
+        peersCheck = new PeersCheck(blocks, problems, keyFileProblem);
     }
 
     /**
-     * Adds to the problems.
+     * Runs all checks.
      *
-     * @param complete whether the script ran to its end, so that a block which is not stated is
-     *     missing
+     * @param complete whether the script ran to its end; only then are undeclared blocks reported
+     *     as missing
      */
     void check(boolean complete) {
         if (complete) {
             checkRequired();
         }
-        unique(blocks.all(JobClassSchema.JOB_CLASS), JobClassSchema.CLASS_NAME);
-        unique(blocks.all(WorkerSchema.WORKER), WorkerSchema.WORKER_ID);
-        unique(blocks.all(WorkerSchema.WORKER), WorkerSchema.WORKER_ADDRESS);
+        checkUnique(blocks.all(JobClassSchema.JOB_CLASS), JobClassSchema.CLASS_NAME);
+        checkUnique(blocks.all(WorkerSchema.WORKER), WorkerSchema.WORKER_ID);
+        checkUnique(blocks.all(WorkerSchema.WORKER), WorkerSchema.WORKER_ADDRESS);
         blocks.all(JobClassSchema.JOB_CLASS).stream()
-                .filter(Statement::isValid)
-                .forEach(this::jobClass);
+                .filter(BlockDeclaration::isValid)
+                .forEach(this::checkJobClass);
         blocks.all(JobClassSchema.OBJECTIVE).stream()
-                .filter(Statement::isValid)
-                .forEach(this::objective);
-        blocks.all(BodiesSchema.BODIES).stream().filter(Statement::isValid).forEach(this::bodies);
+                .filter(BlockDeclaration::isValid)
+                .forEach(this::checkObjective);
+        blocks.all(BodiesSchema.BODIES).stream()
+                .filter(BlockDeclaration::isValid)
+                .forEach(this::checkBodies);
         blocks.all(PeersSchema.PEERS).stream()
-                .filter(Statement::isValid)
+                .filter(BlockDeclaration::isValid)
                 .forEach(peersCheck::check);
     }
 
     private void checkRequired() {
         for (final Block block : Schema.BLOCKS) {
             if (blocks.all(block).size() < block.min()) {
-                problem(
+                addProblem(
                         Position.START,
                         "no "
                                 + block.name()
@@ -66,26 +72,26 @@
         }
         if (blocks.all(WorkerSchema.WORKER).isEmpty()
                 && blocks.all(WorkerSchema.DISCOVERY).isEmpty()) {
-            problem(
+            addProblem(
                     Position.START,
                     "neither a worker nor a director is stated; jobs would have nowhere to go");
         }
     }
 
-    private void unique(List<Statement> statements, Field<?> field) {
+    private void checkUnique(List<BlockDeclaration> declarations, Field<?> field) {
         final Map<Object, Position> seen = new HashMap<>();
-        for (final Statement statement : statements) {
-            final Object value = statement.get(field);
+        for (final BlockDeclaration declaration : declarations) {
+            final Object value = declaration.get(field);
             final Position first =
-                    value == null ? null : seen.putIfAbsent(value, statement.at(field));
+                    value == null ? null : seen.putIfAbsent(value, declaration.at(field));
             if (first != null) {
-                problem(
-                        statement.at(field),
-                        statement.block().name()
+                addProblem(
+                        declaration.at(field),
+                        declaration.block().name()
                                 + ": "
                                 + field.name()
                                 + " "
-                                + field.show(value)
+                                + field.format(value)
                                 + " is there already, at "
                                 + first
                                 + "; each must be another");
@@ -93,135 +99,151 @@
         }
     }
 
-    private void jobClass(Statement stated) {
-        final String name = "job_class " + Values.quoted(stated.get(JobClassSchema.CLASS_NAME));
-        checkTimes(stated, name);
-        checkDeduplication(stated, name);
-        final Statement limits = blocks.single(NodeSchema.LIMITS);
-        if (stated.gives(JobClassSchema.CLASS_MAX_ATTEMPTS)
-                && stated.get(JobClassSchema.CLASS_MAX_ATTEMPTS)
+    private void checkJobClass(BlockDeclaration declaration) {
+        final String name =
+                "job_class " + Values.quoted(declaration.get(JobClassSchema.CLASS_NAME));
+        checkTimes(declaration, name);
+        checkDeduplication(declaration, name);
+        final BlockDeclaration limits = blocks.single(NodeSchema.LIMITS);
+        if (declaration.isSet(JobClassSchema.CLASS_MAX_ATTEMPTS)
+                && declaration.get(JobClassSchema.CLASS_MAX_ATTEMPTS)
                         > limits.get(NodeSchema.MAX_ATTEMPTS)) {
-            problem(
-                    stated.at(JobClassSchema.CLASS_MAX_ATTEMPTS),
+            addProblem(
+                    declaration.at(JobClassSchema.CLASS_MAX_ATTEMPTS),
                     name
                             + ": attempts "
-                            + stated.get(JobClassSchema.CLASS_MAX_ATTEMPTS)
+                            + declaration.get(JobClassSchema.CLASS_MAX_ATTEMPTS)
                             + " is above the "
                             + limits.get(NodeSchema.MAX_ATTEMPTS)
                             + " that limits allows");
         }
         if (blocks.all(WorkerSchema.DISCOVERY).isEmpty()) {
-            checkWorkersExist(stated, JobClassSchema.CLASS_ZONES, name, WorkerSchema.WORKER_ZONE);
-            checkWorkersExist(stated, JobClassSchema.CLASS_KINDS, name, WorkerSchema.WORKER_KIND);
+            checkWorkersExist(
+                    declaration, JobClassSchema.CLASS_ZONES, name, WorkerSchema.WORKER_ZONE);
+            checkWorkersExist(
+                    declaration, JobClassSchema.CLASS_KINDS, name, WorkerSchema.WORKER_KIND);
         }
     }
 
-    private void checkTimes(Statement stated, String name) {
-        if (stated.get(JobClassSchema.DEADLINE) < stated.get(JobClassSchema.LATENCY_OBJECTIVE)) {
-            problem(
-                    stated.at(JobClassSchema.DEADLINE),
+    private void checkTimes(BlockDeclaration declaration, String name) {
+        if (declaration.get(JobClassSchema.DEADLINE)
+                < declaration.get(JobClassSchema.LATENCY_OBJECTIVE)) {
+            addProblem(
+                    declaration.at(JobClassSchema.DEADLINE),
                     name
                             + ": deadline "
-                            + JobClassSchema.DEADLINE.show(stated.get(JobClassSchema.DEADLINE))
+                            + JobClassSchema.DEADLINE.format(
+                                    declaration.get(JobClassSchema.DEADLINE))
                             + " is below aim "
-                            + JobClassSchema.LATENCY_OBJECTIVE.show(
-                                    stated.get(JobClassSchema.LATENCY_OBJECTIVE))
+                            + JobClassSchema.LATENCY_OBJECTIVE.format(
+                                    declaration.get(JobClassSchema.LATENCY_OBJECTIVE))
                             + "; clients would leave before an answer in time");
         }
-        if (SettingsBuilder.isStreamed(stated)
-                && stated.get(JobClassSchema.MAX_STALL) > stated.get(JobClassSchema.DEADLINE)) {
-            problem(
-                    stated.at(JobClassSchema.MAX_STALL),
+        if (SettingsBuilder.allowsStreaming(declaration)
+                && declaration.get(JobClassSchema.MAX_STALL)
+                        > declaration.get(JobClassSchema.DEADLINE)) {
+            addProblem(
+                    declaration.at(JobClassSchema.MAX_STALL),
                     name
                             + ": stall "
-                            + JobClassSchema.MAX_STALL.show(stated.get(JobClassSchema.MAX_STALL))
+                            + JobClassSchema.MAX_STALL.format(
+                                    declaration.get(JobClassSchema.MAX_STALL))
                             + " is above deadline "
-                            + JobClassSchema.DEADLINE.show(stated.get(JobClassSchema.DEADLINE))
+                            + JobClassSchema.DEADLINE.format(
+                                    declaration.get(JobClassSchema.DEADLINE))
                             + "; it would never count");
         }
     }
 
-    private void checkDeduplication(Statement stated, String name) {
-        final boolean keyed = stated.get(JobClassSchema.IDEMPOTENCY).equals("keyed");
-        if (keyed && stated.get(JobClassSchema.DEDUPLICATION_WINDOW) == 0) {
-            problem(
-                    stated.at(JobClassSchema.IDEMPOTENCY),
+    private void checkDeduplication(BlockDeclaration declaration, String name) {
+        final boolean keyed = declaration.get(JobClassSchema.IDEMPOTENCY).equals("keyed");
+        if (keyed && declaration.get(JobClassSchema.DEDUPLICATION_WINDOW) == 0) {
+            addProblem(
+                    declaration.at(JobClassSchema.IDEMPOTENCY),
                     name
                             + ": effect \"keyed\" needs repeat_window; allowed: "
                             + JobClassSchema.DEDUPLICATION_WINDOW.type().allowed());
         }
         for (final Field<?> field :
                 List.of(JobClassSchema.DEDUPLICATION_WINDOW, JobClassSchema.DEDUPLICATION_SCOPE)) {
-            if (!keyed && !stated.get(field).equals(field.defaultValue())) {
-                problem(
-                        stated.at(field),
+            if (!keyed && !declaration.get(field).equals(field.defaultValue())) {
+                addProblem(
+                        declaration.at(field),
                         name
                                 + ": "
                                 + field.name()
                                 + " is for effect \"keyed\"; here effect is "
-                                + Values.quoted(stated.get(JobClassSchema.IDEMPOTENCY)));
+                                + Values.quoted(declaration.get(JobClassSchema.IDEMPOTENCY)));
             }
         }
     }
 
     /**
-     * With a fixed list, a class bound to zones or kinds that no worker has could never be served.
+     * Checks that the zones or kinds to which a class is restricted have workers. Otherwise, with a
+     * fixed worker list, no worker could ever serve its requests.
      */
     private void checkWorkersExist(
-            Statement stated, Field<List<String>> bound, String name, Field<String> ofWorker) {
+            BlockDeclaration declaration,
+            Field<List<String>> bound,
+            String name,
+            Field<String> ofWorker) {
         final Set<String> known = new LinkedHashSet<>();
         blocks.all(WorkerSchema.WORKER).forEach(worker -> known.add(worker.get(ofWorker)));
-        for (final String wanted : stated.get(bound)) {
+        for (final String wanted : declaration.get(bound)) {
             if (!known.isEmpty() && !known.contains(wanted)) {
-                problem(
-                        stated.at(bound),
+                addProblem(
+                        declaration.at(bound),
                         name
                                 + ": no worker has "
                                 + ofWorker.name()
                                 + " "
                                 + Values.quoted(wanted)
                                 + "; workers have "
-                                + Schema.listed(List.copyOf(known)));
+                                + Schema.quotedList(List.copyOf(known)));
             }
         }
     }
 
-    private void objective(Statement objective) {
+    private void checkObjective(BlockDeclaration objective) {
         if (objective.get(JobClassSchema.ALL_REQUESTS_WEIGHT)
                         + objective.get(JobClassSchema.WORST_WINDOW_WEIGHT)
                         + objective.get(JobClassSchema.WORST_CLASS_WEIGHT)
                 <= 0) {
-            problem(objective.at(), "goal: all weights are 0; at least one must be above 0");
+            addProblem(objective.at(), "goal: all weights are 0; at least one must be above 0");
         }
     }
 
-    private void bodies(Statement bodies) {
-        atMost(bodies, BodiesSchema.WINDOW, "budget", bodies.get(BodiesSchema.BUDGET));
-        atMost(bodies, BodiesSchema.MAX_PER_CLIENT, "budget", bodies.get(BodiesSchema.BUDGET));
-        atMost(bodies, BodiesSchema.WINDOW, "of_a_client", bodies.get(BodiesSchema.MAX_PER_CLIENT));
-        atMost(
+    private void checkBodies(BlockDeclaration bodies) {
+        checkAtMost(bodies, BodiesSchema.WINDOW, "budget", bodies.get(BodiesSchema.BUDGET));
+        checkAtMost(bodies, BodiesSchema.MAX_PER_CLIENT, "budget", bodies.get(BodiesSchema.BUDGET));
+        checkAtMost(
+                bodies,
+                BodiesSchema.WINDOW,
+                "of_a_client",
+                bodies.get(BodiesSchema.MAX_PER_CLIENT));
+        checkAtMost(
                 bodies,
                 BodiesSchema.MAX_SPOOL,
                 "window + lent",
                 bodies.get(BodiesSchema.WINDOW) + bodies.get(BodiesSchema.MAX_LENT));
     }
 
-    private void atMost(Statement bodies, Field<Long> field, String bound, long max) {
+    private void checkAtMost(BlockDeclaration bodies, Field<Long> field, String bound, long max) {
         if (bodies.get(field) > max) {
-            problem(
+            addProblem(
                     bodies.at(field),
                     "bodies: "
                             + field.name()
                             + " "
-                            + field.show(bodies.get(field))
+                            + field.format(bodies.get(field))
                             + " is above "
                             + bound
                             + ", which is "
-                            + field.show(max));
+                            + field.format(max));
         }
     }
 
-    private void problem(Position at, String message) {
+    private void addProblem(Position at, String message) {
         problems.add(new Problem(at, message));
     }
 }
--- a/src/main/java/cresschute/settings/SettingsFile.java
+++ b/src/main/java/cresschute/settings/SettingsFile.java
@@ -22,20 +22,20 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Reads settings scripts: runs the script, then checks all that it stated. A result lists every
- * problem at once, as far as the script ran. Thread-safe; nothing is kept between calls.
+ * Reads settings scripts: runs a script, then checks the blocks that it declared. The result lists
+ * all problems up to the point where the script stopped. Thread-safe and stateless.
  */
 public final class SettingsFile {
 
     /**
      * The outcome of reading a script.
      *
-     * @param settings the settings, or null where there are problems
-     * @param problems what is wrong, in the order of the text
+     * @param settings the settings, or null if there are problems
+     * @param problems the problems, in the order of their positions
      */
     public record Result(NodeSettings settings, List<Problem> problems) {}
 
-    /** The shortest key that dispatchers may share, bytes. */
+    /** Minimum length of the key that dispatchers share, bytes. */
     static final int MIN_KEY_BYTES = 16;
 
     private static final int MAX_KEY_FILE_BYTES = 4_096;
@@ -43,8 +43,8 @@
     private SettingsFile() {}
 
     /**
-     * Reads a file of UTF-8 text; one that cannot be read is an exception, one that is wrong is a
-     * result.
+     * Reads a script from a UTF-8 file. Errors in the script are part of the result. @throws
+     * IOException if the file cannot be read
      */
     public static Result read(Path file) throws IOException {
         // Checked before the file is read into memory.
@@ -64,19 +64,22 @@
                             .newDecoder()
                             .decode(ByteBuffer.wrap(Files.readAllBytes(file)))
                             .toString(),
-                    SettingsFile::keyProblem);
+                    SettingsFile::keyFileProblem);
         } catch (CharacterCodingException e) {
             return new Result(
                     null, List.of(new Problem(Position.START, "the file is not UTF-8 text")));
         }
     }
 
-    /** Reads the text of a script; the files that it names are not looked at. */
+    /** Reads the text of a script. Does not check the files that the script names. */
     public static Result parse(String text) {
         return parse(text, file -> null);
     }
 
-    /** The shared key in a file: its bytes without the line ends after them. */
+    /**
+     * Reads the shared key from a file: its bytes without trailing line breaks. @throws IOException
+     * if the file cannot be read or is longer than 4,096 bytes
+     */
     public static byte[] readKey(String file) throws IOException {
         if (Files.size(Path.of(file)) > MAX_KEY_FILE_BYTES) {
             throw new IOException("longer than " + MAX_KEY_FILE_BYTES + " bytes");
@@ -89,8 +92,8 @@
         return Arrays.copyOf(bytes, length);
     }
 
-    /** What is wrong with a key file, or null. */
-    private static String keyProblem(String file) {
+    /** Checks a key file; returns what is wrong with it, or null if nothing is. */
+    private static String keyFileProblem(String file) {
         try {
             final int length = readKey(file).length;
             return length == 0
@@ -103,9 +106,9 @@
         }
     }
 
-    private static Result parse(String text, UnaryOperator<String> keyProblem) {
+    private static Result parse(String text, UnaryOperator<String> keyFileProblem) {
         final List<Problem> problems = new ArrayList<>();
-        final StatedBlocks blocks = new StatedBlocks();
+        final BlockDeclarations blocks = new BlockDeclarations();
         final Map<String, Builtin> host = new HashMap<>();
         for (final Block block : Schema.BLOCKS) {
             host.put(
@@ -119,14 +122,15 @@
                                             + (block.max() == 1 ? "once" : block.max() + " times")
                                             + " is allowed");
                         }
-                        blocks.add(Statement.read(block, call, problems));
+                        blocks.add(BlockDeclaration.read(block, call, problems));
                         return Values.NONE;
                     });
         }
         final List<ScriptError> errors = Script.run(text, host, Bounds.DEFAULT);
         errors.forEach(error -> problems.add(new Problem(error.position(), error.getMessage())));
-        // After an error in the script, a block that is missing may just not have been reached.
-        new SettingsChecks(blocks, problems, keyProblem).check(errors.isEmpty());
+        // After an error in the script, missing blocks are not reported: the script may not have
+        // reached them.
+        new SettingsChecks(blocks, problems, keyFileProblem).check(errors.isEmpty());
         if (problems.isEmpty()) {
             return new Result(new SettingsBuilder(blocks).build(), List.of());
         }
@@ -135,7 +139,8 @@
     }
 
     /**
-     * The reference of all blocks and fields, in Markdown, as {@code docs/settings.md} holds it.
+     * Returns the reference of all blocks and fields in Markdown, which is part of {@code
+     * docs/settings.md}.
      */
     public static String reference() {
         return SchemaReference.markdown();
--- a/src/main/java/cresschute/settings/WorkerSchema.java
+++ b/src/main/java/cresschute/settings/WorkerSchema.java
@@ -7,7 +7,7 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 
-/** The blocks on workers: the list, discovery, their reports and their slow start. */
+/** Schema of the blocks for workers: the worker list, discovery, reports and slow start. */
 final class WorkerSchema {
 
     static final Field<String> WORKER_ID = required("id", FieldType.name(), "its name");
@@ -56,9 +56,9 @@
                     List.of(DISCOVERY_ADDRESS, POLL_WITHIN));
 
     static final Field<Boolean> REPORTS_LOAD =
-            optional("load", FieldType.truth(), true, "whether answers bring load reports");
+            optional("load", FieldType.bool(), true, "whether answers bring load reports");
     static final Field<Boolean> REPORTS_JOB_START =
-            optional("starts", FieldType.truth(), true, "whether workers tell when a job starts");
+            optional("starts", FieldType.bool(), true, "whether workers tell when a job starts");
     static final Field<Long> PROGRESS_INTERVAL =
             optional(
                     "progress",
--- a/src/test/java/cresschute/peers/TokenBucketTest.java
+++ b/src/test/java/cresschute/peers/TokenBucketTest.java
@@ -11,21 +11,21 @@
     private final TokenBucket bucket = new TokenBucket(1_000, 100 * S);
 
     @Test
-    void beginsEmptyAndFillsEvenly() {
+    void startsEmptyAndRefillsAtConstantRate() {
         assertThat(bucket.available(100 * S)).isZero();
         assertThat(bucket.available(100 * S + S / 4)).isEqualTo(250);
         assertThat(bucket.available(100 * S + S / 2)).isEqualTo(500);
     }
 
     @Test
-    void holdsTheBytesOfOneSecond() {
+    void holdsAtMostOneSecondOfBytes() {
         assertThat(bucket.available(200 * S)).isEqualTo(1_000);
         bucket.take(400);
         assertThat(bucket.available(200 * S)).isEqualTo(600);
     }
 
     @Test
-    void fractionsOfAByteAreNotLost() {
+    void keepsFractionsOfBytes() {
         long taken = 0;
         for (long nowUs = 100 * S; nowUs <= 103 * S; nowUs += 333) {
             final long available = bucket.available(nowUs);
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void clockThatGoesBackwardsAddsNothing() {
+    void addsNothingWhenClockGoesBackwards() {
         assertThat(bucket.available(101 * S)).isEqualTo(1_000);
         bucket.take(1_000);
         assertThat(bucket.available(100 * S)).isZero();
--- a/src/test/java/cresschute/settings/PeersSettingsTest.java
+++ b/src/test/java/cresschute/settings/PeersSettingsTest.java
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void peersReachTheSettingsAndAreShown() {
+    void convertsPeersBlockAndFormatsIt() {
         final NodeSettings settings =
                 settings(
                         PEERS_NODE
@@ -84,7 +84,7 @@
                     "10.0.0.2:0", "10.0.0.3:7946"    | peers: port 0 is no port that others could send to
                     "w", "10.0.0.3:7946"             | peers: addresses is a list; allowed: a list of IP addresses with ports, such as ["10.0.0.2:7946"]
                     """)
-    void wrongPeerAddressesAreEachOneLine(String addresses, String message) {
+    void reportsEachInvalidPeerAddressOnce(String addresses, String message) {
         assertThat(problems(PEERS_NODE + peers(addresses, "")))
                 .singleElement()
                 .asString()
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void peersNeedProbesReportsAndBytes() {
+    void requiresProbesLoadReportsAndMinimumRate() {
         final String two = "\"10.0.0.2:7946\", \"10.0.0.3:7946\"";
         final String needs =
                 ": peers: needs limits(probes = True) and reports(load = True); a worker is "
@@ -120,7 +120,7 @@
     }
 
     @Test
-    void keyFileIsLookedAtWhereAScriptIsReadFromAFile(@TempDir Path folder) throws IOException {
+    void checksKeyFileWhenScriptIsReadFromFile(@TempDir Path folder) throws IOException {
         final Path script = folder.resolve("site.star");
         final Path key = folder.resolve("key");
         Files.writeString(
--- a/src/test/java/cresschute/settings/ScriptTest.java
+++ b/src/test/java/cresschute/settings/ScriptTest.java
@@ -24,16 +24,16 @@
 
     /** What a script showed, a line each, then what is wrong with it. */
     private static List<String> run(String text, Bounds bounds) {
-        final List<String> shown = new ArrayList<>();
+        final List<String> output = new ArrayList<>();
         final Builtin show =
                 call -> {
                     call.positional()
-                            .forEach(argument -> shown.add(String.valueOf(argument.value())));
+                            .forEach(argument -> output.add(String.valueOf(argument.value())));
                     return "shown";
                 };
         final List<ScriptError> errors = Script.run(text, Map.of("show", show), bounds);
-        errors.forEach(error -> shown.add(error.position() + ": " + error.getMessage()));
-        return shown;
+        errors.forEach(error -> output.add(error.position() + ": " + error.getMessage()));
+        return output;
     }
 
     private static List<String> run(String text) {
@@ -72,12 +72,12 @@
                     {"a": 1}.get("b", 7), {"a": 1}.items()          | (7, [("a", 1)])
                     any([0, 1]), all([0, 1]), type(1 * ms)          | (True, False, "a time")
                     """)
-    void valuesComeOut(String expression, String value) {
+    void evaluatesExpressions(String expression, String value) {
         assertThat(run("show(str((" + expression + ")))")).containsExactly(value);
     }
 
     @Test
-    void statementsRunInOrder() {
+    void executesStatementsInOrder() {
         assertThat(
                         run(
                                 """
@@ -176,12 +176,12 @@
                     d = {1: 1}~for k in d: d[2] = 1 | 2:15: the dict may not change while a loop goes through it
                     [x if x]                    | 1:4: expected 'for' before 'if'
                     """)
-    void errorsAreToldInExactWords(String script, String error) {
+    void reportsErrorWithPositionAndMessage(String script, String error) {
         assertThat(run(script.replace('~', '\n'))).startsWith(error);
     }
 
     @Test
-    void severalSyntaxErrorsAreToldAtOnce() {
+    void reportsSeveralSyntaxErrorsAtOnce() {
         assertThat(run("x = = 1\ny = 2\nz = ]\n")).hasSize(2);
     }
 
@@ -209,7 +209,7 @@
                     ",".join(["x" * 1000] * 1000000)                          | the script takes too much memory
                     "{}{}{}{}".format(*3)                                     | unexpected '*'
                     """)
-    void everyRunEndsWithinItsBounds(String script, String error) {
+    void stopsRunThatExceedsABound(String script, String error) {
         assertThat(run(script.replace('~', '\n'))).last().asString().contains(error);
     }
 
@@ -218,7 +218,7 @@
      * node's.
      */
     @Test
-    void nestingNeverExhaustsTheStack() throws InterruptedException {
+    void rejectsDeepNestingBeforeStackOverflow() throws InterruptedException {
         final StringBuilder calls = new StringBuilder("def f0(x): return x\n");
         for (int i = 1; i < 40; i++) {
             calls.append("def f")
@@ -242,14 +242,14 @@
                         calls + "f39(1)",
                         "x = " + "[".repeat(50) + "]".repeat(50) + "\n" + calls + "f20(1)");
         final List<List<String>> results = new ArrayList<>();
-        final Thread small =
+        final Thread smallStackThread =
                 new Thread(
                         null,
                         () -> scripts.forEach(script -> results.add(run(script))),
                         "small",
                         512 * 1024);
-        small.start();
-        small.join();
+        smallStackThread.start();
+        smallStackThread.join();
         assertThat(results).hasSize(scripts.size());
         assertThat(results.subList(0, 6))
                 .allSatisfy(
@@ -265,7 +265,7 @@
     }
 
     @Test
-    void callsWithinCallsAreBounded() {
+    void limitsDepthOfNestedCalls() {
         final StringBuilder calls = new StringBuilder("def f0(): return 0\n");
         for (int i = 1; i < 40; i++) {
             calls.append("def f").append(i).append("(): return f").append(i - 1).append("()\n");
@@ -277,12 +277,12 @@
 
     /** A chain of operators is wide, not deep: a long one is no error. */
     @Test
-    void longChainsAreAllowed() {
+    void acceptsLongOperatorChains() {
         assertThat(run("show(" + "1 + ".repeat(20_000) + "1)")).containsExactly("20001");
     }
 
     @Test
-    void textBeyondItsBoundIsNotRead() {
+    void rejectsScriptOverLengthLimit() {
         assertThat(run("#".repeat(Bounds.DEFAULT.scriptChars() + 1)))
                 .containsExactly(
                         "1:1: the script is too long; at most 262144 characters are allowed");
@@ -290,12 +290,12 @@
 
     /** Whatever the text, there is an answer and no exception. */
     @Property(tries = 400, seed = "20261201")
-    void anyTextEndsInAnAnswer(
+    void neverThrowsForArbitraryText(
             @ForAll @StringLength(max = 60) @CharRange(from = ' ', to = '~') String text,
-            @ForAll @StringLength(max = 20) String odd) {
-        final Bounds small = new Bounds(1_000, 2_000, 2_000, 4, 8);
-        run(text, small);
-        run(odd + "\n" + text, small);
-        run("x = [" + text + "]", small);
+            @ForAll @StringLength(max = 20) String arbitrary) {
+        final Bounds smallBounds = new Bounds(1_000, 2_000, 2_000, 4, 8);
+        run(text, smallBounds);
+        run(arbitrary + "\n" + text, smallBounds);
+        run("x = [" + text + "]", smallBounds);
     }
 }
--- a/src/test/java/cresschute/settings/SettingsFileTest.java
+++ b/src/test/java/cresschute/settings/SettingsFileTest.java
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void smallestScriptTakesItsDefaults() {
+    void minimalScriptUsesDefaults() {
         final NodeSettings settings = settings(NODE + WORKER + CLASS);
         assertThat(settings.seed()).isNull();
         assertThat(settings.discovery()).isNull();
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void everyFieldReachesTheSettings() throws IOException {
+    void convertsEveryFieldToTypedSettings() throws IOException {
         final NodeSettings settings =
                 settings(Files.readString(Path.of("src/test/resources/full.star")));
         assertThat(settings)
@@ -144,7 +144,7 @@
 
     /** What is shown is a script that states the same. */
     @Test
-    void shownSettingsReadBackTheSame() throws IOException {
+    void formattedScriptParsesToEqualSettings() throws IOException {
         for (final String file : List.of("src/test/resources/full.star", "deploy/appliance.star")) {
             final NodeSettings once = settings(Files.readString(Path.of(file)));
             assertThat(settings(once.formattedScript())).isEqualTo(once);
@@ -152,19 +152,19 @@
     }
 
     @Test
-    void sampleFileIsSound() throws IOException {
+    void sampleScriptHasNoProblems() throws IOException {
         assertThat(SettingsFile.read(Path.of("deploy/appliance.star")).problems()).isEmpty();
     }
 
     /** The page holds the reference as the schema has it. */
     @Test
-    void pageListsEveryField() throws IOException {
+    void settingsPageContainsGeneratedReference() throws IOException {
         assertThat(Files.readString(Path.of("docs/settings.md")))
                 .contains(SettingsFile.reference());
     }
 
     @Test
-    void everyFieldRefusesWhatItCannotUse() {
+    void everyFieldRejectsValueOfWrongType() {
         for (final Block block : Schema.BLOCKS) {
             final String script =
                     block.name()
@@ -220,7 +220,7 @@
                     goal(whole = 0, worst_window = 0, worst_class = 0) | goal: all weights are 0; at least one must be above 0
                     nodee(name = "n")                          | unknown name 'nodee'; did you mean 'node'?
                     """)
-    void fieldsTellWhatIsWrong(String script, String message) {
+    void reportsInvalidFieldValue(String script, String message) {
         assertThat(problems(script)).anyMatch(problem -> problem.endsWith(": " + message));
     }
 
@@ -238,7 +238,7 @@
                     zones = ["moon"]       | job_class "b": no worker has zone "moon"; workers have "local"
                     kinds = ["big"]        | job_class "b": no worker has kind "big"; workers have "worker"
                     """)
-    void blocksMustFitTogether(String field, String problem) {
+    void reportsInconsistentBlocks(String field, String problem) {
         final String script =
                 "job_class(name = \"b\", "
                         + (field.startsWith("aim")
@@ -258,7 +258,7 @@
     }
 
     @Test
-    void namesMustDiffer() {
+    void rejectsDuplicateClassName() {
         assertThat(problems(NODE + WORKER + CLASS + CLASS))
                 .containsExactly(
                         "f:4:18: job_class: name \"a\" is there already, at 3:18; each must be"
@@ -266,7 +266,7 @@
     }
 
     @Test
-    void missingBlocksAreTold() {
+    void reportsMissingBlocks() {
         assertThat(problems(""))
                 .containsExactly(
                         "f:1:1: no node is stated; exactly one is required",
@@ -277,7 +277,7 @@
 
     /** What a script that broke off did not reach is not reported as missing. */
     @Test
-    void brokenOffScriptTellsWhatItReached() {
+    void reportsNoMissingBlocksAfterScriptError() {
         assertThat(problems("node(name = 1, listen = \"1.2.3.4:5\")\nfail(\"here\")\n" + CLASS))
                 .containsExactly(
                         "f:1:13: node: name is 1; allowed: a name of 1 to 64 letters, digits, '.',"
@@ -286,7 +286,7 @@
     }
 
     @Test
-    void workersMayNotShareAnAddress() {
+    void rejectsDuplicateWorkerAddress() {
         assertThat(problems(NODE + CLASS + WORKER + WORKER.replace("\"w\"", "\"v\"")))
                 .containsExactly(
                         "f:4:28: worker: address \"127.0.0.1:9\" is there already, at 3:28; each"
@@ -294,7 +294,7 @@
     }
 
     @Test
-    void unreadableBytesAreAProblem(@TempDir Path folder) throws IOException {
+    void reportsFileThatIsNotUtf8OrTooLong(@TempDir Path folder) throws IOException {
         final Path file = folder.resolve("x.star");
         Files.write(file, new byte[] {(byte) 0xff, (byte) 0xfe});
         assertThat(SettingsFile.read(file).problems())
