--- a/src/main/java/cresschute/cli/ControlSocketOptions.java
+++ b/src/main/java/cresschute/cli/ControlSocketOptions.java
@@ -1,6 +1,6 @@
 package cresschute.cli;
 
-import cresschute.settings.ApplianceSettings;
+import cresschute.settings.NodeSettings;
 import java.nio.file.InvalidPathException;
 import java.nio.file.Path;
 import java.util.Map;
@@ -33,7 +33,7 @@
             return socket;
         }
         if (settings != null) {
-            final ApplianceSettings loaded;
+            final NodeSettings loaded;
             try {
                 loaded = SettingsLoader.load(settings);
             } catch (SettingsLoader.UnusableSettingsException e) {
--- a/src/main/java/cresschute/control/files/SharedStateListener.java
+++ b/src/main/java/cresschute/control/files/SharedStateListener.java
@@ -5,12 +5,12 @@
 /**
  * Is notified of changes of a {@link SharedOperatorState}, on the executor of its owner. Every
  * {@link SharedOperatorState#change} is followed by exactly one {@link ChangeListener#stored} or
- * {@link Change#notDurable}, unless the executor has ended.
+ * {@link ChangeListener#notDurable}, unless the executor has ended.
  */
 public interface SharedStateListener {
 
     /** A state newer than any before was found in the file, as another process wrote it. */
-    void stateFound(OperatorState found);
+    void stateChanged(OperatorState found);
 
     /** Is notified of the end of one change. */
     interface ChangeListener {
--- a/src/test/java/cresschute/cli/ConsoleProgramTest.java
+++ b/src/test/java/cresschute/cli/ConsoleProgramTest.java
@@ -3,8 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.google.gson.JsonObject;
-import cresschute.ControlPeer;
 import cresschute.ProgramProcess;
+import cresschute.TestConsole;
 import cresschute.node.Json;
 import cresschute.testbed.Fleet;
 import cresschute.testbed.FleetReport;
@@ -68,7 +68,7 @@
     }
 
     private JsonObject worker(String id) throws IOException {
-        try (ControlPeer peer = new ControlPeer(socket)) {
+        try (TestConsole peer = new TestConsole(socket)) {
             return peer.worker(id);
         }
     }
@@ -365,10 +365,10 @@
                 final String op = "round-" + round;
                 final boolean confirmed = round % 2 == 0;
                 final ProgramProcess first = startNode(script);
-                try (ControlPeer peer = new ControlPeer(socket)) {
+                try (TestConsole peer = new TestConsole(socket)) {
                     peer.write(
                             "{\"v\":1,\"id\":\"1\","
-                                    + ControlPeer.operation("drain", op, "w1")
+                                    + TestConsole.operation("drain", op, "w1")
                                     + "}\n");
                     if (confirmed) {
                         assertThat(peer.read().get("outcome").getAsString()).isEqualTo("done");
@@ -380,7 +380,7 @@
                 // It left its socket behind, and died with the lock of its folder.
                 assertThat(Files.exists(socket)).isTrue();
                 final ProgramProcess second = startNode(script);
-                try (ControlPeer peer = new ControlPeer(socket)) {
+                try (TestConsole peer = new TestConsole(socket)) {
                     if (confirmed) {
                         assertThat(peer.worker("w1").has("drain")).isTrue();
                         assertRequestsReach(port, w2);
--- a/src/test/java/cresschute/control/files/AtomicFileTest.java
+++ b/src/test/java/cresschute/control/files/AtomicFileTest.java
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void replaceLeavesTheNewBytesAlone() throws IOException {
+    void replaceLeavesOnlyTheNewBytes() throws IOException {
         file().replace(new byte[] {1, 2, 3});
         file().replace(new byte[] {4});
         file().syncFolder();
@@ -39,9 +39,9 @@
     }
 
     @Test
-    void fileThatIsPutAsideKeepsItsBytes() throws IOException {
+    void quarantinedFileKeepsItsBytes() throws IOException {
         file().replace(new byte[] {1});
-        assertThat(file().putAside())
+        assertThat(file().quarantine())
                 .isEqualTo(folder.resolve("state.refused"))
                 .hasBinaryContent(new byte[] {1});
         assertThatThrownBy(() -> file().read()).isInstanceOf(NoSuchFileException.class);
