--- a/src/main/java/cresschute/cli/ControlClient.java
+++ b/src/main/java/cresschute/cli/ControlClient.java
@@ -66,7 +66,8 @@
         try {
             link.send(request);
         } catch (IOException e) {
-            throw new RequestFailedException("the connection broke: " + e.getMessage(), true);
+            throw new RequestFailedException(
+                    "connection to the node failed: " + e.getMessage(), true);
         }
         final String id = request.get("id").getAsString();
         JsonObject line = nextLine(ANSWER_TIMEOUT_S * 1000);
--- a/src/main/java/cresschute/cli/WorkerOperation.java
+++ b/src/main/java/cresschute/cli/WorkerOperation.java
@@ -135,7 +135,7 @@
         if (wait && drain) {
             awaitNoRequestInFlight(worker, client);
             if (!json) {
-                out.println(worker + ": nothing is out there any more");
+                out.println(worker + ": no request is in flight any more");
                 out.flush();
             }
         }
--- a/src/main/java/cresschute/console/Console.java
+++ b/src/main/java/cresschute/console/Console.java
@@ -19,16 +19,17 @@
 import org.jline.utils.InfoCmp.Capability;
 
 /**
- * The full-screen console. One thread takes keys, the node's lines and the passing of time from one
- * queue and draws; a thread reads keys, and the link reads lines. An operation that was sent and
- * not answered is sent again, under the same id, once there is a connection again.
+ * The full-screen console. The thread that calls {@link #run} handles keys and the node's lines
+ * from one queue, redraws periodically, and owns all state. One other thread reads keys, and the
+ * link's thread reads lines; both only add to the queue. An operation without an answer is sent
+ * again with the same id after a reconnection.
  */
 public final class Console {
 
     private static final int MAX_QUEUED_INPUTS = 256;
     private static final long IDLE_DRAW_INTERVAL_MS = 250;
 
-    /** Drawn no more often than this, however much the node sends. */
+    /** Shortest time between two drawings, ms, however much the node sends. */
     private static final long MIN_DRAW_INTERVAL_MS = 100;
 
     private static final long RECONNECT_DELAY_MS = 500;
@@ -52,7 +53,13 @@
     private long lastDrawnMs;
     private Size size = new Size(0, 0);
 
-    /** A console on a terminal, for the node at a control socket. */
+    /**
+     * Creates a console.
+     *
+     * @param socket the control socket of the node
+     * @param userName sent to the node with each operation
+     * @param colorWanted whether to use colours if the terminal has at least 8
+     */
     public Console(Terminal terminal, Path socket, String userName, boolean colorWanted) {
         this.terminal = terminal;
         this.socket = socket;
@@ -61,7 +68,10 @@
         this.display = new Display(terminal, true);
     }
 
-    /** Shows it until the person leaves; the terminal is then as it was. */
+    /**
+     * Shows the console until the user quits or the terminal disconnects, and then restores the
+     * terminal's settings.
+     */
     public void run() throws IOException, InterruptedException {
         final Attributes originalAttributes = terminal.enterRawMode();
         terminal.handle(Terminal.Signal.WINCH, signal -> enqueue(() -> resized = true));
@@ -119,8 +129,8 @@
                                     key = keys.next();
                                 }
                             } catch (IOException e) {
-                                // The terminal is gone, as when a line is cut: there is nobody to
-                                // show anything to.
+                                // The terminal is gone, as after a dropped connection: the
+                                // console quits below.
                             }
                             enqueue(() -> quit = true);
                         },
@@ -154,7 +164,7 @@
             events.addProperty("after", model.lastEventNumber());
             events.addProperty("boot", model.incarnation());
             link.send(events);
-            // The node may have received them before the disconnection; their ids make them
+            // The node may have received these before the disconnection; their ids make them
             // idempotent.
             for (final JsonObject each : unanswered.values()) {
                 link.send(each);
@@ -250,7 +260,7 @@
             try {
                 link.send(request);
             } catch (IOException e) {
-                connectionEnded(lastLinkNumber, "the connection broke: " + e.getMessage());
+                connectionEnded(lastLinkNumber, "connection to the node failed: " + e.getMessage());
             }
         }
     }
--- a/src/main/java/cresschute/console/ControlLink.java
+++ b/src/main/java/cresschute/console/ControlLink.java
@@ -17,8 +17,8 @@
 import java.util.function.Consumer;
 
 /**
- * A connection to a node's control socket. Lines are read by a thread of its own, which hands each
- * one over and waits while it is not taken. {@link #send} may be called from any one thread.
+ * A connection to a node's control socket. Its own thread reads the lines and passes each one to a
+ * callback, which may block. {@link #send} must be called by one thread at a time.
  */
 public final class ControlLink implements AutoCloseable {
 
@@ -32,10 +32,10 @@
     }
 
     /**
-     * Connects.
+     * Connects to a node and starts reading.
      *
      * @param lines receives each line, on the link's thread
-     * @param ended receives once the reason why there will be no more, on the link's thread
+     * @param ended receives, once and on the link's thread, the reason why no more lines follow
      */
     public static ControlLink open(Path socket, Consumer<JsonObject> lines, Consumer<String> ended)
             throws IOException {
@@ -48,10 +48,11 @@
                             + socket
                             + " ("
                             + e.getMessage()
-                            + "); is it running, and does its script state this control socket?",
+                            + "); is it running, and does its settings script name this control"
+                            + " socket?",
                     e);
         } catch (IllegalArgumentException e) {
-            throw new IOException(socket + " is no control socket: " + e.getMessage(), e);
+            throw new IOException(socket + " is not a usable socket path: " + e.getMessage(), e);
         }
         final ControlLink link = new ControlLink(channel, lines, ended);
         link.reader.start();
@@ -68,15 +69,20 @@
                 line = in.readLine();
             }
         } catch (IOException e) {
-            reason = "the connection broke: " + e.getMessage();
+            reason = "connection to the node failed: " + e.getMessage();
         } catch (JsonParseException | IllegalStateException e) {
-            // Also a line that was cut off in its middle, as by a node that was killed.
-            reason = "the node's words were cut off";
+            // A killed node, for example, leaves an incomplete line.
+            reason = "the node sent a line that is incomplete or not a JSON object";
         }
         ended.accept(reason);
     }
 
-    /** A request of this kind, with its version and mark. */
+    /**
+     * A request with the protocol version and no further fields.
+     *
+     * @param id returned with the answer
+     * @param type the operation, such as {@code drain}
+     */
     public static JsonObject request(String id, String type) {
         final JsonObject request = new JsonObject();
         request.addProperty("v", ControlRequest.VERSION);
@@ -85,7 +91,7 @@
         return request;
     }
 
-    /** The same with further fields; values are texts, numbers or truth values. */
+    /** A request with further fields; values are strings, numbers or booleans. */
     public static JsonObject request(String id, String type, Map<String, Object> fields) {
         final JsonObject request = request(id, type);
         fields.forEach(
@@ -101,7 +107,7 @@
         return request;
     }
 
-    /** Writes a request. */
+    /** Writes a request and blocks until all of it is written. */
     public void send(JsonObject request) throws IOException {
         final ByteBuffer bytes = ByteBuffer.wrap((request + "\n").getBytes(StandardCharsets.UTF_8));
         while (bytes.hasRemaining()) {
@@ -114,7 +120,7 @@
         try {
             channel.close();
         } catch (IOException e) {
-            // It is of no more use either way.
+            // The link is of no further use even if its channel cannot be closed.
             reader.interrupt();
         }
     }
--- a/src/main/java/cresschute/console/KeyReader.java
+++ b/src/main/java/cresschute/console/KeyReader.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** Turns the bytes that a terminal sends for keys into keys. */
+/** Decodes the characters and escape sequences that a terminal sends into keys. */
 final class KeyReader {
 
     private static final int ESC = 27;
@@ -11,7 +11,7 @@
     private static final int DELETE = 127;
     private static final int BACKSPACE = 8;
 
-    /** Longest gap within a sequence, ms; after that, an escape was the key itself. */
+    /** Longest gap within an escape sequence, ms; after a longer one it was the Escape key. */
     private static final long MAX_SEQUENCE_GAP_MS = 60;
 
     enum Kind {
@@ -29,7 +29,7 @@
         UNKNOWN
     }
 
-    /** One key; {@code character} is there for {@link Kind#CHAR}. */
+    /** One key; {@code character} is set only for {@link Kind#CHAR}. */
     record Key(Kind kind, char character) {
 
         static Key of(Kind kind) {
@@ -37,10 +37,14 @@
         }
     }
 
-    /** Where characters come from, as JLine's reader gives them. */
+    /** A source of characters with the contract of JLine's reader. */
     interface Source {
 
-        /** The next character, -1 at the end, -2 if none came in time; 0 waits for good. */
+        /**
+         * Returns the next character, -1 at the end of input, or -2 after the timeout.
+         *
+         * @param timeoutMs 0 waits without limit
+         */
         int read(long timeoutMs) throws IOException;
     }
 
@@ -50,7 +54,7 @@
         this.source = source;
     }
 
-    /** The next key, or null at the end. */
+    /** Waits for the next key; null at the end of input. */
     Key next() throws IOException {
         final int first = source.read(0);
         return switch (first) {
@@ -73,7 +77,7 @@
         }
         final StringBuilder parameters = new StringBuilder();
         int next = source.read(MAX_SEQUENCE_GAP_MS);
-        // Digits and semicolons, then one letter or a tilde.
+        // A sequence continues with digits and semicolons and ends with a letter or a tilde.
         while (next >= ' ' && next < '@' && parameters.length() < 8) {
             parameters.append((char) next);
             next = source.read(MAX_SEQUENCE_GAP_MS);
--- a/src/main/java/cresschute/console/ScreenBenchmark.java
+++ b/src/main/java/cresschute/console/ScreenBenchmark.java
@@ -6,7 +6,7 @@
 import java.time.ZoneOffset;
 import org.HdrHistogram.Histogram;
 
-/** Measures what drawing the screen of a large site costs. */
+/** Measures how long the console takes to apply changes and draw the screen of a large site. */
 public final class ScreenBenchmark {
 
     private static final long MAX_NS = 10_000_000_000L;
@@ -14,11 +14,11 @@
     private ScreenBenchmark() {}
 
     /**
-     * Applies changes of some workers and draws the screen, again and again.
+     * Repeatedly applies changes of some workers and draws the screen.
      *
-     * @param workers how many there are
-     * @param changed how many of them have changed at each drawing
-     * @return nanoseconds for each drawing
+     * @param workers number of workers
+     * @param changed number of workers that change before each drawing
+     * @return nanoseconds for each update with its drawing
      */
     public static Histogram measure(int workers, int changed, int drawings) {
         final SiteModel model = new SiteModel();
--- a/src/main/java/cresschute/console/ScreenState.java
+++ b/src/main/java/cresschute/console/ScreenState.java
@@ -7,9 +7,9 @@
 import java.util.Locale;
 
 /**
- * What the person at the screen has chosen: the worker under the cursor, filter, order, and what is
- * being asked. The selection is a worker's name, so that it stays with the worker while rows move.
- * Pure.
+ * What the user has chosen: the selected worker, filter, sort order and pending confirmation. The
+ * selection is a worker's name, so that it stays with the worker while rows move. Does no input or
+ * output; not thread-safe.
  */
 final class ScreenState {
 
@@ -17,7 +17,7 @@
     private static final List<String> WORST_FIRST =
             List.of("silent", "slowing", "full", "cold", "draining", "gone", "taking");
 
-    /** Orders of the rows. */
+    /** Sort orders of the rows. */
     enum Order {
         NAME,
         STATE,
@@ -26,7 +26,7 @@
         RATE
     }
 
-    /** What keys mean now. */
+    /** Input modes: each interprets keys differently. */
     enum Mode {
         BROWSE,
         FILTER,
@@ -63,7 +63,7 @@
         return message;
     }
 
-    /** The worker that a confirmation is about. */
+    /** The worker of the last requested operation or its confirmation; null before the first. */
     String target() {
         return target;
     }
@@ -73,7 +73,8 @@
     }
 
     /**
-     * The rows to show, in order; moves the selection where its worker is not among them any more.
+     * The filtered and sorted rows. If the selected worker is not among them, selects the row in
+     * its place, or nothing if there are no rows.
      */
     List<JsonObject> rows(SiteModel model) {
         final List<JsonObject> rows = new ArrayList<>();
@@ -90,7 +91,7 @@
             }
         }
         if (index < 0 && !rows.isEmpty()) {
-            // Its worker went: the one that has taken its place is the nearest.
+            // The selected worker is gone: the row that is now in its place is the nearest.
             index = Math.min(selectedRow, rows.size() - 1);
             selected = text(rows.get(index), "id");
         } else if (rows.isEmpty()) {
@@ -131,7 +132,7 @@
     }
 
     /**
-     * w2 before w10: of names that differ in the number at their end alone, the shorter one comes
+     * Sorts w2 before w10: if names differ only in the digits at their end, the shorter name comes
      * first.
      */
     private static int compareNames(String first, String second) {
@@ -161,7 +162,7 @@
 
     // ---- Keys ----
 
-    /** What a key asks the console to do. */
+    /** What the console does after a key. */
     enum Action {
         NOTHING,
         QUIT,
@@ -170,7 +171,7 @@
         UNDRAIN
     }
 
-    /** Takes a key; rows must have been asked for since the model changed. */
+    /** Handles a key; {@link #rows} must have been called since the model changed. */
     Action handleKey(KeyReader.Key key, SiteModel model) {
         return switch (mode) {
             case BROWSE -> handleBrowseKey(key, model);
@@ -235,7 +236,7 @@
                     return Action.UNDRAIN;
                 }
             }
-            default -> message = "'" + character + "' means nothing here; ? shows the keys";
+            default -> message = "'" + character + "' is not a command; ? shows the keys";
         }
         return Action.NOTHING;
     }
@@ -275,11 +276,11 @@
         if (key.kind() == KeyReader.Kind.CHAR && key.character() == yes) {
             return action;
         }
-        message = target + " is left as it is";
+        message = target + ": drain cancelled";
         return Action.NOTHING;
     }
 
-    /** A drain was refused: it can be forced. */
+    /** Shows why the node refused a drain, and offers to force it. */
     void confirmForcedDrain(String worker, String reason) {
         target = worker;
         message = reason;
--- a/src/main/java/cresschute/console/ScreenText.java
+++ b/src/main/java/cresschute/console/ScreenText.java
@@ -10,7 +10,7 @@
 import org.jline.utils.AttributedStringBuilder;
 import org.jline.utils.AttributedStyle;
 
-/** Formats figures and text for the cells and lines of a screen. */
+/** Formats numbers and text for the cells and lines of the screen. */
 final class ScreenText {
 
     private static final String SPARKLINE_LEVELS = " ▁▂▃▄▅▆▇█";
@@ -25,8 +25,8 @@
      * A column of a table.
      *
      * @param width in characters
-     * @param left whether it is aligned to the left
-     * @param minColumns width of the screen from which on it is shown
+     * @param left whether the column is left-aligned
+     * @param minColumns narrowest screen that shows the column, in characters
      */
     record Column(String title, int width, boolean left, int minColumns) {}
 
@@ -36,7 +36,7 @@
         return fit(new AttributedString(text, style), style, format);
     }
 
-    /** As wide as the screen, by the columns that characters take there. */
+    /** Cuts or pads text to the screen's width; wide characters count as two columns. */
     static AttributedString fit(AttributedString text, AttributedStyle style, ScreenFormat format) {
         final AttributedString truncated = text.columnSubSequence(0, format.columns());
         final int padding = format.columns() - truncated.columnLength();
@@ -65,7 +65,8 @@
     }
 
     /**
-     * Replaces control characters: names and reasons come from others and must not move the cursor.
+     * Replaces control and format characters by question marks: names and reasons come from outside
+     * and must not move the cursor.
      */
     static String replaceControlCharacters(String text) {
         final StringBuilder out = new StringBuilder();
--- a/src/main/java/cresschute/console/ScreenView.java
+++ b/src/main/java/cresschute/console/ScreenView.java
@@ -9,11 +9,11 @@
 import org.jline.utils.AttributedStyle;
 
 /**
- * Draws the screen of a console as lines of a given size. Pure: the model, the state and the clock
- * are passed in. Every line is exactly as wide as the screen, and there are as many as it is high.
- * On a smaller screen parts are left out in this order: first the sparklines, then the finer
- * figures, then events, then classes. Workers' names and states are shown from {@link #MIN_COLUMNS}
- * on.
+ * Draws the screen of a console as lines of a given size. Does no input or output: the model, the
+ * state and the time are passed in. Every line is exactly as wide as the screen, and there are as
+ * many lines as the screen has rows. Smaller screens omit, in this order, the sparklines, the less
+ * important figures, the events and the classes. Workers' names and states are always shown; the
+ * screen is at least {@link #MIN_COLUMNS} wide.
  */
 final class ScreenView {
 
@@ -22,16 +22,16 @@
     private static final int MIN_COLUMNS_FOR_ALL_KEYS = 60;
 
     /**
-     * Size and abilities of a terminal.
+     * Size and capabilities of a terminal.
      *
-     * @param color whether it has colours and they are wanted
-     * @param unicode whether it shows block characters
+     * @param color whether the terminal has colours and the user wants them
+     * @param unicode whether the terminal shows block characters
      */
     record ScreenFormat(int columns, int rows, boolean color, boolean unicode, ZoneId zone) {}
 
     private ScreenView() {}
 
-    /** The whole screen. */
+    /** Draws the whole screen, one element for each row. */
     static List<AttributedString> draw(
             SiteModel model, ScreenState state, ScreenFormat format, long nowMs) {
         final List<AttributedString> lines = new ArrayList<>();
@@ -43,7 +43,7 @@
             lines.add(ScreenText.line("", AttributedStyle.DEFAULT, format));
             lines.add(
                     ScreenText.line(
-                            "  loading: the node has told nothing yet",
+                            "  loading: the node has sent no rows yet",
                             AttributedStyle.DEFAULT,
                             format));
         } else {
@@ -88,7 +88,7 @@
                 format);
     }
 
-    /** Figures of the node, the most important first. */
+    /** The node's figures for the first line, the most important first. */
     private static List<String> nodeFigures(JsonObject node, long nowMs) {
         final double valueKept = ScreenState.number(node, "worth_kept");
         final List<String> parts = new ArrayList<>();
@@ -145,7 +145,7 @@
             lines.add(
                     ScreenText.line(
                             model.workers().isEmpty()
-                                    ? "  the list names no worker"
+                                    ? "  no workers on the endpoint list"
                                     : "  no worker matches '" + state.filter() + "'; Esc shows all",
                             rowStyle,
                             format));
@@ -222,7 +222,7 @@
         final StringBuilder text =
                 new StringBuilder(" ")
                         .append(ScreenText.pad(name, new ScreenText.Column("", 12, true, 0)));
-        // On a small screen, only the figures asked, served and refused.
+        // A small screen shows only the figures asked, served and refused.
         final boolean small = format.columns() < 12 + 1 + figures.length * 8;
         for (int i = 0; i < figures.length; i++) {
             if (!small || i == 0 || i == 2 || i == 3) {
@@ -239,21 +239,21 @@
                         "",
                         "  up, down, j, k   move; PgUp, PgDn, g, G too",
                         "  /                filter by name, state or kind",
-                        "  s                next order",
-                        "  d                drain the worker",
+                        "  s                next sort order",
+                        "  d                drain selected worker",
                         "  u                undo its drain",
-                        "  Esc              no filter",
-                        "  q, Ctrl-C        leave; drains hold",
+                        "  Esc              clear filter",
+                        "  q, Ctrl-C        quit; drains stay",
                         "",
-                        "  taking    it works at the speed of others",
+                        "  taking    takes work at normal speed",
                         "  full      no free slot, and jobs wait",
-                        "  slowing   its jobs run much longer",
-                        "  silent    it tells nothing of its jobs",
-                        "  cold      it has just started",
-                        "  draining  it gets nothing new",
-                        "  gone      the list" + " does not have it",
+                        "  slowing   jobs run unusually long",
+                        "  silent    no progress reports of jobs",
+                        "  cold      started a short while ago",
+                        "  draining  gets no new requests",
+                        "  gone      not on the endpoint list",
                         "",
-                        "  any key goes back")) {
+                        "  any key closes this help")) {
             lines.add(ScreenText.line(text, AttributedStyle.DEFAULT, format));
         }
     }
@@ -269,7 +269,7 @@
                                     + ScreenText.replaceControlCharacters(state.target())
                                     + "? "
                                     + (target == null ? 0 : target.get("in_flight").getAsInt())
-                                    + " out there. y or n";
+                                    + " in flight. y or n";
                     case CONFIRM_FORCE -> " " + state.message() + ". F drains it anyway";
                     case HELP -> "";
                     case BROWSE ->
--- a/src/main/java/cresschute/console/SiteModel.java
+++ b/src/main/java/cresschute/console/SiteModel.java
@@ -11,15 +11,16 @@
 import java.util.Map;
 
 /**
- * The state of a site as a console knows it: the rows of the node's last snapshot and the changes
- * since, the last events, and how fresh all of that is. Pure: lines and the clock are passed in.
+ * A console's copy of the state of a site: the rows of the node's last snapshot with later changes
+ * applied, the last events, and how fresh they are. Does no input or output: lines and the time are
+ * passed in. Not thread-safe.
  */
 public final class SiteModel {
 
-    /** Events that are kept for the screen. */
+    /** Maximum number of events kept for the screen. */
     static final int MAX_EVENTS = 200;
 
-    /** A node sends a line every second; after so long without one its figures are stale, ms. */
+    /** Time without a line after which the rows are stale, ms. A node sends a line every second. */
     public static final long STALE_AFTER_MS = 3_000;
 
     private static final String WORKER_PREFIX = "w/";
@@ -27,13 +28,13 @@
 
     /** How up to date the state is. */
     public enum Freshness {
-        /** No rows were received yet. */
+        /** No rows have been received yet. */
         LOADING,
-        /** Lines arrive; what is shown is current. */
+        /** Lines arrive; the rows are current. */
         LIVE,
-        /** The node has been silent for a while. */
+        /** Connected, but no line for at least {@link #STALE_AFTER_MS}. */
         STALE,
-        /** There is no connection. */
+        /** Rows were received, but there is no connection now. */
         RECONNECTING
     }
 
@@ -48,22 +49,22 @@
     private boolean connected;
     private boolean loaded;
 
-    /** A connection is there; what is shown is stale until the node sends a line. */
+    /** Records that a connection was opened, and counts the time without a line from now. */
     public void connected(long nowMs) {
         connected = true;
         lastLineMs = nowMs;
     }
 
-    /** The connection is gone. */
+    /** Records that the connection has ended. */
     public void disconnected() {
         connected = false;
     }
 
-    /** Takes a line of the node in. */
+    /** Applies a line of the node: a snapshot, changes or events. */
     public void apply(JsonObject line, long nowMs) {
         lastLineMs = nowMs;
         if (line.has("boot") && !line.get("boot").getAsString().equals(incarnation)) {
-            // Another incarnation of the node: its versions and its events begin anew.
+            // Another incarnation of the node numbers its versions and events from the start.
             incarnation = line.get("boot").getAsString();
             version = 0;
             lastEventNumber = 0;
@@ -110,7 +111,7 @@
         }
     }
 
-    /** How up to date the state is now. */
+    /** How up to date the state is at {@code nowMs}, Unix time. */
     public Freshness freshness(long nowMs) {
         if (!connected) {
             return loaded ? Freshness.RECONNECTING : Freshness.LOADING;
@@ -120,17 +121,17 @@
                 : nowMs - lastLineMs >= STALE_AFTER_MS ? Freshness.STALE : Freshness.LIVE;
     }
 
-    /** When the last line of the node arrived, Unix time in milliseconds. */
+    /** Arrival of the node's last line, or the later connection; Unix time in milliseconds. */
     public long lastLineMs() {
         return lastLineMs;
     }
 
-    /** The workers' rows by name. */
+    /** The workers' rows. */
     public Collection<JsonObject> workers() {
         return workers.values();
     }
 
-    /** One worker's row, or null. */
+    /** The row of a worker, or null if there is none. */
     public JsonObject worker(String id) {
         return workers.get(id);
     }
@@ -150,7 +151,7 @@
         return new ArrayList<>(events);
     }
 
-    /** The incarnation of the node whose rows these are. */
+    /** The incarnation of the node that sent the rows; empty before the first line with one. */
     public String incarnation() {
         return incarnation;
     }
@@ -160,7 +161,7 @@
         return version;
     }
 
-    /** The number of the last event read. */
+    /** The number of the last event received, 0 if there was none. */
     public long lastEventNumber() {
         return lastEventNumber;
     }
--- a/src/main/java/cresschute/console/WorkerRowsView.java
+++ b/src/main/java/cresschute/console/WorkerRowsView.java
@@ -8,10 +8,10 @@
 import org.jline.utils.AttributedStringBuilder;
 import org.jline.utils.AttributedStyle;
 
-/** Draws the table of workers. Pure; what does not fit into a line is cut off. */
+/** Draws the table of workers. Does no input or output; text that does not fit is cut off. */
 final class WorkerRowsView {
 
-    /** In their order on the screen. */
+    /** The columns in their order on the screen. */
     private static final List<ScreenText.Column> COLUMNS =
             List.of(
                     new ScreenText.Column("WORKER", 12, true, 0),
@@ -27,7 +27,7 @@
 
     private WorkerRowsView() {}
 
-    /** The line of titles; a star marks the column that the rows are sorted by. */
+    /** The column titles; an asterisk marks the column that the rows are sorted by. */
     static AttributedString header(ScreenState state, ScreenFormat format) {
         final StringBuilder text = new StringBuilder(" ");
         final String sorted =
@@ -52,7 +52,7 @@
         return ScreenText.line(text.toString(), AttributedStyle.DEFAULT.underline(), format);
     }
 
-    /** The line of one worker. */
+    /** The row of one worker. */
     static AttributedString row(
             JsonObject row,
             boolean selected,
@@ -86,7 +86,10 @@
         };
     }
 
-    /** The state of the selected worker in words, and its place where rows are out of sight. */
+    /**
+     * The selected worker's state and the reason for it, and the row's position if not all rows are
+     * visible.
+     */
     static AttributedString selectedWorkerLine(
             SiteModel model,
             ScreenState state,
--- a/src/main/java/cresschute/console/WorkerTable.java
+++ b/src/main/java/cresschute/console/WorkerTable.java
@@ -5,12 +5,15 @@
 import java.util.List;
 import java.util.Locale;
 
-/** The workers as plain lines, for scripts and for terminals that cannot show a screen. Pure. */
+/**
+ * Formats the workers as plain lines, for scripts and for terminals that cannot show a screen. Does
+ * no input or output.
+ */
 public final class WorkerTable {
 
     private WorkerTable() {}
 
-    /** A line of titles and one a worker, by name. */
+    /** A line of column titles, then one line per worker, sorted by name. */
     public static List<String> lines(SiteModel model, long nowMs) {
         final List<String> lines = new ArrayList<>();
         lines.add(
--- a/src/test/java/cresschute/cli/ConsoleProgramTest.java
+++ b/src/test/java/cresschute/cli/ConsoleProgramTest.java
@@ -181,7 +181,7 @@
                 assertAllRulesKept(second);
             }
             screen.type("?");
-            screen.await("any key goes back");
+            screen.await("any key closes this help");
             screen.type("\u0003");
             screen.type("\u0003");
             assertThat(screen.exitCode()).isZero();
@@ -261,7 +261,7 @@
             assertThat(drain.out())
                     .matches(
                             "(?s)w2 is draining; [0-9]+ still out\\s+"
-                                    + "w2: nothing is out there any more");
+                                    + "w2: no request is in flight any more");
             assertThat(run("drain", "w2").out()).startsWith("w2: drained by ").endsWith(": disk");
             assertThat(run("drain", "w2").code()).isZero();
             assertThat(run("drain", "w9"))
--- a/src/test/java/cresschute/console/KeyReaderTest.java
+++ b/src/test/java/cresschute/console/KeyReaderTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The keys that the byte sequences of terminals stand for. */
+/** Checks that sequences of common terminals are decoded into the right keys. */
 class KeyReaderTest {
 
     @ParameterizedTest
@@ -33,7 +33,7 @@
                     \u007f       | BACKSPACE
                     """)
     void decodesTerminalSequences(String typed, Kind kind) throws IOException {
-        // CsvSource trims control characters at the ends as blanks.
+        // CsvSource trims control characters at both ends like blanks; they are restored here.
         final String sequence =
                 typed == null
                         ? String.valueOf(
--- a/src/test/java/cresschute/console/ScreenTest.java
+++ b/src/test/java/cresschute/console/ScreenTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What is on the screen, for every size and state of the picture, and what keys do to it. */
+/** Checks the drawn screen at several sizes and connection states, and the effects of keys. */
 class ScreenTest {
 
     private static final long NOW = 1_700_000_100_000L;
@@ -177,7 +177,7 @@
                         """);
     }
 
-    /** Every line is just as wide as the screen, and there are just as many as it is high. */
+    /** Every line is exactly as wide as the screen, and there is one line for each row. */
     @Property(tries = 200, seed = "83")
     void everyLineFillsTheScreen(@ForAll Random random) {
         final List<String> rows = new ArrayList<>(List.of(node(random.nextBoolean())));
@@ -217,7 +217,7 @@
     void loadingStaleAndReconnectingAreNeverShownAsLive() {
         assertThat(model.freshness(NOW)).isEqualTo(Freshness.LOADING);
         assertThat(String.join("\n", screen(USUAL_FORMAT)))
-                .contains("LOADING", "the node has told nothing yet");
+                .contains("LOADING", "the node has sent no rows yet");
         model.connected(NOW);
         assertThat(model.freshness(NOW)).isEqualTo(Freshness.LOADING);
         load(worker("w1", "taking", 3), node(false));
@@ -227,7 +227,7 @@
                 .endsWith("STALE since 22:15:00 ");
         model.disconnected();
         assertThat(screen(USUAL_FORMAT).get(0)).endsWith("RECONNECTING, STALE since 22:15:00");
-        // The rows stay, as the last that is known.
+        // The last known rows stay on the screen.
         assertThat(screen(USUAL_FORMAT).get(2)).startsWith(">w1");
     }
 
@@ -237,7 +237,7 @@
         assertThat(screen(USUAL_FORMAT).get(0)).contains("STOPPING");
     }
 
-    /** Workers join, leave and change their places while the cursor stands on one. */
+    /** The selection stays with its worker while others join, leave and are re-sorted. */
     @Test
     void selectionFollowsTheWorker() {
         load(
@@ -255,20 +255,20 @@
         screen(USUAL_FORMAT);
         assertThat(state.selected()).isEqualTo("w4");
         assertThat(state.order()).isEqualTo(ScreenState.Order.OUT);
-        // It goes: the one in its place takes over, and not the first.
+        // If the selected worker leaves, the row now in its place is selected, not the first row.
         final List<JsonObject> rows = state.rows(model);
         change("", "\"w/w4\"");
         screen(USUAL_FORMAT);
         assertThat(state.selected()).isEqualTo(ScreenState.text(rows.get(rows.size() - 2), "id"));
         change("", "\"w/w1\",\"w/w3\",\"w/w6\"");
-        assertThat(String.join("\n", screen(USUAL_FORMAT))).contains("the list names no worker");
+        assertThat(String.join("\n", screen(USUAL_FORMAT)))
+                .contains("no workers on the endpoint list");
         assertThat(press("d")).isEqualTo(Action.NOTHING);
         assertThat(state.message()).isEqualTo("no worker is selected");
     }
 
     /**
-     * The question names a worker, and that worker is drained, wherever the cursor has gone by
-     * then.
+     * A confirmed drain applies to the worker that the prompt names, even if rows changed since.
      */
     @Test
     void confirmationKeepsItsWorkerWhileRowsChange() {
@@ -277,14 +277,14 @@
         press("jd");
         assertThat(state.mode()).isEqualTo(Mode.CONFIRM_DRAIN);
         change("", "\"w/w2\"");
-        assertThat(screen(USUAL_FORMAT).get(23)).isEqualTo(" Drain w2? 0 out there. y or n");
+        assertThat(screen(USUAL_FORMAT).get(23)).isEqualTo(" Drain w2? 0 in flight. y or n");
         change(worker("w2", "taking", 7), "");
-        assertThat(screen(USUAL_FORMAT).get(23)).isEqualTo(" Drain w2? 7 out there. y or n");
+        assertThat(screen(USUAL_FORMAT).get(23)).isEqualTo(" Drain w2? 7 in flight. y or n");
         assertThat(press("y")).isEqualTo(Action.DRAIN);
         assertThat(state.target()).isEqualTo("w2");
         press("d");
         assertThat(press("n")).isEqualTo(Action.NOTHING);
-        assertThat(state.message()).endsWith("is left as it is");
+        assertThat(state.message()).endsWith("w2: drain cancelled");
         state.confirmForcedDrain("w2", "w2 is the last worker that may run file");
         assertThat(screen(USUAL_FORMAT).get(23))
                 .isEqualTo(" w2 is the last worker that may run file. F drains it anyway");
@@ -314,7 +314,10 @@
                 .contains("no worker matches 'zz'; Esc shows all");
     }
 
-    /** Names and reasons come from others: they must not move the cursor or turn the text round. */
+    /**
+     * Names and reasons come from outside: control characters in them must not move the cursor or
+     * reverse the text's direction.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"a\u001b[2Jb", "a\u0007b", "a\u202eb", "a\nb", "a\u009bb"})
     void replacesControlCharactersInReceivedText(String text) {
@@ -337,7 +340,7 @@
         assertThat(colored).contains("31");
     }
 
-    /** A node that started anew counts from 1 again; what it sent before does not count. */
+    /** A restarted node numbers from 1 again, so earlier rows and events are dropped. */
     @Test
     void newIncarnationResetsRowsAndEvents() {
         load(worker("w1", "taking", 3), node(false));
