--- a/src/main/java/cresschute/testbed/capacity/CapacityExperiment.java
+++ b/src/main/java/cresschute/testbed/capacity/CapacityExperiment.java
@@ -160,10 +160,10 @@
         return new ExperimentSetup(plan)
                 .workers().stream()
                         .map(
-                                make ->
+                                worker ->
                                         started.get(
                                                         ExperimentSetup.processIndex(
-                                                                make, workers.size()))
+                                                                worker, workers.size()))
                                                 .next())
                         .toList();
     }
--- a/src/main/java/cresschute/testbed/capacity/StubDiscovery.java
+++ b/src/main/java/cresschute/testbed/capacity/StubDiscovery.java
@@ -3,7 +3,7 @@
 import com.google.gson.JsonObject;
 import cresschute.testbed.DiscoveryStandIn;
 import cresschute.testbed.Recorder;
-import cresschute.testbed.WorkerStandIn.Make;
+import cresschute.testbed.WorkerStandIn.Spec;
 import io.netty.channel.EventLoop;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -24,7 +24,7 @@
 
     private final EventLoop loop;
     private final Recorder recorder;
-    private final List<Make> makes;
+    private final List<Spec> specs;
     private final List<InetSocketAddress> addresses;
     private final UniformRandomProvider random;
     private final DiscoveryStandIn standIn;
@@ -43,10 +43,10 @@
         this.loop = loop;
         this.recorder = recorder;
         this.addresses = List.copyOf(addresses);
-        makes = new ExperimentSetup(plan).workers();
+        specs = new ExperimentSetup(plan).workers();
         random = RandomSource.XO_SHI_RO_256_PP.create(plan.seed() + 3);
-        draining = new boolean[makes.size()];
-        startedMs = new long[makes.size()];
+        draining = new boolean[specs.size()];
+        startedMs = new long[specs.size()];
         changesPerSecond = plan.listChangesPerSecond();
         standIn =
                 new DiscoveryStandIn(
@@ -62,7 +62,7 @@
     InetSocketAddress start() {
         loop.submit(
                         () -> {
-                            for (int i = 0; i < makes.size(); i++) {
+                            for (int i = 0; i < specs.size(); i++) {
                                 list(i, "SERVING");
                             }
                         })
@@ -81,7 +81,7 @@
     }
 
     private void drainOne() {
-        final int number = random.nextInt(makes.size());
+        final int number = random.nextInt(specs.size());
         if (draining[number]) {
             return;
         }
@@ -101,7 +101,7 @@
     }
 
     private void list(int number, String state) {
-        standIn.set(makes.get(number), addresses.get(number), state, startedMs[number]);
+        standIn.set(specs.get(number), addresses.get(number), state, startedMs[number]);
     }
 
     /** What was counted so far. On the loop. */
