--- a/src/main/java/cresschute/capacity/Axis.java
+++ b/src/main/java/cresschute/capacity/Axis.java
@@ -23,11 +23,11 @@
             "settings-changes", "settings_changes_per_second", "settings changes a second");
 
     /**
-     * The name of the axis of a run at full size, which varies no single dimension and is held out.
+     * The axis name of a run at full size, which varies no single dimension and must be held out.
      */
     public static final String FULL = "full";
 
-    /** The name of the axis of a run that varies nothing; it is in no fit. */
+    /** The axis name of a run that varies no dimension; no fit uses such a run. */
     public static final String NONE = "none";
 
     private final String label;
@@ -50,12 +50,12 @@
         return column;
     }
 
-    /** What one unit of the size is, in words. */
+    /** The unit of the size, in words. */
     public String unit() {
         return unit;
     }
 
-    /** The axis with this name, if there is one. */
+    /** The axis with this name; empty if there is none. */
     public static Optional<Axis> of(String label) {
         return Stream.of(values()).filter(axis -> axis.label.equals(label)).findFirst();
     }
--- a/src/main/java/cresschute/capacity/CapacityModel.java
+++ b/src/main/java/cresschute/capacity/CapacityModel.java
@@ -10,8 +10,9 @@
 
 /**
  * A linear cost model: for each measure one least-squares fit along each axis. The estimate for
- * given sizes is the value at the base of the sweep, where no axis was varied, plus for each axis
- * its slope times the distance from the base.
+ * given sizes is the value at the base of the sweep plus, for each axis, its slope times the
+ * distance from the base. The base holds the sizes at which the axes are fixed while another one is
+ * varied.
  */
 public final class CapacityModel {
 
@@ -56,7 +57,10 @@
         return new Series(fits, base);
     }
 
-    /** The mean size along an axis while other axes were varied, or over all where none was. */
+    /**
+     * The mean size along an axis of the measurements that varied another axis; the mean of all
+     * measurements where there is none.
+     */
     private static double base(List<Measurement> rows, Axis axis) {
         final List<Measurement> others =
                 rows.stream().filter(row -> !row.axis().equals(Optional.of(axis))).toList();
@@ -68,8 +72,9 @@
     }
 
     /**
-     * Whether a role's measures are linear in the reciprocal of the size along an axis: one of n
-     * dispatchers does an n-th of the work of all.
+     * Returns whether a role's measures are linear in the reciprocal of the size along an axis.
+     * This holds for a dispatcher and the number of dispatchers: each of n does an n-th of the
+     * work.
      */
     static boolean isReciprocal(Role role, Axis axis) {
         return role == Role.DISPATCHER && axis == Axis.DISPATCHERS;
@@ -79,7 +84,7 @@
         return isReciprocal(role, axis) ? 1 / sizes.on(axis) : sizes.on(axis);
     }
 
-    /** All measurements, in the order of their files. */
+    /** Returns all measurements, in the order of their files. */
     public List<Measurement> measurements() {
         return measurements;
     }
--- a/src/main/java/cresschute/capacity/CapacityPage.java
+++ b/src/main/java/cresschute/capacity/CapacityPage.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Inserts tables into a page, between the markers that name them. */
+/** Inserts tables into a Markdown page, between the markers that name them. */
 public final class CapacityPage {
 
     private static final String BEGIN = "<!-- table: ";
@@ -16,11 +16,12 @@
     private CapacityPage() {}
 
     /**
-     * Replaces what is between the markers by the tables.
+     * Replaces the text between the markers with the tables.
      *
      * @param page the page's text
      * @param tables the text of each table, by the name in its marker
-     * @throws MarkerException where a table has no marker or two, or a marker no table or no end
+     * @throws MarkerException if a table has no marker or two, or a marker names no table or has no
+     *     end
      */
     public static String write(String page, Map<String, String> tables) throws MarkerException {
         final List<String> lines = new ArrayList<>();
@@ -29,12 +30,12 @@
         for (final String line : page.lines().toList()) {
             if (line.equals(END)) {
                 if (open == null) {
-                    throw new MarkerException("an end of a table without its beginning");
+                    throw new MarkerException("end marker without a begin marker before it");
                 }
                 open = null;
             } else if (line.startsWith(BEGIN) && line.endsWith(BEGIN_END)) {
                 if (open != null) {
-                    throw new MarkerException("the table " + open + " has no end");
+                    throw new MarkerException("table " + open + " has no end marker");
                 }
                 open = line.substring(BEGIN.length(), line.length() - BEGIN_END.length());
                 lines.add(line);
@@ -52,10 +53,10 @@
     private static String table(Map<String, String> tables, String name, Set<String> written)
             throws MarkerException {
         if (!tables.containsKey(name)) {
-            throw new MarkerException("there is no table " + name);
+            throw new MarkerException("marker names an unknown table: " + name);
         }
         if (!written.add(name)) {
-            throw new MarkerException("the table " + name + " comes twice");
+            throw new MarkerException("table " + name + " has two markers");
         }
         return tables.get(name);
     }
@@ -63,12 +64,12 @@
     private static void checkComplete(String open, Set<String> names, Set<String> written)
             throws MarkerException {
         if (open != null) {
-            throw new MarkerException("the table " + open + " has no end");
+            throw new MarkerException("table " + open + " has no end marker");
         }
         final List<String> missing =
                 names.stream().filter(name -> !written.contains(name)).sorted().toList();
         if (!missing.isEmpty()) {
-            throw new MarkerException("no marker for the tables " + String.join(", ", missing));
+            throw new MarkerException("no marker for tables: " + String.join(", ", missing));
         }
     }
 }
--- a/src/main/java/cresschute/capacity/CsvFormatException.java
+++ b/src/main/java/cresschute/capacity/CsvFormatException.java
@@ -9,7 +9,7 @@
     private final int line;
 
     /**
-     * Names the place and the reason.
+     * Creates it with the location and the reason.
      *
      * @param line the number of the line, from 1
      */
--- a/src/main/java/cresschute/capacity/CsvTable.java
+++ b/src/main/java/cresschute/capacity/CsvTable.java
@@ -4,14 +4,15 @@
 import java.util.List;
 
 /**
- * A comma-separated file without quotes, with a version line and a header, checked for its shape.
+ * A comma-separated file without quoting, with a version line and a header. The number of fields in
+ * each row is checked.
  */
 final class CsvTable {
 
     /** The lines before the first row: the version and the header. */
     private static final int HEADER_LINES = 2;
 
-    /** One row, with typed access to its fields; a field that cannot be read names its line. */
+    /** One row, with typed access to its fields; errors name the file and the line. */
     static final class Row {
 
         private final CsvTable table;
@@ -29,7 +30,7 @@
             return table.error(line, reason);
         }
 
-        /** A field that must not be empty. */
+        /** The value of a field that must not be empty. */
         String text(String column) throws CsvFormatException {
             final String value = fields[table.indexOf(column)].strip();
             if (value.isEmpty()) {
@@ -45,7 +46,7 @@
             try {
                 number = Double.parseDouble(value);
             } catch (NumberFormatException e) {
-                throw error(column + ": '" + value + "' is no number");
+                throw error(column + ": '" + value + "' is not a number");
             }
             if (!Double.isFinite(number)) {
                 throw error(column + ": '" + value + "' is not finite");
@@ -62,11 +63,11 @@
             return number;
         }
 
-        /** A whole number that is not negative. */
+        /** An integer that is not negative. */
         int count(String column) throws CsvFormatException {
             final double number = size(column);
             if (number != Math.rint(number) || number > Integer.MAX_VALUE) {
-                throw error(column + ": '" + text(column) + "' is no whole number");
+                throw error(column + ": '" + text(column) + "' is not an integer");
             }
             return (int) number;
         }
@@ -87,7 +88,8 @@
     private final List<Row> rows = new ArrayList<>();
 
     /**
-     * Reads a file's text, which must begin with the version line and these columns in this order.
+     * Reads a file's text, which must begin with the version line and then name these columns in
+     * this order.
      *
      * @throws CsvFormatException if its version, header or a row is malformed
      */
@@ -99,7 +101,7 @@
         checkHeader(lines, versionLine);
         if (!text.endsWith("\n")) {
             throw new CsvFormatException(
-                    file, lines.size(), "the file is cut: its last line has no end");
+                    file, lines.size(), "the file is truncated: its last line has no line feed");
         }
         for (int i = HEADER_LINES; i < lines.size(); i++) {
             final String[] fields = lines.get(i).split(",", -1);
--- a/src/main/java/cresschute/capacity/Estimate.java
+++ b/src/main/java/cresschute/capacity/Estimate.java
@@ -4,8 +4,8 @@
  * A value estimated from fits.
  *
  * @param value the value
- * @param halfWidth half the width of its interval, from those of the base and the slopes, as if
- *     independent
- * @param extrapolated whether a size lies outside those that were measured
+ * @param halfWidth half the width of its interval, combined from the intervals of the base and the
+ *     slopes as if these were independent
+ * @param extrapolated whether a size lies outside the measured range
  */
 public record Estimate(double value, double halfWidth, boolean extrapolated) {}
--- a/src/main/java/cresschute/capacity/FaultFile.java
+++ b/src/main/java/cresschute/capacity/FaultFile.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The format of a file of values measured over faults. */
+/** The format of a file of values measured during faults. */
 public final class FaultFile {
 
     /** The first line of such a file. */
@@ -24,7 +24,7 @@
 
     private FaultFile() {}
 
-    /** Whether a file's text says that it is one of faults. */
+    /** Returns whether a file's text is that of a fault file of any version. */
     public static boolean isFaultFile(String text) {
         return text.startsWith("# cresschute capacity faults");
     }
@@ -32,8 +32,8 @@
     /**
      * Reads a file's text.
      *
-     * @param file the name that errors give
-     * @throws CsvFormatException where any line of it cannot be used
+     * @param file the file name for error messages
+     * @throws CsvFormatException if any line is malformed
      */
     public static List<FaultMeasurement> parse(String file, String text) throws CsvFormatException {
         final List<FaultMeasurement> measurements = new ArrayList<>();
--- a/src/main/java/cresschute/capacity/FaultKind.java
+++ b/src/main/java/cresschute/capacity/FaultKind.java
@@ -3,18 +3,18 @@
 import java.util.Optional;
 import java.util.stream.Stream;
 
-/** A fault that the operators expect. */
+/** A kind of fault that the operators expect. */
 public enum FaultKind {
 
     /** Machines that fail on an ordinary day. */
     MACHINE_FAILURE("machine-failure", "a worker's machine fails"),
     /** Machines that are restarted or replaced on an ordinary day. */
     MACHINE_REPLACEMENT("machine-replacement", "a worker's machine is restarted or replaced"),
-    /** Machines that fail which carry a dispatcher. */
+    /** Machines with a dispatcher that fail. */
     DISPATCHER_FAILURE("dispatcher-failure", "a dispatcher's machine fails"),
-    /** A rack or a switch. */
+    /** Loss of a rack or a switch. */
     RACK_LOSS("rack-loss", "a rack or switch goes"),
-    /** A zone. */
+    /** Loss of a zone. */
     ZONE_LOSS("zone-loss", "a zone goes"),
     /** Regions that cannot reach each other. */
     REGION_PARTITION("region-partition", "the regions lose each other"),
@@ -39,7 +39,7 @@
         return words;
     }
 
-    /** The fault with this name, if there is one. */
+    /** The fault with this name; empty if there is none. */
     public static Optional<FaultKind> of(String label) {
         return Stream.of(values()).filter(kind -> kind.label.equals(label)).findFirst();
     }
--- a/src/main/java/cresschute/capacity/FaultTable.java
+++ b/src/main/java/cresschute/capacity/FaultTable.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** Measurements of faults: the median of each measure, with its minimum and maximum. */
+/** Measurements during faults: the median of each measure, with its minimum and maximum. */
 final class FaultTable {
 
     private record Group(FaultKind fault, String measure, String commit) {}
--- a/src/main/java/cresschute/capacity/Figures.java
+++ b/src/main/java/cresschute/capacity/Figures.java
@@ -12,15 +12,15 @@
     private static final String NONE = "-";
     private static final int DIGITS = 3;
 
-    /** From here on numbers are written as integers: they round to 1,000 or more. */
+    /** Numbers from this value on round to 1,000 or more and are written as integers. */
     private static final double INTEGER_FROM = 999.5;
 
-    /** Below this a figure is rounding error of the arithmetic. */
+    /** A figure below this value is a rounding error of the arithmetic. */
     private static final double ZERO_BELOW = 1e-12;
 
     private Figures() {}
 
-    /** Three significant digits, or all digits of an integer from 1,000 on. */
+    /** Formats with three significant digits, or as an integer from 1,000 on. */
     static String number(double value) {
         if (Double.isNaN(value)) {
             return NONE;
@@ -38,12 +38,12 @@
         return rounded.scale() < 0 ? rounded.setScale(0).toPlainString() : rounded.toPlainString();
     }
 
-    /** A cost divided by its limit. */
+    /** Formats a cost divided by its limit. */
     static String ratio(double ratio) {
         return Double.isInfinite(ratio) ? "over a limit of 0" : number(ratio);
     }
 
-    /** A value with its interval, marked where it lies outside the measured sizes. */
+    /** Formats a value with its interval, marked if a size lies outside the measured ones. */
     static String estimate(Estimate estimate) {
         return number(estimate.value())
                 + " ± "
@@ -51,7 +51,7 @@
                 + (estimate.extrapolated() ? " (extrapolated)" : "");
     }
 
-    /** The bounds of a slope's interval. */
+    /** Formats a slope with the bounds of its interval. */
     static String interval(LinearFit fit) {
         return number(fit.slope())
                 + " ("
--- a/src/main/java/cresschute/capacity/HeldOutCheck.java
+++ b/src/main/java/cresschute/capacity/HeldOutCheck.java
@@ -7,13 +7,13 @@
 import java.util.stream.Collectors;
 
 /**
- * Validates the fits by a point that they do not use.
+ * Validates the fits at a point that was held out of them.
  *
  * @param key the measure
  * @param runs the runs that measured the point
- * @param points how many measurements of it there are
- * @param partial whether any of them is partial
- * @param measured their mean
+ * @param points number of measurements of the point
+ * @param partial whether any of these measurements is partial
+ * @param measured the mean of these measurements
  * @param predicted the estimate of the fits at the same sizes
  */
 public record HeldOutCheck(
@@ -29,8 +29,8 @@
     private static final double PERCENT = 100;
 
     /**
-     * Checks all points held out of measures that have fits; partial values count only where there
-     * are no others.
+     * Checks all held-out points of measures that have fits. Partial measurements are used only for
+     * a point that has no complete one.
      */
     public static List<HeldOutCheck> of(CapacityModel model) {
         final List<HeldOutCheck> checks = new ArrayList<>();
@@ -68,14 +68,14 @@
                 predicted);
     }
 
-    /** Error of the prediction in per cent of the measured value; NaN where that is 0. */
+    /** Error of the prediction in per cent of the measured value; NaN if that is 0. */
     public double errorPercent() {
         return measured == 0
                 ? Double.NaN
                 : PERCENT * (predicted.value() - measured) / Math.abs(measured);
     }
 
-    /** Whether the measured value lies in the prediction's interval. */
+    /** Returns whether the measured value lies in the prediction's interval. */
     public boolean withinInterval() {
         return Math.abs(measured - predicted.value()) <= predicted.halfWidth();
     }
--- a/src/main/java/cresschute/capacity/HeldOutTable.java
+++ b/src/main/java/cresschute/capacity/HeldOutTable.java
@@ -1,6 +1,6 @@
 package cresschute.capacity;
 
-/** Errors of the fits at the points that they do not use. */
+/** Errors of the fits at the held-out points. */
 final class HeldOutTable {
 
     private HeldOutTable() {}
--- a/src/main/java/cresschute/capacity/Limit.java
+++ b/src/main/java/cresschute/capacity/Limit.java
@@ -3,12 +3,12 @@
 /**
  * The limit of a cost.
  *
- * @param value in the unit of the cost
- * @param source who states it
+ * @param value the limit, in the unit of the cost
+ * @param source who or what states the limit
  */
 public record Limit(double value, String source) {
 
-    /** Cost divided by limit; infinite where the limit is 0 and the cost is not. */
+    /** Divides a cost by the limit; infinite if the limit is 0 and the cost is positive. */
     public double ratio(double need) {
         if (value > 0) {
             return need / value;
--- a/src/main/java/cresschute/capacity/LinearFit.java
+++ b/src/main/java/cresschute/capacity/LinearFit.java
@@ -12,7 +12,7 @@
  * @param slopeHalfWidth half the width of the slope's 95 % confidence interval, by Student's
  *     distribution
  * @param meanHalfWidth half the width of the 95 % confidence interval of the line at the mean size
- * @param rSquared the fraction of the values' variance that the line explains; NaN where there is
+ * @param rSquared the fraction of the values' variance that the line explains; NaN if they have
  *     none
  * @param points number of points
  * @param minSize the smallest size that was measured
@@ -37,7 +37,7 @@
     /** One measured value at one size. */
     public record Point(double size, double value) {}
 
-    /** Fits a line; empty where there are fewer than three points or all have the same size. */
+    /** Fits a line; empty if there are fewer than three points or all have the same size. */
     public static Optional<LinearFit> of(List<Point> points) {
         if (points.size() < MIN_POINTS
                 || points.stream().mapToDouble(Point::size).distinct().count() < 2) {
@@ -78,7 +78,7 @@
         return intercept + slope * size;
     }
 
-    /** Whether a size lies outside those that were measured. */
+    /** Returns whether a size lies outside the measured range. */
     public boolean extrapolates(double size) {
         return size < minSize || size > maxSize;
     }
--- a/src/main/java/cresschute/capacity/MarkdownTable.java
+++ b/src/main/java/cresschute/capacity/MarkdownTable.java
@@ -16,10 +16,15 @@
         lines.add("| --- ".repeat(columns) + "|");
     }
 
-    /** Appends a row; it has as many cells as the header. */
+    /**
+     * Appends a row.
+     *
+     * @throws IllegalArgumentException if it has more or fewer cells than the header
+     */
     MarkdownTable row(String... cells) {
         if (cells.length != columns) {
-            throw new IllegalArgumentException(cells.length + " cells in a row of " + columns);
+            throw new IllegalArgumentException(
+                    cells.length + " cells in a row, expected " + columns);
         }
         lines.add(line(List.of(cells)));
         return this;
@@ -29,7 +34,7 @@
         return "| " + String.join(" | ", cells) + " |";
     }
 
-    /** The table, each line ended; a sentence in its place where there is no row. */
+    /** The table, or a sentence instead if it has no rows; each line ends with a line feed. */
     String textOr(String sentence) {
         return lines.size() == 2 ? sentence + "\n" : String.join("\n", lines) + "\n";
     }
--- a/src/main/java/cresschute/capacity/MeasureKey.java
+++ b/src/main/java/cresschute/capacity/MeasureKey.java
@@ -3,7 +3,7 @@
 /**
  * Identifies a measure of a role.
  *
- * @param role whose cost it is
+ * @param role the role that bears the cost
  * @param measure its name in the measurement files
  */
 public record MeasureKey(Role role, String measure) {}
--- a/src/main/java/cresschute/capacity/MeasureKind.java
+++ b/src/main/java/cresschute/capacity/MeasureKind.java
@@ -10,7 +10,7 @@
     PROCESSOR_WITHOUT_REQUESTS("processor, no requests"),
     /** Memory and descriptors. */
     MEMORY("memory"),
-    /** What clients get. */
+    /** Quality of the service that clients get. */
     SERVICE("service");
 
     private final String label;
--- a/src/main/java/cresschute/capacity/Measurement.java
+++ b/src/main/java/cresschute/capacity/Measurement.java
@@ -7,16 +7,16 @@
  *
  * @param run the run's name
  * @param commit the commit that was measured
- * @param date when it was measured, as the file says
+ * @param date the date of the measurement, as written in the file
  * @param seed the seed of the run's random choices
- * @param axis the axis that the run varied, or nothing for a run that varied none
- * @param repetition which repetition of the run this is
- * @param heldOut whether it is kept out of every fit, to check the fits
- * @param sizes the size at which it was measured
- * @param role whose cost it is
- * @param measure what was measured, as the file names it
+ * @param axis the axis that the run varied; empty for a run that varied none
+ * @param repetition the number of this repetition of the run
+ * @param heldOut whether the run is kept out of every fit, to validate the fits
+ * @param sizes the sizes of the run
+ * @param role the role that bears the cost
+ * @param measure name of the measured quantity, as in the file
  * @param value the value, in the measure's unit
- * @param partial whether the run did not reach the size or the duration that it was to have
+ * @param partial whether the run did not reach its intended size or duration
  */
 public record Measurement(
         String run,
--- a/src/main/java/cresschute/capacity/MeasurementFile.java
+++ b/src/main/java/cresschute/capacity/MeasurementFile.java
@@ -39,8 +39,8 @@
     /**
      * Reads a file's text.
      *
-     * @param file the name that errors give
-     * @throws CsvFormatException where any line of it cannot be used
+     * @param file the file name for error messages
+     * @throws CsvFormatException if any line is malformed
      */
     public static List<Measurement> parse(String file, String text) throws CsvFormatException {
         final List<Measurement> measurements = new ArrayList<>();
@@ -58,7 +58,7 @@
         }
         final boolean heldOut = row.flag("held_out");
         if (axisLabel.equals(Axis.FULL) && !heldOut) {
-            throw row.error("a run at full size must be held out");
+            throw row.error("axis: a run at full size must be held out");
         }
         final String roleLabel = row.text("role");
         final Role role =
--- a/src/main/java/cresschute/capacity/Mechanism.java
+++ b/src/main/java/cresschute/capacity/Mechanism.java
@@ -1,9 +1,9 @@
 package cresschute.capacity;
 
-/** How the page names what causes or bounds a cost: the simple name of a class, or missing. */
+/** Formats the mechanism that causes or bounds a cost: a simple class name, or missing. */
 public final class Mechanism {
 
-    /** No class does. */
+    /** No class causes or bounds the cost. */
     public static final String MISSING = "missing";
 
     private Mechanism() {}
--- a/src/main/java/cresschute/capacity/PlannedSize.java
+++ b/src/main/java/cresschute/capacity/PlannedSize.java
@@ -7,21 +7,22 @@
  * The size that an installation is planned for, as its operators state it.
  *
  * @param workers listed workers
- * @param accelerators accelerators among them, each a slot of a kind of worker
- * @param jobsPerDay jobs a day
- * @param startsPerSecond attempts a second at the peak, over all dispatchers
- * @param running requests open at once, over all dispatchers
+ * @param accelerators accelerators of these workers; each is a slot of one kind of worker
+ * @param jobsPerDay jobs per day
+ * @param startsPerSecond peak rate of attempts per second, over all dispatchers
+ * @param running requests in flight at once, over all dispatchers
  * @param gangSize maximum number of requests of one tenant that are useful only together
  * @param tenants tenants with a quota
- * @param urgentStartMs time within which a request of the most urgent class starts, milliseconds
- * @param regions sets of zones that can lose each other
- * @param zones zones over all regions
- * @param configurationChangesPerDay changes of settings, drains, bans and of the list, a day
- * @param configurationDelayMs time within which such a change is in force at every dispatcher,
+ * @param urgentStartMs maximum time until a request of the most urgent class starts, milliseconds
+ * @param regions sets of zones that a network partition can separate
+ * @param zones number of zones in all regions
+ * @param configurationChangesPerDay changes of settings, of drains and bans and of the endpoint
+ *     list, per day
+ * @param configurationDelayMs maximum time until such a change is in force at every dispatcher,
  *     milliseconds
  * @param failuresPerDay machines that fail on an ordinary day
  * @param replacementsPerDay machines that are restarted or replaced on an ordinary day
- * @param dispatchers dispatcher processes, one on each machine set aside for control
+ * @param dispatchers dispatcher processes, one on each machine reserved for control
  */
 public record PlannedSize(
         int workers,
@@ -40,7 +41,7 @@
         int replacementsPerDay,
         int dispatchers) {
 
-    /** The operators' size within two years. */
+    /** The size that the operators expect within two years. */
     public static final PlannedSize OPERATORS =
             new PlannedSize(
                     1_400,
@@ -61,22 +62,22 @@
 
     private static final double SECONDS_PER_DAY = 86_400;
 
-    /** A machine that fails or is replaced leaves the list once and comes back once. */
+    /** A machine that fails or is replaced is removed from the list once and added again once. */
     private static final int LIST_CHANGES_PER_MACHINE = 2;
 
-    /** The mean time for which a request is open, in seconds, by Little's law. */
+    /** The mean time that a request is in flight, in seconds, by Little's law. */
     public double meanOpenSeconds() {
         return (double) running / startsPerSecond;
     }
 
-    /** Changes of the list a second, where every change of the configuration is one as well. */
+    /** Changes of the list per second if every change of the configuration changes the list. */
     public double listChangesPerSecond() {
         return (configurationChangesPerDay
                         + (double) LIST_CHANGES_PER_MACHINE * (failuresPerDay + replacementsPerDay))
                 / SECONDS_PER_DAY;
     }
 
-    /** Settings reloads a second, where every change of the configuration is one. */
+    /** Settings reloads per second if every change of the configuration is one. */
     public double settingsChangesPerSecond() {
         return configurationChangesPerDay / SECONDS_PER_DAY;
     }
@@ -95,8 +96,8 @@
     }
 
     /**
-     * Twice of everything that grows with the installation; limits, delays and control machines
-     * stay.
+     * Doubles everything that grows with the installation. Limits, delays, regions, zones and
+     * control machines keep their values.
      */
     public PlannedSize doubled() {
         return new PlannedSize(
--- a/src/main/java/cresschute/capacity/PlannedSizeTable.java
+++ b/src/main/java/cresschute/capacity/PlannedSizeTable.java
@@ -1,7 +1,8 @@
 package cresschute.capacity;
 
 /**
- * The operators' size, with how the project reads each figure and where it asks about the reading.
+ * The size stated by the operators, with the project's interpretation of each figure and the
+ * question to the operators that covers it.
  */
 final class PlannedSizeTable {
 
--- a/src/main/java/cresschute/capacity/RatioRow.java
+++ b/src/main/java/cresschute/capacity/RatioRow.java
@@ -8,11 +8,11 @@
 /**
  * A cost beside its limit.
  *
- * @param need the cost in words
+ * @param need description of the cost
  * @param amount the cost, as the page writes it
  * @param limit the limit, as the page writes it
- * @param ratio cost divided by limit; empty where there is no figure
- * @param mechanism the class that causes or bounds it
+ * @param ratio cost divided by limit; empty if there is no figure
+ * @param mechanism the class that causes or bounds the cost
  * @param source where the figure comes from, or why there is none
  */
 record RatioRow(
@@ -23,7 +23,9 @@
         String mechanism,
         String source) {
 
-    /** All costs that have a limit, at a size: by falling ratio, those without a figure last. */
+    /**
+     * All costs that have a limit, at a size, sorted by falling ratio; those without figure last.
+     */
     static List<RatioRow> of(CapacityModel model, PlannedSize size) {
         final List<RatioRow> rows = new ArrayList<>();
         for (final TrackedMeasure measure : TrackedMeasure.values()) {
@@ -67,7 +69,7 @@
                 limit.map(each -> "arithmetic: " + each.source()).orElse("nothing carries it"));
     }
 
-    /** Whether it has a figure. */
+    /** Returns whether the cost has a figure. */
     boolean hasFigure() {
         return ratio.isPresent();
     }
--- a/src/main/java/cresschute/capacity/RatioTables.java
+++ b/src/main/java/cresschute/capacity/RatioTables.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Ratios of costs to their limits, the highest first, at the planned size and at twice of it. */
+/** Ratios of costs to limits, the highest first, at the planned size and at twice that size. */
 final class RatioTables {
 
     private RatioTables() {}
--- a/src/main/java/cresschute/capacity/Role.java
+++ b/src/main/java/cresschute/capacity/Role.java
@@ -12,11 +12,11 @@
     DISPATCHER("dispatcher"),
     /** One worker's machine; figures are means over all listed workers. */
     WORKER("worker"),
-    /** The service that provides dispatchers with the endpoint list. */
+    /** The service that names the workers to the dispatchers. */
     DISCOVERY("discovery"),
     /** The operators' console and the management listener. */
     CONSOLE("console"),
-    /** A simulated fleet in virtual time: no part of an installation, and in no fit. */
+    /** A fleet simulated in virtual time; it is no part of an installation and of no fit. */
     MODEL("model");
 
     private final String label;
@@ -30,7 +30,7 @@
         return label;
     }
 
-    /** The role with this name, if there is one. */
+    /** The role with this name; empty if there is none. */
     public static Optional<Role> of(String label) {
         return Stream.of(values()).filter(role -> role.label.equals(label)).findFirst();
     }
--- a/src/main/java/cresschute/capacity/RoleTables.java
+++ b/src/main/java/cresschute/capacity/RoleTables.java
@@ -6,7 +6,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 
-/** The costs of a role at the planned size, and the fits they are estimated from. */
+/** The costs of a role at the planned size, and the fits that estimate them. */
 final class RoleTables {
 
     private RoleTables() {}
@@ -126,7 +126,7 @@
         return Stream.of(TrackedMeasure.values()).filter(measure -> measure.role() == role);
     }
 
-    /** Whether the measure is on the page; others in the measurement files are left out. */
+    /** Returns whether the page shows the measure; it omits others of the measurement files. */
     static boolean isTracked(MeasureKey key) {
         return of(key.role())
                 .anyMatch(
--- a/src/main/java/cresschute/capacity/RunsTable.java
+++ b/src/main/java/cresschute/capacity/RunsTable.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** The runs behind the fits: one row for each axis and commit. */
+/** The runs that the measurements come from: one row for each axis and commit. */
 final class RunsTable {
 
     private record Group(String axis, String commit) {}
--- a/src/main/java/cresschute/capacity/Sizes.java
+++ b/src/main/java/cresschute/capacity/Sizes.java
@@ -13,14 +13,18 @@
     /**
      * Copies the values.
      *
-     * @throws IllegalArgumentException if one is missing, negative or infinite
+     * @throws IllegalArgumentException if a value is missing, negative, NaN or infinite
      */
     public Sizes {
         final Map<Axis, Double> checked = new EnumMap<>(Axis.class);
         for (final Axis axis : Axis.values()) {
             final Double value = values.get(axis);
             if (value == null || !(value >= 0) || value.isInfinite()) {
-                throw new IllegalArgumentException("size along " + axis.label() + " is " + value);
+                throw new IllegalArgumentException(
+                        "size along "
+                                + axis.label()
+                                + " must be finite and not negative: "
+                                + value);
             }
             checked.put(axis, value);
         }
@@ -32,7 +36,7 @@
         return values.get(axis);
     }
 
-    /** These sizes with another one along one axis. */
+    /** A copy of these sizes with another value along one axis. */
     public Sizes with(Axis axis, double value) {
         final Map<Axis, Double> changed = new EnumMap<>(values);
         changed.put(axis, value);
--- a/src/main/java/cresschute/capacity/StateTable.java
+++ b/src/main/java/cresschute/capacity/StateTable.java
@@ -3,8 +3,8 @@
 import java.util.Optional;
 
 /**
- * State in memory by role: entries at the planned size, and bytes of an entry by the slope of the
- * heap.
+ * State in memory by role: entries at the planned size, and bytes of an entry as the slope of the
+ * heap size.
  */
 final class StateTable {
 
--- a/src/main/java/cresschute/capacity/StatedBound.java
+++ b/src/main/java/cresschute/capacity/StatedBound.java
@@ -4,7 +4,7 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Costs with a limit in the code, which arithmetic compares with it, and needs that no class meets.
+ * Costs that are calculated and compared with a limit in the code, and needs that no class meets.
  */
 public enum StatedBound {
 
@@ -16,7 +16,7 @@
             "QuotaMeter",
             "a burst of 2 s of 1.5 times an even part, at least 3; quotas taken as even, the peak"
                     + " in all"),
-    /** Numbers of classes over all settings reloads. */
+    /** Class numbers used over all settings reloads. */
     CLASS_NUMBERS(
             "class numbers used in a day, if every change of configuration changes one class",
             PlannedSize::configurationChangesPerDay,
@@ -31,62 +31,62 @@
             "DescriptorBudget",
             "45 % of 1,024 descriptors less 48, no management listener; `limits.sockets`: up to"
                     + " 1,000,000"),
-    /** How much more than its quota a tenant may use. */
+    /** Traffic of a tenant over its quota that still counts as within it. */
     QUOTA_SLACK(
             "traffic of a tenant that counts as within its quota, in quotas",
             size -> 1.5,
             1,
             "QuotaMeter",
             "an even part for each dispatcher, times 1.5"),
-    /** A gang on one client connection. */
+    /** Requests of a gang on one client connection. */
     GANG_ON_A_CONNECTION(
             "requests of a gang on one client connection",
             PlannedSize::gangSize,
             120,
             "ClientConnection",
             "one more than 120 without an answer closes the connection"),
-    /** A change of the endpoint list. */
+    /** Time until a change of the endpoint list is in force, milliseconds. */
     LIST_CHANGE(
             "ms until a change of the list is in force, two calls in a row having fallen silent",
             size -> 6_000,
             PlannedSize.OPERATORS.configurationDelayMs(),
             "DiscoveryClient",
             "2 + 1.25 + 1.25 + 0.2 s for what two calls miss, stated as 6 s"),
-    /** The size of the endpoint list. */
+    /** Workers in the endpoint list. */
     LIST_SIZE(
             "workers in one list",
             PlannedSize::workers,
             10_000,
             "DiscoveryClient",
             "4 MiB, about 10,000 workers"),
-    /** A drain or ban at one dispatcher. */
+    /** Time until a drain or ban is in force at one dispatcher, milliseconds. */
     DRAIN(
             "ms until a drain or ban is in force at the dispatcher that was called",
             size -> 400,
             PlannedSize.OPERATORS.configurationDelayMs(),
             "DrainRegistry",
             "the rule of the list's drains: 0.4 s"),
-    /** Operators' drains and bans at a time. */
+    /** Operators' drains and bans in force at a time. */
     BANS(
             "bans at a time, if every change of a day is one that stays",
             PlannedSize::configurationChangesPerDay,
             10_000,
             "OperatorState",
             "10,000; more are refused"),
-    /** All requests of a gang or none. */
+    /** Admission of all requests of a gang or none. */
     GANG_ADMISSION("a gang admitted whole or not at all"),
-    /** Slots for urgent work while all are taken. */
+    /** Preemption: freeing a slot for urgent work while all are taken. */
     PREEMPTION("a slot freed for urgent work while all are taken"),
-    /** Settings at all dispatchers. */
+    /** Distribution of settings to all dispatchers. */
     SETTINGS_EVERYWHERE(
             "a settings file carried to every dispatcher, and known to be in force there"),
-    /** Drains and bans at all dispatchers. */
+    /** Distribution of drains and bans to all dispatchers. */
     BAN_EVERYWHERE("a drain or ban carried to every dispatcher"),
     /** Takeover of the requests in flight of a failed dispatcher. */
     DISPATCHER_LOSS("open requests of a dispatcher that fails, taken over by another"),
     /** Failover of discovery to another machine. */
     DISCOVERY_LOSS("a second discovery service where one is lost"),
-    /** Regions as such. */
+    /** Support for regions, which no class knows. */
     REGIONS("regions: zones that are lost, or cut off, together");
 
     private final String need;
@@ -123,12 +123,12 @@
         return need;
     }
 
-    /** The cost at a size; NaN where no class meets the need. */
+    /** The cost at a size; NaN if no class meets the need. */
     public double amount(PlannedSize size) {
         return amount.applyAsDouble(size);
     }
 
-    /** The limit in the code; empty where no class meets the need. */
+    /** The limit in the code; empty if no class meets the need. */
     public Optional<Limit> limit() {
         return Optional.ofNullable(limit);
     }
--- a/src/main/java/cresschute/capacity/TrackedMeasure.java
+++ b/src/main/java/cresschute/capacity/TrackedMeasure.java
@@ -9,8 +9,8 @@
 import java.util.Optional;
 
 /**
- * The measures on the capacity page: whose cost each one is, its unit, its limit where one is
- * stated, and the class that causes or bounds it.
+ * The measures on the capacity page: the role that bears the cost, the unit, the limit if one is
+ * stated, and the class that causes or bounds the cost.
  */
 public enum TrackedMeasure {
 
@@ -19,7 +19,7 @@
             Role.CLIENT, "requests_per_second", MESSAGES, "a second", null, "ClientListener"),
     /** Fraction of the requests that was rejected. */
     CLIENT_REJECTED_FRACTION(Role.CLIENT, "refused_share", SERVICE, "share", null, "Dispatcher"),
-    /** Requests without an answer. */
+    /** Requests that got no answer. */
     CLIENT_UNANSWERED(
             Role.CLIENT,
             "unanswered",
@@ -27,18 +27,18 @@
             "requests",
             Limits.NONE_ALLOWED,
             "RequestLifecycle"),
-    /** Median start of urgent requests. */
+    /** Time until an urgent request starts, median. */
     CLIENT_URGENT_P50(
             Role.CLIENT, "urgent_start_p50_ms", SERVICE, "ms", Limits.URGENT, "Dispatcher"),
-    /** Start of urgent requests, 99th percentile. */
+    /** Time until an urgent request starts, 99th percentile. */
     CLIENT_URGENT_P99(
             Role.CLIENT, "urgent_start_p99_ms", SERVICE, "ms", Limits.URGENT, "Dispatcher"),
-    /** Start of urgent requests, 99.9th percentile. */
+    /** Time until an urgent request starts, 99.9th percentile. */
     CLIENT_URGENT_P999(
             Role.CLIENT, "urgent_start_p999_ms", SERVICE, "ms", Limits.URGENT, "Dispatcher"),
     /** Gangs of which all requests were admitted. */
     CLIENT_GANGS_COMPLETE(Role.CLIENT, "gangs_whole", SERVICE, "gangs", null, Mechanism.MISSING),
-    /** Gangs of which only some requests were admitted: useless work. */
+    /** Gangs of which only some requests were admitted, whose work is useless. */
     CLIENT_GANGS_PARTIAL(
             Role.CLIENT, "gangs_partial", SERVICE, "gangs", Limits.NONE_ALLOWED, Mechanism.MISSING),
     /** Gangs of which no request was admitted. */
@@ -63,7 +63,7 @@
             "% of a core",
             Limits.CONTROL_CPU,
             "NodeServer"),
-    /** Processor time of the dispatcher that uses most. */
+    /** Highest processor time of a dispatcher. */
     DISPATCHER_CPU_MAX(
             Role.DISPATCHER,
             "cpu_percent_max",
@@ -71,14 +71,14 @@
             "% of a core",
             Limits.ONE_CORE,
             "NodeServer"),
-    /** Heap in use. */
+    /** Heap in use at a dispatcher. */
     DISPATCHER_HEAP(Role.DISPATCHER, "heap_mb", MEMORY, "MB", Limits.HEAP, "RequestLifecycle"),
-    /** Resident memory of the process. */
+    /** Resident memory of a dispatcher process. */
     DISPATCHER_RSS(Role.DISPATCHER, "rss_mb", MEMORY, "MB", Limits.CONTROL_MEMORY, "NodeServer"),
-    /** Resident memory of the dispatcher that uses most. */
+    /** Highest resident memory of a dispatcher. */
     DISPATCHER_RSS_MAX(
             Role.DISPATCHER, "rss_mb_max", MEMORY, "MB", Limits.CONTROL_MEMORY, "NodeServer"),
-    /** Open descriptors. */
+    /** Open descriptors of a dispatcher. */
     DISPATCHER_DESCRIPTORS(
             Role.DISPATCHER,
             "descriptors",
@@ -86,7 +86,7 @@
             "descriptors",
             Limits.DESCRIPTORS,
             "WorkerConnectionPool"),
-    /** Bytes of everything but requests, their answers and what belongs to these. */
+    /** Bytes of control traffic: everything but requests, their progress lines and responses. */
     DISPATCHER_CONTROL_BYTES(
             Role.DISPATCHER,
             "control_bytes_per_second",
@@ -94,7 +94,7 @@
             "bytes a second",
             Limits.CONTROL_BYTES,
             "WorkerConnectionPool"),
-    /** Bytes of load queries and their answers. */
+    /** Bytes of load queries and their responses. */
     DISPATCHER_LOAD_QUERY_BYTES(
             Role.DISPATCHER,
             "probe_bytes_per_second",
@@ -105,7 +105,7 @@
     /** Load queries sent. */
     DISPATCHER_LOAD_QUERIES(
             Role.DISPATCHER, "probes_per_second", MESSAGES, "a second", null, "HttpLoadQuery"),
-    /** Connections opened. */
+    /** Connections that a dispatcher opens. */
     DISPATCHER_HANDSHAKES(
             Role.DISPATCHER,
             "handshake_per_second",
@@ -137,7 +137,7 @@
             "a second",
             null,
             "WorkerConnectionPool"),
-    /** Bytes of requests to workers, head and body, and of the heads of their answers. */
+    /** Bytes of requests to workers, head and body, and of the response heads. */
     DISPATCHER_REQUEST_BYTES(
             Role.DISPATCHER,
             "request_bytes_per_second",
@@ -205,7 +205,7 @@
     /** Calls of dispatchers for the endpoint list. */
     DISCOVERY_CALLS(
             Role.DISCOVERY, "calls_per_second", MESSAGES, "a second", null, "DiscoveryClient"),
-    /** Bytes of these calls and their answers. */
+    /** Bytes of these calls and their responses. */
     DISCOVERY_BYTES(
             Role.DISCOVERY,
             "bytes_per_second",
@@ -235,7 +235,7 @@
             "ControlServer"),
     /** Memory that a console costs a dispatcher. */
     CONSOLE_MEMORY(Role.CONSOLE, "heap_mb", MEMORY, "MB", Limits.CONTROL_MEMORY, "HealthTracker"),
-    /** Bytes that a console is sent. */
+    /** Bytes sent to a console. */
     CONSOLE_BYTES(
             Role.CONSOLE,
             "bytes_per_second",
@@ -285,7 +285,7 @@
         this.mechanism = mechanism;
     }
 
-    /** Whose cost it is. */
+    /** The role that bears the cost. */
     public Role role() {
         return role;
     }
@@ -305,7 +305,7 @@
         return unit;
     }
 
-    /** Its limit, where one is stated. */
+    /** The limit; empty if none is stated. */
     public Optional<Limit> limit() {
         return Optional.ofNullable(limit);
     }
@@ -315,14 +315,17 @@
         return mechanism;
     }
 
-    /** Its estimate for an installation of these sizes; empty where it is not measured. */
+    /** The estimate for an installation of these sizes; empty if the measure has no fit. */
     Optional<Estimate> estimate(CapacityModel model, Sizes sizes) {
         return isMeasuredAtStandIn()
                 ? Optional.empty()
                 : model.estimate(new MeasureKey(role, measure), evaluatedAt(sizes));
     }
 
-    /** The sizes at which this measure is evaluated for an installation of these sizes. */
+    /**
+     * The sizes at which this measure is evaluated for an installation of these sizes: without
+     * requests for the processor time that is spent on none.
+     */
     public Sizes evaluatedAt(Sizes sizes) {
         return kind == PROCESSOR_WITHOUT_REQUESTS
                 ? sizes.with(Axis.STARTS, 0).with(Axis.RUNNING, 0)
@@ -330,15 +333,15 @@
     }
 
     /**
-     * Whether a stand-in plays this role in the sweep, so that its processor time and memory are
-     * not those of the real program.
+     * Returns whether the sweep measures this at a stand-in for the role, so that its processor
+     * time and memory are not those of the real program.
      */
     public boolean isMeasuredAtStandIn() {
         return (role == Role.WORKER || role == Role.DISCOVERY)
                 && (kind == PROCESSOR || kind == MEMORY);
     }
 
-    /** Why it has no figure, where the sweep did not measure it. */
+    /** The reason for the missing figure of a measure that the sweep did not take. */
     public String reasonNotMeasured() {
         return switch (role) {
             case WORKER -> "the sweep's workers are stand-ins";
--- a/src/test/java/cresschute/capacity/CapacityModelTest.java
+++ b/src/test/java/cresschute/capacity/CapacityModelTest.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Estimates from fits along several axes, and the points that are held out of the fits. */
+/** Estimates from fits along several axes, and their validation at held-out points. */
 class CapacityModelTest {
 
     private static final MeasureKey CPU = new MeasureKey(Role.DISPATCHER, "cpu_percent");
@@ -55,7 +55,7 @@
         assertThat(model.fits(CPU).get(Axis.STARTS).slope()).isCloseTo(0.2, within(1e-9));
     }
 
-    /** A dispatcher does its part of what all of them do; what reaches a worker comes from all. */
+    /** One of n dispatchers does an n-th of the work, but a worker gets the traffic of all. */
     @Test
     void workerMeasureIsLinearInNumberOfDispatchers() throws CsvFormatException {
         final MeasurementFileBuilder sweep = new MeasurementFileBuilder();
--- a/src/test/java/cresschute/capacity/CapacityTablesTest.java
+++ b/src/test/java/cresschute/capacity/CapacityTablesTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The page's tables, their places in a page, and the classes that they name. */
+/** The page's tables, their insertion into a page, and the classes that they name. */
 class CapacityTablesTest {
 
     private static final Pattern CLASS_NAME = Pattern.compile("`([A-Z][a-z]+(?:[A-Z][a-z]+)*)`");
@@ -89,7 +89,7 @@
         assertThat(ratios.subList(figures.size(), ratios.size())).isNotEmpty().containsOnly("-");
     }
 
-    /** A stand-in of 1,000 workers in one process says nothing of one worker's machine. */
+    /** The cost of a process with 1,000 worker stand-ins is not that of a worker's machine. */
     @Test
     void omitsStandInCostsAndUnknownMeasures() throws CsvFormatException {
         final MeasurementFileBuilder sweep = new MeasurementFileBuilder();
@@ -162,7 +162,7 @@
         assertThat(Figures.number(value)).isEqualTo(text);
     }
 
-    // ---- Places in a page ----
+    // ---- Insertion into a page ----
 
     private static String writeTable(String page) throws MarkerException {
         return CapacityPage.write(page, Map.of("a", "new\nlines\n"));
@@ -182,12 +182,12 @@
             delimiter = '|',
             textBlock =
                     """
-                    no marker                                           | no marker for the tables a
-                    <!-- table: a -->;old                               | the table a has no end
-                    <!-- table: a -->;<!-- table: a -->                 | the table a has no end
-                    <!-- table: b -->;<!-- end table -->                | there is no table b
-                    <!-- end table -->                                  | an end of a table without its beginning
-                    <!-- table: a -->;<!-- end table -->;<!-- table: a -->;<!-- end table --> | the table a comes twice
+                    no marker                                           | no marker for tables: a
+                    <!-- table: a -->;old                               | table a has no end marker
+                    <!-- table: a -->;<!-- table: a -->                 | table a has no end marker
+                    <!-- table: b -->;<!-- end table -->                | marker names an unknown table: b
+                    <!-- end table -->                                  | end marker without a begin marker before it
+                    <!-- table: a -->;<!-- end table -->;<!-- table: a -->;<!-- end table --> | table a has two markers
                     """)
     void rejectsMalformedMarkers(String page, String message) {
         assertThatThrownBy(() -> writeTable(page.replace(';', '\n') + "\n"))
@@ -208,7 +208,7 @@
         }
     }
 
-    /** A page that names a class as the carrier of a need names one that there is. */
+    /** Every class that the page names as the mechanism of a cost exists. */
     @Test
     void namesOnlyExistingClassesAsMechanisms() throws IOException {
         final Set<String> classes = classes();
--- a/src/test/java/cresschute/capacity/LinearFitTest.java
+++ b/src/test/java/cresschute/capacity/LinearFitTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Straight lines through data whose line is known. */
+/** Fits to data whose line is known. */
 class LinearFitTest {
 
     /** The Norris data of NIST's Statistical Reference Datasets: y, x. */
--- a/src/test/java/cresschute/capacity/MeasurementFileBuilder.java
+++ b/src/test/java/cresschute/capacity/MeasurementFileBuilder.java
@@ -37,13 +37,13 @@
                             String.join(",", MeasurementFile.COLUMNS)));
     private int run;
 
-    /** One row of a measurement along an axis, the others at the base. */
+    /** Adds a row of a measurement along an axis, with the other sizes at the base. */
     MeasurementFileBuilder along(
             Axis axis, double size, String role, String measure, Function value) {
         return row(axis.label(), false, Map.of(axis, size), role, measure, value, false);
     }
 
-    /** One row at full size, held out. */
+    /** Adds a held-out row at full size. */
     MeasurementFileBuilder atFullSize(String role, String measure, Function value) {
         return row(
                 Axis.FULL,
@@ -55,7 +55,7 @@
                 false);
     }
 
-    /** One row with all that may be said of it. */
+    /** Adds a row with all its properties; sizes that are not given are those of the base. */
     MeasurementFileBuilder row(
             String axis,
             boolean heldOut,
--- a/src/test/java/cresschute/capacity/MeasurementFileTest.java
+++ b/src/test/java/cresschute/capacity/MeasurementFileTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Files of measurements: what is read, and the one line that says what is wrong. */
+/** Parsing of measurement and fault files, and the one-line error for a malformed one. */
 class MeasurementFileTest {
 
     private static final String HEAD =
@@ -48,7 +48,7 @@
         assertThat(MeasurementFile.parse("a.csv", HEAD)).isEmpty();
     }
 
-    /** One field of a row replaced by another, and what is said of it. */
+    /** Replaces one field of a row by a malformed one and expects the error for it. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -56,14 +56,14 @@
                     """
                     value             | 12.5       | NaN       | value: 'NaN' is not finite
                     value             | 12.5       | Infinity  | value: 'Infinity' is not finite
-                    value             | 12.5       | 12.5x     | value: '12.5x' is no number
+                    value             | 12.5       | 12.5x     | value: '12.5x' is not a number
                     value             | 12.5       | ''        | value is empty
                     workers           | 200        | -200      | workers: '-200' is negative
                     running           | 500        | NaN       | running: 'NaN' is not finite
                     settings changes  | 0.02       | -0.02     | settings_changes_per_second: '-0.02' is negative
-                    repetition        | ,2,        | ,1.5,     | repetition: '1.5' is no whole number
+                    repetition        | ,2,        | ,1.5,     | repetition: '1.5' is not an integer
                     axis              | workers    | jobs      | axis: 'jobs' is unknown
-                    full in the fits  | workers    | full      | a run at full size must be held out
+                    full in the fits  | workers    | full      | axis: a run at full size must be held out
                     held out          | 2,false    | 2,maybe   | held_out: 'maybe' is neither true nor false
                     role              | dispatcher | engine    | role: 'engine' is unknown
                     commit            | abc1234    | ''        | commit is empty
@@ -98,7 +98,7 @@
                 .hasMessageStartingWith("a.csv:2: ");
     }
 
-    /** Truncated at any byte, a file is either rejected or has only complete rows. */
+    /** A file truncated at any byte is either rejected or yields only complete rows. */
     @Test
     void truncatedFileNeverYieldsAlteredRow() throws CsvFormatException {
         final String file = HEAD + ROW + "\n" + ROW + "\n";
@@ -116,7 +116,7 @@
             }
         }
         assertThat(failure(HEAD + ROW))
-                .hasMessage("a.csv:3: the file is cut: its last line has no end");
+                .hasMessage("a.csv:3: the file is truncated: its last line has no line feed");
     }
 
     @Test
