--- a/src/main/java/cresschute/testbed/capacity/ByteCounter.java
+++ b/src/main/java/cresschute/testbed/capacity/ByteCounter.java
@@ -8,8 +8,8 @@
 import java.util.function.LongSupplier;
 
 /**
- * Next to a socket: counts what is read and written, and notes when the first byte of a message
- * came.
+ * Channel handler next to the socket that counts the bytes read and written and records when the
+ * first byte of a message arrived.
  */
 final class ByteCounter extends ChannelDuplexHandler {
 
@@ -18,7 +18,7 @@
     private long firstByteUs;
     private long readBytes;
 
-    /** {@code counted} gets the size of each piece that is read or written. */
+    /** {@code byteListener} gets the size of each buffer that is read or written, in bytes. */
     ByteCounter(LongSupplier clock, LongConsumer byteListener) {
         this.clock = clock;
         this.byteListener = byteListener;
@@ -42,12 +42,12 @@
         ctx.write(message, promise);
     }
 
-    /** When the first byte since the last call of {@link #takeReadBytes} came, us. */
+    /** Arrival time of the first byte since the last call of {@link #takeReadBytes}, us; else 0. */
     long firstByteUs() {
         return firstByteUs;
     }
 
-    /** Bytes read since the last call of this. */
+    /** Returns the number of bytes read since the last call, and resets it. */
     long takeReadBytes() {
         final long bytes = readBytes;
         readBytes = 0;
--- a/src/main/java/cresschute/testbed/capacity/CapacityExperiment.java
+++ b/src/main/java/cresschute/testbed/capacity/CapacityExperiment.java
@@ -16,10 +16,10 @@
 import java.util.stream.Stream;
 
 /**
- * One experiment: dispatcher processes between hollow workers, hollow clients and discovery, each
- * in a process of its own. Jobs come faster until as many run as wanted; then the window is
- * measured, what is open is waited for, and all of it ends. Blocks; whatever happens, no process is
- * left.
+ * Runs one experiment: dispatcher processes, with stub workers, stub clients and a stub discovery
+ * service in processes of their own. Requests arrive at a raised rate until the planned number of
+ * jobs is running; then a window is measured, open requests are awaited, and all processes are
+ * killed. The calling thread blocks. No process outlives the experiment, whichever way it ends.
  */
 public final class CapacityExperiment implements AutoCloseable {
 
@@ -27,12 +27,12 @@
     private static final long POLL_INTERVAL_MS = 100;
     private static final long WATCH_TIMEOUT_SECONDS = 20;
     private static final long DRAIN_MARGIN_SECONDS = 10;
-    private static final String WORKERS_PROCESS_NAME = "the process of the hollow workers";
+    private static final String WORKERS_PROCESS_NAME = "the process of the stub workers";
     private static final double RAMP_COMPLETE_FRACTION = 0.98;
     private static final double NS_PER_SECOND = 1e9;
     private static final double US_PER_SECOND = 1e6;
 
-    /** The end of an experiment before its time, with why. */
+    /** The user interrupted the experiment. */
     private static final class ExperimentInterruptedException extends Exception {
         private static final long serialVersionUID = 1L;
     }
@@ -51,10 +51,10 @@
     private Path folder;
 
     /**
-     * One that is not started.
+     * Creates an experiment without starting it.
      *
-     * @param progress is notified of what goes on, a line at a time
-     * @param interrupted ends it early at zero
+     * @param progress gets progress messages, one line at a time
+     * @param interrupted ends the experiment early when it reaches zero
      */
     public CapacityExperiment(
             CapacityPlan plan, Consumer<String> progress, CountDownLatch interrupted) {
@@ -64,15 +64,17 @@
     }
 
     /**
-     * Looks whether the machine has what this plan needs; {@link MachineLimitException} where it
-     * has not.
+     * Checks that the machine has the resources for a plan.
+     *
+     * @throws MachineLimitException if it lacks one
      */
     public static void check(CapacityPlan plan) throws IOException {
         Preflight.check(plan);
     }
 
     /**
-     * Plays it. A process that dies, or an interruption, ends it with what was measured until then.
+     * Runs the experiment. If a process ends or the user interrupts, the result is partial and
+     * holds the measurements until then.
      */
     public CapacityResult run() throws IOException, InterruptedException {
         check(plan);
@@ -135,11 +137,12 @@
         for (final DispatcherProcess each : dispatchers) {
             dispatcherAddresses.add(each.awaitListening());
         }
-        // Each has the whole list once it watches for changes of it.
+        // A dispatcher that watches the list for changes has received all of it.
         final long startNs = System.nanoTime();
         while (discovery.ask("counts").get("watching").getAsInt() < plan.dispatchers()) {
             if (secondsSince(startNs) > WATCH_TIMEOUT_SECONDS) {
-                throw new ProcessFailureException("the dispatchers do not watch the list");
+                throw new ProcessFailureException(
+                        "not all dispatchers watched the endpoint list in time");
             }
             pause(POLL_INTERVAL_MS);
         }
@@ -147,8 +150,8 @@
     }
 
     /**
-     * Starts all workers in their processes and returns where they listen, in the order of the
-     * list.
+     * Starts all workers in their processes and returns their addresses, in the order of the
+     * endpoint list.
      */
     private List<InetSocketAddress> startWorkers() throws IOException {
         final List<Iterator<InetSocketAddress>> started = new ArrayList<>();
@@ -196,13 +199,13 @@
                             + running
                             + " of "
                             + plan.running()
-                            + " running after "
+                            + " jobs running after "
                             + Math.round(secondsSince(startNs))
                             + " s; "
                             + counts.connections()
                             + " connections, "
                             + counts.traffic().messages(TrafficKind.PROBE)
-                            + " probes so far");
+                            + " load queries so far");
         }
         clients.ask("end_ramp");
         discovery.begin(List.of());
@@ -253,8 +256,8 @@
                 dispatcherUsage,
                 List.of(
                         workerUsage,
-                        usage(discovery.pid(), "discovery"),
-                        usage(clients.pid(), "the process of the hollow clients")),
+                        usage(discovery.pid(), "the process of the stub discovery"),
+                        usage(clients.pid(), "the process of the stub clients")),
                 workerCounts,
                 discoveryCounts,
                 clientCounts);
@@ -278,8 +281,8 @@
     }
 
     /**
-     * Waits until all that is open is answered; what is not when the longest job must be over,
-     * stays.
+     * Waits until all open requests are answered, at most until the deadline of the last one plus a
+     * margin. Requests still open then stay unfinished.
      */
     private void drain() throws IOException, InterruptedException, ExperimentInterruptedException {
         clients.ask("stop_arriving");
@@ -301,7 +304,7 @@
         return (System.nanoTime() - startNs) / NS_PER_SECOND;
     }
 
-    /** Looks meanwhile whether all processes are there. */
+    /** Waits, and fails if the user interrupted or a dispatcher process has ended. */
     private void pause(long ms)
             throws InterruptedException, ExperimentInterruptedException, ProcessFailureException {
         if (interrupted.await(ms, TimeUnit.MILLISECONDS)) {
--- a/src/main/java/cresschute/testbed/capacity/CapacityPlan.java
+++ b/src/main/java/cresschute/testbed/capacity/CapacityPlan.java
@@ -5,19 +5,19 @@
 /**
  * The size of one experiment.
  *
- * @param workers listed workers
- * @param accelerators slots of the accelerated kind among them
- * @param running jobs that run at a time, so that the mean running time is this over {@code
- *     startsPerSecond}
- * @param startsPerSecond requests that clients begin in a second on average
- * @param tenants customers with a quota each
- * @param dispatchers dispatcher processes
- * @param zones zones of workers and dispatchers; each belongs to one region
- * @param gang requests of one tenant that come in one instant at the most
- * @param changesADay changes of the dispatchers' settings, read again on SIGHUP
- * @param listChangesPerSecond changes of the workers' list
- * @param seconds measured, after the number of running jobs is reached
- * @param memoryMb memory of a dispatcher, or 0 for the bounds of the platform's run line
+ * @param workers number of listed workers
+ * @param accelerators number of slots of the accelerated kind of worker
+ * @param running number of jobs that run at a time; the mean running time, in seconds, is this
+ *     divided by {@code startsPerSecond}
+ * @param startsPerSecond mean rate of new requests of the clients, per second
+ * @param tenants number of tenants, each with a quota
+ * @param dispatchers number of dispatcher processes
+ * @param zones number of zones of workers and dispatchers; each belongs to one region
+ * @param gang maximum number of requests that one tenant sends in one instant; 0 for no gangs
+ * @param changesADay changes of the dispatchers' settings per day, reloaded on SIGHUP
+ * @param listChangesPerSecond changes of the endpoint list per second
+ * @param seconds duration of the measured window, which begins after the ramp
+ * @param memoryMb memory of a dispatcher in MB, or 0 for the options of the platform's run line
  */
 public record CapacityPlan(
         @SerializedName("workers") int workers,
@@ -35,7 +35,7 @@
         @SerializedName("seed") long seed,
         @SerializedName("memoryMb") int memoryMb) {
 
-    /** Requests that one tenant may begin in one instant at the most. */
+    /** Maximum number of requests that one tenant sends in one instant. */
     public static final int MAX_GANG = 1_024;
 
     private static final int MAX_WORKERS = 10_000;
@@ -54,7 +54,11 @@
     private static final double SECONDS_PER_DAY = 86_400;
     private static final double US_PER_SECOND = 1e6;
 
-    /** All sizes are checked. */
+    /**
+     * Checks all sizes.
+     *
+     * @throws UnusablePlanException if a size is out of range
+     */
     public CapacityPlan {
         within("--workers", workers, 1, MAX_WORKERS);
         within("--accelerators", accelerators, 0, 8.0 * workers);
@@ -86,7 +90,7 @@
                             + running
                             + " at "
                             + text(startsPerSecond)
-                            + " starts a second are jobs of "
+                            + " starts per second means a mean running time of "
                             + text(mean)
                             + " s; allowed: "
                             + text(MIN_MEAN_RUN_SECONDS)
@@ -118,12 +122,12 @@
         return running / startsPerSecond * US_PER_SECOND;
     }
 
-    /** Changes of the dispatchers' settings in a second. */
+    /** Changes of the dispatchers' settings per second. */
     public double settingsChangesPerSecond() {
         return changesADay / SECONDS_PER_DAY;
     }
 
-    /** The same with another number of workers, and as many accelerators a worker. */
+    /** A copy with another number of workers and the same accelerators per worker. */
     public CapacityPlan withWorkers(int next) {
         return new CapacityPlan(
                 next,
--- a/src/main/java/cresschute/testbed/capacity/CapacityResult.java
+++ b/src/main/java/cresschute/testbed/capacity/CapacityResult.java
@@ -7,12 +7,12 @@
 import java.util.TreeMap;
 
 /**
- * What one experiment came to.
+ * The result of one experiment.
  *
- * @param plan its size as asked for
+ * @param plan the planned size
  * @param measures the figures of each role
- * @param ruleViolations one line for each breach
- * @param partial why it was not measured whole, or null where it was
+ * @param ruleViolations one line for each broken rule or invariant
+ * @param partial why the measurement is incomplete, or null if it is complete
  */
 public record CapacityResult(
         CapacityPlan plan, Measures measures, List<String> ruleViolations, String partial) {
@@ -49,7 +49,7 @@
         return json;
     }
 
-    /** The result as a table in Markdown, with what must not be after it. */
+    /** The result as a Markdown table, followed by its completeness and the broken rules. */
     public List<String> table() {
         final List<String> lines = new ArrayList<>();
         lines.add(
@@ -103,7 +103,7 @@
         return measures.get(role, measure).orElse(0.0);
     }
 
-    /** Whether it was measured whole, every request was answered and no rule was broken. */
+    /** Returns whether it is complete, every request was answered and no rule was broken. */
     public boolean isSuccessful() {
         return partial == null
                 && ruleViolations.isEmpty()
--- a/src/main/java/cresschute/testbed/capacity/CostChart.java
+++ b/src/main/java/cresschute/testbed/capacity/CostChart.java
@@ -12,13 +12,13 @@
 import org.knowm.xchart.XYChartBuilder;
 import org.knowm.xchart.XYSeries.XYSeriesRenderStyle;
 
-/** Charts of what a dispatcher needs against the size, one for each axis and need. */
+/** Charts of the cost of a dispatcher over the size, one for each axis and measure. */
 public final class CostChart {
 
     private static final int WIDTH = 800;
     private static final int HEIGHT = 420;
 
-    /** A need, and how its axis is labelled. */
+    /** The measures, with the labels of their chart axes. */
     private static final Map<String, String> MEASURES =
             new TreeMap<>(
                     Map.of(
@@ -33,12 +33,12 @@
 
     private final List<MeasuredPoint> measured = new ArrayList<>();
 
-    /** Adds what one size came to. */
+    /** Adds the result of one point. */
     public void add(Sweep.Point point, CapacityResult result) {
         measured.add(new MeasuredPoint(point, result));
     }
 
-    /** Draws a chart for each axis that was measured, into a folder that is there. */
+    /** Draws a chart for each axis with complete results, into an existing folder. */
     public void draw(Path folder) throws IOException {
         for (final Sweep.Axis axis : Sweep.Axis.values()) {
             final List<MeasuredPoint> along =
--- a/src/main/java/cresschute/testbed/capacity/DispatcherProcess.java
+++ b/src/main/java/cresschute/testbed/capacity/DispatcherProcess.java
@@ -13,12 +13,12 @@
 import java.util.regex.Pattern;
 
 /**
- * A dispatcher as the platform runs it: a process with the run line's bounds and a configuration
- * file.
+ * A dispatcher as the platform runs it: a process with the options of the run line and a
+ * configuration file.
  */
 final class DispatcherProcess implements AutoCloseable {
 
-    /** Options of the platform's run line that do not depend on the memory given. */
+    /** Options of the platform's run line that do not depend on the planned memory. */
     static final List<String> OPTIONS =
             List.of(
                     "-XX:+UseSerialGC",
@@ -35,7 +35,7 @@
                     "-Dio.netty.allocator.numDirectArenas=1",
                     "-Djava.util.logging.manager=cresschute.node.StayingLogManager");
 
-    /** Options of the run line that do, as it has them. */
+    /** Memory options of the run line, used if the plan gives no memory. */
     static final List<String> MEMORY_OPTIONS = List.of("-Xmx64m", "-XX:MaxDirectMemorySize=16m");
 
     private static final int HEAP_DIVISOR = 2;
@@ -44,7 +44,7 @@
     private static final double WORKER_CONNECTION_FRACTION = 0.45;
     private static final double CONNECTIONS_PER_RUNNING_JOB = 1.5;
 
-    /** Probes of one request that may be out for a second at a time. */
+    /** Load queries of one request that may be in flight at a time, each for up to a second. */
     private static final int LOAD_QUERIES_PER_START = 3;
 
     private static final int SPARE_CONNECTIONS = 300;
@@ -62,7 +62,7 @@
     private final Process process;
     private int changes;
 
-    /** Starts it; it need not listen yet. */
+    /** Starts the process and returns before it listens. */
     DispatcherProcess(CapacityPlan plan, int number, InetSocketAddress discovery, Path folder)
             throws IOException {
         this.plan = plan;
@@ -92,7 +92,7 @@
                         "-XX:MaxDirectMemorySize=" + plan.memoryMb() / DIRECT_MEMORY_DIVISOR + "m");
     }
 
-    /** The jar where the program runs from one, as on the platform, and else its classes. */
+    /** Runs the jar if this program runs from one, as on the platform; else the class path. */
     private static List<String> program() throws IOException {
         final Path codeSource =
                 Path.of(
@@ -114,7 +114,7 @@
         return options;
     }
 
-    /** Connections to workers that a dispatcher may hold; it has a few more from clients. */
+    /** Maximum connections of a dispatcher to workers; it has a few more from clients. */
     static int workerConnections(CapacityPlan plan) {
         final double loadQueries =
                 LOAD_QUERIES_PER_START * plan.startsPerSecond() / plan.dispatchers();
@@ -125,7 +125,7 @@
                 + SPARE_CONNECTIONS;
     }
 
-    /** Descriptors that a dispatcher is allowed. */
+    /** Maximum descriptors of a dispatcher. */
     static int descriptors(CapacityPlan plan) {
         return OTHER_DESCRIPTORS
                 + (int) Math.ceil(workerConnections(plan) / WORKER_CONNECTION_FRACTION);
@@ -147,7 +147,7 @@
         return json;
     }
 
-    /** Waits until it listens, and returns where. */
+    /** Waits until the dispatcher listens, and returns its address. */
     InetSocketAddress awaitListening() throws IOException, InterruptedException {
         final long startNs = System.nanoTime();
         while (process.isAlive()
@@ -161,11 +161,11 @@
         throw new ProcessFailureException(
                 "dispatcher "
                         + number
-                        + " did not start: "
-                        + Files.readString(log).lines().findFirst().orElse("it said nothing"));
+                        + " did not start to listen: "
+                        + Files.readString(log).lines().findFirst().orElse("it logged nothing"));
     }
 
-    /** Changes its settings and has them read again. */
+    /** Changes the settings file and makes the dispatcher reload it, by SIGHUP. */
     void changeSettings() throws IOException, InterruptedException {
         changes++;
         final Path next = config.resolveSibling(config.getFileName() + ".next");
@@ -175,7 +175,7 @@
         new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor();
     }
 
-    /** What its log says of broken invariants and of settings that it refused, one line each. */
+    /** The log lines of broken invariants and of rejected settings. */
     List<String> loggedFaults() throws IOException {
         return Files.readAllLines(log).stream()
                 .filter(line -> FAULT.matcher(line).find())
--- a/src/main/java/cresschute/testbed/capacity/Evaluation.java
+++ b/src/main/java/cresschute/testbed/capacity/Evaluation.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.function.ToDoubleFunction;
 
-/** Turns the samples of a window and what was observed into figures. Pure. */
+/** Computes the figures from the samples of a window and the observations. Does no I/O. */
 final class Evaluation {
 
     private static final double NS_PER_SECOND = 1e9;
@@ -16,7 +16,7 @@
     private static final double P99 = 99;
     private static final double P999 = 99.9;
 
-    /** No worker is cold. */
+    /** Slow start settings under which no worker counts as cold. */
     private static final SlowStartSettings WARM = new SlowStartSettings(1, 0, 3, 1_000_000);
 
     private final CapacityPlan plan;
@@ -31,12 +31,12 @@
     }
 
     /**
-     * The result.
+     * Evaluates an experiment.
      *
-     * @param samples of the window, in order; none where it did not begin
-     * @param heapsMb each dispatcher's heap after a collection, as far as measured
-     * @param faults what the dispatchers themselves logged as broken
-     * @param partial why it was not measured whole, or null
+     * @param samples the samples of the window, in order; empty if the window did not begin
+     * @param heapsMb the heap of each dispatcher after a garbage collection, where measured, MB
+     * @param faults log lines of the dispatchers about broken invariants and rejected settings
+     * @param partial why the measurement is incomplete, or null if it is complete
      */
     static CapacityResult of(
             CapacityPlan plan,
--- a/src/main/java/cresschute/testbed/capacity/ExperimentSetup.java
+++ b/src/main/java/cresschute/testbed/capacity/ExperimentSetup.java
@@ -10,20 +10,20 @@
 import java.util.List;
 
 /**
- * What follows from a plan: the workers, the classes of jobs, and the settings of the dispatchers.
- * Pure.
+ * Derives from a plan the workers, the job classes and the settings of the dispatchers. Does no I/O
+ * and is deterministic.
  */
 final class ExperimentSetup {
 
     static final String URGENT = "urgent";
 
-    /** Within this an urgent job is to start, us. */
+    /** Maximum time until an urgent job starts, us. */
     static final long URGENT_START_US = 5_400_000;
 
-    /** The longest run over the mean one. */
+    /** The longest running time as a multiple of the mean. */
     static final double MAX_RUN_TO_MEAN_RATIO = 2;
 
-    /** How often one request may be sent to workers. */
+    /** Maximum number of attempts of a request. */
     private static final int MAX_ATTEMPTS = 5;
 
     private static final String ACCELERATED = "accelerated";
@@ -32,12 +32,12 @@
     private static final double UNSAFE_FRACTION = 0.1;
     private static final double MAX_ACCELERATED_FRACTION = 0.3;
 
-    /** Part of the accelerators that jobs keep busy, at the most. */
+    /** Maximum fraction of the accelerators that jobs occupy. */
     private static final double MAX_ACCELERATOR_UTILIZATION = 0.75;
 
     private static final int ACCELERATORS_PER_WORKER = 4;
 
-    /** Slots over running jobs. */
+    /** Slots of all workers per planned running job. */
     private static final double SLOTS_PER_RUNNING_JOB = 1.3;
 
     private static final int WORKERS_PER_CELL = 20;
@@ -69,7 +69,7 @@
 
     // ---- Workers ----
 
-    /** The workers, in the order of the list; kinds and zones are spread over it. */
+    /** The workers, in the order of the list, over which kinds and zones are spread evenly. */
     List<WorkerStandIn.Spec> workers() {
         final List<WorkerStandIn.Spec> workers = new ArrayList<>();
         for (int i = 0; i < plan.workers(); i++) {
@@ -86,7 +86,7 @@
         return workers;
     }
 
-    /** Which of so many processes a worker is in: that of its cell. */
+    /** The number of the process that holds a worker, the same for all workers of a cell. */
     static int processIndex(WorkerStandIn.Spec spec, int parts) {
         return spec.cell() % parts;
     }
@@ -114,7 +114,7 @@
                         MAX_ACCELERATOR_UTILIZATION * plan.accelerators() / plan.running());
     }
 
-    /** The name of a zone, with its region's. */
+    /** The name of a zone, prefixed with that of its region. */
     String zone(int number) {
         return "r" + (number % plan.regions() + 1) + "-z" + (number + 1);
     }
@@ -126,7 +126,7 @@
         return (long) (MAX_RUN_TO_MEAN_RATIO * plan.meanRunUs());
     }
 
-    /** How long clients wait, us. */
+    /** How long clients wait for an answer, us. */
     long deadlineUs() {
         return (long) (MAX_WAIT_US + MEAN_RUNS_TO_DEADLINE * plan.meanRunUs());
     }
@@ -135,12 +135,12 @@
         return Math.max(MIN_PROGRESS_US, (long) (plan.meanRunUs() / PROGRESS_LINES_PER_RUN));
     }
 
-    /** How long a keyed job's repeats are dropped, us. */
+    /** The deduplication window of keyed jobs, us. */
     long repeatWindowUs() {
         return 2 * deadlineUs();
     }
 
-    /** The classes, urgent work first. */
+    /** The job classes, the urgent one first. */
     List<JobClass> classes() {
         final double accelerated = acceleratedFraction();
         final List<JobClass> classes = new ArrayList<>();
@@ -210,10 +210,10 @@
     // ---- The dispatchers' settings ----
 
     /**
-     * The platform's form of the settings.
+     * The settings in the format of the platform.
      *
-     * @param dispatcher counted from 0
-     * @param change counts the changes of the settings: each gives the first tenant another quota
+     * @param dispatcher number of the dispatcher, from 0
+     * @param change number of settings changes so far; each changes the quota of the first tenant
      */
     JsonObject settings(int dispatcher, int change) {
         final JsonObject settings = new JsonObject();
--- a/src/main/java/cresschute/testbed/capacity/MeasurementWriter.java
+++ b/src/main/java/cresschute/testbed/capacity/MeasurementWriter.java
@@ -14,12 +14,12 @@
 import java.util.stream.Stream;
 
 /**
- * Measurements in the long form: one row for each point, role and measure, written as they are
- * known. All fields are words and numbers, none of which needs quoting.
+ * Writes measurements to a CSV file in long format: one row for each point, role and measure,
+ * flushed after each point. No field needs quoting.
  */
 public final class MeasurementWriter implements AutoCloseable {
 
-    /** The first line, by which readers know the form. */
+    /** The first line, which identifies the format. */
     public static final String VERSION_LINE = "# cresschute capacity measurements, version 1";
 
     /** The columns, in order. */
@@ -48,7 +48,7 @@
     private final String commit;
     private int runs;
 
-    /** Begins a file, which must not be there yet or is written anew. */
+    /** Creates the file, or overwrites it if it exists. */
     public MeasurementWriter(Path file, String commit) throws IOException {
         this(Files.newBufferedWriter(file), commit);
     }
@@ -60,7 +60,7 @@
         out.flush();
     }
 
-    /** Adds all rows of one point. */
+    /** Writes all rows of one point. */
     public void add(Sweep.Point point, CapacityResult result) throws IOException {
         runs++;
         final String date = Instant.now().truncatedTo(ChronoUnit.SECONDS).toString();
--- a/src/main/java/cresschute/testbed/capacity/Measures.java
+++ b/src/main/java/cresschute/testbed/capacity/Measures.java
@@ -6,12 +6,12 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Named figures of each role, in the order in which they were put. */
+/** Named figures of each role, in insertion order. */
 public final class Measures {
 
     private final Map<Role, Map<String, Double>> values = new EnumMap<>(Role.class);
 
-    /** None yet. */
+    /** Creates it without figures. */
     public Measures() {
         for (final Role role : Role.values()) {
             values.put(role, new LinkedHashMap<>());
@@ -24,7 +24,7 @@
         }
     }
 
-    /** A figure, where it was measured. */
+    /** A figure; empty if it was not measured. */
     public Optional<Double> get(Role role, String measure) {
         return Optional.ofNullable(values.get(role).get(measure));
     }
--- a/src/main/java/cresschute/testbed/capacity/ObservationFile.java
+++ b/src/main/java/cresschute/testbed/capacity/ObservationFile.java
@@ -18,14 +18,15 @@
 import java.util.stream.Collectors;
 
 /**
- * What a process of the experiment observes, one JSON object a line, kept even if the process dies.
+ * The file of a process's observations, one JSON object per line. Flushed lines survive the death
+ * of the process.
  */
 final class ObservationFile implements Consumer<Observation>, AutoCloseable {
 
     private static final Gson GSON = new Gson();
     private static final String TYPE = "type";
 
-    /** Each type of observation under the name that lines carry. */
+    /** The types of observations by their names in the file. */
     private static final Map<String, Class<? extends Observation>> TYPES =
             Map.ofEntries(
                     Map.entry("ReqSent", Observation.RequestSent.class),
@@ -66,7 +67,7 @@
         }
     }
 
-    /** Hands what was observed so far to the file. */
+    /** Writes buffered observations to the file. */
     synchronized void flush() throws IOException {
         out.flush();
     }
@@ -77,8 +78,8 @@
     }
 
     /**
-     * The observations of several files in the order of time; a line cut off by a death is left
-     * out.
+     * Reads the observations of several files, sorted by time. Skips missing files, and lines that
+     * were truncated when a process died.
      */
     static List<Observation> read(List<Path> files) throws IOException {
         final List<Observation> all = new ArrayList<>();
--- a/src/main/java/cresschute/testbed/capacity/Preflight.java
+++ b/src/main/java/cresschute/testbed/capacity/Preflight.java
@@ -8,13 +8,14 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Looks, before anything is started, whether the machine has what an experiment needs. */
+/** Checks that the machine has the resources for an experiment, before any process starts. */
 final class Preflight {
 
     private static final int OTHER_DESCRIPTORS = 300;
 
     /**
-     * Connections that are closed, but not yet seen to be: some more than can be open at a time.
+     * Factor for connections that one side has closed and the other has not noticed yet: more than
+     * can be open at a time.
      */
     private static final double CLOSING_CONNECTIONS_FACTOR = 1.5;
 
@@ -29,11 +30,16 @@
 
     private Preflight() {}
 
-    /** Throws {@link MachineLimitException} with one line where something is missing. */
+    /**
+     * Checks descriptors, memory and ports.
+     *
+     * @throws MachineLimitException if the machine lacks one of them
+     */
     static void check(CapacityPlan plan) throws IOException {
         checkDescriptors(plan, descriptorLimit());
         checkMemory(plan, number(AVAILABLE, "/proc/meminfo", Long.MAX_VALUE) / KB_PER_MB);
-        // Read by lines: such a file gives all of it to the first read, which must be large enough.
+        // Read by lines: the kernel returns such a file only to one read, which must be large
+        // enough.
         checkPorts(
                 plan, Files.readAllLines(Path.of("/proc/sys/net/ipv4/ip_local_port_range")).get(0));
     }
@@ -43,13 +49,13 @@
         return found.find() ? Long.parseLong(found.group(1)) : defaultValue;
     }
 
-    /** Descriptors that a process may be given. */
+    /** The hard limit of descriptors of a process. */
     static long descriptorLimit() throws IOException {
         return number(DESCRIPTORS, "/proc/self/limits", Long.MAX_VALUE);
     }
 
     /**
-     * Over how many processes the hollow workers are spread, so that no one runs out of
+     * The number of processes to spread the stub workers over, so that none runs out of
      * descriptors.
      */
     static int workerProcesses(CapacityPlan plan, long limit) {
@@ -58,7 +64,7 @@
                         workerDescriptors(plan) / (double) Math.max(1, limit - OTHER_DESCRIPTORS));
     }
 
-    /** A listener each, and what all dispatchers may hold to them. */
+    /** Descriptors of all workers: a listener each, and the connections of all dispatchers. */
     private static double workerDescriptors(CapacityPlan plan) {
         return plan.workers()
                 + CLOSING_CONNECTIONS_FACTOR
@@ -102,7 +108,9 @@
         }
     }
 
-    /** Each dispatcher is called from one address, which has a port for each connection. */
+    /**
+     * Checks the local ports: clients reach a dispatcher from one address, one port a connection.
+     */
     static void checkPorts(CapacityPlan plan, String range) throws IOException {
         final String[] bounds = range.strip().split("\\s+");
         final long availablePorts = Long.parseLong(bounds[1]) - Long.parseLong(bounds[0]) + 1;
@@ -117,7 +125,7 @@
         }
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName("127.20.0.1"))) {
             if (socket.getLocalPort() == 0) {
-                throw new MachineLimitException("ports: none is free on 127.20.0.1");
+                throw new MachineLimitException("ports: no port is free on 127.20.0.1");
             }
         } catch (IOException e) {
             throw new MachineLimitException(
--- a/src/main/java/cresschute/testbed/capacity/ProcessCommand.java
+++ b/src/main/java/cresschute/testbed/capacity/ProcessCommand.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** How the experiment's processes are started and ended. */
+/** Starts and kills the processes of an experiment. */
 final class ProcessCommand {
 
     private static final long EXIT_TIMEOUT_SECONDS = 10;
@@ -12,8 +12,8 @@
     private ProcessCommand() {}
 
     /**
-     * Begins a Java command. Ctrl-C goes to all of a terminal's processes and is for the first one
-     * alone.
+     * The beginning of a Java command. The process ignores SIGINT, because Ctrl-C in a terminal
+     * signals all its processes and only the experiment itself is to handle it.
      */
     static List<String> java() {
         return List.of(
@@ -22,7 +22,7 @@
                 Path.of(System.getProperty("java.home"), "bin", "java").toString());
     }
 
-    /** Ends a process at once and waits until it is gone. */
+    /** Kills a process and waits until it has exited, at most {@link #EXIT_TIMEOUT_SECONDS}. */
     static void kill(Process process) {
         process.destroyForcibly();
         try {
--- a/src/main/java/cresschute/testbed/capacity/ProcessFailureException.java
+++ b/src/main/java/cresschute/testbed/capacity/ProcessFailureException.java
@@ -2,12 +2,12 @@
 
 import java.io.IOException;
 
-/** A process of the experiment ended, fell silent or could not be started. */
+/** A process of the experiment ended, stopped answering or could not be started. */
 public final class ProcessFailureException extends IOException {
 
     private static final long serialVersionUID = 1L;
 
-    /** The message names the process. */
+    /** Creates it with a message that names the process. */
     public ProcessFailureException(String message) {
         super(message);
     }
--- a/src/main/java/cresschute/testbed/capacity/ProcessUsage.java
+++ b/src/main/java/cresschute/testbed/capacity/ProcessUsage.java
@@ -11,15 +11,15 @@
 import java.util.stream.Stream;
 
 /**
- * What a process of this machine has used, by the system's own counters.
+ * Resource usage of a local process, as reported by the kernel.
  *
- * @param cpuSeconds user and system time since its start
- * @param rssMb resident memory
- * @param descriptors open files and sockets
+ * @param cpuSeconds user and system time since the start of the process
+ * @param rssMb resident memory, in MB
+ * @param descriptors number of open files and sockets
  */
 record ProcessUsage(double cpuSeconds, double rssMb, int descriptors) {
 
-    /** The kernel tells times in this unit to user space on all of its machines. */
+    /** The unit of times in /proc; the kernel uses it on all architectures. */
     private static final double TICKS_PER_SECOND = 100;
 
     private static final int USER_TIME_FIELD = 11;
@@ -47,7 +47,7 @@
         }
     }
 
-    /** Of several processes together. */
+    /** The sum with the usage of another process. */
     ProcessUsage plus(ProcessUsage other) {
         return new ProcessUsage(
                 cpuSeconds + other.cpuSeconds,
@@ -56,7 +56,8 @@
     }
 
     /**
-     * Heap in use of a Java process right after a collection, MB, or NaN where it cannot be had.
+     * Heap in use of a Java process right after a garbage collection, MB; NaN if jcmd does not
+     * report it.
      */
     static double heapMb(long pid) throws IOException {
         runJcmd(pid, "GC.run");
--- a/src/main/java/cresschute/testbed/capacity/RequestOutcomes.java
+++ b/src/main/java/cresschute/testbed/capacity/RequestOutcomes.java
@@ -16,8 +16,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What became of the requests whose first try was sent within a span of time: the share that was
- * served in the end, how soon urgent work started, and how gangs were admitted. Pure.
+ * Outcomes of the requests whose first try was sent within a time span: the fraction that was
+ * finally served, the time until urgent requests started, and the admission of gangs. Does no I/O.
  */
 final class RequestOutcomes {
 
@@ -26,7 +26,7 @@
     private static final long MAX_START_US = TimeUnit.MINUTES.toMicros(30);
     private static final int HISTOGRAM_DIGITS = 3;
 
-    /** One request with all of its tries. */
+    /** One request with all its tries: the first one and the retries of the client. */
     private static final class TrackedRequest {
         private final String origin;
         private final String className;
@@ -61,7 +61,7 @@
 
     static RequestOutcomes of(List<Observation> observations, long fromUs, long toUs) {
         final RequestOutcomes outcomes = new RequestOutcomes();
-        // Requests first: a client may note its sending later than a worker notes the start.
+        // Requests first: a client may record the send later than a worker records the start.
         observations.stream()
                 .filter(RequestSent.class::isInstance)
                 .map(RequestSent.class::cast)
@@ -134,7 +134,7 @@
         return countedRequests.size();
     }
 
-    /** Of all that was observed, not of the span alone. */
+    /** Unanswered tries among all observations, not only those of the time span. */
     int unanswered() {
         return unansweredTotal;
     }
@@ -143,12 +143,12 @@
         return share(countedRequests.stream().filter(each -> each.served).count());
     }
 
-    /** Those whose every try was refused. */
+    /** The fraction of requests of which every try was rejected. */
     double rejectedFraction() {
         return share(countedRequests.stream().filter(TrackedRequest::isRejected).count());
     }
 
-    /** Those whose first try was refused, whatever came of the next. */
+    /** The fraction of requests of which the first try was rejected, whatever followed. */
     double firstRejectedFraction() {
         return share(countedRequests.stream().filter(each -> each.firstRejected).count());
     }
@@ -164,7 +164,9 @@
                         / (double) countedRequests.size();
     }
 
-    /** When urgent jobs started, ms after their first try; NaN where none did. */
+    /**
+     * Percentile of the time from first try to start of urgent requests, ms; NaN if none started.
+     */
     double urgentStartMs(double percentile) {
         return urgentStarts.getTotalCount() == 0
                 ? Double.NaN
@@ -175,7 +177,7 @@
         return urgentNotStarted;
     }
 
-    /** Gangs by what became of their first tries: all taken, some refused, all refused. */
+    /** Number of gangs by their first tries: all admitted, some rejected, all rejected. */
     int[] gangs() {
         final Map<String, int[]> gangs = new LinkedHashMap<>();
         for (final TrackedRequest each : countedRequests) {
--- a/src/main/java/cresschute/testbed/capacity/Role.java
+++ b/src/main/java/cresschute/testbed/capacity/Role.java
@@ -2,19 +2,19 @@
 
 import java.util.Locale;
 
-/** Whose use is measured. */
+/** The part of the experiment that a measure belongs to. */
 public enum Role {
 
-    /** A dispatcher process; figures are means over them unless their name says more. */
+    /** A dispatcher process; figures are means over all dispatchers unless the name ends in max. */
     DISPATCHER,
-    /** The hollow workers; figures of traffic are for each listed worker. */
+    /** The stub workers; traffic figures are per listed worker. */
     WORKER,
-    /** The discovery stand-in. */
+    /** The stub discovery service. */
     DISCOVERY,
-    /** The hollow clients, and what became of their requests. */
+    /** The stub clients, and the outcomes of their requests. */
     CLIENT;
 
-    /** Its name in results. */
+    /** The name in results. */
     public String label() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/src/main/java/cresschute/testbed/capacity/Sample.java
+++ b/src/main/java/cresschute/testbed/capacity/Sample.java
@@ -4,16 +4,15 @@
 import java.util.List;
 
 /**
- * All counters at one moment of the window.
+ * All counters at one moment of the measured window.
  *
- * @param ns the monotonic clock
- * @param us the experiment's clock
- * @param dispatchers what each dispatcher has used
- * @param stubs what the processes of the workers have used, together, of discovery and of the
- *     clients
- * @param workers counts of the hollow workers
- * @param discovery counts of discovery
- * @param clients counts of the hollow clients
+ * @param ns the monotonic clock, ns
+ * @param us the clock of the experiment, us
+ * @param dispatchers usage of each dispatcher process
+ * @param stubs usage of the stub processes: the sum of the workers', discovery's, the clients'
+ * @param workers counters of the stub workers
+ * @param discovery counters of the stub discovery service
+ * @param clients counters of the stub clients
  */
 record Sample(
         long ns,
--- a/src/main/java/cresschute/testbed/capacity/SharedClock.java
+++ b/src/main/java/cresschute/testbed/capacity/SharedClock.java
@@ -4,11 +4,11 @@
 import cresschute.node.Clock;
 
 /**
- * One clock for all processes of an experiment: Unix time as the first of them read it, run on by
- * the machine's monotonic clock, which all of them read.
+ * One clock for all processes of an experiment: the Unix time that the first process read at the
+ * start, advanced by the machine's monotonic clock, which all processes share.
  *
  * @param startUs Unix time at the start, us
- * @param startNs the monotonic clock at the start, ns
+ * @param startNs reading of the monotonic clock at the start, ns
  */
 record SharedClock(@SerializedName("startUs") long startUs, @SerializedName("startNs") long startNs)
         implements Clock {
--- a/src/main/java/cresschute/testbed/capacity/StubClients.java
+++ b/src/main/java/cresschute/testbed/capacity/StubClients.java
@@ -12,25 +12,28 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Clients of all tenants: single requests that come by chance, and gangs, many requests of one
- * tenant in one instant. Until the wanted number of jobs is open they come faster, each with what
- * is left of a run. All on one loop.
+ * Clients of all tenants. They send single requests at random times, and gangs: many requests of
+ * one tenant in one instant. During the ramp, until the planned number of requests is open,
+ * requests arrive at a raised rate, and each runs until the expected end of the ramp plus the
+ * remaining time of a job that is already running. Confined to one event loop.
  */
 final class StubClients {
 
-    /** Begins the id of each request of a gang, with the gang's number after it. */
+    /** Prefix of the id of each request of a gang; the gang's number follows. */
     static final String GANG_ID_PREFIX = "gang-";
 
-    /** Part of the requests that come in gangs. */
+    /** Fraction of the requests that are sent in gangs. */
     private static final double GANG_FRACTION = 0.1;
 
-    /** Gangs are the largest one, and halves of it. */
+    /** Number of gang sizes: the largest one, halved once for each further size. */
     private static final int GANG_SIZES = 4;
 
-    /** Rate of the ramp over the plan's, and how long it grows to that. */
+    /** Rate of requests during the ramp, as a multiple of the planned rate. */
     private static final double RAMP_RATE_FACTOR = 1.6;
 
+    /** Time in which the rate grows to that of the ramp. */
     private static final double RATE_GROWTH_SECONDS = 5;
+
     private static final long ARRIVAL_STEP_US = 2_000;
     private static final double US_PER_SECOND = 1e6;
 
@@ -68,7 +71,7 @@
                         plan.startsPerSecond());
     }
 
-    /** Begins to send to these. On the loop. */
+    /** Starts to send requests to these dispatchers. Call on the event loop. */
     void begin(List<SocketAddress> dispatchers) {
         clients.connectTo(dispatchers);
         arriving = true;
@@ -78,25 +81,25 @@
         step();
     }
 
-    /** From now on requests come at the plan's rate, and gangs among them. On the loop. */
+    /** Ends the ramp: requests arrive at the planned rate, gangs among them. Call on the loop. */
     void endRamp() {
         ramping = false;
         nextGangUs = recorder.nowUs() + gangIntervalUs() * random.nextDouble();
     }
 
-    /** Nothing new comes from now on. On the loop. */
+    /** Stops the arrival of new requests. Call on the event loop. */
     void stopArriving() {
         arriving = false;
         clients.stopArriving();
     }
 
-    /** Ends all at once; what is open stays unfinished. On the loop. */
+    /** Stops at once and leaves open requests unfinished. Call on the event loop. */
     void abandon() {
         arriving = false;
         clients.abandon();
     }
 
-    /** What was counted so far. On the loop. */
+    /** The counters so far. Call on the event loop. */
     JsonObject counts() {
         final JsonObject counts = new JsonObject();
         counts.addProperty("open", clients.waiting());
@@ -115,7 +118,7 @@
         final long nowUs = recorder.nowUs();
         final double elapsedSeconds = (nowUs - lastStepUs) / US_PER_SECOND;
         lastStepUs = nowUs;
-        // Arrivals by chance: the rate's sum until the next one is drawn anew after each.
+        // Poisson arrivals: the rate integrated between two arrivals is exponential with mean 1.
         remainingToNextSingle -= rate() * elapsedSeconds;
         while (remainingToNextSingle <= 0 && (!ramping || clients.waiting() < plan.running())) {
             submitSingle();
@@ -134,22 +137,22 @@
 
     private double rate() {
         if (ramping) {
-            // Guards against measuring a start-up: programs and connections get warm at a growing
-            // rate.
+            // The rate grows, so that the JIT compiler and the connections warm up before the
+            // measured window.
             final double growth = (lastStepUs - rampStartUs) / US_PER_SECOND / RATE_GROWTH_SECONDS;
             return RAMP_RATE_FACTOR * plan.startsPerSecond() * Math.min(1, Math.max(0.05, growth));
         }
         return plan.startsPerSecond() * (plan.gang() > 0 ? 1 - GANG_FRACTION : 1);
     }
 
-    /** How long the ramp may take, s. */
+    /** Maximum duration of the ramp, s: twice the expected one. */
     static double maxRampSeconds(CapacityPlan plan) {
         return 2
                 * (RATE_GROWTH_SECONDS
                         + plan.running() / plan.startsPerSecond() / RAMP_RATE_FACTOR);
     }
 
-    /** Time from one gang to the next, us, so that gangs have their share of all requests. */
+    /** Time between two gangs, us, at which gangs make up their fraction of all requests. */
     private double gangIntervalUs() {
         double mean = 0;
         for (int i = 0; i < GANG_SIZES; i++) {
--- a/src/main/java/cresschute/testbed/capacity/StubDiscovery.java
+++ b/src/main/java/cresschute/testbed/capacity/StubDiscovery.java
@@ -13,9 +13,9 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * The service that lists the hollow workers, and its changes: a worker drawn by the seed drains,
- * and serves again some seconds later, every second time as one that was started anew. All on one
- * loop.
+ * Discovery service that lists the stub workers and changes the list: a worker that is selected at
+ * random, by the seed, is drained and serves again 3 seconds later, every second time with a new
+ * start time as if it had been restarted. Confined to one event loop.
  */
 final class StubDiscovery {
 
@@ -58,7 +58,7 @@
                         });
     }
 
-    /** Lists all workers and listens; not on the loop. */
+    /** Lists all workers and starts to listen. Must not be called on the event loop. */
     InetSocketAddress start() {
         loop.submit(
                         () -> {
@@ -70,10 +70,10 @@
         return standIn.start(InetAddress.getLoopbackAddress());
     }
 
-    /** Changes begin. On the loop. */
+    /** Starts to change the list. Call on the event loop. */
     void beginChanges() {
         if (changesPerSecond > 0) {
-            // A change is a drain or its end: one drain for every two of them.
+            // The start and the end of a drain are a change each: one drain makes two changes.
             final long intervalUs = (long) (2 * US_PER_SECOND / changesPerSecond);
             loop.scheduleAtFixedRate(
                     this::drainOne, intervalUs / 2, intervalUs, TimeUnit.MICROSECONDS);
@@ -104,7 +104,7 @@
         standIn.set(specs.get(number), addresses.get(number), state, startedMs[number]);
     }
 
-    /** What was counted so far. On the loop. */
+    /** The counters so far. Call on the event loop. */
     JsonObject counts() {
         final Traffic traffic = new Traffic();
         traffic.addBytes(TrafficKind.LIST, bytes);
--- a/src/main/java/cresschute/testbed/capacity/StubProcess.java
+++ b/src/main/java/cresschute/testbed/capacity/StubProcess.java
@@ -20,7 +20,7 @@
  */
 final class StubProcess implements AutoCloseable {
 
-    /** How long an answer may take, s. */
+    /** Maximum time to answer a command, s. */
     static final long ANSWER_TIMEOUT_SECONDS = 30;
 
     private static final int MAX_HEAP_MB = 1_024;
@@ -34,9 +34,9 @@
     private final BufferedReader answers;
 
     /**
-     * Starts it.
+     * Starts the process.
      *
-     * @param part counts the processes of one role from 0
+     * @param part number of the process among those of its role, from 0
      */
     StubProcess(StubProcessMain.Role role, int part, Path folder) throws IOException {
         this.role = role;
@@ -71,12 +71,12 @@
         return process.isAlive();
     }
 
-    /** Where what it observed is kept. */
+    /** The file of the process's observations. */
     Path observations() {
         return observations;
     }
 
-    /** Has it begin its part of so many. */
+    /** Starts the stubs of this process, which is number {@code part} of {@code parts}. */
     JsonObject start(
             CapacityPlan plan, SharedClock clock, int parts, List<InetSocketAddress> addresses)
             throws ProcessFailureException {
@@ -95,7 +95,10 @@
         return ask(command);
     }
 
-    /** Has it end these processes too, should the process that started them all be killed. */
+    /**
+     * Makes the stub process kill these processes when its input ends, so that they do not outlive
+     * an experiment that is killed.
+     */
     void guard(List<Long> processes) throws ProcessFailureException {
         final JsonArray pids = new JsonArray();
         processes.forEach(pids::add);
@@ -131,7 +134,7 @@
     private ProcessFailureException ended() {
         try {
             return new ProcessFailureException(
-                    "the process of the hollow "
+                    "the process of the stub "
                             + name()
                             + " ended"
                             + Files.readAllLines(log).stream()
@@ -139,7 +142,7 @@
                                     .map(each -> ": " + each)
                                     .orElse(""));
         } catch (IOException e) {
-            return new ProcessFailureException("the process of the hollow " + name() + " ended");
+            return new ProcessFailureException("the process of the stub " + name() + " ended");
         }
     }
 
--- a/src/main/java/cresschute/testbed/capacity/StubProcessMain.java
+++ b/src/main/java/cresschute/testbed/capacity/StubProcessMain.java
@@ -31,20 +31,21 @@
 import java.util.function.Supplier;
 
 /**
- * A process of the experiment's own: hollow workers, hollow clients or discovery. It takes one JSON
- * object a line on standard input and answers each with one on standard output; it ends when its
- * input does, so that it never outlives the process that started it.
+ * Main class of a stub process: stub workers, stub clients or the stub discovery service. It reads
+ * commands from standard input, one JSON object per line, and answers each with a JSON object on
+ * standard output. It exits at the end of its input, so that it never outlives the process that
+ * started it.
  */
 public final class StubProcessMain {
 
-    /** What a process is. */
+    /** The role of a stub process. */
     enum Role {
         WORKERS,
         CLIENTS,
         DISCOVERY
     }
 
-    /** Loops that the workers share. */
+    /** Number of event loops that the workers share. */
     private static final int WORKER_LOOPS = 3;
 
     private final EventLoopGroup group;
@@ -52,7 +53,7 @@
     private final Role role;
     private final Map<EventLoop, StubWorkers> workers = new LinkedHashMap<>();
 
-    /** Processes that end with this one's input, since they have none of their own. */
+    /** Processes to kill at the end of the input, since they read no input that could end. */
     private final List<ProcessHandle> guarded = new ArrayList<>();
 
     private StubClients clients;
@@ -69,7 +70,8 @@
     /** The first argument names the role, the second the file for observations. */
     public static void main(String[] args) throws IOException {
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
-        // Guards the log against descriptors running out: its times need a file of the JDK's.
+        // Loads the time zone rules, which log timestamps need, while a descriptor is free to read
+        // the JDK's file.
         Objects.requireNonNull(ZoneId.systemDefault().getRules());
         final BufferedReader in =
                 new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
@@ -146,8 +148,8 @@
     }
 
     /**
-     * Starts one part of the workers. Those of a cell share what they know of keys, and so their
-     * loop.
+     * Starts this process's part of the workers. The workers of a cell share their idempotency keys
+     * and therefore an event loop.
      */
     private List<InetSocketAddress> startWorkers(
             ExperimentSetup site, int part, int parts, Recorder recorder) throws IOException {
--- a/src/main/java/cresschute/testbed/capacity/StubWorkers.java
+++ b/src/main/java/cresschute/testbed/capacity/StubWorkers.java
@@ -31,9 +31,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Very many workers that run nothing: each listens at an address of its own and speaks the whole
- * protocol, but a job there is a timer. They share loops, those of a cell one. They count what is
- * read and written, by kind.
+ * Workers whose jobs are only timers, so that one process can hold very many of them. Each listens
+ * on an address of its own and implements the whole protocol. Workers share event loops; those of a
+ * cell use the same one. They count the traffic by kind.
  */
 final class StubWorkers {
 
@@ -54,7 +54,7 @@
     private int running;
     private long connections;
 
-    /** Workers on this loop, none yet. */
+    /** Creates the workers of an event loop, none of them started. */
     StubWorkers(EventLoop loop, Recorder recorder, ExperimentSetup site) {
         this.loop = loop;
         this.recorder = recorder;
@@ -62,7 +62,7 @@
         this.repeatWindowUs = site.repeatWindowUs();
     }
 
-    /** Starts the worker of this number and returns where it listens; not on the loop. */
+    /** Starts a worker and returns its address. Must not be called on the event loop. */
     InetSocketAddress start(Spec spec, int number) throws UnknownHostException {
         final Worker worker = new Worker(spec);
         final LoopbackServer server = new LoopbackServer(loop, channel -> accept(channel, worker));
@@ -89,12 +89,12 @@
                         new Handler(worker, counter));
     }
 
-    /** What was counted so far. On the loop. */
+    /** The counters so far. Call on the event loop. */
     Counts counts() {
         return new Counts(running, connections, traffic.plus(new Traffic()));
     }
 
-    /** Counts of some workers: jobs that run, open connections, and all traffic so far. */
+    /** Counters of some workers: running jobs, open connections, and all traffic so far. */
     record Counts(int running, long connections, Traffic traffic) {
 
         static final Counts NONE = new Counts(0, 0, new Traffic());
@@ -144,7 +144,7 @@
             if (job.channel.isActive()) {
                 job.start();
             } else if (job.key != null) {
-                // The dispatcher has given it up: it never runs.
+                // The dispatcher has closed the connection: the job never runs.
                 keysOf(worker).lost(job.key);
             }
         }
@@ -216,7 +216,7 @@
             startWaitingJobs(worker);
         }
 
-        /** The result of another run under the same key, or null where that run is lost. */
+        /** Answers with the result of another run of the same key, or as lost if it is null. */
         void repeat(String result) {
             if (result != null) {
                 recorder.add(new RunDone(recorder.nowUs(), worker.spec.id(), id, result));
@@ -249,7 +249,7 @@
                     + '"';
         }
 
-        /** Writes a line that lacks its end. */
+        /** Closes the JSON object of a progress line and writes the line as one chunk. */
         private void line(TrafficKind kind, String open) {
             final String line = open + "}\n";
             final String chunk = Integer.toHexString(line.length()) + "\r\n" + line + "\r\n";
--- a/src/main/java/cresschute/testbed/capacity/Sweep.java
+++ b/src/main/java/cresschute/testbed/capacity/Sweep.java
@@ -8,10 +8,10 @@
 import java.util.Random;
 import java.util.stream.Collectors;
 
-/** Which sizes are measured: along an axis with the others fixed, or along all of them. Pure. */
+/** Plans the sizes to measure: along one axis with the others fixed, or along all of them. */
 public final class Sweep {
 
-    /** What changes along a sweep. */
+    /** The size that a sweep varies. */
     public enum Axis {
         WORKERS,
         RUNNING,
@@ -21,12 +21,12 @@
         LIST_CHANGES,
         SETTINGS_CHANGES;
 
-        /** Its name on the command line and in results. */
+        /** The name on the command line and in results. */
         public String label() {
             return name().toLowerCase(Locale.ROOT).replace('_', '-');
         }
 
-        /** Where a plan lies along it. */
+        /** The size of a plan along this axis. */
         double sizeIn(CapacityPlan plan) {
             return switch (this) {
                 case WORKERS -> plan.workers();
@@ -43,12 +43,12 @@
     /**
      * One experiment of a sweep.
      *
-     * @param axis the axis along which it lies, or the word for none
-     * @param heldOut whether it is kept from fitting, to test a model by
+     * @param axis the label of the axis, or {@link #NO_AXIS}
+     * @param heldOut whether the point is kept out of fits, to validate a model
      */
     public record Point(String axis, int repetition, boolean heldOut, CapacityPlan plan) {}
 
-    /** The axis of a point that lies on none. */
+    /** The axis label of a point that is on no axis. */
     public static final String NO_AXIS = "none";
 
     private static final String ALL = "all";
@@ -57,8 +57,8 @@
     private static final double[] STARTS_FRACTIONS = {0.4, 0.6, 0.8, 1};
 
     /**
-     * The starts are fixed nearer to the largest size: fewer of them would be jobs that run for
-     * long.
+     * The rate of starts is fixed at a larger fraction than the other sizes: with fewer starts, the
+     * same number of running jobs would take long running times.
      */
     private static final double FIXED_STARTS_FRACTION = 0.75;
 
@@ -67,7 +67,7 @@
 
     private Sweep() {}
 
-    /** A single point that is repeated. */
+    /** One size, repeated with successive seeds. */
     public static List<Point> single(CapacityPlan plan, int repetitions) {
         final List<Point> points = new ArrayList<>();
         for (int i = 1; i <= repetitions; i++) {
@@ -77,10 +77,10 @@
     }
 
     /**
-     * The points along an axis, or along all, each repeated, in an order drawn by the seed; then
-     * the largest size as a point that is held out.
+     * The points along one axis or all axes, each repeated, in a random order that the seed
+     * determines; then the largest size as a held-out point.
      *
-     * @param axis the word of an axis, or {@code all}
+     * @param axis the label of an axis, or {@code all}
      */
     public static List<Point> along(String axis, CapacityPlan largest, int repetitions) {
         final List<Axis> axes =
@@ -91,7 +91,7 @@
             throw new UnusablePlanException(
                     "--sweep: '"
                             + axis
-                            + "' is no axis; allowed: "
+                            + "' is not an axis; allowed: "
                             + Arrays.stream(Axis.values())
                                     .map(Axis::label)
                                     .collect(Collectors.joining(", "))
@@ -113,7 +113,10 @@
         return points;
     }
 
-    /** Half the size, so that each axis has points below and above what the others are fixed at. */
+    /**
+     * The fixed sizes: about half of the largest, so that each axis has points below and above the
+     * size at which it is fixed along the others.
+     */
     private static CapacityPlan fixedSizes(CapacityPlan largest) {
         return largest.withWorkers(Math.max(1, largest.workers() / 2))
                 .withRunning(Math.max(1, largest.running() / 2))
--- a/src/main/java/cresschute/testbed/capacity/Traffic.java
+++ b/src/main/java/cresschute/testbed/capacity/Traffic.java
@@ -2,11 +2,11 @@
 
 import com.google.gson.JsonObject;
 
-/** Messages and bytes by kind, summed since the start. On one thread. */
+/** Number of messages and bytes by kind since the start. Not thread-safe. */
 final class Traffic {
 
     /**
-     * Segments of a TCP connection's opening and closing with their headers, as reckoned, bytes.
+     * Estimated size of the segments that open and close a TCP connection, with headers, in bytes.
      */
     static final long HANDSHAKE_BYTES = 200;
 
@@ -18,7 +18,7 @@
         bytes[kind.ordinal()] += size;
     }
 
-    /** Adds bytes to a message that was counted before. */
+    /** Adds bytes to a message that is already counted. */
     void addBytes(TrafficKind kind, long size) {
         bytes[kind.ordinal()] += size;
     }
@@ -43,7 +43,7 @@
         return sum;
     }
 
-    /** What came since an earlier reading of the same counters. */
+    /** The difference to an earlier reading of the same counters. */
     Traffic since(Traffic before) {
         final Traffic difference = new Traffic();
         for (final TrafficKind kind : TrafficKind.values()) {
@@ -53,7 +53,7 @@
         return difference;
     }
 
-    /** The sum of two readings of unlike counters. */
+    /** The sum with a reading of other counters. */
     Traffic plus(Traffic other) {
         final Traffic sum = new Traffic();
         for (final TrafficKind kind : TrafficKind.values()) {
--- a/src/main/java/cresschute/testbed/capacity/TrafficKind.java
+++ b/src/main/java/cresschute/testbed/capacity/TrafficKind.java
@@ -1,23 +1,23 @@
 package cresschute.testbed.capacity;
 
-/** What bytes and messages are counted as, at the stand-ins. */
+/** The kinds by which the stubs count messages and bytes. */
 public enum TrafficKind {
 
-    /** A question for a sign of life and the load, and its answer. */
+    /** A load query or liveness check, and its response. */
     PROBE(true),
-    /** A request's head and body at a worker, and the head of the answer. */
+    /** The head and body of a request to a worker, and the head of the response. */
     REQUEST(false),
-    /** A line that reports a job's start. */
+    /** A progress line that reports the start of a job. */
     START_LINE(false),
-    /** A line that reports a job's progress. */
+    /** A progress line that reports the progress of a job. */
     PROGRESS_LINE(false),
-    /** The last line of an answer, without its load report. */
+    /** The last line of a response, without its load report. */
     RESULT_LINE(false),
-    /** A load report in a result's line or in a refusal's header. */
+    /** A load report in a result line or in the header of a rejection. */
     LOAD_REPORT(true),
-    /** A TCP connection coming up; its bytes are reckoned, not counted. */
+    /** The opening of a TCP connection; its bytes are estimated, not counted. */
     HANDSHAKE(true),
-    /** A call for the list, or for its changes, and its answer. */
+    /** A call for the endpoint list or its changes, and the response. */
     LIST(true);
 
     private final boolean control;
@@ -26,12 +26,12 @@
         this.control = control;
     }
 
-    /** Whether it is control traffic: all that is neither a request nor what becomes of it. */
+    /** Returns whether it is control traffic: all but requests, their progress and results. */
     public boolean isControl() {
         return control;
     }
 
-    /** Its name in results. */
+    /** The name in results. */
     public String label() {
         return name().toLowerCase(java.util.Locale.ROOT);
     }
--- a/src/main/java/cresschute/testbed/capacity/package-info.java
+++ b/src/main/java/cresschute/testbed/capacity/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The capacity experiment: real dispatcher processes between hollow workers, hollow clients and a
- * discovery stand-in, at a size that is given, and what each of them uses of the machine and the
- * network.
+ * The capacity experiment: runs real dispatcher processes with stub workers, stub clients and a
+ * stub discovery service at a given size, and measures the processor time, memory and traffic of
+ * each.
  */
 package cresschute.testbed.capacity;
--- a/src/test/java/cresschute/cli/CapacityProgramTest.java
+++ b/src/test/java/cresschute/cli/CapacityProgramTest.java
@@ -33,7 +33,7 @@
 
     private static final int DISPATCHERS = 2;
 
-    /** Hollow workers, hollow clients and discovery. */
+    /** Processes of the stub workers, the stub clients and the stub discovery service. */
     private static final int PEERS = 3;
 
     private static final List<String> SMALL =
@@ -199,9 +199,9 @@
         }
     }
 
-    /** A hollow process that dies ends it; what was measured until then is kept. */
+    /** The death of a stub process ends the experiment, which keeps its measurements until then. */
     @Test
-    void deathOfTheHollowWorkersEndsTheExperiment() throws Exception {
+    void deathOfStubWorkersEndsExperiment() throws Exception {
         final Process experiment = small("--seconds", "600");
         try (BufferedReader log = experiment.errorReader();
                 BufferedReader out = experiment.inputReader()) {
@@ -218,7 +218,7 @@
             noneIsLeft(processes);
             assertThat(result.get("partial").getAsBoolean()).isTrue();
             assertThat(result.get("partial_because").getAsString())
-                    .startsWith("the process of the hollow workers ended");
+                    .startsWith("the process of the stub workers ended");
             assertThat(result.getAsJsonObject("roles").getAsJsonObject("dispatcher").keySet())
                     .contains("cpu_percent");
         } finally {
--- a/src/test/java/cresschute/cli/CommandsTest.java
+++ b/src/test/java/cresschute/cli/CommandsTest.java
@@ -63,12 +63,12 @@
                     lab capacity --tenants 0    | --tenants: 0 is out of range; allowed: 1 to 1000; try 'cresschute lab capacity --help'
                     lab capacity --dispatchers 8 | --dispatchers: 8 is out of range; allowed: 1 to 7; try 'cresschute lab capacity --help'
                     lab capacity --starts NaN   | --starts: NaN is out of range; allowed: 0.1 to 5000; try 'cresschute lab capacity --help'
-                    lab capacity --starts 1     | --running: 9100 at 1 starts a second are jobs of 9100 s; allowed: 0.1 to 120 s; try 'cresschute lab capacity --help'
+                    lab capacity --starts 1     | --running: 9100 at 1 starts per second means a mean running time of 9100 s; allowed: 0.1 to 120 s; try 'cresschute lab capacity --help'
                     lab capacity --gang -1      | --gang: -1 is out of range; allowed: 0 to 1024; try 'cresschute lab capacity --help'
                     lab capacity --seconds 0    | --seconds: 0 is out of range; allowed: 1 to 900; try 'cresschute lab capacity --help'
                     lab capacity --memory-mb 8  | --memory-mb: 8 is out of range; allowed: 160 to 4096; try 'cresschute lab capacity --help'
                     lab capacity --repetitions 0 | --repetitions: 0 is out of range; allowed: 1 to 100; try 'cresschute lab capacity --help'
-                    lab capacity --sweep speed  | --sweep: 'speed' is no axis; allowed: workers, running, starts, tenants, dispatchers, list-changes, settings-changes, all; try 'cresschute lab capacity --help'
+                    lab capacity --sweep speed  | --sweep: 'speed' is not an axis; allowed: workers, running, starts, tenants, dispatchers, list-changes, settings-changes, all; try 'cresschute lab capacity --help'
                     lab capacity --csv no/x.csv | --csv: there is no folder no; try 'cresschute lab capacity --help'
                     """)
     void unusableWordsAreToldInOneLine(String words, String message) {
--- a/src/test/java/cresschute/testbed/capacity/CapacityPlanTest.java
+++ b/src/test/java/cresschute/testbed/capacity/CapacityPlanTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Sizes, what follows from them, and what the machine must have for them. */
+/** Plans, the setup derived from them, and the checks of the machine's limits. */
 class CapacityPlanTest {
 
     static final CapacityPlan FULL_SIZE =
@@ -100,7 +100,7 @@
                 .hasMessageContaining("the hard limit (ulimit -Hn) is 4096");
     }
 
-    /** Each worker is in one process, its cell with it. */
+    /** All workers of a cell are in the same process. */
     @Test
     void spreadsWorkersOverProcessesByDescriptorLimit() {
         assertThat(Preflight.workerProcesses(FULL_SIZE, 1_000_000)).isEqualTo(1);
@@ -131,7 +131,7 @@
                 .hasMessageContaining("233 local ports (net.ipv4.ip_local_port_range)");
     }
 
-    /** The dispatchers run as the platform runs them. */
+    /** The dispatchers of the experiment run with the same options as on the platform. */
     @Test
     void dispatchersUseOptionsOfRunLine() throws Exception {
         final String run =
--- a/src/test/java/cresschute/testbed/capacity/CostChartTest.java
+++ b/src/test/java/cresschute/testbed/capacity/CostChartTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Charts of a sweep, and its rows. */
+/** Charts of a sweep, and its rows in the measurement file. */
 class CostChartTest {
 
     private static CapacityResult result(CapacityPlan plan, String partial) {
@@ -39,7 +39,7 @@
         }
     }
 
-    /** What was not measured has no row; a partial point is marked in all of its rows. */
+    /** A measure without value has no row; all rows of a partial point are marked. */
     @Test
     void writesRowPerMeasureWithItsPoint(@TempDir Path folder) throws Exception {
         final Path file = folder.resolve("rows.csv");
--- a/src/test/java/cresschute/testbed/capacity/ObservationFileFormatTest.java
+++ b/src/test/java/cresschute/testbed/capacity/ObservationFileFormatTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Files of observations as an earlier version wrote them: one line of each type, read and written
- * again.
+ * Compatibility of the file format: one line of each type, as an earlier version wrote it, is read
+ * and written without change.
  */
 class ObservationFileFormatTest {
 
@@ -56,7 +56,7 @@
         assertThat(Files.readString(again)).isEqualTo(LINES);
     }
 
-    /** What the process that starts an experiment tells the others. */
+    /** The plan and the clock, which the experiment sends to its stub processes. */
     @Test
     void planAndClockKeepSerializedForm() {
         final Gson gson = new Gson();
--- a/src/test/java/cresschute/testbed/capacity/RequestOutcomesTest.java
+++ b/src/test/java/cresschute/testbed/capacity/RequestOutcomesTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What became of requests, from observations made up here. */
+/** Request outcomes from constructed observations. */
 class RequestOutcomesTest {
 
     private final List<Observation> seen = new ArrayList<>();
@@ -59,7 +59,7 @@
     }
 
     /**
-     * Also where the worker's word is older than the client's note, and only the first start
+     * Also if the worker records the start before the client records the send; only the first start
      * counts.
      */
     @Test
