--- a/src/main/java/cresschute/testbed/CellKeys.java
+++ b/src/main/java/cresschute/testbed/CellKeys.java
@@ -7,8 +7,9 @@
 import java.util.function.Consumer;
 
 /**
- * What the workers of one cell know of keys: a repeat within the window does not run. It waits for
- * the first run and takes its result; if that is lost with its worker, the key is free again.
+ * The idempotency keys that the workers of one cell share. A duplicate within the window does not
+ * run: it waits for the first run and takes its result. If that run is lost with its worker, the
+ * key can be used again.
  */
 public final class CellKeys {
 
@@ -21,16 +22,19 @@
     private final Map<String, Entry> entries = new HashMap<>();
     private final long windowUs;
 
-    /** Repeats are dropped for this long after the first run began. */
+    /**
+     * Creates an empty set of keys; duplicates are dropped for {@code windowUs} after the start of
+     * the first run.
+     */
     public CellKeys(long windowUs) {
         this.windowUs = windowUs;
     }
 
     /**
-     * Takes a key in; true where its job is to run.
+     * Registers a key and returns whether its job is to run.
      *
-     * @param otherwise called with the first run's result where it is not, or with null if that run
-     *     is lost
+     * @param otherwise called with the result of the first run if the job is not to run, or with
+     *     null if that run is lost
      */
     public boolean begin(String key, long nowUs, Consumer<String> otherwise) {
         final Entry entry = entries.get(key);
@@ -48,7 +52,7 @@
         return false;
     }
 
-    /** The first run of a key is done; those that wait take its result. */
+    /** Records that the first run of a key has completed; waiting duplicates take its result. */
     public void done(String key, String result) {
         final Entry entry = entries.get(key);
         if (entry != null) {
@@ -58,7 +62,7 @@
         }
     }
 
-    /** The first run of a key is lost with its worker, so that the key is free again. */
+    /** Records that the first run of a key was lost with its worker; the key can be used again. */
     public void lost(String key) {
         final Entry entry = entries.remove(key);
         if (entry != null) {
--- a/src/main/java/cresschute/testbed/Durations.java
+++ b/src/main/java/cresschute/testbed/Durations.java
@@ -3,21 +3,25 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Durations as command lines give them: a number and {@code ms}, {@code s} or {@code m}. */
+/** Parses durations on command lines: a number and {@code ms}, {@code s} or {@code m}. */
 public final class Durations {
 
     private static final Pattern FORM = Pattern.compile("([0-9]{1,9}(?:\\.[0-9]{1,6})?)(ms|s|m)");
 
     private Durations() {}
 
-    /** The duration in microseconds, or an {@link IllegalArgumentException}. */
+    /**
+     * Returns the duration in microseconds.
+     *
+     * @throws IllegalArgumentException if the text is not a duration
+     */
     public static long parseUs(String text) {
         final Matcher matcher = FORM.matcher(text.strip());
         if (!matcher.matches()) {
             throw new IllegalArgumentException(
                     "'"
                             + text
-                            + "' is no duration; allowed: a number and ms, s or m, "
+                            + "' is not a duration; expected: a number and ms, s or m, "
                             + "such as 500ms");
         }
         final double unit =
--- a/src/main/java/cresschute/testbed/Fleet.java
+++ b/src/main/java/cresschute/testbed/Fleet.java
@@ -31,10 +31,10 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * A whole site on loopback ports: a discovery service, workers, clients, and between them a node of
- * the program itself, as {@code serve} runs it, on a loop of its own. The stand-ins share one other
- * loop. All chance comes from a seed; the times at which sockets are read do not, so that runs are
- * alike and not the same.
+ * A complete site on loopback ports: discovery, workers, clients, and a real node, as {@code serve}
+ * runs it, on its own event loop. The stand-ins share another event loop. All random choices come
+ * from a seed, but the times at which sockets are read do not, so that runs are similar and not
+ * identical.
  */
 public final class Fleet implements AutoCloseable {
 
@@ -43,15 +43,15 @@
     private static final long LIST_DELAY_US = 200_000;
     private static final long MAX_STOP_WAIT_S = 10;
 
-    /** The longest wait for a call on the loop, s. */
+    /** The maximum wait for a call on the loop, s. */
     private static final long MAX_LOOP_WAIT_S = 30;
 
     /**
-     * What a fleet is to be.
+     * The configuration of a fleet.
      *
-     * @param ratePerS jobs that arrive in a second on average
-     * @param controlSocket where consoles connect to the node, or null
-     * @param stateFolder where the node keeps its operators' drains, or null
+     * @param ratePerS jobs that arrive per second on average
+     * @param controlSocket path at which consoles connect to the node, or null
+     * @param stateFolder folder in which the node stores operator drains, or null
      */
     public record Plan(
             int workers,
@@ -61,7 +61,7 @@
             String controlSocket,
             String stateFolder) {
 
-        /** A fleet whose node no console can connect to. */
+        /** Creates the configuration of a fleet without a control socket and a state folder. */
         public Plan(int workers, double ratePerS, long seed, List<InjectedFault> faults) {
             this(workers, ratePerS, seed, faults, null, null);
         }
@@ -81,7 +81,7 @@
     private final NodeServer node;
     private boolean closed;
 
-    /** Starts discovery and workers, and builds the node; nothing is sent yet. */
+    /** Starts discovery and workers and builds the node; nothing is sent yet. */
     public Fleet(Plan plan) {
         this.plan = plan;
         random = RandomSource.XO_SHI_RO_256_PP.create(plan.seed());
@@ -149,7 +149,7 @@
                 .orElse(0);
     }
 
-    /** The settings come from a script, as a site's do; the addresses are put before it. */
+    /** Parses the settings from a script, as a site does, with the addresses put before it. */
     private ApplianceSettings settings(InetSocketAddress discovery, List<WorkerStandIn> workers) {
         final String script =
                 "DIRECTOR = \"127.0.0.1:"
@@ -212,7 +212,7 @@
         }
     }
 
-    /** Starts the node, then the clients, then the clock of the faults. */
+    /** Starts the node and the clients, and schedules the faults. */
     public void start() {
         final SocketAddress at = node.start();
         onLoop(
@@ -276,19 +276,19 @@
 
     // ---- The run ----
 
-    /** No new jobs come from now on. */
+    /** Stops the arrival of new jobs. */
     public void stopArriving() {
         onLoop(clients::stopArriving);
     }
 
-    /** Jobs that wait for their answer now. */
+    /** The number of jobs that wait for a response. */
     public int waiting() {
         return CompletableFuture.supplyAsync(clients::waiting, loop)
                 .orTimeout(MAX_LOOP_WAIT_S, TimeUnit.SECONDS)
                 .join();
     }
 
-    /** What was seen so far, and what it comes to. */
+    /** Returns the results and rule breaches of the observations so far. */
     public FleetReport report() {
         final List<Observation> seen = recorder.seen();
         return new FleetReport(
@@ -302,12 +302,12 @@
         return recorder.seen();
     }
 
-    /** A worker's fault begins now. Not on the fleet's loop. */
+    /** Starts a fault of a worker. Must not be called on the fleet's loop. */
     void begin(InjectedFault.Kind kind, String worker) {
         onLoop(() -> begin(new InjectedFault(kind, worker, 1, 0, 0), workerById(worker)));
     }
 
-    /** A worker's fault ends now. Not on the fleet's loop. */
+    /** Ends a fault of a worker. Must not be called on the fleet's loop. */
     void end(InjectedFault.Kind kind, String worker) {
         onLoop(() -> end(new InjectedFault(kind, worker, 1, 0, 0), workerById(worker)));
     }
@@ -320,19 +320,22 @@
     }
 
     /**
-     * Notes for the checker of the rules that an operator's drain holds from this time on, Unix
-     * time, us.
+     * Records that the node has confirmed an operator drain at this time, Unix time in
+     * microseconds.
      */
     public void drainedAt(String worker, long us) {
         recorder.add(new OperatorDrained(us, worker, true));
     }
 
-    /** Notes that an operator's drain is undone from now on: work may come. */
+    /** Records that an operator drain ends now: the worker may get requests again. */
     public void undrained(String worker) {
         recorder.add(new OperatorDrained(recorder.nowUs(), worker, false));
     }
 
-    /** When the first byte of the newest send to a worker came, Unix time in microseconds, or 0. */
+    /**
+     * The time of the first byte of the newest attempt at a worker, Unix time in microseconds; 0 if
+     * there is none.
+     */
     public long lastSendUs(String worker) {
         final List<Observation> seen = recorder.seen();
         for (int i = seen.size() - 1; i >= 0; i--) {
@@ -343,13 +346,14 @@
         return 0;
     }
 
-    /** CPU time of the node's one loop, ns. */
+    /** CPU time of the node's event loop, ns. */
     public long nodeCpuNs() {
         return node.loopCpuNs();
     }
 
     /**
-     * How much each worker was sent within a span of Unix time in microseconds; none is not there.
+     * The number of attempts at each worker between two times, Unix time in microseconds; workers
+     * without attempts are missing.
      */
     public Map<String, Long> sends(long fromUs, long toUs) {
         return recorder.seen().stream()
@@ -359,7 +363,7 @@
                 .collect(Collectors.groupingBy(AttemptReceived::worker, Collectors.counting()));
     }
 
-    /** Discovery forgets what it has reported, so that its next answer is a whole list. */
+    /** Makes discovery forget its changes, so that its next response is a full list. */
     void reportFullList() {
         onLoop(discovery::forgetChanges);
     }
@@ -378,8 +382,8 @@
     }
 
     /**
-     * Ends it all, once: clients leave, the node stops as by SIGTERM, then workers and discovery
-     * go.
+     * Stops everything, once: clients abandon their requests, the node stops as on SIGTERM, then
+     * workers and discovery close.
      */
     public synchronized void stop() {
         if (closed) {
@@ -403,7 +407,7 @@
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
     }
 
-    /** Time on the fleet's clock, in which observations are reported. */
+    /** The time of the fleet's clock, which the observations use, us. */
     public long nowUs() {
         return recorder.nowUs();
     }
--- a/src/main/java/cresschute/testbed/FleetReport.java
+++ b/src/main/java/cresschute/testbed/FleetReport.java
@@ -13,11 +13,10 @@
 import java.util.stream.Collectors;
 
 /**
- * What a run of a fleet came to, for people and for programs.
+ * The results of a run of a fleet, as a table and as JSON.
  *
- * @param invariantBreaches how often the node found by itself that something did not hold that
- *     must; a machine without time to spare makes answers late, so that they are reported and break
- *     no rule
+ * @param invariantBreaches how often the node found one of its own invariants broken. Late answers
+ *     on an overloaded machine count here, so this number is reported but breaks no rule
  */
 public record FleetReport(RequestOutcomes outcomes, List<Breach> breaches, long invariantBreaches) {
 
@@ -26,12 +25,12 @@
     private static final double P99 = 99;
     private static final int WIDE_TABLE_COLUMNS = 72;
 
-    /** Whether no rule was broken. */
+    /** Returns whether no rule was broken. */
     public boolean isSound() {
         return breaches.isEmpty();
     }
 
-    /** One object with all of it. */
+    /** Returns the whole report as one JSON object. */
     public JsonObject json() {
         final JsonObject json = new JsonObject();
         json.addProperty("asked", outcomes.asked());
@@ -73,7 +72,7 @@
         return Math.round(value * parts) / (double) parts;
     }
 
-    /** The table, no line of it wider than so many columns as long as these are 40 or more. */
+    /** Returns the table; no line is longer than {@code columns} if that is 40 or more. */
     public List<String> table(int columns) {
         final List<String> lines = new ArrayList<>();
         if (columns >= WIDE_TABLE_COLUMNS) {
--- a/src/main/java/cresschute/testbed/InjectedFault.java
+++ b/src/main/java/cresschute/testbed/InjectedFault.java
@@ -8,42 +8,39 @@
 import java.util.regex.Pattern;
 
 /**
- * A fault that a fleet is to have, at a time after its start.
+ * A fault to inject into a fleet, at a time after its start.
  *
- * @param worker whom it befalls, or null for one drawn by chance; of no use where it befalls no
+ * @param worker the affected worker, or null for a random one; ignored for faults that affect no
  *     worker
- * @param factor how bad it is; what it means depends on the kind
+ * @param factor the severity; its meaning depends on the kind
  */
 public record InjectedFault(Kind kind, String worker, double factor, long atUs, long forUs) {
 
-    /** What may happen; each has a factor and a duration that hold where none is given. */
+    /** The kinds of faults, each with the default factor and duration. */
     public enum Kind {
         /** A worker runs slower by the factor. */
         SLOW(5, 10_000, true, "a worker runs x times slower"),
-        /** A worker takes requests, runs nothing and says nothing. */
+        /** A worker accepts requests, runs nothing and sends nothing. */
         SILENT(1, 8_000, true, "a worker takes jobs and answers none"),
         /** A worker resets the connections of this share of requests. */
         RESET(0.5, 5_000, true, "a worker resets the connection of a share x of its jobs"),
-        /**
-         * A worker answers this share of requests with bytes that are no JSON in the middle of a
-         * body.
-         */
+        /** A worker answers this share of requests with invalid JSON in the middle of a body. */
         GARBAGE(
                 0.5,
                 5_000,
                 true,
                 "a worker answers a share x of its jobs with bytes that are no JSON"),
-        /** A worker's load reports are older by the factor, in seconds. */
+        /** A worker's load reports are older by the factor, s. */
         LATE(3, 10_000, true, "a worker's load reports are x seconds old"),
-        /** A worker's process dies and is back, cold, at the end. */
+        /** A worker's process crashes and restarts, cold, at the end of the fault. */
         CRASH(1, 3_000, true, "a worker's process dies, and is back cold afterwards"),
-        /** A worker is reported as draining until the end. */
+        /** Discovery reports a worker as draining until the end of the fault. */
         DRAIN(1, 8_000, true, "a worker is told to drain"),
-        /** Clients send more by the factor. */
+        /** Clients send more requests by the factor. */
         BURST(2, 4_000, false, "clients send x times as much"),
-        /** One request in fifty costs this many times the usual work. */
+        /** One request in fifty takes this many times the usual work. */
         TAIL(15, 10_000, false, "one job in fifty takes x times the usual work"),
-        /** Discovery answers 503 and resets its connections. */
+        /** Discovery answers with 503 and resets its connections. */
         DIRECTOR(1, 5_000, false, "the director is down");
 
         private final double factor;
@@ -58,12 +55,12 @@
             this.meaning = meaning;
         }
 
-        /** The word for it. */
+        /** Returns the name of the kind on command lines. */
         public String word() {
             return name().toLowerCase(Locale.ROOT);
         }
 
-        /** One line for help. */
+        /** Returns one line of help. */
         public String meaning() {
             return meaning;
         }
@@ -77,17 +74,21 @@
             Pattern.compile(
                     "([a-z]+)(?::(w[0-9]+))?(?:x([0-9]+(?:\\.[0-9]+)?))?@([^+]+)(?:\\+(.+))?");
     private static final String ALLOWED =
-            "; allowed: KIND[:WORKER][xFACTOR]@START[+DURATION], such as "
+            "; expected: KIND[:WORKER][xFACTOR]@START[+DURATION], such as "
                     + "slow@5s or silent:w2@500ms+3s";
 
-    /** Reads a list with commas between; what is wrong is an {@link IllegalArgumentException}. */
+    /**
+     * Parses a comma-separated list of faults.
+     *
+     * @throws IllegalArgumentException if a fault is invalid
+     */
     public static List<InjectedFault> parse(String text) {
         final List<InjectedFault> faults = new ArrayList<>();
         for (final String part : text.isBlank() ? new String[0] : text.split(",")) {
             final Matcher matcher = FORM.matcher(part.strip());
             if (!matcher.matches()) {
                 throw new IllegalArgumentException(
-                        "'" + part.strip() + "' is no trouble" + ALLOWED);
+                        "'" + part.strip() + "' is not a valid trouble" + ALLOWED);
             }
             final Kind kind =
                     Arrays.stream(Kind.values())
@@ -96,9 +97,9 @@
                             .orElseThrow(
                                     () ->
                                             new IllegalArgumentException(
-                                                    "no trouble is called '"
+                                                    "unknown trouble '"
                                                             + matcher.group(1)
-                                                            + "'; there are "
+                                                            + "'; expected one of: "
                                                             + String.join(
                                                                     ", ",
                                                                     Arrays.stream(Kind.values())
@@ -106,7 +107,10 @@
                                                                             .toList())));
             if (matcher.group(2) != null && !kind.isOfWorker()) {
                 throw new IllegalArgumentException(
-                        kind.word() + " befalls no worker; leave out ':" + matcher.group(2) + "'");
+                        kind.word()
+                                + " does not apply to a worker; remove ':"
+                                + matcher.group(2)
+                                + "'");
             }
             faults.add(
                     new InjectedFault(
--- a/src/main/java/cresschute/testbed/JobClass.java
+++ b/src/main/java/cresschute/testbed/JobClass.java
@@ -8,10 +8,10 @@
 import java.util.List;
 
 /**
- * A class of jobs as the fleet's clients send them and as its rules bind it.
+ * A request class as the clients of the fleet send it and as the rules bind it.
  *
- * @param share of all jobs, as a weight
- * @param meanWorkUs running time at speed 1 on average
+ * @param share weight of the class among all jobs
+ * @param meanWorkUs mean running time at speed 1
  * @param maxAttempts how often one request may be sent to workers
  */
 public record JobClass(
@@ -28,8 +28,8 @@
         long meanWorkUs) {
 
     /**
-     * The classes of settings; a job takes a fifth of its latency objective on average, and all are
-     * sent as often.
+     * Returns the classes of the settings. Without a demand, a job takes a fifth of its latency
+     * objective on average and the class has a share of 1.
      */
     static List<JobClass> of(ApplianceSettings settings, List<Demand> demands) {
         final List<JobClass> classes = new ArrayList<>();
@@ -59,10 +59,10 @@
         return List.copyOf(classes);
     }
 
-    /** How much of a class is asked for. */
+    /** The demand for a class. */
     record Demand(String className, double share, long meanWorkUs) {}
 
-    /** Whether an answer this long after the first try was sent is in time. */
+    /** Returns whether a response this long after the first attempt is in time. */
     boolean isInTime(long tookUs, long workUs) {
         return tookUs <= latencyObjectiveUs + latencyObjectiveStretch * workUs;
     }
--- a/src/main/java/cresschute/testbed/LargeFleet.java
+++ b/src/main/java/cresschute/testbed/LargeFleet.java
@@ -26,7 +26,7 @@
 
     private static final long STEP_MS = 50;
 
-    /** The longest wait for a call on the loop, or for the node's end, s. */
+    /** The maximum wait for a call on the loop or for the end of the node, s. */
     private static final long MAX_WAIT_S = 30;
 
     private static final InetSocketAddress UNUSED_ADDRESS =
@@ -41,7 +41,7 @@
     private final boolean[] drains;
     private final NodeServer node;
 
-    /** Starts discovery and node; the list is reported at once. */
+    /** Starts discovery and the node; the endpoint list is reported immediately. */
     public LargeFleet(int count, long seed, Path controlSocket) {
         random = RandomSource.XO_SHI_RO_256_PP.create(seed);
         discovery = new DiscoveryStandIn(loop, new Recorder());
@@ -76,7 +76,8 @@
     }
 
     /**
-     * From now on so many workers a second change between serving and draining, drawn by the seed.
+     * Switches this many random workers per second between serving and draining from now on; the
+     * seed determines which.
      */
     public void churn(int perS) {
         loop.scheduleAtFixedRate(
@@ -96,7 +97,7 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    /** CPU time of the node's one loop, ns. */
+    /** CPU time of the node's event loop, ns. */
     public long nodeCpuNs() {
         return node.loopCpuNs();
     }
--- a/src/main/java/cresschute/testbed/LoopbackServer.java
+++ b/src/main/java/cresschute/testbed/LoopbackServer.java
@@ -22,8 +22,8 @@
 import java.util.function.Consumer;
 
 /**
- * What the stand-ins that are called share: a listener on loopback, and its connections. On one
- * loop.
+ * A listener on loopback and its connections, shared by the stand-ins that accept calls. Runs on
+ * one event loop.
  */
 public final class LoopbackServer {
 
@@ -33,25 +33,26 @@
     private Channel server;
 
     /**
-     * A server that does not listen yet; {@code pipeline} puts the handlers on each new connection.
+     * Creates a server that does not listen yet; {@code pipeline} adds the handlers to each new
+     * connection.
      */
     public LoopbackServer(EventLoop loop, Consumer<Channel> pipeline) {
         this.loop = loop;
         this.pipeline = pipeline;
     }
 
-    /** Listens on a free port; blocks, so not on the loop. */
+    /** Listens on a free port. Blocks; must not be called on the event loop. */
     InetSocketAddress listen() {
         return listen(InetAddress.getLoopbackAddress());
     }
 
-    /** Listens on a free port of this address; blocks, so not on the loop. */
+    /** Listens on a free port of this address. Blocks; must not be called on the event loop. */
     public InetSocketAddress listen(InetAddress at) {
         server = bind(new InetSocketAddress(at, 0)).syncUninterruptibly().channel();
         return (InetSocketAddress) server.localAddress();
     }
 
-    /** Listens at an address that it had before, which may fail while the port is not free yet. */
+    /** Listens on a former address again. Fails while the port is not free yet. */
     ChannelFuture listenAgain(InetSocketAddress at) {
         return bind(at).addListener(
                         (ChannelFutureListener)
@@ -81,17 +82,17 @@
                 .bind(at);
     }
 
-    /** Accepts no more connections. */
+    /** Stops accepting connections. */
     void stopListening() {
         server.close();
     }
 
-    /** Ends all connections as a dying process does. */
+    /** Resets all connections, as a crashing process does. */
     void resetAll() {
         new ArrayList<>(connections).forEach(LoopbackServer::reset);
     }
 
-    /** Accepts no more connections and closes those that are open. */
+    /** Stops accepting connections and closes the open ones. */
     void close() {
         stopListening();
         new ArrayList<>(connections).forEach(Channel::close);
@@ -102,7 +103,7 @@
         channel.close();
     }
 
-    /** A whole answer. */
+    /** Creates a full response. */
     static DefaultFullHttpResponse answer(HttpResponseStatus status, String body) {
         final DefaultFullHttpResponse response =
                 new DefaultFullHttpResponse(
--- a/src/main/java/cresschute/testbed/NodeProcess.java
+++ b/src/main/java/cresschute/testbed/NodeProcess.java
@@ -22,15 +22,16 @@
 import javax.management.remote.JMXConnectorFactory;
 import javax.management.remote.JMXServiceURL;
 
-/** A node in a process of its own, whose memory is watched from outside. */
+/** A node in a separate process, whose memory is measured from outside. */
 public final class NodeProcess implements AutoCloseable {
 
     /**
-     * Bytes in use: by objects, after a collection where one was asked for, and by direct buffers.
+     * Memory in use: by objects (after a collection where one was requested) and by direct buffers,
+     * bytes.
      */
     public record Memory(long heap, long direct) {}
 
-    /** The longest that a node may take until it listens, s. */
+    /** The maximum time until a node listens, s. */
     private static final long MAX_START_S = 60;
 
     private final Process process;
@@ -40,11 +41,11 @@
     private final BufferPoolMXBean direct;
     private final ThreadMXBean threads;
 
-    /** Starts it and returns once it listens. */
+    /** Starts the node and returns when it listens. */
     public NodeProcess(Path script, List<String> options) throws IOException {
         final List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-        // Without a cleaner of its own, Netty's direct memory is the JDK's, which counts it.
+        // With this setting, Netty allocates its direct memory through the JDK, which counts it.
         command.add("-Dio.netty.maxDirectMemory=0");
         command.addAll(options);
         command.addAll(
@@ -56,8 +57,8 @@
                         "--settings",
                         script.toString()));
         process = new ProcessBuilder(command).start();
-        // A blocked read heeds no interrupt: a node that never listens is ended, which ends the
-        // read.
+        // A blocked read cannot be interrupted. A node that does not listen in time is killed,
+        // which ends the read.
         final CompletableFuture<Void> listening = new CompletableFuture<>();
         listening
                 .orTimeout(MAX_START_S, TimeUnit.SECONDS)
@@ -81,7 +82,7 @@
             throw new IOException("the node did not start: " + seen);
         }
         address = new InetSocketAddress("127.0.0.1", Integer.parseInt(reported.group(1)));
-        // What it logs later is read away, so that it never waits for us.
+        // Drains the log, so that the node never blocks on writing to it.
         final Thread reader = new Thread(() -> log.lines().forEach(later -> {}), "lab-node-log");
         reader.setDaemon(true);
         reader.start();
@@ -93,7 +94,8 @@
             connector = connect(at);
         } catch (AttachNotSupportedException e) {
             process.destroyForcibly();
-            throw new IOException("the node's memory cannot be watched: " + e.getMessage(), e);
+            throw new IOException(
+                    "cannot attach to the node to measure its memory: " + e.getMessage(), e);
         }
         final MBeanServerConnection beans = connector.getMBeanServerConnection();
         heap = ManagementFactory.getPlatformMXBean(beans, MemoryMXBean.class);
@@ -107,28 +109,28 @@
                         .orElseThrow();
     }
 
-    @SuppressWarnings("BanJNDI") // The address is that of the process that was started here.
+    @SuppressWarnings("BanJNDI") // The URL is that of the process started here.
     private static JMXConnector connect(String url) throws IOException {
         return JMXConnectorFactory.connect(new JMXServiceURL(url));
     }
 
-    /** Where it listens. */
+    /** The address on which the node listens. */
     public InetSocketAddress address() {
         return address;
     }
 
-    /** What is in use now, unused objects included. */
+    /** Memory in use now, including unreachable objects. */
     public Memory memory() {
         return new Memory(heap.getHeapMemoryUsage().getUsed(), direct.getMemoryUsed());
     }
 
-    /** The same right after a collection, so that nothing unused is counted. */
+    /** Memory in use right after a collection, so that unreachable objects are not counted. */
     public Memory memoryHeld() {
         heap.gc();
         return memory();
     }
 
-    /** Bytes of objects that its threads have made so far. */
+    /** Bytes that the live threads of the node have allocated so far. */
     public long allocated() {
         long sum = 0;
         for (final long each : threads.getThreadAllocatedBytes(threads.getAllThreadIds())) {
@@ -137,7 +139,7 @@
         return sum;
     }
 
-    /** CPU time that it has used, ns. */
+    /** CPU time that the node has used, ns. */
     public long cpuNs() {
         return process.info().totalCpuDuration().orElse(Duration.ZERO).toNanos();
     }
--- a/src/main/java/cresschute/testbed/Observation.java
+++ b/src/main/java/cresschute/testbed/Observation.java
@@ -3,19 +3,19 @@
 import com.google.gson.annotations.SerializedName;
 
 /**
- * Something that the client side, the worker side or discovery of a fleet saw. Times are
- * microseconds of the fleet's one clock. What the node believes is not among them: they are what it
- * is judged by.
+ * An event that the clients, the workers or discovery of a fleet observed. Times are in
+ * microseconds of the single clock of the fleet. The state of the node is not recorded, because the
+ * observations are what the node is checked against.
  */
 public sealed interface Observation {
 
-    /** When it was seen. */
+    /** The time of the observation, us. */
     long us();
 
     /**
      * A client has written the last byte of a request.
      *
-     * @param origin the id of the first try, the same in all retries of it
+     * @param origin the id of the first attempt, the same in all its retries
      * @param workUs running time at a worker of speed 1
      */
     record RequestSent(
@@ -29,7 +29,7 @@
             @SerializedName("deadlineUs") long deadlineUs)
             implements Observation {}
 
-    /** A client has read the last byte of an answer. */
+    /** A client has read the last byte of a response. */
     record RequestAnswered(
             @SerializedName("us") long us,
             @SerializedName("id") String id,
@@ -37,27 +37,28 @@
             @SerializedName("body") String body)
             implements Observation {}
 
-    /** A connection ended before the answer to a request that was written to it. */
+    /** A connection ended before the response to a request that was written to it. */
     record RequestLost(@SerializedName("us") long us, @SerializedName("id") String id)
             implements Observation {}
 
-    /** A client has stopped waiting long after the deadline; no answer had come. */
+    /** A client has given up waiting, long after the deadline and without a response. */
     record RequestUnanswered(@SerializedName("us") long us, @SerializedName("id") String id)
             implements Observation {}
 
-    /** An answer came where none was owed. */
+    /** A response arrived that no request was waiting for. */
     record UnexpectedAnswer(@SerializedName("us") long us, @SerializedName("what") String what)
             implements Observation {}
 
-    /** The run ended while a client was waiting, before its time was up. */
+    /** The run ended while a client was waiting, before its time limit. */
     record RequestUnfinished(@SerializedName("us") long us, @SerializedName("id") String id)
             implements Observation {}
 
     /**
      * A worker has read the last byte of a request.
      *
-     * @param firstByteUs when its first byte came
-     * @param work what it adds to the worker's load: slots times microseconds at speed 1
+     * @param firstByteUs when the first byte of the request arrived
+     * @param work what the request adds to the load of the worker: slots times microseconds at
+     *     speed 1
      */
     record AttemptReceived(
             @SerializedName("us") long us,
@@ -69,21 +70,21 @@
             @SerializedName("work") double work)
             implements Observation {}
 
-    /** A worker turned a request away and will never run it. */
+    /** A worker rejected a request and will never run it. */
     record AttemptRejected(
             @SerializedName("us") long us,
             @SerializedName("worker") String worker,
             @SerializedName("id") String id)
             implements Observation {}
 
-    /** A job has started to run. */
+    /** A job has started. */
     record RunStarted(
             @SerializedName("us") long us,
             @SerializedName("worker") String worker,
             @SerializedName("id") String id)
             implements Observation {}
 
-    /** A job is done: this is the one result that may be answered for the request. */
+    /** A job has completed. Its result is the only one that may be returned for the request. */
     record RunDone(
             @SerializedName("us") long us,
             @SerializedName("worker") String worker,
@@ -92,8 +93,8 @@
             implements Observation {}
 
     /**
-     * The effect of a job took place: at its end, once for each run, and never for a repeat that is
-     * dropped.
+     * The effect of a job took place: at its end, once for each run, and never for a dropped
+     * duplicate.
      */
     record EffectApplied(
             @SerializedName("us") long us,
@@ -102,18 +103,21 @@
             @SerializedName("key") String key)
             implements Observation {}
 
-    /** A worker was started; {@code capacity} is what it can do when warm, in slots times speed. */
+    /**
+     * A worker process has started; {@code capacity} is its capacity when warm, in slots times
+     * speed.
+     */
     record WorkerBooted(
             @SerializedName("us") long us,
             @SerializedName("worker") String worker,
             @SerializedName("capacity") double capacity)
             implements Observation {}
 
-    /** A worker was sent too much after its start and has fallen over for good. */
+    /** A worker was sent too much after its start and has crashed permanently. */
     record WorkerOverloaded(@SerializedName("us") long us, @SerializedName("worker") String worker)
             implements Observation {}
 
-    /** Discovery has written this to the node. */
+    /** Discovery has sent this state of a worker to the node. */
     record WorkerListed(
             @SerializedName("us") long us,
             @SerializedName("worker") String worker,
@@ -121,7 +125,10 @@
             @SerializedName("startedMs") long startedMs)
             implements Observation {}
 
-    /** The node has confirmed that an operator drains this worker, or that it does no longer. */
+    /**
+     * The node has confirmed that an operator drains this worker ({@code start}) or no longer
+     * drains it.
+     */
     record OperatorDrained(
             @SerializedName("us") long us,
             @SerializedName("worker") String worker,
--- a/src/main/java/cresschute/testbed/RequestOutcomes.java
+++ b/src/main/java/cresschute/testbed/RequestOutcomes.java
@@ -12,8 +12,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What became of the jobs that clients asked for, a client's retries counted as part of its first
- * try. Pure: it reads the observations alone.
+ * The results of the jobs that clients requested. Retries of a client count as part of its first
+ * attempt. Pure: it reads only the observations.
  */
 public final class RequestOutcomes {
 
@@ -22,7 +22,7 @@
     private static final int REFUSED = 503;
     private static final int TOO_MANY_REQUESTS = 429;
 
-    /** How a job ended, as its last try did. */
+    /** The result of the last attempt of a job. */
     public enum End {
         SERVED,
         REFUSED,
@@ -31,7 +31,7 @@
         UNFINISHED
     }
 
-    /** What became of one class. */
+    /** The results of one request class. */
     public static final class OfClass {
 
         private final Map<End, Integer> ends = new HashMap<>();
@@ -41,23 +41,24 @@
         private double priorityWeightAsked;
         private double weightedServedFraction;
 
-        /** Jobs asked for. */
+        /** The number of jobs requested. */
         public int asked() {
             return asked;
         }
 
-        /** Jobs that ended so. */
+        /** The number of jobs with this result. */
         public int ended(End end) {
             return ends.getOrDefault(end, 0);
         }
 
-        /** Jobs served in time. */
+        /** The number of jobs served in time. */
         public int inTime() {
             return inTime;
         }
 
         /**
-         * A percentile of the time from the first try to the result, of jobs that were served, ms.
+         * A percentile of the time from the first attempt to the result, of served jobs, ms; 0 if
+         * none was served.
          */
         public double servedMs(double percentile) {
             return servedUs.getTotalCount() == 0
@@ -65,12 +66,12 @@
                     : servedUs.getValueAtPercentile(percentile) / 1000.0;
         }
 
-        /** Priority weight of the jobs asked for. */
+        /** The priority weight of the jobs requested. */
         public double priorityWeightAsked() {
             return priorityWeightAsked;
         }
 
-        /** Priority weight of those that were served in time. */
+        /** The priority weight of the jobs served in time. */
         public double weightedServedFraction() {
             return weightedServedFraction;
         }
@@ -82,7 +83,7 @@
 
     private record Job(RequestSent first, RequestSent last) {}
 
-    /** Reads what was seen. */
+    /** Derives the results from the observations. */
     public static RequestOutcomes of(List<Observation> seen, List<JobClass> jobClasses) {
         final Map<String, Job> jobs = new LinkedHashMap<>();
         final Map<String, Observation> ends = new HashMap<>();
@@ -143,28 +144,29 @@
         return end instanceof RequestUnfinished || end == null ? End.UNFINISHED : End.UNANSWERED;
     }
 
-    /** By class, in the order of the classes. */
+    /** The results by class, in the order of the classes. */
     public Map<String, OfClass> classes() {
         return classes;
     }
 
-    /** Jobs asked for. */
+    /** The number of jobs requested. */
     public int asked() {
         return classes.values().stream().mapToInt(OfClass::asked).sum();
     }
 
-    /** Jobs that ended so. */
+    /** The number of jobs with this result. */
     public int ended(End end) {
         return classes.values().stream().mapToInt(each -> each.ended(end)).sum();
     }
 
-    /** Jobs served in time. */
+    /** The number of jobs served in time. */
     public int inTime() {
         return classes.values().stream().mapToInt(OfClass::inTime).sum();
     }
 
     /**
-     * Priority weight served in time over priority weight asked for; 1 where nothing was asked for.
+     * The priority weight served in time divided by the priority weight requested; 1 if nothing was
+     * requested.
      */
     public double weightedServedFraction() {
         final double asked =
--- a/src/main/java/cresschute/testbed/RuleChecker.java
+++ b/src/main/java/cresschute/testbed/RuleChecker.java
@@ -25,25 +25,25 @@
 import java.util.Set;
 
 /**
- * Holds the four rules of a dispatcher against what the sides around it saw: one answer for each
- * request, no effect twice, drains kept, cold starts kept. It knows nothing of the node, and is
- * pure: the same observations always give the same breaches.
+ * Checks the observations of clients, workers and discovery against the four rules of a dispatcher:
+ * one answer for each request, no effect twice, drains kept, cold starts kept. It uses no state of
+ * the node and is pure: the same observations always give the same breaches.
  */
 public final class RuleChecker {
 
     /**
-     * Nothing new goes to a worker later than this after the node was notified, us; plus what
-     * sockets add.
+     * The maximum time after the node was notified of a drain until it sends nothing new to the
+     * worker, us; 50 ms of it are for the sockets.
      */
     static final long MAX_DRAIN_DELAY_US = 400_000 + 50_000;
 
     /**
-     * What a cold worker may be sent beyond its budget, as a factor: chance makes short spans
-     * uneven.
+     * Tolerated factor over the budget of a cold worker, because random arrivals are uneven over
+     * short spans.
      */
     static final double COLD_START_TOLERANCE = 1.1;
 
-    /** A rule. */
+    /** A rule of the protocol. */
     public enum Rule {
         ONE_ANSWER("one_answer"),
         NO_EFFECT_TWICE("no_effect_twice"),
@@ -56,13 +56,13 @@
             this.wireName = wireName;
         }
 
-        /** The word in a report. */
+        /** The name of the rule in a report. */
         public String wireName() {
             return wireName;
         }
     }
 
-    /** A rule that was broken, and how. */
+    /** A violation of a rule. */
     public record Breach(Rule rule, long us, String what) {}
 
     private final Map<String, JobClass> classes = new HashMap<>();
@@ -74,7 +74,7 @@
         this.coldStart = coldStart;
     }
 
-    /** All breaches in what was seen, in the order of the rules. */
+    /** Returns all breaches in the observations, in the order of the rules. */
     public static List<Breach> check(
             List<Observation> seen, List<JobClass> classes, SlowStartSettings coldStart) {
         final RuleChecker checker = new RuleChecker(classes, coldStart);
@@ -106,7 +106,7 @@
                     report(
                             Rule.ONE_ANSWER,
                             answer.us(),
-                            "an answer to " + answer.id() + ", which nobody sent");
+                            "an answer to " + answer.id() + ", which no client sent");
                 } else if (!answered.add(answer.id())) {
                     report(Rule.ONE_ANSWER, answer.us(), "a second answer to " + answer.id());
                 } else if (answer.status() == LoadClients.OK
@@ -114,13 +114,10 @@
                     report(
                             Rule.ONE_ANSWER,
                             answer.us(),
-                            answer.id() + " was served with what no worker made");
+                            answer.id() + " was served with a result that no worker produced");
                 }
             } else if (each instanceof UnexpectedAnswer answer) {
-                report(
-                        Rule.ONE_ANSWER,
-                        answer.us(),
-                        "an answer where none was owed: " + answer.what());
+                report(Rule.ONE_ANSWER, answer.us(), "an unexpected answer: " + answer.what());
             } else if (each instanceof RequestLost lost) {
                 report(
                         Rule.ONE_ANSWER,
@@ -135,8 +132,8 @@
     // ---- No effect twice ----
 
     /**
-     * How often, and where to, a request was sent: as its class permits, whether harm came of it or
-     * not.
+     * Checks how often and to which workers a request was sent. A repeat that the class forbids is
+     * a breach even if it did no harm.
      */
     private void checkRepeats(List<Observation> seen) {
         final Map<String, JobClass> classOf = new HashMap<>();
@@ -205,12 +202,15 @@
                                 + " and again to cell "
                                 + again.cell());
             } else if (again.us() > first.us() + jobClass.repeatWindowUs()) {
-                report(Rule.NO_EFFECT_TWICE, again.us(), id + " was sent again after its window");
+                report(
+                        Rule.NO_EFFECT_TWICE,
+                        again.us(),
+                        id + " was sent again after its deduplication window");
             }
         }
     }
 
-    /** What came of it: one effect a key, whichever retry of a client's brought it. */
+    /** Checks that each key took effect once, over all retries of a client. */
     private void checkEffects(List<Observation> seen) {
         final Map<String, EffectApplied> first = new HashMap<>();
         for (final Observation each : seen) {
@@ -233,14 +233,12 @@
 
     // ---- Drains ----
 
-    /** A drain holds whoever asked for it: the list's and the operator's end each by themselves. */
+    /** Drains by the endpoint list and by operators are independent; each ends by itself. */
     private void checkDrains(List<Observation> seen) {
         final Map<String, Long> byList = new HashMap<>();
         final Map<String, Long> byOperator = new HashMap<>();
-        // Sends are noted at their last byte, after what was notified since their first byte: so
-        // that
-        // all is
-        // in order.
+        // Attempts are recorded at their last byte, after notifications that arrived since their
+        // first byte. Sorting by first byte restores the order.
         final List<Observation> ordered = new ArrayList<>(seen);
         ordered.sort((a, b) -> Long.compare(orderTime(a), orderTime(b)));
         for (final Observation each : ordered) {
@@ -258,7 +256,7 @@
                 }
             } else if (each instanceof AttemptReceived send) {
                 checkSentBeforeDrain(
-                        send, byList.get(send.worker()), "the list told that it leaves");
+                        send, byList.get(send.worker()), "the endpoint list reported its drain");
                 checkSentBeforeDrain(
                         send, byOperator.get(send.worker()), "an operator's drain was confirmed");
             }
@@ -298,7 +296,7 @@
             } else if (each instanceof WorkerListed notice && notice.startedMs() > 0) {
                 reported.add(notice.worker());
             } else if (each instanceof WorkerOverloaded fell) {
-                report(Rule.COLD_STARTS_KEPT, fell.us(), fell.worker() + " fell over");
+                report(Rule.COLD_STARTS_KEPT, fell.us(), fell.worker() + " crashed from overload");
             } else if (each instanceof AttemptReceived send
                     && boots.containsKey(send.worker())
                     && reported.contains(send.worker())) {
@@ -334,7 +332,7 @@
     }
 
     /**
-     * Work that a worker may be sent within the time of tipping over, at an age: slots times
+     * The work that a worker of this age may be sent within the overload window, slots times
      * microseconds.
      */
     static double coldStartBudget(SlowStartSettings coldStart, double capacity, long ageUs) {
@@ -344,7 +342,10 @@
                 * coldStart.overloadAfterUs();
     }
 
-    /** The share of its capacity that a worker has at an age; it grows evenly until it is warm. */
+    /**
+     * The fraction of its capacity that a worker of this age has; it grows linearly until the
+     * worker is warm.
+     */
     static double capacityFractionAt(SlowStartSettings coldStart, long ageUs) {
         return ageUs >= coldStart.warmUpDurationUs()
                 ? 1
--- a/src/test/java/cresschute/cli/CommandsTest.java
+++ b/src/test/java/cresschute/cli/CommandsTest.java
@@ -53,7 +53,7 @@
                     demo --workers many         | Invalid value for option '--workers': 'many' is not an int; try 'cresschute demo --help'
                     demo --rate 0               | --rate: 0.0 is out of range; allowed: above 0, up to 2000; try 'cresschute demo --help'
                     demo --rate NaN             | --rate: NaN is out of range; allowed: above 0, up to 2000; try 'cresschute demo --help'
-                    demo --for 5                | --for: '5' is no duration; allowed: a number and ms, s or m, such as 500ms; try 'cresschute demo --help'
+                    demo --for 5                | --for: '5' is not a duration; expected: a number and ms, s or m, such as 500ms; try 'cresschute demo --help'
                     demo --for 0s               | --for: '0s' is out of range; allowed: up to 60m; try 'cresschute demo --help'
                     demo --trouble slow:w9@1s   | --trouble: no worker is called 'w9'; there are w1 to w8; try 'cresschute demo --help'
                     lab capacity --workers -3   | --workers: -3 is out of range; allowed: 1 to 10000; try 'cresschute lab capacity --help'
--- a/src/test/java/cresschute/testbed/InjectedFaultTest.java
+++ b/src/test/java/cresschute/testbed/InjectedFaultTest.java
@@ -34,12 +34,12 @@
             delimiter = '|',
             textBlock =
                     """
-                    slow        | 'slow' is no trouble; allowed: KIND[:WORKER][xFACTOR]@START[+DURATION], such as slow@5s or silent:w2@500ms+3s
-                    @5s         | '@5s' is no trouble; allowed: KIND[:WORKER][xFACTOR]@START[+DURATION], such as slow@5s or silent:w2@500ms+3s
-                    slwo@5s     | no trouble is called 'slwo'; there are slow, silent, reset, garbage, late, crash, drain, burst, tail, director
-                    slow@5      | '5' is no duration; allowed: a number and ms, s or m, such as 500ms
-                    slow@-5s    | '-5s' is no duration; allowed: a number and ms, s or m, such as 500ms
-                    burst:w1@5s | burst befalls no worker; leave out ':w1'
+                    slow        | 'slow' is not a valid trouble; expected: KIND[:WORKER][xFACTOR]@START[+DURATION], such as slow@5s or silent:w2@500ms+3s
+                    @5s         | '@5s' is not a valid trouble; expected: KIND[:WORKER][xFACTOR]@START[+DURATION], such as slow@5s or silent:w2@500ms+3s
+                    slwo@5s     | unknown trouble 'slwo'; expected one of: slow, silent, reset, garbage, late, crash, drain, burst, tail, director
+                    slow@5      | '5' is not a duration; expected: a number and ms, s or m, such as 500ms
+                    slow@-5s    | '-5s' is not a duration; expected: a number and ms, s or m, such as 500ms
+                    burst:w1@5s | burst does not apply to a worker; remove ':w1'
                     """)
     void rejectsInvalidFaults(String text, String message) {
         assertThatThrownBy(() -> InjectedFault.parse(text)).hasMessage(message);
--- a/src/test/java/cresschute/testbed/RuleCheckerTest.java
+++ b/src/test/java/cresschute/testbed/RuleCheckerTest.java
@@ -101,12 +101,12 @@
         assertThat(breaches())
                 .containsExactly(
                         "ONE_ANSWER: a second answer to a",
-                        "ONE_ANSWER: an answer to x, which nobody sent",
+                        "ONE_ANSWER: an answer to x, which no client sent",
                         "ONE_ANSWER: the connection of b ended without an answer",
                         "ONE_ANSWER: no answer to c",
-                        "ONE_ANSWER: an answer where none was owed: d",
-                        "ONE_ANSWER: e was served with what no worker made",
-                        "ONE_ANSWER: f was served with what no worker made");
+                        "ONE_ANSWER: an unexpected answer: d",
+                        "ONE_ANSWER: e was served with a result that no worker produced",
+                        "ONE_ANSWER: f was served with a result that no worker produced");
     }
 
     @Test
@@ -136,7 +136,7 @@
                 .containsExactly(
                         "NO_EFFECT_TWICE: b was sent 4 times; 3 are allowed",
                         "NO_EFFECT_TWICE: c was sent to cell 0 and again to cell 1",
-                        "NO_EFFECT_TWICE: d was sent again after its window",
+                        "NO_EFFECT_TWICE: d was sent again after its deduplication window",
                         "NO_EFFECT_TWICE: f is unsafe to repeat and was sent again",
                         "NO_EFFECT_TWICE: workers were sent g, which no client sent");
     }
@@ -174,7 +174,8 @@
         received(S + 451_000, "w1", 0, "c");
         assertThat(breaches())
                 .containsExactly(
-                        "DRAINS_KEPT: w1 was sent c 451 ms after the list told that it leaves");
+                        "DRAINS_KEPT: w1 was sent c 451 ms after the endpoint list reported its"
+                            + " drain");
         seen.add(seen.size() - 1, new WorkerListed(S + 450_500, "w1", "SERVING", 0));
         assertThat(breaches()).isEmpty();
     }
@@ -215,7 +216,7 @@
         received(11 * S, "w1", 0, "b");
         assertThat(breaches()).isEmpty();
         seen.add(new WorkerOverloaded(12 * S, "w1"));
-        assertThat(breaches()).containsExactly("COLD_STARTS_KEPT: w1 fell over");
+        assertThat(breaches()).containsExactly("COLD_STARTS_KEPT: w1 crashed from overload");
     }
 
     /** A node that was not told of a start cannot spare the worker. */
