--- a/src/main/java/cresschute/testbed/DiscoveryStandIn.java
+++ b/src/main/java/cresschute/testbed/DiscoveryStandIn.java
@@ -24,9 +24,9 @@
 import java.util.function.Supplier;
 
 /**
- * The service that names the workers: the whole list, and watches that wait for changes. What
- * happens to a worker is reported as late as it is set to; it can be down, and its connections
- * reset. All on one loop.
+ * A stand-in for discovery: it serves the full endpoint list and watches that wait for changes.
+ * Changes are reported with a configurable delay. It can be down, with its connections reset.
+ * Everything runs on one event loop.
  */
 public final class DiscoveryStandIn {
 
@@ -34,7 +34,7 @@
     private static final int MAX_BODY_BYTES = 4096;
     private static final long MAX_WAIT_MS = 60_000;
 
-    /** How many changes are kept; a watch from before them gets the whole list. */
+    /** The number of changes kept; a watch from before them gets the full list. */
     private static final int MAX_CHANGES = 10_000;
 
     private record Entry(
@@ -81,9 +81,9 @@
     }
 
     /**
-     * One that does not listen yet.
+     * Creates a stand-in that does not listen yet.
      *
-     * @param first makes the handler next to the socket of each connection, or null for none
+     * @param first creates the handler next to the socket of each connection, or null for none
      */
     public DiscoveryStandIn(EventLoop loop, Recorder recorder, Supplier<ChannelHandler> first) {
         this.loop = loop;
@@ -103,34 +103,39 @@
                         });
     }
 
-    /** Listens on a free port of the loopback address; blocks, so not on the loop. */
+    /**
+     * Listens on a free port of the loopback address. Blocks; must not be called on the event loop.
+     */
     InetSocketAddress start() {
         return server.listen();
     }
 
-    /** Listens on a free port of this address; blocks, so not on the loop. */
+    /** Listens on a free port of this address. Blocks; must not be called on the event loop. */
     public InetSocketAddress start(InetAddress at) {
         return server.listen(at);
     }
 
-    /** Calls so far. On the loop. */
+    /** The number of calls so far. Must be called on the event loop. */
     public long calls() {
         return calls;
     }
 
-    /** Watches that wait for a change now. On the loop. */
+    /** The number of watches that wait for a change. Must be called on the event loop. */
     public int watching() {
         return watches.size();
     }
 
-    // ---- What happens; all on the loop ----
+    // ---- Changes; all methods run on the event loop ----
 
-    /** Changes are reported so much later than they happen. */
+    /** Delays the report of changes by this time, us. */
     void setReportDelay(long us) {
         reportDelayUs = us;
     }
 
-    /** Whether it is down: open connections are reset, and new calls answered 503. */
+    /**
+     * Sets whether discovery is down. Going down resets open connections; new calls are answered
+     * with 503.
+     */
     void setDown(boolean now) {
         down = now;
         if (now) {
@@ -140,14 +145,14 @@
     }
 
     /**
-     * A worker's state, as {@code SERVING}, {@code DRAINING} or {@code DELETED}; told when it is
-     * due.
+     * Sets the state of a worker to {@code SERVING}, {@code DRAINING} or {@code DELETED}; it is
+     * reported after the configured delay.
      */
     void setState(WorkerStandIn worker, String state, long startedMs) {
         setState(worker.spec(), worker.address(), state, startedMs);
     }
 
-    /** The same of a worker that is nowhere but on the list. */
+    /** Sets the state of a worker that exists only on the endpoint list. */
     public void setState(
             WorkerStandIn.Spec spec, InetSocketAddress address, String state, long startedMs) {
         final Entry entry =
@@ -163,8 +168,7 @@
     }
 
     /**
-     * As after its own restart: it knows no changes, and each watch is answered with the whole
-     * list.
+     * Forgets the changes, as a restart does; each waiting watch is answered with the full list.
      */
     void forgetChanges() {
         changes.clear();
@@ -299,7 +303,7 @@
         ctx.writeAndFlush(LoopbackServer.answer(status, body));
     }
 
-    /** Closes the listener and all connections. On the loop. */
+    /** Closes the listener and all connections. Must be called on the event loop. */
     public void close() {
         server.close();
     }
--- a/src/main/java/cresschute/testbed/LargeFleet.java
+++ b/src/main/java/cresschute/testbed/LargeFleet.java
@@ -18,9 +18,8 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * A node that is notified of very many workers, by a discovery service whose list does not rest:
- * for what consoles cost at that size. Nobody sends jobs, so that none of the workers need be
- * there.
+ * A node with very many workers and a discovery service whose list changes continuously, to measure
+ * the cost of consoles at that size. No jobs are sent, so that the workers need not exist.
  */
 public final class LargeFleet implements AutoCloseable {
 
--- a/src/main/java/cresschute/testbed/LoadClients.java
+++ b/src/main/java/cresschute/testbed/LoadClients.java
@@ -44,13 +44,14 @@
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 
 /**
- * Clients of a node. Jobs come in an open loop, whether earlier ones are answered or not. Clients
- * keep their connections, send one request at a time on each, try again after a refusal up to two
- * times as it advises, and after a failure where a repeat is safe. All of it happens on one loop.
+ * Load-generating clients of a node. Jobs arrive in an open loop, independent of earlier responses.
+ * Clients keep their connections and send one request at a time on each. They retry a rejected
+ * request up to two times, after the advised delay, and a failed request if a repeat is safe.
+ * Everything runs on one event loop.
  */
 public final class LoadClients {
 
-    /** The status of an answer that serves. */
+    /** The status of a successful response. */
     public static final int OK = 200;
 
     private static final int REFUSED = 503;
@@ -59,8 +60,8 @@
     private static final int MAX_ANSWER_BYTES = 1 << 20;
 
     /**
-     * How long after its deadline a request is still listened for: an answer so late is late, but
-     * it is one.
+     * How long to wait for a response after the deadline, us; a response in that time is late, but
+     * is not missing.
      */
     private static final long LATE_ANSWER_WAIT_US = 2_000_000;
 
@@ -86,7 +87,7 @@
     private double tail = 1;
     private int lastOrigin;
 
-    /** Clients that send nothing yet. */
+    /** Creates clients that send nothing yet. */
     public LoadClients(
             EventLoop loop,
             Recorder recorder,
@@ -98,7 +99,7 @@
         this.random = random;
         this.classes = classes;
         this.ratePerS = ratePerS;
-        // A mean of 1: work varies by about half, as jobs of one class do.
+        // Mean 1: the work of jobs of one class varies by about half.
         this.workFactor =
                 LogNormalSampler.of(
                         ZigguratSampler.NormalizedGaussian.of(random),
@@ -109,15 +110,15 @@
 
     // ---- Arrivals ----
 
-    /** Begins to send to a node. On the loop. */
+    /** Starts sending to a node. Must be called on the event loop. */
     void start(SocketAddress to) {
         connectTo(List.of(to));
         scheduleNextArrival();
     }
 
     /**
-     * From now on what is submitted goes to these, drawn evenly; nothing arrives by itself. On the
-     * loop.
+     * Sends submitted requests to these nodes, drawn evenly, from now on; no jobs arrive by
+     * themselves. Must be called on the event loop.
      */
     public void connectTo(List<SocketAddress> to) {
         nodes = List.copyOf(to);
@@ -125,37 +126,39 @@
     }
 
     /**
-     * Sends one request now. On the loop.
+     * Sends one request now. Must be called on the event loop.
      *
-     * @param origin names the request in all its retries
-     * @param tenant the customer, or null where there are none
+     * @param origin the id that the request keeps in all its retries
+     * @param tenant the tenant, or null if there are none
      */
     public void submit(JobClass jobClass, String origin, long workUs, String tenant) {
         final String key = jobClass.effect() == Idempotency.KEYED ? "key-" + origin : null;
         new ClientAttempt(jobClass, origin, origin, key, workUs, 1, 1, tenant).send();
     }
 
-    /** Connections opened so far. On the loop. */
+    /** The number of connections opened so far. Must be called on the event loop. */
     public long connects() {
         return connects;
     }
 
-    /** Requests written so far, retries included. On the loop. */
+    /**
+     * The number of requests written so far, including retries. Must be called on the event loop.
+     */
     public long sent() {
         return sent;
     }
 
-    /** No new jobs come; those under way go on. On the loop. */
+    /** Stops the arrival of jobs; requests in flight continue. Must be called on the event loop. */
     public void stopArriving() {
         arriving = false;
     }
 
-    /** So many times the usual come from now on. */
+    /** Multiplies the arrival rate by this factor from now on. */
     void setBurstFactor(double factor) {
         burst = factor;
     }
 
-    /** One job in fifty takes so many times the usual work from now on. */
+    /** Multiplies the work of one job in fifty by this factor from now on. */
     void setTailFactor(double factor) {
         tail = factor;
     }
@@ -195,12 +198,12 @@
         return classes.get(classes.size() - 1);
     }
 
-    /** Tries that wait for an answer. */
+    /** The number of attempts that wait for a response. */
     public int waiting() {
         return open.size();
     }
 
-    /** Ends all at once: what still waits is unfinished. On the loop. */
+    /** Ends all waiting attempts as unfinished. Must be called on the event loop. */
     public void abandon() {
         arriving = false;
         for (final ClientAttempt each : new ArrayList<>(open)) {
@@ -210,9 +213,9 @@
         new ArrayList<>(connections).forEach(connection -> connection.channel.close());
     }
 
-    // ---- Tries ----
+    // ---- Client attempts ----
 
-    /** One try of a job. */
+    /** One attempt of a client to get a job done. */
     private final class ClientAttempt {
         private final JobClass jobClass;
         private final String origin;
@@ -275,8 +278,8 @@
                                     connected -> {
                                         if (!connected.isSuccess()) {
                                             open.remove(this);
-                                            // Nothing was sent: the node is not there, and another
-                                            // try does no harm.
+                                            // The connection failed and nothing was sent, so a
+                                            // retry is safe.
                                             retry(0);
                                         } else if (open.contains(this)) {
                                             connected
@@ -311,7 +314,7 @@
                             TimeUnit.MICROSECONDS);
         }
 
-        /** Whether it was open until now. */
+        /** Ends the attempt and returns whether it was open until now. */
         boolean close() {
             if (unanswered != null) {
                 unanswered.cancel(false);
@@ -402,7 +405,7 @@
         }
     }
 
-    /** A connection to the node; one try at a time. */
+    /** A connection to the node; it carries one attempt at a time. */
     private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
 
         private final Channel channel;
@@ -434,7 +437,8 @@
                 recorder.add(new UnexpectedAnswer(recorder.nowUs(), "a connection without a req"));
                 return;
             }
-            // Kept before the answer is acted on, so that a try that follows at once may use it.
+            // Returned to the idle connections before the response is processed, so that an
+            // immediate retry can use it.
             if (HttpUtil.isKeepAlive(response)) {
                 idle.get(node).addLast(this);
             } else {
--- a/src/main/java/cresschute/testbed/SmallRequests.java
+++ b/src/main/java/cresschute/testbed/SmallRequests.java
@@ -35,9 +35,10 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Very many small requests and workers that answer at once, for what a node itself costs a request.
- * Requests are due at even times and counted from these, whether or not a connection was free: a
- * node that stands still is seen in all requests that were due meanwhile.
+ * Sends many small requests to workers that answer immediately, to measure the cost of a request in
+ * the node itself. Requests are due at a constant rate, and latency is measured from the due time
+ * even if no connection was free, so that a stalled node shows in all requests that were due
+ * meanwhile.
  */
 public final class SmallRequests implements AutoCloseable {
 
@@ -46,7 +47,7 @@
     private static final long STEP_US = 1_000;
     private static final long MAX_US = 60_000_000;
 
-    /** How much longer than planned a step of a run may take, ms. */
+    /** The maximum time that a step may take beyond its planned duration, ms. */
     private static final long MAX_EXTRA_MS = 120_000;
 
     private final EventLoopGroup group =
@@ -61,7 +62,7 @@
     private long notServed;
     private long lastId;
 
-    /** Starts so many workers and returns where they listen. */
+    /** Starts this many workers and returns their addresses. */
     public List<InetSocketAddress> startWorkers(int count) {
         final List<InetSocketAddress> addresses = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -98,7 +99,7 @@
         }
     }
 
-    /** Connects so many clients. */
+    /** Connects this many clients. */
     public void connect(SocketAddress node, int count) {
         for (int i = 0; i < count; i++) {
             final Client client = new Client();
@@ -130,8 +131,8 @@
     }
 
     /**
-     * Sends requests for a while and returns, once the last is answered, the times of those served,
-     * us.
+     * Sends requests for a while. Returns the latencies of the served requests, us, when the last
+     * has been answered.
      */
     public Histogram run(int requestsPerS, long forMs) throws InterruptedException {
         final CompletableFuture<Void> done = new CompletableFuture<>();
@@ -172,7 +173,7 @@
         }
     }
 
-    /** Requests of the last run that were refused, or failed. */
+    /** The number of requests of the last run that were rejected or failed. */
     public long notServed() {
         return CompletableFuture.supplyAsync(() -> notServed, clients)
                 .orTimeout(MAX_EXTRA_MS, TimeUnit.MILLISECONDS)
@@ -212,8 +213,8 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            // A request that was out there is never answered: it is seen as a run that does not
-            // end.
+            // The request in flight stays unanswered, so that the run does not complete and the
+            // fault is seen.
             ctx.close();
         }
     }
--- a/src/main/java/cresschute/testbed/WorkerStandIn.java
+++ b/src/main/java/cresschute/testbed/WorkerStandIn.java
@@ -40,10 +40,10 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * A worker as the protocol has it: slots, a queue in order of arrival, lines that report start,
- * progress and end, load reports, keys that its cell drops, a cold start under which it falls over
- * if it is sent too much. How long a job takes is stated in its body, {@code {"work_us":...,
- * "slots":...}}. It has scripted faults, and all of it happens on one loop.
+ * A worker as the protocol defines it: slots, a FIFO queue, response lines that report start,
+ * progress and end, load reports, idempotency keys shared with its cell, and a cold start during
+ * which it crashes if it is sent too much. The body of a job states how long it takes, {@code
+ * {"work_us":..., "slots":...}}. Faults are scripted. Everything runs on one event loop.
  */
 public final class WorkerStandIn {
 
@@ -55,7 +55,7 @@
     private static final long LISTEN_AGAIN_MS = 20;
     private static final int MAX_WAITING_PER_SLOT = 8;
 
-    /** What a worker is. */
+    /** The fixed properties of a worker. */
     public record Spec(String id, int cell, String zone, String kind, int slots, double speed) {
 
         double capacity() {
@@ -83,7 +83,7 @@
     private long bootedUs = Long.MIN_VALUE / 2;
     private boolean dead;
 
-    /** Told apart from what was planned before a crash. */
+    /** The number of the current process; events scheduled before a crash are ignored. */
     private int processNumber;
 
     private record Report(long us, double freeSlots, int queue) {}
@@ -121,19 +121,22 @@
         return keys;
     }
 
-    /** Where it listens; the same after a crash. */
+    /** The listening address; it stays the same after a crash. */
     InetSocketAddress address() {
         return address;
     }
 
-    /** Listens on a free port of the loopback address, warm; blocks, so not on the loop. */
+    /**
+     * Listens on a free port of the loopback address, warm. Blocks; must not be called on the event
+     * loop.
+     */
     void start() {
-        // Before it listens: the first request may ask for a report.
+        // Creates a report before listening, because the first request may ask for it.
         loop.submit(this::report).syncUninterruptibly();
         address = server.listen();
     }
 
-    // ---- Faults; all on the loop ----
+    // ---- Faults; all methods run on the event loop ----
 
     void setSlowdown(double factor) {
         changeSpeed(() -> slowdown = factor);
@@ -155,7 +158,7 @@
         reportDelayUs = delayUs;
     }
 
-    /** The process dies: its connections are reset, new ones refused, its jobs lost. */
+    /** Crashes the process: resets its connections, refuses new ones and loses its jobs. */
     void crash() {
         dead = true;
         processNumber++;
@@ -168,7 +171,7 @@
         lost.forEach(Job::lose);
     }
 
-    /** The process is there again, cold, at the same address. Completes when it listens. */
+    /** Restarts the process, cold, at the same address. May return before it listens. */
     void boot() {
         if (!dead) {
             return;
@@ -184,8 +187,8 @@
     }
 
     /**
-     * Tried until it works: a listener's port is free only once the loop has looked at its sockets
-     * again.
+     * Listens again, with retries until it works: the port is free only after the event loop has
+     * processed its sockets once more.
      */
     private void listenAgain() {
         final int now = processNumber;
@@ -204,7 +207,7 @@
                                 });
     }
 
-    /** While it warms, what runs gets faster step by step. */
+    /** Raises the speed of running jobs step by step during the warm-up. */
     private void scheduleWarmUpStep() {
         final int now = processNumber;
         if (recorder.nowUs() - bootedUs < coldStart.warmUpDurationUs()) {
@@ -228,7 +231,7 @@
 
     // ---- Jobs ----
 
-    /** How fast a slot runs now, where 1 is the yardstick. */
+    /** The current speed of a slot; 1 is the reference speed. */
     private double speed() {
         return silent
                 ? 0
@@ -237,7 +240,7 @@
                         * RuleChecker.capacityFractionAt(coldStart, recorder.nowUs() - bootedUs);
     }
 
-    /** Changes the speed of what runs: what is done so far was done at the old one. */
+    /** Changes the speed of running jobs; work done so far is accounted for at the old speed. */
     private void changeSpeed(Runnable change) {
         running.forEach(Job::updateRemaining);
         change.run();
@@ -249,7 +252,7 @@
         return spec.slots() - running.stream().mapToDouble(job -> job.slots).sum();
     }
 
-    /** The first one waits until it fits, and all others behind it. */
+    /** Starts waiting jobs in order; a job that does not fit blocks those behind it. */
     private void startWaiting() {
         while (!silent && !waiting.isEmpty() && waiting.peek().slots <= freeSlots()) {
             final Job job = waiting.poll();
@@ -275,7 +278,7 @@
                 TimeUnit.MICROSECONDS);
     }
 
-    /** The report that it tells now: the newest that is old enough. */
+    /** Returns the report to send now: the newest that is old enough. */
     private Report reported() {
         Report reported = reports.peekFirst();
         for (final Report each : reports) {
@@ -292,7 +295,7 @@
         return load;
     }
 
-    /** One request that was sent to it. */
+    /** A request that was sent to this worker. */
     private final class Job {
         private final String id;
         private final String key;
@@ -317,7 +320,7 @@
             this.leftUs = workUs;
         }
 
-        /** Says that it is taken; a silent worker does so once it speaks again. */
+        /** Writes the response head; a silent worker does so after its fault has ended. */
         void writeHead() {
             if (!silent && !headWritten) {
                 headWritten = true;
@@ -336,7 +339,7 @@
             scheduleProgress();
         }
 
-        /** Progress is reported while it runs, and not while the worker is silent. */
+        /** Schedules the next progress line. No line is written while the worker is silent. */
         private void scheduleProgress() {
             progress =
                     loop.schedule(
@@ -394,7 +397,10 @@
             }
         }
 
-        /** The result of another run under the same key. */
+        /**
+         * Completes with the result of another run under the same key; a null result means that the
+         * run was lost.
+         */
         void completeAsDuplicate(String result) {
             if (result == null) {
                 writeLine("lost", null, null);
@@ -432,7 +438,7 @@
 
     // ---- Requests ----
 
-    /** Notes when the first byte of each request came. */
+    /** Records when the first byte of each request arrived. */
     private static final class FirstByteRecorder extends ChannelInboundHandlerAdapter {
         private long us;
 
@@ -490,7 +496,7 @@
                 workUs = Math.max(1, (long) Json.number(body, "work_us", DEFAULT_WORK_US));
                 slots = Math.max(1, Math.min(spec.slots(), Json.number(body, "slots", 1)));
             } catch (JsonParseException e) {
-                // Other clients' bodies are their own matter: such a job takes the usual time.
+                // Bodies of other clients need not be JSON; such a job takes the default time.
                 workUs = DEFAULT_WORK_US;
             }
             final AttemptReceived send =
@@ -536,7 +542,10 @@
             }
         }
 
-        /** Whether it falls over by this: it was sent more than it can take while it is cold. */
+        /**
+         * Records an attempt and crashes the worker if it was sent more than a cold worker
+         * tolerates. Returns whether it crashed.
+         */
         private boolean overloads(AttemptReceived send) {
             final long age = send.us() - bootedUs;
             if (age >= coldStart.warmUpDurationUs()) {
--- a/src/main/java/cresschute/testbed/bodies/BodiesSite.java
+++ b/src/main/java/cresschute/testbed/bodies/BodiesSite.java
@@ -11,14 +11,17 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * A site for long bodies: workers that take and make them, and the settings of a node before them.
+ * A site for long bodies: workers that receive and produce them, and the settings of a node in
+ * front of them.
  */
 final class BodiesSite implements AutoCloseable {
 
-    /** What all long bodies and results may hold at a time, bytes; docs and charts state it. */
+    /**
+     * The buffer budget of all long bodies and results together, bytes; docs and charts state it.
+     */
     static final long BUDGET = 32L << 20;
 
-    /** What one of them owns, bytes. */
+    /** The buffer window of each long body or result, bytes. */
     static final long WINDOW = 128L << 10;
 
     private final List<BodyWorker> workers = new ArrayList<>();
@@ -35,7 +38,7 @@
         return workers.get(0).address();
     }
 
-    /** Writes the node's settings; small requests have workers of their own. */
+    /** Writes the settings of the node; small requests have separate workers. */
     void writeSettings(Path script, List<InetSocketAddress> forSmall) throws IOException {
         final StringBuilder site =
                 new StringBuilder(
@@ -75,7 +78,8 @@
     }
 
     /**
-     * Jobs that ran more than once, and bodies that came to a worker with a byte that was another.
+     * Returns the violations: jobs that ran more than once, and bodies that arrived with a wrong
+     * byte.
      */
     List<String> violations() {
         final List<String> violations = new ArrayList<>();
@@ -86,12 +90,12 @@
                     }
                 });
         if (corruptedBodies.sum() > 0) {
-            violations.add(corruptedBodies.sum() + " bodies came changed");
+            violations.add(corruptedBodies.sum() + " bodies arrived with a wrong byte");
         }
         return violations;
     }
 
-    /** Whether this job's body came whole to a worker. */
+    /** Returns whether the complete body of this job arrived at a worker. */
     boolean ran(String id) {
         return runs.containsKey(id);
     }
--- a/src/main/java/cresschute/testbed/bodies/BodiesTrial.java
+++ b/src/main/java/cresschute/testbed/bodies/BodiesTrial.java
@@ -18,9 +18,9 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Long bodies through a node in a process of its own: at unlike speeds, beside small requests, and
- * what is held for each that is open. Every byte is checked where it arrives. Blocks until all of
- * it is played.
+ * Runs long bodies through a node in a separate process: at different speeds, beside small
+ * requests, and with the memory held per open request. Every byte is checked where it arrives.
+ * Blocks until everything has run.
  */
 public final class BodiesTrial {
 
@@ -31,7 +31,7 @@
     private static final long MODEM_BYTES_PER_S = 7_000;
     private static final int SETTLE_MS = 1_500;
 
-    /** The longest that one transfer may take, s. */
+    /** The maximum duration of one transfer, s. */
     private static final long MAX_TRANSFER_S = 900;
 
     private static final double MB = 1e6;
@@ -39,12 +39,12 @@
             List.of("-XX:+UseSerialGC", "-Xms24m", "-Xmx64m", "-XX:MaxDirectMemorySize=96m");
 
     /**
-     * How much is played.
+     * The size of the experiment.
      *
-     * @param bytes of each long body where nobody is slow
-     * @param rounds of each pair of speeds
-     * @param slow bodies that are open beside small requests
-     * @param seconds that slow ones, and small requests beside them, go on
+     * @param bytes length of each long body when no peer is slow
+     * @param rounds runs of each pair of speeds
+     * @param slow number of bodies open beside small requests
+     * @param seconds duration of slow bodies and of the small requests beside them
      */
     public record Size(long bytes, int rounds, int slow, int seconds) {}
 
@@ -55,14 +55,14 @@
     private final AtomicLong lastId = new AtomicLong();
     private final List<String> failures = new CopyOnWriteArrayList<>();
 
-    /** Rows go to {@code out} as they are known. */
+    /** Creates an experiment that writes result rows to {@code out} as they become known. */
     public BodiesTrial(Size size, PrintWriter out) {
         this.size = size;
         this.out = out;
     }
 
     /**
-     * Plays it and returns what must not be; {@code chart} is drawn from the samples of all of it.
+     * Runs the experiment and returns the failures; {@code chart} is drawn from all memory samples.
      */
     public List<String> run(Path folder, Path chart) throws IOException, InterruptedException {
         final Path script = folder.resolve("bodies.star");
@@ -126,7 +126,7 @@
         return result;
     }
 
-    // ---- Unlike speeds ----
+    // ---- Different speeds ----
 
     private void measureThroughput(
             InetSocketAddress node, InetSocketAddress plain, MemorySampler memory) {
@@ -180,7 +180,9 @@
                 sorted.get(sorted.size() - 1));
     }
 
-    /** A client at modem speed while a worker would send all of it at once. */
+    /**
+     * Measures a client that reads at modem speed while the worker would send everything at once.
+     */
     private void measureSlowReader(InetSocketAddress node, MemorySampler memory) {
         final double since = memory.elapsedS();
         final BodyClient.Result result =
@@ -208,7 +210,7 @@
                     + " | node's CPU, %% of a core | most direct, MB |\n"
                     + "| --- | --- | --- | --- | --- | --- | --- | --- |",
                 SMALL_PER_S, size.seconds());
-        // Not earlier: connections that bring nothing at first are closed.
+        // Connects only now, because the node closes connections that send nothing at first.
         small.connect(node.address(), SMALL_CLIENTS);
         small.run(SMALL_PER_S, SETTLE_MS);
         for (int round = 0; round < size.rounds(); round++) {
@@ -240,7 +242,7 @@
                 memory.maxSince(since).direct() / MB);
     }
 
-    /** Bodies and results, half of each, that flow slowly until they are asked to leave. */
+    /** Slow bodies and results, half of each, until they end. */
     private final class SlowTransfers {
         private static final long RATE = 20_000;
         private final List<CompletableFuture<BodyClient.Result>> all = new ArrayList<>();
@@ -259,7 +261,7 @@
             Thread.sleep(SETTLE_MS);
         }
 
-        /** Those that were not rejected. */
+        /** The number of transfers that were not rejected and still run. */
         long flowing() {
             return wanted - all.stream().filter(CompletableFuture::isDone).count();
         }
@@ -277,7 +279,7 @@
                 failures.add(
                         "of "
                                 + wanted
-                                + " slow ones "
+                                + " slow transfers "
                                 + served
                                 + " were served and "
                                 + refused
@@ -286,7 +288,7 @@
         }
     }
 
-    // ---- What an open request holds ----
+    // ---- Memory per open request ----
 
     private void measureHeldMemory(NodeProcess node) throws IOException, InterruptedException {
         row(
--- a/src/main/java/cresschute/testbed/bodies/BodyClient.java
+++ b/src/main/java/cresschute/testbed/bodies/BodyClient.java
@@ -6,7 +6,7 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A client that sends one long body, or reads one long result, each at a speed of its own. One
+ * A client that sends one long body or reads one long result, each at its own speed. Uses one
  * thread.
  */
 final class BodyClient {
@@ -15,14 +15,15 @@
     private static final int SMALL_WINDOW = 64 * 1024;
 
     /**
-     * What it does.
+     * The transfer to perform.
      *
-     * @param target the job's path, which tells the worker what to do
-     * @param upload bytes of the body
-     * @param down its speed of reading, {@code up} that of sending
-     * @param leaveAfter bytes of the result after which it closes, or -1
-     * @param ownLines whether the worker's own lines come before a result, as they do without a
-     *     node between
+     * @param target the path of the job, which tells the worker what to do
+     * @param upload length of the body, bytes
+     * @param up profile of sending
+     * @param down profile of reading
+     * @param leaveAfter bytes of the result after which the client closes the connection, or -1
+     * @param ownLines whether the lines of the worker precede the result, as without a node in
+     *     between
      */
     record Plan(
             InetSocketAddress to,
@@ -36,11 +37,11 @@
             boolean ownLines) {}
 
     /**
-     * What came of it.
+     * The result of a transfer.
      *
-     * @param status the answer's, or 0 where none came
-     * @param complete whether its body ended as it should, and each byte was the right one
-     * @param bytes bytes of the body that went up, or of the result that came down
+     * @param status the status of the response, or 0 if none arrived
+     * @param complete whether the body of the response ended as expected and each byte was correct
+     * @param bytes bytes of the body sent or of the result received
      */
     record Result(int status, boolean complete, long bytes, long ns, String text) {}
 
@@ -55,8 +56,8 @@
         boolean complete = false;
         try (Socket socket = new Socket()) {
             if (plan.down().bytesPerS() > 0) {
-                // The kernel's room for what is not read yet counts as the line's, so it is kept
-                // small.
+                // Received bytes that wait in the kernel's buffer count as transferred, so the
+                // buffer is kept small.
                 socket.setReceiveBufferSize(SMALL_WINDOW);
             }
             socket.connect(plan.to());
@@ -70,7 +71,7 @@
                 complete = read(plan, body, status, expected, text);
             }
         } catch (IOException e) {
-            // The returned count says how far it came.
+            // The returned count shows how far the transfer came.
             text.append(e.getMessage());
         }
         return new Result(
@@ -105,7 +106,7 @@
             }
             connection.write(plan.chunked() ? "0\r\n\r\n" : "");
         } catch (IOException e) {
-            // Closed by the node: its answer may still be there to be read.
+            // The node closed the connection; its response may still be readable.
             return made.count();
         }
         return made.count();
--- a/src/main/java/cresschute/testbed/bodies/BodyWorker.java
+++ b/src/main/java/cresschute/testbed/bodies/BodyWorker.java
@@ -13,10 +13,10 @@
 import java.util.regex.Pattern;
 
 /**
- * Workers that take and make long bodies. What one does is stated by the job's path: {@code in} and
- * {@code out} are its speeds in bytes a second, {@code result} the bytes that it makes, {@code
- * reset} and {@code stall} the byte of the body, or of the result, at which it breaks or stands
- * still. One thread a connection.
+ * Workers that receive and produce long bodies. The path of a job controls the worker: {@code in}
+ * and {@code out} are its speeds in bytes per second, {@code result} is the length of the result,
+ * and {@code reset} and {@code stall} are the byte of the body, or of the result, at which the
+ * connection is reset or the transfer stalls. Uses one thread per connection.
  */
 public final class BodyWorker implements AutoCloseable {
 
@@ -32,8 +32,8 @@
     /**
      * Listens on a free port of the loopback address.
      *
-     * @param runs counts here how often each job has run: its body came whole
-     * @param corruptedBodies counts here bodies of which a byte was another
+     * @param runs counts how often each job has run, that is, its complete body has arrived
+     * @param corruptedBodies counts bodies with a wrong byte
      */
     public BodyWorker(Map<String, LongAdder> runs, LongAdder corruptedBodies) throws IOException {
         this.runs = runs;
@@ -48,7 +48,7 @@
         thread.start();
     }
 
-    /** Where it listens. */
+    /** The listening address. */
     public InetSocketAddress address() {
         return (InetSocketAddress) server.getLocalSocketAddress();
     }
@@ -59,7 +59,7 @@
                 final Socket socket = server.accept();
                 daemon(() -> serve(socket));
             } catch (IOException e) {
-                // Closed: there is nothing more to accept.
+                // The listener is closed.
                 return;
             }
         }
@@ -76,9 +76,8 @@
                 serve(paced, first);
             }
         } catch (IOException e) {
-            // The node has closed it, or it broke as it was asked to: the other side's account is
-            // the
-            // one told.
+            // The node closed the connection, or it broke as requested; the other side reports the
+            // error.
             return;
         } finally {
             if (connection != null) {
--- a/src/main/java/cresschute/testbed/bodies/HttpBody.java
+++ b/src/main/java/cresschute/testbed/bodies/HttpBody.java
@@ -3,7 +3,10 @@
 import java.io.IOException;
 import java.util.Map;
 
-/** The body behind a head: of a stated length, in chunks, or to the connection's end. */
+/**
+ * The body of an HTTP message: of a given length, chunked, or delimited by the end of the
+ * connection.
+ */
 final class HttpBody {
 
     private static final int HEX = 16;
@@ -15,7 +18,10 @@
     private long left;
     private boolean ended;
 
-    /** The body of a message that may have one; without a length and chunks it goes to the end. */
+    /**
+     * Creates the body of a message; without a length and chunks it extends to the end of the
+     * connection.
+     */
     HttpBody(PacedSocket connection, Map<String, String> headers) {
         this.connection = connection;
         chunked = "chunked".equalsIgnoreCase(headers.get("transfer-encoding"));
@@ -24,12 +30,16 @@
         left = chunked ? 0 : toTheEnd ? Long.MAX_VALUE : length;
     }
 
-    /** Whether it is the text that short jobs send. */
+    /** Returns whether the body is empty, as that of short jobs. */
     boolean isSmall() {
         return length == 0;
     }
 
-    /** The next bytes of it, or -1 after its last; one that ends early is an exception. */
+    /**
+     * Reads the next bytes; returns -1 after the last.
+     *
+     * @throws IOException if the body ends early
+     */
     int read(byte[] into) throws IOException {
         if (chunked && left == 0 && !ended) {
             left = Long.parseLong(connection.readLine().split(";")[0].strip(), HEX);
@@ -47,7 +57,7 @@
                 ended = true;
                 return -1;
             }
-            throw new IOException("ended " + left + " bytes early");
+            throw new IOException("body ended " + left + " bytes early");
         }
         left -= toTheEnd ? 0 : count;
         if (chunked && left == 0) {
--- a/src/main/java/cresschute/testbed/bodies/MemorySampler.java
+++ b/src/main/java/cresschute/testbed/bodies/MemorySampler.java
@@ -13,7 +13,7 @@
 import org.knowm.xchart.style.Styler.LegendPosition;
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
-/** A node's memory over time, sampled by a thread of its own, and the chart of it. */
+/** Samples the memory of a node over time on its own thread and draws the chart. */
 final class MemorySampler implements AutoCloseable {
 
     private static final long SAMPLE_INTERVAL_MS = 100;
@@ -46,7 +46,7 @@
                 }
                 Thread.sleep(SAMPLE_INTERVAL_MS);
             } catch (InterruptedException | RuntimeException e) {
-                // The node is being ended; there is nothing more to sample.
+                // The node is being stopped; sampling ends.
                 return;
             }
         }
@@ -58,12 +58,12 @@
         }
     }
 
-    /** Seconds since its start. */
+    /** The time since the start of sampling, s. */
     double elapsedS() {
         return (System.nanoTime() - startNs) / NS_PER_S;
     }
 
-    /** The most in use from then on. */
+    /** The maximum memory in use since this time, s. */
     NodeProcess.Memory maxSince(double s) {
         final List<Sample> since = samples().stream().filter(each -> each.s() >= s).toList();
         return new NodeProcess.Memory(
@@ -75,7 +75,7 @@
         return directAtStart;
     }
 
-    /** Draws all of it, with this bound beside it, as PNG. */
+    /** Draws all samples, with this bound beside them, as PNG. */
     void draw(Path to, String boundName, long bound) throws IOException {
         final List<Sample> all = downsample(samples());
         final XYChart chart =
@@ -104,7 +104,8 @@
     }
 
     /**
-     * The most of each of some hundred spans: a peak is never left out, and the chart stays small.
+     * The maximum of each of a few hundred spans, so that no peak is lost and the chart stays
+     * small.
      */
     private static List<Sample> downsample(List<Sample> all) {
         final List<Sample> kept = new ArrayList<>();
--- a/src/main/java/cresschute/testbed/bodies/PacedSocket.java
+++ b/src/main/java/cresschute/testbed/bodies/PacedSocket.java
@@ -14,8 +14,8 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * A connection whose bodies go at a stated speed; heads and chunk sizes go as they come. One
- * thread.
+ * A connection whose bodies are transferred at a given speed; heads and chunk sizes are not paced.
+ * Owned by one thread.
  */
 final class PacedSocket implements Closeable {
 
@@ -47,13 +47,13 @@
         out.write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** The first line of a head, or null where the connection ended before it. */
+    /** Reads the first line of a head; returns null if the connection ended before it. */
     String readFirstLine() throws IOException {
         final int first = in.read();
         return first < 0 ? null : (char) first + readLine();
     }
 
-    /** The rest of a head, names in lower case. */
+    /** Reads the rest of a head; names are in lower case. */
     Map<String, String> readHeaders() throws IOException {
         final Map<String, String> headers = new TreeMap<>();
         for (String line = readLine(); !line.isEmpty(); line = readLine()) {
@@ -69,7 +69,7 @@
         final StringBuilder line = new StringBuilder();
         for (int next = in.read(); next != '\n'; next = in.read()) {
             if (next < 0 || line.length() > MAX_LINE_BYTES) {
-                throw new IOException("ended within a line");
+                throw new IOException("connection ended within a line, or line too long");
             }
             line.append((char) next);
         }
@@ -78,13 +78,13 @@
 
     // ---- Bodies ----
 
-    /** Some bytes of a body, at this side's speed; -1 at the connection's end. */
+    /** Reads some bytes of a body at the read speed; returns -1 at the end of the connection. */
     int read(byte[] into, long maxBytes) throws IOException {
         final int wanted = reading.next((int) Math.min(into.length, maxBytes));
         return in.read(into, 0, wanted);
     }
 
-    /** Bytes of a body, at this side's speed. */
+    /** Writes bytes of a body at the write speed. */
     void write(byte[] bytes, int count) throws IOException {
         for (int at = 0; at < count; ) {
             final int now = writing.next(count - at);
@@ -93,7 +93,7 @@
         }
     }
 
-    /** Ends as a dying process does. */
+    /** Resets the connection, as a crashing process does. */
     void reset() throws IOException {
         socket.setSoLinger(true, 0);
         socket.close();
@@ -104,7 +104,7 @@
         socket.close();
     }
 
-    /** One direction's progress. */
+    /** The progress of one direction. */
     private final class Direction {
         private final TransferProfile speed;
         private final TokenBucket bucket;
@@ -120,11 +120,11 @@
                             System.nanoTime());
         }
 
-        /** Waits until some of these may go, and returns how many. */
+        /** Waits until some of these bytes may be transferred and returns how many. */
         int next(int wanted) throws IOException {
             if (speed.resetAt() >= 0 && at >= speed.resetAt()) {
                 reset();
-                throw new SocketException("reset as told");
+                throw new SocketException("connection reset by the configured fault");
             }
             if (speed.stallAt() >= 0 && at >= speed.stallAt() && !stalled) {
                 stalled = true;
@@ -148,7 +148,7 @@
     private static void sleepNs(long ns) throws IOException {
         LockSupport.parkNanos(Math.max(1, ns));
         if (Thread.interrupted()) {
-            throw new IOException("told to end");
+            throw new IOException("interrupted while waiting for the transfer rate");
         }
     }
 }
--- a/src/main/java/cresschute/testbed/bodies/PlainRelay.java
+++ b/src/main/java/cresschute/testbed/bodies/PlainRelay.java
@@ -7,8 +7,8 @@
 import java.net.Socket;
 
 /**
- * A copy from socket to socket that understands nothing: what passing bytes on costs at the least,
- * beside which a node's throughput is put. Two threads a connection.
+ * Copies bytes from socket to socket without parsing them: the minimum cost of forwarding, as a
+ * baseline for the throughput of a node. Uses two threads per connection.
  */
 final class PlainRelay implements AutoCloseable {
 
@@ -51,7 +51,7 @@
                 to.getOutputStream().write(block, 0, count);
             }
         } catch (IOException e) {
-            // One side has closed; the other is closed with it.
+            // One side has closed; closes the other as well.
             return;
         }
     }
--- a/src/main/java/cresschute/testbed/bodies/SeededBytes.java
+++ b/src/main/java/cresschute/testbed/bodies/SeededBytes.java
@@ -8,7 +8,8 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Bytes that anybody can make again from a name, and their checksum so far. Owned by one thread.
+ * A byte sequence derived from a name, so that both ends can generate it, and its checksum so far.
+ * Owned by one thread.
  */
 final class SeededBytes {
 
@@ -27,7 +28,7 @@
         random = RandomSource.SPLIT_MIX_64.create(seed.getValue());
     }
 
-    /** The next bytes of it. */
+    /** Writes the next bytes of the sequence. */
     void fill(byte[] into, int bytes) {
         for (int done = 0; done < bytes; ) {
             final int now = Math.min(bytes - done, ready());
@@ -38,7 +39,7 @@
         counted(into, bytes);
     }
 
-    /** Whether these are its next bytes. */
+    /** Returns whether the given bytes are the next of the sequence. */
     boolean isNext(byte[] given, int bytes) {
         boolean same = true;
         for (int done = 0; done < bytes; ) {
@@ -51,7 +52,7 @@
         return same;
     }
 
-    /** Makes more where all was used, and returns how many are ready. */
+    /** Generates a new block when the last is used up; returns the number of bytes ready. */
     private int ready() {
         if (at == BLOCK) {
             words.clear();
@@ -68,12 +69,12 @@
         count += added;
     }
 
-    /** Bytes made or checked so far. */
+    /** The number of bytes generated or checked so far. */
     long count() {
         return count;
     }
 
-    /** Checksum of all of them. */
+    /** The checksum of these bytes. */
     String sum() {
         return Long.toHexString(sum.getValue());
     }
--- a/src/main/java/cresschute/testbed/bodies/TokenBucket.java
+++ b/src/main/java/cresschute/testbed/bodies/TokenBucket.java
@@ -1,8 +1,8 @@
 package cresschute.testbed.bodies;
 
 /**
- * A line's speed: bytes come free at an even rate, and no more than a burst of them waits unused.
- * Pure, times in nanoseconds; owned by one thread.
+ * A token bucket that limits the speed of a connection: tokens, one per byte, accrue at a constant
+ * rate up to a burst. Pure; times are in nanoseconds; owned by one thread.
  */
 final class TokenBucket {
 
@@ -13,7 +13,7 @@
     private double available;
     private long atNs;
 
-    /** A full bucket; a rate of 0 is no bound. */
+    /** Creates a full bucket; a rate of 0 is unlimited. */
     TokenBucket(long bytesPerS, long burst, long nowNs) {
         this.bytesPerNs = bytesPerS / NS_PER_S;
         this.burst = burst;
@@ -21,7 +21,7 @@
         this.atNs = nowNs;
     }
 
-    /** Takes as many of these bytes as are free, at the least none. */
+    /** Takes up to {@code wanted} tokens, as many as are available, possibly none. */
     long take(long wanted, long nowNs) {
         if (bytesPerNs == 0) {
             return wanted;
@@ -33,7 +33,10 @@
         return taken;
     }
 
-    /** How long after the last taking there are so many free, or a whole burst if that is less. */
+    /**
+     * The time after the last {@code take} until this many tokens, or a full burst if that is less,
+     * are available, ns.
+     */
     long nsUntilAvailable(long wanted) {
         return bytesPerNs == 0
                 ? 0
--- a/src/test/java/cresschute/testbed/ControlledFleetTest.java
+++ b/src/test/java/cresschute/testbed/ControlledFleetTest.java
@@ -26,7 +26,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Consoles at a node under load, seed 1: sessions that are cut, meet each other, or stop reading.
+ * Checks consoles at a node under load, seed 1: sessions that are cut, that compete, or that stop
+ * reading.
  */
 @Timeout(90)
 class ControlledFleetTest {
@@ -50,7 +51,7 @@
         fleet.start();
     }
 
-    /** Whatever was done at the consoles, the rules held. */
+    /** The rules must hold whatever the consoles did. */
     @AfterEach
     void stop() {
         fleet.stop();
@@ -86,7 +87,7 @@
         return fleet.seen().stream().filter(RequestSent.class::isInstance).count();
     }
 
-    /** Lets so many more requests come. */
+    /** Waits until this many more requests have been sent. */
     private void awaitRequests(int requests) {
         final long before = asked();
         await(() -> asked() >= before + requests);
@@ -104,7 +105,7 @@
     }
 
     private void undrain(ControlPeer peer, String op, String worker) throws IOException {
-        // Before it is asked for: from then on work may come.
+        // Recorded before the request, because work may arrive from then on.
         fleet.undrained(worker);
         assertThat(peer.operate("undrain", op, worker)).isEqualTo("done: ");
     }
@@ -120,7 +121,8 @@
             final List<Observation> seen = fleet.seen();
             assertThat(seen.subList(before, seen.size()))
                     .noneMatch(each -> isAttemptAt(each, "w1"));
-            // How soon each of the others gets its next one is chance; that it does is not.
+            // When each of the other workers gets its next request is random; that it gets one is
+            // not.
             for (final String other : List.of("w2", "w3", "w4", "w5", "w6")) {
                 await(
                         () ->
@@ -137,7 +139,7 @@
         }
     }
 
-    /** Half a request is none, however often it is tried. */
+    /** An incomplete request has no effect, however often it is sent. */
     @Test
     void ignoresRequestCutBeforeItsEnd() throws IOException {
         final String request =
@@ -147,14 +149,17 @@
                 peer.write(request.substring(0, cut));
             }
         }
-        // Without its end the line is not whole, even if all of its JSON is there.
+        // Without a line end the request is incomplete, even if its JSON is complete.
         try (ControlPeer peer = peer()) {
             peer.write(request.strip());
         }
         assertThat(isDrained("w1")).isFalse();
     }
 
-    /** Cut at any point after that: the drain holds, once, and sending it again tells the same. */
+    /**
+     * If the session is cut after the request, the drain holds, once, and the same request gets the
+     * same answer.
+     */
     @Test
     void drainSurvivesSessionCutAndIsIdempotent() throws IOException {
         for (int round = 0; round < 10; round++) {
@@ -174,8 +179,8 @@
                 assertThat(next.operate("drain", "other-" + op, "w2"))
                         .isEqualTo("already: drained by ann");
                 assertThat(next.operate("undrain", "undo-" + op, "w2")).isEqualTo("done: ");
-                // The first operation once more, as from a console that was cut off for long: no
-                // new drain.
+                // Repeats the first operation, as a console does after a long disconnection: this
+                // must not start a new drain.
                 assertThat(next.operate("drain", op, "w2")).isEqualTo("done: ");
                 assertThat(next.worker("w2").has("drain")).isFalse();
                 final long drained =
@@ -199,7 +204,7 @@
             outcomes.add(one.read().get("outcome").getAsString());
             outcomes.add(other.read().get("outcome").getAsString());
             assertThat(outcomes).containsExactlyInAnyOrder("done", "already");
-            // Either may undo it; the other's undo then finds nothing.
+            // Either console may undo the drain; the second undo then finds nothing.
             assertThat(one.operate("undrain", "c", "w3")).isEqualTo("done: ");
             assertThat(other.operate("undrain", "d", "w3"))
                     .isEqualTo("already: not drained by an operator");
@@ -207,7 +212,8 @@
     }
 
     /**
-     * Drained while its process is away: it comes back drained, and takes work once that is undone.
+     * A worker that is drained while its process is down restarts drained, and gets requests once
+     * the drain is undone.
      */
     @Test
     void drainOutlivesWorkerRestart() throws IOException {
@@ -236,7 +242,7 @@
             fleet.begin(InjectedFault.Kind.DRAIN, "w5");
             await(() -> peer.worker("w5").get("listed").getAsString().equals("draining"));
             undrain(peer, "o2", "w5");
-            // The operator's word is undone, the list's is not.
+            // The operator drain is undone, the drain by the endpoint list is not.
             assertThat(peer.worker("w5").get("why").getAsString()).startsWith("by the list");
             final int before = fleet.seen().size();
             awaitRequests(40);
@@ -297,7 +303,8 @@
     }
 
     /**
-     * It follows with the number it had; what it missed is told, and of another run it starts anew.
+     * A console that resumes with its last number gets the changes it missed; with the number of
+     * another run it gets the full state.
      */
     @Test
     void consoleResumesFromNumber() throws IOException {
@@ -326,8 +333,8 @@
                                     .getAsBoolean())
                     .isTrue();
             undrain(peer, "o2", "w1");
-            // Events of another run have other numbers: to whoever comes from there, all of these
-            // are news.
+            // Event numbers of another run do not apply, so a console from another run gets all
+            // events.
             assertThat(peer.ask("\"do\":\"events\",\"after\":500").getAsJsonArray("events"))
                     .isEmpty();
             assertThat(
@@ -338,7 +345,8 @@
     }
 
     /**
-     * It asks and follows and reads nothing: others are served, and it is told no more than fits.
+     * A console that subscribes and sends requests but reads nothing does not delay others, and the
+     * node buffers a bounded amount for it.
      */
     @Test
     void consoleThatStopsReadingDoesNotBlockOthers() throws IOException {
@@ -356,12 +364,12 @@
                                                         + "\",\"do\":\"workers\"}\n");
                                     }
                                 } catch (IOException e) {
-                                    // The socket is full and is closed under it at the end.
+                                    // The socket is full and is closed at the end of the test.
                                 }
                             });
             flood.start();
-            // Written as far as the node reads: it has stopped reading, since its answers are not
-            // taken.
+            // The flood is written as far as the node reads. The node has stopped reading, because
+            // its answers are not read.
             await(() -> flood.getState() == Thread.State.RUNNABLE || !flood.isAlive());
             drain(peer, "o1", "w2");
             awaitRequests(40);
@@ -389,12 +397,13 @@
             assertThat(peers.get(0).read()).isNull();
             peers.get(1).write("nonsense\n");
             assertThat(peers.get(1).read().get("ok").getAsBoolean()).isFalse();
-            // An error of one line is not the end of the session.
+            // An invalid line does not end the session.
             assertThat(peers.get(1).worker("w1").get("id").getAsString()).isEqualTo("w1");
             await(
                     () -> {
                         try (ControlPeer again = peer()) {
-                            // Its place is free again once the loop has seen the end of the other.
+                            // The place becomes free once the event loop has seen the end of the
+                            // other session.
                             again.write("{\"v\":1,\"id\":\"1\",\"do\":\"events\"}\n");
                             return again.read().get("ok").getAsBoolean();
                         }
--- a/src/test/java/cresschute/testbed/FleetTest.java
+++ b/src/test/java/cresschute/testbed/FleetTest.java
@@ -25,8 +25,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The stand-ins round a real node, seed 1: each fault has its effect, and the rules hold in all of
- * them.
+ * Checks the stand-ins around a real node, seed 1: each fault has its effect, and the rules hold
+ * under all of them.
  */
 @Timeout(60)
 @Execution(ExecutionMode.CONCURRENT)
@@ -46,7 +46,7 @@
                 .until(() -> fleet.seen().stream().anyMatch(wanted));
     }
 
-    /** Lets the run end: what was asked for is answered. */
+    /** Waits until all requests are answered, then stops the fleet. */
     private static FleetReport finish(Fleet fleet) {
         fleet.stopArriving();
         Awaitility.await().atMost(Duration.ofSeconds(30)).until(() -> fleet.waiting() == 0);
@@ -54,7 +54,9 @@
         return fleet.report();
     }
 
-    /** Cuts the run off: what waits is unfinished, and that is nobody's fault. */
+    /**
+     * Stops the fleet at once; requests that still wait count as unfinished, which breaks no rule.
+     */
     private static FleetReport stopImmediately(Fleet fleet) {
         fleet.stop();
         return fleet.report();
@@ -76,7 +78,7 @@
 
     @Test
     void servesEveryRequestWithoutFaults() {
-        // Well within what eight workers can do, so that nothing has to be refused.
+        // The load is well below the capacity of eight workers, so that nothing has to be rejected.
         try (Fleet fleet = new Fleet(new Fleet.Plan(8, 12, SEED, List.of()))) {
             fleet.start();
             Awaitility.await().until(() -> count(fleet, RequestSent.class) >= 25);
@@ -97,7 +99,7 @@
         }
     }
 
-    /** Whatever goes wrong, every request has its one answer and nothing takes effect twice. */
+    /** Under either fault, every request gets one answer and nothing takes effect twice. */
     @ParameterizedTest
     @ValueSource(strings = {"reset:w1x1@0s", "garbage:w1x1@0s"})
     void retriesFailedAttemptsOnOtherWorkers(String fault) {
@@ -170,7 +172,7 @@
         }
     }
 
-    /** It is back cold and told as such; the node spares it. */
+    /** The worker restarts cold and is reported as such; the node must not overload it. */
     @Test
     void crashedWorkerRestartsCold() {
         try (Fleet fleet = fleet("crash:w1@1s+1s")) {
@@ -233,7 +235,7 @@
         }
     }
 
-    /** The list that the settings name is enough to serve by until discovery answers. */
+    /** The workers named in the settings are enough to serve requests until discovery answers. */
     @Test
     void servesWithConfiguredWorkersWhileDiscoveryIsDown() {
         try (Fleet fleet = fleet("director@0s+3s")) {
--- a/src/test/java/cresschute/testbed/InjectedFaultTest.java
+++ b/src/test/java/cresschute/testbed/InjectedFaultTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The words for faults and times. */
+/** Checks the syntax of faults and times on command lines. */
 class InjectedFaultTest {
 
     @Test
--- a/src/test/java/cresschute/testbed/LargeFleetTest.java
+++ b/src/test/java/cresschute/testbed/LargeFleetTest.java
@@ -11,7 +11,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A thousand workers, of which 200 a second change: what a console holds is what the node has. */
+/**
+ * Guards against a console whose rows drift from the state of the node: 1,000 workers, of which 200
+ * per second change.
+ */
 @Timeout(60)
 class LargeFleetTest {
 
@@ -40,7 +43,7 @@
             int drains = 0;
             for (int i = 0; i < 12; i++) {
                 final JsonObject news = peer.read();
-                // Changes, and never the whole picture again.
+                // The node sends changes and not the full state again.
                 assertThat(news.has("whole") && news.get("whole").getAsBoolean()).isFalse();
                 drains +=
                         news.has("rows")
@@ -59,7 +62,8 @@
                 take(held, news);
             }
             assertThat(drains).isGreaterThan(50);
-            // An operator among all of that is heard at once, and sees what was asked for.
+            // An operation of an operator takes effect immediately among these updates, and the
+            // operator sees it.
             try (ControlPeer operator = new ControlPeer(socket)) {
                 assertThat(operator.operate("drain", "o", "w500")).isEqualTo("done: ");
             }
--- a/src/test/java/cresschute/testbed/RuleCheckerTest.java
+++ b/src/test/java/cresschute/testbed/RuleCheckerTest.java
@@ -25,7 +25,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The checker is fed each way of breaking each rule, and what comes near to it without breaking it.
+ * Checks that the rule checker reports each way to break each rule, and accepts cases that come
+ * close without breaking it.
  */
 class RuleCheckerTest {
 
@@ -141,7 +142,7 @@
                         "NO_EFFECT_TWICE: workers were sent g, which no client sent");
     }
 
-    /** What a worker rejected never ran, so that it may go anywhere. */
+    /** A rejected request never ran, so that it may go to any worker. */
     @Test
     void ignoresAttemptsThatWorkerRejected() {
         sent("a", "unsafe");
@@ -168,19 +169,22 @@
         seen.add(new WorkerListed(S, "w1", "DRAINING", 0));
         seen.add(new WorkerListed(S + 300_000, "w1", "DRAINING", 0));
         received(S + 450_000, "w1", 0, "a");
-        // Its last byte came late, its first byte in time: for drains the first one counts.
+        // The last byte arrived late but the first in time; the first byte counts for drains.
         seen.add(new AttemptReceived(S + 900_000, S + 440_000, "w1", 0, "b", null, S));
         assertThat(breaches()).isEmpty();
         received(S + 451_000, "w1", 0, "c");
         assertThat(breaches())
                 .containsExactly(
                         "DRAINS_KEPT: w1 was sent c 451 ms after the endpoint list reported its"
-                            + " drain");
+                                + " drain");
         seen.add(seen.size() - 1, new WorkerListed(S + 450_500, "w1", "SERVING", 0));
         assertThat(breaches()).isEmpty();
     }
 
-    /** Whoever asked for it, a drain is kept; the end of one is not the end of the other. */
+    /**
+     * An operator drain and a drain by the endpoint list are independent: the end of one does not
+     * end the other.
+     */
     @Test
     void reportsSendDuringOperatorDrain() {
         sent("c", "safe");
@@ -198,7 +202,7 @@
 
     @Test
     void reportsOverloadOfColdWorker() {
-        // Half of 4 at the start, twice that in a second: 4 s of work.
+        // Half of 4 slots at the start, times the overload factor 2, within 1 s: 4 s of work.
         seen.add(new WorkerBooted(0, "w1", 4));
         seen.add(new WorkerListed(0, "w1", "SERVING", 5));
         for (int i = 0; i < 4; i++) {
@@ -219,7 +223,7 @@
         assertThat(breaches()).containsExactly("COLD_STARTS_KEPT: w1 crashed from overload");
     }
 
-    /** A node that was not told of a start cannot spare the worker. */
+    /** A node that was not notified of a start cannot limit what it sends. */
     @Test
     void ignoresStartsThatNodeWasNotToldOf() {
         seen.add(new WorkerBooted(0, "w1", 4));
--- a/src/test/java/cresschute/testbed/StandInsTest.java
+++ b/src/test/java/cresschute/testbed/StandInsTest.java
@@ -31,7 +31,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Worker and discovery as the protocol has them, each alone, over sockets driven by hand. */
+/**
+ * Checks the stand-ins for a worker and for discovery against the protocol, each alone, over plain
+ * sockets.
+ */
 @Timeout(30)
 class StandInsTest {
 
@@ -122,8 +125,8 @@
     }
 
     /**
-     * In order of arrival, as slots allow; beyond eight waiting a slot it turns requests away
-     * unstarted.
+     * Jobs run in order of arrival as slots allow; beyond eight waiting jobs per slot the worker
+     * rejects requests unstarted.
      */
     @Test
     void workerQueuesThenRejectsRequests() throws IOException {
@@ -157,8 +160,8 @@
     }
 
     /**
-     * A repeat in the cell takes the first run's result, while it runs and afterwards, and has no
-     * effect.
+     * A duplicate in the cell takes the result of the first run, while it runs and afterwards, and
+     * has no effect.
      */
     @Test
     void cellDropsDuplicatesOfKey() throws IOException {
@@ -175,7 +178,7 @@
         assertThat(recorder.seen().stream().filter(EffectApplied.class::isInstance)).hasSize(1);
     }
 
-    /** A run that dies with its worker frees its key. */
+    /** A run that is lost with its worker releases its key. */
     @Test
     void crashDuringRunReleasesKey() throws IOException {
         final String key = "Idempotency-Key: k\r\n";
@@ -187,7 +190,10 @@
         assertThat(lineWith(again, "done").get("result").getAsString()).isEqualTo("w2 did b");
     }
 
-    /** A cold one of two slots is sent more than twice its half capacity within a second. */
+    /**
+     * A cold worker of two slots crashes when it is sent more than twice its half capacity within a
+     * second.
+     */
     @Test
     void coldWorkerCrashesWhenOverloaded() throws IOException {
         final WorkerStandIn worker = worker("w1", 2);
@@ -205,7 +211,7 @@
                                 send(at, job("a", "", 900_000));
                                 return true;
                             } catch (IOException e) {
-                                // It does not listen yet.
+                                // The worker does not listen yet.
                                 return false;
                             }
                         });
--- a/src/test/java/cresschute/testbed/bodies/BodyPeersTest.java
+++ b/src/test/java/cresschute/testbed/bodies/BodyPeersTest.java
@@ -16,7 +16,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Peers with speeds, stalls and breaks, through a whole node with the real module. */
+/**
+ * Transfers long bodies through a whole node with the real decision module, between peers with
+ * given speeds, stalls and resets.
+ */
 @Timeout(60)
 class BodyPeersTest {
 
@@ -111,7 +114,10 @@
         assertThat(site.ran("chunks")).isTrue();
     }
 
-    /** It cannot have run, and is never sent a second time beyond what is kept. */
+    /**
+     * A job whose body was cut has not run. It is never sent a second time beyond the bytes that
+     * the node has kept.
+     */
     @Test
     void answers503WhenWorkerResetsDuringBody() {
         final BodyClient.Result result = BodyClient.run(plan("/upload?reset=1000000", 20 * MB));
@@ -137,7 +143,7 @@
         }
     }
 
-    /** A client on a slow line is served; one that sends a byte now and then is not. */
+    /** A client on a slow connection is served; one that sends a byte now and then is rejected. */
     @Test
     void servesSlowClientAndRejectsSlowloris() {
         final BodyClient.Plan line =
@@ -167,7 +173,7 @@
         assertThat(site.ran("loris")).isFalse();
     }
 
-    /** A client that reads at modem speed is no reason to hold more, or to end. */
+    /** A client that reads at modem speed must not make the node hold more memory or stop. */
     @Test
     void servesOthersAfterSlowReaderLeaves() {
         final BodyClient.Plan modem =
--- a/src/test/java/cresschute/testbed/bodies/TokenBucketTest.java
+++ b/src/test/java/cresschute/testbed/bodies/TokenBucketTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Bytes come free at an even rate. */
+/** Checks that tokens accrue at a constant rate up to the burst. */
 class TokenBucketTest {
 
     private static final long MS = 1_000_000;
@@ -16,9 +16,9 @@
         assertThat(bucket.take(500, 0)).isZero();
         assertThat(bucket.nsUntilAvailable(10)).isEqualTo(10 * MS);
         assertThat(bucket.take(500, 10 * MS)).isEqualTo(10);
-        // Nobody waits for more than can ever be free.
+        // The wait never exceeds the time to fill the bucket.
         assertThat(bucket.nsUntilAvailable(500)).isEqualTo(100 * MS);
-        // What is not taken for long does not add up.
+        // Unused tokens do not accumulate beyond the burst.
         assertThat(bucket.take(500, 60_000 * MS)).isEqualTo(100);
     }
 
