--- a/src/main/java/cresschute/testbed/Fleet.java
+++ b/src/main/java/cresschute/testbed/Fleet.java
@@ -3,7 +3,7 @@
 import cresschute.dispatch.SlowStartSettings;
 import cresschute.node.NodeConfig;
 import cresschute.node.NodeServer;
-import cresschute.settings.ApplianceSettings;
+import cresschute.settings.NodeSettings;
 import cresschute.settings.Problem;
 import cresschute.settings.SettingsFile;
 import cresschute.testbed.JobClass.Demand;
@@ -75,7 +75,7 @@
     private final UniformRandomProvider random;
     private final List<WorkerStandIn> workers = new ArrayList<>();
     private final DiscoveryStandIn discovery;
-    private final ApplianceSettings settings;
+    private final NodeSettings settings;
     private final List<JobClass> classes;
     private final LoadClients clients;
     private final NodeServer node;
@@ -89,7 +89,7 @@
         discovery = new DiscoveryStandIn(loop, recorder);
         try {
             discoveryAt = discovery.start();
-            final ApplianceSettings settingsWithoutWorkers = settings(discoveryAt, List.of());
+            final NodeSettings settingsWithoutWorkers = settings(discoveryAt, List.of());
             for (int i = 0; i < plan.workers(); i++) {
                 workers.add(worker(i, settingsWithoutWorkers));
             }
@@ -116,7 +116,7 @@
         }
     }
 
-    private WorkerStandIn worker(int number, ApplianceSettings settingsWithoutWorkers) {
+    private WorkerStandIn worker(int number, NodeSettings settingsWithoutWorkers) {
         final boolean big = random.nextDouble() < BIG_WORKER_SHARE;
         final double speed =
                 big ? 1.3 + 0.4 * random.nextDouble() : 0.85 + 0.25 * random.nextDouble();
@@ -136,21 +136,21 @@
                         number < CELLS
                                 ? new CellKeys(windowUs(settingsWithoutWorkers))
                                 : workers.get(cell).keys(),
-                        settingsWithoutWorkers.module().slowStart());
+                        settingsWithoutWorkers.dispatch().slowStart());
         worker.start();
         onLoop(() -> discovery.setState(worker, "SERVING", 0));
         return worker;
     }
 
-    private static long windowUs(ApplianceSettings settings) {
-        return settings.module().classes().stream()
+    private static long windowUs(NodeSettings settings) {
+        return settings.dispatch().classes().stream()
                 .mapToLong(each -> each.deduplicationWindowUs())
                 .max()
                 .orElse(0);
     }
 
     /** Parses the settings from a script, as a site does, with the addresses put before it. */
-    private ApplianceSettings settings(InetSocketAddress discovery, List<WorkerStandIn> workers) {
+    private NodeSettings settings(InetSocketAddress discovery, List<WorkerStandIn> workers) {
         final String script =
                 "DIRECTOR = \"127.0.0.1:"
                         + discovery.getPort()
@@ -369,7 +369,7 @@
     }
 
     private SlowStartSettings coldStart() {
-        return settings.module().slowStart();
+        return settings.dispatch().slowStart();
     }
 
     private void onLoop(Runnable call) {
--- a/src/test/java/cresschute/testbed/LargeFleetTest.java
+++ b/src/test/java/cresschute/testbed/LargeFleetTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.google.gson.JsonObject;
-import cresschute.ControlPeer;
+import cresschute.TestConsole;
 import java.nio.file.Path;
 import java.util.HashMap;
 import java.util.Map;
@@ -33,7 +33,7 @@
     void consoleUpdatesMatchNodeStateUnderChurn() throws Exception {
         final Path socket = folder.resolve("s");
         try (LargeFleet site = new LargeFleet(1_000, 1, socket);
-                ControlPeer peer = new ControlPeer(socket)) {
+                TestConsole peer = new TestConsole(socket)) {
             final Map<String, JsonObject> held = new HashMap<>();
             take(held, peer.ask("\"do\":\"subscribe\""));
             while (held.size() < 1_002) {
@@ -64,7 +64,7 @@
             assertThat(drains).isGreaterThan(50);
             // An operation of an operator takes effect immediately among these updates, and the
             // operator sees it.
-            try (ControlPeer operator = new ControlPeer(socket)) {
+            try (TestConsole operator = new TestConsole(socket)) {
                 assertThat(operator.operate("drain", "o", "w500")).isEqualTo("done: ");
             }
             JsonObject row = held.get("w/w500");
