--- a/src/test/java/cresschute/testbed/RuleCheckerTest.java
+++ b/src/test/java/cresschute/testbed/RuleCheckerTest.java
@@ -25,7 +25,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The checker is fed each way of breaking each rule, and what comes near to it without breaking it.
+ * Checks that the rule checker reports each way to break each rule, and accepts cases that come
+ * close without breaking it.
  */
 class RuleCheckerTest {
 
@@ -101,12 +102,12 @@
         assertThat(breaches())
                 .containsExactly(
                         "ONE_ANSWER: a second answer to a",
-                        "ONE_ANSWER: an answer to x, which nobody sent",
+                        "ONE_ANSWER: an answer to x, which no client sent",
                         "ONE_ANSWER: the connection of b ended without an answer",
                         "ONE_ANSWER: no answer to c",
-                        "ONE_ANSWER: an answer where none was owed: d",
-                        "ONE_ANSWER: e was served with what no worker made",
-                        "ONE_ANSWER: f was served with what no worker made");
+                        "ONE_ANSWER: an unexpected answer: d",
+                        "ONE_ANSWER: e was served with a result that no worker produced",
+                        "ONE_ANSWER: f was served with a result that no worker produced");
     }
 
     @Test
@@ -136,12 +137,12 @@
                 .containsExactly(
                         "NO_EFFECT_TWICE: b was sent 4 times; 3 are allowed",
                         "NO_EFFECT_TWICE: c was sent to cell 0 and again to cell 1",
-                        "NO_EFFECT_TWICE: d was sent again after its window",
+                        "NO_EFFECT_TWICE: d was sent again after its deduplication window",
                         "NO_EFFECT_TWICE: f is unsafe to repeat and was sent again",
                         "NO_EFFECT_TWICE: workers were sent g, which no client sent");
     }
 
-    /** What a worker rejected never ran, so that it may go anywhere. */
+    /** A rejected request never ran, so that it may go to any worker. */
     @Test
     void ignoresAttemptsThatWorkerRejected() {
         sent("a", "unsafe");
@@ -168,18 +169,22 @@
         seen.add(new WorkerListed(S, "w1", "DRAINING", 0));
         seen.add(new WorkerListed(S + 300_000, "w1", "DRAINING", 0));
         received(S + 450_000, "w1", 0, "a");
-        // Its last byte came late, its first byte in time: for drains the first one counts.
+        // The last byte arrived late but the first in time; the first byte counts for drains.
         seen.add(new AttemptReceived(S + 900_000, S + 440_000, "w1", 0, "b", null, S));
         assertThat(breaches()).isEmpty();
         received(S + 451_000, "w1", 0, "c");
         assertThat(breaches())
                 .containsExactly(
-                        "DRAINS_KEPT: w1 was sent c 451 ms after the list told that it leaves");
+                        "DRAINS_KEPT: w1 was sent c 451 ms after the endpoint list reported its"
+                                + " drain");
         seen.add(seen.size() - 1, new WorkerListed(S + 450_500, "w1", "SERVING", 0));
         assertThat(breaches()).isEmpty();
     }
 
-    /** Whoever asked for it, a drain is kept; the end of one is not the end of the other. */
+    /**
+     * An operator drain and a drain by the endpoint list are independent: the end of one does not
+     * end the other.
+     */
     @Test
     void reportsSendDuringOperatorDrain() {
         sent("c", "safe");
@@ -197,7 +202,7 @@
 
     @Test
     void reportsOverloadOfColdWorker() {
-        // Half of 4 at the start, twice that in a second: 4 s of work.
+        // Half of 4 slots at the start, times the overload factor 2, within 1 s: 4 s of work.
         seen.add(new WorkerBooted(0, "w1", 4));
         seen.add(new WorkerListed(0, "w1", "SERVING", 5));
         for (int i = 0; i < 4; i++) {
@@ -215,10 +220,10 @@
         received(11 * S, "w1", 0, "b");
         assertThat(breaches()).isEmpty();
         seen.add(new WorkerOverloaded(12 * S, "w1"));
-        assertThat(breaches()).containsExactly("COLD_STARTS_KEPT: w1 fell over");
+        assertThat(breaches()).containsExactly("COLD_STARTS_KEPT: w1 crashed from overload");
     }
 
-    /** A node that was not told of a start cannot spare the worker. */
+    /** A node that was not notified of a start cannot limit what it sends. */
     @Test
     void ignoresStartsThatNodeWasNotToldOf() {
         seen.add(new WorkerBooted(0, "w1", 4));
