--- a/src/main/java/cresschute/testbed/capacity/CapacityExperiment.java
+++ b/src/main/java/cresschute/testbed/capacity/CapacityExperiment.java
@@ -79,13 +79,13 @@
     public CapacityResult run() throws IOException, InterruptedException {
         check(plan);
         folder = Files.createTempDirectory("cresschute-capacity");
-        String partial = null;
+        String partialReason = null;
         try {
             runStages();
         } catch (ProcessFailureException e) {
-            partial = e.getMessage();
+            partialReason = e.getMessage();
         } catch (ExperimentInterruptedException e) {
-            partial = "interrupted";
+            partialReason = "interrupted";
         } finally {
             close();
         }
@@ -96,7 +96,7 @@
             for (final DispatcherProcess each : dispatchers) {
                 faults.addAll(each.loggedFaults());
             }
-            return Evaluation.of(plan, samples, heapsMb, observations, faults, partial);
+            return Evaluation.of(plan, samples, heapsMb, observations, faults, partialReason);
         } finally {
             deleteFolder();
         }
--- a/src/main/java/cresschute/testbed/capacity/CapacityResult.java
+++ b/src/main/java/cresschute/testbed/capacity/CapacityResult.java
@@ -12,10 +12,10 @@
  * @param plan the planned size
  * @param measures the figures of each role
  * @param ruleViolations one line for each broken rule or invariant
- * @param partial why the measurement is incomplete, or null if it is complete
+ * @param partialReason why the measurement is incomplete, or null if it is complete
  */
 public record CapacityResult(
-        CapacityPlan plan, Measures measures, List<String> ruleViolations, String partial) {
+        CapacityPlan plan, Measures measures, List<String> ruleViolations, String partialReason) {
 
     /** The whole result as one JSON object. */
     public JsonObject json() {
@@ -36,9 +36,9 @@
         final JsonArray broken = new JsonArray();
         ruleViolations.forEach(broken::add);
         json.add("rules_broken", broken);
-        json.addProperty("partial", partial != null);
-        if (partial != null) {
-            json.addProperty("partial_because", partial);
+        json.addProperty("partial", partialReason != null);
+        if (partialReason != null) {
+            json.addProperty("partial_because", partialReason);
         }
         json.add("urgent_start_ms", urgent());
         json.add("gangs", gangs());
@@ -77,7 +77,7 @@
                                                     + " |"));
         }
         lines.add("");
-        lines.add(partial == null ? "Measured whole." : "PARTIAL: " + partial);
+        lines.add(partialReason == null ? "Measured whole." : "PARTIAL: " + partialReason);
         ruleViolations.forEach(each -> lines.add("RULE BROKEN: " + each));
         return lines;
     }
@@ -105,7 +105,7 @@
 
     /** Returns whether it is complete, every request was answered and no rule was broken. */
     public boolean isSuccessful() {
-        return partial == null
+        return partialReason == null
                 && ruleViolations.isEmpty()
                 && figure(Role.CLIENT, "unanswered") == 0;
     }
--- a/src/main/java/cresschute/testbed/capacity/CostChart.java
+++ b/src/main/java/cresschute/testbed/capacity/CostChart.java
@@ -46,7 +46,7 @@
                             .filter(
                                     each ->
                                             each.point().axis().equals(axis.label())
-                                                    && each.result().partial() == null)
+                                                    && each.result().partialReason() == null)
                             .toList();
             if (!along.isEmpty()) {
                 for (final Map.Entry<String, String> measure : MEASURES.entrySet()) {
--- a/src/main/java/cresschute/testbed/capacity/Evaluation.java
+++ b/src/main/java/cresschute/testbed/capacity/Evaluation.java
@@ -36,7 +36,7 @@
      * @param samples the samples of the window, in order; empty if the window did not begin
      * @param heapsMb the heap of each dispatcher after a garbage collection, where measured, MB
      * @param faults log lines of the dispatchers about broken invariants and rejected settings
-     * @param partial why the measurement is incomplete, or null if it is complete
+     * @param partialReason why the measurement is incomplete, or null if it is complete
      */
     static CapacityResult of(
             CapacityPlan plan,
@@ -44,18 +44,18 @@
             List<Double> heapsMb,
             List<Observation> observations,
             List<String> faults,
-            String partial) {
+            String partialReason) {
         final Evaluation evaluation = new Evaluation(plan, samples, heapsMb);
         if (samples.size() > 1) {
-            evaluation.dispatchers();
-            evaluation.workers();
-            evaluation.discovery();
+            evaluation.putDispatcherMeasures();
+            evaluation.putWorkerMeasures();
+            evaluation.putDiscoveryMeasures();
         }
-        evaluation.clients(observations);
+        evaluation.putClientMeasures(observations);
         final List<String> broken = new ArrayList<>(faults);
         RuleChecker.check(observations, new ExperimentSetup(plan).classes(), WARM)
                 .forEach(each -> broken.add(each.rule() + ": " + each.what()));
-        return new CapacityResult(plan, evaluation.measures, broken, partial);
+        return new CapacityResult(plan, evaluation.measures, broken, partialReason);
     }
 
     private Sample first() {
@@ -89,7 +89,7 @@
 
     // ---- Roles ----
 
-    private void dispatchers() {
+    private void putDispatcherMeasures() {
         final int count = plan.dispatchers();
         double sum = 0;
         double max = 0;
@@ -165,7 +165,7 @@
         return last().dispatchers().stream().mapToDouble(figure).average().orElse(0);
     }
 
-    private void workers() {
+    private void putWorkerMeasures() {
         final Traffic traffic = workerTraffic();
         final double each = plan.workers();
         putStubUsage(Role.WORKER, Sample.WORKERS);
@@ -182,7 +182,7 @@
         put(Role.WORKER, "control_bytes_per_second", perSecond(traffic.controlBytes()) / each);
     }
 
-    private void discovery() {
+    private void putDiscoveryMeasures() {
         final Traffic traffic = discoveryTraffic();
         putStubUsage(Role.DISCOVERY, Sample.DISCOVERY);
         put(
@@ -206,7 +206,7 @@
         put(role, "memory_mb", last().stubs().get(number).rssMb());
     }
 
-    private void clients(List<Observation> observations) {
+    private void putClientMeasures(List<Observation> observations) {
         final long fromUs = samples.isEmpty() ? Long.MAX_VALUE : first().us();
         final long toUs = samples.isEmpty() ? Long.MAX_VALUE : last().us();
         final RequestOutcomes outcomes = RequestOutcomes.of(observations, fromUs, toUs);
--- a/src/main/java/cresschute/testbed/capacity/ExperimentSetup.java
+++ b/src/main/java/cresschute/testbed/capacity/ExperimentSetup.java
@@ -136,7 +136,7 @@
     }
 
     /** The deduplication window of keyed jobs, us. */
-    long repeatWindowUs() {
+    long deduplicationWindowUs() {
         return 2 * deadlineUs();
     }
 
@@ -197,7 +197,7 @@
                 deadlineUs(),
                 idempotency,
                 idempotency == Idempotency.KEYED ? DeduplicationScope.CELL : DeduplicationScope.ALL,
-                repeatWindowUs(),
+                deduplicationWindowUs(),
                 MAX_ATTEMPTS,
                 share,
                 (long) plan.meanRunUs());
--- a/src/main/java/cresschute/testbed/capacity/MeasurementWriter.java
+++ b/src/main/java/cresschute/testbed/capacity/MeasurementWriter.java
@@ -98,7 +98,7 @@
                     role.label(),
                     measured.getKey(),
                     measured.getValue(),
-                    result.partial() != null);
+                    result.partialReason() != null);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
--- a/src/main/java/cresschute/testbed/capacity/Preflight.java
+++ b/src/main/java/cresschute/testbed/capacity/Preflight.java
@@ -38,8 +38,9 @@
     static void check(CapacityPlan plan) throws IOException {
         checkDescriptors(plan, descriptorLimit());
         checkMemory(plan, number(AVAILABLE, "/proc/meminfo", Long.MAX_VALUE) / KB_PER_MB);
-        // Read by lines: the kernel returns such a file only to one read, which must be large
-        // enough.
+        // Read by lines, because the first read of such a file returns all of it and its buffer
+        // must
+        // be large enough.
         checkPorts(
                 plan, Files.readAllLines(Path.of("/proc/sys/net/ipv4/ip_local_port_range")).get(0));
     }
--- a/src/main/java/cresschute/testbed/capacity/StubProcessMain.java
+++ b/src/main/java/cresschute/testbed/capacity/StubProcessMain.java
@@ -152,20 +152,20 @@
      * and therefore an event loop.
      */
     private List<InetSocketAddress> startWorkers(
-            ExperimentSetup site, int part, int parts, Recorder recorder) throws IOException {
+            ExperimentSetup setup, int part, int parts, Recorder recorder) throws IOException {
         final List<EventLoop> loops = new ArrayList<>();
         for (int i = 0; i < WORKER_LOOPS; i++) {
             loops.add(group.next());
         }
         final List<InetSocketAddress> addresses = new ArrayList<>();
-        final List<Spec> specs = site.workers();
+        final List<Spec> specs = setup.workers();
         for (int i = 0; i < specs.size(); i++) {
             final Spec spec = specs.get(i);
             if (ExperimentSetup.processIndex(spec, parts) == part) {
                 final EventLoop shared = loops.get(spec.cell() / parts % WORKER_LOOPS);
                 addresses.add(
                         workers.computeIfAbsent(
-                                        shared, unseen -> new StubWorkers(shared, recorder, site))
+                                        shared, unseen -> new StubWorkers(shared, recorder, setup))
                                 .start(spec, i));
             }
         }
--- a/src/main/java/cresschute/testbed/capacity/StubWorkers.java
+++ b/src/main/java/cresschute/testbed/capacity/StubWorkers.java
@@ -49,17 +49,17 @@
     private final Recorder recorder;
     private final long progressUs;
     private final Map<Integer, CellKeys> keys = new HashMap<>();
-    private final long repeatWindowUs;
+    private final long deduplicationWindowUs;
     private final Traffic traffic = new Traffic();
     private int running;
     private long connections;
 
     /** Creates the workers of an event loop, none of them started. */
-    StubWorkers(EventLoop loop, Recorder recorder, ExperimentSetup site) {
+    StubWorkers(EventLoop loop, Recorder recorder, ExperimentSetup setup) {
         this.loop = loop;
         this.recorder = recorder;
-        this.progressUs = site.progressUs();
-        this.repeatWindowUs = site.repeatWindowUs();
+        this.progressUs = setup.progressUs();
+        this.deduplicationWindowUs = setup.deduplicationWindowUs();
     }
 
     /** Starts a worker and returns its address. Must not be called on the event loop. */
@@ -151,7 +151,8 @@
     }
 
     private CellKeys keysOf(Worker worker) {
-        return keys.computeIfAbsent(worker.spec.cell(), unseen -> new CellKeys(repeatWindowUs));
+        return keys.computeIfAbsent(
+                worker.spec.cell(), unseen -> new CellKeys(deduplicationWindowUs));
     }
 
     private final class Job {
--- a/src/test/java/cresschute/testbed/capacity/CostChartTest.java
+++ b/src/test/java/cresschute/testbed/capacity/CostChartTest.java
@@ -12,13 +12,13 @@
 /** Charts of a sweep, and its rows in the measurement file. */
 class CostChartTest {
 
-    private static CapacityResult result(CapacityPlan plan, String partial) {
+    private static CapacityResult result(CapacityPlan plan, String partialReason) {
         final Measures measures = new Measures();
         for (final String need : List.of("cpu_percent", "rss_mb", "control_bytes_per_second")) {
             measures.put(Role.DISPATCHER, need, plan.workers() / 10.0);
         }
         measures.put(Role.CLIENT, "urgent_start_p50_ms", Double.NaN);
-        return new CapacityResult(plan, measures, List.of(), partial);
+        return new CapacityResult(plan, measures, List.of(), partialReason);
     }
 
     @Test
