--- a/src/main/java/cresschute/control/socket/ControlSession.java
+++ b/src/main/java/cresschute/control/socket/ControlSession.java
@@ -16,19 +16,20 @@
 /**
  * One console's connection: answers its requests, and sends the changes that it subscribed to.
  *
- * <p>Backpressure: nothing is read from the console and no change is sent to it while {@link
- * ControlServer#MAX_UNREAD_BYTES} wait for it. A console that stops reading costs a bounded amount
- * of memory, is closed after {@link #STALL_TIMEOUT_US}, and gets the newest state if it reads again
- * before.
+ * <p>Backpressure: nothing is read from the console and no change is sent to it while its write
+ * buffer is above {@link ControlServer#HIGH_WATER_MARK_BYTES}. A console that stops reading
+ * therefore uses a bounded amount of memory. It is closed after {@link #STALL_TIMEOUT_US}; if it
+ * resumes reading earlier, it gets the newest state.
  *
- * <p>Life: from the accepted connection to its close. All of it is on the node's loop.
+ * <p>Life cycle: from the accepted connection to its close. All methods run on the node's event
+ * loop.
  */
 final class ControlSession extends SimpleChannelInboundHandler<ByteBuf> {
 
-    /** A console that reads nothing for so long is closed, us. */
+    /** Time after which a console that does not read is closed, microseconds. */
     static final long STALL_TIMEOUT_US = 30_000_000;
 
-    /** A subscribed console gets a line at least this often, also if nothing changed, us. */
+    /** Interval at which a subscribed console gets a line even if nothing changed, microseconds. */
     private static final long HEARTBEAT_INTERVAL_US = 1_000_000;
 
     private static final long NOT_STALLED = 0;
@@ -36,15 +37,15 @@
     private final long number;
     private final Channel channel;
     private final ControlHandler handler;
-    private boolean subscribed;
-    private boolean eventsFollowed;
-    private long sentVersion;
-    private long sentEvent;
+    private boolean subscribedToRows;
+    private boolean subscribedToEvents;
+    private long lastSentVersion;
+    private long lastSentEvent;
     private long stalledSinceUs = NOT_STALLED;
     private long lastUpdateUs;
 
     /**
-     * @param number counts the sessions of the node, for the log
+     * @param number consecutive number of the session, for the log
      */
     ControlSession(long number, Channel channel, ControlHandler handler) {
         this.number = number;
@@ -52,12 +53,12 @@
         this.handler = handler;
     }
 
-    /** Whether the console subscribed to rows. */
+    /** Returns whether the console has subscribed to rows. */
     boolean isSubscribed() {
-        return subscribed;
+        return subscribedToRows;
     }
 
-    /** Sends the reason and closes. */
+    /** Sends the reason and closes the connection. */
     void reject(String reason) {
         channel.writeAndFlush(line(ControlMessages.error(Optional.empty(), reason)))
                 .addListener(ChannelFutureListener.CLOSE);
@@ -89,7 +90,7 @@
                 answerRows(request, handler.table().since(0));
             }
             case SUBSCRIBE -> subscribe(request);
-            case EVENTS -> followEvents(request);
+            case EVENTS -> subscribeToEvents(request);
             case DRAIN, UNDRAIN ->
                     handler.execute(
                             request.operation(),
@@ -105,22 +106,22 @@
 
     private void subscribe(ControlRequest request) {
         handler.refresh();
-        // A version of another run of the node cannot be compared.
+        // The version of another incarnation of the node cannot be compared.
         final boolean isComparable = request.incarnation().equals(handler.incarnation());
         final TableDelta rows = handler.table().since(isComparable ? request.sinceVersion() : 0);
-        subscribed = true;
-        sentVersion = rows.version();
+        subscribedToRows = true;
+        lastSentVersion = rows.version();
         answerRows(request, rows);
     }
 
-    private void followEvents(ControlRequest request) {
-        // A request that names no run means this one.
+    private void subscribeToEvents(ControlRequest request) {
+        // A request without an incarnation refers to the current one.
         final boolean isComparable =
                 request.incarnation().isEmpty()
                         || request.incarnation().equals(handler.incarnation());
         final EventBatch events = handler.events().after(isComparable ? request.afterEvent() : 0);
-        eventsFollowed = true;
-        sentEvent = handler.events().lastNumber();
+        subscribedToEvents = true;
+        lastSentEvent = handler.events().lastNumber();
         write(
                 ControlMessages.answer(
                         request.id(),
@@ -132,10 +133,11 @@
     // ---- Updates ----
 
     /**
-     * Sends what changed since the last line, or a heartbeat where that is due, if the console has
-     * read enough of what was sent before; closes a console that is stalled for too long.
+     * Sends the changes since the last line, or a heartbeat if one is due, unless the write buffer
+     * is above the high water mark. Closes a console that has been stalled for {@link
+     * #STALL_TIMEOUT_US}.
      *
-     * @param nowUs the loop's clock, us
+     * @param nowUs time of the event loop's clock, microseconds
      */
     void publish(long nowUs) {
         if (!channel.isWritable()) {
@@ -148,24 +150,25 @@
         stalledSinceUs = NOT_STALLED;
         final Optional<TableDelta> rows = unsentRows();
         final Optional<EventBatch> events = unsentEvents();
-        final boolean heartbeatDue = subscribed && nowUs - lastUpdateUs >= HEARTBEAT_INTERVAL_US;
+        final boolean heartbeatDue =
+                subscribedToRows && nowUs - lastUpdateUs >= HEARTBEAT_INTERVAL_US;
         if (rows.isPresent() || events.isPresent() || heartbeatDue) {
             lastUpdateUs = nowUs;
-            sentVersion = rows.map(TableDelta::version).orElse(sentVersion);
-            sentEvent = handler.events().lastNumber();
+            lastSentVersion = rows.map(TableDelta::version).orElse(lastSentVersion);
+            lastSentEvent = handler.events().lastNumber();
             write(ControlMessages.update(handler.incarnation(), rows, events));
         }
     }
 
     private Optional<TableDelta> unsentRows() {
-        return subscribed && handler.table().version() != sentVersion
-                ? Optional.of(handler.table().since(sentVersion))
+        return subscribedToRows && handler.table().version() != lastSentVersion
+                ? Optional.of(handler.table().since(lastSentVersion))
                 : Optional.empty();
     }
 
     private Optional<EventBatch> unsentEvents() {
-        return eventsFollowed && handler.events().lastNumber() != sentEvent
-                ? Optional.of(handler.events().after(sentEvent))
+        return subscribedToEvents && handler.events().lastNumber() != lastSentEvent
+                ? Optional.of(handler.events().after(lastSentEvent))
                 : Optional.empty();
     }
 
@@ -174,7 +177,8 @@
     private void write(String message) {
         channel.writeAndFlush(line(message));
         if (!channel.isWritable()) {
-            // Bounds the memory: a console that does not read its answers cannot ask for more.
+            // Bounds the memory: no further requests are read until the console has read its
+            // answers.
             channel.config().setAutoRead(false);
         }
     }
--- a/src/main/java/cresschute/testbed/capacity/StubDiscovery.java
+++ b/src/main/java/cresschute/testbed/capacity/StubDiscovery.java
@@ -101,7 +101,7 @@
     }
 
     private void list(int number, String state) {
-        standIn.set(specs.get(number), addresses.get(number), state, startedMs[number]);
+        standIn.setState(specs.get(number), addresses.get(number), state, startedMs[number]);
     }
 
     /** The counters so far. Call on the event loop. */
--- a/src/main/java/cresschute/testbed/capacity/StubWorkers.java
+++ b/src/main/java/cresschute/testbed/capacity/StubWorkers.java
@@ -328,7 +328,7 @@
             write(channel, RESPONSE_HEAD);
             traffic.addBytes(TrafficKind.REQUEST, RESPONSE_HEAD.length());
             final Job job = new Job(worker, id, key, workUs, channel);
-            if (key == null || keysOf(worker).begins(key, recorder.nowUs(), job::repeat)) {
+            if (key == null || keysOf(worker).begin(key, recorder.nowUs(), job::repeat)) {
                 worker.waiting.add(job);
                 startWaitingJobs(worker);
             }
--- a/src/test/java/cresschute/control/DrainSnapshotFormatTest.java
+++ b/src/test/java/cresschute/control/DrainSnapshotFormatTest.java
@@ -9,9 +9,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Files that an earlier version left on disks: each is read with its full meaning and written again
- * byte by byte. The literals are what that version wrote; they are never adapted to a renaming in
- * the code.
+ * Guards the stored file formats across upgrades: a file of an earlier version is read completely
+ * and written again byte by byte. The literals are files that the earlier version wrote; do not
+ * adapt them when names in the code change.
  */
 class DrainSnapshotFormatTest {
 
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void drainsAndOperationsOfAnEarlierVersionAreInForce() throws Exception {
+    void restoresDrainsAndOperationsOfAnEarlierVersion() throws Exception {
         final DrainSnapshot read = DrainSnapshot.decode(bytes(DRAINS));
         assertThat(read.generation()).isEqualTo(41);
         final DrainRegistry drains = new DrainRegistry();
@@ -131,7 +131,7 @@
     }
 
     @Test
-    void undrainOfAnEarlierVersionIsRemembered() throws Exception {
+    void restoresUndrainOfAnEarlierVersion() throws Exception {
         final DrainSnapshot read = DrainSnapshot.decode(bytes(UNDRAINED));
         assertThat(read)
                 .isEqualTo(
@@ -160,7 +160,7 @@
     }
 
     @Test
-    void emptySnapshotOfAnEarlierVersionIsRead() throws Exception {
+    void readsEmptySnapshotOfAnEarlierVersion() throws Exception {
         final DrainSnapshot read = DrainSnapshot.decode(bytes(NO_DRAINS));
         assertThat(read).isEqualTo(new DrainSnapshot(1, List.of(), List.of()));
         assertThat(text(read.encode())).isEqualTo(NO_DRAINS);
@@ -177,15 +177,15 @@
     }
 
     @Test
-    void bansAndNodeDrainOfAnEarlierVersionAreInForce() throws Exception {
+    void restoresBansAndNodeDrainOfAnEarlierVersion() throws Exception {
         assertOperatorsState(BANNED, 7, Set.of("w1", "w2"), false);
         assertOperatorsState(NODE_DRAINED, 8, Set.of(), true);
         assertOperatorsState(BANNED_AND_DRAINED, 9, Set.of("w1", "w2"), true);
     }
 
-    /** The calls of operators lead to these very files. */
+    /** Management calls produce exactly the stored files above. */
     @Test
-    void callsOfOperatorsWriteWhatAnEarlierVersionWrote() throws Exception {
+    void managementCallsKeepTheStoredFormat() throws Exception {
         OperatorState state = OperatorState.NONE.withGeneration(6);
         state =
                 state.apply(ManagementCall.parse("disable-server w2"))
--- a/src/test/java/cresschute/health/LatencyWindowTest.java
+++ b/src/test/java/cresschute/health/LatencyWindowTest.java
@@ -5,7 +5,7 @@
 import org.HdrHistogram.IntCountsHistogram;
 import org.junit.jupiter.api.Test;
 
-/** Latencies of a sliding window. */
+/** Tests percentiles over a sliding window. */
 class LatencyWindowTest {
 
     private static final long MS = 1_000;
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void percentilesAreThoseOfTheWindowWithinASixteenth() {
+    void percentilesAreAccurateWithinASixteenth() {
         for (int i = 1; i <= 100; i++) {
             window.add(S, 10L * i * MS);
         }
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void valuesAreBetweenZeroAndAnHour() {
+    void clampsValuesToZeroAndOneHour() {
         window.add(0, -1);
         assertThat(at(0).p50Ms()).isZero();
         final LatencyWindow longRuns = new LatencyWindow(10 * S, 3);
--- a/src/test/java/cresschute/settings/PeersSettingsTest.java
+++ b/src/test/java/cresschute/settings/PeersSettingsTest.java
@@ -22,11 +22,11 @@
 
     private static List<String> problems(String text) {
         return SettingsFile.parse(text).problems().stream()
-                .map(problem -> problem.line("f"))
+                .map(problem -> problem.format("f"))
                 .toList();
     }
 
-    private static ApplianceSettings settings(String text) {
+    private static NodeSettings settings(String text) {
         final SettingsFile.Result result = SettingsFile.parse(text);
         assertThat(result.problems()).isEmpty();
         return result.settings();
@@ -47,8 +47,8 @@
     }
 
     @Test
-    void peersReachTheSettingsAndAreShown() {
-        final ApplianceSettings settings =
+    void convertsPeersBlockAndFormatsIt() {
+        final NodeSettings settings =
                 settings(
                         PEERS_NODE
                                 + peers(
@@ -56,14 +56,14 @@
                                         ", bytes_per_second = 900"));
         assertThat(settings.peers())
                 .isEqualTo(
-                        new ApplianceSettings.Peers(
+                        new NodeSettings.Peers(
                                 IpAddress.parse("10.0.0.1:7946"),
                                 List.of(
                                         IpAddress.parse("10.0.0.2:7946"),
                                         IpAddress.parse("[::1]:7947")),
                                 "/k",
                                 900));
-        assertThat(settings(settings.shown())).isEqualTo(settings);
+        assertThat(settings(settings.formattedScript())).isEqualTo(settings);
         assertThat(
                         settings(PEERS_NODE + peers("\"10.0.0.2:7946\", \"10.0.0.3:7946\"", ""))
                                 .peers()
@@ -84,7 +84,7 @@
                     "10.0.0.2:0", "10.0.0.3:7946"    | peers: port 0 is no port that others could send to
                     "w", "10.0.0.3:7946"             | peers: addresses is a list; allowed: a list of IP addresses with ports, such as ["10.0.0.2:7946"]
                     """)
-    void wrongPeerAddressesAreEachOneLine(String addresses, String message) {
+    void reportsEachInvalidPeerAddressOnce(String addresses, String message) {
         assertThat(problems(PEERS_NODE + peers(addresses, "")))
                 .singleElement()
                 .asString()
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void peersNeedProbesReportsAndBytes() {
+    void requiresProbesLoadReportsAndMinimumRate() {
         final String two = "\"10.0.0.2:7946\", \"10.0.0.3:7946\"";
         final String needs =
                 ": peers: needs limits(probes = True) and reports(load = True); a worker is "
@@ -120,7 +120,7 @@
     }
 
     @Test
-    void keyFileIsLookedAtWhereAScriptIsReadFromAFile(@TempDir Path folder) throws IOException {
+    void checksKeyFileWhenScriptIsReadFromFile(@TempDir Path folder) throws IOException {
         final Path script = folder.resolve("site.star");
         final Path key = folder.resolve("key");
         Files.writeString(
