--- a/src/main/java/cresschute/testbed/Fleet.java
+++ b/src/main/java/cresschute/testbed/Fleet.java
@@ -290,7 +290,7 @@
 
     /** Returns the results and rule breaches of the observations so far. */
     public FleetReport report() {
-        final List<Observation> seen = recorder.seen();
+        final List<Observation> seen = recorder.observations();
         return new FleetReport(
                 RequestOutcomes.of(seen, classes),
                 RuleChecker.check(seen, classes, coldStart()),
@@ -298,8 +298,8 @@
     }
 
     /** The observations so far. */
-    List<Observation> seen() {
-        return recorder.seen();
+    List<Observation> observations() {
+        return recorder.observations();
     }
 
     /** Starts a fault of a worker. Must not be called on the fleet's loop. */
@@ -337,7 +337,7 @@
      * there is none.
      */
     public long lastSendUs(String worker) {
-        final List<Observation> seen = recorder.seen();
+        final List<Observation> seen = recorder.observations();
         for (int i = seen.size() - 1; i >= 0; i--) {
             if (seen.get(i) instanceof AttemptReceived send && send.worker().equals(worker)) {
                 return send.firstByteUs();
@@ -356,7 +356,7 @@
      * without attempts are missing.
      */
     public Map<String, Long> sends(long fromUs, long toUs) {
-        return recorder.seen().stream()
+        return recorder.observations().stream()
                 .filter(AttemptReceived.class::isInstance)
                 .map(AttemptReceived.class::cast)
                 .filter(each -> each.firstByteUs() > fromUs && each.firstByteUs() <= toUs)
--- a/src/main/java/cresschute/testbed/Recorder.java
+++ b/src/main/java/cresschute/testbed/Recorder.java
@@ -9,7 +9,7 @@
 public final class Recorder {
 
     private final Clock clock;
-    private final List<Observation> seen = new ArrayList<>();
+    private final List<Observation> observations = new ArrayList<>();
     private final Consumer<Observation> sink;
 
     /**
@@ -18,7 +18,7 @@
      */
     public Recorder() {
         clock = Clock.system();
-        sink = seen::add;
+        sink = observations::add;
     }
 
     /** Creates a recorder that passes each observation to a sink and keeps none in memory. */
@@ -38,7 +38,7 @@
     }
 
     /** Returns all observations so far. May be called from any thread. */
-    public synchronized List<Observation> seen() {
-        return List.copyOf(seen);
+    public synchronized List<Observation> observations() {
+        return List.copyOf(observations);
     }
 }
--- a/src/main/java/cresschute/testbed/RuleChecker.java
+++ b/src/main/java/cresschute/testbed/RuleChecker.java
@@ -144,8 +144,8 @@
                 classOf.put(request.id(), classes.get(request.className()));
             } else if (each instanceof AttemptReceived send) {
                 sends.computeIfAbsent(send.id(), unseen -> new ArrayList<>()).add(send);
-            } else if (each instanceof AttemptRejected away) {
-                turnedAway.add(away.worker() + " " + away.id());
+            } else if (each instanceof AttemptRejected rejected) {
+                turnedAway.add(rejected.worker() + " " + rejected.id());
             }
         }
         sends.forEach(
@@ -295,8 +295,11 @@
                 reported.remove(boot.worker());
             } else if (each instanceof WorkerListed notice && notice.startedMs() > 0) {
                 reported.add(notice.worker());
-            } else if (each instanceof WorkerOverloaded fell) {
-                report(Rule.COLD_STARTS_KEPT, fell.us(), fell.worker() + " crashed from overload");
+            } else if (each instanceof WorkerOverloaded overload) {
+                report(
+                        Rule.COLD_STARTS_KEPT,
+                        overload.us(),
+                        overload.worker() + " crashed from overload");
             } else if (each instanceof AttemptReceived send
                     && boots.containsKey(send.worker())
                     && reported.contains(send.worker())) {
--- a/src/test/java/cresschute/testbed/ControlledFleetTest.java
+++ b/src/test/java/cresschute/testbed/ControlledFleetTest.java
@@ -79,12 +79,12 @@
     }
 
     private List<Observation> since(int before) {
-        final List<Observation> seen = fleet.seen();
+        final List<Observation> seen = fleet.observations();
         return seen.subList(before, seen.size());
     }
 
     private long asked() {
-        return fleet.seen().stream().filter(RequestSent.class::isInstance).count();
+        return fleet.observations().stream().filter(RequestSent.class::isInstance).count();
     }
 
     /** Waits until this many more requests have been sent. */
@@ -116,9 +116,9 @@
         try (TestConsole peer = peer()) {
             drain(peer, "o1", "w1");
             awaitRequests(60);
-            final int before = fleet.seen().size();
+            final int before = fleet.observations().size();
             awaitRequests(40);
-            final List<Observation> seen = fleet.seen();
+            final List<Observation> seen = fleet.observations();
             assertThat(seen.subList(before, seen.size()))
                     .noneMatch(each -> isAttemptAt(each, "w1"));
             // When each of the other workers gets its next request is random; that it gets one is
@@ -126,7 +126,7 @@
             for (final String other : List.of("w2", "w3", "w4", "w5", "w6")) {
                 await(
                         () ->
-                                fleet.seen().stream()
+                                fleet.observations().stream()
                                         .skip(before)
                                         .anyMatch(each -> isAttemptAt(each, other)));
             }
@@ -134,7 +134,7 @@
             assertThat(peer.worker("w1").get("why").getAsString())
                     .isEqualTo("by an operator; nothing is out there");
             undrain(peer, "o2", "w1");
-            final int after = fleet.seen().size();
+            final int after = fleet.observations().size();
             await(() -> since(after).stream().anyMatch(each -> isAttemptAt(each, "w1")));
         }
     }
@@ -224,7 +224,7 @@
             drain(peer, "o1", "w4");
             fleet.end(InjectedFault.Kind.CRASH, "w4");
             await(() -> peer.worker("w4").get("state").getAsString().equals("draining"));
-            final int before = fleet.seen().size();
+            final int before = fleet.observations().size();
             awaitRequests(60);
             assertThat(since(before)).noneMatch(each -> isAttemptAt(each, "w4"));
             undrain(peer, "o2", "w4");
@@ -244,7 +244,7 @@
             undrain(peer, "o2", "w5");
             // The operator drain is undone, the drain by the endpoint list is not.
             assertThat(peer.worker("w5").get("why").getAsString()).startsWith("by the list");
-            final int before = fleet.seen().size();
+            final int before = fleet.observations().size();
             awaitRequests(40);
             assertThat(since(before)).noneMatch(each -> isAttemptAt(each, "w5"));
             fleet.end(InjectedFault.Kind.DRAIN, "w5");
@@ -276,7 +276,7 @@
             for (int i = 1; i <= 6; i++) {
                 assertThat(peer.operate("undrain", "u" + i, "w" + i)).isEqualTo("done: ");
             }
-            final int before = fleet.seen().size();
+            final int before = fleet.observations().size();
             await(
                     () ->
                             since(before).stream()
--- a/src/test/java/cresschute/testbed/FleetTest.java
+++ b/src/test/java/cresschute/testbed/FleetTest.java
@@ -43,7 +43,7 @@
     private static void await(Fleet fleet, Predicate<Observation> wanted) {
         Awaitility.await()
                 .atMost(Duration.ofSeconds(30))
-                .until(() -> fleet.seen().stream().anyMatch(wanted));
+                .until(() -> fleet.observations().stream().anyMatch(wanted));
     }
 
     /** Waits until all requests are answered, then stops the fleet. */
@@ -69,7 +69,7 @@
     }
 
     private static long count(Fleet fleet, Class<? extends Observation> kind) {
-        return fleet.seen().stream().filter(kind::isInstance).count();
+        return fleet.observations().stream().filter(kind::isInstance).count();
     }
 
     private static boolean serves(Observation seen) {
@@ -117,7 +117,7 @@
                                 && !answer.body().startsWith("w1 ");
                     });
             assertSound(stopImmediately(fleet));
-            assertThat(fleet.seen())
+            assertThat(fleet.observations())
                     .noneMatch(
                             seen ->
                                     seen instanceof RequestAnswered answer
@@ -130,7 +130,7 @@
         try (Fleet fleet = fleet("slow:w1x20@0s+30s")) {
             await(fleet, seen -> seen instanceof RunStarted run && run.worker().equals("w1"));
             final RunStarted run =
-                    fleet.seen().stream()
+                    fleet.observations().stream()
                             .filter(
                                     seen ->
                                             seen instanceof RunStarted start
@@ -139,7 +139,7 @@
                             .findFirst()
                             .orElseThrow();
             final long workUs =
-                    fleet.seen().stream()
+                    fleet.observations().stream()
                             .filter(
                                     seen ->
                                             seen instanceof RequestSent request
@@ -148,7 +148,7 @@
                             .findFirst()
                             .orElseThrow();
             Awaitility.await().until(() -> fleet.nowUs() > run.us() + 3 * workUs);
-            assertThat(fleet.seen())
+            assertThat(fleet.observations())
                     .noneMatch(
                             seen ->
                                     seen instanceof RunDone done
@@ -165,7 +165,7 @@
                     fleet,
                     seen -> seen instanceof AttemptReceived send && send.worker().equals("w1"));
             await(fleet, seen -> seen instanceof RunDone done && !done.worker().equals("w1"));
-            assertThat(fleet.seen())
+            assertThat(fleet.observations())
                     .noneMatch(seen -> seen instanceof RunDone done && done.worker().equals("w1"));
             await(fleet, seen -> seen instanceof RunDone done && done.worker().equals("w1"));
             assertSound(stopImmediately(fleet));
@@ -189,12 +189,12 @@
                             seen instanceof WorkerListed reported
                                     && reported.worker().equals("w1")
                                     && reported.startedMs() > 0);
-            final int before = fleet.seen().size();
+            final int before = fleet.observations().size();
             Awaitility.await()
                     .atMost(Duration.ofSeconds(20))
                     .until(
                             () -> {
-                                final List<Observation> seen = fleet.seen();
+                                final List<Observation> seen = fleet.observations();
                                 return seen.subList(before, seen.size()).stream()
                                         .anyMatch(
                                                 each ->
@@ -213,10 +213,10 @@
                     seen ->
                             seen instanceof WorkerListed reported
                                     && reported.state().equals("DRAINING"));
-            final int before = fleet.seen().size();
+            final int before = fleet.observations().size();
             Awaitility.await().until(() -> count(fleet, RequestSent.class) > 60);
             final long reportedUs =
-                    fleet.seen().stream()
+                    fleet.observations().stream()
                             .filter(
                                     seen ->
                                             seen instanceof WorkerListed reported
@@ -225,7 +225,7 @@
                             .orElseThrow()
                             .us();
             assertSound(stopImmediately(fleet));
-            assertThat(fleet.seen().subList(before, fleet.seen().size()))
+            assertThat(fleet.observations().subList(before, fleet.observations().size()))
                     .noneMatch(
                             seen ->
                                     seen instanceof AttemptReceived send
@@ -240,7 +240,7 @@
     void servesWithConfiguredWorkersWhileDiscoveryIsDown() {
         try (Fleet fleet = fleet("director@0s+3s")) {
             await(fleet, FleetTest::serves);
-            assertThat(fleet.seen()).noneMatch(WorkerListed.class::isInstance);
+            assertThat(fleet.observations()).noneMatch(WorkerListed.class::isInstance);
             await(fleet, WorkerListed.class::isInstance);
             assertSound(stopImmediately(fleet));
         }
--- a/src/test/java/cresschute/testbed/StandInsTest.java
+++ b/src/test/java/cresschute/testbed/StandInsTest.java
@@ -110,7 +110,10 @@
     private void await(Class<? extends Observation> kind, int count) {
         Awaitility.await()
                 .atMost(Duration.ofSeconds(20))
-                .until(() -> recorder.seen().stream().filter(kind::isInstance).count() >= count);
+                .until(
+                        () ->
+                                recorder.observations().stream().filter(kind::isInstance).count()
+                                        >= count);
     }
 
     @Test
@@ -138,7 +141,7 @@
                     .pollInterval(Duration.ofMillis(10))
                     .until(
                             () ->
-                                    recorder.seen().stream()
+                                    recorder.observations().stream()
                                                     .filter(
                                                             Observation.AttemptReceived.class
                                                                     ::isInstance)
@@ -153,7 +156,7 @@
         await(AttemptRejected.class, 1);
         await(RunStarted.class, 3);
         assertThat(
-                        recorder.seen().stream()
+                        recorder.observations().stream()
                                 .filter(RunStarted.class::isInstance)
                                 .map(seen -> ((RunStarted) seen).id()))
                 .startsWith("j0", "j1", "j2");
@@ -175,7 +178,8 @@
         final BufferedReader after = send(other.address(), job("c", key, 400_000));
         assertThat(lineWith(after, "done").get("result").getAsString()).isEqualTo("w1 did a");
         await(RunDone.class, 3);
-        assertThat(recorder.seen().stream().filter(EffectApplied.class::isInstance)).hasSize(1);
+        assertThat(recorder.observations().stream().filter(EffectApplied.class::isInstance))
+                .hasSize(1);
     }
 
     /** A run that is lost with its worker releases its key. */
@@ -219,13 +223,13 @@
         Awaitility.await()
                 .until(
                         () ->
-                                recorder.seen().stream()
+                                recorder.observations().stream()
                                                 .filter(
                                                         Observation.AttemptReceived.class
                                                                 ::isInstance)
                                                 .count()
                                         == 2);
-        assertThat(recorder.seen()).noneMatch(WorkerOverloaded.class::isInstance);
+        assertThat(recorder.observations()).noneMatch(WorkerOverloaded.class::isInstance);
         send(at, job("c", "", 900_000));
         await(WorkerOverloaded.class, 1);
     }
@@ -280,7 +284,7 @@
         assertThat(list(at, "?since=" + (version + 1) + "&timeout_ms=20000").toString())
                 .contains("DELETED");
         assertThat(
-                        recorder.seen().stream()
+                        recorder.observations().stream()
                                 .filter(WorkerListed.class::isInstance)
                                 .map(seen -> ((WorkerListed) seen).state()))
                 .contains("SERVING", "DRAINING", "DELETED");
