--- a/src/main/java/cresschute/cli/BenchlinkCommand.java
+++ b/src/main/java/cresschute/cli/BenchlinkCommand.java
@@ -3,7 +3,10 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 
-/** For help alone: {@link Main} runs {@code benchlink} without the parser of the command line. */
+/**
+ * Declares {@code benchlink} for the help texts. {@link Main} runs {@code benchlink} without
+ * loading the command-line parser.
+ */
 @Command(
         name = "benchlink",
         mixinStandardHelpOptions = true,
--- a/src/main/java/cresschute/cli/CapacityCommand.java
+++ b/src/main/java/cresschute/cli/CapacityCommand.java
@@ -22,7 +22,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** What dispatchers need at a given size. */
+/** Measures the resources that dispatchers use at given fleet sizes. */
 @Command(
         name = "capacity",
         mixinStandardHelpOptions = true,
@@ -122,7 +122,7 @@
             names = "--seed",
             paramLabel = "S",
             defaultValue = "1",
-            description = "for all chance (default: ${DEFAULT-VALUE})")
+            description = "seed of the random numbers (default: ${DEFAULT-VALUE})")
     private long seed;
 
     @Option(
@@ -178,7 +178,8 @@
         final Thread hook =
                 new Thread(
                         () -> {
-                            // Ends the child processes, and prints what was measured until then.
+                            // Makes the experiment end its child processes and print its
+                            // measurements so far.
                             interrupted.countDown();
                             awaitQuietly(ended);
                         },
@@ -233,7 +234,7 @@
         return interrupted.getCount() == 0 ? EXIT_INTERRUPTED : code;
     }
 
-    /** The commit that the program was built from, where it still stands in its working tree. */
+    /** The commit of the working tree that the program runs from, or {@code unknown}. */
     private static String commit() {
         try {
             final Path classes =
@@ -273,7 +274,7 @@
         try {
             Runtime.getRuntime().removeShutdownHook(hook);
         } catch (IllegalStateException e) {
-            // The process is on its way out already, and the hook ends now.
+            // The JVM is already shutting down, and the hook has been released.
         }
     }
 
--- a/src/main/java/cresschute/cli/CapacityModelCommand.java
+++ b/src/main/java/cresschute/cli/CapacityModelCommand.java
@@ -11,14 +11,14 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** The fleet of the planned size in virtual time, as lines of the capacity table. */
+/** Measures modelled fleets in virtual time and writes rows of the capacity table. */
 @Command(
         name = "capacity-model",
         mixinStandardHelpOptions = true,
         description =
                 "Runs fleets of up to 1,400 workers and 30 dispatchers in virtual time, with the"
-                        + " module and with simple policies to compare with, and writes what was"
-                        + " measured. The same seed writes the same.",
+                        + " module and with simple policies for comparison, and writes the"
+                        + " measurements. The same seed gives the same measurements.",
         footer = {"", "Example: cresschute lab capacity-model --csv model.csv --seed 1"})
 final class CapacityModelCommand implements Callable<Integer> {
 
@@ -26,21 +26,21 @@
             names = "--csv",
             paramLabel = "FILE",
             required = true,
-            description = "where the table goes")
+            description = "the file for the table")
     private Path csv;
 
     @Option(
             names = "--seed",
             paramLabel = "N",
             defaultValue = "1",
-            description = "feeds all chance (default: ${DEFAULT-VALUE})")
+            description = "seed of the random numbers (default: ${DEFAULT-VALUE})")
     private long seed;
 
     @Option(
             names = "--workers",
             paramLabel = "N",
             defaultValue = "1400",
-            description = "the most workers of a fleet (default: ${DEFAULT-VALUE})")
+            description = "largest number of workers in a fleet (default: ${DEFAULT-VALUE})")
     private int workers;
 
     @Option(
--- a/src/main/java/cresschute/cli/CapacityPageCommand.java
+++ b/src/main/java/cresschute/cli/CapacityPageCommand.java
@@ -23,7 +23,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Writes the tables of the capacity page from the measurements that are kept, or checks them. */
+/** Writes the tables of the capacity page from the stored measurements, or checks them. */
 @Command(
         name = "capacity-page",
         mixinStandardHelpOptions = true,
@@ -34,7 +34,8 @@
             "",
             "Example: cresschute lab capacity-page --check",
             "",
-            "Exit codes: 0 done, 1 the page says something else (--check), 2 a file cannot be used."
+            "Exit codes: 0 done, 1 the page differs from the measurements (--check), 2 a file"
+                    + " cannot be used."
         })
 final class CapacityPageCommand implements Callable<Integer> {
 
@@ -54,7 +55,7 @@
 
     @Option(
             names = "--check",
-            description = "change nothing; end with 1 if the page says something else")
+            description = "change nothing; exit with 1 if the page differs from the measurements")
     private boolean check;
 
     @Spec private CommandSpec spec;
@@ -137,7 +138,7 @@
                                 + page
                                 + ":"
                                 + (line + 1)
-                                + ": the page says something else than the measurements");
+                                + ": the page differs from the measurements");
         return ExitCodes.FAILED;
     }
 
--- a/src/main/java/cresschute/cli/CheckCommand.java
+++ b/src/main/java/cresschute/cli/CheckCommand.java
@@ -14,7 +14,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Checks a settings script and starts nothing. */
+/** Checks a settings script without starting a node. */
 @Command(
         name = "check",
         mixinStandardHelpOptions = true,
@@ -33,7 +33,7 @@
 
     @Option(
             names = "--reference",
-            description = "print all blocks and fields that a script may state")
+            description = "print all blocks and fields that a script may contain")
     private boolean reference;
 
     @Spec private CommandSpec spec;
--- a/src/main/java/cresschute/cli/Commands.java
+++ b/src/main/java/cresschute/cli/Commands.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** The command line: its commands, and one way of failing for all of them. */
+/** The command line: its commands, and the error handling that they share. */
 @Command(
         name = "cresschute",
         synopsisSubcommandLabel = "COMMAND",
@@ -20,7 +20,7 @@
             "",
             "Example: cresschute demo --for 10s",
             "",
-            "Exit codes: 0 done, 1 it ran and failed, 2 it could not be used as given."
+            "Exit codes: 0 done, 1 it ran and failed, 2 the arguments or settings cannot be used."
         },
         subcommands = {
             ServeCommand.class,
@@ -41,12 +41,12 @@
 
     @Spec private CommandSpec spec;
 
-    /** Runs a command line and returns its exit code. */
+    /** Runs a command line and returns its exit code, or {@link ServeCommand#STILL_RUNNING}. */
     static int execute(String... args) {
         return commandLine().execute(args);
     }
 
-    /** The command line, ready to run. */
+    /** Creates the command line with its error handling. */
     static CommandLine commandLine() {
         return new CommandLine(new Commands())
                 .setParameterExceptionHandler((e, args) -> reportUsageError(e))
@@ -63,7 +63,7 @@
         throw new ParameterException(spec.commandLine(), "no command is given");
     }
 
-    /** One line of what is wrong and one of where to look, in place of picocli's page of help. */
+    /** Prints the error and a pointer to the help in one line, instead of picocli's whole help. */
     private static int reportUsageError(ParameterException e) {
         final PrintWriter err = e.getCommandLine().getErr();
         err.println(
--- a/src/main/java/cresschute/cli/CompletionCommand.java
+++ b/src/main/java/cresschute/cli/CompletionCommand.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-/** Writes the shell's completion script. */
+/** Prints the shell completion script. */
 @Command(
         name = "completion",
         mixinStandardHelpOptions = true,
--- a/src/main/java/cresschute/cli/ConsoleCommand.java
+++ b/src/main/java/cresschute/cli/ConsoleCommand.java
@@ -11,14 +11,14 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-/** The screen for the person at the box. */
+/** Starts the full-screen console, or prints plain lines on a terminal that cannot show it. */
 @Command(
         name = "console",
         mixinStandardHelpOptions = true,
-        description = "Shows the workers of a node on the whole screen, and drains one at a key.",
+        description = "Shows the workers of a node on the whole screen, and drains them.",
         footer = {
             "",
-            "Leaving it, or losing the line, undoes nothing. ? shows the keys.",
+            "Drains stay in force after the console quits or disconnects. ? shows the keys.",
             "",
             "Example: cresschute console --settings deploy/appliance.star"
         })
@@ -37,11 +37,11 @@
             spec.commandLine()
                     .getErr()
                     .println(
-                            "cresschute: this is no terminal that can show a screen; "
-                                    + "here is what 'cresschute workers --watch' shows");
+                            "cresschute: this terminal cannot show a screen; "
+                                    + "printing the output of 'cresschute workers --watch'");
             return WorkersCommand.print(spec, socket, true, false);
         }
-        // The system's own stty reads and sets the terminal: no native library is needed for it.
+        // JLine's exec provider controls the terminal by stty and so needs no native library.
         try (Terminal terminal = TerminalBuilder.builder().system(true).provider("exec").build()) {
             new Console(
                             terminal,
--- a/src/main/java/cresschute/cli/ControlClient.java
+++ b/src/main/java/cresschute/cli/ControlClient.java
@@ -9,8 +9,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A command's connection to a node: one request, its answer, and the lines that follow. Used by one
- * thread.
+ * A command's connection to a node: sends requests, waits for their answers, and returns the lines
+ * that follow. Used by one thread.
  */
 final class ControlClient implements AutoCloseable {
 
@@ -20,7 +20,7 @@
     private final BlockingQueue<JsonObject> lines = new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
     private final ControlLink link;
 
-    /** The request was refused as such, or there is no node; its message is for the person. */
+    /** The connection failed or the node rejected the request; the message is for the user. */
     static final class RequestFailedException extends Exception {
 
         private static final long serialVersionUID = 1L;
@@ -31,7 +31,7 @@
             this.retryable = worthRetrying;
         }
 
-        /** Whether it is the connection that failed, and not the node that said no. */
+        /** True if the connection failed, false if the node rejected the request. */
         boolean isRetryable() {
             return retryable;
         }
@@ -61,7 +61,7 @@
         }
     }
 
-    /** Sends a request and returns its answer; other lines that come before it are passed over. */
+    /** Sends a request and returns its answer; skips other lines that arrive before it. */
     JsonObject request(JsonObject request) throws RequestFailedException, InterruptedException {
         try {
             link.send(request);
@@ -76,12 +76,12 @@
         }
         if (line == null) {
             throw new RequestFailedException(
-                    "the node has not answered for " + ANSWER_TIMEOUT_S + " s", true);
+                    "the node sent no answer within " + ANSWER_TIMEOUT_S + " s", true);
         }
         return line;
     }
 
-    /** The next line, or null if none comes in time. */
+    /** The next line, or null after the timeout. */
     JsonObject nextLine(long timeoutMs) throws RequestFailedException, InterruptedException {
         final JsonObject line = lines.poll(timeoutMs, TimeUnit.MILLISECONDS);
         if (line != null && line.has("ended")) {
--- a/src/main/java/cresschute/cli/ControlSocketOptions.java
+++ b/src/main/java/cresschute/cli/ControlSocketOptions.java
@@ -8,10 +8,10 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ParameterException;
 
-/** The options by which a command finds the control socket of a node. */
+/** Options that name the control socket of a node. */
 final class ControlSocketOptions {
 
-    /** Names the socket where no option does. */
+    /** The environment variable that names the socket if no option does. */
     static final String ENVIRONMENT_VARIABLE = "CRESSCHUTE_SOCKET";
 
     @Option(
@@ -27,7 +27,7 @@
             description = "the node's settings script, which names the socket")
     private Path settings;
 
-    /** The socket; without one it is an error of the command line. */
+    /** Returns the socket's path; a missing or unusable one is an error of the command line. */
     Path find(CommandSpec spec, Map<String, String> environment) {
         if (socket != null) {
             return socket;
@@ -42,8 +42,7 @@
             if (loaded.controlSocket() == null) {
                 throw new ParameterException(
                         spec.commandLine(),
-                        settings
-                                + " states no control(socket = ...); its node can have no console");
+                        settings + " has no control(socket = ...); its node accepts no consoles");
             }
             return Path.of(loaded.controlSocket());
         }
@@ -51,7 +50,7 @@
         if (fromEnvironment.isEmpty()) {
             throw new ParameterException(
                     spec.commandLine(),
-                    "which node? give --socket FILE or --settings FILE, or set "
+                    "no node is named; give --socket FILE or --settings FILE, or set "
                             + ENVIRONMENT_VARIABLE);
         }
         try {
@@ -62,7 +61,10 @@
         }
     }
 
-    /** Who is asking, as the node's log and other consoles see it. */
+    /**
+     * The user's name for the node's log and other consoles; {@code SUDO_USER} comes before {@code
+     * USER}.
+     */
     static String userName(Map<String, String> environment) {
         final String user =
                 environment.getOrDefault(
--- a/src/main/java/cresschute/cli/DemoCommand.java
+++ b/src/main/java/cresschute/cli/DemoCommand.java
@@ -21,21 +21,22 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** Shows the node at work between stand-ins, and holds its rules against what these saw. */
+/** Runs a node between stand-ins, and checks its rules against what the stand-ins observed. */
 @Command(
         name = "demo",
         mixinStandardHelpOptions = true,
         description =
-                "Runs workers, a director and clients on loopback ports with a node between them,"
-                        + " and prints what became of the jobs and whether the rules were kept.",
+                "Runs stand-ins for workers, discovery and clients on loopback ports with a node"
+                        + " between them, and prints the outcomes of the jobs and whether the rules"
+                        + " were kept.",
         footer = {
             "",
             "Troubles: KIND[:WORKER][xFACTOR]@START[+DURATION], with commas between them.",
             "",
             "Example: cresschute demo --for 20s --trouble slow@5s,silent:w2@8s+4s",
             "",
-            "Exit codes: 0 all rules kept, 1 a rule was broken, 2 it could not be used as given, "
-                    + "130 interrupted."
+            "Exit codes: 0 all rules kept, 1 a rule was broken, 2 the arguments or settings cannot"
+                + " be used, 130 interrupted."
         })
 final class DemoCommand implements Callable<Integer> {
 
@@ -72,14 +73,14 @@
             names = "--seed",
             paramLabel = "S",
             defaultValue = "1",
-            description = "for all chance (default: ${DEFAULT-VALUE})")
+            description = "seed of the random numbers (default: ${DEFAULT-VALUE})")
     private long seed;
 
     @Option(
             names = "--trouble",
             paramLabel = "LIST",
             defaultValue = "",
-            description = "what goes wrong, and when; see --list-troubles")
+            description = "faults to inject, and when; see --list-troubles")
     private String faults;
 
     @Option(names = "--list-troubles", description = "print the kinds of trouble")
@@ -116,7 +117,7 @@
         }
         final OutputTerminal terminal = OutputTerminal.ofProcess();
         final long durationUs = durationUs();
-        // Set before anything of the node's is loaded: its log would run through the picture.
+        // Set before any class of the node is loaded: its log lines would disturb the display.
         final StructuredLog log = new StructuredLog(false, verbose ? Level.INFO : Level.ERROR);
         RoutedLoggerFinder.setSink(log);
         final CountDownLatch interrupted = new CountDownLatch(1);
@@ -152,7 +153,7 @@
         try {
             Runtime.getRuntime().removeShutdownHook(hook);
         } catch (IllegalStateException e) {
-            // The process is on its way out already: the hook runs, and ends now.
+            // The JVM is already shutting down: the hook runs, and has been released.
         }
     }
 
@@ -198,7 +199,10 @@
         return new ParameterException(spec.commandLine(), reason);
     }
 
-    /** Watches it until all is answered; false where it was interrupted before. */
+    /**
+     * Waits until all requests are answered, or {@link #MAX_WAIT_MS} after the last arrival; false
+     * if interrupted before.
+     */
     private boolean watch(
             Fleet fleet, long durationUs, OutputTerminal terminal, CountDownLatch interrupted)
             throws InterruptedException {
@@ -226,7 +230,7 @@
         if (!terminal.isTerminal() || json) {
             return;
         }
-        // A report takes longer the longer the run is; it may take a twentieth of the time.
+        // Reports take longer as the run grows; they may take about a twentieth of the time.
         final long nowNs = System.nanoTime();
         if (nowNs >= nextReportNs) {
             lastReport = fleet.report();
@@ -244,7 +248,7 @@
                                 + " waiting, "
                                 + (report.isSound() ? "rules kept" : "A RULE IS BROKEN"));
         final PrintWriter err = spec.commandLine().getErr();
-        // One column is left free: in the last one a terminal would begin a new line.
+        // The last column stays free: terminals may wrap to a new line after it.
         err.print(
                 "\r"
                         + (line.length() < terminal.columns()
--- a/src/main/java/cresschute/cli/DrainCommand.java
+++ b/src/main/java/cresschute/cli/DrainCommand.java
@@ -14,13 +14,14 @@
 @Command(
         name = "drain",
         mixinStandardHelpOptions = true,
-        description = "Sends a worker nothing new from now on; what is out there may end.",
+        description =
+                "Drains a worker: it gets no new requests, and requests in flight may finish.",
         footer = {
             "",
             "Example: cresschute drain w3 --for 2h --reason 'new disk' --wait",
             "",
-            "Exit codes: 0 drained, and with --wait nothing is out there any more; 1 refused, or"
-                    + " the node does not answer; 2 it could not be used as given."
+            "Exit codes: 0 drained, and with --wait no request is in flight any more; 1 refused, or"
+                    + " the node does not answer; 2 the arguments cannot be used."
         })
 final class DrainCommand implements Callable<Integer> {
 
@@ -36,13 +37,13 @@
             names = "--reason",
             paramLabel = "TEXT",
             defaultValue = "",
-            description = "shown to others")
+            description = "shown to other operators")
     private String reason;
 
-    @Option(names = "--force", description = "drain it although some work will have nowhere to go")
+    @Option(names = "--force", description = "drain it even if no other worker can run some jobs")
     private boolean force;
 
-    @Option(names = "--wait", description = "return once nothing is out at the worker any more")
+    @Option(names = "--wait", description = "return once the worker has no request in flight")
     private boolean wait;
 
     @Spec private CommandSpec spec;
@@ -63,12 +64,13 @@
                 return ms;
             }
         } catch (IllegalArgumentException | ArithmeticException e) {
-            // Reported below, as for text that is no duration.
+            // Reported below, like a duration of 0.
         }
         throw new ParameterException(
                 spec.commandLine(),
                 "--for: '"
                         + duration
-                        + "' is no time; allowed: a whole number and ms, s, m, h or d, such as 2h");
+                        + "' is no duration; allowed: a whole number and ms, s, m, h or d, such as"
+                        + " 2h");
     }
 }
--- a/src/main/java/cresschute/cli/EventsCommand.java
+++ b/src/main/java/cresschute/cli/EventsCommand.java
@@ -16,13 +16,13 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Prints what happened at a site. */
+/** Prints the node's operator events. */
 @Command(
         name = "events",
         mixinStandardHelpOptions = true,
         description =
-                "Prints what has happened: drains, changes of the list, workers that slow or fall"
-                        + " silent.",
+                "Prints events: drains, changes of the endpoint list, workers that slow down or"
+                        + " send no progress reports.",
         footer = {"", "Example: cresschute events --follow"})
 final class EventsCommand implements Callable<Integer> {
 
@@ -32,14 +32,14 @@
 
     @Mixin private ControlSocketOptions controlSocket;
 
-    @Option(names = "--follow", description = "go on until interrupted")
+    @Option(names = "--follow", description = "print new events until interrupted")
     private boolean follow;
 
     @Option(
             names = "--after",
             paramLabel = "N",
             defaultValue = "0",
-            description = "only those with a higher number")
+            description = "print only events with a higher number")
     private long after;
 
     @Option(names = "--json", description = "print one JSON object a line")
@@ -54,7 +54,7 @@
             final JsonObject request = ControlLink.request("1", "events");
             request.addProperty("after", after);
             print(out, client.request(request));
-            // A reader that has gone, as after `| head`, ends it.
+            // Ends when the reader has closed the pipe, as after `| head`.
             while (follow && !out.checkError()) {
                 final JsonObject line = client.nextLine(POLL_MS);
                 if (line != null) {
@@ -71,7 +71,7 @@
     private void print(PrintWriter out, JsonObject line) {
         if (line.has("missed") && line.get("missed").getAsLong() > 0 && !json) {
             out.println(
-                    "... " + line.get("missed").getAsLong() + " older ones are not kept any more");
+                    "... " + line.get("missed").getAsLong() + " older events are no longer stored");
         }
         if (line.has("events")) {
             for (final JsonElement each : line.getAsJsonArray("events")) {
--- a/src/main/java/cresschute/cli/ExitCodes.java
+++ b/src/main/java/cresschute/cli/ExitCodes.java
@@ -1,12 +1,12 @@
 package cresschute.cli;
 
-/** How a command ended. */
+/** Exit codes of the commands. */
 final class ExitCodes {
 
-    /** All is well. */
+    /** The command succeeded. */
     static final int DONE = 0;
 
-    /** It ran, and failed. */
+    /** The command ran and failed. */
     static final int FAILED = 1;
 
     /** The command line, the environment or the settings cannot be used. */
--- a/src/main/java/cresschute/cli/LabCommand.java
+++ b/src/main/java/cresschute/cli/LabCommand.java
@@ -13,7 +13,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** Experiments of the lab, whose results are tables and charts. */
+/** Groups the experiments that write tables and charts. */
 @Command(
         name = "lab",
         mixinStandardHelpOptions = true,
@@ -23,8 +23,7 @@
             CapacityPageCommand.class,
             CapacityModelCommand.class
         },
-        description =
-                "Plays experiments on loopback and writes their results as tables and charts.")
+        description = "Runs experiments on loopback and writes their results as tables and charts.")
 final class LabCommand implements Runnable {
 
     @Spec private CommandSpec spec;
@@ -34,14 +33,14 @@
         throw new ParameterException(spec.commandLine(), "no experiment is given");
     }
 
-    /** Long bodies and results. */
+    /** Passes long bodies and results through a node and checks every byte. */
     @Command(
             name = "bodies",
             mixinStandardHelpOptions = true,
             description =
-                    "Passes long bodies and results through a node of its own, at unlike speeds and"
-                            + " beside small reqs; prints tables and draws the node's memory. Every"
-                            + " byte is checked.",
+                    "Passes long bodies and results through a separate node, at different speeds"
+                        + " and beside small requests; prints tables and draws the node's memory."
+                        + " Checks every byte.",
             footer = {"", "Example: cresschute lab bodies --megabytes 300 --chart memory.png"})
     static final class Bodies implements Callable<Integer> {
 
@@ -63,22 +62,21 @@
                 names = "--slow",
                 paramLabel = "N",
                 defaultValue = "200",
-                description =
-                        "slow bodies that are open beside small reqs (default: ${DEFAULT-VALUE})")
+                description = "slow bodies open beside small requests (default: ${DEFAULT-VALUE})")
         private int slow;
 
         @Option(
                 names = "--seconds",
                 paramLabel = "S",
                 defaultValue = "10",
-                description = "how long slow cases go on (default: ${DEFAULT-VALUE})")
+                description = "duration of the slow cases (default: ${DEFAULT-VALUE})")
         private int seconds;
 
         @Option(
                 names = "--chart",
                 paramLabel = "FILE",
                 defaultValue = "bodies.png",
-                description = "where the chart goes (default: ${DEFAULT-VALUE})")
+                description = "the file for the chart (default: ${DEFAULT-VALUE})")
         private Path chart;
 
         @Spec private CommandSpec spec;
@@ -101,7 +99,7 @@
                 out.println(
                         "\n"
                                 + (failures.isEmpty()
-                                        ? "Every byte and every answer was as it should be."
+                                        ? "Every byte and every answer was correct."
                                         : "WRONG: " + String.join("; ", failures)));
                 out.flush();
                 return failures.isEmpty() ? ExitCodes.DONE : ExitCodes.FAILED;
--- a/src/main/java/cresschute/cli/Main.java
+++ b/src/main/java/cresschute/cli/Main.java
@@ -6,17 +6,16 @@
 import io.netty.util.internal.logging.JdkLoggerFactory;
 
 /**
- * The program's beginning. {@code serve} and {@code benchlink} as the platform starts them go
- * straight to work: the parser of the command line and the structured log are not so much as loaded
- * for them.
+ * The program's entry point. {@code serve} and {@code benchlink} without further arguments, as the
+ * platform starts them, run without loading the command-line parser or the structured log.
  */
 public final class Main {
 
     private Main() {}
 
-    /** Runs a command line and, unless it started something that goes on, exits with its code. */
+    /** Runs a command line and exits with its code, unless it started a node that keeps running. */
     public static void main(String[] args) {
-        // Saves the platform's node memory: by default, Netty loads the structured log that it
+        // Saves memory in the platform's node: by default, Netty loads the structured log that it
         // finds on the class path.
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
         if (args.length == 1 && args[0].equals("serve")) {
@@ -30,10 +29,11 @@
                     System.exit(code);
                 }
             } catch (NoClassDefFoundError e) {
-                // The jar's own class path holds what the platform's node needs, and no more.
+                // The jar's own class path has only the libraries that the platform's node needs.
                 exit(
                         ExitCodes.UNUSABLE,
-                        "java -jar runs serve and benchlink alone; use bin/cresschute");
+                        "java -jar runs only serve and benchlink; use bin/cresschute for other"
+                                + " commands");
             }
         }
     }
--- a/src/main/java/cresschute/cli/NodeRunner.java
+++ b/src/main/java/cresschute/cli/NodeRunner.java
@@ -10,7 +10,7 @@
 import java.lang.System.Logger.Level;
 import java.util.concurrent.Callable;
 
-/** A node as the main work of the process: it heeds the process's signals. */
+/** Runs a node for the rest of the process's life and handles SIGHUP and SIGTERM for it. */
 final class NodeRunner {
 
     private static final Logger LOG = System.getLogger("cresschute.node");
@@ -20,27 +20,27 @@
     /**
      * Starts a node and returns once clients can connect.
      *
-     * @param reload reads the configuration anew, on the thread of the signal
-     * @param afterStop run at the very end, once all that the node took is answered
-     * @throws ConfigException where the platform said that it passes a listener, and none can be
-     *     taken
+     * @param reload reads the configuration again, on the signal's thread
+     * @param afterStop run last, once the node has answered all accepted requests
+     * @throws ConfigException if the configuration says that the platform passes a listener, but
+     *     there is no usable one
      */
     static void start(NodeConfig config, Callable<NodeConfig> reload, Runnable afterStop)
             throws ConfigException {
         final NodeServer node =
                 new NodeServer(
                         config, config.operators().passedListener() ? PassedListener.take() : null);
-        // Before clients can connect: without a handler, a SIGHUP ends the JVM.
+        // Installed before clients can connect: without a handler, a SIGHUP ends the JVM.
         final boolean reloadsOnSignal = ReloadSignal.handle(() -> node.reload(reload));
         if (!reloadsOnSignal) {
             LogEvent.of(
                             "reload_signal_ignored",
                             "SIGHUP is ignored, as this process was started with it ignored:"
-                                    + " the configuration is read again at a start only")
+                                    + " the node reads its configuration only at its start")
                     .log(LOG, Level.WARNING);
         }
-        // Before clients can connect: a SIGTERM that comes as soon as they can must find who
-        // answers them.
+        // Installed before clients can connect: otherwise, a SIGTERM right after the start would
+        // leave accepted requests without an answer.
         Runtime.getRuntime()
                 .addShutdownHook(
                         new Thread(
--- a/src/main/java/cresschute/cli/OutputTerminal.java
+++ b/src/main/java/cresschute/cli/OutputTerminal.java
@@ -5,32 +5,32 @@
 import java.util.Map;
 
 /**
- * What is known of the place where output goes.
+ * Properties of the terminal that receives a command's output.
  *
- * @param isTerminal whether somebody is watching; without, nothing is drawn over and nothing
- *     coloured
- * @param columns its width
- * @param hasColor whether colours are wanted
+ * @param isTerminal whether output goes to a terminal; otherwise commands neither redraw lines nor
+ *     use colours
+ * @param columns width in characters, at least 40
+ * @param hasColor whether the terminal has colours and the user wants them
  */
 record OutputTerminal(boolean isTerminal, int columns, boolean hasColor) {
 
     private static final int DEFAULT_COLUMNS = 80;
     private static final int MIN_COLUMNS = 40;
 
-    /** The screen of this process. */
+    /** The terminal of this process. */
     @SuppressWarnings("SystemConsoleNull") // On Java 17, null where there is no terminal.
     static OutputTerminal ofProcess() {
         return of(System.getenv(), System.console() != null);
     }
 
-    /** The screen that an environment describes. */
+    /** The terminal that environment variables describe. */
     static OutputTerminal of(Map<String, String> environment, boolean isTerminal) {
         final String columns = environment.getOrDefault("COLUMNS", "");
         final int width =
                 columns.matches("[0-9]{1,4}")
                         ? Integer.parseInt(columns)
                         : isTerminal ? terminalColumns() : DEFAULT_COLUMNS;
-        // Any value but an empty one, by the convention of no-color.org.
+        // By the convention of no-color.org, any value except an empty one turns colours off.
         final boolean colorless =
                 !environment.getOrDefault("NO_COLOR", "").isEmpty()
                         || environment.getOrDefault("TERM", "dumb").equals("dumb");
@@ -39,8 +39,8 @@
     }
 
     /**
-     * As {@code stty} reports it: picocli's width is never below 55, and JLine asks the terminal
-     * itself.
+     * The width that {@code stty} reports. It is read here because picocli's width is never below
+     * 55 and JLine queries the terminal itself.
      */
     private static int terminalColumns() {
         try {
--- a/src/main/java/cresschute/cli/RequestCostTrial.java
+++ b/src/main/java/cresschute/cli/RequestCostTrial.java
@@ -13,8 +13,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Measures what requests cost a node that runs in a process of its own, with the memory bounds of
- * the platform's command line, and prints tables in Markdown.
+ * Measures the CPU time and memory that requests use in a node. The node runs in a separate process
+ * with the memory bounds of the platform's command line. Prints tables in Markdown.
  */
 final class RequestCostTrial {
 
@@ -41,12 +41,12 @@
     private final int rounds;
 
     /**
-     * A trial.
+     * Creates a trial.
      *
-     * @param folder for the files of its nodes
-     * @param rate requests a second
+     * @param folder receives the files of its nodes
+     * @param rate requests per second
      * @param seconds length of each round
-     * @param rounds rounds that count, after one to warm up
+     * @param rounds measured rounds, after one round of warm-up
      */
     RequestCostTrial(PrintWriter out, Path folder, int rate, int seconds, int rounds) {
         this.out = out;
@@ -56,7 +56,7 @@
         this.rounds = rounds;
     }
 
-    /** A node in a process of its own, with the memory bounds of the platform's command line. */
+    /** Measures small requests to one node and prints a row for each round. */
     int requests() throws IOException, InterruptedException {
         final Path script = folder.resolve("site.star");
         final Path collectionLog = folder.resolve("gc.log");
@@ -132,11 +132,12 @@
     }
 
     /**
-     * What one node used: CPU for a request, and the heap that it held after its requests; medians.
+     * Resources that one node used: CPU time per request, us, and heap held after the requests, MB;
+     * medians over the rounds.
      */
     private record ResourceUse(double usPerRequest, double heapMb) {}
 
-    /** A node for each length of the list, in turn, with the same requests. */
+    /** Measures the same requests with one node after another, each with a longer endpoint list. */
     int endpointLists() throws IOException, InterruptedException {
         out.println(
                 "| workers listed | node's CPU, us a req: median (least to most) | against "
@@ -155,7 +156,7 @@
                 long notServed = 0;
                 try (NodeProcess node = new NodeProcess(script, PLATFORM_OPTIONS)) {
                     load.connect(node.address(), CLIENTS);
-                    // The first round is for the program's warming alone.
+                    // The first round only warms up the JVM.
                     for (int round = 0; round <= rounds; round++) {
                         final long beforeNs = node.cpuNs();
                         load.run(rate, seconds * 1_000L);
--- a/src/main/java/cresschute/cli/ServeCommand.java
+++ b/src/main/java/cresschute/cli/ServeCommand.java
@@ -19,23 +19,24 @@
 import picocli.CommandLine.Spec;
 
 /**
- * Runs a node by a settings script. Without one, {@link Main} runs it by the platform's
- * environment.
+ * Runs a node with a settings script. Without one, {@link Main} configures the node from the
+ * platform's environment variables.
  */
 @Command(
         name = "serve",
         mixinStandardHelpOptions = true,
         description =
-                "Runs a node: by a settings script, or without one by the BALANCER_ variables.",
+                "Runs a node with a settings script, or without one as the BALANCER_ variables"
+                        + " say.",
         footer = {
             "",
-            "SIGHUP reads the settings again, SIGTERM answers all that was taken and ends.",
+            "SIGHUP reloads the settings; SIGTERM answers all accepted requests and exits.",
             "",
             "Example: cresschute serve --settings deploy/appliance.star"
         })
 final class ServeCommand implements Callable<Integer> {
 
-    /** In place of an exit code: the node goes on when the command has returned. */
+    /** Returned instead of an exit code: the node keeps running after the command has returned. */
     static final int STILL_RUNNING = -1;
 
     @Option(names = "--settings", paramLabel = "FILE", description = "the settings script")
@@ -75,8 +76,8 @@
                             "cresschute: cannot start: "
                                     + e.getMessage()
                                     + (e.getCause() instanceof SocketException
-                                            ? "; see who listens there, or give node another listen"
-                                                    + " address"
+                                            ? "; find the process that listens there, or change the"
+                                                    + " node's listen address"
                                             : ""));
             return ExitCodes.FAILED;
         }
--- a/src/main/java/cresschute/cli/SettingsLoader.java
+++ b/src/main/java/cresschute/cli/SettingsLoader.java
@@ -7,12 +7,12 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** Brings settings scripts to the commands. */
+/** Reads settings scripts for the commands and turns failures into messages for the user. */
 final class SettingsLoader {
 
     private SettingsLoader() {}
 
-    /** A file that cannot be read, or states what cannot be used. */
+    /** The file cannot be read or contains errors. */
     static final class UnusableSettingsException extends Exception {
 
         private static final long serialVersionUID = 1L;
@@ -23,13 +23,13 @@
             this.lines = List.copyOf(lines);
         }
 
-        /** All that is wrong, a line each. */
+        /** One line per error. */
         List<String> lines() {
             return lines;
         }
     }
 
-    /** The settings of a file. */
+    /** Loads settings that are free of errors. */
     static NodeSettings load(Path file) throws UnusableSettingsException {
         final SettingsFile.Result result = read(file);
         if (result.settings() == null) {
@@ -39,7 +39,7 @@
         return result.settings();
     }
 
-    /** What came of a file; one that cannot be read is an exception. */
+    /** Reads a script and returns its settings or its errors; throws if it cannot be read. */
     static SettingsFile.Result read(Path file) throws UnusableSettingsException {
         try {
             return SettingsFile.read(file);
--- a/src/main/java/cresschute/cli/TrialCommand.java
+++ b/src/main/java/cresschute/cli/TrialCommand.java
@@ -28,12 +28,14 @@
 import picocli.CommandLine.Spec;
 
 /**
- * Measures the console's parts on loopback and prints tables in Markdown, as the docs keep them.
+ * Measures drains, consoles and small requests on loopback and prints tables in Markdown for the
+ * documentation.
  */
 @Command(
         name = "trial",
         mixinStandardHelpOptions = true,
-        description = "Measures what drains and consoles cost, on loopback, and prints tables.",
+        description =
+                "Measures drains, consoles and small requests on loopback, and prints tables.",
         footer = {
             "",
             "Trials: drains (how soon new work stops), consoles (the node's CPU with 0, 1 and 8 of"
@@ -44,7 +46,7 @@
         })
 final class TrialCommand implements Callable<Integer> {
 
-    /** What may be measured; each constant is the word of the command line. */
+    /** The trials; each constant is spelled as on the command line. */
     enum Trial {
         drains,
         consoles,
@@ -88,7 +90,7 @@
             names = "--seed",
             paramLabel = "S",
             defaultValue = "1",
-            description = "for all chance (default: ${DEFAULT-VALUE})")
+            description = "seed of the random numbers (default: ${DEFAULT-VALUE})")
     private long seed;
 
     @Option(
@@ -102,7 +104,7 @@
 
     @Override
     public Integer call() throws IOException, InterruptedException, RequestFailedException {
-        // Set before anything of the node's is loaded: its log would run through the tables.
+        // Set before any class of the node is loaded: its log lines would mix with the tables.
         final StructuredLog log = new StructuredLog(false, Level.ERROR);
         RoutedLoggerFinder.setSink(log);
         final PrintWriter out = spec.commandLine().getOut();
@@ -125,7 +127,7 @@
         return new RequestCostTrial(out, folder, rate, seconds, rounds);
     }
 
-    // ---- How soon new work stops ----
+    // ---- Time from a drain until new work stops ----
 
     private int drains(PrintWriter out, Path folder)
             throws RequestFailedException, InterruptedException {
@@ -214,8 +216,8 @@
     }
 
     /**
-     * What workers were sent over many spans of time, each of which leaves out one worker at the
-     * most.
+     * Send rates of the workers, summed over many time spans. Each span excludes the worker that
+     * was drained during it, if any.
      */
     private static final class SendRates {
         private final Map<String, Long> sends = new HashMap<>();
@@ -268,7 +270,7 @@
                 us.getMaxValue() / 1e3);
     }
 
-    // ---- What consoles cost ----
+    // ---- Cost of consoles ----
 
     @FunctionalInterface
     private interface CpuClock {
@@ -312,8 +314,8 @@
                 List.of(new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
         final List<List<Double>> heaps =
                 List.of(new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
-        // In turn, so that the program's warming falls on all of them; the first round is for that
-        // alone.
+        // Counts alternate within each round, so that JVM warm-up affects all of them alike; the
+        // first round only warms up.
         for (int round = 0; round <= rounds; round++) {
             for (int index = 0; index < consoleCounts.length; index++) {
                 final List<ControlLink> links = new ArrayList<>();
@@ -372,7 +374,7 @@
         return (Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory()) / 1e6;
     }
 
-    // ---- What a screen costs ----
+    // ---- Cost of drawing the screen ----
 
     private int screen(PrintWriter out) {
         ScreenBenchmark.measure(LARGE_SITE_WORKERS, CHANGES_PER_SECOND, count);
--- a/src/main/java/cresschute/cli/UndrainCommand.java
+++ b/src/main/java/cresschute/cli/UndrainCommand.java
@@ -11,7 +11,7 @@
 @Command(
         name = "undrain",
         mixinStandardHelpOptions = true,
-        description = "Undoes an operator's drain; a drain of the list's own stays.",
+        description = "Undoes an operator's drain; a drain by the endpoint list stays.",
         footer = {"", "Example: cresschute undrain w3"})
 final class UndrainCommand implements Callable<Integer> {
 
--- a/src/main/java/cresschute/cli/VersionCommand.java
+++ b/src/main/java/cresschute/cli/VersionCommand.java
@@ -30,7 +30,7 @@
         }
     }
 
-    /** As the jar's manifest has it; classes that stand outside a jar have none. */
+    /** The version in the jar's manifest, or {@code unpackaged} for classes outside a jar. */
     static String version() {
         final String version = Main.class.getPackage().getImplementationVersion();
         return version == null ? "unpackaged" : version;
--- a/src/main/java/cresschute/cli/WorkerOperation.java
+++ b/src/main/java/cresschute/cli/WorkerOperation.java
@@ -17,29 +17,31 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * Options and execution of draining and its undoing: one operation is sent to the node, and again
- * under the same id if the connection breaks, until its outcome is known.
+ * Shared options and execution of {@code drain} and {@code undrain}: sends one operation to the
+ * node, and repeats it with the same operation id if the connection fails, until the outcome is
+ * known.
  */
 final class WorkerOperation {
 
     @Mixin private ControlSocketOptions controlSocket;
 
-    @Parameters(paramLabel = "WORKER", description = "its name, as the list has it")
+    @Parameters(paramLabel = "WORKER", description = "the worker's name on the endpoint list")
     private String worker;
 
     @Option(
             names = "--operation",
             paramLabel = "ID",
             description =
-                    "the mark of the operation: the same one again has no second effect (default:"
-                            + " drawn)")
+                    "id of the operation: a repeated id has no second effect (default: a random"
+                            + " one)")
     private String operation;
 
     @Option(names = "--json", description = "print the node's answer as one JSON object")
     private boolean json;
 
     /**
-     * How long a node may be away, as while it starts again, before the outcome counts as unknown.
+     * How long a node may be unreachable, for example during a restart, before the command gives up
+     * with an unknown outcome.
      */
     private static final long MAX_UNAVAILABLE_MS = 15_000;
 
@@ -49,22 +51,25 @@
             Map.of("ms", 1L, "s", 1_000L, "m", 60_000L, "h", 3_600_000L, "d", 86_400_000L);
 
     /**
-     * A time such as 90s or 2h in milliseconds; anything else is an {@link
-     * IllegalArgumentException}.
+     * Parses a duration such as 90s or 2h.
+     *
+     * @return milliseconds
+     * @throws IllegalArgumentException if the text is not a whole number with a unit
      */
     static long durationMs(String text) {
         final Matcher matcher = DURATION.matcher(text);
         if (!matcher.matches()) {
-            throw new IllegalArgumentException("'" + text + "' is no time");
+            throw new IllegalArgumentException("'" + text + "' is no duration");
         }
         return Long.parseLong(matcher.group(1)) * MS_PER_UNIT.get(matcher.group(2));
     }
 
     /**
-     * Carries it out and prints the outcome; with {@code wait}, once nothing is out at the worker.
+     * Sends the operation and prints its outcome; with {@code wait}, then also waits until a
+     * drained worker has no request in flight.
      *
      * @param type {@code drain} or {@code undrain}
-     * @param extraFields fields of the request
+     * @param extraFields further fields of the request
      */
     int run(CommandSpec spec, String type, Map<String, Object> extraFields, boolean wait)
             throws InterruptedException {
@@ -84,8 +89,8 @@
                 final JsonObject answer = client.request(request);
                 return printOutcome(request, answer, client, wait, json, out, err);
             } catch (RequestFailedException e) {
-                // The node may have received it; its id makes a retry idempotent. A node that was
-                // never reached is reported at once.
+                // The node may have received the operation; its id makes a retry idempotent. A node
+                // that was never reached is reported at once.
                 if (!e.isRetryable() || !connected || System.currentTimeMillis() >= deadlineMs) {
                     err.println("cresschute: " + e.getMessage());
                     return ExitCodes.FAILED;
@@ -151,7 +156,7 @@
                 && model.worker(worker).get("in_flight").getAsInt() > 0) {
             final JsonObject line = client.nextLine(SiteModel.STALE_AFTER_MS * 4);
             if (line == null) {
-                throw new RequestFailedException("the node has gone silent", true);
+                throw new RequestFailedException("the node sends no more lines", true);
             }
             model.apply(line, System.currentTimeMillis());
         }
--- a/src/main/java/cresschute/cli/WorkersCommand.java
+++ b/src/main/java/cresschute/cli/WorkersCommand.java
@@ -15,12 +15,13 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Prints who is well. */
+/** Prints the workers and their states. */
 @Command(
         name = "workers",
         mixinStandardHelpOptions = true,
         description =
-                "Prints the workers of a node: who takes work, is slowing or silent, is draining.",
+                "Prints the workers of a node with their states, such as taking, slowing, silent or"
+                        + " draining.",
         footer = {"", "Example: cresschute workers --watch"})
 final class WorkersCommand implements Callable<Integer> {
 
@@ -31,7 +32,7 @@
     @Option(names = "--watch", description = "print them again every 2 s until interrupted")
     private boolean watch;
 
-    @Option(names = "--json", description = "print one JSON object a picture")
+    @Option(names = "--json", description = "print one JSON object per snapshot")
     private boolean json;
 
     @Spec private CommandSpec spec;
@@ -41,7 +42,7 @@
         return print(spec, controlSocket.find(spec, System.getenv()), watch, json);
     }
 
-    /** Prints them once, or again and again. */
+    /** Prints the workers once, or with {@code watch} until interrupted. */
     static int print(CommandSpec spec, Path socket, boolean watch, boolean json)
             throws InterruptedException {
         final PrintWriter out = spec.commandLine().getOut();
@@ -52,7 +53,7 @@
                     System.currentTimeMillis());
             print(out, model, json);
             long printedMs = System.currentTimeMillis();
-            // A reader that has gone, as after `| head`, ends it.
+            // Ends when the reader has closed the pipe, as after `| head`.
             while (watch && !out.checkError()) {
                 final JsonObject line = client.nextLine(PRINT_INTERVAL_MS);
                 if (line != null) {
--- a/src/main/java/cresschute/cli/package-info.java
+++ b/src/main/java/cresschute/cli/package-info.java
@@ -1,9 +1,9 @@
 /**
- * The commands of {@code cresschute}: they read options, put the other packages together and print
+ * The commands of {@code cresschute}: they read options, connect the other packages and print
  * results.
  *
- * <p>A command owns what it starts and closes it before it ends. It runs on the main thread, and
- * nothing else knows this package. {@link cresschute.cli.Main} starts the platform's two commands
+ * <p>Commands run on the main thread, and a command closes what it started before it ends. No other
+ * package depends on this one. {@link cresschute.cli.Main} starts the platform's two commands
  * without loading the option parser and its libraries.
  */
 package cresschute.cli;
--- a/src/test/java/cresschute/cli/CapacityPageCommandTest.java
+++ b/src/test/java/cresschute/cli/CapacityPageCommandTest.java
@@ -90,7 +90,7 @@
         assertThat(checked.code()).isEqualTo(1);
         assertThat(checked.err())
                 .matches(
-                        "cresschute: .*page\\.md:\\d+: the page says something else than the"
+                        "cresschute: .*page\\.md:\\d+: the page differs from the"
                                 + " measurements\\R");
         assertThat(Files.readString(page)).isEqualTo(before);
         assertThat(page().code()).isZero();
--- a/src/test/java/cresschute/cli/ConsoleProgramTest.java
+++ b/src/test/java/cresschute/cli/ConsoleProgramTest.java
@@ -222,7 +222,7 @@
     void dumbTerminalGetsPlainLines() throws Exception {
         try (Fleet fleet = fleet("")) {
             try (VirtualScreen screen = console(80, 24, Map.of("TERM", "dumb"))) {
-                screen.await("this is no terminal that can show a screen");
+                screen.await("this terminal cannot show a screen");
                 screen.await("WORKER           STATE");
             }
             assertAllRulesKept(fleet);
@@ -298,8 +298,8 @@
             textBlock =
                     """
                     drain                | Missing required parameter: 'WORKER'; try 'cresschute drain --help'
-                    drain w1 --for soon  | --for: 'soon' is no time; allowed: a whole number and ms, s, m, h or d, such as 2h; try 'cresschute drain --help'
-                    drain w1 --for 0s    | --for: '0s' is no time; allowed: a whole number and ms, s, m, h or d, such as 2h; try 'cresschute drain --help'
+                    drain w1 --for soon  | --for: 'soon' is no duration; allowed: a whole number and ms, s, m, h or d, such as 2h; try 'cresschute drain --help'
+                    drain w1 --for 0s    | --for: '0s' is no duration; allowed: a whole number and ms, s, m, h or d, such as 2h; try 'cresschute drain --help'
                     drain w1             | no node answers at
                     workers              | no node answers at
                     events               | no node answers at
@@ -317,7 +317,7 @@
                 Commands.commandLine()
                         .setErr(new PrintWriter(err, true))
                         .execute("workers", "--settings", "deploy/appliance.star");
-        assertThat(err.toString()).contains("states no control(socket = ...)");
+        assertThat(err.toString()).contains("has no control(socket = ...)");
         assertThat(code).isEqualTo(2);
     }
 
--- a/src/test/java/cresschute/cli/ProgramTest.java
+++ b/src/test/java/cresschute/cli/ProgramTest.java
@@ -193,8 +193,8 @@
                     .containsExactly(
                             "cresschute: cannot start: cannot listen on 127.0.0.1:"
                                     + taken.getLocalPort()
-                                    + ": Address already in use; see who listens there, or give"
-                                    + " node another listen address");
+                                    + ": Address already in use; find the process that listens"
+                                    + " there, or change the node's listen address");
             assertThat(ProgramProcess.exitCode(node)).isEqualTo(1);
         }
     }
