--- a/src/main/java/cresschute/cli/CapacityCommand.java
+++ b/src/main/java/cresschute/cli/CapacityCommand.java
@@ -34,8 +34,8 @@
             "Example: cresschute lab capacity --quick --json",
             "",
             "Exit codes: 0 measured whole and all rules kept, 1 partial, a rule broken, a request"
-                    + " unanswered or a limit of the machine in the way, 2 it could not be used as"
-                    + " given, 130 interrupted."
+                    + " unanswered or a limit of the machine in the way, 2 the arguments cannot"
+                    + " be used, 130 interrupted."
         })
 final class CapacityCommand implements Callable<Integer> {
 
--- a/src/main/java/cresschute/cli/DemoCommand.java
+++ b/src/main/java/cresschute/cli/DemoCommand.java
@@ -36,7 +36,7 @@
             "Example: cresschute demo --for 20s --trouble slow@5s,silent:w2@8s+4s",
             "",
             "Exit codes: 0 all rules kept, 1 a rule was broken, 2 the arguments or settings cannot"
-                + " be used, 130 interrupted."
+                    + " be used, 130 interrupted."
         })
 final class DemoCommand implements Callable<Integer> {
 
--- a/src/test/java/cresschute/DocumentationTest.java
+++ b/src/test/java/cresschute/DocumentationTest.java
@@ -18,26 +18,26 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** The names of code in the glossary and on the architecture page are names that exist. */
+/** Checks that code names in the glossary and on the architecture page exist in the code. */
 class DocumentationTest {
 
     private static final JavaClasses CLASSES = new ClassFileImporter().importPackages("cresschute");
     private static final Path GLOSSARY = Path.of("docs/glossary.md");
     private static final Path ARCHITECTURE = Path.of("docs/architecture.md");
 
-    /** The column of the glossary that says where a term stands. */
+    /** Index of the glossary's column with the type or member that defines a term. */
     private static final int WHERE_COLUMN = 3;
 
     private static final Pattern CODE_SPAN = Pattern.compile("`([^`\n]+)`");
 
-    /** A type, perhaps after its package and before a member. */
+    /** A type name, optionally with its package before it and a member after it. */
     private static final Pattern TYPE_REFERENCE =
             Pattern.compile(
                     "(?:[a-z]+\\.)*((?:[A-Z]\\w*[a-z]\\w*)(?:\\.[A-Z]\\w*)*)(?:[.#]([a-z]\\w*))?");
 
     private static final Pattern DIAGRAM = Pattern.compile("```mermaid\n(.*?)```", Pattern.DOTALL);
 
-    /** Two humps at least, so that a diagram's own words are none. */
+    /** A name of at least two capitalized words, so that plain words of a diagram do not match. */
     private static final Pattern TYPE_IN_DIAGRAM =
             Pattern.compile("\\b[A-Z][a-z]+(?:[A-Z][a-z]+)+\\b");
 
@@ -51,7 +51,7 @@
                 .anyMatch(name::equals);
     }
 
-    /** Whether {@code package.Type} or {@code package.Type#member} is part of the program. */
+    /** Returns whether {@code package.Type} or {@code package.Type#member} exists. */
     private static boolean exists(String where) {
         final String[] parts = where.split("#", 2);
         final String typeName = "cresschute." + parts[0];
--- a/src/test/java/cresschute/KnownFailuresTest.java
+++ b/src/test/java/cresschute/KnownFailuresTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * What {@code .ci/run} makes of KNOWN-RED.txt, with a Maven that notes how it is called and ends as
- * told.
+ * Checks how {@code .ci/run} treats the tests that KNOWN-RED.txt lists. A stand-in for Maven
+ * records its calls and exits with the codes that the test sets.
  */
 class KnownFailuresTest {
 
@@ -28,7 +28,7 @@
         Files.copy(Path.of(".ci/run"), folder.resolve(".ci/run"));
         Files.createDirectories(folder.resolve("bin"));
         writeProgram("javac", "exit 0");
-        // The copied list of exclusions is gone after the run.
+        // Keeps a copy of the list of exclusions, because the script deletes it after the run.
         writeProgram(
                 "mvn",
                 """
@@ -46,7 +46,7 @@
         Files.setPosixFilePermissions(file, PosixFilePermissions.fromString("rwxr-xr-x"));
     }
 
-    /** What the script prints, its exit code last. */
+    /** Runs the script and returns its output with the exit code as the last line. */
     private List<String> runScript(int verifyCode, int redCode) throws Exception {
         final ProcessBuilder builder =
                 new ProcessBuilder("bash", folder.resolve(".ci/run").toString());
--- a/src/test/java/cresschute/LayoutTest.java
+++ b/src/test/java/cresschute/LayoutTest.java
@@ -13,7 +13,7 @@
 import cresschute.node.NodeServer;
 import org.junit.jupiter.api.Test;
 
-/** Who may use whom: the doors between the packages, as the architecture page lists them. */
+/** Checks the allowed dependencies between packages, as the architecture page lists them. */
 class LayoutTest {
 
     private static final JavaClasses CLASSES =
@@ -22,7 +22,7 @@
                     .importPackages("cresschute");
     private static final String ALL = "cresschute..";
 
-    /** Classes of these packages use nothing of the program's but what is in the others. */
+    /** Of this program's packages, {@code packages} may depend only on themselves and others. */
     private static void mayDependOn(String[] packages, String... others) {
         final String[] all = new String[packages.length + others.length];
         System.arraycopy(packages, 0, all, 0, packages.length);
@@ -54,8 +54,8 @@
     }
 
     /**
-     * No other package decides: the test bed's baseline and its exchange beside a dispatcher are
-     * the only other receivers of a dispatcher's events.
+     * Only the dispatch package makes decisions. The test bed's baseline and its exchange beside a
+     * dispatcher are the only other receivers of a dispatcher's events.
      */
     @Test
     void onlyDispatchPackageMakesDecisions() {
@@ -119,7 +119,8 @@
     }
 
     /**
-     * The core has no protocol's types; the class that puts a node together names its HTTP parts.
+     * The core uses no types of a protocol. The only exception is {@link NodeServer}, which creates
+     * a node's HTTP parts.
      */
     @Test
     void coreDoesNotDependOnHttp() {
@@ -157,8 +158,9 @@
     }
 
     /**
-     * Pure packages: no sockets, files or threads. The settings read one file; the checker and
-     * reports none.
+     * Packages without input, output and threads: they use no sockets or files. The only exception
+     * is {@code SettingsFile}, which reads one file; {@code RuleChecker} and {@code
+     * RequestOutcomes} read none.
      */
     @Test
     void pureClassesDoNoInputOrOutput() {
@@ -191,8 +193,8 @@
     }
 
     /**
-     * The page's figures need the JDK and a library of statistics, and the node needs neither of
-     * them.
+     * The package that computes the capacity page uses only the JDK and a statistics library, and
+     * only the command line uses the package; the node needs neither it nor the library.
      */
     @Test
     void capacityUsesOnlyJdkAndStatistics() {
@@ -213,7 +215,7 @@
                 .check(CLASSES);
     }
 
-    /** The screen's parts that decide what is drawn know neither the terminal nor the socket. */
+    /** The classes that hold and draw the screen use neither the terminal nor the socket. */
     @Test
     void screenModelDoesNoInputOrOutput() {
         noClasses()
@@ -229,7 +231,7 @@
                 .check(CLASSES);
     }
 
-    /** The structured log and its library are put in place by the command line alone. */
+    /** Only the command line installs the structured log and uses its library. */
     @Test
     void onlyTheCommandLineUsesTheStructuredLog() {
         noClasses()
--- a/src/test/java/cresschute/ProgramProcess.java
+++ b/src/test/java/cresschute/ProgramProcess.java
@@ -17,16 +17,16 @@
 import java.util.stream.Stream;
 
 /**
- * The program in a process of its own. Its standard output and error are read together, line by
- * line, by a thread of the test, so that the process never waits for its reader; every wait here
- * has a bound.
+ * Runs the program as a separate process, for tests. A thread reads its standard output and error
+ * together, line by line, so that the process never blocks on writing. Every wait here has a time
+ * limit.
  */
 public final class ProgramProcess implements AutoCloseable {
 
-    /** The longest that a test waits for a line or for the end of a process, s. */
+    /** Longest wait for a line or for the end of a process, s. */
     public static final long MAX_WAIT_S = 25;
 
-    /** The end of the output, as a line that no program writes. */
+    /** Marks the end of the output in the queue; no program writes this line. */
     private static final String END = "\0";
 
     private final Process process;
@@ -45,15 +45,15 @@
     }
 
     /**
-     * The command line of the program on the test's class path. The process starts with the default
-     * action of SIGHUP and SIGINT whatever the tests run under: {@code nohup} and a shell's
-     * background jobs hand their children a signal that is ignored, which a JVM never hears.
+     * The command line of the program with the test's class path. It restores the default action of
+     * SIGHUP and SIGINT, because children of {@code nohup} and of a shell's background jobs inherit
+     * ignored signals, and a JVM does not handle a signal that was ignored at its start.
      */
     public static List<String> command(List<String> options, String... arguments) {
         return withDefaultSignals(java(options, System.getProperty("java.class.path"), arguments));
     }
 
-    /** The same with the libraries alone that the platform's node has on its class path. */
+    /** The same, but the class path has only the libraries that the platform's node has. */
     public static List<String> platformCommand(List<String> options, String... arguments) {
         final String needed =
                 Arrays.stream(System.getProperty("java.class.path").split(":"))
@@ -65,7 +65,7 @@
         return withDefaultSignals(java(options, needed, arguments));
     }
 
-    /** The command line of the program, whose process leaves signals as it inherits them. */
+    /** The command line of the program without a change of the inherited signal actions. */
     public static List<String> commandInheritingSignals(String... arguments) {
         return java(List.of(), System.getProperty("java.class.path"), arguments);
     }
@@ -97,12 +97,15 @@
         try (BufferedReader out = process.inputReader()) {
             out.lines().forEach(lines::add);
         } catch (IOException | UncheckedIOException e) {
-            // The process was ended by the test.
+            // The test has killed the process.
         }
         lines.add(END);
     }
 
-    /** The next line that contains this; fails where the output ends first or the wait is over. */
+    /**
+     * Waits for the next line that contains {@code part}; fails if the output ends first or after
+     * {@link #MAX_WAIT_S}.
+     */
     public String awaitLine(String part) throws InterruptedException {
         final List<String> seen = new ArrayList<>();
         final long untilNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(MAX_WAIT_S);
@@ -118,7 +121,7 @@
         return line;
     }
 
-    /** All lines that are still unread, to the end of the output. */
+    /** Waits for the end of the output and returns all unread lines. */
     public List<String> remainingLines() throws InterruptedException {
         final List<String> seen = new ArrayList<>();
         final long untilNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(MAX_WAIT_S);
@@ -131,24 +134,24 @@
         return seen;
     }
 
-    /** Lines that have come and were not read. */
+    /** Returns the unread lines received so far, without waiting. */
     public List<String> linesSoFar() {
         final List<String> seen = new ArrayList<>();
         lines.drainTo(seen);
         return seen;
     }
 
-    /** The port of a line that ends with a socket's address. */
+    /** Returns the port of a line that ends with a socket address. */
     public static int portIn(String line) {
         return Integer.parseInt(line.substring(line.lastIndexOf(':') + 1));
     }
 
-    /** The exit code, once the process has ended. */
+    /** Waits for the end of the process and returns its exit code. */
     public int exitCode() throws InterruptedException {
         return exitCode(process);
     }
 
-    /** The exit code of a process that a test started, once it has ended. */
+    /** Waits for the end of any process that a test started and returns its exit code. */
     public static int exitCode(Process process) throws InterruptedException {
         assertThat(process.waitFor(MAX_WAIT_S, TimeUnit.SECONDS))
                 .as("the process has ended")
@@ -156,7 +159,7 @@
         return process.exitValue();
     }
 
-    /** Sends a signal by its short name. */
+    /** Sends a signal by its short name, such as {@code TERM}. */
     public void signal(String name) throws IOException, InterruptedException {
         assertThat(
                         exitCode(
@@ -167,14 +170,14 @@
                 .isZero();
     }
 
-    /** Descriptors that the process holds open. */
+    /** The number of descriptors that the process has open. */
     public int openDescriptors() throws IOException {
         try (Stream<Path> open = Files.list(Path.of("/proc/" + process.pid() + "/fd"))) {
             return (int) open.count();
         }
     }
 
-    /** Descriptors that the process may hold open: the soft limit that is in force. */
+    /** The process's soft limit of open descriptors. */
     public int descriptorLimit() throws IOException {
         return Files.readAllLines(Path.of("/proc/" + process.pid() + "/limits")).stream()
                 .filter(line -> line.startsWith("Max open files"))
--- a/src/test/java/cresschute/cli/CapacityPageCommandTest.java
+++ b/src/test/java/cresschute/cli/CapacityPageCommandTest.java
@@ -14,8 +14,8 @@
 import picocli.CommandLine;
 
 /**
- * The page that is kept says what the measurements that are kept say; and how the command ends
- * otherwise.
+ * Checks that the committed capacity page matches the committed measurements, and how the command
+ * reports pages and files that differ or cannot be used.
  */
 class CapacityPageCommandTest {
 
--- a/src/test/java/cresschute/cli/CapacityProgramTest.java
+++ b/src/test/java/cresschute/cli/CapacityProgramTest.java
@@ -26,14 +26,16 @@
 import org.junit.jupiter.api.parallel.Execution;
 import org.junit.jupiter.api.parallel.ExecutionMode;
 
-/** The capacity experiment as a process with its own processes, none of which is left. */
+/**
+ * Runs the capacity experiment as a process and checks that none of its child processes is left.
+ */
 @Timeout(60)
 @Execution(ExecutionMode.CONCURRENT)
 class CapacityProgramTest {
 
     private static final int DISPATCHERS = 2;
 
-    /** Hollow workers, hollow clients and discovery. */
+    /** The processes of the hollow workers, the hollow clients and discovery. */
     private static final int PEERS = 3;
 
     private static final List<String> SMALL_EXPERIMENT =
@@ -62,7 +64,7 @@
         return start(program(arguments.toArray(new String[0])));
     }
 
-    /** All processes of the experiment, once it measures. */
+    /** Waits until the experiment measures and returns all its child processes. */
     private static List<ProcessHandle> processes(Process experiment, BufferedReader log)
             throws Exception {
         assertThat(lineWith(log, "measured ")).isNotNull();
@@ -138,7 +140,7 @@
                 .isGreaterThanOrEqualTo(dispatcher.get("cpu_percent").getAsDouble());
     }
 
-    /** One row for each role and measure, with the size in each. */
+    /** Checks that there is one row for each role and measure, and that each row has the size. */
     private static void assertRowsMatch(JsonObject result, List<String> lines) {
         assertThat(lines.get(0)).isEqualTo(MeasurementFile.FIRST_LINE);
         assertThat(lines.get(1)).isEqualTo(String.join(",", MeasurementFile.COLUMNS));
@@ -181,7 +183,7 @@
                                 name -> fields[MeasurementFile.COLUMNS.indexOf(name)]));
     }
 
-    /** Ctrl-C: what was measured until then is printed as partial, and nothing goes on. */
+    /** After Ctrl-C, the measurements so far are printed as partial, and no process is left. */
     @Test
     void interruptedExperimentPrintsPartialResult() throws Exception {
         final Process experiment = startSmallExperiment("--seconds", "600");
@@ -200,7 +202,7 @@
         }
     }
 
-    /** A hollow process that dies ends it; what was measured until then is kept. */
+    /** The exit of a hollow process ends the experiment; the measurements so far are printed. */
     @Test
     void exitOfHollowWorkersEndsTheExperiment() throws Exception {
         final Process experiment = startSmallExperiment("--seconds", "600");
@@ -227,7 +229,7 @@
         }
     }
 
-    /** Whoever kills the experiment outright ends its processes with it. */
+    /** Killing the experiment also ends its child processes. */
     @Test
     void killedExperimentLeavesNoProcess() throws Exception {
         final Process experiment = startSmallExperiment("--seconds", "600");
--- a/src/test/java/cresschute/cli/CommandsTest.java
+++ b/src/test/java/cresschute/cli/CommandsTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import picocli.CommandLine;
 
-/** The command line within this process: words, exit codes, and what each command prints. */
+/** Checks arguments, exit codes and output of the commands, run within the test's process. */
 class CommandsTest {
 
     private static final String SAMPLE = "deploy/appliance.star";
@@ -36,7 +36,7 @@
         return new CommandResult(code, out.toString(), err.toString());
     }
 
-    /** Words that cannot be used: one line with a hint, and 2. */
+    /** Unusable arguments cause one line with a pointer to the help, and exit code 2. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
--- a/src/test/java/cresschute/cli/ConsoleProgramTest.java
+++ b/src/test/java/cresschute/cli/ConsoleProgramTest.java
@@ -34,7 +34,8 @@
 import picocli.CommandLine;
 
 /**
- * The person at the terminal: a screen on a pseudo-terminal, commands, and nodes that are killed.
+ * Checks the console on a pseudo-terminal, the commands for operators, and drains of nodes that are
+ * killed.
  */
 @Timeout(120)
 class ConsoleProgramTest {
@@ -88,9 +89,9 @@
     }
 
     /**
-     * The whole session: look, drain the worker that was chosen, be cut off, come back, undo,
-     * leave. The drain holds within 400 ms of the node's taking it, as the workers saw it, and all
-     * others go on.
+     * A whole session: drain the selected worker, lose the terminal, connect again, undo the drain,
+     * quit. The workers see the drain in force within 400 ms after the node accepts it, and all
+     * other workers keep getting requests.
      */
     @Test
     void drainStaysInForceAfterTerminalDisconnects() throws Exception {
@@ -106,7 +107,7 @@
                 screen.await("Drain w3? ");
                 screen.type("y");
                 screen.await("w3 is draining");
-                // Cut off: the terminal goes and the program with it, and the drain holds.
+                // The terminal disconnects and the program ends, but the drain stays in force.
                 screen.disconnect();
             }
             final JsonObject drain = worker("w3").getAsJsonObject("drain");
@@ -144,7 +145,7 @@
         }
     }
 
-    /** Cut between the question and the answer: nothing was meant yet, so nothing is done. */
+    /** A disconnection after the prompt and before the confirmation drains no worker. */
     @Test
     void disconnectBeforeConfirmationDrainsNothing() throws Exception {
         try (Fleet fleet = fleet("")) {
@@ -160,8 +161,8 @@
     }
 
     /**
-     * The node goes away and another run of it comes: old figures are not shown as new, then all is
-     * live.
+     * While a node restarts, the screen marks its rows as stale; once the new incarnation answers,
+     * it is live again.
      */
     @Test
     void screenShowsStaleRowsUntilNodeReturns() throws Exception {
@@ -189,8 +190,8 @@
     }
 
     /**
-     * A thousand workers, 200 of which change in a second: the one that is meant is found and
-     * drained.
+     * Among 1,000 workers with 200 changes a second, the filter finds one worker, and the drain
+     * applies to it.
      */
     @Test
     void drainsSelectedWorkerWhileOtherRowsChange() throws Exception {
@@ -213,7 +214,7 @@
             screen.type("\u001b");
             screen.await("LIVE");
             assertThat(worker("w512").has("drain")).isTrue();
-            // The cursor is still on it, in the middle of a thousand rows that go on changing.
+            // The selection is still on it among 1,000 rows that keep changing.
             screen.await("the cursor on w512", text -> row(screen, "w512").startsWith(">"));
         }
     }
@@ -321,7 +322,7 @@
         assertThat(code).isEqualTo(2);
     }
 
-    // ---- Kills ----
+    // ---- Killed nodes ----
 
     private ProgramProcess startNode(Path script) throws Exception {
         final ProgramProcess node =
@@ -332,9 +333,9 @@
     }
 
     /**
-     * Killed at once after the drain was confirmed, or after it was asked for: a confirmed drain is
-     * there at the next start, before the first request, and asking for it again has no second
-     * effect either way.
+     * The node is killed right after it confirmed a drain, or right after the drain was requested.
+     * A confirmed drain is in force after the next start, before the first request. In both cases,
+     * repeating the operation has no second effect.
      */
     @Test
     void killedNodeKeepsConfirmedDrains() throws Exception {
@@ -377,7 +378,7 @@
                     first.close();
                     first.exitCode();
                 }
-                // It left its socket behind, and died with the lock of its folder.
+                // The killed node left its socket file; the lock of its state folder ended with it.
                 assertThat(Files.exists(socket)).isTrue();
                 final ProgramProcess second = startNode(script);
                 try (TestConsole peer = new TestConsole(socket)) {
--- a/src/test/java/cresschute/cli/ProgramTest.java
+++ b/src/test/java/cresschute/cli/ProgramTest.java
@@ -26,11 +26,11 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The program as a process: what only a whole process can show. */
+/** Checks behaviour that only a separate process shows: signals, exit codes, loaded classes. */
 @Timeout(60)
 class ProgramTest {
 
-    /** The words before the JVM's options on a command line: {@code env}, its option, the JVM. */
+    /** Index of the JVM's options on a command line, after {@code env}, its option and the JVM. */
     private static final int JVM_OPTIONS_INDEX = 3;
 
     private static final int SOCKET_WAIT_MS = 20_000;
@@ -51,7 +51,7 @@
                 .formatted(port, worker, logs);
     }
 
-    /** The verdict of a seed is the same every time, and a program can read it. */
+    /** A demo with a fixed seed and faults keeps all rules, and its result is readable as JSON. */
     @Test
     void demoKeepsAllRulesWithSeedOne() throws Exception {
         final Process demo =
@@ -74,7 +74,7 @@
         assertThat(json.get("asked").getAsInt()).isPositive();
     }
 
-    /** Ctrl-C: all of it ends, and the table of what was seen so far is printed. */
+    /** After Ctrl-C, the demo prints the table of its results so far and exits with 130. */
     @Test
     void interruptedDemoPrintsPartialTable() throws Exception {
         final ProcessBuilder builder = program("demo", "--for", "10m", "--rate", "50", "--verbose");
@@ -116,9 +116,8 @@
                 assertThat(answered.get("class").getAsString()).isEqualTo("check");
                 assertThat(answered.get("outcome").getAsString()).isEqualTo("served");
                 assertThat(answered.get("attempts").getAsInt()).isEqualTo(1);
-                // Half written: it is refused as a whole, with the position of what is wrong, and
-                // all goes
-                // on.
+                // An incomplete file is refused as a whole, with the position of the error, and the
+                // node keeps running with its settings.
                 Files.writeString(file, "node(name = \"n\", listen = \"127.0.0.1:0\"\nworker(");
                 signal(node, "HUP");
                 assertThat(
@@ -126,7 +125,7 @@
                                         .get("detail")
                                         .getAsString())
                         .isEqualTo(file + ":2:7: this '(' is never closed");
-                // A class that changes is in force for new requests from the reload on.
+                // A changed class applies to new requests after the reload.
                 Files.writeString(
                         file, script(0, worker.getLocalPort(), "").replace("5 * s", "6 * s"));
                 signal(node, "HUP");
@@ -213,7 +212,7 @@
         assertThat(ProgramProcess.exitCode(node)).isEqualTo(2);
     }
 
-    /** What the platform's start must not load. */
+    /** A node started by the platform loads neither the option parser nor the structured log. */
     @Test
     void platformStartLoadsNeitherParserNorStructuredLog() throws Exception {
         final ProcessBuilder builder = program("serve");
@@ -232,7 +231,7 @@
                                         || line.contains(" org.antlr"));
     }
 
-    /** The control service and the classes that it is made of. */
+    /** The control service and the classes that it consists of. */
     private static final List<String> CONTROL_CLASSES =
             List.of(
                     "cresschute.node.ControlService ",
@@ -244,7 +243,8 @@
                     "cresschute.node.WorkerHealthMonitor ");
 
     /**
-     * Nor what is for an operator: the small node has no memory for services that nobody can use.
+     * A node started by the platform loads no classes of operator services: its memory is small,
+     * and without a control socket these services have no users.
      */
     @Test
     void platformNodeLoadsNoOperatorServices() throws Exception {
--- a/src/test/java/cresschute/cli/Programs.java
+++ b/src/test/java/cresschute/cli/Programs.java
@@ -7,20 +7,23 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 
-/** The program as a process, for tests. */
+/** Starts the program as a process, for tests. */
 final class Programs {
 
-    /** The longest that a program may take, s. */
+    /** Longest run time of a program, s. */
     private static final long MAX_RUN_S = 40;
 
     private Programs() {}
 
-    /** A command of the program, with assertions on. */
+    /** The command line of the program, with assertions enabled. */
     static ProcessBuilder program(String... args) {
         return new ProcessBuilder(ProgramProcess.command(List.of("-ea"), args));
     }
 
-    /** Starts it, and ends it in time: a blocked read of its output heeds no time limit. */
+    /**
+     * Starts a process and kills it after {@link #MAX_RUN_S}, because a test that blocks on reading
+     * its output does not react to its own time limit.
+     */
     static Process start(ProcessBuilder builder) throws IOException {
         final Process process = builder.start();
         CompletableFuture.delayedExecutor(MAX_RUN_S, TimeUnit.SECONDS)
@@ -34,7 +37,7 @@
                 new ProcessBuilder("sh", "-c", "kill -" + name + " " + process.pid()).start());
     }
 
-    /** The next line with this in it, or null at the end. */
+    /** The next line that contains {@code part}, or null at the end of the output. */
     static String lineWith(BufferedReader log, String part) throws IOException {
         String line = log.readLine();
         while (line != null && !line.contains(part)) {
--- a/src/test/java/cresschute/cli/VirtualScreen.java
+++ b/src/test/java/cresschute/cli/VirtualScreen.java
@@ -16,7 +16,7 @@
 import org.awaitility.core.ConditionTimeoutException;
 import org.jline.builtins.ScreenTerminal;
 
-/** A program on a pseudo-terminal of the system's own, and what a person would see of it. */
+/** Runs a program on a pseudo-terminal and emulates the screen that a user would see. */
 final class VirtualScreen implements AutoCloseable {
 
     private static final long MAX_WAIT_S = 30;
@@ -27,7 +27,7 @@
     private int columns;
     private int rows;
 
-    /** Runs a command line on a terminal of this size; {@code script} is on every Debian. */
+    /** Runs a command on a terminal of this size, by {@code script}, which every Debian has. */
     VirtualScreen(int columns, int rows, Map<String, String> environment, List<String> command)
             throws IOException {
         this.columns = columns;
@@ -61,11 +61,11 @@
                 count = in.read(buffer);
             }
         } catch (IOException e) {
-            // The program has ended, or the test ends it.
+            // The program has ended, or the test has killed it.
         }
     }
 
-    /** The lines as they are seen now, without blanks at their ends. */
+    /** The lines now on the screen, without trailing blanks. */
     synchronized List<String> lines() {
         final long[] cells = new long[columns * rows];
         terminal.dump(cells, 0, 0, rows, columns, new int[2]);
@@ -85,7 +85,7 @@
         return String.join("\n", lines());
     }
 
-    /** Waits until the screen looks so. */
+    /** Waits until the screen's text meets the condition; fails after {@link #MAX_WAIT_S}. */
     void await(String description, Predicate<String> condition) {
         try {
             Awaitility.await()
@@ -105,7 +105,7 @@
         process.getOutputStream().flush();
     }
 
-    /** Another size; the program hears of it as of a window that is dragged. */
+    /** Resizes the terminal; the program is notified as it is when a window is resized. */
     void resize(int newColumns, int newRows) throws IOException, InterruptedException {
         final ProcessHandle program =
                 process.descendants()
@@ -130,7 +130,7 @@
                         .start());
     }
 
-    /** The line is cut, as when a connection to the box drops: the program gets a hang-up. */
+    /** Disconnects the terminal as a dropped connection does: the program gets SIGHUP. */
     void disconnect() throws InterruptedException {
         ProgramProcess.exitCode(process.destroyForcibly());
     }
