--- a/src/main/java/cresschute/testbed/capacity/ByteCounter.java
+++ b/src/main/java/cresschute/testbed/capacity/ByteCounter.java
@@ -8,28 +8,28 @@
 import java.util.function.LongSupplier;
 
 /**
- * Next to a socket: counts what is read and written, and notes when the first byte of a message
- * came.
+ * Channel handler next to the socket that counts the bytes read and written and records when the
+ * first byte of a message arrived.
  */
 final class ByteCounter extends ChannelDuplexHandler {
 
     private final LongSupplier clock;
-    private final LongConsumer counted;
+    private final LongConsumer byteListener;
     private long firstByteUs;
-    private long readSinceTaken;
+    private long readBytes;
 
-    /** {@code counted} gets the size of each piece that is read or written. */
-    ByteCounter(LongSupplier clock, LongConsumer counted) {
+    /** {@code byteListener} gets the size of each buffer that is read or written, in bytes. */
+    ByteCounter(LongSupplier clock, LongConsumer byteListener) {
         this.clock = clock;
-        this.counted = counted;
+        this.byteListener = byteListener;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         if (message instanceof ByteBuf bytes) {
             firstByteUs = firstByteUs == 0 ? clock.getAsLong() : firstByteUs;
-            readSinceTaken += bytes.readableBytes();
-            counted.accept(bytes.readableBytes());
+            readBytes += bytes.readableBytes();
+            byteListener.accept(bytes.readableBytes());
         }
         ctx.fireChannelRead(message);
     }
@@ -37,21 +37,21 @@
     @Override
     public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
         if (message instanceof ByteBuf bytes) {
-            counted.accept(bytes.readableBytes());
+            byteListener.accept(bytes.readableBytes());
         }
         ctx.write(message, promise);
     }
 
-    /** When the first byte since the last call of {@link #takeRead} came, us. */
+    /** Arrival time of the first byte since the last call of {@link #takeReadBytes}, us; else 0. */
     long firstByteUs() {
         return firstByteUs;
     }
 
-    /** Bytes read since the last call of this. */
-    long takeRead() {
-        final long taken = readSinceTaken;
-        readSinceTaken = 0;
+    /** Returns the number of bytes read since the last call, and resets it. */
+    long takeReadBytes() {
+        final long bytes = readBytes;
+        readBytes = 0;
         firstByteUs = 0;
-        return taken;
+        return bytes;
     }
 }
--- a/src/main/java/cresschute/testbed/capacity/CapacityResult.java
+++ b/src/main/java/cresschute/testbed/capacity/CapacityResult.java
@@ -7,15 +7,15 @@
 import java.util.TreeMap;
 
 /**
- * What one experiment came to.
+ * The result of one experiment.
  *
- * @param plan its size as asked for
+ * @param plan the planned size
  * @param measures the figures of each role
- * @param rulesBroken one line for each breach
- * @param partial why it was not measured whole, or null where it was
+ * @param ruleViolations one line for each broken rule or invariant
+ * @param partial why the measurement is incomplete, or null if it is complete
  */
 public record CapacityResult(
-        CapacityPlan plan, Measures measures, List<String> rulesBroken, String partial) {
+        CapacityPlan plan, Measures measures, List<String> ruleViolations, String partial) {
 
     /** The whole result as one JSON object. */
     public JsonObject json() {
@@ -34,7 +34,7 @@
         json.addProperty("seed", plan.seed());
         json.addProperty("unanswered", (long) figure(Role.CLIENT, "unanswered"));
         final JsonArray broken = new JsonArray();
-        rulesBroken.forEach(broken::add);
+        ruleViolations.forEach(broken::add);
         json.add("rules_broken", broken);
         json.addProperty("partial", partial != null);
         if (partial != null) {
@@ -49,7 +49,7 @@
         return json;
     }
 
-    /** The result as a table in Markdown, with what must not be after it. */
+    /** The result as a Markdown table, followed by its completeness and the broken rules. */
     public List<String> table() {
         final List<String> lines = new ArrayList<>();
         lines.add(
@@ -69,7 +69,7 @@
                             (measure, value) ->
                                     lines.add(
                                             "| "
-                                                    + role.word()
+                                                    + role.label()
                                                     + " "
                                                     + measure.replace('_', ' ')
                                                     + " | "
@@ -78,7 +78,7 @@
         }
         lines.add("");
         lines.add(partial == null ? "Measured whole." : "PARTIAL: " + partial);
-        rulesBroken.forEach(each -> lines.add("RULE BROKEN: " + each));
+        ruleViolations.forEach(each -> lines.add("RULE BROKEN: " + each));
         return lines;
     }
 
@@ -103,8 +103,10 @@
         return measures.get(role, measure).orElse(0.0);
     }
 
-    /** Whether it was measured whole, every request was answered and no rule was broken. */
-    public boolean isSound() {
-        return partial == null && rulesBroken.isEmpty() && figure(Role.CLIENT, "unanswered") == 0;
+    /** Returns whether it is complete, every request was answered and no rule was broken. */
+    public boolean isSuccessful() {
+        return partial == null
+                && ruleViolations.isEmpty()
+                && figure(Role.CLIENT, "unanswered") == 0;
     }
 }
--- a/src/test/java/cresschute/capacity/Sweep.java
+++ b/src/test/java/cresschute/capacity/MeasurementFileBuilder.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 
 /** Builds the text of a file of measurements whose values follow a known function of the sizes. */
-final class Sweep {
+final class MeasurementFileBuilder {
 
     /** A value at these sizes. */
     interface Function {
@@ -37,13 +37,14 @@
                             String.join(",", MeasurementFile.COLUMNS)));
     private int run;
 
-    /** One row of a measurement along an axis, the others at the base. */
-    Sweep along(Axis axis, double size, String role, String measure, Function value) {
+    /** Adds a row of a measurement along an axis, with the other sizes at the base. */
+    MeasurementFileBuilder along(
+            Axis axis, double size, String role, String measure, Function value) {
         return row(axis.label(), false, Map.of(axis, size), role, measure, value, false);
     }
 
-    /** One row at full size, held out. */
-    Sweep full(String role, String measure, Function value) {
+    /** Adds a held-out row at full size. */
+    MeasurementFileBuilder atFullSize(String role, String measure, Function value) {
         return row(
                 Axis.FULL,
                 true,
@@ -54,8 +55,8 @@
                 false);
     }
 
-    /** One row with all that may be said of it. */
-    Sweep row(
+    /** Adds a row with all its properties; sizes that are not given are those of the base. */
+    MeasurementFileBuilder row(
             String axis,
             boolean heldOut,
             Map<Axis, Double> sizes,
--- a/src/test/java/cresschute/capacity/MeasurementFileTest.java
+++ b/src/test/java/cresschute/capacity/MeasurementFileTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Files of measurements: what is read, and the one line that says what is wrong. */
+/** Parsing of measurement and fault files, and the one-line error for a malformed one. */
 class MeasurementFileTest {
 
     private static final String HEAD =
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void rowIsReadWhole() throws CsvFormatException {
+    void parsesAllFieldsOfRow() throws CsvFormatException {
         final List<Measurement> rows = MeasurementFile.parse("a.csv", HEAD + ROW + "\n");
         assertThat(rows).hasSize(1);
         final Measurement row = rows.get(0);
@@ -44,11 +44,11 @@
     }
 
     @Test
-    void headAloneIsAFileWithoutRows() throws CsvFormatException {
+    void acceptsFileWithoutRows() throws CsvFormatException {
         assertThat(MeasurementFile.parse("a.csv", HEAD)).isEmpty();
     }
 
-    /** One field of a row replaced by another, and what is said of it. */
+    /** Replaces one field of a row by a malformed one and expects the error for it. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -56,20 +56,20 @@
                     """
                     value             | 12.5       | NaN       | value: 'NaN' is not finite
                     value             | 12.5       | Infinity  | value: 'Infinity' is not finite
-                    value             | 12.5       | 12.5x     | value: '12.5x' is no number
+                    value             | 12.5       | 12.5x     | value: '12.5x' is not a number
                     value             | 12.5       | ''        | value is empty
                     workers           | 200        | -200      | workers: '-200' is negative
                     running           | 500        | NaN       | running: 'NaN' is not finite
                     settings changes  | 0.02       | -0.02     | settings_changes_per_second: '-0.02' is negative
-                    repetition        | ,2,        | ,1.5,     | repetition: '1.5' is no whole number
+                    repetition        | ,2,        | ,1.5,     | repetition: '1.5' is not an integer
                     axis              | workers    | jobs      | axis: 'jobs' is unknown
-                    full in the fits  | workers    | full      | a run at full size must be held out
+                    full in the fits  | workers    | full      | axis: a run at full size must be held out
                     held out          | 2,false    | 2,maybe   | held_out: 'maybe' is neither true nor false
                     role              | dispatcher | engine    | role: 'engine' is unknown
                     commit            | abc1234    | ''        | commit is empty
                     a field too few   | ,10,       | ,         | 17 fields where 18 are expected
                     """)
-    void badFieldIsToldWithItsLine(String name, String from, String to, String message) {
+    void rejectsMalformedFieldWithItsLine(String name, String from, String to, String message) {
         final CsvFormatException failure =
                 failure(HEAD + ROW + "\n" + ROW.replaceFirst(from, to) + "\n");
         assertThat(failure).as(name).hasMessage("a.csv:4: " + message);
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void negativeValueIsNoError() throws CsvFormatException {
+    void acceptsNegativeValue() throws CsvFormatException {
         assertThat(
                         MeasurementFile.parse("a.csv", HEAD + ROW.replace("12.5", "-1") + "\n")
                                 .get(0)
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void otherVersionAndOtherHeaderAreRefused() {
+    void rejectsOtherVersionOrHeader() {
         assertThat(failure(HEAD.replace("version 1", "version 2") + ROW + "\n"))
                 .hasMessage(
                         "a.csv:1: the first line must be '" + MeasurementFile.VERSION_LINE + "'");
@@ -98,9 +98,9 @@
                 .hasMessageStartingWith("a.csv:2: ");
     }
 
-    /** Truncated at any byte, a file is either rejected or has only complete rows. */
+    /** A file truncated at any byte is either rejected or yields only complete rows. */
     @Test
-    void cutFileNeverGivesAnotherRow() throws CsvFormatException {
+    void truncatedFileNeverYieldsAlteredRow() throws CsvFormatException {
         final String file = HEAD + ROW + "\n" + ROW + "\n";
         final List<Measurement> rows = MeasurementFile.parse("a.csv", file);
         for (int length = 0; length < file.length(); length++) {
@@ -116,17 +116,17 @@
             }
         }
         assertThat(failure(HEAD + ROW))
-                .hasMessage("a.csv:3: the file is cut: its last line has no end");
+                .hasMessage("a.csv:3: the file is truncated: its last line has no line feed");
     }
 
     @Test
-    void faultsHaveAFormatOfTheirOwn() throws CsvFormatException {
+    void parsesFaultFile() throws CsvFormatException {
         final String head =
                 FaultFile.VERSION_LINE + "\n" + String.join(",", FaultFile.COLUMNS) + "\n";
         final String text =
                 head + "d1,abc1234,2026-12-02,3,zone-loss,1,seconds_until_back,41.5,false\n";
-        assertThat(FaultFile.isOne(text)).isTrue();
-        assertThat(FaultFile.isOne(HEAD)).isFalse();
+        assertThat(FaultFile.isFaultFile(text)).isTrue();
+        assertThat(FaultFile.isFaultFile(HEAD)).isFalse();
         assertThat(FaultFile.parse("f.csv", text))
                 .containsExactly(
                         new FaultMeasurement(
--- a/src/test/java/cresschute/cli/CapacityProgramTest.java
+++ b/src/test/java/cresschute/cli/CapacityProgramTest.java
@@ -9,7 +9,7 @@
 import com.google.gson.JsonObject;
 import cresschute.ProgramProcess;
 import cresschute.node.Json;
-import cresschute.testbed.capacity.MeasurementFile;
+import cresschute.testbed.capacity.MeasurementWriter;
 import java.io.BufferedReader;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -35,7 +35,7 @@
 
     private static final int DISPATCHERS = 2;
 
-    /** The processes of the hollow workers, the hollow clients and discovery. */
+    /** Processes of the stub workers, the stub clients and the stub discovery service. */
     private static final int PEERS = 3;
 
     private static final List<String> SMALL_EXPERIMENT =
@@ -142,8 +142,8 @@
 
     /** Checks that there is one row for each role and measure, and that each row has the size. */
     private static void assertRowsMatch(JsonObject result, List<String> lines) {
-        assertThat(lines.get(0)).isEqualTo(MeasurementFile.FIRST_LINE);
-        assertThat(lines.get(1)).isEqualTo(String.join(",", MeasurementFile.COLUMNS));
+        assertThat(lines.get(0)).isEqualTo(MeasurementWriter.VERSION_LINE);
+        assertThat(lines.get(1)).isEqualTo(String.join(",", MeasurementWriter.COLUMNS));
         final List<Map<String, String>> rows =
                 lines.subList(2, lines.size()).stream()
                         .map(line -> row(line.split(",", -1)))
@@ -175,12 +175,12 @@
     }
 
     private static Map<String, String> row(String[] fields) {
-        assertThat(fields).hasSize(MeasurementFile.COLUMNS.size());
-        return MeasurementFile.COLUMNS.stream()
+        assertThat(fields).hasSize(MeasurementWriter.COLUMNS.size());
+        return MeasurementWriter.COLUMNS.stream()
                 .collect(
                         Collectors.toMap(
                                 name -> name,
-                                name -> fields[MeasurementFile.COLUMNS.indexOf(name)]));
+                                name -> fields[MeasurementWriter.COLUMNS.indexOf(name)]));
     }
 
     /** After Ctrl-C, the measurements so far are printed as partial, and no process is left. */
@@ -202,9 +202,9 @@
         }
     }
 
-    /** The exit of a hollow process ends the experiment; the measurements so far are printed. */
+    /** The exit of a stub process ends the experiment; the measurements so far are printed. */
     @Test
-    void exitOfHollowWorkersEndsTheExperiment() throws Exception {
+    void deathOfStubWorkersEndsExperiment() throws Exception {
         final Process experiment = startSmallExperiment("--seconds", "600");
         try (BufferedReader log = experiment.errorReader();
                 BufferedReader out = experiment.inputReader()) {
@@ -221,7 +221,7 @@
             assertAllEnded(processes);
             assertThat(result.get("partial").getAsBoolean()).isTrue();
             assertThat(result.get("partial_because").getAsString())
-                    .startsWith("the process of the hollow workers ended");
+                    .startsWith("the process of the stub workers ended");
             assertThat(result.getAsJsonObject("roles").getAsJsonObject("dispatcher").keySet())
                     .contains("cpu_percent");
         } finally {
--- a/src/test/java/cresschute/control/DrainSnapshotTest.java
+++ b/src/test/java/cresschute/control/DrainSnapshotTest.java
@@ -8,10 +8,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A snapshot is read as it was written, and anything else is rejected. */
+/** Tests that a snapshot is read as written and that a torn or changed one is rejected. */
 class DrainSnapshotTest {
 
-    private static DrainSnapshot some() {
+    private static DrainSnapshot sampleSnapshot() {
         final DrainRegistry drains = new DrainRegistry();
         drains.restore(
                 List.of(
@@ -26,8 +26,8 @@
 
     @Test
     void rejectsTornAndChangedSnapshots() throws Exception {
-        final byte[] bytes = some().encode();
-        assertThat(DrainSnapshot.decode(bytes)).isEqualTo(some());
+        final byte[] bytes = sampleSnapshot().encode();
+        assertThat(DrainSnapshot.decode(bytes)).isEqualTo(sampleSnapshot());
         for (int i = 0; i < bytes.length; i++) {
             final byte[] torn = Arrays.copyOf(bytes, i);
             assertThatThrownBy(() -> DrainSnapshot.decode(torn))
@@ -40,28 +40,31 @@
             }
         }
         assertThatThrownBy(() -> DrainSnapshot.decode(Arrays.copyOf(bytes, bytes.length + 1)))
-                .hasMessageMatching("it holds [0-9]+ bytes of [0-9]+");
+                .hasMessageMatching("its body has [0-9]+ bytes; its header states [0-9]+");
     }
 
-    /** An older file that was given a newer number would undo what came after it. */
+    /**
+     * Guards against an old file whose generation was changed to a newer one: it would undo later
+     * changes.
+     */
     @Test
     void checksumCoversTheGeneration() {
-        final String text = new String(some().encode(), StandardCharsets.UTF_8);
+        final String text = new String(sampleSnapshot().encode(), StandardCharsets.UTF_8);
         assertThatThrownBy(
                         () ->
                                 DrainSnapshot.decode(
                                         text.replace("generation=41", "generation=43")
                                                 .getBytes(StandardCharsets.UTF_8)))
-                .hasMessage("its checksum is not that of its content");
+                .hasMessage("its checksum does not match its generation and body");
     }
 
     /**
-     * Operations are stored too: an undo that is sent again after a restart must not undo a later
-     * drain.
+     * Guards against lost operations: an undrain that is sent again after a restart must not end a
+     * later drain.
      */
     @Test
     void restartKeepsCompletedOperations() throws Exception {
-        final DrainSnapshot read = DrainSnapshot.decode(some().encode());
+        final DrainSnapshot read = DrainSnapshot.decode(sampleSnapshot().encode());
         final DrainRegistry drains = new DrainRegistry();
         drains.restore(
                 List.of(new Drain("w2", 8, DrainRegistry.NO_END_US, "ann", "")), read.completed());
--- a/src/test/java/cresschute/control/files/SharedOperatorStateTest.java
+++ b/src/test/java/cresschute/control/files/SharedOperatorStateTest.java
@@ -15,7 +15,9 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Two processes of an upgrade on one folder, here two instances. */
+/**
+ * Tests a folder shared by the two processes of an upgrade; two instances stand for the processes.
+ */
 @Timeout(30)
 class SharedOperatorStateTest {
 
@@ -23,25 +25,25 @@
 
     private final BlockingQueue<OperatorState> found = new LinkedBlockingQueue<>();
 
-    /** The end of one change: the state as written, or the failure. */
-    private static final class ChangeEnd implements SharedStateListener.ChangeListener {
-        private final CompletableFuture<OperatorState> end = new CompletableFuture<>();
+    /** The result of one change: the written state or the failure. */
+    private static final class ChangeResult implements SharedStateListener.ChangeListener {
+        private final CompletableFuture<OperatorState> result = new CompletableFuture<>();
 
         @Override
         public void stored(OperatorState written) {
-            end.complete(written);
+            result.complete(written);
         }
 
         @Override
         public void notDurable(NotDurableException failure) {
-            end.completeExceptionally(failure);
+            result.completeExceptionally(failure);
         }
 
-        static ChangeEnd of(SharedOperatorState shared, String call) throws Exception {
+        static ChangeResult of(SharedOperatorState shared, String call) throws Exception {
             final ManagementCall parsed = ManagementCall.parse(call);
-            final ChangeEnd changeEnd = new ChangeEnd();
-            shared.change(state -> state.apply(parsed), changeEnd);
-            return changeEnd;
+            final ChangeResult changeResult = new ChangeResult();
+            shared.change(state -> state.apply(parsed), changeResult);
+            return changeResult;
         }
     }
 
@@ -53,12 +55,12 @@
     void appliesChangesOfBothProcesses() throws Exception {
         try (SharedOperatorState one = open();
                 SharedOperatorState other = open()) {
-            final OperatorState first = ChangeEnd.of(one, "disable-server w1").end.join();
-            final OperatorState second = ChangeEnd.of(other, "disable-server w2").end.join();
+            final OperatorState first = ChangeResult.of(one, "disable-server w1").result.join();
+            final OperatorState second = ChangeResult.of(other, "disable-server w2").result.join();
             assertThat(first.banned()).containsExactly("w1");
             assertThat(second.banned()).containsExactly("w1", "w2");
             assertThat(second.generation()).isGreaterThan(first.generation());
-            // The first process finds what the second wrote.
+            // The first instance polls the state that the second one wrote.
             OperatorState newest = found.poll(8, TimeUnit.SECONDS);
             while (!newest.equals(second)) {
                 newest = found.poll(8, TimeUnit.SECONDS);
@@ -70,9 +72,9 @@
     @Test
     void reportsChangeThatCannotBeWritten() throws Exception {
         try (SharedOperatorState shared = open()) {
-            // A folder in the way of the file that is written aside: also root cannot write there.
+            // A folder in place of the temporary file makes the write fail, even for root.
             Files.createDirectory(folder.resolve("cresschute-operators.new"));
-            assertThat(ChangeEnd.of(shared, "drain").end)
+            assertThat(ChangeResult.of(shared, "drain").result)
                     .failsWithin(8, TimeUnit.SECONDS)
                     .withThrowableOfType(java.util.concurrent.ExecutionException.class)
                     .withCauseInstanceOf(NotDurableException.class)
@@ -84,7 +86,7 @@
     void reportsChangeAfterCloseAsNotDurable() throws Exception {
         final SharedOperatorState shared = open();
         shared.close();
-        assertThat(ChangeEnd.of(shared, "drain").end)
+        assertThat(ChangeResult.of(shared, "drain").result)
                 .isCompletedExceptionally()
                 .failsWithin(8, TimeUnit.SECONDS)
                 .withThrowableOfType(java.util.concurrent.ExecutionException.class)
--- a/src/test/java/cresschute/testbed/ControlledFleetTest.java
+++ b/src/test/java/cresschute/testbed/ControlledFleetTest.java
@@ -26,7 +26,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Consoles at a node under load, seed 1: sessions that are cut, meet each other, or stop reading.
+ * Checks consoles at a node under load, seed 1: sessions that are cut, that compete, or that stop
+ * reading.
  */
 @Timeout(90)
 class ControlledFleetTest {
@@ -50,7 +51,7 @@
         fleet.start();
     }
 
-    /** Whatever was done at the consoles, the rules held. */
+    /** The rules must hold whatever the consoles did. */
     @AfterEach
     void stop() {
         fleet.stop();
@@ -73,7 +74,7 @@
         boolean holds() throws Exception;
     }
 
-    private static boolean goesTo(Observation seen, String worker) {
+    private static boolean isAttemptAt(Observation seen, String worker) {
         return seen instanceof AttemptReceived send && send.worker().equals(worker);
     }
 
@@ -86,8 +87,8 @@
         return fleet.seen().stream().filter(RequestSent.class::isInstance).count();
     }
 
-    /** Lets so many more requests come. */
-    private void more(int requests) {
+    /** Waits until this many more requests have been sent. */
+    private void awaitRequests(int requests) {
         final long before = asked();
         await(() -> asked() >= before + requests);
     }
@@ -104,41 +105,43 @@
     }
 
     private void undrain(TestConsole peer, String op, String worker) throws IOException {
-        // Before it is asked for: from then on work may come.
+        // Recorded before the request, because work may arrive from then on.
         fleet.undrained(worker);
         assertThat(peer.operate("undrain", op, worker)).isEqualTo("done: ");
     }
 
     @Test
-    void drainedWorkerGetsNothingNewAndOthersGoOn() throws IOException {
-        more(30);
+    void sendsNothingNewToDrainedWorkerAndServesWithOthers() throws IOException {
+        awaitRequests(30);
         try (TestConsole peer = peer()) {
             drain(peer, "o1", "w1");
-            more(60);
+            awaitRequests(60);
             final int before = fleet.seen().size();
-            more(40);
+            awaitRequests(40);
             final List<Observation> seen = fleet.seen();
-            assertThat(seen.subList(before, seen.size())).noneMatch(each -> goesTo(each, "w1"));
-            // How soon each of the others gets its next one is chance; that it does is not.
+            assertThat(seen.subList(before, seen.size()))
+                    .noneMatch(each -> isAttemptAt(each, "w1"));
+            // When each of the other workers gets its next request is random; that it gets one is
+            // not.
             for (final String other : List.of("w2", "w3", "w4", "w5", "w6")) {
                 await(
                         () ->
                                 fleet.seen().stream()
                                         .skip(before)
-                                        .anyMatch(each -> goesTo(each, other)));
+                                        .anyMatch(each -> isAttemptAt(each, other)));
             }
             await(() -> peer.worker("w1").get("in_flight").getAsInt() == 0);
             assertThat(peer.worker("w1").get("why").getAsString())
                     .isEqualTo("by an operator; nothing is out there");
             undrain(peer, "o2", "w1");
             final int after = fleet.seen().size();
-            await(() -> since(after).stream().anyMatch(each -> goesTo(each, "w1")));
+            await(() -> since(after).stream().anyMatch(each -> isAttemptAt(each, "w1")));
         }
     }
 
-    /** Half a request is none, however often it is tried. */
+    /** An incomplete request has no effect, however often it is sent. */
     @Test
-    void sessionCutBeforeTheRequestIsWholeChangesNothing() throws IOException {
+    void ignoresRequestCutBeforeItsEnd() throws IOException {
         final String request =
                 "{\"v\":1,\"id\":\"1\"," + TestConsole.operation("drain", "o", "w1") + "}\n";
         for (int cut = 0; cut < request.length(); cut += 7) {
@@ -146,16 +149,19 @@
                 peer.write(request.substring(0, cut));
             }
         }
-        // Without its end the line is not whole, even if all of its JSON is there.
+        // Without a line end the request is incomplete, even if its JSON is complete.
         try (TestConsole peer = peer()) {
             peer.write(request.strip());
         }
         assertThat(isDrained("w1")).isFalse();
     }
 
-    /** Cut at any point after that: the drain holds, once, and sending it again tells the same. */
+    /**
+     * If the session is cut after the request, the drain holds, once, and the same request gets the
+     * same answer.
+     */
     @Test
-    void sessionCutAfterTheRequestLeavesADrainThatCanBeAskedForAgain() throws IOException {
+    void drainSurvivesSessionCutAndIsIdempotent() throws IOException {
         for (int round = 0; round < 10; round++) {
             final String op = "round-" + round;
             try (TestConsole peer = peer()) {
@@ -173,8 +179,8 @@
                 assertThat(next.operate("drain", "other-" + op, "w2"))
                         .isEqualTo("already: drained by ann");
                 assertThat(next.operate("undrain", "undo-" + op, "w2")).isEqualTo("done: ");
-                // The first operation once more, as from a console that was cut off for long: no
-                // new drain.
+                // Repeats the first operation, as a console does after a long disconnection: this
+                // must not start a new drain.
                 assertThat(next.operate("drain", op, "w2")).isEqualTo("done: ");
                 assertThat(next.worker("w2").has("drain")).isFalse();
                 final long drained =
@@ -188,7 +194,7 @@
     }
 
     @Test
-    void twoConsolesDrainTheSameWorker() throws IOException {
+    void onlyOneOfTwoConsolesDrainsWorker() throws IOException {
         try (TestConsole one = peer();
                 TestConsole other = peer()) {
             one.write("{\"v\":1,\"id\":\"a\"," + TestConsole.operation("drain", "a", "w3") + "}\n");
@@ -198,7 +204,7 @@
             outcomes.add(one.read().get("outcome").getAsString());
             outcomes.add(other.read().get("outcome").getAsString());
             assertThat(outcomes).containsExactlyInAnyOrder("done", "already");
-            // Either may undo it; the other's undo then finds nothing.
+            // Either console may undo the drain; the second undo then finds nothing.
             assertThat(one.operate("undrain", "c", "w3")).isEqualTo("done: ");
             assertThat(other.operate("undrain", "d", "w3"))
                     .isEqualTo("already: not drained by an operator");
@@ -206,11 +212,12 @@
     }
 
     /**
-     * Drained while its process is away: it comes back drained, and takes work once that is undone.
+     * A worker that is drained while its process is down restarts drained, and gets requests once
+     * the drain is undone.
      */
     @Test
-    void drainHoldsOverTheWorkersRestart() throws IOException {
-        more(10);
+    void drainOutlivesWorkerRestart() throws IOException {
+        awaitRequests(10);
         fleet.begin(InjectedFault.Kind.CRASH, "w4");
         try (TestConsole peer = peer()) {
             await(() -> peer.worker("w4").get("state").getAsString().equals("gone"));
@@ -218,35 +225,35 @@
             fleet.end(InjectedFault.Kind.CRASH, "w4");
             await(() -> peer.worker("w4").get("state").getAsString().equals("draining"));
             final int before = fleet.seen().size();
-            more(60);
-            assertThat(since(before)).noneMatch(each -> goesTo(each, "w4"));
+            awaitRequests(60);
+            assertThat(since(before)).noneMatch(each -> isAttemptAt(each, "w4"));
             undrain(peer, "o2", "w4");
-            await(() -> since(before).stream().anyMatch(each -> goesTo(each, "w4")));
+            await(() -> since(before).stream().anyMatch(each -> isAttemptAt(each, "w4")));
         }
     }
 
     @Test
-    void drainHoldsOverAWholeNewListAndADrainOfTheLists() throws IOException {
+    void operatorDrainIsIndependentOfEndpointList() throws IOException {
         try (TestConsole peer = peer()) {
             drain(peer, "o1", "w5");
             fleet.reportFullList();
-            more(20);
+            awaitRequests(20);
             assertThat(peer.worker("w5").get("state").getAsString()).isEqualTo("draining");
             fleet.begin(InjectedFault.Kind.DRAIN, "w5");
             await(() -> peer.worker("w5").get("listed").getAsString().equals("draining"));
             undrain(peer, "o2", "w5");
-            // The operator's word is undone, the list's is not.
+            // The operator drain is undone, the drain by the endpoint list is not.
             assertThat(peer.worker("w5").get("why").getAsString()).startsWith("by the list");
             final int before = fleet.seen().size();
-            more(40);
-            assertThat(since(before)).noneMatch(each -> goesTo(each, "w5"));
+            awaitRequests(40);
+            assertThat(since(before)).noneMatch(each -> isAttemptAt(each, "w5"));
             fleet.end(InjectedFault.Kind.DRAIN, "w5");
-            await(() -> since(before).stream().anyMatch(each -> goesTo(each, "w5")));
+            await(() -> since(before).stream().anyMatch(each -> isAttemptAt(each, "w5")));
         }
     }
 
     @Test
-    void lastWorkerIsDrainedOnlyByForce() throws IOException {
+    void drainsLastWorkerOnlyWithForce() throws IOException {
         try (TestConsole peer = peer()) {
             for (int i = 1; i <= 5; i++) {
                 assertThat(
@@ -281,7 +288,7 @@
     }
 
     @Test
-    void drainEndsByItself() throws IOException {
+    void drainExpires() throws IOException {
         try (TestConsole peer = peer()) {
             assertThat(
                             peer.ask(TestConsole.operation("drain", "o", "w1") + ",\"for_ms\":3000")
@@ -296,10 +303,11 @@
     }
 
     /**
-     * It follows with the number it had; what it missed is told, and of another run it starts anew.
+     * A console that resumes with its last number gets the changes it missed; with the number of
+     * another run it gets the full state.
      */
     @Test
-    void consoleResumesFromANumber() throws IOException {
+    void consoleResumesFromNumber() throws IOException {
         final String boot;
         final long number;
         try (TestConsole peer = peer()) {
@@ -325,8 +333,8 @@
                                     .getAsBoolean())
                     .isTrue();
             undrain(peer, "o2", "w1");
-            // Events of another run have other numbers: to whoever comes from there, all of these
-            // are news.
+            // Event numbers of another run do not apply, so a console from another run gets all
+            // events.
             assertThat(peer.ask("\"do\":\"events\",\"after\":500").getAsJsonArray("events"))
                     .isEmpty();
             assertThat(
@@ -337,50 +345,51 @@
     }
 
     /**
-     * It asks and follows and reads nothing: others are served, and it is told no more than fits.
+     * A console that subscribes and sends requests but reads nothing does not delay others, and the
+     * node buffers a bounded amount for it.
      */
     @Test
-    void consoleThatStopsReadingHoldsNobodyUp() throws IOException {
-        try (TestConsole deaf = peer();
+    void consoleThatStopsReadingDoesNotBlockOthers() throws IOException {
+        try (TestConsole stalled = peer();
                 TestConsole peer = peer()) {
-            deaf.write("{\"v\":1,\"id\":\"1\",\"do\":\"subscribe\"}\n");
+            stalled.write("{\"v\":1,\"id\":\"1\",\"do\":\"subscribe\"}\n");
             final Thread flood =
                     new Thread(
                             () -> {
                                 try {
                                     for (int i = 0; i < 20_000; i++) {
-                                        deaf.write(
+                                        stalled.write(
                                                 "{\"v\":1,\"id\":\""
                                                         + i
                                                         + "\",\"do\":\"workers\"}\n");
                                     }
                                 } catch (IOException e) {
-                                    // The socket is full and is closed under it at the end.
+                                    // The socket is full and is closed at the end of the test.
                                 }
                             });
             flood.start();
-            // Written as far as the node reads: it has stopped reading, since its answers are not
-            // taken.
+            // The flood is written as far as the node reads. The node has stopped reading, because
+            // its answers are not read.
             await(() -> flood.getState() == Thread.State.RUNNABLE || !flood.isAlive());
             drain(peer, "o1", "w2");
-            more(40);
+            awaitRequests(40);
             undrain(peer, "o2", "w2");
             assertThat(flood.isAlive()).isTrue();
         }
     }
 
     @Test
-    void sessionsAndLinesAreBounded() throws IOException {
+    void limitsSessionsAndLineLength() throws IOException {
         final List<TestConsole> peers = new ArrayList<>();
         try {
             for (int i = 0; i < ControlServer.MAX_SESSIONS; i++) {
                 peers.add(peer());
                 peers.get(i).ask("\"do\":\"events\"");
             }
-            try (TestConsole more = peer()) {
-                assertThat(more.read().get("error").getAsString())
+            try (TestConsole awaitRequests = peer()) {
+                assertThat(awaitRequests.read().get("error").getAsString())
                         .isEqualTo("there are 16 consoles already; close one first");
-                assertThat(more.read()).isNull();
+                assertThat(awaitRequests.read()).isNull();
             }
             peers.get(0).write("x".repeat(17_000) + "\n");
             assertThat(peers.get(0).read().get("error").getAsString())
@@ -388,12 +397,13 @@
             assertThat(peers.get(0).read()).isNull();
             peers.get(1).write("nonsense\n");
             assertThat(peers.get(1).read().get("ok").getAsBoolean()).isFalse();
-            // An error of one line is not the end of the session.
+            // An invalid line does not end the session.
             assertThat(peers.get(1).worker("w1").get("id").getAsString()).isEqualTo("w1");
             await(
                     () -> {
                         try (TestConsole again = peer()) {
-                            // Its place is free again once the loop has seen the end of the other.
+                            // The place becomes free once the event loop has seen the end of the
+                            // other session.
                             again.write("{\"v\":1,\"id\":\"1\",\"do\":\"events\"}\n");
                             return again.read().get("ok").getAsBoolean();
                         }
@@ -406,7 +416,7 @@
     }
 
     @Test
-    void socketIsTheOwnersAlone() throws IOException {
+    void controlSocketIsAccessibleToOwnerOnly() throws IOException {
         assertThat(PosixFilePermissions.toString(Files.getPosixFilePermissions(socket)))
                 .isEqualTo("rw-------");
         assertThatThrownBy(
@@ -455,7 +465,7 @@
                         () ->
                                 new Fleet(new Fleet.Plan(2, 1, 1, List.of(), file.toString(), null))
                                         .start())
-                .hasMessageContaining("is there and is no socket");
+                .hasMessageContaining("exists and is not a socket");
         assertThat(Files.exists(file)).isTrue();
     }
 }
--- a/src/test/java/cresschute/testbed/capacity/ObservationFileFormatTest.java
+++ b/src/test/java/cresschute/testbed/capacity/ObservationFileFormatTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Files of observations as an earlier version wrote them: one line of each type, read and written
- * again.
+ * Compatibility of the file format: one line of each type, as an earlier version wrote it, is read
+ * and written without change.
  */
 class ObservationFileFormatTest {
 
@@ -39,7 +39,7 @@
     @TempDir private Path folder;
 
     @Test
-    void linesOfAnEarlierVersionAreReadAndWrittenAgain() throws Exception {
+    void readsAndRewritesLinesOfEarlierVersion() throws Exception {
         final Path earlier = folder.resolve("earlier");
         Files.writeString(earlier, LINES);
         final List<Observation> read = ObservationFile.read(List.of(earlier));
@@ -56,9 +56,9 @@
         assertThat(Files.readString(again)).isEqualTo(LINES);
     }
 
-    /** What the process that starts an experiment tells the others. */
+    /** The plan and the clock, which the experiment sends to its stub processes. */
     @Test
-    void planAndClockAreReportedAsByAnEarlierVersion() {
+    void planAndClockKeepSerializedForm() {
         final Gson gson = new Gson();
         final String plan =
                 """
