--- a/src/main/java/cresschute/cli/CapacityCommand.java
+++ b/src/main/java/cresschute/cli/CapacityCommand.java
@@ -27,8 +27,8 @@
         name = "capacity",
         mixinStandardHelpOptions = true,
         description =
-                "Runs dispatcher processes between hollow workers, hollow clients and discovery, at"
-                        + " a size that is given, and prints what each of them uses.",
+                "Runs dispatcher processes between stub workers, stub clients and stub discovery,"
+                    + " at a size that is given, and prints what each of them uses.",
         footer = {
             "",
             "Example: cresschute lab capacity --quick --json",
