--- a/src/main/antlr4/cresschute/settings/script/Script.g4
+++ b/src/main/antlr4/cresschute/settings/script/Script.g4
@@ -1,5 +1,5 @@
-// The settings script: a subset of Starlark. NEWLINE, INDENT and DEDENT are laid out by ScriptTokens.
-// Each rule loops where it can, so that a long chain of operators makes a wide tree and not a deep one.
+// The language of settings scripts, a subset of Starlark. ScriptTokens drops NEWLINE tokens and adds INDENT and DEDENT.
+// Rules use repetition rather than recursion where possible, so that a long chain of operators makes a wide tree and not a deep one.
 grammar Script;
 
 options { superClass = DepthBoundParser; }
--- a/src/main/java/cresschute/settings/SettingsFile.java
+++ b/src/main/java/cresschute/settings/SettingsFile.java
@@ -43,8 +43,9 @@
     private SettingsFile() {}
 
     /**
-     * Reads a script from a UTF-8 file. Errors in the script are part of the result. @throws
-     * IOException if the file cannot be read
+     * Reads a script from a UTF-8 file. Errors in the script are part of the result.
+     *
+     * @throws IOException if the file cannot be read
      */
     public static Result read(Path file) throws IOException {
         // Checked before the file is read into memory.
@@ -77,8 +78,9 @@
     }
 
     /**
-     * Reads the shared key from a file: its bytes without trailing line breaks. @throws IOException
-     * if the file cannot be read or is longer than 4,096 bytes
+     * Reads the shared key from a file: its bytes without trailing line breaks.
+     *
+     * @throws IOException if the file cannot be read or is longer than 4,096 bytes
      */
     public static byte[] readKey(String file) throws IOException {
         if (Files.size(Path.of(file)) > MAX_KEY_FILE_BYTES) {
--- a/src/main/java/cresschute/settings/script/AssignmentExecutor.java
+++ b/src/main/java/cresschute/settings/script/AssignmentExecutor.java
@@ -5,7 +5,10 @@
 import org.antlr.v4.runtime.tree.ParseTree;
 import org.antlr.v4.runtime.tree.TerminalNode;
 
-/** Executes assignments: to names, to elements, to several of them, and augmented ones. */
+/**
+ * Executes assignments: to names, to elements, to several targets at once, and augmented ones such
+ * as {@code +=}.
+ */
 final class AssignmentExecutor {
 
     private final Environment environment;
--- a/src/main/java/cresschute/settings/script/Builtin.java
+++ b/src/main/java/cresschute/settings/script/Builtin.java
@@ -3,21 +3,21 @@
 import java.util.List;
 import java.util.Map;
 
-/** A function that the language or its host gives to scripts. */
+/** A function that the language or the host program provides to scripts. */
 @FunctionalInterface
 public interface Builtin {
 
-    /** Calls it. Runs on the thread that runs the script. */
+    /** Calls the function, on the thread that runs the script. */
     Object call(Call call) throws ScriptError;
 
-    /** One argument, and where it stands. */
+    /** One argument and its position in the script. */
     record Argument(Object value, Position at) {}
 
     /**
-     * A call, its arguments evaluated.
+     * A call with evaluated arguments.
      *
-     * @param name what the script called
-     * @param at where the call begins
+     * @param name name under which the script called the function
+     * @param at position at which the call begins
      */
     record Call(
             String name,
@@ -26,7 +26,12 @@
             Map<String, Argument> named,
             ResourceLimiter limiter) {
 
-        /** The positional arguments, which must be so many, and no named ones. */
+        /**
+         * Returns the positional arguments.
+         *
+         * @throws ScriptError if their number is not from {@code min} to {@code max}, or if there
+         *     are named arguments
+         */
         List<Argument> requirePositional(int min, int max) throws ScriptError {
             if (!named.isEmpty()) {
                 throw new ScriptError(
@@ -72,7 +77,7 @@
             throw typeError(index, "a text");
         }
 
-        /** The text that is the only argument. */
+        /** Returns the only argument, which must be a text. */
         String onlyString() throws ScriptError {
             requirePositional(1, 1);
             return string(0);
--- a/src/main/java/cresschute/settings/script/BuiltinFunctions.java
+++ b/src/main/java/cresschute/settings/script/BuiltinFunctions.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The functions that every script has. */
+/** The builtin functions that the language provides to every script. */
 final class BuiltinFunctions {
 
     private final Operators operators;
@@ -174,7 +174,10 @@
         return best;
     }
 
-    /** A merge sort, as comparing values that have no order throws a checked error. */
+    /**
+     * Sorts by merging. The sort of the JDK is not usable, because comparing values without an
+     * order throws a checked exception.
+     */
     private List<Object> sorted(List<Object> elements, Position at) throws ScriptError {
         if (elements.size() < 2) {
             return elements;
--- a/src/main/java/cresschute/settings/script/BuiltinMethods.java
+++ b/src/main/java/cresschute/settings/script/BuiltinMethods.java
@@ -20,7 +20,7 @@
         this.limiter = limiter;
     }
 
-    /** The method of a value under a name, or null where it has none. */
+    /** Returns the method of a value with a name, or null if the value has no such method. */
     Builtin method(Object receiver, String name) {
         if (receiver instanceof String text) {
             return stringMethod(text, name);
@@ -55,7 +55,7 @@
         };
     }
 
-    /** The result of a method without arguments, its memory counted. */
+    /** Counts the memory of the result of a method without arguments, and returns the result. */
     private String allocated(String text, Builtin.Call call) throws ScriptError {
         call.requirePositional(0, 0);
         limiter.allocateText(text.length(), call.at());
@@ -86,7 +86,7 @@
             throw new ScriptError(
                     call.positional().get(0).at(), "replace takes a text that is not empty");
         }
-        // Counted as if every part matched, before any of it is built.
+        // Counted before the result is built, as if every part of the text matched.
         limiter.allocateText(
                 text.length() + (long) text.length() / from.length() * to.length(), call.at());
         return text.replace(from, to);
--- a/src/main/java/cresschute/settings/script/CallStack.java
+++ b/src/main/java/cresschute/settings/script/CallStack.java
@@ -3,7 +3,7 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** The functions of a script that are in progress. Serves one run of a script, on its thread. */
+/** The script functions whose calls are in progress. Used by one run of a script, on its thread. */
 final class CallStack {
 
     private final int maxCalls;
@@ -14,9 +14,9 @@
     }
 
     /**
-     * Records that a function is called.
+     * Records the start of a call.
      *
-     * @throws ScriptError if it is in progress already, or too many others are
+     * @throws ScriptError if the function is in progress already, or if too many functions are
      */
     void enter(ScriptFunction function, Position at) throws ScriptError {
         if (running.size() == maxCalls) {
--- a/src/main/java/cresschute/settings/script/DepthBoundParser.java
+++ b/src/main/java/cresschute/settings/script/DepthBoundParser.java
@@ -4,10 +4,13 @@
 import org.antlr.v4.runtime.ParserRuleContext;
 import org.antlr.v4.runtime.TokenStream;
 
-/** A parser that ends before deeply nested text can exhaust the stack. */
+/**
+ * A parser that limits the nesting of its input, so that deeply nested text cannot overflow the
+ * stack.
+ */
 abstract class DepthBoundParser extends Parser {
 
-    /** Rules within rules; a pair of brackets takes about a dozen. */
+    /** Maximum depth of nested grammar rules; a pair of brackets takes about a dozen. */
     private static final int MAX_RULE_DEPTH = 1_000;
 
     private int depth;
@@ -17,7 +20,8 @@
     }
 
     /**
-     * Unchecked, since generated code calls what throws it; {@link Script} turns it into an error.
+     * The text is nested too deeply. Unchecked, because generated code calls the method that throws
+     * it; {@link Script} converts it to a {@link ScriptError}.
      */
     static final class NestingTooDeepException extends RuntimeException {
 
--- a/src/main/java/cresschute/settings/script/DisplayEvaluator.java
+++ b/src/main/java/cresschute/settings/script/DisplayEvaluator.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.antlr.v4.runtime.Token;
 
-/** Evaluates list and dict displays: elements in brackets, and comprehensions. */
+/** Evaluates list and dict displays: elements listed in brackets, and comprehensions. */
 final class DisplayEvaluator {
 
     private final ExpressionEvaluator expressions;
@@ -71,7 +71,8 @@
     }
 
     /**
-     * Runs the body for every combination of the clauses; the names that they set end with them.
+     * Runs the body for every combination of the clauses. The variables of the clauses are visible
+     * only within the comprehension.
      */
     private void runClauses(
             ScriptParser.ComprehensionContext clauses, Scope scope, ComprehensionBody body)
--- a/src/main/java/cresschute/settings/script/Environment.java
+++ b/src/main/java/cresschute/settings/script/Environment.java
@@ -7,8 +7,8 @@
 import org.antlr.v4.runtime.tree.TerminalNode;
 
 /**
- * Resolves and sets names: the builtins, which a script cannot replace, the script's globals, and
- * the variables of a scope. Serves one run of a script, on its thread.
+ * Resolves and sets names: builtins, which a script cannot redefine, global variables of the
+ * script, and variables of a scope. Used by one run of a script, on its thread.
  */
 final class Environment {
 
@@ -30,9 +30,10 @@
     }
 
     /**
-     * Checks that a script may use a name for its own values.
+     * Checks that a script may assign to a name.
      *
-     * @throws ScriptError if it is a builtin's, so that {@code ms} means the same in every line
+     * @throws ScriptError if the name is a builtin: builtins such as {@code ms} mean the same in
+     *     every line
      */
     void requireNotBuiltin(TerminalNode name) throws ScriptError {
         if (builtins.containsKey(name.getText())) {
@@ -43,9 +44,9 @@
     }
 
     /**
-     * The value of a name.
+     * Returns the value of a name.
      *
-     * @throws ScriptError if it has none
+     * @throws ScriptError if the name has no value
      */
     Object lookup(String name, Position at, Scope scope) throws ScriptError {
         Object value = scope.variables().get(name);
--- a/src/main/java/cresschute/settings/script/ExpressionEvaluator.java
+++ b/src/main/java/cresschute/settings/script/ExpressionEvaluator.java
@@ -12,12 +12,15 @@
 import org.antlr.v4.runtime.tree.TerminalNode;
 
 /**
- * Evaluates expressions by walking their syntax trees. It reaches nothing but the names of its
- * environment. Serves one run of a script, on its thread.
+ * Evaluates expressions by walking their syntax trees. Expressions have access only to the names in
+ * the environment. Used by one run of a script, on its thread.
  */
 final class ExpressionEvaluator {
 
-    /** Expressions within expressions, over all calls in progress; bounds the stack of a run. */
+    /**
+     * Maximum depth of nested expressions over all calls in progress; limits the stack use of a
+     * run.
+     */
     private static final int MAX_DEPTH = 300;
 
     private final Environment environment;
@@ -42,7 +45,7 @@
         displays = new DisplayEvaluator(this, new VariableBinder(environment, sequences), limiter);
     }
 
-    /** Evaluates one expression, or several with commas between them to a tuple. */
+    /** Evaluates a single expression, or several separated by commas, which make a tuple. */
     Object evalList(ScriptParser.ExpressionListContext list, Scope scope) throws ScriptError {
         if (list.test().size() == 1 && !SyntaxTrees.endsWithComma(list)) {
             return eval(list.test(0), scope);
@@ -62,7 +65,8 @@
 
     Object eval(ParserRuleContext expression, Scope scope) throws ScriptError {
         ParseTree tree = expression;
-        // Most levels of the grammar hold just the next one.
+        // Skips grammar rules with a single child: most levels of the grammar only hold the next
+        // level.
         while (tree.getChildCount() == 1 && tree.getChild(0) instanceof ParserRuleContext) {
             tree = tree.getChild(0);
         }
@@ -117,7 +121,10 @@
         return value;
     }
 
-    /** Evaluates operands of {@code and} or {@code or} up to the first whose truth decides. */
+    /**
+     * Evaluates operands of {@code and} or {@code or} up to the first one whose truth value decides
+     * the result.
+     */
     private Object evalUntil(List<? extends ParserRuleContext> parts, boolean wanted, Scope scope)
             throws ScriptError {
         Object value = null;
@@ -130,7 +137,7 @@
         return value;
     }
 
-    /** Evaluates an atom with the given number of its suffixes. */
+    /** Evaluates an atom and the given number of its suffixes. */
     Object evalPrimary(ScriptParser.PrimaryContext primary, int suffixes, Scope scope)
             throws ScriptError {
         Object value = eval(primary.atom(), scope);
@@ -228,7 +235,7 @@
         }
     }
 
-    /** String literals that follow each other make one string. */
+    /** Concatenates adjacent string literals. */
     private String concatenateLiterals(ScriptParser.TextContext text, Position at)
             throws ScriptError {
         final StringBuilder joined = new StringBuilder();
--- a/src/main/java/cresschute/settings/script/Interpreter.java
+++ b/src/main/java/cresschute/settings/script/Interpreter.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * Runs a script by walking its syntax tree. It reaches nothing but the values and functions that it
- * is given. An instance serves one run, on the thread that calls it.
+ * Runs a script by walking its syntax tree. The script has access only to the builtins and the host
+ * functions. An instance is used for one run, on the caller's thread.
  */
 final class Interpreter {
 
--- a/src/main/java/cresschute/settings/script/Operators.java
+++ b/src/main/java/cresschute/settings/script/Operators.java
@@ -8,7 +8,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What operators do with each kind of value. Whole numbers are of 64 bits and never wrap. */
+/**
+ * Implements the operators for each type of value. Whole numbers have 64 bits; overflow is an
+ * error.
+ */
 final class Operators {
 
     private final ResourceLimiter limiter;
@@ -244,7 +247,11 @@
         return between && (number - range.start()) % range.step() == 0;
     }
 
-    /** A value as a dict's key. */
+    /**
+     * Returns a value that is used as the key of a dict.
+     *
+     * @throws ScriptError if its type cannot be a key
+     */
     static Object dictKey(Object value, Position at) throws ScriptError {
         if (value instanceof String || value instanceof Long || value instanceof Boolean) {
             return value;
--- a/src/main/java/cresschute/settings/script/Position.java
+++ b/src/main/java/cresschute/settings/script/Position.java
@@ -1,14 +1,14 @@
 package cresschute.settings.script;
 
 /**
- * A place in a script.
+ * A position in a script.
  *
  * @param line counted from 1
  * @param column counted from 1, in characters
  */
 public record Position(int line, int column) implements Comparable<Position> {
 
-    /** Where nothing better is known: the beginning. */
+    /** The beginning of a script, for errors without a more exact position. */
     public static final Position START = new Position(1, 1);
 
     @Override
--- a/src/main/java/cresschute/settings/script/ResourceLimiter.java
+++ b/src/main/java/cresschute/settings/script/ResourceLimiter.java
@@ -1,8 +1,8 @@
 package cresschute.settings.script;
 
 /**
- * Counts the steps and the memory of one run of a script, and throws at the first bound that is
- * exceeded.
+ * Counts the steps and the memory of one run of a script. Throws a {@link ScriptError} when the run
+ * exceeds one of its {@link Bounds}.
  */
 final class ResourceLimiter {
 
@@ -33,9 +33,12 @@
         }
     }
 
-    /** Called before the memory is taken, so that what is too large is never built. */
+    /**
+     * Counts memory. Called before the memory is allocated, so that a value that is too large is
+     * never built.
+     */
     void allocateCells(long count, Position at) throws ScriptError {
-        // Subtracts, as a sum could overflow: a single count may be near the largest long.
+        // Subtracts because a sum could overflow: a single count may be close to Long.MAX_VALUE.
         if (count > bounds.cells() - cells) {
             throw new ScriptError(
                     at,
--- a/src/main/java/cresschute/settings/script/Scope.java
+++ b/src/main/java/cresschute/settings/script/Scope.java
@@ -5,8 +5,8 @@
 import java.util.Set;
 
 /**
- * The variables that a block of statements reads and sets: those of the script itself, or those of
- * one call of a function. Serves one run of a script, on its thread.
+ * Variables that statements read and set: the global variables of a script, the variables of one
+ * call of a function, or those of a comprehension. Used by one run of a script, on its thread.
  */
 final class Scope {
 
@@ -15,16 +15,19 @@
     private Object returnValue = Values.NONE;
 
     /**
-     * A scope over the given variables.
+     * Creates a scope with the given variables.
      *
-     * @param locals names that a function assigns and that hence never mean a global one in it
+     * @param locals names that a function assigns; within the function they never refer to global
+     *     variables
      */
     Scope(Map<String, Object> variables, Set<String> locals) {
         this.variables = variables;
         this.locals = locals;
     }
 
-    /** A scope that begins with this one's variables; what is set in it is not seen here. */
+    /**
+     * Returns a scope with a copy of these variables; assignments in it do not affect this scope.
+     */
     Scope nested() {
         return new Scope(new HashMap<>(variables), locals);
     }
--- a/src/main/java/cresschute/settings/script/Script.java
+++ b/src/main/java/cresschute/settings/script/Script.java
@@ -13,24 +13,27 @@
 import org.antlr.v4.runtime.misc.IntervalSet;
 
 /**
- * The language of settings scripts: a subset of Starlark without files, clock, chance, recursion
- * and endless loops. The page {@code docs/settings.md} lists what it has. Every run ends within its
- * {@link Bounds}.
+ * Runs settings scripts. Their language is a subset of Starlark without files, clock, random
+ * numbers, recursion and unbounded loops; {@code docs/settings.md} describes it. Every run ends
+ * within its {@link Bounds}.
  */
 public final class Script {
 
     private static final int MAX_SYNTAX_ERRORS = 20;
 
-    /** With more alternatives, an error does not list them. */
+    /**
+     * Maximum number of expected tokens that a syntax error lists; with more alternatives it lists
+     * none.
+     */
     private static final int MAX_LISTED_ALTERNATIVES = 4;
 
     private Script() {}
 
     /**
-     * Runs a script from its first line to its last, or to the first error. It can reach nothing
-     * but its host's functions, which it calls by their names. Runs on the caller's thread.
+     * Runs a script to its end or to the first error, on the caller's thread. Beside the builtins
+     * of the language, the script has access only to the host functions, by their names in the map.
      *
-     * @return what is wrong with it, in the order of the text; nothing if it ran through
+     * @return the errors in the order of their positions; empty if the script ran to its end
      */
     public static List<ScriptError> run(String text, Map<String, Builtin> host, Bounds bounds) {
         if (text.length() > bounds.scriptChars()) {
@@ -68,8 +71,8 @@
     }
 
     /**
-     * Formats syntax errors for people: one for a line at the most, as one error brings others
-     * after it.
+     * Collects syntax errors as readable messages. Reports at most one error per line, because one
+     * error tends to cause others after it.
      */
     private static final class SyntaxErrors extends BaseErrorListener {
 
--- a/src/main/java/cresschute/settings/script/ScriptError.java
+++ b/src/main/java/cresschute/settings/script/ScriptError.java
@@ -1,7 +1,7 @@
 package cresschute.settings.script;
 
 /**
- * What is wrong with a script, and where. Its message says what is allowed where that is not plain.
+ * An error in a script, with its position. The message says what is allowed unless that is obvious.
  */
 public final class ScriptError extends Exception {
 
@@ -9,13 +9,13 @@
 
     private final transient Position position;
 
-    /** An error at a place. */
+    /** Creates an error at a position. */
     public ScriptError(Position position, String message) {
         super(message, null, false, false);
         this.position = position;
     }
 
-    /** Where it is. */
+    /** The position of the error. */
     public Position position() {
         return position;
     }
--- a/src/main/java/cresschute/settings/script/ScriptFunction.java
+++ b/src/main/java/cresschute/settings/script/ScriptFunction.java
@@ -14,7 +14,8 @@
     /**
      * A parameter of a function.
      *
-     * @param defaultValue what holds where a call gives none; null where a call must give one
+     * @param defaultValue value if a call does not pass the argument; null if every call must pass
+     *     it
      */
     record Parameter(String name, Object defaultValue) {}
 
@@ -56,7 +57,7 @@
         }
     }
 
-    /** The values of the parameters, by name. */
+    /** Returns the values of the parameters by name. */
     private Map<String, Object> arguments(Call call) throws ScriptError {
         final Map<String, Object> values = new HashMap<>();
         bindPositional(call, values);
--- a/src/main/java/cresschute/settings/script/ScriptTokens.java
+++ b/src/main/java/cresschute/settings/script/ScriptTokens.java
@@ -10,12 +10,12 @@
 import org.antlr.v4.runtime.Token;
 
 /**
- * Lays out the lexer's tokens as Python does: a line's end counts only outside brackets and after
- * something, and a change of a line's indentation becomes INDENT or DEDENT.
+ * Converts the lexer's tokens by the layout rules of Python: line ends within brackets and on empty
+ * lines are dropped, and changes of the indentation become INDENT and DEDENT tokens.
  */
 final class ScriptTokens {
 
-    /** Words of Python that this language leaves out; no name may be one of them. */
+    /** Keywords of Python that this language does not support; they are not allowed as names. */
     private static final Set<String> RESERVED =
             Set.of(
                     "as",
--- a/src/main/java/cresschute/settings/script/Sequences.java
+++ b/src/main/java/cresschute/settings/script/Sequences.java
@@ -18,18 +18,18 @@
         this.limiter = limiter;
     }
 
-    /** The elements of a call's first argument. */
+    /** Returns the elements of a call's first argument. */
     List<Object> elementsOfFirst(Builtin.Call call) throws ScriptError {
         return elements(call.value(0), call.positional().get(0).at());
     }
 
-    /** The same, where that argument must be the only one. */
+    /** Returns the elements of a call's only argument. */
     List<Object> elementsOfOnly(Builtin.Call call) throws ScriptError {
         call.requirePositional(1, 1);
         return elementsOfFirst(call);
     }
 
-    /** The elements of a sequence, as a new list. */
+    /** Returns the elements of a sequence, as a new list. */
     List<Object> elements(Object value, Position at) throws ScriptError {
         final long size = size(value, at);
         limiter.allocateCells(size, at);
@@ -52,7 +52,7 @@
         throw noSequence(value, at);
     }
 
-    /** Iterates over a sequence without a copy of it; over the keys of a dict. */
+    /** Returns an iterator over a sequence, or over the keys of a dict, without copying it. */
     static Iterator<Object> iterator(Object value, Position at) throws ScriptError {
         if (value instanceof ListValue list) {
             return list.elements().iterator();
@@ -88,7 +88,9 @@
                 Values.typeName(value) + " is no sequence; a list, a tuple, a dict or a range is");
     }
 
-    /** Forbids changes of a list or a dict until the iteration over it ends. */
+    /**
+     * Forbids changes of a list or dict until {@link #endIteration}. No effect on other sequences.
+     */
     static void beginIteration(Object sequence) {
         adjustIteratorCount(sequence, 1);
     }
--- a/src/main/java/cresschute/settings/script/StatementExecutor.java
+++ b/src/main/java/cresschute/settings/script/StatementExecutor.java
@@ -7,12 +7,12 @@
 import java.util.Set;
 
 /**
- * Executes statements one after the other by walking their syntax trees. Serves one run of a
- * script, on its thread.
+ * Executes statements in order by walking their syntax trees. Used by one run of a script, on its
+ * thread.
  */
 final class StatementExecutor {
 
-    /** How a statement ended, which says where the run goes on. */
+    /** How a statement completed, which determines the statement to execute next. */
     enum Completion {
         NEXT,
         BREAK,
--- a/src/main/java/cresschute/settings/script/Strings.java
+++ b/src/main/java/cresschute/settings/script/Strings.java
@@ -3,12 +3,12 @@
 import cresschute.settings.script.Values.TupleValue;
 import java.util.List;
 
-/** Literals of texts, and the two ways of formatting them. */
+/** String literals and the two ways to format strings: {@code %} and {@code format}. */
 final class Strings {
 
     private Strings() {}
 
-    /** What a literal with its quotes stands for. */
+    /** Returns the string of a literal: without its quotes, and with its escapes replaced. */
     static String unquoted(String literal, Position at) throws ScriptError {
         final StringBuilder out = new StringBuilder();
         int i = 1;
@@ -41,7 +41,7 @@
         };
     }
 
-    /** Fills in {@code %s}, {@code %d}, {@code %r} and {@code %%}. */
+    /** Formats values by a format string with {@code %s}, {@code %d}, {@code %r} and {@code %%}. */
     static String percent(String format, Object values, ResourceLimiter limiter, Position at)
             throws ScriptError {
         final List<Object> given =
@@ -88,7 +88,10 @@
         return out.toString();
     }
 
-    /** Fills in {@code {}}, {@code {0}} and {@code {name}}. */
+    /**
+     * Formats a call's arguments by a format string with {@code {}}, {@code {0}} and {@code
+     * {name}}.
+     */
     static String format(String format, Builtin.Call call) throws ScriptError {
         final StringBuilder out = new StringBuilder();
         int next = 0;
--- a/src/main/java/cresschute/settings/script/Subscripts.java
+++ b/src/main/java/cresschute/settings/script/Subscripts.java
@@ -7,7 +7,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Elements and slices of texts, lists, tuples, ranges and dicts, for reading and for writing. */
+/**
+ * Reads elements and slices of texts, lists, tuples, ranges and dicts, and sets elements of lists
+ * and dicts.
+ */
 final class Subscripts {
 
     private final ResourceLimiter limiter;
--- a/src/main/java/cresschute/settings/script/Suggestion.java
+++ b/src/main/java/cresschute/settings/script/Suggestion.java
@@ -4,14 +4,17 @@
 import java.util.Comparator;
 import org.apache.commons.text.similarity.LevenshteinDistance;
 
-/** Finds the known name that a misspelt one was meant to be. */
+/** Suggests the known name that is most similar to a misspelt one. */
 public final class Suggestion {
 
     private static final LevenshteinDistance DISTANCE = LevenshteinDistance.getDefaultInstance();
 
     private Suggestion() {}
 
-    /** Words that name the nearest known name, to follow an error; none where nothing is near. */
+    /**
+     * Returns a suffix for an error message that suggests the most similar known name; empty if no
+     * known name is similar.
+     */
     public static String hint(String name, Collection<String> known) {
         return known.stream()
                 .filter(other -> distance(name, other) <= Math.max(1, (other.length() + 2) / 3))
@@ -23,7 +26,8 @@
     }
 
     private static int distance(String a, String b) {
-        // The distance takes time in proportion to the product of both lengths.
+        // Long names are skipped, because the computation takes time in proportion to the product
+        // of both lengths.
         return a.length() > 64 ? Integer.MAX_VALUE : DISTANCE.apply(a, b);
     }
 }
--- a/src/main/java/cresschute/settings/script/SyntaxTrees.java
+++ b/src/main/java/cresschute/settings/script/SyntaxTrees.java
@@ -5,12 +5,15 @@
 import org.antlr.v4.runtime.tree.ParseTree;
 import org.antlr.v4.runtime.tree.TerminalNode;
 
-/** Queries on the syntax tree that need no values. */
+/** Helper methods for syntax trees that evaluate nothing. */
 final class SyntaxTrees {
 
     private SyntaxTrees() {}
 
-    /** Adds the names that a function's body assigns; they are local to it throughout. */
+    /**
+     * Adds the names that a function's body assigns. They are local variables in the whole body,
+     * also before the assignment.
+     */
     static void collectLocals(ParseTree tree, Set<String> locals) {
         if (tree instanceof ScriptParser.AssignmentContext assignment && assignment.op != null) {
             for (final ScriptParser.TestContext target : assignment.expressionList(0).test()) {
@@ -27,7 +30,7 @@
         }
     }
 
-    /** The name that an expression consists of, or null where it is more or something else. */
+    /** Returns the name if an expression consists of just a name, or null otherwise. */
     static TerminalNode soleName(ParseTree expression) {
         final ParseTree tree = unwrapped(expression);
         return tree instanceof TerminalNode node && node.getSymbol().getType() == ScriptParser.NAME
@@ -35,7 +38,9 @@
                 : null;
     }
 
-    /** The topmost node of an expression that holds anything but one child. */
+    /**
+     * Returns the first node from the top of an expression that does not have exactly one child.
+     */
     static ParseTree unwrapped(ParseTree expression) {
         ParseTree tree = expression;
         while (tree.getChildCount() == 1) {
--- a/src/main/java/cresschute/settings/script/Units.java
+++ b/src/main/java/cresschute/settings/script/Units.java
@@ -24,12 +24,14 @@
 
     private Units() {}
 
-    /** Each unit of a dimension with how much it is. */
+    /**
+     * Returns the units of a dimension with their amounts: times in microseconds, sizes in bytes.
+     */
     static List<Map.Entry<String, Double>> of(Dimension dimension) {
         return dimension == Dimension.TIME ? TIMES : SIZES;
     }
 
-    /** Makes the units known under their names. */
+    /** Adds the units as values under their names. */
     static void addTo(Map<String, Object> names) {
         for (final Dimension dimension : Dimension.values()) {
             of(dimension)
--- a/src/main/java/cresschute/settings/script/Values.java
+++ b/src/main/java/cresschute/settings/script/Values.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 
 /**
- * The kinds of value that a script has, beside {@link Boolean}, {@link Long}, {@link Double},
- * {@link String} and {@link #NONE}, and what holds for all of them: their names, their truth,
- * equality and text.
+ * The types of script values, beside {@link Boolean}, {@link Long}, {@link Double}, {@link String}
+ * and {@link #NONE}, and operations on all of them: type name, truth value, equality and conversion
+ * to text.
  */
 public final class Values {
 
@@ -24,16 +24,16 @@
 
     private Values() {}
 
-    /** A time or a size: what a number times a unit makes. */
+    /** A time or a size, as the product of a number and a unit. */
     public record Quantity(Dimension dimension, double amount) {}
 
-    /** What a quantity measures, and in what: times in microseconds, sizes in bytes. */
+    /** The dimension of a quantity: times are in microseconds, sizes in bytes. */
     public enum Dimension {
         TIME,
         SIZE
     }
 
-    /** A list; it may not change while a loop is going through it. */
+    /** A list. It must not change while a loop iterates over it. */
     public static final class ListValue {
 
         private final List<Object> elements;
@@ -43,7 +43,7 @@
             this.elements = elements;
         }
 
-        /** The elements as they are now, not to be changed. */
+        /** An unmodifiable view of the elements. */
         public List<Object> elements() {
             return Collections.unmodifiableList(elements);
         }
@@ -60,15 +60,15 @@
         }
     }
 
-    /** A sequence that never changes. */
+    /** An immutable sequence. */
     public record TupleValue(List<Object> elements) {}
 
-    /** The numbers from one to another, not laid out in memory. */
+    /** A range of whole numbers, whose elements are computed and not stored. */
     public record RangeValue(long start, long stop, long step) {
 
-        /** How many there are. */
+        /** The number of elements. */
         public long size() {
-            // Unsigned division guards against a difference that a long cannot hold.
+            // Unsigned division, because the difference may exceed Long.MAX_VALUE.
             if (step > 0 ? start >= stop : start <= stop) {
                 return 0;
             }
@@ -83,15 +83,15 @@
     }
 
     /**
-     * A dict; its keys are texts, whole numbers, {@code True} and {@code False}, in the order they
-     * came.
+     * A dict. Its keys are texts, whole numbers, {@code True} and {@code False}, in insertion
+     * order. It must not change while a loop iterates over it.
      */
     public static final class DictValue {
 
         private final Map<Object, Object> entries = new LinkedHashMap<>();
         private int activeIterators;
 
-        /** The entries as they are now, not to be changed. */
+        /** An unmodifiable view of the entries. */
         public Map<Object, Object> entries() {
             return Collections.unmodifiableMap(entries);
         }
@@ -108,7 +108,7 @@
         }
     }
 
-    /** The name of a value's kind, as errors give it. */
+    /** Returns the name of a value's type, as in error messages and the result of {@code type}. */
     public static String typeName(Object value) {
         if (value == NONE) {
             return "None";
@@ -157,7 +157,7 @@
         return value != NONE;
     }
 
-    /** Whether two values are equal; walks down them, which counts. */
+    /** Whether two values are equal. Descends into nested values and counts each as a step. */
     static boolean equal(Object a, Object b, int depth, ResourceLimiter limiter, Position at)
             throws ScriptError {
         limiter.countStep(at);
@@ -202,7 +202,7 @@
         return true;
     }
 
-    /** A value's text, as {@code str} makes it. */
+    /** Converts a value to text, as {@code str} does. */
     static String text(Object value, ResourceLimiter limiter, Position at) throws ScriptError {
         if (value instanceof String text) {
             return text;
@@ -212,7 +212,10 @@
         return out.toString();
     }
 
-    /** Counts as it writes: a small value that holds itself many times over has a huge text. */
+    /**
+     * Appends a value's text, and counts steps and memory meanwhile: a small value that refers to
+     * the same value many times can have a huge text.
+     */
     private static void write(
             Object value, StringBuilder out, int depth, ResourceLimiter limiter, Position at)
             throws ScriptError {
@@ -281,7 +284,7 @@
         out.append(elements.isEmpty() ? open : "").append(close);
     }
 
-    /** A text as a script writes it. */
+    /** Formats a text as a quoted literal in script syntax. */
     public static String quoted(String text) {
         return '"'
                 + text.replace("\\", "\\\\")
@@ -292,7 +295,10 @@
                 + '"';
     }
 
-    /** A quantity as a script writes it, in the largest unit that leaves a short number. */
+    /**
+     * Formats a quantity in script syntax, in the largest unit in which the number is at least 1
+     * and has at most three decimals, or else in the smallest unit.
+     */
     public static String text(Quantity quantity) {
         final double amount = quantity.amount();
         final List<Map.Entry<String, Double>> units =
@@ -307,7 +313,7 @@
         return number(amount) + " * " + Units.of(quantity.dimension()).get(0).getKey();
     }
 
-    /** A number without a needless fraction. */
+    /** Formats a number, without a fraction if it is whole. */
     public static String number(double value) {
         return value == Math.rint(value) && Math.abs(value) < 1e15
                 ? Long.toString((long) value)
--- a/src/main/java/cresschute/settings/script/VariableBinder.java
+++ b/src/main/java/cresschute/settings/script/VariableBinder.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import org.antlr.v4.runtime.tree.TerminalNode;
 
-/** Sets names to values, and several names to the elements of one value. */
+/** Assigns a value to a name, or the elements of a value to several names. */
 final class VariableBinder {
 
     private final Environment environment;
@@ -14,7 +14,11 @@
         this.sequences = sequences;
     }
 
-    /** The elements of a value, of which there must be as many as names to set. */
+    /**
+     * Returns the elements of a value.
+     *
+     * @throws ScriptError if their number is not {@code count}
+     */
     List<Object> unpack(Object value, int count, Position at) throws ScriptError {
         final List<Object> elements = sequences.elements(value, at);
         if (elements.size() != count) {
@@ -23,7 +27,7 @@
         return elements;
     }
 
-    /** Sets one name to a value, or several to its elements. */
+    /** Assigns a value to one name, or its elements to several names. */
     void bind(List<TerminalNode> names, Object value, Position at, Scope scope) throws ScriptError {
         if (names.size() == 1) {
             environment.set(names.get(0), value, scope);
--- a/src/main/java/cresschute/settings/script/package-info.java
+++ b/src/main/java/cresschute/settings/script/package-info.java
@@ -1,9 +1,10 @@
 /**
- * The language of settings scripts, a subset of Starlark: tokens, syntax tree, interpreter, values
- * and the bounds of a run.
+ * The language of settings scripts, a subset of Starlark: lexical layout, interpreter, values and
+ * the limits of a run.
  *
- * <p>Pure: a script has no files, clock, chance or recursion, and every run ends within stated
- * bounds. An interpreter serves one run on one thread. It knows nothing of blocks and fields, which
- * its caller provides as functions, and uses no other package of the program.
+ * <p>Pure: scripts have no files, clock, random numbers or recursion, and every run ends within its
+ * limits. An interpreter is used for one run, on one thread. The package does not depend on the
+ * blocks and fields of the settings, which its caller provides as functions, nor on any other
+ * package of the program.
  */
 package cresschute.settings.script;
