--- a/src/main/java/cresschute/settings/BlockDeclaration.java
+++ b/src/main/java/cresschute/settings/BlockDeclaration.java
@@ -46,7 +46,7 @@
             declaration.addProblem(
                     problems,
                     call.positional().get(0).at(),
-                    block.name() + ": an argument without a name; each is given as name = value");
+                    block.name() + ": positional arguments are not allowed; write name = value");
         }
         for (final Map.Entry<String, Argument> given : call.named().entrySet()) {
             block.field(given.getKey())
--- a/src/main/java/cresschute/settings/PeersCheck.java
+++ b/src/main/java/cresschute/settings/PeersCheck.java
@@ -81,8 +81,8 @@
                 || !blocks.single(WorkerSchema.REPORTS).get(WorkerSchema.REPORTS_LOAD)) {
             addProblem(
                     peers.at(),
-                    "peers: needs limits(probes = True) and reports(load = True); a worker is "
-                            + "asked itself wherever the peers' counts are not whole");
+                    "peers: needs limits(probes = True) and reports(load = True); workers are"
+                        + " queried for load while the peers' counts are incomplete");
         }
         final int count = peers.get(PeersSchema.PEERS_ADDRESSES).size();
         final long dispatchers = blocks.single(NodeSchema.NODE).get(NodeSchema.DISPATCHERS);
@@ -102,7 +102,8 @@
         final Position at = peers.at(PeersSchema.PEERS_ADDRESSES);
         if (addresses.isEmpty()) {
             addProblem(
-                    at, "peers: addresses is empty; leave the block out where there are no peers");
+                    at,
+                    "peers: addresses is empty; omit the block if there are no other dispatchers");
         }
         final InetSocketAddress own = peers.get(PeersSchema.PEERS_LISTEN);
         if (addresses.contains(own)) {
@@ -110,8 +111,8 @@
                     at,
                     "peers: addresses has "
                             + Values.quoted(IpAddress.format(own))
-                            + ", which is this dispatcher's own listen; only the others belong"
-                            + " there");
+                            + ", which is this dispatcher's own listen; list only the other"
+                            + " dispatchers");
         }
         final Set<InetSocketAddress> seen = new HashSet<>();
         for (final InetSocketAddress each : addresses) {
@@ -122,7 +123,9 @@
             }
         }
         if (own.getPort() == 0 || addresses.stream().anyMatch(each -> each.getPort() == 0)) {
-            addProblem(peers.at(), "peers: port 0 is no port that others could send to");
+            addProblem(
+                    peers.at(),
+                    "peers: port 0 is not allowed; the other dispatchers need a fixed port");
         }
     }
 
--- a/src/main/java/cresschute/settings/SettingsChecks.java
+++ b/src/main/java/cresschute/settings/SettingsChecks.java
@@ -65,7 +65,7 @@
                         Position.START,
                         "no "
                                 + block.name()
-                                + " is stated; "
+                                + " is declared; "
                                 + (block.max() == 1 ? "exactly one" : "at least one")
                                 + " is required");
             }
@@ -74,7 +74,7 @@
                 && blocks.all(WorkerSchema.DISCOVERY).isEmpty()) {
             addProblem(
                     Position.START,
-                    "neither a worker nor a director is stated; jobs would have nowhere to go");
+                    "neither a worker nor a director is declared; at least one is required");
         }
     }
 
@@ -92,9 +92,9 @@
                                 + field.name()
                                 + " "
                                 + field.format(value)
-                                + " is there already, at "
+                                + " is a duplicate of the one at "
                                 + first
-                                + "; each must be another");
+                                + "; values must be unique");
             }
         }
     }
@@ -113,9 +113,9 @@
                     name
                             + ": attempts "
                             + declaration.get(JobClassSchema.CLASS_MAX_ATTEMPTS)
-                            + " is above the "
+                            + " is above the maximum "
                             + limits.get(NodeSchema.MAX_ATTEMPTS)
-                            + " that limits allows");
+                            + " in limits");
         }
         if (blocks.all(WorkerSchema.DISCOVERY).isEmpty()) {
             checkWorkersExist(
@@ -137,7 +137,7 @@
                             + " is below aim "
                             + JobClassSchema.LATENCY_OBJECTIVE.format(
                                     declaration.get(JobClassSchema.LATENCY_OBJECTIVE))
-                            + "; clients would leave before an answer in time");
+                            + "; it must be at least aim");
         }
         if (SettingsBuilder.allowsStreaming(declaration)
                 && declaration.get(JobClassSchema.MAX_STALL)
@@ -151,7 +151,7 @@
                             + " is above deadline "
                             + JobClassSchema.DEADLINE.format(
                                     declaration.get(JobClassSchema.DEADLINE))
-                            + "; it would never count");
+                            + "; it must be at most deadline");
         }
     }
 
@@ -172,7 +172,7 @@
                         name
                                 + ": "
                                 + field.name()
-                                + " is for effect \"keyed\"; here effect is "
+                                + " requires effect \"keyed\", but effect is "
                                 + Values.quoted(declaration.get(JobClassSchema.IDEMPOTENCY)));
             }
         }
--- a/src/main/java/cresschute/settings/SettingsFile.java
+++ b/src/main/java/cresschute/settings/SettingsFile.java
@@ -120,7 +120,7 @@
                             throw new ScriptError(
                                     call.at(),
                                     block.name()
-                                            + " is stated too often; at most "
+                                            + " is declared too often; at most "
                                             + (block.max() == 1 ? "once" : block.max() + " times")
                                             + " is allowed");
                         }
--- a/src/main/java/cresschute/settings/script/AssignmentExecutor.java
+++ b/src/main/java/cresschute/settings/script/AssignmentExecutor.java
@@ -81,7 +81,7 @@
         }
         throw new ScriptError(
                 Script.position(target.start),
-                "a value cannot be given to this; it can to a name and to an element in brackets");
+                "cannot assign to this expression; assign to a name or to an element in brackets");
     }
 
     private void augment(
@@ -90,7 +90,7 @@
         final Position at = Script.position(targets.start);
         final ScriptParser.TestContext target = targets.test(0);
         if (targets.test().size() > 1 || SyntaxTrees.endsWithComma(targets)) {
-            throw new ScriptError(at, "'" + operator + "=' takes one name");
+            throw new ScriptError(at, "'" + operator + "=' takes a single target");
         }
         final TerminalNode name = SyntaxTrees.soleName(target);
         final ElementTarget element = name == null ? elementTarget(target, scope) : null;
--- a/src/main/java/cresschute/settings/script/Builtin.java
+++ b/src/main/java/cresschute/settings/script/Builtin.java
@@ -35,8 +35,7 @@
         List<Argument> requirePositional(int min, int max) throws ScriptError {
             if (!named.isEmpty()) {
                 throw new ScriptError(
-                        named.values().iterator().next().at(),
-                        name + " takes no argument with a name");
+                        named.values().iterator().next().at(), name + " takes no named arguments");
             }
             if (positional.size() < min || positional.size() > max) {
                 final String allowed =
--- a/src/main/java/cresschute/settings/script/BuiltinFunctions.java
+++ b/src/main/java/cresschute/settings/script/BuiltinFunctions.java
@@ -98,7 +98,7 @@
         final int arguments = call.requirePositional(1, 3).size();
         final long step = arguments == 3 ? call.integer(2) : 1;
         if (step == 0) {
-            throw new ScriptError(call.positional().get(2).at(), "range cannot step by 0");
+            throw new ScriptError(call.positional().get(2).at(), "the step of range must not be 0");
         }
         return arguments == 1
                 ? new RangeValue(0, call.integer(0), 1)
@@ -165,7 +165,7 @@
                         : new ArrayList<>(
                                 call.positional().stream().map(Builtin.Argument::value).toList());
         if (all.isEmpty()) {
-            throw new ScriptError(call.at(), call.name() + " was given nothing to choose from");
+            throw new ScriptError(call.at(), call.name() + " needs at least one value");
         }
         Object best = all.get(0);
         for (final Object each : all) {
--- a/src/main/java/cresschute/settings/script/BuiltinMethods.java
+++ b/src/main/java/cresschute/settings/script/BuiltinMethods.java
@@ -69,7 +69,8 @@
             if (!(part instanceof String text)) {
                 throw new ScriptError(
                         call.positional().get(0).at(),
-                        "join takes a sequence of texts; here is " + Values.typeName(part));
+                        "join takes a sequence of texts, but an element is "
+                                + Values.typeName(part));
             }
             parts.add(text);
             chars += text.length() + gap.length();
@@ -115,7 +116,8 @@
                                 return (long) i;
                             }
                         }
-                        throw new ScriptError(call.at(), "index: the list does not hold this");
+                        throw new ScriptError(
+                                call.at(), "index: the list does not contain the value");
                     };
             default -> null;
         };
--- a/src/main/java/cresschute/settings/script/CallStack.java
+++ b/src/main/java/cresschute/settings/script/CallStack.java
@@ -21,7 +21,7 @@
     void enter(ScriptFunction function, Position at) throws ScriptError {
         if (running.size() == maxCalls) {
             throw new ScriptError(
-                    at, "too many calls within calls; at most " + maxCalls + " are allowed");
+                    at, "too many nested calls; at most " + maxCalls + " are allowed");
         }
         if (!running.add(function)) {
             throw new ScriptError(
--- a/src/main/java/cresschute/settings/script/DisplayEvaluator.java
+++ b/src/main/java/cresschute/settings/script/DisplayEvaluator.java
@@ -49,7 +49,7 @@
         }
         for (final ScriptParser.EntryContext entry : display.entry()) {
             if (!addEntry(entry, dict, at, scope)) {
-                throw new ScriptError(Script.position(entry.start), "this key is there twice");
+                throw new ScriptError(Script.position(entry.start), "duplicate key in the dict");
             }
         }
         return dict;
--- a/src/main/java/cresschute/settings/script/Environment.java
+++ b/src/main/java/cresschute/settings/script/Environment.java
@@ -39,7 +39,7 @@
         if (builtins.containsKey(name.getText())) {
             throw new ScriptError(
                     Script.position(name.getSymbol()),
-                    "'" + name.getText() + "' is a name of the language; choose another");
+                    "'" + name.getText() + "' is a builtin name and cannot be redefined");
         }
     }
 
--- a/src/main/java/cresschute/settings/script/ExpressionEvaluator.java
+++ b/src/main/java/cresschute/settings/script/ExpressionEvaluator.java
@@ -195,8 +195,7 @@
             } else if (named.isEmpty()) {
                 positional.add(value);
             } else {
-                throw new ScriptError(
-                        value.at(), "an argument without a name follows one with a name");
+                throw new ScriptError(value.at(), "a positional argument follows a named argument");
             }
         }
         return builtin.call(new Call(name, at, positional, named, limiter));
@@ -231,7 +230,7 @@
         try {
             return Long.parseLong(integer.getText());
         } catch (NumberFormatException e) {
-            throw new ScriptError(at, "a whole number beyond 64 bits");
+            throw new ScriptError(at, "the whole number exceeds 64 bits");
         }
     }
 
--- a/src/main/java/cresschute/settings/script/Interpreter.java
+++ b/src/main/java/cresschute/settings/script/Interpreter.java
@@ -48,8 +48,8 @@
                 throw new ScriptError(
                         Script.position(statement.start),
                         completion == StatementExecutor.Completion.RETURN
-                                ? "'return' stands outside a function"
-                                : "'break' and 'continue' stand outside a loop");
+                                ? "'return' outside a function"
+                                : "'break' or 'continue' outside a loop");
             }
         }
     }
--- a/src/main/java/cresschute/settings/script/Operators.java
+++ b/src/main/java/cresschute/settings/script/Operators.java
@@ -39,14 +39,14 @@
                         at,
                         "'"
                                 + operator
-                                + "' cannot join "
+                                + "' is not supported for "
                                 + Values.typeName(a)
                                 + " and "
                                 + Values.typeName(b));
             }
             return result;
         } catch (ArithmeticException e) {
-            throw new ScriptError(at, "the result is beyond 64 bits");
+            throw new ScriptError(at, "the result exceeds 64 bits");
         }
     }
 
@@ -164,7 +164,7 @@
 
     private static double divisor(Number number, Position at) throws ScriptError {
         if (number.doubleValue() == 0) {
-            throw new ScriptError(at, "a division by zero");
+            throw new ScriptError(at, "division by zero");
         }
         return number.doubleValue();
     }
@@ -172,7 +172,7 @@
     Object negate(Object value, Position at) throws ScriptError {
         if (value instanceof Long number) {
             if (number == Long.MIN_VALUE) {
-                throw new ScriptError(at, "the result is beyond 64 bits");
+                throw new ScriptError(at, "the result exceeds 64 bits");
             }
             return -number;
         } else if (value instanceof Double number) {
@@ -180,7 +180,7 @@
         } else if (value instanceof Quantity quantity) {
             return new Quantity(quantity.dimension(), -quantity.amount());
         }
-        throw new ScriptError(at, "'-' cannot stand before " + Values.typeName(value));
+        throw new ScriptError(at, "'-' is not supported for " + Values.typeName(value));
     }
 
     boolean compare(String operator, Object a, Object b, Position at) throws ScriptError {
@@ -214,7 +214,7 @@
                 Values.typeName(a)
                         + " and "
                         + Values.typeName(b)
-                        + " have no order; numbers, texts, times and sizes have");
+                        + " cannot be compared; allowed: two numbers, texts, times or sizes");
     }
 
     private boolean contains(Object all, Object one, Position at) throws ScriptError {
@@ -259,6 +259,6 @@
         throw new ScriptError(
                 at,
                 Values.typeName(value)
-                        + " cannot be a key; texts, whole numbers, True and False can");
+                        + " cannot be a key; allowed: texts, whole numbers, True and False");
     }
 }
--- a/src/main/java/cresschute/settings/script/ScriptFunction.java
+++ b/src/main/java/cresschute/settings/script/ScriptFunction.java
@@ -103,7 +103,8 @@
             if (!values.containsKey(parameter.name())) {
                 if (parameter.defaultValue() == null) {
                     throw new ScriptError(
-                            call.at(), "'" + name + "' was given no '" + parameter.name() + "'");
+                            call.at(),
+                            "'" + name + "' is called without argument '" + parameter.name() + "'");
                 }
                 values.put(parameter.name(), parameter.defaultValue());
             }
--- a/src/main/java/cresschute/settings/script/ScriptTokens.java
+++ b/src/main/java/cresschute/settings/script/ScriptTokens.java
@@ -70,9 +70,7 @@
         if (token.getType() == ScriptLexer.NAME && RESERVED.contains(token.getText())) {
             throw new ScriptError(
                     Script.position(token),
-                    "'"
-                            + token.getText()
-                            + "' is not part of the language; docs/settings.md lists what is");
+                    "'" + token.getText() + "' is not part of the language; see docs/settings.md");
         }
         if (atLineStart && brackets.isEmpty()) {
             updateIndentation(token);
@@ -91,8 +89,8 @@
                 Script.position(token),
                 switch (token.getText()) {
                     case "\"", "'" ->
-                            "this text has no end; a text ends on the line on which it begins";
-                    case "\t" -> "a tab; use spaces alone";
+                            "unterminated text; a text must end on the line on which it begins";
+                    case "\t" -> "tabs are not allowed; use spaces";
                     default -> "unexpected character '" + token.getText() + "'";
                 });
     }
--- a/src/main/java/cresschute/settings/script/Sequences.java
+++ b/src/main/java/cresschute/settings/script/Sequences.java
@@ -85,7 +85,8 @@
     private static ScriptError noSequence(Object value, Position at) {
         return new ScriptError(
                 at,
-                Values.typeName(value) + " is no sequence; a list, a tuple, a dict or a range is");
+                Values.typeName(value)
+                        + " is not iterable; allowed: a list, a tuple, a dict or a range");
     }
 
     /**
--- a/src/main/java/cresschute/settings/script/StatementExecutor.java
+++ b/src/main/java/cresschute/settings/script/StatementExecutor.java
@@ -125,7 +125,7 @@
     private void define(ScriptParser.DefStatementContext def, Scope scope) throws ScriptError {
         final Position at = Script.position(def.start);
         if (scope != environment.globalScope()) {
-            throw new ScriptError(at, "a function within a function; define it outside");
+            throw new ScriptError(at, "functions cannot be nested; define it at the top level");
         }
         final List<ScriptFunction.Parameter> parameters = parameters(def, scope);
         environment.set(
@@ -146,7 +146,8 @@
             environment.requireNotBuiltin(parameter.NAME());
             if (!names.add(name)) {
                 throw new ScriptError(
-                        Script.position(parameter.start), "'" + name + "' is there twice");
+                        Script.position(parameter.start),
+                        "'" + name + "' is the name of two parameters");
             }
             final Object defaultValue =
                     parameter.test() == null ? null : expressions.eval(parameter.test(), scope);
@@ -155,7 +156,7 @@
                     && parameters.get(parameters.size() - 1).defaultValue() != null) {
                 throw new ScriptError(
                         Script.position(parameter.start),
-                        "'" + name + "' has no default but follows one that has");
+                        "'" + name + "' has no default, but follows a parameter with one");
             }
             parameters.add(new ScriptFunction.Parameter(name, defaultValue));
         }
--- a/src/main/java/cresschute/settings/script/Strings.java
+++ b/src/main/java/cresschute/settings/script/Strings.java
@@ -69,7 +69,7 @@
             }
             if (used == given.size()) {
                 throw new ScriptError(
-                        at, "the format asks for more values than the " + used + " given");
+                        at, "the format needs more values than the " + used + " given");
             }
             final Object value = given.get(used++);
             if (kind == 'd' && !(value instanceof Long)) {
@@ -81,8 +81,7 @@
         }
         if (used < given.size()) {
             throw new ScriptError(
-                    at,
-                    "the format asks for " + used + " of the " + given.size() + " values given");
+                    at, "the format uses " + used + " of the " + given.size() + " values given");
         }
         limiter.allocateText(out.length(), at);
         return out.toString();
@@ -102,7 +101,7 @@
                 final int end = format.indexOf('}', i);
                 if (end < 0) {
                     throw new ScriptError(
-                            call.at(), "a '{' without its '}'; '{{' stands for a brace");
+                            call.at(), "'{' without a matching '}'; write '{{' for a brace");
                 }
                 final String field = format.substring(i + 1, end);
                 final Object value =
@@ -112,7 +111,8 @@
                 out.append(text);
                 i = end;
             } else if (character == '}' && !doubled) {
-                throw new ScriptError(call.at(), "a '}' without its '{'; '}}' stands for a brace");
+                throw new ScriptError(
+                        call.at(), "'}' without a matching '{'; write '}}' for a brace");
             } else {
                 out.append(character);
                 i += character == '{' || character == '}' ? 1 : 0;
@@ -128,7 +128,7 @@
             if (index >= call.positional().size()) {
                 throw new ScriptError(
                         call.at(),
-                        "the format asks for value "
+                        "the format refers to value "
                                 + index
                                 + " of the "
                                 + call.positional().size()
@@ -138,7 +138,7 @@
         }
         if (!call.named().containsKey(field)) {
             throw new ScriptError(
-                    call.at(), "the format asks for '" + field + "', which is not given");
+                    call.at(), "the format refers to '" + field + "', which is not given");
         }
         return call.named().get(field).value();
     }
--- a/src/main/java/cresschute/settings/script/Subscripts.java
+++ b/src/main/java/cresschute/settings/script/Subscripts.java
@@ -51,7 +51,9 @@
                                 : value instanceof TupleValue tuple ? tuple.elements().size() : -1;
         if (size < 0) {
             throw new ScriptError(
-                    at, Values.typeName(value) + " cannot be cut; a text, a list and a tuple can");
+                    at,
+                    Values.typeName(value)
+                            + " cannot be sliced; allowed: a text, a list or a tuple");
         }
         final int from = bound(low, 0, size, at);
         final int to = Math.max(from, bound(high, size, size, at));
@@ -76,7 +78,7 @@
             throw new ScriptError(
                     at,
                     Values.typeName(container)
-                            + " has no elements that can be set; a list and a dict have");
+                            + " has no elements that can be set; allowed: a list or a dict");
         }
     }
 
--- a/src/main/java/cresschute/settings/script/Values.java
+++ b/src/main/java/cresschute/settings/script/Values.java
@@ -50,7 +50,7 @@
 
         List<Object> mutable(Position at) throws ScriptError {
             if (activeIterators > 0) {
-                throw new ScriptError(at, "the list may not change while a loop goes through it");
+                throw new ScriptError(at, "the list must not change while a loop iterates over it");
             }
             return elements;
         }
@@ -98,7 +98,7 @@
 
         Map<Object, Object> mutable(Position at) throws ScriptError {
             if (activeIterators > 0) {
-                throw new ScriptError(at, "the dict may not change while a loop goes through it");
+                throw new ScriptError(at, "the dict must not change while a loop iterates over it");
             }
             return entries;
         }
--- a/src/main/java/cresschute/settings/script/VariableBinder.java
+++ b/src/main/java/cresschute/settings/script/VariableBinder.java
@@ -22,7 +22,8 @@
     List<Object> unpack(Object value, int count, Position at) throws ScriptError {
         final List<Object> elements = sequences.elements(value, at);
         if (elements.size() != count) {
-            throw new ScriptError(at, elements.size() + " values for " + count + " names");
+            throw new ScriptError(
+                    at, elements.size() + " values cannot be assigned to " + count + " names");
         }
         return elements;
     }
--- a/src/test/java/cresschute/settings/PeersSettingsTest.java
+++ b/src/test/java/cresschute/settings/PeersSettingsTest.java
@@ -79,9 +79,9 @@
             textBlock =
                     """
                     "10.0.0.2:7946", "10.0.0.2:7946" | peers: addresses has "10.0.0.2:7946" twice
-                    "10.0.0.2:7946", "10.0.0.1:7946" | peers: addresses has "10.0.0.1:7946", which is this dispatcher's own listen; only the others belong there
+                    "10.0.0.2:7946", "10.0.0.1:7946" | peers: addresses has "10.0.0.1:7946", which is this dispatcher's own listen; list only the other dispatchers
                     "10.0.0.2:7946"                  | peers: addresses names 1 peers, but node has dispatchers = 3; with this one there are 2
-                    "10.0.0.2:0", "10.0.0.3:7946"    | peers: port 0 is no port that others could send to
+                    "10.0.0.2:0", "10.0.0.3:7946"    | peers: port 0 is not allowed; the other dispatchers need a fixed port
                     "w", "10.0.0.3:7946"             | peers: addresses is a list; allowed: a list of IP addresses with ports, such as ["10.0.0.2:7946"]
                     """)
     void reportsEachInvalidPeerAddressOnce(String addresses, String message) {
@@ -95,8 +95,8 @@
     void requiresProbesLoadReportsAndMinimumRate() {
         final String two = "\"10.0.0.2:7946\", \"10.0.0.3:7946\"";
         final String needs =
-                ": peers: needs limits(probes = True) and reports(load = True); a worker is "
-                        + "asked itself wherever the peers' counts are not whole";
+                ": peers: needs limits(probes = True) and reports(load = True); workers are queried"
+                    + " for load while the peers' counts are incomplete";
         assertThat(problems(PEERS_NODE.replace("limits(probes = True)", "") + peers(two, "")))
                 .singleElement()
                 .asString()
@@ -115,8 +115,8 @@
                 .anyMatch(
                         each ->
                                 each.endsWith(
-                                        "peers: addresses is empty; leave the block out where there"
-                                                + " are no peers"));
+                                        "peers: addresses is empty; omit the block if there are no"
+                                            + " other dispatchers"));
     }
 
     @Test
--- a/src/test/java/cresschute/settings/ScriptTest.java
+++ b/src/test/java/cresschute/settings/ScriptTest.java
@@ -122,58 +122,58 @@
             textBlock =
                     """
                     x = (1, [2                  | 1:9: this '[' is never closed
-                    x = "open                   | 1:5: this text has no end; a text ends on the line on which it begins
+                    x = "open                   | 1:5: unterminated text; a text must end on the line on which it begins
                     x = 1 $ 2                   | 1:7: unexpected character '$'
                     x == = 2                    | 1:6: unexpected '='
                     for x range(3): pass        | 1:7: unexpected 'range'; expected 'in'
                     if True:~pass               | 2:1: unexpected 'pass'; expected more indentation
                     if True:~  x = 1~ y = 2     | 3:2: this line's indentation matches no line above
-                    while True: pass            | 1:1: 'while' is not part of the language; docs/settings.md lists what is
-                    import os                   | 1:1: 'import' is not part of the language; docs/settings.md lists what is
-                    lambda x: x                 | 1:1: 'lambda' is not part of the language; docs/settings.md lists what is
+                    while True: pass            | 1:1: 'while' is not part of the language; see docs/settings.md
+                    import os                   | 1:1: 'import' is not part of the language; see docs/settings.md
+                    lambda x: x                 | 1:1: 'lambda' is not part of the language; see docs/settings.md
                     nmae                        | 1:1: unknown name 'nmae'
                     rnage(3)                    | 1:1: unknown name 'rnage'; did you mean 'range'?
-                    ms = 3                      | 1:1: 'ms' is a name of the language; choose another
-                    [s for s in [1]]            | 1:8: 's' is a name of the language; choose another
-                    1 + "a"                     | 1:1: '+' cannot join a whole number and a text
-                    2 * s + 3                   | 1:1: '+' cannot join a time and a whole number
-                    2 * s + KiB                 | 1:1: '+' cannot join a time and a size
-                    1 < "a"                     | 1:1: a whole number and a text have no order; numbers, texts, times and sizes have
-                    1 / 0                       | 1:1: a division by zero
-                    9223372036854775807 + 1     | 1:1: the result is beyond 64 bits
-                    9223372036854775808         | 1:1: a whole number beyond 64 bits
+                    ms = 3                      | 1:1: 'ms' is a builtin name and cannot be redefined
+                    [s for s in [1]]            | 1:8: 's' is a builtin name and cannot be redefined
+                    1 + "a"                     | 1:1: '+' is not supported for a whole number and a text
+                    2 * s + 3                   | 1:1: '+' is not supported for a time and a whole number
+                    2 * s + KiB                 | 1:1: '+' is not supported for a time and a size
+                    1 < "a"                     | 1:1: a whole number and a text cannot be compared; allowed: two numbers, texts, times or sizes
+                    1 / 0                       | 1:1: division by zero
+                    9223372036854775807 + 1     | 1:1: the result exceeds 64 bits
+                    9223372036854775808         | 1:1: the whole number exceeds 64 bits
                     [1][3]                      | 1:4: index 3 is out of range; there are 1 elements, counted from 0
                     {"a": 1}["b"]               | 1:9: the dict has no key "b"
-                    {"a": 1, "a": 2}            | 1:10: this key is there twice
-                    {[1]: 2}                    | 1:2: a list cannot be a key; texts, whole numbers, True and False can
+                    {"a": 1, "a": 2}            | 1:10: duplicate key in the dict
+                    {[1]: 2}                    | 1:2: a list cannot be a key; allowed: texts, whole numbers, True and False
                     "x".nope()                  | 1:5: a text has no method 'nope'
                     "\\q"                       | 1:2: unknown escape '\\q'; \\n, \\t, \\r, \\\\, \\" and \\' are known
                     "%d" % "a"                  | 1:1: %d takes a whole number, not a text
-                    "%s %s" % (1,)              | 1:1: the format asks for more values than the 1 given
-                    "%s" % (1, 2)               | 1:1: the format asks for 1 of the 2 values given
-                    "{a}".format()              | 1:1: the format asks for 'a', which is not given
+                    "%s %s" % (1,)              | 1:1: the format needs more values than the 1 given
+                    "%s" % (1, 2)               | 1:1: the format uses 1 of the 2 values given
+                    "{a}".format()              | 1:1: the format refers to 'a', which is not given
                     5()                         | 1:1: a whole number cannot be called
                     len()                       | 1:1: len was given 0 arguments; it takes 1
                     len(3)                      | 1:5: len was given a whole number; it takes a text, a list, a tuple, a dict or a range
                     show(a = 1, a = 2)          | 1:13: 'a' is given twice
-                    show(a = 1, 2)              | 1:13: an argument without a name follows one with a name
-                    a, b = [1]                  | 1:1: 1 values for 2 names
-                    len(x) = 3                  | 1:1: a value cannot be given to this; it can to a name and to an element in brackets
-                    return 3                    | 1:1: 'return' stands outside a function
-                    break                       | 1:1: 'break' and 'continue' stand outside a loop
-                    for x in 5: pass            | 1:10: a whole number is no sequence; a list, a tuple, a dict or a range is
+                    show(a = 1, 2)              | 1:13: a positional argument follows a named argument
+                    a, b = [1]                  | 1:1: 1 values cannot be assigned to 2 names
+                    len(x) = 3                  | 1:1: cannot assign to this expression; assign to a name or to an element in brackets
+                    return 3                    | 1:1: 'return' outside a function
+                    break                       | 1:1: 'break' or 'continue' outside a loop
+                    for x in 5: pass            | 1:10: a whole number is not iterable; allowed: a list, a tuple, a dict or a range
                     fail("no", 3)               | 1:1: fail: no 3
-                    range(1, 2, 0)              | 1:13: range cannot step by 0
-                    def f(a, a): pass           | 1:10: 'a' is there twice
-                    def f(a = 1, b): pass       | 1:14: 'b' has no default but follows one that has
-                    def f(a): pass~f()          | 2:1: 'f' was given no 'a'
+                    range(1, 2, 0)              | 1:13: the step of range must not be 0
+                    def f(a, a): pass           | 1:10: 'a' is the name of two parameters
+                    def f(a = 1, b): pass       | 1:14: 'b' has no default, but follows a parameter with one
+                    def f(a): pass~f()          | 2:1: 'f' is called without argument 'a'
                     def f(a): pass~f(1, 2)      | 2:6: 'f' takes 1 arguments; 2 are given
                     def f(a): pass~f(b = 1)     | 2:7: 'f' has no argument 'b'
                     def f():~ x = y~ y = 1~f()  | 2:6: 'y' is used before it has a value
                     def f(): f()~f()            | 1:10: 'f' calls itself; recursion is not allowed
-                    def f():~ def g(): pass~f() | 2:2: a function within a function; define it outside
-                    l = [1]~for x in l: l.append(x) | 2:13: the list may not change while a loop goes through it
-                    d = {1: 1}~for k in d: d[2] = 1 | 2:15: the dict may not change while a loop goes through it
+                    def f():~ def g(): pass~f() | 2:2: functions cannot be nested; define it at the top level
+                    l = [1]~for x in l: l.append(x) | 2:13: the list must not change while a loop iterates over it
+                    d = {1: 1}~for k in d: d[2] = 1 | 2:15: the dict must not change while a loop iterates over it
                     [x if x]                    | 1:4: expected 'for' before 'if'
                     """)
     void reportsErrorWithPositionAndMessage(String script, String error) {
@@ -200,7 +200,7 @@
                     [0] * 1000000000                                          | the script takes too much memory
                     "x" * 1000000000                                          | the script takes too much memory
                     "x" * 9223372036854775807 * 4                             | the script takes too much memory
-                    [1, 2] * 9223372036854775807                              | the result is beyond 64 bits
+                    [1, 2] * 9223372036854775807                              | the result exceeds 64 bits
                     x = "ab"~for i in range(60): x += x                       | the script takes too much memory
                     x = [1]~for i in range(60): x = [x, x]~str(x)             | the script takes too
                     x = [1]~y = [1]~for i in range(60): x = [x, x]; y = [y, y]~x == y | the script takes too long
@@ -272,7 +272,7 @@
         }
         assertThat(run(calls + "show(f31())")).containsExactly("0");
         assertThat(run(calls + "f32()"))
-                .containsExactly("2:18: too many calls within calls; at most 32 are allowed");
+                .containsExactly("2:18: too many nested calls; at most 32 are allowed");
     }
 
     /** A chain of operators is wide, not deep: a long one is no error. */
--- a/src/test/java/cresschute/settings/SettingsFileTest.java
+++ b/src/test/java/cresschute/settings/SettingsFileTest.java
@@ -204,7 +204,7 @@
                     node(name = "n", listen = "localhost:80")  | node: listen is "localhost:80"; allowed: an IP address with a port, such as "127.0.0.1:9000"
                     node(name = "n", listen = "1.2.3.256:80")  | node: listen is "1.2.3.256:80"; allowed: an IP address with a port, such as "127.0.0.1:9000"
                     node(name = "n", listen = "1.2.3.4:65536") | node: listen is "1.2.3.4:65536"; allowed: an IP address with a port, such as "127.0.0.1:9000"
-                    node("n")                                  | node: an argument without a name; each is given as name = value
+                    node("n")                                  | node: positional arguments are not allowed; write name = value
                     node(name = "n", naem = "m")               | node has no field 'naem'; did you mean 'name'?
                     limits(colour = 1)                         | limits has no field 'colour'; it has attempts, second_copies, retry_after, sockets, connect_timeout, idle_timeout, probes
                     limits(attempts = 6)                       | limits: attempts is 6; allowed: a whole number from 1 to 5
@@ -216,7 +216,7 @@
                     logs(format = "xml")                       | logs: format is "xml"; allowed: "text" or "json"
                     job_class(kinds = ["a", "a"])              | job_class: kinds is a list; allowed: a list of names, each once
                     control(socket = "here")                   | control: socket is "here"; allowed: a path that begins with '/', of at most 100 bytes
-                    limits(); limits()                         | limits is stated too often; at most once is allowed
+                    limits(); limits()                         | limits is declared too often; at most once is allowed
                     goal(whole = 0, worst_window = 0, worst_class = 0) | goal: all weights are 0; at least one must be above 0
                     nodee(name = "n")                          | unknown name 'nodee'; did you mean 'node'?
                     """)
@@ -230,11 +230,11 @@
             quoteCharacter = '`',
             textBlock =
                     """
-                    aim = 3 * s            | job_class "b": deadline 2 * s is below aim 3 * s; clients would leave before an answer in time
+                    aim = 3 * s            | job_class "b": deadline 2 * s is below aim 3 * s; it must be at least aim
                     effect = "keyed"       | job_class "b": effect "keyed" needs repeat_window; allowed: a time from 0 * ms to 1 * hours, such as 2 * s
-                    repeat_window = 1 * s  | job_class "b": repeat_window is for effect "keyed"; here effect is "safe"
-                    repeat_scope = "cell"  | job_class "b": repeat_scope is for effect "keyed"; here effect is "safe"
-                    attempts = 4           | job_class "b": attempts 4 is above the 3 that limits allows
+                    repeat_window = 1 * s  | job_class "b": repeat_window requires effect "keyed", but effect is "safe"
+                    repeat_scope = "cell"  | job_class "b": repeat_scope requires effect "keyed", but effect is "safe"
+                    attempts = 4           | job_class "b": attempts 4 is above the maximum 3 in limits
                     zones = ["moon"]       | job_class "b": no worker has zone "moon"; workers have "local"
                     kinds = ["big"]        | job_class "b": no worker has kind "big"; workers have "worker"
                     """)
@@ -261,18 +261,18 @@
     void rejectsDuplicateClassName() {
         assertThat(problems(NODE + WORKER + CLASS + CLASS))
                 .containsExactly(
-                        "f:4:18: job_class: name \"a\" is there already, at 3:18; each must be"
-                                + " another");
+                        "f:4:18: job_class: name \"a\" is a duplicate of the one at 3:18; values"
+                            + " must be unique");
     }
 
     @Test
     void reportsMissingBlocks() {
         assertThat(problems(""))
                 .containsExactly(
-                        "f:1:1: no node is stated; exactly one is required",
-                        "f:1:1: no job_class is stated; at least one is required",
-                        "f:1:1: neither a worker nor a director is stated; jobs would have nowhere"
-                                + " to go");
+                        "f:1:1: no node is declared; exactly one is required",
+                        "f:1:1: no job_class is declared; at least one is required",
+                        "f:1:1: neither a worker nor a director is declared; at least one is"
+                            + " required");
     }
 
     /** What a script that broke off did not reach is not reported as missing. */
@@ -289,8 +289,8 @@
     void rejectsDuplicateWorkerAddress() {
         assertThat(problems(NODE + CLASS + WORKER + WORKER.replace("\"w\"", "\"v\"")))
                 .containsExactly(
-                        "f:4:28: worker: address \"127.0.0.1:9\" is there already, at 3:28; each"
-                                + " must be another");
+                        "f:4:28: worker: address \"127.0.0.1:9\" is a duplicate of the one at 3:28;"
+                            + " values must be unique");
     }
 
     @Test
