--- a/src/main/java/cresschute/settings/BodiesSchema.java
+++ b/src/main/java/cresschute/settings/BodiesSchema.java
@@ -12,40 +12,41 @@
                     "budget",
                     FieldType.size(128 * Schema.KIB, 64 * Schema.GIB),
                     32 * Schema.MIB,
-                    "memory of all long bodies and results together");
+                    "total memory for streamed bodies and results");
     static final Field<Long> WINDOW =
             optional(
                     "window",
                     FieldType.size(128 * Schema.KIB, Schema.GIB),
                     128 * Schema.KIB,
-                    "memory that each owns while its request is open; without room for it, the"
-                            + " request is refused");
+                    "memory reserved for each of them while its request is open; a request for"
+                            + " which this is not free is rejected");
     static final Field<Long> MAX_LENT =
             optional(
                     "lent",
                     FieldType.size(0, Schema.GIB),
                     512 * Schema.KIB,
-                    "memory beyond `window` that one may be lent; never more than a 64th of what is"
-                            + " free");
+                    "memory beyond `window` that one of them may borrow; at most 1/64 of the free"
+                            + " memory");
     static final Field<Long> MAX_SPOOL =
             optional(
                     "spool",
                     FieldType.size(0, Schema.GIB),
                     256 * Schema.KIB,
-                    "a body is kept up to this, so that it can be sent to a further worker; not"
-                            + " above `window` + `lent`");
+                    "bytes of a body that are kept for an attempt at another worker; at most"
+                            + " `window` + `lent`");
     static final Field<Long> MAX_PER_CLIENT =
             optional(
                     "of_a_client",
                     FieldType.size(128 * Schema.KIB, 64 * Schema.GIB),
                     8 * Schema.MIB,
-                    "memory that the requests from one address may own so; not above `budget`");
+                    "memory that may be reserved for the requests from one client address; at most"
+                            + " `budget`");
     static final Block BODIES =
             new Block(
                     "bodies",
                     0,
                     1,
-                    "memory for long bodies and long results, where a class has such",
+                    "memory for streamed bodies and results, if a class allows them",
                     List.of(BUDGET, WINDOW, MAX_LENT, MAX_SPOOL, MAX_PER_CLIENT));
 
     private BodiesSchema() {}
--- a/src/main/java/cresschute/settings/NodeSchema.java
+++ b/src/main/java/cresschute/settings/NodeSchema.java
@@ -12,24 +12,27 @@
 final class NodeSchema {
 
     static final Field<String> NODE_NAME =
-            required("name", FieldType.name(), "its name in logs, the same after a restart");
+            required(
+                    "name",
+                    FieldType.name(),
+                    "the node's name in logs; stays the same across restarts");
     static final Field<InetSocketAddress> NODE_LISTEN =
             required(
                     "listen",
                     FieldType.address(),
-                    "where clients connect; port 0 takes a free one");
+                    "the address on which clients connect; port 0 selects a free port");
     static final Field<Long> SEED =
             optional(
                     "seed",
                     FieldType.integer(0, Long.MAX_VALUE),
                     null,
-                    "for random choices; without it, a new one at each start");
+                    "the seed of the random number generator; a new one at each start if not set");
     static final Field<Long> DISPATCHERS =
             optional(
                     "dispatchers",
                     FieldType.integer(1, Schema.MAX_ENTRIES),
                     1L,
-                    "nodes that serve the same workers, this one included");
+                    "the number of nodes that serve the same workers, this one included");
     static final Field<String> NODE_ZONE =
             optional("zone", FieldType.name(), "local", "the zone it is in");
     static final Block NODE =
@@ -45,37 +48,38 @@
                     "attempts",
                     FieldType.integer(1, Schema.MAX_ATTEMPTS_PER_REQUEST),
                     (long) Schema.MAX_ATTEMPTS_PER_REQUEST,
-                    "attempts for one request, of any class");
+                    "maximum number of attempts for one request of any class");
     static final Field<Boolean> HEDGED_REQUESTS =
             optional(
                     "second_copies",
                     FieldType.bool(),
                     false,
-                    "whether a request may be out at two workers at a time");
+                    "whether hedged requests are allowed: a request may be in flight at two workers"
+                            + " at a time");
     static final Field<Long> MAX_RETRY_AFTER =
             optional(
                     "retry_after",
                     FieldType.time(0, seconds(60)),
                     seconds(2),
-                    "the longest wait that a refusal advises; 0 * s gives no advice");
+                    "the longest Retry-After of a rejection; 0 * s sends none");
     static final Field<Long> MAX_SOCKETS =
             optional(
                     "sockets",
                     FieldType.integer(64, Schema.MAX_FILE_DESCRIPTORS),
                     1024L,
-                    "file descriptors that the process may hold");
+                    "maximum number of open file descriptors of the process");
     static final Field<Long> CONNECT_TIMEOUT =
             optional(
                     "connect_timeout",
                     FieldType.time(ms(1), seconds(60)),
                     ms(250),
-                    "the longest that a connection to a worker may take to come up");
+                    "timeout for establishing a connection to a worker");
     static final Field<Long> IDLE_TIMEOUT =
             optional(
                     "idle_timeout",
                     FieldType.time(ms(100), Schema.HOUR_US),
                     seconds(10),
-                    "when workers close a connection that stands idle");
+                    "the time after which workers close an idle connection");
     static final Field<Boolean> LOAD_QUERIES =
             optional("probes", FieldType.bool(), false, "whether workers answer `GET /stats`");
     static final Block LIMITS =
@@ -83,7 +87,7 @@
                     "limits",
                     0,
                     1,
-                    "what the node may do",
+                    "limits of the node",
                     List.of(
                             MAX_ATTEMPTS,
                             HEDGED_REQUESTS,
@@ -98,13 +102,13 @@
                     "format",
                     FieldType.oneOf("text", "json"),
                     "text",
-                    "lines for people, or one JSON object a line");
+                    "readable lines, or one JSON object per line");
     static final Field<String> LOG_LEVEL =
             optional(
                     "level",
                     FieldType.oneOf("debug", "info", "warning", "error"),
                     "info",
-                    "the least that is logged");
+                    "the lowest level that is logged");
     static final Block LOGS =
             new Block(
                     "logs",
@@ -117,23 +121,25 @@
             required(
                     "socket",
                     FieldType.socketPath(),
-                    "the file of the control socket, in a folder that is nobody else's");
+                    "the path of the control socket, in a folder that belongs only to the node's"
+                        + " user");
     static final Block CONTROL =
             new Block(
                     "control",
                     0,
                     1,
-                    "where consoles connect; without it, nowhere",
+                    "the socket on which consoles connect; without the block, there is none",
                     List.of(CONTROL_SOCKET));
 
     static final Field<String> STATE_FOLDER =
-            required("folder", FieldType.path(), "the folder for what outlives the process");
+            required("folder", FieldType.path(), "the folder for state that outlives the process");
     static final Block STATE =
             new Block(
                     "state",
                     0,
                     1,
-                    "where the operators' drains are kept; without it, they end with the process",
+                    "where operators' drains are stored; without the block, they are lost when the"
+                            + " process ends",
                     List.of(STATE_FOLDER));
 
     private NodeSchema() {}
--- a/src/main/java/cresschute/settings/PeersCheck.java
+++ b/src/main/java/cresschute/settings/PeersCheck.java
@@ -82,7 +82,7 @@
             addProblem(
                     peers.at(),
                     "peers: needs limits(probes = True) and reports(load = True); workers are"
-                        + " queried for load while the peers' counts are incomplete");
+                            + " queried for load while the peers' counts are incomplete");
         }
         final int count = peers.get(PeersSchema.PEERS_ADDRESSES).size();
         final long dispatchers = blocks.single(NodeSchema.NODE).get(NodeSchema.DISPATCHERS);
--- a/src/main/java/cresschute/settings/PeersSchema.java
+++ b/src/main/java/cresschute/settings/PeersSchema.java
@@ -13,34 +13,34 @@
             required(
                     "listen",
                     FieldType.address(),
-                    "where this dispatcher takes the others' datagrams (UDP), and where it sends"
-                            + " from");
+                    "the UDP address on which this dispatcher receives datagrams and from which it"
+                            + " sends");
     static final Field<List<InetSocketAddress>> PEERS_ADDRESSES =
             required(
                     "addresses",
                     FieldType.addresses(),
-                    "where each of the other dispatchers listens; `dispatchers` of `node` is one"
-                            + " more than these");
+                    "the UDP addresses of the other dispatchers; one less than `dispatchers` of"
+                            + " `node`");
     static final Field<String> PEERS_KEY_FILE =
             required(
                     "key_file",
                     FieldType.path(),
-                    "a file of 16 bytes or more, the same at every dispatcher, that messages are"
-                            + " authenticated with");
+                    "the path of the key file, at least 16 bytes and the same at every dispatcher,"
+                            + " with which messages are authenticated");
     static final Field<Long> PEERS_BYTES_PER_SECOND =
             optional(
                     "bytes_per_second",
                     FieldType.integer(100, 1_000_000),
                     3_000L,
-                    "bytes a second that it sends at the most, to all others together; at least 100"
-                            + " for each of them");
+                    "maximum send rate in bytes per second to all other dispatchers together; at"
+                            + " least 100 for each of them");
     static final Block PEERS =
             new Block(
                     "peers",
                     0,
                     1,
                     "the other dispatchers, with which this one exchanges in-flight counts; without"
-                            + " it, it does not",
+                            + " the block, it exchanges none",
                     List.of(PEERS_LISTEN, PEERS_ADDRESSES, PEERS_KEY_FILE, PEERS_BYTES_PER_SECOND));
 
     private PeersSchema() {}
--- a/src/main/java/cresschute/settings/WorkerSchema.java
+++ b/src/main/java/cresschute/settings/WorkerSchema.java
@@ -10,27 +10,28 @@
 /** Schema of the blocks for workers: the worker list, discovery, reports and slow start. */
 final class WorkerSchema {
 
-    static final Field<String> WORKER_ID = required("id", FieldType.name(), "its name");
+    static final Field<String> WORKER_ID = required("id", FieldType.name(), "the worker's name");
     static final Field<InetSocketAddress> WORKER_ADDRESS =
-            required("address", FieldType.address(), "where it listens");
+            required("address", FieldType.address(), "the address on which the worker listens");
     static final Field<String> WORKER_ZONE =
-            optional("zone", FieldType.name(), "local", "the zone it is in");
+            optional("zone", FieldType.name(), "local", "the worker's zone");
     static final Field<String> WORKER_KIND =
-            optional("kind", FieldType.name(), "worker", "its kind of machine");
+            optional("kind", FieldType.name(), "worker", "the worker's kind of machine");
     static final Field<Long> WORKER_CELL =
             optional(
                     "cell",
                     FieldType.integer(0, 65_535),
                     0L,
-                    "the group within which it drops repeats of keyed requests");
+                    "the cell: a group of workers that drop duplicates of each other's keyed"
+                        + " requests");
     static final Field<Double> WORKER_WEIGHT =
-            optional("weight", FieldType.number(0, 1000), 1.0, "its nominal size");
+            optional("weight", FieldType.number(0, 1000), 1.0, "the worker's nominal size");
     static final Block WORKER =
             new Block(
                     "worker",
                     0,
                     Schema.MAX_ENTRIES,
-                    "a worker: the fixed list, or with a discovery service the list to begin with",
+                    "a worker of the fixed list, or with a discovery service, of the initial list",
                     List.of(
                             WORKER_ID,
                             WORKER_ADDRESS,
@@ -40,37 +41,39 @@
                             WORKER_WEIGHT));
 
     static final Field<InetSocketAddress> DISCOVERY_ADDRESS =
-            required("address", FieldType.address(), "where it listens");
+            required("address", FieldType.address(), "the address on which the service listens");
     static final Field<Long> POLL_WITHIN =
             optional(
                     "ask_within",
                     FieldType.time(seconds(1), seconds(600)),
                     seconds(6),
-                    "the longest time without a watch before changes count as told");
+                    "the longest time without a watch on the service; changes of the list are"
+                            + " assumed to be known within it");
     static final Block DISCOVERY =
             new Block(
                     "director",
                     0,
                     1,
-                    "the service that tells of the workers",
+                    "the discovery service, which lists the workers",
                     List.of(DISCOVERY_ADDRESS, POLL_WITHIN));
 
     static final Field<Boolean> REPORTS_LOAD =
-            optional("load", FieldType.bool(), true, "whether answers bring load reports");
+            optional("load", FieldType.bool(), true, "whether answers contain load reports");
     static final Field<Boolean> REPORTS_JOB_START =
-            optional("starts", FieldType.bool(), true, "whether workers tell when a job starts");
+            optional("starts", FieldType.bool(), true, "whether workers report when a job starts");
     static final Field<Long> PROGRESS_INTERVAL =
             optional(
                     "progress",
                     FieldType.time(0, seconds(600)),
                     0L,
-                    "how often workers tell of a running job's progress; 0 * s is never");
+                    "the interval at which workers report progress of a running job; 0 * s if they"
+                            + " do not");
     static final Block REPORTS =
             new Block(
                     "reports",
                     0,
                     1,
-                    "what workers tell",
+                    "what workers report",
                     List.of(REPORTS_LOAD, REPORTS_JOB_START, PROGRESS_INTERVAL));
 
     static final Field<Double> INITIAL_CAPACITY_FRACTION =
@@ -78,21 +81,25 @@
                     "from_share",
                     FieldType.number(0.01, 1),
                     1.0,
-                    "the share of its capacity that a worker has when it starts");
+                    "the fraction of its capacity that a worker has when it starts");
     static final Field<Long> WARM_UP_DURATION =
-            optional("warm_within", FieldType.time(0, Schema.HOUR_US), 0L, "when it has all of it");
+            optional(
+                    "warm_within",
+                    FieldType.time(0, Schema.HOUR_US),
+                    0L,
+                    "the time after its start until it has all of its capacity");
     static final Field<Double> OVERLOAD_FACTOR =
             optional(
                     "overload",
                     FieldType.number(0.1, 1000),
                     3.0,
-                    "sent more than so many times its capacity of the moment");
+                    "a worker that is sent more than this many times its current capacity");
     static final Field<Long> OVERLOAD_AFTER =
             optional(
                     "tip_after",
                     FieldType.time(0, Schema.HOUR_US),
                     seconds(1),
-                    "for so long, it falls over");
+                    "for this long, fails");
     static final Block COLD_START =
             new Block(
                     "cold_start",
--- a/src/test/java/cresschute/settings/PeersSettingsTest.java
+++ b/src/test/java/cresschute/settings/PeersSettingsTest.java
@@ -96,7 +96,7 @@
         final String two = "\"10.0.0.2:7946\", \"10.0.0.3:7946\"";
         final String needs =
                 ": peers: needs limits(probes = True) and reports(load = True); workers are queried"
-                    + " for load while the peers' counts are incomplete";
+                        + " for load while the peers' counts are incomplete";
         assertThat(problems(PEERS_NODE.replace("limits(probes = True)", "") + peers(two, "")))
                 .singleElement()
                 .asString()
@@ -116,7 +116,7 @@
                         each ->
                                 each.endsWith(
                                         "peers: addresses is empty; omit the block if there are no"
-                                            + " other dispatchers"));
+                                                + " other dispatchers"));
     }
 
     @Test
--- a/src/test/java/cresschute/settings/SettingsFileTest.java
+++ b/src/test/java/cresschute/settings/SettingsFileTest.java
@@ -262,7 +262,7 @@
         assertThat(problems(NODE + WORKER + CLASS + CLASS))
                 .containsExactly(
                         "f:4:18: job_class: name \"a\" is a duplicate of the one at 3:18; values"
-                            + " must be unique");
+                                + " must be unique");
     }
 
     @Test
@@ -272,7 +272,7 @@
                         "f:1:1: no node is declared; exactly one is required",
                         "f:1:1: no job_class is declared; at least one is required",
                         "f:1:1: neither a worker nor a director is declared; at least one is"
-                            + " required");
+                                + " required");
     }
 
     /** What a script that broke off did not reach is not reported as missing. */
@@ -290,7 +290,7 @@
         assertThat(problems(NODE + CLASS + WORKER + WORKER.replace("\"w\"", "\"v\"")))
                 .containsExactly(
                         "f:4:28: worker: address \"127.0.0.1:9\" is a duplicate of the one at 3:28;"
-                            + " values must be unique");
+                                + " values must be unique");
     }
 
     @Test
