--- a/src/main/java/cresschute/peers/ClaimValidator.java
+++ b/src/main/java/cresschute/peers/ClaimValidator.java
@@ -11,36 +11,45 @@
  * cannot keep a healthy worker out of use.
  *
  * <ul>
- *   <li>Contradiction: a worker whose view exceeds its report by more than the margin is
- *       contradicted for 60 s, or until a report agrees. Meanwhile the view gives no answer for it,
- *       so that it is queried.
- *   <li>Distrust: where most of the last 16 comparisons exceed the margin, the peer that claims
- *       most at the workers concerned is distrusted, and the window is cleared.
- *   <li>Verification: a worker that gets no requests sends no reports. So one in 32 lookups of
- *       workers with claims is left to a load query, and so is a lookup of a claim above twice the
- *       mean one plus the margin, once in 10 s for each worker; one per second at most in all.
+ *   <li>Contradiction: if the view of a worker exceeds the worker's load report by more than the
+ *       margin, the worker is contradicted for 60 s, or until a report agrees with the view.
+ *       Meanwhile the view gives no answer for the worker, so that its load is queried.
+ *   <li>Distrust: if more than half of the last 16 comparisons exceed the margin, the peer with the
+ *       largest claims at the workers concerned is distrusted, and the window of comparisons is
+ *       cleared.
+ *   <li>Verification: a worker that gets no requests sends no reports, so its claims would never be
+ *       compared. Therefore one in 32 lookups of workers with claims is answered by a load query
+ *       instead, and so is a lookup whose claim is above twice the mean claim plus the margin, at
+ *       most once in 10 s for each worker. In total, at most one lookup per second is verified.
  * </ul>
  *
  * <p>Until it is detected, a faulty peer can thus add the margin to every worker (4 requests, or
- * half of what is reported where that is more), and more to a worker until it is verified.
+ * half of the reported number if that is more), and more than the margin to a worker until that
+ * worker is verified.
  *
  * <p>Not thread-safe: used on the exchange's thread, with a clock in microseconds.
  */
 final class ClaimValidator {
 
-    /** Requests by which a view may exceed a report, which is some seconds old. */
+    /**
+     * Number of requests by which the view may exceed a report, because a report is some seconds
+     * old.
+     */
     static final int MARGIN = 4;
 
-    /** Fraction of a report by which a view may exceed it, where that is more. */
+    /**
+     * Fraction of the reported number by which the view may exceed it, if that is more than {@link
+     * #MARGIN}.
+     */
     static final double MARGIN_FRACTION = 0.5;
 
-    /** Number of comparisons by which peers are distrusted. */
+    /** Number of latest comparisons that decide whether a peer is distrusted. */
     static final int WINDOW_SIZE = 16;
 
     /** How long a worker stays contradicted, microseconds. */
     static final long CONTRADICTED_US = 60_000_000;
 
-    /** One in so many lookups is verified. */
+    /** One in this many lookups is verified. */
     static final int VERIFY_ONE_IN = 32;
 
     /** The shortest time between verifications of unusual claims at one worker, microseconds. */
@@ -65,7 +74,7 @@
     private int lookupsSinceVerification;
     private long lastVerificationUs;
 
-    /** Whether the view gives no answer for a worker, as its last report contradicts it. */
+    /** Whether the view gives no answer for a worker, because a report contradicts it. */
     boolean isContradicted(long nowUs, int key) {
         final Long untilUs = contradictedUntilUs.get(key);
         if (untilUs != null && nowUs >= untilUs) {
@@ -75,19 +84,19 @@
     }
 
     /**
-     * Whether this lookup is to be left to a load query.
+     * Whether this lookup is verified: answered by a load query instead of the view.
      *
-     * @param claim requests that all peers together claim at the worker
+     * @param claim number of requests in flight that all peers together claim at the worker
      */
     boolean shouldVerify(long nowUs, int key, int claim) {
         if (claim == 0) {
             return false;
         }
         final boolean unusual =
-                claim > unusualAbove()
+                claim > unusualClaimThreshold()
                         && nowUs - lastVerifiedUs.getOrDefault(key, NEVER)
                                 >= MIN_WORKER_VERIFY_INTERVAL_US;
-        meanClaim += NEWEST_CLAIM_WEIGHT * (Math.min(claim, unusualAbove()) - meanClaim);
+        meanClaim += NEWEST_CLAIM_WEIGHT * (Math.min(claim, unusualClaimThreshold()) - meanClaim);
         lookupsSinceVerification++;
         if ((unusual || lookupsSinceVerification >= VERIFY_ONE_IN)
                 && nowUs - lastVerificationUs >= MIN_VERIFY_INTERVAL_US) {
@@ -99,17 +108,17 @@
         return false;
     }
 
-    private double unusualAbove() {
+    private double unusualClaimThreshold() {
         return 2 * meanClaim + MARGIN;
     }
 
     /**
-     * Compares a report with the view of its worker.
+     * Compares a worker's report with the view.
      *
-     * @param viewed requests at the worker by the view
-     * @param reported requests at the worker by its own report
-     * @param claimsByPeer what each peer claims there
-     * @return the peer to distrust, if most of the last comparisons exceed
+     * @param viewed requests at the worker according to the view
+     * @param reported requests at the worker according to its own report
+     * @param claimsByPeer requests that each peer claims at the worker
+     * @return the peer to distrust, if most of the last comparisons exceed the margin
      */
     OptionalInt compare(
             long nowUs, int key, int viewed, double reported, Map<Integer, Integer> claimsByPeer) {
@@ -126,10 +135,10 @@
         if (window.size() > WINDOW_SIZE) {
             window.removeFirst();
         }
-        return mostExceed() ? largestClaimant() : OptionalInt.empty();
+        return majorityExceeds() ? largestClaimant() : OptionalInt.empty();
     }
 
-    private boolean mostExceed() {
+    private boolean majorityExceeds() {
         final long exceeding = window.stream().filter(Comparison::exceeds).count();
         return window.size() == WINDOW_SIZE && 2 * exceeding > WINDOW_SIZE;
     }
--- a/src/main/java/cresschute/peers/DistrustListener.java
+++ b/src/main/java/cresschute/peers/DistrustListener.java
@@ -1,14 +1,14 @@
 package cresschute.peers;
 
-/** Is notified that a peer is distrusted; on the exchange's thread. */
+/** Notified when a peer becomes distrusted, on the exchange's thread. */
 @FunctionalInterface
 public interface DistrustListener {
 
     /**
-     * A peer is distrusted.
+     * Called when a peer becomes distrusted.
      *
-     * @param sender hash of its name
-     * @param durationUs for how long, microseconds
+     * @param sender hash of the peer's name
+     * @param durationUs how long the peer is distrusted, microseconds
      */
     void distrusted(int sender, long durationUs);
 }
--- a/src/main/java/cresschute/peers/ExchangeSettings.java
+++ b/src/main/java/cresschute/peers/ExchangeSettings.java
@@ -1,13 +1,13 @@
 package cresschute.peers;
 
 /**
- * Settings of the exchange of one dispatcher.
+ * Settings of one dispatcher's gossip exchange.
  *
  * @param name this dispatcher's name, unique among the dispatchers of the site
  * @param peers number of other dispatchers, 1 or more
- * @param bytesPerS bytes per second to all peers together, with the headers of IP and UDP; at least
- *     {@link #MIN_BYTES_PER_S_PER_PEER} for each peer
- * @param refreshUs length of a refresh cycle, in which every count above 0 is stated, microseconds
+ * @param bytesPerS maximum bytes per second sent to all peers together, headers of IP and UDP
+ *     included; at least {@link #MIN_BYTES_PER_S_PER_PEER} for each peer
+ * @param refreshUs length of a refresh cycle, in which every count above 0 is sent, microseconds
  */
 public record ExchangeSettings(String name, int peers, long bytesPerS, long refreshUs) {
 
@@ -17,7 +17,10 @@
     /** Default of {@link #bytesPerS}. */
     public static final long DEFAULT_BYTES_PER_S = 3_000;
 
-    /** Minimum of bytes per second and peer: a message without entries, and a few entries. */
+    /**
+     * Minimum bytes per second for each peer: enough for a message without entries plus a few
+     * entries.
+     */
     public static final long MIN_BYTES_PER_S_PER_PEER = 100;
 
     /**
--- a/src/main/java/cresschute/peers/InFlightCounts.java
+++ b/src/main/java/cresschute/peers/InFlightCounts.java
@@ -9,9 +9,9 @@
 import java.util.TreeMap;
 
 /**
- * This dispatcher's attempts in flight by worker key, and the keys whose count differs from the one
- * advertised last, in the order of their changes. A count that returns to the advertised one is no
- * change any more. Not thread-safe: owned by the exchange's thread.
+ * This dispatcher's attempts in flight by worker key, and the keys whose count has changed since it
+ * was last advertised, in the order of their changes. A count that returns to its advertised value
+ * no longer counts as changed. Not thread-safe: owned by the exchange's thread.
  */
 public final class InFlightCounts {
 
@@ -44,18 +44,18 @@
         return counts.getOrDefault(key, 0);
     }
 
-    /** Whether some count differs from the one advertised last. */
+    /** Whether any count differs from its last advertised value. */
     boolean hasChanges() {
         return !changed.isEmpty();
     }
 
-    /** Keys whose count differs from the one advertised last, the oldest change first. */
+    /** Keys whose count differs from its last advertised value, oldest change first. */
     List<Integer> changedKeys() {
         return List.copyOf(changed);
     }
 
-    /** The count of this worker is part of a message. */
-    void advertised(int key) {
+    /** Records that a message contains the current count of this worker. */
+    void markAdvertised(int key) {
         final int count = count(key);
         if (count == 0) {
             advertised.remove(key);
@@ -65,7 +65,7 @@
         changed.remove(key);
     }
 
-    /** Keys with attempts in flight from this one on, in unsigned order. */
+    /** Keys with attempts in flight that are equal to or above the given key, in unsigned order. */
     List<Integer> inFlightKeysFrom(int key) {
         return new ArrayList<>(counts.tailMap(key, true).keySet());
     }
--- a/src/main/java/cresschute/peers/KeyRange.java
+++ b/src/main/java/cresschute/peers/KeyRange.java
@@ -1,7 +1,7 @@
 package cresschute.peers;
 
 /**
- * A range of worker keys in unsigned order; empty where the first key is above the last.
+ * A range of worker keys in unsigned order; empty if the first key is above the last.
  *
  * @param first the first key, included
  * @param last the last key, included
@@ -17,12 +17,12 @@
     /** The range without keys. */
     public static final KeyRange EMPTY = new KeyRange(MAX_KEY, MIN_KEY);
 
-    /** Whether no key is in it. */
+    /** Whether the range contains no key. */
     public boolean isEmpty() {
         return Integer.compareUnsigned(first, last) > 0;
     }
 
-    /** Whether the key is in it. */
+    /** Whether the range contains the key. */
     public boolean contains(int key) {
         return Integer.compareUnsigned(first, key) <= 0 && Integer.compareUnsigned(key, last) <= 0;
     }
--- a/src/main/java/cresschute/peers/LoadExchange.java
+++ b/src/main/java/cresschute/peers/LoadExchange.java
@@ -8,9 +8,10 @@
 import java.util.OptionalInt;
 
 /**
- * One dispatcher's end of the gossip protocol by which the dispatchers of a site learn each other's
- * attempts in flight: it counts its own, says when to send which message, receives the messages of
- * others, and answers how many requests a worker has from all of them.
+ * One dispatcher's endpoint of the gossip protocol by which the dispatchers of a site learn each
+ * other's attempts in flight. It counts its own attempts, decides when to send which message,
+ * receives the messages of the others, and tells how many requests a worker has from all
+ * dispatchers.
  *
  * <p>Life cycle: created at the start of the process, whose time is its incarnation; polled a few
  * times each 250 ms; {@link #leave} sends the last message. Not thread-safe, and without clock,
@@ -25,7 +26,10 @@
     private final PeerTable peers;
     private final PeerLoadView view;
 
-    /** Names by key of listed workers about which messages came, in the order of the first one. */
+    /**
+     * Names by key of listed workers whose counts were received since the last {@link
+     * #takeRefreshed}, in the order of the first receipt.
+     */
     private final Map<Integer, String> refreshed = new LinkedHashMap<>();
 
     /**
@@ -55,13 +59,14 @@
         counts.attemptEnded(keys.register(worker));
     }
 
-    /** The message that is due now, if one is, for every peer. */
+    /** Returns the message to send to every peer now; empty if none is due. */
     public Optional<LoadMessage> poll(long nowUs) {
         return gossiper.poll(nowUs);
     }
 
     /**
-     * The last message: this dispatcher stops. Empty where the byte budget does not hold it now.
+     * Returns the last message, which announces that this dispatcher stops; empty if it exceeds the
+     * available byte budget now.
      */
     public Optional<LoadMessage> leave(long nowUs) {
         return gossiper.leave(nowUs);
@@ -70,7 +75,8 @@
     /**
      * Receives an authentic message.
      *
-     * @throws RejectedMessageException if it changes nothing, with the reason
+     * @throws RejectedMessageException if the message is rejected and changes nothing, with the
+     *     reason
      */
     public void receive(long nowUs, LoadMessage message) throws RejectedMessageException {
         for (final int key : peers.receive(nowUs, message)) {
@@ -79,8 +85,8 @@
     }
 
     /**
-     * Workers about which messages came since the last call and for which the view may answer; a
-     * driver then takes their load from {@link #outstanding}.
+     * Returns the workers whose counts were received since the last call and for which the view may
+     * answer. A driver then reads their load with {@link #outstanding}.
      */
     public List<String> takeRefreshed(long nowUs) {
         final List<String> names = new ArrayList<>();
@@ -95,17 +101,18 @@
     }
 
     /**
-     * Requests that all dispatchers have in flight at a worker; empty where its load has to be
-     * queried.
+     * Returns the number of requests that all dispatchers have in flight at a worker; empty if the
+     * worker's load has to be queried.
      */
     public OptionalInt outstanding(long nowUs, String worker) {
         return view.outstanding(nowUs, worker);
     }
 
     /**
-     * A worker reports its load.
+     * Handles a worker's load report.
      *
-     * @param outstanding requests that it holds; negative where the report does not say
+     * @param outstanding number of requests at the worker; negative if the report does not contain
+     *     it
      */
     public void loadReported(long nowUs, String worker, double outstanding) {
         view.loadReported(nowUs, worker, outstanding);
--- a/src/main/java/cresschute/peers/LoadGossiper.java
+++ b/src/main/java/cresschute/peers/LoadGossiper.java
@@ -11,14 +11,14 @@
  * same message; a token bucket limits the bytes to all of them together.
  *
  * <ul>
- *   <li>Changes: changed counts go out in the order of their changes, within 250 ms where the
- *       budget holds all of them.
- *   <li>Heartbeat: a message goes out at least once a second, with as many changes as the budget
- *       holds, even where nothing has changed. It is later only where the budget does not hold an
- *       empty message.
- *   <li>Refresh: once a cycle, all counts above 0 are stated in the order of their keys, spread
- *       evenly over the cycle. The refresh has up to half of a message's entry bytes before changes
- *       have any. Where the budget is short, a cycle takes longer; the next one begins only after
+ *   <li>Changes: changed counts are sent in the order of their changes, within 250 ms if all of
+ *       them fit into the budget.
+ *   <li>Heartbeat: a message is sent at least once a second, even if nothing has changed, with as
+ *       many changes as fit into the budget. It is delayed only while the budget is too small for
+ *       an empty message.
+ *   <li>Refresh: once per cycle, all counts above 0 are sent in the order of their keys, spread
+ *       evenly over the cycle. The refresh may use up to half of a message's entry bytes; changes
+ *       get the rest. If the budget is short, a cycle takes longer; the next one begins only after
  *       all keys were covered.
  * </ul>
  *
@@ -30,7 +30,7 @@
     /** The shortest time between two messages, microseconds. */
     public static final long MIN_INTERVAL_US = 250_000;
 
-    /** The longest time between two messages where the budget allows it, microseconds. */
+    /** The longest time between two messages if the budget allows it, microseconds. */
     public static final long HEARTBEAT_US = 1_000_000;
 
     /** Headers of IPv4 and UDP, bytes per datagram. */
@@ -49,7 +49,10 @@
     private long cycleStartUs;
     private int refreshedInCycle;
 
-    /** The first key not refreshed in this cycle, unsigned; above the highest key after all. */
+    /**
+     * The first key not yet refreshed in this cycle, unsigned; above the highest key once all are
+     * refreshed.
+     */
     private long nextKey;
 
     /** Whether the message in preparation is the last one of its cycle. */
@@ -70,7 +73,10 @@
         this.cycleStartUs = nowUs;
     }
 
-    /** The message that is due now, if one is; it counts as sent to every peer. */
+    /**
+     * Returns the message that is due now; empty if none is. The caller has to send it to every
+     * peer: its bytes are taken from the budget.
+     */
     public Optional<LoadMessage> poll(long nowUs) {
         final long sinceLastUs = nowUs - lastSentUs;
         if (sinceLastUs < MIN_INTERVAL_US) {
@@ -87,7 +93,10 @@
         return Optional.of(send(nowUs, range, entries, false));
     }
 
-    /** The last message: this dispatcher stops. Empty where the budget does not hold it now. */
+    /**
+     * Returns the last message, which announces that this dispatcher stops; empty if it exceeds the
+     * available budget now.
+     */
     public Optional<LoadMessage> leave(long nowUs) {
         return availableEntryBytes(nowUs) < 0
                 ? Optional.empty()
@@ -115,14 +124,14 @@
         cycleEnds = false;
     }
 
-    /** Bytes that a message takes of the budget, for all peers together. */
+    /** Bytes that sending a message to all peers takes from the budget. */
     private long costInBytes(int messageBytes) {
         return (long) (messageBytes + HEADER_BYTES) * settings.peers();
     }
 
     /**
-     * Bytes of entries for which both the budget and a datagram have space; negative where there is
-     * none for an empty message.
+     * Bytes of entries that fit into both the budget and a datagram; negative if an empty message
+     * does not fit.
      */
     private int availableEntryBytes(long nowUs) {
         final long budgetBytes = bucket.available(nowUs) / settings.peers() - HEADER_BYTES;
@@ -157,12 +166,12 @@
                 left -= bytes;
                 entries.add(new LoadEntry(key, counts.count(key)));
             }
-            counts.advertised(key);
+            counts.markAdvertised(key);
         }
     }
 
     /**
-     * Adds the counts whose refresh is due by the elapsed fraction of the cycle.
+     * Adds the counts whose refresh is due, given the elapsed fraction of the cycle.
      *
      * @return the keys that the message covers
      */
@@ -178,7 +187,7 @@
                 break;
             }
             entries.add(new LoadEntry(key, counts.count(key)));
-            counts.advertised(key);
+            counts.markAdvertised(key);
         }
         refreshedInCycle += entries.size();
         cycleEnds = elapsed >= 1 && entries.size() == remaining.size();
--- a/src/main/java/cresschute/peers/LoadMessageCodec.java
+++ b/src/main/java/cresschute/peers/LoadMessageCodec.java
@@ -104,7 +104,7 @@
     /**
      * Decodes a message.
      *
-     * @throws RejectedMessageException if the bytes are no authentic message of this version
+     * @throws RejectedMessageException if the bytes are not an authentic message of this version
      */
     public LoadMessage decode(byte[] bytes) throws RejectedMessageException {
         if (bytes.length < MIN_MESSAGE_BYTES) {
--- a/src/main/java/cresschute/peers/Peer.java
+++ b/src/main/java/cresschute/peers/Peer.java
@@ -8,9 +8,9 @@
 import java.util.stream.Collectors;
 
 /**
- * The state of one peer, as its messages show it: its counts, its {@link PeerState} by the rules of
- * {@link PeerTable}, and how long it is distrusted. Nothing happens by itself: the time is an
- * argument, microseconds. Not thread-safe: owned by its table.
+ * The state of one peer, derived from its messages: its counts, its {@link PeerState} by the rules
+ * of {@link PeerTable}, and how long it is distrusted. Has no timers: every call takes the time as
+ * an argument, in microseconds. Not thread-safe: owned by its table.
  */
 final class Peer {
 
@@ -20,13 +20,16 @@
     private long cycle;
     private long lastMessageUs;
 
-    /** Whether its last message said that it stops. */
+    /** Whether its last message announced that it stops. */
     private boolean left;
 
     /** Whether all of its counts are known: ALIVE rather than JOINING. */
     private boolean countsKnown;
 
-    /** Whether the cycle was received from its beginning on, so that its loss can be measured. */
+    /**
+     * Whether the current cycle was received from its beginning, so that its message loss can be
+     * measured.
+     */
     private boolean cycleFromStart;
 
     private long cycleFirstSequence;
@@ -34,7 +37,10 @@
     private long distrustPeriodUs;
     private long distrustedUntilUs;
 
-    /** Creates a peer that sends its first message, which is still to be received. */
+    /**
+     * Creates a peer from its first message. The caller then passes the message to {@link
+     * #receive}.
+     */
     Peer(long nowUs, LoadMessage message) {
         startIncarnation(nowUs, message);
     }
@@ -63,9 +69,9 @@
     /**
      * Receives a message.
      *
-     * @return keys of the workers whose count it states or drops
+     * @return keys of the workers whose counts the message sets or drops
      * @throws RejectedMessageException if it is not newer than the last one or has too many
-     *     entries; nothing changes then
+     *     entries; the peer is then unchanged
      */
     Set<Integer> receive(long nowUs, LoadMessage message) throws RejectedMessageException {
         if (message.incarnation() < incarnation) {
@@ -95,14 +101,14 @@
         cycle = message.cycle();
         lastMessageUs = nowUs;
         left = false;
-        // An incarnation received from its first message on has no unknown counts.
+        // All counts of an incarnation are known if its first message was received.
         countsKnown = message.sequence() == 1;
         cycleFromStart = countsKnown;
         cycleFirstSequence = message.sequence();
         receivedInCycle = 0;
     }
 
-    /** After a gap with lost messages, counts are unknown until a complete cycle was received. */
+    /** After a gap with lost messages, counts are unknown until a complete cycle is received. */
     private void checkGap(long nowUs, LoadMessage message) {
         final PeerState before = stateByMessages(nowUs);
         if (before == PeerState.ABSENT) {
@@ -115,7 +121,10 @@
         }
     }
 
-    /** Judges the cycle before by its loss when a message of another cycle comes. */
+    /**
+     * At the first message of another cycle, decides by the message loss of the previous cycle
+     * whether all counts are known.
+     */
     private void trackCycle(LoadMessage message) {
         if (message.cycle() != cycle) {
             if (cycleFromStart) {
@@ -133,7 +142,7 @@
     }
 
     private Set<Integer> apply(LoadMessage message) {
-        final Set<Integer> concerned =
+        final Set<Integer> affectedKeys =
                 message.entries().stream()
                         .map(LoadEntry::key)
                         .collect(Collectors.toCollection(LinkedHashSet::new));
@@ -143,10 +152,10 @@
                             .filter(
                                     key ->
                                             message.range().contains(key)
-                                                    && !concerned.contains(key))
+                                                    && !affectedKeys.contains(key))
                             .toList();
             dropped.forEach(counts::remove);
-            concerned.addAll(dropped);
+            affectedKeys.addAll(dropped);
         }
         for (final LoadEntry entry : message.entries()) {
             if (entry.count() == 0) {
@@ -155,14 +164,14 @@
                 counts.put(entry.key(), entry.count());
             }
         }
-        return concerned;
+        return affectedKeys;
     }
 
     /**
-     * Distrusts it: for the minimum period, or twice as long as the last time where that ended
-     * within the maximum period, up to that.
+     * Distrusts the peer for the minimum period. If the last distrust ended less than the maximum
+     * period ago, the period is twice the last one, up to the maximum.
      *
-     * @return for how long, microseconds
+     * @return the period, microseconds
      */
     long distrust(long nowUs) {
         final boolean recent =
--- a/src/main/java/cresschute/peers/PeerLoadView.java
+++ b/src/main/java/cresschute/peers/PeerLoadView.java
@@ -3,10 +3,10 @@
 import java.util.OptionalInt;
 
 /**
- * The requests that all dispatchers together have in flight at a worker: own counts and those that
- * peers claim. It answers only while the known counts are complete ({@link PeerTable#isComplete})
- * and no report contradicts them ({@link ClaimValidator}); otherwise the worker's load has to be
- * queried. Not thread-safe: used on the exchange's thread.
+ * The requests that all dispatchers together have in flight at a worker: own counts plus those that
+ * peers claim. The view answers only while the known counts are complete ({@link
+ * PeerTable#isComplete}) and no report contradicts them ({@link ClaimValidator}); otherwise the
+ * worker's load has to be queried. Not thread-safe: used on the exchange's thread.
  */
 public final class PeerLoadView {
 
@@ -19,8 +19,8 @@
     /**
      * Creates a view.
      *
-     * @param own attempts in flight of this dispatcher
-     * @param peers attempts in flight that the others claim
+     * @param own this dispatcher's attempts in flight
+     * @param peers attempts in flight that the other dispatchers claim
      */
     public PeerLoadView(
             WorkerKeys keys, InFlightCounts own, PeerTable peers, DistrustListener listener) {
@@ -30,7 +30,10 @@
         this.listener = listener;
     }
 
-    /** Requests in flight at a worker; empty where its load has to be queried. */
+    /**
+     * Returns the number of requests in flight at a worker; empty if the worker's load has to be
+     * queried.
+     */
     public OptionalInt outstanding(long nowUs, String worker) {
         final OptionalInt key = keys.keyOf(worker);
         if (key.isEmpty() || !answersFor(nowUs, key.getAsInt())) {
@@ -48,9 +51,10 @@
     }
 
     /**
-     * A worker reports its load.
+     * Compares a worker's load report with the view.
      *
-     * @param outstanding requests that it holds; negative where the report does not say
+     * @param outstanding number of requests at the worker; negative if the report does not contain
+     *     it
      */
     public void loadReported(long nowUs, String worker, double outstanding) {
         final OptionalInt key = keys.keyOf(worker);
--- a/src/main/java/cresschute/peers/PeerState.java
+++ b/src/main/java/cresschute/peers/PeerState.java
@@ -2,15 +2,15 @@
 
 /** The state of a peer; {@link PeerTable} says how it changes. */
 public enum PeerState {
-    /** It sends, but no complete cycle was received yet: counts may be missing. */
+    /** It sends messages, but no complete cycle was received yet: counts may be missing. */
     JOINING("joining"),
-    /** All of its counts are known, some of them old. */
+    /** All of its counts are known, although some may be out of date. */
     ALIVE("alive"),
-    /** No message came for a short while; its last counts stay. */
+    /** No message was received for a short time; its last counts are kept. */
     SUSPECT("suspect"),
-    /** It stopped, or no message came for long; its counts are dropped. */
+    /** It stopped, or no message was received for a long time; its counts are dropped. */
     ABSENT("absent"),
-    /** Its counts exceeded what workers report: they are not used for a while. */
+    /** Its counts exceeded the workers' load reports: they are not used for some time. */
     DISTRUSTED("distrusted");
 
     private final String word;
@@ -19,7 +19,7 @@
         this.word = word;
     }
 
-    /** The word for it in logs. */
+    /** The name of the state in logs. */
     public String word() {
         return word;
     }
--- a/src/main/java/cresschute/peers/PeerTable.java
+++ b/src/main/java/cresschute/peers/PeerTable.java
@@ -6,23 +6,24 @@
 import java.util.TreeMap;
 
 /**
- * The other dispatchers and the counts that each of them stated last, with a failure detector by
- * the age of messages. Nothing happens by itself: every query carries the time, and the state of a
- * peer follows from it.
+ * The other dispatchers and the counts that each of them sent last, with a failure detector based
+ * on the age of messages. Has no timers: every call takes the time as an argument, from which the
+ * state of a peer follows.
  *
  * <ul>
  *   <li>JOINING: from the first message of an incarnation that was received, until a complete cycle
- *       was received of which at most 5 % of the messages were lost. An incarnation received from
- *       its first message on is ALIVE at once. A peer that has sent nothing since this dispatcher
- *       started counts as JOINING for 60 s, and as ABSENT after that.
- *   <li>ALIVE: a message came within 3 s. A cycle with more than 5 % loss makes it JOINING.
- *   <li>SUSPECT: no message for 3 s. Its counts stay. The next message makes it what it was before
- *       if none was lost in between, and JOINING otherwise.
- *   <li>ABSENT: no message for 60 s, or it said that it stops. Its counts are dropped; the next
- *       message makes it JOINING.
- *   <li>DISTRUSTED: its counts exceeded what workers report ({@link ClaimValidator}): for 60 s, and
- *       twice as long each time, up to 1 h; after an hour without, for 60 s again. Its messages are
- *       received meanwhile, and decide on its state afterwards.
+ *       was received with at most 5 % of its messages lost. An incarnation received from its first
+ *       message on is ALIVE at once. A peer that has sent nothing since this dispatcher started
+ *       counts as JOINING for 60 s, and as ABSENT after that.
+ *   <li>ALIVE: a message was received within 3 s. A cycle with more than 5 % loss makes it JOINING.
+ *   <li>SUSPECT: no message for 3 s. Its counts are kept. With the next message it returns to its
+ *       previous state if no message was lost in between, and becomes JOINING otherwise.
+ *   <li>ABSENT: no message for 60 s, or it announced that it stops. Its counts are dropped; the
+ *       next message makes it JOINING.
+ *   <li>DISTRUSTED: its counts exceeded the workers' load reports ({@link ClaimValidator}). Lasts
+ *       60 s the first time and twice as long each further time, up to 1 h; after an hour without
+ *       distrust, 60 s again. Meanwhile its messages are still received and determine its state
+ *       afterwards.
  * </ul>
  *
  * <p>A newer incarnation drops the counts of the older one, and messages of an older incarnation
@@ -37,7 +38,7 @@
     /** Time without a message after which a peer is ABSENT, microseconds. */
     public static final long ABSENT_AFTER_US = 60_000_000;
 
-    /** The fraction of a cycle's messages that may be lost. */
+    /** The largest fraction of a cycle's messages that may be lost. */
     static final double MAX_LOSS_FRACTION = 0.05;
 
     /** The first period for which a peer is distrusted, microseconds. */
@@ -46,7 +47,10 @@
     /** The longest period for which a peer is distrusted, microseconds. */
     static final long MAX_DISTRUST_US = 3_600_000_000L;
 
-    /** Workers for which one peer may state counts: bounds the memory a faulty peer can take. */
+    /**
+     * Maximum number of workers for which one peer may send counts; limits the memory that a faulty
+     * peer can take.
+     */
     static final int MAX_ENTRIES_PER_PEER = 16_384;
 
     private final int self;
@@ -55,7 +59,7 @@
     private final Map<Integer, Peer> bySender = new HashMap<>();
 
     /**
-     * Creates a table of peers of which none has sent anything yet.
+     * Creates a table of peers, none of which has sent a message yet.
      *
      * @param ownName name of this dispatcher
      * @param peerCount number of other dispatchers
@@ -69,8 +73,9 @@
     /**
      * Receives an authentic message.
      *
-     * @return keys of the workers whose count it states or drops
-     * @throws RejectedMessageException if it changes nothing, with the reason
+     * @return keys of the workers whose counts the message sets or drops
+     * @throws RejectedMessageException if the message is rejected and changes nothing, with the
+     *     reason
      */
     public Set<Integer> receive(long nowUs, LoadMessage message) throws RejectedMessageException {
         if (message.sender() == self) {
@@ -85,7 +90,10 @@
         return peer.receive(nowUs, message);
     }
 
-    /** A dispatcher under a new name takes the place of absent ones. */
+    /**
+     * If the table is full, removes all absent peers to make room for a dispatcher under a new
+     * name.
+     */
     private void evictAbsentIfFull(long nowUs) throws RejectedMessageException {
         if (bySender.size() >= peerCount
                 && !bySender.values().removeIf(peer -> peer.state(nowUs) == PeerState.ABSENT)) {
@@ -106,9 +114,9 @@
     }
 
     /**
-     * Whether the known counts are all there are: no peer is JOINING, SUSPECT or DISTRUSTED, and a
-     * majority of all dispatchers, this one included, is ALIVE. A minority of a partition cannot
-     * know what the majority does, so it is never complete.
+     * Whether the counts of all dispatchers are known: no peer is JOINING, SUSPECT or DISTRUSTED,
+     * and a majority of all dispatchers, this one included, is ALIVE. A minority of a partition
+     * cannot know what the majority does, so it is never complete.
      */
     public boolean isComplete(long nowUs) {
         if (missing() > 0 && nowUs - startUs < ABSENT_AFTER_US) {
@@ -126,7 +134,7 @@
         return 2 * alive > peerCount + 1;
     }
 
-    /** Attempts in flight that all peers together claim at a worker. */
+    /** Number of attempts in flight that all peers together claim at a worker. */
     public int count(long nowUs, int key) {
         long sum = 0;
         for (final Peer peer : bySender.values()) {
@@ -135,7 +143,10 @@
         return (int) Math.min(Integer.MAX_VALUE, sum);
     }
 
-    /** What each peer claims at a worker, by the hash of its name; claims of 0 are left out. */
+    /**
+     * Attempts in flight that each peer claims at a worker, by the hash of its name; peers that
+     * claim 0 are omitted.
+     */
     Map<Integer, Integer> claims(long nowUs, int key) {
         final Map<Integer, Integer> claims = new HashMap<>();
         bySender.forEach(
@@ -151,7 +162,7 @@
     /**
      * Distrusts a peer.
      *
-     * @return for how long, microseconds
+     * @return how long it is distrusted, microseconds
      */
     long distrust(long nowUs, int sender) {
         return bySender.get(sender).distrust(nowUs);
--- a/src/main/java/cresschute/peers/RejectedMessageException.java
+++ b/src/main/java/cresschute/peers/RejectedMessageException.java
@@ -7,13 +7,15 @@
 
     private final RejectionReason reason;
 
-    /** Creates it without a stack trace: the network decides how many there are. */
+    /**
+     * Creates an exception without a stack trace, because the network can cause any number of them.
+     */
     public RejectedMessageException(RejectionReason reason) {
         super(reason.word(), null, false, false);
         this.reason = reason;
     }
 
-    /** Why it was rejected. */
+    /** The reason of the rejection. */
     public RejectionReason reason() {
         return reason;
     }
--- a/src/main/java/cresschute/peers/RejectionReason.java
+++ b/src/main/java/cresschute/peers/RejectionReason.java
@@ -7,21 +7,26 @@
     TOO_SHORT("too_short"),
     /** Longer than a message may be. */
     TOO_LONG("too_long"),
-    /** Of another version of the protocol. */
+    /** It has another version of the protocol. */
     OTHER_VERSION("other_version"),
     /** Its authentication code does not match: forged, damaged, or made with another key. */
     NOT_AUTHENTIC("not_authentic"),
     /** Authentic, but not in the format of a message. */
     MALFORMED("malformed"),
-    /** Under this dispatcher's own name: two have the same one, or an own datagram came back. */
+    /**
+     * Its sender has this dispatcher's own name: two dispatchers share the name, or an own datagram
+     * was returned.
+     */
     OWN_NAME("own_name"),
     /** There are more senders than peers. */
     TOO_MANY_SENDERS("too_many_senders"),
-    /** Of an incarnation before the newest one received. */
+    /** It belongs to an incarnation older than the newest one received. */
     OLD_INCARNATION("old_incarnation"),
-    /** Not newer than the newest message received: a duplicate, reordered or replayed. */
+    /**
+     * It is not newer than the newest message received: a duplicate, reordered or replayed message.
+     */
     OLD_SEQUENCE("old_sequence"),
-    /** Its sender would state more workers than an endpoint list can hold. */
+    /** With it, its sender would have counts for more workers than an endpoint list can contain. */
     TOO_MANY_ENTRIES("too_many_entries");
 
     private final String word;
@@ -30,7 +35,7 @@
         this.word = word;
     }
 
-    /** The word for it in logs. */
+    /** The name of the reason in logs. */
     public String word() {
         return word;
     }
--- a/src/main/java/cresschute/peers/TokenBucket.java
+++ b/src/main/java/cresschute/peers/TokenBucket.java
@@ -1,9 +1,10 @@
 package cresschute.peers;
 
 /**
- * A rate limit in bytes: a bucket that fills evenly and holds the bytes of one second at most. It
- * begins empty, so up to any time no more than the rate times the time passed is taken, and within
- * any span no more than that and the bytes of one second. Used by one thread.
+ * A token bucket that limits a rate in bytes. It refills at the constant rate and holds at most the
+ * bytes of one second. It starts empty, so that the bytes taken since its creation never exceed the
+ * rate times the elapsed time; within any other period they exceed it by at most the bytes of one
+ * second. Used by one thread.
  */
 final class TokenBucket {
 
@@ -20,14 +21,14 @@
      * Creates an empty bucket.
      *
      * @param bytesPerS rate, and capacity of the bucket
-     * @param nowUs microseconds of a clock that may stand still
+     * @param nowUs microseconds of a clock; a time before the latest one adds nothing
      */
     TokenBucket(long bytesPerS, long nowUs) {
         this.bytesPerS = bytesPerS;
         this.filledUs = nowUs;
     }
 
-    /** Bytes that may be taken now; negative after more than these were taken. */
+    /** Bytes that may be taken now; negative after more bytes were taken than available. */
     long available(long nowUs) {
         final long passedUs = Math.min(US_PER_S, Math.max(0, nowUs - filledUs));
         scaledBytes = Math.min(bytesPerS * US_PER_S, scaledBytes + bytesPerS * passedUs);
--- a/src/main/java/cresschute/peers/WorkerKeys.java
+++ b/src/main/java/cresschute/peers/WorkerKeys.java
@@ -13,9 +13,9 @@
 import java.util.function.BiConsumer;
 
 /**
- * Short keys of workers' names, the same at every dispatcher: the first four bytes of the name's
- * SHA-256. Two listed names with the same key have no usable key, since a message could mean either
- * of them. Not thread-safe: used on the exchange's thread.
+ * Short keys for workers' names, the same at every dispatcher: the first four bytes of the name's
+ * SHA-256. If two listed names have the same key, neither has a usable key, because a message could
+ * refer to either of them. Not thread-safe: used on the exchange's thread.
  */
 public final class WorkerKeys {
 
@@ -33,7 +33,7 @@
         this.onCollision = onCollision;
     }
 
-    /** The key of a name, whether it is listed or not. */
+    /** Returns the key of a name, whether the name is listed or not. */
     public static int hash(String name) {
         try {
             final byte[] digest =
@@ -45,12 +45,14 @@
         }
     }
 
-    /** Registers a listed name, perhaps again, and returns its key. */
+    /**
+     * Registers a listed name and returns its key; has no effect if the name is registered already.
+     */
     public int register(String name) {
         return register(name, hash(name));
     }
 
-    /** The same with a given key, for tests of collisions. */
+    /** Registers a name with the given key; separate for tests of collisions. */
     int register(String name, int key) {
         final Integer known = keys.putIfAbsent(name, key);
         if (known != null) {
@@ -64,12 +66,15 @@
         return key;
     }
 
-    /** The listed name with a key; empty where there is none or more than one. */
+    /** Returns the listed name with a key; empty if there is none or more than one. */
     Optional<String> nameOf(int key) {
         return ambiguous.contains(key) ? Optional.empty() : Optional.ofNullable(names.get(key));
     }
 
-    /** The key of a listed name; empty where it is not listed or another name has the same key. */
+    /**
+     * Returns the key of a listed name; empty if it is not listed or if another listed name has the
+     * same key.
+     */
     public OptionalInt keyOf(String name) {
         final Integer key = keys.get(name);
         return key == null || ambiguous.contains(key) ? OptionalInt.empty() : OptionalInt.of(key);
--- a/src/main/java/cresschute/peers/socket/ExchangeLog.java
+++ b/src/main/java/cresschute/peers/socket/ExchangeLog.java
@@ -14,8 +14,8 @@
 import java.util.Optional;
 
 /**
- * Logs what operators should know about the exchange. Lines that the network can cause in any
- * number are rate-limited and state a count. Used on the event loop.
+ * Logs the events of the exchange that operators should know of. Lines that the network can cause
+ * in any number are rate-limited and contain a count. Used on the event loop.
  */
 public final class ExchangeLog implements ExchangeListener {
 
@@ -27,12 +27,12 @@
     /** Time between two status lines, microseconds. */
     static final long STATUS_INTERVAL_US = 60_000_000;
 
-    /** Counts occurrences and says which of them to log. */
+    /** Counts occurrences and decides which of them to log. */
     private static final class RateLimitedCount {
         private long count;
         private long lastLoggedUs;
 
-        /** Counts one more; whether it is to be logged. */
+        /** Counts an occurrence; returns whether to log it. */
         private boolean increment(long nowUs) {
             count++;
             if (count > 1 && nowUs - lastLoggedUs < MIN_INTERVAL_US) {
@@ -74,11 +74,11 @@
         return counted == null ? 0 : counted.count();
     }
 
-    private long rejectedInAll() {
+    private long totalRejected() {
         return rejections.values().stream().mapToLong(each -> each.count()).sum();
     }
 
-    /** A datagram was rejected. */
+    /** Counts and logs a rejected datagram. */
     void rejected(long nowUs, RejectionReason reason, InetSocketAddress from) {
         final RateLimitedCount counted =
                 rejections.computeIfAbsent(reason, unseen -> new RateLimitedCount());
@@ -87,7 +87,7 @@
                             "peer_message_refused",
                             "message from "
                                     + text(from)
-                                    + " refused: "
+                                    + " rejected: "
                                     + reason.word()
                                     + " ("
                                     + counted.count()
@@ -99,31 +99,43 @@
         }
     }
 
-    /** The socket failed to send or receive. */
-    void socketFailed(long nowUs, String what, Throwable cause) {
+    /** Logs that the socket failed to send or receive. */
+    void socketFailed(long nowUs, String failure, Throwable cause) {
         if (failures.increment(nowUs)) {
             LogEvent.of(
                             "peer_socket_failed",
-                            what + ": " + cause.getMessage() + " (" + failures.count() + " so far)")
+                            failure
+                                    + ": "
+                                    + cause.getMessage()
+                                    + " ("
+                                    + failures.count()
+                                    + " so far)")
                     .with("detail", String.valueOf(cause.getMessage()))
                     .with("count", failures.count())
                     .log(LOG, Level.WARNING);
         }
     }
 
-    /** A message was sent; bytes to all peers together, with headers. */
+    /**
+     * Counts a sent message.
+     *
+     * @param bytes bytes sent to all peers together, headers included
+     */
     void messageSent(long bytes) {
         sentMessages++;
         sentBytes += bytes;
     }
 
-    /** A message was accepted from this address. */
+    /** Counts an accepted message and remembers its sender's address. */
     void messageReceived(int sender, InetSocketAddress from) {
         receivedMessages++;
         addresses.put(sender, from);
     }
 
-    /** Logs what has changed since the last call, and the status once a minute. */
+    /**
+     * Logs changes of the peers' states and of the completeness since the last call, and the status
+     * once a minute.
+     */
     void logChanges(long nowUs, PeerTable peers) {
         final Map<Integer, PeerState> now = peers.states(nowUs);
         now.forEach(
@@ -177,15 +189,15 @@
                                 + sentBytes
                                 + " bytes sent, "
                                 + receivedMessages
-                                + " messages taken, "
-                                + rejectedInAll()
-                                + " refused, "
+                                + " messages received, "
+                                + totalRejected()
+                                + " rejected, "
                                 + peers.missing()
                                 + " peers missing")
                 .with("messages_sent", sentMessages)
                 .with("bytes_sent", sentBytes)
                 .with("messages_taken", receivedMessages)
-                .with("refused", rejectedInAll())
+                .with("refused", totalRejected())
                 .with("missing", peers.missing())
                 .log(LOG, Level.INFO);
     }
@@ -210,8 +222,8 @@
                         "peer_distrusted",
                         "peer "
                                 + name(sender)
-                                + " states more than workers report; "
-                                + "distrusted for "
+                                + " claims more requests than workers report; its counts are"
+                                + " ignored for "
                                 + durationUs / 1_000_000
                                 + " s")
                 .with("peer", name(sender))
@@ -220,12 +232,12 @@
                 .log(LOG, Level.WARNING);
     }
 
-    /** A peer as logs name it: the hash of its name. */
+    /** The name of a peer in logs: the hash of its name. */
     private static String name(int sender) {
         return String.format("%08x", sender);
     }
 
-    /** An address as logs write it; empty for null. */
+    /** Formats an address for logs; empty for null. */
     static String text(InetSocketAddress address) {
         return address == null
                 ? ""
--- a/src/main/java/cresschute/peers/socket/PeerSocket.java
+++ b/src/main/java/cresschute/peers/socket/PeerSocket.java
@@ -25,18 +25,21 @@
 import java.util.function.LongSupplier;
 
 /**
- * The UDP socket of an exchange: sends the messages that are due to all peers, and receives theirs.
+ * The UDP socket of an exchange: sends due messages to all peers, and receives theirs.
  *
  * <p>Life cycle: {@link #listen} binds it, {@link #sendTo} starts the timer, {@link #leave} sends
- * the last message; the channel is closed with its event loop. All methods are called on that event
- * loop, but {@link #listen}, and {@link #address} once it is bound.
+ * the last message; the channel is closed with its event loop. All methods must be called on that
+ * event loop, except {@link #listen}, and {@link #address} once the socket is bound.
  */
 public final class PeerSocket {
 
     /** Time between two polls of the exchange, milliseconds. */
     private static final long POLL_INTERVAL_MS = 50;
 
-    /** The longest time for which a stop waits for budget for the last message, microseconds. */
+    /**
+     * The longest time that a stop waits until the last message fits into the byte budget,
+     * microseconds.
+     */
     private static final long MAX_LEAVE_US = 1_000_000;
 
     private final EventLoop loop;
@@ -54,7 +57,8 @@
      * Creates a socket that is not bound yet.
      *
      * @param clockUs the exchange's clock, microseconds
-     * @param onRefresh notified of the workers about which messages came
+     * @param onRefresh called after each poll with the names of the workers whose counts were
+     *     received, possibly none
      */
     public PeerSocket(
             EventLoop loop,
@@ -71,7 +75,7 @@
         this.onRefresh = onRefresh;
     }
 
-    /** Binds and begins to receive; the future fails where the address cannot be bound. */
+    /** Binds the socket and starts to receive. The future fails if the address cannot be bound. */
     public ChannelFuture listen(SocketAddress address) {
         final ChannelFuture bound =
                 new Bootstrap()
@@ -89,13 +93,13 @@
         return bound;
     }
 
-    /** Begins to send to these peers; once it is bound. */
+    /** Starts to send to these peers. Must be called after the socket is bound. */
     public void sendTo(List<InetSocketAddress> addresses) {
         peers = List.copyOf(addresses);
         loop.scheduleWithFixedDelay(this::poll, 0, POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** The address that it is bound to. */
+    /** The address to which the socket is bound. */
     public InetSocketAddress address() {
         return (InetSocketAddress) channel.localAddress();
     }
@@ -110,8 +114,9 @@
     }
 
     /**
-     * Stops gossip: sends that this dispatcher leaves, as soon as the byte budget holds the
-     * message. To be called until it returns true; nothing else is sent from the first call on.
+     * Stops gossip: sends the message that this dispatcher leaves as soon as the message fits into
+     * the byte budget. The caller repeats the call until it returns true; from the first call on,
+     * nothing else is sent.
      *
      * @return whether the message was sent, or a second has passed
      */
@@ -140,7 +145,9 @@
                                 if (!done.isSuccess()) {
                                     log.socketFailed(
                                             clockUs.getAsLong(),
-                                            "message to " + ExchangeLog.text(peer) + " not sent",
+                                            "message to "
+                                                    + ExchangeLog.text(peer)
+                                                    + " not sent and not retried",
                                             done.cause());
                                 }
                             });
@@ -165,7 +172,10 @@
         /** A receive failed, for example by an ICMP "port unreachable"; the socket stays open. */
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            log.socketFailed(clockUs.getAsLong(), "no message received", cause);
+            log.socketFailed(
+                    clockUs.getAsLong(),
+                    "receiving from peers failed; the socket stays open",
+                    cause);
         }
     }
 }
--- a/src/main/java/cresschute/settings/NodeSchema.java
+++ b/src/main/java/cresschute/settings/NodeSchema.java
@@ -122,7 +122,7 @@
                     "socket",
                     FieldType.socketPath(),
                     "the path of the control socket, in a folder that belongs only to the node's"
-                        + " user");
+                            + " user");
     static final Block CONTROL =
             new Block(
                     "control",
--- a/src/main/java/cresschute/settings/WorkerSchema.java
+++ b/src/main/java/cresschute/settings/WorkerSchema.java
@@ -23,7 +23,7 @@
                     FieldType.integer(0, 65_535),
                     0L,
                     "the cell: a group of workers that drop duplicates of each other's keyed"
-                        + " requests");
+                            + " requests");
     static final Field<Double> WORKER_WEIGHT =
             optional("weight", FieldType.number(0, 1000), 1.0, "the worker's nominal size");
     static final Block WORKER =
--- a/src/test/java/cresschute/peers/ClaimValidatorTest.java
+++ b/src/test/java/cresschute/peers/ClaimValidatorTest.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** When claims are contradicted, distrusted and verified. */
+/** Tests when workers are contradicted, peers distrusted and claims verified. */
 class ClaimValidatorTest {
 
     private static final long S = 1_000_000;
@@ -48,7 +48,7 @@
         }
         assertThat(validator.compare(nowUs, 99, 30, 0, claims())).hasValue(FAULTY);
         assertThat(validator.compare(nowUs, 99, 30, 0, claims()))
-                .as("the window begins anew")
+                .as("the window was cleared")
                 .isEmpty();
     }
 
--- a/src/test/java/cresschute/peers/ExchangeOverNetworkTest.java
+++ b/src/test/java/cresschute/peers/ExchangeOverNetworkTest.java
@@ -10,7 +10,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Exchanges over a network with loss, duplicates, reordering, partitions and replayed messages. */
+/**
+ * Tests exchanges over a simulated network with loss, duplicates, reordering, partitions and
+ * replayed messages.
+ */
 class ExchangeOverNetworkTest {
 
     private static final long CYCLE_US = 10 * S;
@@ -71,7 +74,7 @@
         network.loss = 0;
         network.duplication = 0;
         network.jitterUs = 0;
-        // What is in transit, the remainder of the running cycle, then one complete cycle.
+        // Time for messages in transit, the remainder of the current cycle, and one complete cycle.
         network.run(1 + 2.0 * CYCLE_US / S + 1);
         assertThat(network.wrongCounts()).as("seed " + seed).isZero();
         network.run(2.0 * CYCLE_US / S);
@@ -215,7 +218,9 @@
         assertThat(network.wrongCounts()).isZero();
     }
 
-    /** Bytes of every dispatcher up to any time are within its rate, at a constant total load. */
+    /**
+     * The bytes that a dispatcher sends never exceed its rate, at any time and under constant load.
+     */
     @Property(tries = 29, seed = "20261202")
     void bytesNeverExceedTheBudget(@ForAll @IntRange(min = 2, max = 30) int dispatchers) {
         final SimulatedNetwork network =
--- a/src/test/java/cresschute/peers/InFlightCountsTest.java
+++ b/src/test/java/cresschute/peers/InFlightCountsTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Own counts and what of them is still to be advertised. */
+/** Tests this dispatcher's counts and which of them have to be advertised. */
 class InFlightCountsTest {
 
     private final InFlightCounts counts = new InFlightCounts();
@@ -15,7 +15,7 @@
         counts.attemptStarted(3);
         counts.attemptStarted(9);
         assertThat(counts.changedKeys()).containsExactly(9, 3);
-        counts.advertised(9);
+        counts.markAdvertised(9);
         assertThat(counts.changedKeys()).containsExactly(3);
         assertThat(counts.count(9)).isEqualTo(2);
     }
@@ -26,7 +26,7 @@
         counts.attemptEnded(1);
         assertThat(counts.hasChanges()).isFalse();
         counts.attemptStarted(1);
-        counts.advertised(1);
+        counts.markAdvertised(1);
         counts.attemptEnded(1);
         assertThat(counts.changedKeys()).containsExactly(1);
         counts.attemptStarted(1);
--- a/src/test/java/cresschute/peers/LoadGossiperTest.java
+++ b/src/test/java/cresschute/peers/LoadGossiperTest.java
@@ -10,7 +10,7 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** When a message goes out and what is in it. */
+/** Tests when messages are sent and what they contain. */
 class LoadGossiperTest {
 
     private static final long MS = 1_000;
@@ -28,7 +28,7 @@
         return message.entries().stream().map(LoadEntry::key).toList();
     }
 
-    /** The next message and the time passed until it. */
+    /** Advances the time until the next message and returns it. */
     private LoadMessage next(LoadGossiper gossiper) {
         for (int i = 0; i < 1_000; i++) {
             nowUs += 10 * MS;
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void changesGoOutAfter250MsAndHeartbeatsAfterASecond() {
+    void sendsChangesAfter250MsAndHeartbeatsAfterOneSecond() {
         final LoadGossiper gossiper = gossiper(2, 100_000, 60 * S);
         counts.attemptStarted(5);
         final long startUs = nowUs;
@@ -57,7 +57,9 @@
         counts.attemptStarted(5);
         counts.attemptEnded(5);
         next(gossiper);
-        assertThat(nowUs - changeUs).as("back to what was advertised: no change").isEqualTo(2 * S);
+        assertThat(nowUs - changeUs)
+                .as("count equals the advertised one: no change")
+                .isEqualTo(2 * S);
     }
 
     @Test
@@ -79,7 +81,7 @@
     }
 
     @Test
-    void oneCycleStatesEveryCountInRangesThatCoverAllKeys() {
+    void cycleContainsEveryCountInRangesThatCoverAllKeys() {
         final LoadGossiper gossiper = gossiper(2, 50_000, 10 * S);
         final Set<Integer> inFlight = new TreeSet<>(Integer::compareUnsigned);
         for (int i = 0; i < 100; i++) {
@@ -115,7 +117,7 @@
     }
 
     @Test
-    void shortBudgetMakesCyclesLongerAndLosesNoCount() {
+    void shortBudgetExtendsCyclesWithoutLosingCounts() {
         final LoadGossiper gossiper = gossiper(29, 3_000, 10 * S);
         for (int key = 0; key < 60; key++) {
             counts.attemptStarted(key * 1_000);
@@ -130,7 +132,7 @@
     }
 
     @Test
-    void leaveMessageWaitsForTheBudget() {
+    void sendsLeaveMessageOnlyWithinBudget() {
         final LoadGossiper gossiper = gossiper(2, 1_000, 60 * S);
         assertThat(gossiper.leave(nowUs)).as("no budget yet").isEmpty();
         nowUs += S;
--- a/src/test/java/cresschute/peers/LoadMessageCodecTest.java
+++ b/src/test/java/cresschute/peers/LoadMessageCodecTest.java
@@ -13,7 +13,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** Messages are decoded as they were encoded, and altered ones are rejected. */
+/** Tests that messages are decoded as they were encoded, and that altered ones are rejected. */
 class LoadMessageCodecTest {
 
     private static final byte[] KEY =
@@ -41,7 +41,7 @@
     }
 
     @Property(tries = 300, seed = "7")
-    void decodesWhatItEncoded(
+    void decodesEncodedMessages(
             @ForAll int sender,
             @ForAll @IntRange(max = 180) int size,
             @ForAll long seed,
@@ -110,7 +110,7 @@
     }
 
     @Test
-    void longerMessagesAndOtherKeysAreRejected() {
+    void rejectsLongerMessagesAndOtherKeys() {
         final byte[] encoded = codec.encode(message());
         assertThat(rejection(Arrays.copyOf(encoded, encoded.length + 1)))
                 .isEqualTo(RejectionReason.NOT_AUTHENTIC);
@@ -128,7 +128,7 @@
     }
 
     @Test
-    void authenticBytesInAnotherFormatAreMalformed() {
+    void rejectsAuthenticBytesOfInvalidFormatAsMalformed() {
         assertThat(
                         rejection(
                                 codec.encode(
@@ -156,7 +156,7 @@
     }
 
     @Test
-    void shortKeysAndLongMessagesAreRejectedAtTheSender() {
+    void codecRejectsShortKeysAndLongMessages() {
         assertThatThrownBy(() -> new LoadMessageCodec(new byte[15]))
                 .isInstanceOf(IllegalArgumentException.class);
         final LoadEntry[] many =
--- a/src/test/java/cresschute/peers/PeerLoadViewTest.java
+++ b/src/test/java/cresschute/peers/PeerLoadViewTest.java
@@ -7,7 +7,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** What the view answers, and what a faulty peer can do to it. */
+/** Tests the answers of the view, and the limited effect of a faulty peer on it. */
 class PeerLoadViewTest {
 
     private static final long S = 1_000_000;
@@ -29,7 +29,7 @@
         return "w-" + number;
     }
 
-    /** Both peers claim counts at all workers. */
+    /** Receives claims of both peers at all workers. */
     private void receive(int faulty, int correct, int workers) {
         sequence++;
         receiveFrom(FAULTY, faulty, workers);
@@ -79,7 +79,7 @@
 
     @Test
     void keyIsThePrefixOfTheHash() {
-        // The first four bytes of the SHA-256 of "abc", as in its standard.
+        // The first four bytes of the SHA-256 of "abc", as given in the standard.
         assertThat(WorkerKeys.hash("abc")).isEqualTo(0xba78_16bf);
     }
 
@@ -106,7 +106,10 @@
         assertThat(answersAmong(10)).isGreaterThan(0);
     }
 
-    /** Answers among so many lookups, of which some are verified at the worker. */
+    /**
+     * Returns how many of the given number of lookups are answered; the others are verified by a
+     * load query.
+     */
     private long answersAmong(int lookups) {
         return IntStream.range(0, lookups)
                 .filter(i -> view.outstanding(nowUs, worker(0)).isPresent())
--- a/src/test/java/cresschute/peers/PeerTableTest.java
+++ b/src/test/java/cresschute/peers/PeerTableTest.java
@@ -6,7 +6,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** The states of peers, message by message. */
+/** Tests the state transitions of peers. */
 class PeerTableTest {
 
     private static final long S = 1_000_000;
@@ -23,7 +23,7 @@
                 sender, incarnation, sequence, cycle, false, KeyRange.EMPTY, List.of(entries));
     }
 
-    /** The reason for which it is rejected, or null. */
+    /** Returns the reason for which the message is rejected, or null if it is accepted. */
     private RejectionReason receive(LoadMessage message) {
         try {
             table.receive(nowUs, message);
--- a/src/test/java/cresschute/peers/SimulatedNetwork.java
+++ b/src/test/java/cresschute/peers/SimulatedNetwork.java
@@ -12,9 +12,9 @@
 import java.util.function.BiPredicate;
 
 /**
- * Dispatchers that exchange their counts over a network in virtual time, with loss, duplicates,
- * delays and partitions as set. The same seed gives the same run. The true counts are known, so
- * that views can be compared with them.
+ * Dispatchers that exchange their counts over a network in virtual time, with configurable loss,
+ * duplicates, delays and partitions. Runs with the same seed are identical. The true counts are
+ * known, so that views can be compared with them.
  */
 final class SimulatedNetwork {
 
@@ -23,11 +23,11 @@
     private static final long TICK_US = 50_000;
     private static final byte[] KEY = new byte[32];
 
-    /** One dispatcher, its true counts and what it has sent. */
+    /** One dispatcher, its true counts, and the messages and bytes it has sent. */
     static final class Node {
         final String name;
         final LoadMessageCodec codec = new LoadMessageCodec(KEY);
-        final int[] truth;
+        final int[] trueCounts;
         LoadExchange exchange;
         boolean up = true;
         long bytes;
@@ -36,7 +36,7 @@
 
         Node(String name, int workers) {
             this.name = name;
-            this.truth = new int[workers];
+            this.trueCounts = new int[workers];
         }
     }
 
@@ -47,7 +47,7 @@
     private final int workers;
     private final long bytesPerS;
     private final long refreshUs;
-    private final PriorityQueue<Datagram> wire =
+    private final PriorityQueue<Datagram> inTransit =
             new PriorityQueue<>(
                     Comparator.comparingLong(Datagram::atUs).thenComparingLong(Datagram::order));
     private long sent;
@@ -57,7 +57,7 @@
     long delayUs = 1_000;
     long jitterUs;
 
-    /** Whether a datagram from one to another arrives. */
+    /** Whether datagrams from one dispatcher to another arrive. */
     BiPredicate<Integer, Integer> connected = (from, to) -> true;
 
     /** Starts per second, all dispatchers together. */
@@ -90,7 +90,7 @@
     /** Starts a new process of the dispatcher, with nothing in flight. */
     void restart(int node) {
         final Node restarted = nodes.get(node);
-        Arrays.fill(restarted.truth, 0);
+        Arrays.fill(restarted.trueCounts, 0);
         ends.removeIf(each -> each[1] == node);
         restarted.up = true;
         restarted.exchange =
@@ -124,12 +124,12 @@
     }
 
     void start(int node, int worker) {
-        nodes.get(node).truth[worker]++;
+        nodes.get(node).trueCounts[worker]++;
         nodes.get(node).exchange.attemptStarted(worker(worker));
     }
 
     void end(int node, int worker) {
-        nodes.get(node).truth[worker]--;
+        nodes.get(node).trueCounts[worker]--;
         nodes.get(node).exchange.attemptEnded(worker(worker));
     }
 
@@ -193,14 +193,14 @@
                 duplicates--) {
             if (random.nextDouble() >= loss) {
                 final long extraUs = jitterUs == 0 ? 0 : (long) (random.nextDouble() * jitterUs);
-                wire.add(new Datagram(nowUs + delayUs + extraUs, sent++, from, to, bytes));
+                inTransit.add(new Datagram(nowUs + delayUs + extraUs, sent++, from, to, bytes));
             }
         }
     }
 
     private void deliver() {
-        while (!wire.isEmpty() && wire.peek().atUs() <= nowUs) {
-            final Datagram datagram = wire.poll();
+        while (!inTransit.isEmpty() && inTransit.peek().atUs() <= nowUs) {
+            final Datagram datagram = inTransit.poll();
             final Node node = nodes.get(datagram.to());
             if (node.up && connected.test(datagram.from(), datagram.to())) {
                 inject(datagram.to(), datagram.bytes());
@@ -208,7 +208,7 @@
         }
     }
 
-    /** Delivers bytes to a dispatcher as its socket would; whether they were accepted. */
+    /** Delivers bytes to a dispatcher as its socket would; returns whether they were accepted. */
     boolean inject(int to, byte[] bytes) {
         final Node node = nodes.get(to);
         try {
@@ -231,11 +231,13 @@
                 .get(WorkerKeys.hash(nodes.get(of).name));
     }
 
-    /** Attempts in flight at a worker of all other dispatchers that are up. */
+    /**
+     * True number of attempts that all other dispatchers that are up have in flight at a worker.
+     */
     int trueCountOfOthers(int node, int worker) {
         int sum = 0;
         for (int i = 0; i < nodes.size(); i++) {
-            sum += i != node && nodes.get(i).up ? nodes.get(i).truth[worker] : 0;
+            sum += i != node && nodes.get(i).up ? nodes.get(i).trueCounts[worker] : 0;
         }
         return sum;
     }
@@ -244,7 +246,7 @@
         return nodes.get(node).exchange.peers().count(nowUs, WorkerKeys.hash(worker(worker)));
     }
 
-    /** Workers at which this dispatcher's table differs from the true counts. */
+    /** Number of workers at which this dispatcher's table differs from the true counts. */
     int wrongCountsAt(int node) {
         int wrong = 0;
         for (int worker = 0; worker < workers; worker++) {
@@ -253,7 +255,7 @@
         return wrong;
     }
 
-    /** The same, for all dispatchers that are up. */
+    /** Number of workers with wrong counts, summed over all dispatchers that are up. */
     int wrongCounts() {
         int wrong = 0;
         for (int i = 0; i < nodes.size(); i++) {
--- a/src/test/java/cresschute/peers/TokenBucketTest.java
+++ b/src/test/java/cresschute/peers/TokenBucketTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The byte rate of gossip. */
+/** Tests the token bucket that limits the byte rate of gossip. */
 class TokenBucketTest {
 
     private static final long S = 1_000_000;
--- a/src/test/java/cresschute/peers/socket/PeerSocketTest.java
+++ b/src/test/java/cresschute/peers/socket/PeerSocketTest.java
@@ -33,7 +33,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Three exchanges on loopback sockets. */
+/** Tests three exchanges that communicate over loopback sockets. */
 @Timeout(60)
 class PeerSocketTest {
 
--- a/src/test/java/cresschute/settings/PeersSettingsTest.java
+++ b/src/test/java/cresschute/settings/PeersSettingsTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The block on the other dispatchers: its settings, its checks and its key file. */
+/** Tests the {@code peers} block: its conversion to settings, its checks and the key file. */
 class PeersSettingsTest {
 
     private static final String NODE = "node(name = \"n\", listen = \"127.0.0.1:0\")\n";
--- a/src/test/java/cresschute/settings/ScriptTest.java
+++ b/src/test/java/cresschute/settings/ScriptTest.java
@@ -18,11 +18,14 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * The language: what its parts come to, what is wrong with a script in exact words, and its bounds.
+ * Tests the script language: results of expressions and statements, exact error messages, and the
+ * limits of a run.
  */
 class ScriptTest {
 
-    /** What a script showed, a line each, then what is wrong with it. */
+    /**
+     * Returns what a script passed to {@code show}, one entry per argument, and then its errors.
+     */
     private static List<String> run(String text, Bounds bounds) {
         final List<String> output = new ArrayList<>();
         final Builtin show =
@@ -186,7 +189,8 @@
     }
 
     /**
-     * Each of these would take for ever, or all memory; each meets a bound that its error names.
+     * Without limits, these scripts would run forever or exhaust the memory. Each must end with an
+     * error that names the exceeded limit.
      */
     @ParameterizedTest
     @CsvSource(
@@ -214,8 +218,8 @@
     }
 
     /**
-     * Nested text and chains of calls end in errors, on a thread with as little stack as the
-     * node's.
+     * Guards against a StackOverflowError by deeply nested text or chains of calls. Runs on a
+     * thread with the same small stack as the node's threads.
      */
     @Test
     void rejectsDeepNestingBeforeStackOverflow() throws InterruptedException {
@@ -275,7 +279,10 @@
                 .containsExactly("2:18: too many nested calls; at most 32 are allowed");
     }
 
-    /** A chain of operators is wide, not deep: a long one is no error. */
+    /**
+     * Chains of operators are parsed iteratively, so that their length is not limited by the
+     * nesting limit.
+     */
     @Test
     void acceptsLongOperatorChains() {
         assertThat(run("show(" + "1 + ".repeat(20_000) + "1)")).containsExactly("20001");
@@ -288,7 +295,7 @@
                         "1:1: the script is too long; at most 262144 characters are allowed");
     }
 
-    /** Whatever the text, there is an answer and no exception. */
+    /** Arbitrary text must end in a result or in errors, not in an exception. */
     @Property(tries = 400, seed = "20261201")
     void neverThrowsForArbitraryText(
             @ForAll @StringLength(max = 60) @CharRange(from = ' ', to = '~') String text,
--- a/src/test/java/cresschute/settings/SettingsFileTest.java
+++ b/src/test/java/cresschute/settings/SettingsFileTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * The schema: every field with what it refuses, the checks across blocks, and the settings that
- * come out.
+ * Tests the schema: rejected values of every field, the checks across blocks, and the resulting
+ * settings.
  */
 class SettingsFileTest {
 
@@ -142,7 +142,7 @@
         assertThat(file.placement().kinds()).containsExactly(0);
     }
 
-    /** What is shown is a script that states the same. */
+    /** The formatted settings are a script that declares the same settings. */
     @Test
     void formattedScriptParsesToEqualSettings() throws IOException {
         for (final String file : List.of("src/test/resources/full.star", "deploy/appliance.star")) {
@@ -156,7 +156,7 @@
         assertThat(SettingsFile.read(Path.of("deploy/appliance.star")).problems()).isEmpty();
     }
 
-    /** The page holds the reference as the schema has it. */
+    /** The settings page contains the reference that is generated from the schema. */
     @Test
     void settingsPageContainsGeneratedReference() throws IOException {
         assertThat(Files.readString(Path.of("docs/settings.md")))
@@ -275,7 +275,9 @@
                                 + " required");
     }
 
-    /** What a script that broke off did not reach is not reported as missing. */
+    /**
+     * After a script ends with an error, blocks that it did not reach are not reported as missing.
+     */
     @Test
     void reportsNoMissingBlocksAfterScriptError() {
         assertThat(problems("node(name = 1, listen = \"1.2.3.4:5\")\nfail(\"here\")\n" + CLASS))
