--- a/src/main/java/cresschute/console/Keys.java
+++ b/src/main/java/cresschute/console/KeyReader.java
@@ -2,8 +2,8 @@
 
 import java.io.IOException;
 
-/** Turns the bytes that a terminal sends for keys into keys. */
-final class Keys {
+/** Decodes the characters and escape sequences that a terminal sends into keys. */
+final class KeyReader {
 
     private static final int ESC = 27;
     private static final int CTRL_C = 3;
@@ -11,8 +11,8 @@
     private static final int DELETE = 127;
     private static final int BACKSPACE = 8;
 
-    /** Longest gap within a sequence, ms; after that, an escape was the key itself. */
-    private static final long SEQUENCE_MS = 60;
+    /** Longest gap within an escape sequence, ms; after a longer one it was the Escape key. */
+    private static final long MAX_SEQUENCE_GAP_MS = 60;
 
     enum Kind {
         CHAR,
@@ -29,7 +29,7 @@
         UNKNOWN
     }
 
-    /** One key; {@code character} is there for {@link Kind#CHAR}. */
+    /** One key; {@code character} is set only for {@link Kind#CHAR}. */
     record Key(Kind kind, char character) {
 
         static Key of(Kind kind) {
@@ -37,25 +37,29 @@
         }
     }
 
-    /** Where characters come from, as JLine's reader gives them. */
+    /** A source of characters with the contract of JLine's reader. */
     interface Source {
 
-        /** The next character, -1 at the end, -2 if none came in time; 0 waits for good. */
+        /**
+         * Returns the next character, -1 at the end of input, or -2 after the timeout.
+         *
+         * @param timeoutMs 0 waits without limit
+         */
         int read(long timeoutMs) throws IOException;
     }
 
     private final Source source;
 
-    Keys(Source source) {
+    KeyReader(Source source) {
         this.source = source;
     }
 
-    /** The next key, or null at the end. */
+    /** Waits for the next key; null at the end of input. */
     Key next() throws IOException {
         final int first = source.read(0);
         return switch (first) {
             case -1 -> null;
-            case ESC -> sequence();
+            case ESC -> readSequence();
             case '\r', '\n' -> Key.of(Kind.ENTER);
             case CTRL_C, CTRL_D -> Key.of(Kind.QUIT);
             case DELETE, BACKSPACE -> Key.of(Kind.BACKSPACE);
@@ -63,8 +67,8 @@
         };
     }
 
-    private Key sequence() throws IOException {
-        final int second = source.read(SEQUENCE_MS);
+    private Key readSequence() throws IOException {
+        final int second = source.read(MAX_SEQUENCE_GAP_MS);
         if (second < 0) {
             return Key.of(Kind.ESCAPE);
         }
@@ -72,11 +76,11 @@
             return Key.of(Kind.UNKNOWN);
         }
         final StringBuilder parameters = new StringBuilder();
-        int next = source.read(SEQUENCE_MS);
-        // Digits and semicolons, then one letter or a tilde.
+        int next = source.read(MAX_SEQUENCE_GAP_MS);
+        // A sequence continues with digits and semicolons and ends with a letter or a tilde.
         while (next >= ' ' && next < '@' && parameters.length() < 8) {
             parameters.append((char) next);
-            next = source.read(SEQUENCE_MS);
+            next = source.read(MAX_SEQUENCE_GAP_MS);
         }
         final Kind kind =
                 switch (next) {
--- a/src/main/java/cresschute/console/ScreenCost.java
+++ b/src/main/java/cresschute/console/ScreenBenchmark.java
@@ -2,37 +2,37 @@
 
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
-import cresschute.console.ScreenView.Look;
+import cresschute.console.ScreenView.ScreenFormat;
 import java.time.ZoneOffset;
 import org.HdrHistogram.Histogram;
 
-/** Measures what drawing the screen of a large site costs. */
-public final class ScreenCost {
+/** Measures how long the console takes to apply changes and draw the screen of a large site. */
+public final class ScreenBenchmark {
 
     private static final long MAX_NS = 10_000_000_000L;
 
-    private ScreenCost() {}
+    private ScreenBenchmark() {}
 
     /**
-     * Applies changes of some workers and draws the screen, again and again.
+     * Repeatedly applies changes of some workers and draws the screen.
      *
-     * @param workers how many there are
-     * @param changed how many of them have changed at each drawing
-     * @return nanoseconds for each drawing
+     * @param workers number of workers
+     * @param changed number of workers that change before each drawing
+     * @return nanoseconds for each update with its drawing
      */
     public static Histogram measure(int workers, int changed, int drawings) {
         final SiteModel model = new SiteModel();
         final ScreenState state = new ScreenState();
         final long nowMs = 1_700_000_000_000L;
         model.connected(nowMs);
-        model.take(changes(true, 0, workers, 0), nowMs);
-        final Look look = new Look(120, 50, true, true, ZoneOffset.UTC);
+        model.apply(changes(true, 0, workers, 0), nowMs);
+        final ScreenFormat format = new ScreenFormat(120, 50, true, true, ZoneOffset.UTC);
         final Histogram times = new Histogram(MAX_NS, 2);
         for (int i = 0; i < drawings; i++) {
             final JsonObject changes = changes(false, i * changed % workers, changed, i);
             final long startNs = System.nanoTime();
-            model.take(changes, nowMs);
-            ScreenView.draw(model, state, look, nowMs);
+            model.apply(changes, nowMs);
+            ScreenView.draw(model, state, format, nowMs);
             times.recordValue(Math.min(MAX_NS, System.nanoTime() - startNs));
         }
         return times;
--- a/src/main/java/cresschute/console/ScreenView.java
+++ b/src/main/java/cresschute/console/ScreenView.java
@@ -9,85 +9,86 @@
 import org.jline.utils.AttributedStyle;
 
 /**
- * Draws the screen of a console as lines of a given size. Pure: the model, the state and the clock
- * are passed in. Every line is exactly as wide as the screen, and there are as many as it is high.
- * On a smaller screen parts are left out in this order: first the sparklines, then the finer
- * figures, then events, then classes. Workers' names and states are shown from {@link #MIN_COLUMNS}
- * on.
+ * Draws the screen of a console as lines of a given size. Does no input or output: the model, the
+ * state and the time are passed in. Every line is exactly as wide as the screen, and there are as
+ * many lines as the screen has rows. Smaller screens omit, in this order, the sparklines, the less
+ * important figures, the events and the classes. Workers' names and states are always shown; the
+ * screen is at least {@link #MIN_COLUMNS} wide.
  */
 final class ScreenView {
 
     static final int MIN_COLUMNS = 40;
     static final int MIN_ROWS = 6;
-    private static final int FULL_HINTS = 60;
+    private static final int MIN_COLUMNS_FOR_ALL_KEYS = 60;
 
     /**
-     * Size and abilities of a terminal.
+     * Size and capabilities of a terminal.
      *
-     * @param color whether it has colours and they are wanted
-     * @param unicode whether it shows block characters
+     * @param color whether the terminal has colours and the user wants them
+     * @param unicode whether the terminal shows block characters
      */
-    record Look(int columns, int rows, boolean color, boolean unicode, ZoneId zone) {}
+    record ScreenFormat(int columns, int rows, boolean color, boolean unicode, ZoneId zone) {}
 
     private ScreenView() {}
 
-    /** The whole screen. */
-    static List<AttributedString> draw(SiteModel model, ScreenState state, Look look, long nowMs) {
+    /** Draws the whole screen, one element for each row. */
+    static List<AttributedString> draw(
+            SiteModel model, ScreenState state, ScreenFormat format, long nowMs) {
         final List<AttributedString> lines = new ArrayList<>();
         final Freshness freshness = model.freshness(nowMs);
-        lines.add(head(model, freshness, look, nowMs));
+        lines.add(header(model, freshness, format, nowMs));
         if (state.mode() == ScreenState.Mode.HELP) {
-            help(lines, look);
+            addHelp(lines, format);
         } else if (freshness == Freshness.LOADING) {
-            lines.add(ScreenText.line("", AttributedStyle.DEFAULT, look));
+            lines.add(ScreenText.line("", AttributedStyle.DEFAULT, format));
             lines.add(
                     ScreenText.line(
-                            "  loading: the node has told nothing yet",
+                            "  loading: the node has sent no rows yet",
                             AttributedStyle.DEFAULT,
-                            look));
+                            format));
         } else {
-            body(lines, model, state, look, nowMs, freshness != Freshness.LIVE);
+            addTables(lines, model, state, format, nowMs, freshness != Freshness.LIVE);
         }
-        while (lines.size() < look.rows() - 1) {
-            lines.add(ScreenText.line("", AttributedStyle.DEFAULT, look));
+        while (lines.size() < format.rows() - 1) {
+            lines.add(ScreenText.line("", AttributedStyle.DEFAULT, format));
         }
         final List<AttributedString> shown =
-                new ArrayList<>(lines.subList(0, Math.min(lines.size(), look.rows() - 1)));
-        shown.add(foot(model, state, look));
+                new ArrayList<>(lines.subList(0, Math.min(lines.size(), format.rows() - 1)));
+        shown.add(footer(model, state, format));
         return shown;
     }
 
-    private static AttributedString head(
-            SiteModel model, Freshness freshness, Look look, long nowMs) {
+    private static AttributedString header(
+            SiteModel model, Freshness freshness, ScreenFormat format, long nowMs) {
         final String status =
                 switch (freshness) {
                     case LOADING -> "LOADING";
                     case LIVE -> "LIVE";
-                    case STALE -> "STALE since " + ScreenText.clock(model.lastLineMs(), look);
+                    case STALE -> "STALE since " + ScreenText.clock(model.lastLineMs(), format);
                     case RECONNECTING ->
                             "RECONNECTING, STALE since "
-                                    + ScreenText.clock(model.lastLineMs(), look);
+                                    + ScreenText.clock(model.lastLineMs(), format);
                 };
         final JsonObject node = model.node();
         final StringBuilder text = new StringBuilder(" ");
         if (node != null) {
-            text.append(ScreenText.clean(ScreenState.text(node, "name")));
+            text.append(ScreenText.replaceControlCharacters(ScreenState.text(node, "name")));
             for (final String part : nodeFigures(node, nowMs)) {
-                if (text.length() + 3 + part.length() + 2 + status.length() <= look.columns()) {
+                if (text.length() + 3 + part.length() + 2 + status.length() <= format.columns()) {
                     text.append(" | ").append(part);
                 }
             }
         }
-        final int gap = Math.max(1, look.columns() - text.length() - status.length() - 1);
+        final int padding = Math.max(1, format.columns() - text.length() - status.length() - 1);
         return ScreenText.line(
-                text + " ".repeat(gap) + status,
+                text + " ".repeat(padding) + status,
                 freshness == Freshness.LIVE
                         ? AttributedStyle.INVERSE
                         : AttributedStyle.INVERSE.bold(),
-                look);
+                format);
     }
 
-    /** Figures of the node, the most important first. */
+    /** The node's figures for the first line, the most important first. */
     private static List<String> nodeFigures(JsonObject node, long nowMs) {
         final double valueKept = ScreenState.number(node, "worth_kept");
         final List<String> parts = new ArrayList<>();
@@ -110,15 +111,15 @@
         return parts;
     }
 
-    private static void body(
+    private static void addTables(
             List<AttributedString> lines,
             SiteModel model,
             ScreenState state,
-            Look look,
+            ScreenFormat format,
             long nowMs,
             boolean outdated) {
         final List<JsonObject> rows = state.rows(model);
-        final int rowsLeft = look.rows() - 3;
+        final int rowsLeft = format.rows() - 3;
         int classLines = Math.min(model.classes().size(), Math.max(1, rowsLeft / 4)) + 1;
         int eventLines = Math.max(2, rowsLeft / 5);
         if (rowsLeft < 12) {
@@ -128,31 +129,37 @@
             classLines = 0;
         }
         final int workerLines = Math.max(1, rowsLeft - classLines - eventLines - 1);
-        final AttributedStyle plain =
+        final AttributedStyle rowStyle =
                 outdated ? AttributedStyle.DEFAULT.faint() : AttributedStyle.DEFAULT;
-        lines.add(WorkerRowsView.titles(state, look));
+        lines.add(WorkerRowsView.header(state, format));
         final int first =
-                Math.max(0, Math.min(state.place() - workerLines / 2, rows.size() - workerLines));
+                Math.max(
+                        0,
+                        Math.min(state.selectedRow() - workerLines / 2, rows.size() - workerLines));
         for (int i = first; i < Math.min(rows.size(), first + workerLines); i++) {
-            lines.add(WorkerRowsView.worker(rows.get(i), i == state.place(), plain, look, nowMs));
+            lines.add(
+                    WorkerRowsView.row(
+                            rows.get(i), i == state.selectedRow(), rowStyle, format, nowMs));
         }
         if (rows.isEmpty()) {
             lines.add(
                     ScreenText.line(
                             model.workers().isEmpty()
-                                    ? "  the list names no worker"
+                                    ? "  no workers on the endpoint list"
                                     : "  no worker matches '" + state.filter() + "'; Esc shows all",
-                            plain,
-                            look));
+                            rowStyle,
+                            format));
         }
         while (lines.size() < 2 + workerLines) {
-            lines.add(ScreenText.line("", plain, look));
+            lines.add(ScreenText.line("", rowStyle, format));
         }
-        lines.add(WorkerRowsView.selection(model, state, rows.size(), workerLines, look, nowMs));
+        lines.add(
+                WorkerRowsView.selectedWorkerLine(
+                        model, state, rows.size(), workerLines, format, nowMs));
         if (classLines > 0) {
-            addClasses(lines, model, classLines - 1, plain, look);
+            addClasses(lines, model, classLines - 1, rowStyle, format);
         }
-        addEvents(lines, model, eventLines, plain, look);
+        addEvents(lines, model, eventLines, rowStyle, format);
     }
 
     private static void addClasses(
@@ -160,17 +167,18 @@
             SiteModel model,
             int count,
             AttributedStyle style,
-            Look look) {
+            ScreenFormat format) {
         lines.add(
                 ScreenText.line(
-                        format(
-                                look, "CLASS", "ASKED", "ADMIT", "SERVED", "REFUSED", "FAILED",
+                        tableLine(
+                                format, "CLASS", "ASKED", "ADMIT", "SERVED", "REFUSED", "FAILED",
                                 "INTIME", "P99"),
                         AttributedStyle.DEFAULT.underline(),
-                        look));
+                        format));
         model.classes().stream()
                 .limit(count)
-                .forEach(each -> lines.add(ScreenText.line(classLine(each, look), style, look)));
+                .forEach(
+                        each -> lines.add(ScreenText.line(classLine(each, format), style, format)));
     }
 
     private static void addEvents(
@@ -178,7 +186,7 @@
             SiteModel model,
             int count,
             AttributedStyle style,
-            Look look) {
+            ScreenFormat format) {
         final List<JsonObject> events = model.events();
         events.subList(Math.max(0, events.size() - count), events.size())
                 .forEach(
@@ -187,19 +195,20 @@
                                         ScreenText.line(
                                                 " "
                                                         + ScreenText.clock(
-                                                                each.get("at_ms").getAsLong(), look)
+                                                                each.get("at_ms").getAsLong(),
+                                                                format)
                                                         + " "
-                                                        + ScreenText.clean(
+                                                        + ScreenText.replaceControlCharacters(
                                                                 ScreenState.text(each, "text")),
                                                 style,
-                                                look)));
+                                                format)));
     }
 
-    private static String classLine(JsonObject row, Look look) {
+    private static String classLine(JsonObject row, ScreenFormat format) {
         final double admitted = ScreenState.number(row, "admitted");
-        return format(
-                look,
-                ScreenText.clean(ScreenState.text(row, "id")),
+        return tableLine(
+                format,
+                ScreenText.replaceControlCharacters(ScreenState.text(row, "id")),
                 ScreenText.count(ScreenState.number(row, "asked")),
                 admitted < 0 ? "-" : Math.round(admitted * 100) + "%",
                 ScreenText.count(ScreenState.number(row, "served")),
@@ -209,12 +218,12 @@
                 ScreenText.ms(ScreenState.number(row, "p99_ms")));
     }
 
-    private static String format(Look look, String name, String... figures) {
+    private static String tableLine(ScreenFormat format, String name, String... figures) {
         final StringBuilder text =
                 new StringBuilder(" ")
                         .append(ScreenText.pad(name, new ScreenText.Column("", 12, true, 0)));
-        // On a small screen, only the figures asked, served and refused.
-        final boolean small = look.columns() < 12 + 1 + figures.length * 8;
+        // A small screen shows only the figures asked, served and refused.
+        final boolean small = format.columns() < 12 + 1 + figures.length * 8;
         for (int i = 0; i < figures.length; i++) {
             if (!small || i == 0 || i == 2 || i == 3) {
                 text.append(' ')
@@ -224,58 +233,59 @@
         return text.toString();
     }
 
-    private static void help(List<AttributedString> lines, Look look) {
+    private static void addHelp(List<AttributedString> lines, ScreenFormat format) {
         for (final String text :
                 List.of(
                         "",
                         "  up, down, j, k   move; PgUp, PgDn, g, G too",
                         "  /                filter by name, state or kind",
-                        "  s                next order",
-                        "  d                drain the worker",
+                        "  s                next sort order",
+                        "  d                drain selected worker",
                         "  u                undo its drain",
-                        "  Esc              no filter",
-                        "  q, Ctrl-C        leave; drains hold",
+                        "  Esc              clear filter",
+                        "  q, Ctrl-C        quit; drains stay",
                         "",
-                        "  taking    it works at the speed of others",
+                        "  taking    takes work at normal speed",
                         "  full      no free slot, and jobs wait",
-                        "  slowing   its jobs run much longer",
-                        "  silent    it tells nothing of its jobs",
-                        "  cold      it has just started",
-                        "  draining  it gets nothing new",
-                        "  gone      the list" + " does not have it",
+                        "  slowing   jobs run unusually long",
+                        "  silent    no progress reports of jobs",
+                        "  cold      started a short while ago",
+                        "  draining  gets no new requests",
+                        "  gone      not on the endpoint list",
                         "",
-                        "  any key goes back")) {
-            lines.add(ScreenText.line(text, AttributedStyle.DEFAULT, look));
+                        "  any key closes this help")) {
+            lines.add(ScreenText.line(text, AttributedStyle.DEFAULT, format));
         }
     }
 
-    private static AttributedString foot(SiteModel model, ScreenState state, Look look) {
-        final JsonObject asked = state.asked() == null ? null : model.worker(state.asked());
+    private static AttributedString footer(
+            SiteModel model, ScreenState state, ScreenFormat format) {
+        final JsonObject target = state.target() == null ? null : model.worker(state.target());
         final String text =
                 switch (state.mode()) {
                     case FILTER -> "/" + state.filter() + "_";
                     case CONFIRM_DRAIN ->
                             " Drain "
-                                    + ScreenText.clean(state.asked())
+                                    + ScreenText.replaceControlCharacters(state.target())
                                     + "? "
-                                    + (asked == null ? 0 : asked.get("in_flight").getAsInt())
-                                    + " out there. y or n";
+                                    + (target == null ? 0 : target.get("in_flight").getAsInt())
+                                    + " in flight. y or n";
                     case CONFIRM_FORCE -> " " + state.message() + ". F drains it anyway";
                     case HELP -> "";
                     case BROWSE ->
                             !state.message().isEmpty()
                                     ? " " + state.message()
                                     : (state.filter().isEmpty() ? "" : "[/" + state.filter() + "]")
-                                            + (look.columns() < FULL_HINTS
+                                            + (format.columns() < MIN_COLUMNS_FOR_ALL_KEYS
                                                     ? " d drain  u undo  ? help  q quit"
                                                     : " d drain  u undo  / filter  s sort  ? help "
                                                             + " q quit");
                 };
         return ScreenText.line(
-                ScreenText.clean(text),
+                ScreenText.replaceControlCharacters(text),
                 state.mode() == ScreenState.Mode.BROWSE
                         ? AttributedStyle.DEFAULT
                         : AttributedStyle.DEFAULT.bold(),
-                look);
+                format);
     }
 }
--- a/src/main/java/cresschute/console/SiteModel.java
+++ b/src/main/java/cresschute/console/SiteModel.java
@@ -11,29 +11,30 @@
 import java.util.Map;
 
 /**
- * The state of a site as a console knows it: the rows of the node's last snapshot and the changes
- * since, the last events, and how fresh all of that is. Pure: lines and the clock are passed in.
+ * A console's copy of the state of a site: the rows of the node's last snapshot with later changes
+ * applied, the last events, and how fresh they are. Does no input or output: lines and the time are
+ * passed in. Not thread-safe.
  */
 public final class SiteModel {
 
-    /** Events that are kept for the screen. */
+    /** Maximum number of events kept for the screen. */
     static final int MAX_EVENTS = 200;
 
-    /** A node sends a line every second; after so long without one its figures are stale, ms. */
+    /** Time without a line after which the rows are stale, ms. A node sends a line every second. */
     public static final long STALE_AFTER_MS = 3_000;
 
-    private static final String WORKER = "w/";
-    private static final String CLASS = "c/";
+    private static final String WORKER_PREFIX = "w/";
+    private static final String CLASS_PREFIX = "c/";
 
     /** How up to date the state is. */
     public enum Freshness {
-        /** No rows were received yet. */
+        /** No rows have been received yet. */
         LOADING,
-        /** Lines arrive; what is shown is current. */
+        /** Lines arrive; the rows are current. */
         LIVE,
-        /** The node has been silent for a while. */
+        /** Connected, but no line for at least {@link #STALE_AFTER_MS}. */
         STALE,
-        /** There is no connection. */
+        /** Rows were received, but there is no connection now. */
         RECONNECTING
     }
 
@@ -41,32 +42,32 @@
     private final Map<String, JsonObject> classes = new LinkedHashMap<>();
     private final Deque<JsonObject> events = new ArrayDeque<>();
     private JsonObject node;
-    private String boot = "";
-    private long number;
-    private long lastEvent;
+    private String incarnation = "";
+    private long version;
+    private long lastEventNumber;
     private long lastLineMs;
     private boolean connected;
     private boolean loaded;
 
-    /** A connection is there; what is shown is stale until the node sends a line. */
+    /** Records that a connection was opened, and counts the time without a line from now. */
     public void connected(long nowMs) {
         connected = true;
         lastLineMs = nowMs;
     }
 
-    /** The connection is gone. */
+    /** Records that the connection has ended. */
     public void disconnected() {
         connected = false;
     }
 
-    /** Takes a line of the node in. */
-    public void take(JsonObject line, long nowMs) {
+    /** Applies a line of the node: a snapshot, changes or events. */
+    public void apply(JsonObject line, long nowMs) {
         lastLineMs = nowMs;
-        if (line.has("boot") && !line.get("boot").getAsString().equals(boot)) {
-            // Another incarnation of the node: its versions and its events begin anew.
-            boot = line.get("boot").getAsString();
-            number = 0;
-            lastEvent = 0;
+        if (line.has("boot") && !line.get("boot").getAsString().equals(incarnation)) {
+            // Another incarnation of the node numbers its versions and events from the start.
+            incarnation = line.get("boot").getAsString();
+            version = 0;
+            lastEventNumber = 0;
             events.clear();
         }
         if (line.has("rows")) {
@@ -74,17 +75,17 @@
                 workers.clear();
                 classes.clear();
             }
-            line.getAsJsonArray("gone").forEach(key -> drop(key.getAsString()));
+            line.getAsJsonArray("gone").forEach(key -> removeRow(key.getAsString()));
             line.getAsJsonObject("rows")
                     .entrySet()
-                    .forEach(each -> put(each.getKey(), each.getValue()));
-            number = line.get("number").getAsLong();
+                    .forEach(each -> putRow(each.getKey(), each.getValue()));
+            version = line.get("number").getAsLong();
             loaded = true;
         }
         if (line.has("events")) {
             for (final JsonElement event : line.getAsJsonArray("events")) {
                 events.addLast(event.getAsJsonObject());
-                lastEvent = event.getAsJsonObject().get("n").getAsLong();
+                lastEventNumber = event.getAsJsonObject().get("n").getAsLong();
             }
             while (events.size() > MAX_EVENTS) {
                 events.pollFirst();
@@ -92,25 +93,25 @@
         }
     }
 
-    private void put(String key, JsonElement row) {
-        if (key.startsWith(WORKER)) {
-            workers.put(key.substring(WORKER.length()), row.getAsJsonObject());
-        } else if (key.startsWith(CLASS)) {
-            classes.put(key.substring(CLASS.length()), row.getAsJsonObject());
+    private void putRow(String key, JsonElement row) {
+        if (key.startsWith(WORKER_PREFIX)) {
+            workers.put(key.substring(WORKER_PREFIX.length()), row.getAsJsonObject());
+        } else if (key.startsWith(CLASS_PREFIX)) {
+            classes.put(key.substring(CLASS_PREFIX.length()), row.getAsJsonObject());
         } else if (key.equals("node")) {
             node = row.getAsJsonObject();
         }
     }
 
-    private void drop(String key) {
-        if (key.startsWith(WORKER)) {
-            workers.remove(key.substring(WORKER.length()));
-        } else if (key.startsWith(CLASS)) {
-            classes.remove(key.substring(CLASS.length()));
+    private void removeRow(String key) {
+        if (key.startsWith(WORKER_PREFIX)) {
+            workers.remove(key.substring(WORKER_PREFIX.length()));
+        } else if (key.startsWith(CLASS_PREFIX)) {
+            classes.remove(key.substring(CLASS_PREFIX.length()));
         }
     }
 
-    /** How up to date the state is now. */
+    /** How up to date the state is at {@code nowMs}, Unix time. */
     public Freshness freshness(long nowMs) {
         if (!connected) {
             return loaded ? Freshness.RECONNECTING : Freshness.LOADING;
@@ -120,17 +121,17 @@
                 : nowMs - lastLineMs >= STALE_AFTER_MS ? Freshness.STALE : Freshness.LIVE;
     }
 
-    /** When the last line of the node arrived, Unix time in milliseconds. */
+    /** Arrival of the node's last line, or the later connection; Unix time in milliseconds. */
     public long lastLineMs() {
         return lastLineMs;
     }
 
-    /** The workers' rows by name. */
+    /** The workers' rows. */
     public Collection<JsonObject> workers() {
         return workers.values();
     }
 
-    /** One worker's row, or null. */
+    /** The row of a worker, or null if there is none. */
     public JsonObject worker(String id) {
         return workers.get(id);
     }
@@ -150,18 +151,18 @@
         return new ArrayList<>(events);
     }
 
-    /** The incarnation of the node whose rows these are. */
-    public String boot() {
-        return boot;
+    /** The incarnation of the node that sent the rows; empty before the first line with one. */
+    public String incarnation() {
+        return incarnation;
     }
 
     /** The version of the rows. */
-    public long number() {
-        return number;
+    public long version() {
+        return version;
     }
 
-    /** The number of the last event read. */
-    public long lastEvent() {
-        return lastEvent;
+    /** The number of the last event received, 0 if there was none. */
+    public long lastEventNumber() {
+        return lastEventNumber;
     }
 }
--- a/src/main/java/cresschute/console/WorkerTable.java
+++ b/src/main/java/cresschute/console/WorkerTable.java
@@ -5,12 +5,15 @@
 import java.util.List;
 import java.util.Locale;
 
-/** The workers as plain lines, for scripts and for terminals that cannot show a screen. Pure. */
+/**
+ * Formats the workers as plain lines, for scripts and for terminals that cannot show a screen. Does
+ * no input or output.
+ */
 public final class WorkerTable {
 
     private WorkerTable() {}
 
-    /** A line of titles and one a worker, by name. */
+    /** A line of column titles, then one line per worker, sorted by name. */
     public static List<String> lines(SiteModel model, long nowMs) {
         final List<String> lines = new ArrayList<>();
         lines.add(
@@ -22,7 +25,8 @@
                     String.format(
                                     Locale.ROOT,
                                     "%-16s %-9s %4d %6.1f %7s %7s %5s %5s  %s",
-                                    ScreenText.clean(ScreenState.text(row, "id")),
+                                    ScreenText.replaceControlCharacters(
+                                            ScreenState.text(row, "id")),
                                     ScreenState.text(row, "state"),
                                     row.get("in_flight").getAsInt(),
                                     ScreenState.number(row, "rate"),
@@ -30,16 +34,16 @@
                                     ScreenText.ms(ScreenState.number(row, "p99_ms")),
                                     ScreenText.count(ScreenState.number(row, "queue")),
                                     ScreenText.count(ScreenState.number(row, "free")),
-                                    ScreenText.clean(why(row, nowMs)))
+                                    ScreenText.replaceControlCharacters(reason(row, nowMs)))
                             .stripTrailing());
         }
         return lines;
     }
 
-    private static String why(JsonObject row, long nowMs) {
-        final String why = ScreenState.text(row, "why");
-        return why.isEmpty()
+    private static String reason(JsonObject row, long nowMs) {
+        final String reason = ScreenState.text(row, "why");
+        return reason.isEmpty()
                 ? ""
-                : why + ", for " + ScreenText.age(nowMs - row.get("since_ms").getAsLong());
+                : reason + ", for " + ScreenText.age(nowMs - row.get("since_ms").getAsLong());
     }
 }
--- a/src/main/java/cresschute/control/socket/ControlServer.java
+++ b/src/main/java/cresschute/control/socket/ControlServer.java
@@ -29,24 +29,31 @@
 import java.util.Set;
 
 /**
- * The Unix domain socket at which consoles connect. It owns the socket file, the listening channel
- * and the sessions.
+ * The server of the control socket, a Unix domain socket to which consoles connect. It owns the
+ * socket file, the listening channel and the sessions.
  *
- * <p>The file's mode is the permission: 0600 in a folder of 0700. Life: {@link #listen} once,
- * {@link #close} once. All of it is on the node's loop, save {@link #listen}, which blocks.
+ * <p>Access is controlled by file permissions: mode 0600 in a folder with mode 0700. Life cycle:
+ * {@link #listen} once, {@link #close} once. All methods run on the node's event loop, except
+ * {@link #listen}, which blocks.
  */
 public final class ControlServer {
 
-    /** Sessions at a time. */
+    /** Maximum number of sessions. */
     public static final int MAX_SESSIONS = 16;
 
-    /** Bytes that may wait for a console; above it, nothing is read from it and no update sent. */
-    static final int MAX_UNREAD_BYTES = 512 * 1024;
+    /**
+     * High water mark of the bytes not yet written to a console. Above it, nothing is read from the
+     * console and no update is sent to it.
+     */
+    static final int HIGH_WATER_MARK_BYTES = 512 * 1024;
 
-    /** Bytes below which a console that was above {@link #MAX_UNREAD_BYTES} is served again. */
-    private static final int LOW_UNREAD_BYTES = 64 * 1024;
+    /**
+     * Low water mark: a console that exceeded {@link #HIGH_WATER_MARK_BYTES} is served again below
+     * it.
+     */
+    private static final int LOW_WATER_MARK_BYTES = 64 * 1024;
 
-    private static final Set<PosixFilePermission> PERMISSIONS_OF_OTHERS =
+    private static final Set<PosixFilePermission> NON_OWNER_PERMISSIONS =
             EnumSet.of(
                     PosixFilePermission.GROUP_READ,
                     PosixFilePermission.GROUP_WRITE,
@@ -61,9 +68,9 @@
     private final ControlHandler handler;
     private final Set<ControlSession> sessions = new LinkedHashSet<>();
     private Channel server;
-    private long lastSession;
+    private long lastSessionNumber;
 
-    /** A server that does not listen yet. */
+    /** Creates a server that does not listen yet. */
     public ControlServer(EventLoop loop, Path file, ControlHandler handler) {
         this.loop = loop;
         this.file = file;
@@ -71,13 +78,13 @@
     }
 
     /**
-     * Listens. Blocks, so not on the loop.
+     * Binds the socket and starts to accept consoles. Blocks; do not call on the event loop.
      *
      * @throws ControlSocketInUseException if another node listens there
-     * @throws IOException if the folder is open to others, or the socket cannot be made
+     * @throws IOException if group or others can access the folder, or the socket cannot be created
      */
     public void listen() throws IOException {
-        makePrivateFolder();
+        createPrivateFolder();
         removeStaleSocket();
         final ChannelFuture bound =
                 new ServerBootstrap()
@@ -85,7 +92,8 @@
                         .channel(NioServerDomainSocketChannel.class)
                         .childOption(
                                 ChannelOption.WRITE_BUFFER_WATER_MARK,
-                                new WriteBufferWaterMark(LOW_UNREAD_BYTES, MAX_UNREAD_BYTES))
+                                new WriteBufferWaterMark(
+                                        LOW_WATER_MARK_BYTES, HIGH_WATER_MARK_BYTES))
                         .childHandler(
                                 new ChannelInitializer<Channel>() {
                                     @Override
@@ -104,17 +112,17 @@
                     bound.cause());
         }
         server = bound.channel();
-        // Between bind and this the mode of the folder keeps others out.
+        // Until this call the mode of the folder denies access to other users.
         Files.setPosixFilePermissions(file, PosixFilePermissions.fromString("rw-------"));
         LogEvent.of("control_listening", "consoles can connect at " + file)
                 .with("file", file)
                 .log(LOG, Level.INFO);
     }
 
-    private void makePrivateFolder() throws IOException {
+    private void createPrivateFolder() throws IOException {
         final Path folder = file.toAbsolutePath().getParent();
-        PrivateFolder.make(folder);
-        final Set<PosixFilePermission> granted = EnumSet.copyOf(PERMISSIONS_OF_OTHERS);
+        PrivateFolder.create(folder);
+        final Set<PosixFilePermission> granted = EnumSet.copyOf(NON_OWNER_PERMISSIONS);
         granted.retainAll(Files.getPosixFilePermissions(folder));
         if (!granted.isEmpty()) {
             throw new IOException(
@@ -124,7 +132,10 @@
         }
     }
 
-    /** Removes the socket of a node that was killed; one that answers is another node's. */
+    /**
+     * Removes the socket file of a node that was killed. A socket that accepts connections belongs
+     * to a running node.
+     */
     private void removeStaleSocket() throws IOException {
         if (!Files.exists(file, LinkOption.NOFOLLOW_LINKS)) {
             return;
@@ -132,16 +143,16 @@
         if (Files.isRegularFile(file, LinkOption.NOFOLLOW_LINKS) || Files.isDirectory(file)) {
             throw new IOException(
                     file
-                            + " is there and is no socket; name another file for the control"
+                            + " exists and is not a socket; configure another file for the control"
                             + " socket");
         }
-        if (isAnswered()) {
+        if (acceptsConnections()) {
             throw new ControlSocketInUseException(file);
         }
         Files.delete(file);
     }
 
-    private boolean isAnswered() {
+    private boolean acceptsConnections() {
         try {
             SocketChannel.open(UnixDomainSocketAddress.of(file)).close();
             return true;
@@ -151,15 +162,15 @@
     }
 
     private void accept(Channel channel) {
-        final ControlSession session = new ControlSession(++lastSession, channel, handler);
+        final ControlSession session = new ControlSession(++lastSessionNumber, channel, handler);
         if (sessions.size() >= MAX_SESSIONS) {
             session.reject("there are " + MAX_SESSIONS + " consoles already; close one first");
             return;
         }
         sessions.add(session);
         channel.closeFuture().addListener(closed -> sessions.remove(session));
-        // One read can bring many short requests: the flow control passes them on one by one, so
-        // that none is answered while too much of the earlier answers is unread.
+        // One read can return many short requests. FlowControlHandler passes them on one at a time,
+        // so that no request is answered while the write buffer is above the high water mark.
         channel.pipeline()
                 .addLast(
                         new LineBasedFrameDecoder(ControlRequest.MAX_LINE_LENGTH),
@@ -167,20 +178,21 @@
                         session);
     }
 
-    /** Whether any console subscribed to rows. */
+    /** Returns whether any console has subscribed to rows. */
     public boolean hasSubscribers() {
         return sessions.stream().anyMatch(ControlSession::isSubscribed);
     }
 
-    /** The number of connected consoles. */
-    public int sessions() {
+    /** Returns the number of connected consoles. */
+    public int sessionCount() {
         return sessions.size();
     }
 
     /**
-     * Sends each console what changed for it, as far as it reads; called a few times a second.
+     * Sends each console its pending changes, unless its write buffer is above the high water mark.
+     * Call a few times a second.
      *
-     * @param nowUs the loop's clock, us
+     * @param nowUs time of the event loop's clock, microseconds
      */
     public void publish(long nowUs) {
         for (final ControlSession session : new ArrayList<>(sessions)) {
@@ -188,7 +200,9 @@
         }
     }
 
-    /** Closes the listener and all sessions, and removes the socket file. On the loop. */
+    /**
+     * Closes the listener and all sessions, and removes the socket file. Call on the event loop.
+     */
     public void close() {
         if (server != null) {
             server.close();
@@ -196,8 +210,12 @@
             try {
                 Files.deleteIfExists(file);
             } catch (IOException e) {
-                // The next start finds that nobody listens there, and removes it.
-                LogEvent.of("control_file_left", "the control socket " + file + " was left behind")
+                // The next start removes the file, because no node accepts connections there.
+                LogEvent.of(
+                                "control_file_left",
+                                "could not delete the control socket "
+                                        + file
+                                        + "; the next start removes it")
                         .withCause(e)
                         .log(LOG, Level.WARNING);
             }
--- a/src/main/java/cresschute/testbed/Fleet.java
+++ b/src/main/java/cresschute/testbed/Fleet.java
@@ -8,7 +8,7 @@
 import cresschute.settings.SettingsFile;
 import cresschute.testbed.JobClass.Demand;
 import cresschute.testbed.Observation.OperatorDrained;
-import cresschute.testbed.Observation.SendCame;
+import cresschute.testbed.Observation.AttemptReceived;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -31,27 +31,27 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * A whole site on loopback ports: a discovery service, workers, clients, and between them a node of
- * the program itself, as {@code serve} runs it, on a loop of its own. The stand-ins share one other
- * loop. All chance comes from a seed; the times at which sockets are read do not, so that runs are
- * alike and not the same.
+ * A complete site on loopback ports: discovery, workers, clients, and a real node, as {@code serve}
+ * runs it, on its own event loop. The stand-ins share another event loop. All random choices come
+ * from a seed, but the times at which sockets are read do not, so that runs are similar and not
+ * identical.
  */
 public final class Fleet implements AutoCloseable {
 
     private static final int CELLS = 2;
-    private static final double BIG_SHARE = 0.3;
-    private static final long LATE_LIST_US = 200_000;
-    private static final long STOP_S = 10;
+    private static final double BIG_WORKER_SHARE = 0.3;
+    private static final long LIST_DELAY_US = 200_000;
+    private static final long MAX_STOP_WAIT_S = 10;
 
-    /** The longest wait for a call on the loop, s. */
+    /** The maximum wait for a call on the loop, s. */
     private static final long MAX_LOOP_WAIT_S = 30;
 
     /**
-     * What a fleet is to be.
+     * The configuration of a fleet.
      *
-     * @param ratePerS jobs that arrive in a second on average
-     * @param controlSocket where consoles connect to the node, or null
-     * @param stateFolder where the node keeps its operators' drains, or null
+     * @param ratePerS jobs that arrive per second on average
+     * @param controlSocket path at which consoles connect to the node, or null
+     * @param stateFolder folder in which the node stores operator drains, or null
      */
     public record Plan(
             int workers,
@@ -61,7 +61,7 @@
             String controlSocket,
             String stateFolder) {
 
-        /** A fleet whose node no console can connect to. */
+        /** Creates the configuration of a fleet without a control socket and a state folder. */
         public Plan(int workers, double ratePerS, long seed, List<InjectedFault> faults) {
             this(workers, ratePerS, seed, faults, null, null);
         }
@@ -72,7 +72,7 @@
     private final EventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final UniformRandomProvider chance;
+    private final UniformRandomProvider random;
     private final List<WorkerStandIn> workers = new ArrayList<>();
     private final DiscoveryStandIn discovery;
     private final NodeSettings settings;
@@ -81,17 +81,17 @@
     private final NodeServer node;
     private boolean closed;
 
-    /** Starts discovery and workers, and builds the node; nothing is sent yet. */
+    /** Starts discovery and workers and builds the node; nothing is sent yet. */
     public Fleet(Plan plan) {
         this.plan = plan;
-        chance = RandomSource.XO_SHI_RO_256_PP.create(plan.seed());
+        random = RandomSource.XO_SHI_RO_256_PP.create(plan.seed());
         final InetSocketAddress discoveryAt;
         discovery = new DiscoveryStandIn(loop, recorder);
         try {
             discoveryAt = discovery.start();
-            final NodeSettings bare = settings(discoveryAt, List.of());
+            final NodeSettings settingsWithoutWorkers = settings(discoveryAt, List.of());
             for (int i = 0; i < plan.workers(); i++) {
-                workers.add(worker(i, bare));
+                workers.add(worker(i, settingsWithoutWorkers));
             }
             settings = settings(discoveryAt, workers);
             classes =
@@ -116,27 +116,29 @@
         }
     }
 
-    private WorkerStandIn worker(int number, NodeSettings bare) {
-        final boolean big = chance.nextDouble() < BIG_SHARE;
+    private WorkerStandIn worker(int number, NodeSettings settingsWithoutWorkers) {
+        final boolean big = random.nextDouble() < BIG_WORKER_SHARE;
         final double speed =
-                big ? 1.3 + 0.4 * chance.nextDouble() : 0.85 + 0.25 * chance.nextDouble();
+                big ? 1.3 + 0.4 * random.nextDouble() : 0.85 + 0.25 * random.nextDouble();
         final int cell = number % CELLS;
         final WorkerStandIn worker =
                 new WorkerStandIn(
                         loop,
                         recorder,
                         RandomSource.XO_SHI_RO_256_PP.create(plan.seed() + 100 + number),
-                        new WorkerStandIn.Make(
+                        new WorkerStandIn.Spec(
                                 "w" + (number + 1),
                                 cell,
                                 "local",
                                 big ? "big" : "std",
                                 big ? 5 : 4,
                                 speed),
-                        number < CELLS ? new CellKeys(windowUs(bare)) : workers.get(cell).keys(),
-                        bare.dispatch().slowStart());
+                        number < CELLS
+                                ? new CellKeys(windowUs(settingsWithoutWorkers))
+                                : workers.get(cell).keys(),
+                        settingsWithoutWorkers.dispatch().slowStart());
         worker.start();
-        onLoop(() -> discovery.set(worker, "SERVING", 0));
+        onLoop(() -> discovery.setState(worker, "SERVING", 0));
         return worker;
     }
 
@@ -147,7 +149,7 @@
                 .orElse(0);
     }
 
-    /** The settings come from a script, as a site's do; the addresses are put before it. */
+    /** Parses the settings from a script, as a site does, with the addresses put before it. */
     private NodeSettings settings(InetSocketAddress discovery, List<WorkerStandIn> workers) {
         final String script =
                 "DIRECTOR = \"127.0.0.1:"
@@ -157,13 +159,13 @@
                                 .map(
                                         each ->
                                                 "(\""
-                                                        + each.make().id()
+                                                        + each.spec().id()
                                                         + "\", \"127.0.0.1:"
                                                         + each.address().getPort()
                                                         + "\", \""
-                                                        + each.make().kind()
+                                                        + each.spec().kind()
                                                         + "\", "
-                                                        + each.make().cell()
+                                                        + each.spec().cell()
                                                         + ")")
                                 .collect(Collectors.joining(", "))
                         + "]\n"
@@ -200,7 +202,7 @@
         for (final InjectedFault fault : plan.faults()) {
             if (fault.worker() != null
                     && workers.stream()
-                            .noneMatch(each -> each.make().id().equals(fault.worker()))) {
+                            .noneMatch(each -> each.spec().id().equals(fault.worker()))) {
                 throw new IllegalArgumentException(
                         "no worker is called '"
                                 + fault.worker()
@@ -210,12 +212,12 @@
         }
     }
 
-    /** Starts the node, then the clients, then the clock of the faults. */
+    /** Starts the node and the clients, and schedules the faults. */
     public void start() {
         final SocketAddress at = node.start();
         onLoop(
                 () -> {
-                    discovery.late(LATE_LIST_US);
+                    discovery.setReportDelay(LIST_DELAY_US);
                     clients.start(at);
                     plan.faults().forEach(this::plan);
                 });
@@ -228,9 +230,9 @@
                 !fault.kind().isOfWorker()
                         ? null
                         : workers.stream()
-                                .filter(each -> each.make().id().equals(fault.worker()))
+                                .filter(each -> each.spec().id().equals(fault.worker()))
                                 .findFirst()
-                                .orElseGet(() -> workers.get(chance.nextInt(workers.size())));
+                                .orElseGet(() -> workers.get(random.nextInt(workers.size())));
         loop.schedule(() -> begin(fault, worker), fault.atUs(), TimeUnit.MICROSECONDS);
         loop.schedule(
                 () -> end(fault, worker), fault.atUs() + fault.forUs(), TimeUnit.MICROSECONDS);
@@ -238,55 +240,55 @@
 
     private void begin(InjectedFault fault, WorkerStandIn worker) {
         switch (fault.kind()) {
-            case SLOW -> worker.slow(fault.factor());
-            case SILENT -> worker.silent(true);
-            case RESET -> worker.resets(fault.factor());
-            case GARBAGE -> worker.garbage(fault.factor());
-            case LATE -> worker.lateReports((long) (fault.factor() * 1e6));
+            case SLOW -> worker.setSlowdown(fault.factor());
+            case SILENT -> worker.setSilent(true);
+            case RESET -> worker.setResetShare(fault.factor());
+            case GARBAGE -> worker.setGarbageShare(fault.factor());
+            case LATE -> worker.setReportDelay((long) (fault.factor() * 1e6));
             case CRASH -> {
                 worker.crash();
-                discovery.set(worker, "DELETED", 0);
+                discovery.setState(worker, "DELETED", 0);
             }
-            case DRAIN -> discovery.set(worker, "DRAINING", 0);
-            case BURST -> clients.burst(fault.factor());
-            case TAIL -> clients.tail(fault.factor());
-            case DIRECTOR -> discovery.down(true);
+            case DRAIN -> discovery.setState(worker, "DRAINING", 0);
+            case BURST -> clients.setBurstFactor(fault.factor());
+            case TAIL -> clients.setTailFactor(fault.factor());
+            case DIRECTOR -> discovery.setDown(true);
         }
     }
 
     private void end(InjectedFault fault, WorkerStandIn worker) {
         switch (fault.kind()) {
-            case SLOW -> worker.slow(1);
-            case SILENT -> worker.silent(false);
-            case RESET -> worker.resets(0);
-            case GARBAGE -> worker.garbage(0);
-            case LATE -> worker.lateReports(0);
+            case SLOW -> worker.setSlowdown(1);
+            case SILENT -> worker.setSilent(false);
+            case RESET -> worker.setResetShare(0);
+            case GARBAGE -> worker.setGarbageShare(0);
+            case LATE -> worker.setReportDelay(0);
             case CRASH -> {
                 worker.boot();
-                discovery.set(worker, "SERVING", recorder.nowUs() / 1000);
+                discovery.setState(worker, "SERVING", recorder.nowUs() / 1000);
             }
-            case DRAIN -> discovery.set(worker, "SERVING", 0);
-            case BURST -> clients.burst(1);
-            case TAIL -> clients.tail(1);
-            case DIRECTOR -> discovery.down(false);
+            case DRAIN -> discovery.setState(worker, "SERVING", 0);
+            case BURST -> clients.setBurstFactor(1);
+            case TAIL -> clients.setTailFactor(1);
+            case DIRECTOR -> discovery.setDown(false);
         }
     }
 
     // ---- The run ----
 
-    /** No new jobs come from now on. */
+    /** Stops the arrival of new jobs. */
     public void stopArriving() {
         onLoop(clients::stopArriving);
     }
 
-    /** Jobs that wait for their answer now. */
+    /** The number of jobs that wait for a response. */
     public int waiting() {
         return CompletableFuture.supplyAsync(clients::waiting, loop)
                 .orTimeout(MAX_LOOP_WAIT_S, TimeUnit.SECONDS)
                 .join();
     }
 
-    /** What was seen so far, and what it comes to. */
+    /** Returns the results and rule breaches of the observations so far. */
     public FleetReport report() {
         final List<Observation> seen = recorder.seen();
         return new FleetReport(
@@ -300,64 +302,68 @@
         return recorder.seen();
     }
 
-    /** A worker's fault begins now. Not on the fleet's loop. */
+    /** Starts a fault of a worker. Must not be called on the fleet's loop. */
     void begin(InjectedFault.Kind kind, String worker) {
-        onLoop(() -> begin(new InjectedFault(kind, worker, 1, 0, 0), workerCalled(worker)));
+        onLoop(() -> begin(new InjectedFault(kind, worker, 1, 0, 0), workerById(worker)));
     }
 
-    /** A worker's fault ends now. Not on the fleet's loop. */
+    /** Ends a fault of a worker. Must not be called on the fleet's loop. */
     void end(InjectedFault.Kind kind, String worker) {
-        onLoop(() -> end(new InjectedFault(kind, worker, 1, 0, 0), workerCalled(worker)));
+        onLoop(() -> end(new InjectedFault(kind, worker, 1, 0, 0), workerById(worker)));
     }
 
-    private WorkerStandIn workerCalled(String id) {
+    private WorkerStandIn workerById(String id) {
         return workers.stream()
-                .filter(each -> each.make().id().equals(id))
+                .filter(each -> each.spec().id().equals(id))
                 .findFirst()
                 .orElseThrow();
     }
 
     /**
-     * Notes for the checker of the rules that an operator's drain holds from this time on, Unix
-     * time, us.
+     * Records that the node has confirmed an operator drain at this time, Unix time in
+     * microseconds.
      */
     public void drainedAt(String worker, long us) {
         recorder.add(new OperatorDrained(us, worker, true));
     }
 
-    /** Notes that an operator's drain is undone from now on: work may come. */
+    /** Records that an operator drain ends now: the worker may get requests again. */
     public void undrained(String worker) {
         recorder.add(new OperatorDrained(recorder.nowUs(), worker, false));
     }
 
-    /** When the first byte of the newest send to a worker came, Unix time in microseconds, or 0. */
+    /**
+     * The time of the first byte of the newest attempt at a worker, Unix time in microseconds; 0 if
+     * there is none.
+     */
     public long lastSendUs(String worker) {
         final List<Observation> seen = recorder.seen();
         for (int i = seen.size() - 1; i >= 0; i--) {
-            if (seen.get(i) instanceof SendCame send && send.worker().equals(worker)) {
+            if (seen.get(i) instanceof AttemptReceived send && send.worker().equals(worker)) {
                 return send.firstByteUs();
             }
         }
         return 0;
     }
 
-    /** CPU time of the node's one loop, ns. */
+    /** CPU time of the node's event loop, ns. */
     public long nodeCpuNs() {
         return node.loopCpuNs();
     }
 
     /**
-     * How much each worker was sent within a span of Unix time in microseconds; none is not there.
+     * The number of attempts at each worker between two times, Unix time in microseconds; workers
+     * without attempts are missing.
      */
     public Map<String, Long> sends(long fromUs, long toUs) {
         return recorder.seen().stream()
-                .filter(SendCame.class::isInstance)
-                .map(SendCame.class::cast)
+                .filter(AttemptReceived.class::isInstance)
+                .map(AttemptReceived.class::cast)
                 .filter(each -> each.firstByteUs() > fromUs && each.firstByteUs() <= toUs)
-                .collect(Collectors.groupingBy(SendCame::worker, Collectors.counting()));
+                .collect(Collectors.groupingBy(AttemptReceived::worker, Collectors.counting()));
     }
 
-    /** Discovery forgets what it has reported, so that its next answer is a whole list. */
+    /** Makes discovery forget its changes, so that its next response is a full list. */
     void reportFullList() {
         onLoop(discovery::forgetChanges);
     }
@@ -376,8 +382,8 @@
     }
 
     /**
-     * Ends it all, once: clients leave, the node stops as by SIGTERM, then workers and discovery
-     * go.
+     * Stops everything, once: clients abandon their requests, the node stops as on SIGTERM, then
+     * workers and discovery close.
      */
     public synchronized void stop() {
         if (closed) {
@@ -386,7 +392,7 @@
         closed = true;
         onLoop(clients::abandon);
         try {
-            node.stop().get(STOP_S, TimeUnit.SECONDS);
+            node.stop().get(MAX_STOP_WAIT_S, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             node.halt();
@@ -401,7 +407,7 @@
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
     }
 
-    /** Time on the fleet's clock, in which observations are reported. */
+    /** The time of the fleet's clock, which the observations use, us. */
     public long nowUs() {
         return recorder.nowUs();
     }
--- a/src/main/java/cresschute/testbed/LargeFleet.java
+++ b/src/main/java/cresschute/testbed/LargeFleet.java
@@ -18,40 +18,43 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * A node that is notified of very many workers, by a discovery service whose list does not rest:
- * for what consoles cost at that size. Nobody sends jobs, so that none of the workers need be
- * there.
+ * A node with very many workers and a discovery service whose list changes continuously, to measure
+ * the cost of consoles at that size. No jobs are sent, so that the workers need not exist.
  */
 public final class LargeFleet implements AutoCloseable {
 
     private static final long STEP_MS = 50;
 
-    /** The longest wait for a call on the loop, or for the node's end, s. */
+    /** The maximum wait for a call on the loop or for the end of the node, s. */
     private static final long MAX_WAIT_S = 30;
 
-    private static final InetSocketAddress NOWHERE =
+    private static final InetSocketAddress UNUSED_ADDRESS =
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
 
     private final EventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final UniformRandomProvider chance;
+    private final UniformRandomProvider random;
     private final DiscoveryStandIn discovery;
-    private final List<WorkerStandIn.Make> workers = new ArrayList<>();
+    private final List<WorkerStandIn.Spec> workers = new ArrayList<>();
     private final boolean[] drains;
     private final NodeServer node;
 
-    /** Starts discovery and node; the list is reported at once. */
+    /** Starts discovery and the node; the endpoint list is reported immediately. */
     public LargeFleet(int count, long seed, Path controlSocket) {
-        chance = RandomSource.XO_SHI_RO_256_PP.create(seed);
+        random = RandomSource.XO_SHI_RO_256_PP.create(seed);
         discovery = new DiscoveryStandIn(loop, new Recorder());
         drains = new boolean[count];
         final InetSocketAddress at = discovery.start();
         for (int i = 0; i < count; i++) {
-            workers.add(new WorkerStandIn.Make("w" + (i + 1), i % 10, "local", "std", 4, 1));
+            workers.add(new WorkerStandIn.Spec("w" + (i + 1), i % 10, "local", "std", 4, 1));
         }
         CompletableFuture.runAsync(
-                        () -> workers.forEach(each -> discovery.set(each, NOWHERE, "SERVING", 0)),
+                        () ->
+                                workers.forEach(
+                                        each ->
+                                                discovery.setState(
+                                                        each, UNUSED_ADDRESS, "SERVING", 0)),
                         loop)
                 .orTimeout(MAX_WAIT_S, TimeUnit.SECONDS)
                 .join();
@@ -72,17 +75,18 @@
     }
 
     /**
-     * From now on so many workers a second change between serving and draining, drawn by the seed.
+     * Switches this many random workers per second between serving and draining from now on; the
+     * seed determines which.
      */
     public void churn(int perS) {
         loop.scheduleAtFixedRate(
                 () -> {
                     for (int i = 0; i < perS * STEP_MS / 1_000; i++) {
-                        final int worker = chance.nextInt(drains.length);
+                        final int worker = random.nextInt(drains.length);
                         drains[worker] = !drains[worker];
-                        discovery.set(
+                        discovery.setState(
                                 workers.get(worker),
-                                NOWHERE,
+                                UNUSED_ADDRESS,
                                 drains[worker] ? "DRAINING" : "SERVING",
                                 0);
                     }
@@ -92,7 +96,7 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    /** CPU time of the node's one loop, ns. */
+    /** CPU time of the node's event loop, ns. */
     public long nodeCpuNs() {
         return node.loopCpuNs();
     }
--- a/src/main/java/cresschute/testbed/LoadClients.java
+++ b/src/main/java/cresschute/testbed/LoadClients.java
@@ -2,7 +2,7 @@
 
 import com.google.gson.JsonObject;
 import cresschute.dispatch.Idempotency;
-import cresschute.testbed.Observation.AnswerTooMany;
+import cresschute.testbed.Observation.UnexpectedAnswer;
 import cresschute.testbed.Observation.RequestAnswered;
 import cresschute.testbed.Observation.RequestLost;
 import cresschute.testbed.Observation.RequestSent;
@@ -44,39 +44,40 @@
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 
 /**
- * Clients of a node. Jobs come in an open loop, whether earlier ones are answered or not. Clients
- * keep their connections, send one request at a time on each, try again after a refusal up to two
- * times as it advises, and after a failure where a repeat is safe. All of it happens on one loop.
+ * Load-generating clients of a node. Jobs arrive in an open loop, independent of earlier responses.
+ * Clients keep their connections and send one request at a time on each. They retry a rejected
+ * request up to two times, after the advised delay, and a failed request if a repeat is safe.
+ * Everything runs on one event loop.
  */
 public final class LoadClients {
 
-    /** The status of an answer that serves. */
+    /** The status of a successful response. */
     public static final int OK = 200;
 
     private static final int REFUSED = 503;
-    private static final int TOO_MANY = 429;
-    private static final int MAX_TRIES = 3;
+    private static final int TOO_MANY_REQUESTS = 429;
+    private static final int MAX_ATTEMPTS = 3;
     private static final int MAX_ANSWER_BYTES = 1 << 20;
 
     /**
-     * How long after its deadline a request is still listened for: an answer so late is late, but
-     * it is one.
+     * How long to wait for a response after the deadline, us; a response in that time is late, but
+     * is not missing.
      */
-    private static final long LATE_BEYOND_US = 2_000_000;
+    private static final long LATE_ANSWER_WAIT_US = 2_000_000;
 
-    private static final double SPREAD = 0.45;
+    private static final double WORK_SIGMA = 0.45;
     private static final double TAIL_SHARE = 0.02;
-    private static final double WIDE_SHARE = 0.25;
+    private static final double TWO_SLOT_SHARE = 0.25;
 
     private final EventLoop loop;
     private final Recorder recorder;
-    private final UniformRandomProvider chance;
+    private final UniformRandomProvider random;
     private final List<JobClass> classes;
     private final double ratePerS;
-    private final ContinuousSampler spread;
-    private final ContinuousSampler gap;
+    private final ContinuousSampler workFactor;
+    private final ContinuousSampler arrivalGap;
     private final Map<SocketAddress, Deque<Connection>> idle = new HashMap<>();
-    private final Set<Try> open = new HashSet<>();
+    private final Set<ClientAttempt> open = new HashSet<>();
     private final Set<Connection> connections = new HashSet<>();
     private List<SocketAddress> nodes = List.of();
     private long connects;
@@ -86,38 +87,38 @@
     private double tail = 1;
     private int lastOrigin;
 
-    /** Clients that send nothing yet. */
+    /** Creates clients that send nothing yet. */
     public LoadClients(
             EventLoop loop,
             Recorder recorder,
-            UniformRandomProvider chance,
+            UniformRandomProvider random,
             List<JobClass> classes,
             double ratePerS) {
         this.loop = loop;
         this.recorder = recorder;
-        this.chance = chance;
+        this.random = random;
         this.classes = classes;
         this.ratePerS = ratePerS;
-        // A mean of 1: work varies by about half, as jobs of one class do.
-        this.spread =
+        // Mean 1: the work of jobs of one class varies by about half.
+        this.workFactor =
                 LogNormalSampler.of(
-                        ZigguratSampler.NormalizedGaussian.of(chance),
-                        -SPREAD * SPREAD / 2,
-                        SPREAD);
-        this.gap = ZigguratSampler.Exponential.of(chance, 1);
+                        ZigguratSampler.NormalizedGaussian.of(random),
+                        -WORK_SIGMA * WORK_SIGMA / 2,
+                        WORK_SIGMA);
+        this.arrivalGap = ZigguratSampler.Exponential.of(random, 1);
     }
 
     // ---- Arrivals ----
 
-    /** Begins to send to a node. On the loop. */
+    /** Starts sending to a node. Must be called on the event loop. */
     void start(SocketAddress to) {
         connectTo(List.of(to));
-        next();
+        scheduleNextArrival();
     }
 
     /**
-     * From now on what is submitted goes to these, drawn evenly; nothing arrives by itself. On the
-     * loop.
+     * Sends submitted requests to these nodes, drawn evenly, from now on; no jobs arrive by
+     * themselves. Must be called on the event loop.
      */
     public void connectTo(List<SocketAddress> to) {
         nodes = List.copyOf(to);
@@ -125,48 +126,50 @@
     }
 
     /**
-     * Sends one request now. On the loop.
+     * Sends one request now. Must be called on the event loop.
      *
-     * @param origin names the request in all its retries
-     * @param tenant the customer, or null where there are none
+     * @param origin the id that the request keeps in all its retries
+     * @param tenant the tenant, or null if there are none
      */
-    public void submit(JobClass stated, String origin, long workUs, String tenant) {
-        final String key = stated.effect() == Idempotency.KEYED ? "key-" + origin : null;
-        new Try(stated, origin, origin, key, workUs, 1, 1, tenant).send();
+    public void submit(JobClass jobClass, String origin, long workUs, String tenant) {
+        final String key = jobClass.effect() == Idempotency.KEYED ? "key-" + origin : null;
+        new ClientAttempt(jobClass, origin, origin, key, workUs, 1, 1, tenant).send();
     }
 
-    /** Connections opened so far. On the loop. */
+    /** The number of connections opened so far. Must be called on the event loop. */
     public long connects() {
         return connects;
     }
 
-    /** Requests written so far, retries included. On the loop. */
+    /**
+     * The number of requests written so far, including retries. Must be called on the event loop.
+     */
     public long sent() {
         return sent;
     }
 
-    /** No new jobs come; those under way go on. On the loop. */
+    /** Stops the arrival of jobs; requests in flight continue. Must be called on the event loop. */
     public void stopArriving() {
         arriving = false;
     }
 
-    /** So many times the usual come from now on. */
-    void burst(double factor) {
+    /** Multiplies the arrival rate by this factor from now on. */
+    void setBurstFactor(double factor) {
         burst = factor;
     }
 
-    /** One job in fifty takes so many times the usual work from now on. */
-    void tail(double factor) {
+    /** Multiplies the work of one job in fifty by this factor from now on. */
+    void setTailFactor(double factor) {
         tail = factor;
     }
 
-    private void next() {
-        final long delayUs = (long) (gap.sample() * 1e6 / (ratePerS * burst));
+    private void scheduleNextArrival() {
+        final long delayUs = (long) (arrivalGap.sample() * 1e6 / (ratePerS * burst));
         loop.schedule(
                 () -> {
                     if (arriving) {
                         arrive();
-                        next();
+                        scheduleNextArrival();
                     }
                 },
                 delayUs,
@@ -174,46 +177,47 @@
     }
 
     private void arrive() {
-        final JobClass stated = draw();
-        final double heavy = chance.nextDouble() < TAIL_SHARE ? tail : 1;
-        final long workUs = Math.max(1, (long) (stated.meanWorkUs() * spread.sample() * heavy));
-        final double slots = chance.nextDouble() < WIDE_SHARE ? 2 : 1;
-        final String origin = "job-" + ++lastOrigin + "-" + Long.toHexString(chance.nextLong());
-        final String key = stated.effect() == Idempotency.KEYED ? "key-" + origin : null;
-        new Try(stated, origin, origin, key, workUs, slots, 1, null).send();
+        final JobClass jobClass = drawJobClass();
+        final double tailFactor = random.nextDouble() < TAIL_SHARE ? tail : 1;
+        final long workUs =
+                Math.max(1, (long) (jobClass.meanWorkUs() * workFactor.sample() * tailFactor));
+        final double slots = random.nextDouble() < TWO_SLOT_SHARE ? 2 : 1;
+        final String origin = "job-" + ++lastOrigin + "-" + Long.toHexString(random.nextLong());
+        final String key = jobClass.effect() == Idempotency.KEYED ? "key-" + origin : null;
+        new ClientAttempt(jobClass, origin, origin, key, workUs, slots, 1, null).send();
     }
 
-    private JobClass draw() {
-        double left = chance.nextDouble() * classes.stream().mapToDouble(JobClass::share).sum();
-        for (final JobClass stated : classes) {
-            left -= stated.share();
+    private JobClass drawJobClass() {
+        double left = random.nextDouble() * classes.stream().mapToDouble(JobClass::share).sum();
+        for (final JobClass jobClass : classes) {
+            left -= jobClass.share();
             if (left < 0) {
-                return stated;
+                return jobClass;
             }
         }
         return classes.get(classes.size() - 1);
     }
 
-    /** Tries that wait for an answer. */
+    /** The number of attempts that wait for a response. */
     public int waiting() {
         return open.size();
     }
 
-    /** Ends all at once: what still waits is unfinished. On the loop. */
+    /** Ends all waiting attempts as unfinished. Must be called on the event loop. */
     public void abandon() {
         arriving = false;
-        for (final Try each : new ArrayList<>(open)) {
-            each.over();
+        for (final ClientAttempt each : new ArrayList<>(open)) {
+            each.close();
             recorder.add(new RequestUnfinished(recorder.nowUs(), each.id));
         }
         new ArrayList<>(connections).forEach(connection -> connection.channel.close());
     }
 
-    // ---- Tries ----
+    // ---- Client attempts ----
 
-    /** One try of a job. */
-    private final class Try {
-        private final JobClass stated;
+    /** One attempt of a client to get a job done. */
+    private final class ClientAttempt {
+        private final JobClass jobClass;
         private final String origin;
         private final String id;
         private final String key;
@@ -223,8 +227,8 @@
         private final String tenant;
         private Future<?> unanswered;
 
-        Try(
-                JobClass stated,
+        ClientAttempt(
+                JobClass jobClass,
                 String origin,
                 String id,
                 String key,
@@ -232,7 +236,7 @@
                 double slots,
                 int number,
                 String tenant) {
-            this.stated = stated;
+            this.jobClass = jobClass;
             this.origin = origin;
             this.id = id;
             this.key = key;
@@ -245,7 +249,7 @@
         void send() {
             open.add(this);
             final SocketAddress node =
-                    nodes.get(nodes.size() == 1 ? 0 : chance.nextInt(nodes.size()));
+                    nodes.get(nodes.size() == 1 ? 0 : random.nextInt(nodes.size()));
             final Connection kept =
                     idle.computeIfAbsent(node, unseen -> new ArrayDeque<>()).pollLast();
             if (kept != null) {
@@ -274,8 +278,8 @@
                                     connected -> {
                                         if (!connected.isSuccess()) {
                                             open.remove(this);
-                                            // Nothing was sent: the node is not there, and another
-                                            // try does no harm.
+                                            // The connection failed and nothing was sent, so a
+                                            // retry is safe.
                                             retry(0);
                                         } else if (open.contains(this)) {
                                             connected
@@ -294,11 +298,11 @@
                             recorder.nowUs(),
                             id,
                             origin,
-                            stated.name(),
+                            jobClass.name(),
                             key,
                             workUs,
                             slots,
-                            stated.deadlineUs()));
+                            jobClass.deadlineUs()));
             unanswered =
                     loop.schedule(
                             () -> {
@@ -306,12 +310,12 @@
                                     recorder.add(new RequestUnanswered(recorder.nowUs(), id));
                                 }
                             },
-                            stated.deadlineUs() + LATE_BEYOND_US,
+                            jobClass.deadlineUs() + LATE_ANSWER_WAIT_US,
                             TimeUnit.MICROSECONDS);
         }
 
-        /** Whether it was open until now. */
-        boolean over() {
+        /** Ends the attempt and returns whether it was open until now. */
+        boolean close() {
             if (unanswered != null) {
                 unanswered.cancel(false);
             }
@@ -319,8 +323,8 @@
         }
 
         void answered(FullHttpResponse response) {
-            if (!over()) {
-                recorder.add(new AnswerTooMany(recorder.nowUs(), id));
+            if (!close()) {
+                recorder.add(new UnexpectedAnswer(recorder.nowUs(), id));
                 return;
             }
             final int status = response.status().code();
@@ -330,8 +334,8 @@
                             id,
                             status,
                             response.content().toString(StandardCharsets.UTF_8)));
-            final boolean refused = status == REFUSED || status == TOO_MANY;
-            if (refused || (status != OK && stated.effect() == Idempotency.SAFE)) {
+            final boolean refused = status == REFUSED || status == TOO_MANY_REQUESTS;
+            if (refused || (status != OK && jobClass.effect() == Idempotency.SAFE)) {
                 retry(retryAfterUs(response.headers().get(HttpHeaderNames.RETRY_AFTER, "0")));
             }
         }
@@ -345,12 +349,12 @@
         }
 
         private void retry(long adviceUs) {
-            if (number < MAX_TRIES && arriving) {
+            if (number < MAX_ATTEMPTS && arriving) {
                 final long delayUs =
-                        Math.max(adviceUs, (long) (200_000 * (0.5 + chance.nextDouble())));
-                final Try next =
-                        new Try(
-                                stated,
+                        Math.max(adviceUs, (long) (200_000 * (0.5 + random.nextDouble())));
+                final ClientAttempt next =
+                        new ClientAttempt(
+                                jobClass,
                                 origin,
                                 "again-" + number + "-" + origin,
                                 key,
@@ -377,12 +381,15 @@
                     new DefaultFullHttpRequest(
                             HttpVersion.HTTP_1_1,
                             HttpMethod.POST,
-                            "/" + stated.name() + "?obj=" + Integer.toHexString(origin.hashCode()),
+                            "/"
+                                    + jobClass.name()
+                                    + "?obj="
+                                    + Integer.toHexString(origin.hashCode()),
                             Unpooled.copiedBuffer(body.toString(), StandardCharsets.UTF_8));
             request.headers()
                     .set(HttpHeaderNames.HOST, "lab")
                     .set("X-Request-Id", id)
-                    .set("X-Deadline", stated.deadlineUs() / 1000 + "m")
+                    .set("X-Deadline", jobClass.deadlineUs() / 1000 + "m")
                     .set("X-Extras", "slots=" + slots);
             if (tenant != null) {
                 request.headers().set("X-Tenant", tenant);
@@ -398,12 +405,12 @@
         }
     }
 
-    /** A connection to the node; one try at a time. */
+    /** A connection to the node; it carries one attempt at a time. */
     private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
 
         private final Channel channel;
         private final SocketAddress node;
-        private Try current;
+        private ClientAttempt current;
 
         Connection(Channel channel, SocketAddress node) {
             this.channel = channel;
@@ -411,7 +418,7 @@
             connections.add(this);
         }
 
-        void send(Try next) {
+        void send(ClientAttempt next) {
             current = next;
             channel.writeAndFlush(next.request())
                     .addListener(
@@ -424,13 +431,14 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
-            final Try answered = current;
+            final ClientAttempt answered = current;
             current = null;
             if (answered == null) {
-                recorder.add(new AnswerTooMany(recorder.nowUs(), "a connection without a req"));
+                recorder.add(new UnexpectedAnswer(recorder.nowUs(), "a connection without a req"));
                 return;
             }
-            // Kept before the answer is acted on, so that a try that follows at once may use it.
+            // Returned to the idle connections before the response is processed, so that an
+            // immediate retry can use it.
             if (HttpUtil.isKeepAlive(response)) {
                 idle.get(node).addLast(this);
             } else {
@@ -443,9 +451,9 @@
         public void channelInactive(ChannelHandlerContext ctx) {
             connections.remove(this);
             idle.get(node).remove(this);
-            if (current != null && current.unanswered != null && current.over()) {
+            if (current != null && current.unanswered != null && current.close()) {
                 recorder.add(new RequestLost(recorder.nowUs(), current.id));
-            } else if (current != null && current.over()) {
+            } else if (current != null && current.close()) {
                 current.retry(0);
             }
             current = null;
--- a/src/main/java/cresschute/testbed/WorkerStandIn.java
+++ b/src/main/java/cresschute/testbed/WorkerStandIn.java
@@ -4,13 +4,13 @@
 import com.google.gson.JsonParseException;
 import cresschute.dispatch.SlowStartSettings;
 import cresschute.node.Json;
-import cresschute.testbed.Observation.EffectMade;
+import cresschute.testbed.Observation.EffectApplied;
 import cresschute.testbed.Observation.RunDone;
 import cresschute.testbed.Observation.RunStarted;
-import cresschute.testbed.Observation.SendCame;
-import cresschute.testbed.Observation.SendTurnedAway;
+import cresschute.testbed.Observation.AttemptReceived;
+import cresschute.testbed.Observation.AttemptRejected;
 import cresschute.testbed.Observation.WorkerBooted;
-import cresschute.testbed.Observation.WorkerFell;
+import cresschute.testbed.Observation.WorkerOverloaded;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -40,23 +40,23 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * A worker as the protocol has it: slots, a queue in order of arrival, lines that report start,
- * progress and end, load reports, keys that its cell drops, a cold start under which it falls over
- * if it is sent too much. How long a job takes is stated in its body, {@code {"work_us":...,
- * "slots":...}}. It has scripted faults, and all of it happens on one loop.
+ * A worker as the protocol defines it: slots, a FIFO queue, response lines that report start,
+ * progress and end, load reports, idempotency keys shared with its cell, and a cold start during
+ * which it crashes if it is sent too much. The body of a job states how long it takes, {@code
+ * {"work_us":..., "slots":...}}. Faults are scripted. Everything runs on one event loop.
  */
 public final class WorkerStandIn {
 
     private static final int MAX_BODY_BYTES = 128 * 1024;
     private static final long DEFAULT_WORK_US = 100_000;
-    private static final long PROGRESS_US = 1_000_000;
-    private static final long REPORT_US = 1_000_000;
+    private static final long PROGRESS_INTERVAL_US = 1_000_000;
+    private static final long REPORT_INTERVAL_US = 1_000_000;
     private static final long WARMING_STEP_US = 100_000;
     private static final long LISTEN_AGAIN_MS = 20;
-    private static final int MAX_WAITING_A_SLOT = 8;
+    private static final int MAX_WAITING_PER_SLOT = 8;
 
-    /** What a worker is. */
-    public record Make(String id, int cell, String zone, String kind, int slots, double speed) {
+    /** The fixed properties of a worker. */
+    public record Spec(String id, int cell, String zone, String kind, int slots, double speed) {
 
         double capacity() {
             return slots * speed;
@@ -65,40 +65,40 @@
 
     private final EventLoop loop;
     private final Recorder recorder;
-    private final UniformRandomProvider chance;
-    private final Make make;
+    private final UniformRandomProvider random;
+    private final Spec spec;
     private final CellKeys keys;
     private final SlowStartSettings coldStart;
     private final Deque<Job> waiting = new ArrayDeque<>();
     private final List<Job> running = new ArrayList<>();
-    private final Deque<SendCame> sentCold = new ArrayDeque<>();
+    private final Deque<AttemptReceived> sentCold = new ArrayDeque<>();
     private final Deque<Report> reports = new ArrayDeque<>();
     private final LoopbackServer server;
     private InetSocketAddress address;
-    private double slowness = 1;
+    private double slowdown = 1;
     private boolean silent;
     private double resetShare;
     private double garbageShare;
-    private long reportsLateUs;
+    private long reportDelayUs;
     private long bootedUs = Long.MIN_VALUE / 2;
     private boolean dead;
 
-    /** Told apart from what was planned before a crash. */
-    private int life;
+    /** The number of the current process; events scheduled before a crash are ignored. */
+    private int processNumber;
 
     private record Report(long us, double freeSlots, int queue) {}
 
     WorkerStandIn(
             EventLoop loop,
             Recorder recorder,
-            UniformRandomProvider chance,
-            Make make,
+            UniformRandomProvider random,
+            Spec spec,
             CellKeys keys,
             SlowStartSettings coldStart) {
         this.loop = loop;
         this.recorder = recorder;
-        this.chance = chance;
-        this.make = make;
+        this.random = random;
+        this.spec = spec;
         this.keys = keys;
         this.coldStart = coldStart;
         server =
@@ -107,58 +107,61 @@
                         channel ->
                                 channel.pipeline()
                                         .addLast(
-                                                new FirstBytes(),
+                                                new FirstByteRecorder(),
                                                 new HttpServerCodec(),
                                                 new HttpObjectAggregator(MAX_BODY_BYTES),
                                                 new Handler()));
     }
 
-    Make make() {
-        return make;
+    Spec spec() {
+        return spec;
     }
 
     CellKeys keys() {
         return keys;
     }
 
-    /** Where it listens; the same after a crash. */
+    /** The listening address; it stays the same after a crash. */
     InetSocketAddress address() {
         return address;
     }
 
-    /** Listens on a free port of the loopback address, warm; blocks, so not on the loop. */
+    /**
+     * Listens on a free port of the loopback address, warm. Blocks; must not be called on the event
+     * loop.
+     */
     void start() {
-        // Before it listens: the first request may ask for a report.
+        // Creates a report before listening, because the first request may ask for it.
         loop.submit(this::report).syncUninterruptibly();
         address = server.listen();
     }
 
-    // ---- Faults; all on the loop ----
+    // ---- Faults; all methods run on the event loop ----
 
-    void slow(double factor) {
-        replan(() -> slowness = factor);
+    void setSlowdown(double factor) {
+        changeSpeed(() -> slowdown = factor);
     }
 
-    void silent(boolean now) {
-        replan(() -> silent = now);
+    void setSilent(boolean now) {
+        changeSpeed(() -> silent = now);
     }
 
-    void resets(double share) {
+    void setResetShare(double share) {
         resetShare = share;
     }
 
-    void garbage(double share) {
+    void setGarbageShare(double share) {
         garbageShare = share;
     }
 
-    void lateReports(long lateUs) {
-        reportsLateUs = lateUs;
+    void setReportDelay(long delayUs) {
+        reportDelayUs = delayUs;
     }
 
-    /** The process dies: its connections are reset, new ones refused, its jobs lost. */
+    /** Crashes the process: resets its connections, refuses new ones and loses its jobs. */
     void crash() {
         dead = true;
-        life++;
+        processNumber++;
         server.stopListening();
         server.resetAll();
         final List<Job> lost = new ArrayList<>(running);
@@ -168,7 +171,7 @@
         lost.forEach(Job::lose);
     }
 
-    /** The process is there again, cold, at the same address. Completes when it listens. */
+    /** Restarts the process, cold, at the same address. May return before it listens. */
     void boot() {
         if (!dead) {
             return;
@@ -178,22 +181,22 @@
         bootedUs = recorder.nowUs();
         sentCold.clear();
         reports.clear();
-        recorder.add(new WorkerBooted(bootedUs, make.id(), make.capacity()));
+        recorder.add(new WorkerBooted(bootedUs, spec.id(), spec.capacity()));
         report();
-        warm();
+        scheduleWarmUpStep();
     }
 
     /**
-     * Tried until it works: a listener's port is free only once the loop has looked at its sockets
-     * again.
+     * Listens again, with retries until it works: the port is free only after the event loop has
+     * processed its sockets once more.
      */
     private void listenAgain() {
-        final int now = life;
+        final int now = processNumber;
         server.listenAgain(address)
                 .addListener(
                         (ChannelFutureListener)
                                 bound -> {
-                                    if (life != now) {
+                                    if (processNumber != now) {
                                         bound.channel().close();
                                     } else if (!bound.isSuccess()) {
                                         loop.schedule(
@@ -204,15 +207,15 @@
                                 });
     }
 
-    /** While it warms, what runs gets faster step by step. */
-    private void warm() {
-        final int now = life;
+    /** Raises the speed of running jobs step by step during the warm-up. */
+    private void scheduleWarmUpStep() {
+        final int now = processNumber;
         if (recorder.nowUs() - bootedUs < coldStart.warmUpDurationUs()) {
             loop.schedule(
                     () -> {
-                        if (life == now) {
-                            replan(() -> {});
-                            warm();
+                        if (processNumber == now) {
+                            changeSpeed(() -> {});
+                            scheduleWarmUpStep();
                         }
                     },
                     WARMING_STEP_US,
@@ -222,34 +225,34 @@
 
     void close() {
         dead = true;
-        life++;
+        processNumber++;
         server.close();
     }
 
     // ---- Jobs ----
 
-    /** How fast a slot runs now, where 1 is the yardstick. */
+    /** The current speed of a slot; 1 is the reference speed. */
     private double speed() {
         return silent
                 ? 0
-                : make.speed()
-                        / slowness
-                        * RuleChecker.shareAt(coldStart, recorder.nowUs() - bootedUs);
+                : spec.speed()
+                        / slowdown
+                        * RuleChecker.capacityFractionAt(coldStart, recorder.nowUs() - bootedUs);
     }
 
-    /** Changes the speed of what runs: what is done so far was done at the old one. */
-    private void replan(Runnable change) {
-        running.forEach(Job::settle);
+    /** Changes the speed of running jobs; work done so far is accounted for at the old speed. */
+    private void changeSpeed(Runnable change) {
+        running.forEach(Job::updateRemaining);
         change.run();
-        running.forEach(Job::plan);
+        running.forEach(Job::scheduleEnd);
         startWaiting();
     }
 
     private double freeSlots() {
-        return make.slots() - running.stream().mapToDouble(job -> job.slots).sum();
+        return spec.slots() - running.stream().mapToDouble(job -> job.slots).sum();
     }
 
-    /** The first one waits until it fits, and all others behind it. */
+    /** Starts waiting jobs in order; a job that does not fit blocks those behind it. */
     private void startWaiting() {
         while (!silent && !waiting.isEmpty() && waiting.peek().slots <= freeSlots()) {
             final Job job = waiting.poll();
@@ -264,22 +267,22 @@
         while (reports.size() > 1 && nowUs - reports.peekFirst().us() > 60_000_000L) {
             reports.pollFirst();
         }
-        final int now = life;
+        final int now = processNumber;
         loop.schedule(
                 () -> {
-                    if (life == now && !dead) {
+                    if (processNumber == now && !dead) {
                         report();
                     }
                 },
-                (long) (REPORT_US * (1 + chance.nextDouble() / 2)),
+                (long) (REPORT_INTERVAL_US * (1 + random.nextDouble() / 2)),
                 TimeUnit.MICROSECONDS);
     }
 
-    /** The report that it tells now: the newest that is old enough. */
+    /** Returns the report to send now: the newest that is old enough. */
     private Report reported() {
         Report reported = reports.peekFirst();
         for (final Report each : reports) {
-            reported = each.us() <= recorder.nowUs() - reportsLateUs ? each : reported;
+            reported = each.us() <= recorder.nowUs() - reportDelayUs ? each : reported;
         }
         return reported;
     }
@@ -292,7 +295,7 @@
         return load;
     }
 
-    /** One request that was sent to it. */
+    /** A request that was sent to this worker. */
     private final class Job {
         private final String id;
         private final String key;
@@ -301,7 +304,7 @@
         private final Channel channel;
         private final boolean garbled;
         private double leftUs;
-        private long settledUs;
+        private long updatedUs;
         private double rate;
         private Future<?> end;
         private Future<?> progress;
@@ -317,45 +320,45 @@
             this.leftUs = workUs;
         }
 
-        /** Says that it is taken; a silent worker does so once it speaks again. */
-        void head() {
+        /** Writes the response head; a silent worker does so after its fault has ended. */
+        void writeHead() {
             if (!silent && !headWritten) {
                 headWritten = true;
-                final DefaultHttpResponse head =
+                final DefaultHttpResponse writeHead =
                         new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-                HttpUtil.setTransferEncodingChunked(head, true);
-                channel.writeAndFlush(head);
+                HttpUtil.setTransferEncodingChunked(writeHead, true);
+                channel.writeAndFlush(writeHead);
             }
         }
 
         void start() {
-            recorder.add(new RunStarted(recorder.nowUs(), make.id(), id));
-            line("started", null, null);
-            settledUs = recorder.nowUs();
-            plan();
-            tick();
+            recorder.add(new RunStarted(recorder.nowUs(), spec.id(), id));
+            writeLine("started", null, null);
+            updatedUs = recorder.nowUs();
+            scheduleEnd();
+            scheduleProgress();
         }
 
-        /** Progress is reported while it runs, and not while the worker is silent. */
-        private void tick() {
+        /** Schedules the next progress line. No line is written while the worker is silent. */
+        private void scheduleProgress() {
             progress =
                     loop.schedule(
                             () -> {
-                                settle();
-                                line("running", 1 - Math.max(0, leftUs) / workUs, null);
-                                tick();
+                                updateRemaining();
+                                writeLine("running", 1 - Math.max(0, leftUs) / workUs, null);
+                                scheduleProgress();
                             },
-                            PROGRESS_US,
+                            PROGRESS_INTERVAL_US,
                             TimeUnit.MICROSECONDS);
         }
 
-        void settle() {
+        void updateRemaining() {
             final long nowUs = recorder.nowUs();
-            leftUs -= (nowUs - settledUs) * rate;
-            settledUs = nowUs;
+            leftUs -= (nowUs - updatedUs) * rate;
+            updatedUs = nowUs;
         }
 
-        void plan() {
+        void scheduleEnd() {
             rate = speed();
             if (end != null) {
                 end.cancel(false);
@@ -364,21 +367,21 @@
                     rate <= 0
                             ? null
                             : loop.schedule(
-                                    this::done,
+                                    this::complete,
                                     (long) Math.max(0, leftUs / rate),
                                     TimeUnit.MICROSECONDS);
         }
 
-        private void done() {
+        private void complete() {
             running.remove(this);
             progress.cancel(false);
-            final String result = make.id() + " did " + id;
-            recorder.add(new RunDone(recorder.nowUs(), make.id(), id, result));
+            final String result = spec.id() + " did " + id;
+            recorder.add(new RunDone(recorder.nowUs(), spec.id(), id, result));
             if (key != null) {
-                recorder.add(new EffectMade(recorder.nowUs(), make.id(), id, key));
+                recorder.add(new EffectApplied(recorder.nowUs(), spec.id(), id, key));
                 keys.done(key, result);
             }
-            line("done", null, result);
+            writeLine("done", null, result);
             startWaiting();
         }
 
@@ -394,24 +397,27 @@
             }
         }
 
-        /** The result of another run under the same key. */
-        void repeat(String result) {
+        /**
+         * Completes with the result of another run under the same key; a null result means that the
+         * run was lost.
+         */
+        void completeAsDuplicate(String result) {
             if (result == null) {
-                line("lost", null, null);
+                writeLine("lost", null, null);
                 return;
             }
-            recorder.add(new RunDone(recorder.nowUs(), make.id(), id, result));
-            line("done", null, result);
+            recorder.add(new RunDone(recorder.nowUs(), spec.id(), id, result));
+            writeLine("done", null, result);
         }
 
-        private void line(String state, Double share, String result) {
+        private void writeLine(String state, Double share, String result) {
             if (silent || !channel.isActive()) {
                 return;
             }
-            head();
+            writeHead();
             final JsonObject line = new JsonObject();
             line.addProperty("id", id);
-            line.addProperty("from", make.id());
+            line.addProperty("from", spec.id());
             line.addProperty("state", state);
             if (share != null) {
                 line.addProperty("share", Math.max(0, Math.min(1, share)));
@@ -432,8 +438,8 @@
 
     // ---- Requests ----
 
-    /** Notes when the first byte of each request came. */
-    private static final class FirstBytes extends ChannelInboundHandlerAdapter {
+    /** Records when the first byte of each request arrived. */
+    private static final class FirstByteRecorder extends ChannelInboundHandlerAdapter {
         private long us;
 
         @Override
@@ -460,7 +466,7 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-            final long firstByteUs = ctx.pipeline().get(FirstBytes.class).take();
+            final long firstByteUs = ctx.pipeline().get(FirstByteRecorder.class).take();
             final String path = request.uri();
             if (path.equals("/stats") || path.equals("/health/live")) {
                 if (!silent) {
@@ -488,30 +494,30 @@
                 final JsonObject body =
                         Json.object(request.content().toString(StandardCharsets.UTF_8));
                 workUs = Math.max(1, (long) Json.number(body, "work_us", DEFAULT_WORK_US));
-                slots = Math.max(1, Math.min(make.slots(), Json.number(body, "slots", 1)));
+                slots = Math.max(1, Math.min(spec.slots(), Json.number(body, "slots", 1)));
             } catch (JsonParseException e) {
-                // Other clients' bodies are their own matter: such a job takes the usual time.
+                // Bodies of other clients need not be JSON; such a job takes the default time.
                 workUs = DEFAULT_WORK_US;
             }
-            final SendCame send =
-                    new SendCame(
+            final AttemptReceived send =
+                    new AttemptReceived(
                             recorder.nowUs(),
                             firstByteUs,
-                            make.id(),
-                            make.cell(),
+                            spec.id(),
+                            spec.cell(),
                             id,
                             key,
                             workUs * slots);
             recorder.add(send);
-            if (falls(send)) {
+            if (overloads(send)) {
                 return;
             }
-            if (chance.nextDouble() < resetShare) {
+            if (random.nextDouble() < resetShare) {
                 LoopbackServer.reset(ctx.channel());
                 return;
             }
-            if (waiting.size() >= MAX_WAITING_A_SLOT * make.slots()) {
-                recorder.add(new SendTurnedAway(recorder.nowUs(), make.id(), id));
+            if (waiting.size() >= MAX_WAITING_PER_SLOT * spec.slots()) {
+                recorder.add(new AttemptRejected(recorder.nowUs(), spec.id(), id));
                 final DefaultFullHttpResponse full =
                         LoopbackServer.answer(HttpResponseStatus.SERVICE_UNAVAILABLE, "");
                 final Report reported = reported();
@@ -528,16 +534,19 @@
                             workUs,
                             slots,
                             ctx.channel(),
-                            chance.nextDouble() < garbageShare);
-            job.head();
-            if (key == null || keys.begins(key, recorder.nowUs(), job::repeat)) {
+                            random.nextDouble() < garbageShare);
+            job.writeHead();
+            if (key == null || keys.begin(key, recorder.nowUs(), job::completeAsDuplicate)) {
                 waiting.add(job);
                 startWaiting();
             }
         }
 
-        /** Whether it falls over by this: it was sent more than it can take while it is cold. */
-        private boolean falls(SendCame send) {
+        /**
+         * Records an attempt and crashes the worker if it was sent more than a cold worker
+         * tolerates. Returns whether it crashed.
+         */
+        private boolean overloads(AttemptReceived send) {
             final long age = send.us() - bootedUs;
             if (age >= coldStart.warmUpDurationUs()) {
                 return false;
@@ -546,13 +555,13 @@
             while (sentCold.peek().us() <= send.us() - coldStart.overloadAfterUs()) {
                 sentCold.poll();
             }
-            final double sent = sentCold.stream().mapToDouble(SendCame::work).sum();
+            final double sent = sentCold.stream().mapToDouble(AttemptReceived::work).sum();
             if (sent
-                    <= RuleChecker.coldBudget(coldStart, make.capacity(), age)
-                            * RuleChecker.COLD_SLACK) {
+                    <= RuleChecker.coldStartBudget(coldStart, spec.capacity(), age)
+                            * RuleChecker.COLD_START_TOLERANCE) {
                 return false;
             }
-            recorder.add(new WorkerFell(recorder.nowUs(), make.id()));
+            recorder.add(new WorkerOverloaded(recorder.nowUs(), spec.id()));
             crash();
             return true;
         }
--- a/src/main/java/cresschute/testbed/bodies/MemoryLine.java
+++ b/src/main/java/cresschute/testbed/bodies/MemorySampler.java
@@ -13,15 +13,15 @@
 import org.knowm.xchart.style.Styler.LegendPosition;
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
-/** A node's memory over time, sampled by a thread of its own, and the chart of it. */
-final class MemoryLine implements AutoCloseable {
+/** Samples the memory of a node over time on its own thread and draws the chart. */
+final class MemorySampler implements AutoCloseable {
 
-    private static final long EVERY_MS = 100;
-    private static final int DRAWN = 400;
+    private static final long SAMPLE_INTERVAL_MS = 100;
+    private static final int MAX_POINTS = 400;
     private static final int WIDTH = 900;
     private static final int HEIGHT = 420;
     private static final double MB = 1e6;
-    private static final double NS_A_S = 1e9;
+    private static final double NS_PER_S = 1e9;
 
     private record Sample(double s, NodeProcess.Memory memory) {}
 
@@ -31,7 +31,7 @@
     private final List<Sample> samples = new ArrayList<>();
     private volatile boolean closed;
 
-    MemoryLine(NodeProcess node) {
+    MemorySampler(NodeProcess node) {
         this.node = node;
         this.directAtStart = node.memoryHeld().direct();
         BodyWorker.daemon(this::sample);
@@ -42,11 +42,11 @@
             try {
                 final NodeProcess.Memory memory = node.memory();
                 synchronized (samples) {
-                    samples.add(new Sample((System.nanoTime() - startNs) / NS_A_S, memory));
+                    samples.add(new Sample((System.nanoTime() - startNs) / NS_PER_S, memory));
                 }
-                Thread.sleep(EVERY_MS);
+                Thread.sleep(SAMPLE_INTERVAL_MS);
             } catch (InterruptedException | RuntimeException e) {
-                // The node is being ended; there is nothing more to sample.
+                // The node is being stopped; sampling ends.
                 return;
             }
         }
@@ -58,13 +58,13 @@
         }
     }
 
-    /** Seconds since its start. */
-    double now() {
-        return (System.nanoTime() - startNs) / NS_A_S;
+    /** The time since the start of sampling, s. */
+    double elapsedS() {
+        return (System.nanoTime() - startNs) / NS_PER_S;
     }
 
-    /** The most in use from then on. */
-    NodeProcess.Memory mostSince(double s) {
+    /** The maximum memory in use since this time, s. */
+    NodeProcess.Memory maxSince(double s) {
         final List<Sample> since = samples().stream().filter(each -> each.s() >= s).toList();
         return new NodeProcess.Memory(
                 since.stream().mapToLong(each -> each.memory().heap()).max().orElse(0),
@@ -75,9 +75,9 @@
         return directAtStart;
     }
 
-    /** Draws all of it, with this bound beside it, as PNG. */
+    /** Draws all samples, with this bound beside them, as PNG. */
     void draw(Path to, String boundName, long bound) throws IOException {
-        final List<Sample> all = thinned(samples());
+        final List<Sample> all = downsample(samples());
         final XYChart chart =
                 new XYChartBuilder()
                         .width(WIDTH)
@@ -104,11 +104,12 @@
     }
 
     /**
-     * The most of each of some hundred spans: a peak is never left out, and the chart stays small.
+     * The maximum of each of a few hundred spans, so that no peak is lost and the chart stays
+     * small.
      */
-    private static List<Sample> thinned(List<Sample> all) {
+    private static List<Sample> downsample(List<Sample> all) {
         final List<Sample> kept = new ArrayList<>();
-        final int each = Math.max(1, all.size() / DRAWN);
+        final int each = Math.max(1, all.size() / MAX_POINTS);
         for (int i = 0; i < all.size(); i += each) {
             final List<Sample> span = all.subList(i, Math.min(all.size(), i + each));
             kept.add(
--- a/src/main/java/cresschute/testbed/capacity/NeedChart.java
+++ b/src/main/java/cresschute/testbed/capacity/CostChart.java
@@ -12,14 +12,14 @@
 import org.knowm.xchart.XYChartBuilder;
 import org.knowm.xchart.XYSeries.XYSeriesRenderStyle;
 
-/** Charts of what a dispatcher needs against the size, one for each axis and need. */
-public final class NeedChart {
+/** Charts of the cost of a dispatcher over the size, one for each axis and measure. */
+public final class CostChart {
 
     private static final int WIDTH = 800;
     private static final int HEIGHT = 420;
 
-    /** A need, and how its axis is labelled. */
-    private static final Map<String, String> NEEDS =
+    /** The measures, with the labels of their chart axes. */
+    private static final Map<String, String> MEASURES =
             new TreeMap<>(
                     Map.of(
                             "cpu_percent",
@@ -29,45 +29,45 @@
                             "control_bytes_per_second",
                             "control traffic of a dispatcher, B/s"));
 
-    private record Measured(Sweep.Point point, CapacityResult result) {}
+    private record MeasuredPoint(Sweep.Point point, CapacityResult result) {}
 
-    private final List<Measured> measured = new ArrayList<>();
+    private final List<MeasuredPoint> measured = new ArrayList<>();
 
-    /** Adds what one size came to. */
+    /** Adds the result of one point. */
     public void add(Sweep.Point point, CapacityResult result) {
-        measured.add(new Measured(point, result));
+        measured.add(new MeasuredPoint(point, result));
     }
 
-    /** Draws a chart for each axis that was measured, into a folder that is there. */
+    /** Draws a chart for each axis with complete results, into an existing folder. */
     public void draw(Path folder) throws IOException {
         for (final Sweep.Axis axis : Sweep.Axis.values()) {
-            final List<Measured> along =
+            final List<MeasuredPoint> along =
                     measured.stream()
                             .filter(
                                     each ->
-                                            each.point().axis().equals(axis.word())
+                                            each.point().axis().equals(axis.label())
                                                     && each.result().partial() == null)
                             .toList();
             if (!along.isEmpty()) {
-                for (final Map.Entry<String, String> need : NEEDS.entrySet()) {
-                    draw(folder, axis, need.getKey(), need.getValue(), along);
+                for (final Map.Entry<String, String> measure : MEASURES.entrySet()) {
+                    draw(folder, axis, measure.getKey(), measure.getValue(), along);
                 }
             }
         }
     }
 
     private static void draw(
-            Path folder, Sweep.Axis axis, String need, String label, List<Measured> along)
+            Path folder, Sweep.Axis axis, String measure, String label, List<MeasuredPoint> along)
             throws IOException {
         final List<Double> sizes = new ArrayList<>();
         final List<Double> values = new ArrayList<>();
-        for (final Measured each : along) {
+        for (final MeasuredPoint each : along) {
             each.result()
                     .measures()
-                    .get(Role.DISPATCHER, need)
+                    .get(Role.DISPATCHER, measure)
                     .ifPresent(
                             value -> {
-                                sizes.add(axis.of(each.point().plan()));
+                                sizes.add(axis.sizeIn(each.point().plan()));
                                 values.add(value);
                             });
         }
@@ -75,15 +75,15 @@
                 new XYChartBuilder()
                         .width(WIDTH)
                         .height(HEIGHT)
-                        .xAxisTitle(axis.word())
+                        .xAxisTitle(axis.label())
                         .yAxisTitle(label)
                         .build();
         chart.getStyler()
                 .setDefaultSeriesRenderStyle(XYSeriesRenderStyle.Scatter)
                 .setLegendVisible(false);
         chart.getStyler().setYAxisMin(0.0);
-        chart.addSeries(need, sizes, values);
+        chart.addSeries(measure, sizes, values);
         BitmapEncoder.saveBitmap(
-                chart, folder.resolve(need + "-" + axis.word()).toString(), BitmapFormat.PNG);
+                chart, folder.resolve(measure + "-" + axis.label()).toString(), BitmapFormat.PNG);
     }
 }
--- a/src/main/java/cresschute/testbed/capacity/MeasurementFile.java
+++ b/src/main/java/cresschute/testbed/capacity/MeasurementWriter.java
@@ -14,13 +14,13 @@
 import java.util.stream.Stream;
 
 /**
- * Measurements in the long form: one row for each point, role and measure, written as they are
- * known. All fields are words and numbers, none of which needs quoting.
+ * Writes measurements to a CSV file in long format: one row for each point, role and measure,
+ * flushed after each point. No field needs quoting.
  */
-public final class MeasurementFile implements AutoCloseable {
+public final class MeasurementWriter implements AutoCloseable {
 
-    /** The first line, by which readers know the form. */
-    public static final String FIRST_LINE = "# cresschute capacity measurements, version 1";
+    /** The first line, which identifies the format. */
+    public static final String VERSION_LINE = "# cresschute capacity measurements, version 1";
 
     /** The columns, in order. */
     public static final List<String> COLUMNS =
@@ -48,19 +48,19 @@
     private final String commit;
     private int runs;
 
-    /** Begins a file, which must not be there yet or is written anew. */
-    public MeasurementFile(Path file, String commit) throws IOException {
+    /** Creates the file, or overwrites it if it exists. */
+    public MeasurementWriter(Path file, String commit) throws IOException {
         this(Files.newBufferedWriter(file), commit);
     }
 
-    MeasurementFile(Writer out, String commit) throws IOException {
+    MeasurementWriter(Writer out, String commit) throws IOException {
         this.out = out;
         this.commit = commit;
-        out.write(FIRST_LINE + "\n" + String.join(",", COLUMNS) + "\n");
+        out.write(VERSION_LINE + "\n" + String.join(",", COLUMNS) + "\n");
         out.flush();
     }
 
-    /** Adds all rows of one point. */
+    /** Writes all rows of one point. */
     public void add(Sweep.Point point, CapacityResult result) throws IOException {
         runs++;
         final String date = Instant.now().truncatedTo(ChronoUnit.SECONDS).toString();
@@ -95,7 +95,7 @@
                     plan.dispatchers(),
                     plan.listChangesPerSecond(),
                     plan.settingsChangesPerSecond(),
-                    role.word(),
+                    role.label(),
                     measured.getKey(),
                     measured.getValue(),
                     result.partial() != null);
--- a/src/main/java/cresschute/testbed/capacity/SharedClock.java
+++ b/src/main/java/cresschute/testbed/capacity/SharedClock.java
@@ -4,16 +4,16 @@
 import cresschute.node.Clock;
 
 /**
- * One clock for all processes of an experiment: Unix time as the first of them read it, run on by
- * the machine's monotonic clock, which all of them read.
+ * One clock for all processes of an experiment: the Unix time that the first process read at the
+ * start, advanced by the machine's monotonic clock, which all processes share.
  *
  * @param startUs Unix time at the start, us
- * @param startNs the monotonic clock at the start, ns
+ * @param startNs reading of the monotonic clock at the start, ns
  */
 record SharedClock(@SerializedName("startUs") long startUs, @SerializedName("startNs") long startNs)
         implements Clock {
 
-    private static final long NS_A_US = 1_000;
+    private static final long NS_PER_US = 1_000;
 
     static SharedClock start() {
         return new SharedClock(System.currentTimeMillis() * 1_000, System.nanoTime());
@@ -21,6 +21,6 @@
 
     @Override
     public long nowUs() {
-        return startUs + (System.nanoTime() - startNs) / NS_A_US;
+        return startUs + (System.nanoTime() - startNs) / NS_PER_US;
     }
 }
--- a/src/main/java/cresschute/testbed/capacity/HollowDiscovery.java
+++ b/src/main/java/cresschute/testbed/capacity/StubDiscovery.java
@@ -3,7 +3,7 @@
 import com.google.gson.JsonObject;
 import cresschute.testbed.DiscoveryStandIn;
 import cresschute.testbed.Recorder;
-import cresschute.testbed.WorkerStandIn.Make;
+import cresschute.testbed.WorkerStandIn.Spec;
 import io.netty.channel.EventLoop;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -13,29 +13,29 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * The service that lists the hollow workers, and its changes: a worker drawn by the seed drains,
- * and serves again some seconds later, every second time as one that was started anew. All on one
- * loop.
+ * Discovery service that lists the stub workers and changes the list: a worker that is selected at
+ * random, by the seed, is drained and serves again 3 seconds later, every second time with a new
+ * start time as if it had been restarted. Confined to one event loop.
  */
-final class HollowDiscovery {
+final class StubDiscovery {
 
-    private static final long DRAINED_US = 3_000_000;
-    private static final double US_A_SECOND = 1e6;
+    private static final long DRAIN_DURATION_US = 3_000_000;
+    private static final double US_PER_SECOND = 1e6;
 
     private final EventLoop loop;
     private final Recorder recorder;
-    private final List<Make> makes;
+    private final List<Spec> specs;
     private final List<InetSocketAddress> addresses;
-    private final UniformRandomProvider chance;
+    private final UniformRandomProvider random;
     private final DiscoveryStandIn standIn;
-    private final boolean[] drains;
+    private final boolean[] draining;
     private final long[] startedMs;
     private final double changesPerSecond;
     private long handshakes;
     private long bytes;
     private long changes;
 
-    HollowDiscovery(
+    StubDiscovery(
             EventLoop loop,
             Recorder recorder,
             CapacityPlan plan,
@@ -43,10 +43,10 @@
         this.loop = loop;
         this.recorder = recorder;
         this.addresses = List.copyOf(addresses);
-        makes = new Site(plan).workers();
-        chance = RandomSource.XO_SHI_RO_256_PP.create(plan.seed() + 3);
-        drains = new boolean[makes.size()];
-        startedMs = new long[makes.size()];
+        specs = new ExperimentSetup(plan).workers();
+        random = RandomSource.XO_SHI_RO_256_PP.create(plan.seed() + 3);
+        draining = new boolean[specs.size()];
+        startedMs = new long[specs.size()];
         changesPerSecond = plan.listChangesPerSecond();
         standIn =
                 new DiscoveryStandIn(
@@ -58,57 +58,58 @@
                         });
     }
 
-    /** Lists all workers and listens; not on the loop. */
+    /** Lists all workers and starts to listen. Must not be called on the event loop. */
     InetSocketAddress start() {
         loop.submit(
                         () -> {
-                            for (int i = 0; i < makes.size(); i++) {
-                                report(i, "SERVING");
+                            for (int i = 0; i < specs.size(); i++) {
+                                list(i, "SERVING");
                             }
                         })
                 .syncUninterruptibly();
         return standIn.start(InetAddress.getLoopbackAddress());
     }
 
-    /** Changes begin. On the loop. */
+    /** Starts to change the list. Call on the event loop. */
     void beginChanges() {
         if (changesPerSecond > 0) {
-            // A change is a drain or its end: one drain for every two of them.
-            final long everyUs = (long) (2 * US_A_SECOND / changesPerSecond);
-            loop.scheduleAtFixedRate(this::drainOne, everyUs / 2, everyUs, TimeUnit.MICROSECONDS);
+            // The start and the end of a drain are a change each: one drain makes two changes.
+            final long intervalUs = (long) (2 * US_PER_SECOND / changesPerSecond);
+            loop.scheduleAtFixedRate(
+                    this::drainOne, intervalUs / 2, intervalUs, TimeUnit.MICROSECONDS);
         }
     }
 
     private void drainOne() {
-        final int number = chance.nextInt(makes.size());
-        if (drains[number]) {
+        final int number = random.nextInt(specs.size());
+        if (draining[number]) {
             return;
         }
-        drains[number] = true;
+        draining[number] = true;
         changes++;
-        report(number, "DRAINING");
-        final boolean anew = changes % 2 == 0;
+        list(number, "DRAINING");
+        final boolean restarted = changes % 2 == 0;
         loop.schedule(
                 () -> {
-                    drains[number] = false;
-                    startedMs[number] = anew ? recorder.nowUs() / 1_000 : startedMs[number];
+                    draining[number] = false;
+                    startedMs[number] = restarted ? recorder.nowUs() / 1_000 : startedMs[number];
                     changes++;
-                    report(number, "SERVING");
+                    list(number, "SERVING");
                 },
-                DRAINED_US,
+                DRAIN_DURATION_US,
                 TimeUnit.MICROSECONDS);
     }
 
-    private void report(int number, String state) {
-        standIn.set(makes.get(number), addresses.get(number), state, startedMs[number]);
+    private void list(int number, String state) {
+        standIn.setState(specs.get(number), addresses.get(number), state, startedMs[number]);
     }
 
-    /** What was counted so far. On the loop. */
+    /** The counters so far. Call on the event loop. */
     JsonObject counts() {
         final Traffic traffic = new Traffic();
-        traffic.more(TrafficKind.LIST, bytes);
+        traffic.addBytes(TrafficKind.LIST, bytes);
         for (long i = 0; i < handshakes; i++) {
-            traffic.handshake();
+            traffic.addHandshake();
         }
         final JsonObject counts = new JsonObject();
         counts.addProperty("calls", standIn.calls());
--- a/src/main/java/cresschute/testbed/capacity/HollowWorkers.java
+++ b/src/main/java/cresschute/testbed/capacity/StubWorkers.java
@@ -4,13 +4,13 @@
 import cresschute.node.Json;
 import cresschute.testbed.CellKeys;
 import cresschute.testbed.LoopbackServer;
-import cresschute.testbed.Observation.EffectMade;
+import cresschute.testbed.Observation.EffectApplied;
 import cresschute.testbed.Observation.RunDone;
 import cresschute.testbed.Observation.RunStarted;
-import cresschute.testbed.Observation.SendCame;
-import cresschute.testbed.Observation.SendTurnedAway;
+import cresschute.testbed.Observation.AttemptReceived;
+import cresschute.testbed.Observation.AttemptRejected;
 import cresschute.testbed.Recorder;
-import cresschute.testbed.WorkerStandIn.Make;
+import cresschute.testbed.WorkerStandIn.Spec;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
@@ -31,17 +31,18 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Very many workers that run nothing: each listens at an address of its own and speaks the whole
- * protocol, but a job there is a timer. They share loops, those of a cell one. They count what is
- * read and written, by kind.
+ * Workers whose jobs are only timers, so that one process can hold very many of them. Each listens
+ * on an address of its own and implements the whole protocol. Workers share event loops; those of a
+ * cell use the same one. They count the traffic by kind.
  */
-final class HollowWorkers {
+final class StubWorkers {
 
     private static final int MAX_BODY_BYTES = 64 * 1024;
-    private static final int MAX_WAITING_A_SLOT = 4;
-    private static final int HOSTS_A_NET = 250;
-    private static final int FIRST_NET = 20;
-    private static final String HEAD = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
+    private static final int MAX_WAITING_PER_SLOT = 4;
+    private static final int HOSTS_PER_SUBNET = 250;
+    private static final int FIRST_SUBNET = 20;
+    private static final String RESPONSE_HEAD =
+            "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
     private static final String LAST_CHUNK = "0\r\n\r\n";
 
     private final EventLoop loop;
@@ -53,30 +54,30 @@
     private int running;
     private long connections;
 
-    /** Workers on this loop, none yet. */
-    HollowWorkers(EventLoop loop, Recorder recorder, Site site) {
+    /** Creates the workers of an event loop, none of them started. */
+    StubWorkers(EventLoop loop, Recorder recorder, ExperimentSetup site) {
         this.loop = loop;
         this.recorder = recorder;
         this.progressUs = site.progressUs();
         this.repeatWindowUs = site.repeatWindowUs();
     }
 
-    /** Starts the worker of this number and returns where it listens; not on the loop. */
-    InetSocketAddress start(Make make, int number) throws UnknownHostException {
-        final Worker worker = new Worker(make);
+    /** Starts a worker and returns its address. Must not be called on the event loop. */
+    InetSocketAddress start(Spec spec, int number) throws UnknownHostException {
+        final Worker worker = new Worker(spec);
         final LoopbackServer server = new LoopbackServer(loop, channel -> accept(channel, worker));
         return server.listen(
                 InetAddress.getByAddress(
                         new byte[] {
                             127,
-                            (byte) (FIRST_NET + number / HOSTS_A_NET / HOSTS_A_NET),
-                            (byte) (number / HOSTS_A_NET % HOSTS_A_NET),
-                            (byte) (number % HOSTS_A_NET + 1)
+                            (byte) (FIRST_SUBNET + number / HOSTS_PER_SUBNET / HOSTS_PER_SUBNET),
+                            (byte) (number / HOSTS_PER_SUBNET % HOSTS_PER_SUBNET),
+                            (byte) (number % HOSTS_PER_SUBNET + 1)
                         }));
     }
 
     private void accept(Channel channel, Worker worker) {
-        traffic.handshake();
+        traffic.addHandshake();
         connections++;
         channel.closeFuture().addListener(closed -> connections--);
         final ByteCounter counter = new ByteCounter(recorder::nowUs, size -> {});
@@ -88,12 +89,12 @@
                         new Handler(worker, counter));
     }
 
-    /** What was counted so far. On the loop. */
+    /** The counters so far. Call on the event loop. */
     Counts counts() {
         return new Counts(running, connections, traffic.plus(new Traffic()));
     }
 
-    /** Counts of some workers: jobs that run, open connections, and all traffic so far. */
+    /** Counters of some workers: running jobs, open connections, and all traffic so far. */
     record Counts(int running, long connections, Traffic traffic) {
 
         static final Counts NONE = new Counts(0, 0, new Traffic());
@@ -124,33 +125,33 @@
     // ---- Workers and their jobs ----
 
     private static final class Worker {
-        private final Make make;
+        private final Spec spec;
         private final Deque<Job> waiting = new ArrayDeque<>(2);
         private int running;
 
-        Worker(Make make) {
-            this.make = make;
+        Worker(Spec spec) {
+            this.spec = spec;
         }
 
         String report() {
-            return "\"x0\":" + (make.slots() - running) + ",\"queue\":" + waiting.size();
+            return "\"x0\":" + (spec.slots() - running) + ",\"queue\":" + waiting.size();
         }
     }
 
-    private void startWaiting(Worker worker) {
-        while (worker.running < worker.make.slots() && !worker.waiting.isEmpty()) {
+    private void startWaitingJobs(Worker worker) {
+        while (worker.running < worker.spec.slots() && !worker.waiting.isEmpty()) {
             final Job job = worker.waiting.poll();
             if (job.channel.isActive()) {
                 job.start();
             } else if (job.key != null) {
-                // The dispatcher has given it up: it never runs.
+                // The dispatcher has closed the connection: the job never runs.
                 keysOf(worker).lost(job.key);
             }
         }
     }
 
     private CellKeys keysOf(Worker worker) {
-        return keys.computeIfAbsent(worker.make.cell(), unseen -> new CellKeys(repeatWindowUs));
+        return keys.computeIfAbsent(worker.spec.cell(), unseen -> new CellKeys(repeatWindowUs));
     }
 
     private final class Job {
@@ -174,7 +175,7 @@
             worker.running++;
             running++;
             startedUs = recorder.nowUs();
-            recorder.add(new RunStarted(startedUs, worker.make.id(), id));
+            recorder.add(new RunStarted(startedUs, worker.spec.id(), id));
             line(TrafficKind.START_LINE, line("started"));
             loop.schedule(this::done, workUs, TimeUnit.MICROSECONDS);
             reportProgress();
@@ -205,20 +206,20 @@
             if (progress != null) {
                 progress.cancel(false);
             }
-            final String result = worker.make.id() + " did " + id;
-            recorder.add(new RunDone(recorder.nowUs(), worker.make.id(), id, result));
+            final String result = worker.spec.id() + " did " + id;
+            recorder.add(new RunDone(recorder.nowUs(), worker.spec.id(), id, result));
             if (key != null) {
-                recorder.add(new EffectMade(recorder.nowUs(), worker.make.id(), id, key));
+                recorder.add(new EffectApplied(recorder.nowUs(), worker.spec.id(), id, key));
                 keysOf(worker).done(key, result);
             }
             end(result);
-            startWaiting(worker);
+            startWaitingJobs(worker);
         }
 
-        /** The result of another run under the same key, or null where that run is lost. */
+        /** Answers with the result of another run of the same key, or as lost if it is null. */
         void repeat(String result) {
             if (result != null) {
-                recorder.add(new RunDone(recorder.nowUs(), worker.make.id(), id, result));
+                recorder.add(new RunDone(recorder.nowUs(), worker.spec.id(), id, result));
             }
             end(result);
         }
@@ -232,7 +233,7 @@
                             + report;
             if (channel.isActive()) {
                 traffic.add(TrafficKind.LOAD_REPORT, report.length());
-                traffic.more(TrafficKind.RESULT_LINE, LAST_CHUNK.length() - report.length());
+                traffic.addBytes(TrafficKind.RESULT_LINE, LAST_CHUNK.length() - report.length());
             }
             line(TrafficKind.RESULT_LINE, line);
             write(channel, LAST_CHUNK);
@@ -242,13 +243,13 @@
             return "{\"id\":\""
                     + id
                     + "\",\"from\":\""
-                    + worker.make.id()
+                    + worker.spec.id()
                     + "\",\"state\":\""
                     + state
                     + '"';
         }
 
-        /** Writes a line that lacks its end. */
+        /** Closes the JSON object of a progress line and writes the line as one chunk. */
         private void line(TrafficKind kind, String open) {
             final String line = open + "}\n";
             final String chunk = Integer.toHexString(line.length()) + "\r\n" + line + "\r\n";
@@ -280,7 +281,7 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
             final long firstByteUs = counter.firstByteUs();
-            final long size = counter.takeRead();
+            final long size = counter.takeReadBytes();
             final String id = request.headers().get("X-Request-Id");
             if (request.uri().equals("/stats") || request.uri().equals("/health/live")) {
                 final String answer = answer("200 OK", "", "{" + worker.report() + "}");
@@ -290,11 +291,11 @@
                 write(ctx.channel(), answer("404 Not Found", "", ""));
             } else {
                 traffic.add(TrafficKind.REQUEST, size);
-                take(ctx.channel(), request, id, firstByteUs);
+                submit(ctx.channel(), request, id, firstByteUs);
             }
         }
 
-        private void take(Channel channel, FullHttpRequest request, String id, long firstByteUs) {
+        private void submit(Channel channel, FullHttpRequest request, String id, long firstByteUs) {
             final String key = request.headers().get("Idempotency-Key");
             final long workUs =
                     Math.max(
@@ -307,28 +308,28 @@
                                             "work_us",
                                             1));
             recorder.add(
-                    new SendCame(
+                    new AttemptReceived(
                             recorder.nowUs(),
                             firstByteUs,
-                            worker.make.id(),
-                            worker.make.cell(),
+                            worker.spec.id(),
+                            worker.spec.cell(),
                             id,
                             key,
                             workUs));
-            if (worker.waiting.size() >= MAX_WAITING_A_SLOT * worker.make.slots()) {
-                recorder.add(new SendTurnedAway(recorder.nowUs(), worker.make.id(), id));
+            if (worker.waiting.size() >= MAX_WAITING_PER_SLOT * worker.spec.slots()) {
+                recorder.add(new AttemptRejected(recorder.nowUs(), worker.spec.id(), id));
                 final String report =
                         "x-load: " + worker.report().replace("\"", "").replace(':', '=') + "\r\n";
                 traffic.add(TrafficKind.LOAD_REPORT, report.length());
                 write(channel, answer("503 Service Unavailable", "x-not-run: 1\r\n" + report, ""));
                 return;
             }
-            write(channel, HEAD);
-            traffic.more(TrafficKind.REQUEST, HEAD.length());
+            write(channel, RESPONSE_HEAD);
+            traffic.addBytes(TrafficKind.REQUEST, RESPONSE_HEAD.length());
             final Job job = new Job(worker, id, key, workUs, channel);
-            if (key == null || keysOf(worker).begins(key, recorder.nowUs(), job::repeat)) {
+            if (key == null || keysOf(worker).begin(key, recorder.nowUs(), job::repeat)) {
                 worker.waiting.add(job);
-                startWaiting(worker);
+                startWaitingJobs(worker);
             }
         }
 
--- a/src/main/java/cresschute/testbed/capacity/Sweep.java
+++ b/src/main/java/cresschute/testbed/capacity/Sweep.java
@@ -8,10 +8,10 @@
 import java.util.Random;
 import java.util.stream.Collectors;
 
-/** Which sizes are measured: along an axis with the others fixed, or along all of them. Pure. */
+/** Plans the sizes to measure: along one axis with the others fixed, or along all of them. */
 public final class Sweep {
 
-    /** What changes along a sweep. */
+    /** The size that a sweep varies. */
     public enum Axis {
         WORKERS,
         RUNNING,
@@ -21,13 +21,13 @@
         LIST_CHANGES,
         SETTINGS_CHANGES;
 
-        /** Its name on the command line and in results. */
-        public String word() {
+        /** The name on the command line and in results. */
+        public String label() {
             return name().toLowerCase(Locale.ROOT).replace('_', '-');
         }
 
-        /** Where a plan lies along it. */
-        double of(CapacityPlan plan) {
+        /** The size of a plan along this axis. */
+        double sizeIn(CapacityPlan plan) {
             return switch (this) {
                 case WORKERS -> plan.workers();
                 case RUNNING -> plan.running();
@@ -43,31 +43,31 @@
     /**
      * One experiment of a sweep.
      *
-     * @param axis the axis along which it lies, or the word for none
-     * @param heldOut whether it is kept from fitting, to test a model by
+     * @param axis the label of the axis, or {@link #NO_AXIS}
+     * @param heldOut whether the point is kept out of fits, to validate a model
      */
     public record Point(String axis, int repetition, boolean heldOut, CapacityPlan plan) {}
 
-    /** The axis of a point that lies on none. */
+    /** The axis label of a point that is on no axis. */
     public static final String NO_AXIS = "none";
 
     private static final String ALL = "all";
     private static final int MAX_DISPATCHERS = 7;
-    private static final double[] PARTS = {0.25, 0.5, 0.75, 1};
-    private static final double[] STARTS_PARTS = {0.4, 0.6, 0.8, 1};
+    private static final double[] FRACTIONS = {0.25, 0.5, 0.75, 1};
+    private static final double[] STARTS_FRACTIONS = {0.4, 0.6, 0.8, 1};
 
     /**
-     * The starts are fixed nearer to the largest size: fewer of them would be jobs that run for
-     * long.
+     * The rate of starts is fixed at a larger fraction than the other sizes: with fewer starts, the
+     * same number of running jobs would take long running times.
      */
-    private static final double FIXED_STARTS = 0.75;
+    private static final double FIXED_STARTS_FRACTION = 0.75;
 
     private static final double[] LIST_CHANGES_PER_SECOND = {0, 1, 4, 16};
     private static final double[] SETTINGS_CHANGES_PER_SECOND = {0, 0.1, 0.3, 1};
 
     private Sweep() {}
 
-    /** A single point that is repeated. */
+    /** One size, repeated with successive seeds. */
     public static List<Point> single(CapacityPlan plan, int repetitions) {
         final List<Point> points = new ArrayList<>();
         for (int i = 1; i <= repetitions; i++) {
@@ -77,34 +77,34 @@
     }
 
     /**
-     * The points along an axis, or along all, each repeated, in an order drawn by the seed; then
-     * the largest size as a point that is held out.
+     * The points along one axis or all axes, each repeated, in a random order that the seed
+     * determines; then the largest size as a held-out point.
      *
-     * @param axis the word of an axis, or {@code all}
+     * @param axis the label of an axis, or {@code all}
      */
     public static List<Point> along(String axis, CapacityPlan largest, int repetitions) {
         final List<Axis> axes =
                 Arrays.stream(Axis.values())
-                        .filter(each -> axis.equals(ALL) || each.word().equals(axis))
+                        .filter(each -> axis.equals(ALL) || each.label().equals(axis))
                         .toList();
         if (axes.isEmpty()) {
             throw new UnusablePlanException(
                     "--sweep: '"
                             + axis
-                            + "' is no axis; allowed: "
+                            + "' is not an axis; allowed: "
                             + Arrays.stream(Axis.values())
-                                    .map(Axis::word)
+                                    .map(Axis::label)
                                     .collect(Collectors.joining(", "))
                             + ", all");
         }
         final List<Point> points = new ArrayList<>();
-        final CapacityPlan fixed = middle(largest);
+        final CapacityPlan fixed = fixedSizes(largest);
         for (int i = 1; i <= repetitions; i++) {
             for (final Axis each : axes) {
                 for (final CapacityPlan plan : plans(each, fixed, largest)) {
                     points.add(
                             new Point(
-                                    each.word(), i, false, plan.withSeed(largest.seed() + i - 1)));
+                                    each.label(), i, false, plan.withSeed(largest.seed() + i - 1)));
                 }
             }
         }
@@ -113,11 +113,14 @@
         return points;
     }
 
-    /** Half the size, so that each axis has points below and above what the others are fixed at. */
-    private static CapacityPlan middle(CapacityPlan largest) {
+    /**
+     * The fixed sizes: about half of the largest, so that each axis has points below and above the
+     * size at which it is fixed along the others.
+     */
+    private static CapacityPlan fixedSizes(CapacityPlan largest) {
         return largest.withWorkers(Math.max(1, largest.workers() / 2))
                 .withRunning(Math.max(1, largest.running() / 2))
-                .withStarts(FIXED_STARTS * largest.startsPerSecond())
+                .withStarts(FIXED_STARTS_FRACTION * largest.startsPerSecond())
                 .withDispatchers((largest.dispatchers() + 1) / 2);
     }
 
@@ -127,21 +130,21 @@
                     case LIST_CHANGES -> LIST_CHANGES_PER_SECOND;
                     case SETTINGS_CHANGES -> SETTINGS_CHANGES_PER_SECOND;
                     case DISPATCHERS -> new double[] {1, 3, 5, MAX_DISPATCHERS};
-                    case STARTS -> STARTS_PARTS;
-                    default -> PARTS;
+                    case STARTS -> STARTS_FRACTIONS;
+                    default -> FRACTIONS;
                 };
         return Arrays.stream(values)
                 .mapToObj(
                         value ->
                                 switch (axis) {
                                     case WORKERS ->
-                                            fixed.withWorkers(part(value, largest.workers()));
+                                            fixed.withWorkers(fractionOf(value, largest.workers()));
                                     case RUNNING ->
-                                            fixed.withRunning(part(value, largest.running()));
+                                            fixed.withRunning(fractionOf(value, largest.running()));
                                     case STARTS ->
                                             fixed.withStarts(value * largest.startsPerSecond());
                                     case TENANTS ->
-                                            fixed.withTenants(part(value, largest.tenants()));
+                                            fixed.withTenants(fractionOf(value, largest.tenants()));
                                     case DISPATCHERS -> fixed.withDispatchers((int) value);
                                     case LIST_CHANGES -> fixed.withListChanges(value);
                                     case SETTINGS_CHANGES -> fixed.withSettingsChanges(value);
@@ -149,7 +152,7 @@
                 .toList();
     }
 
-    private static int part(double part, int whole) {
-        return (int) Math.max(1, Math.round(part * whole));
+    private static int fractionOf(double fraction, int whole) {
+        return (int) Math.max(1, Math.round(fraction * whole));
     }
 }
--- a/src/main/java/cresschute/testbed/model/DispatcherMeter.java
+++ b/src/main/java/cresschute/testbed/model/DispatcherMeter.java
@@ -7,50 +7,50 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Counts what one dispatcher of the model sends, asks and learns. */
+/** Counts the attempts, load queries and load reports of one simulated dispatcher. */
 public final class DispatcherMeter {
 
-    private static final int FIRST_AGES = 1024;
+    private static final int INITIAL_CAPACITY = 1024;
 
     private final Map<Integer, Long> reportedAtUs = new HashMap<>();
     private final Map<Outcome, Long> outcomes = new EnumMap<>(Outcome.class);
-    private long[] agesUs = new long[FIRST_AGES];
+    private long[] agesUs = new long[INITIAL_CAPACITY];
     private int ages;
     private long sends;
-    private long unknown;
-    private long probes;
-    private long inVain;
+    private long sendsWithoutLoadReport;
+    private long loadQueries;
+    private long unreachableCalls;
     private final Map<Integer, Long> repeatedStarts = new HashMap<>();
 
-    /** Forgets the counts; what is believed of workers stays. */
-    public void restart() {
+    /** Resets the counts; the times of the last load reports stay. */
+    public void reset() {
         outcomes.clear();
         ages = 0;
         sends = 0;
-        unknown = 0;
-        probes = 0;
-        inVain = 0;
+        sendsWithoutLoadReport = 0;
+        loadQueries = 0;
+        unreachableCalls = 0;
         repeatedStarts.clear();
     }
 
-    /** Forgets how many calls were in vain. */
-    public void restartInVain() {
-        inVain = 0;
+    /** Resets the count of calls to unreachable workers. */
+    public void resetUnreachableCalls() {
+        unreachableCalls = 0;
     }
 
     void sent(long nowUs, int workerId) {
         sends++;
         final Long atUs = reportedAtUs.get(workerId);
         if (atUs == null) {
-            unknown++;
+            sendsWithoutLoadReport++;
             return;
         }
         agesUs = ages == agesUs.length ? Arrays.copyOf(agesUs, 2 * ages) : agesUs;
         agesUs[ages++] = nowUs - atUs;
     }
 
-    void inVain() {
-        inVain++;
+    void unreachableCall() {
+        unreachableCalls++;
     }
 
     void started(int requestClass, int startsBefore) {
@@ -59,8 +59,8 @@
         }
     }
 
-    void probed() {
-        probes++;
+    void loadQuerySent() {
+        loadQueries++;
     }
 
     void ended(long nowUs, int workerId, Outcome outcome, LoadReport report) {
@@ -74,41 +74,48 @@
         }
     }
 
-    /** Attempts sent. */
+    /** The number of attempts sent. */
     public long sends() {
         return sends;
     }
 
-    /** Attempts sent to a worker that had reported nothing to this dispatcher yet. */
-    public long sendsToUnknown() {
-        return unknown;
+    /**
+     * The number of attempts sent to a worker that had not yet reported its load to this
+     * dispatcher.
+     */
+    public long sendsWithoutLoadReport() {
+        return sendsWithoutLoadReport;
     }
 
-    /** Attempts and probes sent to a worker that was down or beyond a cut network. */
-    public long callsInVain() {
-        return inVain;
+    /**
+     * The number of attempts and load queries sent to a worker that was down or beyond a cut
+     * network.
+     */
+    public long unreachableCalls() {
+        return unreachableCalls;
     }
 
-    /** Starts of jobs of a class whose request had a job started before. */
+    /** The number of job starts in a request class whose request already had a job started. */
     public long repeatedStarts(int requestClass) {
         return repeatedStarts.getOrDefault(requestClass, 0L);
     }
 
-    /** Probes sent. */
-    public long probes() {
-        return probes;
+    /** The number of load queries sent. */
+    public long loadQueries() {
+        return loadQueries;
     }
 
-    /** Attempts that ended so. */
+    /** The number of attempts that ended with this outcome. */
     public long ended(Outcome outcome) {
         return outcomes.getOrDefault(outcome, 0L);
     }
 
     /**
-     * Time between a worker's last report to this dispatcher and each send to it, in rising order,
-     * us. The report itself may have been old by the worker's own refresh and delay.
+     * The time from a worker's last load report to this dispatcher until each send to that worker,
+     * in ascending order, us. The report may have been older on arrival, because workers refresh
+     * and deliver their reports with a delay.
      */
-    public long[] beliefAgesUs() {
+    public long[] loadReportAgesUs() {
         final long[] sorted = Arrays.copyOf(agesUs, ages);
         Arrays.sort(sorted);
         return sorted;
--- a/src/main/java/cresschute/testbed/model/EventQueue.java
+++ b/src/main/java/cresschute/testbed/model/EventQueue.java
@@ -4,17 +4,18 @@
 import java.util.PriorityQueue;
 
 /**
- * What is to happen in virtual time, one thing after the other; of the same moment, in order of
- * planning.
+ * Events in virtual time, run in order of time. Events with the same time run in the order in which
+ * they were scheduled.
  */
 final class EventQueue {
 
-    private record Plan(long atUs, long number, Runnable event) {}
+    private record ScheduledEvent(long atUs, long sequence, Runnable event) {}
 
-    private final PriorityQueue<Plan> plans =
+    private final PriorityQueue<ScheduledEvent> events =
             new PriorityQueue<>(
-                    Comparator.comparingLong(Plan::atUs).thenComparingLong(Plan::number));
-    private long planned;
+                    Comparator.comparingLong(ScheduledEvent::atUs)
+                            .thenComparingLong(ScheduledEvent::sequence));
+    private long scheduled;
     private long nowUs;
 
     EventQueue(long startUs) {
@@ -25,19 +26,19 @@
         return nowUs;
     }
 
-    /** Plans an event; what lies in the past happens next. */
-    void at(long atUs, Runnable event) {
-        plans.add(new Plan(Math.max(atUs, nowUs), planned++, event));
+    /** Schedules an event; one whose time has passed runs next. */
+    void scheduleAt(long atUs, Runnable event) {
+        events.add(new ScheduledEvent(Math.max(atUs, nowUs), scheduled++, event));
     }
 
-    void after(long delayUs, Runnable event) {
-        at(nowUs + delayUs, event);
+    void scheduleAfter(long delayUs, Runnable event) {
+        scheduleAt(nowUs + delayUs, event);
     }
 
-    /** Lets all happen that is planned up to this moment, and what that plans. */
+    /** Runs all events that are due up to this time, including those that they schedule. */
     void runUntil(long untilUs) {
-        while (!plans.isEmpty() && plans.peek().atUs() <= untilUs) {
-            final Plan next = plans.poll();
+        while (!events.isEmpty() && events.peek().atUs() <= untilUs) {
+            final ScheduledEvent next = events.poll();
             nowUs = next.atUs();
             next.event().run();
         }
--- a/src/main/java/cresschute/testbed/model/FleetModel.java
+++ b/src/main/java/cresschute/testbed/model/FleetModel.java
@@ -17,30 +17,37 @@
 import java.util.function.Supplier;
 
 /**
- * A fleet in virtual time: many dispatchers, each with a decision module of its own, in front of
- * workers that they share. The same seed gives the same run. Times are microseconds; all happens on
- * the caller's thread.
+ * A simulation of a fleet in virtual time: many dispatchers, each with its own decision module, in
+ * front of shared workers. The same seed gives the same run. Times are in microseconds. Everything
+ * runs on the caller's thread.
  */
 public final class FleetModel {
 
     /**
-     * What is asked of a class: its part of all jobs, and mean and deviation of the work of one,
-     * us.
+     * The demand for a request class.
+     *
+     * @param share weight of the class among all jobs
+     * @param meanWorkUs mean work of a job, us
+     * @param deviationUs standard deviation of the work of a job, us
+     * @param twoSlotFraction fraction of jobs that need two slots
      */
     public record Demand(
-            double share, double meanWorkUs, double deviationUs, double partWithTwoSlots) {}
+            double share, double meanWorkUs, double deviationUs, double twoSlotFraction) {}
 
-    /** A kind of worker: its slots, a core's speed and its part of all workers. */
+    /**
+     * A kind of worker: its number of slots, the speed of a core and the kind's share of all
+     * workers.
+     */
     public record Kind(int slots, double speed, double share) {}
 
     /**
-     * The whole of a fleet.
+     * The configuration of a fleet.
      *
-     * @param settings the settings that each module gets; the zone is set for each dispatcher
-     * @param demands of each class of the settings, in their order
-     * @param load work asked for over what all workers can do while all are well
-     * @param skew how many times the mean a dispatcher may get: traffic is spread from 1/skew to
-     *     skew
+     * @param settings the settings of each module; the zone is set for each dispatcher
+     * @param demands the demand for each class of the settings, in their order
+     * @param load requested work divided by what all healthy workers can do
+     * @param skew the most traffic that a dispatcher may get, as a multiple of the mean; traffic is
+     *     spread from 1/skew to skew
      */
     public record Plan(
             DispatchSettings settings,
@@ -52,34 +59,35 @@
             double skew,
             long seed) {}
 
-    /** How many of a class's requests came within a time, and what became of them. */
+    /** The number of requests of a class that arrived in a time span, and their results. */
     public record Tally(int asked, int inTime, int late, int refused) {}
 
     /**
-     * What cold workers were sent in a window of the rule, over what they bore then.
+     * What cold workers were sent in a window of the slow-start rule, relative to what they
+     * tolerate.
      *
-     * @param falls cold workers that fell by the work sent
-     * @param fallsByCount cold workers that would have fallen by the number of jobs alone
-     * @param maxWorkRatio the worst window by work
-     * @param maxCountRatio the worst window by number of jobs
+     * @param overloads cold workers that crashed because of the work sent
+     * @param overloadsByJobCount cold workers whose bound the number of jobs alone exceeded
+     * @param maxWorkRatio the largest ratio in any window, by work
+     * @param maxCountRatio the largest ratio in any window, by number of jobs
      * @param sends jobs sent to cold workers, by class
      */
-    public record ColdTally(
-            int falls,
-            int fallsByCount,
+    public record ColdStartTally(
+            int overloads,
+            int overloadsByJobCount,
             double maxWorkRatio,
             double maxCountRatio,
             List<Integer> sends) {}
 
-    /** A client's request, from its first try on. */
-    static final class First {
+    /** A client's request, from its first attempt on; it lasts over all retries. */
+    static final class ClientRequest {
         final int requestClass;
         final long atUs;
         long startedUs = -1;
         long servedUs = -1;
         boolean inTime;
 
-        First(int requestClass, long atUs) {
+        ClientRequest(int requestClass, long atUs) {
             this.requestClass = requestClass;
             this.atUs = atUs;
         }
@@ -87,31 +95,31 @@
 
     private static final long START_US = 10_000_000_000L;
 
-    /** A change of the list is known to a dispatcher this long after it at the latest. */
-    private static final long NOTICE_US = 3_000_000;
+    /** The latest time after an endpoint list change at which a dispatcher receives it. */
+    private static final long MAX_LIST_DELAY_US = 3_000_000;
 
-    /** A connection without a sign of life from the other end is given up after this. */
-    private static final long BREAK_US = 5_000_000;
+    /** The time after which a connection is closed when the other end does not respond. */
+    private static final long CONNECTION_TIMEOUT_US = 5_000_000;
 
-    private static final int RETRIES = 2;
-    private static final double HONOURED = 0.85;
-    private static final long BACKOFF_US = 50_000;
+    private static final int MAX_RETRIES = 2;
+    private static final double RETRY_AFTER_HONOURED_FRACTION = 0.85;
+    private static final long MEAN_BACKOFF_US = 50_000;
 
     private final Plan plan;
     private final SplittableRandom random;
-    private final EventQueue agenda = new EventQueue(START_US);
+    private final EventQueue eventQueue = new EventQueue(START_US);
     private final RegionLink link = new RegionLink();
     private final Map<Integer, ModelWorker> workers = new LinkedHashMap<>();
     private final List<ModelDispatcher> dispatchers = new ArrayList<>();
     private final List<Double> weights = new ArrayList<>();
-    private final List<First> firsts = new ArrayList<>();
+    private final List<ClientRequest> requests = new ArrayList<>();
     private final int[] coldSends;
     private double burst = 1;
     private boolean arriving = true;
 
     /**
-     * A fleet that has just started; {@code module} makes one dispatcher's module from settings and
-     * seed.
+     * Creates a fleet that has just started; {@code module} creates one dispatcher's module from
+     * settings and seed.
      */
     public FleetModel(Plan plan, ModuleMaker module) {
         this.plan = plan;
@@ -127,7 +135,7 @@
             final long seed = random.nextLong();
             dispatchers.add(
                     new ModelDispatcher(
-                            agenda,
+                            eventQueue,
                             workers,
                             link,
                             reported.zone(),
@@ -136,13 +144,13 @@
             weights.add(Math.pow(plan.skew(), 2 * random.nextDouble() - 1));
         }
         dispatchers.forEach(each -> each.listed(EndpointListForm.CACHED, listed));
-        agenda.after(0, this::arrive);
+        eventQueue.scheduleAfter(0, this::arrive);
     }
 
-    /** Makes a decision module for a dispatcher. */
+    /** Creates the decision module of a dispatcher. */
     public interface ModuleMaker {
 
-        /** A new module that acts by these actions. */
+        /** Creates a module that performs its decisions through {@code actions}. */
         DispatcherEvents make(DispatchSettings settings, long seed, DispatcherActions actions);
     }
 
@@ -185,7 +193,7 @@
         workers.put(
                 id,
                 new ModelWorker(
-                        agenda,
+                        eventQueue,
                         plan.settings().slowStart(),
                         id,
                         id % zones,
@@ -204,11 +212,11 @@
                                 each.share()
                                         / shares
                                         * each.meanWorkUs()
-                                        * (1 + each.partWithTwoSlots()))
+                                        * (1 + each.twoSlotFraction()))
                 .sum();
     }
 
-    /** Requests a second that all dispatchers get together, apart from bursts. */
+    /** Requests per second that all dispatchers receive together, without bursts. */
     public double ratePerS() {
         final double capacity =
                 plan.kinds().stream()
@@ -218,17 +226,17 @@
         return plan.load() * capacity / (meanWorkUs() / 1e6);
     }
 
-    // ---- What happens ----
+    // ---- Events ----
 
-    /** Lets time pass. */
-    public void pass(long us) {
-        agenda.runUntil(agenda.nowUs() + us);
+    /** Advances virtual time and runs the events that fall due, us. */
+    public void advance(long us) {
+        eventQueue.runUntil(eventQueue.nowUs() + us);
     }
 
-    /** Lets all that is under way come to its end; nothing new arrives. */
+    /** Runs until all pending requests have ended; no new requests arrive. */
     public void drain() {
         arriving = false;
-        pass(
+        advance(
                 plan.settings().classes().stream()
                                 .mapToLong(RequestClass::deadlineUs)
                                 .max()
@@ -236,31 +244,39 @@
                         + 1_000_000);
     }
 
-    /** Traffic is so many times the usual from now on. */
+    /** Multiplies the usual arrival rate by this factor from now on. */
     public void burst(double times) {
         burst = times;
     }
 
     /**
-     * Cuts the network between the zones below this one and the others. Connections across it, and
-     * to workers that are down, break some seconds later.
+     * Cuts the network between the zones below {@code firstZone} and the others. Connections across
+     * the cut and to workers that are down break a few seconds later.
      */
     public void cutRegions(int firstZone) {
         link.cut(firstZone);
-        agenda.after(BREAK_US, () -> dispatchers.forEach(ModelDispatcher::breakUnreachable));
+        eventQueue.scheduleAfter(
+                CONNECTION_TIMEOUT_US,
+                () -> dispatchers.forEach(ModelDispatcher::breakUnreachable));
     }
 
-    /** Joins the regions again; the changes of the list that were held back come at once. */
+    /**
+     * Restores the network between the regions; the queued endpoint list changes are delivered
+     * immediately.
+     */
     public void joinRegions() {
         link.restore();
     }
 
-    /** Slots in use and jobs that wait at a worker now, over its slots: what no dispatcher sees. */
+    /**
+     * The slots in use and waiting jobs of a worker, divided by its slots. No dispatcher can see
+     * this value.
+     */
     public double trueLoad(int worker) {
         return workers.get(worker).trueLoad();
     }
 
-    /** Workers by number that are up. */
+    /** The ids of the workers that are up. */
     public List<Integer> up() {
         return workers.values().stream()
                 .filter(ModelWorker::isUp)
@@ -273,48 +289,49 @@
         return workers.get(worker).zone;
     }
 
-    /** Workers vanish without a word; the list reports it later. */
-    public void lose(Collection<Integer> ids) {
+    /** Crashes workers without notice; the endpoint list reports it later. */
+    public void crashWorkers(Collection<Integer> ids) {
         ids.forEach(
                 id -> {
-                    workers.get(id).lose();
+                    workers.get(id).crash();
                     report(workers.get(id).listed(WorkerState.GONE));
                 });
     }
 
-    /** Workers are back, or new, as cold processes; the list reports it later. */
-    public void start(Collection<Integer> ids) {
+    /** Starts workers, known or new, as cold processes; the endpoint list reports it later. */
+    public void startWorkers(Collection<Integer> ids) {
         ids.forEach(
                 id -> {
                     if (!workers.containsKey(id)) {
                         addWorker(id);
                     }
-                    workers.get(id).startAnew();
+                    workers.get(id).restart();
                     report(workers.get(id).listed(WorkerState.READY));
                 });
     }
 
-    /** Workers drain: they end what they have and want nothing new. */
+    /** Drains workers: they finish their jobs and want no new ones. */
     public void drainWorkers(Collection<Integer> ids) {
         ids.forEach(id -> report(workers.get(id).listed(WorkerState.DRAINING)));
     }
 
-    /** Workers run so many times slower from now on. */
+    /** Slows workers down by this factor from now on. */
     public void slowDown(Collection<Integer> ids, double times) {
         ids.forEach(id -> workers.get(id).slowDown(times));
     }
 
-    /** Workers fail this part of their jobs from now on. */
-    public void failPart(Collection<Integer> ids, double part) {
-        ids.forEach(id -> workers.get(id).failPart(part));
+    /** Makes workers fail this fraction of their jobs from now on. */
+    public void failFraction(Collection<Integer> ids, double part) {
+        ids.forEach(id -> workers.get(id).failFraction(part));
     }
 
     private void report(Worker entry) {
-        // The list is late by as much for all, and each watch by a little more.
-        final long lateUs = 500_000 + random.nextLong(NOTICE_US - 1_000_000);
+        // All dispatchers share the delay of the endpoint list; each watch adds a small delay of
+        // its own.
+        final long lateUs = 500_000 + random.nextLong(MAX_LIST_DELAY_US - 1_000_000);
         dispatchers.forEach(
                 each ->
-                        agenda.after(
+                        eventQueue.scheduleAfter(
                                 lateUs + random.nextLong(500_000),
                                 () ->
                                         link.deliver(
@@ -328,8 +345,9 @@
 
     private void arrive() {
         if (arriving) {
-            firstTry(drawClass(), drawTenant(), this::anyDispatcher);
-            agenda.after((long) (exponential() * 1e6 / (ratePerS() * burst)), this::arrive);
+            submit(drawClass(), drawTenant(), this::anyDispatcher);
+            eventQueue.scheduleAfter(
+                    (long) (exponential() * 1e6 / (ratePerS() * burst)), this::arrive);
         }
     }
 
@@ -348,12 +366,12 @@
         return requestClass;
     }
 
-    /** Requests of one tenant that come to one dispatcher in one instant. */
+    /** Sends requests of one tenant to one dispatcher at the same time. */
     public Gang gang(int requestClass, int tenant, int count) {
         final ModelDispatcher dispatcher = anyDispatcher();
-        final List<First> members = new ArrayList<>();
+        final List<ClientRequest> members = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            members.add(firstTry(requestClass, tenant, () -> dispatcher));
+            members.add(submit(requestClass, tenant, () -> dispatcher));
         }
         return new Gang(members);
     }
@@ -363,17 +381,18 @@
         return tenants == 0 ? 0 : random.nextInt(tenants);
     }
 
-    private First firstTry(int requestClass, int tenant, Supplier<ModelDispatcher> dispatcher) {
+    private ClientRequest submit(
+            int requestClass, int tenant, Supplier<ModelDispatcher> dispatcher) {
         final Demand demand = plan.demands().get(requestClass);
         final double cv = demand.deviationUs() / demand.meanWorkUs();
         final double sigma = Math.sqrt(Math.log(1 + cv * cv));
         final double workUs =
                 demand.meanWorkUs() * Math.exp(sigma * random.nextGaussian() - sigma * sigma / 2);
-        final int slots = random.nextDouble() < demand.partWithTwoSlots() ? 2 : 1;
-        final First first = new First(requestClass, agenda.nowUs());
-        firsts.add(first);
-        tryAt(dispatcher.get(), first, tenant, workUs, slots, 0);
-        return first;
+        final int slots = random.nextDouble() < demand.twoSlotFraction() ? 2 : 1;
+        final ClientRequest request = new ClientRequest(requestClass, eventQueue.nowUs());
+        requests.add(request);
+        sendTo(dispatcher.get(), request, tenant, workUs, slots, 0);
+        return request;
     }
 
     private ModelDispatcher anyDispatcher() {
@@ -385,51 +404,56 @@
         return dispatchers.get(index);
     }
 
-    private void tryAt(
+    private void sendTo(
             ModelDispatcher dispatcher,
-            First first,
+            ClientRequest request,
             int tenant,
             double workUs,
             int slots,
             int retries) {
-        final RequestClass stated = plan.settings().classes().get(first.requestClass);
-        final long leftUs = first.atUs + stated.deadlineUs() - agenda.nowUs();
+        final RequestClass requestSettings = plan.settings().classes().get(request.requestClass);
+        final long leftUs = request.atUs + requestSettings.deadlineUs() - eventQueue.nowUs();
         if (leftUs <= 0) {
             return;
         }
-        dispatcher.take(
-                first.requestClass,
+        dispatcher.receive(
+                request.requestClass,
                 tenant,
                 workUs,
                 slots,
                 leftUs,
-                new ModelDispatcher.Client() {
+                new ModelDispatcher.ClientListener() {
                     @Override
                     public void started() {
-                        first.startedUs = first.startedUs < 0 ? agenda.nowUs() : first.startedUs;
+                        request.startedUs =
+                                request.startedUs < 0 ? eventQueue.nowUs() : request.startedUs;
                     }
 
                     @Override
                     public void served() {
-                        first.servedUs = agenda.nowUs();
-                        first.inTime =
-                                first.servedUs - first.atUs
-                                        <= stated.latencyObjectiveUs()
-                                                + stated.latencyObjectiveStretch() * workUs;
+                        request.servedUs = eventQueue.nowUs();
+                        request.inTime =
+                                request.servedUs - request.atUs
+                                        <= requestSettings.latencyObjectiveUs()
+                                                + requestSettings.latencyObjectiveStretch()
+                                                        * workUs;
                     }
 
                     @Override
                     public void refused(long retryAfterUs) {
-                        if (retries < RETRIES) {
-                            final long adviceUs = random.nextDouble() < HONOURED ? retryAfterUs : 0;
+                        if (retries < MAX_RETRIES) {
+                            final long adviceUs =
+                                    random.nextDouble() < RETRY_AFTER_HONOURED_FRACTION
+                                            ? retryAfterUs
+                                            : 0;
                             final long waitUs =
-                                    Math.max(adviceUs, (long) (exponential() * BACKOFF_US));
-                            agenda.after(
+                                    Math.max(adviceUs, (long) (exponential() * MEAN_BACKOFF_US));
+                            eventQueue.scheduleAfter(
                                     waitUs,
                                     () ->
-                                            tryAt(
+                                            sendTo(
                                                     anyDispatcher(),
-                                                    first,
+                                                    request,
                                                     tenant,
                                                     workUs,
                                                     slots,
@@ -444,62 +468,63 @@
                 });
     }
 
-    // ---- What came of it ----
+    // ---- Results ----
 
     /**
-     * What became of a class's requests that first came in the seconds from one on, up to another.
+     * The results of the requests of a class whose first attempt came in the time span from {@code
+     * fromS} (inclusive) to {@code toS} (exclusive), s.
      */
     public Tally tally(int requestClass, double fromS, double toS) {
-        final List<First> of =
-                firsts.stream()
+        final List<ClientRequest> of =
+                requests.stream()
                         .filter(
-                                first ->
-                                        first.requestClass == requestClass
-                                                && first.atUs - START_US >= fromS * 1e6
-                                                && first.atUs - START_US < toS * 1e6)
+                                request ->
+                                        request.requestClass == requestClass
+                                                && request.atUs - START_US >= fromS * 1e6
+                                                && request.atUs - START_US < toS * 1e6)
                         .toList();
-        final int inTime = (int) of.stream().filter(first -> first.inTime).count();
-        final int served = (int) of.stream().filter(first -> first.servedUs >= 0).count();
+        final int inTime = (int) of.stream().filter(request -> request.inTime).count();
+        final int served = (int) of.stream().filter(request -> request.servedUs >= 0).count();
         return new Tally(of.size(), inTime, served - inTime, of.size() - served);
     }
 
     /**
-     * Times from first try to a worker's start of those of a class that started, in rising order,
-     * us.
+     * The times from first attempt to a worker's start for the requests of a class that started, in
+     * ascending order, us.
      */
     public long[] startDelaysUs(int requestClass, double fromS, double toS) {
-        return firsts.stream()
+        return requests.stream()
                 .filter(
-                        first ->
-                                first.requestClass == requestClass
-                                        && first.startedUs >= 0
-                                        && first.atUs - START_US >= fromS * 1e6
-                                        && first.atUs - START_US < toS * 1e6)
-                .mapToLong(first -> first.startedUs - first.atUs)
+                        request ->
+                                request.requestClass == requestClass
+                                        && request.startedUs >= 0
+                                        && request.atUs - START_US >= fromS * 1e6
+                                        && request.atUs - START_US < toS * 1e6)
+                .mapToLong(request -> request.startedUs - request.atUs)
                 .sorted()
                 .toArray();
     }
 
-    /** What each dispatcher has sent, asked and learned so far. */
+    /** The counts of each dispatcher so far. */
     public List<DispatcherMeter> meters() {
         return dispatchers.stream().map(ModelDispatcher::meter).toList();
     }
 
-    /** Sends over first tries: 1 where nothing is sent twice and nothing refused. */
-    public double sendsARequest() {
+    /** Attempts per client request: 1 if no request is sent twice and none is rejected. */
+    public double sendsPerRequest() {
         return (double) dispatchers.stream().mapToLong(each -> each.sends).sum()
-                / Math.max(1, firsts.size());
+                / Math.max(1, requests.size());
     }
 
-    /** Cold workers that were pushed over. */
-    public long fallen() {
-        return workers.values().stream().filter(ModelWorker::fell).count();
+    /** The number of cold workers that were overloaded. */
+    public long overloadedWorkers() {
+        return workers.values().stream().filter(ModelWorker::overloaded).count();
     }
 
-    /** What cold workers were sent, and how near to a fall, or beyond, they came. */
-    public ColdTally coldTally() {
-        return new ColdTally(
-                (int) fallen(),
+    /** What cold workers were sent, relative to the bound above which they crash. */
+    public ColdStartTally coldStartTally() {
+        return new ColdStartTally(
+                (int) overloadedWorkers(),
                 (int)
                         workers.values().stream()
                                 .filter(worker -> worker.maxColdCountRatio() > 1)
--- a/src/main/java/cresschute/testbed/model/Gang.java
+++ b/src/main/java/cresschute/testbed/model/Gang.java
@@ -2,21 +2,21 @@
 
 import java.util.List;
 
-/** Requests of one tenant that arrived in one instant, as they fared. */
+/** The requests of one tenant that arrived at the same time, with their results. */
 public final class Gang {
 
-    private final List<FleetModel.First> members;
+    private final List<FleetModel.ClientRequest> members;
 
-    Gang(List<FleetModel.First> members) {
+    Gang(List<FleetModel.ClientRequest> members) {
         this.members = List.copyOf(members);
     }
 
-    /** How many requests it has. */
+    /** The number of requests in the gang. */
     public int size() {
         return members.size();
     }
 
-    /** How many of them a worker began to run within this time of their arrival. */
+    /** The number of requests that a worker started within this time of their arrival, us. */
     public int startedWithin(long us) {
         return (int)
                 members.stream()
--- a/src/test/java/cresschute/capacity/CapacityTablesTest.java
+++ b/src/test/java/cresschute/capacity/CapacityTablesTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The page's tables, their places in a page, and the classes that they name. */
+/** The page's tables, their insertion into a page, and the classes that they name. */
 class CapacityTablesTest {
 
     private static final Pattern CLASS_NAME = Pattern.compile("`([A-Z][a-z]+(?:[A-Z][a-z]+)*)`");
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void withoutMeasurementsEveryNeedSaysThatAndWhy() {
+    void marksEveryMeasureAsNotMeasuredWithReason() {
         final Map<String, String> tables = CapacityTables.of(List.of(), List.of());
         assertThat(tables.get("runs")).isEqualTo("No run has been measured yet.\n");
         assertThat(tables.get("held-out")).contains("**not measured**");
@@ -43,8 +43,8 @@
     }
 
     @Test
-    void needIsHeldAgainstItsLimit() throws CsvFormatException {
-        final Sweep sweep = new Sweep();
+    void comparesCostWithItsLimit() throws CsvFormatException {
+        final MeasurementFileBuilder sweep = new MeasurementFileBuilder();
         List.of(100.0, 200.0, 400.0)
                 .forEach(
                         size ->
@@ -64,8 +64,8 @@
     }
 
     @Test
-    void worstRatioComesFirstAndTheUnmeasuredLast() throws CsvFormatException {
-        final Sweep sweep = new Sweep();
+    void sortsByFallingRatioWithUnmeasuredLast() throws CsvFormatException {
+        final MeasurementFileBuilder sweep = new MeasurementFileBuilder();
         List.of(100.0, 200.0, 400.0)
                 .forEach(
                         size ->
@@ -89,10 +89,10 @@
         assertThat(ratios.subList(figures.size(), ratios.size())).isNotEmpty().containsOnly("-");
     }
 
-    /** A stand-in of 1,000 workers in one process says nothing of one worker's machine. */
+    /** The cost of a process with 1,000 worker stand-ins is not that of a worker's machine. */
     @Test
-    void standInsAndUnknownMeasuresAreLeftOut() throws CsvFormatException {
-        final Sweep sweep = new Sweep();
+    void omitsStandInCostsAndUnknownMeasures() throws CsvFormatException {
+        final MeasurementFileBuilder sweep = new MeasurementFileBuilder();
         List.of(100.0, 200.0, 400.0)
                 .forEach(
                         size ->
@@ -108,7 +108,8 @@
                                                 "dispatcher",
                                                 "colour",
                                                 sizes -> 1));
-        sweep.full("worker", "cpu_percent", sizes -> 90).full("dispatcher", "colour", sizes -> 1);
+        sweep.atFullSize("worker", "cpu_percent", sizes -> 90)
+                .atFullSize("dispatcher", "colour", sizes -> 1);
         final Map<String, String> tables = CapacityTables.of(sweep.measurements(), List.of());
         assertThat(tables.get("worker-needs"))
                 .contains(
@@ -120,7 +121,7 @@
     }
 
     @Test
-    void faultsAreToldByTheirMedian() {
+    void reportsMedianOfFaultMeasurements() {
         final List<FaultMeasurement> faults =
                 Stream.of(5.0, 1.0, 3.0)
                         .map(
@@ -157,23 +158,23 @@
                     -2.346, -2.35
                     NaN, -
                     """)
-    void figuresHaveThreeDigitsThatCount(double value, String text) {
+    void formatsFiguresWithThreeSignificantDigits(double value, String text) {
         assertThat(Figures.number(value)).isEqualTo(text);
     }
 
-    // ---- Places in a page ----
+    // ---- Insertion into a page ----
 
-    private static String place(String page) throws MarkerException {
+    private static String writeTable(String page) throws MarkerException {
         return CapacityPage.write(page, Map.of("a", "new\nlines\n"));
     }
 
     @Test
-    void tableTakesThePlaceOfWhatWasThere() throws MarkerException {
+    void replacesTextBetweenMarkers() throws MarkerException {
         final String page = "text\n<!-- table: a -->\nold\n<!-- end table -->\nmore\n";
-        final String written = place(page);
+        final String written = writeTable(page);
         assertThat(written)
                 .isEqualTo("text\n<!-- table: a -->\nnew\nlines\n<!-- end table -->\nmore\n");
-        assertThat(place(written)).isEqualTo(written);
+        assertThat(writeTable(written)).isEqualTo(written);
     }
 
     @ParameterizedTest
@@ -181,15 +182,15 @@
             delimiter = '|',
             textBlock =
                     """
-                    no marker                                           | no marker for the tables a
-                    <!-- table: a -->;old                               | the table a has no end
-                    <!-- table: a -->;<!-- table: a -->                 | the table a has no end
-                    <!-- table: b -->;<!-- end table -->                | there is no table b
-                    <!-- end table -->                                  | an end of a table without its beginning
-                    <!-- table: a -->;<!-- end table -->;<!-- table: a -->;<!-- end table --> | the table a comes twice
+                    no marker                                           | no marker for tables: a
+                    <!-- table: a -->;old                               | table a has no end marker
+                    <!-- table: a -->;<!-- table: a -->                 | table a has no end marker
+                    <!-- table: b -->;<!-- end table -->                | marker names an unknown table: b
+                    <!-- end table -->                                  | end marker without a begin marker before it
+                    <!-- table: a -->;<!-- end table -->;<!-- table: a -->;<!-- end table --> | table a has two markers
                     """)
-    void brokenMarkersAreNamed(String page, String message) {
-        assertThatThrownBy(() -> place(page.replace(';', '\n') + "\n"))
+    void rejectsMalformedMarkers(String page, String message) {
+        assertThatThrownBy(() -> writeTable(page.replace(';', '\n') + "\n"))
                 .isInstanceOf(MarkerException.class)
                 .hasMessage(message);
     }
@@ -207,9 +208,9 @@
         }
     }
 
-    /** A page that names a class as the carrier of a need names one that there is. */
+    /** Every class that the page names as the mechanism of a cost exists. */
     @Test
-    void mechanismsAreClassesOfTheProgram() throws IOException {
+    void namesOnlyExistingClassesAsMechanisms() throws IOException {
         final Set<String> classes = classes();
         assertThat(
                         Stream.of(TrackedMeasure.values())
--- a/src/test/java/cresschute/control/files/SharedOperatorStateFormatTest.java
+++ b/src/test/java/cresschute/control/files/SharedOperatorStateFormatTest.java
@@ -18,8 +18,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Folders that an earlier version left: the names of the files, a torn file beside a complete one,
- * and the bytes that are written next. The literals are what that version wrote.
+ * Guards the stored format of drains and operators' state across upgrades: file names, a torn file
+ * next to a complete one, and the bytes written next. The literals are files that an earlier
+ * version wrote.
  */
 @Timeout(30)
 class SharedOperatorStateFormatTest {
@@ -73,14 +74,14 @@
     }
 
     @Test
-    void newerOfTwoCompleteSnapshotsIsInForce() throws IOException {
+    void loadsTheNewerOfTwoCompleteSnapshots() throws IOException {
         write("drains.0", GENERATION_8);
         write("drains.1", GENERATION_9);
         assertThat(load()).isEqualTo(snapshot(9));
     }
 
     @Test
-    void completeSnapshotIsInForceBesideATornOne() throws IOException {
+    void loadsTheCompleteSnapshotWhenTheOtherIsTorn() throws IOException {
         write("drains.0", GENERATION_8);
         write("drains.1", torn(GENERATION_9));
         assertThat(load()).isEqualTo(snapshot(8));
@@ -89,7 +90,7 @@
     }
 
     @Test
-    void snapshotsAreWrittenAsAnEarlierVersionWroteThem() throws IOException {
+    void snapshotFilesKeepTheirFormat() throws IOException {
         try (StateFolder state = StateFolder.open(folder)) {
             for (final long generation : new long[] {8, 9}) {
                 assertThat(StateFolderTest.store(state, snapshot(generation))).isNull();
@@ -100,21 +101,21 @@
     }
 
     private static OperatorState change(SharedOperatorState shared, ManagementCall call) {
-        final CompletableFuture<OperatorState> ended = new CompletableFuture<>();
+        final CompletableFuture<OperatorState> result = new CompletableFuture<>();
         shared.change(
                 state -> state.apply(call),
                 new SharedStateListener.ChangeListener() {
                     @Override
                     public void stored(OperatorState written) {
-                        ended.complete(written);
+                        result.complete(written);
                     }
 
                     @Override
                     public void notDurable(NotDurableException failure) {
-                        ended.completeExceptionally(failure);
+                        result.completeExceptionally(failure);
                     }
                 });
-        return ended.join();
+        return result.join();
     }
 
     private OperatorState openAndCall(OperatorState[] found, String... calls) throws Exception {
@@ -132,7 +133,7 @@
     }
 
     @Test
-    void operatorsStateIsTakenUpAndWrittenOn() throws Exception {
+    void loadsAndUpdatesStateOfAnEarlierVersion() throws Exception {
         write(OPERATORS_FILE, BANNED);
         final OperatorState[] found = new OperatorState[1];
         openAndCall(found, "ready");
@@ -149,9 +150,12 @@
                         """);
     }
 
-    /** It counts as no state, is put aside, and the next change starts anew. */
+    /**
+     * A torn file counts as no state and is quarantined; the next change starts from an empty
+     * state.
+     */
     @Test
-    void tornOperatorsStateIsPutAside() throws Exception {
+    void quarantinesTornState() throws Exception {
         write(OPERATORS_FILE, torn(BANNED));
         final OperatorState[] found = new OperatorState[1];
         openAndCall(found, "drain");
--- a/src/test/java/cresschute/control/files/StateFolderTest.java
+++ b/src/test/java/cresschute/control/files/StateFolderTest.java
@@ -17,7 +17,9 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Two generations of snapshots on a disk that loses, tears and flips what it was given. */
+/**
+ * Tests that the newest complete snapshot is loaded when files are torn, damaged or not writable.
+ */
 @Timeout(30)
 class StateFolderTest {
 
@@ -36,27 +38,27 @@
                 List.of());
     }
 
-    /** The failure of the store, or null where the snapshot was stored. */
+    /** Stores a snapshot; returns the failure, or null if the snapshot was stored. */
     static NotDurableException store(StateFolder state, DrainSnapshot snapshot) {
-        final CompletableFuture<NotDurableException> ended = new CompletableFuture<>();
+        final CompletableFuture<NotDurableException> result = new CompletableFuture<>();
         state.store(
                 snapshot,
                 Runnable::run,
                 new SnapshotListener() {
                     @Override
                     public void stored() {
-                        ended.complete(null);
+                        result.complete(null);
                     }
 
                     @Override
                     public void notDurable(NotDurableException failure) {
-                        ended.complete(failure);
+                        result.complete(failure);
                     }
                 });
-        return ended.join();
+        return result.join();
     }
 
-    private void storeUpTo(long generation) throws IOException {
+    private void storeGenerationsUpTo(long generation) throws IOException {
         try (StateFolder state = StateFolder.open(folder())) {
             for (long each = 1; each <= generation; each++) {
                 assertThat(store(state, snapshot(each))).isNull();
@@ -71,30 +73,32 @@
     }
 
     @Test
-    void newestIsLoadedAfterEachWrite() throws IOException {
+    void loadsTheNewestSnapshot() throws IOException {
         assertThat(load().generation()).isZero();
-        storeUpTo(5);
+        storeGenerationsUpTo(5);
         assertThat(load()).isEqualTo(snapshot(5));
         assertThat(PosixFilePermissions.toString(Files.getPosixFilePermissions(folder())))
                 .isEqualTo("rwx------");
     }
 
     @Test
-    void olderOneIsUsedWhereTheNewestIsDamaged() throws IOException {
-        storeUpTo(5);
+    void loadsTheOlderSnapshotWhenTheNewestIsDamaged() throws IOException {
+        storeGenerationsUpTo(5);
         final Path newest = folder().resolve("drains.1");
         final byte[] bytes = Files.readAllBytes(newest);
         Files.write(newest, Arrays.copyOf(bytes, bytes.length / 2));
         assertThat(load()).isEqualTo(snapshot(4));
-        // It is put aside, so that nothing is lost when its place is written again.
+        // The damaged file is quarantined, so that the next snapshot does not overwrite it.
         assertThat(Files.exists(newest)).isFalse();
         assertThat(Files.size(folder().resolve("drains.1.refused"))).isEqualTo(bytes.length / 2);
     }
 
-    /** A process that died while it wrote aside: what was confirmed before stands. */
+    /**
+     * A process that died while writing the temporary file leaves the confirmed snapshots intact.
+     */
     @Test
-    void halfWrittenFileIsIgnored() throws IOException {
-        storeUpTo(2);
+    void ignoresPartiallyWrittenTemporaryFile() throws IOException {
+        storeGenerationsUpTo(2);
         Files.write(folder().resolve("drains.new"), new byte[] {1, 2, 3});
         assertThat(load()).isEqualTo(snapshot(2));
         try (StateFolder state = StateFolder.open(folder())) {
@@ -104,15 +108,15 @@
     }
 
     @Test
-    void bothDamagedStartsWithNothing() throws IOException {
-        storeUpTo(2);
+    void startsEmptyWhenBothSnapshotsAreDamaged() throws IOException {
+        storeGenerationsUpTo(2);
         Files.write(folder().resolve("drains.0"), new byte[] {1});
         Files.write(folder().resolve("drains.1"), new byte[0]);
         assertThat(load().drains()).isEmpty();
     }
 
     @Test
-    void folderBelongsToOneNode() throws IOException {
+    void rejectsSecondNodeOnTheSameFolder() throws IOException {
         try (StateFolder state = StateFolder.open(folder())) {
             assertThatThrownBy(() -> StateFolder.open(folder()))
                     .isInstanceOf(StateFolderInUseException.class)
@@ -122,11 +126,11 @@
         assertThat(load()).isEqualTo(snapshot(1));
     }
 
-    /** What cannot be written is reported, and the generations before it stay. */
+    /** A failed write is reported and keeps the earlier snapshots. */
     @Test
-    void failedWriteIsReported() throws IOException {
-        storeUpTo(2);
-        // A folder in the way of the file that is written aside: also root cannot write there.
+    void reportsFailedWriteAndKeepsEarlierSnapshots() throws IOException {
+        storeGenerationsUpTo(2);
+        // A folder in place of the temporary file makes the write fail, even for root.
         Files.createDirectory(folder().resolve("drains.new"));
         try (StateFolder state = StateFolder.open(folder())) {
             final NotDurableException failure = store(state, snapshot(3));
