--- a/src/test/java/cresschute/control/socket/ControlProtocolFormatTest.java
+++ b/src/test/java/cresschute/control/socket/ControlProtocolFormatTest.java
@@ -4,7 +4,7 @@
 
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
-import cresschute.ControlPeer;
+import cresschute.TestConsole;
 import cresschute.console.ControlLink;
 import cresschute.control.ControlCommand;
 import cresschute.control.ControlRequest;
@@ -28,9 +28,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The lines of the control socket as an earlier version wrote them, both ways: consoles and nodes
- * of different versions understand each other. The literals are never adapted to a renaming in the
- * code.
+ * Guards the format of the control protocol in both directions, so that consoles and nodes of
+ * different versions understand each other. The literals are the lines that an earlier version
+ * wrote; do not adapt them when names in the code change.
  */
 @Timeout(30)
 class ControlProtocolFormatTest {
@@ -77,7 +77,7 @@
 
         @Override
         public void refresh() {
-            // The rows do not change by themselves.
+            // The test changes the rows itself.
         }
 
         @Override
@@ -89,7 +89,7 @@
 
         @Override
         public void audit(long session, ControlRequest request) {
-            // Nobody reads the log.
+            // The log is not tested here.
         }
     }
 
@@ -112,15 +112,15 @@
     }
 
     private String answer(String request) throws Exception {
-        try (ControlPeer peer = new ControlPeer(socket)) {
-            return peer.write(request + "\n").read().toString();
+        try (TestConsole console = new TestConsole(socket)) {
+            return console.write(request + "\n").read().toString();
         }
     }
 
-    // ---- What consoles write ----
+    // ---- Requests ----
 
     @Test
-    void consolesWriteTheRequestsOfAnEarlierVersion() {
+    void consoleRequestsKeepTheirFormat() {
         assertThat(ControlLink.request("1", "workers")).hasToString(WORKERS);
         final Map<String, Object> drain = new LinkedHashMap<>();
         drain.put("op", "op-1");
@@ -133,7 +133,7 @@
     }
 
     @Test
-    void requestsOfAnEarlierConsoleAreUnderstood() throws Exception {
+    void parsesRequestsOfAnEarlierConsole() throws Exception {
         assertThat(ControlRequest.parse(WORKERS))
                 .isEqualTo(new ControlRequest("1", ControlCommand.WORKERS, 0, "", 0, null));
         assertThat(ControlRequest.parse(SUBSCRIBE))
@@ -176,10 +176,10 @@
                                         false)));
     }
 
-    // ---- What nodes answer ----
+    // ---- Answers and updates ----
 
     @Test
-    void rowsAreAnsweredAsByAnEarlierNode() throws Exception {
+    void rowAnswersKeepTheirFormat() throws Exception {
         assertThat(answer(WORKERS))
                 .isEqualTo(
                         "{\"re\":\"1\",\"ok\":true,\"boot\":\"run-1\",\"number\":3,"
@@ -193,7 +193,7 @@
     }
 
     @Test
-    void eventsAreAnsweredAsByAnEarlierNode() throws Exception {
+    void eventAnswersKeepTheirFormat() throws Exception {
         assertThat(
                         answer(
                                 "{\"v\":1,\"id\":\"e\",\"do\":\"events\",\"after\":0,\"boot\":\"run-1\"}"))
@@ -205,12 +205,12 @@
                             + " node is stopping\"}]}");
     }
 
-    /** Updates carry no {@code re}; all else is as in an answer. */
+    /** Updates have no {@code re}; their other fields are those of an answer. */
     @Test
-    void updatesAreSentAsByAnEarlierNode() throws Exception {
-        try (ControlPeer peer = new ControlPeer(socket)) {
-            peer.ask("\"do\":\"subscribe\"");
-            peer.ask("\"do\":\"events\"");
+    void updatesKeepTheirFormat() throws Exception {
+        try (TestConsole console = new TestConsole(socket)) {
+            console.ask("\"do\":\"subscribe\"");
+            console.ask("\"do\":\"events\"");
             loop.submit(
                             () -> {
                                 table.put("w/w1", "{\"id\":\"w1\",\"n\":2}");
@@ -222,7 +222,7 @@
                                 server.publish(1);
                             })
                     .syncUninterruptibly();
-            assertThat(peer.read())
+            assertThat(console.read())
                     .hasToString(
                             "{\"boot\":\"run-1\",\"number\":4,\"whole\":false,"
                                 + "\"rows\":{\"w/w1\":{\"id\":\"w1\",\"n\":2}},\"gone\":[],\"missed\":0,\"events\":["
@@ -232,7 +232,7 @@
     }
 
     @Test
-    void operationsAreAnsweredAsByAnEarlierNode() throws Exception {
+    void operationAnswersKeepTheirFormat() throws Exception {
         assertThat(answer(DRAIN)).isEqualTo("{\"re\":\"o1\",\"ok\":true,\"outcome\":\"done\"}");
         assertThat(executed)
                 .isEqualTo(
@@ -242,7 +242,7 @@
     }
 
     @Test
-    void rejectionsAreAnsweredAsByAnEarlierNode() throws Exception {
+    void rejectionsKeepTheirFormat() throws Exception {
         assertThat(answer("{\"v\":1,\"id\":\"x\",\"do\":\"fly\"}"))
                 .isEqualTo(
                         "{\"re\":\"x\",\"ok\":false,\"error\":\"do is 'fly'; there are workers,"
--- a/src/test/java/cresschute/testbed/FleetTest.java
+++ b/src/test/java/cresschute/testbed/FleetTest.java
@@ -7,7 +7,7 @@
 import cresschute.testbed.Observation.RequestSent;
 import cresschute.testbed.Observation.RunDone;
 import cresschute.testbed.Observation.RunStarted;
-import cresschute.testbed.Observation.SendCame;
+import cresschute.testbed.Observation.AttemptReceived;
 import cresschute.testbed.Observation.WorkerBooted;
 import cresschute.testbed.Observation.WorkerListed;
 import cresschute.testbed.RequestOutcomes.End;
@@ -25,8 +25,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The stand-ins round a real node, seed 1: each fault has its effect, and the rules hold in all of
- * them.
+ * Checks the stand-ins around a real node, seed 1: each fault has its effect, and the rules hold
+ * under all of them.
  */
 @Timeout(60)
 @Execution(ExecutionMode.CONCURRENT)
@@ -46,21 +46,23 @@
                 .until(() -> fleet.seen().stream().anyMatch(wanted));
     }
 
-    /** Lets the run end: what was asked for is answered. */
-    private static FleetReport end(Fleet fleet) {
+    /** Waits until all requests are answered, then stops the fleet. */
+    private static FleetReport finish(Fleet fleet) {
         fleet.stopArriving();
         Awaitility.await().atMost(Duration.ofSeconds(30)).until(() -> fleet.waiting() == 0);
         fleet.stop();
         return fleet.report();
     }
 
-    /** Cuts the run off: what waits is unfinished, and that is nobody's fault. */
-    private static FleetReport cut(Fleet fleet) {
+    /**
+     * Stops the fleet at once; requests that still wait count as unfinished, which breaks no rule.
+     */
+    private static FleetReport stopImmediately(Fleet fleet) {
         fleet.stop();
         return fleet.report();
     }
 
-    private static void sound(FleetReport report) {
+    private static void assertSound(FleetReport report) {
         assertThat(report.breaches()).isEmpty();
         assertThat(report.invariantBreaches()).isZero();
         assertThat(report.outcomes().ended(End.UNANSWERED)).isZero();
@@ -75,13 +77,13 @@
     }
 
     @Test
-    void calmSiteServesAll() {
-        // Well within what eight workers can do, so that nothing has to be refused.
+    void servesEveryRequestWithoutFaults() {
+        // The load is well below the capacity of eight workers, so that nothing has to be rejected.
         try (Fleet fleet = new Fleet(new Fleet.Plan(8, 12, SEED, List.of()))) {
             fleet.start();
             Awaitility.await().until(() -> count(fleet, RequestSent.class) >= 25);
-            final FleetReport report = end(fleet);
-            sound(report);
+            final FleetReport report = finish(fleet);
+            assertSound(report);
             assertThat(report.outcomes().ended(End.SERVED)).isEqualTo(report.outcomes().asked());
             assertThat(report.json().keySet())
                     .contains(
@@ -97,16 +99,16 @@
         }
     }
 
-    /** Whatever goes wrong, every request has its one answer and nothing takes effect twice. */
+    /** Under either fault, every request gets one answer and nothing takes effect twice. */
     @ParameterizedTest
     @ValueSource(strings = {"reset:w1x1@0s", "garbage:w1x1@0s"})
-    void failedAttemptsAreMadeGoodElsewhere(String fault) {
+    void retriesFailedAttemptsOnOtherWorkers(String fault) {
         try (Fleet fleet = fleet(fault)) {
             final Set<String> troubled = new HashSet<>();
             await(
                     fleet,
                     seen -> {
-                        if (seen instanceof SendCame send && send.worker().equals("w1")) {
+                        if (seen instanceof AttemptReceived send && send.worker().equals("w1")) {
                             troubled.add(send.id());
                         }
                         return seen instanceof RequestAnswered answer
@@ -114,7 +116,7 @@
                                 && troubled.contains(answer.id())
                                 && !answer.body().startsWith("w1 ");
                     });
-            sound(cut(fleet));
+            assertSound(stopImmediately(fleet));
             assertThat(fleet.seen())
                     .noneMatch(
                             seen ->
@@ -152,25 +154,27 @@
                                     seen instanceof RunDone done
                                             && done.worker().equals("w1")
                                             && done.id().equals(run.id()));
-            sound(cut(fleet));
+            assertSound(stopImmediately(fleet));
         }
     }
 
     @Test
-    void silentWorkerRunsNothingUntilItSpeaksAgain() {
+    void silentWorkerRunsNothingUntilFaultEnds() {
         try (Fleet fleet = fleet("silent:w1@0s+4s")) {
-            await(fleet, seen -> seen instanceof SendCame send && send.worker().equals("w1"));
+            await(
+                    fleet,
+                    seen -> seen instanceof AttemptReceived send && send.worker().equals("w1"));
             await(fleet, seen -> seen instanceof RunDone done && !done.worker().equals("w1"));
             assertThat(fleet.seen())
                     .noneMatch(seen -> seen instanceof RunDone done && done.worker().equals("w1"));
             await(fleet, seen -> seen instanceof RunDone done && done.worker().equals("w1"));
-            sound(cut(fleet));
+            assertSound(stopImmediately(fleet));
         }
     }
 
-    /** It is back cold and told as such; the node spares it. */
+    /** The worker restarts cold and is reported as such; the node must not overload it. */
     @Test
-    void crashedWorkerComesBackCold() {
+    void crashedWorkerRestartsCold() {
         try (Fleet fleet = fleet("crash:w1@1s+1s")) {
             await(
                     fleet,
@@ -194,15 +198,15 @@
                                 return seen.subList(before, seen.size()).stream()
                                         .anyMatch(
                                                 each ->
-                                                        each instanceof SendCame send
+                                                        each instanceof AttemptReceived send
                                                                 && send.worker().equals("w1"));
                             });
-            sound(cut(fleet));
+            assertSound(stopImmediately(fleet));
         }
     }
 
     @Test
-    void drainedWorkerGetsNothingNew() {
+    void sendsNothingNewToDrainingWorker() {
         try (Fleet fleet = fleet("drain:w1@500ms+30s")) {
             await(
                     fleet,
@@ -220,30 +224,30 @@
                             .findFirst()
                             .orElseThrow()
                             .us();
-            sound(cut(fleet));
+            assertSound(stopImmediately(fleet));
             assertThat(fleet.seen().subList(before, fleet.seen().size()))
                     .noneMatch(
                             seen ->
-                                    seen instanceof SendCame send
+                                    seen instanceof AttemptReceived send
                                             && send.worker().equals("w1")
                                             && send.firstByteUs()
-                                                    > reportedUs + RuleChecker.DRAIN_WITHIN_US);
+                                                    > reportedUs + RuleChecker.MAX_DRAIN_DELAY_US);
         }
     }
 
-    /** The list that the settings name is enough to serve by until discovery answers. */
+    /** The workers named in the settings are enough to serve requests until discovery answers. */
     @Test
-    void servesByTheKnownListWhileTheDiscoveryIsDown() {
+    void servesWithConfiguredWorkersWhileDiscoveryIsDown() {
         try (Fleet fleet = fleet("director@0s+3s")) {
             await(fleet, FleetTest::serves);
             assertThat(fleet.seen()).noneMatch(WorkerListed.class::isInstance);
             await(fleet, WorkerListed.class::isInstance);
-            sound(cut(fleet));
+            assertSound(stopImmediately(fleet));
         }
     }
 
     @Test
-    void burstBringsMore() {
+    void burstMultipliesRequests() {
         try (Fleet calm = new Fleet(new Fleet.Plan(2, 20, SEED, List.of()));
                 Fleet burst =
                         new Fleet(
@@ -254,14 +258,14 @@
             Awaitility.await().until(() -> count(calm, RequestSent.class) >= 15);
             assertThat(count(burst, RequestSent.class))
                     .isGreaterThan(2 * count(calm, RequestSent.class));
-            final FleetReport report = cut(burst);
-            sound(report);
+            final FleetReport report = stopImmediately(burst);
+            assertSound(report);
             assertThat(report.outcomes().ended(End.UNFINISHED)).isPositive();
         }
     }
 
     @Test
-    void tailMakesSomeJobsHeavy() {
+    void tailFaultMakesSomeJobsLong() {
         try (Fleet fleet =
                 new Fleet(new Fleet.Plan(8, 100, SEED, InjectedFault.parse("tailx30@0s+30s")))) {
             fleet.start();
@@ -270,12 +274,12 @@
                     seen ->
                             seen instanceof RequestSent request
                                     && request.workUs() > 6 * 2_400_000);
-            sound(cut(fleet));
+            assertSound(stopImmediately(fleet));
         }
     }
 
     @Test
-    void faultOfNoWorkerIsReportedAtOnce() {
+    void rejectsFaultForUnknownWorker() {
         assertThatThrownBy(
                         () ->
                                 new Fleet(
@@ -285,10 +289,10 @@
     }
 
     @Test
-    void tableFitsNarrowScreens() {
+    void tableFitsRequestedWidth() {
         try (Fleet fleet = fleet("")) {
             await(fleet, FleetTest::serves);
-            final FleetReport report = cut(fleet);
+            final FleetReport report = stopImmediately(fleet);
             assertThat(report.table(40))
                     .allMatch(line -> line.length() <= 40)
                     .anyMatch(line -> line.equals("one answer         kept"));
--- a/src/test/java/cresschute/testbed/bodies/BodyPeersTest.java
+++ b/src/test/java/cresschute/testbed/bodies/BodyPeersTest.java
@@ -16,7 +16,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Peers with speeds, stalls and breaks, through a whole node with the real module. */
+/**
+ * Transfers long bodies through a whole node with the real decision module, between peers with
+ * given speeds, stalls and resets.
+ */
 @Timeout(60)
 class BodyPeersTest {
 
@@ -52,7 +55,7 @@
     void end() throws IOException {
         node.halt();
         site.close();
-        assertThat(site.broken()).isEmpty();
+        assertThat(site.violations()).isEmpty();
         assertThat(node.invariantBreaches()).isZero();
     }
 
@@ -63,15 +66,15 @@
                 target,
                 upload,
                 false,
-                LineSpeed.FULL,
-                LineSpeed.FULL,
+                TransferProfile.FULL,
+                TransferProfile.FULL,
                 -1,
                 false);
     }
 
     @Test
-    void everyByteArrivesEachWayAtUnlikeSpeeds() {
-        final BodyClient.Came up = BodyClient.run(plan("/upload?in=20000000", 20 * MB));
+    void transfersEveryByteBothWaysAtDifferentSpeeds() {
+        final BodyClient.Result up = BodyClient.run(plan("/upload?in=20000000", 20 * MB));
         assertThat(up.status()).isEqualTo(200);
         assertThat(up.text()).startsWith(20 * MB + " ");
         final BodyClient.Plan slowly =
@@ -81,18 +84,21 @@
                         "/report?result=" + 20 * MB,
                         0,
                         false,
-                        LineSpeed.FULL,
-                        LineSpeed.of(20 * MB),
+                        TransferProfile.FULL,
+                        TransferProfile.of(20 * MB),
                         -1,
                         false);
-        final BodyClient.Came down = BodyClient.run(slowly);
+        final BodyClient.Result down = BodyClient.run(slowly);
         assertThat(down)
-                .extracting(BodyClient.Came::status, BodyClient.Came::whole, BodyClient.Came::bytes)
+                .extracting(
+                        BodyClient.Result::status,
+                        BodyClient.Result::complete,
+                        BodyClient.Result::bytes)
                 .containsExactly(200, true, 20L * MB);
     }
 
     @Test
-    void chunksAreABodyToo() {
+    void forwardsChunkedBody() {
         final BodyClient.Plan plan =
                 new BodyClient.Plan(
                         to,
@@ -100,43 +106,46 @@
                         "/upload",
                         3 * MB,
                         true,
-                        LineSpeed.FULL,
-                        LineSpeed.FULL,
+                        TransferProfile.FULL,
+                        TransferProfile.FULL,
                         -1,
                         false);
         assertThat(BodyClient.run(plan).text()).startsWith(3 * MB + " ");
         assertThat(site.ran("chunks")).isTrue();
     }
 
-    /** It cannot have run, and is never sent a second time beyond what is kept. */
+    /**
+     * A job whose body was cut has not run. It is never sent a second time beyond the bytes that
+     * the node has kept.
+     */
     @Test
-    void workerThatBreaksWithinABodyHasNotRunIt() {
-        final BodyClient.Came came = BodyClient.run(plan("/upload?reset=1000000", 20 * MB));
-        assertThat(came.status()).isEqualTo(503);
+    void answers503WhenWorkerResetsDuringBody() {
+        final BodyClient.Result result = BodyClient.run(plan("/upload?reset=1000000", 20 * MB));
+        assertThat(result.status()).isEqualTo(503);
         assertThat(site.ran("b1")).isFalse();
     }
 
     @Test
-    void workerThatStallsWithinABodyIsGivenUp() {
+    void answers503WhenWorkerStallsDuringBody() {
         assertThat(BodyClient.run(plan("/upload?stall=1000000", 40 * MB)).status()).isEqualTo(503);
         assertThat(site.ran("b1")).isFalse();
     }
 
     @Test
-    void resultThatBreaksOrStallsIsNotWhole() {
+    void truncatesResultWhenWorkerResetsOrStalls() {
         for (final String fault : List.of("reset", "stall")) {
-            final BodyClient.Came came =
+            final BodyClient.Result result =
                     BodyClient.run(plan("/report?result=" + 20 * MB + "&" + fault + "=1000000", 0));
-            assertThat(came)
+            assertThat(result)
                     .as(fault)
-                    .extracting(BodyClient.Came::status, BodyClient.Came::whole)
+                    .extracting(BodyClient.Result::status, BodyClient.Result::complete)
                     .containsExactly(200, false);
         }
     }
 
-    /** A client on a slow line is served; one that sends a byte now and then is not. */
+    /** A client on a slow connection is served; one that sends a byte now and then is rejected. */
     @Test
-    void slowLineIsServedAndSlowLorisIsNot() {
+    void servesSlowClientAndRejectsSlowloris() {
         final BodyClient.Plan line =
                 new BodyClient.Plan(
                         to,
@@ -144,8 +153,8 @@
                         "/upload",
                         100_000,
                         false,
-                        LineSpeed.of(40_000),
-                        LineSpeed.FULL,
+                        TransferProfile.of(40_000),
+                        TransferProfile.FULL,
                         -1,
                         false);
         assertThat(BodyClient.run(line).status()).isEqualTo(200);
@@ -156,17 +165,17 @@
                         "/upload",
                         MB,
                         false,
-                        LineSpeed.of(40),
-                        LineSpeed.FULL,
+                        TransferProfile.of(40),
+                        TransferProfile.FULL,
                         -1,
                         false);
         assertThat(BodyClient.run(loris).status()).isEqualTo(408);
         assertThat(site.ran("loris")).isFalse();
     }
 
-    /** A client that reads at modem speed is no reason to hold more, or to end. */
+    /** A client that reads at modem speed must not make the node hold more memory or stop. */
     @Test
-    void modemReaderLeavesWithoutTrace() {
+    void servesOthersAfterSlowReaderLeaves() {
         final BodyClient.Plan modem =
                 new BodyClient.Plan(
                         to,
@@ -174,13 +183,13 @@
                         "/report?result=" + 300 * MB,
                         0,
                         false,
-                        LineSpeed.FULL,
-                        LineSpeed.of(7_000),
+                        TransferProfile.FULL,
+                        TransferProfile.of(7_000),
                         14_000,
                         false);
-        final BodyClient.Came came = BodyClient.run(modem);
-        assertThat(came.status()).isEqualTo(200);
-        assertThat(came.bytes()).isGreaterThanOrEqualTo(14_000);
+        final BodyClient.Result result = BodyClient.run(modem);
+        assertThat(result.status()).isEqualTo(200);
+        assertThat(result.bytes()).isGreaterThanOrEqualTo(14_000);
         assertThat(BodyClient.run(plan("/upload", 2 * MB)).status()).isEqualTo(200);
     }
 }
--- a/src/test/java/cresschute/testbed/capacity/ObservationFileFormatTest.java
+++ b/src/test/java/cresschute/testbed/capacity/ObservationFileFormatTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Files of observations as an earlier version wrote them: one line of each type, read and written
- * again.
+ * Compatibility of the file format: one line of each type, as an earlier version wrote it, is read
+ * and written without change.
  */
 class ObservationFileFormatTest {
 
@@ -39,14 +39,15 @@
     @TempDir private Path folder;
 
     @Test
-    void linesOfAnEarlierVersionAreReadAndWrittenAgain() throws Exception {
+    void readsAndRewritesLinesOfEarlierVersion() throws Exception {
         final Path earlier = folder.resolve("earlier");
         Files.writeString(earlier, LINES);
         final List<Observation> read = ObservationFile.read(List.of(earlier));
         assertThat(read).hasSize(Observation.class.getPermittedSubclasses().length);
         assertThat(read.get(0))
                 .isEqualTo(new Observation.RequestSent(1, "i", "o", "c", "k", 2, 0.5, 3));
-        assertThat(read.get(6)).isEqualTo(new Observation.SendCame(7, 6, "w1", 4, "i", "k", 1.5));
+        assertThat(read.get(6))
+                .isEqualTo(new Observation.AttemptReceived(7, 6, "w1", 4, "i", "k", 1.5));
         assertThat(read.get(13)).isEqualTo(new Observation.WorkerListed(14, "w1", "serving", 5));
         final Path again = folder.resolve("again");
         try (ObservationFile file = new ObservationFile(again)) {
@@ -55,9 +56,9 @@
         assertThat(Files.readString(again)).isEqualTo(LINES);
     }
 
-    /** What the process that starts an experiment tells the others. */
+    /** The plan and the clock, which the experiment sends to its stub processes. */
     @Test
-    void planAndClockAreReportedAsByAnEarlierVersion() {
+    void planAndClockKeepSerializedForm() {
         final Gson gson = new Gson();
         final String plan =
                 """
--- a/src/test/java/cresschute/testbed/capacity/RequestOutcomesTest.java
+++ b/src/test/java/cresschute/testbed/capacity/RequestOutcomesTest.java
@@ -8,7 +8,7 @@
 import cresschute.testbed.Observation.RequestLost;
 import cresschute.testbed.Observation.RequestSent;
 import cresschute.testbed.Observation.RunStarted;
-import cresschute.testbed.Observation.SendCame;
+import cresschute.testbed.Observation.AttemptReceived;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What became of requests, from observations made up here. */
+/** Request outcomes from constructed observations. */
 class RequestOutcomesTest {
 
     private final List<Observation> seen = new ArrayList<>();
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void refusedAndThenServedIsServed() {
+    void countsRejectedThenServedRequestAsServed() {
         sent(1, "a", "a", "batch");
         answered(2, "a", 503);
         sent(3, "again-a", "a", "batch");
@@ -43,39 +43,39 @@
         answered(6, "b", 429);
         sent(2_000_000, "late", "late", "batch");
         assertThat(outcomes().requests()).isEqualTo(2);
-        assertThat(outcomes().servedShare()).isEqualTo(0.5);
-        assertThat(outcomes().refusedShare()).isEqualTo(0.5);
-        assertThat(outcomes().firstRefusedShare()).isEqualTo(1);
+        assertThat(outcomes().servedFraction()).isEqualTo(0.5);
+        assertThat(outcomes().rejectedFraction()).isEqualTo(0.5);
+        assertThat(outcomes().firstRejectedFraction()).isEqualTo(1);
         assertThat(outcomes().retriesPerRequest()).isEqualTo(0.5);
         assertThat(outcomes().unanswered()).isZero();
     }
 
     @Test
-    void lostIsUnanswered() {
+    void countsLostRequestAsUnanswered() {
         sent(1, "a", "a", "batch");
         seen.add(new RequestLost(2, "a"));
         assertThat(outcomes().unanswered()).isEqualTo(1);
-        assertThat(outcomes().refusedShare()).isZero();
+        assertThat(outcomes().rejectedFraction()).isZero();
     }
 
     /**
-     * Also where the worker's word is older than the client's note, and only the first start
+     * Also if the worker records the start before the client records the send; only the first start
      * counts.
      */
     @Test
-    void urgentStartCountsFromTheFirstTry() {
-        sent(1_000, "a", "a", Site.URGENT);
+    void measuresUrgentStartFromFirstTry() {
+        sent(1_000, "a", "a", ExperimentSetup.URGENT);
         answered(2_000, "a", 503);
         seen.add(new RunStarted(8_999, "w1", "again-a"));
-        sent(9_000, "again-a", "a", Site.URGENT);
+        sent(9_000, "again-a", "a", ExperimentSetup.URGENT);
         seen.add(new RunStarted(20_000, "w2", "again-a"));
-        sent(10_000, "b", "b", Site.URGENT);
+        sent(10_000, "b", "b", ExperimentSetup.URGENT);
         assertThat(outcomes().urgentStartMs(50)).isCloseTo(8, within(0.01));
         assertThat(outcomes().urgentNotStarted()).isEqualTo(1);
     }
 
     @Test
-    void gangsAreCountedByTheirFirstTries() {
+    void countsGangsByOutcomeOfFirstTries() {
         for (final String id :
                 List.of("gang-1-1-x", "gang-1-2-x", "gang-2-3-x", "gang-2-4-x", "gang-3-5-x")) {
             sent(1, id, id, "batch");
@@ -86,10 +86,10 @@
     }
 
     @Test
-    void observationsOutliveTheirProcess(@TempDir Path folder) throws Exception {
+    void readsObservationsOfKilledProcess(@TempDir Path folder) throws Exception {
         final Path first = folder.resolve("first");
         final Path second = folder.resolve("second");
-        final SendCame came = new SendCame(7, 6, "w1", 3, "a", null, 12);
+        final AttemptReceived came = new AttemptReceived(7, 6, "w1", 3, "a", null, 12);
         final RequestSent sent = new RequestSent(5, "a", "a", "batch", "key", 1, 1, 1);
         try (ObservationFile one = new ObservationFile(first);
                 ObservationFile two = new ObservationFile(second)) {
