--- a/src/main/java/cresschute/settings/script/Interpreter.java
+++ b/src/main/java/cresschute/settings/script/Interpreter.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * Runs a script by walking its syntax tree. It reaches nothing but the values and functions that it
- * is given. An instance serves one run, on the thread that calls it.
+ * Runs a script by walking its syntax tree. The script has access only to the builtins and the host
+ * functions. An instance is used for one run, on the caller's thread.
  */
 final class Interpreter {
 
@@ -48,8 +48,8 @@
                 throw new ScriptError(
                         Script.position(statement.start),
                         completion == StatementExecutor.Completion.RETURN
-                                ? "'return' stands outside a function"
-                                : "'break' and 'continue' stand outside a loop");
+                                ? "'return' outside a function"
+                                : "'break' or 'continue' outside a loop");
             }
         }
     }
--- a/src/main/java/cresschute/settings/script/Operators.java
+++ b/src/main/java/cresschute/settings/script/Operators.java
@@ -8,7 +8,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What operators do with each kind of value. Whole numbers are of 64 bits and never wrap. */
+/**
+ * Implements the operators for each type of value. Whole numbers have 64 bits; overflow is an
+ * error.
+ */
 final class Operators {
 
     private final ResourceLimiter limiter;
@@ -36,14 +39,14 @@
                         at,
                         "'"
                                 + operator
-                                + "' cannot join "
+                                + "' is not supported for "
                                 + Values.typeName(a)
                                 + " and "
                                 + Values.typeName(b));
             }
             return result;
         } catch (ArithmeticException e) {
-            throw new ScriptError(at, "the result is beyond 64 bits");
+            throw new ScriptError(at, "the result exceeds 64 bits");
         }
     }
 
@@ -161,7 +164,7 @@
 
     private static double divisor(Number number, Position at) throws ScriptError {
         if (number.doubleValue() == 0) {
-            throw new ScriptError(at, "a division by zero");
+            throw new ScriptError(at, "division by zero");
         }
         return number.doubleValue();
     }
@@ -169,7 +172,7 @@
     Object negate(Object value, Position at) throws ScriptError {
         if (value instanceof Long number) {
             if (number == Long.MIN_VALUE) {
-                throw new ScriptError(at, "the result is beyond 64 bits");
+                throw new ScriptError(at, "the result exceeds 64 bits");
             }
             return -number;
         } else if (value instanceof Double number) {
@@ -177,7 +180,7 @@
         } else if (value instanceof Quantity quantity) {
             return new Quantity(quantity.dimension(), -quantity.amount());
         }
-        throw new ScriptError(at, "'-' cannot stand before " + Values.typeName(value));
+        throw new ScriptError(at, "'-' is not supported for " + Values.typeName(value));
     }
 
     boolean compare(String operator, Object a, Object b, Position at) throws ScriptError {
@@ -211,7 +214,7 @@
                 Values.typeName(a)
                         + " and "
                         + Values.typeName(b)
-                        + " have no order; numbers, texts, times and sizes have");
+                        + " cannot be compared; allowed: two numbers, texts, times or sizes");
     }
 
     private boolean contains(Object all, Object one, Position at) throws ScriptError {
@@ -244,7 +247,11 @@
         return between && (number - range.start()) % range.step() == 0;
     }
 
-    /** A value as a dict's key. */
+    /**
+     * Returns a value that is used as the key of a dict.
+     *
+     * @throws ScriptError if its type cannot be a key
+     */
     static Object dictKey(Object value, Position at) throws ScriptError {
         if (value instanceof String || value instanceof Long || value instanceof Boolean) {
             return value;
@@ -252,6 +259,6 @@
         throw new ScriptError(
                 at,
                 Values.typeName(value)
-                        + " cannot be a key; texts, whole numbers, True and False can");
+                        + " cannot be a key; allowed: texts, whole numbers, True and False");
     }
 }
--- a/src/main/java/cresschute/settings/script/ScriptTokens.java
+++ b/src/main/java/cresschute/settings/script/ScriptTokens.java
@@ -10,12 +10,12 @@
 import org.antlr.v4.runtime.Token;
 
 /**
- * Lays out the lexer's tokens as Python does: a line's end counts only outside brackets and after
- * something, and a change of a line's indentation becomes INDENT or DEDENT.
+ * Converts the lexer's tokens by the layout rules of Python: line ends within brackets and on empty
+ * lines are dropped, and changes of the indentation become INDENT and DEDENT tokens.
  */
 final class ScriptTokens {
 
-    /** Words of Python that this language leaves out; no name may be one of them. */
+    /** Keywords of Python that this language does not support; they are not allowed as names. */
     private static final Set<String> RESERVED =
             Set.of(
                     "as",
@@ -70,9 +70,7 @@
         if (token.getType() == ScriptLexer.NAME && RESERVED.contains(token.getText())) {
             throw new ScriptError(
                     Script.position(token),
-                    "'"
-                            + token.getText()
-                            + "' is not part of the language; docs/settings.md lists what is");
+                    "'" + token.getText() + "' is not part of the language; see docs/settings.md");
         }
         if (atLineStart && brackets.isEmpty()) {
             updateIndentation(token);
@@ -91,8 +89,8 @@
                 Script.position(token),
                 switch (token.getText()) {
                     case "\"", "'" ->
-                            "this text has no end; a text ends on the line on which it begins";
-                    case "\t" -> "a tab; use spaces alone";
+                            "unterminated text; a text must end on the line on which it begins";
+                    case "\t" -> "tabs are not allowed; use spaces";
                     default -> "unexpected character '" + token.getText() + "'";
                 });
     }
--- a/src/main/java/cresschute/settings/script/Strings.java
+++ b/src/main/java/cresschute/settings/script/Strings.java
@@ -3,12 +3,12 @@
 import cresschute.settings.script.Values.TupleValue;
 import java.util.List;
 
-/** Literals of texts, and the two ways of formatting them. */
+/** String literals and the two ways to format strings: {@code %} and {@code format}. */
 final class Strings {
 
     private Strings() {}
 
-    /** What a literal with its quotes stands for. */
+    /** Returns the string of a literal: without its quotes, and with its escapes replaced. */
     static String unquoted(String literal, Position at) throws ScriptError {
         final StringBuilder out = new StringBuilder();
         int i = 1;
@@ -41,7 +41,7 @@
         };
     }
 
-    /** Fills in {@code %s}, {@code %d}, {@code %r} and {@code %%}. */
+    /** Formats values by a format string with {@code %s}, {@code %d}, {@code %r} and {@code %%}. */
     static String percent(String format, Object values, ResourceLimiter limiter, Position at)
             throws ScriptError {
         final List<Object> given =
@@ -69,7 +69,7 @@
             }
             if (used == given.size()) {
                 throw new ScriptError(
-                        at, "the format asks for more values than the " + used + " given");
+                        at, "the format needs more values than the " + used + " given");
             }
             final Object value = given.get(used++);
             if (kind == 'd' && !(value instanceof Long)) {
@@ -81,14 +81,16 @@
         }
         if (used < given.size()) {
             throw new ScriptError(
-                    at,
-                    "the format asks for " + used + " of the " + given.size() + " values given");
+                    at, "the format uses " + used + " of the " + given.size() + " values given");
         }
         limiter.allocateText(out.length(), at);
         return out.toString();
     }
 
-    /** Fills in {@code {}}, {@code {0}} and {@code {name}}. */
+    /**
+     * Formats a call's arguments by a format string with {@code {}}, {@code {0}} and {@code
+     * {name}}.
+     */
     static String format(String format, Builtin.Call call) throws ScriptError {
         final StringBuilder out = new StringBuilder();
         int next = 0;
@@ -99,7 +101,7 @@
                 final int end = format.indexOf('}', i);
                 if (end < 0) {
                     throw new ScriptError(
-                            call.at(), "a '{' without its '}'; '{{' stands for a brace");
+                            call.at(), "'{' without a matching '}'; write '{{' for a brace");
                 }
                 final String field = format.substring(i + 1, end);
                 final Object value =
@@ -109,7 +111,8 @@
                 out.append(text);
                 i = end;
             } else if (character == '}' && !doubled) {
-                throw new ScriptError(call.at(), "a '}' without its '{'; '}}' stands for a brace");
+                throw new ScriptError(
+                        call.at(), "'}' without a matching '{'; write '}}' for a brace");
             } else {
                 out.append(character);
                 i += character == '{' || character == '}' ? 1 : 0;
@@ -125,7 +128,7 @@
             if (index >= call.positional().size()) {
                 throw new ScriptError(
                         call.at(),
-                        "the format asks for value "
+                        "the format refers to value "
                                 + index
                                 + " of the "
                                 + call.positional().size()
@@ -135,7 +138,7 @@
         }
         if (!call.named().containsKey(field)) {
             throw new ScriptError(
-                    call.at(), "the format asks for '" + field + "', which is not given");
+                    call.at(), "the format refers to '" + field + "', which is not given");
         }
         return call.named().get(field).value();
     }
--- a/src/main/java/cresschute/settings/script/Subscripts.java
+++ b/src/main/java/cresschute/settings/script/Subscripts.java
@@ -7,7 +7,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Elements and slices of texts, lists, tuples, ranges and dicts, for reading and for writing. */
+/**
+ * Reads elements and slices of texts, lists, tuples, ranges and dicts, and sets elements of lists
+ * and dicts.
+ */
 final class Subscripts {
 
     private final ResourceLimiter limiter;
@@ -48,7 +51,9 @@
                                 : value instanceof TupleValue tuple ? tuple.elements().size() : -1;
         if (size < 0) {
             throw new ScriptError(
-                    at, Values.typeName(value) + " cannot be cut; a text, a list and a tuple can");
+                    at,
+                    Values.typeName(value)
+                            + " cannot be sliced; allowed: a text, a list or a tuple");
         }
         final int from = bound(low, 0, size, at);
         final int to = Math.max(from, bound(high, size, size, at));
@@ -73,7 +78,7 @@
             throw new ScriptError(
                     at,
                     Values.typeName(container)
-                            + " has no elements that can be set; a list and a dict have");
+                            + " has no elements that can be set; allowed: a list or a dict");
         }
     }
 
