--- a/src/main/java/cresschute/testbed/capacity/StubProcess.java
+++ b/src/main/java/cresschute/testbed/capacity/StubProcess.java
@@ -76,7 +76,7 @@
         return observations;
     }
 
-    /** Starts the stubs of this process, which is number {@code part} of {@code parts}. */
+    /** Starts the stubs of this process, one of {@code parts} processes that share the work. */
     JsonObject start(
             CapacityPlan plan, SharedClock clock, int parts, List<InetSocketAddress> addresses)
             throws ProcessFailureException {
