--- a/src/main/java/cresschute/cli/CapacityCommand.java
+++ b/src/main/java/cresschute/cli/CapacityCommand.java
@@ -28,7 +28,7 @@
         mixinStandardHelpOptions = true,
         description =
                 "Runs dispatcher processes between stub workers, stub clients and stub discovery,"
-                    + " at a size that is given, and prints what each of them uses.",
+                        + " at a size that is given, and prints what each of them uses.",
         footer = {
             "",
             "Example: cresschute lab capacity --quick --json",
--- a/src/main/java/cresschute/console/Console.java
+++ b/src/main/java/cresschute/console/Console.java
@@ -22,7 +22,7 @@
  * The full-screen console. The thread that calls {@link #run} handles keys and the node's lines
  * from one queue, redraws periodically, and owns all state. One other thread reads keys, and the
  * link's thread reads lines; both only add to the queue. An operation without an answer is sent
- * again with the same id after a reconnection.
+ * again with the same operation id after a reconnection.
  */
 public final class Console {
 
@@ -164,8 +164,8 @@
             events.addProperty("after", model.lastEventNumber());
             events.addProperty("boot", model.incarnation());
             link.send(events);
-            // The node may have received these before the disconnection; their ids make them
-            // idempotent.
+            // The node may have received these operations before the disconnection; their operation
+            // ids make them idempotent.
             for (final JsonObject each : unanswered.values()) {
                 link.send(each);
             }
--- a/src/main/java/cresschute/control/ChecksummedFile.java
+++ b/src/main/java/cresschute/control/ChecksummedFile.java
@@ -11,7 +11,8 @@
  * body and a checksum over generation and body; then the body. A file that is torn, changed or of
  * another kind is rejected. Immutable by convention; pure.
  *
- * @param generation increases with every write, also across restarts and processes
+ * @param generation increases with every write, also across restarts and processes unless a newer
+ *     file is lost or damaged
  * @param body the bytes after the header line
  */
 public record ChecksummedFile(long generation, byte[] body) {
@@ -80,7 +81,8 @@
 
     /**
      * Returns the checksum of generation and body. It covers the generation because otherwise an
-     * old file with a newer generation would undo later changes.
+     * old file whose generation was damaged to a higher number would be accepted as the newest one
+     * and undo later changes.
      */
     private static String checksum(long generation, byte[] body) {
         final CRC32C crc = new CRC32C();
--- a/src/main/java/cresschute/control/DrainRegistry.java
+++ b/src/main/java/cresschute/control/DrainRegistry.java
@@ -125,8 +125,8 @@
             return Optional.of(new DrainRejection.UnknownWorker(name));
         }
         if (!isReady(listed.get())) {
-            // It gets no new requests anyway; a worker that is restarting is drained once it is
-            // back.
+            // A worker that is not ready gets no new requests anyway, so the drain is accepted. It
+            // takes effect when the worker becomes ready, for example after a restart.
             return Optional.empty();
         }
         final Worker drained = listed.get().worker();
--- a/src/main/java/cresschute/control/DrainSnapshot.java
+++ b/src/main/java/cresschute/control/DrainSnapshot.java
@@ -10,7 +10,8 @@
  * The stored drain state of a node: the drains in force and the completed operations. It is stored
  * as a {@link ChecksummedFile} whose body is JSON. Immutable; pure.
  *
- * @param generation increases by one with every snapshot, also across restarts
+ * @param generation one higher than that of the previous snapshot; after a restart, one higher than
+ *     that of the snapshot that was loaded
  * @param drains the drains in force, oldest first
  * @param completed the completed operations that are kept, oldest first
  */
--- a/src/main/java/cresschute/control/files/NotDurableException.java
+++ b/src/main/java/cresschute/control/files/NotDurableException.java
@@ -3,8 +3,8 @@
 import java.io.IOException;
 
 /**
- * Reports that a change is in force in this process but could not be stored, so that a restart
- * would lose it. The message is that of the cause, which names the file.
+ * Reports that a change is in force in this process but is not known to be on the disk, so that a
+ * restart may lose it. The message is that of the cause, which names the file.
  */
 public final class NotDurableException extends IOException {
 
--- a/src/main/java/cresschute/control/files/SharedStateListener.java
+++ b/src/main/java/cresschute/control/files/SharedStateListener.java
@@ -5,7 +5,8 @@
 /**
  * Receives changes of a {@link SharedOperatorState} on the owner's executor. Every {@link
  * SharedOperatorState#change} is followed by exactly one {@link ChangeListener#stored} or {@link
- * ChangeListener#notDurable}, unless the executor has ended.
+ * ChangeListener#notDurable}, unless the executor has ended. After {@link
+ * SharedOperatorState#close}, {@code notDurable} is called on the thread that calls {@code change}.
  */
 public interface SharedStateListener {
 
@@ -18,7 +19,7 @@
         /** Called when the file holds the change; {@code written} is the state after it. */
         void stored(OperatorState written);
 
-        /** Called when the change could not be written; the file is unchanged. */
+        /** Called when writing the change failed; the file normally still holds the old state. */
         void notDurable(NotDurableException failure);
     }
 }
--- a/src/main/java/cresschute/control/files/StateFolder.java
+++ b/src/main/java/cresschute/control/files/StateFolder.java
@@ -21,14 +21,14 @@
 /**
  * The folder in which a node stores its {@link DrainSnapshot}s.
  *
- * <p>Snapshots alternate by generation between two files, each an {@link AtomicFile}, so that the
- * newest confirmed snapshot is always complete on the disk. A damaged file is quarantined and the
- * other one is used.
+ * <p>Each snapshot is written to an {@link AtomicFile}, so that an interrupted write leaves the
+ * confirmed snapshots complete on the disk. Snapshots alternate by generation between two files: if
+ * one file is damaged, it is quarantined and the other one is used.
  *
  * <p>Life cycle: {@link #open} locks the folder for this node, {@link #load} reads the snapshot of
- * an earlier process, {@link #close} writes the queued snapshots and unlocks. A dedicated thread
- * writes snapshots in the order of the calls; it accesses no state of the caller and notifies
- * listeners on the caller's executor.
+ * an earlier process, {@link #close} waits up to {@value #CLOSE_TIMEOUT_S} s for the queued
+ * snapshots and unlocks. A dedicated thread writes snapshots in the order of the calls; it accesses
+ * no state of the caller and notifies listeners on the caller's executor.
  */
 public final class StateFolder implements AutoCloseable {
 
--- a/src/main/java/cresschute/control/socket/ControlHandler.java
+++ b/src/main/java/cresschute/control/socket/ControlHandler.java
@@ -32,7 +32,7 @@
      * Executes an operation.
      *
      * @param answer is called once with the fields of the answer, after the change was stored or
-     *     failed to be stored
+     *     failed to be stored; at once if the node has no state folder
      */
     void execute(DrainOperation operation, Consumer<JsonObject> answer);
 
--- a/src/main/java/cresschute/dispatch/AdmissionController.java
+++ b/src/main/java/cresschute/dispatch/AdmissionController.java
@@ -44,7 +44,8 @@
     private static final int FIRST_SEND_TOKENS = 1;
 
     /**
-     * Quota tokens that a client's retry takes: none, because the first send has already taken one.
+     * Quota tokens that a client's retry takes: none, because a first send within the quota has
+     * already taken one.
      */
     private static final int RETRY_TOKENS = 0;
 
@@ -139,8 +140,8 @@
     }
 
     /**
-     * Adjusts all budgets by the attempts that ended since the last allocation, and allocates them
-     * again.
+     * Adjusts all budgets by the evidence since the last allocation and by the decayed earlier
+     * evidence, and allocates the budgets again.
      */
     void reallocate(long nowUs) {
         final double elapsedUs = Math.max(1, nowUs - lastAllocationUs);
--- a/src/main/java/cresschute/dispatch/AttemptFeedback.java
+++ b/src/main/java/cresschute/dispatch/AttemptFeedback.java
@@ -8,8 +8,10 @@
  * closed.
  *
  * <p>Rule: an attempt that is served, rejected as full, unable to connect or timed out counts as
- * {@link CapacityEstimator.Evidence}. An attempt that is late before its end counts as overload at
- * once, and not again at its end. Other outcomes affect only the worker's health.
+ * {@link CapacityEstimator.Evidence}, except a timeout whose request is closed or has a short
+ * deadline. An attempt that is late before its end counts as overload at once, unless its request
+ * is closed or its worker is stalled, and does not count at its end. Other outcomes are no
+ * evidence; errors and broken connections affect the worker's health.
  *
  * <p>Reason: errors, and connections that break after the whole request was sent, indicate a fault
  * of one worker, not overload.
--- a/src/main/java/cresschute/dispatch/CapacityEstimator.java
+++ b/src/main/java/cresschute/dispatch/CapacityEstimator.java
@@ -7,9 +7,10 @@
  * <p>Inputs: endings of attempts with their priority weight; work of served jobs in slot-us; slots
  * in use or queued for, from load reports; and the offered work in slots.
  *
- * <p>Rule, applied at each allocation of the admission controller: with bad = weight of bad endings
- * / weight of all endings and tolerated = {@value #TOLERATED_BAD_FRACTION} * margin, where margin
- * is the marginal priority weight within [{@value #MIN_MARGIN}, 1],
+ * <p>Rule, applied at each allocation of the admission controller: with bad = sum of priority
+ * weight * overload weight of the endings / max({@value #SIGNIFICANT_ENDINGS} * mean priority
+ * weight, sum of their priority weights) and tolerated = {@value #TOLERATED_BAD_FRACTION} * margin,
+ * where margin is the marginal priority weight clamped to [{@value #MIN_MARGIN}, 1],
  *
  * <ul>
  *   <li>{@code bad > tolerated}: B = max(min(B, offered) * (1 - min({@value #MAX_DECREASE}, {@value
@@ -23,19 +24,20 @@
  * time for which rates and endings are remembered; it rises when few jobs finish.
  *
  * <p>Reason: dispatchers share no state, so each finds its share by small increases and by
- * decreases in proportion to the bad endings. If admitted work of low weight makes jobs of high
- * weight late, the margin is low and the decrease begins sooner. The budget starts unbounded,
- * because nothing is shed before the first evidence of overload.
+ * decreases in proportion to the bad endings. If the last work admitted has a low priority weight,
+ * the margin is low and the decrease begins at a smaller fraction of bad endings, so that work of
+ * low weight does not make jobs of high weight late. The budget starts unbounded, because nothing
+ * is shed before the first evidence of overload.
  *
- * <p>Guarantees: whatever the endings, the budget never decreases below the rate at which the
- * workers finish jobs with most slots busy. A single worker's errors and broken connections never
- * count as endings. Failed connections do count, even those of a single worker.
+ * <p>Guarantees: whatever the endings, an adjustment never decreases the budget below the drain
+ * rate. Errors, and connections that break after the whole request was sent, never count as
+ * endings. Failed connections do count, even if all of them are to one worker.
  *
  * <p>Called only on the dispatcher's thread.
  */
 final class CapacityEstimator {
 
-    /** Evidence of the load on the workers, taken from the end of an attempt. */
+    /** Evidence of the load on the workers, from an attempt that ended or became late. */
     enum Evidence {
         /** Served before it was late. */
         IN_TIME(0),
@@ -76,7 +78,10 @@
     /** Time constant of the fraction of bad endings, us. */
     private static final double ENDINGS_MEMORY_US = 1_000_000;
 
-    /** Number of endings of mean weight from which their bad fraction counts in full. */
+    /**
+     * Lower bound on the divisor of the bad fraction, in endings of mean priority weight; with
+     * fewer endings, the bad fraction is smaller.
+     */
     private static final double SIGNIFICANT_ENDINGS = 5;
 
     /**
@@ -103,8 +108,8 @@
     private static final double INCREASE = 0.05;
 
     /**
-     * Fraction of the slots that the budget keeps busy at least; below 1, so that a queue still
-     * drains.
+     * Fraction of the slots that the drain rate keeps busy before it is reduced for long queues;
+     * below 1, so that a queue still drains.
      */
     private static final double MIN_UTILIZATION = 0.8;
 
@@ -115,8 +120,8 @@
     private static final double BACKLOG_WEIGHT = 0.2;
 
     /**
-     * Lower bound on the fraction of busy slots, so that an idle fleet does not set an unbounded
-     * floor.
+     * Lower bound on the fraction of busy slots, so that the drain rate stays bounded while few
+     * slots are busy.
      */
     private static final double MIN_BUSY_FRACTION = 0.1;
 
--- a/src/main/java/cresschute/dispatch/DeadlinePolicy.java
+++ b/src/main/java/cresschute/dispatch/DeadlinePolicy.java
@@ -4,22 +4,25 @@
  * Decides when a request is given up, and whether it is then rejected or failed.
  *
  * <p>Inputs: the clock, the request's first send and deadline in us, its expected running time in
- * us, its idempotency, and whether an attempt may have run.
+ * us, its idempotency, its client's retry mark, whether an attempt may have run, the end of its
+ * deduplication window and whether all workers drop a duplicate; the Retry-After time in us; and
+ * the longest timeout of the class so far in us.
  *
  * <p>Rules:
  *
  * <ul>
  *   <li>an answer is in time until first send + latency objective + stretch * running time; no
  *       attempt is sent from that time on, nor within two check intervals before the deadline;
- *   <li>the age of an arriving request is the longest time left seen in its class minus its own
- *       time left. It counts as a retry that was first sent so long ago if its client marks it as a
- *       retry, or if the age is at most the in-time bound plus {@value #ADVISED_PAUSES} Retry-After
- *       times. A greater age without the mark means a client with a short timeout. Consequence: a
- *       new request whose timeout is somewhat shorter than that of others of its class is treated
- *       as a retry, and is given up at once if that makes it too old;
- *   <li>a request is rejected if a retry after the advised time does no harm: it is safe, or
- *       nothing ran, or all workers drop the retry within the deduplication window. Otherwise it is
- *       failed.
+ *   <li>the age of an arriving request is the longest time until the deadline of any request of its
+ *       class at its arrival, minus this request's time until its deadline. The request counts as a
+ *       retry whose first send was that age ago if its client marks it as a retry, or if the age is
+ *       at most the in-time bound of the class plus {@value #ADVISED_PAUSES} Retry-After times. A
+ *       greater age without the mark means a client with a short timeout. Consequence: a new
+ *       request whose timeout is somewhat shorter than that of others of its class is treated as a
+ *       retry, and is given up at once if that makes it too old;
+ *   <li>a request is rejected if a retry after the advised time does no harm: the request is safe,
+ *       or nothing ran, or all workers drop a duplicate and the advised time ends before the
+ *       deduplication window. Otherwise the request is failed.
  * </ul>
  *
  * <p>Reason: an attempt that cannot be in time takes slots from attempts that can, and a client
--- a/src/main/java/cresschute/dispatch/DemandBucket.java
+++ b/src/main/java/cresschute/dispatch/DemandBucket.java
@@ -57,9 +57,9 @@
     }
 
     /**
-     * Counts an arrival and returns whether it is admitted. The decision is deterministic: over
-     * many arrivals, the number admitted differs from the admit probability times the arrivals by
-     * at most one.
+     * Counts an arrival and returns whether it is admitted. The decision is deterministic: while
+     * the admit probability stays the same, the number admitted differs from that probability times
+     * the number of arrivals by at most one.
      */
     boolean admitNext() {
         arrivals++;
@@ -89,7 +89,8 @@
     }
 
     /**
-     * Sets the priority weight of one request to that of its class and quota side, times a factor.
+     * Sets the priority weight of one request to that of its class, times the factor for requests
+     * within or beyond the quota, times {@code factor}.
      */
     void scalePriorityWeight(double factor) {
         priorityWeight = classState.requestClass().priorityWeight() * quotaWeightFactor * factor;
--- a/src/main/java/cresschute/dispatch/Outcome.java
+++ b/src/main/java/cresschute/dispatch/Outcome.java
@@ -14,17 +14,18 @@
     /** The whole request was sent, but no complete answer came by the deadline. */
     TIMED_OUT("timed_out"),
     /**
-     * The request was not sent completely: the connection failed or closed, or the deadline passed,
-     * before the last byte of the request was written. Nothing ran.
+     * The request was not sent completely: before its last byte was written, the connection failed
+     * or closed, the worker read the body too slowly, or the deadline passed (for a streamed body,
+     * the deadline gives {@link #CANCELLED}). Nothing ran.
      */
     CONNECT_FAILED("connect_failed"),
     /**
      * The connection closed or was reset after the whole request was sent. The job may have run.
      */
     BROKEN("broken"),
-    /** The host cancelled the attempt. */
+    /** The program that hosts the dispatcher cancelled the attempt. */
     CANCELLED("cancelled"),
-    /** The host did not send the attempt; nothing ran. */
+    /** The program that hosts the dispatcher did not send the attempt; nothing ran. */
     NOT_SENT("not_sent"),
     /** The request is invalid for any worker; the outcome does not count against this one. */
     UNUSABLE("unusable");
--- a/src/main/java/cresschute/dispatch/OutlierDetector.java
+++ b/src/main/java/cresschute/dispatch/OutlierDetector.java
@@ -71,7 +71,8 @@
     void recordOutcome(WorkerInstance worker, Outcome outcome, long nowUs) {
         switch (outcome) {
             case SERVED, FULL -> worker.clearFailures();
-            // A process that dies breaks one connection and refuses the next one.
+            // When a process dies, a connection breaks and the next one is refused. So a broken
+            // connection counts as one failure, and a refused one ejects the worker.
             case ERROR, TIMED_OUT, BROKEN -> worker.addFailures(1);
             case CONNECT_FAILED -> worker.addFailures(FAILURES_TO_EJECT);
             default -> {}
--- a/src/main/java/cresschute/dispatch/QuotaMeter.java
+++ b/src/main/java/cresschute/dispatch/QuotaMeter.java
@@ -23,7 +23,8 @@
     private long refilledAtUs;
 
     /**
-     * Creates an empty bucket.
+     * Creates a bucket that is empty at time 0 of the clock and is filled by the first {@link
+     * #take}.
      *
      * @param quotaPerUs quota of this dispatcher, requests per us
      */
--- a/src/main/java/cresschute/flow/BodyBuffer.java
+++ b/src/main/java/cresschute/flow/BodyBuffer.java
@@ -15,12 +15,12 @@
  * <p>Life cycle: {@code OPEN}, then {@code COMPLETE} or {@code ABORTED}, and {@code CLOSED} from
  * any of these. Up to the replay limit the whole body is kept, and any number of readers can read
  * it from byte 0, each at its own pace, as a retry or a hedged request requires. Once the body
- * exceeds the limit, the furthest reader continues alone, the other readers are detached, and
- * acknowledged pieces are released.
+ * exceeds the limit, or only releasing kept pieces can free credit, the furthest reader continues
+ * alone, the other readers are detached, and acknowledged pieces are released.
  *
  * <p>Pure: pieces may be of any type and are counted by their cost, in bytes; {@code releaser} is
- * called once for each piece when the buffer no longer holds it. A reader that forwards a piece
- * retains it until it is written. Not thread-safe: owned by one thread.
+ * called once for each piece when the buffer no longer holds it. Code that forwards a piece must
+ * retain it until it is written. Not thread-safe: owned by one thread.
  *
  * @param <P> a piece, such as a buffer
  */
@@ -75,7 +75,8 @@
 
     /**
      * Acquires credit to append up to {@code wanted} bytes now. If there is none, the reservation
-     * notifies its owner once there is some. Unused credit is kept.
+     * notifies its owner once there is some, unless the body has borrowed its maximum. Unused
+     * credit is kept.
      *
      * @return between 0 and {@code wanted}; 0 unless the body is open
      */
@@ -94,8 +95,8 @@
     }
 
     /**
-     * Acquires until there is enough, or until an attempt yields nothing: a reservation starts to
-     * wait for credit only then.
+     * Acquires until there is enough credit, or until a call returns 0: only a call that returns 0
+     * makes the reservation wait for credit.
      */
     private void acquireCredit(long wanted) {
         long acquired = Long.MAX_VALUE;
@@ -105,7 +106,10 @@
         }
     }
 
-    /** Whether a reader has acknowledged all pieces, so that its progress frees no credit. */
+    /**
+     * Whether all credit in use belongs to pieces kept for a replay: there are pieces, and the
+     * furthest reader has acknowledged all of them.
+     */
     private boolean isBlockedByReplay() {
         return !pieces.isEmpty()
                 && !readers.isEmpty()
--- a/src/main/java/cresschute/node/ActiveSettings.java
+++ b/src/main/java/cresschute/node/ActiveSettings.java
@@ -88,7 +88,10 @@
         return classes.stream().mapToLong(RequestClass::deadlineUs).max().orElse(0);
     }
 
-    /** Retry-After of the node's own local replies, microseconds; 0 where none is allowed. */
+    /**
+     * Retry-After of rejections that the node sends without the dispatcher, microseconds; 0 if the
+     * settings allow none.
+     */
     long retryAfterUs() {
         return retryAfterUs;
     }
--- a/src/main/java/cresschute/node/AttemptListener.java
+++ b/src/main/java/cresschute/node/AttemptListener.java
@@ -36,8 +36,9 @@
     void progressed(double fractionDone);
 
     /**
-     * The job begins to produce a long result. This is the end of the attempt; only {@link
-     * #resultEnded} follows.
+     * The job begins to produce a long result. Unless this method returns null, this is the end of
+     * the attempt, and only {@link #resultEnded} follows. If it returns null, {@link #ended}
+     * follows.
      *
      * @param type the content type that the worker states, or null
      * @param length its length in bytes, or -1 if unknown
--- a/src/main/java/cresschute/node/ControlService.java
+++ b/src/main/java/cresschute/node/ControlService.java
@@ -106,7 +106,8 @@
     }
 
     /**
-     * Closes the state folder after all pending writes. Blocks; never call it on the event loop.
+     * Closes the state folder once all pending writes are done or time out. Blocks; never call it
+     * on the event loop.
      */
     void close() {
         drains.close();
--- a/src/main/java/cresschute/node/DrainListener.java
+++ b/src/main/java/cresschute/node/DrainListener.java
@@ -4,8 +4,9 @@
 import java.util.List;
 
 /**
- * Notified by {@link DurableDrains} when the drains in force change, so that the change reaches the
- * dispatcher in the same turn of the event loop, before it is stored. Called on the event loop.
+ * Notified by {@link DurableDrains} when the drains in force change, in the same turn of the event
+ * loop and before the change is stored. The listener queues the workers' new states for the
+ * dispatcher, which gets them in its next turn. Called on the event loop.
  */
 interface DrainListener {
 
--- a/src/main/java/cresschute/node/DurableDrains.java
+++ b/src/main/java/cresschute/node/DurableDrains.java
@@ -27,18 +27,18 @@
  *
  * <ol>
  *   <li><b>In force.</b> The {@link DrainRegistry} is changed and the {@link DrainListener} is
- *       notified in the same turn of the event loop. From then on the dispatcher sends the worker
- *       no new requests.
+ *       notified in the same turn of the event loop. The dispatcher gets the workers' new states in
+ *       its next turn; from then on it sends a drained worker no new requests.
  *   <li><b>Stored.</b> A {@link DrainSnapshot} of the next generation is handed to the {@link
  *       StateFolder}, whose own thread writes it without blocking the event loop.
  *   <li><b>Acknowledged.</b> The operator gets the outcome once that snapshot is on disk, or the
  *       outcome and the failure if it could not be written. The change stays in force either way.
  * </ol>
  *
- * An operation that changes nothing, such as a repeated one, is also acknowledged only after the
- * newest snapshot, because the change of the first operation may not be on disk yet. The operation
- * itself is recorded as completed, but stored only with the next change. Without a state folder,
- * the second step is skipped and the third follows immediately.
+ * An operation that changes nothing, such as a repeated one, is also acknowledged only once the
+ * newest snapshot is on disk or has failed, because that snapshot may hold the change on which the
+ * outcome is based. The operation itself is recorded as completed, but stored only with the next
+ * change. Without a state folder, the second step is skipped and the third follows immediately.
  *
  * <p>Owned state: the registry, the state folder and the pending acknowledgements. Lifecycle:
  * {@link #open} once, which restores the state that an earlier process stored; {@link #close} once.
@@ -110,8 +110,8 @@
     }
 
     /**
-     * Closes the state folder after all snapshots are written. Blocks; never call it on the event
-     * loop.
+     * Closes the state folder once all snapshots are written, or after the timeout of {@link
+     * StateFolder#close}. Blocks; never call it on the event loop.
      */
     void close() {
         folder.ifPresent(StateFolder::close);
--- a/src/main/java/cresschute/node/OpenRequests.java
+++ b/src/main/java/cresschute/node/OpenRequests.java
@@ -189,9 +189,9 @@
     }
 
     /**
-     * Answers a request that cannot be sent again, without consulting the dispatcher. Otherwise
-     * further attempts would end one by one, each counted as a failure of a worker that received
-     * nothing.
+     * Answers a request that cannot be sent again, without consulting the dispatcher. Otherwise the
+     * dispatcher could choose further workers one by one, and each of these attempts would end as
+     * cancelled before a byte is sent.
      */
     void answerUnreplayable(ClientRequest request) {
         if (request.mayHaveRun()) {
--- a/src/main/java/cresschute/node/OperatorServices.java
+++ b/src/main/java/cresschute/node/OperatorServices.java
@@ -9,10 +9,10 @@
 import java.net.SocketAddress;
 
 /**
- * Holds the operator service of a node, if it has one: the control service for consoles or the
- * management service for the platform's operators. Opened before the first endpoint list is
- * published, so that a drained worker gets no work at the start; listens once clients can connect;
- * closed last. Owns the service. A node without a service loads none of its classes.
+ * Owns the operator service of a node, if it has one: the control service for consoles or the
+ * management service for the platform's operators. The service is opened before the first endpoint
+ * list is published, so that a drained worker gets no requests at the start. It listens once
+ * clients can connect, and is closed last. A node without a service loads none of its classes.
  */
 final class OperatorServices {
 
@@ -139,7 +139,8 @@
     }
 
     /**
-     * Closes the stored state after all pending writes. Blocks; never call it on the event loop.
+     * Closes the stored state once all pending writes are done or time out. Blocks; never call it
+     * on the event loop.
      */
     void close() {
         if (control != null) {
--- a/src/main/java/cresschute/node/RequestLifecycle.java
+++ b/src/main/java/cresschute/node/RequestLifecycle.java
@@ -24,8 +24,8 @@
 public final class RequestLifecycle {
 
     /**
-     * Subtracted from a request's time, microseconds: allows for the transmission of the answer,
-     * and of the request before its last byte was read.
+     * Time by which the dispatcher's deadline is before the end of the client's wait, microseconds:
+     * allows for the transmission of the answer, and of the request before its last byte was read.
      */
     static final long ANSWER_MARGIN_US = 15_000;
 
@@ -181,7 +181,10 @@
         return requests.unanswered();
     }
 
-    /** Retry-After of the node's own local replies, microseconds; 0 where none is allowed. */
+    /**
+     * Retry-After of rejections that the node sends without the dispatcher, microseconds; 0 if the
+     * settings allow none.
+     */
     public long retryAfterUs() {
         return settings.retryAfterUs();
     }
--- a/src/main/java/cresschute/node/ResponseListener.java
+++ b/src/main/java/cresschute/node/ResponseListener.java
@@ -40,7 +40,7 @@
     ResultStream resultBegins(String type, long length);
 
     /**
-     * The node itself rejected the request; a retry does no harm.
+     * The dispatcher or the node rejected the request; a retry does no harm.
      *
      * @param retryAfterUs when to retry, microseconds from now; 0 for no advice
      */
--- a/src/main/java/cresschute/node/ResultStream.java
+++ b/src/main/java/cresschute/node/ResultStream.java
@@ -10,8 +10,8 @@
     /**
      * Ends the result.
      *
-     * @param complete whether the client has received all of it; if not, its answer must not look
-     *     complete
+     * @param complete whether the node has received all of it from the worker; if not, the answer
+     *     to the client must not look complete
      */
     void finish(boolean complete);
 }
--- a/src/main/java/cresschute/node/ShutdownResponder.java
+++ b/src/main/java/cresschute/node/ShutdownResponder.java
@@ -1,9 +1,9 @@
 package cresschute.node;
 
 /**
- * Answers the requests that are still open when the process ends. A request that may have reached a
- * worker fails, unless its class is safe to retry. A request that certainly never ran is rejected.
- * Stateless; call on the event loop.
+ * Answers the requests that are still open when the process ends. A request is rejected if its
+ * class is safe to retry, or if it certainly never ran and no byte of it is on the wire. All other
+ * requests, and those whose answer is a long result, fail. Stateless; call on the event loop.
  */
 final class ShutdownResponder {
 
--- a/src/main/java/cresschute/node/http/BodyTransfer.java
+++ b/src/main/java/cresschute/node/http/BodyTransfer.java
@@ -59,8 +59,8 @@
             return;
         }
         if (isAborted()) {
-            // Deferred, because the end of another attempt of the same request may have caused the
-            // change.
+            // Deferred: the change may come from code that is ending another attempt of the same
+            // request, and this attempt must not end within that call.
             channel.eventLoop().execute(this::resume);
         } else {
             resume();
@@ -144,8 +144,8 @@
 
     /**
      * Stops the transfer if the peer reads too slowly, and notifies the listener of that.
-     * Otherwise, notifies progress if the transfer waits for the body's sender. Called by the
-     * sweep, a few times a second.
+     * Otherwise, notifies progress if the transfer waits for the body's sender. Called by {@link
+     * StreamedBodies#sweep}, a few times a second.
      */
     void checkPeerRate() {
         if (!ended && peerMonitor.isTooSlow(StreamedBody.nowUs())) {
--- a/src/main/java/cresschute/node/http/HttpAttempt.java
+++ b/src/main/java/cresschute/node/http/HttpAttempt.java
@@ -26,10 +26,11 @@
  * An attempt of a request at one worker. It sends the request as received from the client and reads
  * a response of lines ({@link ProgressLine}), which a streamed result may follow.
  *
- * <p>An attempt ends once, by a line, by the status of the response, by a broken connection or by
- * {@link #abort}. Each end but {@code abort} is reported to its {@link AttemptListener}. If the
- * connection breaks before the response states the outcome, the outcome depends on the last byte of
- * the request: until it is written the job cannot have run, afterwards it may have.
+ * <p>An attempt ends once: by a line, by the status of the response, by a broken connection, by the
+ * failure of the body's transfer or by {@link #abort}. Each end but {@code abort} is reported to
+ * its {@link AttemptListener}. If the connection breaks before the response states the outcome, the
+ * outcome depends on the last byte of the request: until it is written the job cannot have run,
+ * afterwards it may have.
  *
  * <p>Owns the transfer of a streamed body, and the connection's autoRead while it receives a
  * streamed result. Call from the event loop.
@@ -136,9 +137,9 @@
     }
 
     /**
-     * Reports the first written bytes as the start of the job: from here on the worker holds a slot
-     * for it. Otherwise a job whose client sends a long body slowly would look like one that its
-     * worker does not start.
+     * Reports progress 0 at each call. The first call, when the first bytes are written, reports
+     * the start of the job: from then on the worker holds a slot for it. Otherwise a job whose
+     * client sends a long body slowly would look like one that its worker does not start.
      */
     @Override
     public void transferProgressed() {
@@ -151,8 +152,9 @@
     }
 
     /**
-     * Ends as cancelled: the worker is not at fault, and the job cannot have run because the last
-     * byte of the request was never written.
+     * Ends the attempt as cancelled: the worker is not at fault, and the job cannot have run,
+     * because the last byte of the request was never written. If a result has begun, the end of the
+     * attempt is reported already, and only the result is aborted.
      */
     @Override
     public void transferAborted() {
--- a/src/main/java/cresschute/node/http/HttpExchange.java
+++ b/src/main/java/cresschute/node/http/HttpExchange.java
@@ -9,9 +9,10 @@
  * One request to a worker and its response.
  *
  * <p>Life cycle: created; begun on a {@link WorkerConnection}, which carries no other exchange
- * until this one ends; written; over once its outcome is reported. Anything that the connection
- * receives afterwards is discarded. The exchange ends with {@link #responseCompleted}, {@link
- * #connectionBroken} or {@link #cancel}. Call from the event loop.
+ * until this one ends; written; over once its outcome is reported and a streamed result has ended,
+ * or once it is cancelled. Anything that the connection receives afterwards is discarded. The
+ * exchange ends with {@link #responseCompleted}, {@link #connectionBroken} or {@link #cancel}. Call
+ * from the event loop.
  */
 abstract class HttpExchange {
 
@@ -60,7 +61,9 @@
         return written;
     }
 
-    /** The connection in use; null before the exchange begins and after it ends. */
+    /**
+     * The connection in use; null before the exchange begins and after its response is complete.
+     */
     final WorkerConnection connection() {
         return connection;
     }
@@ -106,7 +109,10 @@
         over = true;
     }
 
-    /** Whether the outcome is reported. */
+    /**
+     * Whether the exchange is over: it is cancelled, or its outcome is reported and a streamed
+     * result, if there is one, has ended.
+     */
     final boolean isOver() {
         return over;
     }
--- a/src/main/java/cresschute/node/http/HttpLoadQuery.java
+++ b/src/main/java/cresschute/node/http/HttpLoadQuery.java
@@ -28,7 +28,7 @@
 
     private static final String PATH = "/stats";
 
-    /** Once the body has this length, chunks that follow are discarded; in characters. */
+    /** The body's length, in characters, from which on further chunks are discarded. */
     private static final int MAX_BODY_BYTES = 4096;
 
     private final String host;
--- a/src/main/java/cresschute/node/http/StreamedBody.java
+++ b/src/main/java/cresschute/node/http/StreamedBody.java
@@ -15,8 +15,8 @@
  * copied from the codec's buffers into pieces, so that the memory in use equals the memory counted
  * even for very small chunks. {@link BodyTransfer}s write the pieces.
  *
- * <p>Owns its buffers and its reservation of the budget, and closes both once it is retired and its
- * transfers have ended. Call from the event loop.
+ * <p>Owns its buffers and its reservation of the budget. Once it is retired, it closes both: at
+ * once if the body is incomplete, else when its transfers have ended. Call from the event loop.
  */
 abstract class StreamedBody {
 
@@ -188,7 +188,10 @@
         return body.canReplay();
     }
 
-    /** Creates a transfer to a peer. Whether it can still begin is decided when it is started. */
+    /**
+     * Creates a transfer to a peer, which reads the body from its first byte. If that byte is no
+     * longer available, the transfer notifies its listener of the abort when it is started.
+     */
     final BodyTransfer newTransfer(BodyTransferListener listener) {
         transfers++;
         final BodyTransfer transfer = new BodyTransfer(this, listener);
--- a/src/main/java/cresschute/node/http/StreamedRequestBody.java
+++ b/src/main/java/cresschute/node/http/StreamedRequestBody.java
@@ -48,7 +48,10 @@
         onCapacity.run();
     }
 
-    /** Whether more was read than the spool keeps, so that waiting for the end would not help. */
+    /**
+     * Whether more was read than the spool keeps for further attempts, so that waiting for the end
+     * of the body before the first attempt would not allow a second one.
+     */
     boolean isBeyondSpool() {
         return readCost() > spoolBytes;
     }
--- a/src/main/java/cresschute/node/http/WorkerConnectionPool.java
+++ b/src/main/java/cresschute/node/http/WorkerConnectionPool.java
@@ -229,9 +229,9 @@
 
     /**
      * Notes that a worker, or a proxy in front of it, closed an idle connection before the stated
-     * time. A request sent on such a connection ends as a reset, and a keyed request is then bound
+     * time. An attempt sent on such a connection ends as broken, and a keyed request is then bound
      * to its deduplication scope, whereas a new connection costs only milliseconds. Therefore no
-     * connection to any worker is kept idle for a while.
+     * connection to any worker is kept idle for {@value #REUSE_PAUSE_S} s.
      */
     void idleConnectionClosedByWorker() {
         reusePausedUntilNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(REUSE_PAUSE_S);
--- a/src/test/java/cresschute/cli/ConsoleProgramTest.java
+++ b/src/test/java/cresschute/cli/ConsoleProgramTest.java
@@ -34,8 +34,8 @@
 import picocli.CommandLine;
 
 /**
- * Checks the console on a pseudo-terminal, the commands for operators, and drains of nodes that are
- * killed.
+ * Checks the console on a pseudo-terminal, the commands for operators, and that drains of workers
+ * survive when the node is killed.
  */
 @Timeout(120)
 class ConsoleProgramTest {
@@ -378,7 +378,8 @@
                     first.close();
                     first.exitCode();
                 }
-                // The killed node left its socket file; the lock of its state folder ended with it.
+                // The killed node left its socket file. The operating system has released the lock
+                // of its state folder.
                 assertThat(Files.exists(socket)).isTrue();
                 final ProgramProcess second = startNode(script);
                 try (TestConsole peer = new TestConsole(socket)) {
--- a/src/test/java/cresschute/control/DrainRegistryTest.java
+++ b/src/test/java/cresschute/control/DrainRegistryTest.java
@@ -129,8 +129,8 @@
     }
 
     /**
-     * A worker that is restarting, and so not in the endpoint list, can be drained by force; the
-     * drain is in force when the worker is back.
+     * A drain of a worker that the endpoint list does not name is rejected unless it is forced. A
+     * forced one is in force when the worker is listed, for example after its restart.
      */
     @Test
     void rejectsUnforcedDrainOfUnknownWorker() {
--- a/src/test/java/cresschute/dispatch/AdmissionControllerTest.java
+++ b/src/test/java/cresschute/dispatch/AdmissionControllerTest.java
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void limitsOnlyClassesOfPlacementToItsBudget() {
+    void limitsClassesOfPlacementOnlyByBudgetsOfContainingPlacements() {
         final DemandBucket bound = bucket(10, 1, 1, ONE_KIND);
         final DemandBucket free = bucket(1, 1, 1, Placement.ANYWHERE);
         allocatable(all, 100);
--- a/src/test/java/cresschute/dispatch/CapacityEstimatorTest.java
+++ b/src/test/java/cresschute/dispatch/CapacityEstimatorTest.java
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void decreasesFromOfferedWorkByAtMostAFifth() {
+    void decreasesFromOfferedWorkByAtMostAFifthDividedByMemory() {
         adjust(10, CapacityEstimator.Evidence.OVERLOAD, 1000);
         // Without finished jobs, endings are remembered 15 times as long, and the decrease is
         // divided by 15.
--- a/src/test/java/cresschute/dispatch/DispatcherAdmissionTest.java
+++ b/src/test/java/cresschute/dispatch/DispatcherAdmissionTest.java
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void keepsBudgetIfSingleWorkersFail() {
+    void keepsBudgetIfAttemptsEndInErrors() {
         final RecordingHost host = underLoad(Outcome.ERROR);
         assertThat(rejectedUnsent(host, 1, 1000)).isZero();
     }
@@ -54,7 +54,7 @@
 
     @ParameterizedTest(name = "client gives up after {0} ms, an answer is in time for 1000 ms")
     @CsvSource({"300, true", "1500, false"})
-    void keepsBudgetIfClientsGiveUpEarly(long waitMs, boolean keptOpen) {
+    void decreasesBudgetOnlyIfClientsGiveUpAfterAnswerIsLate(long waitMs, boolean keptOpen) {
         final RecordingHost host =
                 new RecordingHost(
                                 TestSettings.advisingRetries(
@@ -145,7 +145,7 @@
             }
             host.advanceTime(id % 4 == 0 ? SECOND * 27 / 10 : SECOND * 27 / 100);
         }
-        // Half of them time out, so requests beyond the budget are shed down to the floor.
+        // Half of the sent requests time out, so the budget decreases and most requests are shed.
         assertThat(host.rejected).filteredOn(id -> id >= 200).hasSizeGreaterThan(150);
     }
 
--- a/src/test/java/cresschute/dispatch/DispatcherDeadlineTest.java
+++ b/src/test/java/cresschute/dispatch/DispatcherDeadlineTest.java
@@ -26,7 +26,8 @@
     }
 
     /**
-     * A request is in time for 1 s, and a retry counts up to two Retry-After times (0.4 s) later.
+     * An answer is in time for 1 s. An unmarked request counts as a retry up to two Retry-After
+     * times of 0.2 s later, that is, up to an age of 1.4 s.
      */
     @ParameterizedTest(name = "timeout shorter by {0} ms, marked as retry: {1}")
     @CsvSource({
--- a/src/test/java/cresschute/dispatch/DispatcherRetryTest.java
+++ b/src/test/java/cresschute/dispatch/DispatcherRetryTest.java
@@ -143,7 +143,7 @@
      * all workers drop a duplicate.
      */
     @Test
-    void rejectsKeyedRequestOnlyWithinWindowIfAllWorkersDropIt() {
+    void rejectsKeyedRequestOnlyWithinWindowIfAllWorkersDropDuplicate() {
         final RecordingHost host = hostOfClass(Idempotency.KEYED, DeduplicationScope.ALL);
         host.list(EndpointListForm.CACHED, worker(1, 0, 0)).request(1, 0);
         host.advanceTime(2 * SECOND);
--- a/src/test/java/cresschute/dispatch/RetryPolicyTest.java
+++ b/src/test/java/cresschute/dispatch/RetryPolicyTest.java
@@ -71,7 +71,7 @@
         "CANCELLED, false, true",
         "UNUSABLE, false, true"
     })
-    void treatsFullAsNotRunUnlessSettingsSayItMayHaveRun(
+    void derivesWhetherJobMayHaveRunFromOutcomeAndSetting(
             Outcome outcome, boolean fullMayHaveRun, boolean mayHaveRun) {
         final TestSettings settings =
                 new TestSettings(
--- a/src/test/java/cresschute/node/IdleConnectionRaceTest.java
+++ b/src/test/java/cresschute/node/IdleConnectionRaceTest.java
@@ -15,8 +15,8 @@
 class IdleConnectionRaceTest extends RaceFixture {
 
     /**
-     * Guards against writing a request to a connection whose end was already in the receive buffer:
-     * the attempt ended as a reset, so the request counted as one that may have run.
+     * Guards against writing a request to a connection whose close was already in the receive
+     * buffer: the attempt ended as broken, so the request counted as one that may have run.
      */
     @Test
     void writesNoRequestToClosedKeptConnection() throws Exception {
--- a/src/test/java/cresschute/node/LongBodyRulesTest.java
+++ b/src/test/java/cresschute/node/LongBodyRulesTest.java
@@ -103,9 +103,8 @@
             try (Peer worker = node.worker()) {
                 worker.readHead();
                 long held = 0;
-                // The body fills its window and what it may borrow, as no other body needs any;
-                // then
-                // reading stops.
+                // The body fills its window and all that it may borrow, as no other body needs
+                // bytes of the budget; then reading stops.
                 while (held <= MAX_BYTES_PER_BODY - 64 * KIB) {
                     held = bufferedBytes(node);
                     assertThat(held).isLessThanOrEqualTo(MAX_BYTES_PER_BODY);
@@ -165,7 +164,10 @@
         }
     }
 
-    /** A partly released body is not sent to a second worker, which is not blamed for that. */
+    /**
+     * A partly released body is not sent to a second worker, and that does not count as a failure
+     * of this worker.
+     */
     @Test
     void doesNotStartHedgedRequestBeyondSpool() throws Exception {
         try (TestNode node = node(1);
@@ -332,7 +334,7 @@
         }
     }
 
-    /** The worker reads nothing for the stall timeout; it is at fault and its client is not. */
+    /** The worker reads nothing for the stall timeout; the worker is at fault, not the client. */
     @Test
     void abandonsWorkerThatStopsReading() throws Exception {
         final long length = 32L * MIB;
--- a/src/test/java/cresschute/node/WorkerSocketRulesTest.java
+++ b/src/test/java/cresschute/node/WorkerSocketRulesTest.java
@@ -137,7 +137,7 @@
 
     @ParameterizedTest
     @CsvSource({"true", "false"})
-    void reportsCloseAfterLastByteAsBroken(boolean reset) throws Exception {
+    void reportsCloseOrResetAfterLastByteAsBroken(boolean reset) throws Exception {
         try (TestNode node = new TestNode();
                 Peer client = node.client()) {
             client.write(request("r1", "", ""));
--- a/src/test/java/cresschute/testbed/ControlledFleetTest.java
+++ b/src/test/java/cresschute/testbed/ControlledFleetTest.java
@@ -26,8 +26,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Checks consoles at a node under load, seed 1: sessions that are cut, that compete, or that stop
- * reading.
+ * Checks consoles at a node under load, seed 1: sessions that are cut, that drain the same worker
+ * at the same time, or that stop reading.
  */
 @Timeout(90)
 class ControlledFleetTest {
@@ -157,8 +157,8 @@
     }
 
     /**
-     * If the session is cut after the request, the drain holds, once, and the same request gets the
-     * same answer.
+     * If the session is cut after the request, the drain is applied exactly once, and the same
+     * request gets the same answer.
      */
     @Test
     void drainSurvivesSessionCutAndIsIdempotent() throws IOException {
@@ -212,8 +212,8 @@
     }
 
     /**
-     * A worker that is drained while its process is down restarts drained, and gets requests once
-     * the drain is undone.
+     * A worker that is drained while its process is down is still drained after the process
+     * restarts, and gets requests once the drain is undone.
      */
     @Test
     void drainOutlivesWorkerRestart() throws IOException {
--- a/src/test/java/cresschute/testbed/bodies/BodyPeersTest.java
+++ b/src/test/java/cresschute/testbed/bodies/BodyPeersTest.java
@@ -115,8 +115,8 @@
     }
 
     /**
-     * A job whose body was cut has not run. It is never sent a second time beyond the bytes that
-     * the node has kept.
+     * A job whose body was received only in part has not run. Its request is not sent again if its
+     * body is longer than the node keeps for a further attempt.
      */
     @Test
     void answers503WhenWorkerResetsDuringBody() {
