--- a/src/test/java/cresschute/cli/CapacityPageCommandTest.java
+++ b/src/test/java/cresschute/cli/CapacityPageCommandTest.java
@@ -121,7 +121,7 @@
                                 + System.lineSeparator());
         Files.delete(folder.resolve("a.csv"));
         Files.writeString(page, "no markers\n");
-        assertThat(page().err()).startsWith("cresschute: " + page + ": no marker for the tables ");
+        assertThat(page().err()).startsWith("cresschute: " + page + ": no marker for tables: ");
         Files.delete(page);
         assertThat(page())
                 .isEqualTo(
