--- a/src/main/java/cresschute/testbed/LoadClients.java
+++ b/src/main/java/cresschute/testbed/LoadClients.java
@@ -2,12 +2,12 @@
 
 import com.google.gson.JsonObject;
 import cresschute.dispatch.Idempotency;
-import cresschute.testbed.Observation.UnexpectedAnswer;
 import cresschute.testbed.Observation.RequestAnswered;
 import cresschute.testbed.Observation.RequestLost;
 import cresschute.testbed.Observation.RequestSent;
 import cresschute.testbed.Observation.RequestUnanswered;
 import cresschute.testbed.Observation.RequestUnfinished;
+import cresschute.testbed.Observation.UnexpectedAnswer;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
--- a/src/test/java/cresschute/testbed/FleetTest.java
+++ b/src/test/java/cresschute/testbed/FleetTest.java
@@ -3,11 +3,11 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
+import cresschute.testbed.Observation.AttemptReceived;
 import cresschute.testbed.Observation.RequestAnswered;
 import cresschute.testbed.Observation.RequestSent;
 import cresschute.testbed.Observation.RunDone;
 import cresschute.testbed.Observation.RunStarted;
-import cresschute.testbed.Observation.AttemptReceived;
 import cresschute.testbed.Observation.WorkerBooted;
 import cresschute.testbed.Observation.WorkerListed;
 import cresschute.testbed.RequestOutcomes.End;
--- a/src/test/java/cresschute/testbed/capacity/RequestOutcomesTest.java
+++ b/src/test/java/cresschute/testbed/capacity/RequestOutcomesTest.java
@@ -4,11 +4,11 @@
 import static org.assertj.core.api.Assertions.within;
 
 import cresschute.testbed.Observation;
+import cresschute.testbed.Observation.AttemptReceived;
 import cresschute.testbed.Observation.RequestAnswered;
 import cresschute.testbed.Observation.RequestLost;
 import cresschute.testbed.Observation.RequestSent;
 import cresschute.testbed.Observation.RunStarted;
-import cresschute.testbed.Observation.AttemptReceived;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
